--- /dev/null
+++ b/tests/test_golden_histories.py
@@ -0,0 +1,137 @@
+"""Simulations from fixed seeds give the histories that they gave before, to the last bit.
+
+Every datagram of a simulated fleet is encoded and decoded on its way, so that the bytes of all packages that
+talk through it are part of the digest and are read back. A difference is a change of a decision
+or of the wire.
+"""
+
+from __future__ import annotations
+
+import hashlib
+import unittest
+from typing import Any
+from unittest import mock
+
+from msgspec import msgpack
+
+from landingshift.fleet import wire
+from landingshift.fleet.messages import Message
+from landingshift.lab import assent, upkeep
+from landingshift.lab.days import draw
+from landingshift.lab.rise import Case, Rise
+from landingshift.lab.rows import Row
+from landingshift.lab.town import Town
+from landingshift.lab.virtual import World
+from landingshift.upkeep.book import Book
+from tests.golden_files import assert_golden_json
+
+FLEET = "golden"
+
+
+class Recorder:
+    """Stands in for `World.carry`: digests each message with its time, and passes on what its bytes say."""
+
+    def __init__(self) -> None:
+        self.digest, self.count = hashlib.sha256(), 0
+        self.samples: dict[str, bytes] = {}
+        self.carry = World.carry
+
+    def __call__(self, world: World, sender: Any, to: Any, message: Any) -> None:
+        if isinstance(message, Message):
+            data = wire.encode(FLEET, message)
+            words = [str(word) for word in message.body[:2] if isinstance(word, str)]
+            self.samples.setdefault(" ".join([message.kind.name.lower(), *words])[:40], data)
+            if len(data) <= wire.LARGEST:
+                message = wire.decode(FLEET, data)
+        else:
+            data = msgpack.encode(message)
+            message = tuple(msgpack.decode(data))
+        self.count += 1
+        self.digest.update(f"{world.now!r} {sender!r} {to!r} ".encode() + data)
+        self.carry(world, sender, to, message)
+
+    def recorded(self) -> Any:
+        recorder = self
+        return mock.patch.object(World, "carry", lambda *args: recorder(*args))
+
+    @property
+    def found(self) -> list[Any]:
+        return [self.count, self.digest.hexdigest()]
+
+
+def digest(value: Any) -> str:
+    return hashlib.sha256(value if isinstance(value, bytes) else repr(value).encode()).hexdigest()
+
+
+class Histories(unittest.TestCase):
+    def test_whole_fleet(self) -> None:
+        found: dict[str, Any] = {}
+        samples: dict[str, bytes] = {}
+        for seed in (3, 11, 12):
+            recorder = Recorder()
+            with recorder.recorded():
+                town = Town(draw(seed))
+                history = town.play()
+            samples = recorder.samples | samples
+            found[f"day {seed}"] = {
+                "datagrams": recorder.found,
+                "history": [len(history), digest(history)],
+                "snapshots": [digest(home.part.shelf.dump()) for home in town.homes.values()],
+            }
+        assert_golden_json(self, "whole_fleet.json", found)
+        assert_golden_json(self, "membership_datagrams.json", dict(sorted(samples.items())))
+
+    def test_policies(self) -> None:
+        found = {}
+        for seed in range(1, 7):
+            recorder = Recorder()
+            with recorder.recorded():
+                hall = assent.play(seed, aside=bool(seed % 2))
+            found[f"history {seed}"] = {
+                "messages": recorder.found,
+                "history": [len(hall.history), digest(hall.history)],
+                "snapshots": [digest(mind.part.shelf.dump()) for mind in hall.minds.values()],
+            }
+        assert_golden_json(self, "policies_histories.json", found)
+
+    def test_cold_start(self) -> None:
+        found = {}
+        cases = {"list": Case(40), "snapshot": Case(40, know="snapshot"), "power": Case(30, power=True)}
+        for name, case in cases.items():
+            recorder = Recorder()
+            with recorder.recorded():
+                rise = Rise(case, 7)
+                rise.start_all()
+                rise.run(25_000.0)
+            found[name] = {
+                "datagrams": recorder.found,
+                "asks": [len(rise.asks), digest(rise.asks)],
+                "warm": digest(rise.warm),
+                "at": rise.warm_at,
+                "broken": rise.broken,
+                "lines": digest([line[:2] for line in rise.lines]),
+            }
+        assert_golden_json(self, "cold_start.json", found)
+
+    def test_work_on_machines(self) -> None:
+        found = {}
+        apply = Book.apply
+        for name, play in {"drawn": upkeep.drawn, "day": lambda *a: upkeep.whole_day(*a, count=60)}.items():
+            entries = hashlib.sha256()
+            dumps: dict[int, Book] = {}
+
+            def applied(book: Book, data: bytes, entries: Any = entries, dumps: Any = dumps) -> None:
+                entries.update(data)
+                dumps[id(book)] = book
+                apply(book, data)
+
+            with mock.patch.object(Book, "apply", applied):
+                row = Row(name)
+                play(row, 5, "")
+            found[name] = {
+                "entries": entries.hexdigest(),
+                "figures": row.figures,
+                "broken": row.broken,
+                "snapshots": [digest(book.dump()) for book in dumps.values()],
+            }
+        assert_golden_json(self, "work_on_machines.json", found)
--- /dev/null
+++ b/tests/test_golden_storage.py
@@ -0,0 +1,292 @@
+"""Files of an earlier build are read as before, and what is written has the bytes that it had before."""
+
+from __future__ import annotations
+
+import os
+import shutil
+import tempfile
+import unittest
+from pathlib import Path
+from types import SimpleNamespace
+from typing import Any
+
+from msgspec import msgpack
+
+from landingshift.agreement.journal import Journal
+from landingshift.agreement.shelf import Shelf, entry
+from landingshift.agreement.voter import Append, Appended, Ask, Entry, Install, Message, Stored, Vote
+from landingshift.coldstart import snapshot
+from landingshift.handover import journal as moved
+from landingshift.ledger.compact import compact
+from landingshift.ledger.entries import Batch, Gap, Raw, decode
+from landingshift.ledger.records import Exporting
+from landingshift.ledger.store import FILE, Store
+from landingshift.policies.book import Book as PolicyBook
+from landingshift.upkeep.book import NAME, command
+from landingshift.upkeep.book import Book as WorkBook
+from landingshift.upkeep.service import Upkeep
+from tests import test_handover
+from tests.golden_files import FOLDER, assert_golden_bytes, assert_golden_json, golden_bytes, golden_json
+
+DAY = 86_400_000
+
+
+class Folder(unittest.TestCase):
+    def setUp(self) -> None:
+        self.folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
+
+
+class Raft(Folder):
+    def test_messages(self) -> None:
+        entries = (Entry(3, b"\x91\xa1x"), Entry(3, b""))
+        messages = [
+            Ask(4, 10, 3, True),
+            Vote(4, True, False),
+            Append(4, 10, 3, entries, 9, 77),
+            Appended(4, False, 8, 77),
+            Install(4, 200, 3, b"state", 78, ("n1", "n2")),
+            Install(4, 200, 3, b"state", 78),
+        ]
+        found = {f"{i}": msgpack.encode(message) for i, message in enumerate(messages)}
+        assert_golden_json(self, "raft_messages.json", found)
+        for i, data in enumerate(golden_json("raft_messages.json").values()):
+            self.assertEqual(msgpack.decode(data, type=Message), messages[i])
+
+    def stored(self) -> list[Stored]:
+        """States as a voter saves them one after the other: an append, a cut, a new term, a snapshot."""
+        a, b, c = Entry(1, b"\x91\xa1a"), Entry(1, b"\x91\xa1b"), Entry(2, b"\xc1\x92\xa2n1\xa2n2")
+        return [
+            Stored(1, "n1", entries=[a, b]),
+            Stored(2, "", entries=[a]),
+            Stored(2, "n2", entries=[a, c]),
+            Stored(2, "n2", 2, 2, b"snapshot", [], ("n1", "n2")),
+            Stored(3, "", 2, 2, b"snapshot", [c], ("n1", "n2")),
+        ]
+
+    def test_log(self) -> None:
+        path = str(self.folder / "journal")
+        journal = Journal(path, "golden", "n1")
+        for stored in self.stored():
+            journal.save(stored)
+        journal.close()
+        assert_golden_bytes(self, "raft_log", Path(path).read_bytes())
+        assert_golden_bytes(self, "raft_log.seal", Path(path + ".seal").read_bytes())
+        again = str(self.folder / "again")
+        for ending in ("", ".seal"):
+            shutil.copy(FOLDER / f"raft_log{ending}", again + ending)
+        journal = Journal(again, "golden", "n1")
+        self.assertEqual(journal.stored, self.stored()[-1])
+        journal.write_anew(journal.stored)
+        journal.close()
+        assert_golden_bytes(self, "raft_log_rewritten", Path(again).read_bytes())
+
+
+class Replicated(unittest.TestCase):
+    """Entries and snapshots of what the voters agree on."""
+
+    POLICIES = (
+        ["join", [["n1", 11], ["n2", 12]]],
+        ["propose", "c1", b"text", "me", "why", 5.0],
+        ["propose", "c2", b"other", "me", "why", 6.0],
+        ["switch", "c1", 2],
+        ["propose", "c3", b"text", "me", "why", 7.0],
+        ["propose", "c4", b"third", "me", "why", 8.0],
+        ["end", "c4", "withdrawn", "not now", 9.0],
+        ["end", "c5", "withdrawn", "not known", 10.0],
+        ["gone", "n2", 12],
+    )
+    WORK = (
+        command("machine", "n1", 100.0, "z0", "a", True),
+        command("machine", "n2", 50.0, "z1", "b", False),
+        command(
+            "wish",
+            [
+                ["n1", 10.0, 5.0, 1.0, 0.0, float("inf"), False, "g"],
+                ["n2", 5.0, 6.0, 2.0, 0.0, 1e12, True, ""],
+            ],
+        ),
+        command("seen", 3, 70.5),
+        command("permit", "n1", 11, 7.0),
+        command("move", "n1", 1, "draining", "", 8.0),
+        command("hold", "why"),
+        command("hold", ""),
+        command("move", "n2", 0, "cancelled", "not now", 9.0),
+        command("without", "n2"),
+    )
+
+    def test_entries_and_snapshots(self) -> None:
+        policies, work, shelf = PolicyBook(), WorkBook(), Shelf()
+        shelf.add("policies", policies)
+        shelf.add(NAME, work)
+        for words in self.POLICIES:
+            shelf.apply(msgpack.encode(words))
+        for data in self.WORK:
+            shelf.apply(data)
+        shelf.apply(entry("unknown", "x", 1))
+        found = {
+            "work entries": list(self.WORK),
+            "other": entry("unknown", "x", 1),
+            "policies": policies.dump(),
+            "work": work.dump(),
+            "all": shelf.dump(),
+        }
+        assert_golden_json(self, "replicated_states.json", found)
+        policies, work, shelf = PolicyBook(), WorkBook(), Shelf()
+        shelf.add("policies", policies)
+        shelf.add(NAME, work)
+        shelf.load(golden_json("replicated_states.json")["all"])
+        self.assertEqual((policies.dump(), work.dump()), (found["policies"], found["work"]))
+        self.assertEqual(shelf.dump(), found["all"])
+
+
+class Disks(Folder):
+    def test_endpoint_cache(self) -> None:
+        path = str(self.folder / "list")
+        snapshot.save(path, "golden", [("10.0.0.1", 7101), ("10.0.0.2", 7102)], 1_796_287_000_000.0)
+        assert_golden_bytes(self, "endpoint_cache", Path(path).read_bytes())
+        found = snapshot.load(str(FOLDER / "endpoint_cache"), "golden", 1_796_287_001_000.0)
+        self.assertEqual(found.entries, [("10.0.0.1", 7101), ("10.0.0.2", 7102)])
+        self.assertEqual((found.age, found.why), (1000.0, ""))
+
+    def test_mark_of_a_boot(self) -> None:
+        path = str(self.folder / "list.boot")
+        snapshot.mark(path, "0f0f-boot")
+        assert_golden_bytes(self, "boot_mark", Path(path).read_bytes())
+        self.assertEqual(snapshot.marked(str(FOLDER / "boot_mark")), "0f0f-boot")
+
+    def test_mark_of_work(self) -> None:
+        path = str(self.folder / "mark")
+        service: Any = SimpleNamespace(
+            settings=SimpleNamespace(mark=path),
+            node=SimpleNamespace(me=SimpleNamespace(name="n3")),
+            hand=SimpleNamespace(going=17),
+            log=self.fail,
+            router=SimpleNamespace(site=SimpleNamespace(name="n3")),
+        )
+        Upkeep.write_mark(service)
+        assert_golden_bytes(self, "work_mark", Path(path).read_bytes())
+        service.settings.mark = str(FOLDER / "work_mark")
+        self.assertEqual(Upkeep.marked(service), 17)
+
+
+def shape(value: Any) -> Any:
+    """Names and kinds without values; of a list each kind once, in order."""
+    match value:
+        case dict():
+            return {str(key): shape(each) for key, each in value.items()}
+        case list():
+            return [
+                each for i, each in enumerate(map(shape, value)) if each not in [shape(v) for v in value[:i]]
+            ]
+        case bool() | str() | bytes() | None:
+            return type(value).__name__
+    return "number"
+
+
+class HotRestart(unittest.TestCase):
+    def test_names_in_the_state(self) -> None:
+        """A router with an RPC at each layer: the state that another build reads has the same names."""
+        moving = test_handover.Moving("test_everything_in_hand_goes_on")
+        moving.setUp()
+        self.addCleanup(moving.doCleanups)
+        gateway = moving.gateway()
+        gateway.sendall(
+            moving.rpc("m", b"runs") + moving.rpc("m", b"calls") + moving.rpc("token", b"kept", once="k")
+        )
+        for _ in range(3):
+            moving.command()
+        moving.engine.send(b"NEED 1 %016x 4\r\nbody\r\n" % 2)
+        moving.wait_for(moving.doors[1])
+        database = moving.peer(moving.doors[1].accept()[0])
+        moving.wait_for(database)
+        gateway.sendall(moving.rpc("token", b"kept", once="k"))
+        moving.pump(30.0)
+        data, _ = test_handover.Giver(moving.router).give()
+        state = msgpack.decode(data)
+        state["module"] = {part: sorted(state["module"][part]) for part in ("plain", "rings")}
+        for rpc in state["rpcs"]:
+            rpc["command"] = (
+                None  # whether the engine has confirmed it is a matter of time, as its gauges are
+            )
+        state["engine"]["stats"] = None
+        assert_golden_json(self, "hot_restart_state.json", shape(state))
+
+    def test_journal(self) -> None:
+        journal = moved.Journal.make(4096)
+        self.addCleanup(journal.close)
+        for i, kind in enumerate(moved.Kind):
+            journal.write(kind, i, b"data" * i)
+        assert_golden_bytes(self, "hot_restart_journal", journal.map[:256])
+        fd = os.memfd_create("golden")
+        os.write(fd, golden_bytes("hot_restart_journal").ljust(4096, b"\0"))
+        again = moved.Journal(fd, 4096, False)
+        self.addCleanup(again.close)
+        rows = [(int(kind), whom, data) for _, kind, whom, data in again.read()]
+        self.assertEqual(rows, [(i + 1, i, b"data" * i) for i in range(len(moved.Kind))])
+
+
+class Ledger(Folder):
+    """A ledger with every kind of entry; the chained hashes make any changed byte show."""
+
+    def make(self) -> Store:
+        store = Store(str(self.folder), "n1", "UTC", "day", 1000, 1000)
+        self.addCleanup(store.close)
+        raws = [Raw(i, 100 + i, b"t%d" % (i % 2), b"m", 5000 + i, 10, 20, b"%016d" % i) for i in range(1, 7)]
+        raws[3].identity = raws[2].identity  # a retry within the window
+        store.open_run(b"run-1", 50)
+        with store.changing() as book:
+            book.take(Batch(1, raws[:4], [1, 2, 3], [], [], 2), 110)
+            book.take(Batch(2, raws[4:], [4], [5], []), 120)
+        store.open_run(b"run-2", 200)
+        with store.changing() as book:
+            book.append(Gap(210, 3))
+            book.correct(b"t1", b"m", "1970-01-01", 2, 10, "1.5", "a reason", "me", 220)
+        with store.changing() as book:
+            uses = dict(store.disputed())
+            book.resolve(uses, [], store.counted_about(uses), "checked", "me", 230)
+        with store.changing() as book:
+            late = Raw(1, DAY + 500, b"t1", b"m", 4000, 1, 2, b"z" * 16)
+            book.take(Batch(1, [late], [1], [], []), DAY + 500)
+        with store.changing() as book:
+            book.close("1970-01-01", 2 * DAY, store.first_open(), store.raw_totals("1970-01-01"))
+        return store
+
+    def content(self, store: Store) -> dict[str, Any]:
+        tables = ("entries", "names", "totals", "sums", "baseline", "disputed", "corrections", "closed")
+        found: dict[str, Any] = {
+            table: sorted(store.db.execute(f"SELECT * FROM {table}").fetchall()) for table in tables
+        }
+        found["meta"] = store.db.execute("SELECT * FROM meta ORDER BY key").fetchall()
+        found["schema"] = store.db.execute("SELECT name, sql FROM sqlite_master ORDER BY name").fetchall()
+        return found
+
+    def test_every_kind_of_entry_and_the_export(self) -> None:
+        store = self.make()
+        batch = Exporting(store).batch(0)
+        assert batch is not None
+        found = self.content(store) | {"export": batch.SerializeToString(deterministic=True)}
+        kinds = {kind for _, kind, _, _ in found["entries"]}
+        compact(store, "1970-01-01", 3 * DAY, store.book.last)
+        found["after compaction"] = self.content(store)
+        kinds |= {kind for _, kind, _, _ in found["after compaction"]["entries"]}
+        self.assertEqual(kinds, set(range(1, 10)))
+        assert_golden_json(self, "ledger.json", found)
+
+    def test_an_earlier_file_is_read(self) -> None:
+        path = self.folder / FILE
+        if not (FOLDER / "ledger.sqlite").exists() and os.environ.get("LANDINGSHIFT_WRITE_GOLDEN") == "1":
+            made = self.make()
+            made.backup(str(FOLDER / "ledger.sqlite"))
+            made.close()
+            path.unlink()
+        shutil.copy(FOLDER / "ledger.sqlite", path)
+        store = Store(str(self.folder), "n1", "UTC", "day", 1000, 1000)
+        self.addCleanup(store.close)
+        wanted = golden_json("ledger.json")
+        rows = [list(row) for row in store.rows()]
+        self.assertEqual(rows, wanted["entries"])
+        self.assertEqual(type(decode(*rows[0][1:3])).__name__, "Opened")
+        batch = Exporting(store).batch(0)
+        assert batch is not None
+        self.assertEqual(batch.SerializeToString(deterministic=True), wanted["export"])
+        self.assertEqual([name for name, _, _ in store.periods()], ["1970-01-01", "1970-01-02"])
