--- a/benchmarks/handover.py
+++ b/benchmarks/handover.py
@@ -10,10 +10,10 @@
 
 from msgspec import msgpack
 
-from landingshift.brain import Server
+from landingshift.admission.controller import Server
 from landingshift.handover.carrier import MOST, Carrier, Frame
 from landingshift.handover.journal import Journal, Kind
-from landingshift.interface import Advert, Below, Effect, Method, Outcome, Rpc, Settings, Stopping
+from landingshift.admission.interface import Advert, Below, Effect, Method, Outcome, Rpc, Settings, Stopping
 
 FDS, RPCS = 400, 1000
 
--- a/landingshift/brain.py
+++ b/landingshift/admission/controller.py
@@ -12,8 +12,18 @@
 from random import Random
 from typing import Any
 
-from landingshift.interface import Actions, Advert, Below, Effect, Gauges, Method, Outcome, Rpc, Settings
-from landingshift.interface import Stopping, Tenant
+from landingshift.admission.interface import (
+    Actions,
+    Advert,
+    Below,
+    Effect,
+    Gauges,
+    Method,
+    Outcome,
+    Rpc,
+    Settings,
+)
+from landingshift.admission.interface import Stopping, Tenant
 
 TICK = 50.0  # between two looks at the gauges and the hold
 LAST = 10.0  # before its end that running work is answered for: it may still end by itself until then
--- a/landingshift/interface.py
+++ b/landingshift/admission/interface.py
@@ -1,7 +1,7 @@
 """The types through which a program and the decision module talk: facts in, actions out.
 
-A program makes one `brain.Server` per instance, hands it `Settings` and an `Actions`, and calls it for
-each event. It gets a handle for each RPC it reads and passes that handle back with later events.
+A program makes one `admission.controller.Server` per instance, hands it `Settings` and an `Actions`, and
+calls it for each event. It gets a handle for each RPC it reads and passes that handle back with later events.
 """
 
 from __future__ import annotations
--- a/landingshift/coldstart/service.py
+++ b/landingshift/coldstart/service.py
@@ -18,7 +18,7 @@
 from landingshift.fleet.messages import Address, Record
 from landingshift.fleet.service import Fleet
 from landingshift.fleet.settings import address
-from landingshift.interface import Outcome
+from landingshift.admission.interface import Outcome
 from landingshift.net.transport.loop import Timer
 
 if TYPE_CHECKING:
--- a/landingshift/drill/door.py
+++ b/landingshift/drill/door.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
-from landingshift.brain import Job, Server
-from landingshift.interface import Gauges, Outcome, Rpc, Settings
+from landingshift.admission.controller import Job, Server
+from landingshift.admission.interface import Gauges, Outcome, Rpc, Settings
 from landingshift.settings import decode
 
 OUTCOMES = {
--- a/landingshift/handover/state.py
+++ b/landingshift/handover/state.py
@@ -14,8 +14,8 @@
 
 from msgspec import Struct, field, msgpack
 
-from landingshift.brain import Server
-from landingshift.interface import Outcome
+from landingshift.admission.controller import Server
+from landingshift.admission.interface import Outcome
 from landingshift.net.protocol import engine as engine_wire
 from landingshift.net.routing.database import BOUND as DATABASE_BOUND
 from landingshift.net.routing.database import WHOLE, Call, Link
--- a/landingshift/lab/home.py
+++ b/landingshift/lab/home.py
@@ -15,14 +15,14 @@
 import msgspec
 
 from landingshift.agreement.voter import Stored
-from landingshift.brain import Job, Server
+from landingshift.admission.controller import Job, Server
 from landingshift.coldstart.agent import Agent, Seen
 from landingshift.coldstart.seek import Seek
 from landingshift.coldstart.strain import Strain
 from landingshift.fleet.members import Member
 from landingshift.fleet.messages import GONE, Message, Record, State
 from landingshift.fleet.node import Node, Times
-from landingshift.interface import (
+from landingshift.admission.interface import (
     Advert,
     Below,
     Effect,
--- a/landingshift/net/program/config.py
+++ b/landingshift/net/program/config.py
@@ -8,7 +8,7 @@
 
 import orjson
 
-from landingshift.interface import Below
+from landingshift.admission.interface import Below
 from landingshift.net.routing.router import Site
 from landingshift.net.transport.stream import Address
 from landingshift.settings import BadSetting, decode
--- a/landingshift/net/protocol/database.py
+++ b/landingshift/net/protocol/database.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterator
 
-from landingshift.interface import Outcome
+from landingshift.admission.interface import Outcome
 from landingshift.net.protocol.lines import Broken, Lines, line
 
 ENDS = {
--- a/landingshift/net/protocol/engine.py
+++ b/landingshift/net/protocol/engine.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from landingshift.interface import Outcome
+from landingshift.admission.interface import Outcome
 from landingshift.net.protocol.lines import Broken, Lines, length, line
 
 ENDS = {
--- a/landingshift/net/routing/database.py
+++ b/landingshift/net/routing/database.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from landingshift.interface import Outcome
+from landingshift.admission.interface import Outcome
 from landingshift.net.protocol import database as wire
 from landingshift.net.protocol.lines import Broken
 from landingshift.net.routing.records import Routed
--- a/landingshift/net/routing/dedup.py
+++ b/landingshift/net/routing/dedup.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from landingshift.interface import Effect, Outcome
+from landingshift.admission.interface import Effect, Outcome
 from landingshift.net.routing.records import Routed
 
 ENTRY = 400  # bytes that an entry takes without its result
--- a/landingshift/net/routing/engine.py
+++ b/landingshift/net/routing/engine.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from landingshift.interface import Effect
+from landingshift.admission.interface import Effect
 from landingshift.net.protocol import engine as wire
 from landingshift.net.protocol.lines import Broken
 from landingshift.net.routing.records import Routed
--- a/landingshift/net/routing/records.py
+++ b/landingshift/net/routing/records.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from landingshift.brain import Job
-from landingshift.interface import Rpc
+from landingshift.admission.controller import Job
+from landingshift.admission.interface import Rpc
 
 if TYPE_CHECKING:
     from landingshift.net.routing.database import Call
--- a/landingshift/net/routing/router.py
+++ b/landingshift/net/routing/router.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from landingshift.brain import Server
-from landingshift.interface import Advert, Effect, Gauges, Method, Outcome, Rpc, Settings, Tenant
+from landingshift.admission.controller import Server
+from landingshift.admission.interface import Advert, Effect, Gauges, Method, Outcome, Rpc, Settings, Tenant
 from landingshift.net.protocol import engine as engine_wire
 from landingshift.net.protocol import gateway as wire
 from landingshift.net.routing.database import Database
--- a/landingshift/policies/document.py
+++ b/landingshift/policies/document.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from landingshift.interface import Method, Settings, Tenant
+from landingshift.admission.interface import Method, Settings, Tenant
 
 LARGEST = 65_536  # bytes of one as it is kept
 FORMAT = 2  # the newest that this build reads; LANDINGSHIFT_FORMAT: as if it were an older build
--- a/landingshift/policies/service.py
+++ b/landingshift/policies/service.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any
 
 from landingshift import failpoints
-from landingshift.brain import Server
+from landingshift.admission.controller import Server
 from landingshift.fleet.messages import Record, State
 from landingshift.fleet.service import Fleet
 from landingshift.net.transport.loop import Timer
--- a/landingshift/settings.py
+++ b/landingshift/settings.py
@@ -4,7 +4,7 @@
 
 from typing import Any, TypeVar
 
-from landingshift.interface import Advert, Below, Effect, Method, Settings, Stopping, Tenant
+from landingshift.admission.interface import Advert, Below, Effect, Method, Settings, Stopping, Tenant
 
 T = TypeVar("T")
 MISSING = object()
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -22,8 +22,8 @@
 
 import msgpack
 
-from landingshift.brain import Job, Server
-from landingshift.interface import Advert, Below, Effect, Gauges, Method, Rpc, Settings, Stopping
+from landingshift.admission.controller import Job, Server
+from landingshift.admission.interface import Advert, Below, Effect, Gauges, Method, Rpc, Settings, Stopping
 from landingshift.lab import MEMORY
 from landingshift.lab.rows import Row
 
--- a/tests/test_brain.py
+++ b/tests/test_admission.py
@@ -2,8 +2,8 @@
 from dataclasses import replace
 from typing import Any
 
-from landingshift.brain import Ring, Want
-from landingshift.interface import Advert, Below, Effect, Outcome, Stopping, Tenant
+from landingshift.admission.controller import Ring, Want
+from landingshift.admission.interface import Advert, Below, Effect, Outcome, Stopping, Tenant
 from tests.helpers import METHOD, Bench
 
 TOKENED = replace(METHOD, effect=Effect.TOKENED)
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -9,7 +9,7 @@
 
 import msgpack
 
-from landingshift.interface import Effect
+from landingshift.admission.interface import Effect
 from landingshift.net.program.main import Signals
 from landingshift.net.transport.loop import Loop
 from tests.helpers import METHOD, Bench, Engine, Gateway, World, until
--- a/tests/test_golden_decisions.py
+++ b/tests/test_golden_decisions.py
@@ -9,7 +9,7 @@
 
 from msgspec import msgpack
 
-from landingshift.brain import Job
+from landingshift.admission.controller import Job
 from tests import test_handover
 from tests.golden_files import assert_golden_bytes, assert_golden_json, golden_bytes
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -19,12 +19,12 @@
 from hypothesis import strategies as st
 from msgspec import msgpack
 
-from landingshift.brain import Job, Want
+from landingshift.admission.controller import Job, Want
 from landingshift.handover.carrier import HEAD, MOST, BadCarrier, Carrier, Frame
 from landingshift.handover.journal import Full, Journal, Kind
 from landingshift.handover.plan import NEW_IN_CHARGE, OLD_IN_CHARGE, TABLE, Event, Limits, Order, Plan, Stage
 from landingshift.handover.state import CannotMove, Giver, Taker
-from landingshift.interface import Advert, Below, Effect, Gauges, Method, Outcome, Rpc, Tenant
+from landingshift.admission.interface import Advert, Below, Effect, Gauges, Method, Outcome, Rpc, Tenant
 from landingshift.net.program.config import site as read_site
 from landingshift.net.routing.router import Router
 from landingshift.net.transport.loop import Loop
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -9,7 +9,7 @@
 from typing import Any
 from unittest import mock
 
-from landingshift.interface import Effect, Outcome
+from landingshift.admission.interface import Effect, Outcome
 from landingshift.net.program import config
 from landingshift.net.program.log import Log
 from landingshift.net.protocol import engine, gateway
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -11,7 +11,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from landingshift.interface import Method
+from landingshift.admission.interface import Method
 from landingshift.lab.policy import VIRTUAL, histories, searched, virtual
 from landingshift.lab.promises import broken
 from landingshift.lab.rig import in_time
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -4,7 +4,7 @@
 import unittest
 from typing import Any
 
-from landingshift.interface import Effect, Method, Outcome
+from landingshift.admission.interface import Effect, Method, Outcome
 from landingshift.net.routing.dedup import ENTRY, DedupTable
 from landingshift.net.routing.records import Routed
 from tests.helpers import METHOD, SETTINGS, Bench, Engine, Gateway, World, until
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -12,7 +12,7 @@
 from types import SimpleNamespace
 from typing import Any
 
-from landingshift.interface import Effect
+from landingshift.admission.interface import Effect
 from landingshift.net.program.config import BadConfig, site
 from landingshift.net.routing.engine import Engine as EngineLink
 from landingshift.net.transport.loop import Loop
--- a/tests/test_throng.py
+++ b/tests/test_throng.py
@@ -14,8 +14,8 @@
 from random import Random
 from typing import Any
 
-from landingshift.brain import Job, Want
-from landingshift.interface import Advert, Below, Gauges, Outcome
+from landingshift.admission.controller import Job, Want
+from landingshift.admission.interface import Advert, Below, Gauges, Outcome
 from tests.helpers import METHOD, Bench
 
 STEP = 10.0  # ms of virtual time
