--- a/landingshift/drill/__main__.py
+++ b/landingshift/drill/__main__.py
@@ -1,5 +1,5 @@
 import sys
 
-from landingshift.drill.door import main
+from landingshift.drill.adapter import main
 
 sys.exit(main(sys.stdin.buffer, sys.stdout.buffer, sys.stderr))
