--- a/landingshift/cli/fleet.py
+++ b/landingshift/cli/fleet.py
@@ -9,8 +9,8 @@
 import click
 
 from landingshift.cli.main import USAGE, say
-from landingshift.fleet.settings import Settings, address
-from landingshift.fleet.talk import NoAnswer, ask
+from landingshift.membership.settings import Settings, address
+from landingshift.membership.talk import NoAnswer, ask
 from landingshift.net.program import features
 
 BROKEN = 1  # exit status where a server does not answer
--- a/landingshift/cli/policy.py
+++ b/landingshift/cli/policy.py
@@ -12,7 +12,7 @@
 
 from landingshift.cli.fleet import BROKEN, Told, asked, from_leader, server, show, table, where
 from landingshift.cli.main import say
-from landingshift.fleet.talk import NoAnswer, ask
+from landingshift.membership.talk import NoAnswer, ask
 from landingshift.policies.document import BadPolicy, differs, flat, parse
 
 ENDED = ("taken", "refused", "withdrawn")
--- a/landingshift/coldstart/agent.py
+++ b/landingshift/coldstart/agent.py
@@ -15,8 +15,8 @@
 from landingshift.coldstart.places import Pace, Places, Wish
 from landingshift.coldstart.start import Start
 from landingshift.coldstart.strain import UNKNOWN
-from landingshift.fleet.messages import GONE, Record
-from landingshift.fleet.node import Node
+from landingshift.membership.messages import GONE, Record
+from landingshift.membership.node import Node
 
 PACKAGE = "cold"
 ASKS = 3.0  # requests in a lease: two may be lost
--- a/landingshift/coldstart/lists.py
+++ b/landingshift/coldstart/lists.py
@@ -8,7 +8,7 @@
 import msgspec
 from msgspec import Meta
 
-from landingshift.fleet.messages import Address
+from landingshift.membership.messages import Address
 from landingshift.net.protocol.gateway import pack
 from landingshift.net.transport.loop import Loop
 from landingshift.net.transport.stream import Stream, connect
--- a/landingshift/coldstart/service.py
+++ b/landingshift/coldstart/service.py
@@ -15,9 +15,9 @@
 from landingshift.coldstart.settings import Settings, plan
 from landingshift.coldstart.start import Stage
 from landingshift.coldstart.strain import Strain
-from landingshift.fleet.messages import Address, Record
-from landingshift.fleet.service import Fleet
-from landingshift.fleet.settings import address
+from landingshift.membership.messages import Address, Record
+from landingshift.membership.service import Fleet
+from landingshift.membership.settings import address
 from landingshift.admission.interface import Outcome
 from landingshift.net.transport.loop import Timer
 
--- a/landingshift/coldstart/settings.py
+++ b/landingshift/coldstart/settings.py
@@ -8,8 +8,8 @@
 from msgspec import Meta, Struct
 
 from landingshift.coldstart.agent import Plan
-from landingshift.fleet.messages import Name
-from landingshift.fleet.settings import address
+from landingshift.membership.messages import Name
+from landingshift.membership.settings import address
 
 WORTH = 3.0  # calls a second with which a start gets on
 BLIND = 32.0  # places at the beginning where no shares bound what starts call
--- a/landingshift/coldstart/snapshot.py
+++ b/landingshift/coldstart/snapshot.py
@@ -15,7 +15,7 @@
 from msgspec import Meta, Struct
 
 from landingshift import failpoints
-from landingshift.fleet.messages import Address
+from landingshift.membership.messages import Address
 
 HEAD = b"landingshift-members 1 "
 ENTRIES = 1024
--- a/landingshift/lab/fleet_real.py
+++ b/landingshift/lab/fleet_real.py
@@ -17,7 +17,7 @@
 from random import Random
 from typing import Any
 
-from landingshift.fleet.talk import NoAnswer
+from landingshift.membership.talk import NoAnswer
 from landingshift.lab import MEMORY
 from landingshift.lab.days import BETWEEN, KINDS, Act, act, cuts
 from landingshift.lab.policy_real import ENDED, OVERLAP
--- a/landingshift/lab/home.py
+++ b/landingshift/lab/home.py
@@ -19,9 +19,9 @@
 from landingshift.coldstart.agent import Agent, Seen
 from landingshift.coldstart.seek import Seek
 from landingshift.coldstart.strain import Strain
-from landingshift.fleet.members import Member
-from landingshift.fleet.messages import GONE, Message, Record, State
-from landingshift.fleet.node import Node, Times
+from landingshift.membership.members import Member
+from landingshift.membership.messages import GONE, Message, Record, State
+from landingshift.membership.node import Node, Times
 from landingshift.admission.interface import (
     Advert,
     Below,
--- a/landingshift/lab/policy_real.py
+++ b/landingshift/lab/policy_real.py
@@ -14,7 +14,7 @@
 from random import Random
 from typing import Any
 
-from landingshift.fleet.talk import NoAnswer, ask
+from landingshift.membership.talk import NoAnswer, ask
 from landingshift.lab.promises import broken
 from landingshift.lab.rig import Rig
 from landingshift.lab.rows import Row, must
--- a/landingshift/lab/rise.py
+++ b/landingshift/lab/rise.py
@@ -17,8 +17,8 @@
 from landingshift.coldstart.seek import Seek
 from landingshift.coldstart.settings import Settings, plan
 from landingshift.coldstart.strain import Strain
-from landingshift.fleet.messages import Message, Record, State
-from landingshift.fleet.node import Node, Times
+from landingshift.membership.messages import Message, Record, State
+from landingshift.membership.node import Node, Times
 from landingshift.lab.virtual import Address, Host, World
 
 LOOK = 100.0  # ms between two steps of a server, and of the world
--- a/landingshift/lab/upkeep_real.py
+++ b/landingshift/lab/upkeep_real.py
@@ -10,7 +10,7 @@
 from functools import partial
 from typing import Any
 
-from landingshift.fleet.talk import NoAnswer, ask
+from landingshift.membership.talk import NoAnswer, ask
 from landingshift.lab.policy_real import CORES, WORK, Council, across, up_or_dead
 from landingshift.lab.rows import Row, must
 
--- a/landingshift/lab/virtual.py
+++ b/landingshift/lab/virtual.py
@@ -1,6 +1,7 @@
 """Many servers' decisions in virtual time: one seed, one history. Holds no rule of theirs, only the world.
 
-Whatever has `hear(message, now)`, `tick(now)`, `next()` and `take_out()` can live here, as `fleet.node.Node`.
+Whatever has `hear(message, now)`, `tick(now)`, `next()` and `take_out()` can live here, as
+`membership.node.Node`.
 """
 
 from __future__ import annotations
--- a/landingshift/fleet/letters.py
+++ b/landingshift/membership/letters.py
@@ -12,9 +12,9 @@
 import msgpack
 import msgspec
 
-from landingshift.fleet.messages import Address
-from landingshift.fleet.node import Node
-from landingshift.fleet.talk import Talk
+from landingshift.membership.messages import Address
+from landingshift.membership.node import Node
+from landingshift.membership.talk import Talk
 from landingshift.net.protocol.gateway import pack
 from landingshift.net.transport.loop import Loop
 from landingshift.net.transport.stream import Stream, connect
--- a/landingshift/fleet/members.py
+++ b/landingshift/membership/members.py
@@ -11,8 +11,8 @@
 from math import ceil, log2
 from random import Random
 
-from landingshift.fleet.health import CONFIRMED
-from landingshift.fleet.messages import GONE, NEWS, PAGE, SUMS, Record, State
+from landingshift.membership.health import CONFIRMED
+from landingshift.membership.messages import GONE, NEWS, PAGE, SUMS, Record, State
 
 
 @dataclass(slots=True, eq=False)
--- a/landingshift/fleet/node.py
+++ b/landingshift/membership/node.py
@@ -16,9 +16,9 @@
 
 from msgspec.structs import replace
 
-from landingshift.fleet.health import OwnHealth, suspicion
-from landingshift.fleet.members import Member, Members
-from landingshift.fleet.messages import GONE, Address, Kind, Message, Record, State
+from landingshift.membership.health import OwnHealth, suspicion
+from landingshift.membership.members import Member, Members
+from landingshift.membership.messages import GONE, Address, Kind, Message, Record, State
 
 HELPERS = 3  # asked to probe the silent one
 LATE = 100.0  # ms by which a look may be late before this server knows that it stood still
--- a/landingshift/fleet/service.py
+++ b/landingshift/membership/service.py
@@ -7,13 +7,13 @@
 from selectors import EVENT_READ
 from typing import TYPE_CHECKING, Any
 
-from landingshift.fleet import wire
-from landingshift.fleet.letters import Letters
-from landingshift.fleet.members import Member
-from landingshift.fleet.messages import GONE, Record, State
-from landingshift.fleet.node import Node, Times
-from landingshift.fleet.settings import Settings, address
-from landingshift.fleet.talk import Talk
+from landingshift.membership import wire
+from landingshift.membership.letters import Letters
+from landingshift.membership.members import Member
+from landingshift.membership.messages import GONE, Record, State
+from landingshift.membership.node import Node, Times
+from landingshift.membership.settings import Settings, address
+from landingshift.membership.talk import Talk
 from landingshift.net.transport.loop import Timer
 
 if TYPE_CHECKING:
--- a/landingshift/fleet/settings.py
+++ b/landingshift/membership/settings.py
@@ -7,7 +7,7 @@
 
 from msgspec import Meta, Struct
 
-from landingshift.fleet.messages import Address, Zone
+from landingshift.membership.messages import Address, Zone
 
 Place = Annotated[str, Meta(min_length=1, max_length=21)]  # IPv4 address:port
 
--- a/landingshift/fleet/wire.py
+++ b/landingshift/membership/wire.py
@@ -7,7 +7,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from landingshift.fleet.messages import PAGE, SUMS, Count, Kind, Message, Record, State
+from landingshift.membership.messages import PAGE, SUMS, Count, Kind, Message, Record, State
 
 LARGEST = 4096  # bytes of a datagram that is looked at
 NAMES = {kind: kind.name.lower() for kind in Kind}
--- a/landingshift/net/program/features.py
+++ b/landingshift/net/program/features.py
@@ -20,7 +20,7 @@
 
 PACKAGES = {  # table of the file, package
     "ledger": "landingshift.ledger",
-    "fleet": "landingshift.fleet",
+    "fleet": "landingshift.membership",
     "coldstart": "landingshift.coldstart",
     "policies": "landingshift.policies",
     "upkeep": "landingshift.upkeep",
--- a/landingshift/policies/service.py
+++ b/landingshift/policies/service.py
@@ -8,8 +8,8 @@
 
 from landingshift import failpoints
 from landingshift.admission.controller import Server
-from landingshift.fleet.messages import Record, State
-from landingshift.fleet.service import Fleet
+from landingshift.membership.messages import Record, State
+from landingshift.membership.service import Fleet
 from landingshift.net.transport.loop import Timer
 from landingshift.policies.document import LARGEST, Base
 from landingshift.policies.follower import Stage
--- a/landingshift/policies/settings.py
+++ b/landingshift/policies/settings.py
@@ -7,7 +7,7 @@
 
 from msgspec import Meta, Struct
 
-from landingshift.fleet.messages import Name
+from landingshift.membership.messages import Name
 from landingshift.policies.follower import Plan
 
 
--- a/landingshift/upkeep/machine.py
+++ b/landingshift/upkeep/machine.py
@@ -8,7 +8,7 @@
 
 from typing import Any
 
-from landingshift.fleet.messages import Record
+from landingshift.membership.messages import Record
 from landingshift.upkeep.floor import Machine
 from landingshift.upkeep.foreman import Foreman
 from landingshift.upkeep.wishes import Leave
--- a/landingshift/upkeep/service.py
+++ b/landingshift/upkeep/service.py
@@ -8,8 +8,8 @@
 from typing import TYPE_CHECKING, Any, Protocol, cast
 
 from landingshift import failpoints
-from landingshift.fleet.messages import GONE, Record
-from landingshift.fleet.service import Fleet
+from landingshift.membership.messages import GONE, Record
+from landingshift.membership.service import Fleet
 from landingshift.net.transport.loop import Timer
 from landingshift.upkeep.book import NAME, Book, command
 from landingshift.upkeep.foreman import Foreman
--- a/landingshift/upkeep/settings.py
+++ b/landingshift/upkeep/settings.py
@@ -7,7 +7,7 @@
 
 from msgspec import Meta, Struct
 
-from landingshift.fleet.messages import Zone
+from landingshift.membership.messages import Zone
 from landingshift.upkeep.floor import Needs
 from landingshift.upkeep.foreman import Plan
 
--- a/tests/test_coldstart.py
+++ b/tests/test_coldstart.py
@@ -19,7 +19,7 @@
 from landingshift.coldstart.snapshot import mark, marked, unmark
 from landingshift.coldstart.start import Stage, Start
 from landingshift.coldstart.strain import UNKNOWN, Strain
-from landingshift.fleet.messages import Record, State
+from landingshift.membership.messages import Record, State
 from landingshift.lab.coldstart import experiment
 from landingshift.lab.lent import LEASE, SPARE
 from landingshift.lab.rise import Case
--- a/tests/test_coldstart_service.py
+++ b/tests/test_coldstart_service.py
@@ -11,12 +11,12 @@
 from concurrent.futures import Future
 from typing import ClassVar
 
-from landingshift.fleet.talk import NoAnswer, ask
+from landingshift.membership.talk import NoAnswer, ask
 from landingshift.lab import MEMORY
 from landingshift.lab.coldstart_real import REAL, Fleet
 from landingshift.lab.rows import Row
 from tests.helpers import RealRows
-from tests.test_fleet_service import refused
+from tests.test_membership_service import refused
 
 SERVERS = 6
 ABREAST = 3  # rows at a time: they mostly wait
--- a/tests/test_golden_histories.py
+++ b/tests/test_golden_histories.py
@@ -14,8 +14,8 @@
 
 from msgspec import msgpack
 
-from landingshift.fleet import wire
-from landingshift.fleet.messages import Message
+from landingshift.membership import wire
+from landingshift.membership.messages import Message
 from landingshift.lab import assent, upkeep
 from landingshift.lab.days import draw
 from landingshift.lab.rise import Case, Rise
--- a/tests/test_golden_protocol.py
+++ b/tests/test_golden_protocol.py
@@ -14,10 +14,10 @@
 from msgspec import msgpack
 
 from landingshift.coldstart import lists
-from landingshift.fleet import letters, wire
-from landingshift.fleet.letters import Letters
-from landingshift.fleet.messages import Record, State
-from landingshift.fleet.node import Node, Times
+from landingshift.membership import letters, wire
+from landingshift.membership.letters import Letters
+from landingshift.membership.messages import Record, State
+from landingshift.membership.node import Node, Times
 from landingshift.net.program import features
 from landingshift.net.program.config import site as read_site
 from landingshift.net.protocol import database, engine, gateway, roster
--- a/tests/test_fleet.py
+++ b/tests/test_membership.py
@@ -10,11 +10,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from landingshift.fleet import wire
-from landingshift.fleet.health import suspicion
-from landingshift.fleet.members import Members
-from landingshift.fleet.messages import FACTS, NEWS, SUMS, Kind, Message, Record, State
-from landingshift.fleet.node import ANSWERS, ERRANDS, OUT, Node, Times
+from landingshift.membership import wire
+from landingshift.membership.health import suspicion
+from landingshift.membership.members import Members
+from landingshift.membership.messages import FACTS, NEWS, SUMS, Kind, Message, Record, State
+from landingshift.membership.node import ANSWERS, ERRANDS, OUT, Node, Times
 from landingshift.lab.virtual import Address, Host, World
 
 
--- a/tests/test_fleet_service.py
+++ b/tests/test_membership_service.py
@@ -13,7 +13,7 @@
 import unittest
 from typing import Any
 
-from landingshift.fleet.talk import NoAnswer, ask
+from landingshift.membership.talk import NoAnswer, ask
 from landingshift.lab.rig import TALK, unused_net
 from tests.helpers import CONFIG, Gateway, World, launch
 
--- a/tests/test_policies_service.py
+++ b/tests/test_policies_service.py
@@ -13,7 +13,7 @@
 from landingshift.lab.policy_real import REAL, Council
 from landingshift.lab.rows import Row, many_real
 from tests.helpers import RealRows
-from tests.test_fleet_service import refused
+from tests.test_membership_service import refused
 
 SERVERS = 5
 ABREAST = 4  # rows at a time: they mostly wait
--- a/tests/test_upkeep_service.py
+++ b/tests/test_upkeep_service.py
@@ -12,7 +12,7 @@
 from landingshift.lab.upkeep_real import REAL, Yard
 from landingshift.lab.rows import Row, many_real
 from tests.helpers import RealRows
-from tests.test_fleet_service import refused
+from tests.test_membership_service import refused
 
 SERVERS = 6
 ABREAST = 4
