--- a/landingshift/agreement/journal.py
+++ b/landingshift/consensus/raft_log.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from landingshift import failpoints
-from landingshift.agreement.voter import Entry, Stored
+from landingshift.consensus.raft import Entry, Stored
 
 HEAD = b"landingshift-agreement 1 "
 LARGEST = 8 << 20  # bytes of a journal before it is written anew
--- a/landingshift/lab/assent.py
+++ b/landingshift/lab/assent.py
@@ -16,7 +16,7 @@
 
 from landingshift.lab.promises import History
 from landingshift.lab.virtual import Address, Host, World
-from landingshift.agreement.voter import Stored, Times
+from landingshift.consensus.raft import Stored, Times
 from landingshift.policies.follower import Plan
 from landingshift.policies.part import ENDED, Part
 
--- a/landingshift/lab/home.py
+++ b/landingshift/lab/home.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from landingshift.agreement.voter import Stored
+from landingshift.consensus.raft import Stored
 from landingshift.admission.controller import Job, Server
 from landingshift.coldstart.agent import Agent, Seen
 from landingshift.coldstart.seek import Seek
--- a/landingshift/lab/policy.py
+++ b/landingshift/lab/policy.py
@@ -12,7 +12,7 @@
 from landingshift.lab.promises import broken
 from landingshift.lab.rows import Row, all_real, must
 from landingshift.lab.search import Search
-from landingshift.agreement.voter import Role
+from landingshift.consensus.raft import Role
 from landingshift.policies.part import ENDED
 
 CHUNK = 50  # histories that one worker plays at a time
--- a/landingshift/lab/search.py
+++ b/landingshift/lab/search.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from landingshift.lab.assent import text
-from landingshift.agreement.voter import Stored, Times
+from landingshift.consensus.raft import Stored, Times
 from landingshift.policies.follower import Plan, Stage
 from landingshift.policies.part import Part
 
--- a/landingshift/lab/town.py
+++ b/landingshift/lab/town.py
@@ -12,8 +12,8 @@
 from random import Random
 from typing import Any
 
-from landingshift.agreement.voter import Stored
-from landingshift.agreement.voter import Times as Beats
+from landingshift.consensus.raft import Stored
+from landingshift.consensus.raft import Times as Beats
 from landingshift.coldstart.agent import Plan as StartPlan
 from landingshift.lab.days import Act, Coverage, Day, cuts
 from landingshift.lab.home import CAPACITY, METHODS, WAIT, Disk, Home, Sent, address, text
--- a/landingshift/policies/desk.py
+++ b/landingshift/policies/desk.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from landingshift.agreement.voter import Voter
+from landingshift.consensus.raft import Voter
 from landingshift.policies.book import Book, End, command
 from landingshift.policies.follower import Plan, Stage
 
--- a/landingshift/policies/service.py
+++ b/landingshift/policies/service.py
@@ -13,7 +13,7 @@
 from landingshift.net.transport.loop import Timer
 from landingshift.policies.document import LARGEST, Base
 from landingshift.policies.follower import Stage
-from landingshift.agreement.journal import BadJournal, Journal
+from landingshift.consensus.raft_log import BadJournal, Journal
 from landingshift.policies.part import Part
 from landingshift.policies.settings import Settings, plan
 
--- a/landingshift/upkeep/book.py
+++ b/landingshift/upkeep/book.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Struct
 
-from landingshift.agreement.shelf import entry
+from landingshift.consensus.state_machines import entry
 from landingshift.upkeep.forecast import Shape
 from landingshift.upkeep.wishes import ENDED, BadMove, Stage, Wish
 
--- a/tests/test_agreement.py
+++ b/tests/test_consensus.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from landingshift.agreement.voter import (
+from landingshift.consensus.raft import (
     LONGEST,
     SURE,
     VOTERS,
--- a/tests/test_golden_storage.py
+++ b/tests/test_golden_storage.py
@@ -12,9 +12,9 @@
 
 from msgspec import msgpack
 
-from landingshift.agreement.journal import Journal
-from landingshift.agreement.shelf import Shelf, entry
-from landingshift.agreement.voter import Append, Appended, Ask, Entry, Install, Message, Stored, Vote
+from landingshift.consensus.raft_log import Journal
+from landingshift.consensus.state_machines import Shelf, entry
+from landingshift.consensus.raft import Append, Appended, Ask, Entry, Install, Message, Stored, Vote
 from landingshift.coldstart import snapshot
 from landingshift.handover import journal as moved
 from landingshift.ledger.compact import compact
--- a/tests/test_agreement_journal.py
+++ b/tests/test_raft_log.py
@@ -10,9 +10,9 @@
 from unittest import mock
 
 from landingshift import failpoints
-from landingshift.agreement import journal as journals
-from landingshift.agreement.voter import Entry, Stored
-from landingshift.agreement.journal import BadJournal, Journal
+from landingshift.consensus import journal as journals
+from landingshift.consensus.raft import Entry, Stored
+from landingshift.consensus.raft_log import BadJournal, Journal
 
 
 def changed(stored: Stored, chance: Random) -> Stored:
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -5,7 +5,7 @@
 import unittest
 from typing import Any
 
-from landingshift.agreement.shelf import Shelf, entry
+from landingshift.consensus.state_machines import Shelf, entry
 from landingshift.lab.upkeep import VIRTUAL, Day, virtual
 from landingshift.upkeep.book import Book, command
 from landingshift.upkeep.floor import Floor, Machine, Needs
