--- a/landingshift/lab/home.py
+++ b/landingshift/lab/home.py
@@ -37,9 +37,9 @@
 from landingshift.lab.promises import GRACE
 from landingshift.lab.virtual import Address, Host
 from landingshift.policies.part import Part
-from landingshift.upkeep.book import NAME, Book
-from landingshift.upkeep.foreman import Foreman
-from landingshift.upkeep.machine import Hand, heard
+from landingshift.maintenance.book import NAME, Book
+from landingshift.maintenance.foreman import Foreman
+from landingshift.maintenance.machine import Hand, heard
 
 if TYPE_CHECKING:
     from landingshift.lab.town import Town
--- a/landingshift/lab/town.py
+++ b/landingshift/lab/town.py
@@ -22,9 +22,9 @@
 from landingshift.lab.virtual import Address, Host, World
 from landingshift.policies.follower import Plan as Rules
 from landingshift.policies.part import ENDED
-from landingshift.upkeep.book import command
-from landingshift.upkeep.floor import Needs
-from landingshift.upkeep.foreman import Plan as WorkPlan
+from landingshift.maintenance.book import command
+from landingshift.maintenance.floor import Needs
+from landingshift.maintenance.foreman import Plan as WorkPlan
 
 SEND = 50.0  # ms between two looks of the gateways
 LATE = 1000.0  # by which gateways hear of a change of the list
--- a/landingshift/lab/upkeep.py
+++ b/landingshift/lab/upkeep.py
@@ -13,11 +13,11 @@
 from typing import Any
 
 from landingshift.lab.rows import Row, all_real, must
-from landingshift.upkeep.book import Book, command
-from landingshift.upkeep.floor import Floor, Machine, Needs
-from landingshift.upkeep.foreman import Foreman, Plan
-from landingshift.upkeep.order import greedy_rounds, least_ms, next_ones, rounds
-from landingshift.upkeep.wishes import Leave, Wish
+from landingshift.maintenance.book import Book, command
+from landingshift.maintenance.floor import Floor, Machine, Needs
+from landingshift.maintenance.foreman import Foreman, Plan
+from landingshift.maintenance.order import greedy_rounds, least_ms, next_ones, rounds
+from landingshift.maintenance.wishes import Leave, Wish
 
 MINUTE = 60_000.0
 AWAY = ("floor", "end")
--- a/landingshift/upkeep/book.py
+++ b/landingshift/maintenance/book.py
@@ -12,8 +12,8 @@
 from msgspec import Struct
 
 from landingshift.consensus.state_machines import entry
-from landingshift.upkeep.forecast import Shape
-from landingshift.upkeep.wishes import ENDED, BadMove, Stage, Wish
+from landingshift.maintenance.forecast import Shape
+from landingshift.maintenance.wishes import ENDED, BadMove, Stage, Wish
 
 NAME = "upkeep"
 MOST = 2000  # wishes that stand
--- a/landingshift/upkeep/foreman.py
+++ b/landingshift/maintenance/foreman.py
@@ -11,12 +11,12 @@
 from math import exp
 from typing import Any
 
-from landingshift.upkeep.book import Book, command
-from landingshift.upkeep.floor import Floor, Machine, Needs
-from landingshift.upkeep.forecast import Line, Shape, expected
-from landingshift.upkeep.order import hopeless, next_ones, taken_back
-from landingshift.upkeep.rings import Served, allowed, worse
-from landingshift.upkeep.wishes import COUNTED, Stage, Wish
+from landingshift.maintenance.book import Book, command
+from landingshift.maintenance.floor import Floor, Machine, Needs
+from landingshift.maintenance.forecast import Line, Shape, expected
+from landingshift.maintenance.order import hopeless, next_ones, taken_back
+from landingshift.maintenance.rings import Served, allowed, worse
+from landingshift.maintenance.wishes import COUNTED, Stage, Wish
 
 HOPELESS = 5000.0  # ms between two looks for what can never be met
 SETTLE = 3000.0  # ms of its reign that a leader only listens
--- a/landingshift/upkeep/machine.py
+++ b/landingshift/maintenance/machine.py
@@ -9,9 +9,9 @@
 from typing import Any
 
 from landingshift.membership.messages import Record
-from landingshift.upkeep.floor import Machine
-from landingshift.upkeep.foreman import Foreman
-from landingshift.upkeep.wishes import Leave
+from landingshift.maintenance.floor import Machine
+from landingshift.maintenance.foreman import Foreman
+from landingshift.maintenance.wishes import Leave
 
 OUT = 16  # reports whose times are kept
 MODEL = 16  # letters
--- a/landingshift/upkeep/order.py
+++ b/landingshift/maintenance/order.py
@@ -7,8 +7,8 @@
 from itertools import combinations
 from math import ceil
 
-from landingshift.upkeep.floor import Floor
-from landingshift.upkeep.wishes import Stage, Wish
+from landingshift.maintenance.floor import Floor
+from landingshift.maintenance.wishes import Stage, Wish
 
 EXACT = 8  # machines up to which all orders are gone through
 
--- a/landingshift/upkeep/service.py
+++ b/landingshift/maintenance/service.py
@@ -11,12 +11,12 @@
 from landingshift.membership.messages import GONE, Record
 from landingshift.membership.service import Fleet
 from landingshift.net.transport.loop import Timer
-from landingshift.upkeep.book import NAME, Book, command
-from landingshift.upkeep.foreman import Foreman
-from landingshift.upkeep.machine import Hand, heard
-from landingshift.upkeep.order import dry_run
-from landingshift.upkeep.settings import Settings, plan
-from landingshift.upkeep.wishes import Stage
+from landingshift.maintenance.book import NAME, Book, command
+from landingshift.maintenance.foreman import Foreman
+from landingshift.maintenance.machine import Hand, heard
+from landingshift.maintenance.order import dry_run
+from landingshift.maintenance.settings import Settings, plan
+from landingshift.maintenance.wishes import Stage
 
 if TYPE_CHECKING:
     from landingshift.net.program.features import Host
--- a/landingshift/upkeep/settings.py
+++ b/landingshift/maintenance/settings.py
@@ -8,8 +8,8 @@
 from msgspec import Meta, Struct
 
 from landingshift.membership.messages import Zone
-from landingshift.upkeep.floor import Needs
-from landingshift.upkeep.foreman import Plan
+from landingshift.maintenance.floor import Needs
+from landingshift.maintenance.foreman import Plan
 
 Share = Annotated[float, Meta(ge=0.0, le=1.0)]
 
--- a/landingshift/net/program/features.py
+++ b/landingshift/net/program/features.py
@@ -23,7 +23,7 @@
     "fleet": "landingshift.membership",
     "coldstart": "landingshift.coldstart",
     "policies": "landingshift.policies",
-    "upkeep": "landingshift.upkeep",
+    "upkeep": "landingshift.maintenance",
 }
 ENV = "LANDINGSHIFT_TOML"
 
--- a/tests/test_golden_histories.py
+++ b/tests/test_golden_histories.py
@@ -22,7 +22,7 @@
 from landingshift.lab.rows import Row
 from landingshift.lab.town import Town
 from landingshift.lab.virtual import World
-from landingshift.upkeep.book import Book
+from landingshift.maintenance.book import Book
 from tests.golden_files import assert_golden_json
 
 FLEET = "golden"
--- a/tests/test_golden_storage.py
+++ b/tests/test_golden_storage.py
@@ -22,9 +22,9 @@
 from landingshift.ledger.records import Exporting
 from landingshift.ledger.store import FILE, Store
 from landingshift.policies.book import Book as PolicyBook
-from landingshift.upkeep.book import NAME, command
-from landingshift.upkeep.book import Book as WorkBook
-from landingshift.upkeep.service import Upkeep
+from landingshift.maintenance.book import NAME, command
+from landingshift.maintenance.book import Book as WorkBook
+from landingshift.maintenance.service import Upkeep
 from tests import test_handover
 from tests.golden_files import FOLDER, assert_golden_bytes, assert_golden_json, golden_bytes, golden_json
 
--- a/tests/test_upkeep.py
+++ b/tests/test_maintenance.py
@@ -7,13 +7,13 @@
 
 from landingshift.consensus.state_machines import Shelf, entry
 from landingshift.lab.upkeep import VIRTUAL, Day, virtual
-from landingshift.upkeep.book import Book, command
-from landingshift.upkeep.floor import Floor, Machine, Needs
-from landingshift.upkeep.foreman import Foreman, Plan
-from landingshift.upkeep.forecast import QUARTER, WIDTH, Line, Shape, expected
-from landingshift.upkeep.order import dry_run, hopeless, least_ms, next_ones, rounds_left, taken_back
-from landingshift.upkeep.rings import Served, allowed, worse
-from landingshift.upkeep.wishes import MOVES, BadMove, Leave, Stage, Wish
+from landingshift.maintenance.book import Book, command
+from landingshift.maintenance.floor import Floor, Machine, Needs
+from landingshift.maintenance.foreman import Foreman, Plan
+from landingshift.maintenance.forecast import QUARTER, WIDTH, Line, Shape, expected
+from landingshift.maintenance.order import dry_run, hopeless, least_ms, next_ones, rounds_left, taken_back
+from landingshift.maintenance.rings import Served, allowed, worse
+from landingshift.maintenance.wishes import MOVES, BadMove, Leave, Stage, Wish
 
 NONE = Needs(0.0, 0.0, 0.0, 0.0)
 
