--- a/benchmarks/handover.py
+++ b/benchmarks/handover.py
@@ -11,8 +11,8 @@
 from msgspec import msgpack
 
 from landingshift.admission.controller import Server
-from landingshift.handover.carrier import MOST, Carrier, Frame
-from landingshift.handover.journal import Journal, Kind
+from landingshift.hot_restart.carrier import MOST, Carrier, Frame
+from landingshift.hot_restart.journal import Journal, Kind
 from landingshift.admission.interface import Advert, Below, Effect, Method, Outcome, Rpc, Settings, Stopping
 
 FDS, RPCS = 400, 1000
--- a/tests/test_golden_decisions.py
+++ b/tests/test_golden_decisions.py
@@ -10,7 +10,7 @@
 from msgspec import msgpack
 
 from landingshift.admission.controller import Job
-from tests import test_handover
+from tests import test_hot_restart
 from tests.golden_files import assert_golden_bytes, assert_golden_json, golden_bytes
 
 SEEDS = range(12)
@@ -25,7 +25,7 @@
 
 class Decisions(unittest.TestCase):
     def setUp(self) -> None:
-        self.deciding = test_handover.Deciding()
+        self.deciding = test_hot_restart.Deciding()
 
     def played(self, seed: int, count: int = 600) -> tuple[Any, list[Job], list[Any], random.Random]:
         chance = random.Random(seed)
--- a/tests/test_golden_storage.py
+++ b/tests/test_golden_storage.py
@@ -16,7 +16,7 @@
 from landingshift.consensus.state_machines import Shelf, entry
 from landingshift.consensus.raft import Append, Appended, Ask, Entry, Install, Message, Stored, Vote
 from landingshift.coldstart import snapshot
-from landingshift.handover import journal as moved
+from landingshift.hot_restart import journal as moved
 from landingshift.ledger.compact import compact
 from landingshift.ledger.entries import Batch, Gap, Raw, decode
 from landingshift.ledger.records import Exporting
@@ -25,7 +25,7 @@
 from landingshift.maintenance.book import NAME, command
 from landingshift.maintenance.book import Book as WorkBook
 from landingshift.maintenance.service import Upkeep
-from tests import test_handover
+from tests import test_hot_restart
 from tests.golden_files import FOLDER, assert_golden_bytes, assert_golden_json, golden_bytes, golden_json
 
 DAY = 86_400_000
@@ -186,7 +186,7 @@
 class HotRestart(unittest.TestCase):
     def test_names_in_the_state(self) -> None:
         """A router with an RPC at each layer: the state that another build reads has the same names."""
-        moving = test_handover.Moving("test_everything_in_hand_goes_on")
+        moving = test_hot_restart.Moving("test_everything_in_hand_goes_on")
         moving.setUp()
         self.addCleanup(moving.doCleanups)
         gateway = moving.gateway()
@@ -201,7 +201,7 @@
         moving.wait_for(database)
         gateway.sendall(moving.rpc("token", b"kept", once="k"))
         moving.pump(30.0)
-        data, _ = test_handover.Giver(moving.router).give()
+        data, _ = test_hot_restart.Giver(moving.router).give()
         state = msgpack.decode(data)
         state["module"] = {part: sorted(state["module"][part]) for part in ("plain", "rings")}
         for rpc in state["rpcs"]:
--- a/tests/test_handover.py
+++ b/tests/test_hot_restart.py
@@ -20,10 +20,19 @@
 from msgspec import msgpack
 
 from landingshift.admission.controller import Job, Want
-from landingshift.handover.carrier import HEAD, MOST, BadCarrier, Carrier, Frame
-from landingshift.handover.journal import Full, Journal, Kind
-from landingshift.handover.plan import NEW_IN_CHARGE, OLD_IN_CHARGE, TABLE, Event, Limits, Order, Plan, Stage
-from landingshift.handover.state import CannotMove, Giver, Taker
+from landingshift.hot_restart.carrier import HEAD, MOST, BadCarrier, Carrier, Frame
+from landingshift.hot_restart.journal import Full, Journal, Kind
+from landingshift.hot_restart.plan import (
+    NEW_IN_CHARGE,
+    OLD_IN_CHARGE,
+    TABLE,
+    Event,
+    Limits,
+    Order,
+    Plan,
+    Stage,
+)
+from landingshift.hot_restart.state import CannotMove, Giver, Taker
 from landingshift.admission.interface import Advert, Below, Effect, Gauges, Method, Outcome, Rpc, Tenant
 from landingshift.net.program.config import site as read_site
 from landingshift.net.routing.router import Router
