--- a/tests/test_raft_log.py
+++ b/tests/test_raft_log.py
@@ -10,7 +10,7 @@
 from unittest import mock
 
 from landingshift import failpoints
-from landingshift.consensus import journal as journals
+from landingshift.consensus import raft_log as journals
 from landingshift.consensus.raft import Entry, Stored
 from landingshift.consensus.raft_log import BadJournal, Journal
 
