--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -13,9 +13,9 @@
 from pathlib import Path
 from typing import Any
 
-from landingshift.lab import MEMORY
-from landingshift.lab.coldstart_real import Fleet
-from landingshift.lab.policy_real import Council
+from landingshift.testbed import MEMORY
+from landingshift.testbed.experiments.cold_start_real import Fleet
+from landingshift.testbed.experiments.policies_real import Council
 
 TICKS = os.sysconf("SC_CLK_TCK")
 
--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -24,7 +24,7 @@
 import msgspec
 import orjson
 
-from landingshift.lab.stage import Gateway, Stage
+from landingshift.testbed.processes.single_server import Gateway, Stage
 from landingshift.ledger.entries import Batch, Raw, Word
 from landingshift.ledger.outbox import Outbox
 from landingshift.ledger.settings import Settings
--- a/landingshift/cli/lab.py
+++ b/landingshift/cli/lab.py
@@ -8,10 +8,10 @@
 
 import click
 
-from landingshift.lab.rows import Row
+from landingshift.testbed.experiments.rows import Row
 
 if TYPE_CHECKING:
-    from landingshift.lab.days import Day
+    from landingshift.testbed.experiments.scenarios import Day
 
 BROKEN = 1
 
@@ -54,7 +54,7 @@
     repeats: int, kills: int, seed: int, file: str | None, broken: str | None, only: str | None
 ) -> None:
     """Totals stay equal through failing receivers, exporters, disks and kills of the server."""
-    from landingshift.lab.ledger import experiment
+    from landingshift.testbed.experiments.ledger import experiment
 
     show(experiment(repeats, kills, seed, broken, only), file)
 
@@ -74,7 +74,7 @@
     plot: str | None,
 ) -> None:
     """A fleet that comes up together spares list service and store, whatever fails meanwhile."""
-    from landingshift.lab.coldstart import experiment
+    from landingshift.testbed.experiments.cold_start import experiment
 
     show(experiment(repeats, seed, servers, broken, only), file, plot)
 
@@ -94,7 +94,7 @@
     only: str | None,
 ) -> None:
     """A change of policy takes hold everywhere or nowhere, whatever fails meanwhile."""
-    from landingshift.lab.policy import experiment
+    from landingshift.testbed.experiments.policies import experiment
 
     show(experiment(repeats, seed, servers, broken or "", only, histories), file)
 
@@ -114,8 +114,8 @@
     plot: str | None,
 ) -> None:
     """Machines go out for work within what the floor leaves, whatever fails meanwhile."""
-    from landingshift.lab.plots import day
-    from landingshift.lab.upkeep import experiment
+    from landingshift.testbed.experiments.plots import day
+    from landingshift.testbed.experiments.maintenance import experiment
 
     def drawn() -> Iterator[Row]:
         for row in experiment(repeats, seed, servers, broken or "", only):
@@ -145,14 +145,14 @@
     only: str | None,
 ) -> None:
     """All packages at once under faults drawn from the seed: virtual days, or real processes for minutes."""
-    from landingshift.lab import fleet as town
-    from landingshift.lab import keep as files
+    from landingshift.testbed.experiments import chance_faults as town
+    from landingshift.testbed.verification import corpus as files
 
     if broken:
         show([town.without(broken, days, seed)], file)
         return
     if servers:
-        from landingshift.lab.fleet_real import many
+        from landingshift.testbed.experiments.chance_faults_real import many
 
         show(many(servers, seed, min(minutes, 600.0), repeats), file)
         return
@@ -168,7 +168,7 @@
 
 
 def kept(path: str) -> Day:
-    from landingshift.lab.days import read
+    from landingshift.testbed.experiments.scenarios import read
 
     try:
         return read(Path(path).read_bytes())
@@ -182,10 +182,10 @@
 @click.option("--break", "broken", help="Without this defence.")
 def replay(day: str, log: bool, broken: str | None) -> None:
     """Plays a kept day again, and says what does not hold."""
-    from landingshift.lab import days
-    from landingshift.lab.promises import FLEET
-    from landingshift.lab.promises import broken as judged
-    from landingshift.lab.town import OVERLAP, Town
+    from landingshift.testbed.experiments import scenarios as days
+    from landingshift.testbed.verification.invariants import FLEET
+    from landingshift.testbed.verification.invariants import broken as judged
+    from landingshift.testbed.simulation.cluster import OVERLAP, Town
 
     found = kept(day)
     click.echo("\n".join(days.told(found)))
@@ -204,8 +204,8 @@
 @click.option("--break", "broken", help="Without this defence.")
 def reduce(day: str, plays: int, broken: str | None) -> None:
     """Makes a failing day smaller, into a file beside it."""
-    from landingshift.lab import days
-    from landingshift.lab.fleet import smaller
+    from landingshift.testbed.experiments import scenarios as days
+    from landingshift.testbed.experiments.chance_faults import smaller
 
     least, promise, played = smaller(kept(day), broken or "", plays)
     if not promise:
@@ -220,8 +220,8 @@
 @click.argument("page", type=click.Path(dir_okay=False))
 def report(found: str, page: str) -> None:
     """One HTML page of what `lab fleet --json` wrote."""
-    from landingshift.lab import keep
-    from landingshift.lab import report as html
+    from landingshift.testbed.verification import corpus as keep
+    from landingshift.testbed.experiments import report as html
 
     try:
         run = keep.load(found)
@@ -246,7 +246,7 @@
             out.write(orjson.dumps([row.told() for row in rows], option=orjson.OPT_INDENT_2))
     runs = {row.name: row.series for row in rows if row.series}
     if plot and runs:
-        from landingshift.lab.plots import starts
+        from landingshift.testbed.experiments.plots import starts
 
         starts(runs, plot)
     if not all(row.holds for row in rows):
--- a/landingshift/lab/fleet_real.py
+++ b/landingshift/testbed/experiments/chance_faults_real.py
@@ -18,12 +18,12 @@
 from typing import Any
 
 from landingshift.membership.talk import NoAnswer
-from landingshift.lab import MEMORY
-from landingshift.lab.days import BETWEEN, KINDS, Act, act, cuts
-from landingshift.lab.policy_real import ENDED, OVERLAP
-from landingshift.lab.promises import loans, permissions
-from landingshift.lab.rows import Row, must
-from landingshift.lab.upkeep_real import COMMON_START, Yard, names
+from landingshift.testbed import MEMORY
+from landingshift.testbed.experiments.scenarios import BETWEEN, KINDS, Act, act, cuts
+from landingshift.testbed.experiments.policies_real import ENDED, OVERLAP
+from landingshift.testbed.verification.invariants import loans, permissions
+from landingshift.testbed.experiments.rows import Row, must
+from landingshift.testbed.experiments.maintenance_real import COMMON_START, Yard, names
 
 HERE = (
     "kill", "crash_loop", "zone", "notice", "stop", "cut_off", "halves", "mute", "deaf", "flaps", "loss",
--- a/landingshift/lab/coldstart.py
+++ b/landingshift/testbed/experiments/cold_start.py
@@ -10,11 +10,11 @@
 from random import Random
 from typing import Any
 
-from landingshift.lab import MEMORY
-from landingshift.lab.lent import Lent
-from landingshift.lab.rise import Case, Rise, address
-from landingshift.lab.rows import Row, must
-from landingshift.lab.search_loans import Search
+from landingshift.testbed import MEMORY
+from landingshift.testbed.simulation.leases import Lent
+from landingshift.testbed.simulation.cold_start import Case, Rise, address
+from landingshift.testbed.experiments.rows import Row, must
+from landingshift.testbed.verification.search_leases import Search
 
 SMALL: dict[str, Any] = {"servers": 60, "lenders": 3, "calls": 120.0, "know": "snapshot", "cold_ms": 2000.0}
 SCARCE = (32.0, 128.0)  # places, so that some wait for one
@@ -266,7 +266,7 @@
             row.runs += 1
         yield row
     if servers:
-        from landingshift.lab.coldstart_real import LONG, REAL
+        from landingshift.testbed.experiments.cold_start_real import LONG, REAL
 
         for name, real in (REAL | LONG).items():
             if (only and only != name) or (not only and name in LONG):
--- a/landingshift/lab/ledger.py
+++ b/landingshift/testbed/experiments/ledger.py
@@ -12,9 +12,9 @@
 from typing import Any
 
 from landingshift import failpoints
-from landingshift.lab import MEMORY
-from landingshift.lab.receiver import FAULTS, Books, Failing, Server
-from landingshift.lab.rows import Row, must
+from landingshift.testbed import MEMORY
+from landingshift.testbed.processes.export_receiver import FAULTS, Books, Failing, Server
+from landingshift.testbed.experiments.rows import Row, must
 from landingshift.ledger import audit as audits
 from landingshift.ledger.book import Book, Refused
 from landingshift.ledger.compact import compact
@@ -724,6 +724,6 @@
                 row.runs += 1
             yield row
         if kills and not (only and only != "kills"):
-            from landingshift.lab.kills import kills as run_kills
+            from landingshift.testbed.experiments.ledger_real import kills as run_kills
 
             yield run_kills(kills, seed, take_away)
--- a/landingshift/lab/kills.py
+++ b/landingshift/testbed/experiments/ledger_real.py
@@ -10,8 +10,8 @@
 from concurrent.futures import ThreadPoolExecutor
 from random import Random
 
-from landingshift.lab.rows import Row, must
-from landingshift.lab.stage import METHOD, TENANT, Gateway, Stage
+from landingshift.testbed.experiments.rows import Row, must
+from landingshift.testbed.processes.single_server import METHOD, TENANT, Gateway, Stage
 from landingshift.ledger.audit import audit
 from landingshift.ledger.entries import Settled, Use, decode, identity, numbers
 from landingshift.ledger.store import Store
--- a/landingshift/lab/upkeep.py
+++ b/landingshift/testbed/experiments/maintenance.py
@@ -12,7 +12,7 @@
 from random import Random
 from typing import Any
 
-from landingshift.lab.rows import Row, all_real, must
+from landingshift.testbed.experiments.rows import Row, all_real, must
 from landingshift.maintenance.book import Book, command
 from landingshift.maintenance.floor import Floor, Machine, Needs
 from landingshift.maintenance.foreman import Foreman, Plan
@@ -320,6 +320,6 @@
         if only in (None, name):
             yield virtual(name, repeats, seed, away)
     if servers:
-        from landingshift.lab.upkeep_real import LONG, REAL
+        from landingshift.testbed.experiments.maintenance_real import LONG, REAL
 
         yield from all_real(REAL, LONG, only, servers, repeats, seed)
--- a/landingshift/lab/upkeep_real.py
+++ b/landingshift/testbed/experiments/maintenance_real.py
@@ -11,8 +11,8 @@
 from typing import Any
 
 from landingshift.membership.talk import NoAnswer, ask
-from landingshift.lab.policy_real import CORES, WORK, Council, across, up_or_dead
-from landingshift.lab.rows import Row, must
+from landingshift.testbed.experiments.policies_real import CORES, WORK, Council, across, up_or_dead
+from landingshift.testbed.experiments.rows import Row, must
 
 CAPACITY = CORES * 1000.0 / WORK
 LOAD = 0.55  # of what all can do: with the spare one or two of six may be out
--- a/landingshift/lab/policy.py
+++ b/landingshift/testbed/experiments/policies.py
@@ -8,10 +8,10 @@
 from collections.abc import Callable, Iterator
 from concurrent.futures import ProcessPoolExecutor
 
-from landingshift.lab.assent import Hall, address, play
-from landingshift.lab.promises import broken
-from landingshift.lab.rows import Row, all_real, must
-from landingshift.lab.search import Search
+from landingshift.testbed.simulation.policy_change import Hall, address, play
+from landingshift.testbed.verification.invariants import broken
+from landingshift.testbed.experiments.rows import Row, all_real, must
+from landingshift.testbed.verification.search_policy_change import Search
 from landingshift.consensus.raft import Role
 from landingshift.policies.part import ENDED
 
@@ -328,6 +328,6 @@
         if only in (None, name):
             yield virtual(name, repeats, seed, away)
     if servers:
-        from landingshift.lab.policy_real import LONG, REAL
+        from landingshift.testbed.experiments.policies_real import LONG, REAL
 
         yield from all_real(REAL, LONG, only, servers, repeats, seed)
--- a/landingshift/lab/policy_real.py
+++ b/landingshift/testbed/experiments/policies_real.py
@@ -15,10 +15,10 @@
 from typing import Any
 
 from landingshift.membership.talk import NoAnswer, ask
-from landingshift.lab.promises import broken
-from landingshift.lab.rig import Rig
-from landingshift.lab.rows import Row, must
-from landingshift.lab.stage import METHOD, TENANT
+from landingshift.testbed.verification.invariants import broken
+from landingshift.testbed.processes.harness import Rig
+from landingshift.testbed.experiments.rows import Row, must
+from landingshift.testbed.processes.single_server import METHOD, TENANT
 from landingshift.policies.document import parse
 
 OVERLAP = 1000.0
--- a/landingshift/lab/report.py
+++ b/landingshift/testbed/experiments/report.py
@@ -6,8 +6,8 @@
 from html import escape
 from typing import Any
 
-from landingshift.lab.days import KINDS, Coverage
-from landingshift.lab.promises import FLEET, PAGES
+from landingshift.testbed.experiments.scenarios import KINDS, Coverage
+from landingshift.testbed.verification.invariants import FLEET, PAGES
 
 STYLE = """body{font:15px/1.45 system-ui,sans-serif;max-width:70rem;margin:2rem auto;color:#1c2733}
 table{border-collapse:collapse;margin:1rem 0}
--- a/landingshift/lab/rows.py
+++ b/landingshift/testbed/experiments/rows.py
@@ -7,7 +7,7 @@
 from dataclasses import asdict, dataclass, field
 from typing import Any
 
-from landingshift.lab import MEMORY
+from landingshift.testbed import MEMORY
 
 
 @dataclass(slots=True)
--- a/landingshift/lab/rig.py
+++ b/landingshift/testbed/processes/harness.py
@@ -19,9 +19,9 @@
 import msgpack
 import orjson
 
-from landingshift.lab.stage import METHOD, TENANT, settings
-from landingshift.lab.standins import Yard
-from landingshift.lab.wires import Switch
+from landingshift.testbed.processes.single_server import METHOD, TENANT, settings
+from landingshift.testbed.processes.stand_ins import Yard
+from landingshift.testbed.processes.fault_proxy import Switch
 from landingshift.net.protocol import gateway
 from landingshift.net.transport.loop import Loop
 from landingshift.net.transport.stream import Address, Stream, connect
--- a/landingshift/lab/town.py
+++ b/landingshift/testbed/simulation/cluster.py
@@ -15,11 +15,11 @@
 from landingshift.consensus.raft import Stored
 from landingshift.consensus.raft import Times as Beats
 from landingshift.coldstart.agent import Plan as StartPlan
-from landingshift.lab.days import Act, Coverage, Day, cuts
-from landingshift.lab.home import CAPACITY, METHODS, WAIT, Disk, Home, Sent, address, text
-from landingshift.lab.promises import History
-from landingshift.lab.rise import Store
-from landingshift.lab.virtual import Address, Host, World
+from landingshift.testbed.experiments.scenarios import Act, Coverage, Day, cuts
+from landingshift.testbed.simulation.server import CAPACITY, METHODS, WAIT, Disk, Home, Sent, address, text
+from landingshift.testbed.verification.invariants import History
+from landingshift.testbed.simulation.cold_start import Store
+from landingshift.testbed.simulation.virtual_time import Address, Host, World
 from landingshift.policies.follower import Plan as Rules
 from landingshift.policies.part import ENDED
 from landingshift.maintenance.book import command
--- a/landingshift/lab/rise.py
+++ b/landingshift/testbed/simulation/cold_start.py
@@ -19,7 +19,7 @@
 from landingshift.coldstart.strain import Strain
 from landingshift.membership.messages import Message, Record, State
 from landingshift.membership.node import Node, Times
-from landingshift.lab.virtual import Address, Host, World
+from landingshift.testbed.simulation.virtual_time import Address, Host, World
 
 LOOK = 100.0  # ms between two steps of a server, and of the world
 PORT = 7101
--- a/landingshift/lab/assent.py
+++ b/landingshift/testbed/simulation/policy_change.py
@@ -14,8 +14,8 @@
 
 import msgspec
 
-from landingshift.lab.promises import History
-from landingshift.lab.virtual import Address, Host, World
+from landingshift.testbed.verification.invariants import History
+from landingshift.testbed.simulation.virtual_time import Address, Host, World
 from landingshift.consensus.raft import Stored, Times
 from landingshift.policies.follower import Plan
 from landingshift.policies.part import ENDED, Part
--- a/landingshift/lab/home.py
+++ b/landingshift/testbed/simulation/server.py
@@ -34,15 +34,15 @@
     Stopping,
     Tenant,
 )
-from landingshift.lab.promises import GRACE
-from landingshift.lab.virtual import Address, Host
+from landingshift.testbed.verification.invariants import GRACE
+from landingshift.testbed.simulation.virtual_time import Address, Host
 from landingshift.policies.part import Part
 from landingshift.maintenance.book import NAME, Book
 from landingshift.maintenance.foreman import Foreman
 from landingshift.maintenance.machine import Hand, heard
 
 if TYPE_CHECKING:
-    from landingshift.lab.town import Town
+    from landingshift.testbed.simulation.cluster import Town
 
 PORT = 7101
 LOOK = 200.0  # ms between two steps of the common start
--- a/landingshift/lab/search.py
+++ b/landingshift/testbed/verification/search_policy_change.py
@@ -12,7 +12,7 @@
 from random import Random
 from typing import Any
 
-from landingshift.lab.assent import text
+from landingshift.testbed.simulation.policy_change import text
 from landingshift.consensus.raft import Stored, Times
 from landingshift.policies.follower import Plan, Stage
 from landingshift.policies.part import Part
--- a/landingshift/lab/reduce.py
+++ b/landingshift/testbed/verification/shrinking.py
@@ -10,7 +10,7 @@
 
 from msgspec.structs import replace
 
-from landingshift.lab.days import Act, Day
+from landingshift.testbed.experiments.scenarios import Act, Day
 
 PLAYS = 400
 FEWEST = 2  # servers
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -24,8 +24,8 @@
 
 from landingshift.admission.controller import Job, Server
 from landingshift.admission.interface import Advert, Below, Effect, Gauges, Method, Rpc, Settings, Stopping
-from landingshift.lab import MEMORY
-from landingshift.lab.rows import Row
+from landingshift.testbed import MEMORY
+from landingshift.testbed.experiments.rows import Row
 
 METHOD = Method(Effect.IDEMPOTENT, 1000.0, 0.0, 3000.0, 1.0, 0.0, 5000.0, False, 0.0)
 SETTINGS = Settings(
--- a/tests/test_chance.py
+++ b/tests/test_chance.py
@@ -12,13 +12,13 @@
 
 from msgspec.structs import replace
 
-from landingshift.lab import MEMORY
-from landingshift.lab.days import KINDS, Act, Coverage, Day, draw, read, told, written
-from landingshift.lab.fleet import failure, names, smaller
-from landingshift.lab.fleet_real import recovery
-from landingshift.lab.promises import FLEET, broken
-from landingshift.lab.reduce import Reduced
-from landingshift.lab.town import BREAKS, OVERLAP, Town
+from landingshift.testbed import MEMORY
+from landingshift.testbed.experiments.scenarios import KINDS, Act, Coverage, Day, draw, read, told, written
+from landingshift.testbed.experiments.chance_faults import failure, names, smaller
+from landingshift.testbed.experiments.chance_faults_real import recovery
+from landingshift.testbed.verification.invariants import FLEET, broken
+from landingshift.testbed.verification.shrinking import Reduced
+from landingshift.testbed.simulation.cluster import BREAKS, OVERLAP, Town
 
 DAYS = Path(__file__).parent / "days"
 COMMAND = [sys.executable, "-c", "from landingshift.cli import start; start()", "lab"]
@@ -202,7 +202,7 @@
 
 class Real(unittest.TestCase):
     def test_half_a_minute_of_six_processes_with_all_rooms_on(self) -> None:
-        from landingshift.lab.fleet_real import many
+        from landingshift.testbed.experiments.chance_faults_real import many
 
         (row,) = many(6, 3, 0.4, 1)
         self.assertEqual(row.broken, [], row.figures)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -12,8 +12,8 @@
 from click.testing import CliRunner
 
 from landingshift.cli.main import main
-from landingshift.lab import MEMORY
-from landingshift.lab.receiver import Books, Failing, Server
+from landingshift.testbed import MEMORY
+from landingshift.testbed.processes.export_receiver import Books, Failing, Server
 from landingshift.ledger.entries import Batch, Raw
 from landingshift.ledger.store import Store
 from landingshift.net.program.features import BadFeature, load
@@ -49,7 +49,7 @@
         code = (
             "import sys, landingshift.net.program.main, landingshift.net.program.features as f\n"
             "assert f.load(sys.argv[1]) == []\n"
-            "print([m for m in sys.modules if m.startswith(('landingshift.ledger.', 'landingshift.lab',\n"
+            "print([m for m in sys.modules if m.startswith(('landingshift.ledger.', 'landingshift.testbed',\n"
             "'landingshift.cli', 'click', 'structlog', 'google', 'grpc', 'sqlite3', 'asyncio', 'zoneinfo'))])"
         )
         found = subprocess.run(
--- a/tests/test_coldstart.py
+++ b/tests/test_coldstart.py
@@ -20,10 +20,10 @@
 from landingshift.coldstart.start import Stage, Start
 from landingshift.coldstart.strain import UNKNOWN, Strain
 from landingshift.membership.messages import Record, State
-from landingshift.lab.coldstart import experiment
-from landingshift.lab.lent import LEASE, SPARE
-from landingshift.lab.rise import Case
-from landingshift.lab.search_loans import Search
+from landingshift.testbed.experiments.cold_start import experiment
+from landingshift.testbed.simulation.leases import LEASE, SPARE
+from landingshift.testbed.simulation.cold_start import Case
+from landingshift.testbed.verification.search_leases import Search
 
 
 class Leases(unittest.TestCase):
--- a/tests/test_coldstart_service.py
+++ b/tests/test_coldstart_service.py
@@ -12,9 +12,9 @@
 from typing import ClassVar
 
 from landingshift.membership.talk import NoAnswer, ask
-from landingshift.lab import MEMORY
-from landingshift.lab.coldstart_real import REAL, Fleet
-from landingshift.lab.rows import Row
+from landingshift.testbed import MEMORY
+from landingshift.testbed.experiments.cold_start_real import REAL, Fleet
+from landingshift.testbed.experiments.rows import Row
 from tests.helpers import RealRows
 from tests.test_membership_service import refused
 
--- a/tests/test_golden_histories.py
+++ b/tests/test_golden_histories.py
@@ -16,12 +16,13 @@
 
 from landingshift.membership import wire
 from landingshift.membership.messages import Message
-from landingshift.lab import assent, upkeep
-from landingshift.lab.days import draw
-from landingshift.lab.rise import Case, Rise
-from landingshift.lab.rows import Row
-from landingshift.lab.town import Town
-from landingshift.lab.virtual import World
+from landingshift.testbed.simulation import policy_change as assent
+from landingshift.testbed.experiments import maintenance as upkeep
+from landingshift.testbed.experiments.scenarios import draw
+from landingshift.testbed.simulation.cold_start import Case, Rise
+from landingshift.testbed.experiments.rows import Row
+from landingshift.testbed.simulation.cluster import Town
+from landingshift.testbed.simulation.virtual_time import World
 from landingshift.maintenance.book import Book
 from tests.golden_files import assert_golden_json
 
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -12,8 +12,8 @@
 from hypothesis import strategies as st
 from msgspec import msgpack
 
-from landingshift.lab import MEMORY
-from landingshift.lab.ledger import CASES, ONCE, experiment
+from landingshift.testbed import MEMORY
+from landingshift.testbed.experiments.ledger import CASES, ONCE, experiment
 from landingshift.ledger.audit import audit
 from landingshift.ledger.book import Book, Refused
 from landingshift.ledger.cursor import REPEATS, Ask, Cursor, Idle, Send, Stop, Wait
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from landingshift.consensus.state_machines import Shelf, entry
-from landingshift.lab.upkeep import VIRTUAL, Day, virtual
+from landingshift.testbed.experiments.maintenance import VIRTUAL, Day, virtual
 from landingshift.maintenance.book import Book, command
 from landingshift.maintenance.floor import Floor, Machine, Needs
 from landingshift.maintenance.foreman import Foreman, Plan
--- a/tests/test_maintenance_service.py
+++ b/tests/test_maintenance_service.py
@@ -8,9 +8,9 @@
 import tempfile
 import unittest
 
-from landingshift.lab import MEMORY
-from landingshift.lab.upkeep_real import REAL, Yard
-from landingshift.lab.rows import Row, many_real
+from landingshift.testbed import MEMORY
+from landingshift.testbed.experiments.maintenance_real import REAL, Yard
+from landingshift.testbed.experiments.rows import Row, many_real
 from tests.helpers import RealRows
 from tests.test_membership_service import refused
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -15,7 +15,7 @@
 from landingshift.membership.members import Members
 from landingshift.membership.messages import FACTS, NEWS, SUMS, Kind, Message, Record, State
 from landingshift.membership.node import ANSWERS, ERRANDS, OUT, Node, Times
-from landingshift.lab.virtual import Address, Host, World
+from landingshift.testbed.simulation.virtual_time import Address, Host, World
 
 
 def address(i: int) -> Address:
--- a/tests/test_membership_service.py
+++ b/tests/test_membership_service.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from landingshift.membership.talk import NoAnswer, ask
-from landingshift.lab.rig import TALK, unused_net
+from landingshift.testbed.processes.harness import TALK, unused_net
 from tests.helpers import CONFIG, Gateway, World, launch
 
 TOML = '[fleet]\nfleet = "lab"\nlisten = "{place}"\nzone = "z{zone}"\npeers = [{peers}]\n'
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -12,9 +12,9 @@
 from hypothesis import strategies as st
 
 from landingshift.admission.interface import Method
-from landingshift.lab.policy import VIRTUAL, histories, searched, virtual
-from landingshift.lab.promises import broken
-from landingshift.lab.rig import in_time
+from landingshift.testbed.experiments.policies import VIRTUAL, histories, searched, virtual
+from landingshift.testbed.verification.invariants import broken
+from landingshift.testbed.processes.harness import in_time
 from landingshift.net.program.config import site
 from landingshift.policies.book import IDS, SHOWN, TEXTS, Book, End, command
 from landingshift.policies.document import BadPolicy, Base, differs, flat, parse, read
--- a/tests/test_policies_service.py
+++ b/tests/test_policies_service.py
@@ -9,9 +9,9 @@
 import unittest
 from pathlib import Path
 
-from landingshift.lab import MEMORY
-from landingshift.lab.policy_real import REAL, Council
-from landingshift.lab.rows import Row, many_real
+from landingshift.testbed import MEMORY
+from landingshift.testbed.experiments.policies_real import REAL, Council
+from landingshift.testbed.experiments.rows import Row, many_real
 from tests.helpers import RealRows
 from tests.test_membership_service import refused
 
