--- a/benchmarks/handover.py
+++ b/benchmarks/handover.py
@@ -11,9 +11,9 @@
 from msgspec import msgpack
 
 from landingshift.admission.controller import Server
+from landingshift.admission.interface import Advert, Below, Effect, Method, Outcome, Rpc, Settings, Stopping
 from landingshift.hot_restart.carrier import MOST, Carrier, Frame
 from landingshift.hot_restart.journal import Journal, Kind
-from landingshift.admission.interface import Advert, Below, Effect, Method, Outcome, Rpc, Settings, Stopping
 
 FDS, RPCS = 400, 1000
 
--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -24,12 +24,12 @@
 import msgspec
 import orjson
 
-from landingshift.testbed.processes.single_server import Gateway, Stage
 from landingshift.ledger.entries import Batch, Raw, Word
 from landingshift.ledger.outbox import Outbox
 from landingshift.ledger.settings import Settings
 from landingshift.ledger.store import Store
 from landingshift.net.transport.worker import FD, Frames, frame
+from landingshift.testbed.processes.single_server import Gateway, Stage
 
 TICKS = os.sysconf("SC_CLK_TCK")
 
--- a/landingshift/__init__.py
+++ b/landingshift/__init__.py
@@ -0,0 +1,1 @@
+"""Admission and scheduling decisions inside servers behind load balancers that can't be changed."""
--- a/landingshift/admission/controller.py
+++ b/landingshift/admission/controller.py
@@ -22,8 +22,9 @@
     Outcome,
     Rpc,
     Settings,
+    Stopping,
+    Tenant,
 )
-from landingshift.admission.interface import Stopping, Tenant
 
 TICK = 50.0  # between two looks at the gauges and the hold
 LAST = 10.0  # before its end that running work is answered for: it may still end by itself until then
--- a/landingshift/cli/lab.py
+++ b/landingshift/cli/lab.py
@@ -114,8 +114,8 @@
     plot: str | None,
 ) -> None:
     """Machines go out for work within what the floor leaves, whatever fails meanwhile."""
-    from landingshift.testbed.experiments.plots import day
     from landingshift.testbed.experiments.maintenance import experiment
+    from landingshift.testbed.experiments.plots import day
 
     def drawn() -> Iterator[Row]:
         for row in experiment(repeats, seed, servers, broken or "", only):
@@ -183,9 +183,9 @@
 def replay(day: str, log: bool, broken: str | None) -> None:
     """Plays a kept day again, and says what does not hold."""
     from landingshift.testbed.experiments import scenarios as days
+    from landingshift.testbed.simulation.cluster import OVERLAP, Town
     from landingshift.testbed.verification.invariants import FLEET
     from landingshift.testbed.verification.invariants import broken as judged
-    from landingshift.testbed.simulation.cluster import OVERLAP, Town
 
     found = kept(day)
     click.echo("\n".join(days.told(found)))
@@ -220,8 +220,8 @@
 @click.argument("page", type=click.Path(dir_okay=False))
 def report(found: str, page: str) -> None:
     """One HTML page of what `lab fleet --json` wrote."""
-    from landingshift.testbed.verification import corpus as keep
     from landingshift.testbed.experiments import report as html
+    from landingshift.testbed.verification import corpus as keep
 
     try:
         run = keep.load(found)
--- a/landingshift/coldstart/service.py
+++ b/landingshift/coldstart/service.py
@@ -7,6 +7,7 @@
 from typing import TYPE_CHECKING, Any
 
 from landingshift import failpoints
+from landingshift.admission.interface import Outcome
 from landingshift.coldstart import snapshot
 from landingshift.coldstart.agent import PACKAGE, Agent, Seen
 from landingshift.coldstart.lists import Question
@@ -18,7 +19,6 @@
 from landingshift.membership.messages import Address, Record
 from landingshift.membership.service import Fleet
 from landingshift.membership.settings import address
-from landingshift.admission.interface import Outcome
 from landingshift.net.transport.loop import Timer
 
 if TYPE_CHECKING:
--- /dev/null
+++ b/landingshift/errors.py
@@ -0,0 +1,7 @@
+"""The root of all errors that the packages raise for their callers."""
+
+from __future__ import annotations
+
+
+class LandingshiftError(Exception):
+    """Base of each package's own base error."""
--- a/landingshift/hot_restart/state.py
+++ b/landingshift/hot_restart/state.py
@@ -19,11 +19,11 @@
 from landingshift.net.protocol import engine as engine_wire
 from landingshift.net.routing.database import BOUND as DATABASE_BOUND
 from landingshift.net.routing.database import WHOLE, Call, Link
+from landingshift.net.routing.dedup import ENTRY, Entry
 from landingshift.net.routing.engine import BOUND as ENGINE_BOUND
 from landingshift.net.routing.engine import RETRY, Command
 from landingshift.net.routing.gateways import BOUND as GATEWAY_BOUND
 from landingshift.net.routing.gateways import RESET, Connection
-from landingshift.net.routing.dedup import ENTRY, Entry
 from landingshift.net.routing.records import Routed
 from landingshift.net.routing.router import Router, Site
 from landingshift.net.transport.loop import Loop
--- a/landingshift/maintenance/machine.py
+++ b/landingshift/maintenance/machine.py
@@ -8,10 +8,10 @@
 
 from typing import Any
 
-from landingshift.membership.messages import Record
 from landingshift.maintenance.floor import Machine
 from landingshift.maintenance.foreman import Foreman
 from landingshift.maintenance.wishes import Leave
+from landingshift.membership.messages import Record
 
 OUT = 16  # reports whose times are kept
 MODEL = 16  # letters
--- a/landingshift/maintenance/service.py
+++ b/landingshift/maintenance/service.py
@@ -8,15 +8,15 @@
 from typing import TYPE_CHECKING, Any, Protocol, cast
 
 from landingshift import failpoints
-from landingshift.membership.messages import GONE, Record
-from landingshift.membership.service import Fleet
-from landingshift.net.transport.loop import Timer
 from landingshift.maintenance.book import NAME, Book, command
 from landingshift.maintenance.foreman import Foreman
 from landingshift.maintenance.machine import Hand, heard
 from landingshift.maintenance.order import dry_run
 from landingshift.maintenance.settings import Settings, plan
 from landingshift.maintenance.wishes import Stage
+from landingshift.membership.messages import GONE, Record
+from landingshift.membership.service import Fleet
+from landingshift.net.transport.loop import Timer
 
 if TYPE_CHECKING:
     from landingshift.net.program.features import Host
--- a/landingshift/maintenance/settings.py
+++ b/landingshift/maintenance/settings.py
@@ -7,9 +7,9 @@
 
 from msgspec import Meta, Struct
 
-from landingshift.membership.messages import Zone
 from landingshift.maintenance.floor import Needs
 from landingshift.maintenance.foreman import Plan
+from landingshift.membership.messages import Zone
 
 Share = Annotated[float, Meta(ge=0.0, le=1.0)]
 
--- a/landingshift/net/routing/records.py
+++ b/landingshift/net/routing/records.py
@@ -10,8 +10,8 @@
 
 if TYPE_CHECKING:
     from landingshift.net.routing.database import Call
-    from landingshift.net.routing.engine import Command
     from landingshift.net.routing.dedup import Entry
+    from landingshift.net.routing.engine import Command
 
 
 @dataclass(slots=True, eq=False)
--- a/landingshift/net/routing/router.py
+++ b/landingshift/net/routing/router.py
@@ -15,10 +15,10 @@
 from landingshift.net.protocol import engine as engine_wire
 from landingshift.net.protocol import gateway as wire
 from landingshift.net.routing.database import Database
+from landingshift.net.routing.dedup import DedupTable, Entry
 from landingshift.net.routing.engine import Engine
 from landingshift.net.routing.gateways import OPEN, QUIET, Connection, Gateways
 from landingshift.net.routing.health import Health
-from landingshift.net.routing.dedup import Entry, DedupTable
 from landingshift.net.routing.records import Routed
 from landingshift.net.routing.taps import Gate, Taps
 from landingshift.net.transport.datagram import Datagrams
--- a/landingshift/policies/part.py
+++ b/landingshift/policies/part.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from landingshift.consensus.state_machines import Shelf
 from landingshift.consensus.raft import VOTERS, Message, Stored, Times, Voter
+from landingshift.consensus.state_machines import Shelf
 from landingshift.policies.book import Book, Change, End
 from landingshift.policies.desk import Desk
 from landingshift.policies.follower import Follower, Plan
--- a/landingshift/policies/service.py
+++ b/landingshift/policies/service.py
@@ -8,12 +8,12 @@
 
 from landingshift import failpoints
 from landingshift.admission.controller import Server
+from landingshift.consensus.raft_log import BadJournal, Journal
 from landingshift.membership.messages import Record, State
 from landingshift.membership.service import Fleet
 from landingshift.net.transport.loop import Timer
 from landingshift.policies.document import LARGEST, Base
 from landingshift.policies.follower import Stage
-from landingshift.consensus.raft_log import BadJournal, Journal
 from landingshift.policies.part import Part
 from landingshift.policies.settings import Settings, plan
 
--- a/landingshift/testbed/experiments/chance_faults.py
+++ b/landingshift/testbed/experiments/chance_faults.py
@@ -14,11 +14,11 @@
 from functools import partial
 from typing import Any
 
+from landingshift.testbed.experiments.rows import Row
 from landingshift.testbed.experiments.scenarios import Coverage, Day, draw, told
+from landingshift.testbed.simulation.cluster import BREAKS, OVERLAP, Town
 from landingshift.testbed.verification.invariants import FLEET, broken
 from landingshift.testbed.verification.shrinking import Reduced
-from landingshift.testbed.experiments.rows import Row
-from landingshift.testbed.simulation.cluster import BREAKS, OVERLAP, Town
 
 ROUND = 400  # days of one round, after which what has met is counted
 CHUNK = 10  # days that one worker plays at a time
--- a/landingshift/testbed/experiments/chance_faults_real.py
+++ b/landingshift/testbed/experiments/chance_faults_real.py
@@ -19,11 +19,11 @@
 
 from landingshift.membership.talk import NoAnswer
 from landingshift.testbed import MEMORY
-from landingshift.testbed.experiments.scenarios import BETWEEN, KINDS, Act, act, cuts
+from landingshift.testbed.experiments.maintenance_real import COMMON_START, Yard, names
 from landingshift.testbed.experiments.policies_real import ENDED, OVERLAP
-from landingshift.testbed.verification.invariants import loans, permissions
 from landingshift.testbed.experiments.rows import Row, must
-from landingshift.testbed.experiments.maintenance_real import COMMON_START, Yard, names
+from landingshift.testbed.experiments.scenarios import BETWEEN, KINDS, Act, act, cuts
+from landingshift.testbed.verification.invariants import loans, permissions
 
 HERE = (
     "kill", "crash_loop", "zone", "notice", "stop", "cut_off", "halves", "mute", "deaf", "flaps", "loss",
--- a/landingshift/testbed/experiments/cold_start.py
+++ b/landingshift/testbed/experiments/cold_start.py
@@ -11,9 +11,9 @@
 from typing import Any
 
 from landingshift.testbed import MEMORY
-from landingshift.testbed.simulation.leases import Lent
-from landingshift.testbed.simulation.cold_start import Case, Rise, address
 from landingshift.testbed.experiments.rows import Row, must
+from landingshift.testbed.simulation.cold_start import Case, Rise, address
+from landingshift.testbed.simulation.leases import Lent
 from landingshift.testbed.verification.search_leases import Search
 
 SMALL: dict[str, Any] = {"servers": 60, "lenders": 3, "calls": 120.0, "know": "snapshot", "cold_ms": 2000.0}
--- a/landingshift/testbed/experiments/cold_start_real.py
+++ b/landingshift/testbed/experiments/cold_start_real.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from landingshift.testbed.processes.harness import Rig, believed
 from landingshift.testbed.experiments.rows import Row, must
+from landingshift.testbed.processes.harness import Rig, believed
 
 CALLS = 4.0  # calls a second and server that the store bears
 RPCS = 8.0  # RPCs a second and server
--- a/landingshift/testbed/experiments/ledger.py
+++ b/landingshift/testbed/experiments/ledger.py
@@ -12,9 +12,6 @@
 from typing import Any
 
 from landingshift import failpoints
-from landingshift.testbed import MEMORY
-from landingshift.testbed.processes.export_receiver import FAULTS, Books, Failing, Server
-from landingshift.testbed.experiments.rows import Row, must
 from landingshift.ledger import audit as audits
 from landingshift.ledger.book import Book, Refused
 from landingshift.ledger.compact import compact
@@ -27,6 +24,9 @@
 from landingshift.ledger.repair import catch_up
 from landingshift.ledger.store import BadStore, Lock, Store
 from landingshift.net.program.features import BadFeature, load
+from landingshift.testbed import MEMORY
+from landingshift.testbed.experiments.rows import Row, must
+from landingshift.testbed.processes.export_receiver import FAULTS, Books, Failing, Server
 
 ZONE, WINDOW = "Europe/Copenhagen", 60_000
 START = 1_774_738_800_000  # a day before the clocks go forward there in March 2026, local midnight
--- a/landingshift/testbed/experiments/ledger_real.py
+++ b/landingshift/testbed/experiments/ledger_real.py
@@ -10,11 +10,11 @@
 from concurrent.futures import ThreadPoolExecutor
 from random import Random
 
-from landingshift.testbed.experiments.rows import Row, must
-from landingshift.testbed.processes.single_server import METHOD, TENANT, Gateway, Stage
 from landingshift.ledger.audit import audit
 from landingshift.ledger.entries import Settled, Use, decode, identity, numbers
 from landingshift.ledger.store import Store
+from landingshift.testbed.experiments.rows import Row, must
+from landingshift.testbed.processes.single_server import METHOD, TENANT, Gateway, Stage
 
 TOML = '[ledger]\nfolder = "{folder}/ledger"\ninstance = "lab"\nlock_wait_ms = 20000\n'
 WAYS = ("none", "server", "store", "both", "slow")
--- a/landingshift/testbed/experiments/maintenance.py
+++ b/landingshift/testbed/experiments/maintenance.py
@@ -12,12 +12,12 @@
 from random import Random
 from typing import Any
 
-from landingshift.testbed.experiments.rows import Row, all_real, must
 from landingshift.maintenance.book import Book, command
 from landingshift.maintenance.floor import Floor, Machine, Needs
 from landingshift.maintenance.foreman import Foreman, Plan
 from landingshift.maintenance.order import greedy_rounds, least_ms, next_ones, rounds
 from landingshift.maintenance.wishes import Leave, Wish
+from landingshift.testbed.experiments.rows import Row, all_real, must
 
 MINUTE = 60_000.0
 AWAY = ("floor", "end")
--- a/landingshift/testbed/experiments/policies.py
+++ b/landingshift/testbed/experiments/policies.py
@@ -8,12 +8,12 @@
 from collections.abc import Callable, Iterator
 from concurrent.futures import ProcessPoolExecutor
 
+from landingshift.consensus.raft import Role
+from landingshift.policies.part import ENDED
+from landingshift.testbed.experiments.rows import Row, all_real, must
 from landingshift.testbed.simulation.policy_change import Hall, address, play
 from landingshift.testbed.verification.invariants import broken
-from landingshift.testbed.experiments.rows import Row, all_real, must
 from landingshift.testbed.verification.search_policy_change import Search
-from landingshift.consensus.raft import Role
-from landingshift.policies.part import ENDED
 
 CHUNK = 50  # histories that one worker plays at a time
 
--- a/landingshift/testbed/experiments/policies_real.py
+++ b/landingshift/testbed/experiments/policies_real.py
@@ -15,11 +15,11 @@
 from typing import Any
 
 from landingshift.membership.talk import NoAnswer, ask
-from landingshift.testbed.verification.invariants import broken
-from landingshift.testbed.processes.harness import Rig
+from landingshift.policies.document import parse
 from landingshift.testbed.experiments.rows import Row, must
+from landingshift.testbed.processes.harness import Rig
 from landingshift.testbed.processes.single_server import METHOD, TENANT
-from landingshift.policies.document import parse
+from landingshift.testbed.verification.invariants import broken
 
 OVERLAP = 1000.0
 MANY = 20  # servers up to which all are loaded
--- a/landingshift/testbed/processes/harness.py
+++ b/landingshift/testbed/processes/harness.py
@@ -19,12 +19,12 @@
 import msgpack
 import orjson
 
-from landingshift.testbed.processes.single_server import METHOD, TENANT, settings
-from landingshift.testbed.processes.stand_ins import Yard
-from landingshift.testbed.processes.fault_proxy import Switch
 from landingshift.net.protocol import gateway
 from landingshift.net.transport.loop import Loop
 from landingshift.net.transport.stream import Address, Stream, connect
+from landingshift.testbed.processes.fault_proxy import Switch
+from landingshift.testbed.processes.single_server import METHOD, TENANT, settings
+from landingshift.testbed.processes.stand_ins import Yard
 
 SEND = 20.0  # ms between two looks of the gateways
 STILL = 200.0  # ms of load at most that one look makes up for
--- a/landingshift/testbed/simulation/cluster.py
+++ b/landingshift/testbed/simulation/cluster.py
@@ -12,19 +12,19 @@
 from random import Random
 from typing import Any
 
+from landingshift.coldstart.agent import Plan as StartPlan
 from landingshift.consensus.raft import Stored
 from landingshift.consensus.raft import Times as Beats
-from landingshift.coldstart.agent import Plan as StartPlan
-from landingshift.testbed.experiments.scenarios import Act, Coverage, Day, cuts
-from landingshift.testbed.simulation.server import CAPACITY, METHODS, WAIT, Disk, Home, Sent, address, text
-from landingshift.testbed.verification.invariants import History
-from landingshift.testbed.simulation.cold_start import Store
-from landingshift.testbed.simulation.virtual_time import Address, Host, World
-from landingshift.policies.follower import Plan as Rules
-from landingshift.policies.part import ENDED
 from landingshift.maintenance.book import command
 from landingshift.maintenance.floor import Needs
 from landingshift.maintenance.foreman import Plan as WorkPlan
+from landingshift.policies.follower import Plan as Rules
+from landingshift.policies.part import ENDED
+from landingshift.testbed.experiments.scenarios import Act, Coverage, Day, cuts
+from landingshift.testbed.simulation.cold_start import Store
+from landingshift.testbed.simulation.server import CAPACITY, METHODS, WAIT, Disk, Home, Sent, address, text
+from landingshift.testbed.simulation.virtual_time import Address, Host, World
+from landingshift.testbed.verification.invariants import History
 
 SEND = 50.0  # ms between two looks of the gateways
 LATE = 1000.0  # by which gateways hear of a change of the list
--- a/landingshift/testbed/simulation/policy_change.py
+++ b/landingshift/testbed/simulation/policy_change.py
@@ -14,11 +14,11 @@
 
 import msgspec
 
-from landingshift.testbed.verification.invariants import History
-from landingshift.testbed.simulation.virtual_time import Address, Host, World
 from landingshift.consensus.raft import Stored, Times
 from landingshift.policies.follower import Plan
 from landingshift.policies.part import ENDED, Part
+from landingshift.testbed.simulation.virtual_time import Address, Host, World
+from landingshift.testbed.verification.invariants import History
 
 LOOK = 25.0  # ms between two decisions of one server, about
 TIMES = Times(beat=100.0, wait=500.0)
--- a/landingshift/testbed/simulation/server.py
+++ b/landingshift/testbed/simulation/server.py
@@ -14,14 +14,7 @@
 
 import msgspec
 
-from landingshift.consensus.raft import Stored
 from landingshift.admission.controller import Job, Server
-from landingshift.coldstart.agent import Agent, Seen
-from landingshift.coldstart.seek import Seek
-from landingshift.coldstart.strain import Strain
-from landingshift.membership.members import Member
-from landingshift.membership.messages import GONE, Message, Record, State
-from landingshift.membership.node import Node, Times
 from landingshift.admission.interface import (
     Advert,
     Below,
@@ -34,12 +27,19 @@
     Stopping,
     Tenant,
 )
-from landingshift.testbed.verification.invariants import GRACE
-from landingshift.testbed.simulation.virtual_time import Address, Host
-from landingshift.policies.part import Part
+from landingshift.coldstart.agent import Agent, Seen
+from landingshift.coldstart.seek import Seek
+from landingshift.coldstart.strain import Strain
+from landingshift.consensus.raft import Stored
 from landingshift.maintenance.book import NAME, Book
 from landingshift.maintenance.foreman import Foreman
 from landingshift.maintenance.machine import Hand, heard
+from landingshift.membership.members import Member
+from landingshift.membership.messages import GONE, Message, Record, State
+from landingshift.membership.node import Node, Times
+from landingshift.policies.part import Part
+from landingshift.testbed.simulation.virtual_time import Address, Host
+from landingshift.testbed.verification.invariants import GRACE
 
 if TYPE_CHECKING:
     from landingshift.testbed.simulation.cluster import Town
--- a/landingshift/testbed/verification/corpus.py
+++ b/landingshift/testbed/verification/corpus.py
@@ -9,9 +9,9 @@
 import msgspec
 from msgspec import Struct
 
-from landingshift.testbed.experiments.scenarios import Coverage, Day, told, written
 from landingshift.testbed.experiments.chance_faults import Played
 from landingshift.testbed.experiments.rows import Row
+from landingshift.testbed.experiments.scenarios import Coverage, Day, told, written
 
 
 class Found(Struct):
--- a/landingshift/testbed/verification/search_policy_change.py
+++ b/landingshift/testbed/verification/search_policy_change.py
@@ -12,10 +12,10 @@
 from random import Random
 from typing import Any
 
-from landingshift.testbed.simulation.policy_change import text
 from landingshift.consensus.raft import Stored, Times
 from landingshift.policies.follower import Plan, Stage
 from landingshift.policies.part import Part
+from landingshift.testbed.simulation.policy_change import text
 
 NAMES = ("n0", "n1", "n2")
 PASS = 500.0  # ms
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -92,18 +92,18 @@
         return [d[0] for d in self.did if len(d) > 1 and d[1] is job.rpc and d[0] != "closed"]
 
 
-BLANK: dict[str, Any] = dict(
-    tenant=None,
-    remaining=3000.0,
-    waited=0.0,
-    kb=10.0,
-    caller=0,
-    hint=None,
-    keyed=False,
-    repeat=False,
-    retry=False,
-    write=False,
-)
+BLANK: dict[str, Any] = {
+    "tenant": None,
+    "remaining": 3000.0,
+    "waited": 0.0,
+    "kb": 10.0,
+    "caller": 0,
+    "hint": None,
+    "keyed": False,
+    "repeat": False,
+    "retry": False,
+    "write": False,
+}
 
 
 def until(holds: Callable[[], bool], bound: float = 10.0) -> None:
--- a/tests/test_chance.py
+++ b/tests/test_chance.py
@@ -13,12 +13,12 @@
 from msgspec.structs import replace
 
 from landingshift.testbed import MEMORY
-from landingshift.testbed.experiments.scenarios import KINDS, Act, Coverage, Day, draw, read, told, written
 from landingshift.testbed.experiments.chance_faults import failure, names, smaller
 from landingshift.testbed.experiments.chance_faults_real import recovery
+from landingshift.testbed.experiments.scenarios import KINDS, Act, Coverage, Day, draw, read, told, written
+from landingshift.testbed.simulation.cluster import BREAKS, OVERLAP, Town
 from landingshift.testbed.verification.invariants import FLEET, broken
 from landingshift.testbed.verification.shrinking import Reduced
-from landingshift.testbed.simulation.cluster import BREAKS, OVERLAP, Town
 
 DAYS = Path(__file__).parent / "days"
 COMMAND = [sys.executable, "-c", "from landingshift.cli import start; start()", "lab"]
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -12,12 +12,12 @@
 from click.testing import CliRunner
 
 from landingshift.cli.main import main
-from landingshift.testbed import MEMORY
-from landingshift.testbed.processes.export_receiver import Books, Failing, Server
 from landingshift.ledger.entries import Batch, Raw
 from landingshift.ledger.store import Store
 from landingshift.net.program.features import BadFeature, load
 from landingshift.net.routing.taps import Taps
+from landingshift.testbed import MEMORY
+from landingshift.testbed.processes.export_receiver import Books, Failing, Server
 from tests.helpers import CONFIG, Gateway, World
 
 ON = '[ledger]\nfolder = "/tmp/x"\ninstance = "n1"\n'
--- a/tests/test_coldstart.py
+++ b/tests/test_coldstart.py
@@ -13,16 +13,16 @@
 from landingshift.coldstart.agent import Lending
 from landingshift.coldstart.leases import Lender, fair
 from landingshift.coldstart.pauses import Pauses, aim, spread
-from landingshift.coldstart.quiet import Boot, quiet
 from landingshift.coldstart.places import REST, Pace, Places, Wish, order
+from landingshift.coldstart.quiet import Boot, quiet
 from landingshift.coldstart.seek import ANSWER, Seek
 from landingshift.coldstart.snapshot import mark, marked, unmark
 from landingshift.coldstart.start import Stage, Start
 from landingshift.coldstart.strain import UNKNOWN, Strain
 from landingshift.membership.messages import Record, State
 from landingshift.testbed.experiments.cold_start import experiment
-from landingshift.testbed.simulation.leases import LEASE, SPARE
 from landingshift.testbed.simulation.cold_start import Case
+from landingshift.testbed.simulation.leases import LEASE, SPARE
 from landingshift.testbed.verification.search_leases import Search
 
 
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -20,8 +20,8 @@
     Role,
     Stored,
     Times,
-    Voter,
     Vote,
+    Voter,
 )
 
 TIMES = Times(beat=20.0, wait=120.0)
--- a/tests/test_golden_histories.py
+++ b/tests/test_golden_histories.py
@@ -14,16 +14,16 @@
 
 from msgspec import msgpack
 
+from landingshift.maintenance.book import Book
 from landingshift.membership import wire
 from landingshift.membership.messages import Message
-from landingshift.testbed.simulation import policy_change as assent
 from landingshift.testbed.experiments import maintenance as upkeep
-from landingshift.testbed.experiments.scenarios import draw
-from landingshift.testbed.simulation.cold_start import Case, Rise
 from landingshift.testbed.experiments.rows import Row
+from landingshift.testbed.experiments.scenarios import draw
+from landingshift.testbed.simulation import policy_change as assent
 from landingshift.testbed.simulation.cluster import Town
+from landingshift.testbed.simulation.cold_start import Case, Rise
 from landingshift.testbed.simulation.virtual_time import World
-from landingshift.maintenance.book import Book
 from tests.golden_files import assert_golden_json
 
 FLEET = "golden"
--- a/tests/test_golden_storage.py
+++ b/tests/test_golden_storage.py
@@ -12,19 +12,19 @@
 
 from msgspec import msgpack
 
+from landingshift.coldstart import snapshot
+from landingshift.consensus.raft import Append, Appended, Ask, Entry, Install, Message, Stored, Vote
 from landingshift.consensus.raft_log import Journal
 from landingshift.consensus.state_machines import Shelf, entry
-from landingshift.consensus.raft import Append, Appended, Ask, Entry, Install, Message, Stored, Vote
-from landingshift.coldstart import snapshot
 from landingshift.hot_restart import journal as moved
 from landingshift.ledger.compact import compact
 from landingshift.ledger.entries import Batch, Gap, Raw, decode
 from landingshift.ledger.records import Exporting
 from landingshift.ledger.store import FILE, Store
-from landingshift.policies.book import Book as PolicyBook
 from landingshift.maintenance.book import NAME, command
 from landingshift.maintenance.book import Book as WorkBook
 from landingshift.maintenance.service import Upkeep
+from landingshift.policies.book import Book as PolicyBook
 from tests import test_hot_restart
 from tests.golden_files import FOLDER, assert_golden_bytes, assert_golden_json, golden_bytes, golden_json
 
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -20,6 +20,7 @@
 from msgspec import msgpack
 
 from landingshift.admission.controller import Job, Want
+from landingshift.admission.interface import Advert, Below, Effect, Gauges, Method, Outcome, Rpc, Tenant
 from landingshift.hot_restart.carrier import HEAD, MOST, BadCarrier, Carrier, Frame
 from landingshift.hot_restart.journal import Full, Journal, Kind
 from landingshift.hot_restart.plan import (
@@ -33,7 +34,6 @@
     Stage,
 )
 from landingshift.hot_restart.state import CannotMove, Giver, Taker
-from landingshift.admission.interface import Advert, Below, Effect, Gauges, Method, Outcome, Rpc, Tenant
 from landingshift.net.program.config import site as read_site
 from landingshift.net.routing.router import Router
 from landingshift.net.transport.loop import Loop
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -12,8 +12,6 @@
 from hypothesis import strategies as st
 from msgspec import msgpack
 
-from landingshift.testbed import MEMORY
-from landingshift.testbed.experiments.ledger import CASES, ONCE, experiment
 from landingshift.ledger.audit import audit
 from landingshift.ledger.book import Book, Refused
 from landingshift.ledger.cursor import REPEATS, Ask, Cursor, Idle, Send, Stop, Wait
@@ -26,6 +24,8 @@
 from landingshift.ledger.recent import Recent
 from landingshift.ledger.statements import as_csv, as_json, statements
 from landingshift.ledger.store import BadStore, Store
+from landingshift.testbed import MEMORY
+from landingshift.testbed.experiments.ledger import CASES, ONCE, experiment
 
 HOUR = 3_600_000
 
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -6,14 +6,14 @@
 from typing import Any
 
 from landingshift.consensus.state_machines import Shelf, entry
-from landingshift.testbed.experiments.maintenance import VIRTUAL, Day, virtual
 from landingshift.maintenance.book import Book, command
 from landingshift.maintenance.floor import Floor, Machine, Needs
-from landingshift.maintenance.foreman import Foreman, Plan
 from landingshift.maintenance.forecast import QUARTER, WIDTH, Line, Shape, expected
+from landingshift.maintenance.foreman import Foreman, Plan
 from landingshift.maintenance.order import dry_run, hopeless, least_ms, next_ones, rounds_left, taken_back
 from landingshift.maintenance.rings import Served, allowed, worse
 from landingshift.maintenance.wishes import MOVES, BadMove, Leave, Stage, Wish
+from landingshift.testbed.experiments.maintenance import VIRTUAL, Day, virtual
 
 NONE = Needs(0.0, 0.0, 0.0, 0.0)
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -15,9 +15,9 @@
 from landingshift.net.protocol import engine, gateway
 from landingshift.net.protocol.lines import Broken
 from landingshift.net.routing.database import Database
+from landingshift.net.routing.dedup import ENTRY, DedupTable
 from landingshift.net.routing.engine import Engine
 from landingshift.net.routing.health import Health
-from landingshift.net.routing.dedup import ENTRY, DedupTable
 from landingshift.net.routing.records import Routed
 from landingshift.net.transport.loop import Loop
 from landingshift.net.transport.slots import Slots
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -12,13 +12,13 @@
 from hypothesis import strategies as st
 
 from landingshift.admission.interface import Method
-from landingshift.testbed.experiments.policies import VIRTUAL, histories, searched, virtual
-from landingshift.testbed.verification.invariants import broken
-from landingshift.testbed.processes.harness import in_time
 from landingshift.net.program.config import site
 from landingshift.policies.book import IDS, SHOWN, TEXTS, Book, End, command
 from landingshift.policies.document import BadPolicy, Base, differs, flat, parse, read
 from landingshift.policies.follower import Follower, Plan, Stage
+from landingshift.testbed.experiments.policies import VIRTUAL, histories, searched, virtual
+from landingshift.testbed.processes.harness import in_time
+from landingshift.testbed.verification.invariants import broken
 from tests.helpers import CONFIG
 
 
