--- a/landingshift/hot_restart/state.py
+++ b/landingshift/hot_restart/state.py
@@ -29,12 +29,69 @@
 from landingshift.net.transport.loop import Loop
 from landingshift.net.transport.stream import LINGER, Stream
 
-OWN = (
-    "rid", "name", "body", "number", "dedup_key", "answered", "gone", "closed", "need", "need_body", "mark",
-)  # fmt: skip
-FACTS = ("remaining", "waited", "kb", "caller", "hint", "keyed", "repeat", "retry", "write", "tenant_name")
-COUNTS = ("read", "probes", "bad", "fault", "away", "proven", "born", "heard", "half")
-LINK = ("last", "links", "tags", "ready", "met", "greeted", "moving", "linked", "lost", "heard")
+# Stored name -> attribute. The stored names are part of the format and stay when an attribute is renamed.
+# What the RPC's record holds besides what the admission controller was told.
+RPC_STATE = {
+    "rid": "rid",
+    "name": "name",
+    "body": "body",
+    "number": "number",
+    "dedup_key": "dedup_key",
+    "answered": "answered",
+    "gone": "gone",
+    "closed": "closed",
+    "need": "need",
+    "need_body": "need_body",
+    "mark": "mark",
+}
+# What the admission controller was told of the RPC.
+RPC_FACTS = {
+    "remaining": "remaining",
+    "waited": "waited",
+    "kb": "kb",
+    "caller": "caller",
+    "hint": "hint",
+    "keyed": "keyed",
+    "repeat": "repeat",
+    "retry": "retry",
+    "write": "write",
+    "tenant_name": "tenant_name",
+}
+# Of a gateway's connection.
+CONNECTION_STATE = {
+    "read": "read",
+    "probes": "probes",
+    "bad": "bad",
+    "fault": "fault",
+    "away": "away",
+    "proven": "proven",
+    "born": "born",
+    "heard": "heard",
+    "half": "half",
+}
+# Of the link to the engine.
+ENGINE_LINK_STATE = {
+    "last": "last",
+    "links": "links",
+    "tags": "tags",
+    "ready": "ready",
+    "met": "met",
+    "greeted": "greeted",
+    "moving": "moving",
+    "linked": "linked",
+    "lost": "lost",
+    "heard": "heard",
+}
+
+
+def stored_values(owner: object, names: dict[str, str]) -> dict[str, Any]:
+    """The attributes of `owner` that `names` lists, by their stored names."""
+    return {stored: getattr(owner, attribute) for stored, attribute in names.items()}
+
+
+def attribute_values(stored: dict[str, Any], names: dict[str, str]) -> dict[str, Any]:
+    """The stored values by attribute; a name that this build does not know keeps its own."""
+    return {names.get(name, name): value for name, value in stored.items()}
 
 
 class CannotMove(Exception):
@@ -183,7 +240,7 @@
         )  # fmt: skip
 
     def connection(self, c: Connection, known: dict[Routed, int]) -> OfConnection:
-        counts = {name: getattr(c, name) for name in COUNTS}
+        counts = stored_values(c, CONNECTION_STATE)
         return OfConnection(
             self.stream(c.stream), c.reader.rest, counts, {n: known[rpc] for n, rpc in c.rpcs.items()}
         )
@@ -195,8 +252,8 @@
         return OfRpc(
             method=site.settings.methods.index(rpc.method),
             tenant=next((name for name, t in site.tenants.items() if t is rpc.tenant), None),
-            own={name: getattr(rpc, name) for name in OWN},
-            facts={name: getattr(rpc, name) for name in FACTS},
+            own=stored_values(rpc, RPC_STATE),
+            facts=stored_values(rpc, RPC_FACTS),
             connection=self.connections.index(connection) if connection is not None else -1,
             command=[command.data, command.runs, command.end, command.doubt, command.held_back]
             if command is not None
@@ -217,7 +274,7 @@
         return OfEngine(
             self.stream(e.stream) if e.stream is not None else None,
             bytes(e.reader.lines.buffer),
-            {name: getattr(e, name) for name in LINK},
+            stored_values(e, ENGINE_LINK_STATE),
             list(e.stats) if e.stats is not None else None,
             [known[c.rpc] for c in e.unsure if c.rpc.command is c and not c.rpc.closed],
         )
@@ -294,9 +351,11 @@
     def rpc(self, one: OfRpc) -> Routed:
         method = self.site.settings.methods[one.method]
         tenant = self.site.tenants[one.tenant] if one.tenant is not None else None
-        own = dict(one.own)
+        own = attribute_values(one.own, RPC_STATE)
         own["dedup_key"] = tuple(own["dedup_key"]) if own["dedup_key"] is not None else None
-        rpc = Routed(method=method, tenant=tenant, connection=-1, **one.facts, **own)
+        rpc = Routed(
+            method=method, tenant=tenant, connection=-1, **attribute_values(one.facts, RPC_FACTS), **own
+        )
         if one.command is not None:
             rpc.command = Command(rpc, *one.command)
         return rpc
@@ -307,7 +366,7 @@
             gateways, lambda c: self.stream(one.stream, c, GATEWAY_BOUND, unsent=gateways.unsent, reads=1)
         )
         connection.reader.rest = one.rest
-        for name, value in one.counts.items():
+        for name, value in attribute_values(one.counts, CONNECTION_STATE).items():
             setattr(connection, name, value)
         connection.rpcs = {number: self.rpcs[i] for number, i in one.rpcs.items()}
         if not one.stream.reading and connection.rpcs:
@@ -350,8 +409,8 @@
     def engine(self) -> None:
         e, one = self.router.engine, self.state.engine
         for name, value in one.plain.items():
-            if hasattr(e, name):
-                setattr(e, name, value)
+            if name in ENGINE_LINK_STATE:
+                setattr(e, ENGINE_LINK_STATE[name], value)
         e.reader = engine_wire.Reader()
         e.reader.lines.buffer += one.buffer
         e.stats = (one.stats[0], one.stats[1]) if one.stats is not None else None
