--- a/landingshift/maintenance/machine.py
+++ b/landingshift/maintenance/agent.py
@@ -8,26 +8,26 @@
 
 from typing import Any
 
-from landingshift.maintenance.floor import Machine
-from landingshift.maintenance.foreman import Foreman
-from landingshift.maintenance.wishes import Leave
+from landingshift.maintenance.capacity_constraints import Machine
+from landingshift.maintenance.coordinator import MaintenanceCoordinator
+from landingshift.maintenance.requests import LeavePermit
 from landingshift.membership.messages import Record
 
 OUT = 16  # reports whose times are kept
 MODEL = 16  # letters
 
 
-class Hand:
+class MaintenanceAgent:
     """`did`: the permission by which its earlier run left, as its disk says; 0 where nothing says so."""
 
     def __init__(self, did: int) -> None:
-        self.leave, self.did = Leave(), did
+        self.leave, self.did = LeavePermit(), did
         self.going, self.stage = 0, ""  # the permission by which it leaves; its wish's stage, as told
         self.number = 0
         self.sent: dict[int, float] = {}
 
     def report(self, now: float, *facts: Any) -> list[Any]:
-        """`facts`: capacity, model, best, warmth, load, ok and all, as `heard` reads them."""
+        """`facts`: capacity, model, best, warmth, load, ok and all, as `answer_report` reads them."""
         self.number += 1
         self.sent[self.number] = now
         self.sent.pop(self.number - OUT, None)
@@ -51,16 +51,16 @@
         return True
 
 
-def heard(
-    foreman: Foreman | None, sender: Record, voters: list[str], body: list[Any], now: float
+def answer_report(
+    coordinator: MaintenanceCoordinator | None, sender: Record, voters: list[str], body: list[Any], now: float
 ) -> list[Any] | None:
     """The leader's answer to a report; None where there is none."""
     match body:
         case ["at", int(number), float(capacity), str(model), bool(best), *rest]:
-            if foreman is None or not 0.0 < capacity < 1e9 or len(model) > MODEL:
+            if coordinator is None or not 0.0 < capacity < 1e9 or len(model) > MODEL:
                 return None
-            foreman.voters = voters
+            coordinator.voters = voters
             machine = Machine(sender.name, capacity, sender.zone, model, best, sender.name in voters)
-            answer = foreman.hear(machine, sender.run, rest, now)
+            answer = coordinator.hear(machine, sender.run, rest, now)
             return None if answer is None else ["told", number, *answer]
     return None
--- a/landingshift/maintenance/floor.py
+++ b/landingshift/maintenance/capacity_constraints.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Needs:
+class DisruptionBudget:
     """What must stay in. `spare`: share by which capacity must pass the demand; shares of each group."""
 
     spare: float = 0.1
@@ -41,10 +41,10 @@
     least: float
 
 
-class Floor:
+class CapacityConstraints:
     """All limits that hold at one demand. `keeps(out)` names the first that `out` would break."""
 
-    def __init__(self, machines: Iterable[Machine], needs: Needs, demand: float) -> None:
+    def __init__(self, machines: Iterable[Machine], needs: DisruptionBudget, demand: float) -> None:
         self.machines = {m.name: m for m in machines}
         fleet = list(self.machines.values())
         every = frozenset(self.machines)
--- a/landingshift/maintenance/forecast.py
+++ b/landingshift/maintenance/demand_forecast.py
@@ -19,7 +19,7 @@
 OTHER = (0.5, 2.0)  # times the day before that today may be, at the least and most
 
 
-class Line:
+class DemandTrend:
     """What was asked for in the last minutes, a mean a bucket."""
 
     def __init__(self) -> None:
@@ -69,7 +69,7 @@
         return mid_y + slope * (x - mid_x) + SURE * error
 
 
-class Shape:
+class DailyDemandProfile:
     """The most that was asked for in each quarter of an hour of the last day; 0 where nobody has seen it."""
 
     def __init__(self) -> None:
@@ -94,6 +94,6 @@
         return ratio * max(self.most[(first + i) % QUARTERS] for i in range(span + 1))
 
 
-def expected(line: Line, shape: Shape, now: float, wall: float, ms: float) -> float:
+def expected(line: DemandTrend, shape: DailyDemandProfile, now: float, wall: float, ms: float) -> float:
     """RPCs a second that must be reckoned with for the next `ms`; `now` is what is asked for just now."""
     return max(now, line.ahead(ms), shape.ahead(wall, ms, now))
--- a/landingshift/maintenance/order.py
+++ b/landingshift/maintenance/planner.py
@@ -7,21 +7,21 @@
 from itertools import combinations
 from math import ceil
 
-from landingshift.maintenance.floor import Floor
-from landingshift.maintenance.wishes import Stage, Wish
+from landingshift.maintenance.capacity_constraints import CapacityConstraints
+from landingshift.maintenance.requests import MaintenanceRequest, RequestState
 
 EXACT = 8  # machines up to which all orders are gone through
 
 
-def weight(wish: Wish, now: float, back: float) -> float:
+def weight(wish: MaintenanceRequest, now: float, back: float) -> float:
     """Urgent and long-waiting ones first; of those alike, what is back soonest."""
     waited = max(0.0, now - wish.since) / 60_000.0 + 1.0  # a wall clock may have been set back
     return wish.urgency * waited / (wish.minutes + back)
 
 
-def next_ones(
-    wishes: dict[str, Wish],
-    floor: Floor,
+def select_next(
+    requests: dict[str, MaintenanceRequest],
+    floor: CapacityConstraints,
     lost: dict[str, float],
     now: float,
     back: float = 1.0,
@@ -32,12 +32,14 @@
     Nobody goes while the floor does not hold. A group goes whole or waits; one that must be alone goes only
     where nobody is out, and holds the others back once it has waited longest.
     """
-    out = {n: w.out() for n, w in wishes.items() if w.out() > 0.0} | lost
+    out = {n: w.out() for n, w in requests.items() if w.out() > 0.0} | lost
     if floor.broken(out):
         return []
-    able = [w for w in wishes.values() if w.stage is Stage.WISHED and w.not_before <= now < w.not_after]
+    able = [
+        w for w in requests.values() if w.stage is RequestState.WISHED and w.not_before <= now < w.not_after
+    ]
     able = [w for w in able if w.name not in lost and w.name in floor.machines]
-    if any(w.alone and w.out() > 0.0 for w in wishes.values()):
+    if any(w.alone and w.out() > 0.0 for w in requests.values()):
         return []
     chosen: list[str] = []
     zones: dict[str, int] = {}
@@ -46,7 +48,7 @@
         if machine is not None:
             zones[machine.zone] = zones.get(machine.zone, 0) + 1
     weights = {w.name: weight(w, now, back) for w in able}
-    tight = rounds_left([w.name for w in able], floor)
+    tight = rounds_needed([w.name for w in able], floor)
     line = sorted(able, key=lambda w: (-weights[w.name], w.name))
     margins = floor.margins(out)
     while line and len(chosen) < most:
@@ -80,7 +82,7 @@
     return chosen
 
 
-def rounds_left(names: list[str], floor: Floor) -> dict[str, float]:
+def rounds_needed(names: list[str], floor: CapacityConstraints) -> dict[str, float]:
     """For each the rounds that its tightest limit needs for all of these; the whole's room moves with demand
     and is left out."""
     found = dict.fromkeys(names, 0.0)
@@ -98,7 +100,9 @@
     return found
 
 
-def hopeless(wish: Wish, floor: Floor, now: float, known: bool = False, whole: bool = True) -> str:
+def refusal_reason(
+    wish: MaintenanceRequest, floor: CapacityConstraints, now: float, known: bool = False, whole: bool = True
+) -> str:
     """Why a wish can never be met, so that it is refused and not left hanging.
 
     `known`: the fleet has heard of that machine, though it may say nothing just now; `whole`: nobody is
@@ -111,11 +115,15 @@
     return floor.never(wish.name) if whole else ""
 
 
-def taken_back(wishes: dict[str, Wish], floor: Floor, lost: dict[str, float]) -> list[str]:
+def permits_to_withhold(
+    requests: dict[str, MaintenanceRequest], floor: CapacityConstraints, lost: dict[str, float]
+) -> list[str]:
     """Permissions to be taken back, the youngest first, until the floor holds; who drains goes on."""
-    out = {n: w.out() for n, w in wishes.items() if w.out() > 0.0} | lost
+    out = {n: w.out() for n, w in requests.items() if w.out() > 0.0} | lost
     back: list[str] = []
-    permitted = sorted((w for w in wishes.values() if w.stage is Stage.PERMITTED), key=lambda w: -w.number)
+    permitted = sorted(
+        (w for w in requests.values() if w.stage is RequestState.PERMITTED), key=lambda w: -w.number
+    )
     for wish in permitted:
         if not floor.broken(out):
             break
@@ -124,7 +132,7 @@
     return back
 
 
-def rounds(names: list[str], floor: Floor) -> int:
+def rounds(names: list[str], floor: CapacityConstraints) -> int:
     """Fewest rounds in which all can go, each of the same length: exact, for up to EXACT machines."""
     if len(names) > EXACT:
         raise ValueError(f"{len(names)} machines are too many to go through all orders")
@@ -145,12 +153,12 @@
     return count
 
 
-def greedy_rounds(names: list[str], floor: Floor) -> int:
-    """The same by `next_ones`; -1 where some can never go."""
+def greedy_rounds(names: list[str], floor: CapacityConstraints) -> int:
+    """The same by `select_next`; -1 where some can never go."""
     left, count = dict.fromkeys(names), 0
     while left:
-        wishes = {n: Wish(n, 1.0, 0.0) for n in left}
-        some = next_ones(wishes, floor, {}, 0.0)
+        requests = {n: MaintenanceRequest(n, 1.0, 0.0) for n in left}
+        some = select_next(requests, floor, {}, 0.0)
         if not some:
             return -1
         for name in some:
@@ -159,7 +167,9 @@
     return count
 
 
-def least_ms(floor_at: Callable[[float], Floor], out: float, back: float, step: float = 60_000.0) -> float:
+def duration_lower_bound_ms(
+    floor_at: Callable[[float], CapacityConstraints], out: float, back: float, step: float = 60_000.0
+) -> float:
     """ms before which no order can have all out for `out` ms each and warm again `back` ms later.
 
     Two bounds from below, the larger counts: of each limit the room adds up to what its machines need, taken
@@ -176,7 +186,7 @@
     return max(now, whole_rounds(first) * out + back)
 
 
-def whole_rounds(floor: Floor) -> int:
+def whole_rounds(floor: CapacityConstraints) -> int:
     """Rounds that no order can do without, machines being out whole: of each limit but the demand's, all of
     them over as many as its room holds of the smallest; and of the voters, who keep a majority and one."""
     most = 0
@@ -192,17 +202,17 @@
 
 
 def dry_run(
-    wishes: dict[str, Wish], floor: Floor, lost: dict[str, float], back: float
+    requests: dict[str, MaintenanceRequest], floor: CapacityConstraints, lost: dict[str, float], back: float
 ) -> tuple[list[tuple[str, float, float]], float]:
     """Names, the minutes at which each goes and is warm again at this demand; and the least capacity."""
-    left = {n: replace(w, not_before=0.0) for n, w in wishes.items() if w.stage is Stage.WISHED}
-    away: dict[str, float] = {n: w.minutes + back for n, w in wishes.items() if w.out() > 0.0}
+    left = {n: replace(w, not_before=0.0) for n, w in requests.items() if w.stage is RequestState.WISHED}
+    away: dict[str, float] = {n: w.minutes + back for n, w in requests.items() if w.out() > 0.0}
     now, found = 0.0, []
     whole = floor.limits[0].of
     least = floor.capacity(lost | dict.fromkeys(away, 1.0), whole)
     while left:
         out = lost | dict.fromkeys(away, 1.0)
-        chosen = next_ones(left, floor, out, min(w.since for w in left.values()), back)
+        chosen = select_next(left, floor, out, min(w.since for w in left.values()), back)
         for name in chosen:
             end = now + left.pop(name).minutes + back
             found.append((name, now, end))
--- a/landingshift/maintenance/wishes.py
+++ b/landingshift/maintenance/requests.py
@@ -6,7 +6,7 @@
 from enum import Enum
 
 
-class Stage(Enum):
+class RequestState(Enum):
     WISHED = "wished"
     PERMITTED = "permitted"  # it may leave, if it does so before its permission ends
     DRAINING = "draining"
@@ -19,32 +19,32 @@
 
 
 # Each move that is legal, and who brings it about. Whatever is not here is an error, not a new way.
-MOVES: dict[tuple[Stage, Stage], str] = {
-    (Stage.WISHED, Stage.PERMITTED): "leader",
-    (Stage.WISHED, Stage.CANCELLED): "operator",
-    (Stage.WISHED, Stage.REFUSED): "leader",
-    (Stage.PERMITTED, Stage.DRAINING): "machine",
-    (Stage.PERMITTED, Stage.WISHED): "leader",  # taken back, or it ran out unused
-    (Stage.PERMITTED, Stage.CANCELLED): "operator",
-    (Stage.DRAINING, Stage.OUT): "machine",
-    (Stage.DRAINING, Stage.RETURNING): "machine",  # killed in its drain and started again
-    (Stage.OUT, Stage.RETURNING): "machine",
-    (Stage.RETURNING, Stage.WARMING): "machine",
-    (Stage.RETURNING, Stage.OUT): "machine",  # it crashed on its way back
-    (Stage.WARMING, Stage.DONE): "machine",
-    (Stage.WARMING, Stage.OUT): "machine",
+TRANSITIONS: dict[tuple[RequestState, RequestState], str] = {
+    (RequestState.WISHED, RequestState.PERMITTED): "leader",
+    (RequestState.WISHED, RequestState.CANCELLED): "operator",
+    (RequestState.WISHED, RequestState.REFUSED): "leader",
+    (RequestState.PERMITTED, RequestState.DRAINING): "machine",
+    (RequestState.PERMITTED, RequestState.WISHED): "leader",  # taken back, or it ran out unused
+    (RequestState.PERMITTED, RequestState.CANCELLED): "operator",
+    (RequestState.DRAINING, RequestState.OUT): "machine",
+    (RequestState.DRAINING, RequestState.RETURNING): "machine",  # killed in its drain and started again
+    (RequestState.OUT, RequestState.RETURNING): "machine",
+    (RequestState.RETURNING, RequestState.WARMING): "machine",
+    (RequestState.RETURNING, RequestState.OUT): "machine",  # it crashed on its way back
+    (RequestState.WARMING, RequestState.DONE): "machine",
+    (RequestState.WARMING, RequestState.OUT): "machine",
 }
-ENDED = (Stage.DONE, Stage.CANCELLED, Stage.REFUSED)
-AWAY = (Stage.DRAINING, Stage.OUT, Stage.RETURNING)  # it serves nothing, or soon will
-COUNTED = (Stage.PERMITTED, *AWAY)  # counts as out whole: it may go at any moment
+ENDED = (RequestState.DONE, RequestState.CANCELLED, RequestState.REFUSED)
+AWAY = (RequestState.DRAINING, RequestState.OUT, RequestState.RETURNING)  # it serves nothing, or soon will
+COUNTED = (RequestState.PERMITTED, *AWAY)  # counts as out whole: it may go at any moment
 
 
-class BadMove(ValueError):
+class InvalidTransitionError(ValueError):
     """The text names machine, stage and what was asked."""
 
 
 @dataclass(slots=True)
-class Wish:
+class MaintenanceRequest:
     """Times in ms of the voters' leader; `minutes` is what the work is thought to take."""
 
     name: str
@@ -55,30 +55,32 @@
     not_after: float = float("inf")
     alone: bool = False  # nobody else may be out meanwhile
     group: str = ""  # those of one group go together or not at all
-    stage: Stage = Stage.WISHED
+    stage: RequestState = RequestState.WISHED
     number: int = 0  # of its permission
     until: float = 0.0  # its permission's end, if unused
     warmth: float = 0.0
     why: str = ""
 
-    def move(self, to: Stage, number: int = 0) -> None:
-        """Raises BadMove. A move by the machine names the permission that it goes by."""
-        by = MOVES.get((self.stage, to))
+    def move(self, to: RequestState, number: int = 0) -> None:
+        """Raises InvalidTransitionError. A move by the machine names the permission that it goes by."""
+        by = TRANSITIONS.get((self.stage, to))
         if by is None:
-            raise BadMove(f"{self.name}: {self.stage.value}, so that it can't be {to.value}")
+            raise InvalidTransitionError(f"{self.name}: {self.stage.value}, so that it can't be {to.value}")
         if by == "machine" and number != self.number:
-            raise BadMove(f"{self.name}: permission {number} is not the one in force, {self.number}")
+            raise InvalidTransitionError(
+                f"{self.name}: permission {number} is not the one in force, {self.number}"
+            )
         self.stage = to
 
     def out(self) -> float:
         """The share of it that does not serve."""
         if self.stage in COUNTED:
             return 1.0
-        return 1.0 - self.warmth if self.stage is Stage.WARMING else 0.0
+        return 1.0 - self.warmth if self.stage is RequestState.WARMING else 0.0
 
 
 @dataclass(slots=True)
-class Leave:
+class LeavePermit:
     """A machine's own side of a permission: by its monotonic clock, whatever else it hears or misses."""
 
     number: int = 0
--- a/landingshift/maintenance/service.py
+++ b/landingshift/maintenance/service.py
@@ -1,4 +1,4 @@
-"""Upkeep on the server's loop: reports to the leader, the way out by the drain, and the leader's own work."""
+"""Maintenance on the server's loop: reports to the leader, the way out by the drain, and the leader's own work."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from typing import TYPE_CHECKING, Any, Protocol, cast
 
 from landingshift import failpoints
-from landingshift.maintenance.book import NAME, Book, command
-from landingshift.maintenance.foreman import Foreman
-from landingshift.maintenance.machine import Hand, heard
-from landingshift.maintenance.order import dry_run
+from landingshift.maintenance.agent import MaintenanceAgent, answer_report
+from landingshift.maintenance.coordinator import MaintenanceCoordinator
+from landingshift.maintenance.planner import dry_run
+from landingshift.maintenance.replicated_state import NAME, MaintenanceState, command
+from landingshift.maintenance.requests import RequestState
 from landingshift.maintenance.settings import Settings, plan
-from landingshift.maintenance.wishes import Stage
 from landingshift.membership.messages import GONE, Record
 from landingshift.membership.service import Fleet
 from landingshift.net.transport.loop import Timer
@@ -41,7 +41,7 @@
     def leads(self) -> bool: ...
 
 
-class Upkeep:
+class MaintenanceService:
     name = "upkeep"
 
     def __init__(self, host: Host, settings: Settings) -> None:
@@ -51,15 +51,15 @@
         self.agreement = cast(Agreement, host.services["policies"])
         self.router, self.loop, self.settings = host.router, host.router.loop, settings
         self.chance = Random(f"{self.router.site.seed} upkeep {self.router.site.name}")
-        self.hand = Hand(self.marked())
+        self.hand = MaintenanceAgent(self.marked())
         self.reads, self.ok, self.all = 0, 0.0, 0.0
         self.load, self.load_at = 0.0, self.loop.now
-        self.book = Book()
-        self.foreman: Foreman | None = None
+        self.state = MaintenanceState()
+        self.coordinator: MaintenanceCoordinator | None = None
         if self.agreement.is_voter:
-            self.agreement.keep(NAME, self.book, self.taken)
-            self.foreman = Foreman(
-                self.book, plan(settings), self.agreement.propose, lambda _: self.agreement.leads(),
+            self.agreement.keep(NAME, self.state, self.taken)
+            self.coordinator = MaintenanceCoordinator(
+                self.state, plan(settings), self.agreement.propose, lambda _: self.agreement.leads(),
                 self.gone, self.node.members.names, failpoints.wall, self.log,
             )  # fmt: skip
             fleet.talk.calls |= {
@@ -95,9 +95,9 @@
         if now - self.load_at >= WIDTH:
             self.load, self.reads, self.load_at = self.reads * 1000.0 / (now - self.load_at), 0, now
         self.report()
-        if self.foreman is not None:
-            self.foreman.step(self.loop.clock())
-        wait = BUSY if self.hand.stage or (self.foreman is not None and self.book.wishes) else REST
+        if self.coordinator is not None:
+            self.coordinator.step(self.loop.clock())
+        wait = BUSY if self.hand.stage or (self.coordinator is not None and self.state.requests) else REST
         self.loop.cancel(self.timer)
         self.timer = self.loop.after(wait * self.chance.uniform(0.9, 1.1), self.tick)
         self.fleet.pass_on()
@@ -116,7 +116,9 @@
     def hear(self, sender: Record, body: list[Any]) -> None:
         match body:
             case ["at", *_]:
-                answer = heard(self.foreman, sender, self.agreement.voters, body, self.loop.clock())
+                answer = answer_report(
+                    self.coordinator, sender, self.agreement.voters, body, self.loop.clock()
+                )
                 if answer is not None and sender.name == self.node.me.name:
                     self.hear(sender, answer)
                 elif answer is not None:
@@ -167,15 +169,15 @@
 
     def taken(self, now: float) -> None:
         """Entries were taken: what follows from them need not wait."""
-        if self.foreman is not None:
-            self.foreman.look_at = min(self.foreman.look_at, now)
+        if self.coordinator is not None:
+            self.coordinator.look_at = min(self.coordinator.look_at, now)
 
     # For operators; on voters, and what changes something on their leader
 
-    def lead(self) -> Foreman:
-        if self.foreman is None or not self.agreement.leads():
+    def lead(self) -> MaintenanceCoordinator:
+        if self.coordinator is None or not self.agreement.leads():
             raise ValueError(f"it does not lead: ask {self.agreement.leader or 'a voter'}")
-        return self.foreman
+        return self.coordinator
 
     def ask(self, params: list[Any]) -> int:
         """[[name, minutes, urgency, not_before, not_after, alone, group], ...]; how many are asked for."""
@@ -209,9 +211,11 @@
         why, *names = [str(p) for p in params] or [""]
         count = 0
         for name in names[:MOST]:
-            wish = self.book.wishes.get(name)
-            if wish is not None and wish.stage is Stage.WISHED:
-                data = command("move", name, wish.number, Stage.CANCELLED.value, why[:300], failpoints.wall())
+            wish = self.state.requests.get(name)
+            if wish is not None and wish.stage is RequestState.WISHED:
+                data = command(
+                    "move", name, wish.number, RequestState.CANCELLED.value, why[:300], failpoints.wall()
+                )
                 count += self.agreement.propose(data)
         return count
 
@@ -224,37 +228,37 @@
         raise ValueError("a reason is expected, or nothing to go on")
 
     def status(self, _params: list[Any]) -> dict[str, Any]:
-        foreman = self.foreman
-        assert foreman is not None
+        coordinator = self.coordinator
+        assert coordinator is not None
         now = self.loop.clock()
         rows = [
             {
                 "name": w.name, "stage": w.stage.value, "number": w.number, "minutes": w.minutes,
                 "urgency": w.urgency, "out": round(w.out(), 2), "why": w.why,
             }
-            for w in self.book.wishes.values()
+            for w in self.state.requests.values()
         ]  # fmt: skip
-        found: dict[str, Any] = {"leads": self.agreement.leads(), "held": self.book.held, "wishes": rows}
+        found: dict[str, Any] = {"leads": self.agreement.leads(), "held": self.state.held, "wishes": rows}
         if found["leads"]:
-            floor = foreman.floor()
-            out = {n: w.out() for n, w in self.book.wishes.items() if w.out()} | foreman.lost(now)
+            floor = coordinator.floor()
+            out = {n: w.out() for n, w in self.state.requests.items() if w.out()} | coordinator.lost(now)
             found |= {
-                "machines": len(foreman.reports), "demand": foreman.demand(), "room": floor.room(out),
-                "lost": sorted(foreman.lost(now)), "waits_for": foreman.why,
+                "machines": len(coordinator.reports), "demand": coordinator.demand(), "room": floor.room(out),
+                "lost": sorted(coordinator.lost(now)), "waits_for": coordinator.why,
             }  # fmt: skip
         return found
 
     def plan(self, _params: list[Any]) -> dict[str, Any]:
         """Who would go when, at the demand of now."""
-        foreman = self.lead()
-        floor, lost = foreman.floor(), foreman.lost(self.loop.clock())
-        steps, least = dry_run(self.book.wishes, floor, lost, foreman.plan.back)
+        coordinator = self.lead()
+        floor, lost = coordinator.floor(), coordinator.lost(self.loop.clock())
+        steps, least = dry_run(self.state.requests, floor, lost, coordinator.plan.back)
         return {"steps": [list(s) for s in steps], "least_capacity": least, "floor": floor.limits[0].least}
 
     def history(self, _params: list[Any]) -> list[dict[str, Any]]:
         return [
             {"name": e.name, "end": e.end, "why": e.why, "since": e.since, "at": e.at, "number": e.number}
-            for e in self.book.history
+            for e in self.state.history
         ]
 
     def here(self, _params: list[Any]) -> dict[str, Any]:
@@ -275,5 +279,5 @@
             self.log("upkeep_work_failed", number=self.hand.going, error=str(err))
 
 
-def attach(host: Host, settings: Settings) -> Upkeep:
-    return Upkeep(host, settings)
+def attach(host: Host, settings: Settings) -> MaintenanceService:
+    return MaintenanceService(host, settings)
--- a/landingshift/maintenance/settings.py
+++ b/landingshift/maintenance/settings.py
@@ -7,8 +7,8 @@
 
 from msgspec import Meta, Struct
 
-from landingshift.maintenance.floor import Needs
-from landingshift.maintenance.foreman import Plan
+from landingshift.maintenance.capacity_constraints import DisruptionBudget
+from landingshift.maintenance.coordinator import CoordinatorSettings
 from landingshift.membership.messages import Zone
 
 Share = Annotated[float, Meta(ge=0.0, le=1.0)]
@@ -44,6 +44,8 @@
         raise ValueError(f"work: an absolute path is expected first, not {settings.work[0]!r}")
 
 
-def plan(settings: Settings) -> Plan:
-    needs = Needs(settings.spare, settings.zone_share, settings.model_share, settings.best_share)
-    return Plan(needs, settings.lasts_ms, settings.spare_ms, settings.back_minutes, settings.rings)
+def plan(settings: Settings) -> CoordinatorSettings:
+    needs = DisruptionBudget(settings.spare, settings.zone_share, settings.model_share, settings.best_share)
+    return CoordinatorSettings(
+        needs, settings.lasts_ms, settings.spare_ms, settings.back_minutes, settings.rings
+    )
--- a/landingshift/maintenance/rings.py
+++ b/landingshift/maintenance/staged_rollout.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True)
-class Served:
+class AnswerCounts:
     """RPCs answered since a ring began, and how many of them ok."""
 
     ok: float = 0.0
@@ -39,7 +39,7 @@
     return 1 << 30
 
 
-def worse(touched: Served, rest: Served) -> str:
+def worse(touched: AnswerCounts, rest: AnswerCounts) -> str:
     """Empty, or by how much those that came back do worse."""
     if touched.all < FEW or rest.all < FEW:
         return ""
--- a/landingshift/testbed/experiments/maintenance.py
+++ b/landingshift/testbed/experiments/maintenance.py
@@ -12,11 +12,11 @@
 from random import Random
 from typing import Any
 
-from landingshift.maintenance.book import Book, command
-from landingshift.maintenance.floor import Floor, Machine, Needs
-from landingshift.maintenance.foreman import Foreman, Plan
-from landingshift.maintenance.order import greedy_rounds, least_ms, next_ones, rounds
-from landingshift.maintenance.wishes import Leave, Wish
+from landingshift.maintenance.capacity_constraints import CapacityConstraints, DisruptionBudget, Machine
+from landingshift.maintenance.coordinator import CoordinatorSettings, MaintenanceCoordinator
+from landingshift.maintenance.planner import duration_lower_bound_ms, greedy_rounds, rounds, select_next
+from landingshift.maintenance.replicated_state import MaintenanceState, command
+from landingshift.maintenance.requests import LeavePermit, MaintenanceRequest
 from landingshift.testbed.experiments.rows import Row, all_real, must
 
 MINUTE = 60_000.0
@@ -31,7 +31,7 @@
     machine: Machine
     run: int = 1
     up: bool = True
-    leave: Leave = field(default_factory=Leave)
+    leave: LeavePermit = field(default_factory=LeavePermit)
     going: int = 0
     did: int = 0  # on its disk
     back_at: float = 0.0  # when its process is started again
@@ -57,11 +57,11 @@
             f"n{i}": Server(Machine(f"n{i}", 100.0, f"z{i % zones}", models[i % 3], i % 4 == 0, i < 5))
             for i in range(count)
         }
-        needs = Needs(-1.0, 0.0, 0.0, 0.0) if away == "floor" else Needs()
-        self.plan = Plan(needs=needs, back=cold / MINUTE, rings=False, **plan)
+        needs = DisruptionBudget(-1.0, 0.0, 0.0, 0.0) if away == "floor" else DisruptionBudget()
+        self.plan = CoordinatorSettings(needs=needs, back=cold / MINUTE, rings=False, **plan)
         self.peak = 0.75
-        self.book = Book()
-        self.foreman = self.lead()
+        self.state = MaintenanceState()
+        self.coordinator = self.lead()
         self.broken: list[str] = []
         self.least = 1e12  # capacity over what must stay in, the smallest
         self.used: set[int] = set()
@@ -72,16 +72,16 @@
         """Share of the capacity: a night at a third of the day's peak."""
         return self.peak * (0.67 - 0.33 * cos(2.0 * pi * now / (24 * 60 * MINUTE)))
 
-    def lead(self) -> Foreman:
+    def lead(self) -> MaintenanceCoordinator:
         """A new leader: what it knew is gone, the book is not."""
         self.term = getattr(self, "term", 0) + 1
         term = self.term
-        foreman = Foreman(
-            self.book, self.plan, lambda data: self.book.apply(data), lambda _: term == self.term,
+        coordinator = MaintenanceCoordinator(
+            self.state, self.plan, lambda data: self.state.apply(data), lambda _: term == self.term,
             lambda name: not self.servers[name].up, lambda: set(self.servers), lambda: self.now,
             lambda *_, **__: None,
         )  # fmt: skip
-        return foreman
+        return coordinator
 
     def wish(self, names: list[str], **how: Any) -> None:
         row = [
@@ -91,7 +91,7 @@
             how.get("alone", False),
             how.get("group", ""),
         ]
-        self.book.apply(command("wish", [[n, self.minutes, self.now, *row] for n in names]))
+        self.state.apply(command("wish", [[n, self.minutes, self.now, *row] for n in names]))
 
     def step(self, ms: float = LOOK) -> None:
         self.now += ms
@@ -101,7 +101,7 @@
             if not server.up and server.back_at <= self.now and server.machine.name not in self.never:
                 server.up, server.run, server.born = True, server.run + 1, self.now
                 server.leave, server.did, server.going, server.pending = (
-                    Leave(),
+                    LeavePermit(),
                     server.going or server.did,
                     0,
                     [],
@@ -120,13 +120,13 @@
                     0.0,
                     0.0,
                 ]
-                answer = self.foreman.hear(server.machine, server.run, body, self.now)
+                answer = self.coordinator.hear(server.machine, server.run, body, self.now)
                 if answer is not None:
                     if server.slow or self.chance.random() < 0.1:
                         server.pending.append((self.now + server.slow, self.now, answer))
                     else:
                         self.told(server, self.now, answer)
-        self.foreman.step(self.now)
+        self.coordinator.step(self.now)
         self.check(demand)
 
     def told(self, server: Server, asked: float, answer: list[Any]) -> None:
@@ -142,7 +142,7 @@
             server.going = number
             if number in self.used:
                 self.broken.append(f"{self.now:.0f}: permission {number} was used twice")
-            wish = self.book.wishes.get(server.machine.name)
+            wish = self.state.requests.get(server.machine.name)
             if wish is None or wish.number != number:
                 self.broken.append(f"{self.now:.0f}: {server.machine.name} left on one that is not in force")
             self.used.add(number)
@@ -158,14 +158,14 @@
         fleet = self.servers.values()
         warm = sum(s.machine.capacity * s.warmth(self.now, self.cold) for s in fleet)
         asked = self.load(self.now) * sum(s.machine.capacity for s in fleet)
-        least = self.foreman.floor().limits[0].least
+        least = self.coordinator.floor().limits[0].least
         return (self.now - began) / MINUTE, warm, asked, least, sum(not s.up for s in fleet)
 
     def check(self, demand: float) -> None:
         """How far capacity is above the floor; and nobody leaves on a permission that is not in force."""
         whole = sum(s.machine.capacity for s in self.servers.values())
         out = sum(s.machine.capacity * (1.0 - s.warmth(self.now, self.cold)) for s in self.servers.values())
-        over = whole - out - demand * (1.0 + Needs().spare)
+        over = whole - out - demand * (1.0 + DisruptionBudget().spare)
         self.least = min(self.least, over)
 
 
@@ -177,25 +177,29 @@
         day.step(step)
     day.wish(list(day.servers))
     began = day.now
-    while day.book.wishes and day.now < 24 * 60 * MINUTE:
+    while day.state.requests and day.now < 24 * 60 * MINUTE:
         day.step(step)
         row.series.setdefault("day", []).append(day.shown(began))
     took = day.now - began
     machines = [s.machine for s in day.servers.values()]
     whole = sum(m.capacity for m in machines)
-    least = least_ms(
-        lambda t: Floor(machines, Needs(), day.load(began + t) * whole), day.minutes * MINUTE, day.cold
+    least = duration_lower_bound_ms(
+        lambda t: CapacityConstraints(machines, DisruptionBudget(), day.load(began + t) * whole),
+        day.minutes * MINUTE,
+        day.cold,
     )
     row.figures["took_min"] = round(took / MINUTE)
     row.figures["over_least"] = max(row.figures.get("over_least", 0.0), round(took / least, 2))
-    ends = {e.end for e in day.book.history}
-    must(row, ends == {"done"} and not day.book.wishes, f"ends {ends}, {len(day.book.wishes)} left")
+    ends = {e.end for e in day.state.history}
+    must(row, ends == {"done"} and not day.state.requests, f"ends {ends}, {len(day.state.requests)} left")
     must(row, day.least >= -1e-6, f"capacity {-day.least:.0f} under the floor")
     must(row, took <= 1.6 * least, f"took {took / least:.2f} of the least")
     row.broken += day.broken[:2]
     # Batches of the size that is safe at the day's peak, one after the other.
-    peak = Floor(machines, Needs(), day.peak * whole)
-    batch = len(next_ones({m.name: Wish(m.name, day.minutes, 0.0) for m in machines}, peak, {}, 0.0))
+    peak = CapacityConstraints(machines, DisruptionBudget(), day.peak * whole)
+    batch = len(
+        select_next({m.name: MaintenanceRequest(m.name, day.minutes, 0.0) for m in machines}, peak, {}, 0.0)
+    )
     row.figures["fixed_batches_min"] = round(-(-count // batch) * (day.minutes + day.cold / MINUTE))
 
 
@@ -214,7 +218,7 @@
             case 3:
                 day.servers[name].still = day.now + draw.uniform(500.0, 9000.0)
             case 4:
-                day.foreman = day.lead()
+                day.coordinator = day.lead()
             case 5:
                 day.servers[name].cut = not day.servers[name].cut
             case 6:
@@ -226,12 +230,12 @@
     day.peak = 0.3
     for _ in range(600):
         day.step()
-        if not day.book.wishes:
+        if not day.state.requests:
             break
     row.broken += [f"seed {seed}: {text}" for text in day.broken[:2]]
-    stages = {w.name: w.stage.value for w in day.book.wishes.values()}
-    must(row, not stages, f"seed {seed}: left hanging: {stages}, {day.foreman.why}")
-    numbers = [e.number for e in day.book.history if e.end == "done"]
+    stages = {w.name: w.stage.value for w in day.state.requests.values()}
+    must(row, not stages, f"seed {seed}: left hanging: {stages}, {day.coordinator.why}")
+    numbers = [e.number for e in day.state.history if e.end == "done"]
     must(row, len(numbers) == len(set(numbers)), f"seed {seed}: one permission, two holders")
     row.figures["done"] = row.figures.get("done", 0) + len(numbers)
 
@@ -270,7 +274,7 @@
     slow.slow = 3.0 * day.plan.lasts
     day.wish([slow.machine.name])
     for _ in range(20):
-        if slow.machine.name not in day.book.runs:
+        if slow.machine.name not in day.state.runs:
             day.step()
     day.peak = 2.5  # more than all can do by night
     for _ in range(60):
@@ -288,7 +292,7 @@
         for i, n in enumerate(names)
     ]
     demand = draw.uniform(0.3, 0.7) * sum(m.capacity for m in machines)
-    floor = Floor(machines, Needs(0.0, 0.3, 0.3, 0.3), demand)
+    floor = CapacityConstraints(machines, DisruptionBudget(0.0, 0.3, 0.3, 0.3), demand)
     exact, found = rounds(names, floor), greedy_rounds(names, floor)
     must(row, (exact < 0) == (found < 0), f"seed {seed}: exact {exact}, greedy {found}")
     if exact > 0:
--- a/landingshift/testbed/simulation/cluster.py
+++ b/landingshift/testbed/simulation/cluster.py
@@ -15,9 +15,9 @@
 from landingshift.coldstart.agent import Plan as StartPlan
 from landingshift.consensus.raft import Stored
 from landingshift.consensus.raft import Times as Beats
-from landingshift.maintenance.book import command
-from landingshift.maintenance.floor import Needs
-from landingshift.maintenance.foreman import Plan as WorkPlan
+from landingshift.maintenance.capacity_constraints import DisruptionBudget
+from landingshift.maintenance.coordinator import CoordinatorSettings
+from landingshift.maintenance.replicated_state import command
 from landingshift.policies.follower import Plan as Rules
 from landingshift.policies.part import ENDED
 from landingshift.testbed.experiments.scenarios import Act, Coverage, Day, cuts
@@ -73,8 +73,12 @@
             lenders, CALLS * servers, servers, 0.1, 1500.0, 300.0, max(2.0, servers / 3.0), float(servers),
             4000.0, 2.0,
         )  # fmt: skip
-        needs = Needs(-1.0, 0.0, 0.0, 0.0) if away == "floor" else Needs(0.1, 0.0, 0.0, 0.0)
-        self.work = WorkPlan(needs, lasts=2000.0, spare=300.0, back=0.05, rings=False, fades=10_000.0)
+        needs = (
+            DisruptionBudget(-1.0, 0.0, 0.0, 0.0) if away == "floor" else DisruptionBudget(0.1, 0.0, 0.0, 0.0)
+        )
+        self.work = CoordinatorSettings(
+            needs, lasts=2000.0, spare=300.0, back=0.05, rings=False, fades=10_000.0
+        )
         self.walls = [NOON] * servers
         # One more than there are voters has a journal and could be one.
         self.disks = [Disk(Stored() if i <= day.voters else None) for i in range(servers)]
@@ -108,7 +112,7 @@
     def permitted(self, name: str) -> int:
         """The number of the permission in force, as the voter that leads has it; 0 where none knows."""
         home = self.leader()
-        wish = home.book.wishes.get(name) if home is not None else None
+        wish = home.maintenance.requests.get(name) if home is not None else None
         return wish.number if wish is not None else 0
 
     def work_ms(self, name: str) -> float:
@@ -256,11 +260,11 @@
         lead = self.leader()
         if lead is None:
             found.add("nobody leads")
-        elif lead.part.desk is not None and lead.book is not None:
+        elif lead.part.desk is not None and lead.maintenance is not None:
             desk = lead.part.desk
             if lead.part.book.open:
                 found.add(f"change {'switching' if desk.switching else desk.want}")
-            found |= {f"work {w.stage.value}" for w in lead.book.wishes.values()}
+            found |= {f"work {w.stage.value}" for w in lead.maintenance.requests.values()}
         for home in self.homes.values():
             if home.host.up and home.agent.start.stage.value != "warm":
                 found.add(f"start {home.agent.start.stage.value}")
@@ -392,8 +396,10 @@
         lead = self.leader()
         if lead is None:
             found.append("nobody leads")
-        elif lead.book.wishes:
-            found.append(f"work is not over: {[(w.name, w.stage.value) for w in lead.book.wishes.values()]}")
+        elif lead.maintenance.requests:
+            found.append(
+                f"work is not over: {[(w.name, w.stage.value) for w in lead.maintenance.requests.values()]}"
+            )
         if lead is not None and lead.part.book.open:
             found.append(f"{lead.part.book.open} is under way, of {open_}")
         return found
--- a/landingshift/testbed/simulation/server.py
+++ b/landingshift/testbed/simulation/server.py
@@ -31,9 +31,9 @@
 from landingshift.coldstart.seek import Seek
 from landingshift.coldstart.strain import Strain
 from landingshift.consensus.raft import Stored
-from landingshift.maintenance.book import NAME, Book
-from landingshift.maintenance.foreman import Foreman
-from landingshift.maintenance.machine import Hand, heard
+from landingshift.maintenance.agent import MaintenanceAgent, answer_report
+from landingshift.maintenance.coordinator import MaintenanceCoordinator
+from landingshift.maintenance.replicated_state import NAME, MaintenanceState
 from landingshift.membership.members import Member
 from landingshift.membership.messages import GONE, Message, Record, State
 from landingshift.membership.node import Node, Times
@@ -116,14 +116,15 @@
             self.name, me.run, town.rules, lambda policy: "", journal, chance, now, self.wall, town.times
         )
         self.part.follower.others = lambda: self.node.members.present
-        self.hand = Hand(self.disk.mark)
-        self.book = Book()
-        self.foreman: Foreman | None = None
+        self.maintenance_agent = MaintenanceAgent(self.disk.mark)
+        self.maintenance = MaintenanceState()
+        self.coordinator: MaintenanceCoordinator | None = None
         if self.part.voter is not None:
-            self.part.shelf.add(NAME, self.book)
+            self.part.shelf.add(NAME, self.maintenance)
             self.part.hearers.append(self.taken)
-            self.foreman = Foreman(
-                self.book, town.work, self.propose, self.leads, self.gone, self.node.members.names, self.wall,
+            self.coordinator = MaintenanceCoordinator(
+                self.maintenance, town.work, self.propose, self.leads, self.gone,
+                self.node.members.names, self.wall,
                 lambda *_, **__: None,
             )  # fmt: skip
         self.without()
@@ -156,7 +157,7 @@
             real = desk.waits
             desk.waits = lambda now: [w for w in real(now) if w[1] != "away"]  # type: ignore[method-assign]
         if self.away == "end":
-            self.hand.goes = self.goes_anyhow  # type: ignore[method-assign]
+            self.maintenance_agent.goes = self.goes_anyhow  # type: ignore[method-assign]
         if self.away == "booking" and lending is not None:
             asked = lending.shares.asked
 
@@ -169,8 +170,8 @@
             lending.shares.asked = forgets  # type: ignore[method-assign,assignment]
 
     def goes_anyhow(self, now: float) -> bool:
-        self.hand.going = self.hand.leave.number
-        self.hand.leave.used()
+        self.maintenance_agent.going = self.maintenance_agent.leave.number
+        self.maintenance_agent.leave.used()
         return True
 
     # What it notes
@@ -340,14 +341,16 @@
             self.load, self.reads, self.reads_at = self.reads * 1000.0 / (now - self.reads_at), 0, now
         self.node.now = now
         self.report(now)
-        if self.foreman is not None:
-            self.foreman.step(now)
-        busy = self.hand.stage or (self.foreman is not None and self.book.wishes)
+        if self.coordinator is not None:
+            self.coordinator.step(now)
+        busy = self.maintenance_agent.stage or (self.coordinator is not None and self.maintenance.requests)
         self.work_at = now + (BUSY if busy else REST) * self.pace.uniform(0.9, 1.1)
 
     def report(self, now: float) -> None:
         warmth = self.warmth() if self.ends_at == inf else 0.0
-        body = self.hand.report(now, CAPACITY, f"m{self.i % 2}", False, warmth, self.load, self.ok, self.all)
+        body = self.maintenance_agent.report(
+            now, CAPACITY, f"m{self.i % 2}", False, warmth, self.load, self.ok, self.all
+        )
         leader = self.part.follower.leader
         if leader == self.name:
             self.hear_work(self.node.me, body)
@@ -357,16 +360,20 @@
     def hear_work(self, sender: Record, body: list[Any]) -> None:
         match body:
             case ["at", *_]:
-                answer = heard(self.foreman, sender, self.part.follower.voters, body, self.clock())
+                answer = answer_report(
+                    self.coordinator, sender, self.part.follower.voters, body, self.clock()
+                )
                 if answer is not None and sender.name == self.name:
                     self.hear_work(sender, answer)
                 elif answer is not None:
                     self.node.say(sender.name, NAME, answer)
             case ["told", int(number), str(stage), int(permission), float(lasts)]:
-                if self.hand.told(number, stage, permission, lasts) and self.hand.goes(self.clock()):
-                    self.disk.mark = self.hand.going
+                if self.maintenance_agent.told(
+                    number, stage, permission, lasts
+                ) and self.maintenance_agent.goes(self.clock()):
+                    self.disk.mark = self.maintenance_agent.going
                     wish = self.town.permitted(self.name)
-                    self.note("left", self.hand.going, wish)
+                    self.note("left", self.maintenance_agent.going, wish)
                     self.report(self.clock())
                     self.drain(self.town.work_ms(self.name))
 
@@ -375,8 +382,8 @@
         return record is None or record.state in GONE
 
     def taken(self, now: float) -> None:
-        if self.foreman is not None:
-            self.foreman.look_at = min(self.foreman.look_at, now)
+        if self.coordinator is not None:
+            self.coordinator.look_at = min(self.coordinator.look_at, now)
 
     def drain(self, away: float) -> None:
         """A notice, from outside or by a permission; `away` ms after its end it is started again."""
@@ -491,7 +498,7 @@
         found = {
             "out": len(node.out), "errands": len(node.errands), "book": len(node.book),
             "table": len(node.members.table), "words": len(part.errands), "answers": len(part.answers),
-            "sent": len(follower.sent), "reports": len(self.hand.sent), "jobs": len(self.jobs),
+            "sent": len(follower.sent), "reports": len(self.maintenance_agent.sent), "jobs": len(self.jobs),
         }  # fmt: skip
         if part.voter is not None:
             found |= {"log": len(part.voter.stored.entries), "votes": len(part.voter.out)}
--- a/tests/test_golden_histories.py
+++ b/tests/test_golden_histories.py
@@ -14,7 +14,7 @@
 
 from msgspec import msgpack
 
-from landingshift.maintenance.book import Book
+from landingshift.maintenance.replicated_state import MaintenanceState
 from landingshift.membership import wire
 from landingshift.membership.messages import Message
 from landingshift.testbed.experiments import maintenance as upkeep
@@ -116,17 +116,19 @@
 
     def test_work_on_machines(self) -> None:
         found = {}
-        apply = Book.apply
+        apply = MaintenanceState.apply
         for name, play in {"drawn": upkeep.drawn, "day": lambda *a: upkeep.whole_day(*a, count=60)}.items():
             entries = hashlib.sha256()
-            dumps: dict[int, Book] = {}
+            dumps: dict[int, MaintenanceState] = {}
 
-            def applied(book: Book, data: bytes, entries: Any = entries, dumps: Any = dumps) -> None:
+            def applied(
+                book: MaintenanceState, data: bytes, entries: Any = entries, dumps: Any = dumps
+            ) -> None:
                 entries.update(data)
                 dumps[id(book)] = book
                 apply(book, data)
 
-            with mock.patch.object(Book, "apply", applied):
+            with mock.patch.object(MaintenanceState, "apply", applied):
                 row = Row(name)
                 play(row, 5, "")
             found[name] = {
--- a/tests/test_golden_storage.py
+++ b/tests/test_golden_storage.py
@@ -21,9 +21,8 @@
 from landingshift.ledger.entries import Batch, Gap, Raw, decode
 from landingshift.ledger.records import Exporting
 from landingshift.ledger.store import FILE, Store
-from landingshift.maintenance.book import NAME, command
-from landingshift.maintenance.book import Book as WorkBook
-from landingshift.maintenance.service import Upkeep
+from landingshift.maintenance.replicated_state import NAME, MaintenanceState, command
+from landingshift.maintenance.service import MaintenanceService
 from landingshift.policies.book import Book as PolicyBook
 from tests import test_hot_restart
 from tests.golden_files import FOLDER, assert_golden_bytes, assert_golden_json, golden_bytes, golden_json
@@ -115,7 +114,7 @@
     )
 
     def test_entries_and_snapshots(self) -> None:
-        policies, work, shelf = PolicyBook(), WorkBook(), Shelf()
+        policies, work, shelf = PolicyBook(), MaintenanceState(), Shelf()
         shelf.add("policies", policies)
         shelf.add(NAME, work)
         for words in self.POLICIES:
@@ -131,7 +130,7 @@
             "all": shelf.dump(),
         }
         assert_golden_json(self, "replicated_states.json", found)
-        policies, work, shelf = PolicyBook(), WorkBook(), Shelf()
+        policies, work, shelf = PolicyBook(), MaintenanceState(), Shelf()
         shelf.add("policies", policies)
         shelf.add(NAME, work)
         shelf.load(golden_json("replicated_states.json")["all"])
@@ -163,10 +162,10 @@
             log=self.fail,
             router=SimpleNamespace(site=SimpleNamespace(name="n3")),
         )
-        Upkeep.write_mark(service)
+        MaintenanceService.write_mark(service)
         assert_golden_bytes(self, "work_mark", Path(path).read_bytes())
         service.settings.mark = str(FOLDER / "work_mark")
-        self.assertEqual(Upkeep.marked(service), 17)
+        self.assertEqual(MaintenanceService.marked(service), 17)
 
 
 def shape(value: Any) -> Any:
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -6,24 +6,37 @@
 from typing import Any
 
 from landingshift.consensus.state_machines import Shelf, entry
-from landingshift.maintenance.book import Book, command
-from landingshift.maintenance.floor import Floor, Machine, Needs
-from landingshift.maintenance.forecast import QUARTER, WIDTH, Line, Shape, expected
-from landingshift.maintenance.foreman import Foreman, Plan
-from landingshift.maintenance.order import dry_run, hopeless, least_ms, next_ones, rounds_left, taken_back
-from landingshift.maintenance.rings import Served, allowed, worse
-from landingshift.maintenance.wishes import MOVES, BadMove, Leave, Stage, Wish
+from landingshift.maintenance.capacity_constraints import CapacityConstraints, DisruptionBudget, Machine
+from landingshift.maintenance.coordinator import CoordinatorSettings, MaintenanceCoordinator
+from landingshift.maintenance.demand_forecast import QUARTER, WIDTH, DailyDemandProfile, DemandTrend, expected
+from landingshift.maintenance.planner import (
+    dry_run,
+    duration_lower_bound_ms,
+    permits_to_withhold,
+    refusal_reason,
+    rounds_needed,
+    select_next,
+)
+from landingshift.maintenance.replicated_state import MaintenanceState, command
+from landingshift.maintenance.requests import (
+    TRANSITIONS,
+    InvalidTransitionError,
+    LeavePermit,
+    MaintenanceRequest,
+    RequestState,
+)
+from landingshift.maintenance.staged_rollout import AnswerCounts, allowed, worse
 from landingshift.testbed.experiments.maintenance import VIRTUAL, Day, virtual
 
-NONE = Needs(0.0, 0.0, 0.0, 0.0)
+NONE = DisruptionBudget(0.0, 0.0, 0.0, 0.0)
 
 
 def fleet(count: int, **how: Any) -> list[Machine]:
     return [Machine(f"n{i}", 100.0, f"z{i % 2}", f"m{i % 3}", **how) for i in range(count)]
 
 
-def wishes(*names: str, **how: Any) -> dict[str, Wish]:
-    return {n: Wish(n, 10.0, 0.0, **how) for n in names}
+def wishes(*names: str, **how: Any) -> dict[str, MaintenanceRequest]:
+    return {n: MaintenanceRequest(n, 10.0, 0.0, **how) for n in names}
 
 
 class Floors(unittest.TestCase):
@@ -32,12 +45,18 @@
         for machines, needs, demand, out, broken in [
             (fleet(6), NONE, 500.0, {"n0": 1.0}, ""),
             (fleet(6), NONE, 500.0, {"n0": 1.0, "n1": 0.5}, "the whole: 450 of 500"),
-            (fleet(6), Needs(0.1, 0.0, 0.0, 0.0), 500.0, {"n0": 1.0}, "the whole: 500 of 550"),
-            (fleet(6), Needs(0.0, 0.5, 0.0, 0.0), 0.0, {"n0": 1.0, "n2": 1.0}, "zone z0: 100 of 150"),
-            (fleet(6), Needs(0.0, 0.0, 0.6, 0.0), 0.0, {"n0": 1.0}, "model m0: 100 of 120"),
+            (fleet(6), DisruptionBudget(0.1, 0.0, 0.0, 0.0), 500.0, {"n0": 1.0}, "the whole: 500 of 550"),
+            (
+                fleet(6),
+                DisruptionBudget(0.0, 0.5, 0.0, 0.0),
+                0.0,
+                {"n0": 1.0, "n2": 1.0},
+                "zone z0: 100 of 150",
+            ),
+            (fleet(6), DisruptionBudget(0.0, 0.0, 0.6, 0.0), 0.0, {"n0": 1.0}, "model m0: 100 of 120"),
             (
                 fleet(6, best=True),
-                Needs(0.0, 0.0, 0.0, 0.9),
+                DisruptionBudget(0.0, 0.0, 0.0, 0.9),
                 0.0,
                 {"n0": 1.0},
                 "the best methods: 500 of 540",
@@ -46,10 +65,10 @@
             (voters, NONE, 0.0, {"n0": 1.0, "n1": 1.0}, "voters: 3 of 4"),  # a majority, and none to spare
         ]:
             with self.subTest(out=out, needs=needs):
-                self.assertEqual(Floor(machines, needs, demand).broken(out), broken)
+                self.assertEqual(CapacityConstraints(machines, needs, demand).broken(out), broken)
 
     def test_margins_of_a_few_say_the_same_as_all(self) -> None:
-        floor = Floor(fleet(8), Needs(0.0, 0.5, 0.3, 0.0), 300.0)
+        floor = CapacityConstraints(fleet(8), DisruptionBudget(0.0, 0.5, 0.3, 0.0), 300.0)
         for out, names in [
             ({}, ["n0", "n2"]),
             ({"n1": 1.0}, ["n3", "n5"]),
@@ -62,24 +81,24 @@
 
 class Stages(unittest.TestCase):
     def test_only_the_moves_of_the_table(self) -> None:
-        for of in Stage:
-            for to in Stage:
-                wish = Wish("n0", 1.0, 0.0, stage=of, number=3)
-                if (of, to) in MOVES:
+        for of in RequestState:
+            for to in RequestState:
+                wish = MaintenanceRequest("n0", 1.0, 0.0, stage=of, number=3)
+                if (of, to) in TRANSITIONS:
                     wish.move(to, 3)
                     self.assertIs(wish.stage, to)
                 else:
-                    with self.assertRaises(BadMove):
+                    with self.assertRaises(InvalidTransitionError):
                         wish.move(to, 3)
 
     def test_a_machine_moves_by_the_permission_in_force_only(self) -> None:
-        wish = Wish("n0", 1.0, 0.0, stage=Stage.PERMITTED, number=4)
-        with self.assertRaises(BadMove):
-            wish.move(Stage.DRAINING, 3)
-        wish.move(Stage.DRAINING, 4)
+        wish = MaintenanceRequest("n0", 1.0, 0.0, stage=RequestState.PERMITTED, number=4)
+        with self.assertRaises(InvalidTransitionError):
+            wish.move(RequestState.DRAINING, 3)
+        wish.move(RequestState.DRAINING, 4)
 
     def test_a_permission_ends_by_the_machines_own_clock(self) -> None:
-        leave = Leave()
+        leave = LeavePermit()
         self.assertFalse(leave.may_go(0.0))
         self.assertTrue(leave.granted(5, 100.0, 1000.0))
         self.assertTrue(leave.may_go(1099.0))
@@ -93,8 +112,8 @@
 
 
 class Forecast(unittest.TestCase):
-    def line(self, *means: float, width: float = WIDTH) -> Line:
-        line = Line()
+    def line(self, *means: float, width: float = WIDTH) -> DemandTrend:
+        line = DemandTrend()
         for i, mean in enumerate(means):
             line.add(5e6 + i * width, mean)
         return line
@@ -121,7 +140,7 @@
         self.assertAlmostEqual(line.ahead(600_000.0), 50.0)
 
     def test_the_day_before_as_today_is_to_it(self) -> None:
-        shape = Shape()
+        shape = DailyDemandProfile()
         for quarter, most in ((10, 100.0), (11, 300.0), (12, 50.0)):
             shape.seen(quarter, most)
         wall = 10.0 * QUARTER
@@ -137,28 +156,28 @@
         ]:
             with self.subTest(at=at, ms=ms, now=now):
                 self.assertAlmostEqual(shape.ahead(at, ms, now), want)
-        self.assertEqual(expected(Line(), shape, 5.0, wall + 5 * QUARTER, QUARTER), 5.0)
+        self.assertEqual(expected(DemandTrend(), shape, 5.0, wall + 5 * QUARTER, QUARTER), 5.0)
 
     def test_nobody_goes_into_a_morning_that_the_book_knows(self) -> None:
         day = Day(1, 10, zones=2, cold=1000.0)
         day.minutes, day.peak = 10.0, 0.4  # a third of it now
         for _ in range(12):
             day.step()
-        quarter = Shape.quarter(day.now)
-        now = day.foreman.asked_for()
+        quarter = DailyDemandProfile.quarter(day.now)
+        now = day.coordinator.asked_for()
         for some in range(96):
-            day.book.shape.seen(some, 7.0 * now if some == quarter + 1 else now)
+            day.state.shape.seen(some, 7.0 * now if some == quarter + 1 else now)
         day.now += 0.6 * QUARTER - day.now % QUARTER
-        day.foreman.since = day.now - 10_000.0
+        day.coordinator.since = day.now - 10_000.0
         day.wish(["n7"])
         for _ in range(6):
             day.step()
-        self.assertGreater(day.foreman.demand(), 6.0 * now)
-        self.assertIs(day.book.wishes["n7"].stage, Stage.WISHED)
-        self.assertIn("the whole", day.foreman.why)
-        book = Book()
-        book.load(day.book.dump())
-        self.assertEqual(book.shape.most, day.book.shape.most)
+        self.assertGreater(day.coordinator.demand(), 6.0 * now)
+        self.assertIs(day.state.requests["n7"].stage, RequestState.WISHED)
+        self.assertIn("the whole", day.coordinator.why)
+        book = MaintenanceState()
+        book.load(day.state.dump())
+        self.assertEqual(book.shape.most, day.state.shape.most)
 
 
 class NewLeaders(unittest.TestCase):
@@ -168,48 +187,49 @@
         day.minutes, day.peak = 0.5, 0.3
         for _ in range(10):
             day.step()
-        self.assertEqual(set(day.book.machines), set(day.servers))
+        self.assertEqual(set(day.state.machines), set(day.servers))
         for name in ("n1", "n3"):
             day.crash(name, 60_000.0)
-        day.foreman = day.lead()
-        day.foreman.voters = [f"n{i}" for i in range(5)]
+        day.coordinator = day.lead()
+        day.coordinator.voters = [f"n{i}" for i in range(5)]
         day.wish(["n9"])
         for _ in range(30):
             day.step()
-        self.assertIs(day.book.wishes["n9"].stage, Stage.WISHED)
-        self.assertIn("voters: 3 of 4", day.foreman.why)
+        self.assertIs(day.state.requests["n9"].stage, RequestState.WISHED)
+        self.assertIn("voters: 3 of 4", day.coordinator.why)
         for _ in range(300):
             day.step()
-        self.assertEqual(day.book.wishes, {})
+        self.assertEqual(day.state.requests, {})
 
     def test_a_new_leader_offers_nothing_again_before_it_knows_who_is_there(self) -> None:
         # Allowed by a leader that died with its zone: the next one offered it again at the first report.
-        book = Book()
+        book = MaintenanceState()
         book.apply(command("wish", [["n9", 0.5, 0.0, 1.0, 0.0, 1e18, False, ""]]))
         book.apply(command("permit", "n9", 7, 0.0))
         nobody: set[str] = set()
-        foreman = Foreman(
-            book, Plan(), lambda _: None, lambda _: True, lambda _: False, lambda: nobody, lambda: 1.0, print
+        coordinator = MaintenanceCoordinator(
+            book, CoordinatorSettings(), lambda _: None, lambda _: True, lambda _: False,
+            lambda: nobody, lambda: 1.0, print
         )  # fmt: skip
-        foreman.step(0.0)
+        coordinator.step(0.0)
         for now, lasts in [(10.0, 0.0), (2900.0, 0.0), (3400.0, 3000.0)]:
             with self.subTest(now=now):
-                foreman.step(now)
-                told = foreman.hear(Machine("n9", 100.0), 7, [1.0, 0.0, 0, 0, 0.0, 0.0], now)
+                coordinator.step(now)
+                told = coordinator.hear(Machine("n9", 100.0), 7, [1.0, 0.0, 0, 0, 0.0, 0.0], now)
                 self.assertEqual(told, ["permitted", 1, lasts])
 
     def test_the_book_keeps_machines_and_forgets_those_that_the_fleet_forgot(self) -> None:
         day = Day(1, 12, zones=2, cold=1000.0)
         for _ in range(10):
             day.step()
-        book = Book()
-        book.load(day.book.dump())
+        book = MaintenanceState()
+        book.load(day.state.dump())
         self.assertEqual(book.machines["n4"], (100.0, "z0", "b", True))
-        del day.servers["n11"], day.foreman.reports["n11"]
+        del day.servers["n11"], day.coordinator.reports["n11"]
         day.wish(["n1"])
         for _ in range(20):
             day.step()
-        self.assertNotIn("n11", day.book.machines)
+        self.assertNotIn("n11", day.state.machines)
 
 
 class Order(unittest.TestCase):
@@ -227,53 +247,62 @@
             (fleet(4), wishes("n9"), {}, []),
         ]:
             with self.subTest(wanted=list(wanted), lost=lost):
-                found = next_ones(wanted, Floor(machines, NONE, 200.0), lost, 1.0)
+                found = select_next(wanted, CapacityConstraints(machines, NONE, 200.0), lost, 1.0)
                 self.assertEqual(found, names)
 
     def test_those_whose_floor_takes_most_rounds_go_first_and_none_is_counted_out_of_turn(self) -> None:
         # One of five voters may be out, so that they take five rounds: begun last, they would end all.
         machines = [Machine(f"n{i}", 100.0, f"z{i % 2}", voter=i > 4) for i in range(10)]
-        floor = Floor(machines, Needs(0.0, 0.2, 0.0, 0.0), 0.0)
+        floor = CapacityConstraints(machines, DisruptionBudget(0.0, 0.2, 0.0, 0.0), 0.0)
         names = [m.name for m in machines]
-        self.assertEqual(rounds_left(names, floor)["n7"], 5.0)
-        self.assertEqual(rounds_left(names, floor)["n0"], 2.0)
-        self.assertEqual(next_ones(wishes(*names), floor, {}, 1.0)[0], "n5")
-        self.assertEqual(least_ms(lambda _: floor, 10.0, 1.0, 1.0), 51.0)
+        self.assertEqual(rounds_needed(names, floor)["n7"], 5.0)
+        self.assertEqual(rounds_needed(names, floor)["n0"], 2.0)
+        self.assertEqual(select_next(wishes(*names), floor, {}, 1.0)[0], "n5")
+        self.assertEqual(duration_lower_bound_ms(lambda _: floor, 10.0, 1.0, 1.0), 51.0)
 
     def test_a_wall_clock_that_was_set_back_turns_no_order_round(self) -> None:
         # Ages below nothing made the most urgent the last.
         wanted = wishes("n0") | wishes("n1", urgency=9.0)
         for wish in wanted.values():
             wish.since = 3.6e6
-        self.assertEqual(next_ones(wanted, Floor(fleet(4), NONE, 300.0), {}, 0.0), ["n1"])
+        self.assertEqual(select_next(wanted, CapacityConstraints(fleet(4), NONE, 300.0), {}, 0.0), ["n1"])
 
     def test_one_who_must_be_alone_is_not_passed_over_for_ever(self) -> None:
         wanted = wishes("n0", alone=True, urgency=2.0) | wishes("n1", "n2")
-        wanted["n2"].stage = Stage.OUT
-        self.assertEqual(next_ones(wanted, Floor(fleet(4), NONE, 100.0), {}, 1.0), [])
+        wanted["n2"].stage = RequestState.OUT
+        self.assertEqual(select_next(wanted, CapacityConstraints(fleet(4), NONE, 100.0), {}, 1.0), [])
 
     def test_what_can_never_be_met_is_refused_and_what_can_later_is_not(self) -> None:
-        floor = Floor(fleet(4), Needs(0.0, 0.9, 0.0, 0.0), 0.0)
-        self.assertIn("zone z0", hopeless(Wish("n0", 1.0, 0.0), floor, 0.0))
-        self.assertIn("no such machine", hopeless(Wish("x", 1.0, 0.0), floor, 0.0))
+        floor = CapacityConstraints(fleet(4), DisruptionBudget(0.0, 0.9, 0.0, 0.0), 0.0)
+        self.assertIn("zone z0", refusal_reason(MaintenanceRequest("n0", 1.0, 0.0), floor, 0.0))
+        self.assertIn("no such machine", refusal_reason(MaintenanceRequest("x", 1.0, 0.0), floor, 0.0))
         # A leader that was chosen while a zone was down refused for good what only had to wait for it.
-        self.assertEqual(hopeless(Wish("x", 1.0, 0.0), floor, 0.0, known=True), "")
-        self.assertEqual(hopeless(Wish("n0", 1.0, 0.0), floor, 0.0, whole=False), "")
-        self.assertIn("over", hopeless(Wish("n0", 1.0, 0.0, not_after=5.0), floor, 6.0))
-        busy = Floor(fleet(4), NONE, 400.0)  # no room at this demand: it waits
-        self.assertEqual(hopeless(Wish("n0", 1.0, 0.0), busy, 0.0), "")
+        self.assertEqual(refusal_reason(MaintenanceRequest("x", 1.0, 0.0), floor, 0.0, known=True), "")
+        self.assertEqual(refusal_reason(MaintenanceRequest("n0", 1.0, 0.0), floor, 0.0, whole=False), "")
+        self.assertIn("over", refusal_reason(MaintenanceRequest("n0", 1.0, 0.0, not_after=5.0), floor, 6.0))
+        busy = CapacityConstraints(fleet(4), NONE, 400.0)  # no room at this demand: it waits
+        self.assertEqual(refusal_reason(MaintenanceRequest("n0", 1.0, 0.0), busy, 0.0), "")
 
     def test_under_overload_the_youngest_permissions_are_taken_back_and_no_drain(self) -> None:
         wanted = wishes("n0", "n1", "n2")
         for number, (wish, stage) in enumerate(
-            zip(wanted.values(), (Stage.DRAINING, Stage.PERMITTED, Stage.PERMITTED), strict=True), 1
+            zip(
+                wanted.values(),
+                (RequestState.DRAINING, RequestState.PERMITTED, RequestState.PERMITTED),
+                strict=True,
+            ),
+            1,
         ):
             wish.stage, wish.number = stage, number
-        self.assertEqual(taken_back(wanted, Floor(fleet(4), NONE, 200.0), {}), ["n2"])
-        self.assertEqual(taken_back(wanted, Floor(fleet(4), NONE, 400.0), {}), ["n2", "n1"])
+        self.assertEqual(permits_to_withhold(wanted, CapacityConstraints(fleet(4), NONE, 200.0), {}), ["n2"])
+        self.assertEqual(
+            permits_to_withhold(wanted, CapacityConstraints(fleet(4), NONE, 400.0), {}), ["n2", "n1"]
+        )
 
     def test_a_dry_run_ends_and_keeps_the_floor(self) -> None:
-        steps, least = dry_run(wishes(*[f"n{i}" for i in range(6)]), Floor(fleet(6), NONE, 400.0), {}, 1.0)
+        steps, least = dry_run(
+            wishes(*[f"n{i}" for i in range(6)]), CapacityConstraints(fleet(6), NONE, 400.0), {}, 1.0
+        )
         self.assertEqual((len(steps), max(end for _, _, end in steps), least), (6, 33.0, 400.0))
 
 
@@ -285,12 +314,12 @@
             ((975, 1000), (9900, 10_000), True), ((988, 1000), (9900, 10_000), False),
             ((100, 190), (9900, 10_000), False), ((1000, 1000), (9000, 10_000), False),
         ]:  # fmt: skip
-            self.assertEqual(bool(worse(Served(*touched), Served(*rest))), bad, (touched, rest))
+            self.assertEqual(bool(worse(AnswerCounts(*touched), AnswerCounts(*rest))), bad, (touched, rest))
 
 
 class Books(unittest.TestCase):
     def test_one_permission_one_holder_and_numbers_only_grow(self) -> None:
-        book = Book()
+        book = MaintenanceState()
         row = [1.0, 0.0, 1.0, 0.0, 1e300, False, ""]
         for data in [
             command("wish", [["a", *row], ["b", *row]]), command("permit", "a", 7, 0.0),
@@ -300,10 +329,10 @@
             command("permit", "b", 9, 0.0), command("hold", "stop"),
         ]:  # fmt: skip
             book.apply(data)
-        self.assertEqual({n: (w.stage, w.number) for n, w in book.wishes.items()},
-                         {"a": (Stage.DRAINING, 1), "b": (Stage.PERMITTED, 3)})  # fmt: skip
+        self.assertEqual({n: (w.stage, w.number) for n, w in book.requests.items()},
+                         {"a": (RequestState.DRAINING, 1), "b": (RequestState.PERMITTED, 3)})  # fmt: skip
         self.assertEqual((book.runs, book.number, book.held), ({"a": 7, "b": 9}, 3, "stop"))
-        again = Book()
+        again = MaintenanceState()
         again.load(book.dump())
         self.assertEqual(again.dump(), book.dump())
 
