--- a/landingshift/maintenance/service.py
+++ b/landingshift/maintenance/service.py
@@ -1,4 +1,4 @@
-"""Maintenance on the server's loop: reports to the leader, the way out by the drain, the leader's own work."""
+"""Maintenance on the server's loop: load reports, leaving by a drain, and the leader's own work."""
 
 from __future__ import annotations
 
