--- a/landingshift/cli/fleet.py
+++ b/landingshift/cli/fleet.py
@@ -9,8 +9,8 @@
 import click
 
 from landingshift.cli.main import USAGE, say
-from landingshift.membership.settings import Settings, address
-from landingshift.membership.talk import NoAnswer, ask
+from landingshift.membership.operator_rpc import OperatorRpcError, call_operator_rpc
+from landingshift.membership.settings import Settings, parse_address
 from landingshift.net.program import features
 
 BROKEN = 1  # exit status where a server does not answer
@@ -24,7 +24,7 @@
     """The address that is named, or that of the table [fleet]."""
     if at:
         try:
-            return address("--at", at)
+            return parse_address("--at", at)
         except ValueError as err:
             raise Told(str(err)) from err
     path = toml or os.environ.get(features.ENV)
@@ -36,7 +36,7 @@
         raise Told(str(err)) from err
     if not isinstance(found, Settings):
         raise Told(f"{path}: there is no table [fleet]")
-    return address("listen", found.listen)
+    return parse_address("listen", found.listen)
 
 
 def asked(at: str | None, toml: str | None, call: str, params: list[Any] | None = None) -> Any:
@@ -46,15 +46,15 @@
 def from_leader(at: str | None, toml: str | None, call: str, params: list[Any] | None = None) -> Any:
     """A call to the leader of the agreement that this server knows, else to itself."""
     found = asked(at, toml, "policy_status")
-    to = address("leader", found["leader_at"]) if found["leader_at"] else server(at, toml)
+    to = parse_address("leader", found["leader_at"]) if found["leader_at"] else server(at, toml)
     return asked_of(to, call, params)
 
 
 def asked_of(to: tuple[str, int], call: str, params: list[Any] | None) -> Any:
     """Ends with BROKEN and a word where there is no answer."""
     try:
-        return ask(to, call, params or [])
-    except NoAnswer as err:
+        return call_operator_rpc(to, call, params or [])
+    except OperatorRpcError as err:
         click.echo(f"landingshift: {to[0]}:{to[1]}: {err}", err=True)
         raise SystemExit(BROKEN) from err
 
--- a/landingshift/cli/policy.py
+++ b/landingshift/cli/policy.py
@@ -12,7 +12,7 @@
 
 from landingshift.cli.fleet import BROKEN, Told, asked, from_leader, server, show, table, where
 from landingshift.cli.main import say
-from landingshift.membership.talk import NoAnswer, ask
+from landingshift.membership.operator_rpc import OperatorRpcError, call_operator_rpc
 from landingshift.policies.document import BadPolicy, differs, flat, parse
 
 ENDED = ("taken", "refused", "withdrawn")
@@ -132,11 +132,11 @@
     """Your word that what the server at --like decides by is in force: no leader is left to say so."""
     to = server(like, None)
     try:
-        found = ask(to, "policy_status", [])
+        found = call_operator_rpc(to, "policy_status", [])
         if not found["decides"]:
             raise Told(f"{like}: it does not decide itself: {found['why_not']}")
-        policy = ask(to, "policy_text", [found["version"]])
-    except NoAnswer as err:
+        policy = call_operator_rpc(to, "policy_text", [found["version"]])
+    except OperatorRpcError as err:
         raise Told(f"{like}: {err}") from err
     asked(at, toml, "policy_trust", [found["version"], policy])
     if as_json:
--- a/landingshift/coldstart/pauses.py
+++ b/landingshift/coldstart/backoff.py
@@ -6,7 +6,7 @@
 from random import Random
 
 
-class Pauses:
+class DecorrelatedJitterBackoff:
     """Decorrelated pauses between tries, ms: they grow while tries fail and never fall into step.
 
     Each is drawn between `first` and three times the one before, `most` at most: two servers that failed
@@ -14,24 +14,27 @@
     """
 
     def __init__(self, chance: Random, first: float, most: float) -> None:
-        self.chance, self.first, self.most = chance, first, most
-        self.last = first
+        self.rng, self.min_pause_ms, self.max_pause_ms = chance, first, most
+        self.last_pause_ms = first
 
-    def next(self) -> float:
-        self.last = min(self.most, self.chance.uniform(self.first, max(self.first, 3.0 * self.last)))
-        return self.last
+    def next_pause_ms(self) -> float:
+        self.last_pause_ms = min(
+            self.max_pause_ms,
+            self.rng.uniform(self.min_pause_ms, max(self.min_pause_ms, 3.0 * self.last_pause_ms)),
+        )
+        return self.last_pause_ms
 
-    def well(self) -> None:
-        self.last = self.first
+    def reset(self) -> None:
+        self.last_pause_ms = self.min_pause_ms
 
 
-def aim(per_s: float) -> float:
+def mean_rate_below_cap(per_s: float) -> float:
     """The rate to aim at by chance so that a second with more than `per_s` is rare: the mean of a Poisson
     count whose fourth standard deviation is there."""
     return (sqrt(4.0 + per_s) - 2.0) ** 2
 
 
-def spread(chance: Random, servers: int, rate: float) -> float:
+def random_start_delay_ms(chance: Random, servers: int, rate: float) -> float:
     """ms until a server's own turn where `servers` that know nothing of each other may be starting now;
     `rate` a second on average."""
     return chance.random() * servers * 1000.0 / rate
--- a/landingshift/coldstart/lists.py
+++ b/landingshift/coldstart/endpoint_list_client.py
@@ -25,7 +25,7 @@
 )
 
 
-class Question:
+class EndpointListRequest:
     """`told(addresses, "")` or `told([], why)`, once; `cancel` ends it without a word."""
 
     def __init__(
--- a/landingshift/coldstart/leases.py
+++ b/landingshift/coldstart/leases.py
@@ -20,24 +20,24 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-UNEVEN = 0.02  # share of a lease by which two monotonic clocks may run apart in it
+CLOCK_DRIFT_FRACTION = 0.02  # share of a lease by which two monotonic clocks may run apart in it
 HOLDERS = 10_000
 DIVIDE = 100.0  # ms for which one division among all holders stands: hundreds ask in each second
 
 
 @dataclass(slots=True, eq=False)
-class Grant:
+class LeaseGrant:
     """`booked` is what the holder may believe in until `end`."""
 
-    run: int
-    number: int
+    run_id: int
+    request_number: int
     amount: float
-    booked: float
-    end: float
-    wanted: float = 0.0
+    booked_amount: float
+    expires_at_ms: float
+    wanted_amount: float = 0.0
 
 
-class Lender:
+class LeaseGrantor:
     """Lends `capacity` in parts; `lease` and `spare` in ms.
 
     `share(wanted, capacity)` divides what there is among names by what each wants; it may give a name less
@@ -52,105 +52,107 @@
         now: float,
         share: Callable[[dict[str, float], float], dict[str, float]],
     ) -> None:
-        self.capacity, self.lease, self.share = capacity, lease, share
-        self.kept = lease * (1.0 + UNEVEN) + spare  # how long a grant is booked
-        self.quiet_until = now + self.kept
-        self.grants: dict[str, Grant] = {}
-        self.divided: dict[str, float] = {}
-        self.divided_at = -1e9
-        self.full = 0  # requests that found no room in the table
-
-    def booked(self) -> float:
-        return sum(g.booked for g in self.grants.values())
-
-    def lapse(self, now: float) -> list[str]:
+        self.capacity, self.lease_ms, self.divide = capacity, lease, share
+        self.booking_ms = lease * (1.0 + CLOCK_DRIFT_FRACTION) + spare  # how long a grant is booked
+        self.recovery_grace_until_ms = now + self.booking_ms
+        self.grants: dict[str, LeaseGrant] = {}
+        self.cached_division: dict[str, float] = {}
+        self.divided_at_ms = -1e9
+        self.refused_holder_count = 0  # requests that found no room in the table
+
+    def booked_amount(self) -> float:
+        return sum(g.booked_amount for g in self.grants.values())
+
+    def expire(self, now: float) -> list[str]:
         """Names whose lease has run out; what they had is free."""
-        gone = [name for name, g in self.grants.items() if g.end <= now]
+        gone = [name for name, g in self.grants.items() if g.expires_at_ms <= now]
         for name in gone:
             del self.grants[name]
         if gone:
-            self.divided_at = -1e9
+            self.divided_at_ms = -1e9
         return gone
 
-    def asked(
+    def renew(
         self, name: str, run: int, number: int, claims: float, wanted: float, now: float
     ) -> float | None:
         """What is lent to `name` from now on; None for a request that is not its last.
 
         `claims` is what it still believes to have from this lender.
         """
-        self.lapse(now)
+        self.expire(now)
         grant = self.grants.get(name)
-        if grant is not None and grant.run == run and number <= grant.number:
+        if grant is not None and grant.run_id == run and number <= grant.request_number:
             return None  # late or doubled
-        others = self.booked() - (grant.booked if grant is not None else 0.0)
+        others = self.booked_amount() - (grant.booked_amount if grant is not None else 0.0)
         if grant is None:
             if len(self.grants) >= HOLDERS:
-                self.full += 1
+                self.refused_holder_count += 1
                 return 0.0
             # Claims from before this lender's start fit, by its earlier self's rule 4; nonsense is cut.
             booked = max(0.0, min(claims, self.capacity - others))
-            grant = self.grants[name] = Grant(run, number, 0.0, booked, now + self.kept)
-            self.divided_at = -1e9
-        elif grant.run != run:
+            grant = self.grants[name] = LeaseGrant(run, number, 0.0, booked, now + self.booking_ms)
+            self.divided_at_ms = -1e9
+        elif grant.run_id != run:
             # Its earlier self may still run, stopped or cut off: that one's part stays booked until its end.
-            if grant.booked > 0.0:
+            if grant.booked_amount > 0.0:
                 return 0.0
-            grant.run = run
-        grant.number, grant.wanted = number, max(0.0, wanted)
-        known = max(0.0, min(claims, grant.booked))
-        if now < self.quiet_until:
-            amount = min(known, grant.wanted)
+            grant.run_id = run
+        grant.request_number, grant.wanted_amount = number, max(0.0, wanted)
+        known = max(0.0, min(claims, grant.booked_amount))
+        if now < self.recovery_grace_until_ms:
+            amount = min(known, grant.wanted_amount)
         else:
             # What it has may stay although the capacity has shrunk: then the division takes it, or nobody.
-            amount = max(0.0, min(self.part(name, now), max(known, self.capacity - others)))
-        grant.amount, grant.booked = amount, max(amount, known)
-        grant.end = now + self.kept
+            amount = max(0.0, min(self.divided_amount(name, now), max(known, self.capacity - others)))
+        grant.amount, grant.booked_amount = amount, max(amount, known)
+        grant.expires_at_ms = now + self.booking_ms
         return amount
 
-    def part(self, name: str, now: float) -> float:
-        if now - self.divided_at >= DIVIDE or name not in self.divided:
-            self.divided = self.share({n: g.wanted for n, g in self.grants.items()}, self.capacity)
-            self.divided_at = now
-        return self.divided.get(name, 0.0)
+    def divided_amount(self, name: str, now: float) -> float:
+        if now - self.divided_at_ms >= DIVIDE or name not in self.cached_division:
+            self.cached_division = self.divide(
+                {n: g.wanted_amount for n, g in self.grants.items()}, self.capacity
+            )
+            self.divided_at_ms = now
+        return self.cached_division.get(name, 0.0)
 
-    def back(self, name: str, run: int) -> None:
+    def release(self, name: str, run: int) -> None:
         """The holder has let go of all that it had."""
         grant = self.grants.get(name)
-        if grant is not None and grant.run == run:
+        if grant is not None and grant.run_id == run:
             del self.grants[name]
-            self.divided_at = -1e9
+            self.divided_at_ms = -1e9
 
 
-class Loan:
+class HeldLease:
     """The holder's side with one lender. `amount(now)` is what it may use."""
 
     def __init__(self, lease: float) -> None:
-        self.lease = lease
-        self.number = 0
-        self.sent_at = -1e9
-        self.held, self.end = 0.0, 0.0
-        self.answered = True
+        self.lease_ms = lease
+        self.request_number = 0
+        self.requested_at_ms = -1e9
+        self.held_amount, self.expires_at_ms = 0.0, 0.0
+        self.is_answered = True
 
-    def amount(self, now: float) -> float:
-        return self.held if now < self.end else 0.0
+    def usable_amount(self, now: float) -> float:
+        return self.held_amount if now < self.expires_at_ms else 0.0
 
-    def ask(self, now: float) -> tuple[int, float]:
+    def next_request(self, now: float) -> tuple[int, float]:
         """Number and claim of the next request."""
-        self.number += 1
-        self.sent_at, self.answered = now, False
-        return self.number, self.amount(now)
+        self.request_number += 1
+        self.requested_at_ms, self.is_answered = now, False
+        return self.request_number, self.usable_amount(now)
 
-    def answer(self, number: int, amount: float, now: float) -> bool:
+    def on_grant(self, number: int, amount: float, now: float) -> bool:
         """False for an answer to another request than the last, or one that comes too late to be used."""
-        if number != self.number or self.answered or now >= self.sent_at + self.lease:
+        if number != self.request_number or self.is_answered or now >= self.requested_at_ms + self.lease_ms:
             return False
-        self.answered = True
-        self.held, self.end = max(0.0, amount), self.sent_at + self.lease
+        self.is_answered = True
+        self.held_amount, self.expires_at_ms = max(0.0, amount), self.requested_at_ms + self.lease_ms
         return True
 
 
-def fair(wanted: dict[str, float], capacity: float) -> dict[str, float]:
+def max_min_fair_shares(wanted: dict[str, float], capacity: float) -> dict[str, float]:
     """All get what they want where that fits; else the small wishes whole and the rest alike (max-min)."""
     parts: dict[str, float] = {}
     left, many = capacity, len(wanted)
--- a/landingshift/coldstart/quiet.py
+++ b/landingshift/coldstart/recovery_grace.py
@@ -12,15 +12,15 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Boot:
+class SystemBoot:
     """`id` is drawn by the system at each start of the machine; `uptime` in ms since then."""
 
-    id: str
-    uptime: float
+    boot_id: str
+    uptime_ms: float
 
 
-def quiet(kept: float, now: Boot, marked: str) -> float:
+def recovery_grace_ms(kept: float, now: SystemBoot, marked: str) -> float:
     """ms; `kept` is how long a grant is booked, `marked` the boot of its earlier self, "" for none."""
-    if not marked or not now.id or marked == now.id:
+    if not marked or not now.boot_id or marked == now.boot_id:
         return kept
-    return min(kept, max(0.0, kept - now.uptime))
+    return min(kept, max(0.0, kept - now.uptime_ms))
--- a/landingshift/coldstart/service.py
+++ b/landingshift/coldstart/service.py
@@ -8,17 +8,17 @@
 
 from landingshift import failpoints
 from landingshift.admission.interface import Outcome
-from landingshift.coldstart import snapshot
-from landingshift.coldstart.agent import PACKAGE, Agent, Seen
-from landingshift.coldstart.lists import Question
-from landingshift.coldstart.quiet import Boot, quiet
-from landingshift.coldstart.seek import Seek
-from landingshift.coldstart.settings import Settings, plan
-from landingshift.coldstart.start import Stage
-from landingshift.coldstart.strain import Strain
-from landingshift.membership.messages import Address, Record
-from landingshift.membership.service import Fleet
-from landingshift.membership.settings import address
+from landingshift.coldstart import endpoint_cache
+from landingshift.coldstart.coordinator import PACKAGE, ColdStartCoordinator, LoadObservation
+from landingshift.coldstart.downstream_saturation import DownstreamSaturation
+from landingshift.coldstart.endpoint_list_client import EndpointListRequest
+from landingshift.coldstart.recovery_grace import SystemBoot, recovery_grace_ms
+from landingshift.coldstart.service_discovery import ServiceDiscoveryPoller
+from landingshift.coldstart.settings import Settings, cold_start_plan
+from landingshift.coldstart.start_sequence import StartStage
+from landingshift.membership.messages import Address, MemberRecord
+from landingshift.membership.service import MembershipService
+from landingshift.membership.settings import parse_address
 from landingshift.net.transport.loop import Timer
 
 if TYPE_CHECKING:
@@ -38,16 +38,18 @@
 
     def __init__(self, host: Host, settings: Settings) -> None:
         fleet = host.services["fleet"]
-        assert isinstance(fleet, Fleet)
+        assert isinstance(fleet, MembershipService)
         self.fleet, self.node, self.log = fleet, fleet.node, host.log
         self.router, self.loop, self.settings = host.router, host.router.loop, settings
         chance = Random(f"{self.router.site.seed} coldstart {self.router.site.name}")
-        self.agent = Agent(self.node, plan(settings), chance, self.loop.now, self.quiet())
-        self.strain = Strain()
-        self.question: Question | None = None
+        self.agent = ColdStartCoordinator(
+            self.node, cold_start_plan(settings), chance, self.loop.now, self.quiet()
+        )
+        self.strain = DownstreamSaturation()
+        self.question: EndpointListRequest | None = None
         self.timer: Timer | None = None
         known = self.remember()
-        self.seek = Seek(
+        self.seek = ServiceDiscoveryPoller(
             settings.servers, settings.list_asks_s, known or bool(fleet.settings.peers), GRACE, chance,
             self.loop.now,
         )  # fmt: skip
@@ -57,17 +59,19 @@
         self.noted: dict[str, tuple[float, ...]] = {}
         self.router.health_state.hold(self.name)
         self.router.taps.add(self)
-        fleet.talk.calls |= {"coldstart": self.status, "lent": self.lent}
-        self.node.handlers[PACKAGE] = self.hear
+        fleet.operator_rpc.handlers |= {"coldstart": self.status, "lent": self.lent}
+        self.node.message_handlers[PACKAGE] = self.hear
         self.timer = self.loop.after(0.0, self.look)
 
     def remember(self) -> bool:
         """The last list; True where it has somebody to try."""
         if not self.settings.snapshot:
             return False
-        found = snapshot.load(self.settings.snapshot, self.fleet.settings.fleet, failpoints.wall())
+        found = endpoint_cache.load(
+            self.settings.snapshot, self.fleet.settings.cluster_name, failpoints.wall()
+        )
         self.log("coldstart_list", entries=len(found.entries), age_s=round(found.age / 1000.0), why=found.why)
-        self.node.add_peers(found.entries)
+        self.node.add_contact_addresses(found.entries)
         return bool(found.entries)
 
     def quiet(self) -> float | None:
@@ -76,52 +80,59 @@
         The mark of this boot is on disk before anything is lent: a later run of this boot must find it.
         """
         settings, path = self.settings, f"{self.settings.snapshot}.boot"
-        if not settings.snapshot or self.node.me.name not in settings.lenders:
+        if not settings.snapshot or self.node.local_record.name not in settings.lenders:
             return None
-        boot, marked = Boot(*failpoints.boot()), snapshot.marked(path)
-        ms = quiet(plan(settings).kept, boot, marked)
+        boot, marked = SystemBoot(*failpoints.boot()), endpoint_cache.marked(path)
+        ms = recovery_grace_ms(cold_start_plan(settings).booking_ms, boot, marked)
         try:
-            snapshot.mark(path, boot.id)
+            endpoint_cache.mark(path, boot.boot_id)
         except OSError as err:
             self.log("coldstart_unmarked", error=str(err))
             # Without a mark the next run waits. One of an older boot would free it wrongly.
-            return inf if marked and not snapshot.unmark(path) else None
-        self.log("coldstart_quiet", ms=round(ms), uptime_s=round(boot.uptime / 1000.0))
+            return inf if marked and not endpoint_cache.unmark(path) else None
+        self.log("coldstart_quiet", ms=round(ms), uptime_s=round(boot.uptime_ms / 1000.0))
         return ms
 
     # What the module and the engine show
 
     def needed(self, _rpc: Routed) -> None:
-        self.strain.needed(self.loop.now)
+        self.strain.on_call_wanted(self.loop.now)
 
     def called(self, _rpc: Routed, outcome: Outcome, took: float) -> None:
-        self.strain.called(self.loop.now, outcome is Outcome.OK, took)
+        self.strain.on_call_finished(self.loop.now, outcome is Outcome.OK, took)
 
-    def seen(self) -> Seen:
+    def seen(self) -> LoadObservation:
         now, server = self.loop.now, self.router.server
         if server is None:
-            return Seen()
+            return LoadObservation()
         age, cold = now - server.born, server.set.cold_time if server.set.cold else 0.0
-        return Seen(
-            warmth=min(1.0, age / cold) if cold else 1.0,
+        return LoadObservation(
+            warm_fraction=min(1.0, age / cold) if cold else 1.0,
             # Before it is open it calls for nobody: those that fill their caches need it more.
-            need=max(1.0, MORE * self.strain.need(now)) if self.agent.start.open else 0.0,
-            work=server.values.size(now) / 2.0,
-            strain=self.strain.value(now, self.agent.told_base),
-            base=self.strain.base,
+            needed_calls_per_second=max(1.0, MORE * self.strain.wanted_calls_per_second(now))
+            if self.agent.start_sequence.is_open
+            else 0.0,
+            waiting_rpcs_per_second=server.values.size(now) / 2.0,
+            saturation=self.strain.saturation(now, self.agent.told_baseline_ms),
+            baseline_latency_ms=self.strain.baseline_latency_ms,
         )
 
     # Time
 
-    def hear(self, sender: Record, body: list[Any]) -> None:
+    def hear(self, sender: MemberRecord, body: list[Any]) -> None:
         self.agent.hear(sender, body)
         self.look()  # what was lent is used at once
 
     def look(self) -> None:
         self.step()
-        self.fleet.pass_on()
+        self.fleet.flush_outgoing()
         now, agent = self.loop.now, self.agent
-        ends = [end for had in agent.loans.values() for end in (had.share.end, had.place.end) if end > now]
+        ends = [
+            end
+            for had in agent.held_leases.values()
+            for end in (had.call_quota.expires_at_ms, had.start_permit.expires_at_ms)
+            if end > now
+        ]
         self.loop.cancel(self.timer)
         self.timer = self.loop.after(max(SOONEST, min([now + LOOK, agent.ask_at, *ends]) - now), self.look)
 
@@ -129,59 +140,76 @@
         now, agent = self.loop.now, self.agent
         # Without its engine it can't work: a place would be taken for nothing.
         if self.router.server is not None and agent.step(now, self.seen()):
-            start, members = agent.start, len(self.node.members.present) + 1
+            start, members = agent.start_sequence, len(self.node.member_table.present_names) + 1
             failpoints.reach(f"coldstart.{start.stage.value}")
-            share = round(agent.share(now), 2)
+            share = round(agent.call_quota(now), 2)
             self.log(
-                "coldstart", stage=start.stage.value, alone=start.by_itself, share=share, members=members
+                "coldstart",
+                stage=start.stage.value,
+                alone=start.started_without_grantor,
+                share=share,
+                members=members,
             )
-            if start.open:
+            if start.is_open:
                 self.router.health_state.release(self.name)
         if failpoints.history:
             self.note()
         self.hand_share(now)
-        if self.settings.list_service and self.seek.step(now, self.node.joined):
+        if self.settings.list_service and self.seek.poll_due(now, self.node.has_joined):
             self.ask_list()
         if now >= self.save_at:
             self.save_at = now + SAVE
             self.save()
-        facts = {"stage": float(list(Stage).index(agent.start.stage)), "share": round(agent.share(now), 1)}
-        self.node.state_facts(now, **facts)
+        facts = {
+            "stage": float(list(StartStage).index(agent.start_sequence.stage)),
+            "share": round(agent.call_quota(now), 1),
+        }
+        self.node.publish_metadata(now, **facts)
 
     def note(self) -> None:
         """What this server believes to have, and until when: over all it must never pass what there is."""
-        name = self.node.me.name
-        for lender, loans in self.agent.loans.items():
-            held = (loans.share.held, loans.share.end, loans.place.held, loans.place.end)
+        name = self.node.local_record.name
+        for lender, loans in self.agent.held_leases.items():
+            held = (
+                loans.call_quota.held_amount,
+                loans.call_quota.expires_at_ms,
+                loans.start_permit.held_amount,
+                loans.start_permit.expires_at_ms,
+            )
             if self.noted.get(lender) != held:
                 self.noted[lender] = held
                 failpoints.note("loan", name, lender, *held)
 
     def hand_share(self, now: float) -> None:
         if self.settings.calls_s and self.router.server is not None:
-            share = self.agent.share(now)
+            share = self.agent.call_quota(now)
             if share != self.shared:
                 self.shared = share
                 self.router.server.use_below(share)
 
     def ask_list(self) -> None:
-        place, fleet = address("list_service", self.settings.list_service), self.fleet.settings.fleet
+        place, fleet = (
+            parse_address("list_service", self.settings.list_service),
+            self.fleet.settings.cluster_name,
+        )
         if self.question is not None:
             self.question.cancel()
-        self.question = Question(self.loop, place, fleet, self.list_told)
+        self.question = EndpointListRequest(self.loop, place, fleet, self.list_told)
 
     def list_told(self, addresses: list[Address], why: str) -> None:
         self.question = None
-        self.seek.over(self.loop.now, not why)
+        self.seek.on_poll_finished(self.loop.now, not why)
         self.log("coldstart_asked", entries=len(addresses), why=why)
-        self.node.add_peers(addresses)
+        self.node.add_contact_addresses(addresses)
 
     def save(self) -> None:
-        entries = sorted(r.address for r in self.node.members.alive())
+        entries = sorted(r.address for r in self.node.member_table.present_records())
         if not self.settings.snapshot or not entries or entries == self.saved:
             return
         try:
-            snapshot.save(self.settings.snapshot, self.fleet.settings.fleet, entries, failpoints.wall())
+            endpoint_cache.save(
+                self.settings.snapshot, self.fleet.settings.cluster_name, entries, failpoints.wall()
+            )
             self.saved = entries
         except OSError as err:  # the old one stays; a start is only slower without
             self.log("coldstart_unsaved", error=str(err))
@@ -196,24 +224,33 @@
     def status(self, _params: list[Any]) -> dict[str, Any]:
         now, agent = self.loop.now, self.agent
         return {
-            "name": self.node.me.name, "stage": agent.start.stage.value, "alone": agent.start.by_itself,
-            "share": agent.share(now), "floor": agent.own, "strain": agent.seen.strain,
-            "need": agent.seen.need, "lenders": agent.lenders(), "asked": agent.asked,
-            "answered": agent.answered, "list_asks": self.seek.asks,
-        }  # fmt: skip
+            "name": self.node.local_record.name,
+            "stage": agent.start_sequence.stage.value,
+            "alone": agent.start_sequence.started_without_grantor,
+            "share": agent.call_quota(now),
+            "floor": agent.own,
+            "strain": agent.seen.saturation,
+            "need": agent.seen.needed_calls_per_second,
+            "lenders": agent.present_grantors(),
+            "asked": agent.asked,
+            "answered": agent.answered,
+            "list_asks": self.seek.poll_count,
+        }
 
     def lent(self, _params: list[Any]) -> dict[str, Any]:
         """What this server lends; raises ValueError where it is no lender."""
-        lending = self.agent.lending
+        lending = self.agent.grantor
         if lending is None:
             raise ValueError("it lends nothing: it is not among the lenders")
-        places = lending.places
+        places = lending.start_permits
         return {
-            "calls": lending.shares.capacity, "calls_booked": lending.shares.booked(),
-            "places": places.pace.limit, "places_in_use": places.in_use(),
-            "waiting": len(places.wishes) - places.in_use(),
-            "shares": {name: grant.amount for name, grant in lending.shares.grants.items()},
-        }  # fmt: skip
+            "calls": lending.call_quota_grantor.capacity,
+            "calls_booked": lending.call_quota_grantor.booked_amount(),
+            "places": places.limiter.limit,
+            "places_in_use": places.permits_in_use(),
+            "waiting": len(places.requests) - places.permits_in_use(),
+            "shares": {name: grant.amount for name, grant in lending.call_quota_grantor.grants.items()},
+        }
 
 
 def attach(host: Host, settings: Settings) -> ColdStart:
--- a/landingshift/coldstart/settings.py
+++ b/landingshift/coldstart/settings.py
@@ -7,9 +7,9 @@
 
 from msgspec import Meta, Struct
 
-from landingshift.coldstart.agent import Plan
-from landingshift.membership.messages import Name
-from landingshift.membership.settings import address
+from landingshift.coldstart.coordinator import ColdStartPlan
+from landingshift.membership.messages import MemberName
+from landingshift.membership.settings import parse_address
 
 WORTH = 3.0  # calls a second with which a start gets on
 BLIND = 32.0  # places at the beginning where no shares bound what starts call
@@ -23,7 +23,7 @@
 
     servers: Annotated[int, Meta(ge=1, le=10_000)]  # the most that there will be
     on: bool = True
-    lenders: Annotated[list[Name], Meta(max_length=64)] = []  # servers that lend places and shares
+    lenders: Annotated[list[MemberName], Meta(max_length=64)] = []  # servers that lend places and shares
     calls_s: Annotated[float, Meta(ge=0.0, le=1e6)] = 0.0  # calls a second that the store bears; 0: no shares
     floor: Annotated[float, Meta(ge=0.0, le=1.0)] = 0.1  # share of them divided evenly and never lent
     lease_ms: Annotated[float, Meta(ge=200.0, le=60_000.0)] = 1_500.0
@@ -41,7 +41,7 @@
 def check(settings: Settings, _folder: str) -> None:
     """Raises ValueError("key: what is wrong"); looks at nothing that starting would create."""
     if settings.list_service:
-        address("list_service", settings.list_service)
+        parse_address("list_service", settings.list_service)
     if settings.snapshot and not os.path.isabs(settings.snapshot):
         raise ValueError(f"snapshot: an absolute path is expected, not {settings.snapshot!r}")
     if len(set(settings.lenders)) != len(settings.lenders):
@@ -64,8 +64,8 @@
     return settings.places_first or min(most, max(first, float(len(settings.lenders)))), most
 
 
-def plan(settings: Settings) -> Plan:
-    return Plan(
+def cold_start_plan(settings: Settings) -> ColdStartPlan:
+    return ColdStartPlan(
         tuple(settings.lenders), settings.calls_s, settings.servers, settings.floor, settings.lease_ms,
         settings.spare_ms, *places(settings), settings.patience_ms, settings.alone_s,
     )  # fmt: skip
--- a/landingshift/coldstart/places.py
+++ b/landingshift/coldstart/start_permits.py
@@ -10,7 +10,7 @@
 
 from dataclasses import dataclass
 
-from landingshift.coldstart.leases import Lender
+from landingshift.coldstart.leases import LeaseGrantor
 
 WINDOW = 1000.0  # ms in which what is told is gathered
 GROWTH = 0.1  # share by which the number grows in a window once something has strained
@@ -20,7 +20,7 @@
 TOLD = 4096
 
 
-class Pace:
+class AdaptiveLimit:
     """A number that follows what is told of strain: of places, or of calls that the store bears."""
 
     def __init__(self, first: float, most: float, now: float, least: float = LEAST) -> None:
@@ -30,12 +30,12 @@
         self.rest = 0
         self.growth = 1.0  # share by which it grows in a window; until something strains, it doubles
 
-    def strain(self, value: float) -> None:
+    def record_saturation(self, value: float) -> None:
         """Below 0: nothing is known, which is no reason for anything."""
         if value >= 0.0 and len(self.told) < TOLD:
             self.told.append(value)
 
-    def look(self, now: float, wanted: bool) -> bool:
+    def evaluate(self, now: float, wanted: bool) -> bool:
         """True where the number changed; called as often as wanted, acts once a window.
 
         `wanted`: whether all is in use and more is asked for, so that a higher number would be tried out.
@@ -66,13 +66,13 @@
 
 
 @dataclass(slots=True, eq=False)
-class Wish:
+class PermitRequest:
     zone: str
-    work: float  # RPCs a second that wait for it
-    since: float
+    waiting_rpcs_per_second: float  # RPCs a second that wait for it
+    since_ms: float
 
 
-def order(wishes: dict[str, Wish], holding: list[str], free: int) -> list[str]:
+def assign_permits(wishes: dict[str, PermitRequest], holding: list[str], free: int) -> list[str]:
     """Who gets the free places: the zone with fewest on their way up, then most waiting work, then the
     longest wait."""
     up: dict[str, int] = {}
@@ -84,7 +84,9 @@
         if name not in holding:
             lines.setdefault(wish.zone, []).append(name)
     for line in lines.values():
-        line.sort(key=lambda n: (wishes[n].work, -wishes[n].since, n))  # the next one last
+        line.sort(
+            key=lambda n: (wishes[n].waiting_rpcs_per_second, -wishes[n].since_ms, n)
+        )  # the next one last
     chosen: list[str] = []
     while free > len(chosen) and lines:
         zone = min(lines, key=lambda z: (up.get(z, 0), z))
@@ -95,27 +97,29 @@
     return chosen
 
 
-class Places:
+class StartPermitPool:
     """One lender's places. `first` at the start, never more than `most`; `lease` and `spare` in ms."""
 
     def __init__(self, first: float, most: float, lease: float, spare: float, now: float) -> None:
-        self.pace = Pace(first, most, now)
-        self.wishes: dict[str, Wish] = {}  # of those who hold a place or wait for one
-        self.lender = Lender(first, lease, spare, now, self.divide)
+        self.limiter = AdaptiveLimit(first, most, now)
+        self.requests: dict[str, PermitRequest] = {}  # of those who hold a place or wait for one
+        self.lease_grantor = LeaseGrantor(first, lease, spare, now, self.divide)
 
     def divide(self, wanted: dict[str, float], capacity: float) -> dict[str, float]:
         """Who has a place keeps it while he wants it: a start cannot be taken back."""
-        holding = [n for n, g in self.lender.grants.items() if g.booked >= 1.0 and n in self.wishes]
-        free = int(capacity) - self.in_use()
-        return dict.fromkeys([*holding, *order(self.wishes, holding, free)], 1.0)
+        holding = [
+            n for n, g in self.lease_grantor.grants.items() if g.booked_amount >= 1.0 and n in self.requests
+        ]
+        free = int(capacity) - self.permits_in_use()
+        return dict.fromkeys([*holding, *assign_permits(self.requests, holding, free)], 1.0)
 
-    def asked(
+    def renew(
         self,
         name: str,
         run: int,
         number: int,
         claims: float,
-        wish: Wish | None,
+        wish: PermitRequest | None,
         strain: float,
         now: float,
     ) -> float | None:
@@ -123,29 +127,29 @@
 
         `wish` is None for one that needs no place any more; its `since` is kept from its first.
         """
-        for gone in self.lender.lapse(now):
-            self.wishes.pop(gone, None)
-        self.pace.strain(strain)
+        for gone in self.lease_grantor.expire(now):
+            self.requests.pop(gone, None)
+        self.limiter.record_saturation(strain)
         if wish is None:
-            self.wishes.pop(name, None)
+            self.requests.pop(name, None)
         else:
-            had = self.wishes.get(name)
-            wish.since = had.since if had is not None else now
-            self.wishes[name] = wish
-        in_use = self.in_use()
-        if self.pace.look(now, len(self.wishes) > in_use and in_use + 1.0 > self.pace.limit):
-            self.lender.capacity = self.pace.limit
-        self.lender.divided_at = -1e9  # a place that is free goes to the next who asks, at once
-        given = self.lender.asked(name, run, number, claims, 0.0 if wish is None else 1.0, now)
+            had = self.requests.get(name)
+            wish.since_ms = had.since_ms if had is not None else now
+            self.requests[name] = wish
+        in_use = self.permits_in_use()
+        if self.limiter.evaluate(now, len(self.requests) > in_use and in_use + 1.0 > self.limiter.limit):
+            self.lease_grantor.capacity = self.limiter.limit
+        self.lease_grantor.divided_at_ms = -1e9  # a place that is free goes to the next who asks, at once
+        given = self.lease_grantor.renew(name, run, number, claims, 0.0 if wish is None else 1.0, now)
         # A part of a place is none; it must not be booked either.
         if given is not None and 0.0 < given < 1.0:
-            grant = self.lender.grants[name]
-            grant.amount, grant.booked, given = 0.0, 0.0, 0.0
+            grant = self.lease_grantor.grants[name]
+            grant.amount, grant.booked_amount, given = 0.0, 0.0, 0.0
         return given
 
-    def in_use(self) -> int:
-        return sum(g.booked >= 1.0 for g in self.lender.grants.values())
+    def permits_in_use(self) -> int:
+        return sum(g.booked_amount >= 1.0 for g in self.lease_grantor.grants.values())
 
-    def back(self, name: str, run: int) -> None:
-        self.wishes.pop(name, None)
-        self.lender.back(name, run)
+    def release(self, name: str, run: int) -> None:
+        self.requests.pop(name, None)
+        self.lease_grantor.release(name, run)
--- a/landingshift/maintenance/machine.py
+++ b/landingshift/maintenance/machine.py
@@ -11,7 +11,7 @@
 from landingshift.maintenance.floor import Machine
 from landingshift.maintenance.foreman import Foreman
 from landingshift.maintenance.wishes import Leave
-from landingshift.membership.messages import Record
+from landingshift.membership.messages import MemberRecord
 
 OUT = 16  # reports whose times are kept
 MODEL = 16  # letters
@@ -52,7 +52,7 @@
 
 
 def heard(
-    foreman: Foreman | None, sender: Record, voters: list[str], body: list[Any], now: float
+    foreman: Foreman | None, sender: MemberRecord, voters: list[str], body: list[Any], now: float
 ) -> list[Any] | None:
     """The leader's answer to a report; None where there is none."""
     match body:
@@ -61,6 +61,6 @@
                 return None
             foreman.voters = voters
             machine = Machine(sender.name, capacity, sender.zone, model, best, sender.name in voters)
-            answer = foreman.hear(machine, sender.run, rest, now)
+            answer = foreman.hear(machine, sender.run_id, rest, now)
             return None if answer is None else ["told", number, *answer]
     return None
--- a/landingshift/maintenance/service.py
+++ b/landingshift/maintenance/service.py
@@ -14,8 +14,8 @@
 from landingshift.maintenance.order import dry_run
 from landingshift.maintenance.settings import Settings, plan
 from landingshift.maintenance.wishes import Stage
-from landingshift.membership.messages import GONE, Record
-from landingshift.membership.service import Fleet
+from landingshift.membership.messages import DEPARTED_STATES, MemberRecord
+from landingshift.membership.service import MembershipService
 from landingshift.net.transport.loop import Timer
 
 if TYPE_CHECKING:
@@ -46,7 +46,7 @@
 
     def __init__(self, host: Host, settings: Settings) -> None:
         fleet = host.services["fleet"]
-        assert isinstance(fleet, Fleet)
+        assert isinstance(fleet, MembershipService)
         self.fleet, self.node, self.log = fleet, fleet.node, host.log
         self.agreement = cast(Agreement, host.services["policies"])
         self.router, self.loop, self.settings = host.router, host.router.loop, settings
@@ -60,14 +60,14 @@
             self.agreement.keep(NAME, self.book, self.taken)
             self.foreman = Foreman(
                 self.book, plan(settings), self.agreement.propose, lambda _: self.agreement.leads(),
-                self.gone, self.node.members.names, failpoints.wall, self.log,
+                self.gone, self.node.member_table.known_names, failpoints.wall, self.log,
             )  # fmt: skip
-            fleet.talk.calls |= {
+            fleet.operator_rpc.handlers |= {
                 "upkeep_ask": self.ask, "upkeep_cancel": self.cancel, "upkeep_hold": self.hold,
                 "upkeep_status": self.status, "upkeep_plan": self.plan, "upkeep_history": self.history,
             }  # fmt: skip
-        fleet.talk.calls["upkeep_here"] = self.here
-        self.node.handlers[PACKAGE] = self.hear
+        fleet.operator_rpc.handlers["upkeep_here"] = self.here
+        self.node.message_handlers[PACKAGE] = self.hear
         self.router.taps.add(self)
         self.timer: Timer | None = self.loop.after(REST * self.chance.random(), self.tick)
 
@@ -100,7 +100,7 @@
         wait = BUSY if self.hand.stage or (self.foreman is not None and self.book.wishes) else REST
         self.loop.cancel(self.timer)
         self.timer = self.loop.after(wait * self.chance.uniform(0.9, 1.1), self.tick)
-        self.fleet.pass_on()
+        self.fleet.flush_outgoing()
 
     def report(self) -> None:
         mine, now = self.settings, self.loop.clock()
@@ -108,19 +108,19 @@
             now, mine.capacity, mine.model, mine.best, self.warmth(), self.load, self.ok, self.all
         )
         leader = self.agreement.leader
-        if leader == self.node.me.name:
-            self.hear(self.node.me, body)
+        if leader == self.node.local_record.name:
+            self.hear(self.node.local_record, body)
         elif leader:
-            self.node.say(leader, PACKAGE, body)
+            self.node.send_to_member(leader, PACKAGE, body)
 
-    def hear(self, sender: Record, body: list[Any]) -> None:
+    def hear(self, sender: MemberRecord, body: list[Any]) -> None:
         match body:
             case ["at", *_]:
                 answer = heard(self.foreman, sender, self.agreement.voters, body, self.loop.clock())
-                if answer is not None and sender.name == self.node.me.name:
+                if answer is not None and sender.name == self.node.local_record.name:
                     self.hear(sender, answer)
                 elif answer is not None:
-                    self.node.say(sender.name, PACKAGE, answer)
+                    self.node.send_to_member(sender.name, PACKAGE, answer)
             case ["told", int(number), str(stage), int(permission), float(lasts)]:
                 if self.hand.told(number, stage, permission, lasts):
                     failpoints.reach("upkeep.permitted")
@@ -133,10 +133,10 @@
             return
         going = self.hand.going
         self.write_mark()
-        failpoints.note("left", self.node.me.name, going)
+        failpoints.note("left", self.node.local_record.name, going)
         self.log("upkeep_leaves", number=going)
         self.report()
-        self.fleet.pass_on()
+        self.fleet.flush_outgoing()
         failpoints.reach("upkeep.draining")
         self.router.drain()
 
@@ -154,7 +154,7 @@
             return
         try:
             with open(self.settings.mark + ".new", "w") as file:
-                file.write(f"{self.node.me.name} {self.hand.going}\n")
+                file.write(f"{self.node.local_record.name} {self.hand.going}\n")
                 file.flush()
                 os.fsync(file.fileno())
             os.replace(self.settings.mark + ".new", self.settings.mark)
@@ -162,8 +162,8 @@
             self.log("upkeep_unmarked", error=str(err))
 
     def gone(self, name: str) -> bool:
-        record = self.node.members.get(name)
-        return record is None or record.state in GONE
+        record = self.node.member_table.record(name)
+        return record is None or record.state in DEPARTED_STATES
 
     def taken(self, now: float) -> None:
         """Entries were taken: what follows from them need not wait."""
@@ -260,7 +260,7 @@
     def here(self, _params: list[Any]) -> dict[str, Any]:
         """What this server knows of its own part."""
         return {
-            "name": self.node.me.name, "stage": self.hand.stage, "going": self.hand.going,
+            "name": self.node.local_record.name, "stage": self.hand.stage, "going": self.hand.going,
             "warmth": self.warmth(), "load": self.load, "leader": self.agreement.leader,
         }  # fmt: skip
 
--- a/landingshift/maintenance/settings.py
+++ b/landingshift/maintenance/settings.py
@@ -9,7 +9,7 @@
 
 from landingshift.maintenance.floor import Needs
 from landingshift.maintenance.foreman import Plan
-from landingshift.membership.messages import Zone
+from landingshift.membership.messages import ZoneName
 
 Share = Annotated[float, Meta(ge=0.0, le=1.0)]
 
@@ -20,7 +20,7 @@
     needs: ClassVar[tuple[str, ...]] = ("fleet", "policies")
 
     capacity: Annotated[float, Meta(gt=0.0, le=1e9)]  # RPCs a second that this server does when warm
-    model: Zone = ""  # of the machine
+    model: ZoneName = ""  # of the machine
     best: bool = False  # it carries the methods of most criticality
     work: Annotated[list[str], Meta(max_length=32)] = []  # command run once it has drained; an absolute path
     mark: str = ""  # a file on a disk that lasts: by which permission it left; else work may be done twice
--- a/landingshift/membership/letters.py
+++ b/landingshift/membership/large_messages.py
@@ -13,8 +13,8 @@
 import msgspec
 
 from landingshift.membership.messages import Address
-from landingshift.membership.node import Node
-from landingshift.membership.talk import Talk
+from landingshift.membership.node import SwimNode
+from landingshift.membership.operator_rpc import OperatorRpcServer
 from landingshift.net.protocol.gateway import pack
 from landingshift.net.transport.loop import Loop
 from landingshift.net.transport.stream import Stream, connect
@@ -26,7 +26,7 @@
 PAGE = 12_000  # bytes of a part
 
 
-class Letter:
+class LargeMessageTransfer:
     """One on its way; whatever becomes of it, `done` is called once."""
 
     def __init__(
@@ -65,32 +65,32 @@
         done()
 
 
-class Letters:
-    def __init__(self, loop: Loop, node: Node, talk: Talk, fleet: str) -> None:
+class LargeMessageTransport:
+    def __init__(self, loop: Loop, node: SwimNode, talk: OperatorRpcServer, fleet: str) -> None:
         self.loop, self.node, self.fleet = loop, node, fleet
         self.host = talk.listener.address[0]
         self.under_way = self.lost = self.number = 0
         self.parts: dict[tuple[str, int, int], dict[int, bytes]] = {}  # of letters that are not whole yet
-        talk.calls["letter"] = self.come
+        talk.handlers["letter"] = self.come
 
-    def say(self, name: str, package: str, body: list[Any]) -> None:
+    def send_to_member(self, name: str, package: str, body: list[Any]) -> None:
         """To one member, as a datagram where that is enough."""
-        record = self.node.members.get(name)
+        record = self.node.member_table.record(name)
         if record is None:
             return
         packed = msgspec.msgpack.encode(body)
         if len(packed) <= DATAGRAM:
-            self.node.say(name, package, body)
+            self.node.send_to_member(name, package, body)
         elif self.under_way >= OUT or len(packed) > LARGEST:
             self.lost += 1
         else:
             self.under_way += 1
             self.number += 1
             pages = [packed[i : i + PAGE] for i in range(0, len(packed), PAGE)]
-            me, count = self.node.me, len(pages)
-            head = [self.fleet, me.name, me.run, package, self.number]
+            me, count = self.node.local_record, len(pages)
+            head = [self.fleet, me.name, me.run_id, package, self.number]
             calls = [pack([0, i, "letter", [*head, i, count, page]]) for i, page in enumerate(pages)]
-            Letter(self.loop, record.address, self.host, calls, self.gone)
+            LargeMessageTransfer(self.loop, record.address, self.host, calls, self.gone)
 
     def gone(self) -> None:
         self.under_way -= 1
@@ -111,8 +111,8 @@
                 pass
             case _:
                 raise ValueError("no letter")
-        record, hear = self.node.members.get(name), self.node.handlers.get(package)
-        if fleet != self.fleet or record is None or record.run != run or hear is None:
+        record, hear = self.node.member_table.record(name), self.node.message_handlers.get(package)
+        if fleet != self.fleet or record is None or record.run_id != run or hear is None:
             raise ValueError("from nobody that is known here")
         if not 0 <= part < parts <= LARGEST // PAGE + 1 or len(page) > PAGE:
             raise ValueError("no part of a letter")
--- a/landingshift/membership/messages.py
+++ b/landingshift/membership/messages.py
@@ -9,16 +9,18 @@
 from msgspec import Meta, Struct
 
 Address = tuple[str, int]
-Name = Annotated[str, Meta(pattern=r"^[A-Za-z0-9._-]{1,32}$")]
-Zone = Annotated[str, Meta(pattern=r"^[A-Za-z0-9._-]{0,16}$")]
-Count = Annotated[int, Meta(ge=0, le=2**53)]
-FACTS = 8  # in a record
-NEWS = 6  # records that ride on a message: with its sender's a datagram stays under an Ethernet frame
-PAGE = 8  # records of one answer of the anti-entropy
-SUMS = 64  # buckets that the anti-entropy compares
-
-
-class State(IntEnum):
+MemberName = Annotated[str, Meta(pattern=r"^[A-Za-z0-9._-]{1,32}$")]
+ZoneName = Annotated[str, Meta(pattern=r"^[A-Za-z0-9._-]{0,16}$")]
+Counter = Annotated[int, Meta(ge=0, le=2**53)]
+MAX_METADATA_COUNT = 8  # in a record
+MAX_GOSSIP_RECORDS = (
+    6  # records that ride on a message: with its sender's a datagram stays under an Ethernet frame
+)
+MAX_RECORDS_PER_PAGE = 8  # records of one answer of the anti-entropy
+DIGEST_BUCKET_COUNT = 64  # buckets that the anti-entropy compares
+
+
+class MemberState(IntEnum):
     """Of the same incarnation the higher one wins."""
 
     ALIVE = 0
@@ -27,42 +29,44 @@
     LEFT = 3
 
 
-GONE = (State.DEAD, State.LEFT)
+DEPARTED_STATES = (MemberState.DEAD, MemberState.LEFT)
 
 
-class Record(Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
+class MemberRecord(Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
     """What is known of one server, in its own words but for `state` and `by`.
 
     `run` is a number drawn at each start, `incarnation` rises when the server has to contradict what is said
     of it, `version` when its facts change: a restarted server is told from its earlier self without a clock.
     """
 
-    name: Name
+    name: MemberName
     host: Annotated[str, Meta(pattern=r"^[0-9]{1,3}(\.[0-9]{1,3}){3}$")]
     port: Annotated[int, Meta(ge=1, le=65535)]
-    zone: Zone
-    run: Count
-    incarnation: Count
-    version: Count
-    state: State
-    by: Annotated[str, Meta(max_length=32)]  # who says so, where it is not the server itself
-    facts: Annotated[dict[Annotated[str, Meta(min_length=1, max_length=8)], float], Meta(max_length=FACTS)]
+    zone: ZoneName
+    run_id: Counter
+    incarnation: Counter
+    metadata_version: Counter
+    state: MemberState
+    reported_by: Annotated[str, Meta(max_length=32)]  # who says so, where it is not the server itself
+    metadata: Annotated[
+        dict[Annotated[str, Meta(min_length=1, max_length=8)], float], Meta(max_length=MAX_METADATA_COUNT)
+    ]
 
     @property
     def address(self) -> Address:
         return self.host, self.port
 
     @property
-    def rank(self) -> tuple[int, int, int, int]:
+    def precedence(self) -> tuple[int, int, int, int]:
         """The higher of two records of a name is the newer one, whoever brought it and whenever."""
-        return self.incarnation, self.run, self.state, self.version
+        return self.incarnation, self.run_id, self.state, self.metadata_version
 
     @property
-    def sane(self) -> bool:
-        return all(isfinite(v) and abs(v) < 1e12 for v in self.facts.values())
+    def has_finite_metadata(self) -> bool:
+        return all(isfinite(v) and abs(v) < 1e12 for v in self.metadata.values())
 
 
-class Kind(IntEnum):
+class MessageKind(IntEnum):
     PING = 0  # body: the name it is meant for, "" where only the address is known
     ACK = 1
     ASK = 2  # body: host, port and name of the one to probe for the asker
@@ -74,8 +78,8 @@
 
 
 class Message(Struct, frozen=True):
-    kind: Kind
-    sender: Record
+    kind: MessageKind
+    sender: MemberRecord
     number: int  # of the probe it belongs to
     body: list[Any]
-    news: list[Record]
+    news: list[MemberRecord]
--- a/landingshift/membership/talk.py
+++ b/landingshift/membership/operator_rpc.py
@@ -20,8 +20,8 @@
 Call = Callable[[list[Any]], Any]
 
 
-class Link:
-    def __init__(self, talk: Talk, sock: socket.socket) -> None:
+class OperatorConnection:
+    def __init__(self, talk: OperatorRpcServer, sock: socket.socket) -> None:
         self.talk, self.reader = talk, wire.Reader()
         self.stream = Stream(talk.loop, sock, self, BOUND)
         self.timer = talk.loop.after(LASTS, lambda: self.stream.close("slow"))
@@ -44,21 +44,21 @@
         self.talk.log("fleet_link_ended", reason=reason)
 
 
-class Talk:
+class OperatorRpcServer:
     """`calls` by name; each takes params and returns what msgpack can hold, or raises ValueError."""
 
     def __init__(self, loop: Loop, address: Address, log: Callable[..., None]) -> None:
         """Raises OSError."""
         self.loop, self.log = loop, log
-        self.links: set[Link] = set()
-        self.calls: dict[str, Call] = {}
+        self.links: set[OperatorConnection] = set()
+        self.handlers: dict[str, Call] = {}
         self.listener = Listener(loop, address, lambda _: len(self.links) < LINKS, self.take)
 
     def take(self, sock: socket.socket) -> None:
-        self.links.add(Link(self, sock))
+        self.links.add(OperatorConnection(self, sock))
 
     def answer(self, number: int, method: str, params: list[Any]) -> bytes:
-        call = self.calls.get(method)
+        call = self.handlers.get(method)
         if call is None:
             return wire.pack([1, number, f"no such call: {method[:32]}", None])
         try:
@@ -72,11 +72,11 @@
             link.stream.close("stopping")
 
 
-class NoAnswer(Exception):
+class OperatorRpcError(Exception):
     """The text says why."""
 
 
-def ask(address: Address, method: str, params: list[Any], wait: float = 3000.0) -> Any:
+def call_operator_rpc(address: Address, method: str, params: list[Any], wait: float = 3000.0) -> Any:
     """One call, for commands; blocks up to `wait` ms. Raises NoAnswer."""
     end = time.monotonic() + wait / 1000.0
     unpacker = msgpack.Unpacker(max_buffer_size=BOUND)
@@ -87,11 +87,11 @@
                 sock.settimeout(max(0.01, end - time.monotonic()))
                 data = sock.recv(65536)
                 if not data:
-                    raise NoAnswer("it closed the connection")
+                    raise OperatorRpcError("it closed the connection")
                 unpacker.feed(data)
                 for _, _, error, result in unpacker:
                     if error is not None:
-                        raise NoAnswer(str(error))
+                        raise OperatorRpcError(str(error))
                     return result
     except (OSError, ValueError) as err:
-        raise NoAnswer(str(err)) from err
+        raise OperatorRpcError(str(err)) from err
--- a/landingshift/membership/wire.py
+++ b/landingshift/membership/wire.py
@@ -7,10 +7,18 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from landingshift.membership.messages import PAGE, SUMS, Count, Kind, Message, Record, State
+from landingshift.membership.messages import (
+    DIGEST_BUCKET_COUNT,
+    MAX_RECORDS_PER_PAGE,
+    Counter,
+    MemberRecord,
+    MemberState,
+    Message,
+    MessageKind,
+)
 
 LARGEST = 4096  # bytes of a datagram that is looked at
-NAMES = {kind: kind.name.lower() for kind in Kind}
+NAMES = {kind: kind.name.lower() for kind in MessageKind}
 KINDS = {name: kind for kind, name in NAMES.items()}
 
 
@@ -20,10 +28,10 @@
 
 class Params(Struct, array_like=True, forbid_unknown_fields=True):
     fleet: Annotated[str, Meta(max_length=64)]
-    number: Count
-    sender: Record
-    body: Annotated[list[Any], Meta(max_length=SUMS + 1)]
-    news: Annotated[list[Record], Meta(max_length=PAGE)]
+    number: Counter
+    sender: MemberRecord
+    body: Annotated[list[Any], Meta(max_length=DIGEST_BUCKET_COUNT + 1)]
+    news: Annotated[list[MemberRecord], Meta(max_length=MAX_RECORDS_PER_PAGE)]
 
 
 decoder = msgspec.msgpack.Decoder(tuple[int, Annotated[str, Meta(max_length=8)], Params])
@@ -49,21 +57,25 @@
     if params.fleet != fleet:
         raise Broken("other_fleet")
     sender = params.sender
-    if sender.state is not State.ALIVE or not sender.sane or not all(r.sane for r in params.news):
+    if (
+        sender.state is not MemberState.ALIVE
+        or not sender.has_finite_metadata
+        or not all(r.has_finite_metadata for r in params.news)
+    ):
         raise Broken("bad_record")
     if not fits(kind, params.body):
         raise Broken("bad_body")
     return Message(kind, sender, params.number, params.body, params.news)
 
 
-def fits(kind: Kind, body: list[Any]) -> bool:
+def fits(kind: MessageKind, body: list[Any]) -> bool:
     match kind, body:
-        case (Kind.PING, [str()]) | (Kind.PACKAGE, [str(), *_]):
+        case (MessageKind.PING, [str()]) | (MessageKind.PACKAGE, [str(), *_]):
             return True
-        case Kind.ASK, [str(), int(port), str()]:
+        case MessageKind.ASK, [str(), int(port), str()]:
             return 0 < port < 65536
-        case Kind.SUMS, _:
-            return len(body) == SUMS + 1 and all(isinstance(s, int) for s in body)
-        case ((Kind.ACK | Kind.NACK | Kind.NEWS | Kind.PART), []):
+        case MessageKind.SUMS, _:
+            return len(body) == DIGEST_BUCKET_COUNT + 1 and all(isinstance(s, int) for s in body)
+        case ((MessageKind.ACK | MessageKind.NACK | MessageKind.NEWS | MessageKind.PART), []):
             return True
     return False
--- a/landingshift/policies/service.py
+++ b/landingshift/policies/service.py
@@ -9,8 +9,8 @@
 from landingshift import failpoints
 from landingshift.admission.controller import Server
 from landingshift.consensus.raft_log import BadJournal, Journal
-from landingshift.membership.messages import Record, State
-from landingshift.membership.service import Fleet
+from landingshift.membership.messages import MemberRecord, MemberState
+from landingshift.membership.service import MembershipService
 from landingshift.net.transport.loop import Timer
 from landingshift.policies.document import LARGEST, Base
 from landingshift.policies.follower import Stage
@@ -32,7 +32,7 @@
 
     def __init__(self, host: Host, settings: Settings) -> None:
         fleet = host.services["fleet"]
-        assert isinstance(fleet, Fleet)
+        assert isinstance(fleet, MembershipService)
         self.fleet, self.node, self.log = fleet, fleet.node, host.log
         self.router, self.loop, self.settings = host.router, host.router.loop, settings
         site = self.router.site
@@ -42,17 +42,24 @@
             raise ValueError("journal: is needed: this server is among voters")
         if settings.journal:
             try:
-                self.journal = Journal(settings.journal, fleet.settings.fleet, site.name)
+                self.journal = Journal(settings.journal, fleet.settings.cluster_name, site.name)
             except BadJournal as err:
                 raise ValueError(f"journal: {err}") from err
             except OSError as err:
                 raise ValueError(f"journal: {settings.journal}: {err.strerror}") from err
-        me, chance = self.node.me, Random(f"{site.seed} policies {site.name}")
+        me, chance = self.node.local_record, Random(f"{site.seed} policies {site.name}")
         stored = self.journal.stored if self.journal is not None else None
         self.part = Part(
-            me.name, me.run, plan(settings), self.base.check, stored, chance, self.loop.now, failpoints.wall,
+            me.name,
+            me.run_id,
+            plan(settings),
+            self.base.check,
+            stored,
+            chance,
+            self.loop.now,
+            failpoints.wall,
             most=settings.most,
-        )  # fmt: skip
+        )
         self.follower = self.part.follower
         self.laid = 0  # the version that the module goes by
         self.server: Server | None = None  # the module that was last told whether it may decide
@@ -60,13 +67,13 @@
         self.full_since, self.save_at = -1.0, 0.0  # since when the disk takes nothing; next try
         self.timer: Timer | None = None
         self.seen: tuple[Any, ...] = ("", Stage.NONE, "", False, "")
-        self.part.follower.others = lambda: self.node.members.present
-        self.node.handlers[PACKAGE] = self.hear
+        self.part.follower.others = lambda: self.node.member_table.present_names
+        self.node.message_handlers[PACKAGE] = self.hear
         self.router.before = self.before
         self.router.health_state.hold(self.name)  # no gateway need hear of one that can't decide yet
         if failpoints.history:
             self.router.taps.add(self)
-        fleet.talk.calls |= {
+        fleet.operator_rpc.handlers |= {
             "policy_do": self.do, "policy_known": self.known, "policy_status": self.status,
             "policy_history": self.history, "policy_text": self.text, "policy_trust": self.trust,
         }  # fmt: skip
@@ -74,7 +81,7 @@
 
     # Time and messages: the clock is read anew, since what came may be younger than the pass
 
-    def hear(self, sender: Record, body: list[Any]) -> None:
+    def hear(self, sender: MemberRecord, body: list[Any]) -> None:
         self.part.hear(sender.name, body, self.loop.clock())
         self.pass_on()
 
@@ -91,10 +98,10 @@
             saved = self.save()
             out = self.part.take_out()  # with a full disk all but what would rest on it
             for to, body in out:
-                self.fleet.letters.say(to, PACKAGE, body)
+                self.fleet.large_messages.send_to_member(to, PACKAGE, body)
             if not saved or not out:
                 break
-        self.fleet.pass_on()
+        self.fleet.flush_outgoing()
         self.tell()
         at = max(self.part.next(), self.loop.now + SOON)
         if self.timer is None or at < self.timer.at - SOON:
@@ -229,7 +236,7 @@
     def note(self) -> None:
         f = self.follower
         policy = f.policy if f.version == self.laid else b""
-        failpoints.note("decided", self.node.me.name, self.laid, policy, self.looked)
+        failpoints.note("decided", self.node.local_record.name, self.laid, policy, self.looked)
 
     # For operators
 
@@ -237,12 +244,12 @@
         """[id, what, ...]: brought to the leader; False where too many are under way."""
         match params:
             case [str(id), "gone", str(name)]:
-                record = self.node.members.get(name)
+                record = self.node.member_table.record(name)
                 if record is None:
                     raise ValueError(f"{name}: nobody of that name is known here")
-                if record.state is State.ALIVE:
+                if record.state is MemberState.ALIVE:
                     raise ValueError(f"{name}: it is there, as this server sees it")
-                good = self.part.ask_for(id, ["gone", name, record.run], self.loop.clock())
+                good = self.part.ask_for(id, ["gone", name, record.run_id], self.loop.clock())
                 self.pass_on()
                 return good
             case [str(id), *what] if 0 < len(id) <= 64 and what and fits(what):
@@ -260,9 +267,9 @@
     def status(self, _params: list[Any]) -> dict[str, Any]:
         f, now = self.follower, self.loop.clock()
         voter, book = self.part.voter, self.part.book
-        record = self.node.members.get(f.leader) if f.leader else None
+        record = self.node.member_table.record(f.leader) if f.leader else None
         found: dict[str, Any] = {
-            "name": self.node.me.name, "version": self.laid, "decides": f.may(now),
+            "name": self.node.local_record.name, "version": self.laid, "decides": f.may(now),
             "why_not": "" if f.may(now) else self.why(), "newest": f.newest, "leader": f.leader,
             "leader_at": f"{record.host}:{record.port}" if record is not None else "",
             "change": f.change, "stage": f.stage.value, "said": f.said, "voters": list(f.voters),
@@ -316,8 +323,8 @@
         """The loop has ended: nothing more is decided here, which is what the others wait for."""
         self.part.bye()
         for to, body in self.part.take_out():
-            self.node.say(to, PACKAGE, body)
-        self.fleet.pass_on()
+            self.node.send_to_member(to, PACKAGE, body)
+        self.fleet.flush_outgoing()
         if self.journal is not None:
             self.journal.close()
 
--- a/landingshift/policies/settings.py
+++ b/landingshift/policies/settings.py
@@ -7,7 +7,7 @@
 
 from msgspec import Meta, Struct
 
-from landingshift.membership.messages import Name
+from landingshift.membership.messages import MemberName
 from landingshift.policies.follower import Plan
 
 
@@ -16,7 +16,9 @@
 
     needs: ClassVar[tuple[str, ...]] = ("fleet",)
 
-    voters: Annotated[list[Name], Meta(min_length=1, max_length=7)]  # those that agree at first: 1, 3, 5 or 7
+    voters: Annotated[
+        list[MemberName], Meta(min_length=1, max_length=7)
+    ]  # those that agree at first: 1, 3, 5 or 7
     journal: str = ""  # of a voter, or one that may become one: on a disk that lasts; one server a file
     on: bool = True
     when_cut_off: Literal["serve", "stand_aside"] = "serve"
--- a/landingshift/testbed/experiments/chance_faults_real.py
+++ b/landingshift/testbed/experiments/chance_faults_real.py
@@ -17,7 +17,7 @@
 from random import Random
 from typing import Any
 
-from landingshift.membership.talk import NoAnswer
+from landingshift.membership.operator_rpc import OperatorRpcError
 from landingshift.testbed import MEMORY
 from landingshift.testbed.experiments.maintenance_real import COMMON_START, Yard, names
 from landingshift.testbed.experiments.policies_real import ENDED, OVERLAP
@@ -139,7 +139,7 @@
         try:
             self.yard.wish(some, minutes=minutes)
             self.wishes += len(some)
-        except (RuntimeError, NoAnswer):
+        except (RuntimeError, OperatorRpcError):
             return  # nobody leads: the operator is told, and asks another time
 
     def links(self) -> None:
@@ -290,7 +290,7 @@
             try:
                 siege.run(row)
                 siege.judge(row)
-            except (RuntimeError, NoAnswer) as err:
+            except (RuntimeError, OperatorRpcError) as err:
                 must(row, False, str(err))
             finally:
                 siege.yard.open = False
--- a/landingshift/testbed/experiments/cold_start.py
+++ b/landingshift/testbed/experiments/cold_start.py
@@ -119,7 +119,9 @@
     rise.start_all()
     rise.run(6000.0)
     lenders = rise.case.lenders
-    up = [i for i, m in rise.minds.items() if m.agent.place(rise.hosts[i].clock()) and i >= lenders][:9]
+    up = [
+        i for i, m in rise.minds.items() if m.agent.has_start_permit(rise.hosts[i].clock()) and i >= lenders
+    ][:9]
     for i in up[:3]:
         rise.kill(i)
     for i in up[3:6]:
@@ -211,7 +213,10 @@
     row.figures["false_deaths"] = dead
     rise.kill(7)
     began = rise.world.now
-    while any("n7" in m.node.members.place for m in rise.minds.values()) and rise.world.now < began + 60e3:
+    while (
+        any("n7" in m.node.member_table.present_index for m in rise.minds.values())
+        and rise.world.now < began + 60e3
+    ):
         rise.run(50.0)
     row.figures["death_known_s"] = round((rise.world.now - began) / 1000.0, 1)
     must(row, rise.world.now - began < 15_000.0, "a death under load was not known after 15 s")
--- a/landingshift/testbed/experiments/maintenance_real.py
+++ b/landingshift/testbed/experiments/maintenance_real.py
@@ -10,7 +10,7 @@
 from functools import partial
 from typing import Any
 
-from landingshift.membership.talk import NoAnswer, ask
+from landingshift.membership.operator_rpc import OperatorRpcError, call_operator_rpc
 from landingshift.testbed.experiments.policies_real import CORES, WORK, Council, across, up_or_dead
 from landingshift.testbed.experiments.rows import Row, must
 
@@ -73,9 +73,9 @@
 
     def state(self, i: int) -> dict[str, Any]:
         try:
-            found: dict[str, Any] = ask(self.rig.talks[i], "upkeep_status", [], 1500.0)
+            found: dict[str, Any] = call_operator_rpc(self.rig.talks[i], "upkeep_status", [], 1500.0)
             return found
-        except NoAnswer:
+        except OperatorRpcError:
             return {}
 
     def out(self) -> int:
@@ -137,7 +137,7 @@
         try:
             play(yard, row)
             yard.check(row)
-        except (RuntimeError, NoAnswer) as err:
+        except (RuntimeError, OperatorRpcError) as err:
             must(row, False, str(err))
         finally:
             yard.open = False
--- a/landingshift/testbed/experiments/policies_real.py
+++ b/landingshift/testbed/experiments/policies_real.py
@@ -14,7 +14,7 @@
 from random import Random
 from typing import Any
 
-from landingshift.membership.talk import NoAnswer, ask
+from landingshift.membership.operator_rpc import OperatorRpcError, call_operator_rpc
 from landingshift.policies.document import parse
 from landingshift.testbed.experiments.rows import Row, must
 from landingshift.testbed.processes.harness import Rig
@@ -100,13 +100,13 @@
         return [i for i, p in rig.processes.items() if p.poll() is None and rig.name(i) not in rig.killed]
 
     def call(self, i: int, name: str, *params: Any) -> Any:
-        return ask(self.rig.talks[i], name, list(params), 1500.0)
+        return call_operator_rpc(self.rig.talks[i], name, list(params), 1500.0)
 
     def status(self, i: int) -> dict[str, Any]:
         try:
             found: dict[str, Any] = self.call(i, "policy_status")
             return found
-        except NoAnswer:
+        except OperatorRpcError:
             return {}
 
     def leader(self, wait: float = 10.0) -> int:
@@ -126,7 +126,7 @@
         id = id or f"c{len(self.ids)}"
         if id not in self.ids:
             self.ids.append(id)
-        with suppress(NoAnswer):  # killed by it, or stopped: it may have heard
+        with suppress(OperatorRpcError):  # killed by it, or stopped: it may have heard
             self.call(i, "policy_do", id, "propose", text(number), "lab", "a trial")
         return id
 
@@ -136,7 +136,7 @@
             found: dict[str, Any] = self.call(i, "policy_known", id)
             if found["end"] not in ENDED:
                 self.call(i, "policy_do", id, "find")
-        except NoAnswer:
+        except OperatorRpcError:
             return {"end": "unknown", "version": 0, "said": ""}
         if found["end"] in ENDED:
             now = time.monotonic() * 1000.0
@@ -190,7 +190,7 @@
         def taken() -> bool:
             try:
                 return bool(self.call(i, "policy_do", f"gone {name}", "gone", name))
-            except NoAnswer:
+            except OperatorRpcError:
                 return False
 
         if not self.rig.until(15.0, taken):
@@ -255,7 +255,7 @@
         try:
             work(council, row)
             council.check(row)
-        except (RuntimeError, NoAnswer) as err:
+        except (RuntimeError, OperatorRpcError) as err:
             must(row, False, str(err))
         finally:
             council.rig.close()
--- a/landingshift/testbed/simulation/cluster.py
+++ b/landingshift/testbed/simulation/cluster.py
@@ -12,7 +12,7 @@
 from random import Random
 from typing import Any
 
-from landingshift.coldstart.agent import Plan as StartPlan
+from landingshift.coldstart.coordinator import ColdStartPlan
 from landingshift.consensus.raft import Stored
 from landingshift.consensus.raft import Times as Beats
 from landingshift.maintenance.book import command
@@ -69,7 +69,7 @@
         self.times = Beats(beat=100.0, wait=500.0)
         self.store = Store(CALLS * servers)
         lenders = tuple(names[: max(2, servers // 3)])
-        self.plan = StartPlan(
+        self.plan = ColdStartPlan(
             lenders, CALLS * servers, servers, 0.1, 1500.0, 300.0, max(2.0, servers / 3.0), float(servers),
             4000.0, 2.0,
         )  # fmt: skip
@@ -144,8 +144,8 @@
         """It has drained: its last word, then its supervisor starts it anew."""
         home.part.bye()
         for to, body in home.part.take_out():
-            home.node.say(to, "policies", body)
-        for at, message in home.node.take_out():
+            home.node.send_to_member(to, "policies", body)
+        for at, message in home.node.take_outgoing():
             self.world.carry(home.host.address, at, message)
         home.host.up = False
         self.note("ended", home.name)
@@ -262,8 +262,8 @@
                 found.add(f"change {'switching' if desk.switching else desk.want}")
             found |= {f"work {w.stage.value}" for w in lead.book.wishes.values()}
         for home in self.homes.values():
-            if home.host.up and home.agent.start.stage.value != "warm":
-                found.add(f"start {home.agent.start.stage.value}")
+            if home.host.up and home.agent.start_sequence.stage.value != "warm":
+                found.add(f"start {home.agent.start_sequence.stage.value}")
         return sorted(found)
 
     # Gateways
@@ -334,7 +334,7 @@
         world.after(SEND, self.look)
         world.after(LOOK, self.watch)
         world.after(2000.0, self.sizes)
-        self.note("bounds", self.plan.calls, self.plan.most)
+        self.note("bounds", self.plan.downstream_calls_per_second, self.plan.max_permits)
         self.note("each", CAPACITY)
         began = 4000.0  # the first start has settled, more or less
         for place, act in enumerate(day.acts):
@@ -371,7 +371,7 @@
         if down:
             return [f"down: {down}"]
         checks: list[tuple[str, Callable[[Home], bool]]] = [
-            ("not warm", lambda h: h.agent.start.stage.value == "warm"),
+            ("not warm", lambda h: h.agent.start_sequence.stage.value == "warm"),
             ("not counted", lambda h: h.part.follower.joined),
             ("does not decide", lambda h: h.may),
             ("not listed", lambda h: h.listed),
--- a/landingshift/testbed/simulation/cold_start.py
+++ b/landingshift/testbed/simulation/cold_start.py
@@ -13,12 +13,12 @@
 from random import Random
 from typing import Any
 
-from landingshift.coldstart.agent import Agent, Plan, Seen
-from landingshift.coldstart.seek import Seek
-from landingshift.coldstart.settings import Settings, plan
-from landingshift.coldstart.strain import Strain
-from landingshift.membership.messages import Message, Record, State
-from landingshift.membership.node import Node, Times
+from landingshift.coldstart.coordinator import ColdStartCoordinator, ColdStartPlan, LoadObservation
+from landingshift.coldstart.downstream_saturation import DownstreamSaturation
+from landingshift.coldstart.service_discovery import ServiceDiscoveryPoller
+from landingshift.coldstart.settings import Settings, cold_start_plan
+from landingshift.membership.messages import MemberRecord, MemberState, Message
+from landingshift.membership.node import SwimNode, SwimTimings
 from landingshift.testbed.simulation.virtual_time import Address, Host, World
 
 LOOK = 100.0  # ms between two steps of a server, and of the world
@@ -46,13 +46,13 @@
     power: bool = False  # all machines were started just before: no lender has to keep quiet
     baseline: bool = False  # no talk: each calls as it likes and asks the list at once
 
-    def plan(self) -> Plan:
+    def plan(self) -> ColdStartPlan:
         names = [f"n{i}" for i in range(self.lenders)]
         first, most = self.places
         found = Settings(
             servers=self.servers, lenders=names, calls_s=self.calls, places_first=first, places_most=most
         )
-        return plan(found)
+        return cold_start_plan(found)
 
 
 class Mind:
@@ -63,56 +63,59 @@
         self.rise, self.i, self.born = rise, i, now
         chance = Random(f"{rise.seed} {i} {run}")
         host, port = address(i)
-        me = Record(
-            f"n{i}", host, port, f"z{i % case.zones}", chance.getrandbits(48), 0, 0, State.ALIVE, "", {}
+        me = MemberRecord(
+            f"n{i}", host, port, f"z{i % case.zones}", chance.getrandbits(48), 0, 0, MemberState.ALIVE, "", {}
         )
         known = [address(chance.randrange(case.servers)) for _ in range(16)]
         peers = known if case.know == "snapshot" else []
-        self.node = Node(me, peers, Times(), 10_000, chance, now, rise.log(i))
-        self.agent = Agent(self.node, rise.plan, chance, now, 0.0 if case.power else None)
-        self.seek = Seek(case.servers, case.asks, bool(peers), 3_000.0, chance, now)
+        self.node = SwimNode(me, peers, SwimTimings(), 10_000, chance, now, rise.log(i))
+        self.agent = ColdStartCoordinator(self.node, rise.plan, chance, now, 0.0 if case.power else None)
+        self.seek = ServiceDiscoveryPoller(case.servers, case.asks, bool(peers), 3_000.0, chance, now)
         if case.baseline:
-            self.seek.at = now
+            self.seek.next_poll_ms = now
         self.look_at = now + LOOK * chance.random()
-        self.strain = Strain()
+        self.strain = DownstreamSaturation()
         self.filled = self.owed = 0.0
         self.opened = 0.0  # when it began to take RPCs
 
     # For the world of virtual time
 
-    def hear(self, message: Message, now: float) -> None:
-        self.node.hear(message, now)
+    def on_message(self, message: Message, now: float) -> None:
+        self.node.on_message(message, now)
 
-    def next(self) -> float:
-        return min(self.node.next(), self.look_at)
+    def next_deadline_ms(self) -> float:
+        return min(self.node.next_deadline_ms(), self.look_at)
 
-    def take_out(self) -> list[tuple[Address, Any]]:
-        return self.node.take_out()
+    def take_outgoing(self) -> list[tuple[Address, Any]]:
+        return self.node.take_outgoing()
 
-    def tick(self, now: float) -> None:
-        if self.node.next() <= now:
-            self.node.tick(now)
+    def on_timer(self, now: float) -> None:
+        if self.node.next_deadline_ms() <= now:
+            self.node.on_timer(now)
         if now >= self.look_at:
             dt, self.look_at = LOOK, now + LOOK
-            self.node.now = now
+            self.node.now_ms = now
             self.step(now, dt)
 
     def step(self, now: float, dt: float) -> None:
         case, agent = self.rise.case, self.agent
-        seen = Seen(
-            warmth=self.warmth(now), need=self.need(now), work=float(self.i % 7),
-            strain=self.strain.value(now, agent.told_base), base=self.strain.base,
-        )  # fmt: skip
+        seen = LoadObservation(
+            warm_fraction=self.warmth(now),
+            needed_calls_per_second=self.need(now),
+            waiting_rpcs_per_second=float(self.i % 7),
+            saturation=self.strain.saturation(now, agent.told_baseline_ms),
+            baseline_latency_ms=self.strain.baseline_latency_ms,
+        )
         agent.step(now, seen)
-        if agent.start.open or case.baseline:
+        if agent.start_sequence.is_open or case.baseline:
             self.opened = self.opened or now
             self.call(now, dt)
-        if case.know != "nobody" and self.seek.step(now, self.node.joined):
+        if case.know != "nobody" and self.seek.poll_due(now, self.node.has_joined):
             self.rise.asked(self, now)
 
     def need(self, now: float) -> float:
         """Calls a second: as many as the cores can ask for while the cache is cold, few once it is warm."""
-        if not (self.agent.start.open or self.rise.case.baseline):
+        if not (self.agent.start_sequence.is_open or self.rise.case.baseline):
             return 0.0
         return 1.0 if self.filled >= self.rise.case.fill else 10.0
 
@@ -123,12 +126,12 @@
         return min(1.0, age, self.filled / self.rise.case.fill)
 
     def call(self, now: float, dt: float) -> None:
-        most = self.need(now) if self.rise.case.baseline else min(self.need(now), self.agent.share(now))
+        most = self.need(now) if self.rise.case.baseline else min(self.need(now), self.agent.call_quota(now))
         self.owed = min(1.0 + most * dt / 1000.0, self.owed + most * dt / 1000.0)
         while self.owed >= 1.0:
             self.owed -= 1.0
             good, took = self.rise.store.call(self.rise.world.now)
-            self.strain.called(now, good, took)
+            self.strain.on_call_finished(now, good, took)
             self.filled += good
 
 
@@ -198,8 +201,10 @@
         self.runs += 1
         offset = self.offsets.uniform(-1e6, 1e6)
         mind = self.minds[i] = Mind(self, i, self.runs, self.world.now + offset)
-        if mind.agent.lending is not None and not self.quiet:
-            mind.agent.lending.shares.quiet_until = mind.agent.lending.places.lender.quiet_until = mind.born
+        if mind.agent.grantor is not None and not self.quiet:
+            mind.agent.grantor.call_quota_grantor.recovery_grace_until_ms = (
+                mind.agent.grantor.start_permits.lease_grantor.recovery_grace_until_ms
+            ) = mind.born
         self.hosts[i] = self.world.start(address(i), mind, offset)
         return mind
 
@@ -221,8 +226,8 @@
             self.listed.append(address(mind.i))
 
         def answer() -> None:
-            mind.seek.over(now, good)
-            mind.node.add_peers(entries)
+            mind.seek.on_poll_finished(now, good)
+            mind.node.add_contact_addresses(entries)
 
         self.world.after(20.0, answer)
 
@@ -231,13 +236,13 @@
         shares = places = warm = 0.0
         for i, mind in self.minds.items():
             now = self.hosts[i].clock()
-            shares += mind.agent.share(now)
-            places += mind.agent.place(now)
+            shares += mind.agent.call_quota(now)
+            places += mind.agent.has_start_permit(now)
             warm += mind.warmth(now) >= 1.0
         self.most_shares, self.most_places = max(self.most_shares, shares), max(self.most_places, places)
         if shares > self.case.calls * 1.0001 and not self.case.baseline:
             self.must(False, f"shares of {shares:.1f} where the store bears {self.case.calls:g}")
-        self.must(places <= self.plan.most, f"{places:g} places of {self.plan.most:g}")
+        self.must(places <= self.plan.max_permits, f"{places:g} places of {self.plan.max_permits:g}")
         self.warm.append(warm / self.case.servers)
         if self.warm_at < 0.0 and warm >= 0.95 * self.case.servers:
             self.warm_at = self.world.now
--- a/landingshift/testbed/simulation/leases.py
+++ b/landingshift/testbed/simulation/leases.py
@@ -5,7 +5,7 @@
 from random import Random
 from typing import Any
 
-from landingshift.coldstart.leases import Lender, Loan, fair
+from landingshift.coldstart.leases import HeldLease, LeaseGrantor, max_min_fair_shares
 
 LEASE, SPARE = 1000.0, 100.0
 
@@ -19,16 +19,16 @@
         self.quiet, self.books = quiet, books
         self.paces = {name: self.chance.uniform(0.99, 1.01) for name in "abcdefgh"}
         self.runs = dict.fromkeys(self.paces, 1)
-        self.loans = {name: Loan(LEASE) for name in self.paces}
+        self.loans = {name: HeldLease(LEASE) for name in self.paces}
         self.still = dict.fromkeys([*self.paces, ""], 0.0)
         self.way: list[tuple[float, Any]] = []  # what is under way, and when it arrives
         self.lender = self.begin()
         self.most = 0.0
 
-    def begin(self) -> Lender:
-        lender = Lender(self.capacity, LEASE, SPARE, self.now, fair)
+    def begin(self) -> LeaseGrantor:
+        lender = LeaseGrantor(self.capacity, LEASE, SPARE, self.now, max_min_fair_shares)
         if not self.quiet:
-            lender.quiet_until = 0.0
+            lender.recovery_grace_until_ms = 0.0
         return lender
 
     def clock(self, name: str) -> float:
@@ -49,15 +49,15 @@
         elif fate < 0.015:
             self.lender = self.begin()
         elif fate < 0.025:
-            self.loans[name], self.runs[name] = Loan(LEASE), self.runs[name] + 1
+            self.loans[name], self.runs[name] = HeldLease(LEASE), self.runs[name] + 1
         elif self.still[name] <= self.now:
-            number, claims = self.loans[name].ask(self.clock(name))
+            number, claims = self.loans[name].next_request(self.clock(name))
             self.send(("ask", name, self.runs[name], number, claims, chance.choice((0.0, 1.0, 3.0, 9.0))))
         arrived = [entry for entry in self.way if entry[0] <= self.now]
         self.way = [entry for entry in self.way if entry[0] > self.now]
         for _, what in arrived:
             self.arrive(what)
-        held = sum(loan.amount(self.clock(n)) for n, loan in self.loans.items())
+        held = sum(loan.usable_amount(self.clock(n)) for n, loan in self.loans.items())
         self.most = max(self.most, held)
 
     def arrive(self, what: Any) -> None:
@@ -66,13 +66,13 @@
                 if self.still[""] > self.now:
                     self.way.append((self.still[""], what))
                     return
-                amount = self.lender.asked(name, run, number, claims, wanted, self.now)
+                amount = self.lender.renew(name, run, number, claims, wanted, self.now)
                 if amount is not None:
                     if not self.books:  # as if a smaller grant freed the rest at once
-                        self.lender.grants[name].booked = amount
+                        self.lender.grants[name].booked_amount = amount
                     self.send(("give", name, run, number, amount))
             case "give", name, run, number, amount:
                 if self.still[name] > self.now:
                     self.way.append((self.still[name], what))
                 elif run == self.runs[name]:
-                    self.loans[name].answer(number, amount, self.clock(name))
+                    self.loans[name].on_grant(number, amount, self.clock(name))
--- a/landingshift/testbed/simulation/policy_change.py
+++ b/landingshift/testbed/simulation/policy_change.py
@@ -54,21 +54,21 @@
 
     # For the world
 
-    def hear(self, message: Any, now: float) -> None:
+    def on_message(self, message: Any, now: float) -> None:
         who, body = message
         self.part.hear(who, body, now)
 
-    def next(self) -> float:
+    def next_deadline_ms(self) -> float:
         return min(self.part.next(), self.decide_at)
 
-    def tick(self, now: float) -> None:
+    def on_timer(self, now: float) -> None:
         if self.part.next() <= now:
             self.part.tick(now)
         if now >= self.decide_at:
             self.decide_at = now + LOOK * self.hall.chance.uniform(0.5, 1.5)
             self.decide(now)
 
-    def take_out(self) -> list[tuple[Address, Any]]:
+    def take_outgoing(self) -> list[tuple[Address, Any]]:
         stored = self.part.unsaved()
         if stored is not None:
             self.hall.save(self.name, stored)
--- a/landingshift/testbed/simulation/server.py
+++ b/landingshift/testbed/simulation/server.py
@@ -27,16 +27,16 @@
     Stopping,
     Tenant,
 )
-from landingshift.coldstart.agent import Agent, Seen
-from landingshift.coldstart.seek import Seek
-from landingshift.coldstart.strain import Strain
+from landingshift.coldstart.coordinator import ColdStartCoordinator, LoadObservation
+from landingshift.coldstart.downstream_saturation import DownstreamSaturation
+from landingshift.coldstart.service_discovery import ServiceDiscoveryPoller
 from landingshift.consensus.raft import Stored
 from landingshift.maintenance.book import NAME, Book
 from landingshift.maintenance.foreman import Foreman
 from landingshift.maintenance.machine import Hand, heard
-from landingshift.membership.members import Member
-from landingshift.membership.messages import GONE, Message, Record, State
-from landingshift.membership.node import Node, Times
+from landingshift.membership.member_table import Member
+from landingshift.membership.messages import DEPARTED_STATES, MemberRecord, MemberState, Message
+from landingshift.membership.node import SwimNode, SwimTimings
 from landingshift.policies.part import Part
 from landingshift.testbed.simulation.virtual_time import Address, Host
 from landingshift.testbed.verification.invariants import GRACE
@@ -100,22 +100,30 @@
         self.town, self.i, self.name, self.host, self.away = town, i, f"n{i}", host, town.away
         now, chance = host.clock(), town.chance_of(i, run)
         self.disk = town.disks[i]
-        me = Record(self.name, *address(i), f"z{i % 2}", chance.getrandbits(40), 0, 0, State.ALIVE, "", {})
-        times = Times(probe=20.0, suspect=20.0) if self.away == "suspect" else Times()
-        self.node = Node(me, town.peers(i), times, 1000, chance, now, self.heard_of)
-        self.node.watchers.append(self.sees)
-        self.node.handlers |= {"policies": self.hear_policies, NAME: self.hear_work}
-        self.agent = Agent(self.node, town.plan, chance, now)
-        if self.away == "quiet" and self.agent.lending is not None:
-            lending = self.agent.lending
-            lending.shares.quiet_until = lending.places.lender.quiet_until = now
-        self.seek = Seek(town.day.servers, 20.0, True, 3000.0, chance, now)
-        self.strain = Strain()
+        me = MemberRecord(
+            self.name, *address(i), f"z{i % 2}", chance.getrandbits(40), 0, 0, MemberState.ALIVE, "", {}
+        )
+        times = (
+            SwimTimings(ack_timeout_ms=20.0, min_suspicion_ms=20.0)
+            if self.away == "suspect"
+            else SwimTimings()
+        )
+        self.node = SwimNode(me, town.peers(i), times, 1000, chance, now, self.heard_of)
+        self.node.state_observers.append(self.sees)
+        self.node.message_handlers |= {"policies": self.hear_policies, NAME: self.hear_work}
+        self.agent = ColdStartCoordinator(self.node, town.plan, chance, now)
+        if self.away == "quiet" and self.agent.grantor is not None:
+            lending = self.agent.grantor
+            lending.call_quota_grantor.recovery_grace_until_ms = (
+                lending.start_permits.lease_grantor.recovery_grace_until_ms
+            ) = now
+        self.seek = ServiceDiscoveryPoller(town.day.servers, 20.0, True, 3000.0, chance, now)
+        self.strain = DownstreamSaturation()
         journal = copied(self.disk.journal) if self.disk.journal is not None else None
         self.part = Part(
-            self.name, me.run, town.rules, lambda policy: "", journal, chance, now, self.wall, town.times
+            self.name, me.run_id, town.rules, lambda policy: "", journal, chance, now, self.wall, town.times
         )
-        self.part.follower.others = lambda: self.node.members.present
+        self.part.follower.others = lambda: self.node.member_table.present_names
         self.hand = Hand(self.disk.mark)
         self.book = Book()
         self.foreman: Foreman | None = None
@@ -123,9 +131,15 @@
             self.part.shelf.add(NAME, self.book)
             self.part.hearers.append(self.taken)
             self.foreman = Foreman(
-                self.book, town.work, self.propose, self.leads, self.gone, self.node.members.names, self.wall,
+                self.book,
+                town.work,
+                self.propose,
+                self.leads,
+                self.gone,
+                self.node.member_table.known_names,
+                self.wall,
                 lambda *_, **__: None,
-            )  # fmt: skip
+            )
         self.without()
         self.tenant = Tenant(100_000.0)
         self.server = Server(settings(town.day.servers, self.tenant), chance.getrandbits(32), self, now)
@@ -149,7 +163,7 @@
 
     def without(self) -> None:
         """Takes the defence that is away, where it lies in one of the packages' objects."""
-        voter, desk, lending = self.part.voter, self.part.desk, self.agent.lending
+        voter, desk, lending = self.part.voter, self.part.desk, self.agent.grantor
         if self.away == "sure" and voter is not None:
             voter.sure = lambda now: voter.role.value == "leader"  # type: ignore[method-assign]
         if self.away == "arm" and desk is not None:
@@ -158,15 +172,15 @@
         if self.away == "end":
             self.hand.goes = self.goes_anyhow  # type: ignore[method-assign]
         if self.away == "booking" and lending is not None:
-            asked = lending.shares.asked
+            asked = lending.call_quota_grantor.renew
 
             def forgets(name: str, *rest: Any) -> float | None:
                 amount = asked(name, *rest)
-                if amount is not None and name in lending.shares.grants:
-                    lending.shares.grants[name].booked = amount
+                if amount is not None and name in lending.call_quota_grantor.grants:
+                    lending.call_quota_grantor.grants[name].booked_amount = amount
                 return amount
 
-            lending.shares.asked = forgets  # type: ignore[method-assign,assignment]
+            lending.call_quota_grantor.renew = forgets  # type: ignore[method-assign,assignment]
 
     def goes_anyhow(self, now: float) -> bool:
         self.hand.going = self.hand.leave.number
@@ -188,22 +202,27 @@
         if event == "fleet_dead":
             self.note("buried", fields["name"])
 
-    def sees(self, member: Member, was: State | None) -> None:
-        gone = member.record.state in GONE
-        if gone != (was is None or was in GONE):
+    def sees(self, member: Member, was: MemberState | None) -> None:
+        gone = member.record.state in DEPARTED_STATES
+        if gone != (was is None or was in DEPARTED_STATES):
             self.note("sees", member.record.name, not gone)
 
     # For the world
 
-    def next(self) -> float:
+    def next_deadline_ms(self) -> float:
         return min(
-            self.node.next(), self.part.next(), self.server.alarm, self.look_at, self.work_at, self.ends_at
+            self.node.next_deadline_ms(),
+            self.part.next(),
+            self.server.alarm,
+            self.look_at,
+            self.work_at,
+            self.ends_at,
         )
 
-    def hear(self, message: Any, now: float) -> None:
+    def on_message(self, message: Any, now: float) -> None:
         match message:
             case Message():
-                self.node.hear(message, now)
+                self.node.on_message(message, now)
             case "read", Sent() as rpc, waited:
                 self.read(rpc, waited, now)
             case "notice", float(away):
@@ -216,20 +235,20 @@
                     self.answer(job.rpc, "ok")
             case "needs", Job() as job:
                 self.server.now = now
-                self.strain.needed(now)
+                self.strain.on_call_wanted(now)
                 self.server.wants_call(job)
                 self.cut(job)
             case "called", Job() as job, bool(good), float(ms):
                 self.server.now = now
-                self.strain.called(now, good, ms)
+                self.strain.on_call_finished(now, good, ms)
                 self.filled += good
                 self.server.call_done(job, Outcome.OK if good else Outcome.NO_ANSWER, ms)
                 if not good:
                     self.cut(job)
 
-    def tick(self, now: float) -> None:
-        if self.node.next() <= now:
-            self.node.tick(now)
+    def on_timer(self, now: float) -> None:
+        if self.node.next_deadline_ms() <= now:
+            self.node.on_timer(now)
         if self.part.next() <= now:
             self.part.tick(now)
         if now >= self.look_at:
@@ -242,7 +261,7 @@
             busy = len(self.busy)
             self.server.woken(Gauges(min(1.0, busy / CORES), float(busy), 3.0))
 
-    def take_out(self) -> list[tuple[Address, Any]]:
+    def take_outgoing(self) -> list[tuple[Address, Any]]:
         """The end of a pass: the module settles, what must be on disk is written, then messages go."""
         now = self.clock()
         self.decide(now)
@@ -254,10 +273,10 @@
                 break
             out = self.part.take_out()
             for to, body in out:
-                self.node.say(to, "policies", body)
+                self.node.send_to_member(to, "policies", body)
             if not out:
                 break
-        return self.node.take_out() if self.host.up else []
+        return self.node.take_outgoing() if self.host.up else []
 
     # Disk, policies, and by what the module decides
 
@@ -289,7 +308,7 @@
                 server.stand_aside(not may)
         server.settle()
 
-    def hear_policies(self, sender: Record, body: list[Any]) -> None:
+    def hear_policies(self, sender: MemberRecord, body: list[Any]) -> None:
         self.part.hear(sender.name, body, self.clock())
 
     def propose(self, data: bytes) -> bool:
@@ -307,28 +326,34 @@
         return min(1.0, (self.clock() - self.server.born) / COLD, self.filled / FILL)
 
     def look(self, now: float) -> None:
-        self.node.now = now
-        started = self.agent.start
-        seen = Seen(
-            warmth=self.warmth(), need=max(1.0, 1.25 * self.strain.need(now)) if started.open else 0.0,
-            work=self.server.values.size(now) / 2.0,
-            strain=self.strain.value(now, self.agent.told_base), base=self.strain.base,
-        )  # fmt: skip
+        self.node.now_ms = now
+        started = self.agent.start_sequence
+        seen = LoadObservation(
+            warm_fraction=self.warmth(),
+            needed_calls_per_second=max(1.0, 1.25 * self.strain.wanted_calls_per_second(now))
+            if started.is_open
+            else 0.0,
+            waiting_rpcs_per_second=self.server.values.size(now) / 2.0,
+            saturation=self.strain.saturation(now, self.agent.told_baseline_ms),
+            baseline_latency_ms=self.strain.baseline_latency_ms,
+        )
         if self.agent.step(now, seen):
-            self.opened = started.open
-        share = self.agent.share(now)
+            self.opened = started.is_open
+        share = self.agent.call_quota(now)
         if share != self.share:
             self.share = share
             self.server.now = now
             self.server.use_below(share)
-        if self.town.list_up and self.seek.step(now, self.node.joined):
-            self.seek.over(now, True)
-            self.node.add_peers(self.town.peers(self.i))
-        for lender, loans in self.agent.loans.items():
+        if self.town.list_up and self.seek.poll_due(now, self.node.has_joined):
+            self.seek.on_poll_finished(now, True)
+            self.node.add_contact_addresses(self.town.peers(self.i))
+        for lender, loans in self.agent.held_leases.items():
             had = (
-                loans.share.held, self.host.world_time(loans.share.end), loans.place.held,
-                self.host.world_time(loans.place.end),
-            )  # fmt: skip
+                loans.call_quota.held_amount,
+                self.host.world_time(loans.call_quota.expires_at_ms),
+                loans.start_permit.held_amount,
+                self.host.world_time(loans.start_permit.expires_at_ms),
+            )
             if self.held.get(lender) != had:
                 self.held[lender] = had
                 self.note("loan", lender, *had)
@@ -338,7 +363,7 @@
     def work(self, now: float) -> None:
         if now - self.reads_at >= 1000.0:
             self.load, self.reads, self.reads_at = self.reads * 1000.0 / (now - self.reads_at), 0, now
-        self.node.now = now
+        self.node.now_ms = now
         self.report(now)
         if self.foreman is not None:
             self.foreman.step(now)
@@ -350,18 +375,18 @@
         body = self.hand.report(now, CAPACITY, f"m{self.i % 2}", False, warmth, self.load, self.ok, self.all)
         leader = self.part.follower.leader
         if leader == self.name:
-            self.hear_work(self.node.me, body)
+            self.hear_work(self.node.local_record, body)
         elif leader:
-            self.node.say(leader, NAME, body)
+            self.node.send_to_member(leader, NAME, body)
 
-    def hear_work(self, sender: Record, body: list[Any]) -> None:
+    def hear_work(self, sender: MemberRecord, body: list[Any]) -> None:
         match body:
             case ["at", *_]:
                 answer = heard(self.foreman, sender, self.part.follower.voters, body, self.clock())
                 if answer is not None and sender.name == self.name:
                     self.hear_work(sender, answer)
                 elif answer is not None:
-                    self.node.say(sender.name, NAME, answer)
+                    self.node.send_to_member(sender.name, NAME, answer)
             case ["told", int(number), str(stage), int(permission), float(lasts)]:
                 if self.hand.told(number, stage, permission, lasts) and self.hand.goes(self.clock()):
                     self.disk.mark = self.hand.going
@@ -371,8 +396,8 @@
                     self.drain(self.town.work_ms(self.name))
 
     def gone(self, name: str) -> bool:
-        record = self.node.members.get(name)
-        return record is None or record.state in GONE
+        record = self.node.member_table.record(name)
+        return record is None or record.state in DEPARTED_STATES
 
     def taken(self, now: float) -> None:
         if self.foreman is not None:
@@ -483,16 +508,22 @@
     @property
     def listed(self) -> bool:
         """Whether gateways may hear of it: as services hold its health back on a real server."""
-        return self.good and self.agent.start.open and self.may and self.ends_at == inf
+        return self.good and self.agent.start_sequence.is_open and self.may and self.ends_at == inf
 
     def sizes(self) -> dict[str, int]:
         """Of all that could grow, against the bounds that `promises` has."""
         node, part, follower = self.node, self.part, self.part.follower
         found = {
-            "out": len(node.out), "errands": len(node.errands), "book": len(node.book),
-            "table": len(node.members.table), "words": len(part.errands), "answers": len(part.answers),
-            "sent": len(follower.sent), "reports": len(self.hand.sent), "jobs": len(self.jobs),
-        }  # fmt: skip
+            "out": len(node.outbox),
+            "errands": len(node.indirect_probes),
+            "book": len(node.contact_addresses),
+            "table": len(node.member_table.members),
+            "words": len(part.errands),
+            "answers": len(part.answers),
+            "sent": len(follower.sent),
+            "reports": len(self.hand.sent),
+            "jobs": len(self.jobs),
+        }
         if part.voter is not None:
             found |= {"log": len(part.voter.stored.entries), "votes": len(part.voter.out)}
         return found
--- a/landingshift/testbed/simulation/virtual_time.py
+++ b/landingshift/testbed/simulation/virtual_time.py
@@ -17,10 +17,10 @@
 
 
 class Mind(Protocol):
-    def hear(self, message: Any, now: float) -> None: ...
-    def tick(self, now: float) -> None: ...
-    def next(self) -> float: ...
-    def take_out(self) -> list[tuple[Address, Any]]: ...
+    def on_message(self, message: Any, now_ms: float) -> None: ...
+    def on_timer(self, now_ms: float) -> None: ...
+    def next_deadline_ms(self) -> float: ...
+    def take_outgoing(self) -> list[tuple[Address, Any]]: ...
 
 
 class Host:
@@ -48,7 +48,7 @@
         if self.up and self.world.now >= self.until:
             waiting, self.waiting = self.waiting, []
             for message in waiting:  # sockets are read before timers fire
-                self.mind.hear(message, self.clock())
+                self.mind.on_message(message, self.clock())
             self.turn()
 
     def arrive(self, message: Any) -> None:
@@ -62,19 +62,21 @@
             if not stopped:
                 self.world.after(self.world.chance.expovariate(1.0 / self.lag), self.wake)
             return
-        self.mind.hear(message, self.clock())
+        self.mind.on_message(message, self.clock())
         self.turn(False)
 
     def turn(self, tick: bool = True) -> None:
         if not self.up or self.world.now < self.until:
             return
-        due = self.mind.next()
+        due = self.mind.next_deadline_ms()
         if tick and due <= self.clock() + ROUNDING:
-            self.mind.tick(max(due, self.clock()))  # sums with an offset may fall short of what was asked for
-        for to, message in self.mind.take_out():
+            self.mind.on_timer(
+                max(due, self.clock())
+            )  # sums with an offset may fall short of what was asked for
+        for to, message in self.mind.take_outgoing():
             self.said += 1
             self.world.carry(self.address, to, message)
-        due = max((self.mind.next() - self.offset) / self.pace, self.world.now)
+        due = max((self.mind.next_deadline_ms() - self.offset) / self.pace, self.world.now)
         if due < self.due or self.due <= self.world.now:
             self.due = due
             late = self.world.chance.expovariate(1.0 / self.lag) if self.lag else 0.0
--- a/landingshift/testbed/verification/search_leases.py
+++ b/landingshift/testbed/verification/search_leases.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from landingshift.coldstart.leases import Lender, Loan, fair
+from landingshift.coldstart.leases import HeldLease, LeaseGrantor, max_min_fair_shares
 
 LEASE, SPARE = 300.0, 40.0
 STEP = 100.0  # ms
@@ -33,8 +33,8 @@
 
 @dataclass
 class State:
-    lender: Lender
-    loans: dict[str, Loan]
+    lender: LeaseGrantor
+    loans: dict[str, HeldLease]
     runs: dict[str, int]
     now: float = 10_000.0
     way: list[tuple[Any, ...]] = field(default_factory=list)
@@ -42,22 +42,30 @@
     spent: Spent = field(default_factory=Spent)
 
     def believed(self) -> float:
-        living = sum(loan.amount(self.now) for loan in self.loans.values())
+        living = sum(loan.usable_amount(self.now) for loan in self.loans.values())
         return living + sum(amount for amount, end in self.ghosts if end > self.now)
 
     def key(self) -> Any:
         now, lender = self.now, self.lender
         grants = [
-            (n, g.run, g.number, g.amount, g.booked, g.end - now, g.wanted)
+            (n, g.run_id, g.request_number, g.amount, g.booked_amount, g.expires_at_ms - now, g.wanted_amount)
             for n, g in sorted(lender.grants.items())
         ]
         loans = [
-            (n, self.runs[n], o.number, o.answered, o.held, max(0.0, o.end - now), now - o.sent_at)
+            (
+                n,
+                self.runs[n],
+                o.request_number,
+                o.is_answered,
+                o.held_amount,
+                max(0.0, o.expires_at_ms - now),
+                now - o.requested_at_ms,
+            )
             for n, o in self.loans.items()
         ]
         ghosts = sorted((a, e - now) for a, e in self.ghosts if e > now)
         way = sorted(map(repr, self.way))
-        return repr((grants, max(0.0, lender.quiet_until - now), loans, ghosts, way, self.spent))
+        return repr((grants, max(0.0, lender.recovery_grace_until_ms - now), loans, ghosts, way, self.spent))
 
 
 class Search:
@@ -67,15 +75,15 @@
         self.quiet, self.books = quiet, books
         self.states, self.broken, self.most = 0, "", 0.0
 
-    def lender(self, now: float) -> Lender:
-        lender = Lender(CAPACITY, LEASE, SPARE, now, fair)
+    def lender(self, now: float) -> LeaseGrantor:
+        lender = LeaseGrantor(CAPACITY, LEASE, SPARE, now, max_min_fair_shares)
         if not self.quiet:
-            lender.quiet_until = now
+            lender.recovery_grace_until_ms = now
         return lender
 
     def begin(self) -> State:
         lender = self.lender(0.0)
-        state = State(lender, {n: Loan(LEASE) for n in WANTS}, dict.fromkeys(WANTS, 1))
+        state = State(lender, {n: HeldLease(LEASE) for n in WANTS}, dict.fromkeys(WANTS, 1))
         for step in (("ask", "a"), ("deliver", 0), ("deliver", 0)):
             state = self.take(state, step)
         state.spent = Spent()
@@ -107,7 +115,7 @@
                 self.deliver(state, state.way.pop(i))
             case "ask", str(name):
                 spent.asks -= 1
-                number, claims = state.loans[name].ask(state.now)
+                number, claims = state.loans[name].next_request(state.now)
                 state.way.append(("ask", name, state.runs[name], number, claims))
             case "lose", int(i):
                 spent.losses -= 1
@@ -124,20 +132,20 @@
             case "holder", str(name):
                 spent.restarts -= 1
                 loan = state.loans[name]
-                state.ghosts.append((loan.held, loan.end))
-                state.loans[name], state.runs[name] = Loan(LEASE), state.runs[name] + 1
+                state.ghosts.append((loan.held_amount, loan.expires_at_ms))
+                state.loans[name], state.runs[name] = HeldLease(LEASE), state.runs[name] + 1
         return state
 
     def deliver(self, state: State, message: tuple[Any, ...]) -> None:
         match message:
             case "ask", str(name), int(run), int(number), float(claims):
-                amount = state.lender.asked(name, run, number, claims, WANTS[name], state.now)
+                amount = state.lender.renew(name, run, number, claims, WANTS[name], state.now)
                 if amount is not None:
                     if not self.books:
-                        state.lender.grants[name].booked = amount
+                        state.lender.grants[name].booked_amount = amount
                     state.way.append(("give", name, run, number, amount))
             case "give", str(name), int(run), int(number), float(amount) if run == state.runs[name]:
-                state.loans[name].answer(number, amount, state.now)
+                state.loans[name].on_grant(number, amount, state.now)
 
     def run(self, depth: int, most: int) -> Search:
         """All states up to `depth` steps, each once; ends at the first in which too much is believed in."""
--- a/tests/test_coldstart.py
+++ b/tests/test_coldstart.py
@@ -9,17 +9,27 @@
 from random import Random
 
 from landingshift import failpoints
-from landingshift.coldstart import snapshot
-from landingshift.coldstart.agent import Lending
-from landingshift.coldstart.leases import Lender, fair
-from landingshift.coldstart.pauses import Pauses, aim, spread
-from landingshift.coldstart.places import REST, Pace, Places, Wish, order
-from landingshift.coldstart.quiet import Boot, quiet
-from landingshift.coldstart.seek import ANSWER, Seek
-from landingshift.coldstart.snapshot import mark, marked, unmark
-from landingshift.coldstart.start import Stage, Start
-from landingshift.coldstart.strain import UNKNOWN, Strain
-from landingshift.membership.messages import Record, State
+from landingshift.coldstart import endpoint_cache
+from landingshift.coldstart.backoff import (
+    DecorrelatedJitterBackoff,
+    mean_rate_below_cap,
+    random_start_delay_ms,
+)
+from landingshift.coldstart.coordinator import ColdStartGrantor
+from landingshift.coldstart.downstream_saturation import UNKNOWN_SATURATION, DownstreamSaturation
+from landingshift.coldstart.endpoint_cache import mark, marked, unmark
+from landingshift.coldstart.leases import LeaseGrantor, max_min_fair_shares
+from landingshift.coldstart.recovery_grace import SystemBoot, recovery_grace_ms
+from landingshift.coldstart.service_discovery import ANSWER, ServiceDiscoveryPoller
+from landingshift.coldstart.start_permits import (
+    REST,
+    AdaptiveLimit,
+    PermitRequest,
+    StartPermitPool,
+    assign_permits,
+)
+from landingshift.coldstart.start_sequence import StartSequence, StartStage
+from landingshift.membership.messages import MemberRecord, MemberState
 from landingshift.testbed.experiments.cold_start import experiment
 from landingshift.testbed.simulation.cold_start import Case
 from landingshift.testbed.simulation.leases import LEASE, SPARE
@@ -35,17 +45,17 @@
             ({}, {}),
         ]:
             with self.subTest(wanted=wanted):
-                self.assertEqual(fair(wanted, 10.0), parts)
+                self.assertEqual(max_min_fair_shares(wanted, 10.0), parts)
 
     def test_nonsense_is_bounded(self) -> None:
-        lender = Lender(10.0, LEASE, SPARE, 0.0, fair)
-        self.assertEqual(lender.asked("a", 1, 1, 1e9, 5.0, 2000.0), 5.0)
-        self.assertLessEqual(lender.booked(), 10.0)
-        self.assertEqual(lender.asked("b", 1, 1, 1e9, 1e9, 2000.0), 0.0)  # all is still booked for the liar
-        lending = Lending(Case().plan(), 0.0)
-        who = Record("n9", "10.0.0.1", 1, "z", 1, 0, 0, State.ALIVE, "", {})
+        lender = LeaseGrantor(10.0, LEASE, SPARE, 0.0, max_min_fair_shares)
+        self.assertEqual(lender.renew("a", 1, 1, 1e9, 5.0, 2000.0), 5.0)
+        self.assertLessEqual(lender.booked_amount(), 10.0)
+        self.assertEqual(lender.renew("b", 1, 1, 1e9, 1e9, 2000.0), 0.0)  # all is still booked for the liar
+        lending = ColdStartGrantor(Case().plan(), 0.0)
+        who = MemberRecord("n9", "10.0.0.1", 1, "z", 1, 0, 0, MemberState.ALIVE, "", {})
         for ask in ([], [1] * 8, ["x"] * 9, [-1] * 9, [1e300] * 9, [None] * 9):
-            self.assertIsNone(lending.asked(who, ask, 1.0))
+            self.assertIsNone(lending.on_request(who, ask, 1.0))
 
 
 class EveryOrder(unittest.TestCase):
@@ -72,7 +82,7 @@
             ("a", "b", -50.0, 1830.0),
         ]:
             with self.subTest(had=had, uptime=uptime):
-                self.assertEqual(quiet(1830.0, Boot(boot, uptime), had), ms)
+                self.assertEqual(recovery_grace_ms(1830.0, SystemBoot(boot, uptime), had), ms)
 
     def test_the_mark_is_there_and_back_and_what_cannot_be_read_is_none(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
@@ -91,8 +101,8 @@
 
 class PlacesToStart(unittest.TestCase):
     def test_who_is_next(self) -> None:
-        def wishes(*rows: tuple[str, str, float, float]) -> dict[str, Wish]:
-            return {name: Wish(zone, work, since) for name, zone, work, since in rows}
+        def wishes(*rows: tuple[str, str, float, float]) -> dict[str, PermitRequest]:
+            return {name: PermitRequest(zone, work, since) for name, zone, work, since in rows}
 
         rows = [("a", "x", 5.0, 0.0), ("b", "x", 9.0, 0.0), ("c", "y", 1.0, 0.0), ("d", "y", 1.0, -5.0)]
         for holding, free, chosen in [
@@ -100,55 +110,55 @@
             (["c"], 2, ["b", "a"]), ([], 9, ["b", "d", "a", "c"]),
         ]:  # fmt: skip
             with self.subTest(holding=holding, free=free):
-                self.assertEqual(order(wishes(*rows), holding, free), chosen)
+                self.assertEqual(assign_permits(wishes(*rows), holding, free), chosen)
 
     def test_the_number_follows_strain(self) -> None:
-        pace = Pace(4.0, 20.0, 0.0)
+        pace = AdaptiveLimit(4.0, 20.0, 0.0)
         limits = []
         for window in range(1, 12):
-            pace.strain(5.0 if window == 4 else 0.1)
-            pace.look(1000.0 * window, True)
+            pace.record_saturation(5.0 if window == 4 else 0.1)
+            pace.evaluate(1000.0 * window, True)
             limits.append(pace.limit)
         self.assertEqual(limits[:5], [8.0, 16.0, 20.0, 10.0, 10.0])
         self.assertEqual(limits[3 : 4 + REST], [10.0] * (1 + REST))
         self.assertEqual([round(v, 1) for v in limits[4 + REST :][:2]], [11.0, 12.1])  # no doubling any more
         limit = pace.limit
         for window in range(12, 20):  # a fallen store that nobody calls is not well: the share must not grow
-            pace.strain(UNKNOWN)
-            pace.look(1000.0 * window, True)
+            pace.record_saturation(UNKNOWN_SATURATION)
+            pace.evaluate(1000.0 * window, True)
         self.assertEqual(pace.limit, limit)
         for window in range(20, 60):
-            pace.strain(5.0)
-            pace.look(1000.0 * window, True)
+            pace.record_saturation(5.0)
+            pace.evaluate(1000.0 * window, True)
         self.assertEqual(pace.limit, pace.least)  # never quite none: one tries now and then
 
     def test_where_nobody_can_start_who_could_tell_one_tries(self) -> None:
         # Cut below one place, with only those asking that wait and tell nothing: they waited for ever.
-        pace = Pace(1.0, 20.0, 0.0)
+        pace = AdaptiveLimit(1.0, 20.0, 0.0)
         for window in range(1, 9):
-            pace.strain(5.0)
-            pace.look(1000.0 * window, True)
+            pace.record_saturation(5.0)
+            pace.evaluate(1000.0 * window, True)
         self.assertEqual(pace.limit, pace.least)
         for window in range(9, 40):
-            pace.strain(UNKNOWN)
-            pace.look(1000.0 * window, True)
+            pace.record_saturation(UNKNOWN_SATURATION)
+            pace.evaluate(1000.0 * window, True)
         self.assertEqual(pace.limit, 1.0)  # and no more than one
 
     def test_a_place_is_kept_lapses_and_is_not_taken_back(self) -> None:
-        places = Places(2.0, 2.0, LEASE, SPARE, -5000.0)
-        wish = lambda: Wish("z", 1.0, 0.0)  # noqa: E731
-        given = [places.asked(name, 1, 1, 0.0, wish(), 0.0, 0.0) for name in "abc"]
+        places = StartPermitPool(2.0, 2.0, LEASE, SPARE, -5000.0)
+        wish = lambda: PermitRequest("z", 1.0, 0.0)  # noqa: E731
+        given = [places.renew(name, 1, 1, 0.0, wish(), 0.0, 0.0) for name in "abc"]
         self.assertEqual(given, [1.0, 1.0, 0.0])
-        places.lender.capacity = 1.0  # something strained since: who has begun goes on
-        self.assertEqual(places.asked("a", 1, 2, 1.0, wish(), 0.0, 500.0), 1.0)
-        self.assertEqual(places.asked("c", 1, 2, 0.0, wish(), 0.0, 500.0), 0.0)
-        places.lender.capacity = 2.0
+        places.lease_grantor.capacity = 1.0  # something strained since: who has begun goes on
+        self.assertEqual(places.renew("a", 1, 2, 1.0, wish(), 0.0, 500.0), 1.0)
+        self.assertEqual(places.renew("c", 1, 2, 0.0, wish(), 0.0, 500.0), 0.0)
+        places.lease_grantor.capacity = 2.0
         # "b" is silent: killed, stopped or cut off. Its place goes on once its lease has run out, not before.
-        self.assertEqual(places.asked("c", 1, 3, 0.0, wish(), 0.0, 1000.0), 0.0)
-        self.assertEqual(places.asked("c", 1, 4, 0.0, wish(), 0.0, 1200.0), 1.0)
-        self.assertEqual(places.asked("a", 1, 3, 1.0, None, 0.0, 1300.0), 0.0)  # warm: gives it back
-        self.assertEqual(places.asked("a", 1, 4, 0.0, None, 0.0, 1400.0), 0.0)
-        self.assertEqual(places.in_use(), 1)
+        self.assertEqual(places.renew("c", 1, 3, 0.0, wish(), 0.0, 1000.0), 0.0)
+        self.assertEqual(places.renew("c", 1, 4, 0.0, wish(), 0.0, 1200.0), 1.0)
+        self.assertEqual(places.renew("a", 1, 3, 1.0, None, 0.0, 1300.0), 0.0)  # warm: gives it back
+        self.assertEqual(places.renew("a", 1, 4, 0.0, None, 0.0, 1400.0), 0.0)
+        self.assertEqual(places.permits_in_use(), 1)
 
 
 class OneServer(unittest.TestCase):
@@ -163,40 +173,40 @@
             ([(1, 0, 0.0, 0)] * 7 + [(1, 0, 0.0, 1), (1, 1, 0.0, 1)], "waiting alone waiting starting"),
         ]:
             with self.subTest(stages=stages):
-                start = Start(5000.0, 10, 1.0, Random(1), 0.0)
-                seen = [Stage.SEEKING]
+                start = StartSequence(5000.0, 10, 1.0, Random(1), 0.0)
+                seen = [StartStage.SEEKING]
                 for second, (lenders, place, warmth, answered) in enumerate(facts):
                     if answered:
-                        start.heard = second * 1000.0
-                    start.step(second * 1000.0, lenders, bool(place), warmth)
+                        start.last_grantor_response_ms = second * 1000.0
+                    start.advance(second * 1000.0, lenders, bool(place), warmth)
                     if start.stage is not seen[-1]:
                         seen.append(start.stage)
-                wanted = [Stage(s) for s in stages.split()]
-                self.assertEqual(seen if wanted[0] is Stage.SEEKING else seen[1:], wanted)
+                wanted = [StartStage(s) for s in stages.split()]
+                self.assertEqual(seen if wanted[0] is StartStage.SEEKING else seen[1:], wanted)
 
     def test_turns_alone_are_spread(self) -> None:
         chance = Random(3)
-        turns = sorted(spread(chance, 200, aim(20.0)) for _ in range(200))
+        turns = sorted(random_start_delay_ms(chance, 200, mean_rate_below_cap(20.0)) for _ in range(200))
         worst = max(sum(t <= u < t + 1000.0 for u in turns) for t in turns)
         self.assertLessEqual(worst, 22)
 
     def test_pauses_grow_apart_and_are_bounded(self) -> None:
-        pauses = [Pauses(Random(i), 100.0, 5000.0) for i in range(50)]
-        rows = [[p.next() for p in pauses] for _ in range(12)]
+        pauses = [DecorrelatedJitterBackoff(Random(i), 100.0, 5000.0) for i in range(50)]
+        rows = [[p.next_pause_ms() for p in pauses] for _ in range(12)]
         self.assertTrue(all(100.0 <= v <= 5000.0 for row in rows for v in row))
         self.assertGreater(max(rows[1]) - min(rows[1]), 300.0)
         self.assertGreater(sum(rows[-1]), 5.0 * sum(rows[0]))
 
     def test_the_list_is_asked_late_once_at_a_time_and_not_when_joined(self) -> None:
-        seek = Seek(100, 20.0, True, 3000.0, Random(1), 0.0)
-        self.assertGreaterEqual(seek.at, 3000.0)
-        self.assertFalse(seek.step(seek.at, True))
-        self.assertTrue(seek.step(seek.at, False))
-        self.assertFalse(seek.step(seek.at + 10.0, False))
-        due = seek.next()
-        self.assertFalse(seek.step(due, False))  # silence for ANSWER ms: it failed, and waits
-        self.assertGreater(seek.at, due)
-        self.assertEqual((seek.failed, seek.asks, round(due - ANSWER) > 0), (1, 1, True))
+        seek = ServiceDiscoveryPoller(100, 20.0, True, 3000.0, Random(1), 0.0)
+        self.assertGreaterEqual(seek.next_poll_ms, 3000.0)
+        self.assertFalse(seek.poll_due(seek.next_poll_ms, True))
+        self.assertTrue(seek.poll_due(seek.next_poll_ms, False))
+        self.assertFalse(seek.poll_due(seek.next_poll_ms + 10.0, False))
+        due = seek.next_deadline_ms()
+        self.assertFalse(seek.poll_due(due, False))  # silence for ANSWER ms: it failed, and waits
+        self.assertGreater(seek.next_poll_ms, due)
+        self.assertEqual((seek.consecutive_failures, seek.poll_count, round(due - ANSWER) > 0), (1, 1, True))
 
     def test_strain_by_what_the_store_answers(self) -> None:
         for good, bad, took, told, low, high in [
@@ -204,22 +214,24 @@
             (0, 8, 0.0, 0.0, 3.9, 4.1), (0, 1, 0.0, 20.0, 3.9, 4.1), (20, 0, 900.0, 0.0, 0.0, 0.01),
         ]:  # fmt: skip
             with self.subTest(good=good, bad=bad, took=took, told=told):
-                strain = Strain()
+                strain = DownstreamSaturation()
                 for i in range(good + bad):
-                    strain.called(1000.0 + i, i < good, took)
-                self.assertTrue(low <= strain.value(1100.0, told) <= high, strain.value(1100.0, told))
+                    strain.on_call_finished(1000.0 + i, i < good, took)
+                self.assertTrue(
+                    low <= strain.saturation(1100.0, told) <= high, strain.saturation(1100.0, told)
+                )
                 # Nothing stays on after its cause; and that nothing was called is not that all is well.
-                self.assertEqual(strain.value(60_000.0, told), UNKNOWN)
+                self.assertEqual(strain.saturation(60_000.0, told), UNKNOWN_SATURATION)
 
     def test_need_of_one_that_has_just_begun_counts_since_it_began(self) -> None:
-        strain = Strain()
+        strain = DownstreamSaturation()
         for i in range(20):  # forty a second
-            strain.needed(1000.0 + 25.0 * i)
-        self.assertAlmostEqual(strain.need(1500.0), 40.0, delta=2.0)
+            strain.on_call_wanted(1000.0 + 25.0 * i)
+        self.assertAlmostEqual(strain.wanted_calls_per_second(1500.0), 40.0, delta=2.0)
         for i in range(20, 160):
-            strain.needed(1000.0 + 25.0 * i)
-        self.assertAlmostEqual(strain.need(5000.0), 40.0, delta=5.0)
-        self.assertEqual(strain.need(60_000.0), 0.0)
+            strain.on_call_wanted(1000.0 + 25.0 * i)
+        self.assertAlmostEqual(strain.wanted_calls_per_second(5000.0), 40.0, delta=5.0)
+        self.assertEqual(strain.wanted_calls_per_second(60_000.0), 0.0)
 
 
 class List(unittest.TestCase):
@@ -230,17 +242,17 @@
         self.entries = [("10.0.0.1", 7101), ("10.0.0.2", 7101)]
 
     def test_there_and_back_with_its_age(self) -> None:
-        snapshot.save(self.path, "lab", self.entries, 5_000.0)
+        endpoint_cache.save(self.path, "lab", self.entries, 5_000.0)
         for now, age in [
             (65_000.0, 60_000.0),
             (4_000.0, -1_000.0),
             (30 * 86_400_000.0, 30 * 86_400_000.0 - 5e3),
         ]:
-            found = snapshot.load(self.path, "lab", now)
+            found = endpoint_cache.load(self.path, "lab", now)
             self.assertEqual((found.entries, found.age, found.why), (self.entries, age, ""))
 
     def test_whatever_is_wrong_is_named_and_stops_nothing(self) -> None:
-        snapshot.save(self.path, "lab", self.entries, 5_000.0)
+        endpoint_cache.save(self.path, "lab", self.entries, 5_000.0)
         with open(self.path, "rb") as file:
             data = file.read()
         for bad, why in [
@@ -250,24 +262,24 @@
             with self.subTest(why=why, size=len(bad)):
                 with open(self.path, "wb") as file:
                     file.write(bad)
-                found = snapshot.load(self.path, "lab", 0.0)
+                found = endpoint_cache.load(self.path, "lab", 0.0)
                 self.assertEqual((found.entries, found.why), ([], why))
-        snapshot.save(self.path, "other", self.entries, 5_000.0)
-        self.assertIn("another fleet", snapshot.load(self.path, "lab", 0.0).why)
-        self.assertTrue(snapshot.load(self.path + "x", "lab", 0.0).why)
-        self.assertTrue(snapshot.load(os.path.dirname(self.path), "lab", 0.0).why)
+        endpoint_cache.save(self.path, "other", self.entries, 5_000.0)
+        self.assertIn("another fleet", endpoint_cache.load(self.path, "lab", 0.0).why)
+        self.assertTrue(endpoint_cache.load(self.path + "x", "lab", 0.0).why)
+        self.assertTrue(endpoint_cache.load(os.path.dirname(self.path), "lab", 0.0).why)
 
     def test_a_kill_leaves_the_old_one_or_the_new_one(self) -> None:
         self.addCleanup(failpoints.arm, "")
-        snapshot.save(self.path, "lab", self.entries, 1.0)
+        endpoint_cache.save(self.path, "lab", self.entries, 1.0)
         for point in ("coldstart.snapshot_half", "coldstart.snapshot_synced"):
             failpoints.arm(point)
             with self.assertRaises(failpoints.Crash):
-                snapshot.save(self.path, "lab", self.entries[:1], 2.0)
-            self.assertEqual(snapshot.load(self.path, "lab", 0.0).entries, self.entries)
+                endpoint_cache.save(self.path, "lab", self.entries[:1], 2.0)
+            self.assertEqual(endpoint_cache.load(self.path, "lab", 0.0).entries, self.entries)
         failpoints.arm("")
-        snapshot.save(self.path, "lab", self.entries[:1], 2.0)
-        self.assertEqual(snapshot.load(self.path, "lab", 0.0).entries, self.entries[:1])
+        endpoint_cache.save(self.path, "lab", self.entries[:1], 2.0)
+        self.assertEqual(endpoint_cache.load(self.path, "lab", 0.0).entries, self.entries[:1])
 
 
 class Whole(unittest.TestCase):
--- a/tests/test_coldstart_service.py
+++ b/tests/test_coldstart_service.py
@@ -11,7 +11,7 @@
 from concurrent.futures import Future
 from typing import ClassVar
 
-from landingshift.membership.talk import NoAnswer, ask
+from landingshift.membership.operator_rpc import OperatorRpcError, call_operator_rpc
 from landingshift.testbed import MEMORY
 from landingshift.testbed.experiments.cold_start_real import REAL, Fleet
 from landingshift.testbed.experiments.rows import Row
@@ -82,8 +82,8 @@
                 while found.get("stage") not in ("starting", "warm") and time.monotonic() < end:
                     time.sleep(0.2)
                     try:
-                        found = ask(place, "coldstart", [])
-                    except NoAnswer:
+                        found = call_operator_rpc(place, "coldstart", [])
+                    except OperatorRpcError:
                         continue
                 at = ["--at", "{}:{}".format(*place)]
                 told = json.loads(subprocess.check_output([*command, "shares", *at, "--json"]))
@@ -91,8 +91,8 @@
                 self.assertIn(told["stage"], ("starting", "warm"))
                 text = subprocess.check_output([*command, "lent", *at], text=True)
                 self.assertIn("calls_booked", text)
-                with self.assertRaises(NoAnswer) as caught:
-                    ask(fleet.rig.talks[3], "lent", [])
+                with self.assertRaises(OperatorRpcError) as caught:
+                    call_operator_rpc(fleet.rig.talks[3], "lent", [])
                 self.assertIn("lends nothing", str(caught.exception))
             finally:
                 fleet.rig.close()
--- a/tests/test_golden_protocol.py
+++ b/tests/test_golden_protocol.py
@@ -13,11 +13,11 @@
 
 from msgspec import msgpack
 
-from landingshift.coldstart import lists
-from landingshift.membership import letters, wire
-from landingshift.membership.letters import Letters
-from landingshift.membership.messages import Record, State
-from landingshift.membership.node import Node, Times
+from landingshift.coldstart import endpoint_list_client
+from landingshift.membership import large_messages, wire
+from landingshift.membership.large_messages import LargeMessageTransport
+from landingshift.membership.messages import MemberRecord, MemberState
+from landingshift.membership.node import SwimNode, SwimTimings
 from landingshift.net.program import features
 from landingshift.net.program.config import site as read_site
 from landingshift.net.protocol import database, engine, gateway, roster
@@ -141,41 +141,41 @@
     def test_large_messages(self) -> None:
         sent: list[bytes] = []
         loop = Loop(lambda: None)
-        node = Node(
-            Record("n1", "127.0.0.1", 7101, "z", 11, 0, 0, State.ALIVE, "", {}),
+        node = SwimNode(
+            MemberRecord("n1", "127.0.0.1", 7101, "z", 11, 0, 0, MemberState.ALIVE, "", {}),
             [],
-            Times(),
+            SwimTimings(),
             10,
             Random(5),
             0.0,
             lambda *_, **__: None,
         )
-        peer = Record("n2", "127.0.0.1", 7102, "z", 12, 0, 0, State.ALIVE, "", {})
-        node.members.learn(peer, 0.0)
-        talk = mock.Mock(calls={}, listener=mock.Mock(address=("127.0.0.1", 7101)))
-        large = Letters(loop, node, talk, "golden")
+        peer = MemberRecord("n2", "127.0.0.1", 7102, "z", 12, 0, 0, MemberState.ALIVE, "", {})
+        node.member_table.merge(peer, 0.0)
+        talk = mock.Mock(handlers={}, listener=mock.Mock(address=("127.0.0.1", 7101)))
+        large = LargeMessageTransport(loop, node, talk, "golden")
         body = ["text", "c1", 3, bytes(range(256)) * 60]
 
         class Recorded:
             def __init__(self, loop: Any, to: Any, host: Any, calls: list[bytes], done: Any) -> None:
                 sent.extend(calls)
 
-        with mock.patch.object(letters, "Letter", Recorded):
-            large.say("n2", "policies", body)
+        with mock.patch.object(large_messages, "LargeMessageTransfer", Recorded):
+            large.send_to_member("n2", "policies", body)
         assert_golden_json(self, "membership_large_message.json", {"calls": sent})
         heard: list[Any] = []
-        node.handlers["policies"] = lambda record, body: heard.append((record.name, body))
+        node.message_handlers["policies"] = lambda record, body: heard.append((record.name, body))
         for data in sent:
             *_, params = msgpack.decode(data)
-            params[1:3] = [peer.name, peer.run]  # parts come as if the peer had sent them
-            self.assertTrue(talk.calls["letter"](params))
+            params[1:3] = [peer.name, peer.run_id]  # parts come as if the peer had sent them
+            self.assertTrue(talk.handlers["letter"](params))
         self.assertEqual(heard, [("n2", body)])
 
     def test_question_to_the_list_service(self) -> None:
-        with mock.patch.object(lists, "connect") as connect:
-            connect.return_value = mock.Mock(spec=lists.Stream)
+        with mock.patch.object(endpoint_list_client, "connect") as connect:
+            connect.return_value = mock.Mock(spec=endpoint_list_client.Stream)
             told: list[Any] = []
-            question = lists.Question(
+            question = endpoint_list_client.EndpointListRequest(
                 Loop(lambda: None), ("127.0.0.1", 1), "golden", lambda *a: told.append(a)
             )
             written = connect.return_value.write.call_args.args[0]
@@ -240,7 +240,7 @@
         fleet: Any = host.services["fleet"]
 
         def answered(method: str, params: list[Any]) -> Any:
-            return msgpack.decode(fleet.talk.answer(7, method, params))
+            return msgpack.decode(fleet.operator_rpc.answer(7, method, params))
 
         end = time.monotonic() + 20.0
         while not answered("policy_status", [])[3].get("leads") and time.monotonic() < end:
--- a/tests/test_membership_service.py
+++ b/tests/test_membership_service.py
@@ -13,7 +13,7 @@
 import unittest
 from typing import Any
 
-from landingshift.membership.talk import NoAnswer, ask
+from landingshift.membership.operator_rpc import OperatorRpcError, call_operator_rpc
 from landingshift.testbed.processes.harness import TALK, unused_net
 from tests.helpers import CONFIG, Gateway, World, launch
 
@@ -35,7 +35,7 @@
         return World(self, toml=toml, name=f"n{i}", seed=f"{i + 1:x}", stop_ms=300)
 
     def call(self, i: int, name: str) -> Any:
-        return ask(self.places[i], name, [])
+        return call_operator_rpc(self.places[i], name, [])
 
     def states(self, i: int) -> dict[str, str]:
         return {row["name"]: row["state"] for row in self.call(i, "members")}
@@ -104,7 +104,7 @@
         self.assertIn("doubt", subprocess.check_output([*command, "status", *at], text=True))
         gone = subprocess.run([*command, "status", "--at", "127.0.0.1:1"], capture_output=True, text=True)
         self.assertEqual((gone.returncode, "127.0.0.1:1" in gone.stderr), (1, True))
-        with self.assertRaises(NoAnswer):
+        with self.assertRaises(OperatorRpcError):
             self.call(0, "nothing")
         with socket.create_connection(self.places[0], 5.0) as sock:
             sock.sendall(b"GET / HTTP/1.1\r\n\r\n")
