--- a/landingshift/testbed/simulation/server.py
+++ b/landingshift/testbed/simulation/server.py
@@ -31,9 +31,9 @@
 from landingshift.coldstart.downstream_saturation import DownstreamSaturation
 from landingshift.coldstart.service_discovery import ServiceDiscoveryPoller
 from landingshift.consensus.raft import Stored
-from landingshift.maintenance.book import NAME, Book
-from landingshift.maintenance.foreman import Foreman
-from landingshift.maintenance.machine import Hand, heard
+from landingshift.maintenance.agent import MaintenanceAgent, answer_report
+from landingshift.maintenance.coordinator import MaintenanceCoordinator
+from landingshift.maintenance.replicated_state import NAME, MaintenanceState
 from landingshift.membership.member_table import Member
 from landingshift.membership.messages import DEPARTED_STATES, MemberRecord, MemberState, Message
 from landingshift.membership.node import SwimNode, SwimTimings
@@ -124,22 +124,17 @@
             self.name, me.run_id, town.rules, lambda policy: "", journal, chance, now, self.wall, town.times
         )
         self.part.follower.others = lambda: self.node.member_table.present_names
-        self.hand = Hand(self.disk.mark)
-        self.book = Book()
-        self.foreman: Foreman | None = None
+        self.maintenance_agent = MaintenanceAgent(self.disk.mark)
+        self.maintenance = MaintenanceState()
+        self.coordinator: MaintenanceCoordinator | None = None
         if self.part.voter is not None:
-            self.part.shelf.add(NAME, self.book)
+            self.part.shelf.add(NAME, self.maintenance)
             self.part.hearers.append(self.taken)
-            self.foreman = Foreman(
-                self.book,
-                town.work,
-                self.propose,
-                self.leads,
-                self.gone,
-                self.node.member_table.known_names,
-                self.wall,
+            self.coordinator = MaintenanceCoordinator(
+                self.maintenance, town.work, self.propose, self.leads, self.gone,
+                self.node.member_table.known_names, self.wall,
                 lambda *_, **__: None,
-            )
+            )  # fmt: skip
         self.without()
         self.tenant = Tenant(100_000.0)
         self.server = Server(settings(town.day.servers, self.tenant), chance.getrandbits(32), self, now)
@@ -170,7 +165,7 @@
             real = desk.waits
             desk.waits = lambda now: [w for w in real(now) if w[1] != "away"]  # type: ignore[method-assign]
         if self.away == "end":
-            self.hand.goes = self.goes_anyhow  # type: ignore[method-assign]
+            self.maintenance_agent.goes = self.goes_anyhow  # type: ignore[method-assign]
         if self.away == "booking" and lending is not None:
             asked = lending.call_quota_grantor.renew
 
@@ -183,8 +178,8 @@
             lending.call_quota_grantor.renew = forgets  # type: ignore[method-assign,assignment]
 
     def goes_anyhow(self, now: float) -> bool:
-        self.hand.going = self.hand.leave.number
-        self.hand.leave.used()
+        self.maintenance_agent.going = self.maintenance_agent.leave.number
+        self.maintenance_agent.leave.used()
         return True
 
     # What it notes
@@ -365,14 +360,16 @@
             self.load, self.reads, self.reads_at = self.reads * 1000.0 / (now - self.reads_at), 0, now
         self.node.now_ms = now
         self.report(now)
-        if self.foreman is not None:
-            self.foreman.step(now)
-        busy = self.hand.stage or (self.foreman is not None and self.book.wishes)
+        if self.coordinator is not None:
+            self.coordinator.step(now)
+        busy = self.maintenance_agent.stage or (self.coordinator is not None and self.maintenance.requests)
         self.work_at = now + (BUSY if busy else REST) * self.pace.uniform(0.9, 1.1)
 
     def report(self, now: float) -> None:
         warmth = self.warmth() if self.ends_at == inf else 0.0
-        body = self.hand.report(now, CAPACITY, f"m{self.i % 2}", False, warmth, self.load, self.ok, self.all)
+        body = self.maintenance_agent.report(
+            now, CAPACITY, f"m{self.i % 2}", False, warmth, self.load, self.ok, self.all
+        )
         leader = self.part.follower.leader
         if leader == self.name:
             self.hear_work(self.node.local_record, body)
@@ -382,16 +379,20 @@
     def hear_work(self, sender: MemberRecord, body: list[Any]) -> None:
         match body:
             case ["at", *_]:
-                answer = heard(self.foreman, sender, self.part.follower.voters, body, self.clock())
+                answer = answer_report(
+                    self.coordinator, sender, self.part.follower.voters, body, self.clock()
+                )
                 if answer is not None and sender.name == self.name:
                     self.hear_work(sender, answer)
                 elif answer is not None:
                     self.node.send_to_member(sender.name, NAME, answer)
             case ["told", int(number), str(stage), int(permission), float(lasts)]:
-                if self.hand.told(number, stage, permission, lasts) and self.hand.goes(self.clock()):
-                    self.disk.mark = self.hand.going
+                if self.maintenance_agent.told(
+                    number, stage, permission, lasts
+                ) and self.maintenance_agent.goes(self.clock()):
+                    self.disk.mark = self.maintenance_agent.going
                     wish = self.town.permitted(self.name)
-                    self.note("left", self.hand.going, wish)
+                    self.note("left", self.maintenance_agent.going, wish)
                     self.report(self.clock())
                     self.drain(self.town.work_ms(self.name))
 
@@ -400,8 +401,8 @@
         return record is None or record.state in DEPARTED_STATES
 
     def taken(self, now: float) -> None:
-        if self.foreman is not None:
-            self.foreman.look_at = min(self.foreman.look_at, now)
+        if self.coordinator is not None:
+            self.coordinator.look_at = min(self.coordinator.look_at, now)
 
     def drain(self, away: float) -> None:
         """A notice, from outside or by a permission; `away` ms after its end it is started again."""
@@ -521,7 +522,7 @@
             "words": len(part.errands),
             "answers": len(part.answers),
             "sent": len(follower.sent),
-            "reports": len(self.hand.sent),
+            "reports": len(self.maintenance_agent.sent),
             "jobs": len(self.jobs),
         }
         if part.voter is not None:
