--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -28,7 +28,7 @@
 from landingshift.ledger.outbox import Outbox
 from landingshift.ledger.settings import Settings
 from landingshift.ledger.store import Store
-from landingshift.net.transport.worker import FD, Frames, frame
+from landingshift.net.transport.worker import WORKER_FD_VARIABLE, FrameDecoder, encode_frame
 from landingshift.testbed.processes.single_server import Gateway, Stage
 
 TICKS = os.sysconf("SC_CLK_TCK")
@@ -66,11 +66,11 @@
                 msgspec.json.encode(settings).decode(),
                 "ab",
             ],
-            env=os.environ | {FD: str(theirs.fileno())},
+            env=os.environ | {WORKER_FD_VARIABLE: str(theirs.fileno())},
             pass_fds=[theirs.fileno()],
         )
         theirs.close()
-        frames, encode = Frames(), msgspec.msgpack.encode
+        frames, encode = FrameDecoder(), msgspec.msgpack.encode
         decode = msgspec.msgpack.Decoder(Word).decode
         ours.recv(4096)  # it is open
         box, chance, began = Outbox(64 << 20), Random(1), time.perf_counter()
@@ -87,7 +87,7 @@
             offered = due
             batch = box.cut(4)
             if batch is not None:
-                ours.sendall(frame(encode(batch)))
+                ours.sendall(encode_frame(encode(batch)))
             if select.select([ours], [], [], 0.005)[0]:
                 for message in frames.feed(ours.recv(65536)):
                     for raw in box.ack(decode(message).acked):
@@ -98,7 +98,7 @@
         while not box.empty:
             batch = box.cut(4)
             if batch is not None:
-                ours.sendall(frame(encode(batch)))
+                ours.sendall(encode_frame(encode(batch)))
             for message in frames.feed(ours.recv(65536)):
                 box.ack(decode(message).acked)
         used, memory = cpu(process.pid), rss(process.pid)
--- a/benchmarks/passes.py
+++ b/benchmarks/passes.py
@@ -19,7 +19,7 @@
 
 def timed() -> int:
     took: list[float] = []
-    read, turn = Loop.read, Loop.turn
+    read, turn = Loop.read, Loop.run_pass
     began = [0.0]
 
     def reading(loop: Loop, wait: float) -> bool:
@@ -42,7 +42,7 @@
         if len(took) < MOST:
             took.append((time.perf_counter() - began[0]) * 1000.0)
 
-    Loop.read, Loop.turn = reading, turning  # type: ignore[method-assign]
+    Loop.read, Loop.run_pass = reading, turning  # type: ignore[method-assign]
     status = main()
     took.sort()
     figures = {
--- a/landingshift/cli/fleet.py
+++ b/landingshift/cli/fleet.py
@@ -27,12 +27,16 @@
             return address("--at", at)
         except ValueError as err:
             raise Told(str(err)) from err
-    path = toml or os.environ.get(features.ENV)
+    path = toml or os.environ.get(features.SETTINGS_FILE_VARIABLE)
     if not path:
-        raise Told(f"--at is to name a server, or --toml or {features.ENV} the file with [fleet]")
+        raise Told(
+            f"--at is to name a server, or --toml or {features.SETTINGS_FILE_VARIABLE} the file with [fleet]"
+        )
     try:
-        found = next((f.settings for f in features.load(path, every=True) if f.package == "fleet"), None)
-    except features.BadFeature as err:
+        found = next(
+            (f.settings for f in features.load_features(path, every=True) if f.table == "fleet"), None
+        )
+    except features.FeatureConfigError as err:
         raise Told(str(err)) from err
     if not isinstance(found, Settings):
         raise Told(f"{path}: there is no table [fleet]")
--- a/landingshift/cli/ledger.py
+++ b/landingshift/cli/ledger.py
@@ -38,12 +38,14 @@
 
 def settings_of(path: str | None) -> tuple[Settings, str]:
     """The table [ledger] and the folder of its file."""
-    path = path or os.environ.get(features.ENV)
+    path = path or os.environ.get(features.SETTINGS_FILE_VARIABLE)
     if not path:
-        raise Told(f"--toml or {features.ENV} is to name the file with [ledger]")
+        raise Told(f"--toml or {features.SETTINGS_FILE_VARIABLE} is to name the file with [ledger]")
     try:
-        found = next((f.settings for f in features.load(path, every=True) if f.package == "ledger"), None)
-    except features.BadFeature as err:
+        found = next(
+            (f.settings for f in features.load_features(path, every=True) if f.table == "ledger"), None
+        )
+    except features.FeatureConfigError as err:
         raise Told(str(err)) from err
     if found is None:
         raise Told(f"{path}: there is no table [ledger]")
--- a/landingshift/cli/main.py
+++ b/landingshift/cli/main.py
@@ -58,11 +58,11 @@
     for path in files:
         try:
             if path.endswith(".json"):
-                site = config.load({**os.environ, "GW_CONFIG": path})
+                site = config.load_config({**os.environ, "GW_CONFIG": path})
                 said = f"server {site.name}, {len(site.methods)} methods, {len(site.tenants)} tenants"
             else:
-                said = ", ".join(f.package for f in features.load(path)) or "nothing switched on"
-        except (config.BadConfig, features.BadFeature) as err:
+                said = ", ".join(f.table for f in features.load_features(path)) or "nothing switched on"
+        except (config.ServerConfigError, features.FeatureConfigError) as err:
             text = str(err)
             click.echo(text if text.startswith(path) else f"{path}: {text}", err=True)
             bad += 1
--- a/landingshift/coldstart/lists.py
+++ b/landingshift/coldstart/lists.py
@@ -40,7 +40,7 @@
         else:
             loop.after(0.0, lambda: self.tell([], stream))
 
-    def data(self, data: bytes) -> None:
+    def on_data(self, data: bytes) -> None:
         self.data_so_far += data
         try:
             kind, number, error, entries = decoder.decode(bytes(self.data_so_far))
@@ -61,10 +61,10 @@
         if self.stream is not None:
             self.stream.close(reason)
 
-    def eof(self) -> None:
+    def on_eof(self) -> None:
         self.end("closed")
 
-    def ended(self, reason: str) -> None:
+    def on_closed(self, reason: str) -> None:
         self.stream = None
         self.tell([], reason)
 
--- a/landingshift/coldstart/service.py
+++ b/landingshift/coldstart/service.py
@@ -22,8 +22,8 @@
 from landingshift.net.transport.loop import Timer
 
 if TYPE_CHECKING:
-    from landingshift.net.program.features import Host
-    from landingshift.net.routing.records import Routed
+    from landingshift.net.program.features import ServiceHost
+    from landingshift.net.routing.rpc_record import RoutedRpc
 
 LOOK = 200.0  # ms between two looks at what this server needs
 SOONEST = 5.0
@@ -36,27 +36,27 @@
 class ColdStart:
     name = "coldstart"
 
-    def __init__(self, host: Host, settings: Settings) -> None:
+    def __init__(self, host: ServiceHost, settings: Settings) -> None:
         fleet = host.services["fleet"]
         assert isinstance(fleet, Fleet)
         self.fleet, self.node, self.log = fleet, fleet.node, host.log
         self.router, self.loop, self.settings = host.router, host.router.loop, settings
-        chance = Random(f"{self.router.site.seed} coldstart {self.router.site.name}")
-        self.agent = Agent(self.node, plan(settings), chance, self.loop.now, self.quiet())
+        chance = Random(f"{self.router.config.seed} coldstart {self.router.config.name}")
+        self.agent = Agent(self.node, plan(settings), chance, self.loop.now_ms, self.quiet())
         self.strain = Strain()
         self.question: Question | None = None
         self.timer: Timer | None = None
         known = self.remember()
         self.seek = Seek(
             settings.servers, settings.list_asks_s, known or bool(fleet.settings.peers), GRACE, chance,
-            self.loop.now,
+            self.loop.now_ms,
         )  # fmt: skip
-        self.save_at = self.loop.now + SOON
+        self.save_at = self.loop.now_ms + SOON
         self.saved: list[Address] = []
         self.shared = -1.0
         self.noted: dict[str, tuple[float, ...]] = {}
-        self.router.health_state.hold(self.name)
-        self.router.taps.add(self)
+        self.router.health_reporter.hold_back(self.name)
+        self.router.observers.add(self)
         fleet.talk.calls |= {"coldstart": self.status, "lent": self.lent}
         self.node.handlers[PACKAGE] = self.hear
         self.timer = self.loop.after(0.0, self.look)
@@ -91,14 +91,14 @@
 
     # What the module and the engine show
 
-    def needed(self, _rpc: Routed) -> None:
-        self.strain.needed(self.loop.now)
+    def on_call_needed(self, _rpc: RoutedRpc) -> None:
+        self.strain.needed(self.loop.now_ms)
 
-    def called(self, _rpc: Routed, outcome: Outcome, took: float) -> None:
-        self.strain.called(self.loop.now, outcome is Outcome.OK, took)
+    def on_call_finished(self, _rpc: RoutedRpc, outcome: Outcome, took: float) -> None:
+        self.strain.called(self.loop.now_ms, outcome is Outcome.OK, took)
 
     def seen(self) -> Seen:
-        now, server = self.loop.now, self.router.server
+        now, server = self.loop.now_ms, self.router.admission
         if server is None:
             return Seen()
         age, cold = now - server.born, server.set.cold_time if server.set.cold else 0.0
@@ -120,15 +120,15 @@
     def look(self) -> None:
         self.step()
         self.fleet.pass_on()
-        now, agent = self.loop.now, self.agent
+        now, agent = self.loop.now_ms, self.agent
         ends = [end for had in agent.loans.values() for end in (had.share.end, had.place.end) if end > now]
         self.loop.cancel(self.timer)
         self.timer = self.loop.after(max(SOONEST, min([now + LOOK, agent.ask_at, *ends]) - now), self.look)
 
     def step(self) -> None:
-        now, agent = self.loop.now, self.agent
+        now, agent = self.loop.now_ms, self.agent
         # Without its engine it can't work: a place would be taken for nothing.
-        if self.router.server is not None and agent.step(now, self.seen()):
+        if self.router.admission is not None and agent.step(now, self.seen()):
             start, members = agent.start, len(self.node.members.present) + 1
             failpoints.reach(f"coldstart.{start.stage.value}")
             share = round(agent.share(now), 2)
@@ -136,7 +136,7 @@
                 "coldstart", stage=start.stage.value, alone=start.by_itself, share=share, members=members
             )
             if start.open:
-                self.router.health_state.release(self.name)
+                self.router.health_reporter.release(self.name)
         if failpoints.history:
             self.note()
         self.hand_share(now)
@@ -158,11 +158,11 @@
                 failpoints.note("loan", name, lender, *held)
 
     def hand_share(self, now: float) -> None:
-        if self.settings.calls_s and self.router.server is not None:
+        if self.settings.calls_s and self.router.admission is not None:
             share = self.agent.share(now)
             if share != self.shared:
                 self.shared = share
-                self.router.server.use_below(share)
+                self.router.admission.use_below(share)
 
     def ask_list(self) -> None:
         place, fleet = address("list_service", self.settings.list_service), self.fleet.settings.fleet
@@ -172,7 +172,7 @@
 
     def list_told(self, addresses: list[Address], why: str) -> None:
         self.question = None
-        self.seek.over(self.loop.now, not why)
+        self.seek.over(self.loop.now_ms, not why)
         self.log("coldstart_asked", entries=len(addresses), why=why)
         self.node.add_peers(addresses)
 
@@ -194,7 +194,7 @@
     # For operators
 
     def status(self, _params: list[Any]) -> dict[str, Any]:
-        now, agent = self.loop.now, self.agent
+        now, agent = self.loop.now_ms, self.agent
         return {
             "name": self.node.me.name, "stage": agent.start.stage.value, "alone": agent.start.by_itself,
             "share": agent.share(now), "floor": agent.own, "strain": agent.seen.strain,
@@ -216,5 +216,5 @@
         }  # fmt: skip
 
 
-def attach(host: Host, settings: Settings) -> ColdStart:
+def attach(host: ServiceHost, settings: Settings) -> ColdStart:
     return ColdStart(host, settings)
--- a/landingshift/hot_restart/state.py
+++ b/landingshift/hot_restart/state.py
@@ -10,6 +10,7 @@
 import socket
 from collections.abc import Callable
 from dataclasses import replace
+from functools import partial
 from typing import Any
 
 from msgspec import Struct, field, msgpack
@@ -24,8 +25,8 @@
 from landingshift.net.routing.engine import RETRY, Command
 from landingshift.net.routing.gateways import BOUND as GATEWAY_BOUND
 from landingshift.net.routing.gateways import RESET, Connection
-from landingshift.net.routing.records import Routed
-from landingshift.net.routing.router import Router, Site
+from landingshift.net.routing.router import Router, ServerConfig
+from landingshift.net.routing.rpc_record import RoutedRpc
 from landingshift.net.transport.loop import Loop
 from landingshift.net.transport.stream import LINGER, Stream
 
@@ -42,7 +43,7 @@
     "closed": "closed",
     "need": "need",
     "need_body": "need_body",
-    "mark": "mark",
+    "mark": "attempt_id",
 }
 # What the admission controller was told of the RPC.
 RPC_FACTS = {
@@ -177,15 +178,15 @@
     """One use each. The old router is left as it is, and goes on if the new one does not."""
 
     def __init__(self, router: Router) -> None:
-        if router.todo or router.stirred or router.loop.dirty or router.database.leaving:
+        if router.todo or router.needs_settle or router.loop.pending_writers or router.database.leaving:
             raise CannotMove("a pass is not over")
-        if router.gate is not None:
+        if router.answer_gate is not None:
             raise CannotMove("a gate holds answers")
         self.router = router
         self.fds: list[int] = []
         self.links = [*router.database.links]
         self.links += [link for link in self.retired() if link not in self.links]
-        self.connections = list(router.gateways.table)
+        self.connections = list(router.gateways.connections)
 
     def retired(self) -> list[Link]:
         """Links that end once their last calls do."""
@@ -196,8 +197,8 @@
         r = self.router
         r.engine.give_up_tests()
         self.fds.append(r.gateways.listener.sock.fileno())
-        module, jobs = r.server.give() if r.server is not None else (None, [])
-        rpcs: list[Routed] = [job.rpc for job in jobs if isinstance(job.rpc, Routed)]
+        module, jobs = r.admission.give() if r.admission is not None else (None, [])
+        rpcs: list[RoutedRpc] = [job.rpc for job in jobs if isinstance(job.rpc, RoutedRpc)]
         assert len(rpcs) == len(jobs)
         entries = list(r.dedup.entries.values())
         known = {rpc: i for i, rpc in enumerate(rpcs)}
@@ -223,11 +224,11 @@
             engine=self.engine(known),
             module=module,
             jobs=len(jobs),
-            cold=r.server.set.cold if r.server is not None else False,
+            cold=r.admission.set.cold if r.admission is not None else False,
             told=r.told,
-            draining=r.draining,
+            draining=r.is_draining,
             stop_at=r.stop_at,
-            health=[r.health_state.good, r.health_state.cheap, r.health_state.reporting],
+            health=[r.health_reporter.good, r.health_reporter.cheap, r.health_reporter.is_reporting],
             idle=r.gateways.idle,
         )
         return msgpack.encode(state), self.fds
@@ -235,19 +236,25 @@
     def stream(self, stream: Stream) -> OfStream:
         self.fds.append(stream.sock.fileno())
         return OfStream(
-            len(self.fds) - 1, bytes(stream.out), stream.queued, stream.sent, stream.last, stream.reading,
-            stream.connecting, stream.reason,
-        )  # fmt: skip
+            fd=len(self.fds) - 1,
+            out=bytes(stream.output),
+            queued=stream.queued_bytes,
+            sent=stream.sent_bytes,
+            last=stream.last_activity_ms,
+            reading=stream.is_reading,
+            connecting=stream.is_connecting,
+            reason=stream.close_reason,
+        )
 
-    def connection(self, c: Connection, known: dict[Routed, int]) -> OfConnection:
+    def connection(self, c: Connection, known: dict[RoutedRpc, int]) -> OfConnection:
         counts = stored_values(c, CONNECTION_STATE)
         return OfConnection(
             self.stream(c.stream), c.reader.rest, counts, {n: known[rpc] for n, rpc in c.rpcs.items()}
         )
 
-    def rpc(self, rpc: Routed, places: dict[Entry, int]) -> OfRpc:
-        site = self.router.site
-        connection = self.router.gateways.table.get(rpc.connection)
+    def rpc(self, rpc: RoutedRpc, places: dict[Entry, int]) -> OfRpc:
+        site = self.router.config
+        connection = self.router.gateways.connections.get(rpc.connection)
         command = rpc.command
         return OfRpc(
             method=site.settings.methods.index(rpc.method),
@@ -263,13 +270,15 @@
             stale=[i for i, link in enumerate(self.links) if link in rpc.stale],
         )
 
-    def link(self, link: Link, known: dict[Routed, int]) -> OfLink:
+    def link(self, link: Link, known: dict[RoutedRpc, int]) -> OfLink:
         assert link.stream is not None
-        calls = [[known[c.rpc], c.start, c.end, c.timer.at if c.timer else 0.0] for c in link.calls.values()]
+        calls = [
+            [known[c.rpc], c.start, c.end, c.timer.due_ms if c.timer else 0.0] for c in link.calls.values()
+        ]
         fresh = link in self.router.database.links
         return OfLink(self.stream(link.stream), bytes(link.reader.lines.buffer), fresh, calls)
 
-    def engine(self, known: dict[Routed, int]) -> OfEngine:
+    def engine(self, known: dict[RoutedRpc, int]) -> OfEngine:
         e = self.router.engine
         return OfEngine(
             self.stream(e.stream) if e.stream is not None else None,
@@ -293,7 +302,7 @@
         for sock in self.socks:
             sock.setblocking(False)
 
-    def take(self, loop: Loop, site: Site, report: Callable[..., None]) -> Router:
+    def take(self, loop: Loop, site: ServerConfig, report: Callable[..., None]) -> Router:
         """Raises CannotMove where the settings do not fit what is in hand."""
         st = self.state
         for told in st.rpcs:
@@ -315,45 +324,45 @@
         for rpc, one in zip(self.rpcs, st.rpcs, strict=True):
             rpc.stale = [links[i] for i in one.stale if i < len(links)]
         self.engine()
-        r.told, r.draining = st.told, st.draining
-        if r.draining:
-            r.stop_at = st.stop_at or loop.now + site.stop_ms
+        r.told, r.is_draining = st.told, st.draining
+        if r.is_draining:
+            r.stop_at = st.stop_at or loop.now_ms + site.stop_ms
             r.depart_later()  # the old one's timer stays with it: nobody else would end this drain
         if st.module is not None:
             settings = replace(site.settings, cold=st.cold)
-            r.server = Server(settings, site.seed, r, loop.now)
-            r.server.now = loop.now
-            jobs = r.server.take(st.module, list(self.rpcs[: st.jobs]))
+            r.admission = Server(settings, site.seed, r, loop.now_ms)
+            r.admission.now = loop.now_ms
+            jobs = r.admission.take(st.module, list(self.rpcs[: st.jobs]))
             for mine, job in zip(self.rpcs, jobs, strict=False):
                 mine.job = None if mine.closed else job
         r.gateways.idle = st.idle
         for connection in connections:
             connection.rest()
-        r.health_state.good, r.health_state.cheap, reporting = st.health
+        r.health_reporter.good, r.health_reporter.cheap, reporting = st.health
         if reporting:
-            r.health_state.start()
+            r.health_reporter.start()
         return r
 
     def stream(self, one: OfStream, owner: Any, bound: int, **more: Any) -> Stream:
         stream = Stream(self.loop, self.socks[one.fd], owner, bound, one.connecting, **more)
-        stream.out += one.out
-        stream.queued, stream.sent, stream.last = one.queued, one.sent, one.last
-        stream.reading, stream.reason = one.reading, one.reason
-        if stream.unsent:
-            stream.unsent.bytes += len(one.out)
+        stream.output += one.out
+        stream.queued_bytes, stream.sent_bytes, stream.last_activity_ms = one.queued, one.sent, one.last
+        stream.is_reading, stream.close_reason = one.reading, one.reason
+        if stream.unsent_budget:
+            stream.unsent_budget.bytes += len(one.out)
         if one.reason:
             stream.timer = self.loop.after(LINGER, stream.linger)
         stream.watch()
         if one.out:
-            self.loop.dirty[stream] = None
+            self.loop.pending_writers[stream] = None
         return stream
 
-    def rpc(self, one: OfRpc) -> Routed:
+    def rpc(self, one: OfRpc) -> RoutedRpc:
         method = self.site.settings.methods[one.method]
         tenant = self.site.tenants[one.tenant] if one.tenant is not None else None
         own = attribute_values(one.own, RPC_STATE)
         own["dedup_key"] = tuple(own["dedup_key"]) if own["dedup_key"] is not None else None
-        rpc = Routed(
+        rpc = RoutedRpc(
             method=method, tenant=tenant, connection=-1, **attribute_values(one.facts, RPC_FACTS), **own
         )
         if one.command is not None:
@@ -403,7 +412,7 @@
             rpc = self.rpcs[i]
             rpc.call = call = Call(rpc, link, start, end)
             link.calls[rpc.rid] = call
-            call.timer = self.loop.after(max(0.0, at - self.loop.now), lambda call=call: pool.timeout(call))  # type: ignore[misc]
+            call.timer = self.loop.after(max(0.0, at - self.loop.now_ms), partial(pool.timeout, call))
         return link
 
     def engine(self) -> None:
@@ -411,7 +420,7 @@
         for name, value in one.plain.items():
             if name in ENGINE_LINK_STATE:
                 setattr(e, ENGINE_LINK_STATE[name], value)
-        e.reader = engine_wire.Reader()
+        e.reader = engine_wire.NoticeDecoder()
         e.reader.lines.buffer += one.buffer
         e.stats = (one.stats[0], one.stats[1]) if one.stats is not None else None
         e.unsure.extend(c for c in (self.rpcs[i].command for i in one.unsure) if c is not None)
--- a/landingshift/ledger/service.py
+++ b/landingshift/ledger/service.py
@@ -27,8 +27,8 @@
 from landingshift.net.transport.worker import Worker
 
 if TYPE_CHECKING:
-    from landingshift.net.program.features import Host
-    from landingshift.net.routing.records import Routed
+    from landingshift.net.program.features import ServiceHost
+    from landingshift.net.routing.rpc_record import RoutedRpc
 
 AHEAD = 4  # batches on their way: more would only wait in the socket
 START = 10_000.0  # ms that the store's process has to open the store, besides the wait for its lock
@@ -45,7 +45,7 @@
 class Held:
     """An ok answer and its use."""
 
-    rpc: Routed
+    rpc: RoutedRpc
     result: bytes
     due: float
     raw: Raw
@@ -58,22 +58,22 @@
 class Ledger:
     name = "ledger"
 
-    def __init__(self, host: Host, settings: Settings) -> None:
+    def __init__(self, host: ServiceHost, settings: Settings) -> None:
         self.router, self.loop, self.log = host.router, host.router.loop, host.log
         self.settings = settings
         self.before = settings.durable == "before_answer"
         self.run = os.urandom(8)
         self.outbox = Outbox(settings.queue_kb * 1024)
         self.held: dict[int, Held] = {}  # by use, not durable yet or not passed yet
-        self.by_rpc: dict[Routed, Held] = {}  # until answered
+        self.by_rpc: dict[RoutedRpc, Held] = {}  # until answered
         self.leaving: deque[Held] = deque()  # answered, not known to have arrived
         self.soonest = float("inf")  # no held answer is due before this
         self.tick_timer: Timer | None = None
         self.decode = msgspec.msgpack.Decoder(Word).decode
         self.encode = msgspec.msgpack.Encoder().encode
         self.starts = self.early = self.dropped = self.shortened = 0
-        self.started_at = self.loop.now
-        self.settle_at = self.loop.now  # when what became of uses is told without a new one
+        self.started_at = self.loop.now_ms
+        self.settle_at = self.loop.now_ms  # when what became of uses is told without a new one
         self.results = 0  # bytes of those that are held
         self.by = float("inf")  # when all that is held must go, once the server drains
         self.ready = self.finishing = False
@@ -87,27 +87,27 @@
     def start(self) -> None:
         settings = self.settings
         words = [msgspec.json.encode(settings).decode(), self.run.hex()]
-        self.starts = self.starts + 1 if self.loop.now - self.started_at < STEADY else 1
-        self.started_at = self.loop.now
+        self.starts = self.starts + 1 if self.loop.now_ms - self.started_at < STEADY else 1
+        self.started_at = self.loop.now_ms
         try:
             self.worker = Worker(
                 self.loop, "landingshift.ledger.worker", words, self, settings.queue_kb * 2048
             )
         except OSError as err:
-            self.died(str(err))
+            self.on_worker_lost(str(err))
 
     def wait_for_start(self) -> None:
         """Before the first RPC is read: a store that can't be used must keep the server from starting."""
         end = time.monotonic() + (START + self.settings.lock_wait_ms) / 1000.0
         while not self.ready and not self.fault and time.monotonic() < end:
-            if self.worker is None or not self.worker.stream.open:
+            if self.worker is None or not self.worker.stream.is_open:
                 break
             if select.select([self.worker.stream.sock], [], [], 0.1)[0]:
                 self.worker.stream.read()
         if not self.ready:
             raise ValueError(f"folder: {self.fault or 'the process that keeps the store did not start'}")
 
-    def heard(self, message: bytes) -> None:
+    def on_message(self, message: bytes) -> None:
         word = self.decode(message)
         if word.fault:
             if word.fault != self.fault:
@@ -126,10 +126,10 @@
         self.durable(word.acked)
         if first and self.worker is not None:
             for batch in self.outbox.again():
-                self.worker.say(self.encode(batch))
+                self.worker.send(self.encode(batch))
         self.push()
 
-    def died(self, reason: str) -> None:
+    def on_worker_lost(self, reason: str) -> None:
         self.ready = False
         if self.finishing:
             return
@@ -138,14 +138,14 @@
         self.loop.after(pause, self.restart)
 
     def restart(self) -> None:
-        if self.worker is not None and not self.worker.gone():
+        if self.worker is not None and not self.worker.has_exited():
             self.loop.after(PAUSES[0], self.restart)  # it finishes what it has read and holds the lock
         else:
             self.start()
 
     # Ok answers
 
-    def hold(self, rpc: Routed, result: bytes, work: float) -> bool:
+    def hold_answer(self, rpc: RoutedRpc, result: bytes, work: float) -> bool:
         assert rpc.job is not None
         raw = self.use(rpc, result, work)
         if not self.outbox.add(raw):
@@ -158,20 +158,20 @@
             return False
         self.results += len(result)
         if self.results > RESULTS * self.outbox.bound:
-            held.due = self.loop.now  # memory is bounded: it goes at the next tick, durable or not
+            held.due = self.loop.now_ms  # memory is bounded: it goes at the next tick, durable or not
         self.soonest = min(self.soonest, held.due)
         return True
 
-    def leave(self, by: float) -> None:
+    def release_by(self, by: float) -> None:
         self.by = by
         for held in self.held.values():
             held.due = min(held.due, by)
         self.soonest = min(self.soonest, by) if self.held else self.soonest
 
-    def use(self, rpc: Routed, result: bytes, work: float) -> Raw:
+    def use(self, rpc: RoutedRpc, result: bytes, work: float) -> Raw:
         s = self.settings
         tenant = rpc.tenant_name.encode(errors="surrogatepass")
-        mark = rpc.mark
+        mark = rpc.attempt_id
         if not mark and rpc.dedup_key is not None and (s.identity_key or not rpc.keyed):
             mark = rpc.dedup_key[1]  # a token; a read's key says what it is about, not which try it is
         what = mark.encode(errors="surrogatepass") if mark else rpc.body
@@ -179,12 +179,12 @@
         at = round(time.time() * 1000.0)
         return Raw(0, at, tenant, rpc.name, round(work * 1000.0), len(rpc.body), len(result), known)
 
-    def without(self, rpc: Routed, result: bytes) -> bool:
+    def without(self, rpc: RoutedRpc, result: bytes) -> bool:
         """No room for its use: as the installation chose, it goes unbilled and counted, or is aborted."""
         self.dropped += 1
         self.mode(True)
         if self.settings.stuck == "abort":
-            self.router.refuse_ok(rpc)
+            self.router.abort_held_answer(rpc)
             return True
         return False
 
@@ -199,7 +199,7 @@
     def let_go(self, held: Held) -> None:
         result = self.take_out(held)
         failpoints.reach("ledger.answering")
-        self.router.pass_on(held.rpc, result)
+        self.router.send_held_answer(held.rpc, result)
         self.unless_answered(held)
 
     def take_out(self, held: Held) -> bytes:
@@ -211,33 +211,33 @@
         if self.by_rpc.pop(held.rpc, None) is not None:  # nobody waited any more: no use
             self.outbox.settle(self.outbox.void, held.raw.n)
 
-    def answered(self, rpc: Routed, how: str) -> None:
+    def on_answered(self, rpc: RoutedRpc, how: str) -> None:
         held = self.by_rpc.pop(rpc, None) if how == "ok" else None
         if held is None:
             return
-        connection = self.router.gateways.table.get(rpc.connection)
+        connection = self.router.gateways.connections.get(rpc.connection)
         assert connection is not None
-        held.stream, held.end, held.gone = connection.stream, connection.stream.queued, self.loop.now
+        held.stream, held.end, held.gone = connection.stream, connection.stream.queued_bytes, self.loop.now_ms
         self.leaving.append(held)
         self.arm(self.settings.settle_ms)
 
     # Every few ms while there is anything to do
 
     def arm(self, delay: float) -> None:
-        at = self.loop.now + delay
-        if self.tick_timer is None or at < self.tick_timer.at:
+        at = self.loop.now_ms + delay
+        if self.tick_timer is None or at < self.tick_timer.due_ms:
             self.loop.cancel(self.tick_timer)
             self.tick_timer = self.loop.after(delay, self.tick)
 
     def tick(self) -> None:
         self.tick_timer = None
-        s, now = self.settings, self.loop.now
+        s, now = self.settings, self.loop.now_ms
         if now >= self.settle_at:
             self.follow()
         if not self.before:
             for held in [h for h in self.by_rpc.values() if h.passed]:
                 self.unless_answered(held)
-        if self.loop.now >= self.soonest:
+        if self.loop.now_ms >= self.soonest:
             self.answer_late_ones()
         self.push()
         if self.held or self.by_rpc:
@@ -248,18 +248,18 @@
     def push(self) -> None:
         """New uses at once; what became of earlier ones goes with them, or by itself from time to time."""
         worker = self.worker
-        while self.ready and worker is not None and worker.room() > 0:
-            batch = self.outbox.cut(AHEAD, self.finishing or self.loop.now >= self.settle_at)
+        while self.ready and worker is not None and worker.free_bytes() > 0:
+            batch = self.outbox.cut(AHEAD, self.finishing or self.loop.now_ms >= self.settle_at)
             if batch is None:
                 break
             failpoints.reach("ledger.push")
-            worker.say(self.encode(batch))
-        if self.loop.now >= self.settle_at:
-            self.settle_at = self.loop.now + self.settings.settle_ms
+            worker.send(self.encode(batch))
+        if self.loop.now_ms >= self.settle_at:
+            self.settle_at = self.loop.now_ms + self.settings.settle_ms
 
     def answer_late_ones(self) -> None:
         """No RPC lost: the deadline does not wait for a disk."""
-        now, left = self.loop.now, float("inf")
+        now, left = self.loop.now_ms, float("inf")
         for held in [h for h in self.held.values() if not h.passed]:
             if now < held.due:
                 left = min(left, held.due)
@@ -268,7 +268,7 @@
             self.mode(True)
             if self.settings.stuck == "abort":
                 self.take_out(held)
-                self.router.refuse_ok(held.rpc)
+                self.router.abort_held_answer(held.rpc)
                 self.unless_answered(held)
             else:
                 self.let_go(held)
@@ -282,18 +282,18 @@
             stream = held.stream
             assert stream is not None
             out = self.outbox
-            if not stream.open:
-                whole = stream.sent >= held.end
-                to = out.void if not whole else out.sent if stream.reason in GOOD_ENDS else out.disputed
-            elif stream.sent < held.end:
+            if not stream.is_open:
+                whole = stream.sent_bytes >= held.end
+                to = out.void if not whole else out.sent if stream.close_reason in GOOD_ENDS else out.disputed
+            elif stream.sent_bytes < held.end:
                 waits.append(held)
                 continue
             else:
                 if stream not in unsent:
                     unsent[stream] = int.from_bytes(ioctl(stream.sock, TIOCOUTQ, bytes(4)), "little")
                 # Acknowledged up to here: what the kernel still has is the end of what was sent.
-                if stream.sent - unsent[stream] < held.end:
-                    if self.loop.now - held.gone < SENDS:
+                if stream.sent_bytes - unsent[stream] < held.end:
+                    if self.loop.now_ms - held.gone < SENDS:
                         waits.append(held)
                         continue
                     to = out.disputed
@@ -322,21 +322,21 @@
         worker = self.worker
         if worker is None:
             return
-        while not self.outbox.empty and worker.stream.open and time.monotonic() < end:
+        while not self.outbox.empty and worker.stream.is_open and time.monotonic() < end:
             self.push()
             worker.stream.flush()
             if select.select([worker.stream.sock], [], [], 0.02)[0]:
                 worker.stream.read()
-        if worker.stream.open:
+        if worker.stream.is_open:
             worker.stream.close("finished")
         self.log("ledger_finished", owed=len(self.outbox.unacked), uses=self.outbox.n, dropped=self.dropped)
 
 
-def attach(host: Host, settings: Settings) -> Ledger:
+def attach(host: ServiceHost, settings: Settings) -> Ledger:
     """Raises ValueError("folder: ...") where the store can't be used."""
     ledger = Ledger(host, settings)
     ledger.wait_for_start()
-    host.router.mark = settings.identity_field
-    host.router.gate = ledger
-    host.router.taps.add(ledger)
+    host.router.attempt_id_field = settings.identity_field
+    host.router.answer_gate = ledger
+    host.router.observers.add(ledger)
     return ledger
--- a/landingshift/ledger/worker.py
+++ b/landingshift/ledger/worker.py
@@ -22,7 +22,7 @@
 from landingshift.ledger.entries import Batch, Word
 from landingshift.ledger.settings import Settings
 from landingshift.ledger.store import BadStore, Lock, Store
-from landingshift.net.transport.worker import Frames, frame, inherited
+from landingshift.net.transport.worker import FrameDecoder, encode_frame, inherited_socket
 
 GROUP = 4 << 20  # bytes read into one commit at the most
 PAUSES = (0.02, 0.1, 0.25, 0.5, 1.0)  # s between tries of a commit that fails
@@ -38,12 +38,12 @@
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     settings = msgspec.json.decode(sys.argv[1], type=Settings)
     run = bytes.fromhex(sys.argv[2])
-    sock = inherited()
+    sock = inherited_socket()
     encode = msgspec.msgpack.encode
 
     def tell(word: Word) -> None:
         with suppress(OSError):  # the server is gone; what it said is still to be committed
-            sock.sendall(frame(encode(word)))
+            sock.sendall(encode_frame(encode(word)))
 
     try:
         os.makedirs(settings.folder, mode=0o700, exist_ok=True)
@@ -54,7 +54,7 @@
         tell(Word(-1, str(err)))
         return 2
     tell(Word(store.book.batch))
-    frames, decode = Frames(), msgspec.msgpack.Decoder(Batch).decode
+    frames, decode = FrameDecoder(), msgspec.msgpack.Decoder(Batch).decode
     waiting: deque[Batch] = deque()
     there, pause = True, 0
     while there or waiting:
@@ -102,7 +102,11 @@
 
 
 def more(
-    sock: socket.socket, frames: Frames, waiting: deque[Batch], decode: Callable[[bytes], Batch], wait: bool
+    sock: socket.socket,
+    frames: FrameDecoder,
+    waiting: deque[Batch],
+    decode: Callable[[bytes], Batch],
+    wait: bool,
 ) -> bool:
     """Takes what has come; False at the end, or where nothing more is there and it is not to wait."""
     sock.setblocking(wait)
--- a/landingshift/maintenance/service.py
+++ b/landingshift/maintenance/service.py
@@ -19,8 +19,8 @@
 from landingshift.net.transport.loop import Timer
 
 if TYPE_CHECKING:
-    from landingshift.net.program.features import Host
-    from landingshift.net.routing.records import Routed
+    from landingshift.net.program.features import ServiceHost
+    from landingshift.net.routing.rpc_record import RoutedRpc
 
 PACKAGE = "upkeep"
 REST = 2000.0  # ms between two reports of one that nobody wants out
@@ -44,16 +44,16 @@
 class Upkeep:
     name = "upkeep"
 
-    def __init__(self, host: Host, settings: Settings) -> None:
+    def __init__(self, host: ServiceHost, settings: Settings) -> None:
         fleet = host.services["fleet"]
         assert isinstance(fleet, Fleet)
         self.fleet, self.node, self.log = fleet, fleet.node, host.log
         self.agreement = cast(Agreement, host.services["policies"])
         self.router, self.loop, self.settings = host.router, host.router.loop, settings
-        self.chance = Random(f"{self.router.site.seed} upkeep {self.router.site.name}")
+        self.chance = Random(f"{self.router.config.seed} upkeep {self.router.config.name}")
         self.hand = Hand(self.marked())
         self.reads, self.ok, self.all = 0, 0.0, 0.0
-        self.load, self.load_at = 0.0, self.loop.now
+        self.load, self.load_at = 0.0, self.loop.now_ms
         self.book = Book()
         self.foreman: Foreman | None = None
         if self.agreement.is_voter:
@@ -68,42 +68,42 @@
             }  # fmt: skip
         fleet.talk.calls["upkeep_here"] = self.here
         self.node.handlers[PACKAGE] = self.hear
-        self.router.taps.add(self)
+        self.router.observers.add(self)
         self.timer: Timer | None = self.loop.after(REST * self.chance.random(), self.tick)
 
     # What it serves
 
-    def read(self, _rpc: Routed) -> None:
+    def on_read(self, _rpc: RoutedRpc) -> None:
         self.reads += 1
 
-    def answered(self, _rpc: Routed, how: str) -> None:
+    def on_answered(self, _rpc: RoutedRpc, how: str) -> None:
         self.all += 1.0
         self.ok += how == "ok"
 
     def warmth(self) -> float:
         """Of the module's cores, once it serves at all."""
-        server = self.router.server
-        if server is None or not self.router.health_state.reporting:
+        server = self.router.admission
+        if server is None or not self.router.health_reporter.is_reporting:
             return 0.0
         cold = server.set.cold_time if server.set.cold else 0.0
-        return min(1.0, (self.loop.now - server.born) / cold) if cold else 1.0
+        return min(1.0, (self.loop.now_ms - server.born) / cold) if cold else 1.0
 
     # Its reports
 
     def tick(self) -> None:
-        now = self.loop.now
+        now = self.loop.now_ms
         if now - self.load_at >= WIDTH:
             self.load, self.reads, self.load_at = self.reads * 1000.0 / (now - self.load_at), 0, now
         self.report()
         if self.foreman is not None:
-            self.foreman.step(self.loop.clock())
+            self.foreman.step(self.loop.clock_ms())
         wait = BUSY if self.hand.stage or (self.foreman is not None and self.book.wishes) else REST
         self.loop.cancel(self.timer)
         self.timer = self.loop.after(wait * self.chance.uniform(0.9, 1.1), self.tick)
         self.fleet.pass_on()
 
     def report(self) -> None:
-        mine, now = self.settings, self.loop.clock()
+        mine, now = self.settings, self.loop.clock_ms()
         body = self.hand.report(
             now, mine.capacity, mine.model, mine.best, self.warmth(), self.load, self.ok, self.all
         )
@@ -116,7 +116,7 @@
     def hear(self, sender: Record, body: list[Any]) -> None:
         match body:
             case ["at", *_]:
-                answer = heard(self.foreman, sender, self.agreement.voters, body, self.loop.clock())
+                answer = heard(self.foreman, sender, self.agreement.voters, body, self.loop.clock_ms())
                 if answer is not None and sender.name == self.node.me.name:
                     self.hear(sender, answer)
                 elif answer is not None:
@@ -128,7 +128,7 @@
 
     def go(self) -> None:
         """Leaves, if its permission still holds by its own clock just now."""
-        if self.router.draining or not self.hand.goes(self.loop.clock()):
+        if self.router.is_draining or not self.hand.goes(self.loop.clock_ms()):
             self.log("upkeep_late", number=self.hand.leave.number)
             return
         going = self.hand.going
@@ -145,7 +145,7 @@
         try:
             with open(self.settings.mark) as file:
                 name, number = file.read(64).split()
-            return int(number) if name == self.router.site.name else 0
+            return int(number) if name == self.router.config.name else 0
         except (OSError, ValueError):
             return 0
 
@@ -226,7 +226,7 @@
     def status(self, _params: list[Any]) -> dict[str, Any]:
         foreman = self.foreman
         assert foreman is not None
-        now = self.loop.clock()
+        now = self.loop.clock_ms()
         rows = [
             {
                 "name": w.name, "stage": w.stage.value, "number": w.number, "minutes": w.minutes,
@@ -247,7 +247,7 @@
     def plan(self, _params: list[Any]) -> dict[str, Any]:
         """Who would go when, at the demand of now."""
         foreman = self.lead()
-        floor, lost = foreman.floor(), foreman.lost(self.loop.clock())
+        floor, lost = foreman.floor(), foreman.lost(self.loop.clock_ms())
         steps, least = dry_run(self.book.wishes, floor, lost, foreman.plan.back)
         return {"steps": [list(s) for s in steps], "least_capacity": least, "floor": floor.limits[0].least}
 
@@ -275,5 +275,5 @@
             self.log("upkeep_work_failed", number=self.hand.going, error=str(err))
 
 
-def attach(host: Host, settings: Settings) -> Upkeep:
+def attach(host: ServiceHost, settings: Settings) -> Upkeep:
     return Upkeep(host, settings)
--- a/landingshift/membership/letters.py
+++ b/landingshift/membership/letters.py
@@ -40,9 +40,9 @@
         if self.stream is not None:
             self.stream.write(b"".join(calls))
         else:
-            loop.after(0.0, lambda: self.ended("unreachable"))
+            loop.after(0.0, lambda: self.on_closed("unreachable"))
 
-    def data(self, data: bytes) -> None:
+    def on_data(self, data: bytes) -> None:
         try:
             self.unpacker.feed(data)
             self.left -= sum(1 for _ in self.unpacker)  # each says nothing but that a part has come
@@ -51,14 +51,14 @@
         if self.left <= 0:
             self.end("answered")
 
-    def eof(self) -> None:
+    def on_eof(self) -> None:
         self.end("closed")
 
     def end(self, reason: str) -> None:
         if self.stream is not None:
             self.stream.close(reason)
 
-    def ended(self, _reason: str) -> None:
+    def on_closed(self, _reason: str) -> None:
         self.stream = None
         self.loop.cancel(self.timer)
         done, self.done = self.done, lambda: None
--- a/landingshift/membership/service.py
+++ b/landingshift/membership/service.py
@@ -17,7 +17,7 @@
 from landingshift.net.transport.loop import Timer
 
 if TYPE_CHECKING:
-    from landingshift.net.program.features import Host
+    from landingshift.net.program.features import ServiceHost
 
 READS = 64  # datagrams in a pass: what floods must not hold up RPCs
 BUFFER = 1 << 20  # bytes of datagrams that may wait while a pass is long
@@ -26,7 +26,7 @@
 
 
 class Fleet:
-    def __init__(self, host: Host, settings: Settings) -> None:
+    def __init__(self, host: ServiceHost, settings: Settings) -> None:
         router = host.router
         self.router, self.loop, self.log = router, router.loop, host.log
         self.settings = settings
@@ -41,14 +41,14 @@
         self.sock.setblocking(False)
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER)
         here = address("advertise", settings.advertise) if settings.advertise else self.sock.getsockname()
-        chance = Random(f"{router.site.seed} fleet {router.site.name}")
+        chance = Random(f"{router.config.seed} fleet {router.config.name}")
         me = Record(
-            name=router.site.name, host=here[0], port=here[1], zone=settings.zone, run=chance.getrandbits(48),
-            incarnation=0, version=0, state=State.ALIVE, by="", facts={},
+            name=router.config.name, host=here[0], port=here[1], zone=settings.zone,
+            run=chance.getrandbits(48), incarnation=0, version=0, state=State.ALIVE, by="", facts={},
         )  # fmt: skip
         peers = [address("peers", p) for p in settings.peers]
         times = Times(settings.period_ms, settings.probe_ms, settings.suspect_ms)
-        self.node = Node(me, peers, times, settings.most, chance, self.loop.now, self.log)
+        self.node = Node(me, peers, times, settings.most, chance, self.loop.now_ms, self.log)
         self.node.watchers.append(self.told)
         self.strange: dict[str, int] = {}  # datagrams by why they were turned away, since the last line
         self.timer: Timer | None = None
@@ -61,7 +61,7 @@
 
     # The loop
 
-    def ready(self, _mask: int) -> None:
+    def on_ready(self, _mask: int) -> None:
         for _ in range(READS):
             try:
                 data = self.sock.recv(wire.LARGEST + 1)
@@ -73,15 +73,15 @@
             except wire.Broken as err:
                 self.turn_away(str(err))
             else:
-                self.node.hear(message, self.loop.now)
+                self.node.hear(message, self.loop.now_ms)
         self.pass_on()
 
     def tick(self) -> None:
         self.timer = None
-        if self.router.draining:
-            self.node.leave(self.loop.now)
-        if self.node.next() <= self.loop.now:
-            self.node.tick(self.loop.now)
+        if self.router.is_draining:
+            self.node.leave(self.loop.now_ms)
+        if self.node.next() <= self.loop.now_ms:
+            self.node.tick(self.loop.now_ms)
         self.pass_on()
 
     def pass_on(self) -> None:
@@ -91,10 +91,10 @@
                 self.sock.sendto(wire.encode(self.settings.fleet, message), to)
             except OSError:  # full, or no way there: a later one says the same
                 self.unsent += 1
-        at = max(self.node.next(), self.loop.now + SOON)
-        if self.timer is None or at < self.timer.at - SOON:
+        at = max(self.node.next(), self.loop.now_ms + SOON)
+        if self.timer is None or at < self.timer.due_ms - SOON:
             self.loop.cancel(self.timer)
-            self.timer = self.loop.after(at - self.loop.now, self.tick)
+            self.timer = self.loop.after(at - self.loop.now_ms, self.tick)
 
     def turn_away(self, reason: str) -> None:
         if not self.strange:
@@ -114,7 +114,7 @@
             self.log("fleet_gone", name=r.name, how=r.state.name.lower(), by=r.by, members=members)
 
     def finish(self) -> None:
-        self.node.leave(self.loop.now)
+        self.node.leave(self.loop.now_ms)
         self.pass_on()
         self.loop.watch(self.sock.fileno(), 0, self)
         self.sock.close()
@@ -123,7 +123,7 @@
     # For operators
 
     def members(self, _params: list[Any]) -> list[dict[str, Any]]:
-        now, members = self.loop.now, self.node.members
+        now, members = self.loop.now_ms, self.node.members
         rows = [self.row(members.me, 0.0)]
         rows += [self.row(m.record, now - m.since) for m in members.table.values()]
         return sorted(rows, key=lambda row: str(row["name"]))
@@ -149,6 +149,6 @@
         }  # fmt: skip
 
 
-def attach(host: Host, settings: Settings) -> Fleet:
+def attach(host: ServiceHost, settings: Settings) -> Fleet:
     """Raises ValueError("listen: ...") where the address can't be had."""
     return Fleet(host, settings)
--- a/landingshift/membership/talk.py
+++ b/landingshift/membership/talk.py
@@ -22,23 +22,23 @@
 
 class Link:
     def __init__(self, talk: Talk, sock: socket.socket) -> None:
-        self.talk, self.reader = talk, wire.Reader()
+        self.talk, self.reader = talk, wire.MessageDecoder()
         self.stream = Stream(talk.loop, sock, self, BOUND)
         self.timer = talk.loop.after(LASTS, lambda: self.stream.close("slow"))
 
-    def data(self, data: bytes) -> None:
+    def on_data(self, data: bytes) -> None:
         for message in self.reader.feed(data):
             match message:
-                case wire.Call(number, method, params):
+                case wire.Request(number, method, params):
                     self.stream.write(self.talk.answer(number, method, params))
-                case wire.Failed(reason):
+                case wire.ProtocolFailure(reason):
                     self.stream.close(reason)
                     return
 
-    def eof(self) -> None:
-        self.stream.finish("closed")
+    def on_eof(self) -> None:
+        self.stream.close_gracefully("closed")
 
-    def ended(self, reason: str) -> None:
+    def on_closed(self, reason: str) -> None:
         self.talk.loop.cancel(self.timer)
         self.talk.links.discard(self)
         self.talk.log("fleet_link_ended", reason=reason)
--- a/landingshift/net/program/config.py
+++ b/landingshift/net/program/config.py
@@ -9,14 +9,14 @@
 import orjson
 
 from landingshift.admission.interface import Below
-from landingshift.net.routing.router import Site
+from landingshift.net.routing.router import ServerConfig
 from landingshift.net.transport.stream import Address
 from landingshift.settings import BadSetting, decode
 
 MISSING: Any = object()
 
 
-class BadConfig(Exception):
+class ServerConfigError(Exception):
     """The text names the key."""
 
 
@@ -25,7 +25,7 @@
 
     def __init__(self, data: Any, path: str = "") -> None:
         if not isinstance(data, dict):
-            raise BadConfig(f"{path or 'configuration'}: an object is expected")
+            raise ServerConfigError(f"{path or 'configuration'}: an object is expected")
         self.data, self.path = data, path
 
     def name(self, key: str) -> str:
@@ -36,9 +36,9 @@
         if value is None:  # null says as much as a key that is not there, here as in the settings
             value = default
         if value is MISSING:
-            raise BadConfig(f"{self.name(key)}: missing")
+            raise ServerConfigError(f"{self.name(key)}: missing")
         if not isinstance(value, kinds) or isinstance(value, bool):
-            raise BadConfig(f"{self.name(key)}: {expected} is expected, not {value!r}")
+            raise ServerConfigError(f"{self.name(key)}: {expected} is expected, not {value!r}")
         return value
 
     def inner(self, key: str, default: Any = MISSING) -> Reader:
@@ -47,20 +47,20 @@
     def text(self, key: str, default: Any = MISSING) -> str:
         value: str = self.take(key, str, "a text", default)
         if not value:
-            raise BadConfig(f"{self.name(key)}: a text is expected, not {value!r}")
+            raise ServerConfigError(f"{self.name(key)}: a text is expected, not {value!r}")
         return value
 
     def word(self, key: str, default: Any = MISSING) -> str:
         """One that stands in lines of words."""
         value = self.text(key, default)
         if not value.isprintable() or " " in value:
-            raise BadConfig(f"{self.name(key)}: a word is expected, not {value!r}")
+            raise ServerConfigError(f"{self.name(key)}: a word is expected, not {value!r}")
         return value
 
     def number(self, key: str, low: float, high: float, default: Any = MISSING) -> float:
         value = self.take(key, int | float, "a number", default)
         if not low <= value <= high:
-            raise BadConfig(f"{self.name(key)}: {value} is not from {low:g} to {high:g}")
+            raise ServerConfigError(f"{self.name(key)}: {value} is not from {low:g} to {high:g}")
         return float(value)
 
     def address(self, key: str, default: Any = MISSING) -> Address:
@@ -73,7 +73,9 @@
                 raise ValueError(port)
             return address
         except ValueError as err:
-            raise BadConfig(f"{self.name(key)}: an IPv4 address:port is expected, not {value!r}") from err
+            raise ServerConfigError(
+                f"{self.name(key)}: an IPv4 address:port is expected, not {value!r}"
+            ) from err
 
     def entries(self, key: str) -> list[Reader]:
         return [Reader(e, f"{self.name(key)}[{i}]") for i, e in enumerate(self.take(key, list, "a list", []))]
@@ -81,7 +83,7 @@
     def unique(self, key: str, names: list[str]) -> list[str]:
         for i, name in enumerate(names):
             if name in names[:i]:  # the first of them would be served as if it were the last
-                raise BadConfig(f"{self.name(key)}[{i}].name: {name!r} stands there twice")
+                raise ServerConfigError(f"{self.name(key)}[{i}].name: {name!r} stands there twice")
         return names
 
 
@@ -90,23 +92,23 @@
     try:
         return int(value, 16)
     except ValueError as err:
-        raise BadConfig(f"seed: hex digits are expected, not {value!r}") from err
+        raise ServerConfigError(f"seed: hex digits are expected, not {value!r}") from err
 
 
-def site(data: Any, env: Mapping[str, str]) -> Site:
+def decode_config(data: Any, env: Mapping[str, str]) -> ServerConfig:
     top = Reader(data)
     limits = top.inner("limits", {})
     settings = top.inner("settings")
     try:
         decoded = decode(settings.data, "settings")
     except BadSetting as err:
-        raise BadConfig(str(err)) from err
+        raise ServerConfigError(str(err)) from err
     extra = settings.inner("extra")
     gauges = extra.take("gauges", list, "a list", [])
     methods = settings.unique("classes", [one.word("name") for one in settings.entries("classes")])
     # A tenant's name goes into no line: it may have spaces, as operators write them.
     tenants = settings.unique("orgs", [one.text("name") for one in settings.entries("orgs")])
-    return Site(
+    return ServerConfig(
         name=top.word("name", env.get("GW_NAME", MISSING)),
         listen=top.address("listen", env.get("GW_LISTEN", MISSING)),
         engine=top.address("engine"),
@@ -124,15 +126,15 @@
     )
 
 
-def load(env: Mapping[str, str]) -> Site:
+def load_config(env: Mapping[str, str]) -> ServerConfig:
     path = env.get("GW_CONFIG")
     if not path:
-        raise BadConfig("GW_CONFIG: the environment does not name the configuration file")
+        raise ServerConfigError("GW_CONFIG: the environment does not name the configuration file")
     try:
         with open(path, "rb") as file:
             data = orjson.loads(file.read())
     except OSError as err:
-        raise BadConfig(f"GW_CONFIG: {path}: {err.strerror}") from err
+        raise ServerConfigError(f"GW_CONFIG: {path}: {err.strerror}") from err
     except orjson.JSONDecodeError as err:
-        raise BadConfig(f"GW_CONFIG: {path}: {err}") from err
-    return site(data, env)
+        raise ServerConfigError(f"GW_CONFIG: {path}: {err}") from err
+    return decode_config(data, env)
--- a/landingshift/net/program/features.py
+++ b/landingshift/net/program/features.py
@@ -25,10 +25,10 @@
     "policies": "landingshift.policies",
     "upkeep": "landingshift.maintenance",
 }
-ENV = "LANDINGSHIFT_TOML"
+SETTINGS_FILE_VARIABLE = "LANDINGSHIFT_TOML"
 
 
-class BadFeature(Exception):
+class FeatureConfigError(Exception):
     """The text names file, table and key."""
 
 
@@ -38,7 +38,7 @@
 
 
 @dataclass(slots=True)
-class Host:
+class ServiceHost:
     """What a service is given to wire itself to the loop."""
 
     router: Router
@@ -48,44 +48,44 @@
 
 @dataclass(slots=True)
 class Feature:
-    package: str
+    table: str
     settings: Any
 
-    def attach(self, host: Host) -> Service:
+    def attach(self, host: ServiceHost) -> Service:
         try:
-            service: Service = import_module(f"{PACKAGES[self.package]}.service").attach(host, self.settings)
+            service: Service = import_module(f"{PACKAGES[self.table]}.service").attach(host, self.settings)
         except ValueError as err:
-            raise BadFeature(f"[{self.package}] {err}") from err
-        host.services[self.package] = service
+            raise FeatureConfigError(f"[{self.table}] {err}") from err
+        host.services[self.table] = service
         return service
 
 
-def decode(data: dict[str, Any], path: str, every: bool = False) -> list[Feature]:
+def decode_features(data: dict[str, Any], path: str, every: bool = False) -> list[Feature]:
     """Those that are on; `every`: all that the file names."""
     import msgspec
 
     features = []
     for table, values in data.items():
         if table not in PACKAGES:
-            raise BadFeature(f"{path}: [{table}]: no such table; there is {', '.join(PACKAGES)}")
+            raise FeatureConfigError(f"{path}: [{table}]: no such table; there is {', '.join(PACKAGES)}")
         if not isinstance(values, dict):
-            raise BadFeature(f"{path}: {table}: a table is expected")
+            raise FeatureConfigError(f"{path}: {table}: a table is expected")
         part = import_module(f"{PACKAGES[table]}.settings")
         try:
             settings = msgspec.convert(values, part.Settings)
             part.check(settings, os.path.dirname(os.path.abspath(path)))
         except msgspec.ValidationError as err:
-            raise BadFeature(f"{path}: [{table}] {told(str(err))}") from err
+            raise FeatureConfigError(f"{path}: [{table}] {told(str(err))}") from err
         except ValueError as err:
-            raise BadFeature(f"{path}: [{table}] {err}") from err
+            raise FeatureConfigError(f"{path}: [{table}] {err}") from err
         if settings.on or every:
             features.append(Feature(table, settings))
-    on = {f.package for f in features if f.settings.on}
+    on = {f.table for f in features if f.settings.on}
     for feature in features:
         for need in getattr(feature.settings, "needs", ()):
             if feature.settings.on and need not in on:
-                raise BadFeature(f"{path}: [{feature.package}] needs the table [{need}], switched on")
-    return sorted(features, key=lambda f: list(PACKAGES).index(f.package))
+                raise FeatureConfigError(f"{path}: [{feature.table}] needs the table [{need}], switched on")
+    return sorted(features, key=lambda f: list(PACKAGES).index(f.table))
 
 
 def told(text: str) -> str:
@@ -98,14 +98,14 @@
     return what
 
 
-def load(path: str | None, every: bool = False) -> list[Feature]:
+def load_features(path: str | None, every: bool = False) -> list[Feature]:
     if not path:
         return []
     try:
         with open(path, "rb") as file:
             data = tomllib.load(file)
     except OSError as err:
-        raise BadFeature(f"{path}: {err.strerror}") from err
+        raise FeatureConfigError(f"{path}: {err.strerror}") from err
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as err:
-        raise BadFeature(f"{path}: {err}") from err
-    return decode(data, path, every)
+        raise FeatureConfigError(f"{path}: {err}") from err
+    return decode_features(data, path, every)
--- a/landingshift/net/program/main.py
+++ b/landingshift/net/program/main.py
@@ -12,7 +12,7 @@
 from selectors import EVENT_READ
 
 from landingshift.net.program import features
-from landingshift.net.program.config import BadConfig, load
+from landingshift.net.program.config import ServerConfigError, load_config
 from landingshift.net.program.log import Log
 from landingshift.net.routing.router import Router
 from landingshift.net.transport.loop import Loop
@@ -35,17 +35,17 @@
 
     def note(self, number: int, _frame: object) -> None:
         """Called in the midst of a pass: a notice counts from now on, not from when the pass is over."""
-        self.came.setdefault(number, self.loop.clock())
+        self.came.setdefault(number, self.loop.clock_ms())
 
-    def ready(self, _mask: int) -> None:
+    def on_ready(self, _mask: int) -> None:
         for number in sorted(set(self.seen.recv(64))):  # many of one kind want no more than one
-            self.heard(number, self.came.pop(number, self.loop.now))
+            self.heard(number, self.came.pop(number, self.loop.now_ms))
 
 
 def reload(router: Router, log: Log) -> None:
     try:
-        site = load(os.environ)
-    except BadConfig as err:
+        site = load_config(os.environ)
+    except ServerConfigError as err:
         log("reload_failed", error=str(err))  # the old configuration stays
     else:
         router.move(site)
@@ -57,9 +57,9 @@
     loop = Loop(lambda: log("fault", trace=traceback.format_exc(limit=-6)))
     signals = Signals(loop)
     try:
-        site = load(os.environ)
-        switched_on = features.load(toml or os.environ.get(features.ENV))
-    except (BadConfig, features.BadFeature) as err:
+        site = load_config(os.environ)
+        switched_on = features.load_features(toml or os.environ.get(features.SETTINGS_FILE_VARIABLE))
+    except (ServerConfigError, features.FeatureConfigError) as err:
         sys.stderr.write(f"landingshift: {err}\n")
         return 2
     try:
@@ -68,9 +68,9 @@
         sys.stderr.write(f"landingshift: listen: {site.listen[0]}:{site.listen[1]}: {err.strerror}\n")
         return 2
     try:
-        host = features.Host(router, log)
+        host = features.ServiceHost(router, log)
         services = [feature.attach(host) for feature in switched_on]
-    except features.BadFeature as err:
+    except features.FeatureConfigError as err:
         sys.stderr.write(f"landingshift: {err}\n")
         return 2
 
@@ -89,6 +89,6 @@
     loop.run()
     for service in reversed(services):  # what one says at its end may go by another
         service.finish()
-    log("stopped", connections=len(router.gateways.table))
+    log("stopped", connections=len(router.gateways.connections))
     signals.seen.close()
     return 0
--- a/landingshift/net/protocol/engine.py
+++ b/landingshift/net/protocol/engine.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from landingshift.admission.interface import Outcome
-from landingshift.net.protocol.lines import Broken, Lines, length, line
+from landingshift.net.protocol.lines import LineDecoder, ProtocolError, encode_line, length
 
 ENDS = {
     b"good": Outcome.OK,
@@ -86,13 +86,13 @@
             case [b"NO", command, rid, *_]:
                 return No(command, rid)
     except (KeyError, ValueError) as err:
-        raise Broken("bad_word") from err
-    raise Broken("bad_line")
+        raise ProtocolError("bad_word") from err
+    raise ProtocolError("bad_line")
 
 
-class Reader:
+class NoticeDecoder:
     def __init__(self) -> None:
-        self.lines = Lines(has_body)
+        self.lines = LineDecoder(has_body)
 
     def feed(self, data: bytes) -> Iterator[Message]:
         """What is good is given out before what is broken behind it is found."""
@@ -101,28 +101,28 @@
 
 
 def attach(number: int) -> bytes:
-    return line(b"ATTACH", b"%d" % number)
+    return encode_line(b"ATTACH", b"%d" % number)
 
 
 def run(rid: bytes, method: bytes, body: bytes) -> bytes:
-    return line(b"RUN", rid, method, body=body)
+    return encode_line(b"RUN", rid, method, body=body)
 
 
 def feed(rid: bytes, reply: bytes) -> bytes:
-    return line(b"FEED", rid, body=reply)
+    return encode_line(b"FEED", rid, body=reply)
 
 
 def skip(rid: bytes, number: int) -> bytes:
-    return line(b"SKIP", rid, b"%d" % number)
+    return encode_line(b"SKIP", rid, b"%d" % number)
 
 
 def halt(rid: bytes) -> bytes:
-    return line(b"HALT", rid)
+    return encode_line(b"HALT", rid)
 
 
 def stat(tag: bytes) -> bytes:
-    return line(b"STAT", tag)
+    return encode_line(b"STAT", tag)
 
 
 def test(tag: bytes) -> bytes:
-    return line(b"TEST", tag)
+    return encode_line(b"TEST", tag)
--- a/landingshift/net/protocol/gateway.py
+++ b/landingshift/net/protocol/gateway.py
@@ -8,7 +8,7 @@
 
 import msgpack
 
-from landingshift.net.protocol.lines import Broken
+from landingshift.net.protocol.lines import ProtocolError
 
 BODY = 2048
 FRAME = 16384  # an RPC with all its fields takes a fifth of this
@@ -16,30 +16,30 @@
 NUMBER = re.compile(r"[0-9]{1,15}(\.[0-9]{1,15})?")
 
 
-class BadField(Exception):
+class InvalidFieldError(Exception):
     """An RPC that can't be taken; the text names the field."""
 
 
 @dataclass(slots=True)
-class Call:
+class Request:
     number: int
     method: str
     params: list[Any]
 
 
 @dataclass(slots=True)
-class GiveUp:
+class CancelNotification:
     number: int
 
 
 @dataclass(slots=True)
-class Failed:
+class ProtocolFailure:
     """Nothing after this can be read."""
 
     reason: str
 
 
-Message = Call | GiveUp | Failed
+Message = Request | CancelNotification | ProtocolFailure
 
 
 @dataclass(slots=True)
@@ -63,7 +63,7 @@
 }  # fmt: skip
 
 
-class Reader:
+class MessageDecoder:
     """Keeps no parser between two pieces: one takes 40 KB, and many connections are idle."""
 
     def __init__(self) -> None:
@@ -88,38 +88,38 @@
                 message = decode(value)
                 if message is not None:
                     messages.append(message)
-        except Broken as err:
-            return [*messages, Failed(str(err))]
+        except ProtocolError as err:
+            return [*messages, ProtocolFailure(str(err))]
         except Exception:  # the library raises many kinds for bytes that are no MessagePack
-            return [*messages, Failed("garbage")]
+            return [*messages, ProtocolFailure("garbage")]
         self.rest = data[end:]
         if len(self.rest) > FRAME:
-            return [*messages, Failed("oversized")]
+            return [*messages, ProtocolFailure("oversized")]
         return messages
 
 
 def decode(value: Any) -> Message | None:
     match value:
         case [0, int(number), str(method), list(params)] if not isinstance(number, bool):
-            return Call(number, method, params)
+            return Request(number, method, params)
         case [2, "giveUp", [int(number)]]:
-            return GiveUp(number)
+            return CancelNotification(number)
         case [2, str(), list()]:
             return None
-    raise Broken("bad_message")
+    raise ProtocolError("bad_message")
 
 
 def number(fields: dict[Any, Any], name: str, low: float, high: float) -> float:
     value = fields.get(name)
     if not isinstance(value, str) or not NUMBER.fullmatch(value) or not low <= float(value) <= high:
-        raise BadField(name)
+        raise InvalidFieldError(name)
     return float(value)
 
 
 def text(fields: dict[Any, Any], name: str) -> str | None:
     value = fields.get(name)
     if value is not None and not isinstance(value, str):
-        raise BadField(name)
+        raise InvalidFieldError(name)
     return value or None
 
 
@@ -128,12 +128,12 @@
         case [dict(told), bytes(body)]:
             pass
         case _:
-            raise BadField("params")
+            raise InvalidFieldError("params")
     if len(body) > BODY:
-        raise BadField("body")
+        raise InvalidFieldError("body")
     rid = told.get("id")
     if not isinstance(rid, str) or not ID.fullmatch(rid):
-        raise BadField("id")  # it goes into lines of words: anything else could forge a command
+        raise InvalidFieldError("id")  # it goes into lines of words: anything else could forge a command
     return Fields(
         rid=rid.encode(),
         at=number(told, "at", 0.0, 1e15),
--- a/landingshift/net/protocol/lines.py
+++ b/landingshift/net/protocol/lines.py
@@ -8,17 +8,17 @@
 BIGGEST = 1 << 16
 
 
-class Broken(Exception):
+class ProtocolError(Exception):
     """What came is not the protocol; the text is the reason code."""
 
 
 def length(word: bytes) -> int:
     if not word.isdigit() or len(word) > 9:
-        raise Broken("bad_number")
+        raise ProtocolError("bad_number")
     return int(word)
 
 
-class Lines:
+class LineDecoder:
     """`strict`: an empty body has its line end too; anything else in its place is broken."""
 
     def __init__(self, has_body: Callable[[list[bytes]], bool], strict: bool = False) -> None:
@@ -33,7 +33,7 @@
                 end = self.buffer.find(b"\r\n", at)
                 if end < 0:
                     if len(self.buffer) - at > LONGEST:
-                        raise Broken("long_line")
+                        raise ProtocolError("long_line")
                     return
                 words = bytes(self.buffer[at:end]).split(b" ")
                 after = end + 2
@@ -41,12 +41,12 @@
                 if self.has_body(words):
                     size = length(words[-1])
                     if size > BIGGEST:
-                        raise Broken("oversized")
+                        raise ProtocolError("oversized")
                     if size or self.strict:
                         if len(self.buffer) < after + size + 2:
                             return
                         if self.buffer[after + size : after + size + 2] != b"\r\n":
-                            raise Broken("bad_length")
+                            raise ProtocolError("bad_length")
                         body = bytes(self.buffer[after : after + size])
                         after += size + 2
                 at = after
@@ -56,7 +56,7 @@
             del self.buffer[:at]
 
 
-def line(*words: bytes, body: bytes | None = None) -> bytes:
+def encode_line(*words: bytes, body: bytes | None = None) -> bytes:
     if body is None:
         return b" ".join(words) + b"\r\n"
     return b"%b %d\r\n%b\r\n" % (b" ".join(words), len(body), body)
--- a/landingshift/net/routing/database.py
+++ b/landingshift/net/routing/database.py
@@ -7,8 +7,8 @@
 
 from landingshift.admission.interface import Outcome
 from landingshift.net.protocol import database as wire
-from landingshift.net.protocol.lines import Broken
-from landingshift.net.routing.records import Routed
+from landingshift.net.protocol.lines import ProtocolError
+from landingshift.net.routing.rpc_record import RoutedRpc
 from landingshift.net.transport.loop import Loop, Timer
 from landingshift.net.transport.stream import Address, Stream, connect
 
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True, eq=False)
 class Call:
-    rpc: Routed
+    rpc: RoutedRpc
     link: Link
     start: float
     end: int  # where it ends in the link's stream
@@ -30,7 +30,7 @@
 
 class Link:
     def __init__(self, pool: Database, make: Callable[[Link], Stream | str]) -> None:
-        self.pool, self.reader = pool, wire.Reader()
+        self.pool, self.reader = pool, wire.ReplyDecoder()
         self.calls: dict[bytes, Call] = {}
         self.half: Timer | None = None  # set while a reply has begun and is not whole
         stream = make(self)
@@ -42,20 +42,20 @@
     def rest(self) -> None:
         if self.stream is None:
             return
-        idle = self.pool.loop.now - self.stream.last
+        idle = self.pool.loop.now_ms - self.stream.last_activity_ms
         if idle >= IDLE and not self.calls:
             self.pool.retire(self)
         if self.stream:
             self.pool.loop.after(max(IDLE / 4.0, IDLE - idle), self.rest)
 
-    def data(self, data: bytes) -> None:
+    def on_data(self, data: bytes) -> None:
         try:
             for rid, outcome, reply in self.reader.feed(data):
                 self.whole()
                 call = self.calls.get(rid)
                 if call is not None:
                     self.pool.over(call, outcome, reply)
-        except Broken as err:
+        except ProtocolError as err:
             self.close(str(err))
         if self.reader.half and self.half is None and self.stream:
             # A length that does not fit or a line that does not end would hold up all calls on the link.
@@ -69,14 +69,14 @@
         if self.stream:
             self.stream.close(reason)
 
-    def eof(self) -> None:
+    def on_eof(self) -> None:
         self.close("closed")
 
-    def ended(self, reason: str) -> None:
+    def on_closed(self, reason: str) -> None:
         self.whole()
         self.pool.log("database_link_ended", reason=reason, calls=len(self.calls))
         self.pool.retire(self)
-        sent = self.stream.sent if self.stream else 0
+        sent = self.stream.sent_bytes if self.stream else 0
         self.stream = None
         self.pool.open -= 1
         for call in list(self.calls.values()):
@@ -92,7 +92,7 @@
         self,
         loop: Loop,
         address: Address | None,
-        told: Callable[[Routed, Outcome, float, bytes], None],
+        told: Callable[[RoutedRpc, Outcome, float, bytes], None],
         log: Callable[..., None],
     ) -> None:
         self.loop, self.address, self.told, self.log = loop, address, told, log
@@ -100,12 +100,14 @@
         self.open = 0  # links that are open, those that take no new calls included
         self.leaving: list[tuple[Link, bytes]] = []  # given up since the last flush
 
-    def link(self, rpc: Routed) -> Link | None:
+    def link(self, rpc: RoutedRpc) -> Link | None:
         """The one used last among those with fewest calls, so that the others grow old and go."""
         # A reply may come twice: on one link, the same id's next call could take the copy for its own.
         fit = [one for one in self.links if one not in rpc.stale]
         best = min(
-            fit, key=lambda one: (len(one.calls), -one.stream.last if one.stream else 0.0), default=None
+            fit,
+            key=lambda one: (len(one.calls), -one.stream.last_activity_ms if one.stream else 0.0),
+            default=None,
         )
         if (best is None or best.calls) and len(self.links) < LINKS and self.open < LINKS + OLD:
             best = Link(self, self.connect)
@@ -117,14 +119,14 @@
     def connect(self, link: Link) -> Stream | str:
         return connect(self.loop, self.address, link, BOUND) if self.address else "unreachable"
 
-    def call(self, rpc: Routed, allow: float) -> bool:
+    def call(self, rpc: RoutedRpc, allow: float) -> bool:
         """False where it is known at once that nothing ran."""
         link = self.link(rpc)
         if link is None or link.stream is None:
             return False
         link.stream.write(wire.call(rpc.rid, allow, rpc.need_body))
         rpc.stale.append(link)
-        rpc.call = call = Call(rpc, link, self.loop.now, link.stream.queued)
+        rpc.call = call = Call(rpc, link, self.loop.now_ms, link.stream.queued_bytes)
         link.calls[rpc.rid] = call
         call.timer = self.loop.after(allow, lambda: self.timeout(call))
         return True
@@ -145,7 +147,7 @@
 
     def timeout(self, call: Call) -> None:
         stream = call.link.stream
-        never = stream is None or call.end > stream.sent
+        never = stream is None or call.end > stream.sent_bytes
         self.drop(call)
         self.retire(call.link)  # a link may hang while the database is well
         self.told(call.rpc, Outcome.NO_CONNECTION if never else Outcome.NO_ANSWER, self.took(call), b"")
@@ -155,9 +157,9 @@
         self.told(call.rpc, outcome, self.took(call), reply)
 
     def took(self, call: Call) -> float:
-        return self.loop.now - call.start
+        return self.loop.now_ms - call.start
 
-    def give_up(self, rpc: Routed) -> None:
+    def give_up(self, rpc: RoutedRpc) -> None:
         if rpc.call is not None:
             self.drop(rpc.call)
 
--- a/landingshift/net/routing/dedup.py
+++ b/landingshift/net/routing/dedup.py
@@ -5,20 +5,20 @@
 from dataclasses import dataclass, field
 
 from landingshift.admission.interface import Effect, Outcome
-from landingshift.net.routing.records import Routed
+from landingshift.net.routing.rpc_record import RoutedRpc
 
 ENTRY = 400  # bytes that an entry takes without its result
 
 
 @dataclass(slots=True, eq=False)
 class Entry:
-    owner: Routed
+    owner: RoutedRpc
     until: float
     outcome: Outcome | None = None  # None while its owner is held or runs
     ended: float = 0.0
     work: float = 0.0  # ms that the run took
     result: bytes | None = None
-    waiting: dict[Routed, None] = field(default_factory=dict)
+    waiting: dict[RoutedRpc, None] = field(default_factory=dict)
 
 
 class DedupTable:
@@ -27,7 +27,7 @@
         self.bound, self.share_for, self.oldest, self.bytes = bound, share_for, oldest, 0
         self.entries: dict[tuple[bytes, str], Entry] = {}
 
-    def find(self, rpc: Routed, now: float, came: float) -> Entry | None:
+    def find(self, rpc: RoutedRpc, now: float, came: float) -> Entry | None:
         """`came`: when it reached the machine."""
         entry = self.entries.get(rpc.dedup_key) if rpc.dedup_key else None
         if entry is None:
@@ -44,7 +44,7 @@
             return None
         return entry
 
-    def keep(self, rpc: Routed, until: float) -> None:
+    def keep(self, rpc: RoutedRpc, until: float) -> None:
         if rpc.dedup_key is None:
             return
         old = self.entries.get(rpc.dedup_key)
@@ -56,7 +56,7 @@
         self.entries[rpc.dedup_key] = Entry(rpc, until)
         self.bytes += ENTRY
 
-    def owned(self, rpc: Routed) -> Entry | None:
+    def owned(self, rpc: RoutedRpc) -> Entry | None:
         entry = self.entries.get(rpc.dedup_key) if rpc.dedup_key else None
         return entry if entry is not None and entry.owner is rpc else None
 
@@ -66,7 +66,7 @@
             del self.entries[dedup_key]
             self.bytes -= ENTRY + len(entry.result or b"")
 
-    def end(self, entry: Entry, outcome: Outcome, result: bytes, now: float) -> list[Routed]:
+    def end(self, entry: Entry, outcome: Outcome, result: bytes, now: float) -> list[RoutedRpc]:
         """Its owner is over; returns who waited for that."""
         entry.outcome, entry.ended = outcome, now
         if outcome is Outcome.OK:
--- a/landingshift/net/routing/engine.py
+++ b/landingshift/net/routing/engine.py
@@ -9,8 +9,8 @@
 
 from landingshift.admission.interface import Effect
 from landingshift.net.protocol import engine as wire
-from landingshift.net.protocol.lines import Broken
-from landingshift.net.routing.records import Routed
+from landingshift.net.protocol.lines import ProtocolError
+from landingshift.net.routing.rpc_record import RoutedRpc
 from landingshift.net.transport.loop import Loop, Timer
 from landingshift.net.transport.stream import Address, Stream, connect
 
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True, eq=False)
 class Command:
-    rpc: Routed
+    rpc: RoutedRpc
     data: bytes
     runs: bool  # starts work, which must not happen twice
     end: int = -1  # where it ends in the link's stream; -1 before it is written
@@ -52,12 +52,12 @@
         self.ready = self.met = self.greeted = self.moving = False
         self.stream: Stream | None = None
         self.next: Timer | None = None  # to the next try to reach it
-        self.linked = self.lost = loop.now  # when the link was made, and when the last one ended
-        self.reader = wire.Reader()
+        self.linked = self.lost = loop.now_ms  # when the link was made, and when the last one ended
+        self.reader = wire.NoticeDecoder()
         self.unsure: deque[Command] = deque()  # in the order they were asked for
         self.stats: tuple[bytes, int] | None = None  # the tag that is out and what was written before it
         self.tests: dict[bytes, Callable[[bool], None]] = {}
-        self.heard = loop.now  # when all that was asked had last been answered
+        self.heard = loop.now_ms  # when all that was asked had last been answered
         if attach:
             self.attach()
         loop.after(SILENT / 2.0, self.listen)
@@ -66,13 +66,13 @@
 
     def attach(self) -> None:
         self.next = None
-        self.reader = wire.Reader()
-        self.linked = self.loop.now
+        self.reader = wire.NoticeDecoder()
+        self.linked = self.loop.now_ms
         stream = connect(self.loop, self.address, self, BOUND)
         if isinstance(stream, str):
             self.next = self.loop.after(RETRY, self.attach)
             return
-        self.stream, self.heard = stream, self.loop.now
+        self.stream, self.heard = stream, self.loop.now_ms
         self.links += 1
         stream.write(wire.attach(self.last))
 
@@ -97,36 +97,36 @@
     @property
     def working(self) -> bool:
         """A link that breaks and comes back is routine and says nothing of the work."""
-        return self.ready or (self.met and self.loop.now - self.lost < BREAK)
+        return self.ready or (self.met and self.loop.now_ms - self.lost < BREAK)
 
     def listen(self) -> None:
         """A link may hang without an end. Before the engine is up it owes nothing."""
         self.loop.after(SILENT / 2.0, self.listen)
         if self.stream and self.met and (self.stats or not self.greeted):
-            if self.loop.now - self.heard > SILENT:
+            if self.loop.now_ms - self.heard > SILENT:
                 self.stream.close("silent")
         else:
-            self.heard = self.loop.now
+            self.heard = self.loop.now_ms
 
-    def data(self, data: bytes) -> None:
+    def on_data(self, data: bytes) -> None:
         try:
             for message in self.reader.feed(data):
                 self.take(message)
-        except Broken as err:
+        except ProtocolError as err:
             if self.stream:
                 self.stream.close(str(err))
 
-    def eof(self) -> None:
+    def on_eof(self) -> None:
         if self.stream:
             self.stream.close("closed")
 
-    def ended(self, reason: str) -> None:
-        sent = self.stream.sent if self.stream else 0
+    def on_closed(self, reason: str) -> None:
+        sent = self.stream.sent_bytes if self.stream else 0
         if reason not in ("refused", "unreachable"):
             self.log("engine_link_lost", reason=reason, notice=self.last, unsure=len(self.unsure))
-        at_once = self.greeted and self.loop.now - self.linked > RETRY
+        at_once = self.greeted and self.loop.now_ms - self.linked > RETRY
         if self.greeted:
-            self.lost = self.loop.now
+            self.lost = self.loop.now_ms
         self.stream, self.ready, self.greeted, self.stats, self.moving = None, False, False, None, False
         for command in self.unsure:
             command.doubt = command.doubt or 0 <= command.end <= sent
@@ -166,7 +166,7 @@
                 if self.stats is None or self.stats[0] != message.tag:
                     return
                 before, self.stats = self.stats[1], None
-                self.heard = self.loop.now
+                self.heard = self.loop.now_ms
                 while self.unsure and 0 <= self.unsure[0].end <= before:
                     self.settle(self.unsure.popleft())
                 self.news.stats(message.values)
@@ -192,9 +192,9 @@
         """Asks for the gauges; its answer also shows that all said before has arrived."""
         if self.stream and self.greeted and self.stats is None:
             self.tags += 1
-            self.heard = self.loop.now
+            self.heard = self.loop.now_ms
             tag = b"s%d" % self.tags
-            self.stats = tag, self.stream.queued
+            self.stats = tag, self.stream.queued_bytes
             self.stream.write(wire.stat(tag))
 
     def test(self, told: Callable[[bool], None]) -> None:
@@ -206,22 +206,22 @@
         self.tests[tag] = told
         self.stream.write(wire.test(tag))
 
-    def say(self, rpc: Routed, data: bytes, runs: bool = False) -> None:
+    def say(self, rpc: RoutedRpc, data: bytes, runs: bool = False) -> None:
         rpc.command = Command(rpc, data, runs)
         self.unsure.append(rpc.command)
         if self.ready:
             self.write(rpc.command)
 
-    def halt(self, rpc: Routed) -> None:
+    def halt(self, rpc: RoutedRpc) -> None:
         if self.ready and self.stream:  # the module says it again while it has no effect
             self.stream.write(wire.halt(rpc.rid))
 
     def write(self, command: Command) -> None:
         if self.stream:
             self.stream.write(command.data)
-            command.end = self.stream.queued
+            command.end = self.stream.queued_bytes
 
-    def know(self, rpc: Routed, known: Callable[[], None]) -> None:
+    def know(self, rpc: RoutedRpc, known: Callable[[], None]) -> None:
         """Asks whether the RPC came to this machine; one that did not is answered with NO.
 
         No notice has the number 0, so that an RPC that the engine knows is not changed by this.
@@ -249,7 +249,7 @@
             self.write(command)
         self.log("engine_ready", link=self.links, said_again=len(self.unsure), of=len(live))
 
-    def answered(self, rpc: Routed) -> None:
+    def answered(self, rpc: RoutedRpc) -> None:
         """An RPC that is over can't be run any more: what was held back is said, to hear how it ended."""
         if rpc.command and rpc.command.held_back:
             self.say(rpc, rpc.command.data, True)
--- a/landingshift/net/routing/health.py
+++ b/landingshift/net/routing/health.py
@@ -13,14 +13,14 @@
 REPORT = 200.0  # ms between two reports: fourteen in a row may be lost before the roster forgets a server
 
 
-class Health:
+class HealthReporter:
     def __init__(self, loop: Loop, name: str, roster: Datagrams, engine: Engine, deep_checks: bool) -> None:
         self.loop, self.name, self.roster, self.engine = loop, name, roster, engine
         self.good, self.cheap, self.deep_checks = True, True, deep_checks
-        self.reporting = self.ready = False
+        self.is_reporting = self.ready = False
         self.held: set[str] = set()  # packages for which it is kept back
 
-    def hold(self, package: str) -> None:
+    def hold_back(self, package: str) -> None:
         """Until all that hold it released it, neither the roster nor a check hears that it is good."""
         self.held.add(package)
 
@@ -32,13 +32,13 @@
 
     def set(self, good: bool, cheap: bool) -> None:
         changed, self.good, self.cheap = good != self.good, good, cheap
-        if changed and self.reporting:
+        if changed and self.is_reporting:
             self.say()
 
     def start(self) -> None:
         self.ready = True
-        if not self.reporting and not self.held:
-            self.reporting = True
+        if not self.is_reporting and not self.held:
+            self.is_reporting = True
             self.report()
 
     def report(self) -> None:
@@ -47,7 +47,7 @@
 
     def move(self, roster: Address) -> None:
         self.roster.address = roster
-        if self.reporting:
+        if self.is_reporting:
             self.say()
 
     def say(self) -> None:
--- a/landingshift/net/routing/taps.py
+++ b/landingshift/net/routing/observers.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from landingshift.net.routing.records import Routed
+from landingshift.net.routing.rpc_record import RoutedRpc
 
 
-class Observer(Protocol):
+class RpcObserver(Protocol):
     """Hears of the stages of an RPC that it has a method for; must not block and must not change the RPC.
 
     read(rpc), started(rpc), needed(rpc) a call below, called(rpc, outcome, took in ms), answered(rpc, "ok",
@@ -19,35 +19,35 @@
     name: str
 
 
-EVENTS = ("read", "started", "needed", "called", "answered", "closed")
+EVENTS = ("on_read", "on_started", "on_call_needed", "on_call_finished", "on_answered", "on_closed")
 
 
-class Gate(Protocol):
+class AnswerGate(Protocol):
     """May let an ok answer go later than it is there, within the RPC's deadline."""
 
-    def hold(self, rpc: Routed, result: bytes, work: float) -> bool:
+    def hold_answer(self, rpc: RoutedRpc, result: bytes, work: float) -> bool:
         """True where the gate passes the answer on by itself; `work` in ms."""
 
-    def leave(self, by: float) -> None:
+    def release_by(self, by: float) -> None:
         """The server drains: whatever is held goes by then, loop time in ms."""
 
 
-class Taps:
+class RpcObservers:
     def __init__(self, report: Callable[..., None]) -> None:
         self.report = report
-        self.observers: tuple[Observer, ...] = ()
-        self.told: dict[str, tuple[tuple[Observer, Callable[..., None]], ...]] = dict.fromkeys(EVENTS, ())
+        self.observers: tuple[RpcObserver, ...] = ()
+        self.told: dict[str, tuple[tuple[RpcObserver, Callable[..., None]], ...]] = dict.fromkeys(EVENTS, ())
 
-    def add(self, observer: Observer) -> None:
+    def add(self, observer: RpcObserver) -> None:
         self.keep((*self.observers, observer))
 
-    def keep(self, observers: tuple[Observer, ...]) -> None:
+    def keep(self, observers: tuple[RpcObserver, ...]) -> None:
         self.observers = observers
         self.told = {
             event: tuple((o, getattr(o, event)) for o in observers if hasattr(o, event)) for event in EVENTS
         }
 
-    def tell(self, event: str, *facts: object) -> None:
+    def notify(self, event: str, *facts: object) -> None:
         for observer, hear in self.told[event]:
             try:
                 hear(*facts)
--- a/landingshift/net/routing/router.py
+++ b/landingshift/net/routing/router.py
@@ -18,9 +18,9 @@
 from landingshift.net.routing.dedup import DedupTable, Entry
 from landingshift.net.routing.engine import Engine
 from landingshift.net.routing.gateways import OPEN, QUIET, Connection, Gateways
-from landingshift.net.routing.health import Health
-from landingshift.net.routing.records import Routed
-from landingshift.net.routing.taps import Gate, Taps
+from landingshift.net.routing.health import HealthReporter
+from landingshift.net.routing.observers import AnswerGate, RpcObservers
+from landingshift.net.routing.rpc_record import RoutedRpc
 from landingshift.net.transport.datagram import Datagrams
 from landingshift.net.transport.loop import Loop, Timer
 from landingshift.net.transport.slots import Slots
@@ -42,7 +42,7 @@
 
 
 @dataclass(slots=True)
-class Site:
+class ServerConfig:
     """What a server is told at its start."""
 
     name: str
@@ -63,97 +63,107 @@
 
 class Router:
     def __init__(
-        self, loop: Loop, site: Site, report: Callable[..., None], listener: socket.socket | None = None
+        self,
+        loop: Loop,
+        config: ServerConfig,
+        report: Callable[..., None],
+        listener: socket.socket | None = None,
     ) -> None:
         """`listener`: from another build, which also has the link to the engine."""
-        self.loop, self.site, self.report = loop, site, report
-        self.server: Server | None = None
-        self.rpcs: Slots[Routed] = Slots()
+        self.loop, self.config, self.report = loop, config, report
+        self.admission: Server | None = None
+        self.rpcs: Slots[RoutedRpc] = Slots()
         self.by_id: dict[bytes, int] = {}
         self.todo: deque[Callable[[], None]] = deque()  # events that must not reach the module while it acts
-        self.stirred = False
+        self.needs_settle = False
         self.alarm: Timer | None = None
         self.patience: Timer | None = None  # set while a look waits for the gauges
         self.gauges, self.gauged = Gauges(None, None, None), 0.0
         self.told: dict[str, str] = {}  # fields that each answer carries
-        oldest = LONGEST * max(method.deadline for method in site.settings.methods)
-        self.dedup = DedupTable(int(site.memory_mb * KEPT_SHARE * 1048576.0), site.settings.share_for, oldest)
+        oldest = LONGEST * max(method.deadline for method in config.settings.methods)
+        self.dedup = DedupTable(
+            int(config.memory_mb * KEPT_SHARE * 1048576.0), config.settings.share_for, oldest
+        )
         self.gateways = Gateways(
             loop,
-            site.listen,
-            most=max(8, min(site.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0]) - SPARE),
-            unsent=int(site.memory_mb * UNSENT_SHARE * 1048576.0),
-            idle=site.settings.link_idle,
+            config.listen,
+            most=max(8, min(config.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0]) - SPARE),
+            unsent=int(config.memory_mb * UNSENT_SHARE * 1048576.0),
+            idle=config.settings.link_idle,
             news=self,
             log=report,
             sock=listener,
         )
-        self.database = Database(loop, site.database, self.called, report)
-        self.engine = Engine(loop, site.engine, self, report, attach=listener is None)
-        self.health_state = Health(loop, site.name, Datagrams(site.roster), self.engine, site.deep_checks)
-        self.draining, self.stop_at = False, 0.0
-        self.taps = Taps(report)
-        self.mark = ""  # the field that names a client's try, where there is one
-        self.gate: Gate | None = None  # where ok answers pass before they go out
-        self.before: Callable[[], None] | None = None  # asked before the module decides on what has come
+        self.database = Database(loop, config.database, self.called, report)
+        self.engine = Engine(loop, config.engine, self, report, attach=listener is None)
+        self.health_reporter = HealthReporter(
+            loop, config.name, Datagrams(config.roster), self.engine, config.deep_checks
+        )
+        self.is_draining, self.stop_at = False, 0.0
+        self.observers = RpcObservers(report)
+        self.attempt_id_field = ""  # the field that names a client's try, where there is one
+        self.answer_gate: AnswerGate | None = None  # where ok answers pass before they go out
+        self.before_decisions: Callable[[], None] | None = (
+            None  # asked before the module decides on what has come
+        )
         loop.settle = self.settle
 
     # The pass
 
     def settle(self) -> None:
-        if self.before is not None:
-            self.before()
-        while self.todo or self.stirred:
+        if self.before_decisions is not None:
+            self.before_decisions()
+        while self.todo or self.needs_settle:
             while self.todo:
                 self.todo.popleft()()
-            self.stirred = False
-            if self.server is not None:
-                self.server.now = self.loop.now
-                self.server.settle()
+            self.needs_settle = False
+            if self.admission is not None:
+                self.admission.now = self.loop.now_ms
+                self.admission.settle()
         self.database.flush(lambda rid: (rpc := self.find(rid)) is not None and rpc.call is not None)
 
     def stir(self) -> Server:
-        assert self.server is not None
-        self.server.now = self.loop.now
-        self.stirred = True
-        return self.server
+        assert self.admission is not None
+        self.admission.now = self.loop.now_ms
+        self.needs_settle = True
+        return self.admission
 
-    def find(self, rid: bytes) -> Routed | None:
+    def find(self, rid: bytes) -> RoutedRpc | None:
         slot = self.by_id.get(rid)
         return self.rpcs.get(slot) if slot is not None else None
 
     # What gateways send
 
-    def read(self, connection: Connection, call: wire.Call) -> None:
-        st = self.site
+    def read(self, connection: Connection, call: wire.Request) -> None:
+        st = self.config
         try:
             method = st.methods.get(call.method)
             if method is None:
-                raise wire.BadField("method")
-            f = wire.fields(call.params, self.mark)
+                raise wire.InvalidFieldError("method")
+            f = wire.fields(call.params, self.attempt_id_field)
             tenant = st.tenants.get(f.tenant)
             if tenant is None and st.tenants:
-                raise wire.BadField("tenant")
+                raise wire.InvalidFieldError("tenant")
             now = time.time() * 1000.0
             if not now - OLDEST < f.at < now + AHEAD:
-                raise wire.BadField("at")
+                raise wire.InvalidFieldError("at")
             if f.wait is None and st.settings.deadline_told:
-                raise wire.BadField("wait")
+                raise wire.InvalidFieldError("wait")
             age = max(0.0, now - f.at)
             # Where callers do not tell how long they wait, their method's deadline says it.
             wait = method.deadline if f.wait is None else f.wait
             if wait > LONGEST * method.deadline:
-                raise wire.BadField("wait")
+                raise wire.InvalidFieldError("wait")
             if f.rid in self.by_id:
                 known = self.find(f.rid)  # the engine could not tell the two apart
                 started = known is not None and known.job is not None and known.job.ran
                 if started and method.effect is not Effect.IDEMPOTENT:
                     connection.answer(call.number, wire.aborted(call.number, self.told))
                     return  # not as never run: whoever hears that sends it elsewhere, where it runs too
-                raise wire.BadField("id")
+                raise wire.InvalidFieldError("id")
             if len(connection.rpcs) >= OPEN:
-                raise wire.BadField("open")
-        except wire.BadField as err:
+                raise wire.InvalidFieldError("open")
+        except wire.InvalidFieldError as err:
             if connection.proven and not connection.bad:  # the rest leave one line each as they end
                 self.report("bad_rpc", field=str(err), method=call.method)
             connection.turn_down(call.number, str(err), wire.pushed_back(call.number, self.told))
@@ -161,13 +171,13 @@
         tokened = method.effect is Effect.TOKENED
         same = f.token if tokened else f.key
         dedup_key = (call.method.encode(), same) if same else None
-        if self.server is None or (not connection.proven and len(self.by_id) >= MANY):
+        if self.admission is None or (not connection.proven and len(self.by_id) >= MANY):
             # In a flood, too, what repeats an RPC with an effect must not hear that it never ran here.
             ran = tokened and dedup_key in self.dedup.entries
             told = (wire.aborted if ran else wire.pushed_back)(call.number, self.told)
             connection.answer(call.number, told)
             return
-        rpc = Routed(
+        rpc = RoutedRpc(
             method=method,
             tenant=tenant,
             remaining=min(wait, f.at + wait - now) if st.settings.deadline_told else None,
@@ -186,14 +196,14 @@
             number=call.number,
             dedup_key=dedup_key,
             tenant_name=f.tenant,
-            mark=f.mark,
+            attempt_id=f.mark,
         )
-        rpc.original = self.dedup.find(rpc, self.loop.now, self.loop.now - age)
+        rpc.original = self.dedup.find(rpc, self.loop.now_ms, self.loop.now_ms - age)
         rpc.repeat = rpc.original is not None
         rpc.slot = self.rpcs.put(rpc)
         self.by_id[rpc.rid] = rpc.slot
         connection.rpcs[call.number] = rpc
-        self.taps.tell("read", rpc)
+        self.observers.notify("on_read", rpc)
         try:
             rpc.job = self.stir().read(rpc)
         except Exception:
@@ -203,18 +213,18 @@
         if rpc.closed:
             rpc.job = None
 
-    def hangup(self, rpc: Routed) -> None:
+    def hangup(self, rpc: RoutedRpc) -> None:
         rpc.gone = True
         self.todo.append(lambda: self.leave_alone(rpc))
 
-    def leave_alone(self, rpc: Routed) -> None:
+    def leave_alone(self, rpc: RoutedRpc) -> None:
         if not rpc.closed and rpc.job is not None:
             self.stir().hangup(rpc.job)
             self.engine.answered(rpc)
             self.database.give_up(rpc)
 
-    def probe(self, connection: Connection, call: wire.Call) -> None:
-        self.health_state.check(
+    def probe(self, connection: Connection, call: wire.Request) -> None:
+        self.health_reporter.check(
             wire.deep(call.params),
             lambda good: connection.stream.write(wire.probed(call.number, good, self.told)),
         )
@@ -222,12 +232,12 @@
     # What the engine tells
 
     def engine_up(self, hello: engine_wire.Hello) -> None:
-        if self.draining:
+        if self.is_draining:
             return  # it leaves without having run anything: no list may name it now
-        settings = replace(self.site.settings, cold=hello.cold)
+        settings = replace(self.config.settings, cold=hello.cold)
         # The module's clock starts with the cores, which warm up from then on.
-        self.server = Server(settings, self.site.seed, self, self.loop.now - hello.age)
-        self.health_state.start()
+        self.admission = Server(settings, self.config.seed, self, self.loop.now_ms - hello.age)
+        self.health_reporter.start()
 
     def done(self, done: engine_wire.Done) -> None:
         rpc = self.find(done.rid)
@@ -253,11 +263,11 @@
             return
         rpc.command, rpc.need, rpc.need_body = None, need.number, need.body
         self.prove(rpc)
-        self.taps.tell("needed", rpc)
+        self.observers.notify("on_call_needed", rpc)
         self.stir().wants_call(rpc.job)
 
-    def prove(self, rpc: Routed) -> None:
-        connection = self.gateways.table.get(rpc.connection)
+    def prove(self, rpc: RoutedRpc) -> None:
+        connection = self.gateways.connections.get(rpc.connection)
         if connection is not None and not connection.proven:
             connection.proven = True
             for doubted, entry in connection.doubted.items():
@@ -271,25 +281,25 @@
             return
         asked = rpc.command is not None and rpc.command.known is not None  # whether it knows the RPC
         if no.command == b"RUN" or asked:
-            connection = self.gateways.table.get(rpc.connection)
+            connection = self.gateways.connections.get(rpc.connection)
             self.done(engine_wire.Done(0, no.rid, Outcome.NOT_SENT, 0.0, b""))
             if connection is not None and not connection.proven:
                 connection.cut("unknown_rpc")  # what else it brings would take places for nothing
 
     def stats(self, values: list[float]) -> None:
-        named = dict(zip(self.site.gauges, values, strict=False))
+        named = dict(zip(self.config.gauges, values, strict=False))
         self.gauges = Gauges(named.get("core_use"), named.get("on_cores"), named.get("links"))
-        self.gauged = self.loop.now
+        self.gauged = self.loop.now_ms
         if self.patience is not None:
             self.woken()
 
     # What the database tells
 
-    def called(self, rpc: Routed, outcome: Outcome, took: float, reply: bytes) -> None:
+    def called(self, rpc: RoutedRpc, outcome: Outcome, took: float, reply: bytes) -> None:
         self.todo.append(lambda: self.call_over(rpc, outcome, took, reply))
 
-    def call_over(self, rpc: Routed, outcome: Outcome, took: float, reply: bytes) -> None:
-        self.taps.tell("called", rpc, outcome, took)
+    def call_over(self, rpc: RoutedRpc, outcome: Outcome, took: float, reply: bytes) -> None:
+        self.observers.notify("on_call_finished", rpc, outcome, took)
         if rpc.closed or rpc.job is None or rpc.answered or rpc.gone:
             return
         if outcome is Outcome.OK:
@@ -310,46 +320,46 @@
     def woken(self) -> None:
         self.loop.cancel(self.patience)
         self.patience = None
-        fresh = self.loop.now - self.gauged < GAUGES_LAST
+        fresh = self.loop.now_ms - self.gauged < GAUGES_LAST
         try:
             self.stir().woken(self.gauges if fresh else Gauges(None, None, None))
         except Exception:
             self.wake(GAUGES_WAIT)  # a defect must not end the looks: nothing would be answered in time
             raise
 
-    def move(self, site: Site) -> None:
+    def move(self, config: ServerConfig) -> None:
         """What a new configuration changes while RPCs are under way; all else stays until the next start."""
-        kept = [name for name in FIXED if getattr(site, name) != getattr(self.site, name)]
-        now = {name: getattr(site, name) for name in MOVES}
-        self.site = replace(self.site, **now)
-        self.report("reloaded", engine=site.engine, db=site.database, roster=site.roster, kept=kept)
-        self.engine.move(site.engine)
-        self.database.move(site.database)
-        self.health_state.move(site.roster)
+        kept = [name for name in FIXED if getattr(config, name) != getattr(self.config, name)]
+        now = {name: getattr(config, name) for name in MOVES}
+        self.config = replace(self.config, **now)
+        self.report("reloaded", engine=config.engine, db=config.database, roster=config.roster, kept=kept)
+        self.engine.move(config.engine)
+        self.database.move(config.database)
+        self.health_reporter.move(config.roster)
 
     def drain(self, notice: float | None = None) -> None:
         """The notice to leave: answers all that was read, then lets the connections go, then ends.
 
         `notice`: when it came. What it allows counts from then, however late the loop gets to it.
         """
-        if self.draining:
+        if self.is_draining:
             return
-        self.draining = True
-        ago = max(0.0, self.loop.now - notice) if notice is not None else 0.0
-        left = max(1.0, self.site.stop_ms - ago)
-        self.stop_at = self.loop.now + left
-        if self.server is None:
+        self.is_draining = True
+        ago = max(0.0, self.loop.now_ms - notice) if notice is not None else 0.0
+        left = max(1.0, self.config.stop_ms - ago)
+        self.stop_at = self.loop.now_ms + left
+        if self.admission is None:
             # Nothing runs here, but what waits unread counts as received: it is told that it never ran.
             self.depart()
             return
         self.stir().quiesce(left, ago)
         away = self.depart_later()
-        if self.gate is not None:
-            self.gate.leave(self.loop.now + away)
+        if self.answer_gate is not None:
+            self.answer_gate.release_by(self.loop.now_ms + away)
 
     def depart_later(self) -> float:
         """Returns in how many ms."""
-        left = self.stop_at - self.loop.now
+        left = self.stop_at - self.loop.now_ms
         away = max(left - LEAVE, left / 2.0)
         self.loop.after(away, self.depart)
         return away
@@ -368,45 +378,45 @@
 
     # What the module asks for
 
-    def answer(self, rpc: Routed, data: bytes, how: str) -> None:
+    def answer(self, rpc: RoutedRpc, data: bytes, how: str) -> None:
         """One final answer, whatever is said later; `how` is ok, pushed_back or aborted."""
-        connection = self.gateways.table.get(rpc.connection)
+        connection = self.gateways.connections.get(rpc.connection)
         if not rpc.answered and not rpc.gone and connection is not None:
             connection.answer(rpc.number, data)
-            self.taps.tell("answered", rpc, how)
+            self.observers.notify("on_answered", rpc, how)
         rpc.answered = True
 
-    def ok(self, rpc: Routed, result: bytes, work: float) -> None:
+    def ok(self, rpc: RoutedRpc, result: bytes, work: float) -> None:
         """`work` in ms, as the engine tells it; the gate, where there is one, may let the answer go later."""
-        if self.gate is not None and not rpc.answered and not rpc.gone:
+        if self.answer_gate is not None and not rpc.answered and not rpc.gone:
             try:
-                rpc.passing = self.gate.hold(rpc, result, work)
+                rpc.passing = self.answer_gate.hold_answer(rpc, result, work)
             except Exception:  # a gate that breaks must not keep answers
                 self.report("gate_cut_off", trace=traceback.format_exc(limit=-6))
-                self.gate, rpc.passing = None, False
+                self.answer_gate, rpc.passing = None, False
         if not rpc.passing:
-            self.pass_on(rpc, result)
+            self.send_held_answer(rpc, result)
 
-    def pass_on(self, rpc: Routed, result: bytes) -> None:
+    def send_held_answer(self, rpc: RoutedRpc, result: bytes) -> None:
         rpc.passing = False
         self.answer(rpc, wire.ok(rpc.number, result, self.told), "ok")
 
-    def refuse_ok(self, rpc: Routed) -> None:
+    def abort_held_answer(self, rpc: RoutedRpc) -> None:
         """The gate's word that an ok answer may not go."""
         rpc.passing = False
         self.answer(rpc, wire.aborted(rpc.number, self.told), "aborted")
 
     def run(self, rpc: Rpc) -> None:
-        assert isinstance(rpc, Routed)
-        self.taps.tell("started", rpc)
+        assert isinstance(rpc, RoutedRpc)
+        self.observers.notify("on_started", rpc)
         self.engine.say(rpc, engine_wire.run(rpc.rid, rpc.name, rpc.body), True)
 
     def stop(self, rpc: Rpc) -> None:
-        assert isinstance(rpc, Routed)
+        assert isinstance(rpc, RoutedRpc)
         self.engine.halt(rpc)
 
     def push_back(self, rpc: Rpc, hold_off: float, final: bool) -> None:
-        assert isinstance(rpc, Routed)
+        assert isinstance(rpc, RoutedRpc)
         told = self.told
         if hold_off > 0 or final:
             told = dict(told)
@@ -417,33 +427,33 @@
         self.answer(rpc, wire.pushed_back(rpc.number, told), "pushed_back")
 
     def abort(self, rpc: Rpc) -> None:
-        assert isinstance(rpc, Routed)
+        assert isinstance(rpc, RoutedRpc)
         self.answer(rpc, wire.aborted(rpc.number, self.told), "aborted")
         self.engine.answered(rpc)
         self.database.give_up(rpc)
 
     def call(self, rpc: Rpc, allow: float) -> None:
-        assert isinstance(rpc, Routed)
+        assert isinstance(rpc, RoutedRpc)
         if not self.database.call(rpc, allow):
             self.called(rpc, Outcome.NO_CONNECTION, 0.0, b"")
 
     def skip(self, rpc: Rpc) -> None:
-        assert isinstance(rpc, Routed)
+        assert isinstance(rpc, RoutedRpc)
         self.engine.say(rpc, engine_wire.skip(rpc.rid, rpc.need))
 
     def keep(self, rpc: Rpc, time: float) -> None:
-        assert isinstance(rpc, Routed)
-        self.dedup.keep(rpc, self.loop.now + time)
+        assert isinstance(rpc, RoutedRpc)
+        self.dedup.keep(rpc, self.loop.now_ms + time)
 
     def forget(self, rpc: Rpc) -> None:
-        assert isinstance(rpc, Routed)
+        assert isinstance(rpc, RoutedRpc)
         entry = self.dedup.owned(rpc)
         if entry is not None:
             self.end_entry(entry, Outcome.ABORTED, b"")
             self.dedup.remove(entry)
 
     def join(self, rpc: Rpc) -> None:
-        assert isinstance(rpc, Routed)
+        assert isinstance(rpc, RoutedRpc)
         entry = rpc.original
         assert entry is not None
         if entry.outcome is None:
@@ -452,15 +462,15 @@
             self.todo.append(lambda: self.joined(rpc, entry))
 
     def end_entry(self, entry: Entry, outcome: Outcome, result: bytes) -> None:
-        for waiting in self.dedup.end(entry, outcome, result, self.loop.now):
+        for waiting in self.dedup.end(entry, outcome, result, self.loop.now_ms):
             self.todo.append(lambda waiting=waiting: self.joined(waiting, entry))  # type: ignore[misc]
 
-    def joined(self, rpc: Routed, entry: Entry, last: bool = False) -> None:
+    def joined(self, rpc: RoutedRpc, entry: Entry, last: bool = False) -> None:
         """`last`: there is no more time for its connection to prove itself."""
         if rpc.closed or rpc.job is None:
             return
         good = entry.outcome is Outcome.OK and entry.result is not None
-        connection = self.gateways.table.get(rpc.connection)
+        connection = self.gateways.connections.get(rpc.connection)
         if good and connection is not None and not connection.proven:
             # A stranger that repeats a gateway's key must not be given what was made for that one.
             if rpc.method.skip_share > 0.0:
@@ -480,12 +490,12 @@
             self.answer(rpc, wire.aborted(rpc.number, self.told), "aborted")
         self.stir().ended(rpc.job, Outcome.OK if good else Outcome.ABORTED, 0.0)
 
-    def known(self, rpc: Routed, entry: Entry) -> None:
+    def known(self, rpc: RoutedRpc, entry: Entry) -> None:
         self.prove(rpc)
         self.todo.append(lambda: self.joined(rpc, entry))
 
     def closed(self, rpc: Rpc) -> None:
-        assert isinstance(rpc, Routed)
+        assert isinstance(rpc, RoutedRpc)
         if not rpc.answered and not rpc.gone and not rpc.passing:  # nothing read may end without an answer
             self.answer(rpc, wire.aborted(rpc.number, self.told), "aborted")
         rpc.closed = True
@@ -501,13 +511,13 @@
         rpc.job = None  # no cycle: memory must not wait for the collector
         del self.by_id[rpc.rid]
         self.rpcs.drop(rpc.slot)
-        self.taps.tell("closed", rpc)
+        self.observers.notify("on_closed", rpc)
 
     def health(self, good: bool, cheap: bool) -> None:
-        self.health_state.set(good, cheap)
+        self.health_reporter.set(good, cheap)
 
     def advertise(self, amount: float) -> None:
-        if self.site.settings.advert is not Advert.NONE:
+        if self.config.settings.advert is not Advert.NONE:
             self.told = {"say": f"{amount:g}"}
 
     def reap(self, idle: float) -> None:
--- a/landingshift/net/routing/records.py
+++ b/landingshift/net/routing/rpc_record.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Routed(Rpc):
+class RoutedRpc(Rpc):
     rid: bytes
     name: bytes  # of its method, for the engine
     body: bytes
@@ -23,7 +23,7 @@
     number: int  # its message there
     dedup_key: tuple[bytes, str] | None  # the same in a repeat of it
     tenant_name: str = ""
-    mark: str | None = None  # of the client's try, where the installation names a field for it
+    attempt_id: str | None = None  # of the client's try, where the installation names a field for it
     slot: int = -1
     job: Job | None = None
     answered: bool = False
--- a/landingshift/net/transport/loop.py
+++ b/landingshift/net/transport/loop.py
@@ -13,7 +13,7 @@
 
 
 class Watcher(Protocol):
-    def ready(self, mask: int) -> None: ...
+    def on_ready(self, mask: int) -> None: ...
 
 
 class Writer(Protocol):
@@ -21,10 +21,10 @@
 
 
 class Timer:
-    __slots__ = ("action", "at")
+    __slots__ = ("action", "due_ms")
 
     def __init__(self, at: float, action: Callable[[], None] | None) -> None:
-        self.at, self.action = at, action
+        self.due_ms, self.action = at, action
 
 
 class Loop:
@@ -35,20 +35,20 @@
         self.watched: dict[int, Watcher] = {}
         self.timers: list[tuple[float, int, Timer]] = []
         self.count, self.dead = 0, 0
-        self.turns = 0  # times that the sockets were read
-        self.dirty: dict[Writer, None] = {}
-        self.fault, self.running = fault, True
+        self.passes_read = 0  # times that the sockets were read
+        self.pending_writers: dict[Writer, None] = {}
+        self.fault, self.is_running = fault, True
         self.settle: Callable[[], None] = lambda: None
-        self.now = self.clock()
+        self.now_ms = self.clock_ms()
 
     @staticmethod
-    def clock() -> float:
+    def clock_ms() -> float:
         return time.monotonic() * 1000.0
 
     def after(self, delay: float, action: Callable[[], None]) -> Timer:
-        timer = Timer(self.now + delay, action)
+        timer = Timer(self.now_ms + delay, action)
         self.count += 1
-        heapq.heappush(self.timers, (timer.at, self.count, timer))
+        heapq.heappush(self.timers, (timer.due_ms, self.count, timer))
         return timer
 
     def cancel(self, timer: Timer | None) -> None:
@@ -72,20 +72,20 @@
             self.selector.unregister(fd)
 
     def stop(self) -> None:
-        self.running = False
+        self.is_running = False
 
     def run(self) -> None:
-        while self.running:
-            self.turn()
+        while self.is_running:
+            self.run_pass()
 
-    def turn(self) -> None:
-        self.read(max(0.0, self.timers[0][0] - self.clock()) if self.timers else 1000.0)
-        if self.timers and self.now - self.timers[0][0] > LATE:
+    def run_pass(self) -> None:
+        self.read(max(0.0, self.timers[0][0] - self.clock_ms()) if self.timers else 1000.0)
+        if self.timers and self.now_ms - self.timers[0][0] > LATE:
             # After a pause what came meanwhile must be seen before anything is held to be overdue.
             for _ in range(READS):
                 if not self.read(0.0):
                     break
-        while self.timers and self.timers[0][0] <= self.now:
+        while self.timers and self.timers[0][0] <= self.now_ms:
             timer = heapq.heappop(self.timers)[2]
             if timer.action is None:
                 self.dead -= 1
@@ -93,20 +93,20 @@
                 action, timer.action = timer.action, None
                 self.guarded(action)
         self.guarded(self.settle)
-        while self.dirty:
-            writers, self.dirty = self.dirty, {}
+        while self.pending_writers:
+            writers, self.pending_writers = self.pending_writers, {}
             for writer in writers:
                 self.guarded(writer.flush)
 
     def read(self, wait: float) -> bool:
         events = self.selector.select(wait / 1000.0)
-        self.now = self.clock()
-        self.turns += 1
+        self.now_ms = self.clock_ms()
+        self.passes_read += 1
         for key, mask in events:
             watcher = self.watched.get(key.fd)
             if watcher is not None and watcher is key.data:  # not closed by a handler before it
                 try:
-                    watcher.ready(mask)
+                    watcher.on_ready(mask)
                 except Exception:
                     self.fault()
         return bool(events)
--- a/landingshift/net/transport/stream.py
+++ b/landingshift/net/transport/stream.py
@@ -23,17 +23,17 @@
 
 
 class Owner(Protocol):
-    def data(self, data: bytes) -> None: ...
-    def eof(self) -> None: ...  # the other side writes no more
-    def ended(self, reason: str) -> None: ...  # the stream is closed
+    def on_data(self, data: bytes) -> None: ...
+    def on_eof(self) -> None: ...  # the other side writes no more
+    def on_closed(self, reason: str) -> None: ...  # the stream is closed
 
 
 class Nobody:
     """The owner of a closed stream."""
 
-    def data(self, data: bytes) -> None: ...
-    def eof(self) -> None: ...
-    def ended(self, reason: str) -> None: ...
+    def on_data(self, data: bytes) -> None: ...
+    def on_eof(self) -> None: ...
+    def on_closed(self, reason: str) -> None: ...
 
 
 NOBODY = Nobody()
@@ -62,38 +62,38 @@
         unsent: Unsent | None = None,
         reads: int = READS,
     ) -> None:
-        self.loop, self.sock, self.bound, self.unsent = loop, sock, bound, unsent
+        self.loop, self.sock, self.bound, self.unsent_budget = loop, sock, bound, unsent
         self.owner: Owner = owner
         self.reads = reads
-        self.connecting, self.reading, self.open, self.reason = connecting, True, True, ""
+        self.is_connecting, self.is_reading, self.is_open, self.close_reason = connecting, True, True, ""
         self.mask = -1  # what the loop watches it for
-        self.out = bytearray()
-        self.queued = self.sent = 0  # bytes since the start; what is not sent has proved nothing
+        self.output = bytearray()
+        self.queued_bytes = self.sent_bytes = 0  # bytes since the start; what is not sent has proved nothing
         self.discarded = self.lingers = 0  # after our half-close: bytes, and spells of waiting
         self.lingered = 0  # sent before this spell
-        self.last = loop.now  # when bytes last went either way
+        self.last_activity_ms = loop.now_ms  # when bytes last went either way
         self.timer: Timer | None = None
         self.watch()
 
     def watch(self) -> None:
-        mask = EVENT_READ if self.reading and not self.connecting else 0
-        if self.connecting or self.out:
+        mask = EVENT_READ if self.is_reading and not self.is_connecting else 0
+        if self.is_connecting or self.output:
             mask |= EVENT_WRITE
         if mask != self.mask:
             self.mask = mask
             self.loop.watch(self.sock.fileno(), mask, self)
 
-    def ready(self, mask: int) -> None:
-        if self.connecting:
+    def on_ready(self, mask: int) -> None:
+        if self.is_connecting:
             code = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
             if code:
                 self.close("refused" if code == errno.ECONNREFUSED else "unreachable")
                 return
-            self.connecting = False
+            self.is_connecting = False
             self.flush()
         elif mask & EVENT_WRITE:
             self.flush()
-        if mask & EVENT_READ and self.open and not self.connecting:
+        if mask & EVENT_READ and self.is_open and not self.is_connecting:
             self.read()
 
     def read(self) -> None:
@@ -106,101 +106,101 @@
                 self.close("reset")
                 return
             if not data:
-                self.reading = False
+                self.is_reading = False
                 self.watch()
-                if self.reason:
-                    self.close(self.reason)
+                if self.close_reason:
+                    self.close(self.close_reason)
                 else:
-                    self.owner.eof()
+                    self.owner.on_eof()
                 return
-            self.last = self.loop.now
-            if not self.reason:
-                self.owner.data(data)
+            self.last_activity_ms = self.loop.now_ms
+            if not self.close_reason:
+                self.owner.on_data(data)
             else:  # after our half-close: it can't be answered any more, so it must not be acted on either
                 self.discarded += len(data)
                 if self.discarded > DISCARD:
-                    self.close(self.reason)
-            if not self.open or len(data) < CHUNK:
+                    self.close(self.close_reason)
+            if not self.is_open or len(data) < CHUNK:
                 return
 
     def write(self, data: bytes) -> None:
         """Queues; the loop sends at the end of its pass."""
-        if not self.open or self.reason:
+        if not self.is_open or self.close_reason:
             return
-        self.out += data
-        self.queued += len(data)
-        self.loop.dirty[self] = None
-        if self.unsent:
-            self.unsent.add(len(data))
-        if len(self.out) > self.bound:
+        self.output += data
+        self.queued_bytes += len(data)
+        self.loop.pending_writers[self] = None
+        if self.unsent_budget:
+            self.unsent_budget.add(len(data))
+        if len(self.output) > self.bound:
             self.flush()
-            if len(self.out) > self.bound:  # a peer that stops reading must not fill the memory
+            if len(self.output) > self.bound:  # a peer that stops reading must not fill the memory
                 self.close("stalled")
 
     def flush(self) -> None:
-        if not self.open or self.connecting:
+        if not self.is_open or self.is_connecting:
             return
         try:
-            while self.out:
-                count = self.sock.send(self.out)
-                self.sent += count
-                del self.out[:count]
-                if self.unsent:
-                    self.unsent.add(-count)
-                self.last = self.loop.now
+            while self.output:
+                count = self.sock.send(self.output)
+                self.sent_bytes += count
+                del self.output[:count]
+                if self.unsent_budget:
+                    self.unsent_budget.add(-count)
+                self.last_activity_ms = self.loop.now_ms
         except (BlockingIOError, InterruptedError):
             pass
         except OSError:
             self.close("reset")
             return
-        if self.reason and not self.out:
+        if self.close_reason and not self.output:
             self.shut()
-        if self.open:
+        if self.is_open:
             self.watch()
 
-    def finish(self, reason: str) -> None:
+    def close_gracefully(self, reason: str) -> None:
         """A half-close once all is written, and a close once the other side has read it and closed too."""
-        if self.open and not self.reason:
-            self.reason = reason
+        if self.is_open and not self.close_reason:
+            self.close_reason = reason
             self.linger()
             self.flush()
 
     def linger(self) -> None:
         """Ends the wait for the other side, unless it reads slowly and is owed answers."""
-        taking = self.out and self.sent != self.lingered and self.lingers < LINGERS
+        taking = self.output and self.sent_bytes != self.lingered and self.lingers < LINGERS
         if self.timer is None or taking:
-            self.lingers, self.lingered = self.lingers + 1, self.sent
+            self.lingers, self.lingered = self.lingers + 1, self.sent_bytes
             self.timer = self.loop.after(LINGER, self.linger)
         else:
             self.read()  # a close over unread bytes would reset the connection under answers it has not read
-            self.close(self.reason)
+            self.close(self.close_reason)
 
     def shut(self) -> None:
-        if not self.reading:
-            self.close(self.reason)
+        if not self.is_reading:
+            self.close(self.close_reason)
             return
         try:
             # A close with bytes unread would reset the connection and could take answers with it.
             self.sock.shutdown(socket.SHUT_WR)
         except OSError:
-            self.close(self.reason)
+            self.close(self.close_reason)
 
     def check(self) -> None:
         """Where the other side writes no more, this finds out whether it still reads."""
-        if self.open and self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
+        if self.is_open and self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
             self.close("reset")
 
     def close(self, reason: str) -> None:
-        if self.open:
-            self.open = False
-            if self.unsent:
-                self.unsent.add(-len(self.out))
+        if self.is_open:
+            self.is_open = False
+            if self.unsent_budget:
+                self.unsent_budget.add(-len(self.output))
             self.loop.cancel(self.timer)
             self.loop.watch(self.sock.fileno(), 0, self)
             self.sock.close()
             owner, self.owner = self.owner, NOBODY  # no cycle: memory must not wait for the collector
-            self.reason = self.reason or reason
-            owner.ended(self.reason)  # a reset after our own close is not why it ended
+            self.close_reason = self.close_reason or reason
+            owner.on_closed(self.close_reason)  # a reset after our own close is not why it ended
 
 
 def connect(loop: Loop, address: Address, owner: Owner, bound: int, host: str = "") -> Stream | str:
@@ -237,7 +237,7 @@
         sock: socket.socket | None = None,
     ) -> None:
         """`sock`: one that listens already, with its backlog."""
-        self.loop, self.room, self.take, self.open, self.draining = loop, room, take, True, False
+        self.loop, self.room, self.take, self.is_open, self.draining = loop, room, take, True, False
         if sock is None:
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -252,7 +252,7 @@
         self.address: Address = self.sock.getsockname()
         loop.watch(self.sock.fileno(), EVENT_READ, self)
 
-    def ready(self, _mask: int) -> None:
+    def on_ready(self, _mask: int) -> None:
         for _ in range(ACCEPTS):
             if not self.room(True):
                 self.rest()
@@ -296,11 +296,11 @@
         self.loop.after(PAUSE, self.resume)
 
     def resume(self) -> None:
-        if self.open and not self.draining:
+        if self.is_open and not self.draining:
             self.loop.watch(self.sock.fileno(), EVENT_READ, self)
 
     def close(self) -> None:
-        if self.open:
-            self.open = False
+        if self.is_open:
+            self.is_open = False
             self.loop.watch(self.sock.fileno(), 0, self)
             self.sock.close()
--- a/landingshift/policies/service.py
+++ b/landingshift/policies/service.py
@@ -18,8 +18,8 @@
 from landingshift.policies.settings import Settings, plan
 
 if TYPE_CHECKING:
-    from landingshift.net.program.features import Host
-    from landingshift.net.routing.records import Routed
+    from landingshift.net.program.features import ServiceHost
+    from landingshift.net.routing.rpc_record import RoutedRpc
 
 PACKAGE = "policies"
 SOON = 1.0  # ms: no look is due before
@@ -30,12 +30,12 @@
 class Policies:
     name = "policies"
 
-    def __init__(self, host: Host, settings: Settings) -> None:
+    def __init__(self, host: ServiceHost, settings: Settings) -> None:
         fleet = host.services["fleet"]
         assert isinstance(fleet, Fleet)
         self.fleet, self.node, self.log = fleet, fleet.node, host.log
         self.router, self.loop, self.settings = host.router, host.router.loop, settings
-        site = self.router.site
+        site = self.router.config
         self.base = Base(site.settings, site.methods, site.tenants)
         self.journal: Journal | None = None
         if site.name in settings.voters and not settings.journal:
@@ -50,22 +50,22 @@
         me, chance = self.node.me, Random(f"{site.seed} policies {site.name}")
         stored = self.journal.stored if self.journal is not None else None
         self.part = Part(
-            me.name, me.run, plan(settings), self.base.check, stored, chance, self.loop.now, failpoints.wall,
-            most=settings.most,
+            me.name, me.run, plan(settings), self.base.check, stored, chance, self.loop.now_ms,
+            failpoints.wall, most=settings.most,
         )  # fmt: skip
         self.follower = self.part.follower
         self.laid = 0  # the version that the module goes by
         self.server: Server | None = None  # the module that was last told whether it may decide
-        self.may, self.looked = False, self.loop.now  # when it looked whether it may
+        self.may, self.looked = False, self.loop.now_ms  # when it looked whether it may
         self.full_since, self.save_at = -1.0, 0.0  # since when the disk takes nothing; next try
         self.timer: Timer | None = None
         self.seen: tuple[Any, ...] = ("", Stage.NONE, "", False, "")
         self.part.follower.others = lambda: self.node.members.present
         self.node.handlers[PACKAGE] = self.hear
-        self.router.before = self.before
-        self.router.health_state.hold(self.name)  # no gateway need hear of one that can't decide yet
+        self.router.before_decisions = self.before
+        self.router.health_reporter.hold_back(self.name)  # no gateway need hear of one that can't decide yet
         if failpoints.history:
-            self.router.taps.add(self)
+            self.router.observers.add(self)
         fleet.talk.calls |= {
             "policy_do": self.do, "policy_known": self.known, "policy_status": self.status,
             "policy_history": self.history, "policy_text": self.text, "policy_trust": self.trust,
@@ -75,12 +75,12 @@
     # Time and messages: the clock is read anew, since what came may be younger than the pass
 
     def hear(self, sender: Record, body: list[Any]) -> None:
-        self.part.hear(sender.name, body, self.loop.clock())
+        self.part.hear(sender.name, body, self.loop.clock_ms())
         self.pass_on()
 
     def tick(self) -> None:
         self.timer = None
-        now = self.loop.clock()
+        now = self.loop.clock_ms()
         if self.part.next() <= now:
             self.part.tick(now)
         self.pass_on()
@@ -96,31 +96,31 @@
                 break
         self.fleet.pass_on()
         self.tell()
-        at = max(self.part.next(), self.loop.now + SOON)
-        if self.timer is None or at < self.timer.at - SOON:
+        at = max(self.part.next(), self.loop.now_ms + SOON)
+        if self.timer is None or at < self.timer.due_ms - SOON:
             self.loop.cancel(self.timer)
-            self.timer = self.loop.after(at - self.loop.now, self.tick)
+            self.timer = self.loop.after(at - self.loop.now_ms, self.tick)
 
     def save(self) -> bool:
         """False where the disk takes nothing: nothing that rests on it may go out."""
         stored = self.part.unsaved()
         if stored is None or self.journal is None:
             return True
-        if self.loop.now < self.save_at:
+        if self.loop.now_ms < self.save_at:
             return False
         try:
             self.journal.save(stored)
         except OSError as err:
-            self.save_at = self.loop.now + AGAIN
+            self.save_at = self.loop.now_ms + AGAIN
             if self.full_since < 0.0:
-                self.full_since = self.loop.now
+                self.full_since = self.loop.now_ms
                 self.log("policy_unsaved", journal=self.settings.journal, error=str(err))
             return False
         if self.full_since >= 0.0:
-            self.log("policy_saved_again", after_ms=round(self.loop.now - self.full_since))
+            self.log("policy_saved_again", after_ms=round(self.loop.now_ms - self.full_since))
             self.full_since = -1.0
-        self.part.saved(self.loop.clock())
-        self.part.deliver(self.loop.clock())
+        self.part.saved(self.loop.clock_ms())
+        self.part.deliver(self.loop.clock_ms())
         return True
 
     # For packages that keep a book on the same agreement
@@ -137,7 +137,7 @@
 
     def leads(self) -> bool:
         """Whether this server speaks for all; the clock is read now."""
-        return self.part.voter is not None and self.part.voter.sure(self.loop.clock())
+        return self.part.voter is not None and self.part.voter.sure(self.loop.clock_ms())
 
     @property
     def is_voter(self) -> bool:
@@ -155,29 +155,29 @@
 
     def before(self) -> None:
         """Called at the end of each pass, before the module starts or turns away anything."""
-        server, f = self.router.server, self.follower
+        server, f = self.router.admission, self.follower
         if server is None:
             return
-        now = self.loop.clock() if f.leased else self.loop.now
+        now = self.loop.clock_ms() if f.leased else self.loop.now_ms
         if f.version > self.laid:
             self.lay(server)
         may, self.looked = f.may(now), now
         if may != self.may or server is not self.server:
             self.may, self.server = may, server
             if server.leave_at is None or not may:
-                server.now = self.loop.now
+                server.now = self.loop.now_ms
                 server.stand_aside(not may)
-                self.router.stirred = True
+                self.router.needs_settle = True
             if may:
-                self.router.health_state.release(self.name)
+                self.router.health_reporter.release(self.name)
             self.log("policy_aside", on=not may, version=f.version, why="" if may else self.why())
 
     def lay(self, server: Server) -> None:
         failpoints.reach("policies.laid")
         self.base.lay(self.follower.policy)
-        server.now = self.loop.now
+        server.now = self.loop.now_ms
         server.adopted()
-        self.router.stirred = True
+        self.router.needs_settle = True
         self.laid = self.follower.version
         self.log("policy_version", version=self.laid)
 
@@ -197,7 +197,7 @@
         """A line for what changes in a change."""
         f, book = self.follower, self.part.book
         voter = self.part.voter
-        leads = voter is not None and voter.sure(self.loop.clock())
+        leads = voter is not None and voter.sure(self.loop.clock_ms())
         step = ""  # of the change, at the one who leads it
         if leads and self.part.desk is not None and book.open:
             step = "switching" if self.part.desk.switching else self.part.desk.want
@@ -219,10 +219,10 @@
 
     # For a history
 
-    def started(self, _rpc: Routed) -> None:
+    def on_started(self, _rpc: RoutedRpc) -> None:
         self.note()
 
-    def answered(self, _rpc: Routed, how: str) -> None:
+    def on_answered(self, _rpc: RoutedRpc, how: str) -> None:
         if how == "pushed_back" and self.may:
             self.note()
 
@@ -242,11 +242,11 @@
                     raise ValueError(f"{name}: nobody of that name is known here")
                 if record.state is State.ALIVE:
                     raise ValueError(f"{name}: it is there, as this server sees it")
-                good = self.part.ask_for(id, ["gone", name, record.run], self.loop.clock())
+                good = self.part.ask_for(id, ["gone", name, record.run], self.loop.clock_ms())
                 self.pass_on()
                 return good
             case [str(id), *what] if 0 < len(id) <= 64 and what and fits(what):
-                good = self.part.ask_for(id, what, self.loop.clock())
+                good = self.part.ask_for(id, what, self.loop.clock_ms())
                 self.pass_on()
                 return good
         raise ValueError("an id and what is to be done are expected")
@@ -258,7 +258,7 @@
         raise ValueError("an id is expected")
 
     def status(self, _params: list[Any]) -> dict[str, Any]:
-        f, now = self.follower, self.loop.clock()
+        f, now = self.follower, self.loop.clock_ms()
         voter, book = self.part.voter, self.part.book
         record = self.node.members.get(f.leader) if f.leader else None
         found: dict[str, Any] = {
@@ -308,7 +308,7 @@
                 if why:
                     raise ValueError(why)
                 self.log("policy_trusted", version=version)
-                self.router.stirred = True
+                self.router.needs_settle = True
                 return True
         raise ValueError("a version and its text are expected")
 
@@ -335,6 +335,6 @@
     return False
 
 
-def attach(host: Host, settings: Settings) -> Policies:
+def attach(host: ServiceHost, settings: Settings) -> Policies:
     """Raises ValueError("journal: ...") where it can't be used."""
     return Policies(host, settings)
--- a/landingshift/testbed/experiments/cold_start_real.py
+++ b/landingshift/testbed/experiments/cold_start_real.py
@@ -219,7 +219,7 @@
     with open(f"{rig.folder}/n2.members", "wb") as file:
         file.write(b"landingshift-members 1 0\nnonsense")
     asked = len(rig.yard.list.times)
-    rig.warm_at, rig.begun = -1.0, rig.loop.now
+    rig.warm_at, rig.begun = -1.0, rig.loop.now_ms
     time.sleep(2.0)  # a machine takes longer than a lease to start, which its time since then proves
     for i in range(fleet.count):
         rig.env[i] = {"LANDINGSHIFT_BOOT": "second:9000"}
--- a/landingshift/testbed/experiments/ledger.py
+++ b/landingshift/testbed/experiments/ledger.py
@@ -23,7 +23,7 @@
 from landingshift.ledger.recent import Recent
 from landingshift.ledger.repair import catch_up
 from landingshift.ledger.store import BadStore, Lock, Store
-from landingshift.net.program.features import BadFeature, load
+from landingshift.net.program.features import FeatureConfigError, load_features
 from landingshift.testbed import MEMORY
 from landingshift.testbed.experiments.rows import Row, must
 from landingshift.testbed.processes.export_receiver import FAULTS, Books, Failing, Server
@@ -610,9 +610,9 @@
         with open(path, "w") as file:
             file.write("[ledger]\n" + "".join(f"{k} = {v}\n" for k, v in (good | {key: value}).items()))
         try:
-            load(path)
+            load_features(path)
             row.broken.append(f"{key} = {value} was taken")
-        except BadFeature as err:
+        except FeatureConfigError as err:
             must(row, all(part in str(err) for part in (path, "[ledger]", key)), f"said {err}")
         must(row, not os.path.exists(folder + "/l"), "a refused start left something behind")
 
--- a/landingshift/testbed/processes/fault_proxy.py
+++ b/landingshift/testbed/processes/fault_proxy.py
@@ -47,7 +47,7 @@
     def take(self, sock: socket.socket) -> None:
         Pipe(self, sock)
 
-    def ready(self, _mask: int) -> None:
+    def on_ready(self, _mask: int) -> None:
         for _ in range(256):
             try:
                 data, sender = self.sock.recvfrom(65536)
@@ -95,13 +95,13 @@
         self.pipe, self.name = pipe, name
         self.stream: Stream | None = None
 
-    def data(self, data: bytes) -> None:
+    def on_data(self, data: bytes) -> None:
         self.pipe.carry(self, data)
 
-    def eof(self) -> None:
+    def on_eof(self) -> None:
         self.pipe.close()
 
-    def ended(self, _reason: str) -> None:
+    def on_closed(self, _reason: str) -> None:
         self.stream = None
         self.pipe.close()
 
--- a/landingshift/testbed/processes/harness.py
+++ b/landingshift/testbed/processes/harness.py
@@ -59,7 +59,7 @@
         self.open: dict[int, float] = {}
         self.number = 0
         self.leaving = False  # it was asked to send no more
-        self.reader = gateway.Reader()
+        self.reader = gateway.MessageDecoder()
         self.unread = b""
         stream = connect(rig.loop, address, self, 1 << 20)
         self.stream = stream if isinstance(stream, Stream) else None
@@ -73,10 +73,10 @@
             "rank": "0.5", "at": str(int(time.time() * 1000)), "wait": str(int(WAIT)),
         }  # fmt: skip
         if self.stream is not None:
-            self.open[self.number] = rig.loop.now
+            self.open[self.number] = rig.loop.now_ms
             self.stream.write(gateway.pack([0, self.number, METHOD, [told, b"work"]]))
 
-    def data(self, data: bytes) -> None:
+    def on_data(self, data: bytes) -> None:
         self.unpacker.feed(data)
         for message in self.unpacker:
             self.leaving |= message[0] == 2
@@ -86,16 +86,16 @@
                     self.rig.ends["twice"] += 1
                     continue
                 end = message[2][0] if message[2] else "ok"
-                if self.rig.loop.now - begun > WAIT + SLACK:
+                if self.rig.loop.now_ms - begun > WAIT + SLACK:
                     # Who stands still can't answer: such time does not count against it.
                     end = "late" if begun > self.rig.still.get(self.name, -1e9) else "late at a stopped one"
                 self.rig.ends[end] += 1
 
-    def eof(self) -> None:
+    def on_eof(self) -> None:
         if self.stream is not None:
             self.stream.close("closed")
 
-    def ended(self, _reason: str) -> None:
+    def on_closed(self, _reason: str) -> None:
         self.stream = None
         # A killed server answers nobody, and one that was stopped may be left by its callers.
         dead = self.name in self.rig.killed | self.rig.doomed
@@ -137,10 +137,10 @@
         self.stops: list[Stop] = []
         self.ends: Counter[str] = Counter()
         self.runs: Counter[int] = Counter()
-        self.owed, self.looked_at = 0.0, self.loop.now
+        self.owed, self.looked_at = 0.0, self.loop.now_ms
         self.warm_at = -1.0
         self.warm: list[tuple[float, int, int]] = []  # ms, how many are warm, calls so far
-        self.begun = self.loop.now
+        self.begun = self.loop.now_ms
         self.env: dict[int, dict[str, str]] = {}
         for i in range(count):
             host = f"127.{self.net}.{i // 250}.{i % 250 + 1}"
@@ -205,12 +205,12 @@
     def stop(self, i: int, seconds: float) -> None:
         """SIGSTOP now, SIGCONT so much later."""
         process, name = self.processes[i], self.name(i)
-        self.still[name] = self.loop.clock() + seconds * 1000.0
+        self.still[name] = self.loop.clock_ms() + seconds * 1000.0
         process.send_signal(signal.SIGSTOP)
-        since = self.loop.clock()  # a look that it made before it stood still is no later
+        since = self.loop.clock_ms()  # a look that it made before it stood still is no later
 
         def go_on() -> None:
-            self.stops.append((name, since, self.loop.clock()))
+            self.stops.append((name, since, self.loop.clock_ms()))
             process.send_signal(signal.SIGCONT)
 
         timer = threading.Timer(seconds, go_on)
@@ -259,16 +259,16 @@
         up = [i for i in self.processes if yard.on(self.name(i)) and self.name(i) not in self.killed]
         # By the time that went by, not by the number of looks: on a machine whose cores are full these come
         # late, and a load paid by the look was half of what the row says that its servers have to bear.
-        went, self.looked_at = self.loop.now - self.looked_at, self.loop.now
+        went, self.looked_at = self.loop.now_ms - self.looked_at, self.loop.now_ms
         self.owed += self.rate * min(went, STILL) / 1000.0
         while up and self.owed >= 1.0:
             self.owed -= 1.0
             self.send(self.chance.choice(up))
         warm = sum(yard.warm(self.name(i)) for i in up)
         if self.warm_at < 0.0 and warm >= 0.95 * self.count:
-            self.warm_at = self.loop.now - self.begun
-        if not self.warm or self.loop.now - self.begun - self.warm[-1][0] >= 500.0:
-            self.warm.append((self.loop.now - self.begun, warm, len(yard.store.times)))
+            self.warm_at = self.loop.now_ms - self.begun
+        if not self.warm or self.loop.now_ms - self.begun - self.warm[-1][0] >= 500.0:
+            self.warm.append((self.loop.now_ms - self.begun, warm, len(yard.store.times)))
 
     def send(self, i: int) -> None:
         name = self.name(i)
--- a/landingshift/testbed/processes/stand_ins.py
+++ b/landingshift/testbed/processes/stand_ins.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from landingshift.net.protocol import gateway
-from landingshift.net.protocol.lines import Lines, line
+from landingshift.net.protocol.lines import LineDecoder, encode_line
 from landingshift.net.transport.loop import Loop
 from landingshift.net.transport.stream import Address, Listener, Stream
 
@@ -35,7 +35,7 @@
     def take(self, sock: socket.socket) -> None:
         owner = self.make()
         owner.stream = Stream(self.loop, sock, owner, BOUND)
-        self.links = [one for one in self.links if one.stream.open]
+        self.links = [one for one in self.links if one.stream.is_open]
         self.links.append(owner)
 
     def close(self) -> None:
@@ -44,7 +44,7 @@
             one.stream.close("down")
 
     def open(self) -> None:
-        if not self.listener.open:
+        if not self.listener.is_open:
             self.listener = Listener(self.loop, self.address, lambda _: True, self.take)
 
 
@@ -53,10 +53,10 @@
 
     stream: Stream
 
-    def eof(self) -> None:
+    def on_eof(self) -> None:
         self.stream.close("closed")
 
-    def ended(self, reason: str) -> None: ...
+    def on_closed(self, reason: str) -> None: ...
 
 
 class Engine(Link):
@@ -65,19 +65,19 @@
     def __init__(self, yard: Yard, name: str, born: float) -> None:
         self.yard, self.name, self.born = yard, name, born
         self.free = [0.0] * yard.cores  # when each core is
-        self.lines = Lines(lambda words: words[0] in (b"RUN", b"FEED"))
+        self.lines = LineDecoder(lambda words: words[0] in (b"RUN", b"FEED"))
         self.number = self.runs = 0
         self.bodies: dict[bytes, bytes] = {}
 
-    def data(self, data: bytes) -> None:
+    def on_data(self, data: bytes) -> None:
         yard = self.yard
         for words, _ in self.lines.feed(data):
             match words:
                 case [b"ATTACH", *_]:
-                    age = yard.loop.now - self.born
+                    age = yard.loop.now_ms - self.born
                     self.say(b"HELLO", b"new" if age < yard.cold_ms else b"old", b"%d" % age)
                 case [b"STAT", tag]:
-                    busy = sum(at > yard.loop.now for at in self.free)
+                    busy = sum(at > yard.loop.now_ms for at in self.free)
                     self.say(b"STATS", tag, b"%.2f" % (busy / yard.cores), b"%d" % busy, b"0.1", b"3")
                 case [b"RUN", rid, *_]:
                     self.runs += 1
@@ -100,13 +100,13 @@
             self.number += 1
             self.say(b"DONE", b"%d" % self.number, rid, b"good", b"%d" % self.yard.work, body=RESULT)
 
-        now = self.yard.loop.now
+        now = self.yard.loop.now_ms
         core = min(range(len(self.free)), key=self.free.__getitem__)
         self.free[core] = max(now, self.free[core]) + self.yard.work
         self.yard.loop.after(self.free[core] - now, done)
 
     def say(self, *words: bytes, body: bytes | None = None) -> None:
-        self.stream.write(line(*words, body=body))
+        self.stream.write(encode_line(*words, body=body))
 
 
 class Crowd:
@@ -114,7 +114,7 @@
 
     def __init__(self, loop: Loop, bears: float, base: float, crowd: float) -> None:
         self.loop, self.bears, self.base, self.crowd = loop, bears, base, crowd
-        self.free = loop.now  # when the last one that waits is done
+        self.free = loop.now_ms  # when the last one that waits is done
         self.waiting = 0
         self.fell = False
         self.falls = 0
@@ -126,7 +126,7 @@
             self.enter(lambda: None)
 
     def come(self, done: Callable[[], None]) -> None:
-        self.times.append(self.loop.now)
+        self.times.append(self.loop.now_ms)
         self.enter(done)
 
     def enter(self, done: Callable[[], None]) -> None:
@@ -134,8 +134,8 @@
         if self.waiting > self.crowd and not self.fell:
             self.fell, self.falls = True, self.falls + 1
         each = 1000.0 / self.bears * (3.0 if self.fell else 1.0)
-        self.free = max(self.free, self.loop.now) + each
-        self.loop.after(self.free - self.loop.now + self.base, lambda: self.gone(done))
+        self.free = max(self.free, self.loop.now_ms) + each
+        self.loop.after(self.free - self.loop.now_ms + self.base, lambda: self.gone(done))
 
     def gone(self, done: Callable[[], None]) -> None:
         self.waiting -= 1
@@ -156,27 +156,27 @@
 class Store(Link):
     def __init__(self, yard: Yard) -> None:
         self.yard = yard
-        self.lines = Lines(lambda words: words[0] == b"Q")
+        self.lines = LineDecoder(lambda words: words[0] == b"Q")
 
-    def data(self, data: bytes) -> None:
+    def on_data(self, data: bytes) -> None:
         for words, _ in self.lines.feed(data):
             if words[0] == b"Q":
                 self.yard.store.come(partial(self.answer, words[1]))
 
     def answer(self, rid: bytes) -> None:
-        if self.stream.open:
-            self.stream.write(line(rid, b"ROWS", body=b"rows"))
+        if self.stream.is_open:
+            self.stream.write(encode_line(rid, b"ROWS", body=b"rows"))
 
 
 class Members(Link):
     """The list service, as `mode` says: up, slow, half, old (addresses where nobody is any more)."""
 
     def __init__(self, yard: Yard) -> None:
-        self.yard, self.reader = yard, gateway.Reader()
+        self.yard, self.reader = yard, gateway.MessageDecoder()
 
-    def data(self, data: bytes) -> None:
+    def on_data(self, data: bytes) -> None:
         for message in self.reader.feed(data):
-            if isinstance(message, gateway.Call):
+            if isinstance(message, gateway.Request):
                 self.yard.list.come(partial(self.answer, message.number))
 
     def answer(self, number: int) -> None:
@@ -228,34 +228,36 @@
         self.filled[name] = 0
         self.first.pop(name, None)
         self.heard.pop(name, None)
-        born = self.loop.now
+        born = self.loop.now_ms
         had = self.engines.pop(name, None)
         if had is not None:
             had.close()
         door = self.engines[name] = Door(self.loop, lambda: Engine(self, name, born))
         return door.address
 
-    def ready(self, _mask: int) -> None:
+    def on_ready(self, _mask: int) -> None:
         for _ in range(256):
             try:
                 words = self.roster.recv(256).split()
             except OSError:
                 return
-            self.reports.append(self.loop.now)
+            self.reports.append(self.loop.now_ms)
             if len(words) == 3 and words[2] == b"on":
                 name = words[1].decode()
-                self.heard[name] = self.loop.now
-                self.first.setdefault(name, self.loop.now)
+                self.heard[name] = self.loop.now_ms
+                self.first.setdefault(name, self.loop.now_ms)
             elif len(words) == 3:
                 self.heard.pop(words[1].decode(), None)  # it says that it is not to be counted on
 
     def on(self, name: str) -> bool:
-        return self.loop.now - self.heard.get(name, -1e9) < 3000.0
+        return self.loop.now_ms - self.heard.get(name, -1e9) < 3000.0
 
     def warm(self, name: str) -> bool:
         """Listed, its cores warm and its cache filled."""
         first = self.first.get(name)
-        return first is not None and self.loop.now - first >= self.cold_ms and self.filled[name] >= self.fill
+        return (
+            first is not None and self.loop.now_ms - first >= self.cold_ms and self.filled[name] >= self.fill
+        )
 
     def close(self) -> None:
         self.roster.close()
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -14,8 +14,8 @@
 from landingshift.cli.main import main
 from landingshift.ledger.entries import Batch, Raw
 from landingshift.ledger.store import Store
-from landingshift.net.program.features import BadFeature, load
-from landingshift.net.routing.taps import Taps
+from landingshift.net.program.features import FeatureConfigError, load_features
+from landingshift.net.routing.observers import RpcObservers
 from landingshift.testbed import MEMORY
 from landingshift.testbed.processes.export_receiver import Books, Failing, Server
 from tests.helpers import CONFIG, Gateway, World
@@ -36,8 +36,8 @@
             with self.subTest(text=text), tempfile.TemporaryDirectory() as folder:
                 path = Path(folder, "ours.toml")
                 path.write_text(text)
-                with self.assertRaises(BadFeature) as caught:
-                    load(str(path))
+                with self.assertRaises(FeatureConfigError) as caught:
+                    load_features(str(path))
                 self.assertIn(said, str(caught.exception))
                 self.assertIn("ours.toml", str(caught.exception))
                 result = CliRunner().invoke(main, ["check", str(path)])
@@ -48,7 +48,7 @@
         # Its memory limit can be 32 MB: no package, and no library that only one of them needs.
         code = (
             "import sys, landingshift.net.program.main, landingshift.net.program.features as f\n"
-            "assert f.load(sys.argv[1]) == []\n"
+            "assert f.load_features(sys.argv[1]) == []\n"
             "print([m for m in sys.modules if m.startswith(('landingshift.ledger.', 'landingshift.testbed',\n"
             "'landingshift.cli', 'click', 'structlog', 'google', 'grpc', 'sqlite3', 'asyncio', 'zoneinfo'))])"
         )
@@ -93,16 +93,16 @@
         class Bad(Good):
             name = "bad"
 
-            def started(self, _: Any) -> None:
+            def on_started(self, _: Any) -> None:
                 raise ValueError("defect")
 
         lines: list[Any] = []
-        taps = Taps(lambda event, **fields: lines.append((event, fields["name"])))
-        taps.add(Bad())
-        taps.add(Good())
-        for event in ("read", "started", "closed"):
-            taps.tell(event, None)
-        self.assertEqual(heard, ["read", "read", "started", "closed"])
+        observers = RpcObservers(lambda event, **fields: lines.append((event, fields["name"])))
+        observers.add(Bad())
+        observers.add(Good())
+        for event in ("on_read", "on_started", "on_closed"):
+            observers.notify(event, None)
+        self.assertEqual(heard, ["on_read", "on_read", "on_started", "on_closed"])
         self.assertEqual(lines, [("observer_cut_off", "bad")])
 
     def test_serve_is_what_the_platform_starts(self) -> None:
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -25,14 +25,14 @@
         self.probes: list[int] = []
         self.hung_up: list[int] = []
 
-    def read(self, connection: Connection, call: wire.Call) -> None:
+    def read(self, connection: Connection, call: wire.Request) -> None:
         connection.rpcs[call.number] = call  # type: ignore[assignment]
         self.reads.append(call.number)
 
     def hangup(self, rpc: Any) -> None:
         self.hung_up.append(rpc.number)
 
-    def probe(self, connection: Connection, call: wire.Call) -> None:
+    def probe(self, connection: Connection, call: wire.Request) -> None:
         self.probes.append(call.number)
 
 
@@ -52,13 +52,13 @@
             self.ended.append(reason)
 
     def come(self, proven: bool = False) -> tuple[socket.socket, Connection]:
-        before = set(self.gateways.table)
+        before = set(self.gateways.connections)
         peer = socket.create_connection(self.gateways.listener.address)
         self.case.addCleanup(peer.close)
         peer.settimeout(5.0)
         peer.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.turn_until(lambda: set(self.gateways.table) != before)
-        (connection,) = set(self.gateways.table) - before
+        self.turn_until(lambda: set(self.gateways.connections) != before)
+        (connection,) = set(self.gateways.connections) - before
         self.case.addCleanup(connection.stream.sock.close)
         connection.proven = proven
         return peer, connection
@@ -66,14 +66,14 @@
     def turn_until(self, holds: Any) -> None:
         def once() -> bool:
             self.loop.after(0.0, lambda: None)  # so that the pass waits for nothing
-            self.loop.turn()
+            self.loop.run_pass()
             return bool(holds())
 
         until(once)
 
     def later(self, ms: float) -> None:
         """The loop's clock says so without a pass: what comes now has not been read."""
-        self.loop.now += ms
+        self.loop.now_ms += ms
 
 
 def rpc(number: int = 1) -> bytes:
@@ -102,14 +102,14 @@
                 peer, connection = door.come(proven)
                 if proven:
                     connection.goaway()
-                    door.turn_until(lambda c=connection: not c.stream.out)
+                    door.turn_until(lambda c=connection: not c.stream.output)
                 peer.sendall(rpc())
                 arrives(connection)
                 door.later(wait + 1.0)
                 connection.rest()
-                self.assertEqual((door.news.reads, connection.stream.reason), ([1], ""))
+                self.assertEqual((door.news.reads, connection.stream.close_reason), ([1], ""))
                 connection.answer(1, wire.ok(1, b"r", {}))
-                door.turn_until(lambda c=connection: not c.stream.out)
+                door.turn_until(lambda c=connection: not c.stream.output)
                 self.assertIn(msgpack.packb([1, 1, None, [b"r", {}]]), peer.recv(4096))
 
     def test_crowding_out_spares_who_has_just_sent(self) -> None:
@@ -120,9 +120,9 @@
         first.sendall(rpc())
         arrives(one)
         self.assertFalse(door.gateways.make_room())  # the one that was quiet for longest has just sent
-        self.assertEqual((door.news.reads, one.stream.open, two.stream.open), ([1], True, True))
+        self.assertEqual((door.news.reads, one.stream.is_open, two.stream.is_open), ([1], True, True))
         self.assertTrue(door.gateways.make_room())
-        self.assertEqual((one.stream.open, two.stream.open), (True, False))
+        self.assertEqual((one.stream.is_open, two.stream.is_open), (True, False))
         self.assertEqual(second.recv(10), b"")
 
     def test_a_half_message_does_not_take_answers_that_are_owed(self) -> None:
@@ -132,11 +132,11 @@
         door.turn_until(lambda: door.news.reads)
         door.later(WHOLE + 1.0)
         connection.rest()
-        self.assertEqual((connection.stream.open, connection.stream.reason), (True, ""))
+        self.assertEqual((connection.stream.is_open, connection.stream.close_reason), (True, ""))
         connection.answer(1, wire.ok(1, b"r", {}))
         connection.rest()
         self.assertEqual(msgpack.unpackb(peer.recv(4096))[:3], [1, 1, None])
-        self.assertEqual(connection.stream.reason, "unfinished")  # now nothing is owed
+        self.assertEqual(connection.stream.close_reason, "unfinished")  # now nothing is owed
 
     def test_who_has_not_been_told_to_go_is_listened_to(self) -> None:
         # `goaway` lies behind answers that a slow reader has not taken: it goes on sending.
@@ -148,21 +148,21 @@
         connection.answer(1, bytes(1 << 23))
         connection.goaway()
         door.turn_until(lambda: True)
-        self.assertTrue(connection.stream.out)
+        self.assertTrue(connection.stream.output)
         door.later(AWAY + 1.0)
         connection.rest()
         peer.sendall(rpc(2))
         door.turn_until(lambda: len(door.news.reads) > 1)
-        self.assertEqual(connection.stream.reason, "")
+        self.assertEqual(connection.stream.close_reason, "")
         door.later(2.0 * AWAY + 1.0)
         connection.answer(2, b"")
         connection.rest()
-        self.assertEqual(connection.stream.reason, "goaway")  # nobody holds a place for ever
+        self.assertEqual(connection.stream.close_reason, "goaway")  # nobody holds a place for ever
 
     def test_nothing_is_acted_on_after_the_half_close(self) -> None:
         door = Door(self)
         peer, connection = door.come(proven=True)
-        connection.stream.finish("goaway")
+        connection.stream.close_gracefully("goaway")
         peer.sendall(rpc())
         self.assertEqual(peer.recv(10), b"")
         peer.close()
@@ -172,7 +172,7 @@
     def test_who_goes_on_sending_after_it_is_cut(self) -> None:
         door = Door(self)
         peer, connection = door.come(proven=True)
-        connection.stream.finish("goaway")
+        connection.stream.close_gracefully("goaway")
         peer.setblocking(False)
         data = bytes(DISCARD // 4)
 
@@ -183,7 +183,7 @@
                 pass
             except OSError:
                 return True
-            return not connection.stream.open
+            return not connection.stream.is_open
 
         door.turn_until(over)
         self.assertLess(connection.stream.discarded, 3 * DISCARD)
@@ -213,30 +213,30 @@
         self.addCleanup(theirs.close)
         ours.setblocking(False)
         owner = News()
-        owner.ended = lambda reason: None  # type: ignore[attr-defined]
+        owner.on_closed = lambda reason: None  # type: ignore[attr-defined]
         stream = Stream(loop, ours, owner, 1 << 26)  # type: ignore[arg-type]
         stream.write(bytes(1 << 25))
         return stream, theirs
 
     def test_a_slow_reader_that_writes_no_more_gets_all_its_answers(self) -> None:
         stream, theirs = self.owing()
-        stream.reading = False
-        stream.finish("closed_by_gateway")
+        stream.is_reading = False
+        stream.close_gracefully("closed_by_gateway")
         for _ in range(3):  # spells in each of which it takes something
             theirs.recv(65536)
             stream.flush()
             stream.linger()
-            self.assertTrue(stream.open)
+            self.assertTrue(stream.is_open)
         stream.linger()
-        self.assertFalse(stream.open)  # nothing taken in a whole spell
+        self.assertFalse(stream.is_open)  # nothing taken in a whole spell
 
     def test_a_spell_without_end_is_none(self) -> None:
         stream, theirs = self.owing()
-        stream.finish("goaway")
+        stream.close_gracefully("goaway")
         spells = 0
-        while stream.open and spells < 3 * LINGERS:
+        while stream.is_open and spells < 3 * LINGERS:
             theirs.recv(4096)
-            stream.sent += 1  # as if a byte had gone
+            stream.sent_bytes += 1  # as if a byte had gone
             stream.linger()
             spells += 1
         self.assertLessEqual(spells, LINGERS + 1)
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -67,8 +67,8 @@
         self.assertFalse(door.gateways.gone())
         short.short = False
         door.turn_until(lambda: door.news.reads == [1])
-        self.assertFalse(door.gateways.listener.open)
-        for connection in door.gateways.table:
+        self.assertFalse(door.gateways.listener.is_open)
+        for connection in door.gateways.connections:
             connection.stream.close("test")
         self.assertTrue(door.gateways.gone())
 
@@ -206,15 +206,15 @@
         peer.sendall(msgpack.packb([0, 1, "m", [{}, b"work"]]))
         door.turn_until(lambda: door.news.reads)
         door.gateways.leave()
-        door.turn_until(lambda: not connection.stream.out)
-        connection.away = door.loop.now  # the time that it had is over
+        door.turn_until(lambda: not connection.stream.output)
+        connection.away = door.loop.now_ms  # the time that it had is over
         connection.answer(1, msgpack.packb([1, 1, None, [b"r", {}]]))
         passes = 0
-        while not connection.stream.reason and passes < 3:
+        while not connection.stream.close_reason and passes < 3:
             door.loop.after(0.0, lambda: None)
-            door.loop.turn()
+            door.loop.run_pass()
             passes += 1
-        self.assertEqual(connection.stream.reason, "goaway")
+        self.assertEqual(connection.stream.close_reason, "goaway")
 
     def test_short_and_long_notices(self) -> None:
         for stop_ms in (60, 200, 9e6):
@@ -253,9 +253,9 @@
         signals.heard = lambda number, at: heard.append((number, at))
         os.kill(os.getpid(), signal.SIGTERM)
         until(lambda: signal.SIGTERM in signals.came)
-        after = loop.clock()
-        until(lambda: loop.clock() > after + 20.0)  # the rest of a long pass
-        loop.turn()
+        after = loop.clock_ms()
+        until(lambda: loop.clock_ms() > after + 20.0)  # the rest of a long pass
+        loop.run_pass()
         self.assertEqual([number for number, _ in heard], [signal.SIGTERM])
         self.assertLessEqual(heard[0][1], after)
 
--- a/tests/test_golden_protocol.py
+++ b/tests/test_golden_protocol.py
@@ -19,7 +19,7 @@
 from landingshift.membership.messages import Record, State
 from landingshift.membership.node import Node, Times
 from landingshift.net.program import features
-from landingshift.net.program.config import site as read_site
+from landingshift.net.program.config import decode_config as read_site
 from landingshift.net.protocol import database, engine, gateway, roster
 from landingshift.net.routing.router import Router
 from landingshift.net.transport.loop import Loop
@@ -71,7 +71,7 @@
 
     def test_read(self) -> None:
         data = gateway.pack([0, 9, "m", [FIELDS, b"body"]]) + gateway.pack([2, "giveUp", [9]])
-        messages = gateway.Reader().feed(data + gateway.pack([2, "other", []]) + b"\xc1")
+        messages = gateway.MessageDecoder().feed(data + gateway.pack([2, "other", []]) + b"\xc1")
         fields = gateway.fields(messages[0].params, "try-mark")  # type: ignore[union-attr]
         values = [getattr(fields, name) for name in type(fields).__slots__]
         rows: list[Any] = [[getattr(m, name) for name in type(m).__slots__] for m in messages]
@@ -121,9 +121,9 @@
         )
         replies = b"".join(b"%b %b\r\n" % (RID, word) for word in (b"FULL", b"FAIL", b"TIMEOUT", b"NONE"))
         replies += RID + b" ROWS 4\r\nrows\r\n" + RID + b" ROWS 0\r\n\r\n"
-        rows = [[getattr(m, name) for name in type(m).__slots__] for m in engine.Reader().feed(sent)]
+        rows = [[getattr(m, name) for name in type(m).__slots__] for m in engine.NoticeDecoder().feed(sent)]
         rows = [[getattr(value, "value", value) for value in row] for row in rows]
-        found = [[rid, outcome.value, body] for rid, outcome, body in database.Reader().feed(replies)]
+        found = [[rid, outcome.value, body] for rid, outcome, body in database.ReplyDecoder().feed(replies)]
         assert_golden_json(self, "engine_database_read.json", {"notices": rows, "replies": found})
 
 
@@ -179,7 +179,7 @@
                 Loop(lambda: None), ("127.0.0.1", 1), "golden", lambda *a: told.append(a)
             )
             written = connect.return_value.write.call_args.args[0]
-        question.data(msgpack.encode((1, 1, None, [["10.0.0.1", 7101]])))
+        question.on_data(msgpack.encode((1, 1, None, [["10.0.0.1", 7101]])))
         assert_golden_json(self, "list_service.json", {"question": written, "told": told})
 
 
@@ -235,8 +235,8 @@
         loop = Loop(lambda: self.fail("a fault on the loop"))
         site = read_site(json.loads(json.dumps(CONFIG)), {})
         router = Router(loop, site, lambda *_, **__: None)
-        host = features.Host(router, lambda *_, **__: None)
-        services = [feature.attach(host) for feature in features.decode(toml, "golden.toml")]
+        host = features.ServiceHost(router, lambda *_, **__: None)
+        services = [feature.attach(host) for feature in features.decode_features(toml, "golden.toml")]
         fleet: Any = host.services["fleet"]
 
         def answered(method: str, params: list[Any]) -> Any:
@@ -245,13 +245,13 @@
         end = time.monotonic() + 20.0
         while not answered("policy_status", [])[3].get("leads") and time.monotonic() < end:
             loop.after(20.0, lambda: None)
-            loop.turn()
+            loop.run_pass()
         found: dict[str, Any] = {}
         for method, params in self.CALLS:
             kind, number, error, result = answered(method, params)
             for _ in range(20):
                 loop.after(2.0, lambda: None)
-                loop.turn()
+                loop.run_pass()
             found[f"{method} {json.dumps(params, default=repr)}"] = [kind, number, error, shape(result)]
         while services:
             services.pop().finish()
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -34,7 +34,7 @@
     Stage,
 )
 from landingshift.hot_restart.state import CannotMove, Giver, Taker
-from landingshift.net.program.config import site as read_site
+from landingshift.net.program.config import decode_config as read_site
 from landingshift.net.routing.router import Router
 from landingshift.net.transport.loop import Loop
 from tests.helpers import CONFIG, Bench, Peer
@@ -364,10 +364,10 @@
         return peer
 
     def pump(self, ms: float = 15.0) -> None:
-        end = self.loop.clock() + ms
+        end = self.loop.clock_ms() + ms
         self.loop.after(ms, lambda: None)
-        while self.loop.clock() < end:
-            self.loop.turn()
+        while self.loop.clock_ms() < end:
+            self.loop.run_pass()
 
     def wait_for(self, there: socket.socket | Peer) -> None:
         """Lets the router go on until something has come."""
@@ -416,13 +416,13 @@
 
     def hang_up(self, router: Router) -> None:
         """Closes a router's copies of its descriptors without a word to the peers."""
-        streams = [c.stream for c in router.gateways.table]
+        streams = [c.stream for c in router.gateways.connections]
         streams += [link.stream for link in router.database.links if link.stream]
         streams += [router.engine.stream] if router.engine.stream else []
         for stream in streams:
             stream.sock.close()
         router.gateways.listener.sock.close()
-        router.health_state.roster.sock.close()
+        router.health_reporter.roster.sock.close()
         router.loop.selector.close()
 
     def move(self) -> None:
@@ -467,18 +467,18 @@
         g = self.gateway()
         g.sendall(self.rpc("m", b"late", wait="800"))
         self.command()
-        begun = self.loop.clock()
+        begun = self.loop.clock_ms()
         self.router.drain()
         self.pump(600.0)
         self.move()
-        self.assertTrue(self.router.draining)
+        self.assertTrue(self.router.is_draining)
         self.assertEqual(self.answers(g, 1), {1: "Failed"})
-        self.assertLess(self.loop.clock() - begun, 1200.0)
+        self.assertLess(self.loop.clock_ms() - begun, 1200.0)
         g.close()
-        end = self.loop.clock() + 10_000.0
-        while self.loop.running and self.loop.clock() < end:
+        end = self.loop.clock_ms() + 10_000.0
+        while self.loop.is_running and self.loop.clock_ms() < end:
             self.pump()
-        self.assertFalse(self.loop.running)  # the drain ends where it went on
+        self.assertFalse(self.loop.is_running)  # the drain ends where it went on
         self.assertEqual(self.faults, [])
 
     def test_the_listener_keeps_its_backlog(self) -> None:
@@ -498,7 +498,7 @@
             self.command()
             self.engine.send(b"DONE %d %016x good 5 4000\r\n%b\r\n" % (i + 1, i + 1, b"%04d" % i * 1000))
         self.pump(30.0)
-        connection = next(iter(self.router.gateways.table))
+        connection = next(iter(self.router.gateways.connections))
         connection.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         self.move()
         found = self.answers(g, sizes)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -13,19 +13,19 @@
 from landingshift.net.program import config
 from landingshift.net.program.log import Log
 from landingshift.net.protocol import engine, gateway
-from landingshift.net.protocol.lines import Broken
+from landingshift.net.protocol.lines import ProtocolError
 from landingshift.net.routing.database import Database
 from landingshift.net.routing.dedup import ENTRY, DedupTable
 from landingshift.net.routing.engine import Engine
-from landingshift.net.routing.health import Health
-from landingshift.net.routing.records import Routed
+from landingshift.net.routing.health import HealthReporter
+from landingshift.net.routing.rpc_record import RoutedRpc
 from landingshift.net.transport.loop import Loop
 from landingshift.net.transport.slots import Slots
 from tests.helpers import BLANK, METHOD
 
 
-def routed(rid: int, effect: Effect = Effect.IDEMPOTENT, dedup_key: str = "s") -> Routed:
-    return Routed(
+def routed(rid: int, effect: Effect = Effect.IDEMPOTENT, dedup_key: str = "s") -> RoutedRpc:
+    return RoutedRpc(
         **{**BLANK, "method": replace(METHOD, effect=effect)},
         rid=b"%016x" % rid, name=b"m", body=b"", connection=0, number=rid, dedup_key=(b"m", dedup_key),
     )  # fmt: skip
@@ -55,7 +55,7 @@
             loop.cancel(timer)
         self.assertLess(len(loop.timers), 200)
         while len(fired) < 3:
-            loop.turn()
+            loop.run_pass()
         self.assertEqual((fired, faults), ([1.0, 2.0, 3.0], [1]))
         loop.selector.close()
 
@@ -73,7 +73,7 @@
              [engine.Stats(b"t", [1, 2.5, 3, 4]), engine.Tested(b"t", False)]),
         ]:  # fmt: skip
             with self.subTest(data=data):
-                whole, split = engine.Reader(), engine.Reader()
+                whole, split = engine.NoticeDecoder(), engine.NoticeDecoder()
                 self.assertEqual(list(whole.feed(data)), messages)
                 self.assertEqual([m for b in data for m in split.feed(bytes([b]))], messages)
         for data in (
@@ -82,15 +82,15 @@
             b"DONE -1 aa good 1 0\r\n",
             b"x" * 600,
         ):
-            with self.subTest(data=data[:20]), self.assertRaises(Broken):
-                list(engine.Reader().feed(data))
+            with self.subTest(data=data[:20]), self.assertRaises(ProtocolError):
+                list(engine.NoticeDecoder().feed(data))
 
     def test_a_gateway_message_in_pieces_stays_bounded(self) -> None:
-        reader = gateway.Reader()
+        reader = gateway.MessageDecoder()
         messages = reader.feed(b"\x94\x00\x01\xa1m\xc6\x7f\xff\xff\xff")
         while not messages and len(reader.rest) < 1 << 20:
             messages = reader.feed(bytes(1000))
-        self.assertEqual(messages, [gateway.Failed("oversized")])
+        self.assertEqual(messages, [gateway.ProtocolFailure("oversized")])
         self.assertLess(len(reader.rest), 20000)
 
 
@@ -142,19 +142,19 @@
         rpc = routed(1)
         with mock.patch("landingshift.net.routing.database.IDLE", 40.0):
             self.assertTrue(database.call(rpc, 1000.0))
-            loop.turn()
+            loop.run_pass()
             peer = door.accept()[0]
             peer.settimeout(5.0)
             peer.sendall(b"%b ROWS 2\r\nok\r\n" % rpc.rid)
             while not told or database.links:
-                loop.turn()
+                loop.run_pass()
             self.assertEqual((told[0][0], told[0][1], told[0][3]), (rpc, Outcome.OK, b"ok"))
             self.assertTrue(peer.recv(100).startswith(b"Q " + rpc.rid))
             self.assertEqual(peer.recv(100), b"")
             peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             peer.close()  # with a reset, which is no loss
             while loop.selector.get_map():
-                loop.turn()
+                loop.run_pass()
             self.assertTrue(database.call(rpc, 1000.0))  # on a new link
         self.assertEqual((lines, faults), ([("database_link_ended",)], []))
         for link in database.links:
@@ -174,7 +174,7 @@
             with self.subTest(working=working, good=good, cheap=cheap, deep=deep):
                 link: Any = mock.Mock(spec=Engine, working=working)
                 link.test.side_effect = lambda told: told("tested")
-                health = Health(mock.Mock(spec=Loop), "n", mock.Mock(), link, True)
+                health = HealthReporter(mock.Mock(spec=Loop), "n", mock.Mock(), link, True)
                 health.set(good, cheap)
                 told: list[Any] = []
                 health.check(deep, told.append)
@@ -192,15 +192,15 @@
             },
         }  # fmt: skip
         env = {"GW_NAME": "n3", "GW_LISTEN": "127.0.0.1:7001"}
-        site = config.site(least, env)
+        site = config.decode_config(least, env)
         self.assertEqual((site.name, site.listen, site.seed), ("n3", ("127.0.0.1", 7001), 255))
         self.assertEqual((site.stop_ms, site.memory_mb, site.sockets), (3000.0, 192.0, 1024))
         self.assertEqual(
             (site.database, site.gauges, site.tenants, list(site.methods)), (None, [], {}, ["m"])
         )
-        self.assertEqual(config.site({**least, "name": "n4"}, env).name, "n4")
-        with self.assertRaisesRegex(config.BadConfig, "^listen: missing"):
-            config.site(least, {"GW_NAME": "n3"})
+        self.assertEqual(config.decode_config({**least, "name": "n4"}, env).name, "n4")
+        with self.assertRaisesRegex(config.ServerConfigError, "^listen: missing"):
+            config.decode_config(least, {"GW_NAME": "n3"})
 
 
 class Lines(unittest.TestCase):
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from landingshift.admission.interface import Method
-from landingshift.net.program.config import site
+from landingshift.net.program.config import decode_config
 from landingshift.policies.book import IDS, SHOWN, TEXTS, Book, End, command
 from landingshift.policies.document import BadPolicy, Base, differs, flat, parse, read
 from landingshift.policies.follower import Follower, Plan, Stage
@@ -23,7 +23,7 @@
 
 
 def base() -> Base:
-    found = site(CONFIG | {"name": "n0"}, {})
+    found = decode_config(CONFIG | {"name": "n0"}, {})
     return Base(found.settings, found.methods, found.tenants)
 
 
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -6,15 +6,15 @@
 
 from landingshift.admission.interface import Effect, Method, Outcome
 from landingshift.net.routing.dedup import ENTRY, DedupTable
-from landingshift.net.routing.records import Routed
+from landingshift.net.routing.rpc_record import RoutedRpc
 from tests.helpers import METHOD, SETTINGS, Bench, Engine, Gateway, World, until
 from tests.test_server import prove
 
 TOKENED = Method(Effect.TOKENED, 1000.0, 0.0, 3000.0, 1.0, 0.0, 500.0, False, 0.0)
 
 
-def routed(name: str, method: Method = TOKENED) -> Routed:
-    return Routed(
+def routed(name: str, method: Method = TOKENED) -> RoutedRpc:
+    return RoutedRpc(
         method=method, tenant=None, remaining=None, waited=0.0, kb=1.0, caller=0, hint=None, keyed=False,
         repeat=False, retry=False, write=False, rid=b"", name=b"m", body=b"", connection=0, number=0,
         dedup_key=(b"m", name),
@@ -24,7 +24,7 @@
 class Window(unittest.TestCase):
     """Times in ms; the window of 500 opens when the first try reached the machine, at 0."""
 
-    def table(self) -> tuple[DedupTable, Routed]:
+    def table(self) -> tuple[DedupTable, RoutedRpc]:
         kept, first = DedupTable(1 << 20, 0.0, oldest=12000.0), routed("a")
         kept.keep(first, 501.0)
         return kept, first
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from landingshift.admission.interface import Effect
-from landingshift.net.program.config import BadConfig, site
+from landingshift.net.program.config import ServerConfigError, decode_config
 from landingshift.net.routing.engine import Engine as EngineLink
 from landingshift.net.transport.loop import Loop
 from tests.helpers import CONFIG, Engine, Gateway, World, launch, until
@@ -48,7 +48,9 @@
             "settings.orgs.0.allowance-per-s",
         ]:  # fmt: skip
             with self.subTest(path=path):
-                self.assertEqual(repr(site(changed(path, None), {})), repr(site(changed(path, ...), {})))
+                self.assertEqual(
+                    repr(decode_config(changed(path, None), {})), repr(decode_config(changed(path, ...), {}))
+                )
 
     def test_lists_of_another_length(self) -> None:
         for calls, skip, want in [
@@ -60,7 +62,7 @@
             with self.subTest(calls=calls, skip=skip):
                 config = changed("settings.extra.class-calls", calls)
                 config["settings"]["extra"]["class-skip-worth"] = skip
-                methods = site(config, {}).settings.methods
+                methods = decode_config(config, {}).settings.methods
                 self.assertEqual([(m.calls, m.skip_share) for m in methods], want)
 
     def test_names_and_orders_of_another_site(self) -> None:
@@ -71,7 +73,7 @@
         ])  # fmt: skip
         config["settings"]["orgs"] = [{"name": "Vargas y Hijos"}, {"name": "Ærø"}, {"name": "a\tb"}]
         config["settings"]["unknown"] = config["unknown"] = 5
-        told = site(config, {})
+        told = decode_config(config, {})
         self.assertEqual(
             [(n, m.effect, m.deadline, m.repeat_window) for n, m in told.methods.items()],
             [("probe", Effect.NON_IDEMPOTENT, 100.0, 0.0), ("giveUp", Effect.TOKENED, 200.0, 0.0),
@@ -95,8 +97,8 @@
             ("settings.rules", None, "settings.rules"), ("settings.extra", None, "settings.extra"),
             ("listen", None, "listen"), ("seed", None, "seed"), ("db", None, "db"),
         ]:  # fmt: skip
-            with self.subTest(path=path, value=value), self.assertRaises(BadConfig) as caught:
-                site(changed(path, value), {})
+            with self.subTest(path=path, value=value), self.assertRaises(ServerConfigError) as caught:
+                decode_config(changed(path, value), {})
             self.assertIn(words, str(caught.exception))
 
     def test_a_tenant_with_spaces_is_served(self) -> None:
@@ -123,7 +125,7 @@
 
         def ready() -> bool:
             loop.after(0.0, lambda: None)
-            loop.turn()
+            loop.run_pass()
             return link.ready
 
         until(ready)
@@ -133,7 +135,7 @@
         link.say(SimpleNamespace(command=None), b"RUN a m 0\r\n\r\n", True)  # type: ignore[arg-type]
         link.move(there)
         link.move(here)
-        self.assertEqual((link.stream is stream, stream.open, link.address), (True, True, here))
+        self.assertEqual((link.stream is stream, stream.is_open, link.address), (True, True, here))
 
 
 class Program(unittest.TestCase):
