--- a/landingshift/coldstart/service.py
+++ b/landingshift/coldstart/service.py
@@ -22,8 +22,8 @@
 from landingshift.net.transport.loop import Timer
 
 if TYPE_CHECKING:
-    from landingshift.net.program.features import Host
-    from landingshift.net.routing.records import Routed
+    from landingshift.net.program.features import ServiceHost
+    from landingshift.net.routing.rpc_record import RoutedRpc
 
 LOOK = 200.0  # ms between two looks at what this server needs
 SOONEST = 5.0
@@ -36,14 +36,14 @@
 class ColdStart:
     name = "coldstart"
 
-    def __init__(self, host: Host, settings: Settings) -> None:
+    def __init__(self, host: ServiceHost, settings: Settings) -> None:
         fleet = host.services["fleet"]
         assert isinstance(fleet, MembershipService)
         self.fleet, self.node, self.log = fleet, fleet.node, host.log
         self.router, self.loop, self.settings = host.router, host.router.loop, settings
-        chance = Random(f"{self.router.site.seed} coldstart {self.router.site.name}")
+        chance = Random(f"{self.router.config.seed} coldstart {self.router.config.name}")
         self.agent = ColdStartCoordinator(
-            self.node, cold_start_plan(settings), chance, self.loop.now, self.quiet()
+            self.node, cold_start_plan(settings), chance, self.loop.now_ms, self.quiet()
         )
         self.strain = DownstreamSaturation()
         self.question: EndpointListRequest | None = None
@@ -51,14 +51,14 @@
         known = self.remember()
         self.seek = ServiceDiscoveryPoller(
             settings.servers, settings.list_asks_s, known or bool(fleet.settings.peers), GRACE, chance,
-            self.loop.now,
+            self.loop.now_ms,
         )  # fmt: skip
-        self.save_at = self.loop.now + SOON
+        self.save_at = self.loop.now_ms + SOON
         self.saved: list[Address] = []
         self.shared = -1.0
         self.noted: dict[str, tuple[float, ...]] = {}
-        self.router.health_state.hold(self.name)
-        self.router.taps.add(self)
+        self.router.health_reporter.hold_back(self.name)
+        self.router.observers.add(self)
         fleet.operator_rpc.handlers |= {"coldstart": self.status, "lent": self.lent}
         self.node.message_handlers[PACKAGE] = self.hear
         self.timer = self.loop.after(0.0, self.look)
@@ -95,14 +95,14 @@
 
     # What the module and the engine show
 
-    def needed(self, _rpc: Routed) -> None:
-        self.strain.on_call_wanted(self.loop.now)
+    def on_call_needed(self, _rpc: RoutedRpc) -> None:
+        self.strain.on_call_wanted(self.loop.now_ms)
 
-    def called(self, _rpc: Routed, outcome: Outcome, took: float) -> None:
-        self.strain.on_call_finished(self.loop.now, outcome is Outcome.OK, took)
+    def on_call_finished(self, _rpc: RoutedRpc, outcome: Outcome, took: float) -> None:
+        self.strain.on_call_finished(self.loop.now_ms, outcome is Outcome.OK, took)
 
     def seen(self) -> LoadObservation:
-        now, server = self.loop.now, self.router.server
+        now, server = self.loop.now_ms, self.router.admission
         if server is None:
             return LoadObservation()
         age, cold = now - server.born, server.set.cold_time if server.set.cold else 0.0
@@ -126,7 +126,7 @@
     def look(self) -> None:
         self.step()
         self.fleet.flush_outgoing()
-        now, agent = self.loop.now, self.agent
+        now, agent = self.loop.now_ms, self.agent
         ends = [
             end
             for had in agent.held_leases.values()
@@ -137,9 +137,9 @@
         self.timer = self.loop.after(max(SOONEST, min([now + LOOK, agent.ask_at, *ends]) - now), self.look)
 
     def step(self) -> None:
-        now, agent = self.loop.now, self.agent
+        now, agent = self.loop.now_ms, self.agent
         # Without its engine it can't work: a place would be taken for nothing.
-        if self.router.server is not None and agent.step(now, self.seen()):
+        if self.router.admission is not None and agent.step(now, self.seen()):
             start, members = agent.start_sequence, len(self.node.member_table.present_names) + 1
             failpoints.reach(f"coldstart.{start.stage.value}")
             share = round(agent.call_quota(now), 2)
@@ -151,7 +151,7 @@
                 members=members,
             )
             if start.is_open:
-                self.router.health_state.release(self.name)
+                self.router.health_reporter.release(self.name)
         if failpoints.history:
             self.note()
         self.hand_share(now)
@@ -181,11 +181,11 @@
                 failpoints.note("loan", name, lender, *held)
 
     def hand_share(self, now: float) -> None:
-        if self.settings.calls_s and self.router.server is not None:
+        if self.settings.calls_s and self.router.admission is not None:
             share = self.agent.call_quota(now)
             if share != self.shared:
                 self.shared = share
-                self.router.server.use_below(share)
+                self.router.admission.use_below(share)
 
     def ask_list(self) -> None:
         place, fleet = (
@@ -198,7 +198,7 @@
 
     def list_told(self, addresses: list[Address], why: str) -> None:
         self.question = None
-        self.seek.on_poll_finished(self.loop.now, not why)
+        self.seek.on_poll_finished(self.loop.now_ms, not why)
         self.log("coldstart_asked", entries=len(addresses), why=why)
         self.node.add_contact_addresses(addresses)
 
@@ -222,7 +222,7 @@
     # For operators
 
     def status(self, _params: list[Any]) -> dict[str, Any]:
-        now, agent = self.loop.now, self.agent
+        now, agent = self.loop.now_ms, self.agent
         return {
             "name": self.node.local_record.name,
             "stage": agent.start_sequence.stage.value,
@@ -253,5 +253,5 @@
         }
 
 
-def attach(host: Host, settings: Settings) -> ColdStart:
+def attach(host: ServiceHost, settings: Settings) -> ColdStart:
     return ColdStart(host, settings)
--- a/landingshift/membership/service.py
+++ b/landingshift/membership/service.py
@@ -17,7 +17,7 @@
 from landingshift.net.transport.loop import Timer
 
 if TYPE_CHECKING:
-    from landingshift.net.program.features import Host
+    from landingshift.net.program.features import ServiceHost
 
 READS = 64  # datagrams in a pass: what floods must not hold up RPCs
 BUFFER = 1 << 20  # bytes of datagrams that may wait while a pass is long
@@ -26,7 +26,7 @@
 
 
 class MembershipService:
-    def __init__(self, host: Host, settings: Settings) -> None:
+    def __init__(self, host: ServiceHost, settings: Settings) -> None:
         router = host.router
         self.router, self.loop, self.log = router, router.loop, host.log
         self.settings = settings
@@ -43,9 +43,9 @@
         here = (
             parse_address("advertise", settings.advertise) if settings.advertise else self.sock.getsockname()
         )
-        chance = Random(f"{router.site.seed} fleet {router.site.name}")
+        chance = Random(f"{router.config.seed} fleet {router.config.name}")
         me = MemberRecord(
-            name=router.site.name,
+            name=router.config.name,
             host=here[0],
             port=here[1],
             zone=settings.zone,
@@ -58,7 +58,7 @@
         )
         peers = [parse_address("peers", p) for p in settings.peers]
         times = SwimTimings(settings.period_ms, settings.probe_ms, settings.suspect_ms)
-        self.node = SwimNode(me, peers, times, settings.most, chance, self.loop.now, self.log)
+        self.node = SwimNode(me, peers, times, settings.most, chance, self.loop.now_ms, self.log)
         self.node.state_observers.append(self.told)
         self.strange: dict[str, int] = {}  # datagrams by why they were turned away, since the last line
         self.timer: Timer | None = None
@@ -73,7 +73,7 @@
 
     # The loop
 
-    def ready(self, _mask: int) -> None:
+    def on_ready(self, _mask: int) -> None:
         for _ in range(READS):
             try:
                 data = self.sock.recv(wire.LARGEST + 1)
@@ -85,15 +85,15 @@
             except wire.Broken as err:
                 self.turn_away(str(err))
             else:
-                self.node.on_message(message, self.loop.now)
+                self.node.on_message(message, self.loop.now_ms)
         self.flush_outgoing()
 
     def tick(self) -> None:
         self.timer = None
-        if self.router.draining:
-            self.node.leave(self.loop.now)
-        if self.node.next_deadline_ms() <= self.loop.now:
-            self.node.on_timer(self.loop.now)
+        if self.router.is_draining:
+            self.node.leave(self.loop.now_ms)
+        if self.node.next_deadline_ms() <= self.loop.now_ms:
+            self.node.on_timer(self.loop.now_ms)
         self.flush_outgoing()
 
     def flush_outgoing(self) -> None:
@@ -103,10 +103,10 @@
                 self.sock.sendto(wire.encode(self.settings.cluster_name, message), to)
             except OSError:  # full, or no way there: a later one says the same
                 self.unsent += 1
-        at = max(self.node.next_deadline_ms(), self.loop.now + SOON)
-        if self.timer is None or at < self.timer.at - SOON:
+        at = max(self.node.next_deadline_ms(), self.loop.now_ms + SOON)
+        if self.timer is None or at < self.timer.due_ms - SOON:
             self.loop.cancel(self.timer)
-            self.timer = self.loop.after(at - self.loop.now, self.tick)
+            self.timer = self.loop.after(at - self.loop.now_ms, self.tick)
 
     def turn_away(self, reason: str) -> None:
         if not self.strange:
@@ -126,7 +126,7 @@
             self.log("fleet_gone", name=r.name, how=r.state.name.lower(), by=r.reported_by, members=members)
 
     def finish(self) -> None:
-        self.node.leave(self.loop.now)
+        self.node.leave(self.loop.now_ms)
         self.flush_outgoing()
         self.loop.watch(self.sock.fileno(), 0, self)
         self.sock.close()
@@ -135,7 +135,7 @@
     # For operators
 
     def members(self, _params: list[Any]) -> list[dict[str, Any]]:
-        now, members = self.loop.now, self.node.member_table
+        now, members = self.loop.now_ms, self.node.member_table
         rows = [self.row(members.local_record, 0.0)]
         rows += [self.row(m.record, now - m.since_ms) for m in members.members.values()]
         return sorted(rows, key=lambda row: str(row["name"]))
@@ -167,6 +167,6 @@
         }
 
 
-def attach(host: Host, settings: Settings) -> MembershipService:
+def attach(host: ServiceHost, settings: Settings) -> MembershipService:
     """Raises ValueError("listen: ...") where the address can't be had."""
     return MembershipService(host, settings)
