--- a/landingshift/policies/service.py
+++ b/landingshift/policies/service.py
@@ -57,7 +57,8 @@
             stored,
             chance,
             self.loop.now_ms,
-            failpoints.wall, most=settings.most,
+            failpoints.wall,
+            most=settings.most,
         )
         self.follower = self.part.follower
         self.laid = 0  # the version that the module goes by
