--- a/benchmarks/handover.py
+++ b/benchmarks/handover.py
@@ -10,8 +10,17 @@
 
 from msgspec import msgpack
 
-from landingshift.admission.controller import Server
-from landingshift.admission.interface import Advert, Below, Effect, Method, Outcome, Rpc, Settings, Stopping
+from landingshift.admission.controller import AdmissionController
+from landingshift.admission.interface import (
+    DownstreamKind,
+    Idempotency,
+    LoadAdvertisement,
+    Method,
+    Outcome,
+    Rpc,
+    RunCancellation,
+    Settings,
+)
 from landingshift.hot_restart.carrier import MOST, Carrier, Frame
 from landingshift.hot_restart.journal import Journal, Kind
 
@@ -25,12 +34,34 @@
         return lambda *_: None
 
 
-METHOD = Method(Effect.IDEMPOTENT, 1000.0, 0.0, 30000.0, 1.0, 0.0, 0.0, True, 0.0)
+METHOD = Method(Idempotency.IDEMPOTENT, 1000.0, 0.0, 30000.0, 1.0, 0.0, 0.0, True, 0.0)
 SETTINGS = Settings(
-    [METHOD], [], 1.0, False, 4, 8, False, 0.2, 9000.0, 1e9, 2.0, 0.0, 0.0, Stopping.NONE, Below.NONE, 0.0,
+    [METHOD],
+    [],
+    1.0,
+    False,
+    4,
+    8,
+    False,
+    0.2,
+    9000.0,
+    1e9,
+    2.0,
     0.0,
-    0.0, Advert.NONE, True, False, 0.0, 30000.0, 1000.0, 8.0,
-)  # fmt: skip
+    0.0,
+    RunCancellation.NONE,
+    DownstreamKind.NONE,
+    0.0,
+    0.0,
+    0.0,
+    LoadAdvertisement.NONE,
+    True,
+    False,
+    0.0,
+    30000.0,
+    1000.0,
+    8.0,
+)
 
 
 def timed(what: Callable[[], object]) -> float:
@@ -68,23 +99,23 @@
 
 def state() -> None:
     """The module's state with 1,000 RPCs in hand, given, packed, unpacked and taken."""
-    old = Server(SETTINGS, 1, Nothing(), 0.0)  # type: ignore[arg-type]
+    old = AdmissionController(SETTINGS, 1, Nothing(), 0.0)  # type: ignore[arg-type]
     for i in range(RPCS):
-        old.now += 0.1
-        job = old.read(Rpc(METHOD, None, 30000.0, 0.0, 10.0, i % 40, None, False, False, False, False))
+        old.now_ms += 0.1
+        job = old.on_rpc_read(Rpc(METHOD, None, 30000.0, 0.0, 10.0, i % 40, None, False, False, False, False))
         old.settle()
-        if i % 3 == 0 and job.at is not None:
-            old.ended(next(iter(old.places[job.at])), Outcome.OK, 5.0)
-    _, jobs = old.give()
-    packed = msgpack.encode(old.give()[0])
-    new = Server(SETTINGS, 1, Nothing(), 0.0)  # type: ignore[arg-type]
+        if i % 3 == 0 and job.state is not None:
+            old.on_run_finished(next(iter(old.places[job.state])), Outcome.OK, 5.0)
+    _, jobs = old.export_state()
+    packed = msgpack.encode(old.export_state()[0])
+    new = AdmissionController(SETTINGS, 1, Nothing(), 0.0)  # type: ignore[arg-type]
     rpcs = [job.rpc for job in jobs]
     print(f"{len(jobs)} RPCs in hand, {len(packed) // 1024} KB")
-    print(f"given and packed: {timed(lambda: msgpack.encode(old.give()[0])):.2f} ms")
+    print(f"given and packed: {timed(lambda: msgpack.encode(old.export_state()[0])):.2f} ms")
 
     def take() -> None:
         new.places = {want: {} for want in new.places}
-        new.take(msgpack.decode(packed), rpcs)
+        new.import_state(msgpack.decode(packed), rpcs)
 
     print(f"unpacked and taken: {timed(take):.2f} ms")
 
--- a/landingshift/coldstart/service.py
+++ b/landingshift/coldstart/service.py
@@ -101,7 +101,10 @@
         now, server = self.loop.now, self.router.server
         if server is None:
             return Seen()
-        age, cold = now - server.born, server.set.cold_time if server.set.cold else 0.0
+        age, cold = (
+            now - server.started_at_ms,
+            server.settings.warm_up_ms if server.settings.starts_cold else 0.0,
+        )
         return Seen(
             warmth=min(1.0, age / cold) if cold else 1.0,
             # Before it is open it calls for nobody: those that fill their caches need it more.
@@ -162,7 +165,7 @@
             share = self.agent.share(now)
             if share != self.shared:
                 self.shared = share
-                self.router.server.use_below(share)
+                self.router.server.set_call_quota(share)
 
     def ask_list(self) -> None:
         place, fleet = address("list_service", self.settings.list_service), self.fleet.settings.fleet
--- a/landingshift/drill/adapter.py
+++ b/landingshift/drill/adapter.py
@@ -12,18 +12,18 @@
 
 import msgspec
 
-from landingshift.admission.controller import Job, Server
+from landingshift.admission.controller import AdmissionController, ManagedRpc
 from landingshift.admission.interface import Gauges, Outcome, Rpc, Settings
 from landingshift.settings import decode
 
 OUTCOMES = {
     "served": Outcome.OK,
     "server_error": Outcome.ABORTED,
-    "turned_away": Outcome.PUSHED_BACK,
-    "no_answer": Outcome.NO_ANSWER,
+    "turned_away": Outcome.REJECTED,
+    "no_answer": Outcome.NO_RESPONSE,
     "no_connection": Outcome.NO_CONNECTION,
     "connection_lost": Outcome.CONNECTION_LOST,
-    "called_off": Outcome.CALLED_OFF,
+    "called_off": Outcome.CANCELLED,
     "not_sent": Outcome.NOT_SENT,
 }
 HINTED, RETRY, WRITE = 1, 2, 4
@@ -43,9 +43,9 @@
         self.instance = instance
         self.settings = settings
         self.reply = reply
-        self.jobs: dict[str, Job] = {}
+        self.jobs: dict[str, ManagedRpc] = {}
         self.wakes = 0
-        self.server = Server(settings, seed, self, now)
+        self.server = AdmissionController(settings, seed, self, now)
 
     def read(self, fields: list[Any]) -> None:
         rid, key, ttl, waited, kb, caller, method, hint, tenant, _rank, dup, marks = fields
@@ -54,93 +54,93 @@
         rpc = WireRpc(
             method=st.methods[method],
             tenant=st.tenants[tenant or 0] if st.tenants else None,
-            remaining=ttl if ttl is not None and (ttl > 0 or st.deadline_told) else None,
-            waited=waited or 0.0,
-            kb=kb or 0.0,
-            caller=caller or 0,
-            hint=hint if hint and bits & HINTED else None,
-            keyed=bool(key),
-            repeat=bool(dup),
-            retry=bool(bits & RETRY),
-            write=bool(bits & WRITE),
+            remaining_ms=ttl if ttl is not None and (ttl > 0 or st.callers_send_deadline) else None,
+            waited_ms=waited or 0.0,
+            memory_kb=kb or 0.0,
+            caller_id=caller or 0,
+            work_hint_ms=hint if hint and bits & HINTED else None,
+            has_cache_key=bool(key),
+            is_duplicate=bool(dup),
+            is_retry=bool(bits & RETRY),
+            is_write=bool(bits & WRITE),
             rid=rid,
         )
-        self.jobs[rid] = self.server.read(rpc)
+        self.jobs[rid] = self.server.on_rpc_read(rpc)
 
     def result(self, fields: list[Any]) -> None:
         job = self.jobs.get(fields[0])
         if job is not None:
-            self.server.ended(job, OUTCOMES[fields[1]], fields[2])
+            self.server.on_run_finished(job, OUTCOMES[fields[1]], fields[2])
 
     def wants_call(self, fields: list[Any]) -> None:
         job = self.jobs.get(fields[0])
         if job is not None:
-            self.server.wants_call(job)
+            self.server.on_call_needed(job)
 
     def call_done(self, fields: list[Any]) -> None:
         job = self.jobs.get(fields[0])
         if job is not None:
-            self.server.call_done(job, OUTCOMES[fields[1]], fields[2])
+            self.server.on_call_finished(job, OUTCOMES[fields[1]], fields[2])
 
     def hangup(self, fields: list[Any]) -> None:
         job = self.jobs.get(fields[0])
         if job is not None:
-            self.server.hangup(job)
+            self.server.on_caller_gone(job)
 
     def quiesce(self, fields: list[Any]) -> None:
-        self.server.quiesce(fields[0])
+        self.server.start_draining(fields[0])
 
     def elapsed(self, fields: list[Any]) -> None:
         stats = fields[1] or {}
-        self.server.woken(Gauges(stats.get("core_use"), stats.get("on_cores"), stats.get("links")))
+        self.server.on_timer(Gauges(stats.get("core_use"), stats.get("on_cores"), stats.get("links")))
 
     def say(self, name: str, rpc: Rpc, *values: Any) -> None:
         assert isinstance(rpc, WireRpc)
         self.reply.append([name, self.instance, rpc.rid, *values])
 
-    def run(self, rpc: Rpc) -> None:
+    def start_run(self, rpc: Rpc) -> None:
         self.say("Execute", rpc)
 
-    def stop(self, rpc: Rpc) -> None:
+    def cancel_run(self, rpc: Rpc) -> None:
         self.say("Yank", rpc)
 
-    def push_back(self, rpc: Rpc, hold_off: float, final: bool) -> None:
-        self.say("Busy", rpc, hold_off, final)
+    def reject(self, rpc: Rpc, retry_after_ms: float, is_final: bool) -> None:
+        self.say("Busy", rpc, retry_after_ms, is_final)
 
     def abort(self, rpc: Rpc) -> None:
         self.say("Error", rpc)
 
-    def call(self, rpc: Rpc, allow: float) -> None:
-        self.say("GoCall", rpc, allow)
+    def start_call(self, rpc: Rpc, timeout_ms: float) -> None:
+        self.say("GoCall", rpc, timeout_ms)
 
-    def skip(self, rpc: Rpc) -> None:
+    def skip_call(self, rpc: Rpc) -> None:
         self.say("Bypass", rpc)
 
-    def keep(self, rpc: Rpc, time: float) -> None:
-        self.say("Retain", rpc, time)
+    def retain_dedup_entry(self, rpc: Rpc, duration_ms: float) -> None:
+        self.say("Retain", rpc, duration_ms)
 
-    def forget(self, rpc: Rpc) -> None:
+    def drop_dedup_entry(self, rpc: Rpc) -> None:
         self.say("Evict", rpc)
 
-    def join(self, rpc: Rpc) -> None:
+    def await_original(self, rpc: Rpc) -> None:
         self.say("Join", rpc)
 
-    def closed(self, rpc: Rpc) -> None:
+    def release(self, rpc: Rpc) -> None:
         assert isinstance(rpc, WireRpc)
         self.jobs.pop(rpc.rid, None)
 
-    def health(self, good: bool, cheap: bool) -> None:
-        self.reply.append(["SetHealth", self.instance, good, cheap])
+    def set_health(self, is_healthy: bool, is_shallow: bool) -> None:
+        self.reply.append(["SetHealth", self.instance, is_healthy, is_shallow])
 
-    def advertise(self, amount: float) -> None:
+    def advertise_load(self, amount: float) -> None:
         self.reply.append(["Advertise", self.instance, amount])
 
-    def reap(self, idle: float) -> None:
-        self.reply.append(["ReapAfter", self.instance, idle])
+    def close_idle_connections(self, idle_timeout_ms: float) -> None:
+        self.reply.append(["ReapAfter", self.instance, idle_timeout_ms])
 
-    def wake(self, delay: float) -> None:
+    def schedule_check(self, delay_ms: float) -> None:
         self.wakes += 1
-        self.reply.append(["NotifyMe", self.instance, f"w{self.wakes}", delay])
+        self.reply.append(["NotifyMe", self.instance, f"w{self.wakes}", delay_ms])
 
     def log(self, text: str) -> None:
         self.reply.append(["NoteDown", self.instance, text])
@@ -242,7 +242,7 @@
         self.doors[instance] = Door(instance, settings, seed, now, self.reply)
 
     def deliver(self, instance: int, door: Door, handler: Handler, fields: list[Any], now: float) -> None:
-        door.server.now = now
+        door.server.now_ms = now
         handler(door, fields)
         self.stirred[instance] = door
 
--- a/landingshift/hot_restart/state.py
+++ b/landingshift/hot_restart/state.py
@@ -14,7 +14,7 @@
 
 from msgspec import Struct, field, msgpack
 
-from landingshift.admission.controller import Server
+from landingshift.admission.controller import AdmissionController
 from landingshift.admission.interface import Outcome
 from landingshift.net.protocol import engine as engine_wire
 from landingshift.net.routing.database import BOUND as DATABASE_BOUND
@@ -32,7 +32,12 @@
 OWN = (
     "rid", "name", "body", "number", "dedup_key", "answered", "gone", "closed", "need", "need_body", "mark",
 )  # fmt: skip
-FACTS = ("remaining", "waited", "kb", "caller", "hint", "keyed", "repeat", "retry", "write", "tenant_name")
+# Stored name of each fact about an RPC, and the attribute that holds it.
+FACTS = {
+    "remaining": "remaining_ms", "waited": "waited_ms", "kb": "memory_kb", "caller": "caller_id",
+    "hint": "work_hint_ms", "keyed": "has_cache_key", "repeat": "is_duplicate", "retry": "is_retry",
+    "write": "is_write", "tenant_name": "tenant_name",
+}  # fmt: skip
 COUNTS = ("read", "probes", "bad", "fault", "away", "proven", "born", "heard", "half")
 LINK = ("last", "links", "tags", "ready", "met", "greeted", "moving", "linked", "lost", "heard")
 
@@ -139,7 +144,7 @@
         r = self.router
         r.engine.give_up_tests()
         self.fds.append(r.gateways.listener.sock.fileno())
-        module, jobs = r.server.give() if r.server is not None else (None, [])
+        module, jobs = r.server.export_state() if r.server is not None else (None, [])
         rpcs: list[Routed] = [job.rpc for job in jobs if isinstance(job.rpc, Routed)]
         assert len(rpcs) == len(jobs)
         entries = list(r.dedup.entries.values())
@@ -166,7 +171,7 @@
             engine=self.engine(known),
             module=module,
             jobs=len(jobs),
-            cold=r.server.set.cold if r.server is not None else False,
+            cold=r.server.settings.starts_cold if r.server is not None else False,
             told=r.told,
             draining=r.draining,
             stop_at=r.stop_at,
@@ -196,7 +201,7 @@
             method=site.settings.methods.index(rpc.method),
             tenant=next((name for name, t in site.tenants.items() if t is rpc.tenant), None),
             own={name: getattr(rpc, name) for name in OWN},
-            facts={name: getattr(rpc, name) for name in FACTS},
+            facts={stored: getattr(rpc, name) for stored, name in FACTS.items()},
             connection=self.connections.index(connection) if connection is not None else -1,
             command=[command.data, command.runs, command.end, command.doubt, command.held_back]
             if command is not None
@@ -263,10 +268,10 @@
             r.stop_at = st.stop_at or loop.now + site.stop_ms
             r.depart_later()  # the old one's timer stays with it: nobody else would end this drain
         if st.module is not None:
-            settings = replace(site.settings, cold=st.cold)
-            r.server = Server(settings, site.seed, r, loop.now)
-            r.server.now = loop.now
-            jobs = r.server.take(st.module, list(self.rpcs[: st.jobs]))
+            settings = replace(site.settings, starts_cold=st.cold)
+            r.server = AdmissionController(settings, site.seed, r, loop.now)
+            r.server.now_ms = loop.now
+            jobs = r.server.import_state(st.module, list(self.rpcs[: st.jobs]))
             for mine, job in zip(self.rpcs, jobs, strict=False):
                 mine.job = None if mine.closed else job
         r.gateways.idle = st.idle
@@ -296,7 +301,8 @@
         tenant = self.site.tenants[one.tenant] if one.tenant is not None else None
         own = dict(one.own)
         own["dedup_key"] = tuple(own["dedup_key"]) if own["dedup_key"] is not None else None
-        rpc = Routed(method=method, tenant=tenant, connection=-1, **one.facts, **own)
+        facts = {FACTS[stored]: value for stored, value in one.facts.items()}
+        rpc = Routed(method=method, tenant=tenant, connection=-1, **facts, **own)
         if one.command is not None:
             rpc.command = Command(rpc, *one.command)
         return rpc
--- a/landingshift/ledger/service.py
+++ b/landingshift/ledger/service.py
@@ -150,7 +150,7 @@
         raw = self.use(rpc, result, work)
         if not self.outbox.add(raw):
             return self.without(rpc, result)
-        held = Held(rpc, result if self.before else b"", min(rpc.job.due - EARLY, self.by), raw)
+        held = Held(rpc, result if self.before else b"", min(rpc.job.deadline_at_ms - EARLY, self.by), raw)
         self.held[raw.n] = self.by_rpc[rpc] = held
         self.arm(self.settings.commit_ms)
         if not self.before:
@@ -172,7 +172,7 @@
         s = self.settings
         tenant = rpc.tenant_name.encode(errors="surrogatepass")
         mark = rpc.mark
-        if not mark and rpc.dedup_key is not None and (s.identity_key or not rpc.keyed):
+        if not mark and rpc.dedup_key is not None and (s.identity_key or not rpc.has_cache_key):
             mark = rpc.dedup_key[1]  # a token; a read's key says what it is about, not which try it is
         what = mark.encode(errors="surrogatepass") if mark else rpc.body
         known = identity(tenant, rpc.name, bool(mark), what)
--- a/landingshift/maintenance/service.py
+++ b/landingshift/maintenance/service.py
@@ -85,8 +85,8 @@
         server = self.router.server
         if server is None or not self.router.health_state.reporting:
             return 0.0
-        cold = server.set.cold_time if server.set.cold else 0.0
-        return min(1.0, (self.loop.now - server.born) / cold) if cold else 1.0
+        cold = server.settings.warm_up_ms if server.settings.starts_cold else 0.0
+        return min(1.0, (self.loop.now - server.started_at_ms) / cold) if cold else 1.0
 
     # Its reports
 
--- a/landingshift/net/program/config.py
+++ b/landingshift/net/program/config.py
@@ -8,7 +8,7 @@
 
 import orjson
 
-from landingshift.admission.interface import Below
+from landingshift.admission.interface import DownstreamKind
 from landingshift.net.routing.router import Site
 from landingshift.net.transport.stream import Address
 from landingshift.settings import BadSetting, decode
@@ -110,7 +110,7 @@
         name=top.word("name", env.get("GW_NAME", MISSING)),
         listen=top.address("listen", env.get("GW_LISTEN", MISSING)),
         engine=top.address("engine"),
-        database=top.address("db") if decoded.below is not Below.NONE else None,
+        database=top.address("db") if decoded.downstream is not DownstreamKind.NONE else None,
         roster=top.address("roster"),
         seed=seed(top),
         stop_ms=top.number("stop_ms", 1.0, 1e7, 3000),
--- a/landingshift/net/program/main.py
+++ b/landingshift/net/program/main.py
@@ -85,7 +85,7 @@
     gc.collect()
     gc.freeze()
     gc.set_threshold(20_000, 20, 50)
-    log("started", name=site.name, listen=router.gateways.listener.address, cold=site.settings.cold)
+    log("started", name=site.name, listen=router.gateways.listener.address, cold=site.settings.starts_cold)
     loop.run()
     for service in reversed(services):  # what one says at its end may go by another
         service.finish()
--- a/landingshift/net/protocol/database.py
+++ b/landingshift/net/protocol/database.py
@@ -9,9 +9,9 @@
 
 ENDS = {
     b"ROWS": Outcome.OK,
-    b"FULL": Outcome.PUSHED_BACK,
+    b"FULL": Outcome.REJECTED,
     b"FAIL": Outcome.ABORTED,
-    b"TIMEOUT": Outcome.NO_ANSWER,
+    b"TIMEOUT": Outcome.NO_RESPONSE,
     b"NONE": Outcome.NO_CONNECTION,  # it proves as much: the call never ran
 }
 
--- a/landingshift/net/protocol/engine.py
+++ b/landingshift/net/protocol/engine.py
@@ -11,7 +11,7 @@
 ENDS = {
     b"good": Outcome.OK,
     b"bad": Outcome.ABORTED,
-    b"cut": Outcome.CALLED_OFF,
+    b"cut": Outcome.CANCELLED,
     b"gone": Outcome.NOT_SENT,
 }
 
--- a/landingshift/net/routing/database.py
+++ b/landingshift/net/routing/database.py
@@ -148,7 +148,7 @@
         never = stream is None or call.end > stream.sent
         self.drop(call)
         self.retire(call.link)  # a link may hang while the database is well
-        self.told(call.rpc, Outcome.NO_CONNECTION if never else Outcome.NO_ANSWER, self.took(call), b"")
+        self.told(call.rpc, Outcome.NO_CONNECTION if never else Outcome.NO_RESPONSE, self.took(call), b"")
 
     def over(self, call: Call, outcome: Outcome, reply: bytes) -> None:
         self.forget(call)
--- a/landingshift/net/routing/dedup.py
+++ b/landingshift/net/routing/dedup.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from landingshift.admission.interface import Effect, Outcome
+from landingshift.admission.interface import Idempotency, Outcome
 from landingshift.net.routing.records import Routed
 
 ENTRY = 400  # bytes that an entry takes without its result
@@ -22,9 +22,14 @@
 
 
 class DedupTable:
-    def __init__(self, bound: int, share_for: float, oldest: float = 0.0) -> None:
+    def __init__(self, bound: int, response_cache_ttl_ms: float, oldest: float = 0.0) -> None:
         """`oldest`: ms since a repeat came to the machine, at most."""
-        self.bound, self.share_for, self.oldest, self.bytes = bound, share_for, oldest, 0
+        self.bound, self.response_cache_ttl_ms, self.oldest, self.bytes = (
+            bound,
+            response_cache_ttl_ms,
+            oldest,
+            0,
+        )
         self.entries: dict[tuple[bytes, str], Entry] = {}
 
     def find(self, rpc: Routed, now: float, came: float) -> Entry | None:
@@ -37,8 +42,8 @@
         # The window counts to the time at which a repeat came to the machine: it may be read long after, past
         # the end of its own wait, too. Taken for a new RPC it would be told that it never ran.
         stale = entry.until <= came
-        if rpc.method.effect is Effect.IDEMPOTENT:
-            stale = stale or entry.result is None or now - entry.ended > self.share_for
+        if rpc.method.idempotency is Idempotency.IDEMPOTENT:
+            stale = stale or entry.result is None or now - entry.ended > self.response_cache_ttl_ms
         if stale:
             self.remove(entry)
             return None
@@ -88,7 +93,7 @@
             if self.bytes <= self.bound * 0.9:
                 return
             if entry.result is not None:
-                if entry.owner.method.effect is Effect.IDEMPOTENT:
+                if entry.owner.method.idempotency is Idempotency.IDEMPOTENT:
                     self.remove(entry)
                 else:
                     self.bytes -= len(entry.result)
--- a/landingshift/net/routing/engine.py
+++ b/landingshift/net/routing/engine.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from landingshift.admission.interface import Effect
+from landingshift.admission.interface import Idempotency
 from landingshift.net.protocol import engine as wire
 from landingshift.net.protocol.lines import Broken
 from landingshift.net.routing.records import Routed
@@ -242,7 +242,7 @@
         live = [c for c in self.unsure if c.rpc.command is c and not c.rpc.closed]
         for command in live:
             # One that runs and was given to a lost link may have run to its end since: no effect twice.
-            again = command.rpc.method.effect is Effect.IDEMPOTENT or command.rpc.answered
+            again = command.rpc.method.idempotency is Idempotency.IDEMPOTENT or command.rpc.answered
             command.held_back = command.runs and command.doubt and not again
         self.unsure = deque(c for c in live if not c.held_back)
         for command in self.unsure:
--- a/landingshift/net/routing/records.py
+++ b/landingshift/net/routing/records.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from landingshift.admission.controller import Job
+from landingshift.admission.controller import ManagedRpc
 from landingshift.admission.interface import Rpc
 
 if TYPE_CHECKING:
@@ -25,7 +25,7 @@
     tenant_name: str = ""
     mark: str | None = None  # of the client's try, where the installation names a field for it
     slot: int = -1
-    job: Job | None = None
+    job: ManagedRpc | None = None
     answered: bool = False
     passing: bool = False  # its ok answer is at the gate
     gone: bool = False  # nobody waits any more
--- a/landingshift/net/routing/router.py
+++ b/landingshift/net/routing/router.py
@@ -10,8 +10,17 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from landingshift.admission.controller import Server
-from landingshift.admission.interface import Advert, Effect, Gauges, Method, Outcome, Rpc, Settings, Tenant
+from landingshift.admission.controller import AdmissionController
+from landingshift.admission.interface import (
+    Gauges,
+    Idempotency,
+    LoadAdvertisement,
+    Method,
+    Outcome,
+    Rpc,
+    Settings,
+    Tenant,
+)
 from landingshift.net.protocol import engine as engine_wire
 from landingshift.net.protocol import gateway as wire
 from landingshift.net.routing.database import Database
@@ -67,7 +76,7 @@
     ) -> None:
         """`listener`: from another build, which also has the link to the engine."""
         self.loop, self.site, self.report = loop, site, report
-        self.server: Server | None = None
+        self.server: AdmissionController | None = None
         self.rpcs: Slots[Routed] = Slots()
         self.by_id: dict[bytes, int] = {}
         self.todo: deque[Callable[[], None]] = deque()  # events that must not reach the module while it acts
@@ -76,14 +85,16 @@
         self.patience: Timer | None = None  # set while a look waits for the gauges
         self.gauges, self.gauged = Gauges(None, None, None), 0.0
         self.told: dict[str, str] = {}  # fields that each answer carries
-        oldest = LONGEST * max(method.deadline for method in site.settings.methods)
-        self.dedup = DedupTable(int(site.memory_mb * KEPT_SHARE * 1048576.0), site.settings.share_for, oldest)
+        oldest = LONGEST * max(method.deadline_ms for method in site.settings.methods)
+        self.dedup = DedupTable(
+            int(site.memory_mb * KEPT_SHARE * 1048576.0), site.settings.response_cache_ttl_ms, oldest
+        )
         self.gateways = Gateways(
             loop,
             site.listen,
             most=max(8, min(site.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0]) - SPARE),
             unsent=int(site.memory_mb * UNSENT_SHARE * 1048576.0),
-            idle=site.settings.link_idle,
+            idle=site.settings.connection_idle_timeout_ms,
             news=self,
             log=report,
             sock=listener,
@@ -108,13 +119,13 @@
                 self.todo.popleft()()
             self.stirred = False
             if self.server is not None:
-                self.server.now = self.loop.now
+                self.server.now_ms = self.loop.now
                 self.server.settle()
         self.database.flush(lambda rid: (rpc := self.find(rid)) is not None and rpc.call is not None)
 
-    def stir(self) -> Server:
+    def stir(self) -> AdmissionController:
         assert self.server is not None
-        self.server.now = self.loop.now
+        self.server.now_ms = self.loop.now
         self.stirred = True
         return self.server
 
@@ -137,17 +148,17 @@
             now = time.time() * 1000.0
             if not now - OLDEST < f.at < now + AHEAD:
                 raise wire.BadField("at")
-            if f.wait is None and st.settings.deadline_told:
+            if f.wait is None and st.settings.callers_send_deadline:
                 raise wire.BadField("wait")
             age = max(0.0, now - f.at)
             # Where callers do not tell how long they wait, their method's deadline says it.
-            wait = method.deadline if f.wait is None else f.wait
-            if wait > LONGEST * method.deadline:
+            wait = method.deadline_ms if f.wait is None else f.wait
+            if wait > LONGEST * method.deadline_ms:
                 raise wire.BadField("wait")
             if f.rid in self.by_id:
                 known = self.find(f.rid)  # the engine could not tell the two apart
-                started = known is not None and known.job is not None and known.job.ran
-                if started and method.effect is not Effect.IDEMPOTENT:
+                started = known is not None and known.job is not None and known.job.has_started
+                if started and method.idempotency is not Idempotency.IDEMPOTENT:
                     connection.answer(call.number, wire.aborted(call.number, self.told))
                     return  # not as never run: whoever hears that sends it elsewhere, where it runs too
                 raise wire.BadField("id")
@@ -158,7 +169,7 @@
                 self.report("bad_rpc", field=str(err), method=call.method)
             connection.turn_down(call.number, str(err), wire.pushed_back(call.number, self.told))
             return
-        tokened = method.effect is Effect.TOKENED
+        tokened = method.idempotency is Idempotency.KEYED
         same = f.token if tokened else f.key
         dedup_key = (call.method.encode(), same) if same else None
         if self.server is None or (not connection.proven and len(self.by_id) >= MANY):
@@ -170,15 +181,15 @@
         rpc = Routed(
             method=method,
             tenant=tenant,
-            remaining=min(wait, f.at + wait - now) if st.settings.deadline_told else None,
-            waited=min(wait, age),  # longer than it waits tells no more
-            kb=f.kb,
-            caller=f.caller,
-            hint=f.hint,
-            keyed=f.key is not None,
-            repeat=False,
-            retry=f.retry,
-            write=False,
+            remaining_ms=min(wait, f.at + wait - now) if st.settings.callers_send_deadline else None,
+            waited_ms=min(wait, age),  # longer than it waits tells no more
+            memory_kb=f.kb,
+            caller_id=f.caller,
+            work_hint_ms=f.hint,
+            has_cache_key=f.key is not None,
+            is_duplicate=False,
+            is_retry=f.retry,
+            is_write=False,
             rid=f.rid,
             name=call.method.encode(),
             body=f.body,
@@ -189,16 +200,16 @@
             mark=f.mark,
         )
         rpc.original = self.dedup.find(rpc, self.loop.now, self.loop.now - age)
-        rpc.repeat = rpc.original is not None
+        rpc.is_duplicate = rpc.original is not None
         rpc.slot = self.rpcs.put(rpc)
         self.by_id[rpc.rid] = rpc.slot
         connection.rpcs[call.number] = rpc
         self.taps.tell("read", rpc)
         try:
-            rpc.job = self.stir().read(rpc)
+            rpc.job = self.stir().on_rpc_read(rpc)
         except Exception:
             if not rpc.closed:
-                self.closed(rpc)  # a defect must not keep this one from its answer
+                self.release(rpc)  # a defect must not keep this one from its answer
             raise
         if rpc.closed:
             rpc.job = None
@@ -209,7 +220,7 @@
 
     def leave_alone(self, rpc: Routed) -> None:
         if not rpc.closed and rpc.job is not None:
-            self.stir().hangup(rpc.job)
+            self.stir().on_caller_gone(rpc.job)
             self.engine.answered(rpc)
             self.database.give_up(rpc)
 
@@ -224,9 +235,9 @@
     def engine_up(self, hello: engine_wire.Hello) -> None:
         if self.draining:
             return  # it leaves without having run anything: no list may name it now
-        settings = replace(self.site.settings, cold=hello.cold)
+        settings = replace(self.site.settings, starts_cold=hello.cold)
         # The module's clock starts with the cores, which warm up from then on.
-        self.server = Server(settings, self.site.seed, self, self.loop.now - hello.age)
+        self.server = AdmissionController(settings, self.site.seed, self, self.loop.now - hello.age)
         self.health_state.start()
 
     def done(self, done: engine_wire.Done) -> None:
@@ -242,7 +253,7 @@
             self.ok(rpc, done.result, done.elapsed)
         else:
             self.answer(rpc, wire.aborted(rpc.number, self.told), "aborted")
-        self.stir().ended(rpc.job, done.outcome, done.elapsed)
+        self.stir().on_run_finished(rpc.job, done.outcome, done.elapsed)
         if entry is not None:
             entry.work = done.elapsed
             self.end_entry(entry, done.outcome, done.result)
@@ -254,7 +265,7 @@
         rpc.command, rpc.need, rpc.need_body = None, need.number, need.body
         self.prove(rpc)
         self.taps.tell("needed", rpc)
-        self.stir().wants_call(rpc.job)
+        self.stir().on_call_needed(rpc.job)
 
     def prove(self, rpc: Routed) -> None:
         connection = self.gateways.table.get(rpc.connection)
@@ -294,7 +305,7 @@
             return
         if outcome is Outcome.OK:
             self.engine.say(rpc, engine_wire.feed(rpc.rid, reply))
-        self.stir().call_done(rpc.job, outcome, took)
+        self.stir().on_call_finished(rpc.job, outcome, took)
 
     # Time
 
@@ -312,9 +323,11 @@
         self.patience = None
         fresh = self.loop.now - self.gauged < GAUGES_LAST
         try:
-            self.stir().woken(self.gauges if fresh else Gauges(None, None, None))
+            self.stir().on_timer(self.gauges if fresh else Gauges(None, None, None))
         except Exception:
-            self.wake(GAUGES_WAIT)  # a defect must not end the looks: nothing would be answered in time
+            self.schedule_check(
+                GAUGES_WAIT
+            )  # a defect must not end the looks: nothing would be answered in time
             raise
 
     def move(self, site: Site) -> None:
@@ -342,7 +355,7 @@
             # Nothing runs here, but what waits unread counts as received: it is told that it never ran.
             self.depart()
             return
-        self.stir().quiesce(left, ago)
+        self.stir().start_draining(left, ago)
         away = self.depart_later()
         if self.gate is not None:
             self.gate.leave(self.loop.now + away)
@@ -396,23 +409,23 @@
         rpc.passing = False
         self.answer(rpc, wire.aborted(rpc.number, self.told), "aborted")
 
-    def run(self, rpc: Rpc) -> None:
+    def start_run(self, rpc: Rpc) -> None:
         assert isinstance(rpc, Routed)
         self.taps.tell("started", rpc)
         self.engine.say(rpc, engine_wire.run(rpc.rid, rpc.name, rpc.body), True)
 
-    def stop(self, rpc: Rpc) -> None:
+    def cancel_run(self, rpc: Rpc) -> None:
         assert isinstance(rpc, Routed)
         self.engine.halt(rpc)
 
-    def push_back(self, rpc: Rpc, hold_off: float, final: bool) -> None:
+    def reject(self, rpc: Rpc, retry_after_ms: float, is_final: bool) -> None:
         assert isinstance(rpc, Routed)
         told = self.told
-        if hold_off > 0 or final:
+        if retry_after_ms > 0 or is_final:
             told = dict(told)
-            if hold_off > 0:
-                told["after"] = f"{hold_off:.0f}"
-            if final:
+            if retry_after_ms > 0:
+                told["after"] = f"{retry_after_ms:.0f}"
+            if is_final:
                 told["last"] = "1"
         self.answer(rpc, wire.pushed_back(rpc.number, told), "pushed_back")
 
@@ -422,27 +435,27 @@
         self.engine.answered(rpc)
         self.database.give_up(rpc)
 
-    def call(self, rpc: Rpc, allow: float) -> None:
+    def start_call(self, rpc: Rpc, timeout_ms: float) -> None:
         assert isinstance(rpc, Routed)
-        if not self.database.call(rpc, allow):
+        if not self.database.call(rpc, timeout_ms):
             self.called(rpc, Outcome.NO_CONNECTION, 0.0, b"")
 
-    def skip(self, rpc: Rpc) -> None:
+    def skip_call(self, rpc: Rpc) -> None:
         assert isinstance(rpc, Routed)
         self.engine.say(rpc, engine_wire.skip(rpc.rid, rpc.need))
 
-    def keep(self, rpc: Rpc, time: float) -> None:
+    def retain_dedup_entry(self, rpc: Rpc, duration_ms: float) -> None:
         assert isinstance(rpc, Routed)
-        self.dedup.keep(rpc, self.loop.now + time)
+        self.dedup.keep(rpc, self.loop.now + duration_ms)
 
-    def forget(self, rpc: Rpc) -> None:
+    def drop_dedup_entry(self, rpc: Rpc) -> None:
         assert isinstance(rpc, Routed)
         entry = self.dedup.owned(rpc)
         if entry is not None:
             self.end_entry(entry, Outcome.ABORTED, b"")
             self.dedup.remove(entry)
 
-    def join(self, rpc: Rpc) -> None:
+    def await_original(self, rpc: Rpc) -> None:
         assert isinstance(rpc, Routed)
         entry = rpc.original
         assert entry is not None
@@ -463,7 +476,7 @@
         connection = self.gateways.table.get(rpc.connection)
         if good and connection is not None and not connection.proven:
             # A stranger that repeats a gateway's key must not be given what was made for that one.
-            if rpc.method.skip_share > 0.0:
+            if rpc.method.degraded_value_fraction > 0.0:
                 self.engine.know(rpc, lambda: self.known(rpc, entry))
                 return
             if not last:
@@ -478,19 +491,19 @@
             self.ok(rpc, entry.result or b"", entry.work)
         else:
             self.answer(rpc, wire.aborted(rpc.number, self.told), "aborted")
-        self.stir().ended(rpc.job, Outcome.OK if good else Outcome.ABORTED, 0.0)
+        self.stir().on_run_finished(rpc.job, Outcome.OK if good else Outcome.ABORTED, 0.0)
 
     def known(self, rpc: Routed, entry: Entry) -> None:
         self.prove(rpc)
         self.todo.append(lambda: self.joined(rpc, entry))
 
-    def closed(self, rpc: Rpc) -> None:
+    def release(self, rpc: Rpc) -> None:
         assert isinstance(rpc, Routed)
         if not rpc.answered and not rpc.gone and not rpc.passing:  # nothing read may end without an answer
             self.answer(rpc, wire.aborted(rpc.number, self.told), "aborted")
         rpc.closed = True
         entry = self.dedup.owned(rpc)
-        if entry is not None and entry.outcome is None and (rpc.job is None or not rpc.job.ran):
+        if entry is not None and entry.outcome is None and (rpc.job is None or not rpc.job.has_started):
             # It outlived its entry unrun: no repeat may wait for what never comes.
             self.end_entry(entry, Outcome.ABORTED, b"")
             self.dedup.remove(entry)
@@ -503,19 +516,19 @@
         self.rpcs.drop(rpc.slot)
         self.taps.tell("closed", rpc)
 
-    def health(self, good: bool, cheap: bool) -> None:
-        self.health_state.set(good, cheap)
+    def set_health(self, is_healthy: bool, is_shallow: bool) -> None:
+        self.health_state.set(is_healthy, is_shallow)
 
-    def advertise(self, amount: float) -> None:
-        if self.site.settings.advert is not Advert.NONE:
+    def advertise_load(self, amount: float) -> None:
+        if self.site.settings.load_advertisement is not LoadAdvertisement.NONE:
             self.told = {"say": f"{amount:g}"}
 
-    def reap(self, idle: float) -> None:
-        self.gateways.set_idle(idle)
+    def close_idle_connections(self, idle_timeout_ms: float) -> None:
+        self.gateways.set_idle(idle_timeout_ms)
 
-    def wake(self, delay: float) -> None:
+    def schedule_check(self, delay_ms: float) -> None:
         self.loop.cancel(self.alarm)
-        self.alarm = self.loop.after(delay, self.look)
+        self.alarm = self.loop.after(delay_ms, self.look)
         if self.patience is not None:  # the look under way has been put off
             self.loop.cancel(self.patience)
             self.patience = None
--- a/landingshift/policies/document.py
+++ b/landingshift/policies/document.py
@@ -20,9 +20,13 @@
 Figures = dict[str, dict[str, dict[str, float]]]
 
 # Keys of each table: the format they came with, and where the module keeps them.
-METHODS = {"criticality": (1, "criticality"), "target_ms": (1, "target"), "late_share": (2, "late_share")}
-TENANTS = {"allowance_s": (1, "allowance")}
-RULES = {"hold_off_max_ms": (1, "hold_off_max"), "over_share_worth": (1, "over_share_worth")}
+METHODS = {
+    "criticality": (1, "criticality"),
+    "target_ms": (1, "latency_objective_ms"),
+    "late_share": (2, "late_value_fraction"),
+}
+TENANTS = {"allowance_s": (1, "quota_per_second")}
+RULES = {"hold_off_max_ms": (1, "max_retry_after_ms"), "over_share_worth": (1, "over_quota_value_fraction")}
 TABLES = {"methods": METHODS, "tenants": TENANTS}
 
 
@@ -124,10 +128,10 @@
         owner = self.owners[table].get(name)
         if owner is None:
             raise BadPolicy(f"{table}.{name}: this server has none of that name")
-        if values.get("hold_off_max_ms") and not self.start["rules", "", "hold_off_max"]:
+        if values.get("hold_off_max_ms") and not self.start["rules", "", "max_retry_after_ms"]:
             raise BadPolicy("rules.hold_off_max_ms: its settings permit no hold-off")
-        if isinstance(owner, Method) and values.get("target_ms", 0.0) > owner.deadline:
-            raise BadPolicy(f"{table}.{name}.target_ms: more than its deadline, {owner.deadline:g}")
+        if isinstance(owner, Method) and values.get("target_ms", 0.0) > owner.deadline_ms:
+            raise BadPolicy(f"{table}.{name}.target_ms: more than its deadline, {owner.deadline_ms:g}")
         if values.get("target_ms") == 0.0:
             raise BadPolicy(f"{table}.{name}.target_ms: 0 would turn all away")
 
--- a/landingshift/policies/service.py
+++ b/landingshift/policies/service.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any
 
 from landingshift import failpoints
-from landingshift.admission.controller import Server
+from landingshift.admission.controller import AdmissionController
 from landingshift.consensus.raft_log import BadJournal, Journal
 from landingshift.membership.messages import Record, State
 from landingshift.membership.service import Fleet
@@ -55,7 +55,7 @@
         )  # fmt: skip
         self.follower = self.part.follower
         self.laid = 0  # the version that the module goes by
-        self.server: Server | None = None  # the module that was last told whether it may decide
+        self.server: AdmissionController | None = None  # the module that was last told whether it may decide
         self.may, self.looked = False, self.loop.now  # when it looked whether it may
         self.full_since, self.save_at = -1.0, 0.0  # since when the disk takes nothing; next try
         self.timer: Timer | None = None
@@ -164,19 +164,19 @@
         may, self.looked = f.may(now), now
         if may != self.may or server is not self.server:
             self.may, self.server = may, server
-            if server.leave_at is None or not may:
-                server.now = self.loop.now
-                server.stand_aside(not may)
+            if server.stop_at_ms is None or not may:
+                server.now_ms = self.loop.now
+                server.set_standby(not may)
                 self.router.stirred = True
             if may:
                 self.router.health_state.release(self.name)
             self.log("policy_aside", on=not may, version=f.version, why="" if may else self.why())
 
-    def lay(self, server: Server) -> None:
+    def lay(self, server: AdmissionController) -> None:
         failpoints.reach("policies.laid")
         self.base.lay(self.follower.policy)
-        server.now = self.loop.now
-        server.adopted()
+        server.now_ms = self.loop.now
+        server.on_settings_changed()
         self.router.stirred = True
         self.laid = self.follower.version
         self.log("policy_version", version=self.laid)
--- a/landingshift/settings.py
+++ b/landingshift/settings.py
@@ -4,14 +4,31 @@
 
 from typing import Any, TypeVar
 
-from landingshift.admission.interface import Advert, Below, Effect, Method, Settings, Stopping, Tenant
+from landingshift.admission.interface import (
+    DownstreamKind,
+    Idempotency,
+    LoadAdvertisement,
+    Method,
+    RunCancellation,
+    Settings,
+    Tenant,
+)
 
 T = TypeVar("T")
 MISSING = object()
-EFFECTS = {"retryable": Effect.IDEMPOTENT, "dedup": Effect.TOKENED, "fragile": Effect.NON_IDEMPOTENT}
-BELOW = {"silent": Below.NONE, "shared": Below.SHARED, "tier": Below.TIER}
-ADVERTS = {"silent": Advert.NONE, "level": Advert.LEVEL, "credit": Advert.CREDIT, "weight": Advert.WEIGHT}
-STOPPING = {"silent": Stopping.NONE, "drop": Stopping.DROP, "pause": Stopping.PAUSE}
+EFFECTS = {
+    "retryable": Idempotency.IDEMPOTENT,
+    "dedup": Idempotency.KEYED,
+    "fragile": Idempotency.NON_IDEMPOTENT,
+}
+BELOW = {"silent": DownstreamKind.NONE, "shared": DownstreamKind.SHARED_STORE, "tier": DownstreamKind.TIER}
+ADVERTS = {
+    "silent": LoadAdvertisement.NONE,
+    "level": LoadAdvertisement.LEVEL,
+    "credit": LoadAdvertisement.CREDIT,
+    "weight": LoadAdvertisement.WEIGHT,
+}
+STOPPING = {"silent": RunCancellation.NONE, "drop": RunCancellation.DROP, "pause": RunCancellation.PAUSE}
 
 
 class BadSetting(ValueError):
@@ -74,15 +91,15 @@
     extra, rules, permits = top.table("extra"), top.table("rules"), top.table("permissions", {})
     methods = [
         Method(
-            effect=m.choice("effect", EFFECTS),
-            target=m.number("slo"),
-            target_stretch=m.number("aim-stretch", 0.0),
-            deadline=m.number("give-up"),
+            idempotency=m.choice("effect", EFFECTS),
+            latency_objective_ms=m.number("slo"),
+            objective_work_factor=m.number("aim-stretch", 0.0),
+            deadline_ms=m.number("give-up"),
             criticality=m.number("value"),
-            late_share=m.number("late-share", 0.0),
-            repeat_window=m.number("repeat-window", 0.0),
-            calls=bool(extra.at("class-calls", i)),
-            skip_share=extra.checked(
+            late_value_fraction=m.number("late-share", 0.0),
+            dedup_window_ms=m.number("repeat-window", 0.0),
+            calls_downstream=bool(extra.at("class-calls", i)),
+            degraded_value_fraction=extra.checked(
                 f"{path}.extra.class-skip-worth", extra.at("class-skip-worth", i) or 0.0
             ),
         )
@@ -96,28 +113,30 @@
     return Settings(
         methods=methods,
         tenants=[Tenant(t.number("allowance-per-s", 0.0)) for t in top.tables("orgs")],
-        over_share_worth=top.number("over-share-worth", 1.0),
-        by_work=data.get("worth-by") == "work",
-        servers=max(1, int(top.number("peers-total", 1))),
-        callers=int(extra.number("callers", 0.0)),
-        cores=int(cores),
-        cold=bool(extra.take("cold", False)),
-        cold_from=rules.number("cold-from"),
-        cold_time=rules.number("cold"),
+        over_quota_value_fraction=top.number("over-share-worth", 1.0),
+        criticality_is_per_work=data.get("worth-by") == "work",
+        server_count=max(1, int(top.number("peers-total", 1))),
+        caller_count=int(extra.number("callers", 0.0)),
+        core_count=int(cores),
+        starts_cold=bool(extra.take("cold", False)),
+        cold_speed_fraction=rules.number("cold-from"),
+        warm_up_ms=rules.number("cold"),
         memory_kb=extra.number("memory-kb"),
-        run_factor=extra.number("run-factor"),
-        key_kb=extra.number("key-kb", 0.0),
-        share_for=extra.number("share-for", 0.0),
-        stopping=extra.choice("halt", STOPPING, "silent"),
-        below=extra.choice("depends-on", BELOW, "silent"),
-        calls_out=extra.number("calls-out", 0.0),
-        calls_over=extra.number("calls-over", 0.0),
-        linger=extra.number("linger", 0.0),
-        advert=extra.choice("say", ADVERTS, "silent"),
-        deadline_told=bool(extra.take("passes-deadline", False)),
-        marks_retry=bool(top.table("clients", {}).take("marks-retry", False)),
-        link_idle=extra.number("caller-idle", 0.0),
-        hold_off_max=permits.number("max-retry-after", 0.0) if permits.take("retry-after", False) else 0.0,
-        drain_grace=rules.number("drain-grace"),
-        crowd=rules.number("tip-multiple"),
+        running_memory_factor=extra.number("run-factor"),
+        dedup_entry_kb=extra.number("key-kb", 0.0),
+        response_cache_ttl_ms=extra.number("share-for", 0.0),
+        run_cancellation=extra.choice("halt", STOPPING, "silent"),
+        downstream=extra.choice("depends-on", BELOW, "silent"),
+        downstream_concurrency_quota=extra.number("calls-out", 0.0),
+        downstream_quota_window_ms=extra.number("calls-over", 0.0),
+        lost_call_linger_ms=extra.number("linger", 0.0),
+        load_advertisement=extra.choice("say", ADVERTS, "silent"),
+        callers_send_deadline=bool(extra.take("passes-deadline", False)),
+        callers_mark_retries=bool(top.table("clients", {}).take("marks-retry", False)),
+        connection_idle_timeout_ms=extra.number("caller-idle", 0.0),
+        max_retry_after_ms=permits.number("max-retry-after", 0.0)
+        if permits.take("retry-after", False)
+        else 0.0,
+        drain_grace_ms=rules.number("drain-grace"),
+        max_runs_per_core=rules.number("tip-multiple"),
     )
--- a/landingshift/testbed/simulation/server.py
+++ b/landingshift/testbed/simulation/server.py
@@ -14,17 +14,17 @@
 
 import msgspec
 
-from landingshift.admission.controller import Job, Server
+from landingshift.admission.controller import AdmissionController, ManagedRpc
 from landingshift.admission.interface import (
-    Advert,
-    Below,
-    Effect,
+    DownstreamKind,
     Gauges,
+    Idempotency,
+    LoadAdvertisement,
     Method,
     Outcome,
     Rpc,
+    RunCancellation,
     Settings,
-    Stopping,
     Tenant,
 )
 from landingshift.coldstart.agent import Agent, Seen
@@ -61,7 +61,7 @@
 
 
 def method(criticality: float, calls: bool) -> Method:
-    return Method(Effect.IDEMPOTENT, 1500.0, 0.0, WAIT, criticality, 0.5, 5000.0, calls, 0.5)
+    return Method(Idempotency.IDEMPOTENT, 1500.0, 0.0, WAIT, criticality, 0.5, 5000.0, calls, 0.5)
 
 
 METHODS = (method(1.0, True), method(5.0, False))
@@ -69,13 +69,33 @@
 
 def settings(servers: int, tenant: Tenant) -> Settings:
     return Settings(
-        methods=list(METHODS), tenants=[tenant], over_share_worth=0.1, by_work=False, servers=servers,
-        callers=0, cores=CORES, cold=True, cold_from=0.3, cold_time=COLD, memory_kb=100_000.0, run_factor=4.0,
-        key_kb=1.0,
-        share_for=0.0, stopping=Stopping.NONE, below=Below.SHARED, calls_out=50.0, calls_over=5000.0,
-        linger=100.0, advert=Advert.NONE, deadline_told=True, marks_retry=True, hold_off_max=1000.0,
-        link_idle=30_000.0, drain_grace=GRACE, crowd=8.0,
-    )  # fmt: skip
+        methods=list(METHODS),
+        tenants=[tenant],
+        over_quota_value_fraction=0.1,
+        criticality_is_per_work=False,
+        server_count=servers,
+        caller_count=0,
+        core_count=CORES,
+        starts_cold=True,
+        cold_speed_fraction=0.3,
+        warm_up_ms=COLD,
+        memory_kb=100_000.0,
+        running_memory_factor=4.0,
+        dedup_entry_kb=1.0,
+        response_cache_ttl_ms=0.0,
+        run_cancellation=RunCancellation.NONE,
+        downstream=DownstreamKind.SHARED_STORE,
+        downstream_concurrency_quota=50.0,
+        downstream_quota_window_ms=5000.0,
+        lost_call_linger_ms=100.0,
+        load_advertisement=LoadAdvertisement.NONE,
+        callers_send_deadline=True,
+        callers_mark_retries=True,
+        max_retry_after_ms=1000.0,
+        connection_idle_timeout_ms=30_000.0,
+        drain_grace_ms=GRACE,
+        max_runs_per_core=8.0,
+    )
 
 
 @dataclass(slots=True, eq=False)
@@ -128,15 +148,19 @@
             )  # fmt: skip
         self.without()
         self.tenant = Tenant(100_000.0)
-        self.server = Server(settings(town.day.servers, self.tenant), chance.getrandbits(32), self, now)
+        self.server = AdmissionController(
+            settings(town.day.servers, self.tenant), chance.getrandbits(32), self, now
+        )
         if self.away == "due":
-            self.server.sweep = lambda job: inf  # type: ignore[method-assign]
-        self.jobs: dict[int, Job] = {}  # without an answer, by their numbers
-        self.engine: dict[int, Job] = {}  # on the cores or at a call, whether or not anybody waits for them
+            self.server.enforce_deadline = lambda job: inf  # type: ignore[method-assign]
+        self.jobs: dict[int, ManagedRpc] = {}  # without an answer, by their numbers
+        self.engine: dict[
+            int, ManagedRpc
+        ] = {}  # on the cores or at a call, whether or not anybody waits for them
         self.busy: list[float] = []  # when each run on the cores ends
         self.filled = self.runs = 0
         self.laid, self.may, self.good = -1, False, False
-        self.server.stand_aside(True)
+        self.server.set_standby(True)
         self.share = -1.0
         self.reads, self.reads_at, self.load = 0, now, 0.0
         self.ok = self.all = 0.0
@@ -197,7 +221,12 @@
 
     def next(self) -> float:
         return min(
-            self.node.next(), self.part.next(), self.server.alarm, self.look_at, self.work_at, self.ends_at
+            self.node.next(),
+            self.part.next(),
+            self.server.next_check_ms,
+            self.look_at,
+            self.work_at,
+            self.ends_at,
         )
 
     def hear(self, message: Any, now: float) -> None:
@@ -208,22 +237,22 @@
                 self.read(rpc, waited, now)
             case "notice", float(away):
                 self.drain(away)
-            case "done", Job() as job, float(ms):
-                self.server.now = now
-                self.server.ended(job, Outcome.OK, ms)
+            case "done", ManagedRpc() as job, float(ms):
+                self.server.now_ms = now
+                self.server.on_run_finished(job, Outcome.OK, ms)
                 self.engine.pop(job.rpc.number, None)  # type: ignore[attr-defined]
                 if self.jobs.pop(job.rpc.number, None) is not None:  # type: ignore[attr-defined]
                     self.answer(job.rpc, "ok")
-            case "needs", Job() as job:
-                self.server.now = now
+            case "needs", ManagedRpc() as job:
+                self.server.now_ms = now
                 self.strain.needed(now)
-                self.server.wants_call(job)
+                self.server.on_call_needed(job)
                 self.cut(job)
-            case "called", Job() as job, bool(good), float(ms):
-                self.server.now = now
+            case "called", ManagedRpc() as job, bool(good), float(ms):
+                self.server.now_ms = now
                 self.strain.called(now, good, ms)
                 self.filled += good
-                self.server.call_done(job, Outcome.OK if good else Outcome.NO_ANSWER, ms)
+                self.server.on_call_finished(job, Outcome.OK if good else Outcome.NO_RESPONSE, ms)
                 if not good:
                     self.cut(job)
 
@@ -237,10 +266,10 @@
             self.look(now)
         if now >= self.work_at:
             self.work(now)
-        if now >= self.server.alarm:
-            self.server.now = now
+        if now >= self.server.next_check_ms:
+            self.server.now_ms = now
             busy = len(self.busy)
-            self.server.woken(Gauges(min(1.0, busy / CORES), float(busy), 3.0))
+            self.server.on_timer(Gauges(min(1.0, busy / CORES), float(busy), 3.0))
 
     def take_out(self) -> list[tuple[Address, Any]]:
         """The end of a pass: the module settles, what must be on disk is written, then messages go."""
@@ -279,14 +308,14 @@
     def decide(self, now: float) -> None:
         f, server = self.part.follower, self.server
         may = f.may(now) or (f.joined and self.away == "lease") or self.away == "ask"
-        server.now = now
+        server.now_ms = now
         if f.version > self.laid:
             self.laid = f.version
-            server.adopted()
+            server.on_settings_changed()
         if may != self.may:
             self.may = may
-            if server.leave_at is None or not may:
-                server.stand_aside(not may)
+            if server.stop_at_ms is None or not may:
+                server.set_standby(not may)
         server.settle()
 
     def hear_policies(self, sender: Record, body: list[Any]) -> None:
@@ -304,7 +333,7 @@
     def warmth(self) -> float:
         if not self.opened:
             return 0.0
-        return min(1.0, (self.clock() - self.server.born) / COLD, self.filled / FILL)
+        return min(1.0, (self.clock() - self.server.started_at_ms) / COLD, self.filled / FILL)
 
     def look(self, now: float) -> None:
         self.node.now = now
@@ -319,8 +348,8 @@
         share = self.agent.share(now)
         if share != self.share:
             self.share = share
-            self.server.now = now
-            self.server.use_below(share)
+            self.server.now_ms = now
+            self.server.set_call_quota(share)
         if self.town.list_up and self.seek.step(now, self.node.joined):
             self.seek.over(now, True)
             self.node.add_peers(self.town.peers(self.i))
@@ -385,10 +414,10 @@
         now = self.clock()
         self.note("drains")
         self.node.leave(now)
-        self.server.now = now
-        self.server.quiesce(STOP)
+        self.server.now_ms = now
+        self.server.start_draining(STOP)
         if self.away == "grace":
-            self.server.run_until = inf
+            self.server.accept_until_ms = inf
         self.ends_at = now + STOP
         self.town.back_after[self.i] = away
 
@@ -396,13 +425,13 @@
 
     def read(self, rpc: Sent, waited: float, now: float) -> None:
         self.reads += 1
-        rpc.waited = waited + 1.0
-        rpc.remaining = WAIT - rpc.waited
-        self.note("read", rpc.number, self.town.world.now + rpc.remaining)
-        self.server.now = now
+        rpc.waited_ms = waited + 1.0
+        rpc.remaining_ms = WAIT - rpc.waited_ms
+        self.note("read", rpc.number, self.town.world.now + rpc.remaining_ms)
+        self.server.now_ms = now
         # An answer may come within the call that reads it.
-        job = self.server.read(rpc)
-        if job.at is not None:
+        job = self.server.on_rpc_read(rpc)
+        if job.state is not None:
             self.jobs[rpc.number] = job
 
     def answer(self, rpc: Rpc, how: str) -> None:
@@ -418,7 +447,7 @@
         f = self.part.follower
         self.note("decided", max(0, f.version), f.policy)
 
-    def run(self, rpc: Rpc) -> None:
+    def start_run(self, rpc: Rpc) -> None:
         assert isinstance(rpc, Sent)
         self.note("run", rpc.number)
         self.decided()
@@ -429,27 +458,27 @@
         end = max(now, free) + WORK
         self.busy.append(end)
         self.runs += 1
-        calls = rpc.method.calls and (self.filled < FILL or self.runs % FILL == 0)
+        calls = rpc.method.calls_downstream and (self.filled < FILL or self.runs % FILL == 0)
 
         world.at(end, lambda: self.arrive(("needs", job) if calls else ("done", job, world.now - now)))
 
-    def call(self, rpc: Rpc, allow: float) -> None:
+    def start_call(self, rpc: Rpc, timeout_ms: float) -> None:
         assert isinstance(rpc, Sent)
         job, world = self.engine[rpc.number], self.town.world
         good, took = self.town.store.call(world.now)
-        wait = min(took, allow, STORE)
+        wait = min(took, timeout_ms, STORE)
         good = good and took <= wait
         world.after(wait, partial(self.arrive, ("called", job, good, wait)))
         if good:
             world.after(wait + 1.0, partial(self.arrive, ("done", job, WORK + wait)))
 
-    def cut(self, job: Job) -> None:
+    def cut(self, job: ManagedRpc) -> None:
         """The engine ends a run at its call once its RPC has been answered."""
         assert isinstance(job.rpc, Sent)
         if job.rpc.number not in self.jobs:
             self.town.world.after(1.0, partial(self.arrive, ("done", job, WORK)))
 
-    def skip(self, rpc: Rpc) -> None:
+    def skip_call(self, rpc: Rpc) -> None:
         assert isinstance(rpc, Sent)
         job = self.engine[rpc.number]
         self.town.world.after(1.0, partial(self.arrive, ("done", job, WORK)))
@@ -461,23 +490,23 @@
         elif self.host.up:
             self.host.arrive(message)
 
-    def push_back(self, rpc: Rpc, hold_off: float, final: bool) -> None:
+    def reject(self, rpc: Rpc, retry_after_ms: float, is_final: bool) -> None:
         self.answer(rpc, "pushed_back")
 
     def abort(self, rpc: Rpc) -> None:
         self.answer(rpc, "aborted")
 
-    def health(self, good: bool, cheap: bool) -> None:
-        self.good = good
-
-    def stop(self, rpc: Rpc) -> None: ...
-    def keep(self, rpc: Rpc, time: float) -> None: ...
-    def forget(self, rpc: Rpc) -> None: ...
-    def join(self, rpc: Rpc) -> None: ...
-    def closed(self, rpc: Rpc) -> None: ...
-    def advertise(self, amount: float) -> None: ...
-    def reap(self, idle: float) -> None: ...
-    def wake(self, delay: float) -> None: ...
+    def set_health(self, is_healthy: bool, is_shallow: bool) -> None:
+        self.good = is_healthy
+
+    def cancel_run(self, rpc: Rpc) -> None: ...
+    def retain_dedup_entry(self, rpc: Rpc, duration_ms: float) -> None: ...
+    def drop_dedup_entry(self, rpc: Rpc) -> None: ...
+    def await_original(self, rpc: Rpc) -> None: ...
+    def release(self, rpc: Rpc) -> None: ...
+    def advertise_load(self, amount: float) -> None: ...
+    def close_idle_connections(self, idle_timeout_ms: float) -> None: ...
+    def schedule_check(self, delay_ms: float) -> None: ...
     def log(self, text: str) -> None: ...
 
     @property
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -22,39 +22,48 @@
 
 import msgpack
 
-from landingshift.admission.controller import Job, Server
-from landingshift.admission.interface import Advert, Below, Effect, Gauges, Method, Rpc, Settings, Stopping
+from landingshift.admission.controller import AdmissionController, ManagedRpc
+from landingshift.admission.interface import (
+    DownstreamKind,
+    Gauges,
+    Idempotency,
+    LoadAdvertisement,
+    Method,
+    Rpc,
+    RunCancellation,
+    Settings,
+)
 from landingshift.testbed import MEMORY
 from landingshift.testbed.experiments.rows import Row
 
-METHOD = Method(Effect.IDEMPOTENT, 1000.0, 0.0, 3000.0, 1.0, 0.0, 5000.0, False, 0.0)
+METHOD = Method(Idempotency.IDEMPOTENT, 1000.0, 0.0, 3000.0, 1.0, 0.0, 5000.0, False, 0.0)
 SETTINGS = Settings(
     methods=[METHOD],
     tenants=[],
-    over_share_worth=0.1,
-    by_work=False,
-    servers=4,
-    callers=0,
-    cores=2,
-    cold=False,
-    cold_from=0.25,
-    cold_time=10000.0,
+    over_quota_value_fraction=0.1,
+    criticality_is_per_work=False,
+    server_count=4,
+    caller_count=0,
+    core_count=2,
+    starts_cold=False,
+    cold_speed_fraction=0.25,
+    warm_up_ms=10000.0,
     memory_kb=100000.0,
-    run_factor=10.0,
-    key_kb=100.0,
-    share_for=0.0,
-    stopping=Stopping.NONE,
-    below=Below.NONE,
-    calls_out=0.0,
-    calls_over=0.0,
-    linger=0.0,
-    advert=Advert.NONE,
-    deadline_told=True,
-    marks_retry=True,
-    hold_off_max=1000.0,
-    link_idle=30000.0,
-    drain_grace=1000.0,
-    crowd=8.0,
+    running_memory_factor=10.0,
+    dedup_entry_kb=100.0,
+    response_cache_ttl_ms=0.0,
+    run_cancellation=RunCancellation.NONE,
+    downstream=DownstreamKind.NONE,
+    downstream_concurrency_quota=0.0,
+    downstream_quota_window_ms=0.0,
+    lost_call_linger_ms=0.0,
+    load_advertisement=LoadAdvertisement.NONE,
+    callers_send_deadline=True,
+    callers_mark_retries=True,
+    max_retry_after_ms=1000.0,
+    connection_idle_timeout_ms=30000.0,
+    drain_grace_ms=1000.0,
+    max_runs_per_core=8.0,
 )
 
 
@@ -64,45 +73,47 @@
     def __init__(self, method: Method = METHOD, *others: Method, **settings: Any) -> None:
         self.did: list[tuple[Any, ...]] = []
         self.method = method
-        self.server = Server(replace(SETTINGS, methods=[method, *others], **settings), 1, self, 0.0)
+        self.server = AdmissionController(
+            replace(SETTINGS, methods=[method, *others], **settings), 1, self, 0.0
+        )
 
     def __getattr__(self, name: str) -> Any:
         return lambda *values: self.did.append((name, *values))
 
-    def read(self, **facts: Any) -> Job:
+    def read(self, **facts: Any) -> ManagedRpc:
         facts.setdefault("method", self.method)
         rpc = Rpc(**{**BLANK, **facts})
-        return self.server.read(rpc)
+        return self.server.on_rpc_read(rpc)
 
     def tick(
         self, ms: float = 50.0, use: float = 1.0, on_cores: float | None = None, links: float = 0.0
     ) -> None:
-        self.server.now += ms
-        cores = len(self.names("run"))
-        self.server.woken(Gauges(use, cores if on_cores is None else on_cores, links))
+        self.server.now_ms += ms
+        cores = len(self.names("start_run"))
+        self.server.on_timer(Gauges(use, cores if on_cores is None else on_cores, links))
         self.server.settle()
 
     def at(self, now: float) -> None:
-        self.server.now = now
+        self.server.now_ms = now
 
-    def names(self, *names: str, job: Job | None = None) -> list[tuple[Any, ...]]:
+    def names(self, *names: str, job: ManagedRpc | None = None) -> list[tuple[Any, ...]]:
         return [d for d in self.did if d[0] in names and (job is None or d[1] is job.rpc)]
 
-    def fates(self, job: Job) -> list[str]:
-        return [d[0] for d in self.did if len(d) > 1 and d[1] is job.rpc and d[0] != "closed"]
+    def fates(self, job: ManagedRpc) -> list[str]:
+        return [d[0] for d in self.did if len(d) > 1 and d[1] is job.rpc and d[0] != "release"]
 
 
 BLANK: dict[str, Any] = {
     "tenant": None,
-    "remaining": 3000.0,
-    "waited": 0.0,
-    "kb": 10.0,
-    "caller": 0,
-    "hint": None,
-    "keyed": False,
-    "repeat": False,
-    "retry": False,
-    "write": False,
+    "remaining_ms": 3000.0,
+    "waited_ms": 0.0,
+    "memory_kb": 10.0,
+    "caller_id": 0,
+    "work_hint_ms": None,
+    "has_cache_key": False,
+    "is_duplicate": False,
+    "is_retry": False,
+    "is_write": False,
 }
 
 
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -9,7 +9,7 @@
 
 import msgpack
 
-from landingshift.admission.interface import Effect
+from landingshift.admission.interface import Idempotency
 from landingshift.net.program.main import Signals
 from landingshift.net.transport.loop import Loop
 from tests.helpers import METHOD, Bench, Engine, Gateway, World, until
@@ -235,8 +235,8 @@
         job = b.read()
         b.server.settle()
         b.did.clear()
-        b.server.quiesce(60.0)
-        self.assertEqual([d for d in b.did if d[0] == "wake"], [("wake", 1.0)])
+        b.server.start_draining(60.0)
+        self.assertEqual([d for d in b.did if d[0] == "schedule_check"], [("schedule_check", 1.0)])
         b.tick(1.0)
         self.assertEqual(b.fates(job), ["abort"])
 
@@ -259,17 +259,17 @@
         self.assertEqual([number for number, _ in heard], [signal.SIGTERM])
         self.assertLessEqual(heard[0][1], after)
 
-        b = Bench(cores=1)
+        b = Bench(core_count=1)
         b.at(400.0)
-        b.server.quiesce(2000.0, 300.0)  # the grace is 1,000 ms
+        b.server.start_draining(2000.0, 300.0)  # the grace is 1,000 ms
         runs: dict[float, list[Any]] = {}
         for arrived in (1099.0, 1101.0):
             b.at(1200.0)
-            job = b.read(method=METHOD, waited=1200.0 - arrived, remaining=700.0)
+            job = b.read(method=METHOD, waited_ms=1200.0 - arrived, remaining_ms=700.0)
             b.server.settle()
             runs[arrived] = b.fates(job)
-        self.assertEqual(runs, {1099.0: ["run"], 1101.0: ["push_back"]})
-        self.assertIs(METHOD.effect, Effect.IDEMPOTENT)
+        self.assertEqual(runs, {1099.0: ["start_run"], 1101.0: ["reject"]})
+        self.assertIs(METHOD.idempotency, Idempotency.IDEMPOTENT)
 
 
 if __name__ == "__main__":
--- a/tests/test_golden_decisions.py
+++ b/tests/test_golden_decisions.py
@@ -9,11 +9,18 @@
 
 from msgspec import msgpack
 
-from landingshift.admission.controller import Job
+from landingshift.admission.controller import ManagedRpc
 from tests import test_hot_restart
 from tests.golden_files import assert_golden_bytes, assert_golden_json, golden_bytes
 
 SEEDS = range(12)
+# Names of actions as the golden files have them.
+RECORDED_NAMES = {
+    "start_run": "run", "cancel_run": "stop", "reject": "push_back", "abort": "abort", "start_call": "call",
+    "skip_call": "skip", "retain_dedup_entry": "keep", "drop_dedup_entry": "forget", "await_original": "join",
+    "release": "closed", "set_health": "health", "advertise_load": "advertise",
+    "close_idle_connections": "reap", "schedule_check": "wake", "log": "log",
+}  # fmt: skip
 
 
 def plain(value: Any) -> Any:
@@ -23,22 +30,27 @@
     return getattr(value, "value", value)
 
 
+def recorded(steps: list[Any]) -> list[Any]:
+    """Actions of each step under the names that the golden files have."""
+    return [[(RECORDED_NAMES[name], *values) for name, *values in step] for step in steps]
+
+
 class Decisions(unittest.TestCase):
     def setUp(self) -> None:
         self.deciding = test_hot_restart.Deciding()
 
-    def played(self, seed: int, count: int = 600) -> tuple[Any, list[Job], list[Any], random.Random]:
+    def played(self, seed: int, count: int = 600) -> tuple[Any, list[ManagedRpc], list[Any], random.Random]:
         chance = random.Random(seed)
-        bench, jobs = self.deciding.bench(), list[Job]()
+        bench, jobs = self.deciding.bench(), list[ManagedRpc]()
         done = self.deciding.play(bench, jobs, self.deciding.events(chance, count))
         if seed % 4 == 3:
-            bench.server.quiesce(1000.0)
+            bench.server.start_draining(1000.0)
         return bench, jobs, done, chance
 
     def test_the_same_events_give_the_same_actions(self) -> None:
         found = {}
         for seed in SEEDS:
-            _, _, done, _ = self.played(seed)
+            done = recorded(self.played(seed)[2])
             names = [action[0] for step in done for action in step]
             digest = hashlib.sha256(msgpack.encode(plain(done))).hexdigest()
             found[f"seed {seed}"] = [len(names), {n: names.count(n) for n in sorted(set(names))}, digest]
@@ -47,13 +59,15 @@
     def test_state_of_an_earlier_build_is_written_alike_and_taken_over(self) -> None:
         for seed in (2, 3):
             bench, jobs, _, chance = self.played(seed, 300)
-            given, order = bench.server.give()
+            given, order = bench.server.export_state()
             assert_golden_bytes(self, f"admission_state_{seed}.msgpack", msgpack.encode(given))
             new = self.deciding.bench()
-            new.server.now = bench.server.now
+            new.server.now_ms = bench.server.now_ms
             earlier = msgpack.decode(golden_bytes(f"admission_state_{seed}.msgpack"))
-            taken = dict(zip(order, new.server.take(earlier, [job.rpc for job in order]), strict=True))
-            self.assertEqual(msgpack.encode(new.server.give()[0]), msgpack.encode(given))
+            taken = dict(
+                zip(order, new.server.import_state(earlier, [job.rpc for job in order]), strict=True)
+            )
+            self.assertEqual(msgpack.encode(new.server.export_state()[0]), msgpack.encode(given))
             heirs = [taken.get(job, job) for job in jobs]
             events = self.deciding.events(chance, 300)
             old = self.deciding.play(bench, jobs, events)
@@ -61,5 +75,5 @@
             assert_golden_json(
                 self,
                 f"admission_afterwards_{seed}.json",
-                {"digest": hashlib.sha256(msgpack.encode(plain(old))).hexdigest()},
+                {"digest": hashlib.sha256(msgpack.encode(plain(recorded(old)))).hexdigest()},
             )
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -19,8 +19,17 @@
 from hypothesis import strategies as st
 from msgspec import msgpack
 
-from landingshift.admission.controller import Job, Want
-from landingshift.admission.interface import Advert, Below, Effect, Gauges, Method, Outcome, Rpc, Tenant
+from landingshift.admission.controller import ManagedRpc, RpcState
+from landingshift.admission.interface import (
+    DownstreamKind,
+    Gauges,
+    Idempotency,
+    LoadAdvertisement,
+    Method,
+    Outcome,
+    Rpc,
+    Tenant,
+)
 from landingshift.hot_restart.carrier import HEAD, MOST, BadCarrier, Carrier, Frame
 from landingshift.hot_restart.journal import Full, Journal, Kind
 from landingshift.hot_restart.plan import (
@@ -237,49 +246,72 @@
 class Deciding(unittest.TestCase):
     """A server that took over decides as the old one would have: the same events are played into both."""
 
-    CALLS = Method(Effect.IDEMPOTENT, 1000.0, 0.0, 3000.0, 1.0, 0.0, 5000.0, True, 0.5)
-    TOKEN = Method(Effect.TOKENED, 800.0, 0.0, 2000.0, 3.0, 1.0, 1500.0, True, 0.0)
+    CALLS = Method(Idempotency.IDEMPOTENT, 1000.0, 0.0, 3000.0, 1.0, 0.0, 5000.0, True, 0.5)
+    TOKEN = Method(Idempotency.KEYED, 800.0, 0.0, 2000.0, 3.0, 1.0, 1500.0, True, 0.0)
     TENANT = Tenant(20.0)
 
     def bench(self) -> Bench:
         return Bench(
-            self.CALLS, self.TOKEN, tenants=[self.TENANT], below=Below.SHARED, calls_out=1.0,
-            calls_over=2000.0, advert=Advert.CREDIT, cold=True, memory_kb=9000.0, share_for=500.0,
-        )  # fmt: skip
+            self.CALLS,
+            self.TOKEN,
+            tenants=[self.TENANT],
+            downstream=DownstreamKind.SHARED_STORE,
+            downstream_concurrency_quota=1.0,
+            downstream_quota_window_ms=2000.0,
+            load_advertisement=LoadAdvertisement.CREDIT,
+            starts_cold=True,
+            memory_kb=9000.0,
+            response_cache_ttl_ms=500.0,
+        )
 
     def events(self, chance: random.Random, count: int) -> list[tuple[str, Any]]:
         weights = {"read": 8, "tick": 6, "ended": 3, "wants_call": 6, "call_done": 3, "hangup": 1}
         names = chance.choices(list(weights), list(weights.values()), k=count)
         return [(name, chance.random()) for name in names]
 
-    def play(self, bench: Bench, jobs: list[Job], events: list[tuple[str, float]]) -> list[Any]:
+    def play(self, bench: Bench, jobs: list[ManagedRpc], events: list[tuple[str, float]]) -> list[Any]:
         done: list[Any] = []
         number = {job.rpc: i for i, job in enumerate(jobs)}
         for name, x in events:
             bench.did.clear()
-            server, fit = bench.server, {"wants_call": Want.RUN, "call_done": Want.CALL}.get(name)
-            live = [j for j in jobs if j.at is not None and j.at is (fit or j.at)]
+            server, fit = (
+                bench.server,
+                {"wants_call": RpcState.RUNNING, "call_done": RpcState.CALLING}.get(name),
+            )
+            live = [j for j in jobs if j.state is not None and j.state is (fit or j.state)]
             if name == "read":
-                jobs.append(bench.read(
-                    method=self.CALLS if x < 0.7 else self.TOKEN, tenant=self.TENANT,
-                    remaining=200 + 2800 * x, caller=int(x * 5), kb=5 + 90 * x, keyed=x < 0.3, waited=x * 50,
-                ))  # fmt: skip
+                jobs.append(
+                    bench.read(
+                        method=self.CALLS if x < 0.7 else self.TOKEN,
+                        tenant=self.TENANT,
+                        remaining_ms=200 + 2800 * x,
+                        caller_id=int(x * 5),
+                        memory_kb=5 + 90 * x,
+                        has_cache_key=x < 0.3,
+                        waited_ms=x * 50,
+                    )
+                )
                 number[jobs[-1].rpc] = len(jobs) - 1
             elif name == "tick":
-                server.now += x * 60
-                if server.now >= server.alarm - 1.0:
-                    server.woken(Gauges(0.5 + x / 2, 2 + 8 * x, 30.0))
+                server.now_ms += x * 60
+                if server.now_ms >= server.next_check_ms - 1.0:
+                    server.on_timer(Gauges(0.5 + x / 2, 2 + 8 * x, 30.0))
             elif live:
                 job = live[int(x * len(live))]
-                if name == "ended" and job.at in (Want.RUN, Want.ABORT, Want.LEAVE, Want.CALL):
-                    server.ended(job, Outcome.OK if x < 0.9 else Outcome.ABORTED, 20 + 100 * x)
+                if name == "ended" and job.state in (
+                    RpcState.RUNNING,
+                    RpcState.ABORTED,
+                    RpcState.ABANDONED,
+                    RpcState.CALLING,
+                ):
+                    server.on_run_finished(job, Outcome.OK if x < 0.9 else Outcome.ABORTED, 20 + 100 * x)
                 elif name == "wants_call":
-                    server.wants_call(job)
+                    server.on_call_needed(job)
                 elif name == "call_done":
-                    outcomes = [Outcome.OK, Outcome.OK, Outcome.NO_ANSWER, Outcome.PUSHED_BACK]
-                    server.call_done(job, outcomes[int(x * 4)], 10 + 80 * x)
+                    outcomes = [Outcome.OK, Outcome.OK, Outcome.NO_RESPONSE, Outcome.REJECTED]
+                    server.on_call_finished(job, outcomes[int(x * 4)], 10 + 80 * x)
                 elif name == "hangup":
-                    server.hangup(job)
+                    server.on_caller_gone(job)
             server.settle()
             done.append(
                 [(d[0], *(number.get(v, v) if isinstance(v, Rpc) else v for v in d[1:])) for d in bench.did]
@@ -290,31 +322,41 @@
         places = set()
         for seed in range(25):
             chance = random.Random(seed)
-            old, jobs = self.bench(), list[Job]()
+            old, jobs = self.bench(), list[ManagedRpc]()
             self.play(old, jobs, self.events(chance, 400))
             if seed % 5 == 4:
-                old.server.quiesce(1000.0)
-            given, order = old.server.give()
+                old.server.start_draining(1000.0)
+            given, order = old.server.export_state()
             given = msgpack.decode(msgpack.encode(given))
             new = self.bench()
-            new.server.now = old.server.now
-            taken = dict(zip(order, new.server.take(given, [j.rpc for j in order]), strict=True))
-            places |= {job.at for job in order}
+            new.server.now_ms = old.server.now_ms
+            taken = dict(zip(order, new.server.import_state(given, [j.rpc for j in order]), strict=True))
+            places |= {job.state for job in order}
             heirs = [taken.get(job, job) for job in jobs]
             events = self.events(chance, 300)
             with self.subTest(seed=seed):
                 self.assertEqual(self.play(new, heirs, events), self.play(old, jobs, events))
-                self.assertEqual(old.server.give()[0], new.server.give()[0])
-        self.assertGreaterEqual(places, {Want.HOLD, Want.RUN, Want.LINE_UP, Want.CALL, Want.ABORT, None})
+                self.assertEqual(old.server.export_state()[0], new.server.export_state()[0])
+        self.assertGreaterEqual(
+            places,
+            {
+                RpcState.QUEUED,
+                RpcState.RUNNING,
+                RpcState.AWAITING_CALL_SLOT,
+                RpcState.CALLING,
+                RpcState.ABORTED,
+                None,
+            },
+        )
 
     def test_what_another_build_does_not_know_stays_as_it_is(self) -> None:
         old, new = self.bench(), self.bench()
-        given, _ = old.server.give()
+        given, _ = old.server.export_state()
         given["plain"]["of the next build"] = 1
         given["rings"].pop("stretch")
         given["rings"]["of the next build"] = [0, 0, [], []]
         given["rings"]["pushed"] = [0, 0, [[]], [0.0]]
-        new.server.take(given, [])
+        new.server.import_state(given, [])
         self.assertFalse(hasattr(new.server, "of the next build"))
         self.assertEqual(new.server.pushed.count, len(new.server.pushed.buckets))
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -9,7 +9,7 @@
 from typing import Any
 from unittest import mock
 
-from landingshift.admission.interface import Effect, Outcome
+from landingshift.admission.interface import Idempotency, Outcome
 from landingshift.net.program import config
 from landingshift.net.program.log import Log
 from landingshift.net.protocol import engine, gateway
@@ -24,9 +24,9 @@
 from tests.helpers import BLANK, METHOD
 
 
-def routed(rid: int, effect: Effect = Effect.IDEMPOTENT, dedup_key: str = "s") -> Routed:
+def routed(rid: int, effect: Idempotency = Idempotency.IDEMPOTENT, dedup_key: str = "s") -> Routed:
     return Routed(
-        **{**BLANK, "method": replace(METHOD, effect=effect)},
+        **{**BLANK, "method": replace(METHOD, idempotency=effect)},
         rid=b"%016x" % rid, name=b"m", body=b"", connection=0, number=rid, dedup_key=(b"m", dedup_key),
     )  # fmt: skip
 
@@ -97,9 +97,9 @@
 class Results(unittest.TestCase):
     def test_bound(self) -> None:
         # What goes when the memory is short: results of reads whole, of others all but that they happened.
-        for effect, known in [(Effect.IDEMPOTENT, False), (Effect.TOKENED, True)]:
+        for effect, known in [(Idempotency.IDEMPOTENT, False), (Idempotency.KEYED, True)]:
             with self.subTest(effect=effect):
-                kept = DedupTable(20 * (ENTRY + 1000), share_for=60000.0)
+                kept = DedupTable(20 * (ENTRY + 1000), response_cache_ttl_ms=60000.0)
                 for i in range(100):
                     rpc = routed(i, effect, str(i))
                     kept.keep(rpc, 60000.0)
@@ -112,13 +112,15 @@
 
     def test_how_long(self) -> None:
         for effect, outcome, at, known in [
-            (Effect.IDEMPOTENT, Outcome.OK, 600.0, True), (Effect.IDEMPOTENT, Outcome.OK, 800.0, False),
-            (Effect.IDEMPOTENT, Outcome.ABORTED, 200.0, False),
-            (Effect.TOKENED, Outcome.ABORTED, 4000.0, True),
-            (Effect.TOKENED, Outcome.OK, 4000.0, True), (Effect.TOKENED, Outcome.OK, 5001.0, False),
-        ]:  # fmt: skip
+            (Idempotency.IDEMPOTENT, Outcome.OK, 600.0, True),
+            (Idempotency.IDEMPOTENT, Outcome.OK, 800.0, False),
+            (Idempotency.IDEMPOTENT, Outcome.ABORTED, 200.0, False),
+            (Idempotency.KEYED, Outcome.ABORTED, 4000.0, True),
+            (Idempotency.KEYED, Outcome.OK, 4000.0, True),
+            (Idempotency.KEYED, Outcome.OK, 5001.0, False),
+        ]:
             with self.subTest(effect=effect, outcome=outcome, at=at):
-                kept = DedupTable(10000, share_for=500.0)
+                kept = DedupTable(10000, response_cache_ttl_ms=500.0)
                 owner = routed(1, effect)
                 kept.keep(owner, 5000.0)
                 self.assertIsNotNone(kept.find(routed(2, effect), 100.0, 100.0))
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -63,7 +63,7 @@
                 self.assertTrue(base().check(parse(text)).startswith(said))
         self.assertIn("the whole", base().check(b"\xc1"))
         silent = base()
-        silent.start["rules", "", "hold_off_max"] = 0.0
+        silent.start["rules", "", "max_retry_after_ms"] = 0.0
         said = silent.check(parse("[rules]\nhold_off_max_ms = 9\n"))
         self.assertEqual(said, "rules.hold_off_max_ms: its settings permit no hold-off")
         self.assertIn("tables are expected", base().check(msgspec.msgpack.encode([1])))
@@ -72,13 +72,13 @@
         found = base()
         name, method = next(iter(found.owners["methods"].items()))
         assert isinstance(method, Method)
-        was = method.criticality, method.target
+        was = method.criticality, method.latency_objective_ms
         found.lay(parse(f"[methods.{name}]\ncriticality = 77\n"))
-        self.assertEqual((method.criticality, method.target), (77.0, was[1]))
+        self.assertEqual((method.criticality, method.latency_objective_ms), (77.0, was[1]))
         found.lay(parse(f"[methods.{name}]\ntarget_ms = 5\n"))
-        self.assertEqual((method.criticality, method.target), (was[0], 5.0))
+        self.assertEqual((method.criticality, method.latency_objective_ms), (was[0], 5.0))
         found.lay(b"")
-        self.assertEqual((method.criticality, method.target), was)
+        self.assertEqual((method.criticality, method.latency_objective_ms), was)
 
     def test_differences_are_told_by_key(self) -> None:
         a = parse("[methods.a]\ncriticality = 1\ntarget_ms = 5\n[rules]\nover_share_worth = 0.5\n")
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -4,21 +4,35 @@
 import unittest
 from typing import Any
 
-from landingshift.admission.interface import Effect, Method, Outcome
+from landingshift.admission.interface import Idempotency, Method, Outcome
 from landingshift.net.routing.dedup import ENTRY, DedupTable
 from landingshift.net.routing.records import Routed
 from tests.helpers import METHOD, SETTINGS, Bench, Engine, Gateway, World, until
 from tests.test_server import prove
 
-TOKENED = Method(Effect.TOKENED, 1000.0, 0.0, 3000.0, 1.0, 0.0, 500.0, False, 0.0)
+TOKENED = Method(Idempotency.KEYED, 1000.0, 0.0, 3000.0, 1.0, 0.0, 500.0, False, 0.0)
 
 
 def routed(name: str, method: Method = TOKENED) -> Routed:
     return Routed(
-        method=method, tenant=None, remaining=None, waited=0.0, kb=1.0, caller=0, hint=None, keyed=False,
-        repeat=False, retry=False, write=False, rid=b"", name=b"m", body=b"", connection=0, number=0,
+        method=method,
+        tenant=None,
+        remaining_ms=None,
+        waited_ms=0.0,
+        memory_kb=1.0,
+        caller_id=0,
+        work_hint_ms=None,
+        has_cache_key=False,
+        is_duplicate=False,
+        is_retry=False,
+        is_write=False,
+        rid=b"",
+        name=b"m",
+        body=b"",
+        connection=0,
+        number=0,
         dedup_key=(b"m", name),
-    )  # fmt: skip
+    )
 
 
 class Window(unittest.TestCase):
@@ -326,10 +340,10 @@
                 self.assertEqual(g.answer(), (n, answer))
 
     def test_age_counts_for_the_deadline_that_is_not_told(self) -> None:
-        b = Bench(method=METHOD, deadline_told=False)
-        job = b.read(waited=2500.0, remaining=None)
-        self.assertEqual(job.due, METHOD.deadline - 2500.0)
-        self.assertFalse(SETTINGS.cold)
+        b = Bench(method=METHOD, callers_send_deadline=False)
+        job = b.read(waited_ms=2500.0, remaining_ms=None)
+        self.assertEqual(job.deadline_at_ms, METHOD.deadline_ms - 2500.0)
+        self.assertFalse(SETTINGS.starts_cold)
 
 
 if __name__ == "__main__":
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -41,7 +41,9 @@
         self.assertEqual([v for v in out if v[0] == "Yield"], [["Yield", n] for n in (1, 2, 3, 4)])
 
     def test_an_exception_in_the_module_is_reported(self) -> None:
-        with mock.patch("landingshift.drill.adapter.Server.settle", side_effect=ValueError("odd")):
+        with mock.patch(
+            "landingshift.drill.adapter.AdmissionController.settle", side_effect=ValueError("odd")
+        ):
             _, out, _ = exchange(["Batch", 10.0, 1], START, ["End"], ["Batch", 14.0, 2], READ, ["End"])
         told = [v for v in out if v[0] == "GiveIn"]
         self.assertEqual([v[1] for v in told], [3])
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -12,7 +12,7 @@
 from types import SimpleNamespace
 from typing import Any
 
-from landingshift.admission.interface import Effect
+from landingshift.admission.interface import Idempotency
 from landingshift.net.program.config import BadConfig, site
 from landingshift.net.routing.engine import Engine as EngineLink
 from landingshift.net.transport.loop import Loop
@@ -61,7 +61,7 @@
                 config = changed("settings.extra.class-calls", calls)
                 config["settings"]["extra"]["class-skip-worth"] = skip
                 methods = site(config, {}).settings.methods
-                self.assertEqual([(m.calls, m.skip_share) for m in methods], want)
+                self.assertEqual([(m.calls_downstream, m.degraded_value_fraction) for m in methods], want)
 
     def test_names_and_orders_of_another_site(self) -> None:
         config = changed("settings.classes", [
@@ -73,9 +73,9 @@
         config["settings"]["unknown"] = config["unknown"] = 5
         told = site(config, {})
         self.assertEqual(
-            [(n, m.effect, m.deadline, m.repeat_window) for n, m in told.methods.items()],
-            [("probe", Effect.NON_IDEMPOTENT, 100.0, 0.0), ("giveUp", Effect.TOKENED, 200.0, 0.0),
-             ("a/b:c", Effect.IDEMPOTENT, 300.0, 0.0), ("x", Effect.NON_IDEMPOTENT, 400.0, 0.0)],
+            [(n, m.idempotency, m.deadline_ms, m.dedup_window_ms) for n, m in told.methods.items()],
+            [("probe", Idempotency.NON_IDEMPOTENT, 100.0, 0.0), ("giveUp", Idempotency.KEYED, 200.0, 0.0),
+             ("a/b:c", Idempotency.IDEMPOTENT, 300.0, 0.0), ("x", Idempotency.NON_IDEMPOTENT, 400.0, 0.0)],
         )  # fmt: skip
         self.assertEqual(list(told.tenants), ["Vargas y Hijos", "Ærø", "a\tb"])
 
--- a/tests/test_throng.py
+++ b/tests/test_throng.py
@@ -14,8 +14,8 @@
 from random import Random
 from typing import Any
 
-from landingshift.admission.controller import Job, Want
-from landingshift.admission.interface import Advert, Below, Gauges, Outcome
+from landingshift.admission.controller import ManagedRpc, RpcState
+from landingshift.admission.interface import DownstreamKind, Gauges, LoadAdvertisement, Outcome
 from tests.helpers import METHOD, Bench
 
 STEP = 10.0  # ms of virtual time
@@ -24,7 +24,9 @@
 OUT, OVER = 0.9, 5000.0  # a server's part of what the store may hold in the mean, and over how long
 BASE = 25.0  # ms of a call while the store is well
 WAIT = 2400.0  # ms that a caller waits
-RPCS = replace(METHOD, calls=True, skip_share=0.5, target=1500.0, deadline=WAIT)
+RPCS = replace(
+    METHOD, calls_downstream=True, degraded_value_fraction=0.5, latency_objective_ms=1500.0, deadline_ms=WAIT
+)
 
 
 class Means:
@@ -45,12 +47,22 @@
 
     def __init__(self, gateways: int) -> None:
         self.bench = Bench(
-            RPCS, callers=gateways, cores=CORES, crowd=CROWD, cold=True, cold_from=FROM, cold_time=COLD,
-            advert=Advert.CREDIT, below=Below.SHARED, calls_out=OUT, calls_over=OVER, linger=100.0,
-        )  # fmt: skip
+            RPCS,
+            caller_count=gateways,
+            core_count=CORES,
+            max_runs_per_core=CROWD,
+            starts_cold=True,
+            cold_speed_fraction=FROM,
+            warm_up_ms=COLD,
+            load_advertisement=LoadAdvertisement.CREDIT,
+            downstream=DownstreamKind.SHARED_STORE,
+            downstream_concurrency_quota=OUT,
+            downstream_quota_window_ms=OVER,
+            lost_call_linger_ms=100.0,
+        )
         self.server = self.bench.server
         self.unread: deque[tuple[float, int]] = deque()
-        self.jobs: dict[Any, tuple[Job, float]] = {}  # by RPC, with what is left of its work
+        self.jobs: dict[Any, tuple[ManagedRpc, float]] = {}  # by RPC, with what is left of its work
         self.read = 0.0  # ms of a core that went into the next RPC to be read
         self.there = self.on_cores = self.told = 0  # RPCs without an answer, of those on cores; actions seen
         self.sent, self.ran = Means(FALL), Means(FALL)
@@ -63,7 +75,9 @@
 
     def work(self, now: float, chance: Random) -> None:
         """Each core reads one RPC at a time beside what runs, and all of that shares the cores."""
-        running = [rpc for rpc, (job, _) in self.jobs.items() if job.at in (Want.RUN, Want.ABORT)]
+        running = [
+            rpc for rpc, (job, _) in self.jobs.items() if job.state in (RpcState.RUNNING, RpcState.ABORTED)
+        ]
         reads = min(CORES, len(self.unread))
         self.on_cores = len(running) + reads
         each = STEP * self.speed(now) * CORES / max(CORES, self.on_cores)
@@ -71,12 +85,12 @@
             job, left = self.jobs[rpc]
             self.jobs[rpc] = job, left - each
             if left <= each:
-                self.server.ended(job, Outcome.OK, now - job.arrived)
+                self.server.on_run_finished(job, Outcome.OK, now - job.arrived_at_ms)
         self.read += reads * each
         while self.unread and self.read >= READ:
             self.read -= READ
             came, gateway = self.unread.popleft()
-            job = self.bench.read(remaining=WAIT - (now - came), waited=now - came, caller=gateway)
+            job = self.bench.read(remaining_ms=WAIT - (now - came), waited_ms=now - came, caller_id=gateway)
             self.jobs[job.rpc] = job, chance.expovariate(1.0 / WORK)
         budget = self.survives(now)
         self.ran.add(self.on_cores, budget)
@@ -90,7 +104,7 @@
         self.weights = [8.0 if uneven and g < 3 else 1.0 for g in range(gateways)]
         self.heard: dict[tuple[int, Machine], float] = {}  # the credit that a gateway was told last
         self.out: Counter[tuple[int, Machine]] = Counter()
-        self.calls: list[tuple[float, Machine, Job]] = []
+        self.calls: list[tuple[float, Machine, ManagedRpc]] = []
         self.held = Means(OVER)
         self.ends: Counter[str] = Counter()
 
@@ -114,44 +128,44 @@
         self.send(rate)
         self.store()
         for machine in self.machines:
-            if self.now >= machine.server.alarm:
-                machine.server.woken(Gauges(min(1.0, machine.on_cores / CORES), machine.on_cores, 30.0))
+            if self.now >= machine.server.next_check_ms:
+                machine.server.on_timer(Gauges(min(1.0, machine.on_cores / CORES), machine.on_cores, 30.0))
             machine.server.settle()
             self.carry_out(machine)
             if self.now % 1000.0 < STEP:  # checks of all gateways, which tell them the credit too
-                self.heard |= {(g, machine): machine.server.advert for g in range(len(self.weights))}
+                self.heard |= {(g, machine): machine.server.advertised_load for g in range(len(self.weights))}
 
     def carry_out(self, machine: Machine) -> None:
         while machine.told < len(machine.bench.did):
             what, *values = machine.bench.did[machine.told]
             machine.told += 1
-            if what not in ("run", "call", "closed", "push_back", "abort"):
+            if what not in ("start_run", "start_call", "release", "reject", "abort"):
                 continue
             rpc = values[0]
             self.ends[what] += 1
-            if what == "run":
-                machine.server.wants_call(machine.jobs[rpc][0])  # its cache is cold
+            if what == "start_run":
+                machine.server.on_call_needed(machine.jobs[rpc][0])  # its cache is cold
                 machine.server.settle()
-            elif what == "call":
+            elif what == "start_call":
                 crowded = max(1.0, len(self.calls) / (2.0 * OUT * len(self.machines)))
                 self.calls.append((self.now + BASE * crowded, machine, machine.jobs[rpc][0]))
-            elif what == "closed":
+            elif what == "release":
                 machine.jobs.pop(rpc, None)
                 machine.there -= 1
-                self.out[rpc.caller, machine] -= 1
-                self.heard[rpc.caller, machine] = machine.server.advert
+                self.out[rpc.caller_id, machine] -= 1
+                self.heard[rpc.caller_id, machine] = machine.server.advertised_load
 
     def store(self) -> None:
         self.held.add(len(self.calls), OUT * len(self.machines))
         for end, machine, job in [call for call in self.calls if call[0] <= self.now]:
-            machine.server.call_done(job, Outcome.OK, end - job.called_at)
+            machine.server.on_call_finished(job, Outcome.OK, end - job.call_started_at_ms)
         self.calls = [call for call in self.calls if call[0] > self.now]
 
 
 class Throng(unittest.TestCase):
     def test_neither_servers_nor_store_get_more_than_they_bear(self) -> None:
         for servers, gateways, uneven in [(20, 20, False), (30, 30, False), (30, 30, True)]:
-            with self.subTest(servers=servers, gateways=gateways, uneven=uneven):
+            with self.subTest(server_count=servers, gateways=gateways, uneven=uneven):
                 world, steps = World(servers, gateways, uneven), int(10_000 / STEP)
                 warm = servers * CORES * STEP / WORK  # RPCs in a step
                 for _ in range(steps):
@@ -161,6 +175,6 @@
                 self.assertLessEqual(max(m.ran.worst for m in world.machines), 1.0)
                 self.assertLessEqual(world.held.worst, 1.0)
                 # They are not spared by being left idle: half of all that cold cores can do is done.
-                done = world.ends["closed"] - world.ends["push_back"] - world.ends["abort"]
+                done = world.ends["release"] - world.ends["reject"] - world.ends["abort"]
                 could = warm * sum(world.machines[0].speed(t * STEP) for t in range(steps))
                 self.assertGreaterEqual(done, 0.5 * could)
