--- a/landingshift/maintenance/agent.py
+++ b/landingshift/maintenance/agent.py
@@ -1,66 +1,65 @@
-"""One machine's own side of its work: what it reports, and whether it goes by what it is told. Pure.
+"""The agent on each server: reports to the leader, and leaves by its permit.
 
-Reports are numbered, and a permission counts from when the report was sent that it answers: whatever is late,
-doubled or lost, nobody leaves past the end that the leader reckons with.
+Guarantee: reports are numbered and a permit counts from when the report was sent that it answers. Whatever is
+late, duplicated or lost, the server does not leave past the expiry that the leader reckons with.
 """
 
 from __future__ import annotations
 
-from typing import Any
+from landingshift.maintenance.messages import LoadReport, ReportAnswer, ServerStatus
+from landingshift.maintenance.permit import LeavePermit
 
-from landingshift.maintenance.capacity_constraints import Machine
-from landingshift.maintenance.coordinator import MaintenanceCoordinator
-from landingshift.maintenance.requests import LeavePermit
-from landingshift.membership.messages import Record
-
-OUT = 16  # reports whose times are kept
-MODEL = 16  # letters
+MAX_UNANSWERED_COUNT = 16
+"""Reports whose times are kept for their answers."""
 
 
 class MaintenanceAgent:
-    """`did`: the permission by which its earlier run left, as its disk says; 0 where nothing says so."""
+    """One process of a server.
+
+    Attributes:
+        permit: The latest permit that it was offered.
+        used_permit: The permit by which its earlier process left; 0 where its disk has none.
+        leaving_permit: The permit by which it leaves; 0 where it stays.
+        request_state: Stored value of the state of its request, as the leader last said; empty without one.
+    """
+
+    def __init__(self, used_permit: int) -> None:
+        self.permit = LeavePermit()
+        self.used_permit = used_permit
+        self.leaving_permit = 0
+        self.request_state = ""
+        self._last_sequence = 0
+        self._sent_at_ms: dict[int, float] = {}
+
+    @property
+    def unanswered_count(self) -> int:
+        """Reports whose answers may still come; at most `MAX_UNANSWERED_COUNT`."""
+        return len(self._sent_at_ms)
 
-    def __init__(self, did: int) -> None:
-        self.leave, self.did = LeavePermit(), did
-        self.going, self.stage = 0, ""  # the permission by which it leaves; its wish's stage, as told
-        self.number = 0
-        self.sent: dict[int, float] = {}
+    def next_report(self, now_ms: float, status: ServerStatus) -> LoadReport:
+        """Returns the next report. `now_ms`: the server's monotonic clock."""
+        self._last_sequence += 1
+        self._sent_at_ms[self._last_sequence] = now_ms
+        self._sent_at_ms.pop(self._last_sequence - MAX_UNANSWERED_COUNT, None)
+        return LoadReport(self._last_sequence, status, self.leaving_permit, self.used_permit)
 
-    def report(self, now: float, *facts: Any) -> list[Any]:
-        """`facts`: capacity, model, best, warmth, load, ok and all, as `answer_report` reads them."""
-        self.number += 1
-        self.sent[self.number] = now
-        self.sent.pop(self.number - OUT, None)
-        capacity, model, best, warmth, load, ok, all = facts
-        return ["at", self.number, capacity, model, best, warmth, load, self.going, self.did, ok, all]
+    def on_answer(self, answer: ReportAnswer) -> bool:
+        """Takes the leader's answer; returns whether `begin_leaving` is to be tried.
 
-    def told(self, number: int, stage: str, permission: int, lasts: float) -> bool:
-        """The leader's answer; True where it is allowed to go, which `goes` settles."""
-        asked = self.sent.pop(number, None)
-        if asked is None:
+        An answer to no report, or a second answer to one, is ignored.
+        """
+        asked_at_ms = self._sent_at_ms.pop(answer.sequence, None)
+        if asked_at_ms is None:
             return False
-        self.stage = stage
-        return lasts > 0.0 and not self.going and self.leave.granted(permission, asked, lasts)
+        self.request_state = answer.request_state
+        if answer.valid_ms <= 0.0 or self.leaving_permit:
+            return False
+        return self.permit.offer(answer.permit_number, asked_at_ms, answer.valid_ms)
 
-    def goes(self, now: float) -> bool:
-        """Looked at once, just before the drain: False where the permission has run out meanwhile."""
-        if not self.leave.may_go(now):
+    def begin_leaving(self, now_ms: float) -> bool:
+        """Uses the permit, just before the drain; False where it has expired meanwhile."""
+        if not self.permit.is_valid(now_ms):
             return False
-        self.going = self.leave.number
-        self.leave.used()
+        self.leaving_permit = self.permit.number
+        self.permit.mark_used()
         return True
-
-
-def answer_report(
-    coordinator: MaintenanceCoordinator | None, sender: Record, voters: list[str], body: list[Any], now: float
-) -> list[Any] | None:
-    """The leader's answer to a report; None where there is none."""
-    match body:
-        case ["at", int(number), float(capacity), str(model), bool(best), *rest]:
-            if coordinator is None or not 0.0 < capacity < 1e9 or len(model) > MODEL:
-                return None
-            coordinator.voters = voters
-            machine = Machine(sender.name, capacity, sender.zone, model, best, sender.name in voters)
-            answer = coordinator.hear(machine, sender.run, rest, now)
-            return None if answer is None else ["told", number, *answer]
-    return None
--- a/landingshift/maintenance/capacity_constraints.py
+++ b/landingshift/maintenance/capacity_constraints.py
@@ -1,121 +1,186 @@
-"""How much may be out at once: of the whole, of each zone, of each model, and of the voters. Pure.
+"""Capacity constraints: how much may be out of service at once, in all and by group.
 
-Out is whatever does not serve: on leave, on its way out, lost unasked, and of one that is back the part that
-is still cold. What is lost unasked takes from the same allowance as what was allowed to go.
+Whatever does not serve counts against one budget: machines under maintenance, the cold part of those that
+warm up, and those lost without a plan. Failure mode: a constraint that does not hold stops new permits; a
+machine that already left is not called back.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterable
+from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass
 
+from msgspec import Struct
+
+CAPACITY_TOLERANCE = 1e-9
+"""Rounding that a sum of capacities may be off by."""
+
+
+class MachineFacts(Struct, array_like=True, frozen=True):
+    """What a new leader must know of a machine that it never heard. Stored as an array in this order."""
+
+    capacity: float
+    zone: str
+    model: str
+    serves_critical_methods: bool
+
 
 @dataclass(slots=True, frozen=True)
 class Machine:
-    """`capacity` in any unit that demand is told in, such as RPCs a second."""
+    """A server as the constraints see it. `capacity` has the unit of the demand: RPCs a second."""
 
     name: str
     capacity: float
     zone: str = ""
     model: str = ""
-    best: bool = False  # it carries the methods of most criticality
-    voter: bool = False
+    serves_critical_methods: bool = False
+    is_voter: bool = False
+
+    @property
+    def facts(self) -> MachineFacts:
+        """What is kept of it in the replicated state."""
+        return MachineFacts(self.capacity, self.zone, self.model, self.serves_critical_methods)
 
 
 @dataclass(slots=True, frozen=True)
 class DisruptionBudget:
-    """What must stay in. `spare`: share by which capacity must pass the demand; shares of each group."""
+    """What must stay in service. `headroom_ratio`: by which share capacity must exceed the demand."""
 
-    spare: float = 0.1
-    zone: float = 0.5
-    model: float = 0.5
-    best: float = 0.7
+    headroom_ratio: float = 0.1
+    min_zone_fraction: float = 0.5
+    min_model_fraction: float = 0.5
+    min_critical_fraction: float = 0.7
 
 
 @dataclass(slots=True, frozen=True)
-class Limit:
-    """One floor: the group's capacity, and what of it must stay in."""
+class CapacityLimit:
+    """One constraint: machines, and the capacity of them that must stay in service."""
 
     name: str
-    of: frozenset[str]
-    least: float
+    members: frozenset[str]
+    min_capacity: float
 
 
-class CapacityConstraints:
-    """All limits that hold at one demand. `keeps(out)` names the first that `out` would break."""
+def min_voters_in_service(voter_count: int) -> int:
+    """Returns how many voters must stay: a majority and one to spare, so that a crash costs no quorum.
 
-    def __init__(self, machines: Iterable[Machine], needs: DisruptionBudget, demand: float) -> None:
-        self.machines = {m.name: m for m in machines}
-        fleet = list(self.machines.values())
-        every = frozenset(self.machines)
-        self.limits = [Limit("the whole", every, demand * (1.0 + needs.spare))]
-        self.limits += self.groups("zone", fleet, needs.zone)
-        self.limits += self.groups("model", fleet, needs.model)
-        best = [m for m in fleet if m.best]
-        if best:
-            least = needs.best * sum(m.capacity for m in best)
-            self.limits.append(Limit("the best methods", frozenset(m.name for m in best), least))
-        self.voters = frozenset(m.name for m in fleet if m.voter)
-        # A majority, with one to spare where there are enough: the next crash must not stop the agreement.
-        self.voters_in = min(len(self.voters) // 2 + 2, len(self.voters)) if len(self.voters) > 3 else 0
-        if len(self.voters) in (2, 3):
-            self.voters_in = len(self.voters)
-
-    @staticmethod
-    def groups(kind: str, fleet: list[Machine], share: float) -> list[Limit]:
-        names = {getattr(m, kind) for m in fleet} - {""}
-        found = []
-        for name in sorted(names):
-            those = [m for m in fleet if getattr(m, kind) == name]
-            least = share * sum(m.capacity for m in those)
-            found.append(Limit(f"{kind} {name}", frozenset(m.name for m in those), least))
-        return found
-
-    def capacity(self, out: dict[str, float], of: frozenset[str]) -> float:
-        """`out`: by name, the share of it that does not serve."""
-        return sum(self.machines[n].capacity * (1.0 - out.get(n, 0.0)) for n in of)
-
-    def broken(self, out: dict[str, float]) -> str:
-        """Empty, or which limit does not hold with so much out."""
-        for limit in self.limits:
-            have = self.capacity(out, limit.of)
-            if have < limit.least - 1e-9:
-                return f"{limit.name}: {have:.6g} of {limit.least:.6g}"
-        there = sum(1 for v in self.voters if out.get(v, 0.0) < 1.0)
-        if there < self.voters_in:
-            return f"voters: {there} of {self.voters_in}"
-        return ""
+    With two or three voters none can be spared; a single voter is not protected.
+    """
+    if voter_count > 3:
+        return voter_count // 2 + 2
+    return voter_count if voter_count > 1 else 0
 
-    def margins(self, out: dict[str, float]) -> list[float]:
-        """What each limit has left, capacity above its floor."""
-        return [self.capacity(out, limit.of) - limit.least for limit in self.limits]
 
-    def also(self, margins: list[float], out: dict[str, float], names: list[str]) -> list[float] | None:
-        """The margins once these are out too; None where a limit would break. Looks at those alone."""
-        left = list(margins)
+class CapacityConstraints:
+    """All limits that hold at one demand.
+
+    Attributes:
+        machines: All machines by name.
+        fleet_limit: The limit of all machines, which follows the demand.
+        group_limits: Limits of zones, models and critical methods, which do not.
+        voters: Names of the voters of the consensus group.
+        min_voters: How many of them must stay in service.
+    """
+
+    def __init__(self, machines: Iterable[Machine], budget: DisruptionBudget, demand: float) -> None:
+        """Builds the limits.
+
+        Args:
+            machines: The whole fleet.
+            budget: What must stay in service.
+            demand: RPCs a second that the fleet must be able to serve.
+        """
+        self.machines = {machine.name: machine for machine in machines}
+        fleet = list(self.machines.values())
+        self.fleet_limit = CapacityLimit(
+            "the whole", frozenset(self.machines), demand * (1.0 + budget.headroom_ratio)
+        )
+        self.group_limits = [
+            *_limits_by(fleet, "zone", budget.min_zone_fraction),
+            *_limits_by(fleet, "model", budget.min_model_fraction),
+        ]
+        critical = [machine for machine in fleet if machine.serves_critical_methods]
+        if critical:
+            limit = _group_limit("the best methods", critical, budget.min_critical_fraction)
+            self.group_limits.append(limit)
+        self.limits = [self.fleet_limit, *self.group_limits]
+        self.voters = frozenset(machine.name for machine in fleet if machine.is_voter)
+        self.min_voters = min_voters_in_service(len(self.voters))
+
+    def capacity(self, unavailable: Mapping[str, float], members: Iterable[str]) -> float:
+        """Returns the capacity of `members` that serves; `unavailable`: by name the share that does not."""
+        return sum(self.machines[name].capacity * (1.0 - unavailable.get(name, 0.0)) for name in members)
+
+    def violation(self, unavailable: Mapping[str, float]) -> str:
+        """Returns which constraint does not hold, for operators; empty where all hold."""
+        return self._first_violation(self.limits, unavailable)
+
+    def permanent_violation(self, name: str) -> str:
+        """Returns why this machine could not leave even with all others in service; empty where it could.
+
+        The limit of the whole fleet is left out: it follows the demand, which may fall.
+        """
+        return self._first_violation(self.group_limits, {name: 1.0})
+
+    def margins(self, unavailable: Mapping[str, float]) -> list[float]:
+        """Returns for each limit the capacity above its minimum."""
+        return [self.capacity(unavailable, limit.members) - limit.min_capacity for limit in self.limits]
+
+    def margins_without(
+        self, margins: Sequence[float], unavailable: Mapping[str, float], names: Sequence[str]
+    ) -> list[float] | None:
+        """Returns the margins once `names` leave too; None where a constraint would be violated.
+
+        Args:
+            margins: The margins before, as `margins(unavailable)` gives them.
+            unavailable: What is out of service before.
+            names: Machines that are to leave.
+        """
+        remaining = list(margins)
         for name in names:
-            goes = self.machines[name].capacity * (1.0 - out.get(name, 0.0))
-            for i, limit in enumerate(self.limits):
-                if name in limit.of:
-                    left[i] -= goes
-                    if left[i] < -1e-9:
-                        return None
+            removed = self.machines[name].capacity * (1.0 - unavailable.get(name, 0.0))
+            for index, limit in enumerate(self.limits):
+                if name not in limit.members:
+                    continue
+                remaining[index] -= removed
+                if remaining[index] < -CAPACITY_TOLERANCE:
+                    return None
         if self.voters.isdisjoint(names):
-            return left
-        there = sum(1 for v in self.voters if out.get(v, 0.0) < 1.0 and v not in names)
-        return left if there >= self.voters_in else None
-
-    def room(self, out: dict[str, float]) -> float:
-        """Capacity that could go now as far as the whole is concerned."""
-        return self.margins(out)[0]
-
-    def never(self, name: str) -> str:
-        """Why this one could not go with all others in, however little is asked for; empty where it could."""
-        limits, self.limits = (
-            self.limits,
-            self.limits[1:],
-        )  # the whole follows the demand, which goes down again
-        try:
-            return self.broken({name: 1.0})
-        finally:
-            self.limits = limits
+            return remaining
+        voters = self._voters_in_service(unavailable, names)
+        return remaining if voters >= self.min_voters else None
+
+    def fleet_margin(self, unavailable: Mapping[str, float]) -> float:
+        """Returns the capacity that could leave now as far as the demand is concerned."""
+        return self.margins(unavailable)[0]
+
+    def _first_violation(self, limits: Iterable[CapacityLimit], unavailable: Mapping[str, float]) -> str:
+        for limit in limits:
+            available = self.capacity(unavailable, limit.members)
+            if available < limit.min_capacity - CAPACITY_TOLERANCE:
+                return f"{limit.name}: {available:.6g} of {limit.min_capacity:.6g}"
+        voters = self._voters_in_service(unavailable, ())
+        if voters < self.min_voters:
+            return f"voters: {voters} of {self.min_voters}"
+        return ""
+
+    def _voters_in_service(self, unavailable: Mapping[str, float], leaving: Sequence[str]) -> int:
+        return sum(1 for voter in self.voters if unavailable.get(voter, 0.0) < 1.0 and voter not in leaving)
+
+
+def _limits_by(fleet: list[Machine], attribute: str, min_fraction: float) -> list[CapacityLimit]:
+    """Returns a limit for each value of `attribute` ("zone" or "model"), in the order of the values."""
+    values = {getattr(machine, attribute) for machine in fleet} - {""}
+    return [
+        _group_limit(
+            f"{attribute} {value}",
+            [machine for machine in fleet if getattr(machine, attribute) == value],
+            min_fraction,
+        )
+        for value in sorted(values)
+    ]
+
+
+def _group_limit(name: str, members: list[Machine], min_fraction: float) -> CapacityLimit:
+    min_capacity = min_fraction * sum(machine.capacity for machine in members)
+    return CapacityLimit(name, frozenset(machine.name for machine in members), min_capacity)
--- a/landingshift/maintenance/coordinator.py
+++ b/landingshift/maintenance/coordinator.py
@@ -1,314 +1,400 @@
-"""The leader's work on requests: who may go, who is back, what is refused or taken back. Pure.
+"""The leader's side of maintenance: issues permits, follows machines that left, rejects what can't be met.
 
-Reports of machines may be lost with their leader; the next one lets nobody go before it has heard of the
-fleet for `SETTLE` ms. What must not be lost is in the book.
+Guarantee: a permit is issued only while all capacity constraints hold with its machine out of service, and a
+machine that may have left counts as out of service until it reports. Reports may be lost with the leader that
+had them: the next one issues and offers nothing before it has heard of the fleet for `SETTLE_MS`. Failure
+mode: without a leader nobody leaves; machines that left come back all the same.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from dataclasses import dataclass, field
-from math import exp
-from typing import Any
 
 from landingshift.maintenance.capacity_constraints import CapacityConstraints, DisruptionBudget, Machine
-from landingshift.maintenance.demand_forecast import DailyDemandProfile, DemandTrend, expected
-from landingshift.maintenance.planner import permits_to_withhold, refusal_reason, select_next
-from landingshift.maintenance.replicated_state import MaintenanceState, command
-from landingshift.maintenance.requests import COUNTED, MaintenanceRequest, RequestState
-from landingshift.maintenance.staged_rollout import AnswerCounts, allowed, worse
-
-HOPELESS = 5000.0  # ms between two looks for what can never be met
-SETTLE = 3000.0  # ms of its reign that a leader only listens
-STALE = 6000.0  # ms after which a machine that says nothing counts as lost
-SHORT = 400.0  # ms between two looks
-PEAK = 0.9  # of the largest demand of the last minutes that stays: load may come back as it went
-MOST = 10_000
-UNEVEN = 0.02
-
-
-@dataclass(slots=True, eq=False)
-class Report:
-    """What a machine says of itself; rates are RPCs a second, `ok` and `all` counted since its start."""
-
-    machine: Machine
-    run: int
-    warmth: float
-    load: float
-    at: float
-    going: int = 0  # the permission by which it is leaving
-    did: int = 0  # the one by which its earlier run left, as its disk says
-    ok: float = 0.0
-    all: float = 0.0
-    offered_at: float = -1e9  # when it was last told that it may go
+from landingshift.maintenance.commands import (
+    ChangeState,
+    ForgetMachine,
+    IssuePermit,
+    RegisterMachine,
+    SetPause,
+)
+from landingshift.maintenance.demand_tracker import DemandTracker
+from landingshift.maintenance.environment import CoordinatorEnvironment
+from landingshift.maintenance.fleet_view import NEVER_MS, FleetView, MachineReport
+from landingshift.maintenance.messages import LoadReport, ReportAnswer
+from landingshift.maintenance.planner import (
+    MS_PER_MINUTE,
+    permits_to_withhold,
+    rejection_reason,
+    select_next,
+)
+from landingshift.maintenance.proposals import Proposals
+from landingshift.maintenance.replicated_state import MaintenanceState
+from landingshift.maintenance.request_progress import (
+    Transition,
+    has_permit_lapsed,
+    transition_on_report,
+    transition_on_silence,
+)
+from landingshift.maintenance.requests import MaintenanceRequest, RequestState, unavailable_fractions
+from landingshift.maintenance.staged_rollout import UNLIMITED_COUNT, RolloutMonitor, rollout_limit
+from landingshift.membership.messages import Record
+
+EVALUATION_INTERVAL_MS = 400.0
+REJECTION_INTERVAL_MS = 5000.0
+"""Between two searches for requests that can never be met."""
+SETTLE_MS = 3000.0
+"""For how long a new leader only listens."""
+MAX_CAPACITY = 1e9
+"""RPCs a second that a machine may report; more is taken for a fault."""
+MAX_MODEL_LENGTH = 16
+SAME_CALL_MS = 1000.0
+"""Requests whose times differ by less are of one call of an operator, and one rollout."""
 
 
 @dataclass(slots=True, frozen=True)
 class CoordinatorSettings:
-    """Alike on all servers. A permission not used for `lasts` ms is void, and `spare` later given on."""
+    """Settings of the leader, alike on all servers."""
 
-    needs: DisruptionBudget = field(default_factory=DisruptionBudget)
-    lasts: float = 3000.0
-    spare: float = 500.0
-    back: float = 1.0  # minutes from a start until warm, about
-    rings: bool = True
-    fades: float = 400_000.0  # ms in which the largest demand fades to a third
+    budget: DisruptionBudget = field(default_factory=DisruptionBudget)
+    permit_valid_ms: float = 3000.0
+    """For how long a permit that was offered may be used."""
+    permit_grace_ms: float = 500.0
+    """How long after that a permit is taken back."""
+    warm_up_minutes: float = 1.0
+    """From a start until a machine is warm, about."""
+    is_staged: bool = True
+    """Whether work begins with one machine, then a few."""
+    peak_decay_ms: float = 400_000.0
+    """Time in which the largest demand fades to 1/e."""
+
+
+@dataclass(slots=True, frozen=True)
+class FleetSnapshot:
+    """What one evaluation goes by."""
+
+    constraints: CapacityConstraints
+    lost: dict[str, float]
+    """By name the share that is out of service without a plan."""
 
 
 class MaintenanceCoordinator:
-    """`propose(data)` puts an entry to the agreement; `leads(now)` whether this one may speak for it;
-    `gone(name)` whether the fleet sees that one no more, `names()` all that it has answer_report of."""
+    """Decisions of one voter while it leads. Times without a word are ms of its monotonic clock.
+
+    Attributes:
+        state: The replicated state.
+        settings: Alike on all servers.
+        fleet: Reports of this reign.
+        waiting_reason: Why no permit is issued just now, for operators; empty where one may be.
+        leader_since_ms: When this reign began.
+    """
 
     def __init__(
-        self,
-        book: MaintenanceState,
-        plan: CoordinatorSettings,
-        propose: Callable[[bytes], object],
-        leads: Callable[[float], bool],
-        gone: Callable[[str], bool],
-        names: Callable[[], set[str]],
-        wall: Callable[[], float],
-        log: Callable[..., None],
+        self, state: MaintenanceState, settings: CoordinatorSettings, environment: CoordinatorEnvironment
     ) -> None:
-        self.state, self.plan, self.propose, self.leads = book, plan, propose, leads
-        self.gone, self.names, self.wall, self.log = gone, names, wall, log
-        self.reports: dict[str, Report] = {}
-        self.since, self.led, self.look_at, self.now = 0.0, False, 0.0, 0.0
-        self.looked = False  # at the floor, in this reign
-        self.peak, self.hopeless_at, self.looked_at = 0.0, -1e9, 0.0
-        self.line = DemandTrend()
-        self.quarter = -1  # of an hour of the day that is seen just now, and the most in it
-        self.most = 0.0
-        self.touched, self.rest = AnswerCounts(), AnswerCounts()
-        self.done_names: set[str] = set()
-        self.why = ""  # why nobody is let go just now
-        self.voters: list[str] = []  # as the agreement has them
-        self.asked: dict[str, float] = {}  # proposals under way, by what and when
-
-    def begin(self, now: float) -> None:
-        self.since, self.reports, self.peak, self.looked = now, {}, 0.0, False
-        self.line, self.quarter, self.most, self.looked_at = DemandTrend(), -1, 0.0, now
-        self.touched, self.rest, self.asked = AnswerCounts(), AnswerCounts(), {}
-
-    def put(self, key: str, data: bytes, now: float) -> None:
-        """Once a second for each thing: the entry may be lost with a leader."""
-        if now - self.asked.get(key, -1e9) >= 1000.0:
-            if len(self.asked) >= MOST:
-                self.asked.clear()
-            self.asked[key] = now
-            self.propose(data)
+        self.state = state
+        self.settings = settings
+        self.fleet = FleetView(state, environment)
+        self.waiting_reason = ""
+        self.leader_since_ms = 0.0
+        self._environment = environment
+        self._demand = DemandTracker(settings.peak_decay_ms)
+        self._rollout = RolloutMonitor()
+        self._proposals = Proposals(environment)
+        self._was_leader = False
+        self._has_evaluated_constraints = False
+        self._next_evaluation_ms = 0.0
+        self._evaluated_at_ms = 0.0
+        self._rejections_checked_at_ms = NEVER_MS
 
     # Reports
 
-    def hear(self, machine: Machine, run: int, body: list[Any], now: float) -> list[Any] | None:
-        """The answer: stage, permission's number, for how long it may be used; None where this leads not."""
-        if not self.leads(now):
-            return None
-        match body:
-            case [float(warmth), float(load), int(going), int(did), float(ok), float(all)]:
-                pass
-            case _:
-                return None
-        if machine.name not in self.reports and len(self.reports) >= MOST:
+    def on_server_report(
+        self, sender: Record, voters: list[str], report: LoadReport, now_ms: float
+    ) -> ReportAnswer | None:
+        """Takes a report as it came from a server.
+
+        Args:
+            sender: The server, as membership knows it.
+            voters: Names of the present voters of the consensus group.
+            report: What it reports.
+            now_ms: Monotonic ms.
+
+        Returns:
+            The answer; None as for `on_report`, and for a capacity or model out of its range.
+        """
+        status = report.status
+        if not 0.0 < status.capacity < MAX_CAPACITY or len(status.model) > MAX_MODEL_LENGTH:
             return None
-        had = self.reports.get(machine.name)
-        report = Report(machine, run, min(1.0, max(0.0, warmth)), load, now, going, did, ok, all)
-        if had is not None:
-            report.offered_at = had.offered_at if had.run == run else -1e9
-            if had.run == run:
-                side = self.touched if machine.name in self.done_names else self.rest
-                side.add(max(0.0, ok - had.ok), max(0.0, all - had.all))
-        self.reports[machine.name] = report
-        self.know(machine, now)
-        wish = self.state.requests.get(machine.name)
-        if wish is None:
-            return ["", 0, 0.0]
-        self.follow(wish, report, now)
-        may = (
-            wish.stage is RequestState.PERMITTED
-            and self.state.runs.get(wish.name) == run
-            and not self.state.held
+        self.fleet.voters = voters
+        machine = Machine(
+            name=sender.name,
+            capacity=status.capacity,
+            zone=sender.zone,
+            model=status.model,
+            serves_critical_methods=status.serves_critical_methods,
+            is_voter=sender.name in voters,
         )
-        # A new leader does not offer again what the one before it allowed, until it knows who is there: that
-        # may have gone with a zone.
-        may = may and self.looked and not self.asked.get(f"back {wish.name} {wish.number}")
-        if may and not going:
-            report.offered_at = now
-        return [wish.stage.value, wish.number, self.plan.lasts if may else 0.0]
-
-    def know(self, machine: Machine, now: float) -> None:
-        """What a later leader must count with although that machine may be gone by then."""
-        facts = machine.capacity, machine.zone, machine.model, machine.best
+        return self.on_report(machine, sender.run, report, now_ms)
+
+    def on_report(self, machine: Machine, run: int, report: LoadReport, now_ms: float) -> ReportAnswer | None:
+        """Takes a machine's report.
+
+        Args:
+            machine: The machine that reports.
+            run: Number of its process.
+            report: What it reports.
+            now_ms: Monotonic ms.
+
+        Returns:
+            The answer; None where this server does not lead or has no place for another machine.
+        """
+        if not self._environment.is_leader(now_ms):
+            return None
+        previous = self.fleet.reports.get(machine.name)
+        recorded = self.fleet.record(machine, run, report, now_ms)
+        if recorded is None:
+            return None
+        self._count_answers(previous, recorded)
+        self._register_machine(machine, now_ms)
+        request = self.state.requests.get(machine.name)
+        if request is None:
+            return ReportAnswer(report.sequence, "", 0, 0.0)
+        self._follow_report(request, recorded, now_ms)
+        is_offered = self._may_offer_permit(request, run)
+        if is_offered and not recorded.leaving_permit:
+            recorded.offered_at_ms = now_ms
+        valid_ms = self.settings.permit_valid_ms if is_offered else 0.0
+        return ReportAnswer(report.sequence, request.state.value, request.permit_number, valid_ms)
+
+    def _count_answers(self, previous: MachineReport | None, report: MachineReport) -> None:
+        if previous is None or previous.run != report.run:
+            return
+        ok = max(0.0, report.ok_count - previous.ok_count)
+        total = max(0.0, report.answered_count - previous.answered_count)
+        self._rollout.record(report.machine.name, ok, total)
+
+    def _register_machine(self, machine: Machine, now_ms: float) -> None:
+        """Keeps what a later leader must count with although the machine may be gone by then."""
+        facts = machine.facts
         if self.state.machines.get(machine.name) != facts:
-            self.put(f"machine {machine.name}", command("machine", machine.name, *facts), now)
-
-    def missing(self) -> list[Machine]:
-        """Those of the book that have not reported to this leader."""
-        return [
-            Machine(name, *facts, name in self.voters)
-            for name, facts in self.state.machines.items()
-            if name not in self.reports
-        ]
+            self._proposals.propose(RegisterMachine(machine.name, facts), now_ms)
+
+    def _follow_report(self, request: MaintenanceRequest, report: MachineReport, now_ms: float) -> None:
+        if request.state is RequestState.WARMING_UP:
+            request.warm_fraction = report.warm_fraction
+        permitted_run = self.state.permitted_runs.get(request.name)
+        transition = transition_on_report(request, report, permitted_run)
+        if transition is None:
+            return
+        self._propose_transition(request, transition, now_ms)
+        if transition.new_state is RequestState.COMPLETED:
+            self._rollout.completed_names.add(request.name)
+
+    def _may_offer_permit(self, request: MaintenanceRequest, run: int) -> bool:
+        """Returns whether a machine may be told now that it may leave.
+
+        A new leader does not offer again what the one before it issued until it has evaluated
+        the constraints: the permit may be older than the loss of a zone.
+        """
+        return (
+            request.state is RequestState.PERMITTED
+            and self.state.permitted_runs.get(request.name) == run
+            and not self.state.pause_reason
+            and self._has_evaluated_constraints
+            and not self._proposals.is_withheld(request.name, request.permit_number)
+        )
 
-    def follow(self, wish: MaintenanceRequest, report: Report, now: float) -> None:
-        """Moves a wish on by what its machine says."""
-        same = self.state.runs.get(wish.name) == report.run
-        name, number = wish.name, wish.number
-        match wish.stage:
-            case RequestState.PERMITTED if (same and report.going == number) or report.did == number:
-                self.move(wish, RequestState.DRAINING, "", now)
-            case RequestState.PERMITTED if not same:
-                self.move(wish, RequestState.WISHED, "it was started anew before it left", now)
-            case RequestState.DRAINING | RequestState.OUT if not same:
-                self.move(wish, RequestState.RETURNING, "", now)
-            case RequestState.RETURNING:
-                self.move(wish, RequestState.WARMING, "", now)
-            case RequestState.WARMING:
-                wish.warmth = report.warmth
-                if report.warmth >= 1.0:
-                    self.put(f"done {name} {number}", self.moved(wish, RequestState.DONE, ""), now)
-                    self.done_names.add(name)
-
-    def moved(self, wish: MaintenanceRequest, to: RequestState, why: str) -> bytes:
-        return command("move", wish.name, wish.number, to.value, why, self.wall())
-
-    def move(self, wish: MaintenanceRequest, to: RequestState, why: str, now: float) -> None:
-        self.put(f"{to.value} {wish.name} {wish.number}", self.moved(wish, to, why), now)
-
-    # Looks
-
-    def demand(self) -> float:
-        """What is asked for now, what it was lately (less of it now is no promise that it stays so), and what
-        is to be expected until one that leaves now is back."""
-        ahead = expected(self.line, self.state.shape, self.asked_for(), self.wall(), self.away())
-        return max(ahead, PEAK * self.peak)
-
-    def away(self) -> float:
-        """ms until the longest work that might begin now is done and its machine warm."""
-        waiting = [w.minutes for w in self.state.requests.values() if w.stage is RequestState.WISHED]
-        return (max(waiting) + self.plan.back) * 60_000.0 if waiting else 0.0
-
-    def watch(self, now: float) -> None:
-        """What is asked for goes into the line, and once a quarter of an hour into the book."""
-        asked = self.asked_for()
-        self.peak = max(self.peak * exp((self.looked_at - now) / self.plan.fades), asked)
-        self.looked_at = now
-        if now - self.since < SETTLE:
-            return  # not all have reported to it yet
-        self.line.add(now, asked)
-        quarter = DailyDemandProfile.quarter(self.wall())
-        if quarter != self.quarter:
-            if self.quarter >= 0:
-                self.put(f"seen {self.quarter}", command("seen", self.quarter, self.most), now)
-            self.quarter, self.most = quarter, 0.0
-        self.most = max(self.most, asked)
-
-    def asked_for(self) -> float:
-        """RPCs a second; what a silent machine told last goes to others by now."""
-        # One that has just left counts too: others tell what they took over only with their next reports.
-        return sum(r.load for r in self.reports.values() if self.now - r.at <= STALE)
-
-    def lost(self, now: float) -> dict[str, float]:
-        """Shares that are out unasked, by name: silent ones, and what is cold of those not sent away."""
-        found = {}
-        for name, report in self.reports.items():
-            wish = self.state.requests.get(name)
-            if wish is not None and wish.stage in (*COUNTED, RequestState.WARMING):
-                continue
-            if now - report.at > STALE or self.gone(name):
-                found[name] = 1.0
-            elif report.warmth < 1.0:
-                found[name] = 1.0 - report.warmth
-        for machine in self.missing():
-            wish = self.state.requests.get(machine.name)
-            if wish is None or wish.stage not in (*COUNTED, RequestState.WARMING):
-                found[machine.name] = 1.0
-        return found
-
-    def floor(self) -> CapacityConstraints:
-        machines = [r.machine for r in self.reports.values()]
-        return CapacityConstraints([*machines, *self.missing()], self.plan.needs, self.demand())
-
-    def step(self, now: float) -> None:
-        if now < self.look_at:
+    # Demand
+
+    def expected_demand(self) -> float:
+        """Returns the RPCs a second to be reckoned with until a machine that leaves now is back."""
+        current = self.fleet.current_demand(self._evaluated_at_ms)
+        wall_ms = self._environment.wall_clock_ms()
+        return self._demand.expected(self.state.demand_profile, current, wall_ms, self._outage_ms())
+
+    def constraints(self) -> CapacityConstraints:
+        """Returns the constraints at the expected demand."""
+        return self.fleet.constraints(self.settings.budget, self.expected_demand())
+
+    def _outage_ms(self) -> float:
+        """Returns ms until the longest work that might begin now is done and its machine warm."""
+        durations = [
+            request.duration_minutes
+            for request in self.state.requests.values()
+            if request.state is RequestState.REQUESTED
+        ]
+        if not durations:
+            return 0.0
+        return (max(durations) + self.settings.warm_up_minutes) * MS_PER_MINUTE
+
+    def _record_demand(self, now_ms: float) -> None:
+        current = self.fleet.current_demand(now_ms)
+        self._demand.update_peak(now_ms, current)
+        if now_ms - self.leader_since_ms < SETTLE_MS:
+            return  # not all machines have reported to this leader yet
+        ended_quarter = self._demand.record(now_ms, self._environment.wall_clock_ms(), current)
+        if ended_quarter is not None:
+            self._proposals.propose(ended_quarter, now_ms)
+
+    # Evaluation
+
+    def evaluate_soon(self, now_ms: float) -> None:
+        """Lets the next `step` evaluate, as after a change of the replicated state."""
+        self._next_evaluation_ms = min(self._next_evaluation_ms, now_ms)
+
+    def step(self, now_ms: float) -> None:
+        """Evaluates the requests, if this server leads and an evaluation is due."""
+        if now_ms < self._next_evaluation_ms:
             return
-        self.now = now
-        self.look_at = now + SHORT
-        leads = self.leads(now)
-        if leads and not self.led:
-            self.begin(now)
-        self.led = leads
-        if not leads:
+        self._evaluated_at_ms = now_ms
+        self._next_evaluation_ms = now_ms + EVALUATION_INTERVAL_MS
+        if not self._follow_leadership(now_ms):
             return
-        self.watch(now)
-        requests, book = self.state.requests, self.state
-        for wish in list(requests.values()):
-            self.see(wish, now)
-        if now - self.since < SETTLE or not requests:
-            self.why = "the leader is new: it listens first" if requests else ""
+        self._record_demand(now_ms)
+        for request in list(self.state.requests.values()):
+            self._follow_silence(request, now_ms)
+        if not self._is_ready_to_permit(now_ms):
             return
-        floor, lost = self.floor(), self.lost(now)
-        out = {n: w.out() for n, w in requests.items() if w.out() > 0.0} | lost
-        self.why, self.looked = book.held or floor.broken(out), True
-        if self.why:
-            for name in permits_to_withhold(requests, floor, lost) if not book.held else []:
-                self.asked.setdefault(f"back {name} {requests[name].number}", now)
+        snapshot = FleetSnapshot(self.constraints(), self.fleet.lost_fractions(now_ms))
+        if not self._do_constraints_hold(snapshot) or self._pause_on_regression(now_ms):
             return
-        for key in [k for k in self.asked if k.startswith("back ")]:
-            del self.asked[key]  # it may be used again
-        verdict = worse(self.touched, self.rest) if self.plan.rings else ""
-        if verdict:
-            self.why = verdict
-            self.put("hold", command("hold", f"stopped by itself: {verdict}"), now)
+        self._clean_up(snapshot, now_ms)
+        if self.state.requests:
+            self._issue_permits(snapshot, now_ms)
+
+    def _follow_leadership(self, now_ms: float) -> bool:
+        """Starts a reign where one begins; returns whether this server leads."""
+        is_leader = self._environment.is_leader(now_ms)
+        if is_leader and not self._was_leader:
+            self._begin_reign(now_ms)
+        self._was_leader = is_leader
+        return is_leader
+
+    def _begin_reign(self, now_ms: float) -> None:
+        self.leader_since_ms = now_ms
+        self._has_evaluated_constraints = False
+        self.fleet.clear()
+        self._demand.reset(now_ms)
+        self._rollout.reset_counts()
+        self._proposals.clear()
+
+    def _follow_silence(self, request: MaintenanceRequest, now_ms: float) -> None:
+        """Moves a request on without a word from its machine."""
+        report = self.fleet.reports.get(request.name)
+        if request.state is RequestState.PERMITTED:
+            self._take_back_lapsed_permit(request, report, now_ms)
             return
-        if now - self.hopeless_at >= HOPELESS:
-            self.hopeless_at = now
-            names = self.names()
-            for name in [n for n in self.state.machines if n not in names]:
-                self.put(
-                    f"without {name}", command("without", name), now
-                )  # gone for so long that it is forgotten
-            whole = not lost and names <= self.reports.keys()
-            for wish in [w for w in requests.values() if w.stage is RequestState.WISHED]:
-                why = refusal_reason(wish, floor, self.wall(), wish.name in names, whole)
-                if why:
-                    self.move(wish, RequestState.REFUSED, why, now)
-        if not requests:
-            return  # the last ones were refused just now
-        oldest = min(w.since for w in requests.values()) - 1000.0  # requests of one call are as old
-        done = sum(1 for e in book.history if e.end == RequestState.DONE.value and e.since >= oldest)
-        room = 1 << 30
-        if self.plan.rings:
-            room = max(
-                0,
-                allowed(done) - done - sum(w.stage not in (RequestState.WISHED,) for w in requests.values()),
-            )
-        for name in select_next(requests, floor, lost, self.wall(), self.plan.back)[:room]:
-            report = self.reports.get(name)
+        is_silent = report is None or report.is_silent(now_ms)
+        if request.state is RequestState.WARMING_UP and is_silent:
+            request.warm_fraction = 0.0
+        transition = transition_on_silence(
+            request,
+            is_silent,
+            has_reported=report is not None,
+            has_left=self.fleet.has_left(request.name),
+            is_leader_settled=now_ms - self.leader_since_ms > SETTLE_MS,
+        )
+        if transition is not None:
+            self._propose_transition(request, transition, now_ms)
+
+    def _take_back_lapsed_permit(
+        self, request: MaintenanceRequest, report: MachineReport | None, now_ms: float
+    ) -> None:
+        has_lapsed = has_permit_lapsed(
+            request,
+            report,
+            self.leader_since_ms,
+            self.settings.permit_valid_ms,
+            self.settings.permit_grace_ms,
+            now_ms,
+        )
+        if has_lapsed:
+            transition = Transition(RequestState.REQUESTED, "its permission ran out unused")
+            self._propose_transition(request, transition, now_ms)
+
+    def _is_ready_to_permit(self, now_ms: float) -> bool:
+        if not self.state.requests:
+            self.waiting_reason = ""
+            return False
+        if now_ms - self.leader_since_ms < SETTLE_MS:
+            self.waiting_reason = "the leader is new: it listens first"
+            return False
+        return True
+
+    def _do_constraints_hold(self, snapshot: FleetSnapshot) -> bool:
+        """Returns whether permits may be issued; withholds the youngest ones if they may not."""
+        requests = self.state.requests
+        unavailable = unavailable_fractions(requests.values(), snapshot.lost)
+        self.waiting_reason = self.state.pause_reason or snapshot.constraints.violation(unavailable)
+        self._has_evaluated_constraints = True
+        if not self.waiting_reason:
+            self._proposals.release_permits()
+            return True
+        if not self.state.pause_reason:
+            for name in permits_to_withhold(requests, snapshot.constraints, snapshot.lost):
+                self._proposals.withhold_permit(name, requests[name].permit_number)
+        return False
+
+    def _pause_on_regression(self, now_ms: float) -> bool:
+        """Pauses everything where machines that came back do worse than the others."""
+        regression = self._rollout.regression() if self.settings.is_staged else ""
+        if not regression:
+            return False
+        self.waiting_reason = regression
+        self._proposals.propose(SetPause(f"stopped by itself: {regression}"), now_ms)
+        return True
+
+    def _clean_up(self, snapshot: FleetSnapshot, now_ms: float) -> None:
+        """Forgets machines that membership forgot and rejects what can never be met, now and then."""
+        if now_ms - self._rejections_checked_at_ms < REJECTION_INTERVAL_MS:
+            return
+        self._rejections_checked_at_ms = now_ms
+        known = self._environment.known_machines()
+        for name in [name for name in self.state.machines if name not in known]:
+            self._proposals.propose(ForgetMachine(name), now_ms)
+        is_fleet_complete = not snapshot.lost and known <= self.fleet.reports.keys()
+        wall_ms = self._environment.wall_clock_ms()
+        requests = self.state.requests.values()
+        for request in [request for request in requests if request.state is RequestState.REQUESTED]:
+            is_known = request.name in known
+            reason = rejection_reason(request, snapshot.constraints, wall_ms, is_known, is_fleet_complete)
+            if reason:
+                self._propose_transition(request, Transition(RequestState.REJECTED, reason), now_ms)
+
+    def _issue_permits(self, snapshot: FleetSnapshot, now_ms: float) -> None:
+        chosen = select_next(
+            self.state.requests,
+            snapshot.constraints,
+            snapshot.lost,
+            self._environment.wall_clock_ms(),
+            self.settings.warm_up_minutes,
+        )
+        for name in chosen[: self._rollout_room()]:
+            report = self.fleet.reports.get(name)
             if report is not None:
-                self.put(f"permit {name}", command("permit", name, report.run, now), now)
-
-    def see(self, wish: MaintenanceRequest, now: float) -> None:
-        """What goes on without a word from its machine."""
-        report = self.reports.get(wish.name)
-        if wish.stage is RequestState.DRAINING and (
-            self.gone(wish.name) or report is None or now - report.at > STALE
-        ):
-            self.move(wish, RequestState.OUT, "", now)
-        elif wish.stage is RequestState.PERMITTED and self.void(wish, report, now):
-            self.move(wish, RequestState.WISHED, "its permission ran out unused", now)
-        elif wish.stage is RequestState.WARMING and (report is None or now - report.at > STALE):
-            wish.warmth = 0.0
-            if now - self.since > SETTLE and (report is None or self.gone(wish.name)):
-                self.move(wish, RequestState.OUT, "it crashed while it warmed", now)
-
-    def void(self, wish: MaintenanceRequest, report: Report | None, now: float) -> bool:
-        """Whether a permission can't be used any more, by its machine's clock either, whoever offered it.
-
-        It must have said after that that it stays; one that is silent counts as out until it speaks.
-        """
-        offered = max(self.since, report.offered_at if report is not None else -1e9)
-        end = offered + self.plan.lasts * (1.0 + UNEVEN) + self.plan.spare
-        if report is None or now - report.at > STALE:
-            return False  # it may have left: its disk says so once it is back
-        return report.at > end and report.going != wish.number
+                self._proposals.propose(IssuePermit(name, report.run, now_ms), now_ms)
+
+    def _rollout_room(self) -> int:
+        """Returns how many further machines the present stage of the rollout lets leave."""
+        if not self.settings.is_staged:
+            return UNLIMITED_COUNT
+        requests = self.state.requests.values()
+        rollout_began_ms = min(request.requested_at_ms for request in requests) - SAME_CALL_MS
+        completed = sum(
+            1
+            for ended in self.state.history
+            if ended.final_state == RequestState.COMPLETED.value and ended.requested_at_ms >= rollout_began_ms
+        )
+        under_way = sum(request.state is not RequestState.REQUESTED for request in requests)
+        return max(0, rollout_limit(completed) - completed - under_way)
+
+    def _propose_transition(self, request: MaintenanceRequest, transition: Transition, now_ms: float) -> None:
+        change = ChangeState(
+            name=request.name,
+            permit_number=request.permit_number,
+            new_state=transition.new_state,
+            reason=transition.reason,
+            changed_at_ms=self._environment.wall_clock_ms(),
+        )
+        self._proposals.propose(change, now_ms)
--- a/landingshift/maintenance/demand_forecast.py
+++ b/landingshift/maintenance/demand_forecast.py
@@ -1,99 +1,135 @@
-"""How much will be asked for while a machine is away: by the last minutes, and by the day before. Pure.
+"""Forecast of the demand while a machine is away: by the last minutes, and by the day before.
 
-Neither is enough alone. A line through the last minutes sees a load that rises now, and knows nothing of the
-morning; the day before knows the morning and not that today is another day. The larger counts: a wrong one
-then costs a wait, not the floor. A leader that is new has no line, but the book, which has the day.
+Neither is enough alone. A trend of the last minutes follows a load that rises now and knows nothing of the
+morning; the profile of the day before knows the morning, but not that today differs. The larger one counts:
+an overestimate costs a wait, an underestimate the disruption budget. A new leader has no trend, but the
+profile is part of the replicated state.
 """
 
 from __future__ import annotations
 
 from math import sqrt
 
-WIDTH = 30_000.0  # ms of a bucket of the line
-COUNT = 40  # buckets that are looked back on
-FEW = 4  # buckets without which there is no line
-SURE = 2.0  # standard errors that the line is taken higher
-DAY = 86_400_000.0
-QUARTERS = 96  # of an hour, in a day
-QUARTER = DAY / QUARTERS
-OTHER = (0.5, 2.0)  # times the day before that today may be, at the least and most
+BUCKET_MS = 30_000.0
+BUCKET_COUNT = 40
+MIN_POINTS_COUNT = 4
+"""Buckets without which there is no trend."""
+CONFIDENCE_STANDARD_ERRORS = 2.0
+"""By how many standard errors a rising trend is taken higher."""
+DAY_MS = 86_400_000.0
+QUARTERS_COUNT = 96
+"""Quarters of an hour in a day."""
+QUARTER_MS = DAY_MS / QUARTERS_COUNT
+MIN_DAY_RATIO = 0.5
+MAX_DAY_RATIO = 2.0
+"""What today may be of the day before, at the least and at the most."""
 
 
 class DemandTrend:
-    """What was asked for in the last minutes, a mean a bucket."""
+    """Mean demand of each bucket of the last `BUCKET_COUNT * BUCKET_MS`, with a regression line."""
 
     def __init__(self) -> None:
-        self.sums = [0.0] * COUNT
-        self.counts = [0] * COUNT
-        self.stamp = -1
-
-    def add(self, now: float, demand: float) -> None:
-        """`now` in ms of a monotonic clock."""
-        stamp = int(now // WIDTH)
-        if self.stamp < 0 or stamp - self.stamp >= COUNT:
-            self.sums, self.counts = [0.0] * COUNT, [0] * COUNT
+        self._sums = [0.0] * BUCKET_COUNT
+        self._counts = [0] * BUCKET_COUNT
+        self._newest_bucket = -1
+
+    def record(self, now_ms: float, demand: float) -> None:
+        """Adds a sample. `now_ms`: of a monotonic clock; `demand`: RPCs a second."""
+        bucket = int(now_ms // BUCKET_MS)
+        if self._newest_bucket < 0 or bucket - self._newest_bucket >= BUCKET_COUNT:
+            self._sums = [0.0] * BUCKET_COUNT
+            self._counts = [0] * BUCKET_COUNT
         else:
-            for old in range(self.stamp + 1, stamp + 1):
-                self.sums[old % COUNT], self.counts[old % COUNT] = 0.0, 0
-        self.stamp = max(stamp, self.stamp)
-        self.sums[stamp % COUNT] += demand
-        self.counts[stamp % COUNT] += 1
+            for skipped in range(self._newest_bucket + 1, bucket + 1):
+                self._sums[skipped % BUCKET_COUNT] = 0.0
+                self._counts[skipped % BUCKET_COUNT] = 0
+        self._newest_bucket = max(bucket, self._newest_bucket)
+        self._sums[bucket % BUCKET_COUNT] += demand
+        self._counts[bucket % BUCKET_COUNT] += 1
 
     def points(self) -> list[tuple[float, float]]:
-        """(ms before the newest bucket, as a number of 0 or less; mean of the bucket), the oldest first."""
+        """Returns (ms relative to the newest bucket, 0 or less; mean demand), the oldest first."""
         found = []
-        for back in range(COUNT - 1, -1, -1):
-            i = (self.stamp - back) % COUNT
-            if self.stamp >= back and self.counts[i]:
-                found.append((-back * WIDTH, self.sums[i] / self.counts[i]))
+        for age in range(BUCKET_COUNT - 1, -1, -1):
+            index = (self._newest_bucket - age) % BUCKET_COUNT
+            if self._newest_bucket >= age and self._counts[index]:
+                found.append((-age * BUCKET_MS, self._sums[index] / self._counts[index]))
         return found
 
-    def ahead(self, ms: float) -> float:
-        """The most that the line expects within `ms`, 0 where there is none.
+    def forecast(self, horizon_ms: float) -> float:
+        """Returns the largest demand that the trend expects within `horizon_ms`; 0 where there is none.
 
-        It is not drawn further ahead than it was looked back: a rise of a minute says nothing of an hour.
+        It is extrapolated no further ahead than it looks back: the rise of a minute says nothing of an hour.
+        A fall is not extrapolated at all.
         """
         points = self.points()
-        if len(points) < FEW:
+        if len(points) < MIN_POINTS_COUNT:
             return 0.0
-        n = len(points)
-        mid_x = sum(x for x, _ in points) / n
-        mid_y = sum(y for _, y in points) / n
-        spread = sum((x - mid_x) ** 2 for x, _ in points)
-        slope = sum((x - mid_x) * (y - mid_y) for x, y in points) / spread
+        count = len(points)
+        mean_time = sum(time for time, _ in points) / count
+        mean_demand = sum(demand for _, demand in points) / count
+        time_spread = sum((time - mean_time) ** 2 for time, _ in points)
+        covariance = sum((time - mean_time) * (demand - mean_demand) for time, demand in points)
+        slope = covariance / time_spread
         if slope <= 0.0:
-            return mid_y + slope * (0.0 - mid_x)
-        off = sum((y - mid_y - slope * (x - mid_x)) ** 2 for x, y in points)
-        x = min(ms, -points[0][0])
-        error = sqrt(off / (n - 2) * (1.0 / n + (x - mid_x) ** 2 / spread))
-        return mid_y + slope * (x - mid_x) + SURE * error
+            return mean_demand + slope * (0.0 - mean_time)
+        squared_residuals = sum(
+            (demand - mean_demand - slope * (time - mean_time)) ** 2 for time, demand in points
+        )
+        target = min(horizon_ms, -points[0][0])
+        variance = squared_residuals / (count - 2) * (1.0 / count + (target - mean_time) ** 2 / time_spread)
+        return mean_demand + slope * (target - mean_time) + CONFIDENCE_STANDARD_ERRORS * sqrt(variance)
 
 
 class DailyDemandProfile:
-    """The most that was asked for in each quarter of an hour of the last day; 0 where nobody has seen it."""
+    """The largest demand of each quarter of an hour of the last day.
+
+    Attributes:
+        peaks: RPCs a second by quarter of the day; 0 where nothing was recorded.
+    """
 
     def __init__(self) -> None:
-        self.most = [0.0] * QUARTERS
+        self.peaks = [0.0] * QUARTERS_COUNT
 
     @staticmethod
-    def quarter(wall: float) -> int:
-        """`wall`: Unix ms. Clocks a minute apart shift the day by as much, which the ratio forgives."""
-        return int(wall % DAY // QUARTER)
+    def quarter_of_day(wall_ms: float) -> int:
+        """Returns the quarter of an hour of `wall_ms`, Unix ms, counted from midnight UTC."""
+        return int(wall_ms % DAY_MS // QUARTER_MS)
 
-    def seen(self, quarter: int, demand: float) -> None:
-        self.most[quarter % QUARTERS] = max(0.0, demand)
+    def record(self, quarter: int, demand: float) -> None:
+        """Notes the largest demand of a quarter that is over, in place of the day before's."""
+        self.peaks[quarter % QUARTERS_COUNT] = max(0.0, demand)
 
-    def ahead(self, wall: float, ms: float, now: float) -> float:
-        """The most of the day before within `ms`, as today is to it by what is asked for `now`."""
-        here = self.most[self.quarter(wall)]
-        if not here or ms <= 0.0:
-            return 0.0
-        ratio = min(OTHER[1], max(OTHER[0], now / here))
-        span = min(QUARTERS - 1, int((wall % QUARTER + ms) // QUARTER))
-        first = self.quarter(wall)
-        return ratio * max(self.most[(first + i) % QUARTERS] for i in range(span + 1))
+    def forecast(self, wall_ms: float, horizon_ms: float, current_demand: float) -> float:
+        """Returns the largest demand of the day before within the horizon, scaled as today is to it now.
 
+        Args:
+            wall_ms: Unix ms now.
+            horizon_ms: How far to look ahead.
+            current_demand: RPCs a second now.
 
-def expected(line: DemandTrend, shape: DailyDemandProfile, now: float, wall: float, ms: float) -> float:
-    """RPCs a second that must be reckoned with for the next `ms`; `now` is what is asked for just now."""
-    return max(now, line.ahead(ms), shape.ahead(wall, ms, now))
+        Returns:
+            RPCs a second; 0 where nothing was recorded for the present quarter.
+        """
+        first = self.quarter_of_day(wall_ms)
+        same_time_before = self.peaks[first]
+        if not same_time_before or horizon_ms <= 0.0:
+            return 0.0
+        ratio = min(MAX_DAY_RATIO, max(MIN_DAY_RATIO, current_demand / same_time_before))
+        span = min(QUARTERS_COUNT - 1, int((wall_ms % QUARTER_MS + horizon_ms) // QUARTER_MS))
+        return ratio * max(self.peaks[(first + offset) % QUARTERS_COUNT] for offset in range(span + 1))
+
+
+def forecast_demand(
+    trend: DemandTrend,
+    profile: DailyDemandProfile,
+    current_demand: float,
+    wall_ms: float,
+    horizon_ms: float,
+) -> float:
+    """Returns the RPCs a second to be reckoned with for the next `horizon_ms`."""
+    return max(
+        current_demand,
+        trend.forecast(horizon_ms),
+        profile.forecast(wall_ms, horizon_ms, current_demand),
+    )
--- a/landingshift/maintenance/planner.py
+++ b/landingshift/maintenance/planner.py
@@ -1,225 +1,264 @@
-"""Who goes next: greedy for any size, exact by search for a few, the least time of any order. Pure."""
+"""Who leaves next: a greedy selection within the capacity constraints.
+
+Guarantee: nobody is selected that would violate a constraint, and a request that waits long enough comes
+first. Failure mode: greedy selection takes machines whole, so that the last ones may take more rounds than
+the best order would (`schedule_bounds` compares them).
+"""
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Iterable, Mapping
 from dataclasses import replace
-from itertools import combinations
 from math import ceil
 
-from landingshift.maintenance.capacity_constraints import CapacityConstraints
-from landingshift.maintenance.requests import MaintenanceRequest, RequestState
+from landingshift.maintenance.capacity_constraints import CAPACITY_TOLERANCE, CapacityConstraints
+from landingshift.maintenance.requests import MaintenanceRequest, RequestState, unavailable_fractions
+
+MS_PER_MINUTE = 60_000.0
+MAX_SELECTED_COUNT = 1000
+EQUAL_PRIORITY_RATIO = 0.999
+"""Requests whose priority is at least this share of the highest one count as equal."""
 
-EXACT = 8  # machines up to which all orders are gone through
 
+def priority(request: MaintenanceRequest, now_ms: float, warm_up_minutes: float) -> float:
+    """Returns the weight of a request: urgent and long-waiting ones first, of those alike the shortest.
 
-def weight(wish: MaintenanceRequest, now: float, back: float) -> float:
-    """Urgent and long-waiting ones first; of those alike, what is back soonest."""
-    waited = max(0.0, now - wish.since) / 60_000.0 + 1.0  # a wall clock may have been set back
-    return wish.urgency * waited / (wish.minutes + back)
+    Args:
+        request: The request.
+        now_ms: Unix ms; may be before the request was made, where a wall clock was set back.
+        warm_up_minutes: From a restart until the machine is warm.
+    """
+    waited_minutes = max(0.0, now_ms - request.requested_at_ms) / MS_PER_MINUTE + 1.0
+    return request.urgency * waited_minutes / (request.duration_minutes + warm_up_minutes)
 
 
 def select_next(
-    requests: dict[str, MaintenanceRequest],
-    floor: CapacityConstraints,
-    lost: dict[str, float],
-    now: float,
-    back: float = 1.0,
-    most: int = 1000,
+    requests: Mapping[str, MaintenanceRequest],
+    constraints: CapacityConstraints,
+    lost: Mapping[str, float],
+    now_ms: float,
+    warm_up_minutes: float = 1.0,
 ) -> list[str]:
-    """Names that may go now, the first first. `lost`: what is out unasked; `back`: minutes until one is warm.
+    """Returns the machines that may leave now, the first first; none while a constraint is violated.
 
-    Nobody goes while the floor does not hold. A group goes whole or waits; one that must be alone goes only
-    where nobody is out, and holds the others back once it has waited longest.
+    A group leaves as a whole or waits. An exclusive request is served only where nobody is out of service,
+    and holds the others back once it has the highest priority.
+
+    Args:
+        requests: All requests by name of the machine.
+        constraints: What must stay in service.
+        lost: By name the share that is out of service without a plan.
+        now_ms: Unix ms.
+        warm_up_minutes: From a restart until a machine is warm.
     """
-    out = {n: w.out() for n, w in requests.items() if w.out() > 0.0} | lost
-    if floor.broken(out):
+    unavailable = unavailable_fractions(requests.values(), lost)
+    if constraints.violation(unavailable):
         return []
-    able = [
-        w for w in requests.values() if w.stage is RequestState.WISHED and w.not_before <= now < w.not_after
-    ]
-    able = [w for w in able if w.name not in lost and w.name in floor.machines]
-    if any(w.alone and w.out() > 0.0 for w in requests.values()):
+    if any(r.is_exclusive and r.unavailable_fraction() > 0.0 for r in requests.values()):
         return []
-    chosen: list[str] = []
-    zones: dict[str, int] = {}
-    for name in out:
-        machine = floor.machines.get(name)
-        if machine is not None:
-            zones[machine.zone] = zones.get(machine.zone, 0) + 1
-    weights = {w.name: weight(w, now, back) for w in able}
-    tight = rounds_needed([w.name for w in able], floor)
-    line = sorted(able, key=lambda w: (-weights[w.name], w.name))
-    margins = floor.margins(out)
-    while line and len(chosen) < most:
-        if margins[0] < min(floor.machines[w.name].capacity for w in line) - 1e-9:
-            break  # no room for any of them
-        # Among those that weigh alike those whose floor takes most rounds, whose last one ends all; then
-        # zones in turn, the one with fewest out.
-        enough = 0.999 * weights[line[0].name]
-        alike = [w for w in line if weights[w.name] >= enough]
-        first = min(alike, key=lambda w: (-tight[w.name], zones.get(floor.machines[w.name].zone, 0), w.name))
-        line.remove(first)
-        those = [first]
-        if first.group:
-            those += [w for w in line if w.group == first.group]
-            line = [w for w in line if w.group != first.group]
-        if first.alone and (out or chosen):
-            if weights[first.name] >= max((weights[w.name] for w in line), default=0.0):
-                break  # its turn: the rest waits, so that it is not passed over for ever
-            continue
-        after = floor.also(margins, out, [w.name for w in those])
-        if after is None:
-            continue
-        margins = after
-        out = out | {w.name: 1.0 for w in those}
-        chosen += [w.name for w in those]
-        for w in those:
-            zone = floor.machines[w.name].zone
-            zones[zone] = zones.get(zone, 0) + 1
-        if first.alone:
-            break
-    return chosen
-
-
-def rounds_needed(names: list[str], floor: CapacityConstraints) -> dict[str, float]:
-    """For each the rounds that its tightest limit needs for all of these; the whole's room moves with demand
-    and is left out."""
-    found = dict.fromkeys(names, 0.0)
-    for limit in floor.limits[1:]:
-        those = [n for n in names if n in limit.of]
-        room = floor.capacity({}, limit.of) - limit.least
-        if those and room > 0.0:
-            need = sum(floor.machines[n].capacity for n in those) / room
-            for name in those:
-                found[name] = max(found[name], float(ceil(need - 1e-9)))
-    voters = [n for n in names if n in floor.voters]
-    at_once = len(floor.voters) - floor.voters_in
-    for name in voters if at_once else ():
-        found[name] = max(found[name], float(ceil(len(voters) / at_once)))
-    return found
-
-
-def refusal_reason(
-    wish: MaintenanceRequest, floor: CapacityConstraints, now: float, known: bool = False, whole: bool = True
+    eligible = [
+        request
+        for request in requests.values()
+        if request.state is RequestState.REQUESTED
+        and request.not_before_ms <= now_ms < request.not_after_ms
+        and request.name not in lost
+        and request.name in constraints.machines
+    ]
+    priorities = {request.name: priority(request, now_ms, warm_up_minutes) for request in eligible}
+    return _GreedySelection(eligible, priorities, constraints, unavailable).run()
+
+
+class _GreedySelection:
+    """One run of the greedy selection.
+
+    Attributes:
+        queue: Requests not looked at yet, by priority.
+        chosen: Names selected so far.
+        unavailable: What is out of service once the chosen ones are.
+        margins: What each limit has left then.
+    """
+
+    def __init__(
+        self,
+        eligible: list[MaintenanceRequest],
+        priorities: dict[str, float],
+        constraints: CapacityConstraints,
+        unavailable: dict[str, float],
+    ) -> None:
+        self.constraints = constraints
+        self.priorities = priorities
+        self.queue = sorted(eligible, key=lambda request: (-priorities[request.name], request.name))
+        self.chosen: list[str] = []
+        self.unavailable = unavailable
+        self.margins = constraints.margins(unavailable)
+        self.rounds = rounds_needed([request.name for request in eligible], constraints)
+        self.zone_counts: dict[str, int] = {}
+        """Machines out of service by zone."""
+        self._count_zones(name for name in unavailable if name in constraints.machines)
+
+    def run(self) -> list[str]:
+        """Selects until nothing more fits."""
+        while self.queue and len(self.chosen) < MAX_SELECTED_COUNT:
+            if not self._has_room_for_smallest():
+                break
+            first = self._next_candidate()
+            group = self._take_with_group(first)
+            if first.is_exclusive and (self.unavailable or self.chosen):
+                if self._has_highest_priority(first):
+                    break  # the others wait, so that it is not passed over for ever
+                continue
+            if self._admit([request.name for request in group]) and first.is_exclusive:
+                break
+        return self.chosen
+
+    def _has_room_for_smallest(self) -> bool:
+        smallest = min(self.constraints.machines[request.name].capacity for request in self.queue)
+        return self.margins[0] >= smallest - CAPACITY_TOLERANCE
+
+    def _next_candidate(self) -> MaintenanceRequest:
+        """Returns the next one of the highest priority.
+
+        Among equals the one whose limit needs most rounds, as the last of those ends everything; then the
+        zone with fewest machines out of service.
+        """
+        min_priority = EQUAL_PRIORITY_RATIO * self.priorities[self.queue[0].name]
+        equals = [request for request in self.queue if self.priorities[request.name] >= min_priority]
+        return min(equals, key=self._tie_break)
+
+    def _tie_break(self, request: MaintenanceRequest) -> tuple[float, int, str]:
+        zone = self.constraints.machines[request.name].zone
+        return -self.rounds[request.name], self.zone_counts.get(zone, 0), request.name
+
+    def _take_with_group(self, first: MaintenanceRequest) -> list[MaintenanceRequest]:
+        self.queue.remove(first)
+        if not first.group:
+            return [first]
+        members = [request for request in self.queue if request.group == first.group]
+        self.queue = [request for request in self.queue if request.group != first.group]
+        return [first, *members]
+
+    def _has_highest_priority(self, candidate: MaintenanceRequest) -> bool:
+        rest = max((self.priorities[request.name] for request in self.queue), default=0.0)
+        return self.priorities[candidate.name] >= rest
+
+    def _admit(self, names: list[str]) -> bool:
+        margins = self.constraints.margins_without(self.margins, self.unavailable, names)
+        if margins is None:
+            return False
+        self.margins = margins
+        self.unavailable = self.unavailable | dict.fromkeys(names, 1.0)
+        self.chosen += names
+        self._count_zones(names)
+        return True
+
+    def _count_zones(self, names: Iterable[str]) -> None:
+        for name in names:
+            zone = self.constraints.machines[name].zone
+            self.zone_counts[zone] = self.zone_counts.get(zone, 0) + 1
+
+
+def rounds_needed(names: list[str], constraints: CapacityConstraints) -> dict[str, float]:
+    """Returns for each machine the rounds that its tightest limit needs for all of `names`.
+
+    The limit of the whole fleet is left out: its room moves with the demand.
+    """
+    rounds = dict.fromkeys(names, 0.0)
+    for limit in constraints.group_limits:
+        members = [name for name in names if name in limit.members]
+        room = constraints.capacity({}, limit.members) - limit.min_capacity
+        if members and room > 0.0:
+            exact = sum(constraints.machines[name].capacity for name in members) / room
+            for name in members:
+                rounds[name] = max(rounds[name], float(ceil(exact - CAPACITY_TOLERANCE)))
+    max_voters_out = len(constraints.voters) - constraints.min_voters
+    if max_voters_out:
+        voters = [name for name in names if name in constraints.voters]
+        for name in voters:
+            rounds[name] = max(rounds[name], float(ceil(len(voters) / max_voters_out)))
+    return rounds
+
+
+def rejection_reason(
+    request: MaintenanceRequest,
+    constraints: CapacityConstraints,
+    now_ms: float,
+    is_known: bool = False,
+    is_fleet_complete: bool = True,
 ) -> str:
-    """Why a wish can never be met, so that it is refused and not left hanging.
+    """Returns why a request can never be met, so that it is rejected; empty where it may be met later.
 
-    `known`: the fleet has heard of that machine, though it may say nothing just now; `whole`: nobody is
-    missing. While a zone is down its machines, and those that lean on it, are not beyond hope.
+    Args:
+        request: The request, which no permit was issued for.
+        constraints: What must stay in service.
+        now_ms: Unix ms.
+        is_known: Membership has heard of the machine, though it may report nothing just now.
+        is_fleet_complete: No machine is missing. While a zone is down its machines, and those that depend on
+            it, are not beyond hope.
     """
-    if now >= wish.not_after:
+    if now_ms >= request.not_after_ms:
         return "its time is over"
-    if wish.name not in floor.machines:
-        return "" if known else "there is no such machine"
-    return floor.never(wish.name) if whole else ""
+    if request.name not in constraints.machines:
+        return "" if is_known else "there is no such machine"
+    return constraints.permanent_violation(request.name) if is_fleet_complete else ""
 
 
 def permits_to_withhold(
-    requests: dict[str, MaintenanceRequest], floor: CapacityConstraints, lost: dict[str, float]
+    requests: Mapping[str, MaintenanceRequest],
+    constraints: CapacityConstraints,
+    lost: Mapping[str, float],
 ) -> list[str]:
-    """Permissions to be taken back, the youngest first, until the floor holds; who drains goes on."""
-    out = {n: w.out() for n, w in requests.items() if w.out() > 0.0} | lost
-    back: list[str] = []
-    permitted = sorted(
-        (w for w in requests.values() if w.stage is RequestState.PERMITTED), key=lambda w: -w.number
-    )
-    for wish in permitted:
-        if not floor.broken(out):
-            break
-        out.pop(wish.name, None)
-        back.append(wish.name)
-    return back
-
-
-def rounds(names: list[str], floor: CapacityConstraints) -> int:
-    """Fewest rounds in which all can go, each of the same length: exact, for up to EXACT machines."""
-    if len(names) > EXACT:
-        raise ValueError(f"{len(names)} machines are too many to go through all orders")
-    whole = (1 << len(names)) - 1
-    good = [
-        sum(1 << i for i in some)
-        for size in range(1, len(names) + 1)
-        for some in combinations(range(len(names)), size)
-        if not floor.broken({names[i]: 1.0 for i in some})
-    ]
-    reached, count = {0}, 0
-    while whole not in reached:
-        more = {had | some for had in reached for some in good} - reached
-        if not more:
-            return -1
-        reached |= more
-        count += 1
-    return count
-
-
-def greedy_rounds(names: list[str], floor: CapacityConstraints) -> int:
-    """The same by `select_next`; -1 where some can never go."""
-    left, count = dict.fromkeys(names), 0
-    while left:
-        requests = {n: MaintenanceRequest(n, 1.0, 0.0) for n in left}
-        some = select_next(requests, floor, {}, 0.0)
-        if not some:
-            return -1
-        for name in some:
-            del left[name]
-        count += 1
-    return count
-
-
-def duration_lower_bound_ms(
-    floor_at: Callable[[float], CapacityConstraints], out: float, back: float, step: float = 60_000.0
-) -> float:
-    """ms before which no order can have all out for `out` ms each and warm again `back` ms later.
-
-    Two bounds from below, the larger counts: of each limit the room adds up to what its machines need, taken
-    for divisible and for warming evenly; and taken whole, all need so many rounds, the last of which warms.
+    """Returns whose unused permits are to be withheld until all constraints hold, the youngest first.
+
+    A machine that drains already goes on.
     """
-    first = floor_at(0.0)
-    away = out + back / 2.0
-    need = [first.capacity({}, limit.of) * away for limit in first.limits]
-    now = 0.0
-    while any(left > 0.0 for left in need) and now < 1e9:
-        margins = floor_at(now).margins({})
-        need = [left - max(0.0, room) * step for left, room in zip(need, margins, strict=True)]
-        now += step
-    return max(now, whole_rounds(first) * out + back)
-
-
-def whole_rounds(floor: CapacityConstraints) -> int:
-    """Rounds that no order can do without, machines being out whole: of each limit but the demand's, all of
-    them over as many as its room holds of the smallest; and of the voters, who keep a majority and one."""
-    most = 0
-    for limit in floor.limits[1:]:
-        room = floor.capacity({}, limit.of) - limit.least
-        smallest = min(floor.machines[n].capacity for n in limit.of)
-        at_once = int(room / smallest + 1e-9)
-        if at_once:
-            most = max(most, -(-len(limit.of) // at_once))
-    if len(floor.voters) > floor.voters_in:
-        most = max(most, -(-len(floor.voters) // (len(floor.voters) - floor.voters_in)))
-    return most
+    unavailable = unavailable_fractions(requests.values(), lost)
+    withheld: list[str] = []
+    permitted = [request for request in requests.values() if request.state is RequestState.PERMITTED]
+    for request in sorted(permitted, key=lambda request: -request.permit_number):
+        if not constraints.violation(unavailable):
+            break
+        unavailable.pop(request.name, None)
+        withheld.append(request.name)
+    return withheld
 
 
 def dry_run(
-    requests: dict[str, MaintenanceRequest], floor: CapacityConstraints, lost: dict[str, float], back: float
+    requests: Mapping[str, MaintenanceRequest],
+    constraints: CapacityConstraints,
+    lost: Mapping[str, float],
+    warm_up_minutes: float,
 ) -> tuple[list[tuple[str, float, float]], float]:
-    """Names, the minutes at which each goes and is warm again at this demand; and the least capacity."""
-    left = {n: replace(w, not_before=0.0) for n, w in requests.items() if w.stage is RequestState.WISHED}
-    away: dict[str, float] = {n: w.minutes + back for n, w in requests.items() if w.out() > 0.0}
-    now, found = 0.0, []
-    whole = floor.limits[0].of
-    least = floor.capacity(lost | dict.fromkeys(away, 1.0), whole)
-    while left:
-        out = lost | dict.fromkeys(away, 1.0)
-        chosen = select_next(left, floor, out, min(w.since for w in left.values()), back)
-        for name in chosen:
-            end = now + left.pop(name).minutes + back
-            found.append((name, now, end))
-            away[name] = end
-        least = min(least, floor.capacity(lost | dict.fromkeys(away, 1.0), whole))
-        if not away or not left:
+    """Plays the selection through at the present demand.
+
+    Returns:
+        (name, minute in which it leaves, minute in which it is warm again) of each request, and the least
+        capacity in service at any time.
+    """
+    waiting = {
+        name: replace(request, not_before_ms=0.0)
+        for name, request in requests.items()
+        if request.state is RequestState.REQUESTED
+    }
+    warm_at = {
+        name: request.duration_minutes + warm_up_minutes
+        for name, request in requests.items()
+        if request.unavailable_fraction() > 0.0
+    }
+    fleet = constraints.fleet_limit.members
+    steps: list[tuple[str, float, float]] = []
+    minute = 0.0
+    min_capacity = constraints.capacity(dict(lost) | dict.fromkeys(warm_at, 1.0), fleet)
+    while waiting:
+        unavailable = dict(lost) | dict.fromkeys(warm_at, 1.0)
+        oldest_ms = min(request.requested_at_ms for request in waiting.values())
+        for name in select_next(waiting, constraints, unavailable, oldest_ms, warm_up_minutes):
+            end_minute = minute + waiting.pop(name).duration_minutes + warm_up_minutes
+            steps.append((name, minute, end_minute))
+            warm_at[name] = end_minute
+        capacity = constraints.capacity(dict(lost) | dict.fromkeys(warm_at, 1.0), fleet)
+        min_capacity = min(min_capacity, capacity)
+        if not warm_at or not waiting:
             break
-        now = min(away.values())
-        away = {n: end for n, end in away.items() if end > now}
-    return found, least
+        minute = min(warm_at.values())
+        warm_at = {name: end for name, end in warm_at.items() if end > minute}
+    return steps, min_capacity
--- a/landingshift/maintenance/replicated_state.py
+++ b/landingshift/maintenance/replicated_state.py
@@ -1,136 +1,167 @@
-"""What the voters agree on about work: requests, permissions and how far each is. Pure.
+"""Replicated state machine of maintenance: requests, permits, the pause, machines and the demand by day.
 
-A permission's number is given here and only grows; one machine has one permission. A command that does not
-fit any more when its turn comes does nothing.
+Guarantee: permit numbers only grow and a machine has one permit at a time, whoever leads. A command that no
+longer fits when its turn comes changes nothing, so that leaders may propose it again.
 """
 
 from __future__ import annotations
 
-from typing import Any
-
-import msgspec
-from msgspec import Struct
-
-from landingshift.consensus.state_machines import entry
+from landingshift.maintenance.capacity_constraints import MachineFacts
+from landingshift.maintenance.commands import (
+    AddRequests,
+    ChangeState,
+    ForgetMachine,
+    IssuePermit,
+    RecordDemand,
+    RegisterMachine,
+    SetPause,
+)
 from landingshift.maintenance.demand_forecast import DailyDemandProfile
-from landingshift.maintenance.requests import ENDED, InvalidTransitionError, MaintenanceRequest, RequestState
-
-NAME = "upkeep"
-MOST = 2000  # requests that stand
-HISTORY = 500  # of those that ended
-
-
-class Ended(Struct, array_like=True):
-    name: str
-    end: str
-    why: str
-    since: float
-    at: float  # Unix ms of the leader
-    number: int
-
-
-class Kept(Struct, array_like=True):
-    number: int
-    held: str
-    requests: list[Any]
-    history: list[Ended]
-    seen: list[float] = []  # a book of an earlier build has none, nor machines
-    machines: dict[str, tuple[float, str, str, bool]] = {}
-
-
-FIELDS = ("name", "minutes", "since", "urgency", "not_before", "not_after", "alone", "group")
-
-
-def command(*words: Any) -> bytes:
-    return entry(NAME, *words)
+from landingshift.maintenance.errors import InvalidTransitionError, StalePermitError
+from landingshift.maintenance.requests import (
+    FINAL_STATES,
+    CompletedRequest,
+    MaintenanceRequest,
+    RequestState,
+)
+from landingshift.maintenance.storage import (
+    StoredState,
+    decode_command,
+    decode_snapshot,
+    encode_snapshot,
+    restored_request,
+    stored_request,
+)
+
+MAX_REQUESTS_COUNT = 2000
+"""Requests, and machines, that are kept at once; further ones are dropped."""
+MAX_HISTORY_COUNT = 500
 
 
 class MaintenanceState:
+    """What all voters agree on.
+
+    Attributes:
+        last_permit_number: Number of the latest permit; 0 before the first.
+        pause_reason: Why no permits are issued; empty where they are.
+        requests: Requests that have not ended, by machine, in the order in which they were made.
+        permitted_runs: By machine the process that its permit was issued to.
+        history: Requests that ended, the latest last.
+        demand_profile: Demand of the last day.
+        machines: Facts of all machines, so that a new leader counts those that it has not heard of yet.
+    """
+
     def __init__(self) -> None:
-        self.number = 0  # the last permission's
-        self.held = ""  # why nobody is let go; empty where somebody may be
+        self.last_permit_number = 0
+        self.pause_reason = ""
         self.requests: dict[str, MaintenanceRequest] = {}
-        self.runs: dict[str, int] = {}  # the run that each permission was given to
-        self.history: list[Ended] = []
-        self.shape = DailyDemandProfile()  # of the last day's demand
-        # Capacity, zone, model, best: a new leader must know of those, too, that it never answer_report.
-        self.machines: dict[str, tuple[float, str, str, bool]] = {}
+        self.permitted_runs: dict[str, int] = {}
+        self.history: list[CompletedRequest] = []
+        self.demand_profile = DailyDemandProfile()
+        self.machines: dict[str, MachineFacts] = {}
 
     def apply(self, data: bytes) -> None:
-        match msgspec.msgpack.decode(data)[1:]:
-            case ["wish", list(some)]:
-                for one in some:
-                    self.wish(MaintenanceRequest(**dict(zip(FIELDS, one, strict=True))))
-            case ["permit", str(name), int(run), at]:
-                self.permit(name, run, at)
-            case ["move", str(name), int(number), str(to), str(why), at]:
-                self.move(name, number, RequestState(to), why, at)
-            case ["hold", str(why)]:
-                self.held = why
-            case ["machine", str(name), float(capacity), str(zone), str(model), bool(best)]:
-                if name in self.machines or len(self.machines) < MOST:
-                    self.machines[name] = capacity, zone, model, best
-            case ["without", str(name)]:
+        """Applies an entry of the replicated log."""
+        match decode_command(data):
+            case AddRequests(requests):
+                for request in requests:
+                    self._add_request(request)
+            case IssuePermit() as permit:
+                self._issue_permit(permit)
+            case ChangeState() as change:
+                self._change_state(change)
+            case SetPause(reason):
+                self.pause_reason = reason
+            case RegisterMachine(name, facts):
+                if name in self.machines or len(self.machines) < MAX_REQUESTS_COUNT:
+                    self.machines[name] = facts
+            case ForgetMachine(name):
                 self.machines.pop(name, None)
-            case ["seen", int(quarter), float(demand)]:
-                self.shape.seen(quarter, demand)
+            case RecordDemand(quarter, rpcs_per_second):
+                self.demand_profile.record(quarter, rpcs_per_second)
 
-    def wish(self, wish: MaintenanceRequest) -> None:
-        """Asked twice, it stands once; the later word on how and when counts until it is permitted."""
-        had = self.requests.get(wish.name)
-        if had is not None and had.stage is not RequestState.WISHED:
-            return
-        if had is not None:
-            wish.since = had.since
-        elif len(self.requests) >= MOST:
+    def dump(self) -> bytes:
+        """Returns a snapshot."""
+        requests = [
+            stored_request(request, self.permitted_runs.get(request.name, 0))
+            for request in self.requests.values()
+        ]
+        stored = StoredState(
+            last_permit_number=self.last_permit_number,
+            pause_reason=self.pause_reason,
+            requests=requests,
+            history=self.history,
+            demand_by_quarter=self.demand_profile.peaks,
+            machines=self.machines,
+        )
+        return encode_snapshot(stored)
+
+    def load(self, state: bytes) -> None:
+        """Takes the place of everything by a snapshot."""
+        stored = decode_snapshot(state)
+        self.last_permit_number = stored.last_permit_number
+        self.pause_reason = stored.pause_reason
+        self.history = stored.history
+        self.machines = dict(stored.machines)
+        self.demand_profile = DailyDemandProfile()
+        for quarter, demand in enumerate(stored.demand_by_quarter):
+            self.demand_profile.record(quarter, demand)
+        self.requests = {}
+        self.permitted_runs = {}
+        for row in stored.requests:
+            self.requests[row.name] = restored_request(row)
+            if row.permitted_run:
+                self.permitted_runs[row.name] = row.permitted_run
+
+    def _add_request(self, request: MaintenanceRequest) -> None:
+        """Adds or replaces a request; one that has a permit stays as it is.
+
+        A repeated request keeps the time of the first one, so that asking again costs no priority.
+        """
+        existing = self.requests.get(request.name)
+        if existing is None:
+            if len(self.requests) >= MAX_REQUESTS_COUNT:
+                return
+        elif existing.state is not RequestState.REQUESTED:
             return
-        self.requests[wish.name] = wish
+        else:
+            request.requested_at_ms = existing.requested_at_ms
+        self.requests[request.name] = request
 
-    def permit(self, name: str, run: int, at: float) -> None:
-        wish = self.requests.get(name)
-        if wish is None or wish.stage is not RequestState.WISHED or self.held:
+    def _issue_permit(self, permit: IssuePermit) -> None:
+        request = self.requests.get(permit.name)
+        if request is None or request.state is not RequestState.REQUESTED or self.pause_reason:
             return
-        self.number += 1
-        wish.move(RequestState.PERMITTED)
-        wish.number, wish.until = self.number, at
-        self.runs[name] = run
-
-    def move(self, name: str, number: int, to: RequestState, why: str, at: float) -> None:
-        wish = self.requests.get(name)
-        if wish is None or wish.number != number:
+        self.last_permit_number += 1
+        request.transition(RequestState.PERMITTED)
+        request.permit_number = self.last_permit_number
+        request.permitted_at_ms = permit.issued_at_ms
+        self.permitted_runs[permit.name] = permit.run
+
+    def _change_state(self, change: ChangeState) -> None:
+        request = self.requests.get(change.name)
+        if request is None or request.permit_number != change.permit_number:
             return
         try:
-            wish.move(to, number)
-        except InvalidTransitionError:
-            return  # told twice, or too late
-        wish.why = why
-        if to is RequestState.WISHED:
-            wish.number = 0
-        if to in ENDED:
-            del self.requests[name]
-            self.runs.pop(name, None)
-            self.history.append(Ended(name, to.value, why, wish.since, at, number))
-            del self.history[:-HISTORY]
-
-    def dump(self) -> bytes:
-        rows = [
-            [getattr(w, f) for f in FIELDS]
-            + [w.stage.value, w.number, w.until, w.why, self.runs.get(w.name, 0)]
-            for w in self.requests.values()
-        ]
-        kept = Kept(self.number, self.held, rows, self.history, self.shape.most, self.machines)
-        return msgspec.msgpack.encode(kept)
-
-    def load(self, state: bytes) -> None:
-        kept = msgspec.msgpack.decode(state, type=Kept)
-        self.number, self.held, self.history = kept.number, kept.held, kept.history
-        self.requests, self.runs, self.shape = {}, {}, DailyDemandProfile()
-        self.machines = dict(kept.machines)
-        for quarter, demand in enumerate(kept.seen):
-            self.shape.seen(quarter, demand)
-        for *fields, stage, number, until, why, run in kept.requests:
-            wish = MaintenanceRequest(**dict(zip(FIELDS, fields, strict=True)))
-            wish.stage, wish.number, wish.until, wish.why = RequestState(stage), number, until, why
-            self.requests[wish.name] = wish
-            if run:
-                self.runs[wish.name] = run
+            request.transition(change.new_state, change.permit_number)
+        except (InvalidTransitionError, StalePermitError):
+            return  # proposed twice, or too late
+        request.reason = change.reason
+        if change.new_state is RequestState.REQUESTED:
+            request.permit_number = 0
+        if change.new_state in FINAL_STATES:
+            self._complete(request, change)
+
+    def _complete(self, request: MaintenanceRequest, change: ChangeState) -> None:
+        del self.requests[change.name]
+        self.permitted_runs.pop(change.name, None)
+        completed = CompletedRequest(
+            name=change.name,
+            final_state=change.new_state.value,
+            reason=change.reason,
+            requested_at_ms=request.requested_at_ms,
+            ended_at_ms=change.changed_at_ms,
+            permit_number=change.permit_number,
+        )
+        self.history.append(completed)
+        del self.history[:-MAX_HISTORY_COUNT]
--- a/landingshift/maintenance/service.py
+++ b/landingshift/maintenance/service.py
@@ -1,32 +1,37 @@
-"""Maintenance on the server's loop: reports to the leader, the way out by the drain, and the leader's own work."""
+"""Maintenance on the server's event loop: reports, leaving by a permit, the leader's own work."""
 
 from __future__ import annotations
 
-import os
 import subprocess
 from random import Random
 from typing import TYPE_CHECKING, Any, Protocol, cast
 
 from landingshift import failpoints
-from landingshift.maintenance.agent import MaintenanceAgent, answer_report
+from landingshift.maintenance.agent import MaintenanceAgent
+from landingshift.maintenance.commands import Command
 from landingshift.maintenance.coordinator import MaintenanceCoordinator
-from landingshift.maintenance.planner import dry_run
-from landingshift.maintenance.replicated_state import NAME, MaintenanceState, command
-from landingshift.maintenance.requests import RequestState
-from landingshift.maintenance.settings import Settings, plan
+from landingshift.maintenance.errors import InvalidMessageError
+from landingshift.maintenance.mark_file import read_used_permit, write_used_permit
+from landingshift.maintenance.messages import LoadReport, ReportAnswer, ServerStatus
+from landingshift.maintenance.operator_calls import OperatorCalls
+from landingshift.maintenance.replicated_state import MaintenanceState
+from landingshift.maintenance.settings import Settings, coordinator_settings
+from landingshift.maintenance.storage import STATE_MACHINE_NAME, encode_command
+from landingshift.maintenance.traffic_meter import TrafficMeter
+from landingshift.maintenance.wire import PACKAGE, decode_message, encode_answer, encode_report
 from landingshift.membership.messages import GONE, Record
 from landingshift.membership.service import Fleet
 from landingshift.net.transport.loop import Timer
 
 if TYPE_CHECKING:
     from landingshift.net.program.features import Host
-    from landingshift.net.routing.records import Routed
+    from landingshift.net.transport.loop import Loop
 
-PACKAGE = "upkeep"
-REST = 2000.0  # ms between two reports of one that nobody wants out
-BUSY = 500.0
-WIDTH = 1000.0  # ms over which RPCs are counted
-MOST = 500  # machines in one call
+IDLE_REPORT_INTERVAL_MS = 2000.0
+"""Between two reports of a server without a request, on a voter without any."""
+ACTIVE_REPORT_INTERVAL_MS = 500.0
+MIN_JITTER_RATIO = 0.9
+MAX_JITTER_RATIO = 1.1
 
 
 class Agreement(Protocol):
@@ -41,243 +46,209 @@
     def leads(self) -> bool: ...
 
 
+class ServerEnvironment:
+    """The coordinator's environment on a real server."""
+
+    def __init__(self, agreement: Agreement, fleet: Fleet, loop: Loop) -> None:
+        self._agreement = agreement
+        self._node = fleet.node
+        self._loop = loop
+
+    def propose(self, command: Command) -> bool:
+        """Puts a command to the consensus group; False where it takes none just now."""
+        return self._agreement.propose(encode_command(command))
+
+    def is_leader(self, _now_ms: float) -> bool:
+        """Returns whether this server surely leads."""
+        return self._agreement.leads()
+
+    def leader_name(self) -> str:
+        """Returns the name of the leader, empty where none is known."""
+        return self._agreement.leader
+
+    def has_left(self, name: str) -> bool:
+        """Returns whether membership sees a machine no more."""
+        record = self._node.members.get(name)
+        return record is None or record.state in GONE
+
+    def known_machines(self) -> set[str]:
+        """Returns the names of all machines that membership has heard of."""
+        return self._node.members.names()
+
+    def wall_clock_ms(self) -> float:
+        """Returns Unix ms."""
+        return failpoints.wall()
+
+    def monotonic_ms(self) -> float:
+        """Returns ms of the loop's clock, read anew."""
+        return self._loop.clock()
+
+
 class MaintenanceService:
+    """One server's part in maintenance.
+
+    Attributes:
+        agent: Its own agent.
+        state: The replicated state; empty on a server that is no voter.
+        coordinator: The leader's side, on voters.
+        traffic: RPCs that this server received and answered.
+    """
+
     name = "upkeep"
 
     def __init__(self, host: Host, settings: Settings) -> None:
         fleet = host.services["fleet"]
         assert isinstance(fleet, Fleet)
-        self.fleet, self.node, self.log = fleet, fleet.node, host.log
+        self.fleet = fleet
+        self.node = fleet.node
+        self.log = host.log
         self.agreement = cast(Agreement, host.services["policies"])
-        self.router, self.loop, self.settings = host.router, host.router.loop, settings
-        self.chance = Random(f"{self.router.site.seed} upkeep {self.router.site.name}")
-        self.hand = MaintenanceAgent(self.marked())
-        self.reads, self.ok, self.all = 0, 0.0, 0.0
-        self.load, self.load_at = 0.0, self.loop.now
+        self.router = host.router
+        self.loop = host.router.loop
+        self.settings = settings
+        self.rng = Random(f"{self.router.site.seed} upkeep {self.router.site.name}")
+        self.agent = MaintenanceAgent(read_used_permit(settings.mark_path, self.router.site.name))
+        self.traffic = TrafficMeter(self.loop.now)
         self.state = MaintenanceState()
         self.coordinator: MaintenanceCoordinator | None = None
         if self.agreement.is_voter:
-            self.agreement.keep(NAME, self.state, self.taken)
-            self.coordinator = MaintenanceCoordinator(
-                self.state, plan(settings), self.agreement.propose, lambda _: self.agreement.leads(),
-                self.gone, self.node.members.names, failpoints.wall, self.log,
-            )  # fmt: skip
-            fleet.talk.calls |= {
-                "upkeep_ask": self.ask, "upkeep_cancel": self.cancel, "upkeep_hold": self.hold,
-                "upkeep_status": self.status, "upkeep_plan": self.plan, "upkeep_history": self.history,
-            }  # fmt: skip
-        fleet.talk.calls["upkeep_here"] = self.here
-        self.node.handlers[PACKAGE] = self.hear
-        self.router.taps.add(self)
-        self.timer: Timer | None = self.loop.after(REST * self.chance.random(), self.tick)
-
-    # What it serves
-
-    def read(self, _rpc: Routed) -> None:
-        self.reads += 1
-
-    def answered(self, _rpc: Routed, how: str) -> None:
-        self.all += 1.0
-        self.ok += how == "ok"
-
-    def warmth(self) -> float:
-        """Of the module's cores, once it serves at all."""
+            self.coordinator = self._start_coordinator()
+        fleet.talk.calls["upkeep_here"] = self.local_status
+        self.node.handlers[PACKAGE] = self.on_message
+        self.router.taps.add(self.traffic)
+        first_report_ms = IDLE_REPORT_INTERVAL_MS * self.rng.random()
+        self.timer: Timer | None = self.loop.after(first_report_ms, self.tick)
+
+    def _start_coordinator(self) -> MaintenanceCoordinator:
+        self.agreement.keep(STATE_MACHINE_NAME, self.state, self.on_entries_applied)
+        environment = ServerEnvironment(self.agreement, self.fleet, self.loop)
+        coordinator = MaintenanceCoordinator(self.state, coordinator_settings(self.settings), environment)
+        self.fleet.talk.calls |= OperatorCalls(coordinator, environment).handlers()
+        return coordinator
+
+    def warm_fraction(self) -> float:
+        """Returns the share of its capacity that this server serves now; 0 until it serves at all."""
         server = self.router.server
         if server is None or not self.router.health_state.reporting:
             return 0.0
-        cold = server.set.cold_time if server.set.cold else 0.0
-        return min(1.0, (self.loop.now - server.born) / cold) if cold else 1.0
+        cold_ms = server.set.cold_time if server.set.cold else 0.0
+        return min(1.0, (self.loop.now - server.born) / cold_ms) if cold_ms else 1.0
 
-    # Its reports
+    # Reports
 
     def tick(self) -> None:
-        now = self.loop.now
-        if now - self.load_at >= WIDTH:
-            self.load, self.reads, self.load_at = self.reads * 1000.0 / (now - self.load_at), 0, now
-        self.report()
+        """Reports, lets the coordinator work, and sets the timer for the next report."""
+        self.traffic.roll_window(self.loop.now)
+        self.send_report()
         if self.coordinator is not None:
             self.coordinator.step(self.loop.clock())
-        wait = BUSY if self.hand.stage or (self.coordinator is not None and self.state.requests) else REST
+        is_active = self.agent.request_state or (self.coordinator is not None and self.state.requests)
+        interval_ms = ACTIVE_REPORT_INTERVAL_MS if is_active else IDLE_REPORT_INTERVAL_MS
         self.loop.cancel(self.timer)
-        self.timer = self.loop.after(wait * self.chance.uniform(0.9, 1.1), self.tick)
+        jitter = self.rng.uniform(MIN_JITTER_RATIO, MAX_JITTER_RATIO)
+        self.timer = self.loop.after(interval_ms * jitter, self.tick)
         self.fleet.pass_on()
 
-    def report(self) -> None:
-        mine, now = self.settings, self.loop.clock()
-        body = self.hand.report(
-            now, mine.capacity, mine.model, mine.best, self.warmth(), self.load, self.ok, self.all
+    def send_report(self) -> None:
+        """Reports to the leader, which may be this server itself."""
+        status = ServerStatus(
+            capacity=self.settings.capacity_rpcs_per_second,
+            model=self.settings.model,
+            serves_critical_methods=self.settings.serves_critical_methods,
+            warm_fraction=self.warm_fraction(),
+            rpcs_per_second=self.traffic.rpcs_per_second,
+            ok_count=self.traffic.ok_count,
+            answered_count=self.traffic.answered_count,
         )
+        report = self.agent.next_report(self.loop.clock(), status)
         leader = self.agreement.leader
         if leader == self.node.me.name:
-            self.hear(self.node.me, body)
+            self._on_report(self.node.me, report)
         elif leader:
-            self.node.say(leader, PACKAGE, body)
-
-    def hear(self, sender: Record, body: list[Any]) -> None:
-        match body:
-            case ["at", *_]:
-                answer = answer_report(
-                    self.coordinator, sender, self.agreement.voters, body, self.loop.clock()
-                )
-                if answer is not None and sender.name == self.node.me.name:
-                    self.hear(sender, answer)
-                elif answer is not None:
-                    self.node.say(sender.name, PACKAGE, answer)
-            case ["told", int(number), str(stage), int(permission), float(lasts)]:
-                if self.hand.told(number, stage, permission, lasts):
-                    failpoints.reach("upkeep.permitted")
-                    self.go()
-
-    def go(self) -> None:
-        """Leaves, if its permission still holds by its own clock just now."""
-        if self.router.draining or not self.hand.goes(self.loop.clock()):
-            self.log("upkeep_late", number=self.hand.leave.number)
+            self.node.say(leader, PACKAGE, encode_report(report))
+
+    def on_message(self, sender: Record, body: list[Any]) -> None:
+        """Takes a message of another server; what is no such message is ignored."""
+        try:
+            message = decode_message(body)
+        except InvalidMessageError:
+            return
+        match message:
+            case LoadReport():
+                self._on_report(sender, message)
+            case ReportAnswer():
+                self._on_answer(message)
+
+    def _on_report(self, sender: Record, report: LoadReport) -> None:
+        if self.coordinator is None:
+            return
+        now_ms = self.loop.clock()
+        answer = self.coordinator.on_server_report(sender, self.agreement.voters, report, now_ms)
+        if answer is None:
+            return
+        if sender.name == self.node.me.name:
+            self._on_answer(answer)
+        else:
+            self.node.say(sender.name, PACKAGE, encode_answer(answer))
+
+    def _on_answer(self, answer: ReportAnswer) -> None:
+        if self.agent.on_answer(answer):
+            failpoints.reach("upkeep.permitted")
+            self.leave()
+
+    def on_entries_applied(self, now_ms: float) -> None:
+        """Takes note that the replicated state has changed: what follows from it need not wait."""
+        if self.coordinator is not None:
+            self.coordinator.evaluate_soon(now_ms)
+
+    # Leaving
+
+    def leave(self) -> None:
+        """Begins to drain, if the permit still holds by this server's own clock just now."""
+        if self.router.draining or not self.agent.begin_leaving(self.loop.clock()):
+            self.log("maintenance_permit_expired", number=self.agent.permit.number)
             return
-        going = self.hand.going
-        self.write_mark()
-        failpoints.note("left", self.node.me.name, going)
-        self.log("upkeep_leaves", number=going)
-        self.report()
+        permit_number = self.agent.leaving_permit
+        self._mark_permit_used(permit_number)
+        failpoints.note("left", self.node.me.name, permit_number)
+        self.log("maintenance_draining", number=permit_number)
+        self.send_report()
         self.fleet.pass_on()
         failpoints.reach("upkeep.draining")
         self.router.drain()
 
-    def marked(self) -> int:
-        """The permission by which its earlier run left; 0 where nothing says so."""
-        try:
-            with open(self.settings.mark) as file:
-                name, number = file.read(64).split()
-            return int(number) if name == self.router.site.name else 0
-        except (OSError, ValueError):
-            return 0
-
-    def write_mark(self) -> None:
-        if not self.settings.mark:
+    def _mark_permit_used(self, permit_number: int) -> None:
+        if not self.settings.mark_path:
             return
         try:
-            with open(self.settings.mark + ".new", "w") as file:
-                file.write(f"{self.node.me.name} {self.hand.going}\n")
-                file.flush()
-                os.fsync(file.fileno())
-            os.replace(self.settings.mark + ".new", self.settings.mark)
-        except OSError as err:  # at worst the work is asked for once more
-            self.log("upkeep_unmarked", error=str(err))
-
-    def gone(self, name: str) -> bool:
-        record = self.node.members.get(name)
-        return record is None or record.state in GONE
-
-    def taken(self, now: float) -> None:
-        """Entries were taken: what follows from them need not wait."""
-        if self.coordinator is not None:
-            self.coordinator.look_at = min(self.coordinator.look_at, now)
-
-    # For operators; on voters, and what changes something on their leader
-
-    def lead(self) -> MaintenanceCoordinator:
-        if self.coordinator is None or not self.agreement.leads():
-            raise ValueError(f"it does not lead: ask {self.agreement.leader or 'a voter'}")
-        return self.coordinator
-
-    def ask(self, params: list[Any]) -> int:
-        """[[name, minutes, urgency, not_before, not_after, alone, group], ...]; how many are asked for."""
-        self.lead()
-        now, rows = failpoints.wall(), []
-        if not 0 < len(params) <= MOST:
-            raise ValueError(f"1 to {MOST} machines are expected")
-        for row in params:
-            match row:
-                case [
-                    str(name),
-                    float(minutes),
-                    float(urgency),
-                    float(before),
-                    float(after),
-                    bool(alone),
-                    str(group),
-                ]:
-                    if not 0 < len(name) <= 32 or not 0.0 < minutes <= 1e5 or not 0.0 < urgency <= 100.0:
-                        raise ValueError(f"{name[:32]}: minutes to 100000 and an urgency to 100 are expected")
-                    rows.append([name, minutes, now, urgency, before, after, alone, group[:32]])
-                case _:
-                    raise ValueError("a row is name, minutes, urgency, not_before, not_after, alone, group")
-        if not self.agreement.propose(command("wish", rows)):
-            raise ValueError("the agreement takes nothing just now")
-        return len(rows)
-
-    def cancel(self, params: list[Any]) -> int:
-        """[why, name, ...]; how many of them could still be cancelled."""
-        self.lead()
-        why, *names = [str(p) for p in params] or [""]
-        count = 0
-        for name in names[:MOST]:
-            wish = self.state.requests.get(name)
-            if wish is not None and wish.stage is RequestState.WISHED:
-                data = command(
-                    "move", name, wish.number, RequestState.CANCELLED.value, why[:300], failpoints.wall()
-                )
-                count += self.agreement.propose(data)
-        return count
-
-    def hold(self, params: list[Any]) -> bool:
-        """[why]: nobody is let go from now on; [""]: somebody is again."""
-        self.lead()
-        match params:
-            case [str(why)]:
-                return self.agreement.propose(command("hold", why[:300]))
-        raise ValueError("a reason is expected, or nothing to go on")
-
-    def status(self, _params: list[Any]) -> dict[str, Any]:
-        coordinator = self.coordinator
-        assert coordinator is not None
-        now = self.loop.clock()
-        rows = [
-            {
-                "name": w.name, "stage": w.stage.value, "number": w.number, "minutes": w.minutes,
-                "urgency": w.urgency, "out": round(w.out(), 2), "why": w.why,
-            }
-            for w in self.state.requests.values()
-        ]  # fmt: skip
-        found: dict[str, Any] = {"leads": self.agreement.leads(), "held": self.state.held, "wishes": rows}
-        if found["leads"]:
-            floor = coordinator.floor()
-            out = {n: w.out() for n, w in self.state.requests.items() if w.out()} | coordinator.lost(now)
-            found |= {
-                "machines": len(coordinator.reports), "demand": coordinator.demand(), "room": floor.room(out),
-                "lost": sorted(coordinator.lost(now)), "waits_for": coordinator.why,
-            }  # fmt: skip
-        return found
-
-    def plan(self, _params: list[Any]) -> dict[str, Any]:
-        """Who would go when, at the demand of now."""
-        coordinator = self.lead()
-        floor, lost = coordinator.floor(), coordinator.lost(self.loop.clock())
-        steps, least = dry_run(self.state.requests, floor, lost, coordinator.plan.back)
-        return {"steps": [list(s) for s in steps], "least_capacity": least, "floor": floor.limits[0].least}
-
-    def history(self, _params: list[Any]) -> list[dict[str, Any]]:
-        return [
-            {"name": e.name, "end": e.end, "why": e.why, "since": e.since, "at": e.at, "number": e.number}
-            for e in self.state.history
-        ]
-
-    def here(self, _params: list[Any]) -> dict[str, Any]:
-        """What this server knows of its own part."""
-        return {
-            "name": self.node.me.name, "stage": self.hand.stage, "going": self.hand.going,
-            "warmth": self.warmth(), "load": self.load, "leader": self.agreement.leader,
-        }  # fmt: skip
+            write_used_permit(self.settings.mark_path, self.node.me.name, permit_number)
+        except OSError as err:  # at worst the work is requested once more
+            self.log("maintenance_mark_failed", error=str(err))
 
     def finish(self) -> None:
-        """Drained. With a permission, the operator's work is done now, in a process of its own."""
-        if not self.hand.going or not self.settings.work:
+        """Runs the operator's command once the server has drained by a permit, in a process of its own."""
+        permit_number = self.agent.leaving_permit
+        if not permit_number or not self.settings.command:
             return
+        timeout_seconds = self.settings.command_timeout_seconds
         try:
-            done = subprocess.run(self.settings.work, timeout=self.settings.work_s, stdin=subprocess.DEVNULL)
-            self.log("upkeep_worked", number=self.hand.going, status=done.returncode)
+            done = subprocess.run(self.settings.command, timeout=timeout_seconds, stdin=subprocess.DEVNULL)
+            self.log("maintenance_command_finished", number=permit_number, status=done.returncode)
         except (OSError, subprocess.TimeoutExpired) as err:
-            self.log("upkeep_work_failed", number=self.hand.going, error=str(err))
+            self.log("maintenance_command_failed", number=permit_number, error=str(err))
+
+    def local_status(self, _params: list[Any]) -> dict[str, Any]:
+        """Answers an operator's call: what this server knows of its own part."""
+        return {
+            "name": self.node.me.name,
+            "stage": self.agent.request_state,
+            "going": self.agent.leaving_permit,
+            "warmth": self.warm_fraction(),
+            "load": self.traffic.rpcs_per_second,
+            "leader": self.agreement.leader,
+        }
 
 
 def attach(host: Host, settings: Settings) -> MaintenanceService:
+    """Returns the service, wired to the server."""
     return MaintenanceService(host, settings)
--- a/landingshift/maintenance/settings.py
+++ b/landingshift/maintenance/settings.py
@@ -1,51 +1,83 @@
-"""The table `[upkeep]`; needs `[fleet]` and `[policies]`, whose voters keep its book."""
+"""The table `[upkeep]`; it needs `[fleet]` and `[policies]`, whose voters keep the replicated state.
+
+The names of its keys are the users'; the fields have the names of this package.
+"""
 
 from __future__ import annotations
 
 import os
 from typing import Annotated, ClassVar
 
-from msgspec import Meta, Struct
+from msgspec import Meta, Struct, field
 
 from landingshift.maintenance.capacity_constraints import DisruptionBudget
 from landingshift.maintenance.coordinator import CoordinatorSettings
+from landingshift.maintenance.errors import InvalidSettingError
 from landingshift.membership.messages import Zone
 
-Share = Annotated[float, Meta(ge=0.0, le=1.0)]
+Fraction = Annotated[float, Meta(ge=0.0, le=1.0)]
 
 
 class Settings(Struct, forbid_unknown_fields=True, frozen=True):
-    """Alike on all servers but for the first five keys. Times in ms where not named."""
+    """Alike on all servers but for the first five keys."""
 
     needs: ClassVar[tuple[str, ...]] = ("fleet", "policies")
+    """Tables without which this one can't be on."""
 
-    capacity: Annotated[float, Meta(gt=0.0, le=1e9)]  # RPCs a second that this server does when warm
-    model: Zone = ""  # of the machine
-    best: bool = False  # it carries the methods of most criticality
-    work: Annotated[list[str], Meta(max_length=32)] = []  # command run once it has drained; an absolute path
-    mark: str = ""  # a file on a disk that lasts: by which permission it left; else work may be done twice
+    capacity_rpcs_per_second: Annotated[float, Meta(gt=0.0, le=1e9)] = field(name="capacity")
+    """RPCs a second that this server serves when warm."""
+    model: Zone = ""
+    """Of the machine."""
+    serves_critical_methods: bool = field(default=False, name="best")
+    """Whether it serves the methods of the highest criticality."""
+    command: Annotated[list[str], Meta(max_length=32)] = field(default=[], name="work")
+    """Command that is run once the server has drained; begins with an absolute path."""
+    mark_path: str = field(default="", name="mark")
+    """File that keeps the permit by which the server left; without it work may be done twice."""
     on: bool = True
-    work_s: Annotated[float, Meta(gt=0.0, le=86_400.0)] = 600.0  # then the command is ended
-    spare: Annotated[float, Meta(ge=0.0, le=10.0)] = 0.1  # share by which capacity must pass the demand
-    zone_share: Share = 0.5  # of each zone's capacity that stays in
-    model_share: Share = 0.5
-    best_share: Share = 0.7
-    lasts_ms: Annotated[float, Meta(ge=500.0, le=600_000.0)] = 3_000.0  # a permission that is not used
-    spare_ms: Annotated[float, Meta(ge=0.0, le=60_000.0)] = 500.0  # until it is given on
-    back_minutes: Annotated[float, Meta(ge=0.0, le=1_440.0)] = 1.0  # from a start until warm, about
-    rings: bool = True  # one, then five, then more, each watched
+    command_timeout_seconds: Annotated[float, Meta(gt=0.0, le=86_400.0)] = field(default=600.0, name="work_s")
+    """After it the command is ended."""
+    headroom_ratio: Annotated[float, Meta(ge=0.0, le=10.0)] = field(default=0.1, name="spare")
+    """By which share capacity must exceed the demand."""
+    min_zone_fraction: Fraction = field(default=0.5, name="zone_share")
+    """Share of each zone's capacity that stays in service."""
+    min_model_fraction: Fraction = field(default=0.5, name="model_share")
+    min_critical_fraction: Fraction = field(default=0.7, name="best_share")
+    permit_valid_ms: Annotated[float, Meta(ge=500.0, le=600_000.0)] = field(default=3_000.0, name="lasts_ms")
+    """For how long a permit may be used."""
+    permit_grace_ms: Annotated[float, Meta(ge=0.0, le=60_000.0)] = field(default=500.0, name="spare_ms")
+    """How long after that an unused permit is taken back."""
+    warm_up_minutes: Annotated[float, Meta(ge=0.0, le=1_440.0)] = field(default=1.0, name="back_minutes")
+    """From a start until warm, about."""
+    is_staged: bool = field(default=True, name="rings")
+    """Whether work begins with one machine, then a few, each stage watched."""
 
 
 def check(settings: Settings, _folder: str) -> None:
-    """Raises ValueError("key: what is wrong")."""
-    if settings.mark and not os.path.isabs(settings.mark):
-        raise ValueError(f"mark: an absolute path is expected, not {settings.mark!r}")
-    if settings.work and not os.path.isabs(settings.work[0]):
-        raise ValueError(f"work: an absolute path is expected first, not {settings.work[0]!r}")
+    """Checks what the types can't say.
+
+    Raises:
+        InvalidSettingError: A key has a value that can't be used.
+    """
+    mark_path = settings.mark_path
+    if mark_path and not os.path.isabs(mark_path):
+        raise InvalidSettingError("mark", f"an absolute path is expected, not {mark_path!r}")
+    command = settings.command
+    if command and not os.path.isabs(command[0]):
+        raise InvalidSettingError("work", f"an absolute path is expected first, not {command[0]!r}")
 
 
-def plan(settings: Settings) -> CoordinatorSettings:
-    needs = DisruptionBudget(settings.spare, settings.zone_share, settings.model_share, settings.best_share)
+def coordinator_settings(settings: Settings) -> CoordinatorSettings:
+    """Returns what the leader goes by."""
     return CoordinatorSettings(
-        needs, settings.lasts_ms, settings.spare_ms, settings.back_minutes, settings.rings
+        budget=DisruptionBudget(
+            headroom_ratio=settings.headroom_ratio,
+            min_zone_fraction=settings.min_zone_fraction,
+            min_model_fraction=settings.min_model_fraction,
+            min_critical_fraction=settings.min_critical_fraction,
+        ),
+        permit_valid_ms=settings.permit_valid_ms,
+        permit_grace_ms=settings.permit_grace_ms,
+        warm_up_minutes=settings.warm_up_minutes,
+        is_staged=settings.is_staged,
     )
--- a/landingshift/maintenance/staged_rollout.py
+++ b/landingshift/maintenance/staged_rollout.py
@@ -1,51 +1,84 @@
-"""Work spread in rings: first one, then a few, then many; a ring that does worse stops the rest. Pure.
+"""Staged rollout: one canary, then a few machines, then many; a stage that does worse pauses the rest.
 
-The test: of those that came back, the share of RPCs answered ok is compared with that of those not touched,
-as two proportions, one-sided; past `SIGMAS` standard errors and by more than `LEAST` it counts as worse. With
-3 sigmas a ring without any difference stops the work at one in 740 looks at independent samples.
+The test: of the machines that came back, the share of RPCs answered ok is compared with that of the machines
+not yet touched, as two proportions, one-sided. Failure mode: a fault that shows in no answer passes, and with
+few RPCs nothing is concluded.
 """
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from collections.abc import Sequence
+from dataclasses import dataclass, field
 from math import sqrt
 
-SIZES = (1, 5, 25)  # that have come back before the next ring may go
-SIGMAS = 3.0
-LEAST = 0.005
-FEW = 200  # RPCs of either side below which nothing is said
+STAGE_SIZES = (1, 5, 25)
+"""Machines that must have come back before the next stage may begin."""
+MIN_STANDARD_ERRORS = 3.0
+MIN_OK_FRACTION_GAP = 0.005
+"""A smaller difference is not worth a pause, however certain it is."""
+MIN_ANSWERED_COUNT = 200
+"""RPCs of either side below which nothing is concluded."""
+UNLIMITED_COUNT = 1 << 30
 
 
 @dataclass(slots=True)
 class AnswerCounts:
-    """RPCs answered since a ring began, and how many of them ok."""
+    """RPCs answered since the leader began to count, and how many of them were ok."""
 
     ok: float = 0.0
-    all: float = 0.0
+    total: float = 0.0
 
-    def add(self, ok: float, all: float) -> None:
-        self.ok, self.all = self.ok + ok, self.all + all
+    def add(self, ok: float, total: float) -> None:
+        """Adds further answers."""
+        self.ok += ok
+        self.total += total
 
     @property
-    def share(self) -> float:
-        return self.ok / self.all if self.all else 0.0
+    def ok_fraction(self) -> float:
+        """Share of the answers that were ok; 0 without any."""
+        return self.ok / self.total if self.total else 0.0
 
 
-def allowed(done: int, sizes: tuple[int, ...] = SIZES) -> int:
-    """How many may have gone in all, where `done` have come back warm."""
-    for size in sizes:
-        if done < size:
+def rollout_limit(completed_count: int, stage_sizes: Sequence[int] = STAGE_SIZES) -> int:
+    """Returns how many machines may have left in all, where `completed_count` have come back warm."""
+    for size in stage_sizes:
+        if completed_count < size:
             return size
-    return 1 << 30
+    return UNLIMITED_COUNT
 
 
-def worse(touched: AnswerCounts, rest: AnswerCounts) -> str:
-    """Empty, or by how much those that came back do worse."""
-    if touched.all < FEW or rest.all < FEW:
+def regression(completed: AnswerCounts, untouched: AnswerCounts) -> str:
+    """Returns by how much machines that came back do worse, for operators; empty where they do not."""
+    if completed.total < MIN_ANSWERED_COUNT or untouched.total < MIN_ANSWERED_COUNT:
         return ""
-    both = (touched.ok + rest.ok) / (touched.all + rest.all)
-    error = sqrt(both * (1.0 - both) * (1.0 / touched.all + 1.0 / rest.all))
-    gap = rest.share - touched.share
-    if gap > LEAST and gap > SIGMAS * error:
-        return f"{touched.share:.4f} ok of those that came back, {rest.share:.4f} of the others"
+    pooled = (completed.ok + untouched.ok) / (completed.total + untouched.total)
+    standard_error = sqrt(pooled * (1.0 - pooled) * (1.0 / completed.total + 1.0 / untouched.total))
+    gap = untouched.ok_fraction - completed.ok_fraction
+    if gap > MIN_OK_FRACTION_GAP and gap > MIN_STANDARD_ERRORS * standard_error:
+        came_back, others = completed.ok_fraction, untouched.ok_fraction
+        return f"{came_back:.4f} ok of those that came back, {others:.4f} of the others"
     return ""
+
+
+@dataclass(slots=True)
+class RolloutMonitor:
+    """Compares machines that came back with the others, as one leader sees their answers."""
+
+    completed_names: set[str] = field(default_factory=set)
+    """Machines that completed under any reign of this leader."""
+    completed: AnswerCounts = field(default_factory=AnswerCounts)
+    untouched: AnswerCounts = field(default_factory=AnswerCounts)
+
+    def reset_counts(self) -> None:
+        """Starts to count anew, at the beginning of a reign."""
+        self.completed = AnswerCounts()
+        self.untouched = AnswerCounts()
+
+    def record(self, name: str, ok: float, total: float) -> None:
+        """Adds the answers that a machine gave since its last report."""
+        counts = self.completed if name in self.completed_names else self.untouched
+        counts.add(ok, total)
+
+    def regression(self) -> str:
+        """Returns by how much machines that came back do worse; empty where they do not."""
+        return regression(self.completed, self.untouched)
--- /dev/null
+++ b/landingshift/maintenance/storage.py
@@ -0,0 +1,180 @@
+"""Stored form of commands and snapshots: entries of the replicated log and states of the state machine.
+
+An entry is a MessagePack array of the package's name, a word for the command and its values. A voter of
+another build may have written it, so that unknown words are skipped.
+"""
+
+from __future__ import annotations
+
+from typing import Any
+
+import msgspec
+from msgspec import Struct
+
+from landingshift.consensus.state_machines import entry
+from landingshift.maintenance.capacity_constraints import MachineFacts
+from landingshift.maintenance.commands import (
+    AddRequests,
+    ChangeState,
+    Command,
+    ForgetMachine,
+    IssuePermit,
+    RecordDemand,
+    RegisterMachine,
+    SetPause,
+)
+from landingshift.maintenance.requests import CompletedRequest, MaintenanceRequest, RequestState
+
+STATE_MACHINE_NAME = "upkeep"
+"""Name under which entries and snapshots are kept among those of other packages."""
+
+
+class StoredRequest(Struct, array_like=True, frozen=True):
+    """A request in a snapshot; the order of fields is fixed. See `MaintenanceRequest` for units."""
+
+    name: str
+    duration_minutes: float
+    requested_at_ms: float
+    urgency: float
+    not_before_ms: float
+    not_after_ms: float
+    is_exclusive: bool
+    group: str
+    state: str
+    permit_number: int
+    permitted_at_ms: float
+    reason: str
+    permitted_run: int
+    """The process that the permit was issued to; 0 without a permit."""
+
+
+class StoredState(Struct, array_like=True, frozen=True):
+    """A snapshot; the order of fields is fixed. One of an earlier build ends with the history."""
+
+    last_permit_number: int
+    pause_reason: str
+    requests: list[StoredRequest]
+    history: list[CompletedRequest]
+    demand_by_quarter: list[float] = []
+    machines: dict[str, MachineFacts] = {}
+
+
+def encode_command(command: Command) -> bytes:
+    """Returns the entry for the replicated log."""
+    match command:
+        case AddRequests(requests):
+            words: tuple[Any, ...] = ("wish", [_request_row(request) for request in requests])
+        case IssuePermit(name, run, issued_at_ms):
+            words = ("permit", name, run, issued_at_ms)
+        case ChangeState(name, permit_number, new_state, reason, changed_at_ms):
+            words = ("move", name, permit_number, new_state.value, reason, changed_at_ms)
+        case SetPause(reason):
+            words = ("hold", reason)
+        case RegisterMachine(name, facts):
+            words = (
+                "machine",
+                name,
+                facts.capacity,
+                facts.zone,
+                facts.model,
+                facts.serves_critical_methods,
+            )
+        case ForgetMachine(name):
+            words = ("without", name)
+        case RecordDemand(quarter, rpcs_per_second):
+            words = ("seen", quarter, rpcs_per_second)
+    return entry(STATE_MACHINE_NAME, *words)
+
+
+def decode_command(data: bytes) -> Command | None:
+    """Returns the command of an entry; None for one that this build does not know."""
+    match msgspec.msgpack.decode(data)[1:]:
+        case ["wish", list(rows)]:
+            return AddRequests(tuple(_request_from_row(row) for row in rows))
+        case ["permit", str(name), int(run), issued_at_ms]:
+            return IssuePermit(name, run, issued_at_ms)
+        case ["move", str(name), int(permit_number), str(state), str(reason), changed_at_ms]:
+            return ChangeState(name, permit_number, RequestState(state), reason, changed_at_ms)
+        case ["hold", str(reason)]:
+            return SetPause(reason)
+        case ["machine", str(name), float(capacity), str(zone), str(model), bool(is_critical)]:
+            return RegisterMachine(name, MachineFacts(capacity, zone, model, is_critical))
+        case ["without", str(name)]:
+            return ForgetMachine(name)
+        case ["seen", int(quarter), float(demand)]:
+            return RecordDemand(quarter, demand)
+    return None
+
+
+def encode_snapshot(state: StoredState) -> bytes:
+    """Returns the stored form of a snapshot."""
+    return msgspec.msgpack.encode(state)
+
+
+def decode_snapshot(data: bytes) -> StoredState:
+    """Reads a snapshot of this build or an earlier one."""
+    return msgspec.msgpack.decode(data, type=StoredState)
+
+
+def stored_request(request: MaintenanceRequest, permitted_run: int) -> StoredRequest:
+    """Returns the stored form of a request and of the process that its permit was issued to."""
+    return StoredRequest(
+        name=request.name,
+        duration_minutes=request.duration_minutes,
+        requested_at_ms=request.requested_at_ms,
+        urgency=request.urgency,
+        not_before_ms=request.not_before_ms,
+        not_after_ms=request.not_after_ms,
+        is_exclusive=request.is_exclusive,
+        group=request.group,
+        state=request.state.value,
+        permit_number=request.permit_number,
+        permitted_at_ms=request.permitted_at_ms,
+        reason=request.reason,
+        permitted_run=permitted_run,
+    )
+
+
+def restored_request(stored: StoredRequest) -> MaintenanceRequest:
+    """Returns the request of a snapshot."""
+    return MaintenanceRequest(
+        name=stored.name,
+        duration_minutes=stored.duration_minutes,
+        requested_at_ms=stored.requested_at_ms,
+        urgency=stored.urgency,
+        not_before_ms=stored.not_before_ms,
+        not_after_ms=stored.not_after_ms,
+        is_exclusive=stored.is_exclusive,
+        group=stored.group,
+        state=RequestState(stored.state),
+        permit_number=stored.permit_number,
+        permitted_at_ms=stored.permitted_at_ms,
+        reason=stored.reason,
+    )
+
+
+def _request_row(request: MaintenanceRequest) -> list[Any]:
+    return [
+        request.name,
+        request.duration_minutes,
+        request.requested_at_ms,
+        request.urgency,
+        request.not_before_ms,
+        request.not_after_ms,
+        request.is_exclusive,
+        request.group,
+    ]
+
+
+def _request_from_row(row: list[Any]) -> MaintenanceRequest:
+    name, duration_minutes, requested_at_ms, urgency, not_before_ms, not_after_ms, is_exclusive, group = row
+    return MaintenanceRequest(
+        name=name,
+        duration_minutes=duration_minutes,
+        requested_at_ms=requested_at_ms,
+        urgency=urgency,
+        not_before_ms=not_before_ms,
+        not_after_ms=not_after_ms,
+        is_exclusive=is_exclusive,
+        group=group,
+    )
--- /dev/null
+++ b/landingshift/maintenance/traffic_meter.py
@@ -0,0 +1,49 @@
+"""Counts the RPCs that a server receives and answers, for its reports."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from landingshift.net.routing.records import Routed
+
+WINDOW_MS = 1000.0
+"""Time over which RPCs are counted at the least."""
+
+
+class TrafficMeter:
+    """Observes the router's RPCs.
+
+    Attributes:
+        name: Names the observer in the router's log.
+        rpcs_per_second: RPCs received during the last complete window.
+        ok_count: Answers that were ok since the start.
+        answered_count: All answers since the start.
+    """
+
+    name = "upkeep"
+
+    def __init__(self, now_ms: float) -> None:
+        self.rpcs_per_second = 0.0
+        self.ok_count = 0.0
+        self.answered_count = 0.0
+        self._received_count = 0
+        self._window_began_ms = now_ms
+
+    def read(self, _rpc: Routed) -> None:
+        """Takes the router's event that an RPC was received."""
+        self._received_count += 1
+
+    def answered(self, _rpc: Routed, how: str) -> None:
+        """Takes the router's event that an RPC was answered; `how`: its outcome."""
+        self.answered_count += 1.0
+        self.ok_count += how == "ok"
+
+    def roll_window(self, now_ms: float) -> None:
+        """Computes the rate, if a window is complete."""
+        window_ms = now_ms - self._window_began_ms
+        if window_ms < WINDOW_MS:
+            return
+        self.rpcs_per_second = self._received_count * 1000.0 / window_ms
+        self._received_count = 0
+        self._window_began_ms = now_ms
--- a/landingshift/testbed/experiments/maintenance_real.py
+++ b/landingshift/testbed/experiments/maintenance_real.py
@@ -276,11 +276,13 @@
     y.rig.still[y.rig.name(last)] = 1e18
     time.sleep(3.0)
     y.wish([y.rig.name(last)])
-    late = y.rig.until(25.0, lambda: any(e["event"] == "upkeep_late" for e in y.rig.logged(last)))
+    late = y.rig.until(
+        25.0, lambda: any(e["event"] == "maintenance_permit_expired" for e in y.rig.logged(last))
+    )
     must(row, late, "it did not notice that it was late")
     must(
         row,
-        not any(e["event"] == "upkeep_leaves" for e in y.rig.logged(last)),
+        not any(e["event"] == "maintenance_draining" for e in y.rig.logged(last)),
         "it left on a void permission",
     )
     y.call(y.leader(), "upkeep_hold", "the trial is over")
--- a/landingshift/testbed/simulation/cluster.py
+++ b/landingshift/testbed/simulation/cluster.py
@@ -16,8 +16,9 @@
 from landingshift.consensus.raft import Stored
 from landingshift.consensus.raft import Times as Beats
 from landingshift.maintenance.capacity_constraints import DisruptionBudget
+from landingshift.maintenance.commands import AddRequests
 from landingshift.maintenance.coordinator import CoordinatorSettings
-from landingshift.maintenance.replicated_state import command
+from landingshift.maintenance.requests import MaintenanceRequest
 from landingshift.policies.follower import Plan as Rules
 from landingshift.policies.part import ENDED
 from landingshift.testbed.experiments.scenarios import Act, Coverage, Day, cuts
@@ -53,6 +54,11 @@
 }
 
 
+def added_requests(names: list[str], duration_minutes: float, wall_ms: float) -> AddRequests:
+    """Returns the command by which operators request maintenance of `names`."""
+    return AddRequests(tuple(MaintenanceRequest(name, duration_minutes, wall_ms) for name in names))
+
+
 class Town:
     """`away` takes one defence from all; `seen` counts what was met."""
 
@@ -73,11 +79,16 @@
             lenders, CALLS * servers, servers, 0.1, 1500.0, 300.0, max(2.0, servers / 3.0), float(servers),
             4000.0, 2.0,
         )  # fmt: skip
-        needs = (
+        budget = (
             DisruptionBudget(-1.0, 0.0, 0.0, 0.0) if away == "floor" else DisruptionBudget(0.1, 0.0, 0.0, 0.0)
         )
         self.work = CoordinatorSettings(
-            needs, lasts=2000.0, spare=300.0, back=0.05, rings=False, fades=10_000.0
+            budget,
+            permit_valid_ms=2000.0,
+            permit_grace_ms=300.0,
+            warm_up_minutes=0.05,
+            is_staged=False,
+            peak_decay_ms=10_000.0,
         )
         self.walls = [NOON] * servers
         # One more than there are voters has a journal and could be one.
@@ -113,7 +124,7 @@
         """The number of the permission in force, as the voter that leads has it; 0 where none knows."""
         home = self.leader()
         wish = home.maintenance.requests.get(name) if home is not None else None
-        return wish.number if wish is not None else 0
+        return wish.permit_number if wish is not None else 0
 
     def work_ms(self, name: str) -> float:
         return self.asked.get(name, 0.0) * 60_000.0
@@ -246,8 +257,7 @@
     def wish(self, names: list[str], minutes: float, tries: int) -> None:
         """Asked of whoever leads; an operator tries again where nobody does."""
         home = self.leader()
-        rows = [[n, minutes, home.wall(), 1.0, 0.0, float("inf"), False, ""] for n in names] if home else []
-        if home is not None and home.propose(command("wish", rows)):
+        if home is not None and home.environment.propose(added_requests(names, minutes, home.wall())):
             self.asked |= dict.fromkeys(names, minutes)
             self.note("wished", tuple(names))
             home.host.turn()
@@ -264,7 +274,7 @@
             desk = lead.part.desk
             if lead.part.book.open:
                 found.add(f"change {'switching' if desk.switching else desk.want}")
-            found |= {f"work {w.stage.value}" for w in lead.maintenance.requests.values()}
+            found |= {f"work {w.state.value}" for w in lead.maintenance.requests.values()}
         for home in self.homes.values():
             if home.host.up and home.agent.start.stage.value != "warm":
                 found.add(f"start {home.agent.start.stage.value}")
@@ -398,7 +408,7 @@
             found.append("nobody leads")
         elif lead.maintenance.requests:
             found.append(
-                f"work is not over: {[(w.name, w.stage.value) for w in lead.maintenance.requests.values()]}"
+                f"work is not over: {[(w.name, w.state.value) for w in lead.maintenance.requests.values()]}"
             )
         if lead is not None and lead.part.book.open:
             found.append(f"{lead.part.book.open} is under way, of {open_}")
--- a/landingshift/testbed/simulation/server.py
+++ b/landingshift/testbed/simulation/server.py
@@ -31,13 +31,17 @@
 from landingshift.coldstart.seek import Seek
 from landingshift.coldstart.strain import Strain
 from landingshift.consensus.raft import Stored
-from landingshift.maintenance.agent import MaintenanceAgent, answer_report
+from landingshift.maintenance.agent import MaintenanceAgent
 from landingshift.maintenance.coordinator import MaintenanceCoordinator
-from landingshift.maintenance.replicated_state import NAME, MaintenanceState
+from landingshift.maintenance.messages import LoadReport, ReportAnswer, ServerStatus
+from landingshift.maintenance.replicated_state import MaintenanceState
+from landingshift.maintenance.storage import STATE_MACHINE_NAME
+from landingshift.maintenance.wire import PACKAGE, decode_message, encode_answer, encode_report
 from landingshift.membership.members import Member
 from landingshift.membership.messages import GONE, Message, Record, State
 from landingshift.membership.node import Node, Times
 from landingshift.policies.part import Part
+from landingshift.testbed.simulation.maintenance import AgentWithoutExpiry, SimulatedEnvironment
 from landingshift.testbed.simulation.virtual_time import Address, Host
 from landingshift.testbed.verification.invariants import GRACE
 
@@ -104,7 +108,7 @@
         times = Times(probe=20.0, suspect=20.0) if self.away == "suspect" else Times()
         self.node = Node(me, town.peers(i), times, 1000, chance, now, self.heard_of)
         self.node.watchers.append(self.sees)
-        self.node.handlers |= {"policies": self.hear_policies, NAME: self.hear_work}
+        self.node.handlers |= {"policies": self.hear_policies, PACKAGE: self.hear_work}
         self.agent = Agent(self.node, town.plan, chance, now)
         if self.away == "quiet" and self.agent.lending is not None:
             lending = self.agent.lending
@@ -116,17 +120,15 @@
             self.name, me.run, town.rules, lambda policy: "", journal, chance, now, self.wall, town.times
         )
         self.part.follower.others = lambda: self.node.members.present
-        self.maintenance_agent = MaintenanceAgent(self.disk.mark)
+        agent_type = AgentWithoutExpiry if self.away == "end" else MaintenanceAgent
+        self.maintenance_agent = agent_type(self.disk.mark)
         self.maintenance = MaintenanceState()
+        self.environment = SimulatedEnvironment(self)
         self.coordinator: MaintenanceCoordinator | None = None
         if self.part.voter is not None:
-            self.part.shelf.add(NAME, self.maintenance)
+            self.part.shelf.add(STATE_MACHINE_NAME, self.maintenance)
             self.part.hearers.append(self.taken)
-            self.coordinator = MaintenanceCoordinator(
-                self.maintenance, town.work, self.propose, self.leads, self.gone,
-                self.node.members.names, self.wall,
-                lambda *_, **__: None,
-            )  # fmt: skip
+            self.coordinator = MaintenanceCoordinator(self.maintenance, town.work, self.environment)
         self.without()
         self.tenant = Tenant(100_000.0)
         self.server = Server(settings(town.day.servers, self.tenant), chance.getrandbits(32), self, now)
@@ -156,8 +158,6 @@
         if self.away == "arm" and desk is not None:
             real = desk.waits
             desk.waits = lambda now: [w for w in real(now) if w[1] != "away"]  # type: ignore[method-assign]
-        if self.away == "end":
-            self.maintenance_agent.goes = self.goes_anyhow  # type: ignore[method-assign]
         if self.away == "booking" and lending is not None:
             asked = lending.shares.asked
 
@@ -169,11 +169,6 @@
 
             lending.shares.asked = forgets  # type: ignore[method-assign,assignment]
 
-    def goes_anyhow(self, now: float) -> bool:
-        self.maintenance_agent.going = self.maintenance_agent.leave.number
-        self.maintenance_agent.leave.used()
-        return True
-
     # What it notes
 
     def clock(self) -> float:
@@ -343,39 +338,56 @@
         self.report(now)
         if self.coordinator is not None:
             self.coordinator.step(now)
-        busy = self.maintenance_agent.stage or (self.coordinator is not None and self.maintenance.requests)
+        busy = self.maintenance_agent.request_state or (
+            self.coordinator is not None and self.maintenance.requests
+        )
         self.work_at = now + (BUSY if busy else REST) * self.pace.uniform(0.9, 1.1)
 
     def report(self, now: float) -> None:
-        warmth = self.warmth() if self.ends_at == inf else 0.0
-        body = self.maintenance_agent.report(
-            now, CAPACITY, f"m{self.i % 2}", False, warmth, self.load, self.ok, self.all
+        status = ServerStatus(
+            capacity=CAPACITY,
+            model=f"m{self.i % 2}",
+            serves_critical_methods=False,
+            warm_fraction=self.warmth() if self.ends_at == inf else 0.0,
+            rpcs_per_second=self.load,
+            ok_count=self.ok,
+            answered_count=self.all,
         )
+        report = self.maintenance_agent.next_report(now, status)
         leader = self.part.follower.leader
         if leader == self.name:
-            self.hear_work(self.node.me, body)
+            self.on_maintenance_report(self.node.me, report)
         elif leader:
-            self.node.say(leader, NAME, body)
+            self.node.say(leader, PACKAGE, encode_report(report))
 
     def hear_work(self, sender: Record, body: list[Any]) -> None:
-        match body:
-            case ["at", *_]:
-                answer = answer_report(
-                    self.coordinator, sender, self.part.follower.voters, body, self.clock()
-                )
-                if answer is not None and sender.name == self.name:
-                    self.hear_work(sender, answer)
-                elif answer is not None:
-                    self.node.say(sender.name, NAME, answer)
-            case ["told", int(number), str(stage), int(permission), float(lasts)]:
-                if self.maintenance_agent.told(
-                    number, stage, permission, lasts
-                ) and self.maintenance_agent.goes(self.clock()):
-                    self.disk.mark = self.maintenance_agent.going
-                    wish = self.town.permitted(self.name)
-                    self.note("left", self.maintenance_agent.going, wish)
-                    self.report(self.clock())
-                    self.drain(self.town.work_ms(self.name))
+        match decode_message(body):
+            case LoadReport() as report:
+                self.on_maintenance_report(sender, report)
+            case ReportAnswer() as answer:
+                self.on_maintenance_answer(answer)
+
+    def on_maintenance_report(self, sender: Record, report: LoadReport) -> None:
+        if self.coordinator is None:
+            return
+        voters = self.part.follower.voters
+        answer = self.coordinator.on_server_report(sender, voters, report, self.clock())
+        if answer is None:
+            return
+        if sender.name == self.name:
+            self.on_maintenance_answer(answer)
+        else:
+            self.node.say(sender.name, PACKAGE, encode_answer(answer))
+
+    def on_maintenance_answer(self, answer: ReportAnswer) -> None:
+        agent = self.maintenance_agent
+        if not agent.on_answer(answer) or not agent.begin_leaving(self.clock()):
+            return
+        self.disk.mark = agent.leaving_permit
+        permit_in_force = self.town.permitted(self.name)
+        self.note("left", agent.leaving_permit, permit_in_force)
+        self.report(self.clock())
+        self.drain(self.town.work_ms(self.name))
 
     def gone(self, name: str) -> bool:
         record = self.node.members.get(name)
@@ -383,7 +395,7 @@
 
     def taken(self, now: float) -> None:
         if self.coordinator is not None:
-            self.coordinator.look_at = min(self.coordinator.look_at, now)
+            self.coordinator.evaluate_soon(now)
 
     def drain(self, away: float) -> None:
         """A notice, from outside or by a permission; `away` ms after its end it is started again."""
@@ -498,7 +510,8 @@
         found = {
             "out": len(node.out), "errands": len(node.errands), "book": len(node.book),
             "table": len(node.members.table), "words": len(part.errands), "answers": len(part.answers),
-            "sent": len(follower.sent), "reports": len(self.maintenance_agent.sent), "jobs": len(self.jobs),
+            "sent": len(follower.sent), "reports": self.maintenance_agent.unanswered_count,
+            "jobs": len(self.jobs),
         }  # fmt: skip
         if part.voter is not None:
             found |= {"log": len(part.voter.stored.entries), "votes": len(part.voter.out)}
--- a/tests/test_golden_histories.py
+++ b/tests/test_golden_histories.py
@@ -17,7 +17,7 @@
 from landingshift.maintenance.replicated_state import MaintenanceState
 from landingshift.membership import wire
 from landingshift.membership.messages import Message
-from landingshift.testbed.experiments import maintenance as upkeep
+from landingshift.testbed.experiments import maintenance
 from landingshift.testbed.experiments.rows import Row
 from landingshift.testbed.experiments.scenarios import draw
 from landingshift.testbed.simulation import policy_change as assent
@@ -117,7 +117,10 @@
     def test_work_on_machines(self) -> None:
         found = {}
         apply = MaintenanceState.apply
-        for name, play in {"drawn": upkeep.drawn, "day": lambda *a: upkeep.whole_day(*a, count=60)}.items():
+        for name, play in {
+            "drawn": maintenance.random_faults,
+            "day": lambda *a: maintenance.whole_day(*a, count=60),
+        }.items():
             entries = hashlib.sha256()
             dumps: dict[int, MaintenanceState] = {}
 
--- a/tests/test_golden_storage.py
+++ b/tests/test_golden_storage.py
@@ -7,7 +7,6 @@
 import tempfile
 import unittest
 from pathlib import Path
-from types import SimpleNamespace
 from typing import Any
 
 from msgspec import msgpack
@@ -21,8 +20,9 @@
 from landingshift.ledger.entries import Batch, Gap, Raw, decode
 from landingshift.ledger.records import Exporting
 from landingshift.ledger.store import FILE, Store
-from landingshift.maintenance.replicated_state import NAME, MaintenanceState, command
-from landingshift.maintenance.service import MaintenanceService
+from landingshift.maintenance.mark_file import read_used_permit, write_used_permit
+from landingshift.maintenance.replicated_state import MaintenanceState
+from landingshift.maintenance.storage import STATE_MACHINE_NAME
 from landingshift.policies.book import Book as PolicyBook
 from tests import test_hot_restart
 from tests.golden_files import FOLDER, assert_golden_bytes, assert_golden_json, golden_bytes, golden_json
@@ -95,28 +95,29 @@
         ["gone", "n2", 12],
     )
     WORK = (
-        command("machine", "n1", 100.0, "z0", "a", True),
-        command("machine", "n2", 50.0, "z1", "b", False),
-        command(
+        entry(STATE_MACHINE_NAME, "machine", "n1", 100.0, "z0", "a", True),
+        entry(STATE_MACHINE_NAME, "machine", "n2", 50.0, "z1", "b", False),
+        entry(
+            STATE_MACHINE_NAME,
             "wish",
             [
                 ["n1", 10.0, 5.0, 1.0, 0.0, float("inf"), False, "g"],
                 ["n2", 5.0, 6.0, 2.0, 0.0, 1e12, True, ""],
             ],
         ),
-        command("seen", 3, 70.5),
-        command("permit", "n1", 11, 7.0),
-        command("move", "n1", 1, "draining", "", 8.0),
-        command("hold", "why"),
-        command("hold", ""),
-        command("move", "n2", 0, "cancelled", "not now", 9.0),
-        command("without", "n2"),
+        entry(STATE_MACHINE_NAME, "seen", 3, 70.5),
+        entry(STATE_MACHINE_NAME, "permit", "n1", 11, 7.0),
+        entry(STATE_MACHINE_NAME, "move", "n1", 1, "draining", "", 8.0),
+        entry(STATE_MACHINE_NAME, "hold", "why"),
+        entry(STATE_MACHINE_NAME, "hold", ""),
+        entry(STATE_MACHINE_NAME, "move", "n2", 0, "cancelled", "not now", 9.0),
+        entry(STATE_MACHINE_NAME, "without", "n2"),
     )
 
     def test_entries_and_snapshots(self) -> None:
         policies, work, shelf = PolicyBook(), MaintenanceState(), Shelf()
         shelf.add("policies", policies)
-        shelf.add(NAME, work)
+        shelf.add(STATE_MACHINE_NAME, work)
         for words in self.POLICIES:
             shelf.apply(msgpack.encode(words))
         for data in self.WORK:
@@ -132,7 +133,7 @@
         assert_golden_json(self, "replicated_states.json", found)
         policies, work, shelf = PolicyBook(), MaintenanceState(), Shelf()
         shelf.add("policies", policies)
-        shelf.add(NAME, work)
+        shelf.add(STATE_MACHINE_NAME, work)
         shelf.load(golden_json("replicated_states.json")["all"])
         self.assertEqual((policies.dump(), work.dump()), (found["policies"], found["work"]))
         self.assertEqual(shelf.dump(), found["all"])
@@ -155,17 +156,9 @@
 
     def test_mark_of_work(self) -> None:
         path = str(self.folder / "mark")
-        service: Any = SimpleNamespace(
-            settings=SimpleNamespace(mark=path),
-            node=SimpleNamespace(me=SimpleNamespace(name="n3")),
-            hand=SimpleNamespace(going=17),
-            log=self.fail,
-            router=SimpleNamespace(site=SimpleNamespace(name="n3")),
-        )
-        MaintenanceService.write_mark(service)
+        write_used_permit(path, "n3", 17)
         assert_golden_bytes(self, "work_mark", Path(path).read_bytes())
-        service.settings.mark = str(FOLDER / "work_mark")
-        self.assertEqual(MaintenanceService.marked(service), 17)
+        self.assertEqual(read_used_permit(str(FOLDER / "work_mark"), "n3"), 17)
 
 
 def shape(value: Any) -> Any:
