--- a/landingshift/hot_restart/state.py
+++ b/landingshift/hot_restart/state.py
@@ -10,6 +10,7 @@
 import socket
 from collections.abc import Callable
 from dataclasses import replace
+from functools import partial
 from typing import Any
 
 from msgspec import Struct, field, msgpack
@@ -24,17 +25,74 @@
 from landingshift.net.routing.engine import RETRY, Command
 from landingshift.net.routing.gateways import BOUND as GATEWAY_BOUND
 from landingshift.net.routing.gateways import RESET, Connection
-from landingshift.net.routing.records import Routed
-from landingshift.net.routing.router import Router, Site
+from landingshift.net.routing.router import Router, ServerConfig
+from landingshift.net.routing.rpc_record import RoutedRpc
 from landingshift.net.transport.loop import Loop
 from landingshift.net.transport.stream import LINGER, Stream
 
-OWN = (
-    "rid", "name", "body", "number", "dedup_key", "answered", "gone", "closed", "need", "need_body", "mark",
-)  # fmt: skip
-FACTS = ("remaining", "waited", "kb", "caller", "hint", "keyed", "repeat", "retry", "write", "tenant_name")
-COUNTS = ("read", "probes", "bad", "fault", "away", "proven", "born", "heard", "half")
-LINK = ("last", "links", "tags", "ready", "met", "greeted", "moving", "linked", "lost", "heard")
+# Stored name -> attribute. The stored names are part of the format and stay when an attribute is renamed.
+# What the RPC's record holds besides what the admission controller was told.
+RPC_STATE = {
+    "rid": "rid",
+    "name": "name",
+    "body": "body",
+    "number": "number",
+    "dedup_key": "dedup_key",
+    "answered": "answered",
+    "gone": "gone",
+    "closed": "closed",
+    "need": "need",
+    "need_body": "need_body",
+    "mark": "attempt_id",
+}
+# What the admission controller was told of the RPC.
+RPC_FACTS = {
+    "remaining": "remaining",
+    "waited": "waited",
+    "kb": "kb",
+    "caller": "caller",
+    "hint": "hint",
+    "keyed": "keyed",
+    "repeat": "repeat",
+    "retry": "retry",
+    "write": "write",
+    "tenant_name": "tenant_name",
+}
+# Of a gateway's connection.
+CONNECTION_STATE = {
+    "read": "read",
+    "probes": "probes",
+    "bad": "bad",
+    "fault": "fault",
+    "away": "away",
+    "proven": "proven",
+    "born": "born",
+    "heard": "heard",
+    "half": "half",
+}
+# Of the link to the engine.
+ENGINE_LINK_STATE = {
+    "last": "last",
+    "links": "links",
+    "tags": "tags",
+    "ready": "ready",
+    "met": "met",
+    "greeted": "greeted",
+    "moving": "moving",
+    "linked": "linked",
+    "lost": "lost",
+    "heard": "heard",
+}
+
+
+def stored_values(owner: object, names: dict[str, str]) -> dict[str, Any]:
+    """The attributes of `owner` that `names` lists, by their stored names."""
+    return {stored: getattr(owner, attribute) for stored, attribute in names.items()}
+
+
+def attribute_values(stored: dict[str, Any], names: dict[str, str]) -> dict[str, Any]:
+    """The stored values by attribute; a name that this build does not know keeps its own."""
+    return {names.get(name, name): value for name, value in stored.items()}
 
 
 class CannotMove(Exception):
@@ -120,15 +178,15 @@
     """One use each. The old router is left as it is, and goes on if the new one does not."""
 
     def __init__(self, router: Router) -> None:
-        if router.todo or router.stirred or router.loop.dirty or router.database.leaving:
+        if router.todo or router.needs_settle or router.loop.pending_writers or router.database.leaving:
             raise CannotMove("a pass is not over")
-        if router.gate is not None:
+        if router.answer_gate is not None:
             raise CannotMove("a gate holds answers")
         self.router = router
         self.fds: list[int] = []
         self.links = [*router.database.links]
         self.links += [link for link in self.retired() if link not in self.links]
-        self.connections = list(router.gateways.table)
+        self.connections = list(router.gateways.connections)
 
     def retired(self) -> list[Link]:
         """Links that end once their last calls do."""
@@ -139,8 +197,8 @@
         r = self.router
         r.engine.give_up_tests()
         self.fds.append(r.gateways.listener.sock.fileno())
-        module, jobs = r.server.give() if r.server is not None else (None, [])
-        rpcs: list[Routed] = [job.rpc for job in jobs if isinstance(job.rpc, Routed)]
+        module, jobs = r.admission.give() if r.admission is not None else (None, [])
+        rpcs: list[RoutedRpc] = [job.rpc for job in jobs if isinstance(job.rpc, RoutedRpc)]
         assert len(rpcs) == len(jobs)
         entries = list(r.dedup.entries.values())
         known = {rpc: i for i, rpc in enumerate(rpcs)}
@@ -166,11 +224,11 @@
             engine=self.engine(known),
             module=module,
             jobs=len(jobs),
-            cold=r.server.set.cold if r.server is not None else False,
+            cold=r.admission.set.cold if r.admission is not None else False,
             told=r.told,
-            draining=r.draining,
+            draining=r.is_draining,
             stop_at=r.stop_at,
-            health=[r.health_state.good, r.health_state.cheap, r.health_state.reporting],
+            health=[r.health_reporter.good, r.health_reporter.cheap, r.health_reporter.is_reporting],
             idle=r.gateways.idle,
         )
         return msgpack.encode(state), self.fds
@@ -178,25 +236,31 @@
     def stream(self, stream: Stream) -> OfStream:
         self.fds.append(stream.sock.fileno())
         return OfStream(
-            len(self.fds) - 1, bytes(stream.out), stream.queued, stream.sent, stream.last, stream.reading,
-            stream.connecting, stream.reason,
-        )  # fmt: skip
+            fd=len(self.fds) - 1,
+            out=bytes(stream.output),
+            queued=stream.queued_bytes,
+            sent=stream.sent_bytes,
+            last=stream.last_activity_ms,
+            reading=stream.is_reading,
+            connecting=stream.is_connecting,
+            reason=stream.close_reason,
+        )
 
-    def connection(self, c: Connection, known: dict[Routed, int]) -> OfConnection:
-        counts = {name: getattr(c, name) for name in COUNTS}
+    def connection(self, c: Connection, known: dict[RoutedRpc, int]) -> OfConnection:
+        counts = stored_values(c, CONNECTION_STATE)
         return OfConnection(
             self.stream(c.stream), c.reader.rest, counts, {n: known[rpc] for n, rpc in c.rpcs.items()}
         )
 
-    def rpc(self, rpc: Routed, places: dict[Entry, int]) -> OfRpc:
-        site = self.router.site
-        connection = self.router.gateways.table.get(rpc.connection)
+    def rpc(self, rpc: RoutedRpc, places: dict[Entry, int]) -> OfRpc:
+        site = self.router.config
+        connection = self.router.gateways.connections.get(rpc.connection)
         command = rpc.command
         return OfRpc(
             method=site.settings.methods.index(rpc.method),
             tenant=next((name for name, t in site.tenants.items() if t is rpc.tenant), None),
-            own={name: getattr(rpc, name) for name in OWN},
-            facts={name: getattr(rpc, name) for name in FACTS},
+            own=stored_values(rpc, RPC_STATE),
+            facts=stored_values(rpc, RPC_FACTS),
             connection=self.connections.index(connection) if connection is not None else -1,
             command=[command.data, command.runs, command.end, command.doubt, command.held_back]
             if command is not None
@@ -206,18 +270,20 @@
             stale=[i for i, link in enumerate(self.links) if link in rpc.stale],
         )
 
-    def link(self, link: Link, known: dict[Routed, int]) -> OfLink:
+    def link(self, link: Link, known: dict[RoutedRpc, int]) -> OfLink:
         assert link.stream is not None
-        calls = [[known[c.rpc], c.start, c.end, c.timer.at if c.timer else 0.0] for c in link.calls.values()]
+        calls = [
+            [known[c.rpc], c.start, c.end, c.timer.due_ms if c.timer else 0.0] for c in link.calls.values()
+        ]
         fresh = link in self.router.database.links
         return OfLink(self.stream(link.stream), bytes(link.reader.lines.buffer), fresh, calls)
 
-    def engine(self, known: dict[Routed, int]) -> OfEngine:
+    def engine(self, known: dict[RoutedRpc, int]) -> OfEngine:
         e = self.router.engine
         return OfEngine(
             self.stream(e.stream) if e.stream is not None else None,
             bytes(e.reader.lines.buffer),
-            {name: getattr(e, name) for name in LINK},
+            stored_values(e, ENGINE_LINK_STATE),
             list(e.stats) if e.stats is not None else None,
             [known[c.rpc] for c in e.unsure if c.rpc.command is c and not c.rpc.closed],
         )
@@ -236,7 +302,7 @@
         for sock in self.socks:
             sock.setblocking(False)
 
-    def take(self, loop: Loop, site: Site, report: Callable[..., None]) -> Router:
+    def take(self, loop: Loop, site: ServerConfig, report: Callable[..., None]) -> Router:
         """Raises CannotMove where the settings do not fit what is in hand."""
         st = self.state
         for told in st.rpcs:
@@ -258,45 +324,47 @@
         for rpc, one in zip(self.rpcs, st.rpcs, strict=True):
             rpc.stale = [links[i] for i in one.stale if i < len(links)]
         self.engine()
-        r.told, r.draining = st.told, st.draining
-        if r.draining:
-            r.stop_at = st.stop_at or loop.now + site.stop_ms
+        r.told, r.is_draining = st.told, st.draining
+        if r.is_draining:
+            r.stop_at = st.stop_at or loop.now_ms + site.stop_ms
             r.depart_later()  # the old one's timer stays with it: nobody else would end this drain
         if st.module is not None:
             settings = replace(site.settings, cold=st.cold)
-            r.server = Server(settings, site.seed, r, loop.now)
-            r.server.now = loop.now
-            jobs = r.server.take(st.module, list(self.rpcs[: st.jobs]))
+            r.admission = Server(settings, site.seed, r, loop.now_ms)
+            r.admission.now = loop.now_ms
+            jobs = r.admission.take(st.module, list(self.rpcs[: st.jobs]))
             for mine, job in zip(self.rpcs, jobs, strict=False):
                 mine.job = None if mine.closed else job
         r.gateways.idle = st.idle
         for connection in connections:
             connection.rest()
-        r.health_state.good, r.health_state.cheap, reporting = st.health
+        r.health_reporter.good, r.health_reporter.cheap, reporting = st.health
         if reporting:
-            r.health_state.start()
+            r.health_reporter.start()
         return r
 
     def stream(self, one: OfStream, owner: Any, bound: int, **more: Any) -> Stream:
         stream = Stream(self.loop, self.socks[one.fd], owner, bound, one.connecting, **more)
-        stream.out += one.out
-        stream.queued, stream.sent, stream.last = one.queued, one.sent, one.last
-        stream.reading, stream.reason = one.reading, one.reason
-        if stream.unsent:
-            stream.unsent.bytes += len(one.out)
+        stream.output += one.out
+        stream.queued_bytes, stream.sent_bytes, stream.last_activity_ms = one.queued, one.sent, one.last
+        stream.is_reading, stream.close_reason = one.reading, one.reason
+        if stream.unsent_budget:
+            stream.unsent_budget.bytes += len(one.out)
         if one.reason:
             stream.timer = self.loop.after(LINGER, stream.linger)
         stream.watch()
         if one.out:
-            self.loop.dirty[stream] = None
+            self.loop.pending_writers[stream] = None
         return stream
 
-    def rpc(self, one: OfRpc) -> Routed:
+    def rpc(self, one: OfRpc) -> RoutedRpc:
         method = self.site.settings.methods[one.method]
         tenant = self.site.tenants[one.tenant] if one.tenant is not None else None
-        own = dict(one.own)
+        own = attribute_values(one.own, RPC_STATE)
         own["dedup_key"] = tuple(own["dedup_key"]) if own["dedup_key"] is not None else None
-        rpc = Routed(method=method, tenant=tenant, connection=-1, **one.facts, **own)
+        rpc = RoutedRpc(
+            method=method, tenant=tenant, connection=-1, **attribute_values(one.facts, RPC_FACTS), **own
+        )
         if one.command is not None:
             rpc.command = Command(rpc, *one.command)
         return rpc
@@ -307,7 +375,7 @@
             gateways, lambda c: self.stream(one.stream, c, GATEWAY_BOUND, unsent=gateways.unsent, reads=1)
         )
         connection.reader.rest = one.rest
-        for name, value in one.counts.items():
+        for name, value in attribute_values(one.counts, CONNECTION_STATE).items():
             setattr(connection, name, value)
         connection.rpcs = {number: self.rpcs[i] for number, i in one.rpcs.items()}
         if not one.stream.reading and connection.rpcs:
@@ -344,15 +412,15 @@
             rpc = self.rpcs[i]
             rpc.call = call = Call(rpc, link, start, end)
             link.calls[rpc.rid] = call
-            call.timer = self.loop.after(max(0.0, at - self.loop.now), lambda call=call: pool.timeout(call))  # type: ignore[misc]
+            call.timer = self.loop.after(max(0.0, at - self.loop.now_ms), partial(pool.timeout, call))
         return link
 
     def engine(self) -> None:
         e, one = self.router.engine, self.state.engine
         for name, value in one.plain.items():
-            if hasattr(e, name):
-                setattr(e, name, value)
-        e.reader = engine_wire.Reader()
+            if name in ENGINE_LINK_STATE:
+                setattr(e, ENGINE_LINK_STATE[name], value)
+        e.reader = engine_wire.NoticeDecoder()
         e.reader.lines.buffer += one.buffer
         e.stats = (one.stats[0], one.stats[1]) if one.stats is not None else None
         e.unsure.extend(c for c in (self.rpcs[i].command for i in one.unsure) if c is not None)
--- a/landingshift/maintenance/coordinator.py
+++ b/landingshift/maintenance/coordinator.py
@@ -38,7 +38,7 @@
 )
 from landingshift.maintenance.requests import MaintenanceRequest, RequestState, unavailable_fractions
 from landingshift.maintenance.staged_rollout import UNLIMITED_COUNT, RolloutMonitor, rollout_limit
-from landingshift.membership.messages import Record
+from landingshift.membership.messages import MemberRecord
 
 EVALUATION_INTERVAL_MS = 400.0
 REJECTION_INTERVAL_MS = 5000.0
@@ -110,7 +110,7 @@
     # Reports
 
     def on_server_report(
-        self, sender: Record, voters: list[str], report: LoadReport, now_ms: float
+        self, sender: MemberRecord, voters: list[str], report: LoadReport, now_ms: float
     ) -> ReportAnswer | None:
         """Takes a report as it came from a server.
 
@@ -135,7 +135,7 @@
             serves_critical_methods=status.serves_critical_methods,
             is_voter=sender.name in voters,
         )
-        return self.on_report(machine, sender.run, report, now_ms)
+        return self.on_report(machine, sender.run_id, report, now_ms)
 
     def on_report(self, machine: Machine, run: int, report: LoadReport, now_ms: float) -> ReportAnswer | None:
         """Takes a machine's report.
--- a/landingshift/maintenance/service.py
+++ b/landingshift/maintenance/service.py
@@ -19,12 +19,12 @@
 from landingshift.maintenance.storage import STATE_MACHINE_NAME, encode_command
 from landingshift.maintenance.traffic_meter import TrafficMeter
 from landingshift.maintenance.wire import PACKAGE, decode_message, encode_answer, encode_report
-from landingshift.membership.messages import GONE, Record
-from landingshift.membership.service import Fleet
+from landingshift.membership.messages import DEPARTED_STATES, MemberRecord
+from landingshift.membership.service import MembershipService
 from landingshift.net.transport.loop import Timer
 
 if TYPE_CHECKING:
-    from landingshift.net.program.features import Host
+    from landingshift.net.program.features import ServiceHost
     from landingshift.net.transport.loop import Loop
 
 IDLE_REPORT_INTERVAL_MS = 2000.0
@@ -49,7 +49,7 @@
 class ServerEnvironment:
     """The coordinator's environment on a real server."""
 
-    def __init__(self, agreement: Agreement, fleet: Fleet, loop: Loop) -> None:
+    def __init__(self, agreement: Agreement, fleet: MembershipService, loop: Loop) -> None:
         self._agreement = agreement
         self._node = fleet.node
         self._loop = loop
@@ -68,12 +68,12 @@
 
     def has_left(self, name: str) -> bool:
         """Returns whether membership sees a machine no more."""
-        record = self._node.members.get(name)
-        return record is None or record.state in GONE
+        record = self._node.member_table.record(name)
+        return record is None or record.state in DEPARTED_STATES
 
     def known_machines(self) -> set[str]:
         """Returns the names of all machines that membership has heard of."""
-        return self._node.members.names()
+        return self._node.member_table.known_names()
 
     def wall_clock_ms(self) -> float:
         """Returns Unix ms."""
@@ -81,7 +81,7 @@
 
     def monotonic_ms(self) -> float:
         """Returns ms of the loop's clock, read anew."""
-        return self._loop.clock()
+        return self._loop.clock_ms()
 
 
 class MaintenanceService:
@@ -96,9 +96,9 @@
 
     name = "upkeep"
 
-    def __init__(self, host: Host, settings: Settings) -> None:
+    def __init__(self, host: ServiceHost, settings: Settings) -> None:
         fleet = host.services["fleet"]
-        assert isinstance(fleet, Fleet)
+        assert isinstance(fleet, MembershipService)
         self.fleet = fleet
         self.node = fleet.node
         self.log = host.log
@@ -106,16 +106,16 @@
         self.router = host.router
         self.loop = host.router.loop
         self.settings = settings
-        self.rng = Random(f"{self.router.site.seed} upkeep {self.router.site.name}")
-        self.agent = MaintenanceAgent(read_used_permit(settings.mark_path, self.router.site.name))
-        self.traffic = TrafficMeter(self.loop.now)
+        self.rng = Random(f"{self.router.config.seed} upkeep {self.router.config.name}")
+        self.agent = MaintenanceAgent(read_used_permit(settings.mark_path, self.router.config.name))
+        self.traffic = TrafficMeter(self.loop.now_ms)
         self.state = MaintenanceState()
         self.coordinator: MaintenanceCoordinator | None = None
         if self.agreement.is_voter:
             self.coordinator = self._start_coordinator()
-        fleet.talk.calls["upkeep_here"] = self.local_status
-        self.node.handlers[PACKAGE] = self.on_message
-        self.router.taps.add(self.traffic)
+        fleet.operator_rpc.handlers["upkeep_here"] = self.local_status
+        self.node.message_handlers[PACKAGE] = self.on_message
+        self.router.observers.add(self.traffic)
         first_report_ms = IDLE_REPORT_INTERVAL_MS * self.rng.random()
         self.timer: Timer | None = self.loop.after(first_report_ms, self.tick)
 
@@ -123,31 +123,31 @@
         self.agreement.keep(STATE_MACHINE_NAME, self.state, self.on_entries_applied)
         environment = ServerEnvironment(self.agreement, self.fleet, self.loop)
         coordinator = MaintenanceCoordinator(self.state, coordinator_settings(self.settings), environment)
-        self.fleet.talk.calls |= OperatorCalls(coordinator, environment).handlers()
+        self.fleet.operator_rpc.handlers |= OperatorCalls(coordinator, environment).handlers()
         return coordinator
 
     def warm_fraction(self) -> float:
         """Returns the share of its capacity that this server serves now; 0 until it serves at all."""
-        server = self.router.server
-        if server is None or not self.router.health_state.reporting:
+        server = self.router.admission
+        if server is None or not self.router.health_reporter.is_reporting:
             return 0.0
         cold_ms = server.set.cold_time if server.set.cold else 0.0
-        return min(1.0, (self.loop.now - server.born) / cold_ms) if cold_ms else 1.0
+        return min(1.0, (self.loop.now_ms - server.born) / cold_ms) if cold_ms else 1.0
 
     # Reports
 
     def tick(self) -> None:
         """Reports, lets the coordinator work, and sets the timer for the next report."""
-        self.traffic.roll_window(self.loop.now)
+        self.traffic.roll_window(self.loop.now_ms)
         self.send_report()
         if self.coordinator is not None:
-            self.coordinator.step(self.loop.clock())
+            self.coordinator.step(self.loop.clock_ms())
         is_active = self.agent.request_state or (self.coordinator is not None and self.state.requests)
         interval_ms = ACTIVE_REPORT_INTERVAL_MS if is_active else IDLE_REPORT_INTERVAL_MS
         self.loop.cancel(self.timer)
         jitter = self.rng.uniform(MIN_JITTER_RATIO, MAX_JITTER_RATIO)
         self.timer = self.loop.after(interval_ms * jitter, self.tick)
-        self.fleet.pass_on()
+        self.fleet.flush_outgoing()
 
     def send_report(self) -> None:
         """Reports to the leader, which may be this server itself."""
@@ -160,14 +160,14 @@
             ok_count=self.traffic.ok_count,
             answered_count=self.traffic.answered_count,
         )
-        report = self.agent.next_report(self.loop.clock(), status)
+        report = self.agent.next_report(self.loop.clock_ms(), status)
         leader = self.agreement.leader
-        if leader == self.node.me.name:
-            self._on_report(self.node.me, report)
+        if leader == self.node.local_record.name:
+            self._on_report(self.node.local_record, report)
         elif leader:
-            self.node.say(leader, PACKAGE, encode_report(report))
+            self.node.send_to_member(leader, PACKAGE, encode_report(report))
 
-    def on_message(self, sender: Record, body: list[Any]) -> None:
+    def on_message(self, sender: MemberRecord, body: list[Any]) -> None:
         """Takes a message of another server; what is no such message is ignored."""
         try:
             message = decode_message(body)
@@ -179,17 +179,17 @@
             case ReportAnswer():
                 self._on_answer(message)
 
-    def _on_report(self, sender: Record, report: LoadReport) -> None:
+    def _on_report(self, sender: MemberRecord, report: LoadReport) -> None:
         if self.coordinator is None:
             return
-        now_ms = self.loop.clock()
+        now_ms = self.loop.clock_ms()
         answer = self.coordinator.on_server_report(sender, self.agreement.voters, report, now_ms)
         if answer is None:
             return
-        if sender.name == self.node.me.name:
+        if sender.name == self.node.local_record.name:
             self._on_answer(answer)
         else:
-            self.node.say(sender.name, PACKAGE, encode_answer(answer))
+            self.node.send_to_member(sender.name, PACKAGE, encode_answer(answer))
 
     def _on_answer(self, answer: ReportAnswer) -> None:
         if self.agent.on_answer(answer):
@@ -205,15 +205,15 @@
 
     def leave(self) -> None:
         """Begins to drain, if the permit still holds by this server's own clock just now."""
-        if self.router.draining or not self.agent.begin_leaving(self.loop.clock()):
+        if self.router.is_draining or not self.agent.begin_leaving(self.loop.clock_ms()):
             self.log("maintenance_permit_expired", number=self.agent.permit.number)
             return
         permit_number = self.agent.leaving_permit
         self._mark_permit_used(permit_number)
-        failpoints.note("left", self.node.me.name, permit_number)
+        failpoints.note("left", self.node.local_record.name, permit_number)
         self.log("maintenance_draining", number=permit_number)
         self.send_report()
-        self.fleet.pass_on()
+        self.fleet.flush_outgoing()
         failpoints.reach("upkeep.draining")
         self.router.drain()
 
@@ -221,7 +221,7 @@
         if not self.settings.mark_path:
             return
         try:
-            write_used_permit(self.settings.mark_path, self.node.me.name, permit_number)
+            write_used_permit(self.settings.mark_path, self.node.local_record.name, permit_number)
         except OSError as err:  # at worst the work is requested once more
             self.log("maintenance_mark_failed", error=str(err))
 
@@ -240,7 +240,7 @@
     def local_status(self, _params: list[Any]) -> dict[str, Any]:
         """Answers an operator's call: what this server knows of its own part."""
         return {
-            "name": self.node.me.name,
+            "name": self.node.local_record.name,
             "stage": self.agent.request_state,
             "going": self.agent.leaving_permit,
             "warmth": self.warm_fraction(),
@@ -249,6 +249,6 @@
         }
 
 
-def attach(host: Host, settings: Settings) -> MaintenanceService:
+def attach(host: ServiceHost, settings: Settings) -> MaintenanceService:
     """Returns the service, wired to the server."""
     return MaintenanceService(host, settings)
--- a/landingshift/maintenance/settings.py
+++ b/landingshift/maintenance/settings.py
@@ -13,7 +13,7 @@
 from landingshift.maintenance.capacity_constraints import DisruptionBudget
 from landingshift.maintenance.coordinator import CoordinatorSettings
 from landingshift.maintenance.errors import InvalidSettingError
-from landingshift.membership.messages import Zone
+from landingshift.membership.messages import ZoneName
 
 Fraction = Annotated[float, Meta(ge=0.0, le=1.0)]
 
@@ -26,7 +26,7 @@
 
     capacity_rpcs_per_second: Annotated[float, Meta(gt=0.0, le=1e9)] = field(name="capacity")
     """RPCs a second that this server serves when warm."""
-    model: Zone = ""
+    model: ZoneName = ""
     """Of the machine."""
     serves_critical_methods: bool = field(default=False, name="best")
     """Whether it serves the methods of the highest criticality."""
--- a/landingshift/maintenance/traffic_meter.py
+++ b/landingshift/maintenance/traffic_meter.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from landingshift.net.routing.records import Routed
+    from landingshift.net.routing.rpc_record import RoutedRpc
 
 WINDOW_MS = 1000.0
 """Time over which RPCs are counted at the least."""
@@ -30,11 +30,11 @@
         self._received_count = 0
         self._window_began_ms = now_ms
 
-    def read(self, _rpc: Routed) -> None:
+    def on_read(self, _rpc: RoutedRpc) -> None:
         """Takes the router's event that an RPC was received."""
         self._received_count += 1
 
-    def answered(self, _rpc: Routed, how: str) -> None:
+    def on_answered(self, _rpc: RoutedRpc, how: str) -> None:
         """Takes the router's event that an RPC was answered; `how`: its outcome."""
         self.answered_count += 1.0
         self.ok_count += how == "ok"
--- a/landingshift/testbed/simulation/maintenance.py
+++ b/landingshift/testbed/simulation/maintenance.py
@@ -42,7 +42,7 @@
 
     def known_machines(self) -> set[str]:
         """Returns the names of all machines that membership has heard of."""
-        return self._server.node.members.names()
+        return self._server.node.member_table.known_names()
 
     def wall_clock_ms(self) -> float:
         """Returns Unix ms of the server's wall clock."""
