--- a/landingshift/testbed/experiments/chance_faults_real.py
+++ b/landingshift/testbed/experiments/chance_faults_real.py
@@ -19,7 +19,7 @@
 
 from landingshift.membership.operator_rpc import OperatorRpcError
 from landingshift.testbed import MEMORY
-from landingshift.testbed.experiments.maintenance_real import COMMON_START, Yard, names
+from landingshift.testbed.experiments.maintenance_harness import COLD_START_SETTINGS, MaintenanceHarness
 from landingshift.testbed.experiments.policies_real import ENDED, OVERLAP
 from landingshift.testbed.experiments.rows import Row, must
 from landingshift.testbed.experiments.scenarios import BETWEEN, KINDS, Act, act, cuts
@@ -56,8 +56,8 @@
 
     def __init__(self, folder: str, count: int, seed: int, seconds: float, acts: list[Act]) -> None:
         load = LOAD if count <= MANY else RPCS * 0.04
-        packages = COMMON_START.format(count=count, calls=CALLS * count)
-        self.yard = Yard(folder, count, seed, load, 0.1, packages)
+        packages = COLD_START_SETTINGS.format(count=count, calls=CALLS * count)
+        self.yard = MaintenanceHarness(folder, count, seed, load, 0.1, packages)
         self.rig, self.seconds, self.acts = self.yard.rig, seconds, acts
         self.rate = self.rig.rate
         self.under: dict[int, Act] = {}
@@ -88,7 +88,7 @@
             up = i in yard.up()
             match one.kind:
                 case "kill" | "zone":
-                    yard.dead.add(i)
+                    yard.not_restarted.add(i)
                     if up:
                         rig.kill(i)
                 case "crash_loop":
@@ -112,7 +112,7 @@
         del self.under[place]
         for i in one.who:
             if one.kind in ("kill", "zone"):
-                self.yard.dead.discard(i)  # its supervisor starts it
+                self.yard.not_restarted.discard(i)  # its supervisor starts it
             if one.kind == "full" and i in self.limits:
                 self.full(i, False)
         self.links()
@@ -137,7 +137,7 @@
 
     def wish(self, some: list[str], minutes: float) -> None:
         try:
-            self.yard.wish(some, minutes=minutes)
+            self.yard.request_maintenance(some, minutes=minutes)
             self.wishes += len(some)
         except (RuntimeError, OperatorRpcError):
             return  # nobody leads: the operator is told, and asks another time
@@ -198,7 +198,7 @@
             time.sleep(0.01)
         for _, act_ in events:
             act_()
-        yard.dead.clear()
+        yard.not_restarted.clear()
         self.settle(row)
 
     def settle(self, row: Row) -> None:
@@ -212,7 +212,7 @@
             row, yard.rig.until(SETTLE, well), f"not all decide again: {[yard.status(i) for i in yard.up()]}"
         )
         row.figures["rest_s"] = round(time.monotonic() - began, 1)
-        must(row, yard.over(names(yard), SETTLE), "work is not over")
+        must(row, yard.wait_until_ended(yard.names, SETTLE), "work is not over")
         yard.agreed(row, 20.0)
         # One whose proposer died may be known to nobody.
         yard.ids = [id for id in yard.ids if yard.end(0, id)["end"] in ENDED]
@@ -293,7 +293,7 @@
             except (RuntimeError, OperatorRpcError) as err:
                 must(row, False, str(err))
             finally:
-                siege.yard.open = False
+                siege.yard.stop_supervisor()
                 siege.rig.close()
         row.runs = 1
         yield row
--- /dev/null
+++ b/landingshift/testbed/experiments/maintenance_harness.py
@@ -0,0 +1,196 @@
+"""Real servers with `[upkeep]` on, and a supervisor that starts again whoever ends."""
+
+from __future__ import annotations
+
+import threading
+import time
+from collections.abc import Iterable
+from typing import Any
+
+from landingshift.maintenance.requests import RequestState
+from landingshift.membership.operator_rpc import OperatorRpcError, call_operator_rpc
+from landingshift.testbed.experiments.policies_real import CORES, WORK, Council
+from landingshift.testbed.experiments.rows import Row, must
+
+CAPACITY_RPCS_PER_SECOND = CORES * 1000.0 / WORK
+OUTAGE_SECONDS = 0.5
+"""From the end of a process until its supervisor starts it again."""
+PERMIT_VALID_MS = 1500.0
+HEADROOM_RATIO = 0.1
+WARM_UP_MS = 500.0
+VOTERS_COUNT = 5
+"""With three, one that is away would leave a bare majority."""
+MODERATE_LOAD = 0.55
+"""Of all capacity: with the headroom one or two of six may be out of service."""
+POLL_INTERVAL_SECONDS = 0.05
+CALL_TIMEOUT_MS = 1500.0
+DEFAULT_DURATION_MINUTES = 0.05
+
+COLD_START_SETTINGS = """[coldstart]
+servers = {count}
+lenders = ["n0", "n1"]
+calls_s = {calls}
+"""
+
+AWAY_STATES = (
+    RequestState.DRAINING.value,
+    RequestState.OUT_OF_SERVICE.value,
+    RequestState.RETURNING.value,
+)
+
+
+class MaintenanceHarness(Council):
+    """Servers that answer RPCs all the while, and operators that request maintenance.
+
+    Attributes:
+        not_restarted: Servers that the supervisor leaves down.
+        is_supervising: Whether it starts anybody again.
+        restart_count: How often it did.
+    """
+
+    def __init__(
+        self,
+        folder: str,
+        count: int,
+        seed: int,
+        load: float = MODERATE_LOAD,
+        headroom_ratio: float = HEADROOM_RATIO,
+        other_settings: str = "",
+    ) -> None:
+        super().__init__(folder, count, seed, load=load, cold=WARM_UP_MS, voters=VOTERS_COUNT)
+        self.headroom_ratio = headroom_ratio
+        self.other_settings = other_settings
+        self.not_restarted: set[int] = set()
+        self.is_supervising = True
+        self.restart_count = 0
+        self._supervisor = threading.Thread(target=self._supervise, daemon=True)
+
+    @property
+    def names(self) -> list[str]:
+        """All servers."""
+        return [self.rig.name(index) for index in range(self.count)]
+
+    def more(self, i: int) -> str:
+        """Returns the tables of our settings beside those of membership and policies."""
+        return f"""[upkeep]
+capacity = {CAPACITY_RPCS_PER_SECOND}
+model = "m{i % 2}"
+spare = {self.headroom_ratio}
+zone_share = 0.0
+model_share = 0.0
+mark = "{self.rig.folder}/n{i}.left"
+lasts_ms = {PERMIT_VALID_MS}
+spare_ms = 300
+back_minutes = 0.01
+rings = false
+{self.other_settings}
+"""
+
+    def start_all(self, but: tuple[int, ...] = ()) -> None:
+        """Starts all servers except `but`, and waits until the leader has reports of all."""
+        super().start_all(but)
+        self._supervisor.start()
+        leader = self.leader()
+        started = self.count - len(but)
+        self.rig.until(15.0, lambda: self.maintenance_status(leader).get("machines") == started)
+
+    def stop_supervisor(self) -> None:
+        """Lets servers that end stay down."""
+        self.is_supervising = False
+
+    def close(self) -> None:
+        """Ends all servers."""
+        self.stop_supervisor()
+        self.rig.close()
+
+    # Operators
+
+    def maintenance_status(self, index: int) -> dict[str, Any]:
+        """Returns what a server answers to `upkeep_status`; empty where it does not answer."""
+        try:
+            status: dict[str, Any] = call_operator_rpc(
+                self.rig.talks[index], "upkeep_status", [], CALL_TIMEOUT_MS
+            )
+        except OperatorRpcError:
+            return {}
+        return status
+
+    def leader_status(self, wait_seconds: float = 10.0) -> dict[str, Any]:
+        """Returns the leader's status; empty where nobody leads within the time."""
+        try:
+            return self.maintenance_status(self.leader(wait_seconds))
+        except RuntimeError:
+            return {}
+
+    def unavailable_count(self) -> int:
+        """Returns how many machines are away by a permit, as the leader has it."""
+        requests = self.leader_status(2.0).get("wishes", [])
+        return sum(request["stage"] in AWAY_STATES for request in requests)
+
+    def has_permitted(self, leader: int) -> bool:
+        """Returns whether a leader has issued a permit for a request that has not ended."""
+        requests = self.maintenance_status(leader).get("wishes", [])
+        return any(request["stage"] != RequestState.REQUESTED.value for request in requests)
+
+    def request_maintenance(
+        self, names: Iterable[str], minutes: float = DEFAULT_DURATION_MINUTES, urgency: float = 1.0
+    ) -> None:
+        """Requests maintenance of servers from the leader."""
+        rows = [[name, minutes, urgency, 0.0, float("inf"), False, ""] for name in names]
+        self.call(self.leader(), "upkeep_ask", *rows)
+
+    def wait_until_ended(self, names: Iterable[str], wait_seconds: float) -> bool:
+        """Waits until no request of `names` is open; False where one is when the time is over."""
+        wanted = set(names)
+
+        def have_ended() -> bool:
+            status = self.leader_status(2.0)
+            if not status.get("leads"):
+                return False
+            return wanted.isdisjoint(request["name"] for request in status["wishes"])
+
+        return self.rig.until(wait_seconds, have_ended)
+
+    def final_states(self) -> dict[str, str]:
+        """Returns how the latest request of each server ended."""
+        rows = self.call(self.leader(), "upkeep_history")
+        return {row["name"]: row["end"] for row in rows}
+
+    # What must hold
+
+    def must_end(self, row: Row, names: Iterable[str], wait_seconds: float, prefix: str = "") -> None:
+        """Waits until no request of `names` is open; notes a violation where one stays."""
+        has_ended = self.wait_until_ended(names, wait_seconds)
+        status = {} if has_ended else self.leader_status()
+        must(row, has_ended, f"{prefix}not over: {status}")
+
+    def must_be_completed(self, row: Row, names: Iterable[str]) -> None:
+        """Notes a violation unless the requests of exactly `names` ended, all completed."""
+        found = self.final_states()
+        wanted = dict.fromkeys(names, RequestState.COMPLETED.value)
+        must(row, found == wanted, f"they ended as {found}")
+
+    def check(self, row: Row, finish: bool = True) -> None:
+        """Checks what must hold afterwards, permits among it."""
+        self.stop_supervisor()
+        if self._supervisor.is_alive():
+            self._supervisor.join(5.0)
+        departures = [entry for entry in self.rig.history() if entry[1] == "left"]
+        permits = [entry[3] for entry in departures]
+        must(row, len(permits) == len(set(permits)), f"a permission was used twice: {departures}")
+        row.figures |= {"left": len(departures), "started_again": self.restart_count}
+        super().check(row, finish)
+
+    def _supervise(self) -> None:
+        ended_at: dict[int, float] = {}
+        while self.is_supervising:
+            for index, process in list(self.rig.processes.items()):
+                if process.poll() is None or index in self.not_restarted:
+                    ended_at.pop(index, None)
+                    continue
+                now = time.monotonic()
+                if now - ended_at.setdefault(index, now) > OUTAGE_SECONDS:
+                    ended_at.pop(index)
+                    self.restart_count += 1
+                    self.start(index)
+            time.sleep(POLL_INTERVAL_SECONDS)
--- a/landingshift/testbed/experiments/maintenance_real.py
+++ b/landingshift/testbed/experiments/maintenance_real.py
@@ -1,379 +1,324 @@
-"""The rows of work on machines that take real processes, with faults between them."""
+"""Rows of the maintenance experiment that take real processes, with faults between them."""
 
 from __future__ import annotations
 
 import signal
-import threading
 import time
 from collections import Counter
 from collections.abc import Callable
 from functools import partial
-from typing import Any
 
-from landingshift.membership.operator_rpc import OperatorRpcError, call_operator_rpc
-from landingshift.testbed.experiments.policies_real import CORES, WORK, Council, across, up_or_dead
+from landingshift.maintenance.requests import RequestState
+from landingshift.membership.operator_rpc import OperatorRpcError
+from landingshift.testbed.experiments.maintenance_harness import (
+    CAPACITY_RPCS_PER_SECOND,
+    COLD_START_SETTINGS,
+    HEADROOM_RATIO,
+    MODERATE_LOAD,
+    PERMIT_VALID_MS,
+    MaintenanceHarness,
+)
+from landingshift.testbed.experiments.policies_real import across, up_or_dead
 from landingshift.testbed.experiments.rows import Row, must
 
-CAPACITY = CORES * 1000.0 / WORK
-LOAD = 0.55  # of what all can do: with the spare one or two of six may be out
-NIGHT = 0.3  # two may be out, and a zone beside them
-FULL = 0.93  # of what is left while one is out: what comes in a second is not even
-AWAY = 0.5  # s that work takes
-LASTS = 1500.0
-SPARE = 0.1
-COLD = 500.0  # ms
-
-
-class Yard(Council):
-    """Whoever ends by itself is started again a moment later, as its operator's supervisor does."""
-
-    def __init__(
-        self, folder: str, count: int, seed: int, load: float = LOAD, spare: float = SPARE, packages: str = ""
-    ) -> None:
-        # Five voters: with three, one on leave would leave a bare majority.
-        super().__init__(folder, count, seed, load=load, cold=COLD, voters=5)
-        self.spare, self.packages = spare, packages
-        self.dead: set[int] = set()  # whom nobody starts again
-        self.open = True
-        self.again = 0
-        self.thread = threading.Thread(target=self.supervise, daemon=True)
-
-    def more(self, i: int) -> str:
-        return f"""[upkeep]
-capacity = {CAPACITY}
-model = "m{i % 2}"
-spare = {self.spare}
-zone_share = 0.0
-model_share = 0.0
-mark = "{self.rig.folder}/n{i}.left"
-lasts_ms = {LASTS}
-spare_ms = 300
-back_minutes = 0.01
-rings = false
-{self.packages}
-"""
-
-    def supervise(self) -> None:
-        ended: dict[int, float] = {}
-        while self.open:
-            for i, process in list(self.rig.processes.items()):
-                if process.poll() is None or i in self.dead:
-                    ended.pop(i, None)
-                elif time.monotonic() - ended.setdefault(i, time.monotonic()) > AWAY:
-                    ended.pop(i)
-                    self.again += 1
-                    self.start(i)
-            time.sleep(0.05)
-
-    def start_all(self, but: tuple[int, ...] = ()) -> None:
-        super().start_all(but)
-        self.thread.start()
-        lead = self.leader()
-        self.rig.until(15.0, lambda: self.state(lead).get("machines") == self.count - len(but))
-
-    def state(self, i: int) -> dict[str, Any]:
-        try:
-            found: dict[str, Any] = call_operator_rpc(self.rig.talks[i], "upkeep_status", [], 1500.0)
-            return found
-        except OperatorRpcError:
-            return {}
-
-    def out(self) -> int:
-        """Machines that are away by a permission, as the leader has it."""
-        try:
-            found = self.state(self.leader(2.0))
-        except RuntimeError:
-            return 0
-        return sum(w["stage"] in ("draining", "out", "returning") for w in found.get("wishes", []))
-
-    def wish(self, names: list[str], **how: Any) -> None:
-        row = [how.get("minutes", 0.05), how.get("urgency", 1.0), 0.0, float("inf"), how.get("alone", False),
-               how.get("group", "")]  # fmt: skip
-        self.call(self.leader(), "upkeep_ask", *[[name, *row] for name in names])
-
-    def over(self, names: list[str], wait: float) -> bool:
-        """Until none of them stands in the book any more, as its leader has it."""
-
-        def none() -> bool:
-            try:
-                found = self.state(self.leader(2.0))
-            except RuntimeError:
-                return False
-            return bool(found.get("leads")) and not {w["name"] for w in found["wishes"]} & set(names)
-
-        return self.rig.until(wait, none)
-
-    def ended_as(self) -> dict[str, str]:
-        rows = self.call(self.leader(), "upkeep_history")
-        return {row["name"]: row["end"] for row in rows}
-
-    def check(self, row: Row, finish: bool = True) -> None:
-        self.open = False
-        if self.thread.is_alive():
-            self.thread.join(5.0)
-        lefts = [e for e in self.rig.history() if e[1] == "left"]
-        numbers = [e[3] for e in lefts]
-        must(row, len(numbers) == len(set(numbers)), f"a permission was used twice: {lefts}")
-        row.figures |= {"left": len(lefts), "started_again": self.again}
-        super().check(row, finish)
-
-
-COMMON_START = """[coldstart]
-servers = {count}
-lenders = ["n0", "n1"]
-calls_s = {calls}
-"""
-
-
-def case(
-    play: Callable[[Yard, Row], None], load: float = LOAD, full: bool = False, cold: bool = False
-) -> Any:
-    """`full`: as much comes as all but one can do; `cold`: starts ask for places, too."""
+NIGHT_LOAD = 0.3
+"""Two of six may be out of service, and a zone beside them."""
+TWO_OUT_LOAD = 0.45
+"""Two of six may be out of service even at the peaks of a second."""
+FULL_LOAD = 0.93
+"""Of what all but one can serve: what comes in a second is not even."""
+ALL_CAPACITY_LOAD = 1.0
+CALLS_PER_SECOND_EACH = 1000.0
+FIRST_UNCRITICAL = 3
+"""Servers from this one on are requested where the first voters are to stay."""
+
+Play = Callable[[MaintenanceHarness, Row], None]
+RealRow = Callable[[str, int, int, Row], None]
+
+
+def real_row(
+    play: Play, load: float = MODERATE_LOAD, is_fully_loaded: bool = False, has_cold_start: bool = False
+) -> RealRow:
+    """Returns a row that plays one scenario.
+
+    Args:
+        play: The scenario.
+        load: Demand as a share of all capacity.
+        is_fully_loaded: In place of `load` as much comes as all but one can serve, without headroom.
+        has_cold_start: Servers that start ask for start permits, too.
+    """
 
     def run(folder: str, count: int, seed: int, row: Row) -> None:
-        share, spare = (FULL * (count - 1) / count, 0.0) if full else (load, SPARE)
-        packages = COMMON_START.format(count=count, calls=1000.0 * count) if cold else ""
-        yard = Yard(folder, count, seed, share, spare, packages)
+        share = FULL_LOAD * (count - 1) / count if is_fully_loaded else load
+        headroom_ratio = 0.0 if is_fully_loaded else HEADROOM_RATIO
+        settings = ""
+        if has_cold_start:
+            settings = COLD_START_SETTINGS.format(count=count, calls=CALLS_PER_SECOND_EACH * count)
+        harness = MaintenanceHarness(folder, count, seed, share, headroom_ratio, settings)
         try:
-            play(yard, row)
-            yard.check(row)
+            play(harness, row)
+            harness.check(row)
         except (RuntimeError, OperatorRpcError) as err:
             must(row, False, str(err))
         finally:
-            yard.open = False
-            yard.rig.close()
+            harness.close()
 
     return run
 
 
-def names(y: Yard) -> list[str]:
-    return [y.rig.name(i) for i in range(y.count)]
-
-
-def all_replaced(y: Yard, row: Row) -> None:
-    """Everybody is wanted, asked for twice by two operators; never more is out than the floor lets."""
-    y.start_all()
-    most = 0
+def all_replaced(harness: MaintenanceHarness, row: Row) -> None:
+    """All are requested, by two operators; never more is out of service than the constraints let."""
+    harness.start_all()
     began = time.monotonic()
-    y.wish(names(y))
-    y.wish(list(reversed(names(y))))
-    end = time.monotonic() + 20.0 + 12.0 * y.count
+    harness.request_maintenance(harness.names)
+    harness.request_maintenance(reversed(harness.names))
+    max_unavailable = _watch_until_ended(harness, 20.0 + 12.0 * harness.count)
+    row.figures |= {"took_s": round(time.monotonic() - began, 1), "most_out": max_unavailable}
+    harness.must_be_completed(row, harness.names)
+    allowed = int(harness.count * (1.0 - MODERATE_LOAD * (1.0 + HEADROOM_RATIO)))
+    within = max_unavailable <= max(1, allowed)
+    must(row, within, f"{max_unavailable} were out at once, {allowed} may be")
+
+
+def _watch_until_ended(harness: MaintenanceHarness, wait_seconds: float) -> int:
+    """Waits until no request is open; returns the most machines that were out of service at once."""
+    max_unavailable = 0
+    end = time.monotonic() + wait_seconds
     while time.monotonic() < end:
-        try:
-            found = y.state(y.leader(3.0))
-        except RuntimeError:
-            continue
-        out = sum(w["out"] for w in found.get("wishes", []))
-        most = max(most, round(out))
-        if found.get("leads") and not found["wishes"]:
+        status = harness.leader_status(3.0)
+        requests = status.get("wishes", [])
+        unavailable = sum(request["out"] for request in requests)
+        max_unavailable = max(max_unavailable, round(unavailable))
+        if status.get("leads") and not requests:
             break
         time.sleep(0.1)
-    row.figures |= {"took_s": round(time.monotonic() - began, 1), "most_out": most}
-    ends = y.ended_as()
-    must(row, ends == dict.fromkeys(names(y), "done"), f"they ended as {ends}")
-    allowed = int(y.count * (1.0 - LOAD * (1.0 + SPARE)))
-    must(row, most <= max(1, allowed), f"{most} were out at once, {allowed} may be")
+    return max_unavailable
 
 
-def at_full_load(y: Yard, row: Row) -> None:
-    """All are replaced while what comes in is what all but one can do."""
-    y.start_all()
+def at_full_load(harness: MaintenanceHarness, row: Row) -> None:
+    """All are replaced while what comes in is what all but one can serve."""
+    harness.start_all()
     began = time.monotonic()
-    y.wish(names(y))
-    must(row, y.over(names(y), 30.0 + 15.0 * y.count), f"not over: {y.state(y.leader())}")
+    harness.request_maintenance(harness.names)
+    harness.must_end(row, harness.names, 30.0 + 15.0 * harness.count)
     row.figures["took_s"] = round(time.monotonic() - began, 1)
-    ends = y.ended_as()
-    must(row, ends == dict.fromkeys(names(y), "done"), f"they ended as {ends}")
+    harness.must_be_completed(row, harness.names)
 
 
-def service(y: Yard, row: Row) -> None:
-    """The share of RPCs answered ok while all are replaced, beside the same time without work."""
-    y.start_all()
+def service(harness: MaintenanceHarness, row: Row) -> None:
+    """The share of RPCs answered ok while all are replaced, beside the same time without maintenance."""
+    harness.start_all()
     time.sleep(3.0)
-    before = Counter(y.rig.ends)
-    y.wish(names(y))
+    at_start = Counter(harness.rig.ends)
+    harness.request_maintenance(harness.names)
     began = time.monotonic()
-    must(row, y.over(names(y), 30.0 + 15.0 * y.count), f"not over: {y.state(y.leader())}")
-    took = time.monotonic() - began
-    between = Counter(y.rig.ends)
-    time.sleep(took)
-    after = Counter(y.rig.ends)
-    share = [100.0 * d["ok"] / max(1, sum(d.values())) for d in (between - before, after - between)]
+    harness.must_end(row, harness.names, 30.0 + 15.0 * harness.count)
+    took_seconds = time.monotonic() - began
+    at_end = Counter(harness.rig.ends)
+    time.sleep(took_seconds)
+    afterwards = Counter(harness.rig.ends)
+    with_work = _ok_percent(at_end - at_start)
+    without_work = _ok_percent(afterwards - at_end)
     row.figures |= {
-        "took_s": round(took, 1),
-        "ok_with_work": round(share[0], 2),
-        "ok_without": round(share[1], 2),
+        "took_s": round(took_seconds, 1),
+        "ok_with_work": round(with_work, 2),
+        "ok_without": round(without_work, 2),
     }
-    must(row, share[0] >= share[1] - 1.0, f"{share[0]:.2f} % ok with work, {share[1]:.2f} % without")
-
-
-def zone_meanwhile(how: str, y: Yard, row: Row) -> None:
-    """While two are out a zone gets a notice from outside, or loses its power and starts cold: that goes
-    before all else, takes from the allowance, and what is wanted ends all the same."""
-    y.start_all()
-    zone = [i for i in range(y.count) if i % 3 == 0]
-    wanted = [y.rig.name(i) for i in range(y.count) if i not in zone]
-    y.wish(wanted)
-    y.rig.until(10.0, lambda: y.out() >= 1)
-    at = time.monotonic() * 1000.0
-    y.dead.update(zone)  # until their operator has power again
-    for i in zone:
-        if how == "notice":
-            y.rig.processes[i].send_signal(signal.SIGTERM)
-        else:
-            y.rig.kill(i)
-    gone = y.rig.until(8.0, lambda: all(y.rig.processes[i].poll() is not None for i in zone))
-    must(row, gone, "the zone did not go")
+    texts = f"{with_work:.2f} % ok with work, {without_work:.2f} % without"
+    must(row, with_work >= without_work - 1.0, texts)
+
+
+def _ok_percent(outcomes: Counter[str]) -> float:
+    return 100.0 * outcomes["ok"] / max(1, sum(outcomes.values()))
+
+
+def zone_fails_meanwhile(is_notified: bool, harness: MaintenanceHarness, row: Row) -> None:
+    """While two are out of service a zone gets a notice from outside, or loses its power and starts cold.
+
+    That goes before all else and counts against the budget; what was requested ends all the same.
+    """
+    harness.start_all()
+    zone = [index for index in range(harness.count) if index % 3 == 0]
+    requested = [harness.rig.name(index) for index in range(harness.count) if index not in zone]
+    harness.request_maintenance(requested)
+    harness.rig.until(10.0, lambda: harness.unavailable_count() >= 1)
+    failed_at_ms = time.monotonic() * 1000.0
+    harness.not_restarted.update(zone)  # until the zone has power again
+    _end_servers(harness, zone, is_notified)
+    processes = harness.rig.processes
+    has_gone = harness.rig.until(8.0, lambda: all(processes[index].poll() is not None for index in zone))
+    must(row, has_gone, "the zone did not go")
     time.sleep(5.0)
-    back = time.monotonic() * 1000.0
-    y.dead.difference_update(zone)
-    must(row, y.over(wanted, 60.0), f"not over: {y.state(y.leader())}")
-    ends = y.ended_as()
-    must(row, ends == dict.fromkeys(wanted, "done"), f"they ended as {ends}")
-    # What was permitted before may still go; after that the voters that are lost leave none to spare.
-    late = [e for e in y.rig.history() if e[1] == "left" and at + LASTS + 1000.0 < e[0] < back]
+    restored_at_ms = time.monotonic() * 1000.0
+    harness.not_restarted.difference_update(zone)
+    harness.must_end(row, requested, 60.0)
+    harness.must_be_completed(row, requested)
+    # What was permitted before may still leave; after that the lost voters leave none to spare.
+    last_ms = failed_at_ms + PERMIT_VALID_MS + 1000.0
+    late = [e for e in harness.rig.history() if e[1] == "left" and last_ms < e[0] < restored_at_ms]
     must(row, not late, f"let go while a zone was out: {late}")
 
 
-def crash_meanwhile(y: Yard, row: Row) -> None:
-    """One that nobody wanted crashes for good just after a permission: it takes from the same allowance."""
-    y.start_all()
-    wanted = names(y)[: y.count - 1]
-    y.dead.add(y.count - 1)
-    y.wish(wanted[-2:])
-    y.rig.until(10.0, lambda: any(w["stage"] != "wished" for w in y.state(y.leader())["wishes"]))
-    y.rig.kill(y.count - 1)
-    good = y.over(wanted[-2:], 60.0)
-    must(row, good, f"not over: {y.state(y.leader())}")
+def _end_servers(harness: MaintenanceHarness, indices: list[int], is_notified: bool) -> None:
+    for index in indices:
+        if is_notified:
+            harness.rig.processes[index].send_signal(signal.SIGTERM)
+        else:
+            harness.rig.kill(index)
+
+
+def crash_meanwhile(harness: MaintenanceHarness, row: Row) -> None:
+    """A server without a request crashes for good just after a permit: it counts against the budget."""
+    harness.start_all()
+    last = harness.count - 1
+    requested = harness.names[last - 2 : last]
+    harness.not_restarted.add(last)
+    harness.request_maintenance(requested)
+    harness.rig.until(10.0, lambda: harness.has_permitted(harness.leader()))
+    harness.rig.kill(last)
+    harness.must_end(row, requested, 60.0)
+
+
+def leader_killed(harness: MaintenanceHarness, row: Row) -> None:
+    """The leader dies as soon as a permit is issued, and again later; all requests end all the same."""
+    harness.start_all()
+    requested = harness.names[FIRST_UNCRITICAL:]
+    harness.request_maintenance(requested)
+    for _ in range(2):
+        leader = harness.leader()
+        harness.rig.until(8.0, partial(harness.has_permitted, leader))
+        harness.rig.kill(leader)
+        time.sleep(2.0)
+    must(row, harness.wait_until_ended(requested, 90.0), "not over")
+    harness.must_be_completed(row, requested)
+
+
+def stopped_past_the_expiry(harness: MaintenanceHarness, row: Row) -> None:
+    """Stopped as it gets a permit, and resumed after its expiry: it must not leave on that one."""
+    rig = harness.rig
+    last = harness.count - 1
+    harness.start_all(but=(last,))
+    harness.not_restarted.add(last)
+    stall = f"upkeep.permitted:{PERMIT_VALID_MS + 1500.0:.0f}"
+    rig.start(last, LANDINGSHIFT_SLOW=stall, LANDINGSHIFT_CLOCK="0")
+    rig.until(10.0, partial(up_or_dead, harness, last))
+    rig.still[rig.name(last)] = 1e18
+    time.sleep(3.0)
+    harness.request_maintenance([rig.name(last)])
 
+    def has_logged(event: str) -> bool:
+        return any(line["event"] == event for line in rig.logged(last))
 
-def somebody_goes(y: Yard, i: int) -> bool:
-    return any(w["stage"] != "wished" for w in y.state(i).get("wishes", []))
+    has_noticed = rig.until(25.0, partial(has_logged, "maintenance_permit_expired"))
+    must(row, has_noticed, "it did not notice that it was late")
+    must(row, not has_logged("maintenance_draining"), "it left on a void permission")
+    harness.call(harness.leader(), "upkeep_hold", "the trial is over")
 
 
-def leader_killed(y: Yard, row: Row) -> None:
-    """The leader dies as soon as somebody is permitted, and again later; all wishes end all the same."""
-    y.start_all()
-    wanted = names(y)[3:]
-    y.wish(wanted)
-    for _ in range(2):
-        leader = y.leader()
-        y.rig.until(8.0, partial(somebody_goes, y, leader))
-        y.rig.kill(leader)
-        time.sleep(2.0)
-    must(row, y.over(wanted, 90.0), "not over")
-    ends = y.ended_as()
-    must(row, ends == dict.fromkeys(wanted, "done"), f"they ended as {ends}")
-
-
-def stopped_past_the_end(y: Yard, row: Row) -> None:
-    """Stopped as it is permitted, and going on after its permission's end: it must not leave on that one."""
-    y.start_all(but=(y.count - 1,))
-    last = y.count - 1
-    y.dead.add(last)
-    y.rig.start(last, LANDINGSHIFT_SLOW=f"upkeep.permitted:{LASTS + 1500.0:.0f}", LANDINGSHIFT_CLOCK="0")
-    y.rig.until(10.0, partial(up_or_dead, y, last))
-    y.rig.still[y.rig.name(last)] = 1e18
-    time.sleep(3.0)
-    y.wish([y.rig.name(last)])
-    late = y.rig.until(
-        25.0, lambda: any(e["event"] == "maintenance_permit_expired" for e in y.rig.logged(last))
-    )
-    must(row, late, "it did not notice that it was late")
-    must(
-        row,
-        not any(e["event"] == "maintenance_draining" for e in y.rig.logged(last)),
-        "it left on a void permission",
-    )
-    y.call(y.leader(), "upkeep_hold", "the trial is over")
-
-
-def cut_off(y: Yard, row: Row) -> None:
-    """Cut off just as it is wanted: whether it leaves or not, it is counted as out until it is back."""
-    y.start_all()
-    last = y.rig.name(y.count - 1)
-    y.wish([last])
+def cut_off(harness: MaintenanceHarness, row: Row) -> None:
+    """Cut off just as it is requested: whether it leaves or not, it counts as out until it is back."""
+    harness.start_all()
+    last = harness.names[-1]
+    harness.request_maintenance([last])
     time.sleep(0.3)
-    y.cut(partial(across, {last}))
+    harness.cut(partial(across, {last}))
     time.sleep(4.0)
-    y.wish(names(y)[3 : y.count - 1])
+    harness.request_maintenance(harness.names[FIRST_UNCRITICAL:-1])
     time.sleep(4.0)
-    y.whole()
-    must(row, y.over(names(y)[3:], 60.0), f"not over: {y.state(y.leader())}")
+    harness.whole()
+    harness.must_end(row, harness.names[FIRST_UNCRITICAL:], 60.0)
 
 
-def killed_at_each_step(y: Yard, row: Row) -> None:
-    """The permitted one dies as it is permitted and as it begins to drain; it comes back, its wish ends."""
-    y.start_all()
-    last = y.count - 1
+def killed_at_each_step(harness: MaintenanceHarness, row: Row) -> None:
+    """The permitted one dies as it gets its permit and as it begins to drain; its request ends."""
+    harness.start_all()
     for step in ("upkeep.permitted", "upkeep.draining"):
-        y.dead.add(last)
-        y.rig.doomed.add(y.rig.name(last))
-        y.rig.kill(last)
-        once = f"{y.rig.folder}/{step}.died"
-        y.start(last, LANDINGSHIFT_CRASH=step, LANDINGSHIFT_CRASH_ONCE=once)
-        y.rig.until(10.0, partial(up_or_dead, y, last))
-        time.sleep(1.0)
-        y.wish([y.rig.name(last)])
-        died = y.rig.until(20.0, lambda: y.rig.processes[last].poll() is not None)
-        must(row, died, f"{step}: it did not die")
-        y.rig.killed.add(y.rig.name(last))
-        time.sleep(0.5)
-        y.start(last)
-        y.dead.discard(last)
-        must(row, y.over([y.rig.name(last)], 40.0), f"{step}: not over: {y.state(y.leader())}")
-
-
-def never_back(y: Yard, row: Row) -> None:
-    """One never comes back: it stays counted as out, the others go on as the floor lets them."""
-    y.start_all()
-    last = y.count - 1
-    y.dead.add(last)
-    y.wish([y.rig.name(last)], urgency=9.0)
-    y.rig.until(20.0, lambda: y.rig.processes[last].poll() is not None)
-    y.wish(names(y)[3:last])
-    must(row, y.over(names(y)[3:last], 60.0), f"not over: {y.state(y.leader())}")
-    stages = {w["name"]: w["stage"] for w in y.state(y.leader())["wishes"]}
-    must(row, stages.get(y.rig.name(last)) in ("draining", "out"), f"it is {stages}")
-
-
-def overloaded(y: Yard, row: Row) -> None:
-    """Load leaves no room: nobody goes, it says why, and a wish is cancelled."""
-    y.start_all()
-    y.wish([y.rig.name(y.count - 1)])
+        _kill_at(harness, row, step)
+
+
+def _kill_at(harness: MaintenanceHarness, row: Row, step: str) -> None:
+    rig = harness.rig
+    last = harness.count - 1
+    name = rig.name(last)
+    harness.not_restarted.add(last)
+    rig.doomed.add(name)
+    rig.kill(last)
+    died_path = f"{rig.folder}/{step}.died"
+    harness.start(last, LANDINGSHIFT_CRASH=step, LANDINGSHIFT_CRASH_ONCE=died_path)
+    rig.until(10.0, partial(up_or_dead, harness, last))
+    time.sleep(1.0)
+    harness.request_maintenance([name])
+    has_died = rig.until(20.0, lambda: rig.processes[last].poll() is not None)
+    must(row, has_died, f"{step}: it did not die")
+    rig.killed.add(name)
+    time.sleep(0.5)
+    harness.start(last)
+    harness.not_restarted.discard(last)
+    harness.must_end(row, [name], 40.0, f"{step}: ")
+
+
+def never_back(harness: MaintenanceHarness, row: Row) -> None:
+    """One never comes back: it stays counted as out, and the others go on as the constraints let them."""
+    harness.start_all()
+    last = harness.count - 1
+    name = harness.rig.name(last)
+    harness.not_restarted.add(last)
+    harness.request_maintenance([name], urgency=9.0)
+    harness.rig.until(20.0, lambda: harness.rig.processes[last].poll() is not None)
+    others = harness.names[FIRST_UNCRITICAL:last]
+    harness.request_maintenance(others)
+    harness.must_end(row, others, 60.0)
+    requests = harness.maintenance_status(harness.leader())["wishes"]
+    states = {request["name"]: request["stage"] for request in requests}
+    away = (RequestState.DRAINING.value, RequestState.OUT_OF_SERVICE.value)
+    must(row, states.get(name) in away, f"it is {states}")
+
+
+def overloaded(harness: MaintenanceHarness, row: Row) -> None:
+    """Load leaves no room: nobody leaves, the status says why, and the request is cancelled."""
+    harness.start_all()
+    name = harness.names[-1]
+    harness.request_maintenance([name])
     time.sleep(6.0)
-    found = y.state(y.leader())
-    brought = found["demand"] * (1.0 + SPARE)
-    must(row, brought > CAPACITY * (y.count - 1), f"the load was not brought: {found['demand']:.0f} a second")
-    must(row, [w["stage"] for w in found["wishes"]] == ["wished"], f"{found['wishes']}")
-    must(row, "the whole" in found["waits_for"] or found["room"] < CAPACITY, f"it says {found}")
-    y.call(y.leader(), "upkeep_cancel", "no room", y.rig.name(y.count - 1))
-    must(row, y.over([y.rig.name(y.count - 1)], 10.0), "not cancelled")
-
-
-def with_a_change(y: Yard, row: Row) -> None:
-    """A change of policy while machines are out for work: it takes hold, and all are done."""
-    y.start_all()
-    y.wish(names(y)[3:])
-    y.rig.until(10.0, lambda: any(w["stage"] != "wished" for w in y.state(y.leader())["wishes"]))
-    id = y.propose(0, 1)
-    y.taken(row, 1, id, 30.0)
-    must(row, y.over(names(y)[3:], 60.0), "not over")
-    y.version(row, 1, 15.0)
-
-
-LONG: dict[str, Any] = {"real_service": case(service)}
-REAL: dict[str, Any] = {
-    "real_all_replaced": case(all_replaced),
-    "real_crash_meanwhile": case(crash_meanwhile, 0.45),  # two may be out at peaks of a second, too
-    "real_leader_killed": case(leader_killed),
-    "real_stopped_past_the_end": case(stopped_past_the_end),
-    "real_cut_off": case(cut_off),
-    "real_killed_at_each_step": case(killed_at_each_step),
-    "real_never_back": case(never_back),
-    "real_overloaded": case(overloaded, 1.0),
-    "real_at_full_load": case(at_full_load, full=True),
-    "real_notice_to_a_zone": case(partial(zone_meanwhile, "notice"), NIGHT),
-    "real_cold_zone": case(partial(zone_meanwhile, "power"), NIGHT, cold=True),
-    "real_with_a_change": case(with_a_change),
+    status = harness.maintenance_status(harness.leader())
+    demand = status["demand"] * (1.0 + HEADROOM_RATIO)
+    is_loaded = demand > CAPACITY_RPCS_PER_SECOND * (harness.count - 1)
+    must(row, is_loaded, f"the load was not brought: {status['demand']:.0f} a second")
+    states = [request["stage"] for request in status["wishes"]]
+    must(row, states == [RequestState.REQUESTED.value], f"{status['wishes']}")
+    says_why = "the whole" in status["waits_for"] or status["room"] < CAPACITY_RPCS_PER_SECOND
+    must(row, says_why, f"it says {status}")
+    harness.call(harness.leader(), "upkeep_cancel", "no room", name)
+    must(row, harness.wait_until_ended([name], 10.0), "not cancelled")
+
+
+def with_a_policy_change(harness: MaintenanceHarness, row: Row) -> None:
+    """A change of policy while machines are out of service: it takes hold, and all requests end."""
+    harness.start_all()
+    requested = harness.names[FIRST_UNCRITICAL:]
+    harness.request_maintenance(requested)
+    harness.rig.until(10.0, lambda: harness.has_permitted(harness.leader()))
+    change = harness.propose(0, 1)
+    harness.taken(row, 1, change, 30.0)
+    must(row, harness.wait_until_ended(requested, 60.0), "not over")
+    harness.version(row, 1, 15.0)
+
+
+LONG: dict[str, RealRow] = {"real_service": real_row(service)}
+"""Rows that are played only where one asks for them."""
+
+REAL: dict[str, RealRow] = {
+    "real_all_replaced": real_row(all_replaced),
+    "real_crash_meanwhile": real_row(crash_meanwhile, TWO_OUT_LOAD),
+    "real_leader_killed": real_row(leader_killed),
+    "real_stopped_past_the_end": real_row(stopped_past_the_expiry),
+    "real_cut_off": real_row(cut_off),
+    "real_killed_at_each_step": real_row(killed_at_each_step),
+    "real_never_back": real_row(never_back),
+    "real_overloaded": real_row(overloaded, ALL_CAPACITY_LOAD),
+    "real_at_full_load": real_row(at_full_load, is_fully_loaded=True),
+    "real_notice_to_a_zone": real_row(partial(zone_fails_meanwhile, True), NIGHT_LOAD),
+    "real_cold_zone": real_row(partial(zone_fails_meanwhile, False), NIGHT_LOAD, has_cold_start=True),
+    "real_with_a_change": real_row(with_a_policy_change),
 }
+"""Rows by the names that the command line knows."""
--- a/tests/test_maintenance_service.py
+++ b/tests/test_maintenance_service.py
@@ -1,4 +1,4 @@
-"""Work on machines among several real processes, with faults between them; rows of the experiment."""
+"""Maintenance among several real processes, with faults between them; rows of the experiment."""
 
 from __future__ import annotations
 
@@ -9,7 +9,8 @@
 import unittest
 
 from landingshift.testbed import MEMORY
-from landingshift.testbed.experiments.maintenance_real import REAL, Yard
+from landingshift.testbed.experiments.maintenance_harness import MaintenanceHarness
+from landingshift.testbed.experiments.maintenance_real import REAL
 from landingshift.testbed.experiments.rows import Row, many_real
 from tests.helpers import RealRows
 from tests.test_membership_service import refused
@@ -23,30 +24,30 @@
     return many_real(name, REAL[name], SERVERS, 1, 1)
 
 
-class Rows(RealRows):
+class RealRowsTest(RealRows):
     """Each brings its failure about; what must hold afterwards is read off the history alone."""
 
     real, play, abreast = REAL, staticmethod(run_row), ABREAST
 
-    def test_two_operators_want_all_and_no_rpc_is_lost(self) -> None:
+    def test_two_operators_request_all_and_no_rpc_is_lost(self) -> None:
         self.holds("real_all_replaced")
 
-    def test_one_that_nobody_wanted_crashes(self) -> None:
+    def test_a_server_without_a_request_crashes(self) -> None:
         self.holds("real_crash_meanwhile")
 
     def test_the_leader_dies_twice(self) -> None:
         self.holds("real_leader_killed")
 
-    def test_one_stopped_past_its_permission_does_not_leave_on_it(self) -> None:
+    def test_a_server_stopped_past_the_expiry_does_not_leave_by_that_permit(self) -> None:
         self.holds("real_stopped_past_the_end")
 
-    def test_a_leaving_one_is_cut_off(self) -> None:
+    def test_a_leaving_server_is_partitioned(self) -> None:
         self.holds("real_cut_off")
 
-    def test_the_permitted_one_dies_at_each_step(self) -> None:
+    def test_the_permitted_server_dies_at_each_step(self) -> None:
         self.holds("real_killed_at_each_step")
 
-    def test_one_never_comes_back(self) -> None:
+    def test_a_server_never_comes_back(self) -> None:
         self.holds("real_never_back")
 
     def test_load_leaves_no_room(self) -> None:
@@ -55,17 +56,17 @@
     def test_all_are_replaced_at_full_load(self) -> None:
         self.holds("real_at_full_load")
 
-    def test_a_notice_to_a_zone_while_two_are_out(self) -> None:
+    def test_a_zone_gets_a_notice_while_two_are_out_of_service(self) -> None:
         self.holds("real_notice_to_a_zone")
 
-    def test_a_cold_start_of_a_zone_while_two_are_out(self) -> None:
+    def test_a_zone_starts_cold_while_two_are_out_of_service(self) -> None:
         self.holds("real_cold_zone")
 
-    def test_a_change_of_policy_meanwhile(self) -> None:
+    def test_the_policy_changes_meanwhile(self) -> None:
         self.holds("real_with_a_change")
 
 
-class OneYard(unittest.TestCase):
+class OperatorCommandsTest(unittest.TestCase):
     def command(self, *words: str, code: int = 0) -> str:
         done = subprocess.run([*COMMAND, *words], capture_output=True, text=True, timeout=90)
         self.assertEqual(done.returncode, code, done.stdout + done.stderr)
@@ -73,10 +74,10 @@
 
     def test_what_operators_do(self) -> None:
         with tempfile.TemporaryDirectory(dir=MEMORY) as folder:
-            yard = Yard(folder, 6, 1)
+            harness = MaintenanceHarness(folder, 6, 1)
             try:
-                yard.start_all()
-                at = ["--at", "{}:{}".format(*yard.rig.talks[0])]  # not one that leaves
+                harness.start_all()
+                at = ["--at", "{}:{}".format(*harness.rig.talks[0])]  # not one that leaves
                 self.assertIn("nobody is wanted", self.command("status", *at))
                 self.command("hold", "--why", "a trial", *at)
                 self.assertIn("2 are asked for", self.command("ask", "n4", "n5", "--minutes", "0.05", *at))
@@ -86,16 +87,16 @@
                 self.command("resume", *at)
                 self.command("ask", "n5", "--minutes", "0.05", "--wait", "40", *at)
                 rows = json.loads(self.command("history", *at, "--json"))
-                self.assertEqual([(r["name"], r["end"]) for r in rows], [("n4", "cancelled"), ("n5", "done")])
+                ends = [(row["name"], row["end"]) for row in rows]
+                self.assertEqual(ends, [("n4", "cancelled"), ("n5", "done")])
                 self.assertIn("are to say which", self.command("ask", "--minutes", "1", *at, code=2))
             finally:
-                yard.open = False
-                yard.rig.close()
+                harness.close()
 
     def test_settings_that_cannot_be_used_are_named(self) -> None:
         fleet = '[fleet]\nfleet = "lab"\nlisten = "127.0.0.1:0"\n'
         policies = fleet + '[policies]\nvoters = ["a"]\n'
-        for text, said in [
+        for text, message in [
             (fleet + "[upkeep]\ncapacity = 9\n", "[upkeep] needs the table [policies]"),
             (policies + "[upkeep]\n", "[upkeep] capacity: "),
             (policies + "[upkeep]\ncapacity = 0\n", "[upkeep] capacity: "),
@@ -104,4 +105,4 @@
             (policies + "[upkeep]\ncapacity = 9\nzone_share = 2.0\n", "[upkeep] zone_share: "),
         ]:
             with self.subTest(text=text):
-                self.assertIn(f"ours.toml: {said}", refused(self, text))
+                self.assertIn(f"ours.toml: {message}", refused(self, text))
