--- a/landingshift/cli/policy.py
+++ b/landingshift/cli/policy.py
@@ -13,7 +13,12 @@
 from landingshift.cli.fleet import BROKEN, Told, asked, from_leader, server, show, table, where
 from landingshift.cli.main import say
 from landingshift.membership.talk import NoAnswer, ask
-from landingshift.policies.document import BadPolicy, differs, flat, parse
+from landingshift.policies.document import (
+    InvalidPolicyError,
+    describe_differences,
+    flatten_policy,
+    parse_policy,
+)
 
 ENDED = ("taken", "refused", "withdrawn")
 LOOK = 0.2  # seconds between two looks at a change that is waited for
@@ -27,8 +32,8 @@
 
 def read(path: str) -> bytes:
     try:
-        return parse(Path(path).read_text())
-    except (OSError, UnicodeDecodeError, BadPolicy) as err:
+        return parse_policy(Path(path).read_text())
+    except (OSError, UnicodeDecodeError, InvalidPolicyError) as err:
         raise Told(f"{path}: {err}") from err
 
 
@@ -201,7 +206,7 @@
 @where
 def show_(version: int, at: str | None, toml: str | None, as_json: bool) -> None:
     """What VERSION says, beside the settings of each start."""
-    figures = flat(from_leader(at, toml, "policy_text", [version]))
+    figures = flatten_policy(from_leader(at, toml, "policy_text", [version]))
     if as_json:
         say(figures)
         return
@@ -216,7 +221,7 @@
 def diff(old: int, new: int, at: str | None, toml: str | None, as_json: bool) -> None:
     """A line a key that two versions say otherwise; "-" is as in the settings of the start."""
     a, b = (from_leader(at, toml, "policy_text", [v]) for v in (old, new))
-    lines = differs(a, b, lambda value: "-" if value is None else NUMBER(value))
+    lines = describe_differences(a, b, lambda value: "-" if value is None else NUMBER(value))
     if as_json:
         say(lines)
         return
@@ -229,4 +234,4 @@
 def check(files: tuple[str, ...]) -> None:
     """Says what no build could read in FILES; names of methods are checked by the servers."""
     for path in files:
-        click.echo(f"{path}: ok: {len(flat(read(path)))} figures")
+        click.echo(f"{path}: ok: {len(flatten_policy(read(path)))} figures")
--- a/landingshift/consensus/raft_log.py
+++ b/landingshift/consensus/raft_log.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from landingshift import failpoints
-from landingshift.consensus.raft import Entry, Stored
+from landingshift.consensus.raft import LogEntry, PersistentState
 
 HEAD = b"landingshift-agreement 1 "
 LARGEST = 8 << 20  # bytes of a journal before it is written anew
@@ -30,18 +30,18 @@
     SNAPSHOT = 3  # base, its term, state
 
 
-class BadJournal(Exception):
+class RaftLogError(Exception):
     """The text names the file and what is wrong with it."""
 
 
-class Journal:
-    """`fleet` and `name` tell whose it is. Raises BadJournal or OSError."""
+class RaftLogFile:
+    """`fleet` and `name` tell whose it is. Raises RaftLogError or OSError."""
 
     def __init__(self, path: str, fleet: str, name: str) -> None:
         self.path, self.head = path, HEAD + f"{fleet} {name}\n".encode()
         self.fd = os.open(path, os.O_RDWR | os.O_CREAT, 0o644)
         try:
-            self.stored, self.end, self.chain, self.frames = self.read()
+            self.persistent_state, self.end, self.chain, self.frames = self.read()
             self.check_seal()
             os.ftruncate(self.fd, self.end)
             if self.end == 0:
@@ -49,18 +49,20 @@
         except BaseException:
             os.close(self.fd)
             raise
-        self.had = self.picture(self.stored)
+        self.had = self.picture(self.persistent_state)
 
     # Opening
 
-    def read(self) -> tuple[Stored, int, int, int]:
+    def read(self) -> tuple[PersistentState, int, int, int]:
         """What is there, where the good frames end, their chain, and how many they are."""
         data = self.whole()
-        stored = Stored()
+        stored = PersistentState()
         if not data.startswith(self.head):
             if len(data) < len(self.head) and self.head.startswith(data):
                 return stored, 0, 0, 0  # killed in its first moment
-            raise BadJournal(f"{self.path}: {data[:80]!r} is not the journal of {self.head.decode().strip()}")
+            raise RaftLogError(
+                f"{self.path}: {data[:80]!r} is not the journal of {self.head.decode().strip()}"
+            )
         at, chain, frames = len(self.head), 0, 0
         while at < len(data):
             size = int.from_bytes(data[at : at + 4], "big")
@@ -70,7 +72,7 @@
             good = good and zlib.crc32(body, chain) == int.from_bytes(data[at + 4 : at + 8], "big")
             if not good:
                 if reaches < len(data) and size <= FRAME:
-                    raise BadJournal(f"{self.path}: damaged at byte {at}, frame {frames}")
+                    raise RaftLogError(f"{self.path}: damaged at byte {at}, frame {frames}")
                 break  # the last one, not whole
             for record in msgspec.msgpack.decode(body):
                 apply(stored, record)
@@ -91,7 +93,7 @@
         except (OSError, msgspec.DecodeError):
             return  # a kill between frame and seal, or an older copy without one
         if run == self.head and (frames > self.frames or (frames == self.frames and chain != self.chain)):
-            raise BadJournal(
+            raise RaftLogError(
                 f"{self.path}: frame {frames} was synced and is gone: this voter may have forgotten a "
                 f"promise and must be replaced, not restarted"
             )
@@ -105,11 +107,11 @@
     # Saving
 
     @staticmethod
-    def picture(s: Stored) -> tuple[int, str, int, list[Entry]]:
+    def picture(s: PersistentState) -> tuple[int, str, int, list[LogEntry]]:
         """Of what is on disk: entries never change, so that a list of them will do."""
         return s.term, s.vote, s.base, list(s.entries)
 
-    def save(self, s: Stored) -> None:
+    def save(self, s: PersistentState) -> None:
         """Writes what differs and syncs it. After OSError the journal is as it was and may be tried again."""
         records = self.differs(s)
         if not records:
@@ -117,7 +119,7 @@
         body = msgspec.msgpack.encode(records)
         frame = len(body).to_bytes(4, "big") + zlib.crc32(body, self.chain).to_bytes(4, "big") + body
         if self.end + len(frame) > LARGEST:
-            self.write_anew(s)
+            self.rewrite(s)
             return
         try:
             os.lseek(self.fd, self.end, os.SEEK_SET)
@@ -138,7 +140,7 @@
         self.had = self.picture(s)
         self.seal()
 
-    def differs(self, s: Stored) -> list[list[Any]]:
+    def differs(self, s: PersistentState) -> list[list[Any]]:
         term, vote, base, had = self.had
         records: list[list[Any]] = []
         if (s.term, s.vote) != (term, vote):
@@ -162,7 +164,7 @@
             file.write(msgspec.msgpack.encode((self.frames, self.chain, self.head)))
         os.replace(beside, self.path + ".seal")
 
-    def write_anew(self, s: Stored) -> None:
+    def rewrite(self, s: PersistentState) -> None:
         """One frame with all that still counts, beside the old journal and then in its place."""
         beside = self.path + ".new"
         records: list[list[Any]] = [
@@ -195,14 +197,14 @@
         os.close(self.fd)
 
 
-def apply(stored: Stored, record: list[Any]) -> None:
+def apply(stored: PersistentState, record: list[Any]) -> None:
     match record:
         case [Kind.PROMISE, term, vote]:
             stored.term, stored.vote = term, vote
         case [Kind.APPEND, index, term, data]:
             if index != stored.base + len(stored.entries) + 1:
-                raise BadJournal(f"entry {index} stands after {stored.base + len(stored.entries)}")
-            stored.entries.append(Entry(term, data))
+                raise RaftLogError(f"entry {index} stands after {stored.base + len(stored.entries)}")
+            stored.entries.append(LogEntry(term, data))
         case [Kind.CUT, index]:
             del stored.entries[max(0, index - stored.base) :]
         case [Kind.SNAPSHOT, base, base_term, state, *voters]:
@@ -210,4 +212,4 @@
             stored.entries = stored.entries[base - stored.base :] if base > stored.base else []
             stored.base, stored.base_term, stored.state = base, base_term, state
         case _:
-            raise BadJournal(f"no such record: {record[:1]!r}")
+            raise RaftLogError(f"no such record: {record[:1]!r}")
--- a/landingshift/consensus/state_machines.py
+++ b/landingshift/consensus/state_machines.py
@@ -12,31 +12,31 @@
 MARK = "/"
 
 
-class Book(Protocol):
+class StateMachine(Protocol):
     def apply(self, data: bytes) -> None: ...
-    def dump(self) -> bytes: ...
-    def load(self, state: bytes) -> None: ...
+    def snapshot(self) -> bytes: ...
+    def restore(self, state: bytes) -> None: ...
 
 
-def entry(name: str, *words: object) -> bytes:
+def encode_entry(name: str, *words: object) -> bytes:
     """Of the book `name`, for the agreement."""
     return msgspec.msgpack.encode([name + MARK, *words])
 
 
-class Shelf:
+class StateMachineRegistry:
     """The first book that is added takes all that names no other. What is of a book that is not here is kept
     as it came, so that a voter on which a package is off still holds it for the others."""
 
     def __init__(self) -> None:
-        self.books: dict[str, Book] = {}
+        self.books: dict[str, StateMachine] = {}
         self.strange: dict[str, list[bytes]] = {}  # entries of books that are not here
         self.states: dict[str, bytes] = {}  # and their last snapshots
 
-    def add(self, name: str, book: Book) -> None:
+    def register(self, name: str, book: StateMachine) -> None:
         """Late ones get what came before them."""
         self.books[name] = book
         if name in self.states:
-            book.load(self.states.pop(name))
+            book.restore(self.states.pop(name))
         for data in self.strange.pop(name, []):
             book.apply(data)
 
@@ -52,20 +52,20 @@
         else:
             self.strange.setdefault(name, []).append(data)
 
-    def dump(self) -> bytes:
+    def snapshot(self) -> bytes:
         states: dict[str, tuple[bytes, list[bytes]]] = {
-            n: (book.dump(), []) for n, book in self.books.items()
+            n: (book.snapshot(), []) for n, book in self.books.items()
         }
         for name in {*self.states, *self.strange}:
             states[name] = self.states.get(name, b""), self.strange.get(name, [])
         return msgspec.msgpack.encode(states)
 
-    def load(self, state: bytes) -> None:
+    def restore(self, state: bytes) -> None:
         states = msgspec.msgpack.decode(state, type=dict[str, tuple[bytes, list[bytes]]])
         self.states, self.strange = {}, {}
         for name, (had, since) in states.items():
             if name in self.books:
-                self.books[name].load(had)
+                self.books[name].restore(had)
                 for data in since:
                     self.books[name].apply(data)
             else:
--- a/landingshift/maintenance/book.py
+++ b/landingshift/maintenance/book.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Struct
 
-from landingshift.consensus.state_machines import entry
+from landingshift.consensus.state_machines import encode_entry
 from landingshift.maintenance.forecast import Shape
 from landingshift.maintenance.wishes import ENDED, BadMove, Stage, Wish
 
@@ -42,7 +42,7 @@
 
 
 def command(*words: Any) -> bytes:
-    return entry(NAME, *words)
+    return encode_entry(NAME, *words)
 
 
 class Book:
@@ -112,7 +112,7 @@
             self.history.append(Ended(name, to.value, why, wish.since, at, number))
             del self.history[:-HISTORY]
 
-    def dump(self) -> bytes:
+    def snapshot(self) -> bytes:
         rows = [
             [getattr(w, f) for f in FIELDS]
             + [w.stage.value, w.number, w.until, w.why, self.runs.get(w.name, 0)]
@@ -121,7 +121,7 @@
         kept = Kept(self.number, self.held, rows, self.history, self.shape.most, self.machines)
         return msgspec.msgpack.encode(kept)
 
-    def load(self, state: bytes) -> None:
+    def restore(self, state: bytes) -> None:
         kept = msgspec.msgpack.decode(state, type=Kept)
         self.number, self.held, self.history = kept.number, kept.held, kept.history
         self.wishes, self.runs, self.shape = {}, {}, Shape()
--- a/landingshift/maintenance/service.py
+++ b/landingshift/maintenance/service.py
@@ -29,16 +29,16 @@
 MOST = 500  # machines in one call
 
 
-class Agreement(Protocol):
+class ReplicatedLog(Protocol):
     """What keeps the book: the service of another package."""
 
     is_voter: bool
     leader: str
     voters: list[str]
 
-    def keep(self, name: str, book: Any, taken: Any) -> None: ...
+    def register_state_machine(self, name: str, state_machine: Any, on_committed: Any) -> None: ...
     def propose(self, data: bytes) -> bool: ...
-    def leads(self) -> bool: ...
+    def is_leader(self) -> bool: ...
 
 
 class Upkeep:
@@ -48,7 +48,7 @@
         fleet = host.services["fleet"]
         assert isinstance(fleet, Fleet)
         self.fleet, self.node, self.log = fleet, fleet.node, host.log
-        self.agreement = cast(Agreement, host.services["policies"])
+        self.replicated_log = cast(ReplicatedLog, host.services["policies"])
         self.router, self.loop, self.settings = host.router, host.router.loop, settings
         self.chance = Random(f"{self.router.site.seed} upkeep {self.router.site.name}")
         self.hand = Hand(self.marked())
@@ -56,11 +56,12 @@
         self.load, self.load_at = 0.0, self.loop.now
         self.book = Book()
         self.foreman: Foreman | None = None
-        if self.agreement.is_voter:
-            self.agreement.keep(NAME, self.book, self.taken)
+        if self.replicated_log.is_voter:
+            self.replicated_log.register_state_machine(NAME, self.book, self.taken)
             self.foreman = Foreman(
-                self.book, plan(settings), self.agreement.propose, lambda _: self.agreement.leads(),
-                self.gone, self.node.members.names, failpoints.wall, self.log,
+                self.book, plan(settings), self.replicated_log.propose,
+                lambda _: self.replicated_log.is_leader(), self.gone, self.node.members.names,
+                failpoints.wall, self.log,
             )  # fmt: skip
             fleet.talk.calls |= {
                 "upkeep_ask": self.ask, "upkeep_cancel": self.cancel, "upkeep_hold": self.hold,
@@ -107,7 +108,7 @@
         body = self.hand.report(
             now, mine.capacity, mine.model, mine.best, self.warmth(), self.load, self.ok, self.all
         )
-        leader = self.agreement.leader
+        leader = self.replicated_log.leader
         if leader == self.node.me.name:
             self.hear(self.node.me, body)
         elif leader:
@@ -116,7 +117,7 @@
     def hear(self, sender: Record, body: list[Any]) -> None:
         match body:
             case ["at", *_]:
-                answer = heard(self.foreman, sender, self.agreement.voters, body, self.loop.clock())
+                answer = heard(self.foreman, sender, self.replicated_log.voters, body, self.loop.clock())
                 if answer is not None and sender.name == self.node.me.name:
                     self.hear(sender, answer)
                 elif answer is not None:
@@ -173,8 +174,8 @@
     # For operators; on voters, and what changes something on their leader
 
     def lead(self) -> Foreman:
-        if self.foreman is None or not self.agreement.leads():
-            raise ValueError(f"it does not lead: ask {self.agreement.leader or 'a voter'}")
+        if self.foreman is None or not self.replicated_log.is_leader():
+            raise ValueError(f"it does not lead: ask {self.replicated_log.leader or 'a voter'}")
         return self.foreman
 
     def ask(self, params: list[Any]) -> int:
@@ -199,7 +200,7 @@
                     rows.append([name, minutes, now, urgency, before, after, alone, group[:32]])
                 case _:
                     raise ValueError("a row is name, minutes, urgency, not_before, not_after, alone, group")
-        if not self.agreement.propose(command("wish", rows)):
+        if not self.replicated_log.propose(command("wish", rows)):
             raise ValueError("the agreement takes nothing just now")
         return len(rows)
 
@@ -212,7 +213,7 @@
             wish = self.book.wishes.get(name)
             if wish is not None and wish.stage is Stage.WISHED:
                 data = command("move", name, wish.number, Stage.CANCELLED.value, why[:300], failpoints.wall())
-                count += self.agreement.propose(data)
+                count += self.replicated_log.propose(data)
         return count
 
     def hold(self, params: list[Any]) -> bool:
@@ -220,7 +221,7 @@
         self.lead()
         match params:
             case [str(why)]:
-                return self.agreement.propose(command("hold", why[:300]))
+                return self.replicated_log.propose(command("hold", why[:300]))
         raise ValueError("a reason is expected, or nothing to go on")
 
     def status(self, _params: list[Any]) -> dict[str, Any]:
@@ -234,7 +235,11 @@
             }
             for w in self.book.wishes.values()
         ]  # fmt: skip
-        found: dict[str, Any] = {"leads": self.agreement.leads(), "held": self.book.held, "wishes": rows}
+        found: dict[str, Any] = {
+            "leads": self.replicated_log.is_leader(),
+            "held": self.book.held,
+            "wishes": rows,
+        }
         if found["leads"]:
             floor = foreman.floor()
             out = {n: w.out() for n, w in self.book.wishes.items() if w.out()} | foreman.lost(now)
@@ -261,7 +266,7 @@
         """What this server knows of its own part."""
         return {
             "name": self.node.me.name, "stage": self.hand.stage, "going": self.hand.going,
-            "warmth": self.warmth(), "load": self.load, "leader": self.agreement.leader,
+            "warmth": self.warmth(), "load": self.load, "leader": self.replicated_log.leader,
         }  # fmt: skip
 
     def finish(self) -> None:
--- a/landingshift/policies/desk.py
+++ b/landingshift/policies/coordinator.py
@@ -9,9 +9,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from landingshift.consensus.raft import Voter
-from landingshift.policies.book import Book, End, command
-from landingshift.policies.follower import Plan, Stage
+from landingshift.consensus.raft import RaftNode
+from landingshift.policies.participant import ParticipantStage, PolicySettings
+from landingshift.policies.state_machine import ChangeOutcome, PolicyStateMachine, command
 
 UNEVEN = 0.02  # share of a lease by which two monotonic clocks may run apart in it
 LOOK = 150.0  # ms between two looks sent to who has not answered yet
@@ -35,20 +35,22 @@
     spare: bool  # it has a journal, so that it could be a voter
 
 
-class Desk:
-    def __init__(self, voter: Voter, book: Book, plan: Plan, wall: Callable[[], float]) -> None:
+class ChangeCoordinator:
+    def __init__(
+        self, voter: RaftNode, book: PolicyStateMachine, plan: PolicySettings, wall: Callable[[], float]
+    ) -> None:
         """`wall`: Unix ms, for what people read; nothing is decided by it."""
-        self.voter, self.book, self.plan, self.wall = voter, book, plan, wall
+        self.raft, self.book, self.plan, self.wall = voter, book, plan, wall
         self.out: list[tuple[str, list[Any]]] = []
         self.term = 0
         self.begin(0.0)
 
     def begin(self, now: float) -> None:
         """A term that this voter leads; grants of earlier leaders are older than it."""
-        self.since, self.acks = now, dict[str, Ack]()
+        self.since, self.status_reports = now, dict[str, Ack]()
         self.joining: dict[str, int] = {}
-        self.switching, self.switch_at = "", 0  # the change, and the index of its entry
-        self.change, self.want, self.opened = "", "", now
+        self.switching_change_id, self.switch_at = "", 0  # the change, and the index of its entry
+        self.change, self.phase, self.opened = "", "", now
         self.over = ""  # the change whose end was proposed
         self.looked, self.step_at = -1e9, now
         self.joins_at = 0
@@ -56,14 +58,14 @@
         self.asked: dict[str, int] = {}  # proposals by their entries' index
 
     def leads(self, now: float) -> bool:
-        if not self.voter.sure(now):
+        if not self.raft.has_leader_lease(now):
             return False
-        if self.voter.stored.term != self.term:
-            self.term = self.voter.stored.term
+        if self.raft.current_term != self.term:
+            self.term = self.raft.current_term
             self.begin(now)
         return True
 
-    def next(self) -> float:
+    def next_deadline_ms(self) -> float:
         return self.step_at
 
     # What servers ask
@@ -77,11 +79,11 @@
             case _:
                 return
         if not self.leads(now):
-            leader = self.voter.leader or known
-            self.out.append((who, ["ask", number, "" if leader == self.voter.name else leader]))
+            leader = self.raft.leader or known
+            self.out.append((who, ["ask", number, "" if leader == self.raft.name else leader]))
             return
-        if mark != self.plan.mark:
-            why = f"its [policies] is another than {self.voter.name}'s: {mark}, not {self.plan.mark}"
+        if mark != self.plan.fingerprint:
+            why = f"its [policies] is another than {self.raft.name}'s: {mark}, not {self.plan.fingerprint}"
             self.out.append((who, ["no", number, why[:200]]))
             return
         book = self.book
@@ -92,27 +94,33 @@
         if not joined and len(self.joining) < JOINS:
             self.joining[who] = run
             self.step_at = now
-        had = self.acks.get(who)
+        had = self.status_reports.get(who)
         leased_at = had.leased_at if had is not None else -1e9
         # Nobody gets a lease for the old version once the switch may be agreed on.
-        leased = joined and not self.switching
-        self.acks[who] = Ack(run, version, change, stage, said, now if leased else leased_at, spare)
+        leased = joined and not self.switching_change_id
+        self.status_reports[who] = Ack(run, version, change, stage, said, now if leased else leased_at, spare)
         if had is None or (had.change, had.stage) != (change, stage):
             self.step_at = now
         ended: list[Any] = []
-        if change and change != book.open:
-            found = book.found(change)
+        if change and change != book.pending_change_id:
+            found = book.find_change(change)
             ended = [change, found.end.value, found.version, found.said[:200]] if found is not None else []
-        told = ["told", number, joined, book.version, book.open, self.want_of(), ended, leased]
-        told.append(list(self.voter.voters))
+        told = ["told", number, joined, book.version, book.pending_change_id, self.want_of(), ended, leased]
+        told.append(list(self.raft.voters))
         self.out.append((who, told))
 
     def want_of(self) -> str:
-        return self.want if self.change == self.book.open else "check" if self.book.open else ""
+        return (
+            self.phase
+            if self.change == self.book.pending_change_id
+            else "check"
+            if self.book.pending_change_id
+            else ""
+        )
 
     def wants(self, who: str, change: str, version: int, now: float) -> None:
         """The text of the change under way, or of the version in force."""
-        if change and change == self.book.open:
+        if change and change == self.book.pending_change_id:
             self.out.append((who, ["text", change, 0, self.book.changes[change].policy]))
         elif not change and version == self.book.version:
             self.out.append((who, ["text", "", version, self.book.texts[version]]))
@@ -122,17 +130,19 @@
     def do(self, who: str, id: str, what: list[Any], now: float) -> None:
         if not self.leads(now):
             return
-        book, found = self.book, self.book.found(id)
+        book, found = self.book, self.book.find_change(id)
         match what:
             case ["propose", bytes(policy), str(by), str(why)] if found is None:
                 self.propose(id, command("propose", id, policy, by, why, self.wall()))
-            case ["withdraw", str(by), str(why)] if found is None or found.end is End.OPEN:
+            case ["withdraw", str(by), str(why)] if found is None or found.end is ChangeOutcome.PENDING:
                 said = f"withdrawn by {by}: {why}"
-                self.propose(f"{id} withdrawn", command("end", id, End.WITHDRAWN.value, said, self.wall()))
+                self.propose(
+                    f"{id} withdrawn", command("end", id, ChangeOutcome.WITHDRAWN.value, said, self.wall())
+                )
             case ["voters", str(how), str(name)]:
                 why = self.voters(how, name, now)
-                end = "unknown" if why else End.TAKEN.value
-                said = why or f"voters are {', '.join(self.voter.voters)}"
+                end = "unknown" if why else ChangeOutcome.COMMITTED.value
+                said = why or f"voters are {', '.join(self.raft.voters)}"
                 self.out.append((who, ["found", id, end, 0, said, []]))
                 return
             case ["gone", str(name), int(run)]:
@@ -141,11 +151,21 @@
                     self.propose(f"{name} {run} gone", command("gone", name, run))
                 else:
                     self.out.append(
-                        (who, ["found", id, End.TAKEN.value, 0, f"that run of {name} is not counted", []])
+                        (
+                            who,
+                            [
+                                "found",
+                                id,
+                                ChangeOutcome.COMMITTED.value,
+                                0,
+                                f"that run of {name} is not counted",
+                                [],
+                            ],
+                        )
                     )
                 return
         if found is not None:
-            waits = [list(w) for w in self.waits(now)] if id == book.open else []
+            waits = [list(w) for w in self.unprepared_members(now)] if id == book.pending_change_id else []
             self.out.append((who, ["found", id, found.end.value, found.version, found.said, waits[:64]]))
         elif book.full:
             self.out.append((who, ["found", id, "unknown", 0, "the book is full", []]))
@@ -154,47 +174,51 @@
 
     def propose(self, key: str, data: bytes) -> None:
         """Once for each key until its entry is applied: doubles do no harm, this keeps them few."""
-        if self.asked.get(key, 0) <= self.voter.commit:
-            index = self.voter.propose(data)
+        if self.asked.get(key, 0) <= self.raft.commit_index:
+            index = self.raft.propose(data)
             if index is not None:
                 self.asked[key] = index
 
     def voters(self, how: str, name: str, now: float) -> str:
         """Why the voters are not yet as wanted; empty once they are and all that is agreed on."""
-        voter, there = self.voter, name in self.voter.voters
+        voter, there = self.raft, name in self.raft.voters
         if there is (how == "add"):
-            return "" if voter.named <= voter.commit else "it is being agreed on"
+            return "" if voter.named <= voter.commit_index else "it is being agreed on"
         if how == "add":
-            ack = self.acks.get(name)
+            ack = self.status_reports.get(name)
             if ack is None or not ack.spare or self.book.members.get(name) != ack.run:
                 return f"{name} is not there with a journal"
             new = (*voter.voters, name)
         else:
             new = tuple(v for v in voter.voters if v != name)
-            here = [v for v in new if v == voter.name or now - voter.heard.get(v, -1e9) < voter.times.wait]
+            here = [
+                v
+                for v in new
+                if v == voter.name or now - voter.heard.get(v, -1e9) < voter.times.election_timeout_ms
+            ]
             if 2 * len(here) <= len(new):
                 return f"only {', '.join(here)} would be left of {', '.join(new)}"
-        voter.replace(new, now)
+        voter.change_voters(new, now)
         return "it is being agreed on"
 
     # How far a change is
 
     def lapsed(self, name: str, now: float) -> bool:
         """Whether it stands aside for certain: what it was given last has run out, by its own clock too."""
-        if not self.plan.aside:
+        if not self.plan.stands_aside_when_cut_off:
             return False
-        ack = self.acks.get(name)
+        ack = self.status_reports.get(name)
         at = max(self.since, ack.leased_at) if ack is not None else self.since
-        return now - at > self.plan.lease * (1.0 + UNEVEN) + self.plan.spare
+        return now - at > self.plan.lease_ms * (1.0 + UNEVEN) + self.plan.clock_margin_ms
 
-    def waits(self, now: float) -> list[tuple[str, str]]:
+    def unprepared_members(self, now: float) -> list[tuple[str, str]]:
         """Members that are not armed, and how far each is; "away" for one that says nothing."""
         found = []
         for name, run in self.book.members.items():
-            ack = self.acks.get(name)
-            fresh = ack is not None and ack.run == run and ack.change == self.book.open
+            ack = self.status_reports.get(name)
+            fresh = ack is not None and ack.run == run and ack.change == self.book.pending_change_id
             stage = ack.stage if ack is not None and fresh else "away"
-            if stage != Stage.ARMED and not self.lapsed(name, now):
+            if stage != ParticipantStage.PREPARED and not self.lapsed(name, now):
                 found.append((name, stage))
         return found
 
@@ -203,18 +227,20 @@
             self.step_at = now + IDLE
             return
         book = self.book
-        self.step_at = now + (STEP if book.open or self.joining else IDLE)
-        self.asked = {key: index for key, index in self.asked.items() if index > self.voter.commit}
+        self.step_at = now + (STEP if book.pending_change_id or self.joining else IDLE)
+        self.asked = {key: index for key, index in self.asked.items() if index > self.raft.commit_index}
         self.join()
         if self.version != book.version:
             self.version, self.switched = book.version, now
             self.looked = -1e9
-        if self.switching and (book.open != self.switching or self.voter.commit >= self.switch_at):
-            self.switching = ""  # taken, or void since a member came
-        if book.open != self.change:
-            self.change, self.want, self.opened = book.open, "check", now
+        if self.switching_change_id and (
+            book.pending_change_id != self.switching_change_id or self.raft.commit_index >= self.switch_at
+        ):
+            self.switching_change_id = ""  # taken, or void since a member came
+        if book.pending_change_id != self.change:
+            self.change, self.phase, self.opened = book.pending_change_id, "check", now
             self.looked = -1e9
-        if book.open:
+        if book.pending_change_id:
             self.drive(now)
         self.look(now)
 
@@ -222,32 +248,34 @@
         new = [[n, r] for n, r in self.joining.items() if self.book.members.get(n) != r]
         if not new:
             self.joining.clear()
-        elif self.joins_at <= self.voter.commit and not self.switching:  # it would make the switch void
-            index = self.voter.propose(command("join", new))
+        elif (
+            self.joins_at <= self.raft.commit_index and not self.switching_change_id
+        ):  # it would make the switch void
+            index = self.raft.propose(command("join", new))
             if index is not None:
                 self.joins_at = index
 
     def drive(self, now: float) -> None:
-        book, id = self.book, self.book.open
-        if self.switching or self.over == id:
+        book, id = self.book, self.book.pending_change_id
+        if self.switching_change_id or self.over == id:
             return
-        waits = self.waits(now)
-        refused = next((n for n, stage in waits if stage == Stage.REFUSED), "")
+        waits = self.unprepared_members(now)
+        refused = next((n for n, stage in waits if stage == ParticipantStage.REJECTED), "")
         if refused:
-            self.end(id, End.REFUSED, f"{refused}: {self.acks[refused].said}")
-        elif now - self.opened > self.plan.wait:
+            self.end(id, ChangeOutcome.REJECTED, f"{refused}: {self.status_reports[refused].said}")
+        elif now - self.opened > self.plan.change_timeout_ms:
             names = ", ".join(f"{n} ({stage or 'no text yet'})" for n, stage in waits[:NAMED])
             more = f" and {len(waits) - NAMED} more" if len(waits) > NAMED else ""
-            self.end(id, End.WITHDRAWN, f"not in time; it waited for {names}{more}")
+            self.end(id, ChangeOutcome.WITHDRAWN, f"not in time; it waited for {names}{more}")
         elif not waits and book.members and not self.joining:
-            index = self.voter.propose(command("switch", id, book.joins))
+            index = self.raft.propose(command("switch", id, book.joins))
             if index is not None:
-                self.switching, self.switch_at = id, index
-        elif self.want == "check" and all(stage == Stage.READY for _, stage in waits):
-            self.want, self.looked = "arm", -1e9
+                self.switching_change_id, self.switch_at = id, index
+        elif self.phase == "check" and all(stage == ParticipantStage.VALIDATED for _, stage in waits):
+            self.phase, self.looked = "arm", -1e9
 
-    def end(self, id: str, end: End, said: str) -> None:
-        if self.voter.propose(command("end", id, end.value, said, self.wall())) is not None:
+    def end(self, id: str, end: ChangeOutcome, said: str) -> None:
+        if self.raft.propose(command("end", id, end.value, said, self.wall())) is not None:
             self.over = id
 
     def look(self, now: float) -> None:
@@ -255,16 +283,21 @@
         if now - self.looked < LOOK:
             return
         book, after = self.book, now - self.switched < LOOKS
-        if not book.open and not after:
+        if not book.pending_change_id and not after:
             return
         self.looked = now
-        aim = {"check": (Stage.READY, Stage.ARMED), "arm": (Stage.ARMED,)}.get(self.want, ())
+        aim = {
+            "check": (ParticipantStage.VALIDATED, ParticipantStage.PREPARED),
+            "arm": (ParticipantStage.PREPARED,),
+        }.get(self.phase, ())
         for name, run in book.members.items():
-            ack = self.acks.get(name)
+            ack = self.status_reports.get(name)
             if ack is None or ack.run != run or ack.version < book.version:
                 behind = True
             else:
-                behind = bool(book.open) and (ack.change != book.open or ack.stage not in aim)
-                behind = behind or (not book.open and bool(ack.change))  # armed for what is over
+                behind = bool(book.pending_change_id) and (
+                    ack.change != book.pending_change_id or ack.stage not in aim
+                )
+                behind = behind or (not book.pending_change_id and bool(ack.change))  # armed for what is over
             if behind:
                 self.out.append((name, ["look"]))
--- a/landingshift/policies/document.py
+++ b/landingshift/policies/document.py
@@ -26,7 +26,7 @@
 TABLES = {"methods": METHODS, "tenants": TENANTS}
 
 
-class BadPolicy(ValueError):
+class InvalidPolicyError(ValueError):
     """The text begins with the key."""
 
 
@@ -34,36 +34,36 @@
     return int(os.environ.get("LANDINGSHIFT_FORMAT", "") or FORMAT)
 
 
-def parse(text: str) -> bytes:
-    """What a file says, as it is proposed and kept. Raises BadPolicy for what no build could read."""
+def parse_policy(text: str) -> bytes:
+    """What a file says, as it is kept. Raises InvalidPolicyError for what no build could read."""
     try:
         data = tomllib.loads(text)
     except tomllib.TOMLDecodeError as err:
-        raise BadPolicy(f"no TOML: {err}") from err
+        raise InvalidPolicyError(f"no TOML: {err}") from err
     try:
         packed = msgspec.msgpack.encode(data, order="deterministic")
     except (OverflowError, TypeError) as err:  # TOML has larger numbers, and dates
-        raise BadPolicy(f"the whole: {err}") from err
-    read(packed, FORMAT)
+        raise InvalidPolicyError(f"the whole: {err}") from err
+    decode_policy(packed, FORMAT)
     if len(packed) > LARGEST:
-        raise BadPolicy(f"the whole: {len(packed)} bytes, {LARGEST} at most")
+        raise InvalidPolicyError(f"the whole: {len(packed)} bytes, {LARGEST} at most")
     return packed
 
 
-def read(packed: bytes, reads: int) -> Figures:
-    """Figures by table, name and key; raises BadPolicy where a build that reads up to `reads` can't."""
+def decode_policy(packed: bytes, reads: int) -> Figures:
+    """Figures by table, name and key; raises InvalidPolicyError where a build for `reads` can't."""
     if not packed:
         return {"methods": {}, "tenants": {}, "rules": {}}
     try:
         data = msgspec.msgpack.decode(packed)
     except (msgspec.DecodeError, RecursionError) as err:
-        raise BadPolicy(f"the whole: {err}") from err
+        raise InvalidPolicyError(f"the whole: {err}") from err
     if not isinstance(data, dict):
-        raise BadPolicy("the whole: tables are expected")
+        raise InvalidPolicyError("the whole: tables are expected")
     found: Figures = {"methods": {}, "tenants": {}, "rules": {}}
     form = data.pop("format", 1)
     if not isinstance(form, int) or not 1 <= form <= reads:
-        raise BadPolicy(f"format: this build reads up to {reads}, not {form!r}")
+        raise InvalidPolicyError(f"format: this build reads up to {reads}, not {form!r}")
     for table, values in data.items():
         if table == "rules":
             found["rules"][""] = figures("rules", values, RULES, form)
@@ -71,29 +71,29 @@
             for name, entry in as_table(table, values).items():
                 found[table][name] = figures(f"{table}.{name}", entry, TABLES[table], form)
         else:
-            raise BadPolicy(f"{table}: no such table; there is methods, tenants, rules")
+            raise InvalidPolicyError(f"{table}: no such table; there is methods, tenants, rules")
     return found
 
 
 def as_table(path: str, values: Any) -> dict[str, Any]:
     if not isinstance(values, dict):
-        raise BadPolicy(f"{path}: a table is expected")
+        raise InvalidPolicyError(f"{path}: a table is expected")
     return values
 
 
 def figures(path: str, values: Any, keys: dict[str, tuple[int, str]], form: int) -> dict[str, float]:
     for key, value in as_table(path, values).items():
         if key not in keys:
-            raise BadPolicy(f"{path}.{key}: no such key; there is {', '.join(keys)}")
+            raise InvalidPolicyError(f"{path}.{key}: no such key; there is {', '.join(keys)}")
         if keys[key][0] > form:
-            raise BadPolicy(f"{path}.{key}: needs format = {keys[key][0]}")
+            raise InvalidPolicyError(f"{path}.{key}: needs format = {keys[key][0]}")
         good = isinstance(value, int | float) and not isinstance(value, bool) and 0 <= value < 1e15
         if not good or (key in ("late_share", "over_share_worth") and value > 1):
-            raise BadPolicy(f"{path}.{key}: {NUMBER}, not {value!r}")
+            raise InvalidPolicyError(f"{path}.{key}: {NUMBER}, not {value!r}")
     return {key: float(value) for key, value in values.items()}
 
 
-class Base:
+class PolicyOverlay:
     """The settings of this server's start, over which each policy lies."""
 
     def __init__(self, settings: Settings, methods: dict[str, Method], tenants: dict[str, Tenant]) -> None:
@@ -112,46 +112,46 @@
     def check(self, packed: bytes) -> str:
         """Empty where this server could decide by it, else key and reason."""
         try:
-            found = read(packed, newest())
+            found = decode_policy(packed, newest())
             for table, names in found.items():
                 for name, values in names.items():
                     self.fits(table, name, values)
-        except BadPolicy as err:
+        except InvalidPolicyError as err:
             return str(err)
         return ""
 
     def fits(self, table: str, name: str, values: dict[str, float]) -> None:
         owner = self.owners[table].get(name)
         if owner is None:
-            raise BadPolicy(f"{table}.{name}: this server has none of that name")
+            raise InvalidPolicyError(f"{table}.{name}: this server has none of that name")
         if values.get("hold_off_max_ms") and not self.start["rules", "", "hold_off_max"]:
-            raise BadPolicy("rules.hold_off_max_ms: its settings permit no hold-off")
+            raise InvalidPolicyError("rules.hold_off_max_ms: its settings permit no hold-off")
         if isinstance(owner, Method) and values.get("target_ms", 0.0) > owner.deadline:
-            raise BadPolicy(f"{table}.{name}.target_ms: more than its deadline, {owner.deadline:g}")
+            raise InvalidPolicyError(f"{table}.{name}.target_ms: more than its deadline, {owner.deadline:g}")
         if values.get("target_ms") == 0.0:
-            raise BadPolicy(f"{table}.{name}.target_ms: 0 would turn all away")
+            raise InvalidPolicyError(f"{table}.{name}.target_ms: 0 would turn all away")
 
-    def lay(self, packed: bytes) -> None:
+    def apply(self, packed: bytes) -> None:
         """Puts the figures in force, those of the start where it names none."""
-        found = read(packed, FORMAT)
+        found = decode_policy(packed, FORMAT)
         for (table, name, attribute), value in self.start.items():
             named = found[table].get(name, {})
             key = next(k for k, (_, a) in self.keys[table].items() if a == attribute)
             setattr(self.owners[table][name], attribute, named.get(key, value))
 
 
-def flat(packed: bytes) -> dict[str, float]:
+def flatten_policy(packed: bytes) -> dict[str, float]:
     return {
         ".".join(part for part in (table, name, key) if part): value
-        for table, names in read(packed, FORMAT).items()
+        for table, names in decode_policy(packed, FORMAT).items()
         for name, values in names.items()
         for key, value in values.items()
     }
 
 
-def differs(old: bytes, new: bytes, show: Callable[[float | None], str]) -> list[str]:
+def describe_differences(old: bytes, new: bytes, show: Callable[[float | None], str]) -> list[str]:
     """A line a key that is not the same in both."""
-    a, b = flat(old), flat(new)
+    a, b = flatten_policy(old), flatten_policy(new)
     return [
         f"{key}: {show(a.get(key))} -> {show(b.get(key))}"
         for key in sorted(a | b)
--- a/landingshift/policies/service.py
+++ b/landingshift/policies/service.py
@@ -8,13 +8,13 @@
 
 from landingshift import failpoints
 from landingshift.admission.controller import Server
-from landingshift.consensus.raft_log import BadJournal, Journal
+from landingshift.consensus.raft_log import RaftLogError, RaftLogFile
 from landingshift.membership.messages import Record, State
 from landingshift.membership.service import Fleet
 from landingshift.net.transport.loop import Timer
-from landingshift.policies.document import LARGEST, Base
-from landingshift.policies.follower import Stage
-from landingshift.policies.part import Part
+from landingshift.policies.document import LARGEST, PolicyOverlay
+from landingshift.policies.node import PolicyNode
+from landingshift.policies.participant import ParticipantStage
 from landingshift.policies.settings import Settings, plan
 
 if TYPE_CHECKING:
@@ -36,31 +36,31 @@
         self.fleet, self.node, self.log = fleet, fleet.node, host.log
         self.router, self.loop, self.settings = host.router, host.router.loop, settings
         site = self.router.site
-        self.base = Base(site.settings, site.methods, site.tenants)
-        self.journal: Journal | None = None
+        self.base = PolicyOverlay(site.settings, site.methods, site.tenants)
+        self.journal: RaftLogFile | None = None
         if site.name in settings.voters and not settings.journal:
             raise ValueError("journal: is needed: this server is among voters")
         if settings.journal:
             try:
-                self.journal = Journal(settings.journal, fleet.settings.fleet, site.name)
-            except BadJournal as err:
+                self.journal = RaftLogFile(settings.journal, fleet.settings.fleet, site.name)
+            except RaftLogError as err:
                 raise ValueError(f"journal: {err}") from err
             except OSError as err:
                 raise ValueError(f"journal: {settings.journal}: {err.strerror}") from err
         me, chance = self.node.me, Random(f"{site.seed} policies {site.name}")
-        stored = self.journal.stored if self.journal is not None else None
-        self.part = Part(
+        stored = self.journal.persistent_state if self.journal is not None else None
+        self.part = PolicyNode(
             me.name, me.run, plan(settings), self.base.check, stored, chance, self.loop.now, failpoints.wall,
             most=settings.most,
         )  # fmt: skip
-        self.follower = self.part.follower
+        self.participant = self.part.participant
         self.laid = 0  # the version that the module goes by
         self.server: Server | None = None  # the module that was last told whether it may decide
         self.may, self.looked = False, self.loop.now  # when it looked whether it may
         self.full_since, self.save_at = -1.0, 0.0  # since when the disk takes nothing; next try
         self.timer: Timer | None = None
-        self.seen: tuple[Any, ...] = ("", Stage.NONE, "", False, "")
-        self.part.follower.others = lambda: self.node.members.present
+        self.seen: tuple[Any, ...] = ("", ParticipantStage.NONE, "", False, "")
+        self.part.participant.list_alive_peers = lambda: self.node.members.present
         self.node.handlers[PACKAGE] = self.hear
         self.router.before = self.before
         self.router.health_state.hold(self.name)  # no gateway need hear of one that can't decide yet
@@ -75,13 +75,13 @@
     # Time and messages: the clock is read anew, since what came may be younger than the pass
 
     def hear(self, sender: Record, body: list[Any]) -> None:
-        self.part.hear(sender.name, body, self.loop.clock())
+        self.part.on_message(sender.name, body, self.loop.clock())
         self.pass_on()
 
     def tick(self) -> None:
         self.timer = None
         now = self.loop.clock()
-        if self.part.next() <= now:
+        if self.part.next_deadline_ms() <= now:
             self.part.tick(now)
         self.pass_on()
 
@@ -89,21 +89,21 @@
         """Saves what must be on disk first, then sends; looks again when something is due."""
         for _ in range(PUMPS):
             saved = self.save()
-            out = self.part.take_out()  # with a full disk all but what would rest on it
+            out = self.part.take_outgoing()  # with a full disk all but what would rest on it
             for to, body in out:
                 self.fleet.letters.say(to, PACKAGE, body)
             if not saved or not out:
                 break
         self.fleet.pass_on()
         self.tell()
-        at = max(self.part.next(), self.loop.now + SOON)
+        at = max(self.part.next_deadline_ms(), self.loop.now + SOON)
         if self.timer is None or at < self.timer.at - SOON:
             self.loop.cancel(self.timer)
             self.timer = self.loop.after(at - self.loop.now, self.tick)
 
     def save(self) -> bool:
         """False where the disk takes nothing: nothing that rests on it may go out."""
-        stored = self.part.unsaved()
+        stored = self.part.unsaved_state()
         if stored is None or self.journal is None:
             return True
         if self.loop.now < self.save_at:
@@ -119,49 +119,51 @@
         if self.full_since >= 0.0:
             self.log("policy_saved_again", after_ms=round(self.loop.now - self.full_since))
             self.full_since = -1.0
-        self.part.saved(self.loop.clock())
-        self.part.deliver(self.loop.clock())
+        self.part.on_state_saved(self.loop.clock())
+        self.part.deliver_messages(self.loop.clock())
         return True
 
     # For packages that keep a book on the same agreement
 
-    def keep(self, name: str, book: Any, taken: Callable[[float], None]) -> None:
-        """`taken(now)` hears that entries were taken, on voters."""
-        self.part.shelf.add(name, book)
-        self.part.hearers.append(taken)
+    def register_state_machine(
+        self, name: str, state_machine: Any, on_committed: Callable[[float], None]
+    ) -> None:
+        """`on_committed(now)` hears that entries were taken, on voters."""
+        self.part.state_machines.register(name, state_machine)
+        self.part.commit_listeners.append(on_committed)
 
     def propose(self, data: bytes) -> bool:
-        good = self.part.voter is not None and self.part.voter.propose(data) is not None
+        good = self.part.raft is not None and self.part.raft.propose(data) is not None
         self.pass_on()
         return good
 
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         """Whether this server speaks for all; the clock is read now."""
-        return self.part.voter is not None and self.part.voter.sure(self.loop.clock())
+        return self.part.raft is not None and self.part.raft.has_leader_lease(self.loop.clock())
 
     @property
     def is_voter(self) -> bool:
-        return self.part.voter is not None
+        return self.part.raft is not None
 
     @property
     def leader(self) -> str:
-        return self.follower.leader
+        return self.participant.leader
 
     @property
     def voters(self) -> list[str]:
-        return self.follower.voters
+        return self.participant.voters
 
     # What the module decides by
 
     def before(self) -> None:
         """Called at the end of each pass, before the module starts or turns away anything."""
-        server, f = self.router.server, self.follower
+        server, f = self.router.server, self.participant
         if server is None:
             return
-        now = self.loop.clock() if f.leased else self.loop.now
+        now = self.loop.clock() if f.needs_lease else self.loop.now
         if f.version > self.laid:
             self.lay(server)
-        may, self.looked = f.may(now), now
+        may, self.looked = f.may_decide(now), now
         if may != self.may or server is not self.server:
             self.may, self.server = may, server
             if server.leave_at is None or not may:
@@ -174,46 +176,48 @@
 
     def lay(self, server: Server) -> None:
         failpoints.reach("policies.laid")
-        self.base.lay(self.follower.policy)
+        self.base.apply(self.participant.policy)
         server.now = self.loop.now
         server.adopted()
         self.router.stirred = True
-        self.laid = self.follower.version
+        self.laid = self.participant.version
         self.log("policy_version", version=self.laid)
 
     def why(self) -> str:
-        f = self.follower
-        if f.refused:
-            return f.refused
-        if not f.joined:
+        f = self.participant
+        if f.refusal_reason:
+            return f.refusal_reason
+        if not f.is_member:
             return "no leader has counted it yet"
-        if f.newest > f.version:
-            return f"version {f.newest} is in force, its text is not here yet"
+        if f.latest_version > f.version:
+            return f"version {f.latest_version} is in force, its text is not here yet"
         return (
-            f"no word from the leader for too long, during {f.change}" if f.change else "no word for too long"
+            f"no word from the leader for too long, during {f.change_id}"
+            if f.change_id
+            else "no word for too long"
         )
 
     def tell(self) -> None:
         """A line for what changes in a change."""
-        f, book = self.follower, self.part.book
-        voter = self.part.voter
-        leads = voter is not None and voter.sure(self.loop.clock())
+        f, book = self.participant, self.part.book
+        voter = self.part.raft
+        leads = voter is not None and voter.has_leader_lease(self.loop.clock())
         step = ""  # of the change, at the one who leads it
-        if leads and self.part.desk is not None and book.open:
-            step = "switching" if self.part.desk.switching else self.part.desk.want
-        seen = (f.change, f.stage, book.open, leads, step)
+        if leads and self.part.coordinator is not None and book.pending_change_id:
+            step = "switching" if self.part.coordinator.switching_change_id else self.part.coordinator.phase
+        seen = (f.change_id, f.stage, book.pending_change_id, leads, step)
         if seen == self.seen:
             return
         had, self.seen = self.seen, seen
         if step != had[4]:
             failpoints.reach(f"policies.leads_{step or 'none'}")
-        if f.stage is not had[1] or f.change != had[0]:
+        if f.stage is not had[1] or f.change_id != had[0]:
             failpoints.reach(f"policies.{f.stage.value or 'none'}")
-            self.log("policy_stage", change=f.change, stage=f.stage.value, said=f.said)
+            self.log("policy_stage", change=f.change_id, stage=f.stage.value, said=f.rejection_reason)
         if leads != had[3]:
-            self.log("policy_leads", on=leads, term=voter.stored.term if voter is not None else 0)
-        if book.open != had[2] and had[2]:
-            change = book.found(had[2])
+            self.log("policy_leads", on=leads, term=voter.current_term if voter is not None else 0)
+        if book.pending_change_id != had[2] and had[2]:
+            change = book.find_change(had[2])
             if change is not None:
                 self.log("policy_ended", change=change.id, end=change.end.value, said=change.said)
 
@@ -227,7 +231,7 @@
             self.note()
 
     def note(self) -> None:
-        f = self.follower
+        f = self.participant
         policy = f.policy if f.version == self.laid else b""
         failpoints.note("decided", self.node.me.name, self.laid, policy, self.looked)
 
@@ -242,11 +246,11 @@
                     raise ValueError(f"{name}: nobody of that name is known here")
                 if record.state is State.ALIVE:
                     raise ValueError(f"{name}: it is there, as this server sees it")
-                good = self.part.ask_for(id, ["gone", name, record.run], self.loop.clock())
+                good = self.part.submit_command(id, ["gone", name, record.run], self.loop.clock())
                 self.pass_on()
                 return good
             case [str(id), *what] if 0 < len(id) <= 64 and what and fits(what):
-                good = self.part.ask_for(id, what, self.loop.clock())
+                good = self.part.submit_command(id, what, self.loop.clock())
                 self.pass_on()
                 return good
         raise ValueError("an id and what is to be done are expected")
@@ -254,46 +258,56 @@
     def known(self, params: list[Any]) -> dict[str, Any]:
         match params:
             case [str(id)]:
-                return self.part.known(id)
+                return self.part.change_status(id)
         raise ValueError("an id is expected")
 
     def status(self, _params: list[Any]) -> dict[str, Any]:
-        f, now = self.follower, self.loop.clock()
-        voter, book = self.part.voter, self.part.book
+        f, now = self.participant, self.loop.clock()
+        voter, book = self.part.raft, self.part.book
         record = self.node.members.get(f.leader) if f.leader else None
         found: dict[str, Any] = {
-            "name": self.node.me.name, "version": self.laid, "decides": f.may(now),
-            "why_not": "" if f.may(now) else self.why(), "newest": f.newest, "leader": f.leader,
+            "name": self.node.me.name, "version": self.laid, "decides": f.may_decide(now),
+            "why_not": "" if f.may_decide(now) else self.why(), "newest": f.latest_version,
+            "leader": f.leader,
             "leader_at": f"{record.host}:{record.port}" if record is not None else "",
-            "change": f.change, "stage": f.stage.value, "said": f.said, "voters": list(f.voters),
+            "change": f.change_id, "stage": f.stage.value, "said": f.rejection_reason,
+            "voters": list(f.voters),
             "when_cut_off": self.settings.when_cut_off,
         }  # fmt: skip
-        if voter is not None and self.part.desk is not None:
-            leads = voter.sure(now)
-            found |= {"voter": voter.role.value, "term": voter.stored.term, "taken_entries": voter.commit}
-            found |= {"leads": leads, "counted": len(book.members), "open": book.open}
+        if voter is not None and self.part.coordinator is not None:
+            leads = voter.has_leader_lease(now)
+            found |= {
+                "voter": voter.role.value,
+                "term": voter.current_term,
+                "taken_entries": voter.commit_index,
+            }
+            found |= {"leads": leads, "counted": len(book.members), "open": book.pending_change_id}
             if leads:
-                found["waits_for"] = [list(w) for w in self.part.desk.waits(now)][:64] if book.open else []
+                found["waits_for"] = (
+                    [list(w) for w in self.part.coordinator.unprepared_members(now)][:64]
+                    if book.pending_change_id
+                    else []
+                )
         return found
 
     def history(self, _params: list[Any]) -> list[dict[str, Any]]:
         """Raises ValueError on a server that is no voter."""
-        if self.part.voter is None or not self.part.voter.votes_too:
-            raise ValueError(f"it is no voter: ask one of {', '.join(self.follower.voters)}")
+        if self.part.raft is None or not self.part.raft.votes_too:
+            raise ValueError(f"it is no voter: ask one of {', '.join(self.participant.voters)}")
         return [
             {
                 "id": c.id, "end": c.end.value, "version": c.version, "who": c.who, "why": c.why,
                 "at": c.at, "said": c.said,
             }
-            for c in self.part.changes()
+            for c in self.part.list_changes()
         ]  # fmt: skip
 
     def text(self, params: list[Any]) -> bytes:
         """The policy of a version; raises ValueError where it is not kept."""
         match params:
             case [int(version)]:
-                if version == self.follower.version:
-                    return self.follower.policy
+                if version == self.participant.version:
+                    return self.participant.policy
                 kept = self.part.book.texts.get(version)
                 if kept is not None:
                     return kept
@@ -304,7 +318,7 @@
         """[version, policy]; raises ValueError where it can't be."""
         match params:
             case [int(version), bytes(policy)] if version >= 0:
-                why = self.follower.trust(version, policy)
+                why = self.participant.trust_operator(version, policy)
                 if why:
                     raise ValueError(why)
                 self.log("policy_trusted", version=version)
@@ -314,8 +328,8 @@
 
     def finish(self) -> None:
         """The loop has ended: nothing more is decided here, which is what the others wait for."""
-        self.part.bye()
-        for to, body in self.part.take_out():
+        self.part.announce_departure()
+        for to, body in self.part.take_outgoing():
             self.node.say(to, PACKAGE, body)
         self.fleet.pass_on()
         if self.journal is not None:
--- a/landingshift/policies/settings.py
+++ b/landingshift/policies/settings.py
@@ -8,11 +8,11 @@
 from msgspec import Meta, Struct
 
 from landingshift.membership.messages import Name
-from landingshift.policies.follower import Plan
+from landingshift.policies.participant import PolicySettings
 
 
 class Settings(Struct, forbid_unknown_fields=True, frozen=True):
-    """Alike on all servers of a fleet but for `journal`. Times in ms."""
+    """Alike on all servers of a fleet but for `journal`. RaftTimeouts in ms."""
 
     needs: ClassVar[tuple[str, ...]] = ("fleet",)
 
@@ -39,8 +39,8 @@
         raise ValueError(f"journal: an absolute path is expected, not {settings.journal!r}")
 
 
-def plan(settings: Settings) -> Plan:
-    return Plan(
+def plan(settings: Settings) -> PolicySettings:
+    return PolicySettings(
         tuple(settings.voters), settings.when_cut_off == "stand_aside", settings.overlap_ms,
         settings.lease_ms, settings.spare_ms, settings.wait_ms,
     )  # fmt: skip
--- a/landingshift/policies/book.py
+++ b/landingshift/policies/state_machine.py
@@ -18,10 +18,10 @@
 SAID = 300  # characters of a reason
 
 
-class End(Enum):
-    OPEN = "open"
-    TAKEN = "taken"
-    REFUSED = "refused"  # by a member, or at once
+class ChangeOutcome(Enum):
+    PENDING = "open"
+    COMMITTED = "taken"
+    REJECTED = "refused"  # by a member, or at once
     WITHDRAWN = "withdrawn"  # by an operator, or in time
 
 
@@ -31,7 +31,7 @@
     who: str
     why: str
     at: float  # Unix ms of the leader that took it in
-    end: End = End.OPEN
+    end: ChangeOutcome = ChangeOutcome.PENDING
     version: int = 0  # that it became, where it was taken
     said: str = ""  # why not
 
@@ -48,7 +48,7 @@
     ids: dict[str, int]
 
 
-class Book:
+class PolicyStateMachine:
     """`most`: members that may be counted."""
 
     def __init__(self, most: int = 2000) -> None:
@@ -57,16 +57,18 @@
         self.joins = 0  # how often that grew: a switch holds for those that its leader had asked
         self.version = 0  # in force; 0 is the settings of each start
         self.texts: dict[int, bytes] = {0: b""}
-        self.open = ""  # the change under way
+        self.pending_change_id = ""  # the change under way
         self.changes: dict[str, Change] = {}
         self.ids: dict[str, int] = {}  # each change that ended: its version, 0 where it was not taken
 
-    def found(self, id: str) -> Change | None:
+    def find_change(self, id: str) -> Change | None:
         """What became of it; one that is long past is told without its words."""
         change = self.changes.get(id)
         if change is None and id in self.ids:
             version = self.ids[id]
-            change = Change(id, b"", "", "", 0.0, End.TAKEN if version else End.WITHDRAWN, version)
+            change = Change(
+                id, b"", "", "", 0.0, ChangeOutcome.COMMITTED if version else ChangeOutcome.WITHDRAWN, version
+            )
         return change
 
     @property
@@ -88,10 +90,10 @@
             case ["propose", str(id), bytes(policy), str(who), str(why), at]:
                 self.propose(Change(id, policy, who, why, float(at)))
             case ["switch", str(id), int(joins)]:
-                if id == self.open and joins == self.joins:
+                if id == self.pending_change_id and joins == self.joins:
                     self.switch(self.changes[id])
             case ["end", str(id), str(end), str(said), at]:
-                self.withdraw(id, End(end), said, float(at))
+                self.withdraw(id, ChangeOutcome(end), said, float(at))
 
     def join(self, name: str, run: int) -> None:
         if self.members.get(name) != run and (name in self.members or len(self.members) < self.most):
@@ -102,47 +104,51 @@
         if change.id in self.changes or change.id in self.ids or self.full:
             return  # asked twice, done once
         self.changes[change.id] = change
-        if self.open:
-            self.close(change, End.REFUSED, f"another change is under way: {self.open}")
+        if self.pending_change_id:
+            self.close(
+                change, ChangeOutcome.REJECTED, f"another change is under way: {self.pending_change_id}"
+            )
         elif change.policy == self.texts[self.version]:
-            self.close(change, End.REFUSED, f"it says what version {self.version} says")
+            self.close(change, ChangeOutcome.REJECTED, f"it says what version {self.version} says")
         else:
-            self.open = change.id
+            self.pending_change_id = change.id
 
     def switch(self, change: Change) -> None:
         self.version += 1
         self.texts[self.version] = change.policy
         if self.version > TEXTS:  # 0 is the start's, and costs nothing
             self.texts.pop(self.version - TEXTS, None)
-        change.version, self.open = self.version, ""
-        self.close(change, End.TAKEN, "")
+        change.version, self.pending_change_id = self.version, ""
+        self.close(change, ChangeOutcome.COMMITTED, "")
 
-    def withdraw(self, id: str, end: End, said: str, at: float) -> None:
+    def withdraw(self, id: str, end: ChangeOutcome, said: str, at: float) -> None:
         change = self.changes.get(id)
         if change is None and id not in self.ids and not self.full:
             change = self.changes[id] = Change(id, b"", "", "", at)  # whoever proposes it later is told so
-        if change is not None and change.end is End.OPEN:
-            if self.open == id:
-                self.open = ""
+        if change is not None and change.end is ChangeOutcome.PENDING:
+            if self.pending_change_id == id:
+                self.pending_change_id = ""
             self.close(change, end, said)
 
-    def close(self, change: Change, end: End, said: str) -> None:
+    def close(self, change: Change, end: ChangeOutcome, said: str) -> None:
         change.end, change.said = end, said[:SAID]
         self.ids[change.id] = change.version
-        for id in [i for i, c in self.changes.items() if c.end is not End.OPEN][:-SHOWN]:
+        for id in [i for i, c in self.changes.items() if c.end is not ChangeOutcome.PENDING][:-SHOWN]:
             del self.changes[id]
 
     # Snapshots
 
-    def dump(self) -> bytes:
+    def snapshot(self) -> bytes:
         changes = list(self.changes.values())
-        kept = Kept(self.members, self.joins, self.version, self.texts, self.open, changes, self.ids)
+        kept = Kept(
+            self.members, self.joins, self.version, self.texts, self.pending_change_id, changes, self.ids
+        )
         return msgspec.msgpack.encode(kept)
 
-    def load(self, state: bytes) -> None:
+    def restore(self, state: bytes) -> None:
         kept = msgspec.msgpack.decode(state, type=Kept)
         self.members, self.joins, self.version = kept.members, kept.joins, kept.version
-        self.texts, self.open, self.ids = kept.texts, kept.open, kept.ids
+        self.texts, self.pending_change_id, self.ids = kept.texts, kept.open, kept.ids
         self.changes = {change.id: change for change in kept.changes}
 
 
--- a/landingshift/testbed/experiments/policies.py
+++ b/landingshift/testbed/experiments/policies.py
@@ -9,7 +9,7 @@
 from concurrent.futures import ProcessPoolExecutor
 
 from landingshift.consensus.raft import Role
-from landingshift.policies.part import ENDED
+from landingshift.policies.node import FINAL_OUTCOMES
 from landingshift.testbed.experiments.rows import Row, all_real, must
 from landingshift.testbed.simulation.policy_change import Hall, address, play
 from landingshift.testbed.verification.invariants import broken
@@ -20,12 +20,12 @@
 
 def judged(row: Row, hall: Hall) -> None:
     """Promises, and that all is well in the end: one version everywhere, and one answer from everybody."""
-    row.broken += broken(hall.history, hall.plan.overlap)
+    row.broken += broken(hall.history, hall.plan.overlap_ms)
     minds = hall.minds.values()
-    versions = {m.follower.version for m in minds}
+    versions = {m.participant.version for m in minds}
     must(row, len(versions) == 1, f"versions {versions} in the end")
-    must(row, all(m.follower.joined for m in minds), "not all are counted in the end")
-    must(row, all(m.follower.may(m.clock()) for m in minds), "not all decide in the end")
+    must(row, all(m.participant.is_member for m in minds), "not all are counted in the end")
+    must(row, all(m.participant.may_decide(m.clock()) for m in minds), "not all decide in the end")
 
 
 def histories(first: int, count: int, away: str) -> Row:
@@ -45,7 +45,7 @@
 
 def leader(hall: Hall) -> str:
     for name, mind in hall.minds.items():
-        voter = mind.part.voter
+        voter = mind.part.raft
         if name not in hall.down and voter is not None and voter.role is Role.LEADER:
             return name
     raise AssertionError("nobody leads")
@@ -65,7 +65,7 @@
     hall.run(4000.0)
     began = hall.world.now
     id = hall.propose(f"n{seed % 200}", 1)
-    while hall.world.now < began + 10_000.0 and {m.follower.version for m in hall.minds.values()} != {1}:
+    while hall.world.now < began + 10_000.0 and {m.participant.version for m in hall.minds.values()} != {1}:
         hall.world.run(hall.world.now + 20.0)
     top(row, "took_s", (hall.world.now - began) / 1000.0)
     must(row, hall.world.now - began <= 2000.0, f"took {hall.world.now - began:.0f} ms")
@@ -76,12 +76,12 @@
 
 def with_loss(row: Row, seed: int, away: str) -> Hall:
     """200 servers and 5 % of all messages lost."""
-    hall = Hall(seed, 200, 5, away=away, wait=20_000.0)
+    hall = Hall(seed, 200, 5, away=away, change_timeout_ms=20_000.0)
     hall.world.loss = 0.05
     hall.run(5000.0)
     id = hall.propose(f"n{seed % 200}", 1)
     began = hall.world.now
-    while hall.world.now < began + 20_000.0 and {m.follower.version for m in hall.minds.values()} != {1}:
+    while hall.world.now < began + 20_000.0 and {m.participant.version for m in hall.minds.values()} != {1}:
         hall.world.run(hall.world.now + 50.0)
     top(row, "took_s", (hall.world.now - began) / 1000.0)
     hall.run(300.0)
@@ -91,13 +91,15 @@
 
 def tenth_down(row: Row, seed: int, away: str) -> Hall:
     """A tenth of 200 is down and stands aside in time: a change takes no more than the lease and 2 s."""
-    hall = Hall(seed, 200, 5, True, away=away, lease=3000.0, spare=300.0, wait=20_000.0)
+    hall = Hall(
+        seed, 200, 5, True, away=away, lease_ms=3000.0, clock_margin_ms=300.0, change_timeout_ms=20_000.0
+    )
     hall.run(4000.0)
     for i in range(20):
         hall.kill(f"n{199 - i}")
     id, began = hall.propose("n7", 1), hall.world.now
     rest = [m for n, m in hall.minds.items() if n not in hall.down]
-    while hall.world.now < began + 20_000.0 and {m.follower.version for m in rest} != {1}:
+    while hall.world.now < began + 20_000.0 and {m.participant.version for m in rest} != {1}:
         hall.world.run(hall.world.now + 20.0)
     top(row, "took_s", (hall.world.now - began) / 1000.0)
     must(row, hall.world.now - began <= 5000.0, f"took {hall.world.now - began:.0f} ms")
@@ -151,7 +153,7 @@
     hall.run(3000.0)
     hall.settle()
     ends = {hall.end("n5", one), hall.end("n5", two)}
-    must(row, ends <= set(ENDED), f"they ended as {ends}")
+    must(row, ends <= set(FINAL_OUTCOMES), f"they ended as {ends}")
     return hall
 
 
@@ -164,7 +166,7 @@
     hall.run(2500.0)
     id = hall.propose("n3", 1)
     hall.run(1500.0)
-    said = hall.minds["n3"].part.known(id)["said"]
+    said = hall.minds["n3"].part.change_status(id)["said"]
     must(row, said == "n4: methods.m.criticality: not here", f"it says {said!r}")
     must(row, not any(e[3] for e in hall.history if e[1] == "decided"), "it was decided by")
     return hall
@@ -204,7 +206,7 @@
     hall.world.cut = lambda a, b: cut in (a, b)
     id = hall.propose("n3", 1)
     hall.run(3000.0)
-    must(row, hall.end("n3", id) not in ENDED, "it did not wait for one that is there")
+    must(row, hall.end("n3", id) not in FINAL_OUTCOMES, "it did not wait for one that is there")
     hall.settle()
     return hall
 
@@ -221,7 +223,7 @@
     hall.run(4000.0)
     hall.replace("n4", "remove", "n0")
     hall.run(2000.0)
-    voters = hall.minds["n3"].part.voter
+    voters = hall.minds["n3"].part.raft
     assert voters is not None
     must(row, set(voters.voters) == {"n1", "n2", "n3"}, f"voters are {voters.voters}")
     hall.kill("n1")
@@ -244,7 +246,7 @@
     for how, name in (("add", "n3"), ("remove", "n0"), ("remove", "n1"), ("remove", "n2")):
         hall.replace("n4", how, name)
         hall.run(3000.0)
-    voter = hall.minds["n3"].part.voter
+    voter = hall.minds["n3"].part.raft
     assert voter is not None
     must(row, voter.voters == ("n3",), f"voters are {voter.voters}")
     for name in ("n3", "n5", "n0"):
@@ -259,7 +261,9 @@
     hall.kill("n5")
     hall.start("n5")
     hall.run(12_000.0)
-    must(row, hall.minds["n5"].follower.joined, "n5 does not find the leader among those that are there")
+    must(
+        row, hall.minds["n5"].participant.is_member, "n5 does not find the leader among those that are there"
+    )
     hall.settle()
     return hall
 
--- a/landingshift/testbed/experiments/policies_real.py
+++ b/landingshift/testbed/experiments/policies_real.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from landingshift.membership.talk import NoAnswer, ask
-from landingshift.policies.document import parse
+from landingshift.policies.document import parse_policy
 from landingshift.testbed.experiments.rows import Row, must
 from landingshift.testbed.processes.harness import Rig
 from landingshift.testbed.processes.single_server import METHOD, TENANT
@@ -35,7 +35,9 @@
 
 
 def text(number: int) -> bytes:
-    return parse(f"[methods.{METHOD}]\ncriticality = {2 + number}\n[tenants.{TENANT}]\nallowance_s = 9000")
+    return parse_policy(
+        f"[methods.{METHOD}]\ncriticality = {2 + number}\n[tenants.{TENANT}]\nallowance_s = 9000"
+    )
 
 
 class Council:
@@ -521,7 +523,7 @@
     )
     id = "newer"
     c.ids.append(id)
-    policy = parse(f"format = 2\n[methods.{METHOD}]\nlate_share = 0.4")
+    policy = parse_policy(f"format = 2\n[methods.{METHOD}]\nlate_share = 0.4")
     c.call(0, "policy_do", id, "propose", policy, "lab", "a newer format")
     found = c.ended(1, id)
     said = f"n{last}: format: this build reads up to 1, not 2"
--- a/landingshift/testbed/simulation/cluster.py
+++ b/landingshift/testbed/simulation/cluster.py
@@ -13,13 +13,12 @@
 from typing import Any
 
 from landingshift.coldstart.agent import Plan as StartPlan
-from landingshift.consensus.raft import Stored
-from landingshift.consensus.raft import Times as Beats
+from landingshift.consensus.raft import PersistentState, RaftTimeouts
 from landingshift.maintenance.book import command
 from landingshift.maintenance.floor import Needs
 from landingshift.maintenance.foreman import Plan as WorkPlan
-from landingshift.policies.follower import Plan as Rules
-from landingshift.policies.part import ENDED
+from landingshift.policies.node import FINAL_OUTCOMES
+from landingshift.policies.participant import PolicySettings
 from landingshift.testbed.experiments.scenarios import Act, Coverage, Day, cuts
 from landingshift.testbed.simulation.cold_start import Store
 from landingshift.testbed.simulation.server import CAPACITY, METHODS, WAIT, Disk, Home, Sent, address, text
@@ -63,10 +62,15 @@
         self.chance = Random(f"{day.seed} town")
         self.history: History = []
         servers, names = day.servers, [f"n{i}" for i in range(day.servers)]
-        self.rules = Rules(
-            tuple(names[: day.voters]), day.aside, overlap=OVERLAP, lease=LEASE, spare=SPARE, wait=6000.0
+        self.rules = PolicySettings(
+            tuple(names[: day.voters]),
+            day.aside,
+            overlap_ms=OVERLAP,
+            lease_ms=LEASE,
+            clock_margin_ms=SPARE,
+            change_timeout_ms=6000.0,
         )
-        self.times = Beats(beat=100.0, wait=500.0)
+        self.times = RaftTimeouts(heartbeat_interval_ms=100.0, election_timeout_ms=500.0)
         self.store = Store(CALLS * servers)
         lenders = tuple(names[: max(2, servers // 3)])
         self.plan = StartPlan(
@@ -77,7 +81,7 @@
         self.work = WorkPlan(needs, lasts=2000.0, spare=300.0, back=0.05, rings=False, fades=10_000.0)
         self.walls = [NOON] * servers
         # One more than there are voters has a journal and could be one.
-        self.disks = [Disk(Stored() if i <= day.voters else None) for i in range(servers)]
+        self.disks = [Disk(PersistentState() if i <= day.voters else None) for i in range(servers)]
         self.back_after: dict[int, float] = {}
         self.homes: dict[int, Home] = {}
         self.runs = [0] * servers
@@ -142,8 +146,8 @@
 
     def ended(self, home: Home) -> None:
         """It has drained: its last word, then its supervisor starts it anew."""
-        home.part.bye()
-        for to, body in home.part.take_out():
+        home.part.announce_departure()
+        for to, body in home.part.take_outgoing():
             home.node.say(to, "policies", body)
         for at, message in home.node.take_out():
             self.world.carry(home.host.address, at, message)
@@ -232,11 +236,11 @@
         if act.kind == "change":
             id = f"c{len(self.ids)}"
             self.ids.append(id)
-            home.part.ask_for(id, ["propose", text(len(self.ids)), "lab", "a trial"], now)
+            home.part.submit_command(id, ["propose", text(len(self.ids)), "lab", "a trial"], now)
         else:
             name = f"n{act.who[0] % (self.day.voters + 1)}"
-            how = "remove" if name in home.part.follower.voters else "add"
-            home.part.ask_for(f"{how} {name}", ["voters", how, name], now)
+            how = "remove" if name in home.part.participant.voters else "add"
+            home.part.submit_command(f"{how} {name}", ["voters", how, name], now)
         home.host.turn()
 
     def wish(self, names: list[str], minutes: float, tries: int) -> None:
@@ -256,10 +260,10 @@
         lead = self.leader()
         if lead is None:
             found.add("nobody leads")
-        elif lead.part.desk is not None and lead.book is not None:
-            desk = lead.part.desk
-            if lead.part.book.open:
-                found.add(f"change {'switching' if desk.switching else desk.want}")
+        elif lead.part.coordinator is not None and lead.book is not None:
+            desk = lead.part.coordinator
+            if lead.part.book.pending_change_id:
+                found.add(f"change {'switching' if desk.switching_change_id else desk.phase}")
             found |= {f"work {w.stage.value}" for w in lead.book.wishes.values()}
         for home in self.homes.values():
             if home.host.up and home.agent.start.stage.value != "warm":
@@ -320,8 +324,8 @@
             if not home.host.up:
                 continue
             for id in self.ids:
-                known = home.part.known(id)
-                if known["end"] in ENDED and (again or (home.name, id) not in self.ends):
+                known = home.part.change_status(id)
+                if known["end"] in FINAL_OUTCOMES and (again or (home.name, id) not in self.ends):
                     self.ends.add((home.name, id))
                     self.note("end", home.name, id, known["end"], known["version"])
 
@@ -360,8 +364,8 @@
     def ask_all(self) -> None:
         for home in self.homes.values():
             for id in self.ids:
-                if home.host.up and home.part.known(id)["end"] not in ENDED:
-                    home.part.ask_for(id, ["find"], home.clock())
+                if home.host.up and home.part.change_status(id)["end"] not in FINAL_OUTCOMES:
+                    home.part.submit_command(id, ["find"], home.clock())
                     home.host.turn()
 
     def restless(self) -> list[str]:
@@ -372,7 +376,7 @@
             return [f"down: {down}"]
         checks: list[tuple[str, Callable[[Home], bool]]] = [
             ("not warm", lambda h: h.agent.start.stage.value == "warm"),
-            ("not counted", lambda h: h.part.follower.joined),
+            ("not counted", lambda h: h.part.participant.is_member),
             ("does not decide", lambda h: h.may),
             ("not listed", lambda h: h.listed),
         ]
@@ -380,7 +384,7 @@
             some = [h.name for h in homes if not well(h)]
             if some:
                 found.append(f"{word}: {some}")
-        versions = {h.part.follower.version for h in homes}
+        versions = {h.part.participant.version for h in homes}
         if len(versions) > 1:
             found.append(f"versions {sorted(versions)}")
         blind = [(a.name, b.name) for a, b in combinations(homes, 2) if a.gone(b.name) or b.gone(a.name)]
@@ -394,6 +398,6 @@
             found.append("nobody leads")
         elif lead.book.wishes:
             found.append(f"work is not over: {[(w.name, w.stage.value) for w in lead.book.wishes.values()]}")
-        if lead is not None and lead.part.book.open:
-            found.append(f"{lead.part.book.open} is under way, of {open_}")
+        if lead is not None and lead.part.book.pending_change_id:
+            found.append(f"{lead.part.book.pending_change_id} is under way, of {open_}")
         return found
--- a/landingshift/testbed/simulation/policy_change.py
+++ b/landingshift/testbed/simulation/policy_change.py
@@ -14,14 +14,14 @@
 
 import msgspec
 
-from landingshift.consensus.raft import Stored, Times
-from landingshift.policies.follower import Plan
-from landingshift.policies.part import ENDED, Part
+from landingshift.consensus.raft import PersistentState, RaftTimeouts
+from landingshift.policies.node import FINAL_OUTCOMES, PolicyNode
+from landingshift.policies.participant import PolicySettings
 from landingshift.testbed.simulation.virtual_time import Address, Host, World
 from landingshift.testbed.verification.invariants import History
 
 LOOK = 25.0  # ms between two decisions of one server, about
-TIMES = Times(beat=100.0, wait=500.0)
+TIMES = RaftTimeouts(heartbeat_interval_ms=100.0, election_timeout_ms=500.0)
 AWAY = ("lease", "ask", "sure", "arm", "disk")
 
 
@@ -41,11 +41,13 @@
         self.run = hall.chance.getrandbits(32)
         stored = copy.deepcopy(hall.disks[name]) if name in hall.disks else None
         check = hall.refusing.get(name, lambda policy: "")
-        self.part = Part(
+        self.part = PolicyNode(
             name, self.run, hall.plan, check, stored, hall.chance, now, lambda: hall.world.now, TIMES
         )
-        self.follower = self.part.follower
-        self.follower.others = lambda: [n for n in hall.names if n != name and n not in hall.down]
+        self.participant = self.part.participant
+        self.participant.list_alive_peers = lambda: [
+            n for n in hall.names if n != name and n not in hall.down
+        ]
         self.decide_at = now + LOOK * hall.chance.random()
         hall.without(self)
 
@@ -56,38 +58,38 @@
 
     def hear(self, message: Any, now: float) -> None:
         who, body = message
-        self.part.hear(who, body, now)
+        self.part.on_message(who, body, now)
 
     def next(self) -> float:
-        return min(self.part.next(), self.decide_at)
+        return min(self.part.next_deadline_ms(), self.decide_at)
 
     def tick(self, now: float) -> None:
-        if self.part.next() <= now:
+        if self.part.next_deadline_ms() <= now:
             self.part.tick(now)
         if now >= self.decide_at:
             self.decide_at = now + LOOK * self.hall.chance.uniform(0.5, 1.5)
             self.decide(now)
 
     def take_out(self) -> list[tuple[Address, Any]]:
-        stored = self.part.unsaved()
+        stored = self.part.unsaved_state()
         if stored is not None:
             self.hall.save(self.name, stored)
             if not self.hall.hosts[self.name].up:
                 return []  # killed between write and sync
-            self.part.saved(self.clock())
-            self.part.deliver(self.clock())
-        out = self.part.take_out()
-        while self.part.unsaved() is not None:
-            self.hall.save(self.name, self.part.unsaved())
-            self.part.saved(self.clock())
-            self.part.deliver(self.clock())
-            out += self.part.take_out()
+            self.part.on_state_saved(self.clock())
+            self.part.deliver_messages(self.clock())
+        out = self.part.take_outgoing()
+        while self.part.unsaved_state() is not None:
+            self.hall.save(self.name, self.part.unsaved_state())
+            self.part.on_state_saved(self.clock())
+            self.part.deliver_messages(self.clock())
+            out += self.part.take_outgoing()
         return [(address(to), (self.name, body)) for to, body in out]
 
     def decide(self, now: float) -> None:
-        hall, f = self.hall, self.follower
-        free = (hall.away == "lease" and f.joined) or (hall.away == "ask" and not f.joined)
-        if free or f.may(now):
+        hall, f = self.hall, self.participant
+        free = (hall.away == "lease" and f.is_member) or (hall.away == "ask" and not f.is_member)
+        if free or f.may_decide(now):
             hall.history.append((hall.world.now, "decided", self.name, max(0, f.version), f.policy))
 
 
@@ -106,10 +108,14 @@
         self.chance, self.away = Random(f"{seed} hall"), away
         self.world = World(self.chance.getrandbits(48))
         self.names = [f"n{i}" for i in range(servers)]
-        self.plan = Plan(
-            tuple(self.names[:voters]), aside, **{"lease": 900.0, "spare": 100.0, "wait": 6000.0} | plan
+        self.plan = PolicySettings(
+            tuple(self.names[:voters]),
+            aside,
+            **{"lease_ms": 900.0, "clock_margin_ms": 100.0, "change_timeout_ms": 6000.0} | plan,
         )
-        self.disks = {name: Stored() for name in self.names[: voters + 1]}  # one more could be a voter
+        self.disks = {
+            name: PersistentState() for name in self.names[: voters + 1]
+        }  # one more could be a voter
         self.refusing: dict[str, Any] = {}
         self.hosts: dict[str, Host] = {}
         self.minds: dict[str, Mind] = {}
@@ -133,16 +139,16 @@
     def without(self, mind: Mind) -> None:
         """Takes the defence that is away from one server."""
         part = mind.part
-        if part.desk is None or part.voter is None:
+        if part.coordinator is None or part.raft is None:
             return
-        desk, voter = part.desk, part.voter
+        desk, voter = part.coordinator, part.raft
         if self.away == "sure":
-            voter.sure = lambda now: voter.role.value == "leader"  # type: ignore[method-assign]
+            voter.has_leader_lease = lambda now: voter.role.value == "leader"  # type: ignore[method-assign]
         if self.away == "arm":
-            real = desk.waits
-            desk.waits = lambda now: [w for w in real(now) if w[1] != "away"]  # type: ignore[method-assign]
+            real = desk.unprepared_members
+            desk.unprepared_members = lambda now: [w for w in real(now) if w[1] != "away"]  # type: ignore[method-assign]
 
-    def save(self, name: str, stored: Stored | None) -> None:
+    def save(self, name: str, stored: PersistentState | None) -> None:
         if self.chance.random() < self.crash:
             self.kill(name)
             return
@@ -159,7 +165,7 @@
     def propose(self, name: str, number: int) -> str:
         id = f"c{len(self.proposed)}"
         self.proposed.append(id)
-        self.minds[name].part.ask_for(
+        self.minds[name].part.submit_command(
             id, ["propose", text(number), "lab", "a trial"], self.hosts[name].clock()
         )
         self.hosts[name].turn()
@@ -167,25 +173,25 @@
 
     def gone(self, name: str, who: str) -> None:
         """An operator's word to `name` that the run of `who` that was there last has ended."""
-        self.minds[name].part.ask_for(
+        self.minds[name].part.submit_command(
             f"gone {who}", ["gone", who, self.minds[who].run], self.hosts[name].clock()
         )
         self.hosts[name].turn()
 
     def replace(self, name: str, how: str, who: str) -> None:
         """Has a voter added or removed; asked of `name`."""
-        self.minds[name].part.ask_for(f"{how} {who}", ["voters", how, who], self.hosts[name].clock())
+        self.minds[name].part.submit_command(f"{how} {who}", ["voters", how, who], self.hosts[name].clock())
         self.hosts[name].turn()
 
     def ask(self, name: str, id: str) -> None:
         part = self.minds[name].part
-        part.ask_for(id, ["find"], self.hosts[name].clock())
+        part.submit_command(id, ["find"], self.hosts[name].clock())
         self.hosts[name].turn()
 
     def end(self, name: str, id: str) -> str:
         """What this server says became of it; an end goes into the history."""
-        known = self.minds[name].part.known(id)
-        if known["end"] in ENDED and (name, id) not in self.told:
+        known = self.minds[name].part.change_status(id)
+        if known["end"] in FINAL_OUTCOMES and (name, id) not in self.told:
             self.told.add((name, id))
             self.history.append((self.world.now, "end", name, id, known["end"], known["version"]))
         return str(known["end"])
@@ -212,7 +218,7 @@
         self.told.clear()
         for name in self.names:
             for id in self.proposed:
-                if self.minds[name].part.known(id)["end"] not in ENDED:
+                if self.minds[name].part.change_status(id)["end"] not in FINAL_OUTCOMES:
                     self.ask(name, id)
         self.run(1500.0)
 
--- a/landingshift/testbed/simulation/server.py
+++ b/landingshift/testbed/simulation/server.py
@@ -30,14 +30,14 @@
 from landingshift.coldstart.agent import Agent, Seen
 from landingshift.coldstart.seek import Seek
 from landingshift.coldstart.strain import Strain
-from landingshift.consensus.raft import Stored
+from landingshift.consensus.raft import PersistentState
 from landingshift.maintenance.book import NAME, Book
 from landingshift.maintenance.foreman import Foreman
 from landingshift.maintenance.machine import Hand, heard
 from landingshift.membership.members import Member
 from landingshift.membership.messages import GONE, Message, Record, State
 from landingshift.membership.node import Node, Times
-from landingshift.policies.part import Part
+from landingshift.policies.node import PolicyNode
 from landingshift.testbed.simulation.virtual_time import Address, Host
 from landingshift.testbed.verification.invariants import GRACE
 
@@ -89,7 +89,7 @@
 class Disk:
     """What lasts when its server does not. `full`: it takes nothing; `dies`: at the next write, unwritten."""
 
-    journal: Stored | None
+    journal: PersistentState | None
     mark: int = 0
     full: bool = False
     dies: float = 0.0  # ms that the server is then away; 0: it does not
@@ -112,16 +112,16 @@
         self.seek = Seek(town.day.servers, 20.0, True, 3000.0, chance, now)
         self.strain = Strain()
         journal = copied(self.disk.journal) if self.disk.journal is not None else None
-        self.part = Part(
+        self.part = PolicyNode(
             self.name, me.run, town.rules, lambda policy: "", journal, chance, now, self.wall, town.times
         )
-        self.part.follower.others = lambda: self.node.members.present
+        self.part.participant.list_alive_peers = lambda: self.node.members.present
         self.hand = Hand(self.disk.mark)
         self.book = Book()
         self.foreman: Foreman | None = None
-        if self.part.voter is not None:
-            self.part.shelf.add(NAME, self.book)
-            self.part.hearers.append(self.taken)
+        if self.part.raft is not None:
+            self.part.state_machines.register(NAME, self.book)
+            self.part.commit_listeners.append(self.taken)
             self.foreman = Foreman(
                 self.book, town.work, self.propose, self.leads, self.gone, self.node.members.names, self.wall,
                 lambda *_, **__: None,
@@ -149,12 +149,12 @@
 
     def without(self) -> None:
         """Takes the defence that is away, where it lies in one of the packages' objects."""
-        voter, desk, lending = self.part.voter, self.part.desk, self.agent.lending
+        voter, desk, lending = self.part.raft, self.part.coordinator, self.agent.lending
         if self.away == "sure" and voter is not None:
-            voter.sure = lambda now: voter.role.value == "leader"  # type: ignore[method-assign]
+            voter.has_leader_lease = lambda now: voter.role.value == "leader"  # type: ignore[method-assign]
         if self.away == "arm" and desk is not None:
-            real = desk.waits
-            desk.waits = lambda now: [w for w in real(now) if w[1] != "away"]  # type: ignore[method-assign]
+            real = desk.unprepared_members
+            desk.unprepared_members = lambda now: [w for w in real(now) if w[1] != "away"]  # type: ignore[method-assign]
         if self.away == "end":
             self.hand.goes = self.goes_anyhow  # type: ignore[method-assign]
         if self.away == "booking" and lending is not None:
@@ -197,7 +197,12 @@
 
     def next(self) -> float:
         return min(
-            self.node.next(), self.part.next(), self.server.alarm, self.look_at, self.work_at, self.ends_at
+            self.node.next(),
+            self.part.next_deadline_ms(),
+            self.server.alarm,
+            self.look_at,
+            self.work_at,
+            self.ends_at,
         )
 
     def hear(self, message: Any, now: float) -> None:
@@ -230,7 +235,7 @@
     def tick(self, now: float) -> None:
         if self.node.next() <= now:
             self.node.tick(now)
-        if self.part.next() <= now:
+        if self.part.next_deadline_ms() <= now:
             self.part.tick(now)
         if now >= self.look_at:
             self.look_at = now + LOOK
@@ -252,7 +257,7 @@
         for _ in range(8):
             if not self.save():
                 break
-            out = self.part.take_out()
+            out = self.part.take_outgoing()
             for to, body in out:
                 self.node.say(to, "policies", body)
             if not out:
@@ -262,7 +267,7 @@
     # Disk, policies, and by what the module decides
 
     def save(self) -> bool:
-        stored = self.part.unsaved()
+        stored = self.part.unsaved_state()
         if stored is None:
             return True
         if self.disk.full:
@@ -272,13 +277,13 @@
             self.town.kill(self.i, away)
             return False
         self.disk.journal = copied(stored)
-        self.part.saved(self.clock())
-        self.part.deliver(self.clock())
+        self.part.on_state_saved(self.clock())
+        self.part.deliver_messages(self.clock())
         return True
 
     def decide(self, now: float) -> None:
-        f, server = self.part.follower, self.server
-        may = f.may(now) or (f.joined and self.away == "lease") or self.away == "ask"
+        f, server = self.part.participant, self.server
+        may = f.may_decide(now) or (f.is_member and self.away == "lease") or self.away == "ask"
         server.now = now
         if f.version > self.laid:
             self.laid = f.version
@@ -290,14 +295,14 @@
         server.settle()
 
     def hear_policies(self, sender: Record, body: list[Any]) -> None:
-        self.part.hear(sender.name, body, self.clock())
+        self.part.on_message(sender.name, body, self.clock())
 
     def propose(self, data: bytes) -> bool:
-        voter = self.part.voter
+        voter = self.part.raft
         return voter is not None and voter.propose(data) is not None
 
     def leads(self, _now: float = 0.0) -> bool:
-        return self.part.voter is not None and self.part.voter.sure(self.clock())
+        return self.part.raft is not None and self.part.raft.has_leader_lease(self.clock())
 
     # The common start
 
@@ -348,7 +353,7 @@
     def report(self, now: float) -> None:
         warmth = self.warmth() if self.ends_at == inf else 0.0
         body = self.hand.report(now, CAPACITY, f"m{self.i % 2}", False, warmth, self.load, self.ok, self.all)
-        leader = self.part.follower.leader
+        leader = self.part.participant.leader
         if leader == self.name:
             self.hear_work(self.node.me, body)
         elif leader:
@@ -357,7 +362,7 @@
     def hear_work(self, sender: Record, body: list[Any]) -> None:
         match body:
             case ["at", *_]:
-                answer = heard(self.foreman, sender, self.part.follower.voters, body, self.clock())
+                answer = heard(self.foreman, sender, self.part.participant.voters, body, self.clock())
                 if answer is not None and sender.name == self.name:
                     self.hear_work(sender, answer)
                 elif answer is not None:
@@ -415,7 +420,7 @@
             self.decided()
 
     def decided(self) -> None:
-        f = self.part.follower
+        f = self.part.participant
         self.note("decided", max(0, f.version), f.policy)
 
     def run(self, rpc: Rpc) -> None:
@@ -487,18 +492,19 @@
 
     def sizes(self) -> dict[str, int]:
         """Of all that could grow, against the bounds that `promises` has."""
-        node, part, follower = self.node, self.part, self.part.follower
+        node, part, follower = self.node, self.part, self.part.participant
         found = {
             "out": len(node.out), "errands": len(node.errands), "book": len(node.book),
-            "table": len(node.members.table), "words": len(part.errands), "answers": len(part.answers),
-            "sent": len(follower.sent), "reports": len(self.hand.sent), "jobs": len(self.jobs),
+            "table": len(node.members.table), "words": len(part.pending_commands),
+            "answers": len(part.change_statuses),
+            "sent": len(follower.request_sent_at_ms), "reports": len(self.hand.sent), "jobs": len(self.jobs),
         }  # fmt: skip
-        if part.voter is not None:
-            found |= {"log": len(part.voter.stored.entries), "votes": len(part.voter.out)}
+        if part.raft is not None:
+            found |= {"log": len(part.raft.persistent_state.entries), "votes": len(part.raft.outbox)}
         return found
 
 
-def copied(stored: Stored) -> Stored:
+def copied(stored: PersistentState) -> PersistentState:
     """Entries never change, so that their list alone is copied."""
     return replace(stored, entries=list(stored.entries))
 
--- a/landingshift/testbed/verification/search_policy_change.py
+++ b/landingshift/testbed/verification/search_policy_change.py
@@ -12,15 +12,15 @@
 from random import Random
 from typing import Any
 
-from landingshift.consensus.raft import Stored, Times
-from landingshift.policies.follower import Plan, Stage
-from landingshift.policies.part import Part
+from landingshift.consensus.raft import PersistentState, RaftTimeouts
+from landingshift.policies.node import PolicyNode
+from landingshift.policies.participant import ParticipantStage, PolicySettings
 from landingshift.testbed.simulation.policy_change import text
 
 NAMES = ("n0", "n1", "n2")
 PASS = 500.0  # ms
 FLIGHT = 4  # messages under way at a time
-TIMES = Times(beat=1e9, wait=1e9)  # one voter: nobody else can lead
+TIMES = RaftTimeouts(heartbeat_interval_ms=1e9, election_timeout_ms=1e9)  # one voter: nobody else can lead
 
 
 class Even(Random):
@@ -49,8 +49,8 @@
 
 @dataclass
 class State:
-    parts: dict[str, Part]
-    disk: Stored
+    parts: dict[str, PolicyNode]
+    disk: PersistentState
     now: float = 10_000.0
     way: list[tuple[str, str, list[Any]]] = field(default_factory=list)
     spent: Spent = field(default_factory=Spent)
@@ -60,14 +60,25 @@
         now = self.now
         seen: list[Any] = []
         for part in self.parts.values():
-            f, desk = part.follower, part.desk
+            f, desk = part.participant, part.coordinator
             seen.append((
-                part.run, f.joined, f.version, f.newest, f.change, f.stage, max(0.0, f.until - now),
-                f.accepted, f.number, tuple(now - at for at in f.sent.values()),
+                part.run, f.is_member, f.version, f.latest_version, f.change_id, f.stage,
+                max(0.0, f.lease_expiry_ms - now), f.last_answered_number, f.last_request_number,
+                tuple(now - at for at in f.request_sent_at_ms.values()),
             ))  # fmt: skip
             if desk is not None:
-                acks = [(n, a.run, a.change, a.stage, a.version) for n, a in sorted(desk.acks.items())]
-                seen.append((tuple(acks), desk.want, desk.switching, part.book.version, part.book.open))
+                acks = [
+                    (n, a.run, a.change, a.stage, a.version) for n, a in sorted(desk.status_reports.items())
+                ]
+                seen.append(
+                    (
+                        tuple(acks),
+                        desk.phase,
+                        desk.switching_change_id,
+                        part.book.version,
+                        part.book.pending_change_id,
+                    )
+                )
         way = tuple(sorted(repr(m) for m in self.way))
         since = tuple(sorted((v, now - at) for v, at in self.first.items()))
         return (tuple(seen), way, since, repr(self.spent))
@@ -77,43 +88,49 @@
     """`away`: "lease" or "ask", as in `assent`."""
 
     def __init__(self, aside: bool = False, away: str = "") -> None:
-        self.plan = Plan(("n0",), aside, overlap=1000.0, lease=900.0, spare=100.0, wait=1e9)
+        self.plan = PolicySettings(
+            ("n0",), aside, overlap_ms=1000.0, lease_ms=900.0, clock_margin_ms=100.0, change_timeout_ms=1e9
+        )
         self.away, self.chance = away, Even()
         self.states = self.deepest = 0
         self.broken = ""
 
-    def part(self, name: str, run: int, stored: Stored | None, now: float) -> Part:
-        return Part(name, run, self.plan, lambda _: "", stored, self.chance, now, lambda: 0.0, TIMES)
+    def part(self, name: str, run: int, stored: PersistentState | None, now: float) -> PolicyNode:
+        return PolicyNode(name, run, self.plan, lambda _: "", stored, self.chance, now, lambda: 0.0, TIMES)
 
     def begin(self) -> State:
-        state = State({}, Stored())
+        state = State({}, PersistentState())
         state.spent = Spent(0, 0, 0, 0, 0)
         for i, name in enumerate(NAMES):
-            state.parts[name] = self.part(name, i, Stored() if i == 0 else None, state.now)
+            state.parts[name] = self.part(name, i, PersistentState() if i == 0 else None, state.now)
         lead = state.parts["n0"]
-        assert lead.voter is not None and lead.desk is not None
-        lead.voter.ask(False)
+        assert lead.raft is not None and lead.coordinator is not None
+        lead.raft.start_election()
         for _ in range(4):
             self.round(state, NAMES)
-        state.parts["n0"].ask_for("c", ["propose", text(1), "lab", "a trial"], state.now)
-        state.parts["n0"].carry("c", state.now)
+        state.parts["n0"].submit_command("c", ["propose", text(1), "lab", "a trial"], state.now)
+        state.parts["n0"].forward_command("c", state.now)
         self.out(state, "n0")
-        while state.parts["n0"].desk.want != "arm":  # type: ignore[union-attr]
+        while state.parts["n0"].coordinator.phase != "arm":  # type: ignore[union-attr]
             self.round(state, NAMES)
         self.round(state, ("n0", "n1"))
         self.round(state, ("n0", "n1"))
         self.round(state, ("n2",))
-        assert all(part.follower.stage is Stage.ARMED for part in state.parts.values())
-        state.parts["n2"].follower.ask(state.now)
+        assert all(part.participant.stage is ParticipantStage.PREPARED for part in state.parts.values())
+        state.parts["n2"].participant.send_status_request(state.now)
         self.out(state, "n2")  # the last word that the leader waits for is under way
         for part in state.parts.values():
-            part.follower.sent = {n: at for n, at in part.follower.sent.items() if n > part.follower.accepted}
+            part.participant.request_sent_at_ms = {
+                n: at
+                for n, at in part.participant.request_sent_at_ms.items()
+                if n > part.participant.last_answered_number
+            }
         state.spent = Spent()
         return state
 
     def round(self, state: State, names: tuple[str, ...]) -> None:
         for name in names:
-            state.parts[name].follower.ask(state.now)
+            state.parts[name].participant.send_status_request(state.now)
             self.out(state, name)
         self.drain(state)
 
@@ -126,25 +143,25 @@
     def out(self, state: State, name: str) -> None:
         part = state.parts[name]
         for _ in range(4):
-            stored = part.unsaved()
+            stored = part.unsaved_state()
             if stored is not None:
                 state.disk = copy.deepcopy(stored)
-                part.saved(state.now)
-            if part.desk is not None:
-                part.desk.step(state.now)
-            part.deliver(state.now)
-            for to, body in part.take_out():
+                part.on_state_saved(state.now)
+            if part.coordinator is not None:
+                part.coordinator.step(state.now)
+            part.deliver_messages(state.now)
+            for to, body in part.take_outgoing():
                 if (
                     body[0] != "look" and len(state.way) < FLIGHT
                 ):  # looks only make others ask, which all may do
                     state.way.append((name, to, body))
-            if part.unsaved() is None:
+            if part.unsaved_state() is None:
                 break
 
     def deliver(self, state: State, at: int) -> None:
         sender, to, body = state.way.pop(at)
         state.parts[to] = copy.deepcopy(state.parts[to])
-        state.parts[to].hear(sender, body, state.now)
+        state.parts[to].on_message(sender, body, state.now)
         self.out(state, to)
 
     def steps(self, state: State) -> list[tuple[str, Any]]:
@@ -182,32 +199,32 @@
             case "ask":
                 spent.asks -= 1
                 state.parts[arg] = copy.deepcopy(state.parts[arg])
-                state.parts[arg].follower.ask(state.now)
+                state.parts[arg].participant.send_status_request(state.now)
                 self.out(state, arg)
             case "kill":
                 spent.kills -= 1
                 stored = copy.deepcopy(state.disk) if arg == "n0" else None
                 part = state.parts[arg] = self.part(arg, 9, stored, state.now)
-                if part.voter is not None:
-                    part.voter.ask(False)
+                if part.raft is not None:
+                    part.raft.start_election()
                     self.out(state, arg)
         return state
 
     def check(self, state: State) -> str:
         now = state.now
         for part in state.parts.values():
-            f = part.follower
-            may = f.may(now)
+            f = part.participant
+            may = f.may_decide(now)
             if self.away == "lease":
-                may = f.joined and f.newest <= f.version
+                may = f.is_member and f.latest_version <= f.version
             elif self.away == "ask":
-                may = may or not f.joined
+                may = may or not f.is_member
             if not may:
                 continue
             version = max(0, f.version)
             state.first.setdefault(version, now)
             newer = [at for v, at in state.first.items() if v > version]
-            if newer and now - min(newer) > self.plan.overlap:
+            if newer and now - min(newer) > self.plan.overlap_ms:
                 return f"{part.name} may decide by {version} {now - min(newer):.0f} ms after a newer one"
         return ""
 
--- a/tests/test_golden_histories.py
+++ b/tests/test_golden_histories.py
@@ -77,7 +77,7 @@
             found[f"day {seed}"] = {
                 "datagrams": recorder.found,
                 "history": [len(history), digest(history)],
-                "snapshots": [digest(home.part.shelf.dump()) for home in town.homes.values()],
+                "snapshots": [digest(home.part.state_machines.snapshot()) for home in town.homes.values()],
             }
         assert_golden_json(self, "whole_fleet.json", found)
         assert_golden_json(self, "membership_datagrams.json", dict(sorted(samples.items())))
@@ -91,7 +91,7 @@
             found[f"history {seed}"] = {
                 "messages": recorder.found,
                 "history": [len(hall.history), digest(hall.history)],
-                "snapshots": [digest(mind.part.shelf.dump()) for mind in hall.minds.values()],
+                "snapshots": [digest(mind.part.state_machines.snapshot()) for mind in hall.minds.values()],
             }
         assert_golden_json(self, "policies_histories.json", found)
 
@@ -133,6 +133,6 @@
                 "entries": entries.hexdigest(),
                 "figures": row.figures,
                 "broken": row.broken,
-                "snapshots": [digest(book.dump()) for book in dumps.values()],
+                "snapshots": [digest(book.snapshot()) for book in dumps.values()],
             }
         assert_golden_json(self, "work_on_machines.json", found)
--- a/tests/test_golden_storage.py
+++ b/tests/test_golden_storage.py
@@ -13,9 +13,18 @@
 from msgspec import msgpack
 
 from landingshift.coldstart import snapshot
-from landingshift.consensus.raft import Append, Appended, Ask, Entry, Install, Message, Stored, Vote
-from landingshift.consensus.raft_log import Journal
-from landingshift.consensus.state_machines import Shelf, entry
+from landingshift.consensus.raft import (
+    AppendEntries,
+    AppendEntriesResponse,
+    InstallSnapshot,
+    LogEntry,
+    Message,
+    PersistentState,
+    RequestVote,
+    VoteResponse,
+)
+from landingshift.consensus.raft_log import RaftLogFile
+from landingshift.consensus.state_machines import StateMachineRegistry, encode_entry
 from landingshift.hot_restart import journal as moved
 from landingshift.ledger.compact import compact
 from landingshift.ledger.entries import Batch, Gap, Raw, decode
@@ -24,7 +33,7 @@
 from landingshift.maintenance.book import NAME, command
 from landingshift.maintenance.book import Book as WorkBook
 from landingshift.maintenance.service import Upkeep
-from landingshift.policies.book import Book as PolicyBook
+from landingshift.policies.state_machine import PolicyStateMachine
 from tests import test_hot_restart
 from tests.golden_files import FOLDER, assert_golden_bytes, assert_golden_json, golden_bytes, golden_json
 
@@ -38,34 +47,34 @@
 
 class Raft(Folder):
     def test_messages(self) -> None:
-        entries = (Entry(3, b"\x91\xa1x"), Entry(3, b""))
+        entries = (LogEntry(3, b"\x91\xa1x"), LogEntry(3, b""))
         messages = [
-            Ask(4, 10, 3, True),
-            Vote(4, True, False),
-            Append(4, 10, 3, entries, 9, 77),
-            Appended(4, False, 8, 77),
-            Install(4, 200, 3, b"state", 78, ("n1", "n2")),
-            Install(4, 200, 3, b"state", 78),
+            RequestVote(4, 10, 3, True),
+            VoteResponse(4, True, False),
+            AppendEntries(4, 10, 3, entries, 9, 77),
+            AppendEntriesResponse(4, False, 8, 77),
+            InstallSnapshot(4, 200, 3, b"state", 78, ("n1", "n2")),
+            InstallSnapshot(4, 200, 3, b"state", 78),
         ]
         found = {f"{i}": msgpack.encode(message) for i, message in enumerate(messages)}
         assert_golden_json(self, "raft_messages.json", found)
         for i, data in enumerate(golden_json("raft_messages.json").values()):
             self.assertEqual(msgpack.decode(data, type=Message), messages[i])
 
-    def stored(self) -> list[Stored]:
+    def stored(self) -> list[PersistentState]:
         """States as a voter saves them one after the other: an append, a cut, a new term, a snapshot."""
-        a, b, c = Entry(1, b"\x91\xa1a"), Entry(1, b"\x91\xa1b"), Entry(2, b"\xc1\x92\xa2n1\xa2n2")
+        a, b, c = LogEntry(1, b"\x91\xa1a"), LogEntry(1, b"\x91\xa1b"), LogEntry(2, b"\xc1\x92\xa2n1\xa2n2")
         return [
-            Stored(1, "n1", entries=[a, b]),
-            Stored(2, "", entries=[a]),
-            Stored(2, "n2", entries=[a, c]),
-            Stored(2, "n2", 2, 2, b"snapshot", [], ("n1", "n2")),
-            Stored(3, "", 2, 2, b"snapshot", [c], ("n1", "n2")),
+            PersistentState(1, "n1", entries=[a, b]),
+            PersistentState(2, "", entries=[a]),
+            PersistentState(2, "n2", entries=[a, c]),
+            PersistentState(2, "n2", 2, 2, b"snapshot", [], ("n1", "n2")),
+            PersistentState(3, "", 2, 2, b"snapshot", [c], ("n1", "n2")),
         ]
 
     def test_log(self) -> None:
         path = str(self.folder / "journal")
-        journal = Journal(path, "golden", "n1")
+        journal = RaftLogFile(path, "golden", "n1")
         for stored in self.stored():
             journal.save(stored)
         journal.close()
@@ -74,9 +83,9 @@
         again = str(self.folder / "again")
         for ending in ("", ".seal"):
             shutil.copy(FOLDER / f"raft_log{ending}", again + ending)
-        journal = Journal(again, "golden", "n1")
-        self.assertEqual(journal.stored, self.stored()[-1])
-        journal.write_anew(journal.stored)
+        journal = RaftLogFile(again, "golden", "n1")
+        self.assertEqual(journal.persistent_state, self.stored()[-1])
+        journal.rewrite(journal.persistent_state)
         journal.close()
         assert_golden_bytes(self, "raft_log_rewritten", Path(again).read_bytes())
 
@@ -115,28 +124,28 @@
     )
 
     def test_entries_and_snapshots(self) -> None:
-        policies, work, shelf = PolicyBook(), WorkBook(), Shelf()
-        shelf.add("policies", policies)
-        shelf.add(NAME, work)
+        policies, work, shelf = PolicyStateMachine(), WorkBook(), StateMachineRegistry()
+        shelf.register("policies", policies)
+        shelf.register(NAME, work)
         for words in self.POLICIES:
             shelf.apply(msgpack.encode(words))
         for data in self.WORK:
             shelf.apply(data)
-        shelf.apply(entry("unknown", "x", 1))
+        shelf.apply(encode_entry("unknown", "x", 1))
         found = {
             "work entries": list(self.WORK),
-            "other": entry("unknown", "x", 1),
-            "policies": policies.dump(),
-            "work": work.dump(),
-            "all": shelf.dump(),
+            "other": encode_entry("unknown", "x", 1),
+            "policies": policies.snapshot(),
+            "work": work.snapshot(),
+            "all": shelf.snapshot(),
         }
         assert_golden_json(self, "replicated_states.json", found)
-        policies, work, shelf = PolicyBook(), WorkBook(), Shelf()
-        shelf.add("policies", policies)
-        shelf.add(NAME, work)
-        shelf.load(golden_json("replicated_states.json")["all"])
-        self.assertEqual((policies.dump(), work.dump()), (found["policies"], found["work"]))
-        self.assertEqual(shelf.dump(), found["all"])
+        policies, work, shelf = PolicyStateMachine(), WorkBook(), StateMachineRegistry()
+        shelf.register("policies", policies)
+        shelf.register(NAME, work)
+        shelf.restore(golden_json("replicated_states.json")["all"])
+        self.assertEqual((policies.snapshot(), work.snapshot()), (found["policies"], found["work"]))
+        self.assertEqual(shelf.snapshot(), found["all"])
 
 
 class Disks(Folder):
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -5,7 +5,7 @@
 import unittest
 from typing import Any
 
-from landingshift.consensus.state_machines import Shelf, entry
+from landingshift.consensus.state_machines import StateMachineRegistry, encode_entry
 from landingshift.maintenance.book import Book, command
 from landingshift.maintenance.floor import Floor, Machine, Needs
 from landingshift.maintenance.forecast import QUARTER, WIDTH, Line, Shape, expected
@@ -157,7 +157,7 @@
         self.assertIs(day.book.wishes["n7"].stage, Stage.WISHED)
         self.assertIn("the whole", day.foreman.why)
         book = Book()
-        book.load(day.book.dump())
+        book.restore(day.book.snapshot())
         self.assertEqual(book.shape.most, day.book.shape.most)
 
 
@@ -203,7 +203,7 @@
         for _ in range(10):
             day.step()
         book = Book()
-        book.load(day.book.dump())
+        book.restore(day.book.snapshot())
         self.assertEqual(book.machines["n4"], (100.0, "z0", "b", True))
         del day.servers["n11"], day.foreman.reports["n11"]
         day.wish(["n1"])
@@ -304,8 +304,8 @@
                          {"a": (Stage.DRAINING, 1), "b": (Stage.PERMITTED, 3)})  # fmt: skip
         self.assertEqual((book.runs, book.number, book.held), ({"a": 7, "b": 9}, 3, "stop"))
         again = Book()
-        again.load(book.dump())
-        self.assertEqual(again.dump(), book.dump())
+        again.restore(book.snapshot())
+        self.assertEqual(again.snapshot(), book.snapshot())
 
     def test_a_shelf_keeps_what_is_of_books_that_are_not_here(self) -> None:
         class Plain:
@@ -315,26 +315,26 @@
             def apply(self, data: bytes) -> None:
                 self.had.append(data)
 
-            def dump(self) -> bytes:
+            def snapshot(self) -> bytes:
                 return b"|".join(self.had)
 
-            def load(self, state: bytes) -> None:
+            def restore(self, state: bytes) -> None:
                 self.had = state.split(b"|") if state else []
 
-        full, half = Shelf(), Shelf()
+        full, half = StateMachineRegistry(), StateMachineRegistry()
         for shelf in (full, half):
-            shelf.add("first", Plain())
-        full.add("other", Plain())
+            shelf.register("first", Plain())
+        full.register("other", Plain())
         for word in range(3):
             for shelf in (full, half):
-                shelf.apply(entry("other", word))
+                shelf.apply(encode_entry("other", word))
                 shelf.apply(b"")
-        late = Shelf()
-        late.add("first", Plain())
-        late.load(half.dump())
+        late = StateMachineRegistry()
+        late.register("first", Plain())
+        late.restore(half.snapshot())
         other = Plain()
-        late.add("other", other)
-        self.assertEqual(other.had, [entry("other", word) for word in range(3)])
+        late.register("other", other)
+        self.assertEqual(other.had, [encode_entry("other", word) for word in range(3)])
 
 
 class Days(unittest.TestCase):
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -13,18 +13,25 @@
 
 from landingshift.admission.interface import Method
 from landingshift.net.program.config import site
-from landingshift.policies.book import IDS, SHOWN, TEXTS, Book, End, command
-from landingshift.policies.document import BadPolicy, Base, differs, flat, parse, read
-from landingshift.policies.follower import Follower, Plan, Stage
+from landingshift.policies.document import (
+    InvalidPolicyError,
+    PolicyOverlay,
+    decode_policy,
+    describe_differences,
+    flatten_policy,
+    parse_policy,
+)
+from landingshift.policies.participant import ChangeParticipant, ParticipantStage, PolicySettings
+from landingshift.policies.state_machine import IDS, SHOWN, TEXTS, ChangeOutcome, PolicyStateMachine, command
 from landingshift.testbed.experiments.policies import VIRTUAL, histories, searched, virtual
 from landingshift.testbed.processes.harness import in_time
 from landingshift.testbed.verification.invariants import broken
 from tests.helpers import CONFIG
 
 
-def base() -> Base:
+def base() -> PolicyOverlay:
     found = site(CONFIG | {"name": "n0"}, {})
-    return Base(found.settings, found.methods, found.tenants)
+    return PolicyOverlay(found.settings, found.methods, found.tenants)
 
 
 class Documents(unittest.TestCase):
@@ -47,8 +54,8 @@
             ("[tenants.a]\n" + "".join(f"[tenants.b{i}]\nallowance_s = 1\n" for i in range(4000)),
              "the whole: "),
         ]:  # fmt: skip
-            with self.subTest(text=text[:60]), self.assertRaises(BadPolicy) as caught:
-                parse(text)
+            with self.subTest(text=text[:60]), self.assertRaises(InvalidPolicyError) as caught:
+                parse_policy(text)
             self.assertTrue(str(caught.exception).startswith(said), caught.exception)
 
     def test_what_this_server_cannot_decide_by_is_refused_with_its_key(self) -> None:
@@ -60,11 +67,11 @@
             (f"[methods.{one}]\ncriticality = 3\n", ""),
         ]:
             with self.subTest(text=text):
-                self.assertTrue(base().check(parse(text)).startswith(said))
+                self.assertTrue(base().check(parse_policy(text)).startswith(said))
         self.assertIn("the whole", base().check(b"\xc1"))
         silent = base()
         silent.start["rules", "", "hold_off_max"] = 0.0
-        said = silent.check(parse("[rules]\nhold_off_max_ms = 9\n"))
+        said = silent.check(parse_policy("[rules]\nhold_off_max_ms = 9\n"))
         self.assertEqual(said, "rules.hold_off_max_ms: its settings permit no hold-off")
         self.assertIn("tables are expected", base().check(msgspec.msgpack.encode([1])))
 
@@ -73,31 +80,31 @@
         name, method = next(iter(found.owners["methods"].items()))
         assert isinstance(method, Method)
         was = method.criticality, method.target
-        found.lay(parse(f"[methods.{name}]\ncriticality = 77\n"))
+        found.apply(parse_policy(f"[methods.{name}]\ncriticality = 77\n"))
         self.assertEqual((method.criticality, method.target), (77.0, was[1]))
-        found.lay(parse(f"[methods.{name}]\ntarget_ms = 5\n"))
+        found.apply(parse_policy(f"[methods.{name}]\ntarget_ms = 5\n"))
         self.assertEqual((method.criticality, method.target), (was[0], 5.0))
-        found.lay(b"")
+        found.apply(b"")
         self.assertEqual((method.criticality, method.target), was)
 
     def test_differences_are_told_by_key(self) -> None:
-        a = parse("[methods.a]\ncriticality = 1\ntarget_ms = 5\n[rules]\nover_share_worth = 0.5\n")
-        b = parse("[methods.a]\ncriticality = 2\ntarget_ms = 5\n[tenants.t]\nallowance_s = 3\n")
+        a = parse_policy("[methods.a]\ncriticality = 1\ntarget_ms = 5\n[rules]\nover_share_worth = 0.5\n")
+        b = parse_policy("[methods.a]\ncriticality = 2\ntarget_ms = 5\n[tenants.t]\nallowance_s = 3\n")
         self.assertEqual(
-            differs(a, b, str),
+            describe_differences(a, b, str),
             [
                 "methods.a.criticality: 1.0 -> 2.0",
                 "rules.over_share_worth: 0.5 -> None",
                 "tenants.t.allowance_s: None -> 3.0",
             ],
         )
-        self.assertEqual(flat(b""), {})
+        self.assertEqual(flatten_policy(b""), {})
 
     @settings(max_examples=300, deadline=None)
     @given(st.binary(max_size=200))
     def test_no_bytes_get_past_the_reader(self, data: bytes) -> None:
-        with contextlib.suppress(BadPolicy):
-            read(data, 2)
+        with contextlib.suppress(InvalidPolicyError):
+            decode_policy(data, 2)
 
     @settings(max_examples=100, deadline=None)
     @given(st.recursive(st.none() | st.integers(-2**63, 2**63) | st.floats() | st.text(max_size=5),
@@ -106,15 +113,15 @@
                             inner, max_size=3), max_leaves=8))  # fmt: skip
     def test_nor_does_anything_else_that_is_whole(self, value: Any) -> None:
         try:
-            found = read(msgspec.msgpack.encode(value), 2)
-        except BadPolicy:
+            found = decode_policy(msgspec.msgpack.encode(value), 2)
+        except InvalidPolicyError:
             return
         self.assertEqual(set(found), {"methods", "tenants", "rules"})
 
 
 class Books(unittest.TestCase):
-    def book(self, *commands: bytes) -> Book:
-        book = Book(4)
+    def book(self, *commands: bytes) -> PolicyStateMachine:
+        book = PolicyStateMachine(4)
         for one in commands:
             book.apply(one)
         return book
@@ -126,27 +133,39 @@
         end = command("end", "1", "refused", "no", 0.0)
         switch = command("switch", "1", 1 + 1)
         for commands, version, ends in [
-            ([join, one], 0, {"1": End.OPEN}),
-            ([join, one, one], 0, {"1": End.OPEN}),
-            ([join, one, two], 0, {"1": End.OPEN, "2": End.REFUSED}),
-            ([join, one, switch], 1, {"1": End.TAKEN}),
-            ([join, one, switch, end], 1, {"1": End.TAKEN}),  # too late to be withdrawn
-            ([join, one, end, switch], 0, {"1": End.REFUSED}),
-            ([join, one, end, one], 0, {"1": End.REFUSED}),  # its id is spent
-            ([end, one], 0, {"1": End.REFUSED}),  # withdrawn before it was proposed
-            ([join, one, command("join", [["c", 3]]), switch], 0, {"1": End.OPEN}),  # c was not asked
-            ([join, one, command("join", [["a", 1]]), switch], 1, {"1": End.TAKEN}),  # nothing new
-            ([join, one, command("join", [["a", 9]]), switch], 0, {"1": End.OPEN}),  # a is another run
-            ([back], 0, {"3": End.REFUSED}),  # it says what is in force
-            ([b"", one], 0, {"1": End.OPEN}),
+            ([join, one], 0, {"1": ChangeOutcome.PENDING}),
+            ([join, one, one], 0, {"1": ChangeOutcome.PENDING}),
+            ([join, one, two], 0, {"1": ChangeOutcome.PENDING, "2": ChangeOutcome.REJECTED}),
+            ([join, one, switch], 1, {"1": ChangeOutcome.COMMITTED}),
+            ([join, one, switch, end], 1, {"1": ChangeOutcome.COMMITTED}),  # too late to be withdrawn
+            ([join, one, end, switch], 0, {"1": ChangeOutcome.REJECTED}),
+            ([join, one, end, one], 0, {"1": ChangeOutcome.REJECTED}),  # its id is spent
+            ([end, one], 0, {"1": ChangeOutcome.REJECTED}),  # withdrawn before it was proposed
+            (
+                [join, one, command("join", [["c", 3]]), switch],
+                0,
+                {"1": ChangeOutcome.PENDING},
+            ),  # c was not asked
+            (
+                [join, one, command("join", [["a", 1]]), switch],
+                1,
+                {"1": ChangeOutcome.COMMITTED},
+            ),  # nothing new
+            (
+                [join, one, command("join", [["a", 9]]), switch],
+                0,
+                {"1": ChangeOutcome.PENDING},
+            ),  # a is another run
+            ([back], 0, {"3": ChangeOutcome.REJECTED}),  # it says what is in force
+            ([b"", one], 0, {"1": ChangeOutcome.PENDING}),
         ]:
             with self.subTest(commands=commands):
                 book = self.book(*commands)
                 self.assertEqual(book.version, version)
                 self.assertEqual({id: c.end for id, c in book.changes.items()}, ends)
-                again = Book()
-                again.load(book.dump())
-                self.assertEqual(again.dump(), book.dump())
+                again = PolicyStateMachine()
+                again.restore(book.snapshot())
+                self.assertEqual(again.snapshot(), book.snapshot())
 
     def test_members_are_bounded_and_go_by_name_and_run(self) -> None:
         book = self.book(command("join", [[n, 1] for n in "abcdef"]))
@@ -158,7 +177,7 @@
         self.assertEqual(book.members, {"b": 2, "c": 1, "d": 1, "e": 1})
 
     def test_words_are_forgotten_but_never_whether_it_was_taken(self) -> None:
-        book = Book()
+        book = PolicyStateMachine()
         many = SHOWN + TEXTS + 10
         for i in range(many):
             book.apply(command("propose", f"c{i}", b"%d" % i, "me", "why", 0.0))
@@ -169,137 +188,140 @@
         self.assertLessEqual(len(book.changes), SHOWN + 1)
         self.assertLessEqual(len(book.texts), TEXTS + 1)
         for i in range(many):
-            found = book.found(f"c{i}")
+            found = book.find_change(f"c{i}")
             assert found is not None
             self.assertEqual(
-                (found.end is End.TAKEN, found.version), (bool(i % 2), (i + 1) // 2 if i % 2 else 0)
+                (found.end is ChangeOutcome.COMMITTED, found.version),
+                (bool(i % 2), (i + 1) // 2 if i % 2 else 0),
             )
         book.ids |= dict.fromkeys(map(str, range(IDS)), 0)
         book.apply(command("propose", "one more", b"x", "me", "why", 0.0))
-        self.assertIsNone(book.found("one more"))  # what can't be kept for ever is not begun
+        self.assertIsNone(book.find_change("one more"))  # what can't be kept for ever is not begun
 
 
-PLAN = Plan(("v",), False, overlap=1000.0, lease=3000.0)
+PLAN = PolicySettings(("v",), False, overlap_ms=1000.0, lease_ms=3000.0)
 
 
 class Following(unittest.TestCase):
     """One server's rules, message by message; `hold` is 800 ms."""
 
-    def follower(self, aside: bool = False, check: str = "") -> Follower:
-        plan = Plan(("v",), aside, overlap=1000.0, lease=3000.0)
-        return Follower("a", 1, plan, lambda _: check, Random(1), 0.0)
+    def follower(self, aside: bool = False, check: str = "") -> ChangeParticipant:
+        plan = PolicySettings(("v",), aside, overlap_ms=1000.0, lease_ms=3000.0)
+        return ChangeParticipant("a", 1, plan, lambda _: check, Random(1), 0.0)
 
     def told(
-        self, f: Follower, now: float, version: int = 0, change: str = "", want: str = "", ended: Any = (),
-        leased: bool = True, sent: float | None = None,
+        self, f: ChangeParticipant, now: float, version: int = 0, change: str = "", want: str = "",
+        ended: Any = (), leased: bool = True, sent: float | None = None,
     ) -> None:  # fmt: skip
-        f.ask(now if sent is None else sent)
-        f.hear("v", ["told", f.number, True, version, change, want, list(ended), leased, ["v"]], now)
-        f.out.clear()
+        f.send_status_request(now if sent is None else sent)
+        f.on_message(
+            "v", ["told", f.last_request_number, True, version, change, want, list(ended), leased, ["v"]], now
+        )
+        f.outbox.clear()
 
-    def start(self, aside: bool = False, check: str = "") -> Follower:
+    def start(self, aside: bool = False, check: str = "") -> ChangeParticipant:
         f = self.follower(aside, check)
         self.told(f, 10.0)
-        f.hear("v", ["text", "", 0, b""], 11.0)
+        f.on_message("v", ["text", "", 0, b""], 11.0)
         return f
 
-    def arm(self, f: Follower, now: float) -> None:
+    def arm(self, f: ChangeParticipant, now: float) -> None:
         self.told(f, now, change="c", want="check")
-        f.hear("v", ["text", "c", 0, b"new"], now)
+        f.on_message("v", ["text", "c", 0, b"new"], now)
         self.told(f, now, change="c", want="arm")
-        self.assertIs(f.stage, Stage.ARMED)
+        self.assertIs(f.stage, ParticipantStage.PREPARED)
 
     def test_nothing_is_decided_before_it_is_counted_and_has_the_text(self) -> None:
         f = self.follower()
-        self.assertFalse(f.may(0.0))
+        self.assertFalse(f.may_decide(0.0))
         self.told(f, 10.0, version=3)
-        self.assertFalse(f.may(10.0))
-        f.hear("v", ["text", "", 2, b"older"], 11.0)
-        self.assertFalse(f.may(11.0))
-        f.hear("v", ["text", "", 3, b"it"], 12.0)
-        self.assertTrue(f.may(12.0))
+        self.assertFalse(f.may_decide(10.0))
+        f.on_message("v", ["text", "", 2, b"older"], 11.0)
+        self.assertFalse(f.may_decide(11.0))
+        f.on_message("v", ["text", "", 3, b"it"], 12.0)
+        self.assertTrue(f.may_decide(12.0))
         self.assertEqual((f.version, f.policy), (3, b"it"))
 
     def test_between_changes_it_serves_on_without_a_word_unless_it_is_to_stand_aside(self) -> None:
-        self.assertTrue(self.start().may(1e9))
+        self.assertTrue(self.start().may_decide(1e9))
         f = self.start(aside=True)
         self.told(f, 100.0)
-        self.assertTrue(f.may(3099.0))
-        self.assertFalse(f.may(3100.0))
+        self.assertTrue(f.may_decide(3099.0))
+        self.assertFalse(f.may_decide(3100.0))
 
     def test_armed_it_decides_under_leases_that_count_from_when_it_asked(self) -> None:
         f = self.start()
         self.arm(f, 1000.0)
-        self.assertTrue(f.may(1799.0))
-        self.assertFalse(f.may(1800.0))
+        self.assertTrue(f.may_decide(1799.0))
+        self.assertFalse(f.may_decide(1800.0))
         self.told(f, 1700.0, change="c", want="arm", sent=1200.0)
-        self.assertTrue(f.may(1999.0))
-        self.assertFalse(f.may(2000.0))
+        self.assertTrue(f.may_decide(1999.0))
+        self.assertFalse(f.may_decide(2000.0))
         self.told(f, 1900.0, change="c", want="arm", leased=False)  # the switch is being agreed on
-        self.assertFalse(f.may(2000.0))
+        self.assertFalse(f.may_decide(2000.0))
 
     def test_arming_shortens_a_lease_that_it_has(self) -> None:
         f = self.start(aside=True)
         self.told(f, 900.0)
         self.arm(f, 1000.0)
-        self.assertFalse(f.may(1800.0))
+        self.assertFalse(f.may_decide(1800.0))
 
     def test_a_word_from_before_the_change_does_not_free_it(self) -> None:
         f = self.start()
-        f.ask(990.0)
-        late = f.number  # answered before the change was opened, and long under way
+        f.send_status_request(990.0)
+        late = f.last_request_number  # answered before the change was opened, and long under way
         self.arm(f, 1000.0)
-        f.hear("v", ["told", late, True, 0, "", "", [], True, ["v"]], 1900.0)
-        self.assertIs(f.stage, Stage.ARMED)
+        f.on_message("v", ["told", late, True, 0, "", "", [], True, ["v"]], 1900.0)
+        self.assertIs(f.stage, ParticipantStage.PREPARED)
         self.told(f, 1900.0, leased=False)  # nor one that does not say what became of this very change
-        self.assertIs(f.stage, Stage.ARMED)
-        self.assertFalse(f.may(1900.0))
+        self.assertIs(f.stage, ParticipantStage.PREPARED)
+        self.assertFalse(f.may_decide(1900.0))
         self.told(f, 1950.0, ended=["other", "taken", 1, ""], leased=False)
-        self.assertIs(f.stage, Stage.ARMED)
+        self.assertIs(f.stage, ParticipantStage.PREPARED)
 
     def test_its_end_frees_it_with_the_new_version_or_the_old(self) -> None:
         for end, version, policy in [("taken", 1, b"new"), ("refused", 0, b"")]:
             f = self.start()
             self.arm(f, 1000.0)
             self.told(f, 2000.0, version=version, ended=["c", end, version, "why"])
-            self.assertEqual(f.ends, {"c": (end, version, "why")})
-            self.assertEqual((f.version, f.policy, f.stage), (version, policy, Stage.NONE))
-            self.assertTrue(f.may(1e9))
+            self.assertEqual(f.ended_changes, {"c": (end, version, "why")})
+            self.assertEqual((f.version, f.policy, f.stage), (version, policy, ParticipantStage.NONE))
+            self.assertTrue(f.may_decide(1e9))
 
     def test_a_newer_version_stops_it_until_the_text_is_there(self) -> None:
         f = self.start()
         self.told(f, 100.0, version=2)  # it was taken for gone, and is not
-        self.assertFalse(f.may(100.0))
-        f.hear("v", ["text", "", 2, b"two"], 120.0)
-        self.assertTrue(f.may(120.0))
+        self.assertFalse(f.may_decide(100.0))
+        f.on_message("v", ["text", "", 2, b"two"], 120.0)
+        self.assertTrue(f.may_decide(120.0))
 
     def test_what_it_cannot_decide_by_it_refuses_and_is_never_armed(self) -> None:
         f = self.start(check="methods.m: none")
         self.told(f, 100.0, change="c", want="check")
-        f.hear("v", ["text", "c", 0, b"new"], 101.0)
-        self.assertIs(f.stage, Stage.REFUSED)
+        f.on_message("v", ["text", "c", 0, b"new"], 101.0)
+        self.assertIs(f.stage, ParticipantStage.REJECTED)
         self.told(f, 200.0, change="c", want="arm")
-        self.assertIs(f.stage, Stage.REFUSED)
+        self.assertIs(f.stage, ParticipantStage.REJECTED)
 
     def test_an_operators_word_counts_only_where_no_leader_has_spoken(self) -> None:
         f = self.follower()
-        self.assertEqual(f.trust(3, b"it"), "")
-        self.assertTrue(f.may(1e9))
-        self.assertIn("has version 0", self.start().trust(3, b"it"))
-        self.assertIn("stand_aside", self.follower(aside=True).trust(3, b"it"))
-        self.assertEqual(self.follower(check="methods.m: none").trust(3, b"it"), "methods.m: none")
+        self.assertEqual(f.trust_operator(3, b"it"), "")
+        self.assertTrue(f.may_decide(1e9))
+        self.assertIn("has version 0", self.start().trust_operator(3, b"it"))
+        self.assertIn("stand_aside", self.follower(aside=True).trust_operator(3, b"it"))
+        self.assertEqual(self.follower(check="methods.m: none").trust_operator(3, b"it"), "methods.m: none")
 
     def test_who_is_sent_to_and_fro_goes_slower(self) -> None:
         # Two that each take the other for the leader would be asked a hundred times a second each.
         f = self.follower()
         now, asked = 0.0, 0
         while now < 4000.0:
-            now = max(now, f.next())
-            f.step(now)
-            for to, body in f.out:
-                f.hear(to, ["ask", body[2], "w" if to == "v" else "v"], now)
+            now = max(now, f.next_deadline_ms())
+            f.tick(now)
+            for to, body in f.outbox:
+                f.on_message(to, ["ask", body[2], "w" if to == "v" else "v"], now)
                 asked += 1
-            f.out.clear()
+            f.outbox.clear()
         self.assertLess(asked, 40)
 
     def test_nonsense_changes_nothing(self) -> None:
@@ -310,8 +332,8 @@
             ["told", 99, True, 9, "", "", [], True, ["v"]], ["text", 1, 2, 3], ["ask", "x", 1],
             ["no", 99, "why"],
         ):  # fmt: skip
-            f.hear("v", body, 50.0)
-        self.assertEqual((f.version, f.newest, f.joined), (0, 0, True))
+            f.on_message("v", body, 50.0)
+        self.assertEqual((f.version, f.latest_version, f.is_member), (0, 0, True))
 
 
 class Histories(unittest.TestCase):
--- a/tests/test_raft_log.py
+++ b/tests/test_raft_log.py
@@ -11,11 +11,11 @@
 
 from landingshift import failpoints
 from landingshift.consensus import raft_log as journals
-from landingshift.consensus.raft import Entry, Stored
-from landingshift.consensus.raft_log import BadJournal, Journal
+from landingshift.consensus.raft import LogEntry, PersistentState
+from landingshift.consensus.raft_log import RaftLogError, RaftLogFile
 
 
-def changed(stored: Stored, chance: Random) -> Stored:
+def changed(stored: PersistentState, chance: Random) -> PersistentState:
     """As an agreement changes it: a new term, entries that come, go and are covered by a snapshot."""
     s = copy.deepcopy(stored)
     match chance.randrange(5):
@@ -28,7 +28,7 @@
             s.base, s.base_term = s.base + keep + 1, s.entries[keep].term
             s.entries, s.state = s.entries[keep + 1 :], chance.randbytes(9)
     for _ in range(chance.randrange(1, 4)):
-        s.entries.append(Entry(s.term, chance.randbytes(chance.randrange(20))))
+        s.entries.append(LogEntry(s.term, chance.randbytes(chance.randrange(20))))
     return s
 
 
@@ -39,31 +39,31 @@
         self.path = os.path.join(folder.name, "agreement")
         self.addCleanup(failpoints.arm, "")
 
-    def open(self) -> Journal:
-        journal = Journal(self.path, "lab", "a")
+    def open(self) -> RaftLogFile:
+        journal = RaftLogFile(self.path, "lab", "a")
         self.addCleanup(lambda: self.close(journal))
         return journal
 
     @staticmethod
-    def close(journal: Journal) -> None:
+    def close(journal: RaftLogFile) -> None:
         if journal.fd >= 0:
             journal.close()
             journal.fd = -1
 
-    def filled(self, saves: int, seed: int = 1) -> list[Stored]:
+    def filled(self, saves: int, seed: int = 1) -> list[PersistentState]:
         """What was on disk after each save."""
         chance, journal = Random(seed), self.open()
-        states = [copy.deepcopy(journal.stored)]
+        states = [copy.deepcopy(journal.persistent_state)]
         for _ in range(saves):
             states.append(changed(states[-1], chance))
             journal.save(states[-1])
         self.close(journal)
         return states
 
-    def found(self) -> Stored:
+    def found(self) -> PersistentState:
         journal = self.open()
         self.close(journal)
-        return journal.stored
+        return journal.persistent_state
 
     def test_there_and_back_through_many_changes(self) -> None:
         states = self.filled(200)
@@ -110,7 +110,7 @@
             with open(self.path, "wb") as file:
                 file.write(data[:at] + bytes([data[at] ^ 0x55]) + data[at + 1 :])
             # With its seal every change of what was synced is noticed, in the last frame too.
-            with self.subTest(at=at), self.assertRaises(BadJournal) as caught:
+            with self.subTest(at=at), self.assertRaises(RaftLogError) as caught:
                 self.found()
             self.assertIn(self.path, str(caught.exception))
 
@@ -119,19 +119,19 @@
         with open(self.path, "rb") as file:
             earlier = file.read()
         journal = self.open()
-        journal.save(changed(journal.stored, Random(3)))
+        journal.save(changed(journal.persistent_state, Random(3)))
         self.close(journal)
         with open(self.path, "wb") as file:
             file.write(earlier)
-        with self.assertRaises(BadJournal) as caught:
+        with self.assertRaises(RaftLogError) as caught:
             self.found()
         self.assertIn("replaced", str(caught.exception))
 
     def test_anothers_journal_is_refused(self) -> None:
         self.filled(1)
         for fleet, name in [("lab", "b"), ("other", "a")]:
-            with self.assertRaises(BadJournal):
-                Journal(self.path, fleet, name)
+            with self.assertRaises(RaftLogError):
+                RaftLogFile(self.path, fleet, name)
 
     def test_a_full_disk_changes_nothing_and_may_be_tried_again(self) -> None:
         states = self.filled(3)
@@ -153,7 +153,7 @@
     def test_it_stays_bounded(self) -> None:
         with mock.patch.object(journals, "LARGEST", 20_000):
             chance, journal = Random(7), self.open()
-            state = Stored()
+            state = PersistentState()
             for _ in range(600):
                 state = changed(state, chance)
                 state.entries = state.entries[-20:] if len(state.entries) <= 20 else state.entries
