--- a/landingshift/consensus/raft_log.py
+++ b/landingshift/consensus/raft_log.py
@@ -1,215 +1,149 @@
-"""A voter's promises, log and snapshot on disk: frames with a chained checksum, one for each save.
+"""A voter's persistent state on disk: one file, a frame for each save.
 
-Opening is recovery: a last frame that is not whole was never synced, so that nothing rests on it, and is cut
-off; damage before it is an error that names the place. Beside the journal lies a seal that names the last
-frame that was synced: a disk that lost that frame afterwards is noticed, for a voter that forgot a promise
-must not come back under its name.
+Guarantee: after `save` returns, a crash of process or machine loses nothing; after `OSError` the file is as
+it was and the save may be tried again. Failure mode: a disk that lies about syncs, which the integrity seal
+notices at the next start; a voter that forgot a promise must not come back under its name.
 """
 
 from __future__ import annotations
 
 import os
-import zlib
-from enum import IntEnum
-from typing import Any
-
-import msgspec
 
 from landingshift import failpoints
-from landingshift.consensus.raft import LogEntry, PersistentState
-
-HEAD = b"landingshift-agreement 1 "
-LARGEST = 8 << 20  # bytes of a journal before it is written anew
-FRAME = 16 << 20  # bytes of a frame, at most
-
-
-class Kind(IntEnum):
-    PROMISE = 0  # term, vote
-    APPEND = 1  # index, term, data
-    CUT = 2  # the last index that stays
-    SNAPSHOT = 3  # base, its term, state
-
-
-class RaftLogError(Exception):
-    """The text names the file and what is wrong with it."""
+from landingshift.consensus.integrity_seal import IntegritySeal
+from landingshift.consensus.log_records import (
+    INITIAL_CHECKSUM,
+    SavedImage,
+    encode_frame,
+    records_of_change,
+    records_of_whole,
+)
+from landingshift.consensus.log_recovery import recover_log
+from landingshift.consensus.persistent_state import PersistentState
+
+HEADER_PREFIX = b"landingshift-agreement 1 "  # format and version; fleet and server follow
+MAX_LOG_FILE_BYTES = 8 << 20  # then the file is rewritten with what still counts
+READ_CHUNK_BYTES = 1 << 20
+FILE_MODE = 0o644
 
 
 class RaftLogFile:
-    """`fleet` and `name` tell whose it is. Raises RaftLogError or OSError."""
-
-    def __init__(self, path: str, fleet: str, name: str) -> None:
-        self.path, self.head = path, HEAD + f"{fleet} {name}\n".encode()
-        self.fd = os.open(path, os.O_RDWR | os.O_CREAT, 0o644)
+    """The log file of one voter.
+
+    Attributes:
+        path: Where it lies.
+        persistent_state: What it held when it was opened.
+        file_descriptor: Open for reading and writing.
+        end_offset: Where the last frame ends, in bytes.
+    """
+
+    def __init__(self, path: str, fleet: str, server: str) -> None:
+        """Opens or creates the file.
+
+        Args:
+            path: Where it lies; the seal and temporary files lie beside it.
+            fleet: Whose it is, for the header.
+            server: Whose it is, for the header.
+
+        Raises:
+            RaftLogError: It must not be used.
+            OSError: It can't be opened.
+        """
+        self.path = path
+        self._header = HEADER_PREFIX + f"{fleet} {server}\n".encode()
+        self._seal = IntegritySeal(path, self._header)
+        self.file_descriptor = os.open(path, os.O_RDWR | os.O_CREAT, FILE_MODE)
         try:
-            self.persistent_state, self.end, self.chain, self.frames = self.read()
-            self.check_seal()
-            os.ftruncate(self.fd, self.end)
-            if self.end == 0:
-                self.begin()
+            log = recover_log(_read_all(self.file_descriptor), self._header, path)
+            self._seal.check(log)
+            self.persistent_state = log.state
+            self.end_offset = log.end_offset
+            self._checksum = log.checksum
+            self._frame_count = log.frame_count
+            os.ftruncate(self.file_descriptor, self.end_offset)
+            if self.end_offset == 0:
+                self._write_header()
         except BaseException:
-            os.close(self.fd)
+            os.close(self.file_descriptor)
             raise
-        self.had = self.picture(self.persistent_state)
-
-    # Opening
-
-    def read(self) -> tuple[PersistentState, int, int, int]:
-        """What is there, where the good frames end, their chain, and how many they are."""
-        data = self.whole()
-        stored = PersistentState()
-        if not data.startswith(self.head):
-            if len(data) < len(self.head) and self.head.startswith(data):
-                return stored, 0, 0, 0  # killed in its first moment
-            raise RaftLogError(
-                f"{self.path}: {data[:80]!r} is not the journal of {self.head.decode().strip()}"
-            )
-        at, chain, frames = len(self.head), 0, 0
-        while at < len(data):
-            size = int.from_bytes(data[at : at + 4], "big")
-            body = data[at + 8 : at + 8 + size]
-            reaches = at + 8 + size
-            good = len(data) >= at + 8 and len(body) == size
-            good = good and zlib.crc32(body, chain) == int.from_bytes(data[at + 4 : at + 8], "big")
-            if not good:
-                if reaches < len(data) and size <= FRAME:
-                    raise RaftLogError(f"{self.path}: damaged at byte {at}, frame {frames}")
-                break  # the last one, not whole
-            for record in msgspec.msgpack.decode(body):
-                apply(stored, record)
-            at, chain, frames = reaches, zlib.crc32(body, chain), frames + 1
-        return stored, at, chain, frames
-
-    def whole(self) -> bytes:
-        parts = []
-        os.lseek(self.fd, 0, os.SEEK_SET)
-        while part := os.read(self.fd, 1 << 20):
-            parts.append(part)
-        return b"".join(parts)
-
-    def check_seal(self) -> None:
-        try:
-            with open(self.path + ".seal", "rb") as file:
-                frames, chain, run = msgspec.msgpack.decode(file.read(), type=tuple[int, int, bytes])
-        except (OSError, msgspec.DecodeError):
-            return  # a kill between frame and seal, or an older copy without one
-        if run == self.head and (frames > self.frames or (frames == self.frames and chain != self.chain)):
-            raise RaftLogError(
-                f"{self.path}: frame {frames} was synced and is gone: this voter may have forgotten a "
-                f"promise and must be replaced, not restarted"
-            )
-
-    def begin(self) -> None:
-        os.lseek(self.fd, 0, os.SEEK_SET)
-        os.write(self.fd, self.head)
-        os.fsync(self.fd)
-        self.end, self.chain, self.frames = len(self.head), 0, 0
-
-    # Saving
-
-    @staticmethod
-    def picture(s: PersistentState) -> tuple[int, str, int, list[LogEntry]]:
-        """Of what is on disk: entries never change, so that a list of them will do."""
-        return s.term, s.vote, s.base, list(s.entries)
-
-    def save(self, s: PersistentState) -> None:
-        """Writes what differs and syncs it. After OSError the journal is as it was and may be tried again."""
-        records = self.differs(s)
+        self._saved = SavedImage.of(self.persistent_state)
+
+    def save(self, state: PersistentState) -> None:
+        """Writes what differs from the last save, and syncs it.
+
+        Raises:
+            OSError: The disk took nothing; the file is as it was.
+        """
+        records = records_of_change(self._saved, state)
         if not records:
             return
-        body = msgspec.msgpack.encode(records)
-        frame = len(body).to_bytes(4, "big") + zlib.crc32(body, self.chain).to_bytes(4, "big") + body
-        if self.end + len(frame) > LARGEST:
-            self.rewrite(s)
+        frame = encode_frame(records, self._checksum)
+        if self.end_offset + len(frame.data) > MAX_LOG_FILE_BYTES:
+            self.rewrite(state)
             return
         try:
-            os.lseek(self.fd, self.end, os.SEEK_SET)
-            left = memoryview(frame)
-            while left:
-                left = left[os.write(self.fd, left) :]
+            os.lseek(self.file_descriptor, self.end_offset, os.SEEK_SET)
+            _write_all(self.file_descriptor, frame.data)
             failpoints.reach("policies.written")
-            os.fsync(self.fd)
+            os.fsync(self.file_descriptor)
         except OSError:
-            os.ftruncate(self.fd, self.end)  # a part of a frame must not stand before the next one
+            # A part of a frame must not stand before the next one.
+            os.ftruncate(self.file_descriptor, self.end_offset)
             raise
         failpoints.reach("policies.synced")
-        self.end, self.chain, self.frames = (
-            self.end + len(frame),
-            zlib.crc32(body, self.chain),
-            self.frames + 1,
-        )
-        self.had = self.picture(s)
-        self.seal()
-
-    def differs(self, s: PersistentState) -> list[list[Any]]:
-        term, vote, base, had = self.had
-        records: list[list[Any]] = []
-        if (s.term, s.vote) != (term, vote):
-            records.append([Kind.PROMISE, s.term, s.vote])
-        if s.base != base:
-            records.append([Kind.SNAPSHOT, s.base, s.base_term, s.state, list(s.voters)])
-            had = had[s.base - base :] if s.base > base else []
-        same = 0
-        while same < min(len(had), len(s.entries)) and had[same] == s.entries[same]:
-            same += 1
-        if same < len(had):
-            records.append([Kind.CUT, s.base + same])
-        for i, entry in enumerate(s.entries[same:], s.base + same + 1):
-            records.append([Kind.APPEND, i, entry.term, entry.data])
-        return records
-
-    def seal(self) -> None:
-        """Not synced: it is for a disk that loses what it had acknowledged, and a kill leaves it right."""
-        beside = self.path + ".seal.new"
-        with open(beside, "wb") as file:
-            file.write(msgspec.msgpack.encode((self.frames, self.chain, self.head)))
-        os.replace(beside, self.path + ".seal")
-
-    def rewrite(self, s: PersistentState) -> None:
-        """One frame with all that still counts, beside the old journal and then in its place."""
-        beside = self.path + ".new"
-        records: list[list[Any]] = [
-            [Kind.PROMISE, s.term, s.vote],
-            [Kind.SNAPSHOT, s.base, s.base_term, s.state, list(s.voters)],
-        ]
-        records += [[Kind.APPEND, i, e.term, e.data] for i, e in enumerate(s.entries, s.base + 1)]
-        body = msgspec.msgpack.encode(records)
-        fd = os.open(beside, os.O_RDWR | os.O_CREAT | os.O_TRUNC, 0o644)
+        self.end_offset += len(frame.data)
+        self._checksum = frame.checksum
+        self._frame_count += 1
+        self._saved = SavedImage.of(state)
+        self._seal.write(self._frame_count, self._checksum)
+
+    def rewrite(self, state: PersistentState) -> None:
+        """One frame with all that still counts, beside the old file and then in its place.
+
+        Raises:
+            OSError: The disk took nothing; the old file is as it was.
+        """
+        temporary_path = self.path + ".new"
+        frame = encode_frame(records_of_whole(state), INITIAL_CHECKSUM)
+        new_descriptor = os.open(temporary_path, os.O_RDWR | os.O_CREAT | os.O_TRUNC, FILE_MODE)
         try:
-            frame = len(body).to_bytes(4, "big") + zlib.crc32(body).to_bytes(4, "big") + body
-            left = memoryview(self.head + frame)
-            while left:
-                left = left[os.write(fd, left) :]
-            os.fsync(fd)
+            _write_all(new_descriptor, self._header + frame.data)
+            os.fsync(new_descriptor)
             failpoints.reach("policies.rewritten")
-            with_seal = self.path + ".seal"
-            if os.path.exists(with_seal):
-                os.unlink(with_seal)  # it speaks of the old file's frames
-            os.replace(beside, self.path)
+            self._seal.remove()  # it speaks of the old file's frames
+            os.replace(temporary_path, self.path)
         except OSError:
-            os.close(fd)
+            os.close(new_descriptor)
             raise
-        os.close(self.fd)
-        self.fd, self.end = fd, len(self.head) + len(frame)
-        self.chain, self.frames, self.had = zlib.crc32(body), 1, self.picture(s)
-        self.seal()
+        os.close(self.file_descriptor)
+        self.file_descriptor = new_descriptor
+        self.end_offset = len(self._header) + len(frame.data)
+        self._checksum = frame.checksum
+        self._frame_count = 1
+        self._saved = SavedImage.of(state)
+        self._seal.write(self._frame_count, self._checksum)
 
     def close(self) -> None:
-        os.close(self.fd)
-
-
-def apply(stored: PersistentState, record: list[Any]) -> None:
-    match record:
-        case [Kind.PROMISE, term, vote]:
-            stored.term, stored.vote = term, vote
-        case [Kind.APPEND, index, term, data]:
-            if index != stored.base + len(stored.entries) + 1:
-                raise RaftLogError(f"entry {index} stands after {stored.base + len(stored.entries)}")
-            stored.entries.append(LogEntry(term, data))
-        case [Kind.CUT, index]:
-            del stored.entries[max(0, index - stored.base) :]
-        case [Kind.SNAPSHOT, base, base_term, state, *voters]:
-            stored.voters = tuple(voters[0]) if voters else ()
-            stored.entries = stored.entries[base - stored.base :] if base > stored.base else []
-            stored.base, stored.base_term, stored.state = base, base_term, state
-        case _:
-            raise RaftLogError(f"no such record: {record[:1]!r}")
+        """Closes the file; nothing is left to be written."""
+        os.close(self.file_descriptor)
+
+    def _write_header(self) -> None:
+        os.lseek(self.file_descriptor, 0, os.SEEK_SET)
+        os.write(self.file_descriptor, self._header)
+        os.fsync(self.file_descriptor)
+        self.end_offset = len(self._header)
+
+
+def _read_all(file_descriptor: int) -> bytes:
+    chunks = []
+    os.lseek(file_descriptor, 0, os.SEEK_SET)
+    while chunk := os.read(file_descriptor, READ_CHUNK_BYTES):
+        chunks.append(chunk)
+    return b"".join(chunks)
+
+
+def _write_all(file_descriptor: int, data: bytes) -> None:
+    remaining = memoryview(data)
+    while remaining:
+        written_bytes = os.write(file_descriptor, remaining)
+        remaining = remaining[written_bytes:]
--- a/landingshift/consensus/state_machines.py
+++ b/landingshift/consensus/state_machines.py
@@ -1,6 +1,10 @@
-"""The books that stand on one agreement: each takes its own entries, one snapshot holds them all. Pure.
+"""The state machines on one replicated log: each applies its own entries, one snapshot holds them all.
 
-An entry is a MessagePack array; one of a book other than the first begins with that book's name and "/".
+An entry is a MessagePack array whose first word names the command; an entry of any but the first state
+machine begins with that machine's name and "/".
+
+Guarantee: a voter on which a feature is off still keeps that feature's entries and snapshot for the others.
+Failure mode: it keeps them unapplied, so that they grow until a voter that has the feature compacts them.
 """
 
 from __future__ import annotations
@@ -9,66 +13,87 @@
 
 import msgspec
 
-MARK = "/"
+NAME_SUFFIX = "/"  # ends the name of a state machine at the start of its entries
 
 
 class StateMachine(Protocol):
-    def apply(self, data: bytes) -> None: ...
-    def snapshot(self) -> bytes: ...
-    def restore(self, state: bytes) -> None: ...
+    """Deterministic: the same entries in the same order give the same state on every voter."""
+
+    def apply(self, data: bytes) -> None:
+        """Applies a committed entry."""
+
+    def snapshot(self) -> bytes:
+        """The whole state, for `restore` on any voter."""
+
+    def restore(self, state: bytes) -> None:
+        """Takes the state of a snapshot in place of its own."""
 
 
 def encode_entry(name: str, *words: object) -> bytes:
-    """Of the book `name`, for the agreement."""
-    return msgspec.msgpack.encode([name + MARK, *words])
+    """Entry for the state machine `name`: a command's first word and its arguments."""
+    return msgspec.msgpack.encode([name + NAME_SUFFIX, *words])
+
+
+def _state_machine_name(data: bytes) -> str | None:
+    """Whose entry it is; None for one that names nobody, which is the first state machine's."""
+    words = msgspec.msgpack.decode(data) if data else []
+    first_word = str(words[0]) if words else ""
+    return first_word.removesuffix(NAME_SUFFIX) if first_word.endswith(NAME_SUFFIX) else None
 
 
 class StateMachineRegistry:
-    """The first book that is added takes all that names no other. What is of a book that is not here is kept
-    as it came, so that a voter on which a package is off still holds it for the others."""
+    """All state machines of one voter. The first that is registered takes entries that name none.
+
+    Entries and snapshots for a state machine that is not registered are kept as they came.
+    """
 
     def __init__(self) -> None:
-        self.books: dict[str, StateMachine] = {}
-        self.strange: dict[str, list[bytes]] = {}  # entries of books that are not here
-        self.states: dict[str, bytes] = {}  # and their last snapshots
-
-    def register(self, name: str, book: StateMachine) -> None:
-        """Late ones get what came before them."""
-        self.books[name] = book
-        if name in self.states:
-            book.restore(self.states.pop(name))
-        for data in self.strange.pop(name, []):
-            book.apply(data)
+        self._state_machines: dict[str, StateMachine] = {}
+        self._unclaimed_entries: dict[str, list[bytes]] = {}  # after the unclaimed snapshot of that name
+        self._unclaimed_snapshots: dict[str, bytes] = {}
+
+    def register(self, name: str, state_machine: StateMachine) -> None:
+        """Adds a state machine; it gets at once what came for it before."""
+        self._state_machines[name] = state_machine
+        if name in self._unclaimed_snapshots:
+            state_machine.restore(self._unclaimed_snapshots.pop(name))
+        for data in self._unclaimed_entries.pop(name, []):
+            state_machine.apply(data)
 
     def apply(self, data: bytes) -> None:
-        words = msgspec.msgpack.decode(data) if data else []
-        name = str(words[0]) if words else ""
-        if not name.endswith(MARK):
-            next(iter(self.books.values())).apply(data)
-            return
-        name = name[: -len(MARK)]
-        if name in self.books:
-            self.books[name].apply(data)
+        """Applies a committed entry to the state machine that it names."""
+        name = _state_machine_name(data)
+        if name is None:
+            next(iter(self._state_machines.values())).apply(data)
+        elif name in self._state_machines:
+            self._state_machines[name].apply(data)
         else:
-            self.strange.setdefault(name, []).append(data)
+            self._unclaimed_entries.setdefault(name, []).append(data)
 
     def snapshot(self) -> bytes:
+        """One snapshot of all: by name the state, and the entries after it that nobody applied here."""
         states: dict[str, tuple[bytes, list[bytes]]] = {
-            n: (book.snapshot(), []) for n, book in self.books.items()
+            name: (state_machine.snapshot(), []) for name, state_machine in self._state_machines.items()
         }
-        for name in {*self.states, *self.strange}:
-            states[name] = self.states.get(name, b""), self.strange.get(name, [])
+        for name in {*self._unclaimed_snapshots, *self._unclaimed_entries}:
+            states[name] = self._unclaimed_snapshots.get(name, b""), self._unclaimed_entries.get(name, [])
         return msgspec.msgpack.encode(states)
 
     def restore(self, state: bytes) -> None:
+        """Takes a snapshot of all in place of what is there."""
         states = msgspec.msgpack.decode(state, type=dict[str, tuple[bytes, list[bytes]]])
-        self.states, self.strange = {}, {}
-        for name, (had, since) in states.items():
-            if name in self.books:
-                self.books[name].restore(had)
-                for data in since:
-                    self.books[name].apply(data)
+        self._unclaimed_snapshots = {}
+        self._unclaimed_entries = {}
+        for name, (snapshot, entries) in states.items():
+            if name in self._state_machines:
+                self._restore_one(self._state_machines[name], snapshot, entries)
             else:
-                self.strange[name] = list(since)
-                if had:
-                    self.states[name] = had
+                self._unclaimed_entries[name] = list(entries)
+                if snapshot:
+                    self._unclaimed_snapshots[name] = snapshot
+
+    @staticmethod
+    def _restore_one(state_machine: StateMachine, snapshot: bytes, entries: list[bytes]) -> None:
+        state_machine.restore(snapshot)
+        for data in entries:
+            state_machine.apply(data)
--- a/landingshift/policies/coordinator.py
+++ b/landingshift/policies/coordinator.py
@@ -183,7 +183,7 @@
         """Why the voters are not yet as wanted; empty once they are and all that is agreed on."""
         voter, there = self.raft, name in self.raft.voters
         if there is (how == "add"):
-            return "" if voter.named <= voter.commit_index else "it is being agreed on"
+            return "" if voter.is_voter_change_committed else "it is being agreed on"
         if how == "add":
             ack = self.status_reports.get(name)
             if ack is None or not ack.spare or self.book.members.get(name) != ack.run:
@@ -191,11 +191,7 @@
             new = (*voter.voters, name)
         else:
             new = tuple(v for v in voter.voters if v != name)
-            here = [
-                v
-                for v in new
-                if v == voter.name or now - voter.heard.get(v, -1e9) < voter.times.election_timeout_ms
-            ]
+            here = [v for v in new if v == voter.name or voter.has_recent_response(v, now)]
             if 2 * len(here) <= len(new):
                 return f"only {', '.join(here)} would be left of {', '.join(new)}"
         voter.change_voters(new, now)
--- a/landingshift/policies/node.py
+++ b/landingshift/policies/node.py
@@ -11,10 +11,12 @@
 from random import Random
 from typing import Any
 
-import msgspec
-
-from landingshift.consensus.raft import VOTERS_ENTRY_PREFIX, Message, PersistentState, RaftNode, RaftTimeouts
+from landingshift.consensus.errors import InvalidMessageError
+from landingshift.consensus.messages import decode_message, encode_message
+from landingshift.consensus.persistent_state import PersistentState
+from landingshift.consensus.raft import RaftNode, RaftTimeouts
 from landingshift.consensus.state_machines import StateMachineRegistry
+from landingshift.consensus.voters import is_voters_entry
 from landingshift.policies.coordinator import ChangeCoordinator
 from landingshift.policies.participant import ChangeParticipant, PolicySettings
 from landingshift.policies.state_machine import Change, ChangeOutcome, PolicyStateMachine
@@ -26,8 +28,6 @@
 LASTS = 120_000.0  # ms after which one that nobody answered is given up
 FINAL_OUTCOMES = (ChangeOutcome.COMMITTED.value, ChangeOutcome.REJECTED.value, ChangeOutcome.WITHDRAWN.value)
 
-decoder = msgspec.msgpack.Decoder(Message)
-
 
 @dataclass(slots=True)
 class PendingOperatorCommand:
@@ -64,9 +64,9 @@
         self.state_machines.register("policies", self.book)
         self.applied = 0
         if stored is not None:
-            if stored.base:
-                self.state_machines.restore(stored.state)
-                self.applied = stored.base
+            if stored.last_included_index:
+                self.state_machines.restore(stored.snapshot)
+                self.applied = stored.last_included_index
             self.raft = RaftNode(name, plan.voters, stored, times or RaftTimeouts(), chance, now)
             self.coordinator = ChangeCoordinator(self.raft, self.book, plan, wall)
             self.participant.can_become_voter = True
@@ -113,7 +113,7 @@
     def take_outgoing(self) -> list[tuple[str, list[Any]]]:
         out, self.out = self.out, []
         if self.raft is not None:
-            out += [(to, ["vote", msgspec.msgpack.encode(m)]) for to, m in self.raft.take_outgoing()]
+            out += [(to, ["vote", encode_message(m)]) for to, m in self.raft.take_outgoing()]
         return out
 
     # Messages
@@ -123,10 +123,10 @@
             case ["vote", bytes(data)]:
                 if self.raft is not None:
                     try:
-                        message = decoder.decode(data)
-                    except (msgspec.DecodeError, RecursionError):
+                        message = decode_message(data)
+                    except InvalidMessageError:
                         return
-                    self.raft.known = {*self.plan.voters, *self.participant.voters}
+                    self.raft.additional_senders = {*self.plan.voters, *self.participant.voters}
                     self.raft.on_message(who, message, now)
                     self.advance(now)
             case ["here", *rest]:
@@ -178,19 +178,19 @@
         """Applies what has been taken; the book stands in for old entries then."""
         voter, desk = self.raft, self.coordinator
         assert voter is not None and desk is not None
-        if voter.persistent_state.base > self.applied:  # a snapshot came
-            self.state_machines.restore(voter.persistent_state.state)
-            self.applied = voter.persistent_state.base
+        if voter.persistent_state.last_included_index > self.applied:  # a snapshot came
+            self.state_machines.restore(voter.persistent_state.snapshot)
+            self.applied = voter.persistent_state.last_included_index
         if self.applied < voter.commit_index:
             for entry in voter.entries_between(self.applied, voter.commit_index):
-                if not entry.data.startswith(VOTERS_ENTRY_PREFIX):
+                if not is_voters_entry(entry.data):
                     self.state_machines.apply(entry.data)
             self.applied = voter.commit_index
             for hear in self.commit_listeners:
                 hear(now)
             desk.step_at = now
             desk.step(now)
-            if voter.commit_index - voter.persistent_state.base > COMPACT:
+            if voter.commit_index - voter.persistent_state.last_included_index > COMPACT:
                 voter.compact(self.applied, self.state_machines.snapshot())
 
     # Operators
--- a/landingshift/policies/service.py
+++ b/landingshift/policies/service.py
@@ -8,7 +8,8 @@
 
 from landingshift import failpoints
 from landingshift.admission.controller import Server
-from landingshift.consensus.raft_log import RaftLogError, RaftLogFile
+from landingshift.consensus.errors import RaftLogError
+from landingshift.consensus.raft_log import RaftLogFile
 from landingshift.membership.messages import Record, State
 from landingshift.membership.service import Fleet
 from landingshift.net.transport.loop import Timer
@@ -292,7 +293,7 @@
 
     def history(self, _params: list[Any]) -> list[dict[str, Any]]:
         """Raises ValueError on a server that is no voter."""
-        if self.part.raft is None or not self.part.raft.votes_too:
+        if self.part.raft is None or not self.part.raft.is_voter:
             raise ValueError(f"it is no voter: ask one of {', '.join(self.participant.voters)}")
         return [
             {
--- a/landingshift/testbed/simulation/cluster.py
+++ b/landingshift/testbed/simulation/cluster.py
@@ -13,7 +13,8 @@
 from typing import Any
 
 from landingshift.coldstart.agent import Plan as StartPlan
-from landingshift.consensus.raft import PersistentState, RaftTimeouts
+from landingshift.consensus.persistent_state import PersistentState
+from landingshift.consensus.raft import RaftTimeouts
 from landingshift.maintenance.capacity_constraints import DisruptionBudget
 from landingshift.maintenance.coordinator import CoordinatorSettings
 from landingshift.maintenance.replicated_state import command
--- a/landingshift/testbed/simulation/policy_change.py
+++ b/landingshift/testbed/simulation/policy_change.py
@@ -14,7 +14,8 @@
 
 import msgspec
 
-from landingshift.consensus.raft import PersistentState, RaftTimeouts
+from landingshift.consensus.persistent_state import PersistentState
+from landingshift.consensus.raft import RaftTimeouts
 from landingshift.policies.node import FINAL_OUTCOMES, PolicyNode
 from landingshift.policies.participant import PolicySettings
 from landingshift.testbed.simulation.virtual_time import Address, Host, World
@@ -143,7 +144,7 @@
             return
         desk, voter = part.coordinator, part.raft
         if self.away == "sure":
-            voter.has_leader_lease = lambda now: voter.role.value == "leader"  # type: ignore[method-assign]
+            voter.has_leader_lease = lambda now_ms: voter.role.value == "leader"  # type: ignore[method-assign]
         if self.away == "arm":
             real = desk.unprepared_members
             desk.unprepared_members = lambda now: [w for w in real(now) if w[1] != "away"]  # type: ignore[method-assign]
--- a/landingshift/testbed/simulation/server.py
+++ b/landingshift/testbed/simulation/server.py
@@ -30,7 +30,7 @@
 from landingshift.coldstart.agent import Agent, Seen
 from landingshift.coldstart.seek import Seek
 from landingshift.coldstart.strain import Strain
-from landingshift.consensus.raft import PersistentState
+from landingshift.consensus.persistent_state import PersistentState
 from landingshift.maintenance.agent import MaintenanceAgent, answer_report
 from landingshift.maintenance.coordinator import MaintenanceCoordinator
 from landingshift.maintenance.replicated_state import NAME, MaintenanceState
@@ -152,7 +152,7 @@
         """Takes the defence that is away, where it lies in one of the packages' objects."""
         voter, desk, lending = self.part.raft, self.part.coordinator, self.agent.lending
         if self.away == "sure" and voter is not None:
-            voter.has_leader_lease = lambda now: voter.role.value == "leader"  # type: ignore[method-assign]
+            voter.has_leader_lease = lambda now_ms: voter.role.value == "leader"  # type: ignore[method-assign]
         if self.away == "arm" and desk is not None:
             real = desk.unprepared_members
             desk.unprepared_members = lambda now: [w for w in real(now) if w[1] != "away"]  # type: ignore[method-assign]
@@ -508,7 +508,7 @@
             "jobs": len(self.jobs),
         }  # fmt: skip
         if part.raft is not None:
-            found |= {"log": len(part.raft.persistent_state.entries), "votes": len(part.raft.outbox)}
+            found |= {"log": len(part.raft.persistent_state.entries), "votes": part.raft.outgoing_count}
         return found
 
 
--- a/landingshift/testbed/verification/search_policy_change.py
+++ b/landingshift/testbed/verification/search_policy_change.py
@@ -12,7 +12,8 @@
 from random import Random
 from typing import Any
 
-from landingshift.consensus.raft import PersistentState, RaftTimeouts
+from landingshift.consensus.persistent_state import PersistentState
+from landingshift.consensus.raft import RaftTimeouts
 from landingshift.policies.node import PolicyNode
 from landingshift.policies.participant import ParticipantStage, PolicySettings
 from landingshift.testbed.simulation.policy_change import text
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -9,20 +9,17 @@
 
 import msgspec
 
-from landingshift.consensus.raft import (
-    LEASE_FRACTION,
-    MAX_LOG_ENTRIES,
-    VOTERS_ENTRY_PREFIX,
+from landingshift.consensus.leader_lease import LEASE_FRACTION
+from landingshift.consensus.messages import (
     AppendEntries,
     AppendEntriesResponse,
     LogEntry,
-    PersistentState,
-    RaftNode,
-    RaftTimeouts,
     RequestVote,
-    Role,
     VoteResponse,
 )
+from landingshift.consensus.persistent_state import PersistentState
+from landingshift.consensus.raft import MAX_LOG_ENTRY_COUNT, RaftNode, RaftTimeouts, Role
+from landingshift.consensus.voters import VOTERS_ENTRY_PREFIX
 
 TIMES = RaftTimeouts(heartbeat_interval_ms=20.0, election_timeout_ms=120.0)
 
@@ -60,7 +57,7 @@
             had = self.disks[name]
             self.disks[name] = copy.deepcopy(stored)
             if self.forgets:
-                self.disks[name].term, self.disks[name].vote = had.term, had.vote
+                self.disks[name].term, self.disks[name].voted_for = had.term, had.voted_for
             voter.on_state_saved()
 
     def pass_on(self, name: str) -> None:
@@ -90,7 +87,10 @@
                 voter.tick(self.now)
                 if voter.role is Role.LEADER and chance.random() < 0.05:
                     self.proposed += voter.propose(b"%d" % self.proposed) is not None
-                if voter.commit_index - voter.persistent_state.base > 12 and chance.random() < 0.2:
+                if (
+                    voter.commit_index - voter.persistent_state.last_included_index > 12
+                    and chance.random() < 0.2
+                ):
                     upto = min(voter.commit_index - chance.randrange(6), len(self.taken))
                     voter.compact(upto, repr(self.taken[:upto]).encode())
                 self.pass_on(name)
@@ -125,7 +125,7 @@
             if voter.role is Role.LEADER:
                 who = self.leaders.setdefault(voter.current_term, name)
                 assert who == name, f"two leaders in term {voter.current_term}"
-            base = voter.persistent_state.base
+            base = voter.persistent_state.last_included_index
             for i, entry in enumerate(voter.entries_between(base, voter.commit_index), base):
                 if i < len(self.taken):
                     assert self.taken[i] == entry, f"entry {i} was {self.taken[i]}, at {name} it is {entry}"
@@ -133,7 +133,7 @@
                     assert i == len(self.taken), f"{name} has entry {i} as taken before those below it"
                     self.taken.append(entry)
             if base:
-                assert voter.persistent_state.state == repr(self.taken[:base]).encode(), (
+                assert voter.persistent_state.snapshot == repr(self.taken[:base]).encode(), (
                     "a snapshot of something else"
                 )
 
@@ -323,5 +323,5 @@
         voter.on_message("z", AppendEntries(99, 0, 0, (), 0, 1), 1010.0)
         self.assertIs(voter.role, Role.LEADER)
         while voter.propose(b"x") is not None:
-            voter.outbox.clear()
-        self.assertEqual(len(voter.persistent_state.entries), MAX_LOG_ENTRIES)
+            voter.take_outgoing()
+        self.assertEqual(len(voter.persistent_state.entries), MAX_LOG_ENTRY_COUNT)
--- a/tests/test_golden_storage.py
+++ b/tests/test_golden_storage.py
@@ -13,16 +13,16 @@
 from msgspec import msgpack
 
 from landingshift.coldstart import snapshot
-from landingshift.consensus.raft import (
+from landingshift.consensus.messages import (
     AppendEntries,
     AppendEntriesResponse,
     InstallSnapshot,
     LogEntry,
     Message,
-    PersistentState,
     RequestVote,
     VoteResponse,
 )
+from landingshift.consensus.persistent_state import PersistentState
 from landingshift.consensus.raft_log import RaftLogFile
 from landingshift.consensus.state_machines import StateMachineRegistry, encode_entry
 from landingshift.hot_restart import journal as moved
--- a/tests/test_raft_log.py
+++ b/tests/test_raft_log.py
@@ -11,8 +11,10 @@
 
 from landingshift import failpoints
 from landingshift.consensus import raft_log as journals
-from landingshift.consensus.raft import LogEntry, PersistentState
-from landingshift.consensus.raft_log import RaftLogError, RaftLogFile
+from landingshift.consensus.errors import RaftLogError
+from landingshift.consensus.messages import LogEntry
+from landingshift.consensus.persistent_state import PersistentState
+from landingshift.consensus.raft_log import RaftLogFile
 
 
 def changed(stored: PersistentState, chance: Random) -> PersistentState:
@@ -20,13 +22,16 @@
     s = copy.deepcopy(stored)
     match chance.randrange(5):
         case 0:
-            s.term, s.vote = s.term + 1, chance.choice(("", "a", "b"))
+            s.term, s.voted_for = s.term + 1, chance.choice(("", "a", "b"))
         case 1 if s.entries:
             del s.entries[chance.randrange(len(s.entries)) :]
         case 2 if s.entries:
             keep = chance.randrange(len(s.entries))
-            s.base, s.base_term = s.base + keep + 1, s.entries[keep].term
-            s.entries, s.state = s.entries[keep + 1 :], chance.randbytes(9)
+            s.last_included_index, s.last_included_term = (
+                s.last_included_index + keep + 1,
+                s.entries[keep].term,
+            )
+            s.entries, s.snapshot = s.entries[keep + 1 :], chance.randbytes(9)
     for _ in range(chance.randrange(1, 4)):
         s.entries.append(LogEntry(s.term, chance.randbytes(chance.randrange(20))))
     return s
@@ -46,9 +51,9 @@
 
     @staticmethod
     def close(journal: RaftLogFile) -> None:
-        if journal.fd >= 0:
+        if journal.file_descriptor >= 0:
             journal.close()
-            journal.fd = -1
+            journal.file_descriptor = -1
 
     def filled(self, saves: int, seed: int = 1) -> list[PersistentState]:
         """What was on disk after each save."""
@@ -73,7 +78,9 @@
         chance = Random(2)
         state = self.filled(3)[-1]
         for point in ("policies.written", "policies.synced", "policies.rewritten"):
-            with mock.patch.object(journals, "LARGEST", 0 if point.endswith("rewritten") else 8 << 20):
+            with mock.patch.object(
+                journals, "MAX_LOG_FILE_BYTES", 0 if point.endswith("rewritten") else 8 << 20
+            ):
                 journal = self.open()
                 after = changed(state, chance)
                 failpoints.arm(point)
@@ -90,7 +97,7 @@
         with open(self.path, "rb") as file:
             data = file.read()
         journal = self.open()
-        start = journal.end
+        start = journal.end_offset
         journal.save(changed(states[-1], Random(5)))
         self.close(journal)
         with open(self.path, "rb") as file:
@@ -151,7 +158,7 @@
         self.assertEqual(self.found(), after)
 
     def test_it_stays_bounded(self) -> None:
-        with mock.patch.object(journals, "LARGEST", 20_000):
+        with mock.patch.object(journals, "MAX_LOG_FILE_BYTES", 20_000):
             chance, journal = Random(7), self.open()
             state = PersistentState()
             for _ in range(600):
@@ -159,7 +166,10 @@
                 state.entries = state.entries[-20:] if len(state.entries) <= 20 else state.entries
                 if len(state.entries) > 20:
                     drop = len(state.entries) - 20
-                    state.base, state.base_term = state.base + drop, state.entries[drop - 1].term
+                    state.last_included_index, state.last_included_term = (
+                        state.last_included_index + drop,
+                        state.entries[drop - 1].term,
+                    )
                     state.entries = state.entries[drop:]
                 journal.save(state)
                 self.assertLess(os.path.getsize(self.path), 25_000)
