--- a/landingshift/maintenance/agent.py
+++ b/landingshift/maintenance/agent.py
@@ -11,7 +11,7 @@
 from landingshift.maintenance.capacity_constraints import Machine
 from landingshift.maintenance.coordinator import MaintenanceCoordinator
 from landingshift.maintenance.requests import LeavePermit
-from landingshift.membership.messages import Record
+from landingshift.membership.messages import MemberRecord
 
 OUT = 16  # reports whose times are kept
 MODEL = 16  # letters
@@ -52,7 +52,11 @@
 
 
 def answer_report(
-    coordinator: MaintenanceCoordinator | None, sender: Record, voters: list[str], body: list[Any], now: float
+    coordinator: MaintenanceCoordinator | None,
+    sender: MemberRecord,
+    voters: list[str],
+    body: list[Any],
+    now: float,
 ) -> list[Any] | None:
     """The leader's answer to a report; None where there is none."""
     match body:
@@ -61,6 +65,6 @@
                 return None
             coordinator.voters = voters
             machine = Machine(sender.name, capacity, sender.zone, model, best, sender.name in voters)
-            answer = coordinator.hear(machine, sender.run, rest, now)
+            answer = coordinator.hear(machine, sender.run_id, rest, now)
             return None if answer is None else ["told", number, *answer]
     return None
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from landingshift.admission.interface import Method
-from landingshift.net.program.config import site
+from landingshift.net.program.config import decode_config
 from landingshift.policies.document import (
     InvalidPolicyError,
     PolicyOverlay,
@@ -30,7 +30,7 @@
 
 
 def base() -> PolicyOverlay:
-    found = site(CONFIG | {"name": "n0"}, {})
+    found = decode_config(CONFIG | {"name": "n0"}, {})
     return PolicyOverlay(found.settings, found.methods, found.tenants)
 
 
