--- a/landingshift/consensus/raft.py
+++ b/landingshift/consensus/raft.py
@@ -11,7 +11,6 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
 from enum import Enum
 from random import Random
 
@@ -27,6 +26,7 @@
     VoteResponse,
 )
 from landingshift.consensus.persistent_state import DurableState, PersistentState
+from landingshift.consensus.timeouts import RaftTimeouts
 from landingshift.consensus.voters import VoterConfiguration, encode_voters_entry
 
 MAX_LOG_ENTRY_COUNT = 10_000  # after the last snapshot; a full log takes no proposals
@@ -41,20 +41,6 @@
     LEADER = "leader"
 
 
-@dataclass(slots=True, frozen=True)
-class RaftTimeouts:
-    """Raft's two intervals, in ms.
-
-    Attributes:
-        heartbeat_interval_ms: Between two heartbeat rounds of a leader.
-        election_timeout_ms: A follower stands for election after one to two of these without a leader's
-            message; a leader without a majority's answer steps down after one.
-    """
-
-    heartbeat_interval_ms: float = 150.0
-    election_timeout_ms: float = 900.0
-
-
 class RaftNode:
     """One server of the group. A server that is not among the voters only follows.
 
--- a/landingshift/policies/node.py
+++ b/landingshift/policies/node.py
@@ -14,8 +14,9 @@
 from landingshift.consensus.errors import InvalidMessageError
 from landingshift.consensus.messages import decode_message, encode_message
 from landingshift.consensus.persistent_state import PersistentState
-from landingshift.consensus.raft import RaftNode, RaftTimeouts
+from landingshift.consensus.raft import RaftNode
 from landingshift.consensus.state_machines import StateMachineRegistry
+from landingshift.consensus.timeouts import RaftTimeouts
 from landingshift.consensus.voters import is_voters_entry
 from landingshift.policies.coordinator import ChangeCoordinator
 from landingshift.policies.participant import ChangeParticipant, PolicySettings
--- a/landingshift/testbed/simulation/cluster.py
+++ b/landingshift/testbed/simulation/cluster.py
@@ -14,7 +14,7 @@
 
 from landingshift.coldstart.coordinator import ColdStartPlan
 from landingshift.consensus.persistent_state import PersistentState
-from landingshift.consensus.raft import RaftTimeouts
+from landingshift.consensus.timeouts import RaftTimeouts
 from landingshift.maintenance.capacity_constraints import DisruptionBudget
 from landingshift.maintenance.coordinator import CoordinatorSettings
 from landingshift.maintenance.replicated_state import command
--- a/landingshift/testbed/simulation/policy_change.py
+++ b/landingshift/testbed/simulation/policy_change.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from landingshift.consensus.persistent_state import PersistentState
-from landingshift.consensus.raft import RaftTimeouts
+from landingshift.consensus.timeouts import RaftTimeouts
 from landingshift.policies.node import FINAL_OUTCOMES, PolicyNode
 from landingshift.policies.participant import PolicySettings
 from landingshift.testbed.simulation.virtual_time import Address, Host, World
--- a/landingshift/testbed/verification/search_policy_change.py
+++ b/landingshift/testbed/verification/search_policy_change.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from landingshift.consensus.persistent_state import PersistentState
-from landingshift.consensus.raft import RaftTimeouts
+from landingshift.consensus.timeouts import RaftTimeouts
 from landingshift.policies.node import PolicyNode
 from landingshift.policies.participant import ParticipantStage, PolicySettings
 from landingshift.testbed.simulation.policy_change import text
