--- a/landingshift/maintenance/storage.py
+++ b/landingshift/maintenance/storage.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Struct
 
-from landingshift.consensus.state_machines import entry
+from landingshift.consensus.state_machines import encode_entry
 from landingshift.maintenance.capacity_constraints import MachineFacts
 from landingshift.maintenance.commands import (
     AddRequests,
@@ -83,7 +83,7 @@
             words = ("without", name)
         case RecordDemand(quarter, rpcs_per_second):
             words = ("seen", quarter, rpcs_per_second)
-    return entry(STATE_MACHINE_NAME, *words)
+    return encode_entry(STATE_MACHINE_NAME, *words)
 
 
 def decode_command(data: bytes) -> Command | None:
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -5,7 +5,7 @@
 import unittest
 from typing import Any
 
-from landingshift.consensus.state_machines import Shelf, entry
+from landingshift.consensus.state_machines import StateMachineRegistry, encode_entry
 from landingshift.maintenance.capacity_constraints import (
     CapacityConstraints,
     DisruptionBudget,
@@ -74,7 +74,7 @@
 
 def reloaded(state: MaintenanceState) -> MaintenanceState:
     copy = MaintenanceState()
-    copy.load(state.dump())
+    copy.restore(state.snapshot())
     return copy
 
 
@@ -415,7 +415,7 @@
         self.assertEqual(found, {"a": (RequestState.DRAINING, 1), "b": (RequestState.PERMITTED, 3)})
         self.assertEqual(state.permitted_runs, {"a": 7, "b": 9})
         self.assertEqual((state.last_permit_number, state.pause_reason), (3, "stop"))
-        self.assertEqual(reloaded(state).dump(), state.dump())
+        self.assertEqual(reloaded(state).snapshot(), state.snapshot())
 
     def test_a_shelf_keeps_what_is_of_books_that_are_not_here(self) -> None:
         class Plain:
@@ -425,26 +425,26 @@
             def apply(self, data: bytes) -> None:
                 self.had.append(data)
 
-            def dump(self) -> bytes:
+            def snapshot(self) -> bytes:
                 return b"|".join(self.had)
 
-            def load(self, state: bytes) -> None:
+            def restore(self, state: bytes) -> None:
                 self.had = state.split(b"|") if state else []
 
-        full, half = Shelf(), Shelf()
+        full, half = StateMachineRegistry(), StateMachineRegistry()
         for shelf in (full, half):
-            shelf.add("first", Plain())
-        full.add("other", Plain())
+            shelf.register("first", Plain())
+        full.register("other", Plain())
         for word in range(3):
             for shelf in (full, half):
-                shelf.apply(entry("other", word))
+                shelf.apply(encode_entry("other", word))
                 shelf.apply(b"")
-        late = Shelf()
-        late.add("first", Plain())
-        late.load(half.dump())
+        late = StateMachineRegistry()
+        late.register("first", Plain())
+        late.restore(half.snapshot())
         other = Plain()
-        late.add("other", other)
-        self.assertEqual(other.had, [entry("other", word) for word in range(3)])
+        late.register("other", other)
+        self.assertEqual(other.had, [encode_entry("other", word) for word in range(3)])
 
 
 class StoredAndSentFormsTest(unittest.TestCase):
@@ -460,10 +460,10 @@
 
     def test_commands_of_another_build_are_skipped(self) -> None:
         state = MaintenanceState()
-        before = state.dump()
+        before = state.snapshot()
         for words in (["unknown", 1], ["hold", 5], ["permit", "a"]):
-            state.apply(entry("upkeep", *words))
-        self.assertEqual(state.dump(), before)
+            state.apply(encode_entry("upkeep", *words))
+        self.assertEqual(state.snapshot(), before)
 
     def test_messages_are_lists_of_words(self) -> None:
         report = LoadReport(4, STATUS, 2, 1)
