--- a/landingshift/hot_restart/state.py
+++ b/landingshift/hot_restart/state.py
@@ -15,7 +15,7 @@
 
 from msgspec import Struct, field, msgpack
 
-from landingshift.admission.controller import Server
+from landingshift.admission.controller import AdmissionController
 from landingshift.admission.interface import Outcome
 from landingshift.net.protocol import engine as engine_wire
 from landingshift.net.routing.database import BOUND as DATABASE_BOUND
@@ -47,15 +47,15 @@
 }
 # What the admission controller was told of the RPC.
 RPC_FACTS = {
-    "remaining": "remaining",
-    "waited": "waited",
-    "kb": "kb",
-    "caller": "caller",
-    "hint": "hint",
-    "keyed": "keyed",
-    "repeat": "repeat",
-    "retry": "retry",
-    "write": "write",
+    "remaining": "remaining_ms",
+    "waited": "waited_ms",
+    "kb": "memory_kb",
+    "caller": "caller_id",
+    "hint": "work_hint_ms",
+    "keyed": "has_cache_key",
+    "repeat": "is_duplicate",
+    "retry": "is_retry",
+    "write": "is_write",
     "tenant_name": "tenant_name",
 }
 # Of a gateway's connection.
@@ -197,7 +197,7 @@
         r = self.router
         r.engine.give_up_tests()
         self.fds.append(r.gateways.listener.sock.fileno())
-        module, jobs = r.admission.give() if r.admission is not None else (None, [])
+        module, jobs = r.admission.export_state() if r.admission is not None else (None, [])
         rpcs: list[RoutedRpc] = [job.rpc for job in jobs if isinstance(job.rpc, RoutedRpc)]
         assert len(rpcs) == len(jobs)
         entries = list(r.dedup.entries.values())
@@ -224,7 +224,7 @@
             engine=self.engine(known),
             module=module,
             jobs=len(jobs),
-            cold=r.admission.set.cold if r.admission is not None else False,
+            cold=r.admission.settings.starts_cold if r.admission is not None else False,
             told=r.told,
             draining=r.is_draining,
             stop_at=r.stop_at,
@@ -329,10 +329,10 @@
             r.stop_at = st.stop_at or loop.now_ms + site.stop_ms
             r.depart_later()  # the old one's timer stays with it: nobody else would end this drain
         if st.module is not None:
-            settings = replace(site.settings, cold=st.cold)
-            r.admission = Server(settings, site.seed, r, loop.now_ms)
-            r.admission.now = loop.now_ms
-            jobs = r.admission.take(st.module, list(self.rpcs[: st.jobs]))
+            settings = replace(site.settings, starts_cold=st.cold)
+            r.admission = AdmissionController(settings, site.seed, r, loop.now_ms)
+            r.admission.now_ms = loop.now_ms
+            jobs = r.admission.import_state(st.module, list(self.rpcs[: st.jobs]))
             for mine, job in zip(self.rpcs, jobs, strict=False):
                 mine.job = None if mine.closed else job
         r.gateways.idle = st.idle
--- a/landingshift/maintenance/service.py
+++ b/landingshift/maintenance/service.py
@@ -131,8 +131,10 @@
         server = self.router.admission
         if server is None or not self.router.health_reporter.is_reporting:
             return 0.0
-        cold_ms = server.set.cold_time if server.set.cold else 0.0
-        return min(1.0, (self.loop.now_ms - server.born) / cold_ms) if cold_ms else 1.0
+        warm_up_ms = server.settings.warm_up_ms if server.settings.starts_cold else 0.0
+        if not warm_up_ms:
+            return 1.0
+        return min(1.0, (self.loop.now_ms - server.started_at_ms) / warm_up_ms)
 
     # Reports
 
