--- a/landingshift/maintenance/coordinator.py
+++ b/landingshift/maintenance/coordinator.py
@@ -8,9 +8,9 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 
-from landingshift.maintenance.capacity_constraints import CapacityConstraints, DisruptionBudget, Machine
+from landingshift.maintenance.capacity_constraints import CapacityConstraints, Machine
 from landingshift.maintenance.commands import (
     ChangeState,
     ForgetMachine,
@@ -18,6 +18,7 @@
     RegisterMachine,
     SetPause,
 )
+from landingshift.maintenance.coordinator_settings import CoordinatorSettings
 from landingshift.maintenance.demand_tracker import DemandTracker
 from landingshift.maintenance.environment import CoordinatorEnvironment
 from landingshift.maintenance.fleet_view import NEVER_MS, FleetView, MachineReport
@@ -37,7 +38,7 @@
     transition_on_silence,
 )
 from landingshift.maintenance.requests import MaintenanceRequest, RequestState, unavailable_fractions
-from landingshift.maintenance.staged_rollout import UNLIMITED_COUNT, RolloutMonitor, rollout_limit
+from landingshift.maintenance.staged_rollout import UNLIMITED_COUNT, RolloutMonitor, remaining_in_stage
 from landingshift.membership.messages import MemberRecord
 
 EVALUATION_INTERVAL_MS = 400.0
@@ -48,25 +49,6 @@
 MAX_CAPACITY = 1e9
 """RPCs a second that a machine may report; more is taken for a fault."""
 MAX_MODEL_LENGTH = 16
-SAME_CALL_MS = 1000.0
-"""Requests whose times differ by less are of one call of an operator, and one rollout."""
-
-
-@dataclass(slots=True, frozen=True)
-class CoordinatorSettings:
-    """Settings of the leader, alike on all servers."""
-
-    budget: DisruptionBudget = field(default_factory=DisruptionBudget)
-    permit_valid_ms: float = 3000.0
-    """For how long a permit that was offered may be used."""
-    permit_grace_ms: float = 500.0
-    """How long after that a permit is taken back."""
-    warm_up_minutes: float = 1.0
-    """From a start until a machine is warm, about."""
-    is_staged: bool = True
-    """Whether work begins with one machine, then a few."""
-    peak_decay_ms: float = 400_000.0
-    """Time in which the largest demand fades to 1/e."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -162,7 +144,7 @@
             return ReportAnswer(report.sequence, "", 0, 0.0)
         self._follow_report(request, recorded, now_ms)
         is_offered = self._may_offer_permit(request, run)
-        if is_offered and not recorded.leaving_permit:
+        if is_offered and not recorded.draining_permit:
             recorded.offered_at_ms = now_ms
         valid_ms = self.settings.permit_valid_ms if is_offered else 0.0
         return ReportAnswer(report.sequence, request.state.value, request.permit_number, valid_ms)
@@ -283,7 +265,7 @@
         """Moves a request on without a word from its machine."""
         report = self.fleet.reports.get(request.name)
         if request.state is RequestState.PERMITTED:
-            self._take_back_lapsed_permit(request, report, now_ms)
+            self._revoke_lapsed_permit(request, report, now_ms)
             return
         is_silent = report is None or report.is_silent(now_ms)
         if request.state is RequestState.WARMING_UP and is_silent:
@@ -298,7 +280,7 @@
         if transition is not None:
             self._propose_transition(request, transition, now_ms)
 
-    def _take_back_lapsed_permit(
+    def _revoke_lapsed_permit(
         self, request: MaintenanceRequest, report: MachineReport | None, now_ms: float
     ) -> None:
         has_lapsed = has_permit_lapsed(
@@ -370,24 +352,15 @@
             self._environment.wall_clock_ms(),
             self.settings.warm_up_minutes,
         )
-        for name in chosen[: self._rollout_room()]:
+        for name in chosen[: self._remaining_in_stage()]:
             report = self.fleet.reports.get(name)
             if report is not None:
                 self._proposals.propose(IssuePermit(name, report.run, now_ms), now_ms)
 
-    def _rollout_room(self) -> int:
-        """Returns how many further machines the present stage of the rollout lets leave."""
+    def _remaining_in_stage(self) -> int:
         if not self.settings.is_staged:
             return UNLIMITED_COUNT
-        requests = self.state.requests.values()
-        rollout_began_ms = min(request.requested_at_ms for request in requests) - SAME_CALL_MS
-        completed = sum(
-            1
-            for ended in self.state.history
-            if ended.final_state == RequestState.COMPLETED.value and ended.requested_at_ms >= rollout_began_ms
-        )
-        under_way = sum(request.state is not RequestState.REQUESTED for request in requests)
-        return max(0, rollout_limit(completed) - completed - under_way)
+        return remaining_in_stage(self.state.requests.values(), self.state.history)
 
     def _propose_transition(self, request: MaintenanceRequest, transition: Transition, now_ms: float) -> None:
         change = ChangeState(
--- a/landingshift/maintenance/fleet_view.py
+++ b/landingshift/maintenance/fleet_view.py
@@ -29,7 +29,7 @@
     warm_fraction: float
     rpcs_per_second: float
     received_at_ms: float
-    leaving_permit: int
+    draining_permit: int
     """The permit by which it is leaving; 0 where it stays."""
     used_permit: int
     """The permit by which its earlier process left, as its disk has it; 0 without one."""
@@ -74,7 +74,7 @@
             warm_fraction=min(1.0, max(0.0, status.warm_fraction)),
             rpcs_per_second=status.rpcs_per_second,
             received_at_ms=now_ms,
-            leaving_permit=report.leaving_permit,
+            draining_permit=report.draining_permit,
             used_permit=report.used_permit,
             ok_count=status.ok_count,
             answered_count=status.answered_count,
--- a/landingshift/maintenance/messages.py
+++ b/landingshift/maintenance/messages.py
@@ -31,7 +31,7 @@
     sequence: int
     """Number of the report, which the answer names."""
     status: ServerStatus
-    leaving_permit: int
+    draining_permit: int
     """The permit by which it is leaving; 0 where it stays."""
     used_permit: int
     """The permit by which its earlier process left; 0 where its disk has none."""
--- a/landingshift/maintenance/permit.py
+++ b/landingshift/maintenance/permit.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True)
-class LeavePermit:
+class DrainPermit:
     """The latest permit that a machine was offered. Times are ms of its monotonic clock."""
 
     number: int = 0
@@ -19,12 +19,12 @@
     expires_at_ms: float = 0.0
     is_used: bool = False
 
-    def offer(self, number: int, asked_at_ms: float, valid_ms: float) -> bool:
+    def offer(self, number: int, reported_at_ms: float, valid_ms: float) -> bool:
         """Takes a permit, or the same one once more with a later expiry.
 
         Args:
             number: The permit's number.
-            asked_at_ms: When the machine sent the report that this answers.
+            reported_at_ms: When the machine sent the report that this answers.
             valid_ms: For how long after that it may be used.
 
         Returns:
@@ -35,7 +35,7 @@
         is_repeated = number == self.number
         if is_repeated and self.is_used:
             return False
-        expires_at_ms = asked_at_ms + valid_ms
+        expires_at_ms = reported_at_ms + valid_ms
         if is_repeated:
             expires_at_ms = max(self.expires_at_ms, expires_at_ms)
         self.expires_at_ms = expires_at_ms
@@ -47,7 +47,7 @@
         """Returns whether the machine may leave now; to be asked once, just before it drains."""
         return self.number > 0 and now_ms < self.expires_at_ms
 
-    def mark_used(self) -> None:
+    def consume(self) -> None:
         """Makes sure that no later offer of the same permit is taken."""
         self.expires_at_ms = 0.0
         self.is_used = True
--- a/landingshift/maintenance/mark_file.py
+++ b/landingshift/maintenance/permit_file.py
@@ -11,8 +11,8 @@
     """Returns the permit by which the earlier process of the server `name` left; 0 where nothing says so."""
     try:
         with open(path) as file:
-            marked_name, number = file.read(MAX_BYTES).split()
-        return int(number) if marked_name == name else 0
+            recorded_name, number = file.read(MAX_BYTES).split()
+        return int(number) if recorded_name == name else 0
     except (OSError, ValueError):
         return 0
 
--- a/landingshift/maintenance/planner.py
+++ b/landingshift/maintenance/planner.py
@@ -54,7 +54,7 @@
     unavailable = unavailable_fractions(requests.values(), lost)
     if constraints.violation(unavailable):
         return []
-    if any(r.is_exclusive and r.unavailable_fraction() > 0.0 for r in requests.values()):
+    if any(_is_exclusively_unavailable(request) for request in requests.values()):
         return []
     eligible = [
         request
@@ -68,6 +68,10 @@
     return _GreedySelection(eligible, priorities, constraints, unavailable).run()
 
 
+def _is_exclusively_unavailable(request: MaintenanceRequest) -> bool:
+    return request.is_exclusive and request.unavailable_fraction() > 0.0
+
+
 class _GreedySelection:
     """One run of the greedy selection.
 
@@ -99,10 +103,10 @@
     def run(self) -> list[str]:
         """Selects until nothing more fits."""
         while self.queue and len(self.chosen) < MAX_SELECTED_COUNT:
-            if not self._has_room_for_smallest():
+            if not self._fits_smallest():
                 break
             first = self._next_candidate()
-            group = self._take_with_group(first)
+            group = self._pop_group(first)
             if first.is_exclusive and (self.unavailable or self.chosen):
                 if self._has_highest_priority(first):
                     break  # the others wait, so that it is not passed over for ever
@@ -111,7 +115,7 @@
                 break
         return self.chosen
 
-    def _has_room_for_smallest(self) -> bool:
+    def _fits_smallest(self) -> bool:
         smallest = min(self.constraints.machines[request.name].capacity for request in self.queue)
         return self.margins[0] >= smallest - CAPACITY_TOLERANCE
 
@@ -129,7 +133,7 @@
         zone = self.constraints.machines[request.name].zone
         return -self.rounds[request.name], self.zone_counts.get(zone, 0), request.name
 
-    def _take_with_group(self, first: MaintenanceRequest) -> list[MaintenanceRequest]:
+    def _pop_group(self, first: MaintenanceRequest) -> list[MaintenanceRequest]:
         self.queue.remove(first)
         if not first.group:
             return [first]
@@ -138,8 +142,8 @@
         return [first, *members]
 
     def _has_highest_priority(self, candidate: MaintenanceRequest) -> bool:
-        rest = max((self.priorities[request.name] for request in self.queue), default=0.0)
-        return self.priorities[candidate.name] >= rest
+        next_priority = max((self.priorities[request.name] for request in self.queue), default=0.0)
+        return self.priorities[candidate.name] >= next_priority
 
     def _admit(self, names: list[str]) -> bool:
         margins = self.constraints.margins_without(self.margins, self.unavailable, names)
@@ -160,14 +164,14 @@
 def rounds_needed(names: list[str], constraints: CapacityConstraints) -> dict[str, float]:
     """Returns for each machine the rounds that its tightest limit needs for all of `names`.
 
-    The limit of the whole fleet is left out: its room moves with the demand.
+    The limit of the whole fleet is left out: its slack moves with the demand.
     """
     rounds = dict.fromkeys(names, 0.0)
     for limit in constraints.group_limits:
         members = [name for name in names if name in limit.members]
-        room = constraints.capacity({}, limit.members) - limit.min_capacity
-        if members and room > 0.0:
-            exact = sum(constraints.machines[name].capacity for name in members) / room
+        slack = constraints.capacity({}, limit.members) - limit.min_capacity
+        if members and slack > 0.0:
+            exact = sum(constraints.machines[name].capacity for name in members) / slack
             for name in members:
                 rounds[name] = max(rounds[name], float(ceil(exact - CAPACITY_TOLERANCE)))
     max_voters_out = len(constraints.voters) - constraints.min_voters
--- a/landingshift/maintenance/request_progress.py
+++ b/landingshift/maintenance/request_progress.py
@@ -37,7 +37,7 @@
     is_same_process = permitted_run == report.run
     match request.state:
         case RequestState.PERMITTED:
-            has_begun = is_same_process and report.leaving_permit == request.permit_number
+            has_begun = is_same_process and report.draining_permit == request.permit_number
             if has_begun or report.used_permit == request.permit_number:
                 return Transition(RequestState.DRAINING)
             if not is_same_process:
@@ -94,4 +94,4 @@
         return False  # it may have left: its disk says so once it is back
     offered_at_ms = max(leader_since_ms, report.offered_at_ms)
     lapses_at_ms = offered_at_ms + permit_valid_ms * (1.0 + CLOCK_RATE_ERROR_RATIO) + permit_grace_ms
-    return report.received_at_ms > lapses_at_ms and report.leaving_permit != request.permit_number
+    return report.received_at_ms > lapses_at_ms and report.draining_permit != request.permit_number
--- a/landingshift/maintenance/schedule_bounds.py
+++ b/landingshift/maintenance/schedule_bounds.py
@@ -71,22 +71,24 @@
 ) -> float:
     """Returns ms before which no order can have all machines done and warm again.
 
-    Two bounds, of which the larger counts. For each limit the room adds up to what its machines need, taken
+    Two bounds, of which the larger counts. For each limit the slack adds up to what its machines need, taken
     for divisible and warming evenly; and taken whole, all need so many rounds, the last of which warms up.
 
     Args:
         constraints_at: The constraints after so many ms.
         outage_ms: For how long each machine is out of service.
         warm_up_ms: From then until it is warm.
-        step_ms: Step by which the room is added up.
+        step_ms: Step by which the slack is added up.
     """
     at_start = constraints_at(0.0)
     mean_outage_ms = outage_ms + warm_up_ms / 2.0
     needed = [at_start.capacity({}, limit.members) * mean_outage_ms for limit in at_start.limits]
     elapsed_ms = 0.0
-    while any(rest > 0.0 for rest in needed) and elapsed_ms < MAX_HORIZON_MS:
+    while any(remaining > 0.0 for remaining in needed) and elapsed_ms < MAX_HORIZON_MS:
         margins = constraints_at(elapsed_ms).margins({})
-        needed = [rest - max(0.0, room) * step_ms for rest, room in zip(needed, margins, strict=True)]
+        needed = [
+            remaining - max(0.0, margin) * step_ms for remaining, margin in zip(needed, margins, strict=True)
+        ]
         elapsed_ms += step_ms
     return max(elapsed_ms, rounds_lower_bound(at_start) * outage_ms + warm_up_ms)
 
@@ -94,14 +96,14 @@
 def rounds_lower_bound(constraints: CapacityConstraints) -> int:
     """Returns the rounds that no order can do without, machines being out of service whole.
 
-    Of each limit but the demand's: all its machines over as many as its room holds of the smallest; and of
+    Of each limit but the demand's: all its machines over as many as its slack holds of the smallest; and of
     the voters, who keep a majority and one to spare.
     """
     rounds = 0
     for limit in constraints.group_limits:
-        room = constraints.capacity({}, limit.members) - limit.min_capacity
+        slack = constraints.capacity({}, limit.members) - limit.min_capacity
         smallest = min(constraints.machines[name].capacity for name in limit.members)
-        max_out = int(room / smallest + CAPACITY_TOLERANCE)
+        max_out = int(slack / smallest + CAPACITY_TOLERANCE)
         if max_out:
             rounds = max(rounds, ceil(len(limit.members) / max_out))
     voter_count = len(constraints.voters)
--- a/landingshift/maintenance/service.py
+++ b/landingshift/maintenance/service.py
@@ -11,9 +11,9 @@
 from landingshift.maintenance.commands import Command
 from landingshift.maintenance.coordinator import MaintenanceCoordinator
 from landingshift.maintenance.errors import InvalidMessageError
-from landingshift.maintenance.mark_file import read_used_permit, write_used_permit
 from landingshift.maintenance.messages import LoadReport, ReportAnswer, ServerStatus
 from landingshift.maintenance.operator_calls import OperatorCalls
+from landingshift.maintenance.permit_file import read_used_permit, write_used_permit
 from landingshift.maintenance.replicated_state import MaintenanceState
 from landingshift.maintenance.settings import Settings, coordinator_settings
 from landingshift.maintenance.storage import STATE_MACHINE_NAME, encode_command
@@ -107,7 +107,7 @@
         self.loop = host.router.loop
         self.settings = settings
         self.rng = Random(f"{self.router.config.seed} upkeep {self.router.config.name}")
-        self.agent = MaintenanceAgent(read_used_permit(settings.mark_path, self.router.config.name))
+        self.agent = MaintenanceAgent(read_used_permit(settings.permit_file_path, self.router.config.name))
         self.traffic = TrafficMeter(self.loop.now_ms)
         self.state = MaintenanceState()
         self.coordinator: MaintenanceCoordinator | None = None
@@ -196,7 +196,7 @@
     def _on_answer(self, answer: ReportAnswer) -> None:
         if self.agent.on_answer(answer):
             failpoints.reach("upkeep.permitted")
-            self.leave()
+            self.drain()
 
     def on_entries_applied(self, now_ms: float) -> None:
         """Takes note that the replicated state has changed: what follows from it need not wait."""
@@ -205,13 +205,13 @@
 
     # Leaving
 
-    def leave(self) -> None:
+    def drain(self) -> None:
         """Begins to drain, if the permit still holds by this server's own clock just now."""
-        if self.router.is_draining or not self.agent.begin_leaving(self.loop.clock_ms()):
+        if self.router.is_draining or not self.agent.begin_draining(self.loop.clock_ms()):
             self.log("maintenance_permit_expired", number=self.agent.permit.number)
             return
-        permit_number = self.agent.leaving_permit
-        self._mark_permit_used(permit_number)
+        permit_number = self.agent.draining_permit
+        self._record_used_permit(permit_number)
         failpoints.note("left", self.node.local_record.name, permit_number)
         self.log("maintenance_draining", number=permit_number)
         self.send_report()
@@ -219,17 +219,17 @@
         failpoints.reach("upkeep.draining")
         self.router.drain()
 
-    def _mark_permit_used(self, permit_number: int) -> None:
-        if not self.settings.mark_path:
+    def _record_used_permit(self, permit_number: int) -> None:
+        if not self.settings.permit_file_path:
             return
         try:
-            write_used_permit(self.settings.mark_path, self.node.local_record.name, permit_number)
+            write_used_permit(self.settings.permit_file_path, self.node.local_record.name, permit_number)
         except OSError as err:  # at worst the work is requested once more
             self.log("maintenance_mark_failed", error=str(err))
 
     def finish(self) -> None:
         """Runs the operator's command once the server has drained by a permit, in a process of its own."""
-        permit_number = self.agent.leaving_permit
+        permit_number = self.agent.draining_permit
         if not permit_number or not self.settings.command:
             return
         timeout_seconds = self.settings.command_timeout_seconds
@@ -244,7 +244,7 @@
         return {
             "name": self.node.local_record.name,
             "stage": self.agent.request_state,
-            "going": self.agent.leaving_permit,
+            "going": self.agent.draining_permit,
             "warmth": self.warm_fraction(),
             "load": self.traffic.rpcs_per_second,
             "leader": self.agreement.leader,
--- a/landingshift/maintenance/settings.py
+++ b/landingshift/maintenance/settings.py
@@ -11,7 +11,7 @@
 from msgspec import Meta, Struct, field
 
 from landingshift.maintenance.capacity_constraints import DisruptionBudget
-from landingshift.maintenance.coordinator import CoordinatorSettings
+from landingshift.maintenance.coordinator_settings import CoordinatorSettings
 from landingshift.maintenance.errors import InvalidSettingError
 from landingshift.membership.messages import ZoneName
 
@@ -32,7 +32,7 @@
     """Whether it serves the methods of the highest criticality."""
     command: Annotated[list[str], Meta(max_length=32)] = field(default=[], name="work")
     """Command that is run once the server has drained; begins with an absolute path."""
-    mark_path: str = field(default="", name="mark")
+    permit_file_path: str = field(default="", name="mark")
     """File that keeps the permit by which the server left; without it work may be done twice."""
     on: bool = True
     command_timeout_seconds: Annotated[float, Meta(gt=0.0, le=86_400.0)] = field(default=600.0, name="work_s")
@@ -59,9 +59,9 @@
     Raises:
         InvalidSettingError: A key has a value that can't be used.
     """
-    mark_path = settings.mark_path
-    if mark_path and not os.path.isabs(mark_path):
-        raise InvalidSettingError("mark", f"an absolute path is expected, not {mark_path!r}")
+    permit_file_path = settings.permit_file_path
+    if permit_file_path and not os.path.isabs(permit_file_path):
+        raise InvalidSettingError("mark", f"an absolute path is expected, not {permit_file_path!r}")
     command = settings.command
     if command and not os.path.isabs(command[0]):
         raise InvalidSettingError("work", f"an absolute path is expected first, not {command[0]!r}")
--- a/landingshift/maintenance/staged_rollout.py
+++ b/landingshift/maintenance/staged_rollout.py
@@ -7,10 +7,12 @@
 
 from __future__ import annotations
 
-from collections.abc import Sequence
+from collections.abc import Collection, Iterable, Sequence
 from dataclasses import dataclass, field
 from math import sqrt
 
+from landingshift.maintenance.requests import CompletedRequest, MaintenanceRequest, RequestState
+
 STAGE_SIZES = (1, 5, 25)
 """Machines that must have come back before the next stage may begin."""
 MIN_STANDARD_ERRORS = 3.0
@@ -19,6 +21,8 @@
 MIN_ANSWERED_COUNT = 200
 """RPCs of either side below which nothing is concluded."""
 UNLIMITED_COUNT = 1 << 30
+SAME_CALL_MS = 1000.0
+"""Requests whose times differ by less are of one call of an operator."""
 
 
 @dataclass(slots=True)
@@ -47,6 +51,26 @@
     return UNLIMITED_COUNT
 
 
+def remaining_in_stage(requests: Collection[MaintenanceRequest], history: Iterable[CompletedRequest]) -> int:
+    """Returns how many further machines the present stage lets leave.
+
+    A rollout is what was requested since the oldest open request; those of one call of an operator belong
+    together.
+
+    Args:
+        requests: Open requests, at least one.
+        history: Requests that ended.
+    """
+    rollout_began_ms = min(request.requested_at_ms for request in requests) - SAME_CALL_MS
+    completed_count = sum(
+        1
+        for ended in history
+        if ended.final_state == RequestState.COMPLETED.value and ended.requested_at_ms >= rollout_began_ms
+    )
+    under_way_count = sum(request.state is not RequestState.REQUESTED for request in requests)
+    return max(0, rollout_limit(completed_count) - completed_count - under_way_count)
+
+
 def regression(completed: AnswerCounts, untouched: AnswerCounts) -> str:
     """Returns by how much machines that came back do worse, for operators; empty where they do not."""
     if completed.total < MIN_ANSWERED_COUNT or untouched.total < MIN_ANSWERED_COUNT:
--- a/landingshift/maintenance/wire.py
+++ b/landingshift/maintenance/wire.py
@@ -22,7 +22,7 @@
         status.serves_critical_methods,
         status.warm_fraction,
         status.rpcs_per_second,
-        report.leaving_permit,
+        report.draining_permit,
         report.used_permit,
         status.ok_count,
         status.answered_count,
@@ -49,7 +49,7 @@
             bool(is_critical),
             float(warm_fraction),
             float(rpcs_per_second),
-            int(leaving_permit),
+            int(draining_permit),
             int(used_permit),
             float(ok_count),
             float(answered_count),
@@ -63,7 +63,7 @@
                 ok_count=ok_count,
                 answered_count=answered_count,
             )
-            return LoadReport(sequence, status, leaving_permit, used_permit)
+            return LoadReport(sequence, status, draining_permit, used_permit)
         case ["told", int(sequence), str(request_state), int(permit_number), float(valid_ms)]:
             return ReportAnswer(sequence, request_state, permit_number, valid_ms)
     raise InvalidMessageError
--- a/landingshift/testbed/experiments/maintenance.py
+++ b/landingshift/testbed/experiments/maintenance.py
@@ -16,7 +16,11 @@
 from landingshift.maintenance.requests import MaintenanceRequest, RequestState
 from landingshift.maintenance.schedule_bounds import duration_lower_bound_ms, exact_rounds, greedy_rounds
 from landingshift.testbed.experiments.rows import Row, all_real, must
-from landingshift.testbed.simulation.maintenance_fleet import DAY_MINUTES, MACHINE_CAPACITY, SimulatedFleet
+from landingshift.testbed.simulation.maintenance_fleet import (
+    DAY_MINUTES,
+    MACHINE_CAPACITY_RPCS_PER_SECOND,
+    SimulatedFleet,
+)
 
 HEADROOM_TOLERANCE = 1e-6
 MAX_DURATION_RATIO = 1.6
@@ -162,7 +166,7 @@
 
 
 def _capacity_up(fleet: SimulatedFleet) -> float:
-    return sum(MACHINE_CAPACITY for machine in fleet.machines.values() if machine.is_up)
+    return sum(MACHINE_CAPACITY_RPCS_PER_SECOND for machine in fleet.machines.values() if machine.is_up)
 
 
 def late_permit(row: Row, seed: int, without: str) -> None:
@@ -182,8 +186,8 @@
     fleet.peak_load = 2.5  # more than all can serve by night
     for _ in range(60):
         fleet.step()
-    has_stayed = not machine.leaving_permit and machine.is_up
-    must(row, has_stayed, f"seed {seed}: {name} left by {machine.leaving_permit}, too late")
+    has_stayed = not machine.draining_permit and machine.is_up
+    must(row, has_stayed, f"seed {seed}: {name} left by {machine.draining_permit}, too late")
     row.broken += [f"seed {seed}: {text}" for text in fleet.violations[:1]]
 
 
--- a/landingshift/testbed/experiments/maintenance_harness.py
+++ b/landingshift/testbed/experiments/maintenance_harness.py
@@ -20,7 +20,7 @@
 WARM_UP_MS = 500.0
 VOTERS_COUNT = 5
 """With three, one that is away would leave a bare majority."""
-MODERATE_LOAD = 0.55
+MODERATE_LOAD_FRACTION = 0.55
 """Of all capacity: with the headroom one or two of six may be out of service."""
 POLL_INTERVAL_SECONDS = 0.05
 CALL_TIMEOUT_MS = 1500.0
@@ -32,7 +32,7 @@
 calls_s = {calls}
 """
 
-AWAY_STATES = (
+UNAVAILABLE_STATES = (
     RequestState.DRAINING.value,
     RequestState.OUT_OF_SERVICE.value,
     RequestState.RETURNING.value,
@@ -53,7 +53,7 @@
         folder: str,
         count: int,
         seed: int,
-        load: float = MODERATE_LOAD,
+        load: float = MODERATE_LOAD_FRACTION,
         headroom_ratio: float = HEADROOM_RATIO,
         other_settings: str = "",
     ) -> None:
@@ -125,7 +125,7 @@
     def unavailable_count(self) -> int:
         """Returns how many machines are away by a permit, as the leader has it."""
         requests = self.leader_status(2.0).get("wishes", [])
-        return sum(request["stage"] in AWAY_STATES for request in requests)
+        return sum(request["stage"] in UNAVAILABLE_STATES for request in requests)
 
     def has_permitted(self, leader: int) -> bool:
         """Returns whether a leader has issued a permit for a request that has not ended."""
--- a/landingshift/testbed/experiments/maintenance_real.py
+++ b/landingshift/testbed/experiments/maintenance_real.py
@@ -14,22 +14,22 @@
     CAPACITY_RPCS_PER_SECOND,
     COLD_START_SETTINGS,
     HEADROOM_RATIO,
-    MODERATE_LOAD,
+    MODERATE_LOAD_FRACTION,
     PERMIT_VALID_MS,
     MaintenanceHarness,
 )
 from landingshift.testbed.experiments.policies_real import across, up_or_dead
 from landingshift.testbed.experiments.rows import Row, must
 
-NIGHT_LOAD = 0.3
+NIGHT_LOAD_FRACTION = 0.3
 """Two of six may be out of service, and a zone beside them."""
-TWO_OUT_LOAD = 0.45
+TWO_OUT_LOAD_FRACTION = 0.45
 """Two of six may be out of service even at the peaks of a second."""
-FULL_LOAD = 0.93
+FULL_LOAD_FRACTION = 0.93
 """Of what all but one can serve: what comes in a second is not even."""
-ALL_CAPACITY_LOAD = 1.0
-CALLS_PER_SECOND_EACH = 1000.0
-FIRST_UNCRITICAL = 3
+ALL_CAPACITY_LOAD_FRACTION = 1.0
+MAX_CALLS_PER_SECOND_EACH = 1000.0
+FIRST_REQUESTED_INDEX = 3
 """Servers from this one on are requested where the first voters are to stay."""
 
 Play = Callable[[MaintenanceHarness, Row], None]
@@ -37,7 +37,10 @@
 
 
 def real_row(
-    play: Play, load: float = MODERATE_LOAD, is_fully_loaded: bool = False, has_cold_start: bool = False
+    play: Play,
+    load: float = MODERATE_LOAD_FRACTION,
+    is_fully_loaded: bool = False,
+    has_cold_start: bool = False,
 ) -> RealRow:
     """Returns a row that plays one scenario.
 
@@ -49,11 +52,11 @@
     """
 
     def run(folder: str, count: int, seed: int, row: Row) -> None:
-        share = FULL_LOAD * (count - 1) / count if is_fully_loaded else load
+        share = FULL_LOAD_FRACTION * (count - 1) / count if is_fully_loaded else load
         headroom_ratio = 0.0 if is_fully_loaded else HEADROOM_RATIO
         settings = ""
         if has_cold_start:
-            settings = COLD_START_SETTINGS.format(count=count, calls=CALLS_PER_SECOND_EACH * count)
+            settings = COLD_START_SETTINGS.format(count=count, calls=MAX_CALLS_PER_SECOND_EACH * count)
         harness = MaintenanceHarness(folder, count, seed, share, headroom_ratio, settings)
         try:
             play(harness, row)
@@ -75,7 +78,7 @@
     max_unavailable = _watch_until_ended(harness, 20.0 + 12.0 * harness.count)
     row.figures |= {"took_s": round(time.monotonic() - began, 1), "most_out": max_unavailable}
     harness.must_be_completed(row, harness.names)
-    allowed = int(harness.count * (1.0 - MODERATE_LOAD * (1.0 + HEADROOM_RATIO)))
+    allowed = int(harness.count * (1.0 - MODERATE_LOAD_FRACTION * (1.0 + HEADROOM_RATIO)))
     within = max_unavailable <= max(1, allowed)
     must(row, within, f"{max_unavailable} were out at once, {allowed} may be")
 
@@ -132,11 +135,22 @@
     return 100.0 * outcomes["ok"] / max(1, sum(outcomes.values()))
 
 
-def zone_fails_meanwhile(is_notified: bool, harness: MaintenanceHarness, row: Row) -> None:
-    """While two are out of service a zone gets a notice from outside, or loses its power and starts cold.
+def zone_gets_notice(harness: MaintenanceHarness, row: Row) -> None:
+    """While two are out of service a zone gets a notice from outside to end."""
 
-    That goes before all else and counts against the budget; what was requested ends all the same.
-    """
+    def notify(index: int) -> None:
+        harness.rig.processes[index].send_signal(signal.SIGTERM)
+
+    _zone_ends(harness, row, notify)
+
+
+def zone_loses_power(harness: MaintenanceHarness, row: Row) -> None:
+    """While two are out of service a zone loses its power, and then starts cold."""
+    _zone_ends(harness, row, harness.rig.kill)
+
+
+def _zone_ends(harness: MaintenanceHarness, row: Row, end_server: Callable[[int], None]) -> None:
+    """Ends a zone for a while: it counts against the budget, and what was requested ends all the same."""
     harness.start_all()
     zone = [index for index in range(harness.count) if index % 3 == 0]
     requested = [harness.rig.name(index) for index in range(harness.count) if index not in zone]
@@ -144,10 +158,11 @@
     harness.rig.until(10.0, lambda: harness.unavailable_count() >= 1)
     failed_at_ms = time.monotonic() * 1000.0
     harness.not_restarted.update(zone)  # until the zone has power again
-    _end_servers(harness, zone, is_notified)
+    for index in zone:
+        end_server(index)
     processes = harness.rig.processes
-    has_gone = harness.rig.until(8.0, lambda: all(processes[index].poll() is not None for index in zone))
-    must(row, has_gone, "the zone did not go")
+    has_ended = harness.rig.until(8.0, lambda: all(processes[index].poll() is not None for index in zone))
+    must(row, has_ended, "the zone did not go")
     time.sleep(5.0)
     restored_at_ms = time.monotonic() * 1000.0
     harness.not_restarted.difference_update(zone)
@@ -159,14 +174,6 @@
     must(row, not late, f"let go while a zone was out: {late}")
 
 
-def _end_servers(harness: MaintenanceHarness, indices: list[int], is_notified: bool) -> None:
-    for index in indices:
-        if is_notified:
-            harness.rig.processes[index].send_signal(signal.SIGTERM)
-        else:
-            harness.rig.kill(index)
-
-
 def crash_meanwhile(harness: MaintenanceHarness, row: Row) -> None:
     """A server without a request crashes for good just after a permit: it counts against the budget."""
     harness.start_all()
@@ -182,7 +189,7 @@
 def leader_killed(harness: MaintenanceHarness, row: Row) -> None:
     """The leader dies as soon as a permit is issued, and again later; all requests end all the same."""
     harness.start_all()
-    requested = harness.names[FIRST_UNCRITICAL:]
+    requested = harness.names[FIRST_REQUESTED_INDEX:]
     harness.request_maintenance(requested)
     for _ in range(2):
         leader = harness.leader()
@@ -223,10 +230,10 @@
     time.sleep(0.3)
     harness.cut(partial(across, {last}))
     time.sleep(4.0)
-    harness.request_maintenance(harness.names[FIRST_UNCRITICAL:-1])
+    harness.request_maintenance(harness.names[FIRST_REQUESTED_INDEX:-1])
     time.sleep(4.0)
     harness.whole()
-    harness.must_end(row, harness.names[FIRST_UNCRITICAL:], 60.0)
+    harness.must_end(row, harness.names[FIRST_REQUESTED_INDEX:], 60.0)
 
 
 def killed_at_each_step(harness: MaintenanceHarness, row: Row) -> None:
@@ -257,7 +264,7 @@
     harness.must_end(row, [name], 40.0, f"{step}: ")
 
 
-def never_back(harness: MaintenanceHarness, row: Row) -> None:
+def never_restarted(harness: MaintenanceHarness, row: Row) -> None:
     """One never comes back: it stays counted as out, and the others go on as the constraints let them."""
     harness.start_all()
     last = harness.count - 1
@@ -265,7 +272,7 @@
     harness.not_restarted.add(last)
     harness.request_maintenance([name], urgency=9.0)
     harness.rig.until(20.0, lambda: harness.rig.processes[last].poll() is not None)
-    others = harness.names[FIRST_UNCRITICAL:last]
+    others = harness.names[FIRST_REQUESTED_INDEX:last]
     harness.request_maintenance(others)
     harness.must_end(row, others, 60.0)
     requests = harness.maintenance_status(harness.leader())["wishes"]
@@ -286,8 +293,8 @@
     must(row, is_loaded, f"the load was not brought: {status['demand']:.0f} a second")
     states = [request["stage"] for request in status["wishes"]]
     must(row, states == [RequestState.REQUESTED.value], f"{status['wishes']}")
-    says_why = "the whole" in status["waits_for"] or status["room"] < CAPACITY_RPCS_PER_SECOND
-    must(row, says_why, f"it says {status}")
+    is_explained = "the whole" in status["waits_for"] or status["room"] < CAPACITY_RPCS_PER_SECOND
+    must(row, is_explained, f"it says {status}")
     harness.call(harness.leader(), "upkeep_cancel", "no room", name)
     must(row, harness.wait_until_ended([name], 10.0), "not cancelled")
 
@@ -295,7 +302,7 @@
 def with_a_policy_change(harness: MaintenanceHarness, row: Row) -> None:
     """A change of policy while machines are out of service: it takes hold, and all requests end."""
     harness.start_all()
-    requested = harness.names[FIRST_UNCRITICAL:]
+    requested = harness.names[FIRST_REQUESTED_INDEX:]
     harness.request_maintenance(requested)
     harness.rig.until(10.0, lambda: harness.has_permitted(harness.leader()))
     change = harness.propose(0, 1)
@@ -309,16 +316,16 @@
 
 REAL: dict[str, RealRow] = {
     "real_all_replaced": real_row(all_replaced),
-    "real_crash_meanwhile": real_row(crash_meanwhile, TWO_OUT_LOAD),
+    "real_crash_meanwhile": real_row(crash_meanwhile, TWO_OUT_LOAD_FRACTION),
     "real_leader_killed": real_row(leader_killed),
     "real_stopped_past_the_end": real_row(stopped_past_the_expiry),
     "real_cut_off": real_row(cut_off),
     "real_killed_at_each_step": real_row(killed_at_each_step),
-    "real_never_back": real_row(never_back),
-    "real_overloaded": real_row(overloaded, ALL_CAPACITY_LOAD),
+    "real_never_back": real_row(never_restarted),
+    "real_overloaded": real_row(overloaded, ALL_CAPACITY_LOAD_FRACTION),
     "real_at_full_load": real_row(at_full_load, is_fully_loaded=True),
-    "real_notice_to_a_zone": real_row(partial(zone_fails_meanwhile, True), NIGHT_LOAD),
-    "real_cold_zone": real_row(partial(zone_fails_meanwhile, False), NIGHT_LOAD, has_cold_start=True),
+    "real_notice_to_a_zone": real_row(zone_gets_notice, NIGHT_LOAD_FRACTION),
+    "real_cold_zone": real_row(zone_loses_power, NIGHT_LOAD_FRACTION, has_cold_start=True),
     "real_with_a_change": real_row(with_a_policy_change),
 }
 """Rows by the names that the command line knows."""
--- a/landingshift/testbed/simulation/cluster.py
+++ b/landingshift/testbed/simulation/cluster.py
@@ -17,7 +17,7 @@
 from landingshift.consensus.raft import Times as Beats
 from landingshift.maintenance.capacity_constraints import DisruptionBudget
 from landingshift.maintenance.commands import AddRequests
-from landingshift.maintenance.coordinator import CoordinatorSettings
+from landingshift.maintenance.coordinator_settings import CoordinatorSettings
 from landingshift.maintenance.requests import MaintenanceRequest
 from landingshift.policies.follower import Plan as Rules
 from landingshift.policies.part import ENDED
--- a/landingshift/testbed/simulation/maintenance.py
+++ b/landingshift/testbed/simulation/maintenance.py
@@ -16,10 +16,10 @@
 class AgentWithoutExpiry(MaintenanceAgent):
     """Leaves by a permit whenever it gets to it: the invariants must then be found violated."""
 
-    def begin_leaving(self, now_ms: float) -> bool:
+    def begin_draining(self, now_ms: float) -> bool:
         """Uses the permit, expired or not."""
         self.permit.expires_at_ms = inf
-        return super().begin_leaving(now_ms)
+        return super().begin_draining(now_ms)
 
 
 class SimulatedEnvironment:
--- a/landingshift/testbed/simulation/maintenance_fleet.py
+++ b/landingshift/testbed/simulation/maintenance_fleet.py
@@ -13,9 +13,10 @@
 
 from landingshift.maintenance.capacity_constraints import DisruptionBudget, Machine
 from landingshift.maintenance.commands import AddRequests, Command
-from landingshift.maintenance.coordinator import CoordinatorSettings, MaintenanceCoordinator
+from landingshift.maintenance.coordinator import MaintenanceCoordinator
+from landingshift.maintenance.coordinator_settings import CoordinatorSettings
 from landingshift.maintenance.messages import LoadReport, ReportAnswer, ServerStatus
-from landingshift.maintenance.permit import LeavePermit
+from landingshift.maintenance.permit import DrainPermit
 from landingshift.maintenance.planner import MS_PER_MINUTE
 from landingshift.maintenance.replicated_state import MaintenanceState
 from landingshift.maintenance.requests import MaintenanceRequest
@@ -25,7 +26,7 @@
 WITHOUT_EXPIRY = "end"
 STEP_MS = 500.0
 DAY_MINUTES = 24 * 60
-MACHINE_CAPACITY = 100.0
+MACHINE_CAPACITY_RPCS_PER_SECOND = 100.0
 """RPCs a second."""
 MODELS = ("a", "b", "c")
 VOTERS_COUNT = 5
@@ -43,7 +44,7 @@
     """An answer that its machine has not seen yet."""
 
     due_ms: float
-    asked_at_ms: float
+    reported_at_ms: float
     answer: ReportAnswer
     is_accepted: bool = False
     """The machine accepted it already and stalled just before it used the permit."""
@@ -57,8 +58,8 @@
     run: int = 1
     """Number of its process."""
     is_up: bool = True
-    permit: LeavePermit = field(default_factory=LeavePermit)
-    leaving_permit: int = 0
+    permit: DrainPermit = field(default_factory=DrainPermit)
+    draining_permit: int = 0
     used_permit: int = 0
     """What its disk keeps."""
     restart_at_ms: float = 0.0
@@ -79,9 +80,9 @@
         self.is_up = True
         self.run += 1
         self.started_at_ms = now_ms
-        self.permit = LeavePermit()
-        self.used_permit = self.leaving_permit or self.used_permit
-        self.leaving_permit = 0
+        self.permit = DrainPermit()
+        self.used_permit = self.draining_permit or self.used_permit
+        self.draining_permit = 0
         self.delayed_answers = []
 
     def take_due_answers(self, now_ms: float) -> list[DelayedAnswer]:
@@ -254,7 +255,7 @@
             ok_count=0.0,
             answered_count=0.0,
         )
-        report = LoadReport(0, status, machine.leaving_permit, machine.used_permit)
+        report = LoadReport(0, status, machine.draining_permit, machine.used_permit)
         answer = self.coordinator.on_report(machine.machine, machine.run, report, self.now_ms)
         if answer is None:
             return
@@ -267,9 +268,9 @@
     def _on_answer(self, machine: SimulatedMachine, delayed: DelayedAnswer) -> None:
         answer = delayed.answer
         if not delayed.is_accepted:
-            if answer.valid_ms <= 0.0 or machine.leaving_permit:
+            if answer.valid_ms <= 0.0 or machine.draining_permit:
                 return
-            if not machine.permit.offer(answer.permit_number, delayed.asked_at_ms, answer.valid_ms):
+            if not machine.permit.offer(answer.permit_number, delayed.reported_at_ms, answer.valid_ms):
                 return
             if self._stalls(machine, delayed):
                 return
@@ -284,21 +285,21 @@
         stall_ms = self.rng.uniform(MIN_STALL_MS, 3.0 * delayed.answer.valid_ms)
         machine.stalled_until_ms = self.now_ms + stall_ms
         accepted = DelayedAnswer(
-            machine.stalled_until_ms, delayed.asked_at_ms, delayed.answer, is_accepted=True
+            machine.stalled_until_ms, delayed.reported_at_ms, delayed.answer, is_accepted=True
         )
         machine.delayed_answers.append(accepted)
         return True
 
     def _leave(self, machine: SimulatedMachine, permit_number: int) -> None:
         name = machine.machine.name
-        machine.leaving_permit = permit_number
+        machine.draining_permit = permit_number
         if permit_number in self._used_permits:
             self.violations.append(f"{self.now_ms:.0f}: permission {permit_number} was used twice")
         request = self.state.requests.get(name)
         if request is None or request.permit_number != permit_number:
             self.violations.append(f"{self.now_ms:.0f}: {name} left on one that is not in force")
         self._used_permits.add(permit_number)
-        machine.permit.mark_used()
+        machine.permit.consume()
         machine.is_up = False
         machine.restart_at_ms = self.now_ms + self.outage_minutes * MS_PER_MINUTE
 
@@ -315,7 +316,7 @@
     return [
         Machine(
             name=f"n{index}",
-            capacity=MACHINE_CAPACITY,
+            capacity=MACHINE_CAPACITY_RPCS_PER_SECOND,
             zone=f"z{index % zones}",
             model=MODELS[index % len(MODELS)],
             serves_critical_methods=index % CRITICAL_EVERY_COUNT == 0,
--- a/landingshift/testbed/simulation/server.py
+++ b/landingshift/testbed/simulation/server.py
@@ -424,11 +424,11 @@
 
     def on_maintenance_answer(self, answer: ReportAnswer) -> None:
         agent = self.maintenance_agent
-        if not agent.on_answer(answer) or not agent.begin_leaving(self.clock()):
+        if not agent.on_answer(answer) or not agent.begin_draining(self.clock()):
             return
-        self.disk.mark = agent.leaving_permit
+        self.disk.mark = agent.draining_permit
         permit_in_force = self.town.permitted(self.name)
-        self.note("left", agent.leaving_permit, permit_in_force)
+        self.note("left", agent.draining_permit, permit_in_force)
         self.report(self.clock())
         self.drain(self.town.work_ms(self.name))
 
--- a/tests/test_golden_storage.py
+++ b/tests/test_golden_storage.py
@@ -20,7 +20,7 @@
 from landingshift.ledger.entries import Batch, Gap, Raw, decode
 from landingshift.ledger.records import Exporting
 from landingshift.ledger.store import FILE, Store
-from landingshift.maintenance.mark_file import read_used_permit, write_used_permit
+from landingshift.maintenance.permit_file import read_used_permit, write_used_permit
 from landingshift.maintenance.replicated_state import MaintenanceState
 from landingshift.maintenance.storage import STATE_MACHINE_NAME
 from landingshift.policies.book import Book as PolicyBook
