--- a/landingshift/testbed/simulation/maintenance_fleet.py
+++ b/landingshift/testbed/simulation/maintenance_fleet.py
@@ -21,6 +21,7 @@
 from landingshift.maintenance.replicated_state import MaintenanceState
 from landingshift.maintenance.requests import MaintenanceRequest
 from landingshift.maintenance.storage import encode_command
+from landingshift.testbed.verification.maintenance_state import state_violations
 
 WITHOUT_CONSTRAINTS = "floor"
 WITHOUT_EXPIRY = "end"
@@ -220,6 +221,7 @@
         for machine in serving:
             self._run_machine(machine, demand_each)
         self.coordinator.step(self.now_ms)
+        self.violations += state_violations(self.state)
         self._record_headroom(demand)
 
     def sample(self, began_ms: float) -> FleetSample:
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -2,7 +2,11 @@
 
 from __future__ import annotations
 
+import tempfile
 import unittest
+from pathlib import Path
+from typing import Any
+from unittest import mock
 
 from landingshift.consensus.state_machines import Shelf, entry
 from landingshift.maintenance.capacity_constraints import (
@@ -26,14 +30,20 @@
     DailyDemandProfile,
 )
 from landingshift.maintenance.errors import InvalidMessageError, InvalidTransitionError, StalePermitError
+from landingshift.maintenance.fleet_view import MachineReport
 from landingshift.maintenance.messages import LoadReport, ReportAnswer, ServerStatus
 from landingshift.maintenance.permit import DrainPermit
+from landingshift.maintenance.permit_file import read_used_permit, write_used_permit
+from landingshift.maintenance.proposals import Proposals
 from landingshift.maintenance.replicated_state import MaintenanceState
+from landingshift.maintenance.request_progress import has_permit_lapsed
 from landingshift.maintenance.requests import TRANSITIONS, MaintenanceRequest, RequestState
 from landingshift.maintenance.storage import decode_command, encode_command
+from landingshift.maintenance.traffic_meter import TrafficMeter
 from landingshift.maintenance.wire import decode_message, encode_answer, encode_report
 from landingshift.testbed.experiments.maintenance import VIRTUAL_ROWS, play_virtual_row
 from landingshift.testbed.simulation.maintenance_fleet import SimulatedFleet
+from landingshift.testbed.verification.maintenance_state import state_violations
 from tests.golden_files import golden_json
 
 STATUS = ServerStatus(
@@ -153,6 +163,30 @@
         self.assertEqual(other.had, [entry("other", word) for word in range(3)])
 
 
+class StateInvariantsTest(unittest.TestCase):
+    def test_each_broken_invariant_is_named(self) -> None:
+        for attributes, violation in [
+            ({"permit_number": 1}, "a is wished with permit 1"),
+            ({"state": RequestState.DRAINING}, "a is draining with permit 0"),
+            ({"state": RequestState.OUT_OF_SERVICE, "permit_number": 1}, "a has a permit of no process"),
+            ({"state": RequestState.COMPLETED}, "a has ended, and is open"),
+            ({"permit_number": 2}, "permit 2 is above the last one, 1"),
+            ({"warm_fraction": 1.5}, "a is warm by 1.5"),
+        ]:
+            with self.subTest(violation=violation):
+                state = MaintenanceState()
+                state.last_permit_number = 1
+                state.requests["a"] = MaintenanceRequest("a", 1.0, 0.0, **attributes)
+                self.assertIn(violation, state_violations(state))
+
+    def test_a_state_that_commands_made_holds(self) -> None:
+        state = MaintenanceState()
+        state.apply(encode_command(AddRequests((MaintenanceRequest("a", 1.0, 0.0),))))
+        self.assertEqual(state_violations(state), [])
+        state.apply(encode_command(IssuePermit("a", 7, 0.0)))
+        self.assertEqual(state_violations(state), [])
+
+
 class StoredAndSentFormsTest(unittest.TestCase):
     def test_each_command_is_encoded_as_it_was_decoded(self) -> None:
         entries = golden_json("replicated_states.json")["work entries"]
@@ -203,6 +237,89 @@
         return 1.0
 
 
+class ProposalsTest(unittest.TestCase):
+    def test_one_subject_is_proposed_once_within_the_interval(self) -> None:
+        environment = mock.Mock()
+        proposals = Proposals(environment)
+        commands: list[tuple[Command, float]] = [
+            (IssuePermit("a", 7, 0.0), 0.0),
+            (IssuePermit("a", 8, 1.0), 999.0),  # of the same subject
+            (IssuePermit("b", 7, 1.0), 999.0),
+            (ChangeState("a", 1, RequestState.DRAINING, "", 0.0), 999.0),
+            (ChangeState("a", 2, RequestState.DRAINING, "", 0.0), 999.0),
+            (IssuePermit("a", 9, 2.0), 1000.0),
+        ]
+        for command, now_ms in commands:
+            proposals.propose(command, now_ms)
+        proposed = [call.args[0] for call in environment.propose.call_args_list]
+        self.assertEqual(
+            proposed, [command for command, _ in commands if command != IssuePermit("a", 8, 1.0)]
+        )
+
+    def test_a_withheld_permit_is_offered_again_once_released(self) -> None:
+        proposals = Proposals(mock.Mock())
+        proposals.withhold_permit("a", 3)
+        self.assertTrue(proposals.is_withheld("a", 3))
+        self.assertFalse(proposals.is_withheld("a", 4))
+        proposals.release_permits()
+        self.assertFalse(proposals.is_withheld("a", 3))
+
+
+class LapsedPermitTest(unittest.TestCase):
+    def test_a_permit_lapses_only_after_a_report_that_the_machine_stays(self) -> None:
+        request = MaintenanceRequest("a", 1.0, 0.0, state=RequestState.PERMITTED, permit_number=3)
+        lapses_at_ms = 1000.0 + 3000.0 * 1.02 + 500.0
+        for received_at_ms, draining_permit, now_ms, has_lapsed in [
+            (lapses_at_ms, 0, lapses_at_ms, False),
+            (lapses_at_ms + 1.0, 0, lapses_at_ms + 1.0, True),
+            (lapses_at_ms + 1.0, 3, lapses_at_ms + 1.0, False),  # it drains by this permit
+            (lapses_at_ms + 1.0, 0, lapses_at_ms + 6002.0, False),  # silent: it may have left
+        ]:
+            with self.subTest(received_at_ms=received_at_ms, draining_permit=draining_permit):
+                report = MachineReport(
+                    machine=Machine("a", 100.0),
+                    run=7,
+                    warm_fraction=1.0,
+                    rpcs_per_second=0.0,
+                    received_at_ms=received_at_ms,
+                    draining_permit=draining_permit,
+                    used_permit=0,
+                    ok_count=0.0,
+                    answered_count=0.0,
+                    offered_at_ms=1000.0,
+                )
+                found = has_permit_lapsed(request, report, 0.0, 3000.0, 500.0, now_ms)
+                self.assertIs(found, has_lapsed)
+        self.assertFalse(has_permit_lapsed(request, None, 0.0, 3000.0, 500.0, 1e9))
+
+
+class PermitFileTest(unittest.TestCase):
+    def test_only_the_permit_of_this_server_is_read_back(self) -> None:
+        folder = self.enterContext(tempfile.TemporaryDirectory())
+        path = f"{folder}/permit"
+        self.assertEqual(read_used_permit(path, "n1"), 0)
+        write_used_permit(path, "n1", 17)
+        self.assertEqual(read_used_permit(path, "n1"), 17)
+        self.assertEqual(read_used_permit(path, "n2"), 0)
+        Path(path).write_text("n1 not-a-number\n")
+        self.assertEqual(read_used_permit(path, "n1"), 0)
+
+
+class TrafficMeterTest(unittest.TestCase):
+    def test_the_rate_is_that_of_the_last_complete_window(self) -> None:
+        rpc: Any = None
+        meter = TrafficMeter(500.0)
+        for _ in range(30):
+            meter.on_read(rpc)
+        meter.roll_window(1499.0)
+        self.assertEqual(meter.rpcs_per_second, 0.0)
+        meter.roll_window(2000.0)
+        self.assertEqual(meter.rpcs_per_second, 20.0)
+        for outcome in ("ok", "error", "ok"):
+            meter.on_answered(rpc, outcome)
+        self.assertEqual((meter.ok_count, meter.answered_count), (2.0, 3.0))
+
+
 class NewLeadersTest(unittest.TestCase):
     def test_a_leader_that_never_heard_of_the_lost_counts_them_all_the_same(self) -> None:
         # Two of five voters and a zone are down when it is elected: those that report lack nothing.
