--- a/landingshift/maintenance/commands.py
+++ b/landingshift/maintenance/commands.py
@@ -20,7 +20,7 @@
     """The leader lets a machine leave."""
 
     name: str
-    run: int
+    run_id: int
     """Number of the process that the permit is meant for."""
     issued_at_ms: float
     """Monotonic ms of the leader."""
--- a/landingshift/maintenance/coordinator.py
+++ b/landingshift/maintenance/coordinator.py
@@ -66,9 +66,9 @@
     Attributes:
         state: The replicated state.
         settings: Alike on all servers.
-        fleet: Reports of this reign.
+        fleet: Reports of this term.
         waiting_reason: Why no permit is issued just now, for operators; empty where one may be.
-        leader_since_ms: When this reign began.
+        leader_since_ms: When this term began.
     """
 
     def __init__(
@@ -119,12 +119,14 @@
         )
         return self.on_report(machine, sender.run_id, report, now_ms)
 
-    def on_report(self, machine: Machine, run: int, report: LoadReport, now_ms: float) -> ReportAnswer | None:
+    def on_report(
+        self, machine: Machine, run_id: int, report: LoadReport, now_ms: float
+    ) -> ReportAnswer | None:
         """Takes a machine's report.
 
         Args:
             machine: The machine that reports.
-            run: Number of its process.
+            run_id: Number of its process.
             report: What it reports.
             now_ms: Monotonic ms.
 
@@ -134,7 +136,7 @@
         if not self._environment.is_leader(now_ms):
             return None
         previous = self.fleet.reports.get(machine.name)
-        recorded = self.fleet.record(machine, run, report, now_ms)
+        recorded = self.fleet.record(machine, run_id, report, now_ms)
         if recorded is None:
             return None
         self._count_answers(previous, recorded)
@@ -143,14 +145,14 @@
         if request is None:
             return ReportAnswer(report.sequence, "", 0, 0.0)
         self._follow_report(request, recorded, now_ms)
-        is_offered = self._may_offer_permit(request, run)
+        is_offered = self._may_offer_permit(request, run_id)
         if is_offered and not recorded.draining_permit:
             recorded.offered_at_ms = now_ms
         valid_ms = self.settings.permit_valid_ms if is_offered else 0.0
         return ReportAnswer(report.sequence, request.state.value, request.permit_number, valid_ms)
 
     def _count_answers(self, previous: MachineReport | None, report: MachineReport) -> None:
-        if previous is None or previous.run != report.run:
+        if previous is None or previous.run_id != report.run_id:
             return
         ok = max(0.0, report.ok_count - previous.ok_count)
         total = max(0.0, report.answered_count - previous.answered_count)
@@ -165,15 +167,15 @@
     def _follow_report(self, request: MaintenanceRequest, report: MachineReport, now_ms: float) -> None:
         if request.state is RequestState.WARMING_UP:
             request.warm_fraction = report.warm_fraction
-        permitted_run = self.state.permitted_runs.get(request.name)
-        transition = transition_on_report(request, report, permitted_run)
+        permitted_run_id = self.state.permitted_run_ids.get(request.name)
+        transition = transition_on_report(request, report, permitted_run_id)
         if transition is None:
             return
         self._propose_transition(request, transition, now_ms)
         if transition.new_state is RequestState.COMPLETED:
             self._rollout.completed_names.add(request.name)
 
-    def _may_offer_permit(self, request: MaintenanceRequest, run: int) -> bool:
+    def _may_offer_permit(self, request: MaintenanceRequest, run_id: int) -> bool:
         """Returns whether a machine may be told now that it may leave.
 
         A new leader does not offer again what the one before it issued until it has evaluated
@@ -181,7 +183,7 @@
         """
         return (
             request.state is RequestState.PERMITTED
-            and self.state.permitted_runs.get(request.name) == run
+            and self.state.permitted_run_ids.get(request.name) == run_id
             and not self.state.pause_reason
             and self._has_evaluated_constraints
             and not self._proposals.is_withheld(request.name, request.permit_number)
@@ -246,14 +248,14 @@
             self._issue_permits(snapshot, now_ms)
 
     def _follow_leadership(self, now_ms: float) -> bool:
-        """Starts a reign where one begins; returns whether this server leads."""
+        """Starts a term where one begins; returns whether this server leads."""
         is_leader = self._environment.is_leader(now_ms)
         if is_leader and not self._was_leader:
-            self._begin_reign(now_ms)
+            self._begin_term(now_ms)
         self._was_leader = is_leader
         return is_leader
 
-    def _begin_reign(self, now_ms: float) -> None:
+    def _begin_term(self, now_ms: float) -> None:
         self.leader_since_ms = now_ms
         self._has_evaluated_constraints = False
         self.fleet.clear()
@@ -355,7 +357,7 @@
         for name in chosen[: self._remaining_in_stage()]:
             report = self.fleet.reports.get(name)
             if report is not None:
-                self._proposals.propose(IssuePermit(name, report.run, now_ms), now_ms)
+                self._proposals.propose(IssuePermit(name, report.run_id, now_ms), now_ms)
 
     def _remaining_in_stage(self) -> int:
         if not self.settings.is_staged:
--- a/landingshift/maintenance/demand_tracker.py
+++ b/landingshift/maintenance/demand_tracker.py
@@ -17,7 +17,7 @@
 
 
 class DemandTracker:
-    """Samples of one reign.
+    """Samples of one term.
 
     Attributes:
         peak: The largest RPCs a second of late, which fades.
@@ -29,7 +29,7 @@
         self.reset(0.0)
 
     def reset(self, now_ms: float) -> None:
-        """Forgets all samples, at the beginning of a reign."""
+        """Forgets all samples, at the beginning of a term."""
         self.peak = 0.0
         self._sampled_at_ms = now_ms
         self._trend = DemandTrend()
--- a/landingshift/maintenance/fleet_view.py
+++ b/landingshift/maintenance/fleet_view.py
@@ -1,6 +1,6 @@
 """The fleet as the leader sees it: latest reports, and what is lost without a plan.
 
-Reports are kept by the leader alone and end with its reign; the facts of a machine are in the replicated
+Reports are kept by the leader alone and end with its term; the facts of a machine are in the replicated
 state. A machine of that state which has not reported to this leader counts as lost.
 """
 
@@ -24,7 +24,7 @@
     """The latest report of a machine. Times are monotonic ms of the leader."""
 
     machine: Machine
-    run: int
+    run_id: int
     """Number of the process that reported."""
     warm_fraction: float
     rpcs_per_second: float
@@ -46,7 +46,7 @@
 
 
 class FleetView:
-    """Reports of one reign.
+    """Reports of one term.
 
     Attributes:
         reports: The latest report of each machine, in the order of their first ones.
@@ -60,17 +60,19 @@
         self.voters: list[str] = []
 
     def clear(self) -> None:
-        """Forgets all reports, at the beginning of a reign."""
+        """Forgets all reports, at the beginning of a term."""
         self.reports = {}
 
-    def record(self, machine: Machine, run: int, report: LoadReport, now_ms: float) -> MachineReport | None:
+    def record(
+        self, machine: Machine, run_id: int, report: LoadReport, now_ms: float
+    ) -> MachineReport | None:
         """Keeps a report; None where there are too many machines to keep another."""
         if machine.name not in self.reports and len(self.reports) >= MAX_REPORTS_COUNT:
             return None
         status = report.status
         recorded = MachineReport(
             machine=machine,
-            run=run,
+            run_id=run_id,
             warm_fraction=min(1.0, max(0.0, status.warm_fraction)),
             rpcs_per_second=status.rpcs_per_second,
             received_at_ms=now_ms,
@@ -80,7 +82,7 @@
             answered_count=status.answered_count,
         )
         previous = self.reports.get(machine.name)
-        if previous is not None and previous.run == run:
+        if previous is not None and previous.run_id == run_id:
             recorded.offered_at_ms = previous.offered_at_ms
         self.reports[machine.name] = recorded
         return recorded
--- a/landingshift/maintenance/proposals.py
+++ b/landingshift/maintenance/proposals.py
@@ -16,7 +16,7 @@
 
 RETRY_INTERVAL_MS = 1000.0
 MAX_REMEMBERED_COUNT = 10_000
-"""Bounds the memory of a long reign: then everything is forgotten, and found again by the next evaluation."""
+"""Bounds the memory of a long term: then everything is forgotten, and found again by the next evaluation."""
 NEVER_MS = -1e9
 
 Subject = tuple[object, ...]
@@ -44,7 +44,7 @@
         self._withheld_permits: set[tuple[str, int]] = set()
 
     def clear(self) -> None:
-        """Forgets everything, at the beginning of a reign."""
+        """Forgets everything, at the beginning of a term."""
         self._proposed_at_ms.clear()
         self._withheld_permits.clear()
 
--- a/landingshift/maintenance/replicated_state.py
+++ b/landingshift/maintenance/replicated_state.py
@@ -45,7 +45,7 @@
         last_permit_number: Number of the latest permit; 0 before the first.
         pause_reason: Why no permits are issued; empty where they are.
         requests: Requests that have not ended, by machine, in the order in which they were made.
-        permitted_runs: By machine the process that its permit was issued to.
+        permitted_run_ids: By machine the process that its permit was issued to.
         history: Requests that ended, the latest last.
         demand_profile: Demand of the last day.
         machines: Facts of all machines, so that a new leader counts those that it has not heard of yet.
@@ -55,7 +55,7 @@
         self.last_permit_number = 0
         self.pause_reason = ""
         self.requests: dict[str, MaintenanceRequest] = {}
-        self.permitted_runs: dict[str, int] = {}
+        self.permitted_run_ids: dict[str, int] = {}
         self.history: list[CompletedRequest] = []
         self.demand_profile = DailyDemandProfile()
         self.machines: dict[str, MachineFacts] = {}
@@ -83,7 +83,7 @@
     def dump(self) -> bytes:
         """Returns a snapshot."""
         requests = [
-            stored_request(request, self.permitted_runs.get(request.name, 0))
+            stored_request(request, self.permitted_run_ids.get(request.name, 0))
             for request in self.requests.values()
         ]
         stored = StoredState(
@@ -107,11 +107,11 @@
         for quarter, demand in enumerate(stored.demand_by_quarter):
             self.demand_profile.record(quarter, demand)
         self.requests = {}
-        self.permitted_runs = {}
+        self.permitted_run_ids = {}
         for row in stored.requests:
             self.requests[row.name] = restored_request(row)
-            if row.permitted_run:
-                self.permitted_runs[row.name] = row.permitted_run
+            if row.permitted_run_id:
+                self.permitted_run_ids[row.name] = row.permitted_run_id
 
     def _add_request(self, request: MaintenanceRequest) -> None:
         """Adds or replaces a request; one that has a permit stays as it is.
@@ -136,7 +136,7 @@
         request.transition(RequestState.PERMITTED)
         request.permit_number = self.last_permit_number
         request.permitted_at_ms = permit.issued_at_ms
-        self.permitted_runs[permit.name] = permit.run
+        self.permitted_run_ids[permit.name] = permit.run_id
 
     def _change_state(self, change: ChangeState) -> None:
         request = self.requests.get(change.name)
@@ -154,7 +154,7 @@
 
     def _complete(self, request: MaintenanceRequest, change: ChangeState) -> None:
         del self.requests[change.name]
-        self.permitted_runs.pop(change.name, None)
+        self.permitted_run_ids.pop(change.name, None)
         completed = CompletedRequest(
             name=change.name,
             final_state=change.new_state.value,
--- a/landingshift/maintenance/request_progress.py
+++ b/landingshift/maintenance/request_progress.py
@@ -25,16 +25,16 @@
 
 
 def transition_on_report(
-    request: MaintenanceRequest, report: MachineReport, permitted_run: int | None
+    request: MaintenanceRequest, report: MachineReport, permitted_run_id: int | None
 ) -> Transition | None:
     """Returns the transition that a report proves.
 
     Args:
         request: The machine's request.
         report: Its latest report.
-        permitted_run: The process that the permit was issued to.
+        permitted_run_id: The process that the permit was issued to.
     """
-    is_same_process = permitted_run == report.run
+    is_same_process = permitted_run_id == report.run_id
     match request.state:
         case RequestState.PERMITTED:
             has_begun = is_same_process and report.draining_permit == request.permit_number
@@ -84,7 +84,7 @@
     Args:
         request: A request whose permit was issued.
         report: The machine's latest report.
-        leader_since_ms: When this leader's reign began; a leader before it may have offered the permit until
+        leader_since_ms: When this leader's term began; a leader before it may have offered the permit until
             then.
         permit_valid_ms: For how long an offer may be used.
         permit_grace_ms: How long to wait after that.
--- a/landingshift/maintenance/staged_rollout.py
+++ b/landingshift/maintenance/staged_rollout.py
@@ -89,12 +89,12 @@
     """Compares machines that came back with the others, as one leader sees their answers."""
 
     completed_names: set[str] = field(default_factory=set)
-    """Machines that completed under any reign of this leader."""
+    """Machines that completed under any term of this leader."""
     completed: AnswerCounts = field(default_factory=AnswerCounts)
     untouched: AnswerCounts = field(default_factory=AnswerCounts)
 
     def reset_counts(self) -> None:
-        """Starts to count anew, at the beginning of a reign."""
+        """Starts to count anew, at the beginning of a term."""
         self.completed = AnswerCounts()
         self.untouched = AnswerCounts()
 
--- a/landingshift/maintenance/storage.py
+++ b/landingshift/maintenance/storage.py
@@ -44,7 +44,7 @@
     permit_number: int
     permitted_at_ms: float
     reason: str
-    permitted_run: int
+    permitted_run_id: int
     """The process that the permit was issued to; 0 without a permit."""
 
 
@@ -64,8 +64,8 @@
     match command:
         case AddRequests(requests):
             words: tuple[Any, ...] = ("wish", [_request_row(request) for request in requests])
-        case IssuePermit(name, run, issued_at_ms):
-            words = ("permit", name, run, issued_at_ms)
+        case IssuePermit(name, run_id, issued_at_ms):
+            words = ("permit", name, run_id, issued_at_ms)
         case ChangeState(name, permit_number, new_state, reason, changed_at_ms):
             words = ("move", name, permit_number, new_state.value, reason, changed_at_ms)
         case SetPause(reason):
@@ -91,8 +91,8 @@
     match msgspec.msgpack.decode(data)[1:]:
         case ["wish", list(rows)]:
             return AddRequests(tuple(_request_from_row(row) for row in rows))
-        case ["permit", str(name), int(run), issued_at_ms]:
-            return IssuePermit(name, run, issued_at_ms)
+        case ["permit", str(name), int(run_id), issued_at_ms]:
+            return IssuePermit(name, run_id, issued_at_ms)
         case ["move", str(name), int(permit_number), str(state), str(reason), changed_at_ms]:
             return ChangeState(name, permit_number, RequestState(state), reason, changed_at_ms)
         case ["hold", str(reason)]:
@@ -116,7 +116,7 @@
     return msgspec.msgpack.decode(data, type=StoredState)
 
 
-def stored_request(request: MaintenanceRequest, permitted_run: int) -> StoredRequest:
+def stored_request(request: MaintenanceRequest, permitted_run_id: int) -> StoredRequest:
     """Returns the stored form of a request and of the process that its permit was issued to."""
     return StoredRequest(
         name=request.name,
@@ -131,7 +131,7 @@
         permit_number=request.permit_number,
         permitted_at_ms=request.permitted_at_ms,
         reason=request.reason,
-        permitted_run=permitted_run,
+        permitted_run_id=permitted_run_id,
     )
 
 
--- a/landingshift/testbed/experiments/maintenance.py
+++ b/landingshift/testbed/experiments/maintenance.py
@@ -181,7 +181,7 @@
     machine.answer_delay_ms = 3.0 * fleet.settings.permit_valid_ms
     fleet.request_maintenance([name])
     for _ in range(20):
-        if name not in fleet.state.permitted_runs:
+        if name not in fleet.state.permitted_run_ids:
             fleet.step()
     fleet.peak_load = 2.5  # more than all can serve by night
     for _ in range(60):
--- a/landingshift/testbed/simulation/maintenance_fleet.py
+++ b/landingshift/testbed/simulation/maintenance_fleet.py
@@ -56,7 +56,7 @@
     """A machine in virtual time."""
 
     machine: Machine
-    run: int = 1
+    run_id: int = 1
     """Number of its process."""
     is_up: bool = True
     permit: DrainPermit = field(default_factory=DrainPermit)
@@ -79,7 +79,7 @@
     def restart(self, now_ms: float) -> None:
         """Starts a new process, which knows only what the disk keeps."""
         self.is_up = True
-        self.run += 1
+        self.run_id += 1
         self.started_at_ms = now_ms
         self.permit = DrainPermit()
         self.used_permit = self.draining_permit or self.used_permit
@@ -258,7 +258,7 @@
             answered_count=0.0,
         )
         report = LoadReport(0, status, machine.draining_permit, machine.used_permit)
-        answer = self.coordinator.on_report(machine.machine, machine.run, report, self.now_ms)
+        answer = self.coordinator.on_report(machine.machine, machine.run_id, report, self.now_ms)
         if answer is None:
             return
         delayed = DelayedAnswer(self.now_ms + machine.answer_delay_ms, self.now_ms, answer)
--- a/landingshift/testbed/verification/maintenance_state.py
+++ b/landingshift/testbed/verification/maintenance_state.py
@@ -39,7 +39,7 @@
     is_permitted = request.state is not RequestState.REQUESTED
     if is_permitted != bool(request.permit_number):
         violations.append(f"{name} is {request.state.value} with permit {request.permit_number}")
-    if is_permitted and name not in state.permitted_runs:
+    if is_permitted and name not in state.permitted_run_ids:
         violations.append(f"{name} has a permit of no process")
     if not 0.0 <= request.warm_fraction <= 1.0:
         violations.append(f"{name} is warm by {request.warm_fraction}")
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -129,7 +129,7 @@
             state.apply(encode_command(command))
         found = {name: (request.state, request.permit_number) for name, request in state.requests.items()}
         self.assertEqual(found, {"a": (RequestState.DRAINING, 1), "b": (RequestState.PERMITTED, 3)})
-        self.assertEqual(state.permitted_runs, {"a": 7, "b": 9})
+        self.assertEqual(state.permitted_run_ids, {"a": 7, "b": 9})
         self.assertEqual((state.last_permit_number, state.pause_reason), (3, "stop"))
         self.assertEqual(reloaded(state).dump(), state.dump())
 
@@ -278,7 +278,7 @@
             with self.subTest(received_at_ms=received_at_ms, draining_permit=draining_permit):
                 report = MachineReport(
                     machine=Machine("a", 100.0),
-                    run=7,
+                    run_id=7,
                     warm_fraction=1.0,
                     rpcs_per_second=0.0,
                     received_at_ms=received_at_ms,
