--- a/landingshift/coldstart/service.py
+++ b/landingshift/coldstart/service.py
@@ -105,7 +105,10 @@
         now, server = self.loop.now_ms, self.router.admission
         if server is None:
             return LoadObservation()
-        age, cold = now - server.born, server.set.cold_time if server.set.cold else 0.0
+        age, cold = (
+            now - server.started_at_ms,
+            server.settings.warm_up_ms if server.settings.starts_cold else 0.0,
+        )
         return LoadObservation(
             warm_fraction=min(1.0, age / cold) if cold else 1.0,
             # Before it is open it calls for nobody: those that fill their caches need it more.
@@ -185,7 +188,7 @@
             share = self.agent.call_quota(now)
             if share != self.shared:
                 self.shared = share
-                self.router.admission.use_below(share)
+                self.router.admission.set_call_quota(share)
 
     def ask_list(self) -> None:
         place, fleet = (
--- a/landingshift/maintenance/service.py
+++ b/landingshift/maintenance/service.py
@@ -86,8 +86,8 @@
         server = self.router.admission
         if server is None or not self.router.health_reporter.is_reporting:
             return 0.0
-        cold = server.set.cold_time if server.set.cold else 0.0
-        return min(1.0, (self.loop.now_ms - server.born) / cold) if cold else 1.0
+        cold = server.settings.warm_up_ms if server.settings.starts_cold else 0.0
+        return min(1.0, (self.loop.now_ms - server.started_at_ms) / cold) if cold else 1.0
 
     # Its reports
 
