--- a/landingshift/maintenance/replicated_state.py
+++ b/landingshift/maintenance/replicated_state.py
@@ -80,7 +80,7 @@
             case RecordDemand(quarter, rpcs_per_second):
                 self.demand_profile.record(quarter, rpcs_per_second)
 
-    def dump(self) -> bytes:
+    def snapshot(self) -> bytes:
         """Returns a snapshot."""
         requests = [
             stored_request(request, self.permitted_run_ids.get(request.name, 0))
@@ -96,7 +96,7 @@
         )
         return encode_snapshot(stored)
 
-    def load(self, state: bytes) -> None:
+    def restore(self, state: bytes) -> None:
         """Takes the place of everything by a snapshot."""
         stored = decode_snapshot(state)
         self.last_permit_number = stored.last_permit_number
--- a/landingshift/maintenance/service.py
+++ b/landingshift/maintenance/service.py
@@ -3,10 +3,12 @@
 from __future__ import annotations
 
 import subprocess
+from collections.abc import Callable
 from random import Random
 from typing import TYPE_CHECKING, Any, Protocol, cast
 
 from landingshift import failpoints
+from landingshift.consensus.state_machines import StateMachine
 from landingshift.maintenance.agent import MaintenanceAgent
 from landingshift.maintenance.commands import Command
 from landingshift.maintenance.coordinator import MaintenanceCoordinator
@@ -34,37 +36,53 @@
 MAX_JITTER_RATIO = 1.1
 
 
-class Agreement(Protocol):
-    """What keeps the book: the service of another package."""
+class ReplicatedLog(Protocol):
+    """The consensus group as this package needs it; the service of `[policies]` provides it.
+
+    Attributes:
+        is_voter: Whether this server is a voter, and keeps the replicated state.
+        leader: Name of the leader, empty where none is known.
+        voters: Names of the present voters.
+    """
 
     is_voter: bool
     leader: str
     voters: list[str]
 
-    def keep(self, name: str, book: Any, taken: Any) -> None: ...
-    def propose(self, data: bytes) -> bool: ...
-    def leads(self) -> bool: ...
+    def register_state_machine(
+        self, name: str, state_machine: StateMachine, on_committed: Callable[[float], None]
+    ) -> None:
+        """Lets a state machine apply its entries; `on_committed` is called with monotonic ms after some."""
+        ...
+
+    def propose(self, data: bytes) -> bool:
+        """Puts an entry to the group; False where it takes none just now."""
+        ...
+
+    def is_leader(self) -> bool:
+        """Returns whether this server surely leads."""
+        ...
 
 
 class ServerEnvironment:
     """The coordinator's environment on a real server."""
 
-    def __init__(self, agreement: Agreement, fleet: MembershipService, loop: Loop) -> None:
-        self._agreement = agreement
+    def __init__(self, replicated_log: ReplicatedLog, fleet: MembershipService, loop: Loop) -> None:
+        self._replicated_log = replicated_log
         self._node = fleet.node
         self._loop = loop
 
     def propose(self, command: Command) -> bool:
         """Puts a command to the consensus group; False where it takes none just now."""
-        return self._agreement.propose(encode_command(command))
+        return self._replicated_log.propose(encode_command(command))
 
     def is_leader(self, _now_ms: float) -> bool:
         """Returns whether this server surely leads."""
-        return self._agreement.leads()
+        return self._replicated_log.is_leader()
 
     def leader_name(self) -> str:
         """Returns the name of the leader, empty where none is known."""
-        return self._agreement.leader
+        return self._replicated_log.leader
 
     def has_left(self, name: str) -> bool:
         """Returns whether membership sees a machine no more."""
@@ -102,7 +120,7 @@
         self.fleet = fleet
         self.node = fleet.node
         self.log = host.log
-        self.agreement = cast(Agreement, host.services["policies"])
+        self.replicated_log = cast(ReplicatedLog, host.services["policies"])
         self.router = host.router
         self.loop = host.router.loop
         self.settings = settings
@@ -111,7 +129,7 @@
         self.traffic = TrafficMeter(self.loop.now_ms)
         self.state = MaintenanceState()
         self.coordinator: MaintenanceCoordinator | None = None
-        if self.agreement.is_voter:
+        if self.replicated_log.is_voter:
             self.coordinator = self._start_coordinator()
         fleet.operator_rpc.handlers["upkeep_here"] = self.local_status
         self.node.message_handlers[PACKAGE] = self.on_message
@@ -120,8 +138,8 @@
         self.timer: Timer | None = self.loop.after(first_report_ms, self.tick)
 
     def _start_coordinator(self) -> MaintenanceCoordinator:
-        self.agreement.keep(STATE_MACHINE_NAME, self.state, self.on_entries_applied)
-        environment = ServerEnvironment(self.agreement, self.fleet, self.loop)
+        self.replicated_log.register_state_machine(STATE_MACHINE_NAME, self.state, self.on_entries_applied)
+        environment = ServerEnvironment(self.replicated_log, self.fleet, self.loop)
         coordinator = MaintenanceCoordinator(self.state, coordinator_settings(self.settings), environment)
         self.fleet.operator_rpc.handlers |= OperatorCalls(coordinator, environment).handlers()
         return coordinator
@@ -163,7 +181,7 @@
             answered_count=self.traffic.answered_count,
         )
         report = self.agent.next_report(self.loop.clock_ms(), status)
-        leader = self.agreement.leader
+        leader = self.replicated_log.leader
         if leader == self.node.local_record.name:
             self._on_report(self.node.local_record, report)
         elif leader:
@@ -185,7 +203,7 @@
         if self.coordinator is None:
             return
         now_ms = self.loop.clock_ms()
-        answer = self.coordinator.on_server_report(sender, self.agreement.voters, report, now_ms)
+        answer = self.coordinator.on_server_report(sender, self.replicated_log.voters, report, now_ms)
         if answer is None:
             return
         if sender.name == self.node.local_record.name:
@@ -247,7 +265,7 @@
             "going": self.agent.draining_permit,
             "warmth": self.warm_fraction(),
             "load": self.traffic.rpcs_per_second,
-            "leader": self.agreement.leader,
+            "leader": self.replicated_log.leader,
         }
 
 
--- a/landingshift/testbed/simulation/cluster.py
+++ b/landingshift/testbed/simulation/cluster.py
@@ -13,14 +13,14 @@
 from typing import Any
 
 from landingshift.coldstart.coordinator import ColdStartPlan
-from landingshift.consensus.raft import Stored
-from landingshift.consensus.raft import Times as Beats
+from landingshift.consensus.persistent_state import PersistentState
+from landingshift.consensus.timeouts import RaftTimeouts
 from landingshift.maintenance.capacity_constraints import DisruptionBudget
 from landingshift.maintenance.commands import AddRequests
 from landingshift.maintenance.coordinator_settings import CoordinatorSettings
 from landingshift.maintenance.requests import MaintenanceRequest
-from landingshift.policies.follower import Plan as Rules
-from landingshift.policies.part import ENDED
+from landingshift.policies.node import FINAL_OUTCOMES
+from landingshift.policies.participant import PolicySettings
 from landingshift.testbed.experiments.scenarios import Act, Coverage, Day, cuts
 from landingshift.testbed.simulation.cold_start import Store
 from landingshift.testbed.simulation.server import CAPACITY, METHODS, WAIT, Disk, Home, Sent, address, text
@@ -69,10 +69,15 @@
         self.chance = Random(f"{day.seed} town")
         self.history: History = []
         servers, names = day.servers, [f"n{i}" for i in range(day.servers)]
-        self.rules = Rules(
-            tuple(names[: day.voters]), day.aside, overlap=OVERLAP, lease=LEASE, spare=SPARE, wait=6000.0
+        self.rules = PolicySettings(
+            tuple(names[: day.voters]),
+            day.aside,
+            overlap_ms=OVERLAP,
+            lease_ms=LEASE,
+            clock_margin_ms=SPARE,
+            change_timeout_ms=6000.0,
         )
-        self.times = Beats(beat=100.0, wait=500.0)
+        self.times = RaftTimeouts(heartbeat_interval_ms=100.0, election_timeout_ms=500.0)
         self.store = Store(CALLS * servers)
         lenders = tuple(names[: max(2, servers // 3)])
         self.plan = ColdStartPlan(
@@ -92,7 +97,7 @@
         )
         self.walls = [NOON] * servers
         # One more than there are voters has a journal and could be one.
-        self.disks = [Disk(Stored() if i <= day.voters else None) for i in range(servers)]
+        self.disks = [Disk(PersistentState() if i <= day.voters else None) for i in range(servers)]
         self.back_after: dict[int, float] = {}
         self.homes: dict[int, Home] = {}
         self.runs = [0] * servers
@@ -157,8 +162,8 @@
 
     def ended(self, home: Home) -> None:
         """It has drained: its last word, then its supervisor starts it anew."""
-        home.part.bye()
-        for to, body in home.part.take_out():
+        home.part.announce_departure()
+        for to, body in home.part.take_outgoing():
             home.node.send_to_member(to, "policies", body)
         for at, message in home.node.take_outgoing():
             self.world.carry(home.host.address, at, message)
@@ -247,11 +252,11 @@
         if act.kind == "change":
             id = f"c{len(self.ids)}"
             self.ids.append(id)
-            home.part.ask_for(id, ["propose", text(len(self.ids)), "lab", "a trial"], now)
+            home.part.submit_command(id, ["propose", text(len(self.ids)), "lab", "a trial"], now)
         else:
             name = f"n{act.who[0] % (self.day.voters + 1)}"
-            how = "remove" if name in home.part.follower.voters else "add"
-            home.part.ask_for(f"{how} {name}", ["voters", how, name], now)
+            how = "remove" if name in home.part.participant.voters else "add"
+            home.part.submit_command(f"{how} {name}", ["voters", how, name], now)
         home.host.turn()
 
     def wish(self, names: list[str], minutes: float, tries: int) -> None:
@@ -270,10 +275,10 @@
         lead = self.leader()
         if lead is None:
             found.add("nobody leads")
-        elif lead.part.desk is not None and lead.maintenance is not None:
-            desk = lead.part.desk
-            if lead.part.book.open:
-                found.add(f"change {'switching' if desk.switching else desk.want}")
+        elif lead.part.coordinator is not None and lead.maintenance is not None:
+            desk = lead.part.coordinator
+            if lead.part.book.pending_change_id:
+                found.add(f"change {'switching' if desk.switching_change_id else desk.phase}")
             found |= {f"work {w.state.value}" for w in lead.maintenance.requests.values()}
         for home in self.homes.values():
             if home.host.up and home.agent.start_sequence.stage.value != "warm":
@@ -334,8 +339,8 @@
             if not home.host.up:
                 continue
             for id in self.ids:
-                known = home.part.known(id)
-                if known["end"] in ENDED and (again or (home.name, id) not in self.ends):
+                known = home.part.change_status(id)
+                if known["end"] in FINAL_OUTCOMES and (again or (home.name, id) not in self.ends):
                     self.ends.add((home.name, id))
                     self.note("end", home.name, id, known["end"], known["version"])
 
@@ -374,8 +379,8 @@
     def ask_all(self) -> None:
         for home in self.homes.values():
             for id in self.ids:
-                if home.host.up and home.part.known(id)["end"] not in ENDED:
-                    home.part.ask_for(id, ["find"], home.clock())
+                if home.host.up and home.part.change_status(id)["end"] not in FINAL_OUTCOMES:
+                    home.part.submit_command(id, ["find"], home.clock())
                     home.host.turn()
 
     def restless(self) -> list[str]:
@@ -386,7 +391,7 @@
             return [f"down: {down}"]
         checks: list[tuple[str, Callable[[Home], bool]]] = [
             ("not warm", lambda h: h.agent.start_sequence.stage.value == "warm"),
-            ("not counted", lambda h: h.part.follower.joined),
+            ("not counted", lambda h: h.part.participant.is_member),
             ("does not decide", lambda h: h.may),
             ("not listed", lambda h: h.listed),
         ]
@@ -394,7 +399,7 @@
             some = [h.name for h in homes if not well(h)]
             if some:
                 found.append(f"{word}: {some}")
-        versions = {h.part.follower.version for h in homes}
+        versions = {h.part.participant.version for h in homes}
         if len(versions) > 1:
             found.append(f"versions {sorted(versions)}")
         blind = [(a.name, b.name) for a, b in combinations(homes, 2) if a.gone(b.name) or b.gone(a.name)]
@@ -410,6 +415,6 @@
             found.append(
                 f"work is not over: {[(w.name, w.state.value) for w in lead.maintenance.requests.values()]}"
             )
-        if lead is not None and lead.part.book.open:
-            found.append(f"{lead.part.book.open} is under way, of {open_}")
+        if lead is not None and lead.part.book.pending_change_id:
+            found.append(f"{lead.part.book.pending_change_id} is under way, of {open_}")
         return found
--- a/landingshift/testbed/simulation/server.py
+++ b/landingshift/testbed/simulation/server.py
@@ -30,7 +30,7 @@
 from landingshift.coldstart.coordinator import ColdStartCoordinator, LoadObservation
 from landingshift.coldstart.downstream_saturation import DownstreamSaturation
 from landingshift.coldstart.service_discovery import ServiceDiscoveryPoller
-from landingshift.consensus.raft import Stored
+from landingshift.consensus.persistent_state import PersistentState
 from landingshift.maintenance.agent import MaintenanceAgent
 from landingshift.maintenance.coordinator import MaintenanceCoordinator
 from landingshift.maintenance.messages import LoadReport, ReportAnswer, ServerStatus
@@ -40,7 +40,7 @@
 from landingshift.membership.member_table import Member
 from landingshift.membership.messages import DEPARTED_STATES, MemberRecord, MemberState, Message
 from landingshift.membership.node import SwimNode, SwimTimings
-from landingshift.policies.part import Part
+from landingshift.policies.node import PolicyNode
 from landingshift.testbed.simulation.maintenance import AgentWithoutExpiry, SimulatedEnvironment
 from landingshift.testbed.simulation.virtual_time import Address, Host
 from landingshift.testbed.verification.invariants import GRACE
@@ -113,7 +113,7 @@
 class Disk:
     """What lasts when its server does not. `full`: it takes nothing; `dies`: at the next write, unwritten."""
 
-    journal: Stored | None
+    journal: PersistentState | None
     mark: int = 0
     full: bool = False
     dies: float = 0.0  # ms that the server is then away; 0: it does not
@@ -144,18 +144,18 @@
         self.seek = ServiceDiscoveryPoller(town.day.servers, 20.0, True, 3000.0, chance, now)
         self.strain = DownstreamSaturation()
         journal = copied(self.disk.journal) if self.disk.journal is not None else None
-        self.part = Part(
+        self.part = PolicyNode(
             self.name, me.run_id, town.rules, lambda policy: "", journal, chance, now, self.wall, town.times
         )
-        self.part.follower.others = lambda: self.node.member_table.present_names
+        self.part.participant.list_alive_peers = lambda: self.node.member_table.present_names
         agent_type = AgentWithoutExpiry if self.away == "end" else MaintenanceAgent
         self.maintenance_agent = agent_type(self.disk.mark)
         self.maintenance = MaintenanceState()
         self.environment = SimulatedEnvironment(self)
         self.coordinator: MaintenanceCoordinator | None = None
-        if self.part.voter is not None:
-            self.part.shelf.add(STATE_MACHINE_NAME, self.maintenance)
-            self.part.hearers.append(self.taken)
+        if self.part.raft is not None:
+            self.part.state_machines.register(STATE_MACHINE_NAME, self.maintenance)
+            self.part.commit_listeners.append(self.taken)
             self.coordinator = MaintenanceCoordinator(self.maintenance, town.work, self.environment)
         self.without()
         self.tenant = Tenant(100_000.0)
@@ -184,12 +184,12 @@
 
     def without(self) -> None:
         """Takes the defence that is away, where it lies in one of the packages' objects."""
-        voter, desk, lending = self.part.voter, self.part.desk, self.agent.grantor
+        voter, desk, lending = self.part.raft, self.part.coordinator, self.agent.grantor
         if self.away == "sure" and voter is not None:
-            voter.sure = lambda now: voter.role.value == "leader"  # type: ignore[method-assign]
+            voter.has_leader_lease = lambda now_ms: voter.role.value == "leader"  # type: ignore[method-assign]
         if self.away == "arm" and desk is not None:
-            real = desk.waits
-            desk.waits = lambda now: [w for w in real(now) if w[1] != "away"]  # type: ignore[method-assign]
+            real = desk.unprepared_members
+            desk.unprepared_members = lambda now: [w for w in real(now) if w[1] != "away"]  # type: ignore[method-assign]
         if self.away == "booking" and lending is not None:
             asked = lending.call_quota_grantor.renew
 
@@ -226,7 +226,7 @@
     def next_deadline_ms(self) -> float:
         return min(
             self.node.next_deadline_ms(),
-            self.part.next(),
+            self.part.next_deadline_ms(),
             self.server.next_check_ms,
             self.look_at,
             self.work_at,
@@ -263,7 +263,7 @@
     def on_timer(self, now: float) -> None:
         if self.node.next_deadline_ms() <= now:
             self.node.on_timer(now)
-        if self.part.next() <= now:
+        if self.part.next_deadline_ms() <= now:
             self.part.tick(now)
         if now >= self.look_at:
             self.look_at = now + LOOK
@@ -285,7 +285,7 @@
         for _ in range(8):
             if not self.save():
                 break
-            out = self.part.take_out()
+            out = self.part.take_outgoing()
             for to, body in out:
                 self.node.send_to_member(to, "policies", body)
             if not out:
@@ -295,7 +295,7 @@
     # Disk, policies, and by what the module decides
 
     def save(self) -> bool:
-        stored = self.part.unsaved()
+        stored = self.part.unsaved_state()
         if stored is None:
             return True
         if self.disk.full:
@@ -305,13 +305,13 @@
             self.town.kill(self.i, away)
             return False
         self.disk.journal = copied(stored)
-        self.part.saved(self.clock())
-        self.part.deliver(self.clock())
+        self.part.on_state_saved(self.clock())
+        self.part.deliver_messages(self.clock())
         return True
 
     def decide(self, now: float) -> None:
-        f, server = self.part.follower, self.server
-        may = f.may(now) or (f.joined and self.away == "lease") or self.away == "ask"
+        f, server = self.part.participant, self.server
+        may = f.may_decide(now) or (f.is_member and self.away == "lease") or self.away == "ask"
         server.now_ms = now
         if f.version > self.laid:
             self.laid = f.version
@@ -323,14 +323,14 @@
         server.settle()
 
     def hear_policies(self, sender: MemberRecord, body: list[Any]) -> None:
-        self.part.hear(sender.name, body, self.clock())
+        self.part.on_message(sender.name, body, self.clock())
 
     def propose(self, data: bytes) -> bool:
-        voter = self.part.voter
+        voter = self.part.raft
         return voter is not None and voter.propose(data) is not None
 
     def leads(self, _now: float = 0.0) -> bool:
-        return self.part.voter is not None and self.part.voter.sure(self.clock())
+        return self.part.raft is not None and self.part.raft.has_leader_lease(self.clock())
 
     # The common start
 
@@ -397,7 +397,7 @@
             answered_count=self.all,
         )
         report = self.maintenance_agent.next_report(now, status)
-        leader = self.part.follower.leader
+        leader = self.part.participant.leader
         if leader == self.name:
             self.on_maintenance_report(self.node.local_record, report)
         elif leader:
@@ -413,7 +413,7 @@
     def on_maintenance_report(self, sender: MemberRecord, report: LoadReport) -> None:
         if self.coordinator is None:
             return
-        voters = self.part.follower.voters
+        voters = self.part.participant.voters
         answer = self.coordinator.on_server_report(sender, voters, report, self.clock())
         if answer is None:
             return
@@ -477,7 +477,7 @@
             self.decided()
 
     def decided(self) -> None:
-        f = self.part.follower
+        f = self.part.participant
         self.note("decided", max(0, f.version), f.policy)
 
     def start_run(self, rpc: Rpc) -> None:
@@ -549,24 +549,24 @@
 
     def sizes(self) -> dict[str, int]:
         """Of all that could grow, against the bounds that `promises` has."""
-        node, part, follower = self.node, self.part, self.part.follower
+        node, part, follower = self.node, self.part, self.part.participant
         found = {
             "out": len(node.outbox),
             "errands": len(node.indirect_probes),
             "book": len(node.contact_addresses),
             "table": len(node.member_table.members),
-            "words": len(part.errands),
-            "answers": len(part.answers),
-            "sent": len(follower.sent),
+            "words": len(part.pending_commands),
+            "answers": len(part.change_statuses),
+            "sent": len(follower.request_sent_at_ms),
             "reports": self.maintenance_agent.unanswered_count,
             "jobs": len(self.jobs),
         }
-        if part.voter is not None:
-            found |= {"log": len(part.voter.stored.entries), "votes": len(part.voter.out)}
+        if part.raft is not None:
+            found |= {"log": len(part.raft.persistent_state.entries), "votes": part.raft.outgoing_count}
         return found
 
 
-def copied(stored: Stored) -> Stored:
+def copied(stored: PersistentState) -> PersistentState:
     """Entries never change, so that their list alone is copied."""
     return replace(stored, entries=list(stored.entries))
 
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -8,7 +8,7 @@
 from typing import Any
 from unittest import mock
 
-from landingshift.consensus.state_machines import Shelf, entry
+from landingshift.consensus.state_machines import StateMachineRegistry, encode_entry
 from landingshift.maintenance.capacity_constraints import (
     Machine,
     MachineFacts,
@@ -59,7 +59,7 @@
 
 def reloaded(state: MaintenanceState) -> MaintenanceState:
     copy = MaintenanceState()
-    copy.load(state.dump())
+    copy.restore(state.snapshot())
     return copy
 
 
@@ -131,36 +131,36 @@
         self.assertEqual(found, {"a": (RequestState.DRAINING, 1), "b": (RequestState.PERMITTED, 3)})
         self.assertEqual(state.permitted_run_ids, {"a": 7, "b": 9})
         self.assertEqual((state.last_permit_number, state.pause_reason), (3, "stop"))
-        self.assertEqual(reloaded(state).dump(), state.dump())
+        self.assertEqual(reloaded(state).snapshot(), state.snapshot())
 
-    def test_a_shelf_keeps_what_is_of_books_that_are_not_here(self) -> None:
-        class Plain:
+    def test_a_registry_keeps_entries_of_state_machines_that_are_not_registered(self) -> None:
+        class RecordingStateMachine:
             def __init__(self) -> None:
-                self.had: list[bytes] = []
+                self.entries: list[bytes] = []
 
             def apply(self, data: bytes) -> None:
-                self.had.append(data)
+                self.entries.append(data)
 
-            def dump(self) -> bytes:
-                return b"|".join(self.had)
+            def snapshot(self) -> bytes:
+                return b"|".join(self.entries)
 
-            def load(self, state: bytes) -> None:
-                self.had = state.split(b"|") if state else []
+            def restore(self, state: bytes) -> None:
+                self.entries = state.split(b"|") if state else []
 
-        full, half = Shelf(), Shelf()
-        for shelf in (full, half):
-            shelf.add("first", Plain())
-        full.add("other", Plain())
+        full, half = StateMachineRegistry(), StateMachineRegistry()
+        for registry in (full, half):
+            registry.register("first", RecordingStateMachine())
+        full.register("other", RecordingStateMachine())
         for word in range(3):
-            for shelf in (full, half):
-                shelf.apply(entry("other", word))
-                shelf.apply(b"")
-        late = Shelf()
-        late.add("first", Plain())
-        late.load(half.dump())
-        other = Plain()
-        late.add("other", other)
-        self.assertEqual(other.had, [entry("other", word) for word in range(3)])
+            for registry in (full, half):
+                registry.apply(encode_entry("other", word))
+                registry.apply(b"")
+        late = StateMachineRegistry()
+        late.register("first", RecordingStateMachine())
+        late.restore(half.snapshot())
+        other = RecordingStateMachine()
+        late.register("other", other)
+        self.assertEqual(other.entries, [encode_entry("other", word) for word in range(3)])
 
 
 class StateInvariantsTest(unittest.TestCase):
@@ -200,10 +200,10 @@
 
     def test_commands_of_another_build_are_skipped(self) -> None:
         state = MaintenanceState()
-        before = state.dump()
+        before = state.snapshot()
         for words in (["unknown", 1], ["hold", 5], ["permit", "a"]):
-            state.apply(entry("upkeep", *words))
-        self.assertEqual(state.dump(), before)
+            state.apply(encode_entry("upkeep", *words))
+        self.assertEqual(state.snapshot(), before)
 
     def test_messages_are_lists_of_words(self) -> None:
         report = LoadReport(4, STATUS, 2, 1)
