--- a/landingshift/maintenance/service.py
+++ b/landingshift/maintenance/service.py
@@ -67,9 +67,9 @@
 class ServerEnvironment:
     """The coordinator's environment on a real server."""
 
-    def __init__(self, replicated_log: ReplicatedLog, fleet: MembershipService, loop: Loop) -> None:
+    def __init__(self, replicated_log: ReplicatedLog, membership: MembershipService, loop: Loop) -> None:
         self._replicated_log = replicated_log
-        self._node = fleet.node
+        self._node = membership.node
         self._loop = loop
 
     def propose(self, command: Command) -> bool:
@@ -115,10 +115,10 @@
     name = "upkeep"
 
     def __init__(self, host: ServiceHost, settings: Settings) -> None:
-        fleet = host.services["fleet"]
-        assert isinstance(fleet, MembershipService)
-        self.fleet = fleet
-        self.node = fleet.node
+        membership = host.services["fleet"]
+        assert isinstance(membership, MembershipService)
+        self.membership = membership
+        self.node = membership.node
         self.log = host.log
         self.replicated_log = cast(ReplicatedLog, host.services["policies"])
         self.router = host.router
@@ -131,7 +131,7 @@
         self.coordinator: MaintenanceCoordinator | None = None
         if self.replicated_log.is_voter:
             self.coordinator = self._start_coordinator()
-        fleet.operator_rpc.handlers["upkeep_here"] = self.local_status
+        membership.operator_rpc.handlers["upkeep_here"] = self.local_status
         self.node.message_handlers[PACKAGE] = self.on_message
         self.router.observers.add(self.traffic)
         first_report_ms = IDLE_REPORT_INTERVAL_MS * self.rng.random()
@@ -139,9 +139,9 @@
 
     def _start_coordinator(self) -> MaintenanceCoordinator:
         self.replicated_log.register_state_machine(STATE_MACHINE_NAME, self.state, self.on_entries_applied)
-        environment = ServerEnvironment(self.replicated_log, self.fleet, self.loop)
+        environment = ServerEnvironment(self.replicated_log, self.membership, self.loop)
         coordinator = MaintenanceCoordinator(self.state, coordinator_settings(self.settings), environment)
-        self.fleet.operator_rpc.handlers |= OperatorCalls(coordinator, environment).handlers()
+        self.membership.operator_rpc.handlers |= OperatorCalls(coordinator, environment).handlers()
         return coordinator
 
     def warm_fraction(self) -> float:
@@ -167,7 +167,7 @@
         self.loop.cancel(self.timer)
         jitter = self.rng.uniform(MIN_JITTER_RATIO, MAX_JITTER_RATIO)
         self.timer = self.loop.after(interval_ms * jitter, self.tick)
-        self.fleet.flush_outgoing()
+        self.membership.flush_outgoing()
 
     def send_report(self) -> None:
         """Reports to the leader, which may be this server itself."""
@@ -233,7 +233,7 @@
         failpoints.note("left", self.node.local_record.name, permit_number)
         self.log("maintenance_draining", number=permit_number)
         self.send_report()
-        self.fleet.flush_outgoing()
+        self.membership.flush_outgoing()
         failpoints.reach("upkeep.draining")
         self.router.drain()
 
