--- a/landingshift/maintenance/request_progress.py
+++ b/landingshift/maintenance/request_progress.py
@@ -25,19 +25,19 @@
 
 
 def transition_on_report(
-    request: MaintenanceRequest, report: MachineReport, permitted_run: int | None
+    request: MaintenanceRequest, report: MachineReport, permitted_run_id: int | None
 ) -> Transition | None:
     """Returns the transition that a report proves.
 
     Args:
         request: The machine's request.
         report: Its latest report.
-        permitted_run: The process that the permit was issued to.
+        permitted_run_id: The process that the permit was issued to.
     """
-    is_same_process = permitted_run == report.run
+    is_same_process = permitted_run_id == report.run_id
     match request.state:
         case RequestState.PERMITTED:
-            has_begun = is_same_process and report.leaving_permit == request.permit_number
+            has_begun = is_same_process and report.draining_permit == request.permit_number
             if has_begun or report.used_permit == request.permit_number:
                 return Transition(RequestState.DRAINING)
             if not is_same_process:
@@ -84,7 +84,7 @@
     Args:
         request: A request whose permit was issued.
         report: The machine's latest report.
-        leader_since_ms: When this leader's reign began; a leader before it may have offered the permit until
+        leader_since_ms: When this leader's term began; a leader before it may have offered the permit until
             then.
         permit_valid_ms: For how long an offer may be used.
         permit_grace_ms: How long to wait after that.
@@ -94,4 +94,4 @@
         return False  # it may have left: its disk says so once it is back
     offered_at_ms = max(leader_since_ms, report.offered_at_ms)
     lapses_at_ms = offered_at_ms + permit_valid_ms * (1.0 + CLOCK_RATE_ERROR_RATIO) + permit_grace_ms
-    return report.received_at_ms > lapses_at_ms and report.leaving_permit != request.permit_number
+    return report.received_at_ms > lapses_at_ms and report.draining_permit != request.permit_number
--- a/landingshift/maintenance/service.py
+++ b/landingshift/maintenance/service.py
@@ -3,17 +3,19 @@
 from __future__ import annotations
 
 import subprocess
+from collections.abc import Callable
 from random import Random
 from typing import TYPE_CHECKING, Any, Protocol, cast
 
 from landingshift import failpoints
+from landingshift.consensus.state_machines import StateMachine
 from landingshift.maintenance.agent import MaintenanceAgent
 from landingshift.maintenance.commands import Command
 from landingshift.maintenance.coordinator import MaintenanceCoordinator
 from landingshift.maintenance.errors import InvalidMessageError
-from landingshift.maintenance.mark_file import read_used_permit, write_used_permit
 from landingshift.maintenance.messages import LoadReport, ReportAnswer, ServerStatus
 from landingshift.maintenance.operator_calls import OperatorCalls
+from landingshift.maintenance.permit_file import read_used_permit, write_used_permit
 from landingshift.maintenance.replicated_state import MaintenanceState
 from landingshift.maintenance.settings import Settings, coordinator_settings
 from landingshift.maintenance.storage import STATE_MACHINE_NAME, encode_command
@@ -35,23 +37,39 @@
 
 
 class ReplicatedLog(Protocol):
-    """What replicates the state: the service of another package."""
+    """The consensus group as this package needs it; the service of `[policies]` provides it.
+
+    Attributes:
+        is_voter: Whether this server is a voter, and keeps the replicated state.
+        leader: Name of the leader, empty where none is known.
+        voters: Names of the present voters.
+    """
 
     is_voter: bool
     leader: str
     voters: list[str]
 
-    def register_state_machine(self, name: str, state_machine: Any, on_committed: Any) -> None: ...
-    def propose(self, data: bytes) -> bool: ...
-    def is_leader(self) -> bool: ...
+    def register_state_machine(
+        self, name: str, state_machine: StateMachine, on_committed: Callable[[float], None]
+    ) -> None:
+        """Lets a state machine apply its entries; `on_committed` is called with monotonic ms after some."""
+        ...
+
+    def propose(self, data: bytes) -> bool:
+        """Puts an entry to the group; False where it takes none just now."""
+        ...
+
+    def is_leader(self) -> bool:
+        """Returns whether this server surely leads."""
+        ...
 
 
 class ServerEnvironment:
     """The coordinator's environment on a real server."""
 
-    def __init__(self, replicated_log: ReplicatedLog, fleet: MembershipService, loop: Loop) -> None:
+    def __init__(self, replicated_log: ReplicatedLog, membership: MembershipService, loop: Loop) -> None:
         self._replicated_log = replicated_log
-        self._node = fleet.node
+        self._node = membership.node
         self._loop = loop
 
     def propose(self, command: Command) -> bool:
@@ -97,23 +115,23 @@
     name = "upkeep"
 
     def __init__(self, host: ServiceHost, settings: Settings) -> None:
-        fleet = host.services["fleet"]
-        assert isinstance(fleet, MembershipService)
-        self.fleet = fleet
-        self.node = fleet.node
+        membership = host.services["fleet"]
+        assert isinstance(membership, MembershipService)
+        self.membership = membership
+        self.node = membership.node
         self.log = host.log
         self.replicated_log = cast(ReplicatedLog, host.services["policies"])
         self.router = host.router
         self.loop = host.router.loop
         self.settings = settings
         self.rng = Random(f"{self.router.config.seed} upkeep {self.router.config.name}")
-        self.agent = MaintenanceAgent(read_used_permit(settings.mark_path, self.router.config.name))
+        self.agent = MaintenanceAgent(read_used_permit(settings.permit_file_path, self.router.config.name))
         self.traffic = TrafficMeter(self.loop.now_ms)
         self.state = MaintenanceState()
         self.coordinator: MaintenanceCoordinator | None = None
         if self.replicated_log.is_voter:
             self.coordinator = self._start_coordinator()
-        fleet.operator_rpc.handlers["upkeep_here"] = self.local_status
+        membership.operator_rpc.handlers["upkeep_here"] = self.local_status
         self.node.message_handlers[PACKAGE] = self.on_message
         self.router.observers.add(self.traffic)
         first_report_ms = IDLE_REPORT_INTERVAL_MS * self.rng.random()
@@ -121,9 +139,9 @@
 
     def _start_coordinator(self) -> MaintenanceCoordinator:
         self.replicated_log.register_state_machine(STATE_MACHINE_NAME, self.state, self.on_entries_applied)
-        environment = ServerEnvironment(self.replicated_log, self.fleet, self.loop)
+        environment = ServerEnvironment(self.replicated_log, self.membership, self.loop)
         coordinator = MaintenanceCoordinator(self.state, coordinator_settings(self.settings), environment)
-        self.fleet.operator_rpc.handlers |= OperatorCalls(coordinator, environment).handlers()
+        self.membership.operator_rpc.handlers |= OperatorCalls(coordinator, environment).handlers()
         return coordinator
 
     def warm_fraction(self) -> float:
@@ -132,8 +150,9 @@
         if server is None or not self.router.health_reporter.is_reporting:
             return 0.0
         warm_up_ms = server.settings.warm_up_ms if server.settings.starts_cold else 0.0
-        age_ms = self.loop.now_ms - server.started_at_ms
-        return min(1.0, age_ms / warm_up_ms) if warm_up_ms else 1.0
+        if not warm_up_ms:
+            return 1.0
+        return min(1.0, (self.loop.now_ms - server.started_at_ms) / warm_up_ms)
 
     # Reports
 
@@ -148,7 +167,7 @@
         self.loop.cancel(self.timer)
         jitter = self.rng.uniform(MIN_JITTER_RATIO, MAX_JITTER_RATIO)
         self.timer = self.loop.after(interval_ms * jitter, self.tick)
-        self.fleet.flush_outgoing()
+        self.membership.flush_outgoing()
 
     def send_report(self) -> None:
         """Reports to the leader, which may be this server itself."""
@@ -195,7 +214,7 @@
     def _on_answer(self, answer: ReportAnswer) -> None:
         if self.agent.on_answer(answer):
             failpoints.reach("upkeep.permitted")
-            self.leave()
+            self.drain()
 
     def on_entries_applied(self, now_ms: float) -> None:
         """Takes note that the replicated state has changed: what follows from it need not wait."""
@@ -204,31 +223,31 @@
 
     # Leaving
 
-    def leave(self) -> None:
+    def drain(self) -> None:
         """Begins to drain, if the permit still holds by this server's own clock just now."""
-        if self.router.is_draining or not self.agent.begin_leaving(self.loop.clock_ms()):
+        if self.router.is_draining or not self.agent.begin_draining(self.loop.clock_ms()):
             self.log("maintenance_permit_expired", number=self.agent.permit.number)
             return
-        permit_number = self.agent.leaving_permit
-        self._mark_permit_used(permit_number)
+        permit_number = self.agent.draining_permit
+        self._record_used_permit(permit_number)
         failpoints.note("left", self.node.local_record.name, permit_number)
         self.log("maintenance_draining", number=permit_number)
         self.send_report()
-        self.fleet.flush_outgoing()
+        self.membership.flush_outgoing()
         failpoints.reach("upkeep.draining")
         self.router.drain()
 
-    def _mark_permit_used(self, permit_number: int) -> None:
-        if not self.settings.mark_path:
+    def _record_used_permit(self, permit_number: int) -> None:
+        if not self.settings.permit_file_path:
             return
         try:
-            write_used_permit(self.settings.mark_path, self.node.local_record.name, permit_number)
+            write_used_permit(self.settings.permit_file_path, self.node.local_record.name, permit_number)
         except OSError as err:  # at worst the work is requested once more
             self.log("maintenance_mark_failed", error=str(err))
 
     def finish(self) -> None:
         """Runs the operator's command once the server has drained by a permit, in a process of its own."""
-        permit_number = self.agent.leaving_permit
+        permit_number = self.agent.draining_permit
         if not permit_number or not self.settings.command:
             return
         timeout_seconds = self.settings.command_timeout_seconds
@@ -243,7 +262,7 @@
         return {
             "name": self.node.local_record.name,
             "stage": self.agent.request_state,
-            "going": self.agent.leaving_permit,
+            "going": self.agent.draining_permit,
             "warmth": self.warm_fraction(),
             "load": self.traffic.rpcs_per_second,
             "leader": self.replicated_log.leader,
--- a/landingshift/testbed/simulation/cluster.py
+++ b/landingshift/testbed/simulation/cluster.py
@@ -17,7 +17,7 @@
 from landingshift.consensus.timeouts import RaftTimeouts
 from landingshift.maintenance.capacity_constraints import DisruptionBudget
 from landingshift.maintenance.commands import AddRequests
-from landingshift.maintenance.coordinator import CoordinatorSettings
+from landingshift.maintenance.coordinator_settings import CoordinatorSettings
 from landingshift.maintenance.requests import MaintenanceRequest
 from landingshift.policies.node import FINAL_OUTCOMES
 from landingshift.policies.participant import PolicySettings
