--- a/landingshift/membership/large_messages.py
+++ b/landingshift/membership/large_messages.py
@@ -56,9 +56,9 @@
         if self._stream is not None:
             self._stream.write(b"".join(calls))
         else:
-            loop.after(0.0, lambda: self.ended("unreachable"))
+            loop.after(0.0, lambda: self.on_closed("unreachable"))
 
-    def data(self, data: bytes) -> None:
+    def on_data(self, data: bytes) -> None:
         """Responses came; each says only that a fragment has arrived."""
         try:
             self._unpacker.feed(data)
@@ -68,11 +68,11 @@
         if self._pending_responses <= 0:
             self._close("answered")
 
-    def eof(self) -> None:
+    def on_eof(self) -> None:
         """The receiver writes no more."""
         self._close("closed")
 
-    def ended(self, _reason: str) -> None:
+    def on_closed(self, _reason: str) -> None:
         """The connection is closed."""
         self._stream = None
         self._loop.cancel(self._timeout)
--- a/landingshift/membership/operator_rpc.py
+++ b/landingshift/membership/operator_rpc.py
@@ -37,25 +37,25 @@
 
     def __init__(self, server: OperatorRpcServer, sock: socket.socket) -> None:
         self._server = server
-        self._reader = gateway.Reader()
+        self._reader = gateway.MessageDecoder()
         self.stream = Stream(server.loop, sock, self, MAX_RESPONSE_BYTES)
         self._timeout = server.loop.after(CONNECTION_TIMEOUT_MS, lambda: self.stream.close("slow"))
 
-    def data(self, data: bytes) -> None:
+    def on_data(self, data: bytes) -> None:
         """Answers the calls that came; closes the connection on what is no call."""
         for message in self._reader.feed(data):
             match message:
-                case gateway.Call(number, method, params):
+                case gateway.Request(number, method, params):
                     self.stream.write(self._server.answer(number, method, params))
-                case gateway.Failed(reason):
+                case gateway.ProtocolFailure(reason):
                     self.stream.close(reason)
                     return
 
-    def eof(self) -> None:
+    def on_eof(self) -> None:
         """The caller writes no more; what is unsent still goes to it."""
-        self.stream.finish("closed")
+        self.stream.close_gracefully("closed")
 
-    def ended(self, reason: str) -> None:
+    def on_closed(self, reason: str) -> None:
         """The connection is closed."""
         self._server.loop.cancel(self._timeout)
         self._server.on_connection_closed(self, reason)
--- a/landingshift/membership/service.py
+++ b/landingshift/membership/service.py
@@ -20,7 +20,7 @@
 from landingshift.net.transport.loop import Loop, Timer
 
 if TYPE_CHECKING:
-    from landingshift.net.program.features import Host
+    from landingshift.net.program.features import ServiceHost
 
 MAX_DATAGRAMS_PER_PASS = 64  # a flood of datagrams must not hold up RPCs
 RECEIVE_BUFFER_BYTES = 1 << 20  # for datagrams that wait during a long pass of the loop
@@ -58,7 +58,7 @@
         large_messages: Sends messages of any size.
     """
 
-    def __init__(self, host: Host, settings: Settings) -> None:
+    def __init__(self, host: ServiceHost, settings: Settings) -> None:
         """Binds the sockets and starts.
 
         Raises:
@@ -71,7 +71,7 @@
         self._rejected_datagrams = RejectedDatagrams(self._loop, self._log)
         self._datagram_counts = DatagramCounts()
         self._timer: Timer | None = None
-        rng = Random(f"{router.site.seed} fleet {router.site.name}")
+        rng = Random(f"{router.config.seed} fleet {router.config.name}")
         local_record = self._initial_record(rng)
         seed_addresses = [parse_address("peers", address) for address in settings.seed_addresses]
         self.node = SwimNode(
@@ -80,7 +80,7 @@
             settings.timings(),
             settings.max_members,
             rng,
-            self._loop.now,
+            self._loop.now_ms,
             self._log,
         )
         self.node.state_observers.append(self._on_member_state_change)
@@ -115,7 +115,7 @@
         """This member's record at its start; the run id tells it from the process before."""
         host, port = self._advertised_address()
         return MemberRecord(
-            name=self._router.site.name,
+            name=self._router.config.name,
             host=host,
             port=port,
             zone=self.settings.zone,
@@ -135,7 +135,7 @@
 
     # The loop
 
-    def ready(self, _mask: int) -> None:
+    def on_ready(self, _mask: int) -> None:
         """Datagrams are there to be read; called by the loop."""
         for _ in range(MAX_DATAGRAMS_PER_PASS):
             try:
@@ -152,14 +152,14 @@
         except InvalidDatagramError as error:
             self._rejected_datagrams.add(error.rejection)
         else:
-            self.node.on_message(message, self._loop.now)
+            self.node.on_message(message, self._loop.now_ms)
 
     def _on_timer(self) -> None:
         self._timer = None
-        if self._router.draining:
-            self.node.leave(self._loop.now)
-        if self.node.next_deadline_ms() <= self._loop.now:
-            self.node.on_timer(self._loop.now)
+        if self._router.is_draining:
+            self.node.leave(self._loop.now_ms)
+        if self.node.next_deadline_ms() <= self._loop.now_ms:
+            self.node.on_timer(self._loop.now_ms)
         self.flush_outgoing()
 
     def flush_outgoing(self) -> None:
@@ -170,10 +170,10 @@
                 self._socket.sendto(wire.encode(self.settings.cluster_name, message), receiver)
             except OSError:  # the buffer is full, or there is no route: a later message says the same
                 self._datagram_counts.failed += 1
-        wake_at_ms = max(self.node.next_deadline_ms(), self._loop.now + MIN_TIMER_DELAY_MS)
-        if self._timer is None or wake_at_ms < self._timer.at - MIN_TIMER_DELAY_MS:
+        wake_at_ms = max(self.node.next_deadline_ms(), self._loop.now_ms + MIN_TIMER_DELAY_MS)
+        if self._timer is None or wake_at_ms < self._timer.due_ms - MIN_TIMER_DELAY_MS:
             self._loop.cancel(self._timer)
-            self._timer = self._loop.after(wake_at_ms - self._loop.now, self._on_timer)
+            self._timer = self._loop.after(wake_at_ms - self._loop.now_ms, self._on_timer)
 
     def _on_member_state_change(self, member: Member, previous_state: MemberState | None) -> None:
         """Logs who comes and who departs; suspicions come and go too often."""
@@ -193,7 +193,7 @@
 
     def finish(self) -> None:
         """Announces that this member leaves, and closes the sockets."""
-        self.node.leave(self._loop.now)
+        self.node.leave(self._loop.now_ms)
         self.flush_outgoing()
         self._loop.watch(self._socket.fileno(), 0, self)
         self._socket.close()
@@ -202,13 +202,13 @@
     # Operators' calls
 
     def _on_members_call(self, _params: list[Any]) -> list[dict[str, Any]]:
-        return member_rows(self.node, self._loop.now)
+        return member_rows(self.node, self._loop.now_ms)
 
     def _on_status_call(self, _params: list[Any]) -> dict[str, Any]:
         return membership_status(self.node, self.settings.cluster_name, self._datagram_counts)
 
 
-def attach(host: Host, settings: Settings) -> MembershipService:
+def attach(host: ServiceHost, settings: Settings) -> MembershipService:
     """Starts the service.
 
     Raises:
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -9,7 +9,7 @@
 
 import msgpack
 
-from landingshift.admission.interface import Effect
+from landingshift.admission.interface import Idempotency
 from landingshift.net.program.main import Signals
 from landingshift.net.transport.loop import Loop
 from tests.helpers import METHOD, Bench, Engine, Gateway, World, until
@@ -67,8 +67,8 @@
         self.assertFalse(door.gateways.gone())
         short.short = False
         door.turn_until(lambda: door.news.reads == [1])
-        self.assertFalse(door.gateways.listener.open)
-        for connection in door.gateways.table:
+        self.assertFalse(door.gateways.listener.is_open)
+        for connection in door.gateways.connections:
             connection.stream.close("test")
         self.assertTrue(door.gateways.gone())
 
@@ -206,15 +206,15 @@
         peer.sendall(msgpack.packb([0, 1, "m", [{}, b"work"]]))
         door.turn_until(lambda: door.news.reads)
         door.gateways.leave()
-        door.turn_until(lambda: not connection.stream.out)
-        connection.away = door.loop.now  # the time that it had is over
+        door.turn_until(lambda: not connection.stream.output)
+        connection.away = door.loop.now_ms  # the time that it had is over
         connection.answer(1, msgpack.packb([1, 1, None, [b"r", {}]]))
         passes = 0
-        while not connection.stream.reason and passes < 3:
+        while not connection.stream.close_reason and passes < 3:
             door.loop.after(0.0, lambda: None)
-            door.loop.turn()
+            door.loop.run_pass()
             passes += 1
-        self.assertEqual(connection.stream.reason, "goaway")
+        self.assertEqual(connection.stream.close_reason, "goaway")
 
     def test_short_and_long_notices(self) -> None:
         for stop_ms in (60, 200, 9e6):
@@ -235,8 +235,8 @@
         job = b.read()
         b.server.settle()
         b.did.clear()
-        b.server.quiesce(60.0)
-        self.assertEqual([d for d in b.did if d[0] == "wake"], [("wake", 1.0)])
+        b.server.start_draining(60.0)
+        self.assertEqual([d for d in b.did if d[0] == "schedule_check"], [("schedule_check", 1.0)])
         b.tick(1.0)
         self.assertEqual(b.fates(job), ["abort"])
 
@@ -253,23 +253,23 @@
         signals.heard = lambda number, at: heard.append((number, at))
         os.kill(os.getpid(), signal.SIGTERM)
         until(lambda: signal.SIGTERM in signals.came)
-        after = loop.clock()
-        until(lambda: loop.clock() > after + 20.0)  # the rest of a long pass
-        loop.turn()
+        after = loop.clock_ms()
+        until(lambda: loop.clock_ms() > after + 20.0)  # the rest of a long pass
+        loop.run_pass()
         self.assertEqual([number for number, _ in heard], [signal.SIGTERM])
         self.assertLessEqual(heard[0][1], after)
 
-        b = Bench(cores=1)
+        b = Bench(core_count=1)
         b.at(400.0)
-        b.server.quiesce(2000.0, 300.0)  # the grace is 1,000 ms
+        b.server.start_draining(2000.0, 300.0)  # the grace is 1,000 ms
         runs: dict[float, list[Any]] = {}
         for arrived in (1099.0, 1101.0):
             b.at(1200.0)
-            job = b.read(method=METHOD, waited=1200.0 - arrived, remaining=700.0)
+            job = b.read(method=METHOD, waited_ms=1200.0 - arrived, remaining_ms=700.0)
             b.server.settle()
             runs[arrived] = b.fates(job)
-        self.assertEqual(runs, {1099.0: ["run"], 1101.0: ["push_back"]})
-        self.assertIs(METHOD.effect, Effect.IDEMPOTENT)
+        self.assertEqual(runs, {1099.0: ["start_run"], 1101.0: ["reject"]})
+        self.assertIs(METHOD.idempotency, Idempotency.IDEMPOTENT)
 
 
 if __name__ == "__main__":
--- a/tests/test_golden_storage.py
+++ b/tests/test_golden_storage.py
@@ -160,7 +160,7 @@
             node=SimpleNamespace(local_record=SimpleNamespace(name="n3")),
             hand=SimpleNamespace(going=17),
             log=self.fail,
-            router=SimpleNamespace(site=SimpleNamespace(name="n3")),
+            router=SimpleNamespace(config=SimpleNamespace(name="n3")),
         )
         MaintenanceService.write_mark(service)
         assert_golden_bytes(self, "work_mark", Path(path).read_bytes())
