--- a/landingshift/coldstart/__init__.py
+++ b/landingshift/coldstart/__init__.py
@@ -1,1 +1,1 @@
-"""A fleet that comes up together: places to start, shares of the store, the last list kept on disk."""
+"""Cold start of a whole cluster: start permits, leased call quotas, discovery, the endpoint cache."""
--- a/landingshift/coldstart/backoff.py
+++ b/landingshift/coldstart/backoff.py
@@ -1,40 +1,51 @@
-"""When a server that goes by itself tries again. Pure; chance is an argument."""
+"""Random delays for servers that know nothing of each other, so that they don't act in step. Pure."""
 
 from __future__ import annotations
 
 from math import sqrt
 from random import Random
 
+GROWTH_RATIO = 3.0  # largest ratio of a pause to the one before
+CAP_STANDARD_DEVIATION_COUNT = 4.0  # by which the mean of a Poisson count stays below the cap
+
 
 class DecorrelatedJitterBackoff:
-    """Decorrelated pauses between tries, ms: they grow while tries fail and never fall into step.
+    """Pauses between attempts that grow while attempts fail.
 
-    Each is drawn between `first` and three times the one before, `most` at most: two servers that failed
-    together are apart by their second try, and a service that comes back is not met by all at once.
+    Each pause is drawn between the shortest one and three times the one before, up to the longest: two
+    servers that failed together are apart by their second attempt, and a service that comes back is not met
+    by all at once.
     """
 
-    def __init__(self, chance: Random, first: float, most: float) -> None:
-        self.rng, self.min_pause_ms, self.max_pause_ms = chance, first, most
-        self.last_pause_ms = first
+    def __init__(self, rng: Random, min_pause_ms: float, max_pause_ms: float) -> None:
+        self._rng = rng
+        self._min_pause_ms, self._max_pause_ms = min_pause_ms, max_pause_ms
+        self._last_pause_ms = min_pause_ms
 
     def next_pause_ms(self) -> float:
-        self.last_pause_ms = min(
-            self.max_pause_ms,
-            self.rng.uniform(self.min_pause_ms, max(self.min_pause_ms, 3.0 * self.last_pause_ms)),
-        )
-        return self.last_pause_ms
+        """Draws the next pause."""
+        longest_ms = max(self._min_pause_ms, GROWTH_RATIO * self._last_pause_ms)
+        self._last_pause_ms = min(self._max_pause_ms, self._rng.uniform(self._min_pause_ms, longest_ms))
+        return self._last_pause_ms
 
     def reset(self) -> None:
-        self.last_pause_ms = self.min_pause_ms
+        """An attempt was successful."""
+        self._last_pause_ms = self._min_pause_ms
+
 
+def mean_rate_below_cap(cap_per_second: float) -> float:
+    """The mean rate at which a second with more than `cap_per_second` random events is rare.
 
-def mean_rate_below_cap(per_s: float) -> float:
-    """The rate to aim at by chance so that a second with more than `per_s` is rare: the mean of a Poisson
-    count whose fourth standard deviation is there."""
-    return (sqrt(4.0 + per_s) - 2.0) ** 2
+    Random events bunch: this is the mean of a Poisson count that reaches the cap at its fourth standard
+    deviation.
+    """
+    half_deviations = CAP_STANDARD_DEVIATION_COUNT / 2.0
+    return (sqrt(half_deviations**2 + cap_per_second) - half_deviations) ** 2
 
 
-def random_start_delay_ms(chance: Random, servers: int, rate: float) -> float:
-    """ms until a server's own turn where `servers` that know nothing of each other may be starting now;
-    `rate` a second on average."""
-    return chance.random() * servers * 1000.0 / rate
+def random_start_delay_ms(rng: Random, server_count: int, starts_per_second: float) -> float:
+    """A server's own delay where up to `server_count` that know nothing of each other may be starting now.
+
+    All delays together bring `starts_per_second` on average.
+    """
+    return rng.random() * server_count * 1000.0 / starts_per_second
--- /dev/null
+++ b/landingshift/coldstart/boot_mark.py
@@ -0,0 +1,41 @@
+"""The boot in which a grantor ran last, on disk beside its endpoint cache; used by `recovery_grace`."""
+
+from __future__ import annotations
+
+import os
+
+MAX_BOOT_ID_BYTES = 64
+
+
+def write_boot_mark(path: str, boot_id: str) -> None:
+    """Replaces the mark; it is synced and renamed, so that a crash leaves the old one or the new one.
+
+    Raises:
+        OSError: It can't be written.
+    """
+    temporary_path = f"{path}.new"
+    with open(temporary_path, "w") as file:
+        file.write(boot_id + "\n")
+        file.flush()
+        os.fsync(file.fileno())
+    os.replace(temporary_path, path)
+
+
+def read_boot_mark(path: str) -> str:
+    """The boot id of the last run, empty where it is unknown."""
+    try:
+        with open(path) as file:
+            return file.read(MAX_BOOT_ID_BYTES).strip()
+    except (OSError, UnicodeDecodeError):
+        return ""
+
+
+def remove_boot_mark(path: str) -> bool:
+    """False where the mark can't be removed."""
+    try:
+        os.unlink(path)
+    except FileNotFoundError:
+        return True
+    except OSError:
+        return False
+    return True
--- a/landingshift/coldstart/coordinator.py
+++ b/landingshift/coldstart/coordinator.py
@@ -1,7 +1,10 @@
-"""One server's part in a common start: asks for a place and a share of the store, lends them if it is to.
+"""One server's part in a cold start: requests start permits and call quotas, and grants them if it is to.
 
-Pure: speaks through its `Node`, which the server's loop or virtual time drives. With nobody to ask it goes by
-what it was told last, then by its floor: between an RPC and its answer no peer is ever waited for.
+Pure: speaks through its `SwimNode`, which the server's loop or virtual time drives.
+
+Guarantee: between an RPC and its response no peer is ever waited for.
+Failure mode: with no grantor to ask a server goes on with what it was granted last, then with its floor, and
+starts without a permit after a time-out.
 """
 
 from __future__ import annotations
@@ -11,249 +14,253 @@
 from random import Random
 from typing import Any
 
+from landingshift.coldstart import wire
 from landingshift.coldstart.downstream_saturation import UNKNOWN_SATURATION
-from landingshift.coldstart.leases import CLOCK_DRIFT_FRACTION, HeldLease, LeaseGrantor, max_min_fair_shares
-from landingshift.coldstart.start_permits import AdaptiveLimit, PermitRequest, StartPermitPool
+from landingshift.coldstart.errors import InvalidMessageError
+from landingshift.coldstart.grantor import ColdStartGrantor
+from landingshift.coldstart.leases import HeldLease
+from landingshift.coldstart.messages import ColdStartGrant, ColdStartRequest
+from landingshift.coldstart.plan import ColdStartPlan
 from landingshift.coldstart.start_sequence import StartSequence
 from landingshift.membership.messages import DEPARTED_STATES, MemberRecord
 from landingshift.membership.node import SwimNode
 
-PACKAGE = "cold"
-ASKS = 3.0  # requests in a lease: two may be lost
-UNMET = 0.9  # of what it needs; with less a second lender is asked too
-SECOND = 5.0  # leases for which a second lender is asked, once one was needed
-LIMIT = 1e9
-
-
-@dataclass(slots=True, frozen=True)
-class ColdStartPlan:
-    """What is settled for all servers alike. `calls`: calls a second that the store bears; times in ms."""
-
-    grantor_names: tuple[str, ...]
-    downstream_calls_per_second: float
-    max_servers: int  # the most that there will be
-    floor_fraction: float  # share of `calls` that is divided evenly and for good, and not lent
-    lease_ms: float
-    grace_ms: float
-    initial_permits: float  # places at the start of a lender's life, of all lenders together
-    max_permits: float
-    grantor_timeout_ms: float
-    ungranted_starts_per_second: float  # starts a second of those who find nobody to ask
-
-    def grantor_fraction_of(self, amount: float) -> float:
-        """What one lender has of an amount that all of them lend together."""
-        return amount / len(self.grantor_names) if self.grantor_names else 0.0
-
-    @property
-    def booking_ms(self) -> float:
-        """ms for which a grant is booked."""
-        return self.lease_ms * (1.0 + CLOCK_DRIFT_FRACTION) + self.grace_ms
-
-    @property
-    def floor_calls_per_second(self) -> float:
-        """Calls a second that each server may always make."""
-        return (
-            self.downstream_calls_per_second * self.floor_fraction / self.max_servers
-            if self.grantor_names
-            else self.downstream_calls_per_second / self.max_servers
-        )
+REQUESTS_PER_LEASE_COUNT = 3.0  # two may be lost
+REQUEST_JITTER = (0.9, 1.1)  # bounds of the factor on the interval between requests
+EARLY_REQUEST_DIVISOR = 4.0  # of that interval, for a server whose need has grown
+EARLY_REQUEST_NEED_RATIO = 2.0  # of what is needed to what was asked for last
+SATISFIED_FRACTION = 0.9  # of what is needed; with less a second grantor is asked too
+SECOND_GRANTOR_LEASE_COUNT = 5.0  # for which it is asked, once it was needed
 
 
 @dataclass(slots=True)
 class LoadObservation:
-    """What this server sees of itself: `need` in calls a second, `work` in RPCs a second that wait for it."""
+    """What a server sees of itself.
+
+    Attributes:
+        warm_fraction: From 0 to 1, how far it is warm.
+        needed_calls_per_second: Calls to the downstream that it would make.
+        waiting_rpcs_per_second: Work that waits for it.
+        saturation: Of the downstream, below 0 where unknown.
+        baseline_latency_ms: Of a call to a healthy downstream, 0 where it never saw that.
+    """
 
     warm_fraction: float = 0.0
     needed_calls_per_second: float = 1.0
     waiting_rpcs_per_second: float = 0.0
     saturation: float = UNKNOWN_SATURATION
-    baseline_latency_ms: float = 0.0  # ms of a call when the store is well; 0 where it never saw that
-
-
-class ColdStartGrantor:
-    """The lender's books: its part of the places and of the store's calls."""
-
-    def __init__(self, plan: ColdStartPlan, now: float, quiet: float | None = None) -> None:
-        """`quiet`: ms that it keeps to what is claimed, a whole lease where nothing better is known."""
-        calls = plan.grantor_fraction_of(plan.downstream_calls_per_second * (1.0 - plan.floor_fraction))
-        self.call_quota_grantor = LeaseGrantor(calls, plan.lease_ms, plan.grace_ms, now, max_min_fair_shares)
-        self.bearable = AdaptiveLimit(calls, calls, now, calls * 0.05)
-        self.start_permits = StartPermitPool(
-            plan.grantor_fraction_of(plan.initial_permits),
-            plan.grantor_fraction_of(plan.max_permits),
-            plan.lease_ms,
-            plan.grace_ms,
-            now,
-        )
-        if quiet is not None:
-            self.call_quota_grantor.recovery_grace_until_ms = (
-                self.start_permits.lease_grantor.recovery_grace_until_ms
-            ) = now + quiet
-        self.bases: dict[str, float] = {}
-
-    def base(self) -> float:
-        return min((b for b in self.bases.values() if b), default=0.0)
-
-    def on_request(self, who: MemberRecord, ask: list[Any], now: float) -> list[Any] | None:
-        """The answer to one request, None where it is late, doubled or no request."""
-        if len(ask) != 9 or not all(
-            isinstance(v, int | float) and UNKNOWN_SATURATION <= v < LIMIT for v in ask
-        ):
-            return None
-        number, claims, need, place_number, place, wants, work, strain, base = ask
-        if min(number, claims, need, place_number, place, wants, work, base) < 0:
-            return None
-        for gone in self.call_quota_grantor.expire(now):
-            self.bases.pop(gone, None)
-        self.bearable.record_saturation(strain)
-        if self.bearable.evaluate(now, True):
-            self.call_quota_grantor.capacity = self.bearable.limit
-        amount = self.call_quota_grantor.renew(who.name, who.run_id, number, claims, need, now)
-        wish = PermitRequest(who.zone, work, now) if wants else None
-        granted = self.start_permits.renew(who.name, who.run_id, place_number, place, wish, strain, now)
-        if amount is None or granted is None:
-            return None
-        self.bases[who.name] = base
-        return [number, amount, place_number, granted, self.base()]
+    baseline_latency_ms: float = 0.0
 
 
 @dataclass(slots=True, eq=False)
 class HeldLeases:
-    """What this server has from one lender."""
+    """What a server holds from one grantor.
+
+    Attributes:
+        call_quota: Calls a second.
+        start_permit: 1 or 0.
+    """
 
     call_quota: HeldLease
     start_permit: HeldLease
 
+    def expires_at_ms(self) -> float:
+        """When the later one of the two expires."""
+        return max(self.call_quota.expires_at_ms, self.start_permit.expires_at_ms)
+
 
 class ColdStartCoordinator:
+    """Requests, grants and the start sequence of one server.
+
+    Attributes:
+        node: Its membership.
+        plan: What is settled for the cluster.
+        grantor: Its own grants, None where it grants nothing.
+        held_leases: What it holds, by the grantors' names.
+        start_sequence: Its way from start to warm.
+        observation: What it saw of itself last.
+        told_baseline_ms: The lowest baseline that a grantor told, 0 where unknown.
+        next_request_ms: When the next request is due.
+        request_count: Requests since the start.
+        response_count: Answers that were taken.
+    """
+
     def __init__(
-        self, node: SwimNode, plan: ColdStartPlan, chance: Random, now: float, quiet: float | None = None
+        self,
+        node: SwimNode,
+        plan: ColdStartPlan,
+        rng: Random,
+        now_ms: float,
+        recovery_grace_ms: float | None = None,
     ) -> None:
-        self.node, self.plan, self.chance = node, plan, chance
-        self.grantor = (
-            ColdStartGrantor(plan, now, quiet) if node.local_record.name in plan.grantor_names else None
-        )
+        self.node, self.plan = node, plan
+        self._rng = rng
+        is_grantor = node.local_record.name in plan.grantor_names
+        self.grantor = ColdStartGrantor(plan, now_ms, recovery_grace_ms) if is_grantor else None
         self.held_leases: dict[str, HeldLeases] = {}
         self.start_sequence = StartSequence(
-            plan.grantor_timeout_ms, plan.max_servers, plan.ungranted_starts_per_second, chance, now
+            plan.grantor_timeout_ms, plan.max_servers, plan.ungranted_starts_per_second, rng, now_ms
         )
-        self.seen = LoadObservation()
+        self.observation = LoadObservation()
         self.told_baseline_ms = 0.0
-        self.second_until = 0.0
-        # Servers that began in one second must not ask in step for ever.
-        self.ask_at = now + plan.lease_ms / ASKS * chance.random()
-        self.asked = self.answered = 0
-        self.wanted = 0.0  # calls a second that were asked for last
-        self.asked_at = now
-        node.message_handlers[PACKAGE] = self.hear
+        self._request_interval_ms = plan.lease_ms / REQUESTS_PER_LEASE_COUNT
+        # Servers that start in one second must not ask in step for ever.
+        self.next_request_ms = now_ms + self._request_interval_ms * rng.random()
+        self.request_count = 0
+        self.response_count = 0
+        self._requested_calls_per_second = 0.0
+        self._requested_at_ms = now_ms
+        self._second_grantor_until_ms = 0.0
+        node.message_handlers[wire.PACKAGE] = self.on_message
 
     # What this server may do
 
-    def call_quota(self, now: float) -> float:
-        """Calls a second; never less than its floor."""
-        return self.own + sum(loans.call_quota.usable_amount(now) for loans in self.held_leases.values())
+    def call_quota(self, now_ms: float) -> float:
+        """Calls a second that it may make; never less than its floor."""
+        leased = sum(leases.call_quota.usable_amount(now_ms) for leases in self.held_leases.values())
+        return self.floor_calls_per_second + leased
 
     @property
-    def own(self) -> float:
-        """Its floor; smaller where more are there than were planned for, as far as it sees."""
-        there = len(self.node.member_table.present_names) + 1
-        return self.plan.floor_calls_per_second * min(1.0, self.plan.max_servers / there)
+    def floor_calls_per_second(self) -> float:
+        """Calls a second that need no lease; less where more servers are present than were planned for."""
+        present_count = len(self.node.member_table.present_names) + 1
+        return self.plan.floor_calls_per_second * min(1.0, self.plan.max_servers / present_count)
 
-    def has_start_permit(self, now: float) -> bool:
-        return any(loans.start_permit.usable_amount(now) >= 1.0 for loans in self.held_leases.values())
+    def has_start_permit(self, now_ms: float) -> bool:
+        """Whether it may warm up."""
+        return any(leases.start_permit.usable_amount(now_ms) >= 1.0 for leases in self.held_leases.values())
 
     def present_grantors(self) -> list[str]:
-        """Those that are there, in this server's own order: each has about as many to lend to."""
-        name = self.node.local_record.name
-        here = [n for n in self.plan.grantor_names if n == name or self.there(n)]
-        return sorted(here, key=lambda n: zlib.crc32(f"{n} {name}".encode()))
+        """Grantors that are present, in this server's own order, so that each has about as many holders."""
+        own_name = self.node.local_record.name
+        present = [name for name in self.plan.grantor_names if name == own_name or self._is_present(name)]
+        return sorted(present, key=lambda name: zlib.crc32(f"{name} {own_name}".encode()))
 
-    def there(self, name: str) -> bool:
+    def _is_present(self, name: str) -> bool:
         record = self.node.member_table.record(name)
         return record is not None and record.state not in DEPARTED_STATES
 
     # Time
 
-    def step(self, now: float, seen: LoadObservation) -> bool:
-        """Asks where that is due; True where the stage changed."""
-        self.seen = seen
-        # All that it asked for was lent, and it needs twice that by now: a start must not wait for its turn.
-        more = (
-            seen.needed_calls_per_second > 2.0 * max(self.wanted, self.own)
-            and self.call_quota(now) >= UNMET * self.wanted
-        )
-        if now >= self.ask_at or (more and now >= self.asked_at + self.plan.lease_ms / ASKS / 4.0):
-            self.ask_at = now + self.plan.lease_ms / ASKS * self.chance.uniform(0.9, 1.1)
-            self.ask(now)
-        for name in [
-            n
-            for n, had in self.held_leases.items()
-            if max(had.call_quota.expires_at_ms, had.start_permit.expires_at_ms) <= now
-        ]:
-            if name not in self.plan.grantor_names or not self.there(name):
-                del self.held_leases[name]
+    def on_timer(self, now_ms: float, observation: LoadObservation) -> bool:
+        """Sends requests that are due and goes on with the start sequence.
+
+        Returns:
+            Whether the stage of the start changed.
+        """
+        self.observation = observation
+        if now_ms >= self.next_request_ms or self._is_early_request_due(now_ms):
+            self.next_request_ms = now_ms + self._request_interval_ms * self._rng.uniform(*REQUEST_JITTER)
+            self._send_requests(now_ms)
+        self._forget_expired_leases(now_ms)
         return self.start_sequence.advance(
-            now, len(self.present_grantors()), self.has_start_permit(now), seen.warm_fraction
+            now_ms,
+            len(self.present_grantors()),
+            self.has_start_permit(now_ms),
+            observation.warm_fraction,
         )
 
-    def ask(self, now: float) -> None:
-        self.asked_at, self.wanted = now, self.seen.needed_calls_per_second
-        lenders = self.present_grantors()[:2]
-        if not lenders:
-            return
-        had = self.call_quota(now) - self.own
-        if self.answered and had < UNMET * (self.seen.needed_calls_per_second - self.own):
-            self.second_until = now + SECOND * self.plan.lease_ms
-        self.ask_one(lenders[0], self.seen.needed_calls_per_second - self.own, True, now)
-        if now < self.second_until and len(lenders) > 1:
-            first = self.held_leases[lenders[0]].call_quota.usable_amount(now)
-            self.ask_one(lenders[1], self.seen.needed_calls_per_second - self.own - first, False, now)
-
-    def ask_one(self, lender: str, need: float, home: bool, now: float) -> None:
-        plan, seen = self.plan, self.seen
-        loans = self.held_leases.setdefault(
-            lender, HeldLeases(HeldLease(plan.lease_ms), HeldLease(plan.lease_ms))
+    def _is_early_request_due(self, now_ms: float) -> bool:
+        """Whether the need has doubled since all that was asked for was granted.
+
+        A server that begins to take RPCs must not wait for its turn.
+        """
+        requested = self._requested_calls_per_second
+        known_need = max(requested, self.floor_calls_per_second)
+        has_need_grown = (
+            self.observation.needed_calls_per_second > EARLY_REQUEST_NEED_RATIO * known_need
+            and self.call_quota(now_ms) >= SATISFIED_FRACTION * requested
         )
-        number, claims = loans.call_quota.next_request(now)
-        place_number, place = loans.start_permit.next_request(now)
-        wants = home and self.start_sequence.wants_permit
-        ask = [
-            number,
-            claims,
-            max(0.0, need),
-            place_number,
-            place,
-            int(wants),
-            seen.waiting_rpcs_per_second,
-            seen.saturation,
-            seen.baseline_latency_ms,
-        ]
-        self.asked += 1
-        if lender == self.node.local_record.name and self.grantor is not None:
-            self.answer(lender, self.grantor.on_request(self.node.local_record, ask, now), now)
+        earliest_ms = self._requested_at_ms + self._request_interval_ms / EARLY_REQUEST_DIVISOR
+        return has_need_grown and now_ms >= earliest_ms
+
+    def _forget_expired_leases(self, now_ms: float) -> None:
+        """Drops grantors that are gone, once nothing that they granted is left."""
+        expired = [name for name, leases in self.held_leases.items() if leases.expires_at_ms() <= now_ms]
+        for name in expired:
+            if name not in self.plan.grantor_names or not self._is_present(name):
+                del self.held_leases[name]
+
+    def _send_requests(self, now_ms: float) -> None:
+        """Asks the first grantor, and for a while a second one where the first could not grant enough."""
+        needed = self.observation.needed_calls_per_second
+        self._requested_at_ms = now_ms
+        self._requested_calls_per_second = needed
+        grantors = self.present_grantors()[:2]
+        if not grantors:
+            return
+        floor = self.floor_calls_per_second
+        leased = self.call_quota(now_ms) - floor
+        if self.response_count and leased < SATISFIED_FRACTION * (needed - floor):
+            self._second_grantor_until_ms = now_ms + SECOND_GRANTOR_LEASE_COUNT * self.plan.lease_ms
+        self._send_request(grantors[0], needed - floor, may_grant_permit=True, now_ms=now_ms)
+        if now_ms < self._second_grantor_until_ms and len(grantors) > 1:
+            from_first = self.held_leases[grantors[0]].call_quota.usable_amount(now_ms)
+            remaining = needed - floor - from_first
+            self._send_request(grantors[1], remaining, may_grant_permit=False, now_ms=now_ms)
+
+    def _send_request(
+        self, grantor_name: str, needed_calls_per_second: float, may_grant_permit: bool, now_ms: float
+    ) -> None:
+        request = self._next_request(grantor_name, needed_calls_per_second, may_grant_permit, now_ms)
+        self.request_count += 1
+        local_record = self.node.local_record
+        if grantor_name == local_record.name and self.grantor is not None:
+            grant = self.grantor.on_request(local_record, request, now_ms)
+            if grant is not None:
+                self._on_grant(grantor_name, grant, now_ms)
         else:
-            self.node.send_to_member(lender, PACKAGE, ["ask", *ask])
+            self.node.send_to_member(grantor_name, wire.PACKAGE, wire.encode_request(request))
+
+    def _next_request(
+        self, grantor_name: str, needed_calls_per_second: float, may_grant_permit: bool, now_ms: float
+    ) -> ColdStartRequest:
+        lease_ms = self.plan.lease_ms
+        leases = self.held_leases.setdefault(
+            grantor_name, HeldLeases(HeldLease(lease_ms), HeldLease(lease_ms))
+        )
+        quota_request_number, claimed_quota = leases.call_quota.next_request(now_ms)
+        permit_request_number, claimed_permit = leases.start_permit.next_request(now_ms)
+        return ColdStartRequest(
+            quota_request_number=quota_request_number,
+            claimed_quota=claimed_quota,
+            needed_calls_per_second=max(0.0, needed_calls_per_second),
+            permit_request_number=permit_request_number,
+            claimed_permit=claimed_permit,
+            wants_permit=may_grant_permit and self.start_sequence.wants_permit,
+            waiting_rpcs_per_second=self.observation.waiting_rpcs_per_second,
+            saturation=self.observation.saturation,
+            baseline_latency_ms=self.observation.baseline_latency_ms,
+        )
 
     # What others say
 
-    def hear(self, sender: MemberRecord, body: list[Any]) -> None:
-        now = self.node.now_ms
-        match body:
-            case ["ask", *ask] if self.grantor is not None:
-                answer = self.grantor.on_request(sender, ask, now)
-                if answer is not None:
-                    self.node.send_to_member(sender.name, PACKAGE, ["give", *answer])
-            case ["give", *answer] if sender.name in self.held_leases:
-                self.answer(sender.name, answer, now)
-
-    def answer(self, lender: str, answer: list[Any] | None, now: float) -> None:
-        match answer:
-            case [int(number), int() | float() as amount, int(place_number), int() | float() as place, base]:
-                loans = self.held_leases[lender]
-                if not (0 <= amount < LIMIT and 0 <= place <= 1 and isinstance(base, int | float)):
-                    return
-                good = loans.call_quota.on_grant(number, float(amount), now)
-                if loans.start_permit.on_grant(place_number, float(place), now) or good:
-                    self.start_sequence.last_grantor_response_ms = now
-                    self.answered += 1
-                    self.told_baseline_ms = float(base)
+    def on_message(self, sender: MemberRecord, body: list[Any]) -> None:
+        """Takes a request or a grant of another server; what is neither is dropped."""
+        now_ms = self.node.now_ms
+        try:
+            message = wire.decode(body)
+        except InvalidMessageError:
+            return
+        match message:
+            case ColdStartRequest():
+                self._on_request(sender, message, now_ms)
+            case ColdStartGrant() if sender.name in self.held_leases:
+                self._on_grant(sender.name, message, now_ms)
+
+    def _on_request(self, sender: MemberRecord, request: ColdStartRequest, now_ms: float) -> None:
+        if self.grantor is None:
+            return
+        grant = self.grantor.on_request(sender, request, now_ms)
+        if grant is not None:
+            self.node.send_to_member(sender.name, wire.PACKAGE, wire.encode_grant(grant))
+
+    def _on_grant(self, grantor_name: str, grant: ColdStartGrant, now_ms: float) -> None:
+        """Takes a grant as far as it answers the last request."""
+        leases = self.held_leases[grantor_name]
+        is_quota_taken = leases.call_quota.on_grant(grant.quota_request_number, grant.quota, now_ms)
+        is_permit_taken = leases.start_permit.on_grant(grant.permit_request_number, grant.permit, now_ms)
+        if is_quota_taken or is_permit_taken:
+            self.start_sequence.last_grantor_response_ms = now_ms
+            self.response_count += 1
+            self.told_baseline_ms = grant.baseline_latency_ms
--- a/landingshift/coldstart/downstream_saturation.py
+++ b/landingshift/coldstart/downstream_saturation.py
@@ -1,76 +1,121 @@
-"""How near its limit the store is, by what this server's own calls see of it, and what it needs. Pure.
+"""How saturated the shared downstream is by one server's own calls, and how many calls it needs. Pure.
 
-1 is the limit: calls take `SLOW` times their base, or `BAD` of them end without an answer. The base is the
-lowest that this server knows, its own or one that a warm member tells: a server that starts into a collapse
-has never seen the store well, and would take the collapse for its nature. Without a call there is nothing to
-tell: silence must not pass for a store that is well.
+At a saturation of 1 calls take a multiple of their baseline, or a good part of them fails. The baseline is
+the lowest that is known, this server's own or one that it was told: a server that starts into an overload
+has never seen the downstream healthy, and would take the overload for its nature. Without a call nothing is
+known: silence must not pass for a healthy downstream.
 """
 
 from __future__ import annotations
 
-SLOW = 3.0
-BAD = 0.25
-BUCKETS = 8
-WIDTH = 250.0  # ms
-FEW = 4  # calls below which their mean is no base
+from dataclasses import dataclass
+
+SATURATED_LATENCY_RATIO = 3.0  # to the baseline
+SATURATED_FAILURE_FRACTION = 0.25  # of all calls
+BUCKET_COUNT = 8
+BUCKET_WIDTH_MS = 250.0
+WINDOW_MS = BUCKET_COUNT * BUCKET_WIDTH_MS
+MIN_BASELINE_CALL_COUNT = 4  # with fewer calls their mean is no baseline
 UNKNOWN_SATURATION = -1.0
-EMPTY = (0, 0, 0.0)
+NOT_STARTED_MS = -1.0
+
+
+@dataclass(slots=True)
+class CallBucket:
+    """Calls of one stretch of the window.
+
+    Attributes:
+        answered_count: Calls that were answered.
+        failed_count: Calls that were not.
+        answered_total_ms: What the answered ones took together.
+        wanted_count: Calls that RPCs asked for, made or not.
+    """
+
+    answered_count: int = 0
+    failed_count: int = 0
+    answered_total_ms: float = 0.0
+    wanted_count: int = 0
 
 
 class DownstreamSaturation:
+    """Rolling window over this server's calls.
+
+    Attributes:
+        baseline_latency_ms: Lowest mean of any window with enough calls, 0 where there was none.
+    """
+
     def __init__(self) -> None:
-        self.buckets: list[tuple[int, int, float]] = [EMPTY] * BUCKETS  # good, bad, ms of the good
-        self.wants = [0] * BUCKETS  # calls that RPCs asked for
-        self.stamp = 0
-        self.since = -1.0  # when the first call was asked for, ms
-        self.baseline_latency_ms = 0.0  # lowest mean of all buckets with enough calls; 0 where there was none
-
-    def turn(self, now: float) -> None:
-        stamp = int(now // WIDTH)
-        if stamp != self.stamp:
-            good, mean = self.good()
-            if good >= FEW:
-                self.baseline_latency_ms = (
-                    min(self.baseline_latency_ms, mean) if self.baseline_latency_ms else mean
-                )
-            for old in range(max(self.stamp + 1, stamp - BUCKETS + 1), stamp + 1):
-                self.buckets[old % BUCKETS], self.wants[old % BUCKETS] = EMPTY, 0
-            self.stamp = stamp
-
-    def good(self) -> tuple[int, float]:
-        """How many were answered, and ms on average."""
-        good = sum(b[0] for b in self.buckets)
-        return good, sum(b[2] for b in self.buckets) / good if good else 0.0
-
-    def on_call_finished(self, now: float, good: bool, took: float) -> None:
-        """`took` in ms."""
-        self.turn(now)
-        at = self.stamp % BUCKETS
-        count, bad, total = self.buckets[at]
-        self.buckets[at] = (count + 1, bad, total + took) if good else (count, bad + 1, total)
-
-    def on_call_wanted(self, now: float) -> None:
+        self._buckets = [CallBucket() for _ in range(BUCKET_COUNT)]
+        self._current_index = 0
+        self._first_wanted_ms = NOT_STARTED_MS
+        self.baseline_latency_ms = 0.0
+
+    def on_call_finished(self, now_ms: float, is_answered: bool, duration_ms: float) -> None:
+        """A call has ended."""
+        bucket = self._current_bucket(now_ms)
+        if is_answered:
+            bucket.answered_count += 1
+            bucket.answered_total_ms += duration_ms
+        else:
+            bucket.failed_count += 1
+
+    def on_call_wanted(self, now_ms: float) -> None:
         """An RPC asks for a call, whether or not it will get one: what was left out is needed too."""
-        self.turn(now)
-        if self.since < 0.0:
-            self.since = now
-        self.wants[self.stamp % BUCKETS] += 1
-
-    def wanted_calls_per_second(self, now: float) -> float:
-        """Calls a second that were asked for lately; of one that has just begun, since it began."""
-        self.turn(now)
-        span = max(WIDTH, min(BUCKETS * WIDTH, now - self.since)) if self.since >= 0.0 else BUCKETS * WIDTH
-        return sum(self.wants) * 1000.0 / span
-
-    def saturation(self, now: float, told: float) -> float:
-        """`told`: the lowest base that others know, 0 where none does. UNKNOWN without a call."""
-        self.turn(now)
-        good, mean = self.good()
-        bad = sum(b[1] for b in self.buckets)
-        if not good + bad:
+        bucket = self._current_bucket(now_ms)
+        if self._first_wanted_ms < 0.0:
+            self._first_wanted_ms = now_ms
+        bucket.wanted_count += 1
+
+    def wanted_calls_per_second(self, now_ms: float) -> float:
+        """Calls that were asked for lately; where the first one was just now, since then."""
+        self._current_bucket(now_ms)
+        span_ms = WINDOW_MS
+        if self._first_wanted_ms >= 0.0:
+            span_ms = max(BUCKET_WIDTH_MS, min(WINDOW_MS, now_ms - self._first_wanted_ms))
+        return sum(bucket.wanted_count for bucket in self._buckets) * 1000.0 / span_ms
+
+    def saturation(self, now_ms: float, told_baseline_ms: float) -> float:
+        """How saturated the downstream is: 0 healthy, 1 saturated, more where it is worse.
+
+        Args:
+            now_ms: Time.
+            told_baseline_ms: The lowest baseline that others know, 0 where none does.
+
+        Returns:
+            `UNKNOWN_SATURATION` where no call ended within the window.
+        """
+        self._current_bucket(now_ms)
+        answered_count, mean_ms = self._answered()
+        failed_count = sum(bucket.failed_count for bucket in self._buckets)
+        call_count = answered_count + failed_count
+        if not call_count:
             return UNKNOWN_SATURATION
-        base = (
-            min(b for b in (self.baseline_latency_ms, told) if b) if self.baseline_latency_ms or told else 0.0
-        )
-        slow = (mean / base - 1.0) / (SLOW - 1.0) if base and good else 0.0
-        return max(0.0, slow, bad / (good + bad) / BAD)
+        known_baselines = [baseline for baseline in (self.baseline_latency_ms, told_baseline_ms) if baseline]
+        by_latency = 0.0
+        if known_baselines and answered_count:
+            by_latency = (mean_ms / min(known_baselines) - 1.0) / (SATURATED_LATENCY_RATIO - 1.0)
+        by_failures = failed_count / call_count / SATURATED_FAILURE_FRACTION
+        return max(0.0, by_latency, by_failures)
+
+    def _answered(self) -> tuple[int, float]:
+        """How many calls of the window were answered, and their mean in ms."""
+        count = sum(bucket.answered_count for bucket in self._buckets)
+        total_ms = sum(bucket.answered_total_ms for bucket in self._buckets)
+        return count, total_ms / count if count else 0.0
+
+    def _current_bucket(self, now_ms: float) -> CallBucket:
+        """The bucket of the present; first empties those that have passed."""
+        index = int(now_ms // BUCKET_WIDTH_MS)
+        if index != self._current_index:
+            self._update_baseline()
+            oldest = max(self._current_index + 1, index - BUCKET_COUNT + 1)
+            for passed in range(oldest, index + 1):
+                self._buckets[passed % BUCKET_COUNT] = CallBucket()
+            self._current_index = index
+        return self._buckets[index % BUCKET_COUNT]
+
+    def _update_baseline(self) -> None:
+        count, mean_ms = self._answered()
+        if count >= MIN_BASELINE_CALL_COUNT:
+            known_ms = self.baseline_latency_ms
+            self.baseline_latency_ms = min(known_ms, mean_ms) if known_ms else mean_ms
--- /dev/null
+++ b/landingshift/coldstart/endpoint_discovery.py
@@ -0,0 +1,111 @@
+"""Finding members on the server's loop: the endpoint cache first, then the list service."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from random import Random
+
+from landingshift import failpoints
+from landingshift.coldstart import endpoint_cache
+from landingshift.coldstart.endpoint_cache import CachedEndpoints
+from landingshift.coldstart.endpoint_list_client import EndpointListRequest
+from landingshift.coldstart.errors import EndpointCacheError
+from landingshift.coldstart.service_discovery import ServiceDiscoveryPoller
+from landingshift.coldstart.settings import Settings
+from landingshift.membership.messages import Address
+from landingshift.membership.service import MembershipService
+from landingshift.membership.settings import parse_address
+from landingshift.net.transport.loop import Loop
+
+SAVE_INTERVAL_MS = 60_000.0
+FIRST_SAVE_MS = 5_000.0  # after the start
+KNOWN_ADDRESSES_GRACE_MS = 3_000.0  # that known addresses are tried before the list service is polled
+
+
+class EndpointDiscovery:
+    """Gives the membership addresses to try, and keeps the endpoint cache."""
+
+    def __init__(
+        self,
+        loop: Loop,
+        membership: MembershipService,
+        settings: Settings,
+        rng: Random,
+        log: Callable[..., None],
+    ) -> None:
+        self._loop, self._membership, self._settings, self._log = loop, membership, settings, log
+        self._request: EndpointListRequest | None = None
+        self._saved_endpoints: list[Address] = []
+        self._next_save_ms = loop.now_ms + FIRST_SAVE_MS
+        has_cached_addresses = self._load_cache()
+        self._poller = ServiceDiscoveryPoller(
+            settings.max_servers,
+            settings.list_service_polls_per_second,
+            has_cached_addresses or bool(membership.settings.seed_addresses),
+            KNOWN_ADDRESSES_GRACE_MS,
+            rng,
+            loop.now_ms,
+        )
+
+    @property
+    def poll_count(self) -> int:
+        """Polls of the list service since the start."""
+        return self._poller.poll_count
+
+    def on_timer(self) -> None:
+        """Polls the list service and saves the cache, where that is due."""
+        now_ms = self._loop.now_ms
+        has_joined = self._membership.node.has_joined
+        if self._settings.list_service_address and self._poller.start_poll_if_due(now_ms, has_joined):
+            self._poll()
+        if now_ms >= self._next_save_ms:
+            self._next_save_ms = now_ms + SAVE_INTERVAL_MS
+            self._save_cache()
+
+    def finish(self) -> None:
+        """Ends a poll under way and saves the cache."""
+        if self._request is not None:
+            self._request.cancel()
+        self._save_cache()
+
+    def _poll(self) -> None:
+        address = parse_address("list_service", self._settings.list_service_address)
+        if self._request is not None:
+            self._request.cancel()
+        cluster_name = self._membership.settings.cluster_name
+        self._request = EndpointListRequest(self._loop, address, cluster_name, self._on_endpoints)
+
+    def _on_endpoints(self, endpoints: list[Address], reason: str) -> None:
+        self._request = None
+        self._poller.on_poll_finished(self._loop.now_ms, is_successful=not reason)
+        self._log("coldstart_endpoint_list_polled", entries=len(endpoints), why=reason)
+        self._membership.node.add_contact_addresses(endpoints)
+
+    def _load_cache(self) -> bool:
+        """Reads the last list; True where it has an address to try."""
+        path = self._settings.endpoint_cache_path
+        if not path:
+            return False
+        cached = CachedEndpoints([], 0.0)
+        reason = ""
+        try:
+            cached = endpoint_cache.load(path, self._membership.settings.cluster_name, failpoints.wall())
+        except EndpointCacheError as error:
+            reason = error.reason
+        age_seconds = round(cached.age_ms / 1000.0)
+        entries = len(cached.endpoints)
+        self._log("coldstart_endpoint_cache_loaded", entries=entries, age_s=age_seconds, why=reason)
+        self._membership.node.add_contact_addresses(cached.endpoints)
+        return bool(cached.endpoints)
+
+    def _save_cache(self) -> None:
+        """Saves the addresses of all present members, if they have changed."""
+        path = self._settings.endpoint_cache_path
+        endpoints = sorted(record.address for record in self._membership.node.member_table.present_records())
+        if not path or not endpoints or endpoints == self._saved_endpoints:
+            return
+        try:
+            endpoint_cache.save(path, self._membership.settings.cluster_name, endpoints, failpoints.wall())
+            self._saved_endpoints = endpoints
+        except OSError as error:  # the old one stays; a start is only slower without
+            self._log("coldstart_endpoint_cache_not_saved", error=str(error))
--- a/landingshift/coldstart/endpoint_list_client.py
+++ b/landingshift/coldstart/endpoint_list_client.py
@@ -1,4 +1,4 @@
-"""One question to the list service: MessagePack-RPC `list(fleet)`, answered by `[[host, port], ...]`."""
+"""One poll of the list service: MessagePack-RPC `list(fleet)`, answered by `[[host, port], ...]`."""
 
 from __future__ import annotations
 
@@ -13,66 +13,77 @@
 from landingshift.net.transport.loop import Loop
 from landingshift.net.transport.stream import Stream, connect
 
-BOUND = 1 << 16
-LARGEST = 1 << 17  # bytes of an answer
-ENTRIES = 1024
+METHOD = "list"
+RPC_REQUEST_TYPE = 0  # MessagePack-RPC type of a call
+RPC_RESPONSE_TYPE = 1  # MessagePack-RPC type of its answer
+REQUEST_NUMBER = 1
+MAX_UNSENT_BYTES = 1 << 16
+MAX_RESPONSE_BYTES = 1 << 17
+MAX_ENDPOINT_COUNT = 1024
 
-Entry = tuple[
+Endpoint = tuple[
     Annotated[str, Meta(pattern=r"^[0-9]{1,3}(\.[0-9]{1,3}){3}$")], Annotated[int, Meta(ge=1, le=65535)]
 ]
-decoder = msgspec.msgpack.Decoder(
-    tuple[int, int, object, Annotated[list[Entry], Meta(max_length=ENTRIES)] | None]
+_decoder = msgspec.msgpack.Decoder(
+    tuple[int, int, object, Annotated[list[Endpoint], Meta(max_length=MAX_ENDPOINT_COUNT)] | None]
 )
 
+ResultHandler = Callable[[list[Address], str], None]
+"""Called with the endpoints and an empty reason, or with none and why the poll failed."""
+
 
 class EndpointListRequest:
-    """`told(addresses, "")` or `told([], why)`, once; `cancel` ends it without a word."""
-
-    def __init__(
-        self, loop: Loop, address: Address, fleet: str, told: Callable[[list[Address], str], None]
-    ) -> None:
-        self.told: Callable[[list[Address], str], None] | None = told
-        self.data_so_far = bytearray()
-        stream = connect(loop, address, self, BOUND)
-        self.stream = stream if isinstance(stream, Stream) else None
+    """A poll under way; `on_result` is called once, unless the poll is cancelled."""
+
+    def __init__(self, loop: Loop, address: Address, cluster_name: str, on_result: ResultHandler) -> None:
+        self._on_result: ResultHandler | None = on_result
+        self._received = bytearray()
+        stream = connect(loop, address, self, MAX_UNSENT_BYTES)
+        self._stream = stream if isinstance(stream, Stream) else None
         if isinstance(stream, Stream):
-            stream.write(pack([0, 1, "list", [fleet]]))
+            stream.write(pack([RPC_REQUEST_TYPE, REQUEST_NUMBER, METHOD, [cluster_name]]))
         else:
-            loop.after(0.0, lambda: self.tell([], stream))
+            loop.after(0.0, lambda: self._finish([], stream))
 
     def on_data(self, data: bytes) -> None:
-        self.data_so_far += data
+        """Bytes of the response came."""
+        self._received += data
         try:
-            kind, number, error, entries = decoder.decode(bytes(self.data_so_far))
+            rpc_type, number, error, endpoints = _decoder.decode(bytes(self._received))
         except msgspec.ValidationError:
-            self.end("bad_answer")
+            self._close("bad_answer")
             return
-        except msgspec.DecodeError:  # not whole yet
-            if len(self.data_so_far) > LARGEST:
-                self.end("oversized")
+        except msgspec.DecodeError:  # incomplete as yet
+            if len(self._received) > MAX_RESPONSE_BYTES:
+                self._close("oversized")
             return
-        if (kind, number) != (1, 1) or error is not None or entries is None:
-            self.end("error")
+        is_expected = (rpc_type, number) == (RPC_RESPONSE_TYPE, REQUEST_NUMBER)
+        if not is_expected or error is not None or endpoints is None:
+            self._close("error")
             return
-        self.tell(list(entries), "")
-        self.end("answered")
-
-    def end(self, reason: str) -> None:
-        if self.stream is not None:
-            self.stream.close(reason)
+        self._finish(list(endpoints), "")
+        self._close("answered")
 
     def on_eof(self) -> None:
-        self.end("closed")
+        """The service writes no more."""
+        self._close("closed")
 
     def on_closed(self, reason: str) -> None:
-        self.stream = None
-        self.tell([], reason)
-
-    def tell(self, addresses: list[Address], why: str) -> None:
-        told, self.told = self.told, None
-        if told is not None:
-            told(addresses, why)
+        """The connection is closed: without a result before, the poll has failed."""
+        self._stream = None
+        self._finish([], reason)
 
     def cancel(self) -> None:
-        self.told = None
-        self.end("cancelled")
+        """Ends the poll without a result."""
+        self._on_result = None
+        self._close("cancelled")
+
+    def _close(self, reason: str) -> None:
+        if self._stream is not None:
+            self._stream.close(reason)
+
+    def _finish(self, endpoints: list[Address], reason: str) -> None:
+        on_result = self._on_result
+        self._on_result = None
+        if on_result is not None:
+            on_result(endpoints, reason)
--- /dev/null
+++ b/landingshift/coldstart/lease_history.py
@@ -0,0 +1,31 @@
+"""Notes for checkers of a run: what this server holds, and until when."""
+
+from __future__ import annotations
+
+from landingshift import failpoints
+from landingshift.coldstart.coordinator import ColdStartCoordinator
+
+HISTORY_EVENT = "loan"
+
+
+class LeaseHistory:
+    """Writes each change of a held lease to the history, if there is one; their sum must keep the bound."""
+
+    def __init__(self) -> None:
+        self._noted: dict[str, tuple[float, ...]] = {}
+
+    def update(self, coordinator: ColdStartCoordinator) -> None:
+        """Notes what has changed."""
+        if not failpoints.history:
+            return
+        holder_name = coordinator.node.local_record.name
+        for grantor_name, leases in coordinator.held_leases.items():
+            held = (
+                leases.call_quota.held_amount,
+                leases.call_quota.expires_at_ms,
+                leases.start_permit.held_amount,
+                leases.start_permit.expires_at_ms,
+            )
+            if self._noted.get(grantor_name) != held:
+                self._noted[grantor_name] = held
+                failpoints.note(HISTORY_EVENT, holder_name, grantor_name, *held)
--- a/landingshift/coldstart/leases.py
+++ b/landingshift/coldstart/leases.py
@@ -1,18 +1,25 @@
-"""Amounts lent for a time: the sum of what all holders may believe never passes what there is to lend.
+"""Leased amounts: a grantor's and a holder's side.
 
-The rule, and why it holds although messages are lost, late, doubled and out of order, and clocks are apart:
+Guarantee: the sum of what all holders may use never passes what the grantor has, although messages are lost,
+late, doubled and reordered, processes are paused or replaced, and clocks differ. The rule, and why that
+holds:
 
 1. A holder numbers its requests and takes only the answer to its last one. What an older answer offered is
-   void from the moment it asks again, so that its claim in the new request is all it can ever believe in.
-2. It believes in an amount from the answer on, until `lease` ms after *it sent the request*, by its own
-   monotonic clock. The lender counts `lease` from *its answer*, later by the way there, and adds `spare` for
-   clocks that run unevenly and for calls that are out already.
-3. The lender books the greater of what it now grants and what the holder still claims. A smaller grant frees
-   nothing until a later request claims no more than it, or the old lease has run out.
-4. What is booked in all never passes the amount there is. A lender that has just started knows nothing of its
-   earlier self's grants: for one whole lease it grants no more than each holder claims to have from it.
-
-Pure: `now` in ms is an argument. Amounts are numbers of 0 or more.
+   void from the moment of the next request, so that the claim in that request is all that it can ever use.
+2. A holder uses an amount until the lease has passed since *its request*, by its own monotonic clock. The
+   grantor counts the lease from *its answer*, which is later, and adds a margin for clocks that drift and
+   for calls that are already under way.
+3. The grantor books the greater of what it now grants and what the holder still claims. A smaller grant
+   frees nothing until a later request claims no more than it, or the old lease has expired.
+4. What is booked in all never passes the capacity. A grantor that has just started knows nothing of the
+   grants of its earlier process: during the recovery grace period it grants no more than each holder claims
+   to have from it.
+
+Failure mode: what a lost grantor has granted expires within one lease, and nobody can be granted its part of
+the capacity until a process with its name is back and its recovery grace period is over. What a lost holder
+had is free after one booking.
+
+Pure: time in ms is an argument. Amounts are numbers of 0 or more.
 """
 
 from __future__ import annotations
@@ -20,14 +27,55 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-CLOCK_DRIFT_FRACTION = 0.02  # share of a lease by which two monotonic clocks may run apart in it
-HOLDERS = 10_000
-DIVIDE = 100.0  # ms for which one division among all holders stands: hundreds ask in each second
+CLOCK_DRIFT_FRACTION = 0.02  # of a lease, by which two monotonic clocks may run apart in it
+MAX_HOLDER_COUNT = 10_000
+DIVISION_LIFETIME_MS = 100.0  # hundreds of holders ask in each second
+NEVER_MS = -1e9  # a time before all others
+
+Division = Callable[[dict[str, float], float], dict[str, float]]
+"""Divides a capacity among names by what each wants; it may give a name less than it has."""
+
+
+def booking_duration_ms(lease_ms: float, expiry_margin_ms: float) -> float:
+    """How long a grantor must count an amount as granted.
+
+    Longer than any holder may use it: the holder's clock may run slower, and calls that it has made in time
+    may still be under way.
+    """
+    return lease_ms * (1.0 + CLOCK_DRIFT_FRACTION) + expiry_margin_ms
+
+
+@dataclass(slots=True, frozen=True)
+class LeaseRequest:
+    """A holder's request for a lease, or for its renewal.
+
+    Attributes:
+        holder_name: Who asks.
+        run_id: Which process of that name.
+        request_number: Numbers the holder's requests.
+        claimed_amount: What it still holds from this grantor.
+        wanted_amount: What it wants from now on.
+    """
+
+    holder_name: str
+    run_id: int
+    request_number: int
+    claimed_amount: float
+    wanted_amount: float
 
 
 @dataclass(slots=True, eq=False)
 class LeaseGrant:
-    """`booked` is what the holder may believe in until `end`."""
+    """What a grantor has granted to one holder.
+
+    Attributes:
+        run_id: Which process of the holder's name.
+        request_number: Its last request.
+        amount: What was granted last.
+        booked_amount: The most that the holder may use until `expires_at_ms`.
+        expires_at_ms: When what is booked is free.
+        wanted_amount: What the holder wanted last.
+    """
 
     run_id: int
     request_number: int
@@ -38,126 +86,151 @@
 
 
 class LeaseGrantor:
-    """Lends `capacity` in parts; `lease` and `spare` in ms.
-
-    `share(wanted, capacity)` divides what there is among names by what each wants; it may give a name less
-    than it has.
+    """Grants parts of a capacity for a time.
+
+    Attributes:
+        capacity: What there is; may be changed at any time.
+        booking_ms: How long a grant is booked.
+        recovery_grace_until_ms: Until then no more is granted than holders claim to have.
+        grants: By the holders' names.
+        refused_holder_count: Requests of new holders that found the table full.
     """
 
     def __init__(
-        self,
-        capacity: float,
-        lease: float,
-        spare: float,
-        now: float,
-        share: Callable[[dict[str, float], float], dict[str, float]],
+        self, capacity: float, lease_ms: float, expiry_margin_ms: float, now_ms: float, divide: Division
     ) -> None:
-        self.capacity, self.lease_ms, self.divide = capacity, lease, share
-        self.booking_ms = lease * (1.0 + CLOCK_DRIFT_FRACTION) + spare  # how long a grant is booked
-        self.recovery_grace_until_ms = now + self.booking_ms
+        self.capacity = capacity
+        self.booking_ms = booking_duration_ms(lease_ms, expiry_margin_ms)
+        self.recovery_grace_until_ms = now_ms + self.booking_ms
         self.grants: dict[str, LeaseGrant] = {}
-        self.cached_division: dict[str, float] = {}
-        self.divided_at_ms = -1e9
-        self.refused_holder_count = 0  # requests that found no room in the table
+        self.refused_holder_count = 0
+        self._divide = divide
+        self._division: dict[str, float] = {}
+        self._divided_at_ms = NEVER_MS
 
     def booked_amount(self) -> float:
-        return sum(g.booked_amount for g in self.grants.values())
+        """What all holders together may use at the most."""
+        return sum(grant.booked_amount for grant in self.grants.values())
 
-    def expire(self, now: float) -> list[str]:
-        """Names whose lease has run out; what they had is free."""
-        gone = [name for name, g in self.grants.items() if g.expires_at_ms <= now]
-        for name in gone:
+    def expire(self, now_ms: float) -> list[str]:
+        """Frees what has expired; returns the holders' names."""
+        expired = [name for name, grant in self.grants.items() if grant.expires_at_ms <= now_ms]
+        for name in expired:
             del self.grants[name]
-        if gone:
-            self.divided_at_ms = -1e9
-        return gone
+        if expired:
+            self.invalidate_division()
+        return expired
+
+    def invalidate_division(self) -> None:
+        """The capacity is divided anew at the next request."""
+        self._divided_at_ms = NEVER_MS
+
+    def renew(self, request: LeaseRequest, now_ms: float) -> float | None:
+        """Grants or renews a lease.
 
-    def renew(
-        self, name: str, run: int, number: int, claims: float, wanted: float, now: float
-    ) -> float | None:
-        """What is lent to `name` from now on; None for a request that is not its last.
+        Args:
+            request: The holder's request.
+            now_ms: By the grantor's clock.
 
-        `claims` is what it still believes to have from this lender.
+        Returns:
+            What is granted from now on; None for a request that is late or doubled, which has no answer.
         """
-        self.expire(now)
-        grant = self.grants.get(name)
-        if grant is not None and grant.run_id == run and number <= grant.request_number:
-            return None  # late or doubled
-        others = self.booked_amount() - (grant.booked_amount if grant is not None else 0.0)
+        self.expire(now_ms)
+        grant = self.grants.get(request.holder_name)
+        is_same_run = grant is not None and grant.run_id == request.run_id
+        if grant is not None and is_same_run and request.request_number <= grant.request_number:
+            return None
+        others_booked = self.booked_amount() - (grant.booked_amount if grant is not None else 0.0)
         if grant is None:
-            if len(self.grants) >= HOLDERS:
+            if len(self.grants) >= MAX_HOLDER_COUNT:
                 self.refused_holder_count += 1
                 return 0.0
-            # Claims from before this lender's start fit, by its earlier self's rule 4; nonsense is cut.
-            booked = max(0.0, min(claims, self.capacity - others))
-            grant = self.grants[name] = LeaseGrant(run, number, 0.0, booked, now + self.booking_ms)
-            self.divided_at_ms = -1e9
-        elif grant.run_id != run:
-            # Its earlier self may still run, stopped or cut off: that one's part stays booked until its end.
+            grant = self._book_claim(request, others_booked, now_ms)
+        elif not is_same_run:
+            # The earlier process may still run, paused or cut off: what it has stays booked until it expires.
             if grant.booked_amount > 0.0:
                 return 0.0
-            grant.run_id = run
-        grant.request_number, grant.wanted_amount = number, max(0.0, wanted)
-        known = max(0.0, min(claims, grant.booked_amount))
-        if now < self.recovery_grace_until_ms:
-            amount = min(known, grant.wanted_amount)
+            grant.run_id = request.run_id
+        return self._grant(grant, request, others_booked, now_ms)
+
+    def _book_claim(self, request: LeaseRequest, others_booked: float, now_ms: float) -> LeaseGrant:
+        """Books what a new holder claims to have from this grantor's earlier process.
+
+        All true claims fit, by rule 4 of that process; a false one is cut to what is left.
+        """
+        booked = max(0.0, min(request.claimed_amount, self.capacity - others_booked))
+        grant = LeaseGrant(request.run_id, request.request_number, 0.0, booked, now_ms + self.booking_ms)
+        self.grants[request.holder_name] = grant
+        self.invalidate_division()
+        return grant
+
+    def _grant(self, grant: LeaseGrant, request: LeaseRequest, others_booked: float, now_ms: float) -> float:
+        """Settles what is granted, and books it by rule 3."""
+        grant.request_number = request.request_number
+        grant.wanted_amount = max(0.0, request.wanted_amount)
+        claimed = max(0.0, min(request.claimed_amount, grant.booked_amount))
+        if now_ms < self.recovery_grace_until_ms:
+            amount = min(claimed, grant.wanted_amount)
         else:
-            # What it has may stay although the capacity has shrunk: then the division takes it, or nobody.
-            amount = max(0.0, min(self.divided_amount(name, now), max(known, self.capacity - others)))
-        grant.amount, grant.booked_amount = amount, max(amount, known)
-        grant.expires_at_ms = now + self.booking_ms
+            # What the holder has may stay although the capacity has shrunk, unless the division takes it.
+            available = max(claimed, self.capacity - others_booked)
+            amount = max(0.0, min(self._divided_amount(request.holder_name, now_ms), available))
+        grant.amount = amount
+        grant.booked_amount = max(amount, claimed)
+        grant.expires_at_ms = now_ms + self.booking_ms
         return amount
 
-    def divided_amount(self, name: str, now: float) -> float:
-        if now - self.divided_at_ms >= DIVIDE or name not in self.cached_division:
-            self.cached_division = self.divide(
-                {n: g.wanted_amount for n, g in self.grants.items()}, self.capacity
-            )
-            self.divided_at_ms = now
-        return self.cached_division.get(name, 0.0)
-
-    def release(self, name: str, run: int) -> None:
-        """The holder has let go of all that it had."""
-        grant = self.grants.get(name)
-        if grant is not None and grant.run_id == run:
-            del self.grants[name]
-            self.divided_at_ms = -1e9
+    def _divided_amount(self, holder_name: str, now_ms: float) -> float:
+        """The holder's part by the last division, which stands for a while."""
+        is_outdated = now_ms - self._divided_at_ms >= DIVISION_LIFETIME_MS
+        if is_outdated or holder_name not in self._division:
+            wanted_amounts = {name: grant.wanted_amount for name, grant in self.grants.items()}
+            self._division = self._divide(wanted_amounts, self.capacity)
+            self._divided_at_ms = now_ms
+        return self._division.get(holder_name, 0.0)
 
 
 class HeldLease:
-    """The holder's side with one lender. `amount(now)` is what it may use."""
+    """A holder's side of a lease, with one grantor.
+
+    Attributes:
+        lease_ms: How long an amount may be used, from its request on.
+        request_number: The last request.
+        requested_at_ms: When that was made.
+        is_answered: Whether its answer was taken.
+        held_amount: What was granted last.
+        expires_at_ms: Until when it may be used.
+    """
 
-    def __init__(self, lease: float) -> None:
-        self.lease_ms = lease
+    def __init__(self, lease_ms: float) -> None:
+        self.lease_ms = lease_ms
         self.request_number = 0
-        self.requested_at_ms = -1e9
-        self.held_amount, self.expires_at_ms = 0.0, 0.0
+        self.requested_at_ms = NEVER_MS
         self.is_answered = True
+        self.held_amount = 0.0
+        self.expires_at_ms = 0.0
 
-    def usable_amount(self, now: float) -> float:
-        return self.held_amount if now < self.expires_at_ms else 0.0
+    def usable_amount(self, now_ms: float) -> float:
+        """What may be used now."""
+        return self.held_amount if now_ms < self.expires_at_ms else 0.0
 
-    def next_request(self, now: float) -> tuple[int, float]:
-        """Number and claim of the next request."""
+    def next_request(self, now_ms: float) -> tuple[int, float]:
+        """Begins a request; returns its number and what is claimed in it."""
         self.request_number += 1
-        self.requested_at_ms, self.is_answered = now, False
-        return self.request_number, self.usable_amount(now)
+        self.requested_at_ms = now_ms
+        self.is_answered = False
+        return self.request_number, self.usable_amount(now_ms)
+
+    def on_grant(self, request_number: int, amount: float, now_ms: float) -> bool:
+        """Takes an answer.
 
-    def on_grant(self, number: int, amount: float, now: float) -> bool:
-        """False for an answer to another request than the last, or one that comes too late to be used."""
-        if number != self.request_number or self.is_answered or now >= self.requested_at_ms + self.lease_ms:
+        Returns:
+            False for an answer to another request than the last, a second one, or one that comes too late.
+        """
+        expires_at_ms = self.requested_at_ms + self.lease_ms
+        if request_number != self.request_number or self.is_answered or now_ms >= expires_at_ms:
             return False
         self.is_answered = True
-        self.held_amount, self.expires_at_ms = max(0.0, amount), self.requested_at_ms + self.lease_ms
+        self.held_amount = max(0.0, amount)
+        self.expires_at_ms = expires_at_ms
         return True
-
-
-def max_min_fair_shares(wanted: dict[str, float], capacity: float) -> dict[str, float]:
-    """All get what they want where that fits; else the small wishes whole and the rest alike (max-min)."""
-    parts: dict[str, float] = {}
-    left, many = capacity, len(wanted)
-    for name in sorted(wanted, key=lambda n: (wanted[n], n)):
-        parts[name] = max(0.0, min(wanted[name], left / many))
-        left -= parts[name]
-        many -= 1
-    return parts
--- /dev/null
+++ b/landingshift/coldstart/operator_views.py
@@ -0,0 +1,61 @@
+"""What operators and members see of a cold start; the only place that knows the keys of these answers."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from landingshift.coldstart.coordinator import ColdStartCoordinator
+from landingshift.coldstart.errors import NotAGrantorError
+from landingshift.coldstart.start_sequence import StartStage
+
+STAGE_POSITIONS = {stage: float(position) for position, stage in enumerate(StartStage)}
+
+
+def published_metadata(coordinator: ColdStartCoordinator, now_ms: float) -> dict[str, float]:
+    """What a server publishes of its start to all members."""
+    return {
+        "stage": STAGE_POSITIONS[coordinator.start_sequence.stage],
+        "share": round(coordinator.call_quota(now_ms), 1),
+    }
+
+
+def cold_start_status(
+    coordinator: ColdStartCoordinator, list_poll_count: int, now_ms: float
+) -> dict[str, Any]:
+    """Answer to the call `coldstart`: how far this server is, and what it may use."""
+    observation = coordinator.observation
+    return {
+        "name": coordinator.node.local_record.name,
+        "stage": coordinator.start_sequence.stage.value,
+        "alone": coordinator.start_sequence.started_without_grantor,
+        "share": coordinator.call_quota(now_ms),
+        "floor": coordinator.floor_calls_per_second,
+        "strain": observation.saturation,
+        "need": observation.needed_calls_per_second,
+        "lenders": coordinator.present_grantors(),
+        "asked": coordinator.request_count,
+        "answered": coordinator.response_count,
+        "list_asks": list_poll_count,
+    }
+
+
+def granted_leases(coordinator: ColdStartCoordinator) -> dict[str, Any]:
+    """Answer to the call `lent`: what this server has granted.
+
+    Raises:
+        NotAGrantorError: It grants nothing.
+    """
+    grantor = coordinator.grantor
+    if grantor is None:
+        raise NotAGrantorError
+    quotas = grantor.call_quota_grantor
+    permits = grantor.start_permits
+    permits_in_use = permits.permits_in_use()
+    return {
+        "calls": quotas.capacity,
+        "calls_booked": quotas.booked_amount(),
+        "places": permits.limiter.limit,
+        "places_in_use": permits_in_use,
+        "waiting": len(permits.candidates) - permits_in_use,
+        "shares": {name: grant.amount for name, grant in quotas.grants.items()},
+    }
--- a/landingshift/coldstart/recovery_grace.py
+++ b/landingshift/coldstart/recovery_grace.py
@@ -1,9 +1,13 @@
-"""For how long a lender that starts must keep to what is claimed from it. Pure.
+"""For how long a grantor that starts must grant no more than is claimed from it. Pure.
 
-It knows nothing of what its earlier self granted, which may be believed in for one lease. After a power cut
-there is nothing to wait for: an earlier self that ended before this machine was started granted its last
-before that. That it did is known from the mark that it left: the boot in which it ran. A mark of this boot,
-or none, proves nothing.
+It knows nothing of the grants of its earlier process, which may be used for one lease. After a power cut
+there is nothing to wait for: a process that ended before this machine was booted made its last grant before
+that. That it did is known from the mark that it left, the boot in which it ran. A mark of this boot, or
+none, proves nothing.
+
+Guarantee: the sum of all leases never passes the capacity through a restart of the grantor.
+Failure mode: a disk that is moved to another machine brings a mark that proves too much while the old
+process may still run there.
 """
 
 from __future__ import annotations
@@ -13,14 +17,25 @@
 
 @dataclass(slots=True, frozen=True)
 class SystemBoot:
-    """`id` is drawn by the system at each start of the machine; `uptime` in ms since then."""
+    """One boot of the machine.
+
+    Attributes:
+        boot_id: Drawn by the operating system at each boot, empty where it tells none.
+        uptime_ms: Since then.
+    """
 
     boot_id: str
     uptime_ms: float
 
 
-def recovery_grace_ms(kept: float, now: SystemBoot, marked: str) -> float:
-    """ms; `kept` is how long a grant is booked, `marked` the boot of its earlier self, "" for none."""
-    if not marked or not now.boot_id or marked == now.boot_id:
-        return kept
-    return min(kept, max(0.0, kept - now.uptime_ms))
+def recovery_grace_ms(booking_ms: float, current_boot: SystemBoot, marked_boot_id: str) -> float:
+    """How long the grantor must wait.
+
+    Args:
+        booking_ms: How long a grant of the earlier process is booked.
+        current_boot: The boot in which this process runs.
+        marked_boot_id: The boot of the earlier process, empty where it is unknown.
+    """
+    if not marked_boot_id or not current_boot.boot_id or marked_boot_id == current_boot.boot_id:
+        return booking_ms
+    return min(booking_ms, max(0.0, booking_ms - current_boot.uptime_ms))
--- a/landingshift/coldstart/start_permits.py
+++ b/landingshift/coldstart/start_permits.py
@@ -1,155 +1,188 @@
-"""How many servers may be between start and warm at once, and who is next. Pure.
+"""Start permits: how many servers may warm up at once, and who is next. Pure.
 
-A place is lent like any amount (`leases.py`) and lapses with its holder. How many there are follows what
-those who start tell of the services that all of them need: one number, the strain, 1 where a service is at
-its limit. Doubled each second while all places are in use and nothing has strained yet, raised by a tenth
-after that, halved when something strains.
+A permit is leased like any amount (`leases`) and lapses with its holder. How many there are follows what the
+servers that warm up report of the downstream that all of them need (`adaptive_limit`).
+
+Guarantee: never more servers hold a permit than the highest limit of the last lease.
+Failure mode: with a lost grantor its permits can't be granted; servers that know no other one start after a
+time-out.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from landingshift.coldstart.leases import LeaseGrantor
+from landingshift.coldstart.adaptive_limit import AdaptiveLimit
+from landingshift.coldstart.leases import LeaseGrantor, LeaseRequest
 
-WINDOW = 1000.0  # ms in which what is told is gathered
-GROWTH = 0.1  # share by which the number grows in a window once something has strained
-EASY = 0.5  # strain up to which one more may start at once
-LEAST = 0.25  # places below one: nobody starts for some windows, then one tries
-REST = 2  # windows after a cut in which nothing is raised or cut again: its effect comes later
-TOLD = 4096
+WHOLE_PERMIT = 1.0
 
 
-class AdaptiveLimit:
-    """A number that follows what is told of strain: of places, or of calls that the store bears."""
+@dataclass(slots=True, frozen=True)
+class PermitRequest:
+    """A server's request for a permit, or to keep it.
+
+    Attributes:
+        holder_name: Who asks.
+        run_id: Which process of that name.
+        request_number: Numbers its requests.
+        claimed_permit: 1 where it holds one from this grantor.
+        wants_permit: False for a server that is warm.
+        zone: Its failure domain.
+        waiting_rpcs_per_second: Work that waits for it.
+        saturation: Of the downstream, below 0 where unknown.
+    """
+
+    holder_name: str
+    run_id: int
+    request_number: int
+    claimed_permit: float
+    wants_permit: bool
+    zone: str
+    waiting_rpcs_per_second: float
+    saturation: float
 
-    def __init__(self, first: float, most: float, now: float, least: float = LEAST) -> None:
-        self.limit, self.most, self.least, self.since = min(first, most), most, least, now
-        self.told: list[float] = []
-        self.wanted = False  # at any moment of this window
-        self.rest = 0
-        self.growth = 1.0  # share by which it grows in a window; until something strains, it doubles
 
-    def record_saturation(self, value: float) -> None:
-        """Below 0: nothing is known, which is no reason for anything."""
-        if value >= 0.0 and len(self.told) < TOLD:
-            self.told.append(value)
+@dataclass(slots=True, frozen=True)
+class StartCandidate:
+    """A server that holds a permit or waits for one.
 
-    def evaluate(self, now: float, wanted: bool) -> bool:
-        """True where the number changed; called as often as wanted, acts once a window.
+    Attributes:
+        zone: Its failure domain.
+        waiting_rpcs_per_second: Work that waits for it.
+        waiting_since_ms: When it asked first.
+    """
 
-        `wanted`: whether all is in use and more is asked for, so that a higher number would be tried out.
-        """
-        # Places come free all the time: that one just has says nothing of a second in which all were in use.
-        self.wanted |= wanted
-        if now - self.since < WINDOW:
-            return False
-        told, self.told, self.since = sorted(self.told), [], now
-        wanted, self.wanted = self.wanted, False
-        # Three quarters: a few who cannot reach a service by a fault of their own must not stop all.
-        strain = told[len(told) * 3 // 4] if told else None
-        # Before anything strained silence is a service that nobody has called yet; after it, it is no news.
-        easy = strain <= EASY if strain is not None else self.growth >= 1.0
-        # With less than one nobody starts who could tell: up to one more may always be tried, else those who
-        # wait at a lender that nobody else tells anything would wait for ever.
-        tries = strain is None and self.limit < 1.0
-        was = self.limit
-        if self.rest:
-            self.rest -= 1
-        elif strain is not None and strain > 1.0:
-            self.limit, self.rest, self.growth = max(self.least, self.limit / 2.0), REST, GROWTH
-        elif tries and wanted:
-            self.limit = min(1.0, self.most, self.limit + max(self.least, self.growth * self.limit))
-        elif easy and wanted:
-            self.limit = min(self.most, self.limit + max(self.least, self.growth * self.limit))
-        return self.limit != was
-
-
-@dataclass(slots=True, eq=False)
-class PermitRequest:
     zone: str
-    waiting_rpcs_per_second: float  # RPCs a second that wait for it
-    since_ms: float
-
-
-def assign_permits(wishes: dict[str, PermitRequest], holding: list[str], free: int) -> list[str]:
-    """Who gets the free places: the zone with fewest on their way up, then most waiting work, then the
-    longest wait."""
-    up: dict[str, int] = {}
-    for name in holding:
-        zone = wishes[name].zone
-        up[zone] = up.get(zone, 0) + 1
-    lines: dict[str, list[str]] = {}
-    for name, wish in wishes.items():
-        if name not in holding:
-            lines.setdefault(wish.zone, []).append(name)
-    for line in lines.values():
-        line.sort(
-            key=lambda n: (wishes[n].waiting_rpcs_per_second, -wishes[n].since_ms, n)
-        )  # the next one last
+    waiting_rpcs_per_second: float
+    waiting_since_ms: float
+
+
+def assign_permits(candidates: dict[str, StartCandidate], holders: list[str], free_count: int) -> list[str]:
+    """Who gets the free permits.
+
+    First the zone with the fewest servers that warm up, so that no zone is served last; in a zone the server
+    with most work waiting; of equal ones the longest wait.
+
+    Args:
+        candidates: All who hold a permit or wait for one, by name.
+        holders: Names of those who hold one.
+        free_count: Permits that nobody holds.
+    """
+    warming_by_zone: dict[str, int] = {}
+    for name in holders:
+        zone = candidates[name].zone
+        warming_by_zone[zone] = warming_by_zone.get(zone, 0) + 1
+    waiting_by_zone = _waiting_by_zone(candidates, holders)
     chosen: list[str] = []
-    while free > len(chosen) and lines:
-        zone = min(lines, key=lambda z: (up.get(z, 0), z))
-        chosen.append(lines[zone].pop())
-        up[zone] = up.get(zone, 0) + 1
-        if not lines[zone]:
-            del lines[zone]
+    while free_count > len(chosen) and waiting_by_zone:
+        zone = min(waiting_by_zone, key=lambda zone: (warming_by_zone.get(zone, 0), zone))
+        chosen.append(waiting_by_zone[zone].pop())
+        warming_by_zone[zone] = warming_by_zone.get(zone, 0) + 1
+        if not waiting_by_zone[zone]:
+            del waiting_by_zone[zone]
     return chosen
 
 
-class StartPermitPool:
-    """One lender's places. `first` at the start, never more than `most`; `lease` and `spare` in ms."""
+def _waiting_by_zone(candidates: dict[str, StartCandidate], holders: list[str]) -> dict[str, list[str]]:
+    """Names of those who wait, by zone; the next one last."""
+    waiting: dict[str, list[str]] = {}
+    for name, candidate in candidates.items():
+        if name not in holders:
+            waiting.setdefault(candidate.zone, []).append(name)
 
-    def __init__(self, first: float, most: float, lease: float, spare: float, now: float) -> None:
-        self.limiter = AdaptiveLimit(first, most, now)
-        self.requests: dict[str, PermitRequest] = {}  # of those who hold a place or wait for one
-        self.lease_grantor = LeaseGrantor(first, lease, spare, now, self.divide)
+    def urgency(name: str) -> tuple[float, float, str]:
+        candidate = candidates[name]
+        return candidate.waiting_rpcs_per_second, -candidate.waiting_since_ms, name
+
+    for names in waiting.values():
+        names.sort(key=urgency)
+    return waiting
 
-    def divide(self, wanted: dict[str, float], capacity: float) -> dict[str, float]:
-        """Who has a place keeps it while he wants it: a start cannot be taken back."""
-        holding = [
-            n for n, g in self.lease_grantor.grants.items() if g.booked_amount >= 1.0 and n in self.requests
-        ]
-        free = int(capacity) - self.permits_in_use()
-        return dict.fromkeys([*holding, *assign_permits(self.requests, holding, free)], 1.0)
 
-    def renew(
+class StartPermitPool:
+    """One grantor's permits.
+
+    Attributes:
+        limiter: How many there are.
+        candidates: Those who hold a permit or wait for one, by name.
+        lease_grantor: Leases the permits.
+    """
+
+    def __init__(
         self,
-        name: str,
-        run: int,
-        number: int,
-        claims: float,
-        wish: PermitRequest | None,
-        strain: float,
-        now: float,
-    ) -> float | None:
-        """1 where it may start, 0 where it is to ask again, None for a request that is late or doubled.
-
-        `wish` is None for one that needs no place any more; its `since` is kept from its first.
+        initial_permits: float,
+        max_permits: float,
+        lease_ms: float,
+        expiry_margin_ms: float,
+        now_ms: float,
+    ) -> None:
+        self.limiter = AdaptiveLimit(initial_permits, max_permits, now_ms)
+        self.candidates: dict[str, StartCandidate] = {}
+        self.lease_grantor = LeaseGrantor(initial_permits, lease_ms, expiry_margin_ms, now_ms, self._divide)
+
+    def renew(self, request: PermitRequest, now_ms: float) -> float | None:
+        """Grants a permit, or renews one.
+
+        Returns:
+            1 where the server may start, 0 where it is to ask again, None for a request that is late or
+            doubled.
         """
-        for gone in self.lease_grantor.expire(now):
-            self.requests.pop(gone, None)
-        self.limiter.record_saturation(strain)
-        if wish is None:
-            self.requests.pop(name, None)
-        else:
-            had = self.requests.get(name)
-            wish.since_ms = had.since_ms if had is not None else now
-            self.requests[name] = wish
-        in_use = self.permits_in_use()
-        if self.limiter.evaluate(now, len(self.requests) > in_use and in_use + 1.0 > self.limiter.limit):
+        for name in self.lease_grantor.expire(now_ms):
+            self.candidates.pop(name, None)
+        self.limiter.record_saturation(request.saturation)
+        self._update_candidate(request, now_ms)
+        if self.limiter.evaluate(now_ms, self._is_exhausted()):
             self.lease_grantor.capacity = self.limiter.limit
-        self.lease_grantor.divided_at_ms = -1e9  # a place that is free goes to the next who asks, at once
-        given = self.lease_grantor.renew(name, run, number, claims, 0.0 if wish is None else 1.0, now)
-        # A part of a place is none; it must not be booked either.
-        if given is not None and 0.0 < given < 1.0:
-            grant = self.lease_grantor.grants[name]
-            grant.amount, grant.booked_amount, given = 0.0, 0.0, 0.0
-        return given
+        self.lease_grantor.invalidate_division()  # a free permit goes to the next who asks, at once
+        wanted_amount = WHOLE_PERMIT if request.wants_permit else 0.0
+        granted = self.lease_grantor.renew(
+            LeaseRequest(
+                request.holder_name,
+                request.run_id,
+                request.request_number,
+                request.claimed_permit,
+                wanted_amount,
+            ),
+            now_ms,
+        )
+        if granted is not None and 0.0 < granted < WHOLE_PERMIT:
+            self._revoke_fraction(request.holder_name)
+            return 0.0
+        return granted
 
     def permits_in_use(self) -> int:
-        return sum(g.booked_amount >= 1.0 for g in self.lease_grantor.grants.values())
-
-    def release(self, name: str, run: int) -> None:
-        self.requests.pop(name, None)
-        self.lease_grantor.release(name, run)
+        """Servers that hold a permit, or may still believe that they do."""
+        return sum(grant.booked_amount >= WHOLE_PERMIT for grant in self.lease_grantor.grants.values())
+
+    def _update_candidate(self, request: PermitRequest, now_ms: float) -> None:
+        if not request.wants_permit:
+            self.candidates.pop(request.holder_name, None)
+            return
+        known = self.candidates.get(request.holder_name)
+        waiting_since_ms = known.waiting_since_ms if known is not None else now_ms
+        self.candidates[request.holder_name] = StartCandidate(
+            request.zone, request.waiting_rpcs_per_second, waiting_since_ms
+        )
+
+    def _is_exhausted(self) -> bool:
+        """Whether somebody waits and no whole permit is free."""
+        in_use = self.permits_in_use()
+        return len(self.candidates) > in_use and in_use + WHOLE_PERMIT > self.limiter.limit
+
+    def _revoke_fraction(self, name: str) -> None:
+        """A fraction of a permit is none, and must not be booked either."""
+        grant = self.lease_grantor.grants[name]
+        grant.amount = 0.0
+        grant.booked_amount = 0.0
+
+    def _divide(self, _wanted_amounts: dict[str, float], capacity: float) -> dict[str, float]:
+        """Who has a permit keeps it while it wants it, since a start can't be taken back."""
+        holders = [
+            name
+            for name, grant in self.lease_grantor.grants.items()
+            if grant.booked_amount >= WHOLE_PERMIT and name in self.candidates
+        ]
+        free_count = int(capacity) - self.permits_in_use()
+        chosen = assign_permits(self.candidates, holders, free_count)
+        return dict.fromkeys([*holders, *chosen], WHOLE_PERMIT)
--- a/landingshift/testbed/simulation/cluster.py
+++ b/landingshift/testbed/simulation/cluster.py
@@ -12,7 +12,7 @@
 from random import Random
 from typing import Any
 
-from landingshift.coldstart.coordinator import ColdStartPlan
+from landingshift.coldstart.plan import ColdStartPlan
 from landingshift.consensus.raft import Stored
 from landingshift.consensus.raft import Times as Beats
 from landingshift.maintenance.capacity_constraints import DisruptionBudget
--- a/landingshift/testbed/verification/search_leases.py
+++ b/landingshift/testbed/verification/search_leases.py
@@ -11,7 +11,8 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from landingshift.coldstart.leases import HeldLease, LeaseGrantor, max_min_fair_shares
+from landingshift.coldstart.fair_division import max_min_fair_shares
+from landingshift.coldstart.leases import HeldLease, LeaseGrantor, LeaseRequest
 
 LEASE, SPARE = 300.0, 40.0
 STEP = 100.0  # ms
@@ -139,7 +140,7 @@
     def deliver(self, state: State, message: tuple[Any, ...]) -> None:
         match message:
             case "ask", str(name), int(run), int(number), float(claims):
-                amount = state.lender.renew(name, run, number, claims, WANTS[name], state.now)
+                amount = state.lender.renew(LeaseRequest(name, run, number, claims, WANTS[name]), state.now)
                 if amount is not None:
                     if not self.books:
                         state.lender.grants[name].booked_amount = amount
