--- a/landingshift/testbed/simulation/cluster.py
+++ b/landingshift/testbed/simulation/cluster.py
@@ -12,7 +12,7 @@
 from random import Random
 from typing import Any
 
-from landingshift.coldstart.coordinator import ColdStartPlan
+from landingshift.coldstart.plan import ColdStartPlan
 from landingshift.consensus.persistent_state import PersistentState
 from landingshift.consensus.timeouts import RaftTimeouts
 from landingshift.maintenance.capacity_constraints import DisruptionBudget
