--- a/landingshift/net/protocol/database.py
+++ b/landingshift/net/protocol/database.py
@@ -1,45 +1,67 @@
-"""The calls to the shared database and its replies."""
+"""Calls to the shared database and its replies."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
+from dataclasses import dataclass
 
 from landingshift.admission.interface import Outcome
 from landingshift.net.protocol.lines import LineDecoder, ProtocolError, encode_line
 
-ENDS = {
-    b"ROWS": Outcome.OK,
-    b"FULL": Outcome.PUSHED_BACK,
+WORD_WITH_BODY = b"ROWS"
+OUTCOME_BY_WORD = {
+    WORD_WITH_BODY: Outcome.OK,
+    b"FULL": Outcome.REJECTED,
     b"FAIL": Outcome.ABORTED,
-    b"TIMEOUT": Outcome.NO_ANSWER,
+    b"TIMEOUT": Outcome.NO_RESPONSE,
     b"NONE": Outcome.NO_CONNECTION,  # it proves as much: the call never ran
 }
 
 
-def has_body(words: list[bytes]) -> bool:
-    return len(words) == 3 and words[1] == b"ROWS"
+@dataclass(slots=True)
+class Reply:
+    """The database's answer to one call."""
+
+    rpc_id: bytes
+    outcome: Outcome
+    rows: bytes  # empty unless the outcome is OK
+
+
+def _has_body(words: list[bytes]) -> bool:
+    return len(words) == 3 and words[1] == WORD_WITH_BODY
 
 
 class ReplyDecoder:
+    """Bytes of one link to replies."""
+
     def __init__(self) -> None:
         # A length of 0 where a body follows must not pass as an empty reply.
-        self.lines = LineDecoder(has_body, strict=True)
+        self.lines = LineDecoder(_has_body, body_always_ends_in_line_end=True)
+
+    def feed(self, data: bytes) -> Iterator[Reply]:
+        """Yields complete replies.
 
-    def feed(self, data: bytes) -> Iterator[tuple[bytes, Outcome, bytes]]:
-        """Good replies are given out before a spoilt one behind them is found."""
+        Raises:
+            ProtocolError: What follows the replies given out so far is none.
+        """
         for words, body in self.lines.feed(data):
-            if len(words) < 2 or words[1] not in ENDS or len(words) != 2 + (words[1] == b"ROWS"):
+            if len(words) < 2 or words[1] not in OUTCOME_BY_WORD:
+                raise ProtocolError("bad_line")
+            if len(words) != 2 + (words[1] == WORD_WITH_BODY):
                 raise ProtocolError("bad_line")
-            yield words[0], ENDS[words[1]], body
+            yield Reply(words[0], OUTCOME_BY_WORD[words[1]], body)
 
     @property
-    def half(self) -> bool:
+    def has_partial_reply(self) -> bool:
+        """Whether a reply has begun and is not complete."""
         return bool(self.lines.buffer)
 
 
-def call(rid: bytes, allow: float, body: bytes) -> bytes:
-    return encode_line(b"Q", rid, b"%d" % max(1, round(allow)), body=body)
+def encode_call(rpc_id: bytes, timeout_ms: float, request: bytes) -> bytes:
+    """A call on behalf of an RPC, which the database may take `timeout_ms` for."""
+    return encode_line(b"Q", rpc_id, b"%d" % max(1, round(timeout_ms)), body=request)
 
 
-def give_up(rid: bytes) -> bytes:
-    return encode_line(b"X", rid)
+def encode_cancel(rpc_id: bytes) -> bytes:
+    """Nobody waits for the RPC's call any more."""
+    return encode_line(b"X", rpc_id)
--- a/landingshift/net/protocol/engine.py
+++ b/landingshift/net/protocol/engine.py
@@ -1,4 +1,4 @@
-"""The engine's commands and notices."""
+"""The engine's notices and the commands that it is given."""
 
 from __future__ import annotations
 
@@ -6,123 +6,153 @@
 from dataclasses import dataclass
 
 from landingshift.admission.interface import Outcome
-from landingshift.net.protocol.lines import LineDecoder, ProtocolError, encode_line, length
+from landingshift.net.protocol.lines import LineDecoder, ProtocolError, decode_number, encode_line
 
-ENDS = {
+OUTCOME_BY_WORD = {
     b"good": Outcome.OK,
     b"bad": Outcome.ABORTED,
-    b"cut": Outcome.CALLED_OFF,
+    b"cut": Outcome.CANCELLED,
     b"gone": Outcome.NOT_SENT,
 }
+RUN_COMMAND = b"RUN"  # as a refusal names it
 
 
 @dataclass(slots=True)
 class Hello:
-    cold: bool
-    age: float
+    """The engine took the link."""
+
+    is_cold: bool  # it was started with this server and warms up from now on
+    age_ms: float
 
 
 @dataclass(slots=True)
-class Done:
-    number: int
-    rid: bytes
+class RunEnded:
+    """The run of an RPC is over."""
+
+    notice_number: int  # 0 for one that this server made itself
+    rpc_id: bytes
     outcome: Outcome
-    elapsed: float
+    elapsed_ms: float
     result: bytes
 
 
 @dataclass(slots=True)
-class Need:
-    number: int
-    rid: bytes
-    body: bytes
+class CallNeeded:
+    """A running RPC asks for a call to the database."""
+
+    notice_number: int
+    rpc_id: bytes
+    request: bytes
 
 
 @dataclass(slots=True)
-class Note:
-    number: int
+class OtherNotice:
+    """A numbered notice that this server has no use for."""
+
+    notice_number: int
 
 
 @dataclass(slots=True)
-class Stats:
+class GaugeReport:
+    """The answer to a query for the gauges, in the order of the configuration."""
+
     tag: bytes
     values: list[float]
 
 
 @dataclass(slots=True)
-class Tested:
+class SelfTestResult:
+    """The answer to a self-test."""
+
     tag: bytes
-    good: bool
+    has_passed: bool
 
 
 @dataclass(slots=True)
-class No:
+class CommandRefused:
+    """The engine did not take a command."""
+
     command: bytes
-    rid: bytes
+    rpc_id: bytes
 
 
-Message = Hello | Done | Need | Note | Stats | Tested | No
+NumberedNotice = RunEnded | CallNeeded | OtherNotice
+Message = Hello | NumberedNotice | GaugeReport | SelfTestResult | CommandRefused
 
 
-def has_body(words: list[bytes]) -> bool:
+def _has_body(words: list[bytes]) -> bool:
     return (words[0] == b"DONE" and len(words) == 6) or words[0] == b"NEED"
 
 
-def decode(words: list[bytes], body: bytes) -> Message:
+def _decode(words: list[bytes], body: bytes) -> Message:
     try:
         match words:
             case [b"HELLO", state, age]:
                 return Hello(state == b"new", float(age))
-            case [b"DONE", number, rid, end, elapsed, *_]:
-                return Done(length(number), rid, ENDS[end], float(elapsed), body)
-            case [b"NEED", number, rid, _]:
-                return Need(length(number), rid, body)
+            case [b"DONE", number, rpc_id, end, elapsed, *_]:
+                outcome = OUTCOME_BY_WORD[end]
+                return RunEnded(decode_number(number), rpc_id, outcome, float(elapsed), body)
+            case [b"NEED", number, rpc_id, _]:
+                return CallNeeded(decode_number(number), rpc_id, body)
             case [b"NOTE", number, *_]:
-                return Note(length(number))
+                return OtherNotice(decode_number(number))
             case [b"STATS", tag, *values]:
-                return Stats(tag, [float(v) for v in values])
+                return GaugeReport(tag, [float(value) for value in values])
             case [b"TESTED", tag, end]:
-                return Tested(tag, end == b"good")
-            case [b"NO", command, rid, *_]:
-                return No(command, rid)
+                return SelfTestResult(tag, end == b"good")
+            case [b"NO", command, rpc_id, *_]:
+                return CommandRefused(command, rpc_id)
     except (KeyError, ValueError) as err:
         raise ProtocolError("bad_word") from err
     raise ProtocolError("bad_line")
 
 
 class NoticeDecoder:
+    """Bytes of one link to messages."""
+
     def __init__(self) -> None:
-        self.lines = LineDecoder(has_body)
+        self.lines = LineDecoder(_has_body)
 
     def feed(self, data: bytes) -> Iterator[Message]:
-        """What is good is given out before what is broken behind it is found."""
+        """Yields complete messages.
+
+        Raises:
+            ProtocolError: What follows the messages given out so far is none.
+        """
         for words, body in self.lines.feed(data):
-            yield decode(words, body)
+            yield _decode(words, body)
 
 
-def attach(number: int) -> bytes:
-    return encode_line(b"ATTACH", b"%d" % number)
+def encode_attach(last_notice_number: int) -> bytes:
+    """Takes the link; the engine repeats the notices after this one."""
+    return encode_line(b"ATTACH", b"%d" % last_notice_number)
 
 
-def run(rid: bytes, method: bytes, body: bytes) -> bytes:
-    return encode_line(b"RUN", rid, method, body=body)
+def encode_run(rpc_id: bytes, method: bytes, body: bytes) -> bytes:
+    """Starts the run of an RPC."""
+    return encode_line(RUN_COMMAND, rpc_id, method, body=body)
 
 
-def feed(rid: bytes, reply: bytes) -> bytes:
-    return encode_line(b"FEED", rid, body=reply)
+def encode_call_reply(rpc_id: bytes, reply: bytes) -> bytes:
+    """Hands a run the reply to the call that it asked for."""
+    return encode_line(b"FEED", rpc_id, body=reply)
 
 
-def skip(rid: bytes, number: int) -> bytes:
-    return encode_line(b"SKIP", rid, b"%d" % number)
+def encode_skip_call(rpc_id: bytes, notice_number: int) -> bytes:
+    """Lets a run go on without the call that the notice of this number asked for."""
+    return encode_line(b"SKIP", rpc_id, b"%d" % notice_number)
 
 
-def halt(rid: bytes) -> bytes:
-    return encode_line(b"HALT", rid)
+def encode_halt(rpc_id: bytes) -> bytes:
+    """Stops a run."""
+    return encode_line(b"HALT", rpc_id)
 
 
-def stat(tag: bytes) -> bytes:
+def encode_gauge_query(tag: bytes) -> bytes:
+    """Asks for the gauges; the answer bears the same tag."""
     return encode_line(b"STAT", tag)
 
 
-def test(tag: bytes) -> bytes:
+def encode_self_test(tag: bytes) -> bytes:
+    """Asks the engine to do a piece of work for a deep health check."""
     return encode_line(b"TEST", tag)
--- a/landingshift/net/protocol/gateway.py
+++ b/landingshift/net/protocol/gateway.py
@@ -1,4 +1,4 @@
-"""MessagePack-RPC as the gateways speak it."""
+"""MessagePack-RPC as the gateways speak it: requests and notifications in, responses and goaway out."""
 
 from __future__ import annotations
 
@@ -8,28 +8,59 @@
 
 import msgpack
 
+from landingshift.errors import LandingshiftError
 from landingshift.net.protocol.lines import ProtocolError
 
-BODY = 2048
-FRAME = 16384  # an RPC with all its fields takes a fifth of this
-ID = re.compile("[0-9a-fA-F]{16}")
+MAX_BODY_BYTES = 2048
+MAX_MESSAGE_BYTES = 16384  # an RPC with all its fields takes a fifth of this
+RPC_ID = re.compile("[0-9a-fA-F]{16}")
 NUMBER = re.compile(r"[0-9]{1,15}(\.[0-9]{1,15})?")
+MIN_MEMORY_KB = 1e-6
+MAX_MEMORY_KB = 2000.0
+MAX_TIME_MS = 1e9
+MAX_UNIX_MS = 1e15
+MAX_CALLER = 1e9
 
+HEALTH_CHECK_METHOD = "probe"
 
-class InvalidFieldError(Exception):
-    """An RPC that can't be taken; the text names the field."""
+# Message types of MessagePack-RPC.
+REQUEST, RESPONSE, NOTIFICATION = 0, 1, 2
+
+PARSER_LIMITS = {
+    "max_str_len": 1024,
+    "max_bin_len": MAX_MESSAGE_BYTES,
+    "max_array_len": 64,
+    "max_map_len": 64,
+    "max_ext_len": 0,
+}
+
+
+class InvalidFieldError(LandingshiftError):
+    """An RPC that can't be taken.
+
+    Attributes:
+        field: The field that is wrong, by its name on the wire.
+    """
+
+    def __init__(self, field: str) -> None:
+        super().__init__(field)
+        self.field = field
 
 
 @dataclass(slots=True)
 class Request:
-    number: int
+    """A request whose response bears the same message id."""
+
+    message_id: int
     method: str
     params: list[Any]
 
 
 @dataclass(slots=True)
 class CancelNotification:
-    number: int
+    """The gateway waits no more for the response to a request."""
+
+    message_id: int
 
 
 @dataclass(slots=True)
@@ -43,136 +74,178 @@
 
 
 @dataclass(slots=True)
-class Fields:
-    rid: bytes
-    at: float
-    caller: int
+class RequestFields:
+    """What a gateway tells of an RPC."""
+
+    rpc_id: bytes
+    arrived_unix_ms: float  # when it came to this machine
+    caller_id: int
     tenant: str
-    wait: float | None  # where the site's callers do not tell it
-    kb: float
-    key: str | None
-    token: str | None
-    hint: float | None
-    retry: bool
+    wait_ms: float | None  # how long the caller waits; None where callers do not tell it
+    memory_kb: float
+    cache_key: str | None  # the same for requests whose result may be shared
+    idempotency_key: str | None  # the same for all attempts of one RPC
+    work_hint_ms: float | None
+    is_retry: bool
     body: bytes
-    mark: str | None = None  # of the client's try, where the installation names a field for it
-
-
-LIMITS = {
-    "max_str_len": 1024, "max_bin_len": FRAME, "max_array_len": 64, "max_map_len": 64, "max_ext_len": 0,
-}  # fmt: skip
+    attempt_id: str | None = None  # of the client's attempt, where the installation names a field for it
 
 
 class MessageDecoder:
-    """Keeps no parser between two pieces: one takes 40 KB, and many connections are idle."""
+    """Bytes of one connection to messages.
+
+    Keeps no parser between two pieces: a parser takes 40 KB, and many connections are idle.
+    """
 
     def __init__(self) -> None:
-        self.rest = b""  # of a message that is not whole yet
+        self.buffer = b""  # of a message that is not complete yet
 
     def feed(self, data: bytes) -> list[Message]:
-        """The whole messages so far; those before a broken one are still given out."""
-        if not self.rest:
+        """The complete messages so far; those in front of a malformed one come before its `ProtocolFailure`."""
+        if not self.buffer:
             try:
-                message = decode(msgpack.unpackb(data, **LIMITS))
-                return [message] if message is not None else []
-            except Exception:  # not just one whole message: what it is shows below
+                message = _decode(msgpack.unpackb(data, **PARSER_LIMITS))
+            except Exception:  # not exactly one complete message: what it is shows below
                 pass
+            else:
+                return [message] if message is not None else []
+        return self._feed_pieces(self.buffer + data)
+
+    def _feed_pieces(self, data: bytes) -> list[Message]:
         messages: list[Message] = []
-        data = self.rest + data
-        unpacker = msgpack.Unpacker(max_buffer_size=len(data) + 1024, read_size=1024, **LIMITS)
+        unpacker = msgpack.Unpacker(max_buffer_size=len(data) + 1024, read_size=1024, **PARSER_LIMITS)
         end = 0
         try:
             unpacker.feed(data)
             for value in unpacker:
                 end = unpacker.tell()
-                message = decode(value)
+                message = _decode(value)
                 if message is not None:
                     messages.append(message)
         except ProtocolError as err:
-            return [*messages, ProtocolFailure(str(err))]
+            return [*messages, ProtocolFailure(err.reason)]
         except Exception:  # the library raises many kinds for bytes that are no MessagePack
             return [*messages, ProtocolFailure("garbage")]
-        self.rest = data[end:]
-        if len(self.rest) > FRAME:
+        self.buffer = data[end:]
+        if len(self.buffer) > MAX_MESSAGE_BYTES:
             return [*messages, ProtocolFailure("oversized")]
         return messages
 
 
-def decode(value: Any) -> Message | None:
+def _decode(value: Any) -> Message | None:
+    """The message that `value` is; None for a notification that this server has no use for."""
     match value:
-        case [0, int(number), str(method), list(params)] if not isinstance(number, bool):
-            return Request(number, method, params)
-        case [2, "giveUp", [int(number)]]:
-            return CancelNotification(number)
+        case [0, int(message_id), str(method), list(params)] if not isinstance(message_id, bool):
+            return Request(message_id, method, params)
+        case [2, "giveUp", [int(message_id)]]:
+            return CancelNotification(message_id)
         case [2, str(), list()]:
             return None
     raise ProtocolError("bad_message")
 
 
-def number(fields: dict[Any, Any], name: str, low: float, high: float) -> float:
-    value = fields.get(name)
+def _number(told: dict[Any, Any], name: str, low: float, high: float) -> float:
+    value = told.get(name)
     if not isinstance(value, str) or not NUMBER.fullmatch(value) or not low <= float(value) <= high:
         raise InvalidFieldError(name)
     return float(value)
 
 
-def text(fields: dict[Any, Any], name: str) -> str | None:
-    value = fields.get(name)
+def _text(told: dict[Any, Any], name: str) -> str | None:
+    value = told.get(name)
     if value is not None and not isinstance(value, str):
         raise InvalidFieldError(name)
     return value or None
 
 
-def fields(params: list[Any], mark: str = "") -> Fields:
+def decode_fields(params: list[Any], attempt_id_field: str = "") -> RequestFields:
+    """What the parameters of an RPC's request tell of it.
+
+    Args:
+        params: As they came.
+        attempt_id_field: Name of the field with the client's attempt; empty where there is none.
+
+    Raises:
+        InvalidFieldError: A field is missing or out of its range.
+    """
     match params:
         case [dict(told), bytes(body)]:
             pass
         case _:
             raise InvalidFieldError("params")
-    if len(body) > BODY:
+    if len(body) > MAX_BODY_BYTES:
         raise InvalidFieldError("body")
-    rid = told.get("id")
-    if not isinstance(rid, str) or not ID.fullmatch(rid):
+    rpc_id = told.get("id")
+    if not isinstance(rpc_id, str) or not RPC_ID.fullmatch(rpc_id):
         raise InvalidFieldError("id")  # it goes into lines of words: anything else could forge a command
-    return Fields(
-        rid=rid.encode(),
-        at=number(told, "at", 0.0, 1e15),
-        caller=int(number(told, "from", 0.0, 1e9)),
-        tenant=text(told, "tenant") or "",
-        wait=number(told, "wait", 0.0, 1e9) if "wait" in told else None,
-        kb=number(told, "kb", 1e-6, 2000.0),
-        key=text(told, "key"),
-        token=text(told, "once"),
-        hint=number(told, "cost", 0.0, 1e9) if "cost" in told else None,
-        retry=told.get("retry") == "1",
+    return RequestFields(
+        rpc_id=rpc_id.encode(),
+        arrived_unix_ms=_number(told, "at", 0.0, MAX_UNIX_MS),
+        caller_id=int(_number(told, "from", 0.0, MAX_CALLER)),
+        tenant=_text(told, "tenant") or "",
+        wait_ms=_number(told, "wait", 0.0, MAX_TIME_MS) if "wait" in told else None,
+        memory_kb=_number(told, "kb", MIN_MEMORY_KB, MAX_MEMORY_KB),
+        cache_key=_text(told, "key"),
+        idempotency_key=_text(told, "once"),
+        work_hint_ms=_number(told, "cost", 0.0, MAX_TIME_MS) if "cost" in told else None,
+        is_retry=told.get("retry") == "1",
         body=body,
-        mark=text(told, mark) if mark else None,
+        attempt_id=_text(told, attempt_id_field) if attempt_id_field else None,
     )
 
 
-def deep(params: list[Any]) -> bool:
+def is_deep_health_check(params: list[Any]) -> bool:
+    """Whether a health check asks for a piece of work by the engine."""
     return bool(params) and isinstance(params[0], dict) and params[0].get("deep") == "1"
 
 
 def pack(value: Any) -> bytes:
+    """MessagePack of `value`."""
     packed: bytes = msgpack.packb(value)
     return packed
 
 
-def ok(number: int, body: bytes, told: dict[str, str]) -> bytes:
-    return pack([1, number, None, [body, told]])
+def encode_ok(message_id: int, result: bytes, headers: dict[str, str]) -> bytes:
+    """The response with an RPC's result; `headers` is what the server tells callers of its load."""
+    return pack([RESPONSE, message_id, None, [result, headers]])
+
+
+def encode_rejected(message_id: int, headers: dict[str, str]) -> bytes:
+    """The response that the RPC never ran here."""
+    return pack([RESPONSE, message_id, ["Busy", headers], None])
+
+
+def rejection_headers(headers: dict[str, str], retry_after_ms: float, is_final: bool) -> dict[str, str]:
+    """The headers with the advice that comes with a rejection.
+
+    Args:
+        headers: What each response carries.
+        retry_after_ms: How long the caller should leave this server alone; none where it is 0.
+        is_final: The caller should not try another server either.
+    """
+    if retry_after_ms <= 0 and not is_final:
+        return headers
+    advice = dict(headers)
+    if retry_after_ms > 0:
+        advice["after"] = f"{retry_after_ms:.0f}"
+    if is_final:
+        advice["last"] = "1"
+    return advice
 
 
-def pushed_back(number: int, told: dict[str, str]) -> bytes:
-    return pack([1, number, ["Busy", told], None])
+def load_headers(load: float) -> dict[str, str]:
+    """The headers that tell callers of the server's load: its weight, level or credit."""
+    return {"say": f"{load:g}"}
 
 
-def aborted(number: int, told: dict[str, str]) -> bytes:
-    return pack([1, number, ["Failed", told], None])
+def encode_aborted(message_id: int, headers: dict[str, str]) -> bytes:
+    """The response that the RPC may have run and brought no result."""
+    return pack([RESPONSE, message_id, ["Failed", headers], None])
 
 
-def probed(number: int, good: bool, told: dict[str, str]) -> bytes:
-    return pack([1, number, None, [good, told]])
+def encode_health(message_id: int, is_healthy: bool, headers: dict[str, str]) -> bytes:
+    """The response to a health check."""
+    return pack([RESPONSE, message_id, None, [is_healthy, headers]])
 
 
-GOAWAY = pack([2, "goaway", []])
+GOAWAY = pack([NOTIFICATION, "goaway", []])  # asks the gateway to close the connection once it has its answers
--- a/landingshift/net/protocol/lines.py
+++ b/landingshift/net/protocol/lines.py
@@ -4,59 +4,103 @@
 
 from collections.abc import Callable, Iterator
 
-LONGEST = 512
-BIGGEST = 1 << 16
+from landingshift.errors import LandingshiftError
 
+MAX_LINE_BYTES = 512
+MAX_BODY_BYTES = 1 << 16
+MAX_NUMBER_DIGITS = 9
+LINE_END = b"\r\n"
 
-class ProtocolError(Exception):
-    """What came is not the protocol; the text is the reason code."""
 
+class ProtocolError(LandingshiftError):
+    """A peer sent bytes that are not its protocol.
 
-def length(word: bytes) -> int:
-    if not word.isdigit() or len(word) > 9:
+    Attributes:
+        reason: Reason code, as it stands in the log line of the closed connection.
+    """
+
+    def __init__(self, reason: str) -> None:
+        super().__init__(reason)
+        self.reason = reason
+
+
+def decode_number(word: bytes) -> int:
+    """The non-negative whole number that `word` spells.
+
+    Raises:
+        ProtocolError: `word` is no such number.
+    """
+    if not word.isdigit() or len(word) > MAX_NUMBER_DIGITS:
         raise ProtocolError("bad_number")
     return int(word)
 
 
 class LineDecoder:
-    """`strict`: an empty body has its line end too; anything else in its place is broken."""
+    """Splits a stream of bytes into lines of words and their bodies.
 
-    def __init__(self, has_body: Callable[[list[bytes]], bool], strict: bool = False) -> None:
-        self.has_body, self.strict = has_body, strict
-        self.buffer = bytearray()
+    Args:
+        has_body: Whether a line of these words is followed by a body.
+        body_always_ends_in_line_end: An empty body is followed by a line end, too; anything else there is an
+            error. Otherwise a length of 0 may stand for no body at all.
+    """
+
+    def __init__(
+        self, has_body: Callable[[list[bytes]], bool], body_always_ends_in_line_end: bool = False
+    ) -> None:
+        self.has_body = has_body
+        self.body_always_ends_in_line_end = body_always_ends_in_line_end
+        self.buffer = bytearray()  # bytes of a line or body that is not complete yet
 
     def feed(self, data: bytes) -> Iterator[tuple[list[bytes], bytes]]:
+        """Yields words and body of each complete line.
+
+        Raises:
+            ProtocolError: What follows the lines given out so far is none.
+        """
         self.buffer += data
-        at = 0
+        start = 0
         try:
             while True:
-                end = self.buffer.find(b"\r\n", at)
-                if end < 0:
-                    if len(self.buffer) - at > LONGEST:
+                words_end = self.buffer.find(LINE_END, start)
+                if words_end < 0:
+                    if len(self.buffer) - start > MAX_LINE_BYTES:
                         raise ProtocolError("long_line")
                     return
-                words = bytes(self.buffer[at:end]).split(b" ")
-                after = end + 2
+                words = bytes(self.buffer[start:words_end]).split(b" ")
+                end = words_end + len(LINE_END)
                 body = b""
                 if self.has_body(words):
-                    size = length(words[-1])
-                    if size > BIGGEST:
-                        raise ProtocolError("oversized")
-                    if size or self.strict:
-                        if len(self.buffer) < after + size + 2:
-                            return
-                        if self.buffer[after + size : after + size + 2] != b"\r\n":
-                            raise ProtocolError("bad_length")
-                        body = bytes(self.buffer[after : after + size])
-                        after += size + 2
-                at = after
-                if words != [b""]:  # the end of an empty body
+                    body_end = self._body_end(words, end)
+                    if body_end > len(self.buffer):
+                        return
+                    body = self._take_body(end, body_end)
+                    end = body_end
+                start = end
+                if words != [b""]:  # the line end behind an empty body
                     yield words, body
         finally:
-            del self.buffer[:at]
+            del self.buffer[:start]
+
+    def _body_end(self, words: list[bytes], body_start: int) -> int:
+        """Where the body ends with its line end; the end of the line itself where there is no body."""
+        size = decode_number(words[-1])
+        if size > MAX_BODY_BYTES:
+            raise ProtocolError("oversized")
+        if size or self.body_always_ends_in_line_end:
+            return body_start + size + len(LINE_END)
+        return body_start
+
+    def _take_body(self, body_start: int, body_end: int) -> bytes:
+        if body_start == body_end:
+            return b""
+        text_end = body_end - len(LINE_END)
+        if self.buffer[text_end:body_end] != LINE_END:
+            raise ProtocolError("bad_length")
+        return bytes(self.buffer[body_start:text_end])
 
 
 def encode_line(*words: bytes, body: bytes | None = None) -> bytes:
+    """One line, with the length of `body` as its last word and the body behind it where there is one."""
     if body is None:
-        return b" ".join(words) + b"\r\n"
+        return b" ".join(words) + LINE_END
     return b"%b %d\r\n%b\r\n" % (b" ".join(words), len(body), body)
--- a/landingshift/net/protocol/roster.py
+++ b/landingshift/net/protocol/roster.py
@@ -1,7 +1,8 @@
-"""The report to the roster."""
+"""The datagram that tells the roster of servers that this one is present."""
 
 from __future__ import annotations
 
 
-def here(name: str, good: bool) -> bytes:
-    return f"HERE {name} {'on' if good else 'off'}".encode()
+def encode_presence(server_name: str, is_healthy: bool) -> bytes:
+    """The report that the server exists and whether callers may choose it."""
+    return f"HERE {server_name} {'on' if is_healthy else 'off'}".encode()
--- /dev/null
+++ b/landingshift/net/routing/database_events.py
@@ -0,0 +1,33 @@
+"""What becomes of calls to the database, brought to the engine and to the admission controller."""
+
+from __future__ import annotations
+
+from functools import partial
+
+from landingshift.admission.interface import Outcome
+from landingshift.net.protocol import engine as engine_wire
+from landingshift.net.routing.admission_driver import AdmissionDriver
+from landingshift.net.routing.engine_link import EngineLink
+from landingshift.net.routing.observers import RpcObservers
+from landingshift.net.routing.rpc_record import RoutedRpc
+
+
+class DatabaseEventHandler:
+    """Serves as the database pool's `DatabaseEvents`."""
+
+    def __init__(self, driver: AdmissionDriver, engine: EngineLink, observers: RpcObservers) -> None:
+        self.driver = driver
+        self.engine = engine
+        self.observers = observers
+
+    def on_call_finished(self, rpc: RoutedRpc, outcome: Outcome, elapsed_ms: float, reply: bytes) -> None:
+        """A call is over. May happen while the controller acts, so that it is told later in the pass."""
+        self.driver.defer(partial(self._tell, rpc, outcome, elapsed_ms, reply))
+
+    def _tell(self, rpc: RoutedRpc, outcome: Outcome, elapsed_ms: float, reply: bytes) -> None:
+        self.observers.notify("on_call_finished", rpc, outcome, elapsed_ms)
+        if rpc.is_closed or rpc.job is None or rpc.is_answered or rpc.is_abandoned:
+            return
+        if outcome is Outcome.OK:
+            self.engine.send_command(rpc, engine_wire.encode_call_reply(rpc.rpc_id, reply))
+        self.driver.event().on_call_finished(rpc.job, outcome, elapsed_ms)
--- a/landingshift/net/routing/dedup.py
+++ b/landingshift/net/routing/dedup.py
@@ -1,95 +1,149 @@
-"""The deduplication table: what a repeat of an RPC is answered from."""
+"""The deduplication table: what a repeat of an RPC is answered from.
+
+Guarantee: within the repeat window an RPC whose effect must not happen twice is found again, whatever memory
+is short of: results are forgotten then, that the RPC ran is not. A repeat whose entry has lapsed runs anew.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-from landingshift.admission.interface import Effect, Outcome
+from landingshift.admission.interface import Idempotency, Outcome
 from landingshift.net.routing.rpc_record import RoutedRpc
 
-ENTRY = 400  # bytes that an entry takes without its result
+ENTRY_BYTES = 400  # that an entry takes without its result
+FULL_FRACTION = 0.9  # of the bound, down to which results are forgotten once it is passed
+
+DedupKey = tuple[bytes, str]
 
 
 @dataclass(slots=True, eq=False)
-class Entry:
+class DedupEntry:
+    """An RPC that repeats are answered from: the first attempt, or the first of requests with one result."""
+
     owner: RoutedRpc
-    until: float
-    outcome: Outcome | None = None  # None while its owner is held or runs
-    ended: float = 0.0
-    work: float = 0.0  # ms that the run took
-    result: bytes | None = None
-    waiting: dict[RoutedRpc, None] = field(default_factory=dict)
+    expires_ms: float
+    outcome: Outcome | None = None  # None while the owner is held or runs
+    ended_ms: float = 0.0
+    run_time_ms: float = 0.0
+    result: bytes | None = None  # None where the outcome is not OK or the result was forgotten
+    waiters: dict[RoutedRpc, None] = field(default_factory=dict)  # repeats that wait for the owner's end
+
+    @property
+    def has_result(self) -> bool:
+        """Whether a repeat can be answered with the owner's result."""
+        return self.outcome is Outcome.OK and self.result is not None
 
 
 class DedupTable:
-    def __init__(self, bound: int, share_for: float, oldest: float = 0.0) -> None:
-        """`oldest`: ms since a repeat came to the machine, at most."""
-        self.bound, self.share_for, self.oldest, self.bytes = bound, share_for, oldest, 0
-        self.entries: dict[tuple[bytes, str], Entry] = {}
+    """Entries by what they have in common with their repeats; bounded in bytes.
+
+    Args:
+        max_bytes: That entries and their results may take.
+        share_result_ms: How long the result of an idempotent RPC answers others with the same key.
+        max_age_ms: Since a repeat arrived at the machine, at most.
+    """
+
+    def __init__(self, max_bytes: int, share_result_ms: float, max_age_ms: float = 0.0) -> None:
+        self.max_bytes = max_bytes
+        self.share_result_ms = share_result_ms
+        self.max_age_ms = max_age_ms
+        self.used_bytes = 0
+        self.entries: dict[DedupKey, DedupEntry] = {}
+        self.originals: dict[RoutedRpc, DedupEntry] = {}  # what an open repeat repeats
 
-    def find(self, rpc: RoutedRpc, now: float, came: float) -> Entry | None:
-        """`came`: when it reached the machine."""
+    def find(self, rpc: RoutedRpc, now_ms: float, arrived_ms: float) -> DedupEntry | None:
+        """The entry that `rpc` repeats; drops one that has lapsed.
+
+        The window counts to the time at which a repeat arrived at the machine: it may be read long after, past
+        the end of its own wait, too. Taken for a new RPC it would be told that it never ran.
+        """
         entry = self.entries.get(rpc.dedup_key) if rpc.dedup_key else None
         if entry is None:
             return None
         if entry.outcome is None:
             return entry  # its effect may be under way: a second run beside it would have it twice
-        # The window counts to the time at which a repeat came to the machine: it may be read long after, past
-        # the end of its own wait, too. Taken for a new RPC it would be told that it never ran.
-        stale = entry.until <= came
-        if rpc.method.effect is Effect.IDEMPOTENT:
-            stale = stale or entry.result is None or now - entry.ended > self.share_for
-        if stale:
+        has_lapsed = entry.expires_ms <= arrived_ms
+        if rpc.method.idempotency is Idempotency.IDEMPOTENT:
+            is_too_old = now_ms - entry.ended_ms > self.share_result_ms
+            has_lapsed = has_lapsed or entry.result is None or is_too_old
+        if has_lapsed:
             self.remove(entry)
             return None
         return entry
 
-    def keep(self, rpc: RoutedRpc, until: float) -> None:
+    def link_repeat(self, rpc: RoutedRpc, entry: DedupEntry) -> None:
+        """Remembers what an open RPC repeats."""
+        self.originals[rpc] = entry
+
+    def unlink_repeat(self, rpc: RoutedRpc) -> None:
+        """The RPC is closed: it waits for nothing any more."""
+        entry = self.originals.pop(rpc, None)
+        if entry is not None:
+            entry.waiters.pop(rpc, None)
+
+    def reserve(self, rpc: RoutedRpc, expires_ms: float) -> None:
+        """Repeats of `rpc` are answered from it until then."""
         if rpc.dedup_key is None:
             return
-        old = self.entries.get(rpc.dedup_key)
-        if old is not None:
-            if old.owner is rpc:
-                old.until = until
+        known = self.entries.get(rpc.dedup_key)
+        if known is not None:
+            if known.owner is rpc:
+                known.expires_ms = expires_ms
                 return
-            self.remove(old)
-        self.entries[rpc.dedup_key] = Entry(rpc, until)
-        self.bytes += ENTRY
+            self.remove(known)
+        self.entries[rpc.dedup_key] = DedupEntry(rpc, expires_ms)
+        self.used_bytes += ENTRY_BYTES
 
-    def owned(self, rpc: RoutedRpc) -> Entry | None:
+    def owned_by(self, rpc: RoutedRpc) -> DedupEntry | None:
+        """The entry whose owner is `rpc`."""
         entry = self.entries.get(rpc.dedup_key) if rpc.dedup_key else None
         return entry if entry is not None and entry.owner is rpc else None
 
-    def remove(self, entry: Entry) -> None:
+    def remove(self, entry: DedupEntry) -> None:
+        """Forgets an entry, if it is the one that its key names."""
         dedup_key = entry.owner.dedup_key
         if dedup_key is not None and self.entries.get(dedup_key) is entry:
             del self.entries[dedup_key]
-            self.bytes -= ENTRY + len(entry.result or b"")
+            self.used_bytes -= ENTRY_BYTES + len(entry.result or b"")
 
-    def end(self, entry: Entry, outcome: Outcome, result: bytes, now: float) -> list[RoutedRpc]:
-        """Its owner is over; returns who waited for that."""
-        entry.outcome, entry.ended = outcome, now
+    def complete(
+        self, entry: DedupEntry, outcome: Outcome, result: bytes, now_ms: float
+    ) -> list[RoutedRpc]:
+        """The owner's run is over; returns the repeats that waited for that."""
+        entry.outcome = outcome
+        entry.ended_ms = now_ms
         if outcome is Outcome.OK:
             entry.result = result
-            self.bytes += len(result)
-        waiting, entry.waiting = list(entry.waiting), {}
-        self.shrink(now)
-        return waiting
-
-    def shrink(self, now: float) -> None:
-        """Bounded memory: oldest results go first; that an effect has happened is not forgotten for it."""
-        if self.bytes <= self.bound:
+            self.used_bytes += len(result)
+        waiters = list(entry.waiters)
+        entry.waiters = {}
+        self._evict(now_ms)
+        return waiters
+
+    def _evict(self, now_ms: float) -> None:
+        """Keeps the table within its bound: entries past their window go, then the oldest results.
+
+        That an RPC whose effect must not happen twice has run is not forgotten for want of memory.
+        """
+        if self.used_bytes <= self.max_bytes:
             return
-        # A repeat that came within the window may still wait to be read, and what runs must be known by it.
-        over = now - self.oldest
-        for entry in [e for e in self.entries.values() if e.until <= over and e.outcome is not None]:
+        # A repeat that arrived within the window may still wait to be read, and what runs must be known by it.
+        no_repeat_after_ms = now_ms - self.max_age_ms
+        lapsed = [
+            entry
+            for entry in self.entries.values()
+            if entry.expires_ms <= no_repeat_after_ms and entry.outcome is not None
+        ]
+        for entry in lapsed:
             self.remove(entry)
         for entry in list(self.entries.values()):
-            if self.bytes <= self.bound * 0.9:
+            if self.used_bytes <= self.max_bytes * FULL_FRACTION:
                 return
-            if entry.result is not None:
-                if entry.owner.method.effect is Effect.IDEMPOTENT:
-                    self.remove(entry)
-                else:
-                    self.bytes -= len(entry.result)
-                    entry.result = None
+            if entry.result is None:
+                continue
+            if entry.owner.method.idempotency is Idempotency.IDEMPOTENT:
+                self.remove(entry)
+            else:
+                self.used_bytes -= len(entry.result)
+                entry.result = None
--- /dev/null
+++ b/landingshift/net/routing/engine_events.py
@@ -0,0 +1,108 @@
+"""What the engine tells, brought to the admission controller and to those who wait for it."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from landingshift.admission.interface import Outcome
+from landingshift.net.protocol import engine as wire
+from landingshift.net.routing.admission_driver import AdmissionDriver
+from landingshift.net.routing.answers import AnswerWriter
+from landingshift.net.routing.database_pool import DatabasePool
+from landingshift.net.routing.dedup import DedupTable
+from landingshift.net.routing.engine_link import EngineLink
+from landingshift.net.routing.gateways import Gateways
+from landingshift.net.routing.gauge_poller import GaugePoller
+from landingshift.net.routing.observers import RpcObservers
+from landingshift.net.routing.repeats import RepeatResolver
+from landingshift.net.routing.rpc_table import RpcTable
+
+NO_NOTICE = 0  # number of an end that this server concludes by itself
+
+
+class EngineEventHandler:
+    """Serves as the engine link's `EngineEvents`.
+
+    Args:
+        start_admission: Called when the engine is up for the first time.
+    """
+
+    def __init__(
+        self,
+        driver: AdmissionDriver,
+        table: RpcTable,
+        dedup: DedupTable,
+        gateways: Gateways,
+        database: DatabasePool,
+        engine: EngineLink,
+        observers: RpcObservers,
+        answers: AnswerWriter,
+        repeats: RepeatResolver,
+        gauges: GaugePoller,
+        start_admission: Callable[[wire.Hello], None],
+        log: Callable[..., None],
+    ) -> None:
+        self.driver = driver
+        self.table = table
+        self.dedup = dedup
+        self.gateways = gateways
+        self.database = database
+        self.engine = engine
+        self.observers = observers
+        self.answers = answers
+        self.repeats = repeats
+        self.gauges = gauges
+        self.start_admission = start_admission
+        self.log = log
+
+    def on_engine_up(self, hello: wire.Hello) -> None:
+        """The engine answered for the first time."""
+        self.start_admission(hello)
+
+    def on_run_ended(self, notice: wire.RunEnded) -> None:
+        """The run is over: answers the RPC, its repeats, and tells the controller."""
+        rpc = self.table.find(notice.rpc_id)
+        if rpc is None or rpc.job is None:
+            return
+        self.engine.forget_command(rpc)
+        if notice.notice_number != NO_NOTICE:
+            self.repeats.prove_connection(rpc)
+        self.database.cancel(rpc)
+        entry = self.dedup.owned_by(rpc)
+        if notice.outcome is Outcome.OK:
+            self.answers.send_ok(rpc, notice.result, notice.elapsed_ms)
+        else:
+            self.answers.abort(rpc)
+        self.driver.event().on_run_finished(rpc.job, notice.outcome, notice.elapsed_ms)
+        if entry is not None:
+            entry.run_time_ms = notice.elapsed_ms
+            self.repeats.complete(entry, notice.outcome, notice.result)
+
+    def on_call_needed(self, notice: wire.CallNeeded) -> None:
+        """The run waits for a call; the controller decides whether it is made."""
+        rpc = self.table.find(notice.rpc_id)
+        if rpc is None or rpc.job is None:
+            return
+        self.engine.forget_command(rpc)
+        rpc.call_notice_number = notice.notice_number
+        rpc.call_request = notice.request
+        self.repeats.prove_connection(rpc)
+        self.observers.notify("on_call_needed", rpc)
+        self.driver.event().on_call_needed(rpc.job)
+
+    def on_command_refused(self, refusal: wire.CommandRefused) -> None:
+        """The engine does not know the RPC: it is aborted, and a connection that is not proven is cut off."""
+        rpc = self.table.find(refusal.rpc_id)
+        self.log("engine_no", command=refusal.command.decode("latin-1"), known=rpc is not None)
+        if rpc is None:
+            return
+        if refusal.command != wire.RUN_COMMAND and not self.engine.is_asking_for(rpc):
+            return
+        connection = self.gateways.connections.get(rpc.connection)
+        self.on_run_ended(wire.RunEnded(NO_NOTICE, refusal.rpc_id, Outcome.NOT_SENT, 0.0, b""))
+        if connection is not None and not connection.is_proven:
+            connection.cut_off("unknown_rpc")  # what else it brings would take places for nothing
+
+    def on_gauges(self, values: list[float]) -> None:
+        """The gauges, in the order of the configuration."""
+        self.gauges.on_gauges(values)
--- /dev/null
+++ b/landingshift/net/routing/engine_link.py
@@ -0,0 +1,374 @@
+"""The link to the engine: kept open, made again after a loss, and no run given to the engine twice.
+
+Guarantee: a command counts as delivered once the engine has answered a query that was written behind it. After
+a loss, what may not have arrived is said again, except for a run whose effect must not happen twice and which
+may have arrived: it is held back until its RPC is answered. Such an RPC may end aborted though it never ran.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Protocol
+
+from landingshift.admission.interface import Idempotency
+from landingshift.net.protocol import engine as wire
+from landingshift.net.protocol.lines import ProtocolError
+from landingshift.net.routing.rpc_record import RoutedRpc
+from landingshift.net.transport.loop import Loop, Timer
+from landingshift.net.transport.stream import Address, Stream, connect
+
+MAX_UNSENT_BYTES = 8 << 20  # more than all RPCs that fit into a server's memory can ask for
+RECONNECT_DELAY_MS = 50.0
+MOVE_GRACE_MS = 100.0  # that a link which is to be left has to prove what it was given
+MAX_OUTAGE_MS = 1500.0  # without a link before work counts as not getting done
+MAX_SILENCE_MS = 2500.0  # without the answer that is due after which the link is given up
+MAX_SELF_TESTS = 64  # deep checks that may be under way
+CONNECT_FAILURES = ("refused", "unreachable")
+
+
+class EngineEvents(Protocol):
+    """What the engine tells, in its order and each notice once."""
+
+    def on_engine_up(self, hello: wire.Hello) -> None:
+        """The engine answered for the first time."""
+
+    def on_run_ended(self, notice: wire.RunEnded) -> None:
+        """The run of an RPC is over."""
+
+    def on_call_needed(self, notice: wire.CallNeeded) -> None:
+        """A run asks for a call to the database."""
+
+    def on_command_refused(self, refusal: wire.CommandRefused) -> None:
+        """The engine did not take a command."""
+
+    def on_gauges(self, values: list[float]) -> None:
+        """The gauges, in the order of the configuration."""
+
+
+@dataclass(slots=True, eq=False)
+class EngineCommand:
+    """A command for an RPC that is not known to have arrived."""
+
+    rpc: RoutedRpc
+    data: bytes
+    starts_run: bool  # which must not happen twice
+    stream_end: int = -1  # where it ends in the link's stream; -1 before it is written
+    is_in_doubt: bool = False  # given to a link that broke: it may have arrived
+    is_held_back: bool = False
+    on_known: Callable[[], None] | None = None  # called once it has arrived and the engine knew the RPC
+
+
+@dataclass(slots=True)
+class GaugeQuery:
+    """A query for the gauges that is not answered yet."""
+
+    tag: bytes
+    bytes_before: int  # of the stream when it was written: what the answer proves to have arrived
+
+
+class EngineLink:
+    """The one link to the engine.
+
+    Args:
+        address: Where the engine listens.
+        log: Hears of links made and lost.
+
+    Attributes:
+        last_notice_number: Of the last notice read.
+        is_ready: All that ended while there was no link is known, and commands may be written.
+        has_met_engine: It has answered at least once since the start of the server.
+        is_greeted: It has answered on this link.
+        is_moving: The link is being left for another address.
+        unconfirmed: Commands that are not known to have arrived, in the order they were given.
+        commands: The latest unconfirmed command of each open RPC.
+    """
+
+    def __init__(self, loop: Loop, address: Address, log: Callable[..., None]) -> None:
+        self.loop = loop
+        self.address = address
+        self.log = log
+        self.events: EngineEvents
+        self.last_notice_number = 0
+        self.link_count = 0
+        self.tag_count = 0
+        self.is_ready = False
+        self.has_met_engine = False
+        self.is_greeted = False
+        self.is_moving = False
+        self.stream: Stream | None = None
+        self.reconnect_timer: Timer | None = None
+        self.linked_at_ms = loop.now_ms
+        self.lost_at_ms = loop.now_ms
+        self.decoder = wire.NoticeDecoder()
+        self.unconfirmed: deque[EngineCommand] = deque()
+        self.commands: dict[RoutedRpc, EngineCommand] = {}
+        self.gauge_query: GaugeQuery | None = None
+        self.self_tests: dict[bytes, Callable[[bool], None]] = {}
+        self.answered_at_ms = loop.now_ms  # when all that was asked had last been answered
+
+    def start(self, events: EngineEvents, attach: bool = True) -> None:
+        """Begins to serve `events`; without `attach` the link comes from another build."""
+        self.events = events
+        if attach:
+            self.attach()
+        self.loop.after(MAX_SILENCE_MS / 2.0, self._check_silence)
+
+    # The link
+
+    def attach(self) -> None:
+        """Tries to reach the engine; where that fails at once, again later."""
+        self.reconnect_timer = None
+        self.decoder = wire.NoticeDecoder()
+        self.linked_at_ms = self.loop.now_ms
+        stream = connect(self.loop, self.address, self, MAX_UNSENT_BYTES)
+        if isinstance(stream, str):
+            self.reconnect_timer = self.loop.after(RECONNECT_DELAY_MS, self.attach)
+            return
+        self.stream = stream
+        self.answered_at_ms = self.loop.now_ms
+        self.link_count += 1
+        stream.write(wire.encode_attach(self.last_notice_number))
+
+    def move(self, address: Address) -> None:
+        """Goes to another address, where runs and numbers of notices go on."""
+        if address == self.address:
+            return
+        self.address = address
+        if self.stream is None:
+            self.loop.cancel(self.reconnect_timer)
+            self.attach()
+        elif self.is_moving:
+            pass  # the link is being left already, for whatever address is told last
+        elif not self.is_ready:
+            self.stream.close("moved")
+        else:
+            # Left only once all that was said is known to have arrived: what is in doubt may not run again.
+            stream = self.stream
+            self.is_ready = False
+            self.is_moving = True
+            self.query_gauges()
+            self.loop.after(MOVE_GRACE_MS, lambda: stream.close("moved"))
+
+    @property
+    def is_working(self) -> bool:
+        """Whether work gets done. A link that breaks and comes back is routine and says nothing of that."""
+        return self.is_ready or (self.has_met_engine and self.loop.now_ms - self.lost_at_ms < MAX_OUTAGE_MS)
+
+    def _check_silence(self) -> None:
+        """Gives up a link that hangs without an end. Before the engine is up it owes nothing."""
+        self.loop.after(MAX_SILENCE_MS / 2.0, self._check_silence)
+        owes_answer = self.has_met_engine and (self.gauge_query is not None or not self.is_greeted)
+        if self.stream is None or not owes_answer:
+            self.answered_at_ms = self.loop.now_ms
+        elif self.loop.now_ms - self.answered_at_ms > MAX_SILENCE_MS:
+            self.stream.close("silent")
+
+    def on_data(self, data: bytes) -> None:
+        """Bytes came on the link."""
+        try:
+            for message in self.decoder.feed(data):
+                self._on_message(message)
+        except ProtocolError as err:
+            if self.stream is not None:
+                self.stream.close(err.reason)
+
+    def on_eof(self) -> None:
+        """The engine writes no more on the link."""
+        if self.stream is not None:
+            self.stream.close("closed")
+
+    def on_closed(self, reason: str) -> None:
+        """The link ended: what was given to it is in doubt from now on."""
+        sent_bytes = self.stream.sent_bytes if self.stream is not None else 0
+        if reason not in CONNECT_FAILURES:
+            self.log(
+                "engine_link_lost",
+                reason=reason,
+                notice=self.last_notice_number,
+                unsure=len(self.unconfirmed),
+            )
+        reconnect_at_once = self.is_greeted and self.loop.now_ms - self.linked_at_ms > RECONNECT_DELAY_MS
+        if self.is_greeted:
+            self.lost_at_ms = self.loop.now_ms
+        self.stream = None
+        self.gauge_query = None
+        self.is_ready = False
+        self.is_greeted = False
+        self.is_moving = False
+        for command in self.unconfirmed:
+            command.is_in_doubt = command.is_in_doubt or 0 <= command.stream_end <= sent_bytes
+            command.stream_end = -1
+        self.give_up_self_tests()
+        delay_ms = 0.0 if reconnect_at_once else RECONNECT_DELAY_MS
+        self.reconnect_timer = self.loop.after(delay_ms, self.attach)
+
+    def give_up_self_tests(self) -> None:
+        """Answers the deep checks under way by whether work gets done at all."""
+        answers = self.self_tests
+        self.self_tests = {}
+        for answer in answers.values():
+            answer(self.is_working)
+
+    # What the engine tells
+
+    def _on_message(self, message: wire.Message) -> None:
+        match message:
+            case wire.RunEnded() | wire.CallNeeded() | wire.OtherNotice():
+                self._on_notice(message)
+            case wire.Hello():
+                self._on_hello(message)
+            case wire.GaugeReport():
+                self._on_gauge_report(message)
+            case wire.SelfTestResult():
+                answer = self.self_tests.pop(message.tag, None)
+                if answer is not None:
+                    answer(message.has_passed)
+            case wire.CommandRefused():
+                self.events.on_command_refused(message)
+
+    def _on_notice(self, notice: wire.NumberedNotice) -> None:
+        if notice.notice_number <= self.last_notice_number:
+            return  # told again by a new link: it must not count twice
+        if notice.notice_number > self.last_notice_number + 1:
+            self.log("notices_missing", after=self.last_notice_number, before=notice.notice_number)
+        self.last_notice_number = notice.notice_number
+        if isinstance(notice, wire.RunEnded):
+            self.events.on_run_ended(notice)
+        elif isinstance(notice, wire.CallNeeded):
+            self.events.on_call_needed(notice)
+
+    def _on_hello(self, hello: wire.Hello) -> None:
+        self.log(
+            "engine_link",
+            link=self.link_count,
+            cold=hello.is_cold,
+            age=hello.age_ms,
+            notice=self.last_notice_number,
+        )
+        self.is_greeted = True
+        if not self.has_met_engine:
+            self.has_met_engine = True
+            self.events.on_engine_up(hello)
+        # What ended while there was no link comes before the answer to this: only then is it known which
+        # commands are still to be said.
+        self.query_gauges()
+
+    def _on_gauge_report(self, report: wire.GaugeReport) -> None:
+        query = self.gauge_query
+        if query is None or query.tag != report.tag:
+            return
+        self.gauge_query = None
+        self.answered_at_ms = self.loop.now_ms
+        while self.unconfirmed and 0 <= self.unconfirmed[0].stream_end <= query.bytes_before:
+            self._confirm(self.unconfirmed.popleft())
+        self.events.on_gauges(report.values)
+        if self.is_moving and self.stream is not None:
+            if any(command.stream_end >= 0 for command in self.unconfirmed):
+                self.query_gauges()
+            else:
+                self.stream.close("moved")
+        elif not self.is_ready:
+            self._say_again()
+        if any(command.on_known is not None for command in self.unconfirmed):
+            self.query_gauges()  # a caller waits for it
+
+    # What the engine is told
+
+    def query_gauges(self) -> None:
+        """Asks for the gauges; the answer also shows that all said before has arrived."""
+        if self.stream is None or not self.is_greeted or self.gauge_query is not None:
+            return
+        self.tag_count += 1
+        self.answered_at_ms = self.loop.now_ms
+        tag = b"s%d" % self.tag_count
+        self.gauge_query = GaugeQuery(tag, self.stream.queued_bytes)
+        self.stream.write(wire.encode_gauge_query(tag))
+
+    def run_self_test(self, answer: Callable[[bool], None]) -> None:
+        """Has the engine do a piece of work; `answer` hears whether it got done."""
+        if not self.is_ready or self.stream is None or len(self.self_tests) >= MAX_SELF_TESTS:
+            answer(self.is_working and len(self.self_tests) < MAX_SELF_TESTS)
+            return
+        self.tag_count += 1
+        tag = b"t%d" % self.tag_count
+        self.self_tests[tag] = answer
+        self.stream.write(wire.encode_self_test(tag))
+
+    def send_command(self, rpc: RoutedRpc, data: bytes, starts_run: bool = False) -> EngineCommand:
+        """Gives the engine a command for an RPC, as soon as the link is ready."""
+        command = EngineCommand(rpc, data, starts_run)
+        self.commands[rpc] = command
+        self.unconfirmed.append(command)
+        if self.is_ready:
+            self._write(command)
+        return command
+
+    def halt(self, rpc: RoutedRpc) -> None:
+        """Asks to stop a run. May be lost: the admission controller says it again while it has no effect."""
+        if self.is_ready and self.stream is not None:
+            self.stream.write(wire.encode_halt(rpc.rpc_id))
+
+    def ask_whether_known(self, rpc: RoutedRpc, on_known: Callable[[], None]) -> None:
+        """Asks whether the RPC came to this machine; one that did not is answered with a refusal.
+
+        No notice has the number 0, so that an RPC that the engine knows is not changed by this.
+        """
+        command = self.send_command(rpc, wire.encode_skip_call(rpc.rpc_id, 0))
+        command.on_known = on_known
+        self.query_gauges()
+
+    def is_asking_for(self, rpc: RoutedRpc) -> bool:
+        """Whether the RPC's latest command asks if the engine knows it."""
+        command = self.commands.get(rpc)
+        return command is not None and command.on_known is not None
+
+    def forget_command(self, rpc: RoutedRpc) -> None:
+        """The RPC's latest command has arrived, or nobody needs to know any more whether it has."""
+        self.commands.pop(rpc, None)
+
+    def release_held_back(self, rpc: RoutedRpc) -> None:
+        """An RPC that is over can't be run any more: what was held back is said, to hear how it ended."""
+        command = self.commands.get(rpc)
+        if command is not None and command.is_held_back:
+            self.send_command(rpc, command.data, starts_run=True)
+
+    def _write(self, command: EngineCommand) -> None:
+        if self.stream is not None:
+            self.stream.write(command.data)
+            command.stream_end = self.stream.queued_bytes
+
+    def _confirm(self, command: EngineCommand) -> None:
+        if self.commands.get(command.rpc) is not command:
+            return
+        del self.commands[command.rpc]
+        if command.on_known is not None:
+            command.on_known()
+
+    def _say_again(self) -> None:
+        """The link is ready: writes what is not known to have arrived and may be said again."""
+        self.is_ready = True
+        open_commands = [
+            command for command in self.unconfirmed if self.commands.get(command.rpc) is command
+        ]
+        for command in open_commands:
+            command.is_held_back = self._may_have_run(command)
+        self.unconfirmed = deque(command for command in open_commands if not command.is_held_back)
+        for command in self.unconfirmed:
+            self._write(command)
+        self.log(
+            "engine_ready",
+            link=self.link_count,
+            said_again=len(self.unconfirmed),
+            of=len(open_commands),
+        )
+
+    @staticmethod
+    def _may_have_run(command: EngineCommand) -> bool:
+        """Whether saying the command again could have an effect twice.
+
+        One that starts a run and was given to a lost link may have run to its end since.
+        """
+        may_run_again = command.rpc.method.idempotency is Idempotency.IDEMPOTENT or command.rpc.is_answered
+        return command.starts_run and command.is_in_doubt and not may_run_again
--- a/landingshift/net/routing/health.py
+++ b/landingshift/net/routing/health.py
@@ -1,62 +1,91 @@
-"""What health checks and the roster hear."""
+"""What health checks and the roster of servers hear."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
 from landingshift.net.protocol import roster as wire
-from landingshift.net.routing.engine import Engine
-from landingshift.net.transport.datagram import Datagrams
+from landingshift.net.routing.engine_link import EngineLink
+from landingshift.net.transport.datagram import DatagramSender
 from landingshift.net.transport.loop import Loop
 from landingshift.net.transport.stream import Address
 
-REPORT = 200.0  # ms between two reports: fourteen in a row may be lost before the roster forgets a server
+REPORT_INTERVAL_MS = 200.0  # fourteen reports in a row may be lost before the roster forgets a server
 
 
 class HealthReporter:
-    def __init__(self, loop: Loop, name: str, roster: Datagrams, engine: Engine, deep_checks: bool) -> None:
-        self.loop, self.name, self.roster, self.engine = loop, name, roster, engine
-        self.good, self.cheap, self.deep_checks = True, True, deep_checks
-        self.is_reporting = self.ready = False
-        self.held: set[str] = set()  # packages for which it is kept back
-
-    def hold_back(self, package: str) -> None:
-        """Until all that hold it released it, neither the roster nor a check hears that it is good."""
-        self.held.add(package)
-
-    def release(self, package: str) -> None:
-        if package in self.held:
-            self.held.remove(package)
-            if self.ready:
+    """Answers health checks and reports to the roster once the server can serve.
+
+    Args:
+        server_name: By which the roster knows the server.
+        roster: Where the reports go.
+        engine: Does a piece of work for a deep check.
+        runs_deep_checks: Whether a deep check does that.
+    """
+
+    def __init__(
+        self,
+        loop: Loop,
+        server_name: str,
+        roster: DatagramSender,
+        engine: EngineLink,
+        runs_deep_checks: bool,
+    ) -> None:
+        self.loop = loop
+        self.server_name = server_name
+        self.roster = roster
+        self.engine = engine
+        self.runs_deep_checks = runs_deep_checks
+        self.is_healthy = True  # by the admission controller's word
+        self.is_shallow = True  # by its word, too: work would come at a bad time
+        self.is_reporting = False
+        self.is_started = False
+        self.holders: set[str] = set()  # services for which reports are held back
+
+    def hold_back(self, service: str) -> None:
+        """Until all that did this have released it, neither the roster nor a check hears that it is healthy."""
+        self.holders.add(service)
+
+    def release(self, service: str) -> None:
+        """The service does not hold reports back any more."""
+        if service in self.holders:
+            self.holders.remove(service)
+            if self.is_started:
                 self.start()
 
-    def set(self, good: bool, cheap: bool) -> None:
-        changed, self.good, self.cheap = good != self.good, good, cheap
-        if changed and self.is_reporting:
-            self.say()
+    def set_health(self, is_healthy: bool, is_shallow: bool) -> None:
+        """The admission controller's word; a change is reported at once."""
+        has_changed = is_healthy != self.is_healthy
+        self.is_healthy = is_healthy
+        self.is_shallow = is_shallow
+        if has_changed and self.is_reporting:
+            self._send_report()
 
     def start(self) -> None:
-        self.ready = True
-        if not self.is_reporting and not self.held:
+        """The engine is up: reports begin, unless a service holds them back."""
+        self.is_started = True
+        if not self.is_reporting and not self.holders:
             self.is_reporting = True
-            self.report()
-
-    def report(self) -> None:
-        self.say()
-        self.loop.after(REPORT, self.report)
+            self._report()
 
     def move(self, roster: Address) -> None:
+        """Reports go to another address from now on."""
         self.roster.address = roster
         if self.is_reporting:
-            self.say()
-
-    def say(self) -> None:
-        self.roster.send(wire.here(self.name, self.good))
+            self._send_report()
 
-    def check(self, deep: bool, told: Callable[[bool], None]) -> None:
-        if self.held or (deep and not self.engine.working):
-            told(False)  # it is not to be counted on yet, or without its engine no work gets done here
-        elif deep and self.deep_checks and self.good and not self.cheap:
-            self.engine.test(told)
+    def check(self, is_deep: bool, answer: Callable[[bool], None]) -> None:
+        """Answers a health check, at once or when the engine has done the work of a deep one."""
+        if self.holders or (is_deep and not self.engine.is_working):
+            answer(False)  # it is not to be counted on yet, or without its engine no work gets done here
+        elif is_deep and self.runs_deep_checks and self.is_healthy and not self.is_shallow:
+            self.engine.run_self_test(answer)
         else:
-            told(self.good)
+            answer(self.is_healthy)
+
+    def _report(self) -> None:
+        self._send_report()
+        self.loop.after(REPORT_INTERVAL_MS, self._report)
+
+    def _send_report(self) -> None:
+        self.roster.send(wire.encode_presence(self.server_name, self.is_healthy))
--- a/landingshift/net/routing/observers.py
+++ b/landingshift/net/routing/observers.py
@@ -1,56 +1,96 @@
-"""What watches RPCs without being one of the router's own parts."""
+"""Parts of the program that watch RPCs, and the gate through which ok answers may have to pass.
+
+Neither can harm an RPC: one that raises is cut off and logged, and the RPC goes on.
+"""
 
 from __future__ import annotations
 
 import traceback
 from collections.abc import Callable
+from enum import Enum
 from typing import Protocol
 
 from landingshift.net.routing.rpc_record import RoutedRpc
 
+TRACE_LINES = 6  # of a trace that go into the log
+EVENT_HANDLERS = (
+    "on_read",
+    "on_started",
+    "on_call_needed",
+    "on_call_finished",
+    "on_answered",
+    "on_closed",
+)
+
+
+class AnswerKind(Enum):
+    """What an RPC was answered."""
+
+    OK = "ok"
+    REJECTED = "rejected"
+    ABORTED = "aborted"
+
 
 class RpcObserver(Protocol):
-    """Hears of the stages of an RPC that it has a method for; must not block and must not change the RPC.
+    """Hears of the stages of an RPC that it has a method for; must neither block nor change the RPC.
 
-    read(rpc), started(rpc), needed(rpc) a call below, called(rpc, outcome, took in ms), answered(rpc, "ok",
-    "pushed_back" or "aborted"), closed(rpc).
+    The methods, each optional:
+
+    - `on_read(rpc)`: it was read and is known to be well-formed.
+    - `on_started(rpc)`: its run was given to the engine.
+    - `on_call_needed(rpc)`: its run asks for a call to the database.
+    - `on_call_finished(rpc, outcome, elapsed_ms)`: that call is over.
+    - `on_answered(rpc, kind)`: its answer was written; `kind` is an `AnswerKind`.
+    - `on_closed(rpc)`: nothing more will be heard of it.
     """
 
     name: str
 
 
-EVENTS = ("on_read", "on_started", "on_call_needed", "on_call_finished", "on_answered", "on_closed")
-
-
 class AnswerGate(Protocol):
     """May let an ok answer go later than it is there, within the RPC's deadline."""
 
-    def hold_answer(self, rpc: RoutedRpc, result: bytes, work: float) -> bool:
-        """True where the gate passes the answer on by itself; `work` in ms."""
+    def hold_answer(self, rpc: RoutedRpc, result: bytes, run_time_ms: float) -> bool:
+        """Whether the gate keeps the answer, and will send or abort it by itself."""
+
+    def release_by(self, deadline_ms: float) -> None:
+        """The server drains: whatever is held goes by then, in the loop's time."""
+
 
-    def release_by(self, by: float) -> None:
-        """The server drains: whatever is held goes by then, loop time in ms."""
+Handler = Callable[..., None]
 
 
 class RpcObservers:
-    def __init__(self, report: Callable[..., None]) -> None:
-        self.report = report
+    """Those that watch RPCs, in the order in which they were added.
+
+    Args:
+        log: Hears of an observer that was cut off.
+    """
+
+    def __init__(self, log: Callable[..., None]) -> None:
+        self.log = log
         self.observers: tuple[RpcObserver, ...] = ()
-        self.told: dict[str, tuple[tuple[RpcObserver, Callable[..., None]], ...]] = dict.fromkeys(EVENTS, ())
+        self.handlers: dict[str, tuple[tuple[RpcObserver, Handler], ...]] = dict.fromkeys(EVENT_HANDLERS, ())
 
     def add(self, observer: RpcObserver) -> None:
-        self.keep((*self.observers, observer))
-
-    def keep(self, observers: tuple[RpcObserver, ...]) -> None:
-        self.observers = observers
-        self.told = {
-            event: tuple((o, getattr(o, event)) for o in observers if hasattr(o, event)) for event in EVENTS
-        }
+        """From now on the observer hears of each event that it has a method for."""
+        self._set_observers((*self.observers, observer))
 
     def notify(self, event: str, *facts: object) -> None:
-        for observer, hear in self.told[event]:
+        """Tells all that have a method `event`."""
+        for observer, handler in self.handlers[event]:
             try:
-                hear(*facts)
+                handler(*facts)
             except Exception:  # one that breaks is cut off: the RPC goes on
-                self.keep(tuple(o for o in self.observers if o is not observer))
-                self.report("observer_cut_off", name=observer.name, trace=traceback.format_exc(limit=-6))
+                self._set_observers(tuple(other for other in self.observers if other is not observer))
+                trace = traceback.format_exc(limit=-TRACE_LINES)
+                self.log("observer_cut_off", name=observer.name, trace=trace)
+
+    def _set_observers(self, observers: tuple[RpcObserver, ...]) -> None:
+        self.observers = observers
+        self.handlers = {
+            event: tuple(
+                (observer, getattr(observer, event)) for observer in observers if hasattr(observer, event)
+            )
+            for event in EVENT_HANDLERS
+        }
--- /dev/null
+++ b/landingshift/net/routing/reload.py
@@ -0,0 +1,34 @@
+"""Which part of a new configuration counts while RPCs are under way."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+from landingshift.net.routing.server_config import ServerConfig
+
+# Key of the configuration and the attribute that holds it; all others are taken at the start only, and silently
+# where they are the settings, which a policy changes by its own way.
+FIXED_KEYS = {
+    "name": "name",
+    "listen": "listen",
+    "memory_mb": "memory_mb",
+    "sockets": "max_sockets",
+    "gauges": "gauge_names",
+    "deep_checks": "runs_deep_checks",
+}
+
+
+def reloaded_config(current: ServerConfig, new: ServerConfig) -> ServerConfig:
+    """The current configuration with what may change while RPCs are under way."""
+    return replace(
+        current, engine=new.engine, database=new.database, roster=new.roster, stop_ms=new.stop_ms
+    )
+
+
+def keys_until_next_start(current: ServerConfig, new: ServerConfig) -> list[str]:
+    """The keys that differ and count from the next start only."""
+    return [
+        key
+        for key, attribute in FIXED_KEYS.items()
+        if getattr(new, attribute) != getattr(current, attribute)
+    ]
--- a/landingshift/net/routing/rpc_record.py
+++ b/landingshift/net/routing/rpc_record.py
@@ -1,38 +1,30 @@
-"""An RPC on its way through this server."""
+"""The record of an RPC on its way through this server. Knows none of those who handle it."""
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
-from typing import TYPE_CHECKING
+from dataclasses import dataclass
 
-from landingshift.admission.controller import Job
+from landingshift.admission.controller import ManagedRpc
 from landingshift.admission.interface import Rpc
 
-if TYPE_CHECKING:
-    from landingshift.net.routing.database import Call
-    from landingshift.net.routing.dedup import Entry
-    from landingshift.net.routing.engine import Command
-
 
 @dataclass(slots=True, eq=False)
 class RoutedRpc(Rpc):
-    rid: bytes
-    name: bytes  # of its method, for the engine
+    """What the admission controller knows of an RPC, and what its way through the server needs besides."""
+
+    rpc_id: bytes
+    method_name: bytes  # for the engine
     body: bytes
-    connection: int  # slot of the connection it came on
-    number: int  # its message there
+    connection: int  # slot of the connection that it came on
+    message_id: int  # of its request there
     dedup_key: tuple[bytes, str] | None  # the same in a repeat of it
     tenant_name: str = ""
-    attempt_id: str | None = None  # of the client's try, where the installation names a field for it
-    slot: int = -1
-    job: Job | None = None
-    answered: bool = False
-    passing: bool = False  # its ok answer is at the gate
-    gone: bool = False  # nobody waits any more
-    closed: bool = False  # the module will not speak of it again
-    command: Command | None = None  # for the engine, not known to have arrived
-    need: int = 0  # the notice that asked for the call in hand
-    need_body: bytes = b""
-    call: Call | None = None  # in the database's hands
-    original: Entry | None = None  # what it repeats
-    stale: list[object] = field(default_factory=list)  # links on which a late reply of it may still come
+    attempt_id: str | None = None  # of the client's attempt, where the installation names a field for it
+    slot: int = -1  # in the table of RPCs in flight
+    job: ManagedRpc | None = None  # the admission controller's handle; None before it has seen it and once closed
+    is_answered: bool = False
+    is_held: bool = False  # its ok answer waits at the answer gate
+    is_abandoned: bool = False  # nobody waits for its answer any more
+    is_closed: bool = False  # the admission controller will not speak of it again
+    call_notice_number: int = 0  # of the engine's notice that asked for the call in hand
+    call_request: bytes = b""
--- a/landingshift/net/transport/stream.py
+++ b/landingshift/net/transport/stream.py
@@ -18,7 +18,7 @@
 LINGERS = 10  # times that it may take some and no more
 DISCARD = 65536  # bytes that are taken off a connection after our half-close, before a close over the rest
 IP_BIND_ADDRESS_NO_PORT = 24  # Linux: the port is chosen once the other side is known, so that they last
-PAUSE = 20.0  # ms without accepting after the descriptors ran out
+ACCEPT_PAUSE_MS = 20.0  # without accepting after the descriptors ran out
 Address = tuple[str, int]
 
 
@@ -39,7 +39,7 @@
 NOBODY = Nobody()
 
 
-class Unsent:
+class UnsentBudget:
     """What many streams together have not got rid of; past the bound `full` must let some of it go."""
 
     def __init__(self, bound: int, full: Callable[[], None]) -> None:
@@ -59,7 +59,7 @@
         owner: Owner,
         bound: int,
         connecting: bool = False,
-        unsent: Unsent | None = None,
+        unsent: UnsentBudget | None = None,
         reads: int = READS,
     ) -> None:
         self.loop, self.sock, self.bound, self.unsent_budget = loop, sock, bound, unsent
@@ -293,7 +293,7 @@
 
     def rest(self) -> None:
         self.loop.watch(self.sock.fileno(), 0, self)
-        self.loop.after(PAUSE, self.resume)
+        self.loop.after(ACCEPT_PAUSE_MS, self.resume)
 
     def resume(self) -> None:
         if self.is_open and not self.draining:
