--- a/landingshift/maintenance/service.py
+++ b/landingshift/maintenance/service.py
@@ -16,6 +16,7 @@
 from landingshift.maintenance.settings import Settings, plan
 from landingshift.membership.messages import DEPARTED_STATES, MemberRecord
 from landingshift.membership.service import MembershipService
+from landingshift.net.routing.observers import AnswerKind
 from landingshift.net.transport.loop import Timer
 
 if TYPE_CHECKING:
@@ -76,17 +77,17 @@
     def on_read(self, _rpc: RoutedRpc) -> None:
         self.reads += 1
 
-    def on_answered(self, _rpc: RoutedRpc, how: str) -> None:
+    def on_answered(self, _rpc: RoutedRpc, kind: AnswerKind) -> None:
         self.all += 1.0
-        self.ok += how == "ok"
+        self.ok += kind is AnswerKind.OK
 
     def warmth(self) -> float:
         """Of the module's cores, once it serves at all."""
         server = self.router.admission
         if server is None or not self.router.health_reporter.is_reporting:
             return 0.0
-        cold = server.set.cold_time if server.set.cold else 0.0
-        return min(1.0, (self.loop.now_ms - server.born) / cold) if cold else 1.0
+        cold = server.settings.warm_up_ms if server.settings.starts_cold else 0.0
+        return min(1.0, (self.loop.now_ms - server.started_at_ms) / cold) if cold else 1.0
 
     # Its reports
 
--- a/landingshift/membership/operator_rpc.py
+++ b/landingshift/membership/operator_rpc.py
@@ -10,8 +10,9 @@
 import msgpack
 
 from landingshift.net.protocol import gateway as wire
+from landingshift.net.transport.listener import Listener
 from landingshift.net.transport.loop import Loop
-from landingshift.net.transport.stream import Address, Listener, Stream
+from landingshift.net.transport.stream import Address, Stream
 
 LINKS = 16  # operators' connections at a time
 BOUND = 4 << 20  # bytes of an answer
--- a/landingshift/net/program/config.py
+++ b/landingshift/net/program/config.py
@@ -8,8 +8,8 @@
 
 import orjson
 
-from landingshift.admission.interface import Below
-from landingshift.net.routing.router import ServerConfig
+from landingshift.admission.interface import DownstreamKind
+from landingshift.net.routing.server_config import ServerConfig
 from landingshift.net.transport.stream import Address
 from landingshift.settings import BadSetting, decode
 
@@ -112,17 +112,17 @@
         name=top.word("name", env.get("GW_NAME", MISSING)),
         listen=top.address("listen", env.get("GW_LISTEN", MISSING)),
         engine=top.address("engine"),
-        database=top.address("db") if decoded.below is not Below.NONE else None,
+        database=top.address("db") if decoded.downstream is not DownstreamKind.NONE else None,
         roster=top.address("roster"),
         seed=seed(top),
         stop_ms=top.number("stop_ms", 1.0, 1e7, 3000),
         memory_mb=limits.number("memory_mb", 16.0, 1e6, 192),
-        sockets=int(limits.number("sockets", 32.0, 1e6, 1024)),
+        max_sockets=int(limits.number("sockets", 32.0, 1e6, 1024)),
         settings=decoded,
         methods=dict(zip(methods, decoded.methods, strict=True)),
         tenants=dict(zip(tenants, decoded.tenants, strict=True)),
-        gauges=[str(g) for g in gauges],
-        deep_checks=bool(extra.data.get("deep-checks")),
+        gauge_names=[str(g) for g in gauges],
+        runs_deep_checks=bool(extra.data.get("deep-checks")),
     )
 
 
--- a/landingshift/net/protocol/gateway.py
+++ b/landingshift/net/protocol/gateway.py
@@ -101,7 +101,7 @@
         self.buffer = b""  # of a message that is not complete yet
 
     def feed(self, data: bytes) -> list[Message]:
-        """The complete messages so far; those in front of a malformed one come before its `ProtocolFailure`."""
+        """The complete messages so far, then a `ProtocolFailure` where a malformed one follows them."""
         if not self.buffer:
             try:
                 message = _decode(msgpack.unpackb(data, **PARSER_LIMITS))
@@ -248,4 +248,6 @@
     return pack([RESPONSE, message_id, None, [is_healthy, headers]])
 
 
-GOAWAY = pack([NOTIFICATION, "goaway", []])  # asks the gateway to close the connection once it has its answers
+GOAWAY = pack(
+    [NOTIFICATION, "goaway", []]
+)  # asks the gateway to close the connection once it has its answers
--- a/landingshift/net/routing/database_pool.py
+++ b/landingshift/net/routing/database_pool.py
@@ -1,8 +1,8 @@
 """Calls to the shared database, over a pool of links.
 
 As few calls on one link as can be: a reply that is malformed, late or missing costs all calls that share the
-link. Guarantee: a call that is not known to have reached the database ends as `NO_CONNECTION`; one whose fate is
-unknown ends as `NO_RESPONSE` or `CONNECTION_LOST`.
+link. Guarantee: a call that is not known to have reached the database ends as `NO_CONNECTION`; one whose fate
+is unknown ends as `NO_RESPONSE` or `CONNECTION_LOST`.
 """
 
 from __future__ import annotations
--- a/landingshift/net/routing/dedup.py
+++ b/landingshift/net/routing/dedup.py
@@ -40,13 +40,13 @@
 
     Args:
         max_bytes: That entries and their results may take.
-        share_result_ms: How long the result of an idempotent RPC answers others with the same key.
+        response_cache_ttl_ms: How long the result of an idempotent RPC answers others with the same key.
         max_age_ms: Since a repeat arrived at the machine, at most.
     """
 
-    def __init__(self, max_bytes: int, share_result_ms: float, max_age_ms: float = 0.0) -> None:
+    def __init__(self, max_bytes: int, response_cache_ttl_ms: float, max_age_ms: float = 0.0) -> None:
         self.max_bytes = max_bytes
-        self.share_result_ms = share_result_ms
+        self.response_cache_ttl_ms = response_cache_ttl_ms
         self.max_age_ms = max_age_ms
         self.used_bytes = 0
         self.entries: dict[DedupKey, DedupEntry] = {}
@@ -55,8 +55,8 @@
     def find(self, rpc: RoutedRpc, now_ms: float, arrived_ms: float) -> DedupEntry | None:
         """The entry that `rpc` repeats; drops one that has lapsed.
 
-        The window counts to the time at which a repeat arrived at the machine: it may be read long after, past
-        the end of its own wait, too. Taken for a new RPC it would be told that it never ran.
+        The window counts to the time at which a repeat arrived at the machine: it may be read long after,
+        past the end of its own wait, too. Taken for a new RPC it would be told that it never ran.
         """
         entry = self.entries.get(rpc.dedup_key) if rpc.dedup_key else None
         if entry is None:
@@ -65,7 +65,7 @@
             return entry  # its effect may be under way: a second run beside it would have it twice
         has_lapsed = entry.expires_ms <= arrived_ms
         if rpc.method.idempotency is Idempotency.IDEMPOTENT:
-            is_too_old = now_ms - entry.ended_ms > self.share_result_ms
+            is_too_old = now_ms - entry.ended_ms > self.response_cache_ttl_ms
             has_lapsed = has_lapsed or entry.result is None or is_too_old
         if has_lapsed:
             self.remove(entry)
@@ -107,9 +107,7 @@
             del self.entries[dedup_key]
             self.used_bytes -= ENTRY_BYTES + len(entry.result or b"")
 
-    def complete(
-        self, entry: DedupEntry, outcome: Outcome, result: bytes, now_ms: float
-    ) -> list[RoutedRpc]:
+    def complete(self, entry: DedupEntry, outcome: Outcome, result: bytes, now_ms: float) -> list[RoutedRpc]:
         """The owner's run is over; returns the repeats that waited for that."""
         entry.outcome = outcome
         entry.ended_ms = now_ms
@@ -128,7 +126,8 @@
         """
         if self.used_bytes <= self.max_bytes:
             return
-        # A repeat that arrived within the window may still wait to be read, and what runs must be known by it.
+        # A repeat that arrived within the window may still wait to be read, and what runs must be known by
+        # it.
         no_repeat_after_ms = now_ms - self.max_age_ms
         lapsed = [
             entry
--- a/landingshift/net/routing/engine_link.py
+++ b/landingshift/net/routing/engine_link.py
@@ -1,8 +1,9 @@
 """The link to the engine: kept open, made again after a loss, and no run given to the engine twice.
 
-Guarantee: a command counts as delivered once the engine has answered a query that was written behind it. After
-a loss, what may not have arrived is said again, except for a run whose effect must not happen twice and which
-may have arrived: it is held back until its RPC is answered. Such an RPC may end aborted though it never ran.
+Guarantee: a command counts as delivered once the engine has answered a query that was written behind it.
+After a loss, what may not have arrived is said again, except for a run whose effect must not happen twice and
+which may have arrived: it is held back until its RPC is answered. Such an RPC may end aborted though it never
+ran.
 """
 
 from __future__ import annotations
@@ -349,9 +350,7 @@
     def _say_again(self) -> None:
         """The link is ready: writes what is not known to have arrived and may be said again."""
         self.is_ready = True
-        open_commands = [
-            command for command in self.unconfirmed if self.commands.get(command.rpc) is command
-        ]
+        open_commands = [command for command in self.unconfirmed if self.commands.get(command.rpc) is command]
         for command in open_commands:
             command.is_held_back = self._may_have_run(command)
         self.unconfirmed = deque(command for command in open_commands if not command.is_held_back)
--- a/landingshift/net/routing/gateway_connection.py
+++ b/landingshift/net/routing/gateway_connection.py
@@ -1,8 +1,8 @@
 """One gateway's connection: what is read from it, what it is owed, and when it is asked to go or closed.
 
 Guarantee: an RPC that was read gets its answer written before the connection is closed by this server, unless
-the gateway stops reading or breaks the protocol. A connection that brings nothing which the engine knows lasts
-for `PROOF_TIME_MS`, so that strangers can't fill the table.
+the gateway stops reading or breaks the protocol. A connection that brings nothing which the engine knows
+lasts for `PROOF_TIME_MS`, so that strangers can't fill the table.
 """
 
 from __future__ import annotations
@@ -143,7 +143,10 @@
             self.events.on_request(self, message)
 
     def on_eof(self) -> None:
-        """The gateway writes no more. It may still read; where it does not, a write makes it answer with a reset."""
+        """The gateway writes no more.
+
+        It may still read; where it does not, a write makes it answer with a reset.
+        """
         if not self.rpcs:
             self.stream.close_gracefully("closed_by_gateway")
         else:
@@ -176,11 +179,15 @@
         if not self.stream.is_reading and not self.rpcs:
             self.stream.close_gracefully("closed_by_gateway")
         elif self.context.is_draining and not self.rpcs:
-            # The last answers go out shortly before the stop: their connections' close can't wait for a check.
+            # The last answers go out shortly before the stop: their connections' close can't wait for a
+            # check.
             self._check_after(0.0)
 
     def answer_invalid(self, message_id: int, field: str, data: bytes) -> None:
-        """Answers an RPC that never was one: no gateway sends it, so it ends a connection that is not proven."""
+        """Answers an RPC that never was one.
+
+        No gateway sends it, so it ends a connection that is not proven.
+        """
         self.invalid_count += 1
         self.last_invalid_field = field
         self.answer(message_id, data)
--- a/landingshift/net/routing/gateways.py
+++ b/landingshift/net/routing/gateways.py
@@ -11,12 +11,11 @@
     GatewayConnection,
     GatewayEvents,
 )
+from landingshift.net.transport.listener import ACCEPT_PAUSE_MS, Listener
 from landingshift.net.transport.loop import Loop
 from landingshift.net.transport.slots import Slots
 from landingshift.net.transport.stream import (
-    ACCEPT_PAUSE_MS,
     Address,
-    Listener,
     Stream,
     UnsentBudget,
 )
--- a/landingshift/net/routing/health.py
+++ b/landingshift/net/routing/health.py
@@ -43,7 +43,7 @@
         self.holders: set[str] = set()  # services for which reports are held back
 
     def hold_back(self, service: str) -> None:
-        """Until all that did this have released it, neither the roster nor a check hears that it is healthy."""
+        """Neither the roster nor a check hears that the server is healthy until all have released it."""
         self.holders.add(service)
 
     def release(self, service: str) -> None:
--- a/landingshift/net/routing/reload.py
+++ b/landingshift/net/routing/reload.py
@@ -6,8 +6,8 @@
 
 from landingshift.net.routing.server_config import ServerConfig
 
-# Key of the configuration and the attribute that holds it; all others are taken at the start only, and silently
-# where they are the settings, which a policy changes by its own way.
+# Key of the configuration and the attribute that holds it; all others are taken at the start only, and
+# silently where they are the settings, which a policy changes by its own way.
 FIXED_KEYS = {
     "name": "name",
     "listen": "listen",
@@ -20,15 +20,11 @@
 
 def reloaded_config(current: ServerConfig, new: ServerConfig) -> ServerConfig:
     """The current configuration with what may change while RPCs are under way."""
-    return replace(
-        current, engine=new.engine, database=new.database, roster=new.roster, stop_ms=new.stop_ms
-    )
+    return replace(current, engine=new.engine, database=new.database, roster=new.roster, stop_ms=new.stop_ms)
 
 
 def keys_until_next_start(current: ServerConfig, new: ServerConfig) -> list[str]:
     """The keys that differ and count from the next start only."""
     return [
-        key
-        for key, attribute in FIXED_KEYS.items()
-        if getattr(new, attribute) != getattr(current, attribute)
+        key for key, attribute in FIXED_KEYS.items() if getattr(new, attribute) != getattr(current, attribute)
     ]
--- a/landingshift/net/routing/repeats.py
+++ b/landingshift/net/routing/repeats.py
@@ -1,7 +1,7 @@
 """Repeats of RPCs: answered from the deduplication table, and from nothing that was made for somebody else.
 
-A repeat on a connection that is not proven may be a stranger's guess at a gateway's key. It gets the result only
-once the engine has known an RPC of that connection; where that can't be shown in time it is aborted.
+A repeat on a connection that is not proven may be a stranger's guess at a gateway's key. It gets the result
+only once the engine has known an RPC of that connection; where that can't be shown in time it is aborted.
 """
 
 from __future__ import annotations
@@ -99,8 +99,8 @@
     def _await_proof(self, connection: GatewayConnection, rpc: RoutedRpc, entry: DedupEntry) -> None:
         """Waits until what else the connection brings proves it.
 
-        Where no call may be left out the engine refuses the question whether it knows the RPC, for those that it
-        knows too: no gateway may be cut off for that with all that it has open.
+        Where no call may be left out the engine refuses the question whether it knows the RPC, for those that
+        it knows too: no gateway may be cut off for that with all that it has open.
         """
         connection.unproven_repeats = {
             repeat: original
--- a/landingshift/net/routing/rpc_record.py
+++ b/landingshift/net/routing/rpc_record.py
@@ -21,7 +21,9 @@
     tenant_name: str = ""
     attempt_id: str | None = None  # of the client's attempt, where the installation names a field for it
     slot: int = -1  # in the table of RPCs in flight
-    job: ManagedRpc | None = None  # the admission controller's handle; None before it has seen it and once closed
+    job: ManagedRpc | None = (
+        None  # the admission controller's handle; None before it has seen it and once closed
+    )
     is_answered: bool = False
     is_held: bool = False  # its ok answer waits at the answer gate
     is_abandoned: bool = False  # nobody waits for its answer any more
--- a/landingshift/net/routing/shutdown.py
+++ b/landingshift/net/routing/shutdown.py
@@ -1,8 +1,8 @@
 """Graceful shutdown: answers all that was read, then lets the connections go, then ends the loop.
 
-Guarantee: what waited to be accepted or read at the notice is answered. The loop ends when every connection is
-gone; a gateway that keeps its side open is left to the kill, since a close over it could reset away answers that
-it has not read.
+Guarantee: what waited to be accepted or read at the notice is answered. The loop ends when every connection
+is gone; a gateway that keeps its side open is left to the kill, since a close over it could reset away
+answers that it has not read.
 """
 
 from __future__ import annotations
--- a/landingshift/net/transport/__init__.py
+++ b/landingshift/net/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets, time and numbered slots; knows no message."""
+"""Sockets, time and numbered slots, all on one loop; knows no message."""
--- a/landingshift/policies/service.py
+++ b/landingshift/policies/service.py
@@ -7,10 +7,11 @@
 from typing import TYPE_CHECKING, Any
 
 from landingshift import failpoints
-from landingshift.admission.controller import Server
+from landingshift.admission.controller import AdmissionController
 from landingshift.consensus.raft_log import BadJournal, Journal
 from landingshift.membership.messages import MemberRecord, MemberState
 from landingshift.membership.service import MembershipService
+from landingshift.net.routing.observers import AnswerKind
 from landingshift.net.transport.loop import Timer
 from landingshift.policies.document import LARGEST, Base
 from landingshift.policies.follower import Stage
@@ -62,7 +63,7 @@
         )
         self.follower = self.part.follower
         self.laid = 0  # the version that the module goes by
-        self.server: Server | None = None  # the module that was last told whether it may decide
+        self.server: AdmissionController | None = None  # the module that was last told whether it may decide
         self.may, self.looked = False, self.loop.now_ms  # when it looked whether it may
         self.full_since, self.save_at = -1.0, 0.0  # since when the disk takes nothing; next try
         self.timer: Timer | None = None
@@ -171,20 +172,20 @@
         may, self.looked = f.may(now), now
         if may != self.may or server is not self.server:
             self.may, self.server = may, server
-            if server.leave_at is None or not may:
-                server.now = self.loop.now_ms
-                server.stand_aside(not may)
-                self.router.needs_settle = True
+            if server.stop_at_ms is None or not may:
+                server.now_ms = self.loop.now_ms
+                server.set_standby(not may)
+                self.router.request_settle()
             if may:
                 self.router.health_reporter.release(self.name)
             self.log("policy_aside", on=not may, version=f.version, why="" if may else self.why())
 
-    def lay(self, server: Server) -> None:
+    def lay(self, server: AdmissionController) -> None:
         failpoints.reach("policies.laid")
         self.base.lay(self.follower.policy)
-        server.now = self.loop.now_ms
-        server.adopted()
-        self.router.needs_settle = True
+        server.now_ms = self.loop.now_ms
+        server.on_settings_changed()
+        self.router.request_settle()
         self.laid = self.follower.version
         self.log("policy_version", version=self.laid)
 
@@ -229,8 +230,8 @@
     def on_started(self, _rpc: RoutedRpc) -> None:
         self.note()
 
-    def on_answered(self, _rpc: RoutedRpc, how: str) -> None:
-        if how == "pushed_back" and self.may:
+    def on_answered(self, _rpc: RoutedRpc, kind: AnswerKind) -> None:
+        if kind is AnswerKind.REJECTED and self.may:
             self.note()
 
     def note(self) -> None:
@@ -315,7 +316,7 @@
                 if why:
                     raise ValueError(why)
                 self.log("policy_trusted", version=version)
-                self.router.needs_settle = True
+                self.router.request_settle()
                 return True
         raise ValueError("a version and its text are expected")
 
--- a/landingshift/testbed/processes/fault_proxy.py
+++ b/landingshift/testbed/processes/fault_proxy.py
@@ -12,8 +12,9 @@
 from random import Random
 from selectors import EVENT_READ
 
+from landingshift.net.transport.listener import Listener
 from landingshift.net.transport.loop import Loop
-from landingshift.net.transport.stream import Address, Listener, Stream, connect
+from landingshift.net.transport.stream import Address, Stream, connect
 
 HERE = "127.0.0.1"
 PIPES = 64  # connections at a time through one port
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -12,9 +12,9 @@
 from types import SimpleNamespace
 from typing import Any
 
-from landingshift.admission.interface import Effect
+from landingshift.admission.interface import Idempotency
 from landingshift.net.program.config import ServerConfigError, decode_config
-from landingshift.net.routing.engine import Engine as EngineLink
+from landingshift.net.routing.engine_link import EngineLink
 from landingshift.net.transport.loop import Loop
 from tests.helpers import CONFIG, Engine, Gateway, World, launch, until
 
@@ -63,7 +63,7 @@
                 config = changed("settings.extra.class-calls", calls)
                 config["settings"]["extra"]["class-skip-worth"] = skip
                 methods = decode_config(config, {}).settings.methods
-                self.assertEqual([(m.calls, m.skip_share) for m in methods], want)
+                self.assertEqual([(m.calls_downstream, m.degraded_value_fraction) for m in methods], want)
 
     def test_names_and_orders_of_another_site(self) -> None:
         config = changed("settings.classes", [
@@ -75,9 +75,9 @@
         config["settings"]["unknown"] = config["unknown"] = 5
         told = decode_config(config, {})
         self.assertEqual(
-            [(n, m.effect, m.deadline, m.repeat_window) for n, m in told.methods.items()],
-            [("probe", Effect.NON_IDEMPOTENT, 100.0, 0.0), ("giveUp", Effect.TOKENED, 200.0, 0.0),
-             ("a/b:c", Effect.IDEMPOTENT, 300.0, 0.0), ("x", Effect.NON_IDEMPOTENT, 400.0, 0.0)],
+            [(n, m.idempotency, m.deadline_ms, m.dedup_window_ms) for n, m in told.methods.items()],
+            [("probe", Idempotency.NON_IDEMPOTENT, 100.0, 0.0), ("giveUp", Idempotency.KEYED, 200.0, 0.0),
+             ("a/b:c", Idempotency.IDEMPOTENT, 300.0, 0.0), ("x", Idempotency.NON_IDEMPOTENT, 400.0, 0.0)],
         )  # fmt: skip
         self.assertEqual(list(told.tenants), ["Vargas y Hijos", "Ærø", "a\tb"])
 
@@ -118,7 +118,8 @@
         for door in doors:
             self.addCleanup(door.close)
         here, there = (door.getsockname() for door in doors)
-        link = EngineLink(loop, here, SimpleNamespace(engine_up=repr, stats=repr), lambda *_, **__: None)
+        link = EngineLink(loop, here, lambda *_, **__: None)
+        link.start(SimpleNamespace(on_engine_up=repr, on_gauges=repr))  # type: ignore[arg-type]
         peer = doors[0].accept()[0]
         self.addCleanup(peer.close)
         peer.sendall(b"HELLO old 60000\r\nSTATS s1 0.2 1 0.1 3\r\n")
@@ -126,13 +127,13 @@
         def ready() -> bool:
             loop.after(0.0, lambda: None)
             loop.run_pass()
-            return link.ready
+            return link.is_ready
 
         until(ready)
         stream = link.stream
         assert stream is not None
         self.addCleanup(stream.sock.close)
-        link.say(SimpleNamespace(command=None), b"RUN a m 0\r\n\r\n", True)  # type: ignore[arg-type]
+        link.send_command(object(), b"RUN a m 0\r\n\r\n", starts_run=True)  # type: ignore[arg-type]
         link.move(there)
         link.move(here)
         self.assertEqual((link.stream is stream, stream.is_open, link.address), (True, True, here))
