--- a/landingshift/cli/fleet.py
+++ b/landingshift/cli/fleet.py
@@ -34,7 +34,7 @@
         )
     try:
         found = next(
-            (f.settings for f in features.load_features(path, every=True) if f.table == "fleet"), None
+            (f.settings for f in features.load_features(path, include_off=True) if f.table == "fleet"), None
         )
     except features.FeatureConfigError as err:
         raise Told(str(err)) from err
--- a/landingshift/cli/ledger.py
+++ b/landingshift/cli/ledger.py
@@ -43,7 +43,7 @@
         raise Told(f"--toml or {features.SETTINGS_FILE_VARIABLE} is to name the file with [ledger]")
     try:
         found = next(
-            (f.settings for f in features.load_features(path, every=True) if f.table == "ledger"), None
+            (f.settings for f in features.load_features(path, include_off=True) if f.table == "ledger"), None
         )
     except features.FeatureConfigError as err:
         raise Told(str(err)) from err
--- a/landingshift/net/program/__init__.py
+++ b/landingshift/net/program/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration, log, signals and wiring."""
+"""The program: its configuration, log, signals and wiring."""
--- a/landingshift/net/program/features.py
+++ b/landingshift/net/program/features.py
@@ -1,4 +1,4 @@
-"""Our own settings: one TOML file, one table a subsystem; what it does not name stays off and unloaded.
+"""Our own settings: one TOML file, one table a package; what it does not name stays off and unloaded.
 
 A package that can be switched on has a module `settings` with the struct `Settings` (msgspec, unknown keys
 refused) and `check(settings, folder)`, which raises `ValueError("key: what is wrong")`, and a module
@@ -15,10 +15,21 @@
 from importlib import import_module
 from typing import TYPE_CHECKING, Any, Protocol
 
+from landingshift.net.program.feature_errors import (
+    FeatureConfigError,
+    InvalidTableError,
+    NeededTableError,
+    TableExpectedError,
+    UnknownTableError,
+)
+
 if TYPE_CHECKING:
     from landingshift.net.routing.router import Router
 
-PACKAGES = {  # table of the file, package
+__all__ = ["Feature", "FeatureConfigError", "Service", "ServiceHost", "decode_features", "load_features"]
+
+# Table of the file and the package that it is for, in the order in which packages are attached.
+PACKAGES = {
     "ledger": "landingshift.ledger",
     "fleet": "landingshift.membership",
     "coldstart": "landingshift.coldstart",
@@ -28,68 +39,98 @@
 SETTINGS_FILE_VARIABLE = "LANDINGSHIFT_TOML"
 
 
-class FeatureConfigError(Exception):
-    """The text names file, table and key."""
-
-
 class Service(Protocol):
+    """What a package has attached to the server."""
+
     def finish(self) -> None:
         """Called once the loop has ended; may block for a moment, no longer than the process has left."""
 
 
 @dataclass(slots=True)
 class ServiceHost:
-    """What a service is given to wire itself to the loop."""
+    """What a service is given to wire itself to the loop.
+
+    Attributes:
+        services: Those attached so far, by their tables.
+    """
 
     router: Router
     log: Callable[..., None]
-    services: dict[str, Service] = field(default_factory=dict)  # those attached so far, by their tables
+    services: dict[str, Service] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class Feature:
+    """A package that the file names.
+
+    Attributes:
+        table: Of the file.
+        settings: The package's own struct.
+    """
+
     table: str
     settings: Any
 
     def attach(self, host: ServiceHost) -> Service:
+        """Starts the package's service.
+
+        Raises:
+            InvalidTableError: What the settings name can't be used.
+        """
+        module = import_module(f"{PACKAGES[self.table]}.service")
         try:
-            service: Service = import_module(f"{PACKAGES[self.table]}.service").attach(host, self.settings)
+            service: Service = module.attach(host, self.settings)
         except ValueError as err:
-            raise FeatureConfigError(f"[{self.table}] {err}") from err
+            raise InvalidTableError("", self.table, str(err)) from err
         host.services[self.table] = service
         return service
 
 
-def decode_features(data: dict[str, Any], path: str, every: bool = False) -> list[Feature]:
-    """Those that are on; `every`: all that the file names."""
-    import msgspec
+def decode_features(data: dict[str, Any], path: str, include_off: bool = False) -> list[Feature]:
+    """The packages of decoded TOML, in the order in which they are attached.
 
-    features = []
-    for table, values in data.items():
-        if table not in PACKAGES:
-            raise FeatureConfigError(f"{path}: [{table}]: no such table; there is {', '.join(PACKAGES)}")
-        if not isinstance(values, dict):
-            raise FeatureConfigError(f"{path}: {table}: a table is expected")
-        part = import_module(f"{PACKAGES[table]}.settings")
-        try:
-            settings = msgspec.convert(values, part.Settings)
-            part.check(settings, os.path.dirname(os.path.abspath(path)))
-        except msgspec.ValidationError as err:
-            raise FeatureConfigError(f"{path}: [{table}] {told(str(err))}") from err
-        except ValueError as err:
-            raise FeatureConfigError(f"{path}: [{table}] {err}") from err
-        if settings.on or every:
-            features.append(Feature(table, settings))
-    on = {f.table for f in features if f.settings.on}
+    Args:
+        data: The decoded file.
+        path: Of the file, for errors and paths relative to it.
+        include_off: Not only those that are switched on.
+
+    Raises:
+        FeatureConfigError: A table can't be used.
+    """
+    features = [_decode_table(table, values, path) for table, values in data.items()]
+    features = [feature for feature in features if feature.settings.on or include_off]
+    on = {feature.table for feature in features if feature.settings.on}
     for feature in features:
-        for need in getattr(feature.settings, "needs", ()):
-            if feature.settings.on and need not in on:
-                raise FeatureConfigError(f"{path}: [{feature.table}] needs the table [{need}], switched on")
-    return sorted(features, key=lambda f: list(PACKAGES).index(f.table))
+        for needed in getattr(feature.settings, "needs", ()):
+            if feature.settings.on and needed not in on:
+                raise NeededTableError(path, feature.table, needed)
+    order = list(PACKAGES)
+    return sorted(features, key=lambda feature: order.index(feature.table))
+
+
+def _decode_table(table: str, values: Any, path: str) -> Feature:
+    import msgspec
 
+    if table not in PACKAGES:
+        raise UnknownTableError(path, table, PACKAGES)
+    if not isinstance(values, dict):
+        raise TableExpectedError(path, table)
+    package_settings = import_module(f"{PACKAGES[table]}.settings")
+    try:
+        settings = msgspec.convert(values, package_settings.Settings)
+        package_settings.check(settings, os.path.dirname(os.path.abspath(path)))
+    except msgspec.ValidationError as err:
+        raise InvalidTableError(path, table, _key_first(str(err))) from err
+    except ValueError as err:
+        raise InvalidTableError(path, table, str(err)) from err
+    return Feature(table, settings)
+
+
+def _key_first(text: str) -> str:
+    """An error of msgspec with the key in front.
 
-def told(text: str) -> str:
-    """msgspec says `what - at `$.key``, or names an unknown key in the text: the key comes first here."""
+    It says `what - at `$.key``, or names an unknown key in the text.
+    """
     what, _, where = text.partition(" - at `$.")
     if where:
         return f"{where.rstrip('`')}: {what}"
@@ -98,14 +139,23 @@
     return what
 
 
-def load_features(path: str | None, every: bool = False) -> list[Feature]:
+def load_features(path: str | None, include_off: bool = False) -> list[Feature]:
+    """The packages that the file of our own settings names; none where there is no file.
+
+    Args:
+        path: Of the file.
+        include_off: Not only those that are switched on.
+
+    Raises:
+        FeatureConfigError: The file or a table of it can't be used.
+    """
     if not path:
         return []
     try:
         with open(path, "rb") as file:
             data = tomllib.load(file)
     except OSError as err:
-        raise FeatureConfigError(f"{path}: {err.strerror}") from err
+        raise FeatureConfigError(path, str(err.strerror)) from err
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as err:
-        raise FeatureConfigError(f"{path}: {err}") from err
-    return decode_features(data, path, every)
+        raise FeatureConfigError(path, str(err)) from err
+    return decode_features(data, path, include_off)
--- a/landingshift/net/program/main.py
+++ b/landingshift/net/program/main.py
@@ -5,90 +5,87 @@
 import gc
 import os
 import signal
-import socket
 import sys
 import traceback
-from collections.abc import Callable
-from selectors import EVENT_READ
 
 from landingshift.net.program import features
 from landingshift.net.program.config import ServerConfigError, load_config
-from landingshift.net.program.log import Log
+from landingshift.net.program.config_errors import ListenError
+from landingshift.net.program.log import EventLog
+from landingshift.net.program.signals import SignalWatcher
+from landingshift.net.routing.observers import TRACE_LINES
 from landingshift.net.routing.router import Router
+from landingshift.net.routing.server_config import ServerConfig
 from landingshift.net.transport.loop import Loop
 
+EXIT_OK = 0
+EXIT_UNUSABLE_SETTINGS = 2
+GC_THRESHOLDS = (20_000, 20, 50)  # collections are rarer than by default: one falls into a pass of the loop
 
-class Signals:
-    """Turns signals into events of the loop; from its making on none of them ends the program."""
 
-    def __init__(self, loop: Loop) -> None:
-        self.loop = loop
-        self.heard: Callable[[int, float], None] = lambda number, at: None
-        self.came: dict[int, float] = {}  # when the first of its kind came that is not told yet
-        self.seen, self.wakes = socket.socketpair()
-        self.seen.setblocking(False)
-        self.wakes.setblocking(False)
-        signal.set_wakeup_fd(self.wakes.fileno(), warn_on_full_buffer=False)
-        for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
-            signal.signal(number, self.note)
-        loop.watch(self.seen.fileno(), EVENT_READ, self)
+def main(toml: str | None = None) -> int:
+    """Serves until told to leave.
 
-    def note(self, number: int, _frame: object) -> None:
-        """Called in the midst of a pass: a notice counts from now on, not from when the pass is over."""
-        self.came.setdefault(number, self.loop.clock_ms())
+    Args:
+        toml: Path of our own settings; else the environment names it.
 
-    def on_ready(self, _mask: int) -> None:
-        for number in sorted(set(self.seen.recv(64))):  # many of one kind want no more than one
-            self.heard(number, self.came.pop(number, self.loop.now_ms))
+    Returns:
+        The exit status: 2 for settings that can't be used.
+    """
+    log = EventLog(sys.stdout.fileno())
+    loop = Loop(lambda: log("fault", trace=traceback.format_exc(limit=-TRACE_LINES)))
+    signals = SignalWatcher(loop)
+    try:
+        config = load_config(os.environ)
+        switched_on = features.load_features(toml or os.environ.get(features.SETTINGS_FILE_VARIABLE))
+        router = _make_router(loop, config, log)
+        host = features.ServiceHost(router, log)
+        services = [feature.attach(host) for feature in switched_on]
+    except (ServerConfigError, features.FeatureConfigError, ListenError) as err:
+        sys.stderr.write(f"landingshift: {err}\n")
+        return EXIT_UNUSABLE_SETTINGS
+    signals.on_signal = lambda number, came_ms: _on_signal(router, log, number, came_ms)
+    _tune_collector()
+    log(
+        "started",
+        name=config.name,
+        listen=router.gateways.listener.address,
+        cold=config.settings.starts_cold,
+    )
+    loop.run()
+    for service in reversed(services):  # what one says at its end may go by another
+        service.finish()
+    log("stopped", connections=len(router.gateways.connections))
+    signals.close()
+    return EXIT_OK
 
 
-def reload(router: Router, log: Log) -> None:
+def _make_router(loop: Loop, config: ServerConfig, log: EventLog) -> Router:
     try:
-        site = load_config(os.environ)
-    except ServerConfigError as err:
-        log("reload_failed", error=str(err))  # the old configuration stays
+        return Router(loop, config, log)
+    except OSError as err:
+        raise ListenError(config.listen, str(err.strerror)) from err
+
+
+def _on_signal(router: Router, log: EventLog, number: int, came_ms: float) -> None:
+    """SIGHUP has the configuration read again; all others are the notice to leave."""
+    if number == signal.SIGHUP:
+        _reload(router, log)
     else:
-        router.reload(site)
+        router.drain(came_ms)
 
 
-def main(toml: str | None = None) -> int:
-    """Serves until told to leave; exit status 2 for settings that can't be used. `toml`: our own settings."""
-    log = Log(sys.stdout.fileno())
-    loop = Loop(lambda: log("fault", trace=traceback.format_exc(limit=-6)))
-    signals = Signals(loop)
+def _reload(router: Router, log: EventLog) -> None:
     try:
-        site = load_config(os.environ)
-        switched_on = features.load_features(toml or os.environ.get(features.SETTINGS_FILE_VARIABLE))
-    except (ServerConfigError, features.FeatureConfigError) as err:
-        sys.stderr.write(f"landingshift: {err}\n")
-        return 2
-    try:
-        router = Router(loop, site, log)
-    except OSError as err:
-        sys.stderr.write(f"landingshift: listen: {site.listen[0]}:{site.listen[1]}: {err.strerror}\n")
-        return 2
-    try:
-        host = features.ServiceHost(router, log)
-        services = [feature.attach(host) for feature in switched_on]
-    except features.FeatureConfigError as err:
-        sys.stderr.write(f"landingshift: {err}\n")
-        return 2
+        config = load_config(os.environ)
+    except ServerConfigError as err:
+        log("reload_failed", error=str(err))  # the old configuration stays
+    else:
+        router.reload(config)
 
-    def heard(number: int, at: float) -> None:
-        if number == signal.SIGHUP:
-            reload(router, log)
-        else:
-            router.drain(at)
 
-    signals.heard = heard
-    # What is there now stays: collections need not look at it again, and are short.
+def _tune_collector() -> None:
+    """What is there now stays: collections need not look at it again, and are short."""
     gc.collect()
     gc.freeze()
-    gc.set_threshold(20_000, 20, 50)
-    log("started", name=site.name, listen=router.gateways.listener.address, cold=site.settings.starts_cold)
-    loop.run()
-    for service in reversed(services):  # what one says at its end may go by another
-        service.finish()
-    log("stopped", connections=len(router.gateways.connections))
-    signals.seen.close()
-    return 0
+    gc.set_threshold(*GC_THRESHOLDS)
--- /dev/null
+++ b/landingshift/net/program/signals.py
@@ -0,0 +1,49 @@
+"""Signals as events of the loop."""
+
+from __future__ import annotations
+
+import signal
+import socket
+from collections.abc import Callable
+from selectors import EVENT_READ
+
+from landingshift.net.transport.loop import Loop
+
+WATCHED_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
+MAX_SIGNALS_PER_READ = 64
+
+
+class SignalWatcher:
+    """Turns signals into events of the loop; from its making on none of them ends the program.
+
+    Attributes:
+        on_signal: Called with the signal's number and the loop's time at which it came.
+        came_ms: When the first of its kind came that was not passed on yet.
+    """
+
+    def __init__(self, loop: Loop) -> None:
+        self.loop = loop
+        self.on_signal: Callable[[int, float], None] | None = None
+        self.came_ms: dict[int, float] = {}
+        self.reader, self.writer = socket.socketpair()
+        self.reader.setblocking(False)
+        self.writer.setblocking(False)
+        signal.set_wakeup_fd(self.writer.fileno(), warn_on_full_buffer=False)
+        for number in WATCHED_SIGNALS:
+            signal.signal(number, self._note)
+        loop.watch(self.reader.fileno(), EVENT_READ, self)
+
+    def _note(self, number: int, _frame: object) -> None:
+        """Called in the midst of a pass: a notice counts from now on, not from when the pass is over."""
+        self.came_ms.setdefault(number, self.loop.clock_ms())
+
+    def on_ready(self, _mask: int) -> None:
+        """Passes on what has come; many of one kind want no more than one."""
+        for number in sorted(set(self.reader.recv(MAX_SIGNALS_PER_READ))):
+            came_ms = self.came_ms.pop(number, self.loop.now_ms)
+            if self.on_signal is not None:
+                self.on_signal(number, came_ms)
+
+    def close(self) -> None:
+        """Watches no more."""
+        self.reader.close()
--- a/landingshift/net/routing/rpc_table.py
+++ b/landingshift/net/routing/rpc_table.py
@@ -31,10 +31,13 @@
         return self.slots.get(slot) if slot is not None else None
 
     def __contains__(self, rpc_id: bytes) -> bool:
+        """Whether an RPC with this id is in flight."""
         return rpc_id in self.slot_by_id
 
     def __len__(self) -> int:
+        """RPCs in flight."""
         return len(self.slot_by_id)
 
     def __iter__(self) -> Iterator[RoutedRpc]:
+        """The RPCs in flight, in the order of their slots."""
         return iter(self.slots)
--- a/landingshift/net/transport/slots.py
+++ b/landingshift/net/transport/slots.py
@@ -43,7 +43,9 @@
             self.free.append(index)
 
     def __len__(self) -> int:
+        """Entries in the table."""
         return len(self.items) - len(self.free)
 
     def __iter__(self) -> Iterator[T]:
+        """The entries, in the order of their slots; the table may change meanwhile."""
         return (item for item in list(self.items) if item is not None)
--- a/landingshift/net/transport/stream.py
+++ b/landingshift/net/transport/stream.py
@@ -285,6 +285,7 @@
     """A stream on its way, or the reason why there is none.
 
     Args:
+        loop: Of the stream.
         address: To connect to.
         owner: Of the stream.
         max_unsent_bytes: Of the stream.
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -10,7 +10,7 @@
 import msgpack
 
 from landingshift.admission.interface import Idempotency
-from landingshift.net.program.main import Signals
+from landingshift.net.program.signals import SignalWatcher
 from landingshift.net.transport.loop import Loop
 from tests.helpers import METHOD, Bench, Engine, Gateway, World, until
 from tests.test_connections import Door
@@ -244,15 +244,15 @@
         # A pass of the loop may take long; what comes after the grace must not run for that.
         loop, heard = Loop(lambda: None), []
         kept = {n: signal.getsignal(n) for n in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)}
-        signals = Signals(loop)
+        signals = SignalWatcher(loop)
         for number, handler in kept.items():
             self.addCleanup(signal.signal, number, handler)
         self.addCleanup(signal.set_wakeup_fd, -1)
-        self.addCleanup(signals.seen.close)
-        self.addCleanup(signals.wakes.close)
-        signals.heard = lambda number, at: heard.append((number, at))
+        self.addCleanup(signals.reader.close)
+        self.addCleanup(signals.writer.close)
+        signals.on_signal = lambda number, at: heard.append((number, at))
         os.kill(os.getpid(), signal.SIGTERM)
-        until(lambda: signal.SIGTERM in signals.came)
+        until(lambda: signal.SIGTERM in signals.came_ms)
         after = loop.clock_ms()
         until(lambda: loop.clock_ms() > after + 20.0)  # the rest of a long pass
         loop.run_pass()
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -11,7 +11,7 @@
 
 from landingshift.admission.interface import Idempotency, Outcome
 from landingshift.net.program import config
-from landingshift.net.program.log import Log
+from landingshift.net.program.log import EventLog
 from landingshift.net.protocol import engine, gateway
 from landingshift.net.protocol.lines import ProtocolError
 from landingshift.net.routing.database_pool import DatabasePool
@@ -214,7 +214,7 @@
 class Lines(unittest.TestCase):
     def test_a_log_that_nobody_reads_holds_nothing_up(self) -> None:
         reads, writes = os.pipe()
-        log = Log(writes)
+        log = EventLog(writes)
         for i in range(3000):
             log("mode", text="x" * 100, i=i)
         self.assertGreater(log.lost, 0)
