--- a/landingshift/coldstart/service.py
+++ b/landingshift/coldstart/service.py
@@ -57,7 +57,7 @@
         self.saved: list[Address] = []
         self.shared = -1.0
         self.noted: dict[str, tuple[float, ...]] = {}
-        self.router.health_reporter.hold_back(self.name)
+        self.router.health_reporter.add_readiness_gate(self.name)
         self.router.observers.add(self)
         fleet.operator_rpc.handlers |= {"coldstart": self.status, "lent": self.lent}
         self.node.message_handlers[PACKAGE] = self.hear
@@ -154,7 +154,7 @@
                 members=members,
             )
             if start.is_open:
-                self.router.health_reporter.release(self.name)
+                self.router.health_reporter.remove_readiness_gate(self.name)
         if failpoints.history:
             self.note()
         self.hand_share(now)
--- a/landingshift/hot_restart/state.py
+++ b/landingshift/hot_restart/state.py
@@ -65,8 +65,8 @@
     "probes": "health_check_count",
     "bad": "invalid_count",
     "fault": "last_invalid_field",
-    "away": "goaway_until_ms",
-    "proven": "is_proven",
+    "away": "goaway_deadline_ms",
+    "proven": "is_verified",
     "born": "accepted_ms",
     "heard": "last_message_ms",
     "half": "partial_since_ms",
@@ -77,9 +77,9 @@
     "links": "link_count",
     "tags": "tag_count",
     "ready": "is_ready",
-    "met": "has_met_engine",
+    "met": "has_reached_engine",
     "greeted": "is_greeted",
-    "moving": "is_moving",
+    "moving": "is_changing_address",
     "linked": "linked_at_ms",
     "lost": "lost_at_ms",
     "heard": "answered_at_ms",
@@ -198,7 +198,7 @@
     def give(self) -> tuple[bytes, list[int]]:
         """The state, and the descriptors it speaks of, the listener first; all stay the old process's own."""
         r = self.router
-        r.engine.give_up_self_tests()
+        r.engine.abandon_self_tests()
         self.fds.append(r.gateways.listener.sock.fileno())
         module, jobs = r.admission.export_state() if r.admission is not None else (None, [])
         rpcs: list[RoutedRpc] = [job.rpc for job in jobs if isinstance(job.rpc, RoutedRpc)]
@@ -284,7 +284,7 @@
                 command.starts_run,
                 command.stream_end,
                 command.is_in_doubt,
-                command.is_held_back,
+                command.is_withheld,
             ]
             if command is not None
             else None,
--- a/landingshift/ledger/service.py
+++ b/landingshift/ledger/service.py
@@ -146,7 +146,7 @@
 
     # Ok answers
 
-    def hold_answer(self, rpc: RoutedRpc, result: bytes, work: float) -> bool:
+    def defer_answer(self, rpc: RoutedRpc, result: bytes, work: float) -> bool:
         assert rpc.job is not None
         raw = self.use(rpc, result, work)
         if not self.outbox.add(raw):
@@ -163,7 +163,7 @@
         self.soonest = min(self.soonest, held.due)
         return True
 
-    def release_by(self, by: float) -> None:
+    def flush_by(self, by: float) -> None:
         self.by = by
         for held in self.held.values():
             held.due = min(held.due, by)
@@ -185,7 +185,7 @@
         self.dropped += 1
         self.mode(True)
         if self.settings.stuck == "abort":
-            self.router.answers.abort_held(rpc)
+            self.router.answers.abort_deferred(rpc)
             return True
         return False
 
@@ -200,7 +200,7 @@
     def let_go(self, held: Held) -> None:
         result = self.take_out(held)
         failpoints.reach("ledger.answering")
-        self.router.answers.send_held(held.rpc, result)
+        self.router.answers.send_deferred(held.rpc, result)
         self.unless_answered(held)
 
     def take_out(self, held: Held) -> bytes:
@@ -269,7 +269,7 @@
             self.mode(True)
             if self.settings.stuck == "abort":
                 self.take_out(held)
-                self.router.answers.abort_held(held.rpc)
+                self.router.answers.abort_deferred(held.rpc)
                 self.unless_answered(held)
             else:
                 self.let_go(held)
--- a/landingshift/net/program/config.py
+++ b/landingshift/net/program/config.py
@@ -24,7 +24,7 @@
 LISTEN_VARIABLE = "GW_LISTEN"
 DEFAULT_STOP_MS = 3000
 DEFAULT_MEMORY_MB = 192
-DEFAULT_SOCKETS = 1024
+DEFAULT_SOCKET_COUNT = 1024
 
 
 def decode_config(data: Any, env: Mapping[str, str]) -> ServerConfig:
@@ -42,12 +42,12 @@
     settings = top.inner("settings")
     decoded = _decode_settings(settings)
     extra = settings.inner("extra")
-    gauges = extra.take("gauges", list, "a list", [])
-    methods = settings.check_unique("classes", [one.word("name") for one in settings.entries("classes")])
+    gauges = extra.value("gauges", list, "a list", [])
+    methods = settings.check_unique("classes", [one.token("name") for one in settings.entries("classes")])
     # A tenant's name goes into no line: it may have spaces, as operators write them.
     tenants = settings.check_unique("orgs", [one.text("name") for one in settings.entries("orgs")])
     return ServerConfig(
-        name=top.word("name", env.get(NAME_VARIABLE, REQUIRED)),
+        name=top.token("name", env.get(NAME_VARIABLE, REQUIRED)),
         listen=top.address("listen", env.get(LISTEN_VARIABLE, REQUIRED)),
         engine=top.address("engine"),
         database=top.address("db") if decoded.downstream is not DownstreamKind.NONE else None,
@@ -55,7 +55,7 @@
         seed=top.hex_number("seed"),
         stop_ms=top.number("stop_ms", 1.0, 1e7, DEFAULT_STOP_MS),
         memory_mb=limits.number("memory_mb", 16.0, 1e6, DEFAULT_MEMORY_MB),
-        max_sockets=int(limits.number("sockets", 32.0, 1e6, DEFAULT_SOCKETS)),
+        max_sockets=int(limits.number("sockets", 32.0, 1e6, DEFAULT_SOCKET_COUNT)),
         settings=decoded,
         methods=dict(zip(methods, decoded.methods, strict=True)),
         tenants=dict(zip(tenants, decoded.tenants, strict=True)),
--- a/landingshift/net/program/config_reader.py
+++ b/landingshift/net/program/config_reader.py
@@ -40,7 +40,7 @@
         """The key with those of the objects around it."""
         return f"{self.path}.{key}" if self.path else key
 
-    def take(self, key: str, kinds: Any, expected: str, default: Any) -> Any:
+    def value(self, key: str, kinds: Any, expected: str, default: Any) -> Any:
         """The value of a key.
 
         Args:
@@ -60,16 +60,16 @@
 
     def inner(self, key: str, default: Any = REQUIRED) -> ConfigReader:
         """The object of a key."""
-        return ConfigReader(self.take(key, dict, "an object", default), self.full_key(key))
+        return ConfigReader(self.value(key, dict, "an object", default), self.full_key(key))
 
     def text(self, key: str, default: Any = REQUIRED) -> str:
         """A text that is not empty."""
-        value: str = self.take(key, str, "a text", default)
+        value: str = self.value(key, str, "a text", default)
         if not value:
             raise UnexpectedValueError(self.full_key(key), "a text", value)
         return value
 
-    def word(self, key: str, default: Any = REQUIRED) -> str:
+    def token(self, key: str, default: Any = REQUIRED) -> str:
         """A text that may stand in lines of words."""
         value = self.text(key, default)
         if not value.isprintable() or " " in value:
@@ -78,14 +78,14 @@
 
     def number(self, key: str, low: float, high: float, default: Any = REQUIRED) -> float:
         """A number from `low` to `high`, both included."""
-        value = self.take(key, int | float, "a number", default)
+        value = self.value(key, int | float, "a number", default)
         if not low <= value <= high:
             raise OutOfRangeError(self.full_key(key), value, low, high)
         return float(value)
 
     def hex_number(self, key: str) -> int:
         """A whole number in hex digits."""
-        value = self.word(key)
+        value = self.token(key)
         try:
             return int(value, 16)
         except ValueError as err:
@@ -96,7 +96,7 @@
 
         Names are not looked up: that would hold up the one loop, and there may be nobody to ask.
         """
-        value = self.word(key, default)
+        value = self.token(key, default)
         host, _, port = value.rpartition(":")
         try:
             address = str(IPv4Address(host)), int(port)
@@ -108,7 +108,7 @@
 
     def entries(self, key: str) -> list[ConfigReader]:
         """The objects of a list; none where the key is not there."""
-        values = self.take(key, list, "a list", [])
+        values = self.value(key, list, "a list", [])
         return [ConfigReader(value, f"{self.full_key(key)}[{i}]") for i, value in enumerate(values)]
 
     def check_unique(self, key: str, names: list[str]) -> list[str]:
--- a/landingshift/net/program/main.py
+++ b/landingshift/net/program/main.py
@@ -13,7 +13,7 @@
 from landingshift.net.program.config_errors import ListenError
 from landingshift.net.program.log import EventLog
 from landingshift.net.program.signals import SignalWatcher
-from landingshift.net.routing.observers import TRACE_LINES
+from landingshift.net.routing.observers import MAX_TRACE_FRAMES
 from landingshift.net.routing.router import Router
 from landingshift.net.routing.server_config import ServerConfig
 from landingshift.net.transport.loop import Loop
@@ -33,7 +33,7 @@
         The exit status: 2 for settings that can't be used.
     """
     log = EventLog(sys.stdout.fileno())
-    loop = Loop(lambda: log("fault", trace=traceback.format_exc(limit=-TRACE_LINES)))
+    loop = Loop(lambda: log("fault", trace=traceback.format_exc(limit=-MAX_TRACE_FRAMES)))
     signals = SignalWatcher(loop)
     try:
         config = load_config(os.environ)
--- a/landingshift/net/protocol/database.py
+++ b/landingshift/net/protocol/database.py
@@ -8,9 +8,9 @@
 from landingshift.admission.interface import Outcome
 from landingshift.net.protocol.lines import LineDecoder, ProtocolError, encode_line
 
-WORD_WITH_BODY = b"ROWS"
-OUTCOME_BY_WORD = {
-    WORD_WITH_BODY: Outcome.OK,
+STATUS_WITH_BODY = b"ROWS"
+OUTCOME_BY_STATUS = {
+    STATUS_WITH_BODY: Outcome.OK,
     b"FULL": Outcome.REJECTED,
     b"FAIL": Outcome.ABORTED,
     b"TIMEOUT": Outcome.NO_RESPONSE,
@@ -27,8 +27,8 @@
     rows: bytes  # empty unless the outcome is OK
 
 
-def _has_body(words: list[bytes]) -> bool:
-    return len(words) == 3 and words[1] == WORD_WITH_BODY
+def _has_body(tokens: list[bytes]) -> bool:
+    return len(tokens) == 3 and tokens[1] == STATUS_WITH_BODY
 
 
 class ReplyDecoder:
@@ -44,12 +44,12 @@
         Raises:
             ProtocolError: What follows the replies given out so far is none.
         """
-        for words, body in self.lines.feed(data):
-            if len(words) < 2 or words[1] not in OUTCOME_BY_WORD:
+        for tokens, body in self.lines.feed(data):
+            if len(tokens) < 2 or tokens[1] not in OUTCOME_BY_STATUS:
                 raise ProtocolError("bad_line")
-            if len(words) != 2 + (words[1] == WORD_WITH_BODY):
+            if len(tokens) != 2 + (tokens[1] == STATUS_WITH_BODY):
                 raise ProtocolError("bad_line")
-            yield Reply(words[0], OUTCOME_BY_WORD[words[1]], body)
+            yield Reply(tokens[0], OUTCOME_BY_STATUS[tokens[1]], body)
 
     @property
     def has_partial_reply(self) -> bool:
--- a/landingshift/net/protocol/engine.py
+++ b/landingshift/net/protocol/engine.py
@@ -8,7 +8,7 @@
 from landingshift.admission.interface import Outcome
 from landingshift.net.protocol.lines import LineDecoder, ProtocolError, decode_number, encode_line
 
-OUTCOME_BY_WORD = {
+OUTCOME_BY_STATUS = {
     b"good": Outcome.OK,
     b"bad": Outcome.ABORTED,
     b"cut": Outcome.CANCELLED,
@@ -80,17 +80,17 @@
 Message = Hello | NumberedNotice | GaugeReport | SelfTestResult | CommandRefused
 
 
-def _has_body(words: list[bytes]) -> bool:
-    return (words[0] == b"DONE" and len(words) == 6) or words[0] == b"NEED"
+def _has_body(tokens: list[bytes]) -> bool:
+    return (tokens[0] == b"DONE" and len(tokens) == 6) or tokens[0] == b"NEED"
 
 
-def _decode(words: list[bytes], body: bytes) -> Message:
+def _decode(tokens: list[bytes], body: bytes) -> Message:
     try:
-        match words:
+        match tokens:
             case [b"HELLO", state, age]:
                 return Hello(state == b"new", float(age))
             case [b"DONE", number, rpc_id, end, elapsed, *_]:
-                outcome = OUTCOME_BY_WORD[end]
+                outcome = OUTCOME_BY_STATUS[end]
                 return RunEnded(decode_number(number), rpc_id, outcome, float(elapsed), body)
             case [b"NEED", number, rpc_id, _]:
                 return CallNeeded(decode_number(number), rpc_id, body)
@@ -119,8 +119,8 @@
         Raises:
             ProtocolError: What follows the messages given out so far is none.
         """
-        for words, body in self.lines.feed(data):
-            yield _decode(words, body)
+        for tokens, body in self.lines.feed(data):
+            yield _decode(tokens, body)
 
 
 def encode_attach(last_notice_number: int) -> bytes:
--- a/landingshift/net/protocol/gateway.py
+++ b/landingshift/net/protocol/gateway.py
@@ -144,15 +144,15 @@
     raise ProtocolError("bad_message")
 
 
-def _number(told: dict[Any, Any], name: str, low: float, high: float) -> float:
-    value = told.get(name)
+def _number(values: dict[Any, Any], name: str, low: float, high: float) -> float:
+    value = values.get(name)
     if not isinstance(value, str) or not NUMBER.fullmatch(value) or not low <= float(value) <= high:
         raise InvalidFieldError(name)
     return float(value)
 
 
-def _text(told: dict[Any, Any], name: str) -> str | None:
-    value = told.get(name)
+def _text(values: dict[Any, Any], name: str) -> str | None:
+    value = values.get(name)
     if value is not None and not isinstance(value, str):
         raise InvalidFieldError(name)
     return value or None
@@ -169,28 +169,28 @@
         InvalidFieldError: A field is missing or out of its range.
     """
     match params:
-        case [dict(told), bytes(body)]:
+        case [dict(values), bytes(body)]:
             pass
         case _:
             raise InvalidFieldError("params")
     if len(body) > MAX_BODY_BYTES:
         raise InvalidFieldError("body")
-    rpc_id = told.get("id")
+    rpc_id = values.get("id")
     if not isinstance(rpc_id, str) or not RPC_ID.fullmatch(rpc_id):
         raise InvalidFieldError("id")  # it goes into lines of words: anything else could forge a command
     return RequestFields(
         rpc_id=rpc_id.encode(),
-        arrived_unix_ms=_number(told, "at", 0.0, MAX_UNIX_MS),
-        caller_id=int(_number(told, "from", 0.0, MAX_CALLER)),
-        tenant=_text(told, "tenant") or "",
-        wait_ms=_number(told, "wait", 0.0, MAX_TIME_MS) if "wait" in told else None,
-        memory_kb=_number(told, "kb", MIN_MEMORY_KB, MAX_MEMORY_KB),
-        cache_key=_text(told, "key"),
-        idempotency_key=_text(told, "once"),
-        work_hint_ms=_number(told, "cost", 0.0, MAX_TIME_MS) if "cost" in told else None,
-        is_retry=told.get("retry") == "1",
+        arrived_unix_ms=_number(values, "at", 0.0, MAX_UNIX_MS),
+        caller_id=int(_number(values, "from", 0.0, MAX_CALLER)),
+        tenant=_text(values, "tenant") or "",
+        wait_ms=_number(values, "wait", 0.0, MAX_TIME_MS) if "wait" in values else None,
+        memory_kb=_number(values, "kb", MIN_MEMORY_KB, MAX_MEMORY_KB),
+        cache_key=_text(values, "key"),
+        idempotency_key=_text(values, "once"),
+        work_hint_ms=_number(values, "cost", 0.0, MAX_TIME_MS) if "cost" in values else None,
+        is_retry=values.get("retry") == "1",
         body=body,
-        attempt_id=_text(told, attempt_id_field) if attempt_id_field else None,
+        attempt_id=_text(values, attempt_id_field) if attempt_id_field else None,
     )
 
 
--- a/landingshift/net/protocol/lines.py
+++ b/landingshift/net/protocol/lines.py
@@ -36,10 +36,10 @@
 
 
 class LineDecoder:
-    """Splits a stream of bytes into lines of words and their bodies.
+    """Splits a stream of bytes into lines of tokens and their bodies.
 
     Args:
-        has_body: Whether a line of these words is followed by a body.
+        has_body: Whether a line of these tokens is followed by a body.
         body_always_ends_in_line_end: An empty body is followed by a line end, too; anything else there is an
             error. Otherwise a length of 0 may stand for no body at all.
     """
@@ -52,7 +52,7 @@
         self.buffer = bytearray()  # bytes of a line or body that is not complete yet
 
     def feed(self, data: bytes) -> Iterator[tuple[list[bytes], bytes]]:
-        """Yields words and body of each complete line.
+        """Yields tokens and body of each complete line.
 
         Raises:
             ProtocolError: What follows the lines given out so far is none.
@@ -61,36 +61,36 @@
         start = 0
         try:
             while True:
-                words_end = self.buffer.find(LINE_END, start)
-                if words_end < 0:
+                line_end = self.buffer.find(LINE_END, start)
+                if line_end < 0:
                     if len(self.buffer) - start > MAX_LINE_BYTES:
                         raise ProtocolError("long_line")
                     return
-                words = bytes(self.buffer[start:words_end]).split(b" ")
-                end = words_end + len(LINE_END)
+                tokens = bytes(self.buffer[start:line_end]).split(b" ")
+                end = line_end + len(LINE_END)
                 body = b""
-                if self.has_body(words):
-                    body_end = self._body_end(words, end)
+                if self.has_body(tokens):
+                    body_end = self._body_end(tokens, end)
                     if body_end > len(self.buffer):
                         return
-                    body = self._take_body(end, body_end)
+                    body = self._read_body(end, body_end)
                     end = body_end
                 start = end
-                if words != [b""]:  # the line end behind an empty body
-                    yield words, body
+                if tokens != [b""]:  # the line end behind an empty body
+                    yield tokens, body
         finally:
             del self.buffer[:start]
 
-    def _body_end(self, words: list[bytes], body_start: int) -> int:
+    def _body_end(self, tokens: list[bytes], body_start: int) -> int:
         """Where the body ends with its line end; the end of the line itself where there is no body."""
-        size = decode_number(words[-1])
+        size = decode_number(tokens[-1])
         if size > MAX_BODY_BYTES:
             raise ProtocolError("oversized")
         if size or self.body_always_ends_in_line_end:
             return body_start + size + len(LINE_END)
         return body_start
 
-    def _take_body(self, body_start: int, body_end: int) -> bytes:
+    def _read_body(self, body_start: int, body_end: int) -> bytes:
         if body_start == body_end:
             return b""
         text_end = body_end - len(LINE_END)
@@ -99,8 +99,8 @@
         return bytes(self.buffer[body_start:text_end])
 
 
-def encode_line(*words: bytes, body: bytes | None = None) -> bytes:
+def encode_line(*tokens: bytes, body: bytes | None = None) -> bytes:
     """One line, with the length of `body` as its last word and the body behind it where there is one."""
     if body is None:
-        return b" ".join(words) + LINE_END
-    return b"%b %d\r\n%b\r\n" % (b" ".join(words), len(body), body)
+        return b" ".join(tokens) + LINE_END
+    return b"%b %d\r\n%b\r\n" % (b" ".join(tokens), len(body), body)
--- a/landingshift/net/routing/actions.py
+++ b/landingshift/net/routing/actions.py
@@ -91,13 +91,13 @@
         """Answers that the RPC brought no result; its run, if there is one, is nobody's any more."""
         assert isinstance(rpc, RoutedRpc)
         self.answers.abort(rpc)
-        self.engine.release_held_back(rpc)
+        self.engine.send_withheld(rpc)
         self.database.cancel(rpc)
 
     def release(self, rpc: Rpc) -> None:
         """The controller will not speak of the RPC again: it is answered at the latest now, and forgotten."""
         assert isinstance(rpc, RoutedRpc)
-        if not rpc.is_answered and not rpc.is_abandoned and not rpc.is_held:
+        if not rpc.is_answered and not rpc.is_abandoned and not rpc.is_answer_deferred:
             self.answers.abort(rpc)  # nothing read may end without an answer
         rpc.is_closed = True
         entry = self.dedup.owned_by(rpc)
--- a/landingshift/net/routing/answers.py
+++ b/landingshift/net/routing/answers.py
@@ -10,7 +10,7 @@
 
 from landingshift.net.protocol import gateway as wire
 from landingshift.net.routing.gateway_connection import GatewayConnection
-from landingshift.net.routing.observers import TRACE_LINES, AnswerGate, AnswerKind, RpcObservers
+from landingshift.net.routing.observers import MAX_TRACE_FRAMES, AnswerGate, AnswerKind, RpcObservers
 from landingshift.net.routing.rpc_record import RoutedRpc
 from landingshift.net.transport.slots import Slots
 
@@ -41,22 +41,22 @@
         """Answers with a result; the gate, where there is one, may let it go later."""
         if self.gate is not None and not rpc.is_answered and not rpc.is_abandoned:
             try:
-                rpc.is_held = self.gate.hold_answer(rpc, result, run_time_ms)
+                rpc.is_answer_deferred = self.gate.defer_answer(rpc, result, run_time_ms)
             except Exception:  # a gate that breaks must not keep answers
-                self.log("gate_cut_off", trace=traceback.format_exc(limit=-TRACE_LINES))
+                self.log("gate_cut_off", trace=traceback.format_exc(limit=-MAX_TRACE_FRAMES))
                 self.gate = None
-                rpc.is_held = False
-        if not rpc.is_held:
-            self.send_held(rpc, result)
+                rpc.is_answer_deferred = False
+        if not rpc.is_answer_deferred:
+            self.send_deferred(rpc, result)
 
-    def send_held(self, rpc: RoutedRpc, result: bytes) -> None:
+    def send_deferred(self, rpc: RoutedRpc, result: bytes) -> None:
         """An ok answer passed the gate."""
-        rpc.is_held = False
+        rpc.is_answer_deferred = False
         self._answer(rpc, wire.encode_ok(rpc.message_id, result, self.headers), AnswerKind.OK)
 
-    def abort_held(self, rpc: RoutedRpc) -> None:
+    def abort_deferred(self, rpc: RoutedRpc) -> None:
         """The gate's word that an ok answer may not go."""
-        rpc.is_held = False
+        rpc.is_answer_deferred = False
         self.abort(rpc)
 
     def abort(self, rpc: RoutedRpc) -> None:
--- a/landingshift/net/routing/database_events.py
+++ b/landingshift/net/routing/database_events.py
@@ -22,9 +22,9 @@
 
     def on_call_finished(self, rpc: RoutedRpc, outcome: Outcome, elapsed_ms: float, reply: bytes) -> None:
         """A call is over. May happen while the controller acts, so that it is told later in the pass."""
-        self.driver.defer(partial(self._tell, rpc, outcome, elapsed_ms, reply))
+        self.driver.defer(partial(self._notify_controller, rpc, outcome, elapsed_ms, reply))
 
-    def _tell(self, rpc: RoutedRpc, outcome: Outcome, elapsed_ms: float, reply: bytes) -> None:
+    def _notify_controller(self, rpc: RoutedRpc, outcome: Outcome, elapsed_ms: float, reply: bytes) -> None:
         self.observers.notify("on_call_finished", rpc, outcome, elapsed_ms)
         if rpc.is_closed or rpc.job is None or rpc.is_answered or rpc.is_abandoned:
             return
--- a/landingshift/net/routing/database_pool.py
+++ b/landingshift/net/routing/database_pool.py
@@ -167,8 +167,8 @@
         used = self.used_links.get(rpc, ())
         fit = [link for link in self.links if link not in used]
         best = min(fit, key=_preference, default=None)
-        has_room = len(self.links) < MAX_LINKS and self.open_count < MAX_LINKS + MAX_RETIRED_LINKS
-        if (best is None or best.calls) and has_room:
+        has_capacity = len(self.links) < MAX_LINKS and self.open_count < MAX_LINKS + MAX_RETIRED_LINKS
+        if (best is None or best.calls) and has_capacity:
             best = DatabaseLink(self, self._connect)
             if best.stream is None:
                 return None
@@ -180,7 +180,7 @@
             return "unreachable"
         return connect(self.loop, self.address, link, MAX_UNSENT_BYTES)
 
-    def move(self, address: Address | None) -> None:
+    def change_address(self, address: Address | None) -> None:
         """New calls go to another address; those under way end where they are."""
         if address != self.address:
             self.address = address
@@ -219,7 +219,7 @@
         self.used_links.pop(rpc, None)
 
     def flush(self, is_calling: Callable[[bytes], bool]) -> None:
-        """Says which calls were given up, but for RPCs whose next call has already said so."""
+        """Cancels the calls that were given up, but for RPCs whose next call replaces them."""
         for link, rpc_id in self.cancelled:
             if link.stream is not None and not is_calling(rpc_id):
                 link.stream.write(wire.encode_cancel(rpc_id))
--- a/landingshift/net/routing/engine_events.py
+++ b/landingshift/net/routing/engine_events.py
@@ -66,7 +66,7 @@
             return
         self.engine.forget_command(rpc)
         if notice.notice_number != NO_NOTICE:
-            self.repeats.prove_connection(rpc)
+            self.repeats.verify_connection(rpc)
         self.database.cancel(rpc)
         entry = self.dedup.owned_by(rpc)
         if notice.outcome is Outcome.OK:
@@ -86,12 +86,12 @@
         self.engine.forget_command(rpc)
         rpc.call_notice_number = notice.notice_number
         rpc.call_request = notice.request
-        self.repeats.prove_connection(rpc)
+        self.repeats.verify_connection(rpc)
         self.observers.notify("on_call_needed", rpc)
         self.driver.event().on_call_needed(rpc.job)
 
     def on_command_refused(self, refusal: wire.CommandRefused) -> None:
-        """The engine does not know the RPC: it is aborted, and a connection that is not proven is cut off."""
+        """The engine does not know the RPC: it is aborted, and an unverified connection is cut off."""
         rpc = self.table.find(refusal.rpc_id)
         self.log("engine_no", command=refusal.command.decode("latin-1"), known=rpc is not None)
         if rpc is None:
@@ -100,7 +100,7 @@
             return
         connection = self.gateways.connections.get(rpc.connection)
         self.on_run_ended(wire.RunEnded(NO_NOTICE, refusal.rpc_id, Outcome.NOT_SENT, 0.0, b""))
-        if connection is not None and not connection.is_proven:
+        if connection is not None and not connection.is_verified:
             connection.cut_off("unknown_rpc")  # what else it brings would take places for nothing
 
     def on_gauges(self, values: list[float]) -> None:
--- a/landingshift/net/routing/engine_link.py
+++ b/landingshift/net/routing/engine_link.py
@@ -1,8 +1,8 @@
 """The link to the engine: kept open, made again after a loss, and no run given to the engine twice.
 
 Guarantee: a command counts as delivered once the engine has answered a query that was written behind it.
-After a loss, what may not have arrived is said again, except for a run whose effect must not happen twice and
-which may have arrived: it is held back until its RPC is answered. Such an RPC may end aborted though it never
+After a loss, what may not have arrived is sent again, except for a run whose effect must not happen twice and
+which may have arrived: it is withheld until its RPC is answered. Such an RPC may end aborted though it never
 ran.
 """
 
@@ -22,7 +22,7 @@
 
 MAX_UNSENT_BYTES = 8 << 20  # more than all RPCs that fit into a server's memory can ask for
 RECONNECT_DELAY_MS = 50.0
-MOVE_GRACE_MS = 100.0  # that a link which is to be left has to prove what it was given
+ADDRESS_CHANGE_GRACE_MS = 100.0  # that a link which is to be left has to confirm its commands
 MAX_OUTAGE_MS = 1500.0  # without a link before work counts as not getting done
 MAX_SILENCE_MS = 2500.0  # without the answer that is due after which the link is given up
 MAX_SELF_TESTS = 64  # deep checks that may be under way
@@ -30,7 +30,7 @@
 
 
 class EngineEvents(Protocol):
-    """What the engine tells, in its order and each notice once."""
+    """What the engine reports, in its order and each notice once."""
 
     def on_engine_up(self, hello: wire.Hello) -> None:
         """The engine answered for the first time."""
@@ -57,7 +57,7 @@
     starts_run: bool  # which must not happen twice
     stream_end: int = -1  # where it ends in the link's stream; -1 before it is written
     is_in_doubt: bool = False  # given to a link that broke: it may have arrived
-    is_held_back: bool = False
+    is_withheld: bool = False
     on_known: Callable[[], None] | None = None  # called once it has arrived and the engine knew the RPC
 
 
@@ -66,7 +66,7 @@
     """A query for the gauges that is not answered yet."""
 
     tag: bytes
-    bytes_before: int  # of the stream when it was written: what the answer proves to have arrived
+    bytes_before: int  # of the stream when it was written: what the answer confirms
 
 
 class EngineLink:
@@ -79,9 +79,9 @@
     Attributes:
         last_notice_number: Of the last notice read.
         is_ready: All that ended while there was no link is known, and commands may be written.
-        has_met_engine: It has answered at least once since the start of the server.
+        has_reached_engine: It has answered at least once since the start of the server.
         is_greeted: It has answered on this link.
-        is_moving: The link is being left for another address.
+        is_changing_address: The link is being left for another address.
         unconfirmed: Commands that are not known to have arrived, in the order they were given.
         commands: The latest unconfirmed command of each open RPC.
     """
@@ -95,9 +95,9 @@
         self.link_count = 0
         self.tag_count = 0
         self.is_ready = False
-        self.has_met_engine = False
+        self.has_reached_engine = False
         self.is_greeted = False
-        self.is_moving = False
+        self.is_changing_address = False
         self.stream: Stream | None = None
         self.reconnect_timer: Timer | None = None
         self.linked_at_ms = loop.now_ms
@@ -132,7 +132,7 @@
         self.link_count += 1
         stream.write(wire.encode_attach(self.last_notice_number))
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Goes to another address, where runs and numbers of notices go on."""
         if address == self.address:
             return
@@ -140,27 +140,29 @@
         if self.stream is None:
             self.loop.cancel(self.reconnect_timer)
             self.attach()
-        elif self.is_moving:
-            pass  # the link is being left already, for whatever address is told last
+        elif self.is_changing_address:
+            pass  # the link is being left already, for whichever address is the last
         elif not self.is_ready:
             self.stream.close("moved")
         else:
-            # Left only once all that was said is known to have arrived: what is in doubt may not run again.
+            # Left only once all commands are known to have arrived: what is in doubt may not run again.
             stream = self.stream
             self.is_ready = False
-            self.is_moving = True
+            self.is_changing_address = True
             self.query_gauges()
-            self.loop.after(MOVE_GRACE_MS, lambda: stream.close("moved"))
+            self.loop.after(ADDRESS_CHANGE_GRACE_MS, lambda: stream.close("moved"))
 
     @property
     def is_working(self) -> bool:
         """Whether work gets done. A link that breaks and comes back is routine and says nothing of that."""
-        return self.is_ready or (self.has_met_engine and self.loop.now_ms - self.lost_at_ms < MAX_OUTAGE_MS)
+        return self.is_ready or (
+            self.has_reached_engine and self.loop.now_ms - self.lost_at_ms < MAX_OUTAGE_MS
+        )
 
     def _check_silence(self) -> None:
         """Gives up a link that hangs without an end. Before the engine is up it owes nothing."""
         self.loop.after(MAX_SILENCE_MS / 2.0, self._check_silence)
-        owes_answer = self.has_met_engine and (self.gauge_query is not None or not self.is_greeted)
+        owes_answer = self.has_reached_engine and (self.gauge_query is not None or not self.is_greeted)
         if self.stream is None or not owes_answer:
             self.answered_at_ms = self.loop.now_ms
         elif self.loop.now_ms - self.answered_at_ms > MAX_SILENCE_MS:
@@ -197,22 +199,22 @@
         self.gauge_query = None
         self.is_ready = False
         self.is_greeted = False
-        self.is_moving = False
+        self.is_changing_address = False
         for command in self.unconfirmed:
             command.is_in_doubt = command.is_in_doubt or 0 <= command.stream_end <= sent_bytes
             command.stream_end = -1
-        self.give_up_self_tests()
+        self.abandon_self_tests()
         delay_ms = 0.0 if reconnect_at_once else RECONNECT_DELAY_MS
         self.reconnect_timer = self.loop.after(delay_ms, self.attach)
 
-    def give_up_self_tests(self) -> None:
+    def abandon_self_tests(self) -> None:
         """Answers the deep checks under way by whether work gets done at all."""
         answers = self.self_tests
         self.self_tests = {}
         for answer in answers.values():
             answer(self.is_working)
 
-    # What the engine tells
+    # From the engine
 
     def _on_message(self, message: wire.Message) -> None:
         match message:
@@ -231,7 +233,7 @@
 
     def _on_notice(self, notice: wire.NumberedNotice) -> None:
         if notice.notice_number <= self.last_notice_number:
-            return  # told again by a new link: it must not count twice
+            return  # repeated on a new link: it must not count twice
         if notice.notice_number > self.last_notice_number + 1:
             self.log("notices_missing", after=self.last_notice_number, before=notice.notice_number)
         self.last_notice_number = notice.notice_number
@@ -249,11 +251,11 @@
             notice=self.last_notice_number,
         )
         self.is_greeted = True
-        if not self.has_met_engine:
-            self.has_met_engine = True
+        if not self.has_reached_engine:
+            self.has_reached_engine = True
             self.events.on_engine_up(hello)
         # What ended while there was no link comes before the answer to this: only then is it known which
-        # commands are still to be said.
+        # commands are still to be sent.
         self.query_gauges()
 
     def _on_gauge_report(self, report: wire.GaugeReport) -> None:
@@ -265,20 +267,20 @@
         while self.unconfirmed and 0 <= self.unconfirmed[0].stream_end <= query.bytes_before:
             self._confirm(self.unconfirmed.popleft())
         self.events.on_gauges(report.values)
-        if self.is_moving and self.stream is not None:
+        if self.is_changing_address and self.stream is not None:
             if any(command.stream_end >= 0 for command in self.unconfirmed):
                 self.query_gauges()
             else:
                 self.stream.close("moved")
         elif not self.is_ready:
-            self._say_again()
+            self._resend()
         if any(command.on_known is not None for command in self.unconfirmed):
             self.query_gauges()  # a caller waits for it
 
-    # What the engine is told
+    # To the engine
 
     def query_gauges(self) -> None:
-        """Asks for the gauges; the answer also shows that all said before has arrived."""
+        """Asks for the gauges; the answer also shows that all commands before have arrived."""
         if self.stream is None or not self.is_greeted or self.gauge_query is not None:
             return
         self.tag_count += 1
@@ -307,11 +309,11 @@
         return command
 
     def halt(self, rpc: RoutedRpc) -> None:
-        """Asks to stop a run. May be lost: the admission controller says it again while it has no effect."""
+        """Asks to stop a run. May be lost: the admission controller repeats it while it has no effect."""
         if self.is_ready and self.stream is not None:
             self.stream.write(wire.encode_halt(rpc.rpc_id))
 
-    def ask_whether_known(self, rpc: RoutedRpc, on_known: Callable[[], None]) -> None:
+    def query_known(self, rpc: RoutedRpc, on_known: Callable[[], None]) -> None:
         """Asks whether the RPC came to this machine; one that did not is answered with a refusal.
 
         No notice has the number 0, so that an RPC that the engine knows is not changed by this.
@@ -329,10 +331,10 @@
         """The RPC's latest command has arrived, or nobody needs to know any more whether it has."""
         self.commands.pop(rpc, None)
 
-    def release_held_back(self, rpc: RoutedRpc) -> None:
-        """An RPC that is over can't be run any more: what was held back is said, to hear how it ended."""
+    def send_withheld(self, rpc: RoutedRpc) -> None:
+        """Sends the withheld command of an RPC that is over, to learn how its run ended."""
         command = self.commands.get(rpc)
-        if command is not None and command.is_held_back:
+        if command is not None and command.is_withheld:
             self.send_command(rpc, command.data, starts_run=True)
 
     def _write(self, command: EngineCommand) -> None:
@@ -347,13 +349,13 @@
         if command.on_known is not None:
             command.on_known()
 
-    def _say_again(self) -> None:
-        """The link is ready: writes what is not known to have arrived and may be said again."""
+    def _resend(self) -> None:
+        """The link is ready: writes what is not known to have arrived and may be repeated."""
         self.is_ready = True
         open_commands = [command for command in self.unconfirmed if self.commands.get(command.rpc) is command]
         for command in open_commands:
-            command.is_held_back = self._may_have_run(command)
-        self.unconfirmed = deque(command for command in open_commands if not command.is_held_back)
+            command.is_withheld = self._may_have_run(command)
+        self.unconfirmed = deque(command for command in open_commands if not command.is_withheld)
         for command in self.unconfirmed:
             self._write(command)
         self.log(
@@ -365,7 +367,7 @@
 
     @staticmethod
     def _may_have_run(command: EngineCommand) -> bool:
-        """Whether saying the command again could have an effect twice.
+        """Whether repeating the command could have an effect twice.
 
         One that starts a run and was given to a lost link may have run to its end since.
         """
--- a/landingshift/net/routing/gateway_connection.py
+++ b/landingshift/net/routing/gateway_connection.py
@@ -2,7 +2,7 @@
 
 Guarantee: an RPC that was read gets its answer written before the connection is closed by this server, unless
 the gateway stops reading or breaks the protocol. A connection that brings nothing which the engine knows
-lasts for `PROOF_TIME_MS`, so that strangers can't fill the table.
+lasts for `VERIFICATION_TIME_MS`, so that strangers can't fill the table.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 MAX_ANSWER_BYTES = 5000
 MAX_UNSENT_BYTES = MAX_OPEN_RPCS * MAX_ANSWER_BYTES  # that a gateway which keeps to that can leave unread
 GOAWAY_GRACE_MS = 1500.0  # that a gateway has to close a connection after goaway
-PROOF_TIME_MS = 1000.0  # that a connection may last which has brought nothing that the engine knew
+VERIFICATION_TIME_MS = 1000.0  # that a connection may last which has brought nothing that the engine knew
 MAX_MESSAGE_MS = 2000.0  # from a message's first byte to its last
 MIN_CHECK_INTERVAL_MS = 50.0
 RESET_TIME_MS = 30.0  # in which a gateway that has gone answers a write with a reset
@@ -68,9 +68,9 @@
         invalid_count: RPCs turned down for a field.
         cut_off_count: RPCs that were open when the connection was cut off.
         last_invalid_field: The field that the last one turned down had wrong.
-        goaway_until_ms: After goaway: when it is closed if the gateway does not do that; 0 before.
-        is_proven: The engine has known an RPC of it.
-        unproven_repeats: Repeats that are answered once it is proven, and what they repeat.
+        goaway_deadline_ms: After goaway: when it is closed if the gateway does not do that; 0 before.
+        is_verified: The engine has known an RPC of it.
+        unverified_repeats: Repeats that are answered once it is verified, and what they repeat.
         accepted_ms: Since when it is here.
         last_message_ms: When its last complete message came or its last answer was written.
         partial_since_ms: When the message began that is not complete yet; 0 where there is none.
@@ -89,16 +89,16 @@
         self.invalid_count = 0
         self.cut_off_count = 0
         self.last_invalid_field = ""
-        self.goaway_until_ms = 0.0
-        self.is_proven = False
-        self.unproven_repeats: dict[RoutedRpc, DedupEntry] = {}
+        self.goaway_deadline_ms = 0.0
+        self.is_verified = False
+        self.unverified_repeats: dict[RoutedRpc, DedupEntry] = {}
         self.accepted_ms = self.loop.now_ms
         self.last_message_ms = self.loop.now_ms
         self.partial_since_ms = 0.0
         self.stream = open_stream(self)
         self.slot = context.connections.put(self)
         self.accepted_pass = self.loop.passes_read
-        self.timer = self.loop.after(PROOF_TIME_MS, self.check_idle)
+        self.timer = self.loop.after(VERIFICATION_TIME_MS, self.check_idle)
 
     @property
     def events(self) -> GatewayEvents:
@@ -186,12 +186,12 @@
     def answer_invalid(self, message_id: int, field: str, data: bytes) -> None:
         """Answers an RPC that never was one.
 
-        No gateway sends it, so it ends a connection that is not proven.
+        No gateway sends it, so it ends a connection that is not verified.
         """
         self.invalid_count += 1
         self.last_invalid_field = field
         self.answer(message_id, data)
-        if not self.is_proven:
+        if not self.is_verified:
             self.cut_off("bad_rpc")
 
     def _abandon_rpcs(self) -> None:
@@ -206,9 +206,9 @@
         """Asks the gateway to close the connection once it has its answers; closes it if it does not."""
         if not self.stream.is_open:
             return
-        if not self.goaway_until_ms:
+        if not self.goaway_deadline_ms:
             self.stream.write(wire.GOAWAY)
-        self.goaway_until_ms = self.loop.now_ms + grace_ms
+        self.goaway_deadline_ms = self.loop.now_ms + grace_ms
         self._check_after(grace_ms)
 
     def cut_off(self, reason: str) -> None:
@@ -225,8 +225,8 @@
         self.stream.flush()
         self.stream.close(reason)
 
-    def try_crowd_out(self) -> bool:
-        """Closes an unproven connection to make room, unless it has brought an RPC; whether it is closed."""
+    def try_evict(self) -> bool:
+        """Closes an unverified connection, unless it has brought an RPC; returns whether it is closed."""
         self._read_pending()
         if self.stream.close_reason or not self.rpcs:
             self.close_now("crowded")
@@ -242,7 +242,7 @@
         self.timer = self.loop.after(delay_ms, self.check_idle)
 
     def check_idle(self) -> None:
-        """A quiet connection is asked to go, and closed if it does not; one that is not proven is closed."""
+        """An idle connection is asked to go, and closed if it does not; an unverified one is closed."""
         if self._is_over:
             return
         if self._time_left_ms() <= DUE_TOLERANCE_MS:
@@ -250,31 +250,42 @@
             self._read_pending()  # may bring an RPC, or its end
             if self._is_over:
                 return
-        now_ms = self.loop.now_ms
         time_left_ms = self._time_left_ms()
         if time_left_ms > DUE_TOLERANCE_MS:
             self._check_after(max(MIN_CHECK_INTERVAL_MS, time_left_ms))
-        elif self.partial_since_ms and self.partial_since_ms + MAX_MESSAGE_MS - now_ms <= DUE_TOLERANCE_MS:
+        elif self._is_message_overdue:
             self.cut_off("unfinished")
-        elif self.goaway_until_ms and self.stream.output and now_ms < self.goaway_until_ms + GOAWAY_GRACE_MS:
-            # It has not been told yet that it is to go, and what it sends until then counts.
+        elif self._is_goaway_unsent:
+            # The gateway does not know yet that it is to go, and what it sends until then counts.
             self._check_after(MIN_CHECK_INTERVAL_MS)
-        elif self.goaway_until_ms:
+        elif self.goaway_deadline_ms:
             self.stream.close_gracefully("goaway")
-        elif self.is_proven or (self.rpc_count and not self.invalid_count):
+        elif self.is_verified or (self.rpc_count and not self.invalid_count):
             self.send_goaway()
         else:
             self.close_now("quiet")
 
+    @property
+    def _is_message_overdue(self) -> bool:
+        left_ms = self.partial_since_ms + MAX_MESSAGE_MS - self.loop.now_ms
+        return self.partial_since_ms > 0.0 and left_ms <= DUE_TOLERANCE_MS
+
+    @property
+    def _is_goaway_unsent(self) -> bool:
+        """Whether goaway still waits behind answers that a slow reader has not taken."""
+        if not self.goaway_deadline_ms or not self.stream.output:
+            return False
+        return self.loop.now_ms < self.goaway_deadline_ms + GOAWAY_GRACE_MS
+
     def _time_left_ms(self) -> float:
         """Until the next check; not over `DUE_TOLERANCE_MS` where the connection may be closed."""
         now_ms = self.loop.now_ms
-        if self.goaway_until_ms:
-            ends_ms = self.goaway_until_ms
-        elif self.is_proven:
+        if self.goaway_deadline_ms:
+            ends_ms = self.goaway_deadline_ms
+        elif self.is_verified:
             ends_ms = self.stream.last_activity_ms + self.context.idle_limit_ms
         else:
-            ends_ms = self.last_message_ms + PROOF_TIME_MS
+            ends_ms = self.last_message_ms + VERIFICATION_TIME_MS
         message_left_ms = MAX_MESSAGE_MS
         if self.partial_since_ms:
             message_left_ms = self.partial_since_ms + MAX_MESSAGE_MS - now_ms
--- a/landingshift/net/routing/gateways.py
+++ b/landingshift/net/routing/gateways.py
@@ -23,7 +23,7 @@
 # Times the gateways' own limit on idle connections: who is quiet for longer keeps to none.
 IDLE_LIMIT_FACTOR = 1.25
 DRAIN_GOAWAY_GRACE_MS = 250.0  # that a gateway has to close a connection while the server drains
-ROOM_FRACTION = 1 / 16  # of the connections that may be asked to go at a time
+EVICTION_FRACTION = 1 / 16  # of the connections that may be asked to go at a time
 MIN_AGE_PASSES = 2  # of the loop, before a connection may be closed to make room
 
 
@@ -57,7 +57,7 @@
         self.context = ConnectionContext(loop, log, self.connections, idle_limit_ms * IDLE_LIMIT_FACTOR)
         self.unsent_budget = UnsentBudget(max_unsent_bytes, self._drop_slowest_reader)
         self.is_full = False
-        self.listener = Listener(loop, address, self._has_room, self._accept, sock)
+        self.listener = Listener(loop, address, self._has_capacity, self._accept, sock)
 
     def start(self, events: GatewayEvents) -> None:
         """Names who hears what gateways ask for; called before the loop runs."""
@@ -77,7 +77,7 @@
         if self.context.is_draining:
             connection.send_goaway(DRAIN_GOAWAY_GRACE_MS)
         elif len(self.connections) > self.max_connections:
-            self.make_room()
+            self.evict_idle()
         if self.is_full:
             self.is_full = False
             self.log("connections_room", connections=len(self.connections))
@@ -88,23 +88,24 @@
 
     # Room for new ones
 
-    def _has_room(self, has_descriptors: bool) -> bool:
+    def _has_capacity(self, has_descriptors: bool) -> bool:
         """Whether one more may come.
 
-        Connections that are not proven make room for it; proven ones are asked to go and leave only in time.
+        Connections that are not verified make room for it; verified ones are asked to go and leave only in
+        time.
         """
         if has_descriptors and len(self.connections) < self.max_connections:
             return True
-        if has_descriptors and any(not connection.is_proven for connection in self._quiet_connections()):
+        if has_descriptors and any(not connection.is_verified for connection in self._idle_connections()):
             return True  # it makes room once the new one is here
-        if self.make_room():
+        if self.evict_idle():
             return True
         if not self.is_full:
             self.is_full = True
             self.log("connections_full", connections=len(self.connections))
         return False
 
-    def _quiet_connections(self) -> list[GatewayConnection]:
+    def _idle_connections(self) -> list[GatewayConnection]:
         """Those without open RPCs that have not been asked to go.
 
         One that has just come may have brought an RPC that is not read yet: it would be lost.
@@ -114,21 +115,21 @@
             connection
             for connection in self.connections
             if not connection.rpcs
-            and not connection.goaway_until_ms
+            and not connection.goaway_deadline_ms
             and connection.accepted_pass <= newest_pass
         ]
 
-    def make_room(self) -> bool:
-        """Who is quiet and not proven goes at once; where all are proven, some are asked to.
+    def evict_idle(self) -> bool:
+        """Who is quiet and not verified goes at once; where all are verified, some are asked to.
 
         Returns:
             Whether a connection was closed.
         """
-        quiet = sorted(self._quiet_connections(), key=lambda c: (c.is_proven, c.last_message_ms))
-        quiet = quiet[: 1 + int(self.max_connections * ROOM_FRACTION)]
-        closed = [connection.try_crowd_out() for connection in quiet if not connection.is_proven]
-        if not any(closed) and all(c.is_proven or c.rpcs for c in self.connections):
-            for connection in quiet:
+        idle = sorted(self._idle_connections(), key=lambda c: (c.is_verified, c.last_message_ms))
+        idle = idle[: 1 + int(self.max_connections * EVICTION_FRACTION)]
+        closed = [connection.try_evict() for connection in idle if not connection.is_verified]
+        if not any(closed) and all(c.is_verified or c.rpcs for c in self.connections):
+            for connection in idle:
                 connection.send_goaway()
         return any(closed)
 
@@ -165,6 +166,6 @@
         else:
             self.loop.after(ACCEPT_PAUSE_MS, self._close_listener)
 
-    def has_left(self) -> bool:
+    def is_drained(self) -> bool:
         """Whether the listener and all connections are closed."""
         return not self.listener.is_open and len(self.connections) == 0
--- a/landingshift/net/routing/health.py
+++ b/landingshift/net/routing/health.py
@@ -40,16 +40,16 @@
         self.is_shallow = True  # by its word, too: work would come at a bad time
         self.is_reporting = False
         self.is_started = False
-        self.holders: set[str] = set()  # services for which reports are held back
+        self.readiness_gates: set[str] = set()  # services for which reports are held back
 
-    def hold_back(self, service: str) -> None:
+    def add_readiness_gate(self, service: str) -> None:
         """Neither the roster nor a check hears that the server is healthy until all have released it."""
-        self.holders.add(service)
+        self.readiness_gates.add(service)
 
-    def release(self, service: str) -> None:
+    def remove_readiness_gate(self, service: str) -> None:
         """The service does not hold reports back any more."""
-        if service in self.holders:
-            self.holders.remove(service)
+        if service in self.readiness_gates:
+            self.readiness_gates.remove(service)
             if self.is_started:
                 self.start()
 
@@ -64,11 +64,11 @@
     def start(self) -> None:
         """The engine is up: reports begin, unless a service holds them back."""
         self.is_started = True
-        if not self.is_reporting and not self.holders:
+        if not self.is_reporting and not self.readiness_gates:
             self.is_reporting = True
             self._report()
 
-    def move(self, roster: Address) -> None:
+    def change_address(self, roster: Address) -> None:
         """Reports go to another address from now on."""
         self.roster.address = roster
         if self.is_reporting:
@@ -76,7 +76,7 @@
 
     def check(self, is_deep: bool, answer: Callable[[bool], None]) -> None:
         """Answers a health check, at once or when the engine has done the work of a deep one."""
-        if self.holders or (is_deep and not self.engine.is_working):
+        if self.readiness_gates or (is_deep and not self.engine.is_working):
             answer(False)  # it is not to be counted on yet, or without its engine no work gets done here
         elif is_deep and self.runs_deep_checks and self.is_healthy and not self.is_shallow:
             self.engine.run_self_test(answer)
--- a/landingshift/net/routing/observers.py
+++ b/landingshift/net/routing/observers.py
@@ -12,7 +12,7 @@
 
 from landingshift.net.routing.rpc_record import RoutedRpc
 
-TRACE_LINES = 6  # of a trace that go into the log
+MAX_TRACE_FRAMES = 6  # of a trace that go into the log
 EVENT_HANDLERS = (
     "on_read",
     "on_started",
@@ -50,10 +50,10 @@
 class AnswerGate(Protocol):
     """May let an ok answer go later than it is there, within the RPC's deadline."""
 
-    def hold_answer(self, rpc: RoutedRpc, result: bytes, run_time_ms: float) -> bool:
+    def defer_answer(self, rpc: RoutedRpc, result: bytes, run_time_ms: float) -> bool:
         """Whether the gate keeps the answer, and will send or abort it by itself."""
 
-    def release_by(self, deadline_ms: float) -> None:
+    def flush_by(self, deadline_ms: float) -> None:
         """The server drains: whatever is held goes by then, in the loop's time."""
 
 
@@ -83,7 +83,7 @@
                 handler(*facts)
             except Exception:  # one that breaks is cut off: the RPC goes on
                 self._set_observers(tuple(other for other in self.observers if other is not observer))
-                trace = traceback.format_exc(limit=-TRACE_LINES)
+                trace = traceback.format_exc(limit=-MAX_TRACE_FRAMES)
                 self.log("observer_cut_off", name=observer.name, trace=trace)
 
     def _set_observers(self, observers: tuple[RpcObserver, ...]) -> None:
--- a/landingshift/net/routing/reload.py
+++ b/landingshift/net/routing/reload.py
@@ -23,7 +23,7 @@
     return replace(current, engine=new.engine, database=new.database, roster=new.roster, stop_ms=new.stop_ms)
 
 
-def keys_until_next_start(current: ServerConfig, new: ServerConfig) -> list[str]:
+def keys_requiring_restart(current: ServerConfig, new: ServerConfig) -> list[str]:
     """The keys that differ and count from the next start only."""
     return [
         key for key, attribute in FIXED_KEYS.items() if getattr(new, attribute) != getattr(current, attribute)
--- a/landingshift/net/routing/repeats.py
+++ b/landingshift/net/routing/repeats.py
@@ -1,6 +1,6 @@
 """Repeats of RPCs: answered from the deduplication table, and from nothing that was made for somebody else.
 
-A repeat on a connection that is not proven may be a stranger's guess at a gateway's key. It gets the result
+A repeat on a connection that is not verified may be a stranger's guess at a gateway's key. It gets the result
 only once the engine has known an RPC of that connection; where that can't be shown in time it is aborted.
 """
 
@@ -13,14 +13,14 @@
 from landingshift.net.routing.answers import AnswerWriter
 from landingshift.net.routing.dedup import DedupEntry, DedupTable
 from landingshift.net.routing.engine_link import EngineLink
-from landingshift.net.routing.gateway_connection import PROOF_TIME_MS, GatewayConnection
+from landingshift.net.routing.gateway_connection import VERIFICATION_TIME_MS, GatewayConnection
 from landingshift.net.routing.rpc_record import RoutedRpc
 from landingshift.net.transport.loop import Loop
 from landingshift.net.transport.slots import Slots
 
 
 class RepeatResolver:
-    """Answers repeats once what they repeat is over, and their connection is proven."""
+    """Answers repeats once what they repeat is over, and their connection is verified."""
 
     def __init__(
         self,
@@ -56,15 +56,15 @@
         self.complete(entry, Outcome.ABORTED, b"")
         self.dedup.remove(entry)
 
-    def prove_connection(self, rpc: RoutedRpc) -> None:
+    def verify_connection(self, rpc: RoutedRpc) -> None:
         """The engine knew the RPC: its connection is a gateway's, and its repeats can be answered."""
         connection = self.connections.get(rpc.connection)
-        if connection is None or connection.is_proven:
+        if connection is None or connection.is_verified:
             return
-        connection.is_proven = True
-        for repeat, entry in connection.unproven_repeats.items():
+        connection.is_verified = True
+        for repeat, entry in connection.unverified_repeats.items():
             self._defer_answer(repeat, entry)
-        connection.unproven_repeats = {}
+        connection.unverified_repeats = {}
 
     def _defer_answer(self, rpc: RoutedRpc, entry: DedupEntry, is_last_chance: bool = False) -> None:
         self.driver.defer(partial(self._answer_repeat, rpc, entry, is_last_chance))
@@ -75,18 +75,18 @@
         Args:
             rpc: The repeat.
             entry: What it repeats.
-            is_last_chance: There is no more time for its connection to be proven.
+            is_last_chance: There is no more time for its connection to be verified.
         """
         if rpc.is_closed or rpc.job is None:
             return
         has_result = entry.has_result
         connection = self.connections.get(rpc.connection)
-        if has_result and connection is not None and not connection.is_proven:
+        if has_result and connection is not None and not connection.is_verified:
             if rpc.method.degraded_value_fraction > 0.0:
-                self.engine.ask_whether_known(rpc, partial(self._on_known, rpc, entry))
+                self.engine.query_known(rpc, partial(self._on_known, rpc, entry))
                 return
             if not is_last_chance:
-                self._await_proof(connection, rpc, entry)
+                self._await_verification(connection, rpc, entry)
                 return
             has_result = False
         if has_result:
@@ -96,20 +96,20 @@
         outcome = Outcome.OK if has_result else Outcome.ABORTED
         self.driver.event().on_run_finished(rpc.job, outcome, 0.0)
 
-    def _await_proof(self, connection: GatewayConnection, rpc: RoutedRpc, entry: DedupEntry) -> None:
-        """Waits until what else the connection brings proves it.
+    def _await_verification(self, connection: GatewayConnection, rpc: RoutedRpc, entry: DedupEntry) -> None:
+        """Waits until what else the connection brings verifies it.
 
         Where no call may be left out the engine refuses the question whether it knows the RPC, for those that
         it knows too: no gateway may be cut off for that with all that it has open.
         """
-        connection.unproven_repeats = {
+        connection.unverified_repeats = {
             repeat: original
-            for repeat, original in connection.unproven_repeats.items()
+            for repeat, original in connection.unverified_repeats.items()
             if not repeat.is_closed
         }
-        connection.unproven_repeats[rpc] = entry
-        self.loop.after(PROOF_TIME_MS, partial(self._defer_answer, rpc, entry, is_last_chance=True))
+        connection.unverified_repeats[rpc] = entry
+        self.loop.after(VERIFICATION_TIME_MS, partial(self._defer_answer, rpc, entry, is_last_chance=True))
 
     def _on_known(self, rpc: RoutedRpc, entry: DedupEntry) -> None:
-        self.prove_connection(rpc)
+        self.verify_connection(rpc)
         self._defer_answer(rpc, entry)
--- a/landingshift/net/routing/router.py
+++ b/landingshift/net/routing/router.py
@@ -21,7 +21,7 @@
 from landingshift.net.routing.gauge_poller import GaugePoller
 from landingshift.net.routing.health import HealthReporter
 from landingshift.net.routing.observers import RpcObservers
-from landingshift.net.routing.reload import keys_until_next_start, reloaded_config
+from landingshift.net.routing.reload import keys_requiring_restart, reloaded_config
 from landingshift.net.routing.repeats import RepeatResolver
 from landingshift.net.routing.rpc_intake import MAX_WAIT_FACTOR, RpcIntake
 from landingshift.net.routing.rpc_table import RpcTable
@@ -30,7 +30,7 @@
 from landingshift.net.transport.datagram import DatagramSender
 from landingshift.net.transport.loop import Loop
 
-RESERVED_DESCRIPTORS = 64  # not for gateways: links to the database, engine, roster, log
+RESERVED_DESCRIPTOR_COUNT = 64  # not for gateways: links to the database, engine, roster, log
 MIN_CONNECTIONS = 8
 DEDUP_MEMORY_FRACTION = 0.25  # of the memory, for results that repeats are answered from
 UNSENT_MEMORY_FRACTION = 0.25  # of the memory, for answers that gateways do not read
@@ -172,13 +172,13 @@
 
     def reload(self, config: ServerConfig) -> None:
         """Takes what a new configuration may change while RPCs are under way."""
-        postponed = keys_until_next_start(self.config, config)
+        postponed = keys_requiring_restart(self.config, config)
         self.config = reloaded_config(self.config, config)
         self.log("reloaded", engine=config.engine, db=config.database, roster=config.roster, kept=postponed)
         self.shutdown.stop_ms = config.stop_ms
-        self.engine.move(config.engine)
-        self.database.move(config.database)
-        self.health_reporter.move(config.roster)
+        self.engine.change_address(config.engine)
+        self.database.change_address(config.database)
+        self.health_reporter.change_address(config.roster)
 
     def drain(self, notice_ms: float | None = None) -> None:
         """The notice to leave, which came at `notice_ms` of the loop's time."""
@@ -200,7 +200,7 @@
     return Gateways(
         loop,
         config.listen,
-        max_connections=max(MIN_CONNECTIONS, max_sockets - RESERVED_DESCRIPTORS),
+        max_connections=max(MIN_CONNECTIONS, max_sockets - RESERVED_DESCRIPTOR_COUNT),
         max_unsent_bytes=int(config.memory_mb * UNSENT_MEMORY_FRACTION * BYTES_PER_MB),
         idle_limit_ms=config.settings.connection_idle_timeout_ms,
         log=log,
--- a/landingshift/net/routing/rpc_intake.py
+++ b/landingshift/net/routing/rpc_intake.py
@@ -29,8 +29,8 @@
 MAX_AGE_MS = 120_000.0  # since an RPC arrived at the machine
 MAX_CLOCK_LEAD_MS = 5_000.0  # by which the clock that stamped its arrival may be ahead
 MAX_WAIT_FACTOR = 4.0  # times the deadline of its method that an RPC may wait
-# RPCs in flight from which only proven connections bring more: memory must stay bounded.
-MAX_RPCS_WITH_UNPROVEN = 1024
+# RPCs in flight from which only verified connections bring more: memory must stay bounded.
+MAX_RPCS_WITH_UNVERIFIED = 1024
 
 
 class RunUnderWayError(LandingshiftError):
@@ -100,7 +100,7 @@
             connection.answer(request.message_id, data)
             return
         dedup_key = _dedup_key(request.method, checked)
-        is_flood = not connection.is_proven and len(self.table) >= MAX_RPCS_WITH_UNPROVEN
+        is_flood = not connection.is_verified and len(self.table) >= MAX_RPCS_WITH_UNVERIFIED
         if self.driver.controller is None or is_flood:
             self._answer_not_taken(connection, request, checked.method, dedup_key)
             return
@@ -118,7 +118,7 @@
     def on_abandoned(self, rpc: RoutedRpc) -> None:
         """Nobody waits for the RPC any more; the controller hears of it later in the pass."""
         rpc.is_abandoned = True
-        self.driver.defer(partial(self._leave, rpc))
+        self.driver.defer(partial(self._on_caller_gone, rpc))
 
     def on_health_check(self, connection: GatewayConnection, request: wire.Request) -> None:
         """Answers a health check, at once or when the engine has done the work of a deep one."""
@@ -139,11 +139,11 @@
         if rpc.is_closed:
             rpc.job = None
 
-    def _leave(self, rpc: RoutedRpc) -> None:
+    def _on_caller_gone(self, rpc: RoutedRpc) -> None:
         if rpc.is_closed or rpc.job is None:
             return
         self.driver.event().on_caller_gone(rpc.job)
-        self.engine.release_held_back(rpc)
+        self.engine.send_withheld(rpc)
         self.database.cancel(rpc)
 
     # Checks
@@ -203,7 +203,7 @@
     # Requests that are not taken
 
     def _answer_invalid(self, connection: GatewayConnection, request: wire.Request, field: str) -> None:
-        if connection.is_proven and not connection.invalid_count:
+        if connection.is_verified and not connection.invalid_count:
             # The rest leave one line each as they end.
             self.log("bad_rpc", field=field, method=request.method)
         data = wire.encode_rejected(request.message_id, self.answers.headers)
@@ -216,7 +216,7 @@
         method: Method,
         dedup_key: DedupKey | None,
     ) -> None:
-        """The engine is not up yet, or too much comes on connections that are not proven.
+        """The engine is not up yet, or too much comes on connections that are not verified.
 
         In a flood, too, what repeats an RPC with an effect must not hear that it never ran here.
         """
--- a/landingshift/net/routing/rpc_record.py
+++ b/landingshift/net/routing/rpc_record.py
@@ -25,7 +25,7 @@
         None  # the admission controller's handle; None before it has seen it and once closed
     )
     is_answered: bool = False
-    is_held: bool = False  # its ok answer waits at the answer gate
+    is_answer_deferred: bool = False  # its ok answer waits at the answer gate
     is_abandoned: bool = False  # nobody waits for its answer any more
     is_closed: bool = False  # the admission controller will not speak of it again
     call_notice_number: int = 0  # of the engine's notice that asked for the call in hand
--- a/landingshift/net/routing/shutdown.py
+++ b/landingshift/net/routing/shutdown.py
@@ -12,7 +12,7 @@
 from landingshift.net.routing.gateways import Gateways
 from landingshift.net.transport.loop import Loop
 
-CONNECTIONS_LEAVE_MS = 600.0  # before the stop, at which connections are asked to go
+CONNECTION_DRAIN_MS = 600.0  # before the stop, at which connections are asked to go
 CHECK_INTERVAL_MS = 20.0  # between two looks whether all have gone
 MIN_TIME_LEFT_MS = 1.0
 
@@ -57,32 +57,32 @@
         self.stop_at_ms = self.loop.now_ms + left_ms
         if self.driver.controller is None:
             # Nothing runs here, but what waits unread counts as received: it is told that it never ran.
-            self._let_connections_go()
+            self._drain_connections()
             return
         self.driver.event().start_draining(left_ms, elapsed_ms)
-        leave_after_ms = self.schedule_leaving()
+        drain_after_ms = self.schedule_connection_drain()
         if self.answers.gate is not None:
-            self.answers.gate.release_by(self.loop.now_ms + leave_after_ms)
+            self.answers.gate.flush_by(self.loop.now_ms + drain_after_ms)
 
     def resume(self, stop_at_ms: float) -> None:
         """Goes on with a drain that another build began."""
         self.is_draining = True
         self.stop_at_ms = stop_at_ms
-        self.schedule_leaving()
+        self.schedule_connection_drain()
 
-    def schedule_leaving(self) -> float:
+    def schedule_connection_drain(self) -> float:
         """Sets the timer at which connections are asked to go; returns in how many ms that is."""
         left_ms = self.stop_at_ms - self.loop.now_ms
-        leave_after_ms = max(left_ms - CONNECTIONS_LEAVE_MS, left_ms / 2.0)
-        self.loop.after(leave_after_ms, self._let_connections_go)
-        return leave_after_ms
+        drain_after_ms = max(left_ms - CONNECTION_DRAIN_MS, left_ms / 2.0)
+        self.loop.after(drain_after_ms, self._drain_connections)
+        return drain_after_ms
 
-    def _let_connections_go(self) -> None:
+    def _drain_connections(self) -> None:
         self.gateways.start_draining()
         self._wait_for_last()
 
     def _wait_for_last(self) -> None:
-        if self.gateways.has_left():
+        if self.gateways.is_drained():
             self.loop.stop()
         else:
             self.loop.after(CHECK_INTERVAL_MS, self._wait_for_last)
--- a/landingshift/net/transport/listener.py
+++ b/landingshift/net/transport/listener.py
@@ -9,7 +9,7 @@
 from landingshift.net.transport.loop import Loop
 from landingshift.net.transport.stream import Address
 
-BACKLOG = 1024  # connections that may wait to be accepted
+BACKLOG_COUNT = 1024  # connections that may wait to be accepted
 ACCEPTS_PER_PASS = 64
 ACCEPT_PAUSE_MS = 20.0  # without accepting after the descriptors ran out
 
@@ -19,8 +19,8 @@
 
     Args:
         address: To listen at.
-        has_room: Whether one more may come; where not, it makes some. Its argument is whether descriptors are
-            left.
+        has_capacity: Whether one more may come; where not, it makes some. Its argument is whether descriptors
+            are left.
         on_accept: Gets each connection that came.
         sock: A socket that listens already, with its backlog.
 
@@ -36,12 +36,12 @@
         self,
         loop: Loop,
         address: Address,
-        has_room: Callable[[bool], bool],
+        has_capacity: Callable[[bool], bool],
         on_accept: Callable[[socket.socket], None],
         sock: socket.socket | None = None,
     ) -> None:
         self.loop = loop
-        self.has_room = has_room
+        self.has_capacity = has_capacity
         self.on_accept = on_accept
         self.is_open = True
         self.is_draining = False
@@ -53,7 +53,7 @@
     def on_ready(self, _mask: int) -> None:
         """Connections wait to be accepted."""
         for _ in range(ACCEPTS_PER_PASS):
-            if not self.has_room(True):
+            if not self.has_capacity(True):
                 self._pause()
                 return
             try:
@@ -61,7 +61,7 @@
             except (BlockingIOError, ConnectionAbortedError, InterruptedError):
                 return
             except OSError:  # out of descriptors: the loop would spin on a socket that stays readable
-                if self.has_room(False):
+                if self.has_capacity(False):
                     continue
                 self._pause()
                 return
@@ -71,7 +71,7 @@
         """Takes all that waits to be accepted; False where more may wait and there are no descriptors."""
         self.is_draining = True
         self.loop.watch(self.sock.fileno(), 0, self)
-        for _ in range(2 * BACKLOG):
+        for _ in range(2 * BACKLOG_COUNT):
             try:
                 sock, _ = self.sock.accept()
             except BlockingIOError:
@@ -79,7 +79,7 @@
             except (ConnectionAbortedError, InterruptedError):
                 continue
             except OSError:  # out of descriptors
-                if not self.has_room(False):
+                if not self.has_capacity(False):
                     return False
                 continue
             self._accept(sock)
@@ -111,7 +111,7 @@
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     try:
         sock.bind(address)
-        sock.listen(BACKLOG)
+        sock.listen(BACKLOG_COUNT)
     except OSError:
         sock.close()
         raise
--- a/landingshift/net/transport/loop.py
+++ b/landingshift/net/transport/loop.py
@@ -12,7 +12,7 @@
 from typing import Protocol
 
 LATE_TIMER_MS = 5.0  # a timer later than this says that the process stood still
-CATCH_UP_READS = 16  # times that the sockets are read then before it fires
+CATCH_UP_READ_COUNT = 16  # times that the sockets are read then before it fires
 MAX_WAIT_MS = 1000.0  # for sockets where there is no timer
 MIN_CANCELLED_TIMERS = 64  # that may stand in the heap whatever share of it they are
 
@@ -128,7 +128,7 @@
 
     def _catch_up(self) -> None:
         """After a pause what came meanwhile must be seen before anything is held to be overdue."""
-        for _ in range(CATCH_UP_READS):
+        for _ in range(CATCH_UP_READ_COUNT):
             if not self.read(0.0):
                 return
 
--- a/landingshift/net/transport/stream.py
+++ b/landingshift/net/transport/stream.py
@@ -90,7 +90,7 @@
         close_reason: Set once it is to close gracefully or is closed.
         output: Queued and not sent.
         queued_bytes: Since the start.
-        sent_bytes: Since the start; what is not sent has proved nothing.
+        sent_bytes: Since the start; only what is sent may have arrived.
         last_activity_ms: When bytes last went either way.
     """
 
--- a/landingshift/policies/service.py
+++ b/landingshift/policies/service.py
@@ -71,7 +71,7 @@
         self.part.follower.others = lambda: self.node.member_table.present_names
         self.node.message_handlers[PACKAGE] = self.hear
         self.router.before_decisions = self.before
-        self.router.health_reporter.hold_back(self.name)  # no gateway need hear of one that can't decide yet
+        self.router.health_reporter.add_readiness_gate(self.name)  # it can't decide yet
         if failpoints.history:
             self.router.observers.add(self)
         fleet.operator_rpc.handlers |= {
@@ -177,7 +177,7 @@
                 server.set_standby(not may)
                 self.router.request_settle()
             if may:
-                self.router.health_reporter.release(self.name)
+                self.router.health_reporter.remove_readiness_gate(self.name)
             self.log("policy_aside", on=not may, version=f.version, why="" if may else self.why())
 
     def lay(self, server: AdmissionController) -> None:
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -13,7 +13,7 @@
 from landingshift.net.routing.gateway_connection import (
     GOAWAY_GRACE_MS,
     MAX_MESSAGE_MS,
-    PROOF_TIME_MS,
+    VERIFICATION_TIME_MS,
     GatewayConnection,
 )
 from landingshift.net.routing.gateways import Gateways
@@ -65,7 +65,7 @@
         self.turn_until(lambda: set(self.gateways.connections) != before)
         (connection,) = set(self.gateways.connections) - before
         self.case.addCleanup(connection.stream.sock.close)
-        connection.is_proven = proven
+        connection.is_verified = proven
         return peer, connection
 
     def turn_until(self, holds: Any) -> None:
@@ -102,7 +102,7 @@
 
     def test_quiet_and_idle_ones_are_read_once_more(self) -> None:
         for why, proven, wait in [
-            ("proved nothing", False, PROOF_TIME_MS),
+            ("proved nothing", False, VERIFICATION_TIME_MS),
             ("asked to go", True, GOAWAY_GRACE_MS),
         ]:
             with self.subTest(why=why):
@@ -127,9 +127,9 @@
             door.turn_until(lambda: True)
         first.sendall(rpc())
         arrives(one)
-        self.assertFalse(door.gateways.make_room())  # the one that was quiet for longest has just sent
+        self.assertFalse(door.gateways.evict_idle())  # the one that was quiet for longest has just sent
         self.assertEqual((door.news.reads, one.stream.is_open, two.stream.is_open), ([1], True, True))
-        self.assertTrue(door.gateways.make_room())
+        self.assertTrue(door.gateways.evict_idle())
         self.assertEqual((one.stream.is_open, two.stream.is_open), (True, False))
         self.assertEqual(second.recv(10), b"")
 
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -64,13 +64,13 @@
         door.gateways.listener.sock = short  # type: ignore[assignment]
         door.gateways.start_draining()
         door.turn_until(lambda: short.asked > 2)
-        self.assertFalse(door.gateways.has_left())
+        self.assertFalse(door.gateways.is_drained())
         short.short = False
         door.turn_until(lambda: door.news.reads == [1])
         self.assertFalse(door.gateways.listener.is_open)
         for connection in door.gateways.connections:
             connection.stream.close("test")
-        self.assertTrue(door.gateways.has_left())
+        self.assertTrue(door.gateways.is_drained())
 
     def test_who_comes_again_at_once_is_refused(self) -> None:
         # Neither taken, nor left waiting until after the stop.
@@ -207,7 +207,7 @@
         door.turn_until(lambda: door.news.reads)
         door.gateways.start_draining()
         door.turn_until(lambda: not connection.stream.output)
-        connection.goaway_until_ms = door.loop.now_ms  # the time that it had is over
+        connection.goaway_deadline_ms = door.loop.now_ms  # the time that it had is over
         connection.answer(1, msgpack.packb([1, 1, None, [b"r", {}]]))
         passes = 0
         while not connection.stream.close_reason and passes < 3:
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -134,8 +134,8 @@
         assert stream is not None
         self.addCleanup(stream.sock.close)
         link.send_command(object(), b"RUN a m 0\r\n\r\n", starts_run=True)  # type: ignore[arg-type]
-        link.move(there)
-        link.move(here)
+        link.change_address(there)
+        link.change_address(here)
         self.assertEqual((link.stream is stream, stream.is_open, link.address), (True, True, here))
 
 
