--- a/landingshift/cli/policy.py
+++ b/landingshift/cli/policy.py
@@ -13,12 +13,8 @@
 from landingshift.cli.fleet import BROKEN, Told, asked, from_leader, server, show, table, where
 from landingshift.cli.main import say
 from landingshift.membership.operator_rpc import OperatorRpcError, call_operator_rpc
-from landingshift.policies.document import (
-    InvalidPolicyError,
-    describe_differences,
-    flatten_policy,
-    parse_policy,
-)
+from landingshift.policies.document import describe_differences, flatten_policy, parse_policy
+from landingshift.policies.errors import InvalidPolicyError
 
 ENDED = ("taken", "refused", "withdrawn")
 LOOK = 0.2  # seconds between two looks at a change that is waited for
--- a/landingshift/consensus/election.py
+++ b/landingshift/consensus/election.py
@@ -17,10 +17,10 @@
     return candidate_end >= (state.last_term, state.last_index)
 
 
-def answer_pre_vote(state: DurableState, request: RequestVote, hears_leader: bool) -> VoteResponse:
+def answer_pre_vote(state: DurableState, request: RequestVote, has_recent_leader: bool) -> VoteResponse:
     """Whether the candidate would get a vote. A voter that hears a leader wants no other one."""
     is_newer_term = request.term > state.term
-    is_granted = is_log_up_to_date(state, request) and not hears_leader and is_newer_term
+    is_granted = is_log_up_to_date(state, request) and not has_recent_leader and is_newer_term
     return VoteResponse(request.term, is_granted, True)
 
 
--- a/landingshift/consensus/leader_lease.py
+++ b/landingshift/consensus/leader_lease.py
@@ -49,7 +49,7 @@
             before_ms = self._answered_round_sent_at_ms.get(peer, NEVER_MS)
             self._answered_round_sent_at_ms[peer] = max(before_ms, sent_at_ms)
 
-    def is_held(self, configuration: VoterConfiguration, election_timeout_ms: float, now_ms: float) -> bool:
+    def is_valid(self, configuration: VoterConfiguration, election_timeout_ms: float, now_ms: float) -> bool:
         """Whether a majority answered a round that was sent recently enough."""
         own_ms = now_ms if configuration.is_voter else NEVER_MS
         answered_ms = [self._answered_round_sent_at_ms.get(peer, NEVER_MS) for peer in configuration.peers]
--- a/landingshift/consensus/log_records.py
+++ b/landingshift/consensus/log_records.py
@@ -65,7 +65,7 @@
     return records + _append_records(state, common_count)
 
 
-def records_of_whole(state: PersistentState) -> list[Record]:
+def full_records(state: PersistentState) -> list[Record]:
     """Records that make up `state` from nothing."""
     return [_term_record(state), _snapshot_record(state), *_append_records(state, 0)]
 
--- a/landingshift/consensus/log_replication.py
+++ b/landingshift/consensus/log_replication.py
@@ -38,7 +38,7 @@
         if len(self.messages) < MAX_OUTGOING_MESSAGE_COUNT:
             self.messages.append((receiver, message))
 
-    def take_all(self) -> list[tuple[str, Message]]:
+    def drain(self) -> list[tuple[str, Message]]:
         """All queued messages, which leave the outbox."""
         taken = self.messages
         self.messages = []
@@ -135,8 +135,8 @@
             progress.match_index = max(progress.match_index, response.match_index)
             progress.next_index = max(progress.next_index, progress.match_index + 1)
         else:
-            step_back = min(progress.next_index - 1, response.match_index + 1)
-            progress.next_index = max(progress.match_index + 1, step_back)
+            earlier_index = min(progress.next_index - 1, response.match_index + 1)
+            progress.next_index = max(progress.match_index + 1, earlier_index)
 
     def needs_more(self, peer: str, response: AppendEntriesResponse) -> bool:
         """Whether to send on at once: after a response to the newest round only, so that none is doubled."""
--- a/landingshift/consensus/raft.py
+++ b/landingshift/consensus/raft.py
@@ -86,7 +86,7 @@
         self._votes: set[str] = set()
         self._synced_index = self._state.last_index  # up to where this node's own log is on disk
         self._now_ms = now_ms
-        self._leader_heard_at_ms = now_ms
+        self._leader_contact_at_ms = now_ms
         self.next_deadline_ms = 0.0
         self._restart_election_timeout()
 
@@ -154,7 +154,7 @@
         if self.role is not Role.LEADER or self._state.term_at(self.commit_index) != self._state.term:
             return False
         timeout_ms = self.timeouts.election_timeout_ms
-        return self._replication.lease.is_held(self._configuration, timeout_ms, now_ms)
+        return self._replication.lease.is_valid(self._configuration, timeout_ms, now_ms)
 
     # The driver's part
 
@@ -171,7 +171,7 @@
 
     def take_outgoing(self) -> list[tuple[str, Message]]:
         """Receivers and messages; none while they rest on what a crash could still take back."""
-        return [] if self._state.is_dirty else self._outbox.take_all()
+        return [] if self._state.is_dirty else self._outbox.drain()
 
     def tick(self, now_ms: float) -> None:
         """Does what is due: a leader's heartbeats and check quorum, or a follower's election."""
@@ -306,7 +306,7 @@
 
     def _follow_leader(self, leader: str, term: int) -> None:
         self._become_follower(term, leader)
-        self._leader_heard_at_ms = self._now_ms
+        self._leader_contact_at_ms = self._now_ms
 
     def _tick_leader(self) -> None:
         """Check quorum, then a heartbeat round: a leader that may be cut off must not be relied on."""
@@ -322,21 +322,21 @@
         self.next_deadline_ms = self._now_ms + timeout_ms
 
     @property
-    def _hears_leader(self) -> bool:
+    def _has_recent_leader(self) -> bool:
         """Whether it leads or heard a leader lately, which may then count on no other being elected."""
-        silence_ms = self._now_ms - self._leader_heard_at_ms
+        silence_ms = self._now_ms - self._leader_contact_at_ms
         return self.role is Role.LEADER or silence_ms < self.timeouts.election_timeout_ms
 
     def _would_unseat_leader(self, sender: str, message: Message) -> bool:
         """Whether not even the term of a request may be heard: the leader relies on its lease."""
         is_vote_request = isinstance(message, RequestVote) and not message.is_pre_vote
-        return is_vote_request and self._hears_leader and sender != self.leader
+        return is_vote_request and self._has_recent_leader and sender != self.leader
 
     # Messages
 
     def _on_request_vote(self, candidate: str, request: RequestVote) -> None:
         if request.is_pre_vote:
-            response = election.answer_pre_vote(self._state, request, self._hears_leader)
+            response = election.answer_pre_vote(self._state, request, self._has_recent_leader)
         else:
             response = election.answer_vote(self._state, candidate, request)
             if response.is_granted:
--- a/landingshift/consensus/raft_log.py
+++ b/landingshift/consensus/raft_log.py
@@ -15,8 +15,8 @@
     INITIAL_CHECKSUM,
     SavedImage,
     encode_frame,
+    full_records,
     records_of_change,
-    records_of_whole,
 )
 from landingshift.consensus.log_recovery import recover_log
 from landingshift.consensus.persistent_state import PersistentState
@@ -104,7 +104,7 @@
             OSError: The disk took nothing; the old file is as it was.
         """
         temporary_path = self.path + ".new"
-        frame = encode_frame(records_of_whole(state), INITIAL_CHECKSUM)
+        frame = encode_frame(full_records(state), INITIAL_CHECKSUM)
         new_descriptor = os.open(temporary_path, os.O_RDWR | os.O_CREAT | os.O_TRUNC, FILE_MODE)
         try:
             _write_all(new_descriptor, self._header + frame.data)
--- /dev/null
+++ b/landingshift/policies/change_log.py
@@ -0,0 +1,80 @@
+"""Log lines and failpoints for the steps of a change, as this server takes part in it or leads it."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from landingshift import failpoints
+from landingshift.policies.node import PolicyNode
+from landingshift.policies.participant import ParticipantStage
+
+SWITCHING_STEP = "switching"  # the commit is proposed
+NO_STEP = "none"  # stands in failpoints for an empty name
+
+
+@dataclass(slots=True, frozen=True)
+class ChangeProgress:
+    """What log lines are about.
+
+    Attributes:
+        change_id: The change that this server takes part in.
+        stage: How far it is.
+        pending_change_id: The change under way, as far as entries are applied here.
+        is_leader: Whether this server leads.
+        leader_step: Of the change, where this server leads it.
+    """
+
+    change_id: str = ""
+    stage: ParticipantStage = ParticipantStage.NONE
+    pending_change_id: str = ""
+    is_leader: bool = False
+    leader_step: str = ""
+
+
+class ChangeLog:
+    """Writes a line for each step, once."""
+
+    def __init__(self, node: PolicyNode, log: Callable[..., None]) -> None:
+        self._node = node
+        self._log = log
+        self._previous = ChangeProgress()
+
+    def update(self, now_ms: float) -> None:
+        """Writes what has changed since the last call."""
+        current = self._progress(now_ms)
+        if current == self._previous:
+            return
+        previous = self._previous
+        self._previous = current
+        if current.leader_step != previous.leader_step:
+            failpoints.reach(f"policies.leads_{current.leader_step or NO_STEP}")
+        if (current.stage, current.change_id) != (previous.stage, previous.change_id):
+            failpoints.reach(f"policies.{current.stage.value or NO_STEP}")
+            reason = self._node.participant.rejection_reason
+            self._log("policy_stage", change=current.change_id, stage=current.stage.value, said=reason)
+        if current.is_leader != previous.is_leader:
+            raft = self._node.raft
+            term = raft.current_term if raft is not None else 0
+            self._log("policy_leads", on=current.is_leader, term=term)
+        if previous.pending_change_id and current.pending_change_id != previous.pending_change_id:
+            self._log_ended(previous.pending_change_id)
+
+    def _progress(self, now_ms: float) -> ChangeProgress:
+        raft, coordinator = self._node.raft, self._node.coordinator
+        participant = self._node.participant
+        pending_change_id = self._node.state_machine.pending_change_id
+        is_leader = raft is not None and raft.has_leader_lease(now_ms)
+        leader_step = ""
+        if is_leader and coordinator is not None and pending_change_id:
+            is_switching = bool(coordinator.switching_change_id)
+            leader_step = SWITCHING_STEP if is_switching else coordinator.phase.value
+        return ChangeProgress(
+            participant.change_id, participant.stage, pending_change_id, is_leader, leader_step
+        )
+
+    def _log_ended(self, change_id: str) -> None:
+        change = self._node.state_machine.find_change(change_id)
+        if change is not None:
+            outcome = change.outcome.value
+            self._log("policy_ended", change=change.id, end=outcome, said=change.outcome_reason)
--- a/landingshift/policies/coordinator.py
+++ b/landingshift/policies/coordinator.py
@@ -1,299 +1,397 @@
-"""The leader's work on a change: who has answered, when all are armed, when it is over. Pure.
+"""The leader's side of policy changes: who has answered, when all are prepared, when a change is over.
 
-Everything here may be lost with its leader: the next one asks anew. What must not be lost is in the book.
+Guarantee: a commit is proposed only once every member is prepared or certainly stands aside, and no lease is
+granted from then on until it is applied or void. Failure mode: all that is here may be lost with its leader;
+the next one asks anew, and what must not be lost is in the replicated state machine.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
-from typing import Any
 
 from landingshift.consensus.raft import RaftNode
-from landingshift.policies.participant import ParticipantStage, PolicySettings
-from landingshift.policies.state_machine import ChangeOutcome, PolicyStateMachine, command
+from landingshift.policies.commands import (
+    UNKNOWN_OUTCOME,
+    ChangeOutcome,
+    Command,
+    CommitChange,
+    EndChange,
+    JoinMembers,
+    OpenChange,
+    RemoveMember,
+    encode_command,
+)
+from landingshift.policies.member_reports import NEVER_MS, MemberReport, MemberReports
+from landingshift.policies.messages import (
+    ChangePhase,
+    ChangeStatus,
+    ChangeVoters,
+    DeclareGone,
+    EndedChange,
+    FindChange,
+    MembershipRefusal,
+    Message,
+    OperatorRequest,
+    PolicyRequest,
+    PolicyText,
+    ProposeChange,
+    Redirect,
+    StatusPoll,
+    StatusReply,
+    StatusRequest,
+    WaitingMember,
+    WithdrawChange,
+)
+from landingshift.policies.participant import ParticipantStage
+from landingshift.policies.policy_settings import PolicySettings
+from landingshift.policies.state_machine import Change, PolicyStateMachine
+from landingshift.policies.voter_changes import plan_voter_change
 
-UNEVEN = 0.02  # share of a lease by which two monotonic clocks may run apart in it
-LOOK = 150.0  # ms between two looks sent to who has not answered yet
-LOOKS = 5000.0  # ms after a switch for which those are sent
-NAMED = 5  # of those that a change waits for, in its reason
-JOINS = 256  # that one entry takes
-STEP = 50.0  # ms between two looks at how far a change is
-IDLE = 500.0
+POLL_INTERVAL_MS = 150.0  # between two polls of members that are behind
+POLL_AFTER_COMMIT_MS = 5000.0  # for how long members are polled after a commit
+BUSY_TICK_INTERVAL_MS = 50.0  # while a change is under way or members join
+IDLE_TICK_INTERVAL_MS = 500.0
+MAX_NAMED_MEMBER_COUNT = 5  # of those that a change waited for, in its reason
+MAX_REPORTED_MEMBER_COUNT = 64  # of those that a change waits for, in an answer
+MAX_JOIN_COUNT = 256  # members that one entry takes
+MAX_REASON_CHARS = 200
 
+WANTED_STAGES = {
+    ChangePhase.NONE: (),
+    ChangePhase.VALIDATE: (ParticipantStage.VALIDATED, ParticipantStage.PREPARED),
+    ChangePhase.PREPARE: (ParticipantStage.PREPARED,),
+}
 
-@dataclass(slots=True, eq=False)
-class Ack:
-    """What a server said last, and when it was last given a lease."""
 
-    run: int
-    version: int
-    change: str
-    stage: str
-    said: str
-    leased_at: float
-    spare: bool  # it has a journal, so that it could be a voter
+class ChangeCoordinator:
+    """Drives changes while its voter leads; answers members and operators.
 
+    Attributes:
+        reports: What members told in this term.
+        phase: What is wanted of members for the change under way.
+        switching_change_id: The change whose commit was proposed; empty for none.
+        next_deadline_ms: When `tick` is due.
+        outbox: Receivers and messages that wait to be sent.
+    """
 
-class ChangeCoordinator:
     def __init__(
-        self, voter: RaftNode, book: PolicyStateMachine, plan: PolicySettings, wall: Callable[[], float]
+        self,
+        raft: RaftNode,
+        state: PolicyStateMachine,
+        settings: PolicySettings,
+        wall_clock_ms: Callable[[], float],
     ) -> None:
-        """`wall`: Unix ms, for what people read; nothing is decided by it."""
-        self.raft, self.book, self.plan, self.wall = voter, book, plan, wall
-        self.out: list[tuple[str, list[Any]]] = []
-        self.term = 0
-        self.begin(0.0)
-
-    def begin(self, now: float) -> None:
-        """A term that this voter leads; grants of earlier leaders are older than it."""
-        self.since, self.status_reports = now, dict[str, Ack]()
-        self.joining: dict[str, int] = {}
-        self.switching_change_id, self.switch_at = "", 0  # the change, and the index of its entry
-        self.change, self.phase, self.opened = "", "", now
-        self.over = ""  # the change whose end was proposed
-        self.looked, self.step_at = -1e9, now
-        self.joins_at = 0
-        self.version, self.switched = self.book.version, -1e9
-        self.asked: dict[str, int] = {}  # proposals by their entries' index
-
-    def leads(self, now: float) -> bool:
-        if not self.raft.has_leader_lease(now):
+        """Starts without a term.
+
+        Args:
+            raft: This server's node, which leads or not.
+            state: What is replicated.
+            settings: Alike on all servers.
+            wall_clock_ms: Unix time, for what people read; nothing is decided by it.
+        """
+        self._raft = raft
+        self._state = state
+        self._settings = settings
+        self._wall_clock_ms = wall_clock_ms
+        self.outbox: list[tuple[str, Message]] = []
+        self._term = 0
+        self._begin_term(0.0)
+
+    def _begin_term(self, now_ms: float) -> None:
+        self.reports = MemberReports(self._settings, now_ms)
+        self._joining: dict[str, int] = {}  # servers that asked and are no members yet, and their runs
+        self._join_entry_index = 0
+        self._change_id = ""  # the change that `phase` is about
+        self._change_began_at_ms = now_ms
+        self.phase = ChangePhase.NONE
+        self.switching_change_id = ""
+        self._commit_entry_index = 0
+        self._ending_change_id = ""  # the change whose end was proposed
+        self._proposed_entry_index: dict[str, int] = {}  # by a key of what was proposed
+        self._version = self._state.version
+        self._committed_at_ms = NEVER_MS
+        self._last_poll_at_ms = NEVER_MS
+        self.next_deadline_ms = now_ms
+
+    def _is_leading(self, now_ms: float) -> bool:
+        """Whether this voter may speak as the leader; begins anew in each term that it leads."""
+        if not self._raft.has_leader_lease(now_ms):
             return False
-        if self.raft.current_term != self.term:
-            self.term = self.raft.current_term
-            self.begin(now)
+        if self._raft.current_term != self._term:
+            self._term = self._raft.current_term
+            self._begin_term(now_ms)
         return True
 
-    def next_deadline_ms(self) -> float:
-        return self.step_at
+    def _send(self, receiver: str, message: Message) -> None:
+        self.outbox.append((receiver, message))
 
-    # What servers ask
+    # What members ask
 
-    def here(self, who: str, body: list[Any], now: float, known: str = "") -> None:
-        """`known`: the leader that answers this server's own requests. A replaced voter hears of none
-        any more, and whoever knows only the voters of its settings asks nobody else."""
-        match body:
-            case [int(run), int(number), int(version), str(change), str(stage), str(said), mark, bool(spare)]:
-                pass
-            case _:
-                return
-        if not self.leads(now):
-            leader = self.raft.leader or known
-            self.out.append((who, ["ask", number, "" if leader == self.raft.name else leader]))
-            return
-        if mark != self.plan.fingerprint:
-            why = f"its [policies] is another than {self.raft.name}'s: {mark}, not {self.plan.fingerprint}"
-            self.out.append((who, ["no", number, why[:200]]))
+    def on_status_request(
+        self, sender: str, request: StatusRequest, now_ms: float, known_leader: str = ""
+    ) -> None:
+        """Answers a member.
+
+        Args:
+            sender: Who asks.
+            request: What it tells of itself.
+            now_ms: Monotonic clock, read after the request came.
+            known_leader: The leader that answers this server's own requests. A replaced voter hears of none
+                any more, and whoever knows only the voters of its settings asks nobody else.
+        """
+        if not self._is_leading(now_ms):
+            leader = self._raft.leader or known_leader
+            self._send(sender, Redirect(request.number, "" if leader == self._raft.name else leader))
             return
-        book = self.book
-        joined = book.members.get(who) == run
-        if not joined and who not in book.members and len(book.members) >= book.most:
-            self.out.append((who, ["no", number, f"{book.most} members are counted, which is the most"]))
+        refusal_reason = self._refusal_reason(sender, request)
+        if refusal_reason:
+            self._send(sender, MembershipRefusal(request.number, refusal_reason[:MAX_REASON_CHARS]))
             return
-        if not joined and len(self.joining) < JOINS:
-            self.joining[who] = run
-            self.step_at = now
-        had = self.status_reports.get(who)
-        leased_at = had.leased_at if had is not None else -1e9
-        # Nobody gets a lease for the old version once the switch may be agreed on.
-        leased = joined and not self.switching_change_id
-        self.status_reports[who] = Ack(run, version, change, stage, said, now if leased else leased_at, spare)
-        if had is None or (had.change, had.stage) != (change, stage):
-            self.step_at = now
-        ended: list[Any] = []
-        if change and change != book.pending_change_id:
-            found = book.find_change(change)
-            ended = [change, found.end.value, found.version, found.said[:200]] if found is not None else []
-        told = ["told", number, joined, book.version, book.pending_change_id, self.want_of(), ended, leased]
-        told.append(list(self.raft.voters))
-        self.out.append((who, told))
-
-    def want_of(self) -> str:
-        return (
-            self.phase
-            if self.change == self.book.pending_change_id
-            else "check"
-            if self.book.pending_change_id
-            else ""
+        is_member = self._state.has_member(sender, request.run)
+        if not is_member and len(self._joining) < MAX_JOIN_COUNT:
+            self._joining[sender] = request.run
+            self.next_deadline_ms = now_ms
+        # Nobody gets a lease for the old version once the commit may be replicated.
+        is_leased = is_member and not self.switching_change_id
+        if self.reports.record(sender, request, is_leased, now_ms):
+            self.next_deadline_ms = now_ms
+        reply = StatusReply(
+            request.number,
+            is_member,
+            self._state.version,
+            self._state.pending_change_id,
+            self._wanted_phase(),
+            self._ended_change(request.change_id),
+            is_leased,
+            self._raft.voters,
         )
+        self._send(sender, reply)
+
+    def _refusal_reason(self, sender: str, request: StatusRequest) -> str:
+        """Why the sender can't be a member; empty where it can."""
+        own_fingerprint = self._settings.fingerprint
+        if request.fingerprint != own_fingerprint:
+            leader = self._raft.name
+            return f"its [policies] is another than {leader}'s: {request.fingerprint}, not {own_fingerprint}"
+        state = self._state
+        is_room = sender in state.members or len(state.members) < state.max_member_count
+        return "" if is_room else f"{state.max_member_count} members are counted, which is the most"
+
+    def _wanted_phase(self) -> ChangePhase:
+        if self._change_id == self._state.pending_change_id:
+            return self.phase
+        return ChangePhase.VALIDATE if self._state.pending_change_id else ChangePhase.NONE
+
+    def _ended_change(self, change_id: str) -> EndedChange | None:
+        """What became of a change that a member still has; None while it is under way or unknown."""
+        if not change_id or change_id == self._state.pending_change_id:
+            return None
+        change = self._state.find_change(change_id)
+        if change is None:
+            return None
+        reason = change.outcome_reason[:MAX_REASON_CHARS]
+        return EndedChange(change_id, change.outcome.value, change.version, reason)
 
-    def wants(self, who: str, change: str, version: int, now: float) -> None:
-        """The text of the change under way, or of the version in force."""
-        if change and change == self.book.pending_change_id:
-            self.out.append((who, ["text", change, 0, self.book.changes[change].policy]))
-        elif not change and version == self.book.version:
-            self.out.append((who, ["text", "", version, self.book.texts[version]]))
+    def on_policy_request(self, sender: str, request: PolicyRequest) -> None:
+        """Sends the policy of the change under way, or of the version in force."""
+        state = self._state
+        if request.change_id and request.change_id == state.pending_change_id:
+            policy = state.changes[request.change_id].policy
+            self._send(sender, PolicyText(request.change_id, 0, policy))
+        elif not request.change_id and request.version == state.version:
+            self._send(sender, PolicyText("", request.version, state.policies[request.version]))
 
     # What operators ask
 
-    def do(self, who: str, id: str, what: list[Any], now: float) -> None:
-        if not self.leads(now):
+    def on_operator_request(self, sender: str, request: OperatorRequest, now_ms: float) -> None:
+        """Does what an operator wants, if this voter leads; answers once there is something to tell."""
+        if not self._is_leading(now_ms):
             return
-        book, found = self.book, self.book.find_change(id)
-        match what:
-            case ["propose", bytes(policy), str(by), str(why)] if found is None:
-                self.propose(id, command("propose", id, policy, by, why, self.wall()))
-            case ["withdraw", str(by), str(why)] if found is None or found.end is ChangeOutcome.PENDING:
-                said = f"withdrawn by {by}: {why}"
-                self.propose(
-                    f"{id} withdrawn", command("end", id, ChangeOutcome.WITHDRAWN.value, said, self.wall())
-                )
-            case ["voters", str(how), str(name)]:
-                why = self.voters(how, name, now)
-                end = "unknown" if why else ChangeOutcome.COMMITTED.value
-                said = why or f"voters are {', '.join(self.raft.voters)}"
-                self.out.append((who, ["found", id, end, 0, said, []]))
+        change_id = request.change_id
+        change = self._state.find_change(change_id)
+        match request.command:
+            case ChangeVoters() as command:
+                self._change_voters(sender, change_id, command, now_ms)
                 return
-            case ["gone", str(name), int(run)]:
-                # That run and no other: the word may come late, and the machine be back by then.
-                if book.members.get(name) == run:
-                    self.propose(f"{name} {run} gone", command("gone", name, run))
-                else:
-                    self.out.append(
-                        (
-                            who,
-                            [
-                                "found",
-                                id,
-                                ChangeOutcome.COMMITTED.value,
-                                0,
-                                f"that run of {name} is not counted",
-                                [],
-                            ],
-                        )
-                    )
+            case DeclareGone(name, run):
+                self._remove_member(sender, change_id, name, run)
                 return
-        if found is not None:
-            waits = [list(w) for w in self.unprepared_members(now)] if id == book.pending_change_id else []
-            self.out.append((who, ["found", id, found.end.value, found.version, found.said, waits[:64]]))
-        elif book.full:
-            self.out.append((who, ["found", id, "unknown", 0, "the book is full", []]))
-        elif what[:1] == ["find"]:
-            self.out.append((who, ["found", id, "unknown", 0, "nobody has proposed it here", []]))
-
-    def propose(self, key: str, data: bytes) -> None:
+            case ProposeChange(policy, author, reason) if change is None:
+                opened_at_ms = self._wall_clock_ms()
+                self._propose_once(change_id, OpenChange(change_id, policy, author, reason, opened_at_ms))
+            case WithdrawChange(author, reason) if _is_open(change):
+                outcome_reason = f"withdrawn by {author}: {reason}"
+                end = EndChange(change_id, ChangeOutcome.WITHDRAWN, outcome_reason, self._wall_clock_ms())
+                self._propose_once(f"{change_id} withdrawn", end)
+        if change is not None:
+            self._send(sender, self._change_status(change, now_ms))
+        elif self._state.is_full:
+            self._send(sender, ChangeStatus(change_id, UNKNOWN_OUTCOME, 0, "the book is full"))
+        elif isinstance(request.command, FindChange):
+            reason = "nobody has proposed it here"
+            self._send(sender, ChangeStatus(change_id, UNKNOWN_OUTCOME, 0, reason))
+
+    def _change_status(self, change: Change, now_ms: float) -> ChangeStatus:
+        waiting: list[WaitingMember] = []
+        if change.id == self._state.pending_change_id:
+            waiting = self.unprepared_members(now_ms)[:MAX_REPORTED_MEMBER_COUNT]
+        outcome = change.outcome.value
+        return ChangeStatus(change.id, outcome, change.version, change.outcome_reason, tuple(waiting))
+
+    def _change_voters(self, sender: str, change_id: str, command: ChangeVoters, now_ms: float) -> None:
+        run = self._state.members.get(command.name)
+        can_become_voter = self.reports.can_become_voter(command.name, run)
+        plan = plan_voter_change(self._raft, command, can_become_voter, now_ms)
+        if plan.new_voters:
+            self._raft.change_voters(plan.new_voters, now_ms)
+        outcome = ChangeOutcome.COMMITTED.value if plan.is_done else UNKNOWN_OUTCOME
+        reason = plan.reason or f"voters are {', '.join(self._raft.voters)}"
+        self._send(sender, ChangeStatus(change_id, outcome, 0, reason))
+
+    def _remove_member(self, sender: str, change_id: str, name: str, run: int) -> None:
+        """That run and no other: the word may come late, and the machine be back by then."""
+        if self._state.has_member(name, run):
+            self._propose_once(f"{name} {run} gone", RemoveMember(name, run))
+            return
+        reason = f"that run of {name} is not counted"
+        self._send(sender, ChangeStatus(change_id, ChangeOutcome.COMMITTED.value, 0, reason))
+
+    def on_departure(self, sender: str, run: int, now_ms: float) -> None:
+        """A member tells that its process ends."""
+        if self._state.has_member(sender, run) and self._is_leading(now_ms):
+            self._propose_once(f"{sender} {run} gone", RemoveMember(sender, run))
+
+    def _propose(self, command: Command) -> int | None:
+        """Index of the command's entry; None where it can't be proposed just now."""
+        return self._raft.propose(encode_command(command))
+
+    def _propose_once(self, key: str, command: Command) -> None:
         """Once for each key until its entry is applied: doubles do no harm, this keeps them few."""
-        if self.asked.get(key, 0) <= self.raft.commit_index:
-            index = self.raft.propose(data)
+        if self._proposed_entry_index.get(key, 0) <= self._raft.commit_index:
+            index = self._propose(command)
             if index is not None:
-                self.asked[key] = index
-
-    def voters(self, how: str, name: str, now: float) -> str:
-        """Why the voters are not yet as wanted; empty once they are and all that is agreed on."""
-        voter, there = self.raft, name in self.raft.voters
-        if there is (how == "add"):
-            return "" if voter.is_voter_change_committed else "it is being agreed on"
-        if how == "add":
-            ack = self.status_reports.get(name)
-            if ack is None or not ack.spare or self.book.members.get(name) != ack.run:
-                return f"{name} is not there with a journal"
-            new = (*voter.voters, name)
-        else:
-            new = tuple(v for v in voter.voters if v != name)
-            here = [v for v in new if v == voter.name or voter.has_recent_response(v, now)]
-            if 2 * len(here) <= len(new):
-                return f"only {', '.join(here)} would be left of {', '.join(new)}"
-        voter.change_voters(new, now)
-        return "it is being agreed on"
+                self._proposed_entry_index[key] = index
 
     # How far a change is
 
-    def lapsed(self, name: str, now: float) -> bool:
-        """Whether it stands aside for certain: what it was given last has run out, by its own clock too."""
-        if not self.plan.stands_aside_when_cut_off:
-            return False
-        ack = self.status_reports.get(name)
-        at = max(self.since, ack.leased_at) if ack is not None else self.since
-        return now - at > self.plan.lease_ms * (1.0 + UNEVEN) + self.plan.clock_margin_ms
-
-    def unprepared_members(self, now: float) -> list[tuple[str, str]]:
-        """Members that are not armed, and how far each is; "away" for one that says nothing."""
-        found = []
-        for name, run in self.book.members.items():
-            ack = self.status_reports.get(name)
-            fresh = ack is not None and ack.run == run and ack.change == self.book.pending_change_id
-            stage = ack.stage if ack is not None and fresh else "away"
-            if stage != ParticipantStage.PREPARED and not self.lapsed(name, now):
-                found.append((name, stage))
-        return found
-
-    def step(self, now: float) -> None:
-        if not self.leads(now):
-            self.step_at = now + IDLE
+    def unprepared_members(self, now_ms: float) -> list[WaitingMember]:
+        """Members that a commit must wait for: neither prepared nor certainly standing aside."""
+        waiting = []
+        for name, run in self._state.members.items():
+            stage = self.reports.stage_of(name, run, self._state.pending_change_id)
+            if stage != ParticipantStage.PREPARED and not self.reports.stands_aside(name, now_ms):
+                waiting.append(WaitingMember(name, stage))
+        return waiting
+
+    def tick(self, now_ms: float) -> None:
+        """Does what is due: joins, the next phase of a change, polls."""
+        if not self._is_leading(now_ms):
+            self.next_deadline_ms = now_ms + IDLE_TICK_INTERVAL_MS
+            return
+        is_busy = bool(self._state.pending_change_id or self._joining)
+        self.next_deadline_ms = now_ms + (BUSY_TICK_INTERVAL_MS if is_busy else IDLE_TICK_INTERVAL_MS)
+        self._forget_applied_proposals()
+        self._propose_joins()
+        self._notice_applied(now_ms)
+        if self._state.pending_change_id:
+            self._drive_change(now_ms)
+        self._poll_members_behind(now_ms)
+
+    def _forget_applied_proposals(self) -> None:
+        commit_index = self._raft.commit_index
+        self._proposed_entry_index = {
+            key: index for key, index in self._proposed_entry_index.items() if index > commit_index
+        }
+
+    def _propose_joins(self) -> None:
+        joining = [item for item in self._joining.items() if not self._state.has_member(*item)]
+        if not joining:
+            self._joining.clear()
             return
-        book = self.book
-        self.step_at = now + (STEP if book.pending_change_id or self.joining else IDLE)
-        self.asked = {key: index for key, index in self.asked.items() if index > self.raft.commit_index}
-        self.join()
-        if self.version != book.version:
-            self.version, self.switched = book.version, now
-            self.looked = -1e9
-        if self.switching_change_id and (
-            book.pending_change_id != self.switching_change_id or self.raft.commit_index >= self.switch_at
-        ):
-            self.switching_change_id = ""  # taken, or void since a member came
-        if book.pending_change_id != self.change:
-            self.change, self.phase, self.opened = book.pending_change_id, "check", now
-            self.looked = -1e9
-        if book.pending_change_id:
-            self.drive(now)
-        self.look(now)
-
-    def join(self) -> None:
-        new = [[n, r] for n, r in self.joining.items() if self.book.members.get(n) != r]
-        if not new:
-            self.joining.clear()
-        elif (
-            self.joins_at <= self.raft.commit_index and not self.switching_change_id
-        ):  # it would make the switch void
-            index = self.raft.propose(command("join", new))
+        is_earlier_join_applied = self._join_entry_index <= self._raft.commit_index
+        if is_earlier_join_applied and not self.switching_change_id:  # a join would make the commit void
+            index = self._propose(JoinMembers(tuple(joining)))
             if index is not None:
-                self.joins_at = index
+                self._join_entry_index = index
 
-    def drive(self, now: float) -> None:
-        book, id = self.book, self.book.pending_change_id
-        if self.switching_change_id or self.over == id:
+    def _notice_applied(self, now_ms: float) -> None:
+        """Takes note of what the state machine has applied since the last look."""
+        state = self._state
+        if self._version != state.version:
+            self._version = state.version
+            self._committed_at_ms = now_ms
+            self._last_poll_at_ms = NEVER_MS
+        is_another_pending = state.pending_change_id != self.switching_change_id
+        is_commit_applied = self._raft.commit_index >= self._commit_entry_index
+        if self.switching_change_id and (is_another_pending or is_commit_applied):
+            self.switching_change_id = ""  # committed, or void since a member joined
+        if state.pending_change_id != self._change_id:
+            self._change_id = state.pending_change_id
+            self.phase = ChangePhase.VALIDATE
+            self._change_began_at_ms = now_ms
+            self._last_poll_at_ms = NEVER_MS
+
+    def _drive_change(self, now_ms: float) -> None:
+        """The next step of the change: end it, commit it, or have all prepare."""
+        change_id = self._state.pending_change_id
+        if self.switching_change_id or self._ending_change_id == change_id:
             return
-        waits = self.unprepared_members(now)
-        refused = next((n for n, stage in waits if stage == ParticipantStage.REJECTED), "")
-        if refused:
-            self.end(id, ChangeOutcome.REJECTED, f"{refused}: {self.status_reports[refused].said}")
-        elif now - self.opened > self.plan.change_timeout_ms:
-            names = ", ".join(f"{n} ({stage or 'no text yet'})" for n, stage in waits[:NAMED])
-            more = f" and {len(waits) - NAMED} more" if len(waits) > NAMED else ""
-            self.end(id, ChangeOutcome.WITHDRAWN, f"not in time; it waited for {names}{more}")
-        elif not waits and book.members and not self.joining:
-            index = self.raft.propose(command("switch", id, book.joins))
+        waiting = self.unprepared_members(now_ms)
+        rejecting = next((each for each in waiting if each.stage == ParticipantStage.REJECTED), None)
+        if rejecting is not None:
+            reason = self.reports.by_member[rejecting.name].request.rejection_reason
+            self._end_change(change_id, ChangeOutcome.REJECTED, f"{rejecting.name}: {reason}")
+        elif now_ms - self._change_began_at_ms > self._settings.change_timeout_ms:
+            reason = f"not in time; it waited for {_describe_waiting(waiting)}"
+            self._end_change(change_id, ChangeOutcome.WITHDRAWN, reason)
+        elif not waiting and self._state.members and not self._joining:
+            index = self._propose(CommitChange(change_id, self._state.join_count))
             if index is not None:
-                self.switching_change_id, self.switch_at = id, index
-        elif self.phase == "check" and all(stage == ParticipantStage.VALIDATED for _, stage in waits):
-            self.phase, self.looked = "arm", -1e9
+                self.switching_change_id = change_id
+                self._commit_entry_index = index
+        elif self.phase is ChangePhase.VALIDATE and _are_all_validated(waiting):
+            self.phase = ChangePhase.PREPARE
+            self._last_poll_at_ms = NEVER_MS
 
-    def end(self, id: str, end: ChangeOutcome, said: str) -> None:
-        if self.raft.propose(command("end", id, end.value, said, self.wall())) is not None:
-            self.over = id
+    def _end_change(self, change_id: str, outcome: ChangeOutcome, reason: str) -> None:
+        end = EndChange(change_id, outcome, reason, self._wall_clock_ms())
+        if self._propose(end) is not None:
+            self._ending_change_id = change_id
 
-    def look(self, now: float) -> None:
-        """Asks those to come that are behind what is wanted of them."""
-        if now - self.looked < LOOK:
+    def _poll_members_behind(self, now_ms: float) -> None:
+        """Asks those for a status request that are behind what is wanted of them."""
+        if now_ms - self._last_poll_at_ms < POLL_INTERVAL_MS:
             return
-        book, after = self.book, now - self.switched < LOOKS
-        if not book.pending_change_id and not after:
+        is_after_commit = now_ms - self._committed_at_ms < POLL_AFTER_COMMIT_MS
+        if not self._state.pending_change_id and not is_after_commit:
             return
-        self.looked = now
-        aim = {
-            "check": (ParticipantStage.VALIDATED, ParticipantStage.PREPARED),
-            "arm": (ParticipantStage.PREPARED,),
-        }.get(self.phase, ())
-        for name, run in book.members.items():
-            ack = self.status_reports.get(name)
-            if ack is None or ack.run != run or ack.version < book.version:
-                behind = True
-            else:
-                behind = bool(book.pending_change_id) and (
-                    ack.change != book.pending_change_id or ack.stage not in aim
-                )
-                behind = behind or (not book.pending_change_id and bool(ack.change))  # armed for what is over
-            if behind:
-                self.out.append((name, ["look"]))
+        self._last_poll_at_ms = now_ms
+        for name, run in self._state.members.items():
+            if self._is_behind(self.reports.by_member.get(name), run):
+                self._send(name, StatusPoll())
+
+    def _is_behind(self, report: MemberReport | None, run: int) -> bool:
+        if report is None or report.request.run != run or report.request.version < self._state.version:
+            return True
+        change_id = self._state.pending_change_id
+        if not change_id:
+            return bool(report.request.change_id)  # prepared for what is over
+        is_at_wanted_stage = report.request.stage in WANTED_STAGES[self.phase]
+        return report.request.change_id != change_id or not is_at_wanted_stage
+
+
+def _is_open(change: Change | None) -> bool:
+    """Whether a change may still be withdrawn; also one that nobody has proposed yet."""
+    return change is None or change.outcome is ChangeOutcome.PENDING
+
+
+def _are_all_validated(waiting: list[WaitingMember]) -> bool:
+    return all(member.stage == ParticipantStage.VALIDATED for member in waiting)
+
+
+def _describe_waiting(waiting: list[WaitingMember]) -> str:
+    """Names and stages for a change's reason, the first few of them."""
+    named = [f"{member.name} ({member.stage or 'no text yet'})" for member in waiting]
+    unnamed_count = len(named) - MAX_NAMED_MEMBER_COUNT
+    more = f" and {unnamed_count} more" if unnamed_count > 0 else ""
+    return ", ".join(named[:MAX_NAMED_MEMBER_COUNT]) + more
--- a/landingshift/policies/document.py
+++ b/landingshift/policies/document.py
@@ -1,165 +1,158 @@
-"""What a policy says: figures for methods, tenants and rules by name, over what each server was started with.
+"""What a policy says: figures for methods, tenants and rules by name.
 
-A policy is whole: what it does not name is as in the settings of the start. Pure.
+A policy is complete: what it does not name is as in the settings of the start. As a file it is TOML; it is
+sent and stored as MessagePack of the same tables.
 """
 
 from __future__ import annotations
 
-import os
 import tomllib
 from collections.abc import Callable
+from dataclasses import dataclass
 from typing import Any
 
 import msgspec
 
-from landingshift.admission.interface import Method, Settings, Tenant
+from landingshift.policies.errors import InvalidPolicyError
 
-LARGEST = 65_536  # bytes of one as it is kept
-FORMAT = 2  # the newest that this build reads; LANDINGSHIFT_FORMAT: as if it were an older build
-NUMBER = "a number of 0 or more is expected"
-Figures = dict[str, dict[str, dict[str, float]]]
+MAX_POLICY_BYTES = 65_536  # as it is stored
+NEWEST_FORMAT = 2  # that this build reads
+MAX_FIGURE = 1e15  # well below where floats lose whole numbers
+WHOLE_POLICY = "the whole"  # stands for the key in errors that are about no key
+NOT_TOML = "no TOML"  # as well
 
-# Keys of each table: the format they came with, and where the module keeps them.
-METHODS = {
-    "criticality": (1, "criticality"),
-    "target_ms": (1, "latency_objective_ms"),
-    "late_share": (2, "late_value_fraction"),
-}
-TENANTS = {"allowance_s": (1, "quota_per_second")}
-RULES = {"hold_off_max_ms": (1, "max_retry_after_ms"), "over_share_worth": (1, "over_quota_value_fraction")}
-TABLES = {"methods": METHODS, "tenants": TENANTS}
+Figures = dict[str, dict[str, dict[str, float]]]  # by table, name and key; the rules have the name ""
+
+
+@dataclass(slots=True, frozen=True)
+class KeyRule:
+    """One key of a table.
 
+    Attributes:
+        since_format: Format that the key came with.
+        attribute: Where the admission module keeps the figure.
+        is_fraction: Whether the figure is at most 1.
+    """
 
-class InvalidPolicyError(ValueError):
-    """The text begins with the key."""
+    since_format: int
+    attribute: str
+    is_fraction: bool = False
 
 
-def newest() -> int:
-    return int(os.environ.get("LANDINGSHIFT_FORMAT", "") or FORMAT)
+METHOD_KEYS = {
+    "criticality": KeyRule(1, "criticality"),
+    "target_ms": KeyRule(1, "latency_objective_ms"),
+    "late_share": KeyRule(2, "late_value_fraction", is_fraction=True),
+}
+TENANT_KEYS = {"allowance_s": KeyRule(1, "quota_per_second")}
+RULE_KEYS = {
+    "hold_off_max_ms": KeyRule(1, "max_retry_after_ms"),
+    "over_share_worth": KeyRule(1, "over_quota_value_fraction", is_fraction=True),
+}
+NAMED_TABLES = {"methods": METHOD_KEYS, "tenants": TENANT_KEYS}  # one entry a name
+ALL_TABLES = {**NAMED_TABLES, "rules": RULE_KEYS}
 
 
 def parse_policy(text: str) -> bytes:
-    """What a file says, as it is kept. Raises InvalidPolicyError for what no build could read."""
+    """A policy file as it is sent and stored.
+
+    Raises:
+        InvalidPolicyError: No build could read it.
+    """
     try:
         data = tomllib.loads(text)
-    except tomllib.TOMLDecodeError as err:
-        raise InvalidPolicyError(f"no TOML: {err}") from err
+    except tomllib.TOMLDecodeError as error:
+        raise InvalidPolicyError(NOT_TOML, str(error)) from error
     try:
         packed = msgspec.msgpack.encode(data, order="deterministic")
-    except (OverflowError, TypeError) as err:  # TOML has larger numbers, and dates
-        raise InvalidPolicyError(f"the whole: {err}") from err
-    decode_policy(packed, FORMAT)
-    if len(packed) > LARGEST:
-        raise InvalidPolicyError(f"the whole: {len(packed)} bytes, {LARGEST} at most")
+    except (OverflowError, TypeError) as error:  # TOML has larger numbers, and dates
+        raise InvalidPolicyError(WHOLE_POLICY, str(error)) from error
+    decode_policy(packed, NEWEST_FORMAT)
+    if len(packed) > MAX_POLICY_BYTES:
+        raise InvalidPolicyError(WHOLE_POLICY, f"{len(packed)} bytes, {MAX_POLICY_BYTES} at most")
     return packed
 
 
-def decode_policy(packed: bytes, reads: int) -> Figures:
-    """Figures by table, name and key; raises InvalidPolicyError where a build for `reads` can't."""
+def decode_policy(packed: bytes, newest_format: int) -> Figures:
+    """Figures of a stored policy.
+
+    Args:
+        packed: As `parse_policy` gave it; empty for the settings of the start.
+        newest_format: Up to which format the reader understands policies.
+
+    Raises:
+        InvalidPolicyError: Such a reader can't read it.
+    """
+    figures: Figures = {"methods": {}, "tenants": {}, "rules": {}}
     if not packed:
-        return {"methods": {}, "tenants": {}, "rules": {}}
-    try:
-        data = msgspec.msgpack.decode(packed)
-    except (msgspec.DecodeError, RecursionError) as err:
-        raise InvalidPolicyError(f"the whole: {err}") from err
-    if not isinstance(data, dict):
-        raise InvalidPolicyError("the whole: tables are expected")
-    found: Figures = {"methods": {}, "tenants": {}, "rules": {}}
-    form = data.pop("format", 1)
-    if not isinstance(form, int) or not 1 <= form <= reads:
-        raise InvalidPolicyError(f"format: this build reads up to {reads}, not {form!r}")
+        return figures
+    data = _decode_tables(packed)
+    policy_format = data.pop("format", 1)
+    if not isinstance(policy_format, int) or not 1 <= policy_format <= newest_format:
+        reason = f"this build reads up to {newest_format}, not {policy_format!r}"
+        raise InvalidPolicyError("format", reason)
     for table, values in data.items():
         if table == "rules":
-            found["rules"][""] = figures("rules", values, RULES, form)
-        elif table in TABLES:
-            for name, entry in as_table(table, values).items():
-                found[table][name] = figures(f"{table}.{name}", entry, TABLES[table], form)
+            figures["rules"][""] = _decode_figures("rules", values, RULE_KEYS, policy_format)
+        elif table in NAMED_TABLES:
+            keys = NAMED_TABLES[table]
+            for name, entry in _as_table(table, values).items():
+                figures[table][name] = _decode_figures(f"{table}.{name}", entry, keys, policy_format)
         else:
-            raise InvalidPolicyError(f"{table}: no such table; there is methods, tenants, rules")
-    return found
+            raise InvalidPolicyError(table, "no such table; there is methods, tenants, rules")
+    return figures
 
 
-def as_table(path: str, values: Any) -> dict[str, Any]:
+def _decode_tables(packed: bytes) -> dict[Any, Any]:
+    try:
+        data = msgspec.msgpack.decode(packed)
+    except (msgspec.DecodeError, RecursionError) as error:
+        raise InvalidPolicyError(WHOLE_POLICY, str(error)) from error
+    if not isinstance(data, dict):
+        raise InvalidPolicyError(WHOLE_POLICY, "tables are expected")
+    return data
+
+
+def _as_table(path: str, values: Any) -> dict[str, Any]:
     if not isinstance(values, dict):
-        raise InvalidPolicyError(f"{path}: a table is expected")
+        raise InvalidPolicyError(path, "a table is expected")
     return values
 
 
-def figures(path: str, values: Any, keys: dict[str, tuple[int, str]], form: int) -> dict[str, float]:
-    for key, value in as_table(path, values).items():
+def _decode_figures(path: str, values: Any, keys: dict[str, KeyRule], policy_format: int) -> dict[str, float]:
+    table = _as_table(path, values)
+    for key, value in table.items():
         if key not in keys:
-            raise InvalidPolicyError(f"{path}.{key}: no such key; there is {', '.join(keys)}")
-        if keys[key][0] > form:
-            raise InvalidPolicyError(f"{path}.{key}: needs format = {keys[key][0]}")
-        good = isinstance(value, int | float) and not isinstance(value, bool) and 0 <= value < 1e15
-        if not good or (key in ("late_share", "over_share_worth") and value > 1):
-            raise InvalidPolicyError(f"{path}.{key}: {NUMBER}, not {value!r}")
-    return {key: float(value) for key, value in values.items()}
-
-
-class PolicyOverlay:
-    """The settings of this server's start, over which each policy lies."""
-
-    def __init__(self, settings: Settings, methods: dict[str, Method], tenants: dict[str, Tenant]) -> None:
-        self.settings = settings
-        self.owners: dict[str, dict[str, Any]] = {
-            "methods": dict(methods), "tenants": dict(tenants), "rules": {"": settings},
-        }  # fmt: skip
-        self.keys = {**TABLES, "rules": RULES}
-        self.start = {
-            (table, name, attribute): getattr(owner, attribute)
-            for table, owners in self.owners.items()
-            for name, owner in owners.items()
-            for _, attribute in self.keys[table].values()
-        }
-
-    def check(self, packed: bytes) -> str:
-        """Empty where this server could decide by it, else key and reason."""
-        try:
-            found = decode_policy(packed, newest())
-            for table, names in found.items():
-                for name, values in names.items():
-                    self.fits(table, name, values)
-        except InvalidPolicyError as err:
-            return str(err)
-        return ""
-
-    def fits(self, table: str, name: str, values: dict[str, float]) -> None:
-        owner = self.owners[table].get(name)
-        if owner is None:
-            raise InvalidPolicyError(f"{table}.{name}: this server has none of that name")
-        if values.get("hold_off_max_ms") and not self.start["rules", "", "max_retry_after_ms"]:
-            raise InvalidPolicyError("rules.hold_off_max_ms: its settings permit no hold-off")
-        if isinstance(owner, Method) and values.get("target_ms", 0.0) > owner.deadline_ms:
-            raise InvalidPolicyError(
-                f"{table}.{name}.target_ms: more than its deadline, {owner.deadline_ms:g}"
-            )
-        if values.get("target_ms") == 0.0:
-            raise InvalidPolicyError(f"{table}.{name}.target_ms: 0 would turn all away")
-
-    def apply(self, packed: bytes) -> None:
-        """Puts the figures in force, those of the start where it names none."""
-        found = decode_policy(packed, FORMAT)
-        for (table, name, attribute), value in self.start.items():
-            named = found[table].get(name, {})
-            key = next(k for k, (_, a) in self.keys[table].items() if a == attribute)
-            setattr(self.owners[table][name], attribute, named.get(key, value))
+            raise InvalidPolicyError(f"{path}.{key}", f"no such key; there is {', '.join(keys)}")
+        rule = keys[key]
+        if rule.since_format > policy_format:
+            raise InvalidPolicyError(f"{path}.{key}", f"needs format = {rule.since_format}")
+        if not _is_figure(value, rule):
+            raise InvalidPolicyError(f"{path}.{key}", f"a number of 0 or more is expected, not {value!r}")
+    return {key: float(value) for key, value in table.items()}
+
+
+def _is_figure(value: Any, rule: KeyRule) -> bool:
+    if isinstance(value, bool) or not isinstance(value, int | float):
+        return False
+    return 0 <= value < MAX_FIGURE and not (rule.is_fraction and value > 1)
 
 
 def flatten_policy(packed: bytes) -> dict[str, float]:
+    """Figures of a stored policy by dotted key."""
     return {
         ".".join(part for part in (table, name, key) if part): value
-        for table, names in decode_policy(packed, FORMAT).items()
+        for table, names in decode_policy(packed, NEWEST_FORMAT).items()
         for name, values in names.items()
         for key, value in values.items()
     }
 
 
 def describe_differences(old: bytes, new: bytes, show: Callable[[float | None], str]) -> list[str]:
-    """A line a key that is not the same in both."""
-    a, b = flatten_policy(old), flatten_policy(new)
+    """A line for each key that is not the same in both policies; `show` formats a figure or its absence."""
+    old_figures, new_figures = flatten_policy(old), flatten_policy(new)
     return [
-        f"{key}: {show(a.get(key))} -> {show(b.get(key))}"
-        for key in sorted(a | b)
-        if a.get(key) != b.get(key)
+        f"{key}: {show(old_figures.get(key))} -> {show(new_figures.get(key))}"
+        for key in sorted(old_figures | new_figures)
+        if old_figures.get(key) != new_figures.get(key)
     ]
--- /dev/null
+++ b/landingshift/policies/enforcement.py
@@ -0,0 +1,115 @@
+"""By which version the admission module decides, and whether it may decide at all just now.
+
+Guarantee: looked at in the end of each pass of the loop, before the module starts or rejects anything;
+without the right to decide the server stands aside. Failure mode: a process that is stopped between this
+look and the act within one pass acts on the look when it goes on.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from landingshift import failpoints
+from landingshift.policies.overlay import PolicyOverlay
+from landingshift.policies.participant import ChangeParticipant
+
+if TYPE_CHECKING:
+    from landingshift.admission.controller import AdmissionController
+    from landingshift.net.program.features import ServiceHost
+    from landingshift.net.routing.rpc_record import RoutedRpc
+
+
+class PolicyEnforcement:
+    """Carries the participant's state into the admission module.
+
+    Attributes:
+        name: Of the observer, and of what holds back the server's health.
+        applied_version: The version that the module decides by.
+    """
+
+    name = "policies"
+
+    def __init__(
+        self, host: ServiceHost, server_name: str, overlay: PolicyOverlay, participant: ChangeParticipant
+    ) -> None:
+        """Begins at once: no gateway needs to hear of a server that can't decide yet."""
+        self.applied_version = 0
+        self._router = host.router
+        self._loop = host.router.loop
+        self._log = host.log
+        self._server_name = server_name
+        self._overlay = overlay
+        self._participant = participant
+        self._controller: AdmissionController | None = None  # that was last told whether it may decide
+        self._may_decide = False
+        self._checked_at_ms = self._loop.now_ms
+        self._router.before_decisions = self.before_decisions
+        self._router.health_reporter.hold_back(self.name)
+        if failpoints.history:
+            self._router.observers.add(self)
+
+    def before_decisions(self) -> None:
+        """Puts a new version in force, and tells the module whether it may decide."""
+        controller, participant = self._router.admission, self._participant
+        if controller is None:
+            return
+        # A lease is judged by the clock of now: the pass may have begun before it ran out.
+        now_ms = self._loop.clock_ms() if participant.needs_lease else self._loop.now_ms
+        if participant.version > self.applied_version:
+            self._apply_version(controller)
+        may_decide = participant.may_decide(now_ms)
+        self._checked_at_ms = now_ms
+        if may_decide != self._may_decide or controller is not self._controller:
+            self._may_decide = may_decide
+            self._controller = controller
+            self._tell_controller(controller)
+
+    def _apply_version(self, controller: AdmissionController) -> None:
+        failpoints.reach("policies.laid")
+        self._overlay.apply(self._participant.policy)
+        controller.now_ms = self._loop.now_ms
+        controller.on_settings_changed()
+        self._router.needs_settle = True
+        self.applied_version = self._participant.version
+        self._log("policy_version", version=self.applied_version)
+
+    def _tell_controller(self, controller: AdmissionController) -> None:
+        may_decide = self._may_decide
+        is_shutting_down = controller.stop_at_ms is not None
+        if not is_shutting_down or not may_decide:
+            controller.now_ms = self._loop.now_ms
+            controller.set_standby(not may_decide)
+            self._router.needs_settle = True
+        if may_decide:
+            self._router.health_reporter.release(self.name)
+        reason = "" if may_decide else self.standby_reason()
+        self._log("policy_aside", on=not may_decide, version=self._participant.version, why=reason)
+
+    def standby_reason(self) -> str:
+        """Why this server may not decide, for operators."""
+        participant = self._participant
+        if participant.refusal_reason:
+            return participant.refusal_reason
+        if not participant.is_member:
+            return "no leader has counted it yet"
+        if participant.latest_version > participant.version:
+            return f"version {participant.latest_version} is in force, its text is not here yet"
+        if participant.change_id:
+            return f"no word from the leader for too long, during {participant.change_id}"
+        return "no word for too long"
+
+    # An observer of RPCs, for a checked history
+
+    def on_started(self, _rpc: RoutedRpc) -> None:
+        """An RPC was started: a decision."""
+        self._note_decision()
+
+    def on_answered(self, _rpc: RoutedRpc, how: str) -> None:
+        """A rejection is a decision, too, of a server that may decide."""
+        if how == "pushed_back" and self._may_decide:
+            self._note_decision()
+
+    def _note_decision(self) -> None:
+        participant = self._participant
+        policy = participant.policy if participant.version == self.applied_version else b""
+        failpoints.note("decided", self._server_name, self.applied_version, policy, self._checked_at_ms)
--- /dev/null
+++ b/landingshift/policies/log_writer.py
@@ -0,0 +1,49 @@
+"""Saves a voter's state to its log file, and retries while the disk takes nothing.
+
+Guarantee: nothing that rests on unsaved state goes out. Failure mode: with a full disk this voter answers no
+elections and takes no entries; the other voters go on without it.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from landingshift.consensus.persistent_state import PersistentState
+from landingshift.consensus.raft_log import RaftLogFile
+
+RETRY_INTERVAL_MS = 500.0
+
+
+class LogWriter:
+    """The log file of a voter, with retries."""
+
+    def __init__(self, log_file: RaftLogFile, log: Callable[..., None]) -> None:
+        self._log_file = log_file
+        self._log = log
+        self._failing_since_ms: float | None = None
+        self._retry_at_ms = 0.0
+
+    def save(self, state: PersistentState, now_ms: float) -> bool:
+        """Writes and syncs the state.
+
+        Returns:
+            False where the disk takes nothing just now.
+        """
+        if now_ms < self._retry_at_ms:
+            return False
+        try:
+            self._log_file.save(state)
+        except OSError as error:
+            self._retry_at_ms = now_ms + RETRY_INTERVAL_MS
+            if self._failing_since_ms is None:
+                self._failing_since_ms = now_ms
+                self._log("policy_unsaved", journal=self._log_file.path, error=str(error))
+            return False
+        if self._failing_since_ms is not None:
+            self._log("policy_saved_again", after_ms=round(now_ms - self._failing_since_ms))
+            self._failing_since_ms = None
+        return True
+
+    def close(self) -> None:
+        """Closes the file."""
+        self._log_file.close()
--- a/landingshift/policies/node.py
+++ b/landingshift/policies/node.py
@@ -1,254 +1,312 @@
-"""One server's whole part in policies: one who decides, and where it is a voter, the agreement and its book.
+"""One server's whole part in policies: a participant, and on a voter also the Raft node and the coordinator.
 
-Pure: messages, time and chance come in; messages go out, and what must be on disk before they may. `now` must
-be read after the message was, and not before: what a leader promises rests on it.
+Pure: messages, time and chance come in; messages go out, and what must be on disk before they may. `now_ms`
+must be read after the message was, and not before: what a leader promises rests on it.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
 from random import Random
 from typing import Any
 
 from landingshift.consensus.errors import InvalidMessageError
-from landingshift.consensus.messages import decode_message, encode_message
+from landingshift.consensus.messages import decode_message as decode_raft_message
+from landingshift.consensus.messages import encode_message as encode_raft_message
 from landingshift.consensus.persistent_state import PersistentState
 from landingshift.consensus.raft import RaftNode
 from landingshift.consensus.state_machines import StateMachineRegistry
 from landingshift.consensus.timeouts import RaftTimeouts
 from landingshift.consensus.voters import is_voters_entry
+from landingshift.policies.commands import ChangeOutcome
 from landingshift.policies.coordinator import ChangeCoordinator
-from landingshift.policies.participant import ChangeParticipant, PolicySettings
-from landingshift.policies.state_machine import Change, ChangeOutcome, PolicyStateMachine
+from landingshift.policies.errors import UnreadableMessageError
+from landingshift.policies.messages import (
+    ChangeStatus,
+    Departure,
+    Message,
+    OperatorCommand,
+    OperatorRequest,
+    PolicyRequest,
+    PolicyText,
+    RaftPacket,
+    Redirect,
+    StatusRequest,
+    UnreadableStatusRequest,
+)
+from landingshift.policies.operator_commands import OperatorCommands
+from landingshift.policies.participant import ChangeParticipant
+from landingshift.policies.policy_settings import PolicySettings
+from landingshift.policies.state_machine import DEFAULT_MAX_MEMBER_COUNT, Change, PolicyStateMachine
+from landingshift.policies.wire import decode_message, encode_message
 
-COMPACT = 200  # entries after which the book takes their place
-AGAIN = 300.0  # ms between two tries to bring an operator's word to the leader
-ERRANDS = 32  # operators' words under way
-ANSWERS = 256  # that are kept for whoever asks
-LASTS = 120_000.0  # ms after which one that nobody answered is given up
-FINAL_OUTCOMES = (ChangeOutcome.COMMITTED.value, ChangeOutcome.REJECTED.value, ChangeOutcome.WITHDRAWN.value)
-
-
-@dataclass(slots=True)
-class PendingOperatorCommand:
-    """What an operator wants, on its way to the leader."""
-
-    what: list[Any]
-    since: float
-    at: float
-    tries: int = 0
+STATE_MACHINE_NAME = "policies"
+COMPACTION_ENTRY_COUNT = 200  # entries after which a snapshot takes their place
+MAX_LOCAL_DELIVERY_COUNT = 8  # times in a row that messages to itself may bring about others
 
 
 class PolicyNode:
-    """`out` gets (name, body); a body may be larger than a datagram. `stored`: what a voter has on disk."""
+    """Everything that a server does about policies but for I/O.
+
+    Attributes:
+        name: This server's name.
+        run: One life of this process.
+        participant: Decides by which version this server may work.
+        raft: The Raft node; None on a server without a log file.
+        coordinator: Leads changes while `raft` leads; None where `raft` is.
+        state_machine: The replicated state of policies, as far as it is applied here.
+        state_machines: All state machines on the replicated log.
+        commit_listeners: Called with the time when entries were applied.
+        operator_commands: What operators asked this server for.
+    """
 
     def __init__(
         self,
         name: str,
         run: int,
-        plan: PolicySettings,
-        check: Callable[[bytes], str],
-        stored: PersistentState | None,
-        chance: Random,
-        now: float,
-        wall: Callable[[], float],
-        times: RaftTimeouts | None = None,
-        most: int = 2000,
+        settings: PolicySettings,
+        find_conflict: Callable[[bytes], str],
+        persistent_state: PersistentState | None,
+        rng: Random,
+        now_ms: float,
+        wall_clock_ms: Callable[[], float],
+        timeouts: RaftTimeouts | None = None,
+        max_member_count: int = DEFAULT_MAX_MEMBER_COUNT,
     ) -> None:
-        self.name, self.run, self.plan = name, run, plan
-        self.participant = ChangeParticipant(name, run, plan, check, chance, now)
+        """Starts with what is on disk.
+
+        Args:
+            name: This server's name.
+            run: One life of this process.
+            settings: Alike on all servers.
+            find_conflict: Key and reason where this server could not decide by a policy, else empty.
+            persistent_state: Of the log file; None on a server without one.
+            rng: Spreads requests and elections.
+            now_ms: Monotonic clock.
+            wall_clock_ms: Unix time, for what people read.
+            timeouts: Raft's intervals; None for the defaults.
+            max_member_count: Servers that can be members.
+        """
+        self.name = name
+        self.run = run
+        self.participant = ChangeParticipant(run, settings, find_conflict, rng, now_ms)
         self.raft: RaftNode | None = None
-        self.book = PolicyStateMachine(most)
         self.coordinator: ChangeCoordinator | None = None
+        self.state_machine = PolicyStateMachine(max_member_count)
         self.state_machines = StateMachineRegistry()
-        self.state_machines.register("policies", self.book)
-        self.applied = 0
-        if stored is not None:
-            if stored.last_included_index:
-                self.state_machines.restore(stored.snapshot)
-                self.applied = stored.last_included_index
-            self.raft = RaftNode(name, plan.voters, stored, times or RaftTimeouts(), chance, now)
-            self.coordinator = ChangeCoordinator(self.raft, self.book, plan, wall)
+        self.state_machines.register(STATE_MACHINE_NAME, self.state_machine)
+        self.commit_listeners: list[Callable[[float], None]] = []
+        self.operator_commands = OperatorCommands()
+        self._settings = settings
+        self._applied_index = 0
+        self._outbox: list[tuple[str, Message]] = []
+        if persistent_state is not None:
+            if persistent_state.last_included_index:
+                self.state_machines.restore(persistent_state.snapshot)
+                self._applied_index = persistent_state.last_included_index
+            timeouts = timeouts or RaftTimeouts()
+            self.raft = RaftNode(name, settings.voters, persistent_state, timeouts, rng, now_ms)
+            self.coordinator = ChangeCoordinator(self.raft, self.state_machine, settings, wall_clock_ms)
             self.participant.can_become_voter = True
-        self.commit_listeners: list[
-            Callable[[float], None]
-        ] = []  # of other packages, told when entries were taken
-        self.pending_commands: dict[str, PendingOperatorCommand] = {}
-        self.change_statuses: dict[str, dict[str, Any]] = {}
-        self.out: list[tuple[str, list[Any]]] = []
 
-    # The driver's
+    # The driver's part
 
     def unsaved_state(self) -> PersistentState | None:
+        """What must be on disk before any message that rests on it goes out."""
         return self.raft.unsaved_state() if self.raft is not None else None
 
-    def on_state_saved(self, now: float) -> None:
-        """What `unsaved` gave is on disk."""
-        assert self.raft is not None
+    def on_state_saved(self, now_ms: float) -> None:
+        """What `unsaved_state` gave is on disk."""
+        assert self.raft is not None, "only a voter has unsaved state"
         self.raft.on_state_saved()
-        self.advance(now)
+        self._apply_committed(now_ms)
 
     def next_deadline_ms(self) -> float:
-        due = [self.participant.next_deadline_ms(), *(e.at for e in self.pending_commands.values())]
+        """When `tick` is due."""
+        deadlines_ms = [self.participant.next_deadline_ms]
+        deadlines_ms += [pending.due_at_ms for pending in self.operator_commands.pending.values()]
         if self.raft is not None and self.coordinator is not None:
-            due += [self.raft.next_deadline_ms, self.coordinator.next_deadline_ms()]
-        return min(due)
+            deadlines_ms += [self.raft.next_deadline_ms, self.coordinator.next_deadline_ms]
+        return min(deadlines_ms)
 
-    def tick(self, now: float) -> None:
+    def tick(self, now_ms: float) -> None:
+        """Does what is due."""
         if self.raft is not None and self.coordinator is not None:
-            self.raft.tick(now)
-            self.advance(now)
-            if now >= self.coordinator.next_deadline_ms():
-                self.coordinator.step(now)
-            self.participant.own_log_voters = self.raft.voters
-        self.participant.tick(now)
-        for id in [i for i, e in self.pending_commands.items() if e.at <= now]:
-            self.forward_command(id, now)
-        self.deliver_messages(now)
-
-    def on_message(self, who: str, body: list[Any], now: float) -> None:
-        self.dispatch(who, body, now)
-        self.deliver_messages(now)
+            self.raft.tick(now_ms)
+            self._apply_committed(now_ms)
+            self._tick_coordinator_if_due(self.coordinator, now_ms)
+            self.participant.discovery.own_log_voters = self.raft.voters
+        self.participant.tick(now_ms)
+        for change_id in self.operator_commands.due(now_ms):
+            self.forward_command(change_id, now_ms)
+        self.deliver_messages(now_ms)
+
+    def on_message(self, sender: str, body: list[Any], now_ms: float) -> None:
+        """Takes a message of a peer; what can't be read is dropped."""
+        try:
+            message = decode_message(body)
+        except UnreadableMessageError:
+            pass
+        else:
+            self._dispatch(sender, message, now_ms)
+        self.deliver_messages(now_ms)
 
     def take_outgoing(self) -> list[tuple[str, list[Any]]]:
-        out, self.out = self.out, []
+        """Receivers and bodies; of Raft none while they rest on what is not saved."""
+        messages = self._outbox
+        self._outbox = []
         if self.raft is not None:
-            out += [(to, ["vote", encode_message(m)]) for to, m in self.raft.take_outgoing()]
-        return out
+            packets = self.raft.take_outgoing()
+            messages += [(to, RaftPacket(encode_raft_message(packet))) for to, packet in packets]
+        return [(receiver, encode_message(message)) for receiver, message in messages]
+
+    def deliver_messages(self, now_ms: float) -> None:
+        """Collects what is to be sent, and takes at once what this server has to tell itself."""
+        for _ in range(MAX_LOCAL_DELIVERY_COUNT):
+            local_messages = self._collect_outgoing()
+            for message in local_messages:
+                self._dispatch(self.name, message, now_ms)
+            if not local_messages:
+                return
+
+    def _collect_outgoing(self) -> list[Message]:
+        """Moves messages to others into the outbox; returns those to this server."""
+        local_messages: list[Message] = []
+        outboxes = [self.participant.outbox]
+        if self.coordinator is not None:
+            outboxes.append(self.coordinator.outbox)
+        for outbox in outboxes:
+            for receiver, message in outbox:
+                if receiver == self.name:
+                    local_messages.append(message)
+                else:
+                    self._outbox.append((receiver, message))
+            outbox.clear()
+        return local_messages
 
     # Messages
 
-    def dispatch(self, who: str, body: list[Any], now: float) -> None:
-        match body:
-            case ["vote", bytes(data)]:
-                if self.raft is not None:
-                    try:
-                        message = decode_message(data)
-                    except InvalidMessageError:
-                        return
-                    self.raft.additional_senders = {*self.plan.voters, *self.participant.voters}
-                    self.raft.on_message(who, message, now)
-                    self.advance(now)
-            case ["here", *rest]:
+    def _dispatch(self, sender: str, message: Message, now_ms: float) -> None:
+        match message:
+            case RaftPacket(data):
+                self._on_raft_packet(sender, data, now_ms)
+            case StatusRequest() | UnreadableStatusRequest():
+                self._on_status_request(sender, message, now_ms)
+            case PolicyRequest():
+                self._on_policy_request(sender, message)
+            case OperatorRequest():
                 if self.coordinator is not None:
-                    self.coordinator.here(
-                        who, rest, now, self.participant.leader if self.participant.is_member else ""
-                    )
-                    if self.coordinator.next_deadline_ms() <= now:
-                        self.coordinator.step(now)
-                elif len(rest) > 1 and isinstance(rest[1], int):
-                    known = self.participant.leader if self.participant.is_member else ""
-                    self.out.append((who, ["ask", rest[1], known]))
-            case ["want", str(change), int(version)]:
+                    self.coordinator.on_operator_request(sender, message, now_ms)
+            case Departure(run):
                 if self.coordinator is not None:
-                    self.coordinator.wants(who, change, version, now)
-                elif not change and version == self.participant.version:
-                    self.out.append((who, ["text", "", version, self.participant.policy]))
-            case ["do", str(id), *what]:
-                if self.coordinator is not None:
-                    self.coordinator.do(who, id, what, now)
-            case ["bye", int(run)]:
-                if self.coordinator is not None and self.book.members.get(who) == run:
-                    self.coordinator.do(who, f"bye {who}", ["gone", who, run], now)
-            case ["found", str(id), str(end), int(version), str(said), list(waits)]:
-                self.found(id, {"id": id, "end": end, "version": version, "said": said, "waits": waits})
+                    self.coordinator.on_departure(sender, run, now_ms)
+            case ChangeStatus():
+                self.operator_commands.on_status(message)
             case _:
-                self.participant.on_message(who, body, now)
-
-    def deliver_messages(self, now: float) -> None:
-        """To others, and what this server has to say to itself at once."""
-        for _ in range(8):
-            mine: list[list[Any]] = []
-            for box in (
-                self.participant.outbox,
-                self.coordinator.out if self.coordinator is not None else [],
-            ):
-                for to, body in box:
-                    if to == self.name:
-                        mine.append(body)
-                    else:
-                        self.out.append((to, body))
-                box.clear()
-            for body in mine:
-                self.dispatch(self.name, body, now)
-            if not mine:
-                return
+                self.participant.on_message(sender, message, now_ms)
+
+    def _on_raft_packet(self, sender: str, data: bytes, now_ms: float) -> None:
+        if self.raft is None:
+            return
+        try:
+            packet = decode_raft_message(data)
+        except InvalidMessageError:
+            return
+        # Voters that this node's log does not name yet are known from the settings and from the leader.
+        self.raft.additional_senders = {*self._settings.voters, *self.participant.discovery.voters}
+        self.raft.on_message(sender, packet, now_ms)
+        self._apply_committed(now_ms)
+
+    def _on_status_request(
+        self, sender: str, request: StatusRequest | UnreadableStatusRequest, now_ms: float
+    ) -> None:
+        known_leader = self.participant.discovery.leader if self.participant.is_member else ""
+        if self.coordinator is None:
+            self._outbox.append((sender, Redirect(request.number, known_leader)))
+            return
+        if isinstance(request, StatusRequest):
+            self.coordinator.on_status_request(sender, request, now_ms, known_leader)
+        self._tick_coordinator_if_due(self.coordinator, now_ms)
+
+    def _on_policy_request(self, sender: str, request: PolicyRequest) -> None:
+        """A server that is no voter helps out with the version that it has."""
+        if self.coordinator is not None:
+            self.coordinator.on_policy_request(sender, request)
+        elif not request.change_id and request.version == self.participant.version:
+            self._outbox.append((sender, PolicyText("", request.version, self.participant.policy)))
 
-    def advance(self, now: float) -> None:
-        """Applies what has been taken; the book stands in for old entries then."""
-        voter, desk = self.raft, self.coordinator
-        assert voter is not None and desk is not None
-        if voter.persistent_state.last_included_index > self.applied:  # a snapshot came
-            self.state_machines.restore(voter.persistent_state.snapshot)
-            self.applied = voter.persistent_state.last_included_index
-        if self.applied < voter.commit_index:
-            for entry in voter.entries_between(self.applied, voter.commit_index):
-                if not is_voters_entry(entry.data):
-                    self.state_machines.apply(entry.data)
-            self.applied = voter.commit_index
-            for hear in self.commit_listeners:
-                hear(now)
-            desk.step_at = now
-            desk.step(now)
-            if voter.commit_index - voter.persistent_state.last_included_index > COMPACT:
-                voter.compact(self.applied, self.state_machines.snapshot())
+    # The replicated log
+
+    @staticmethod
+    def _tick_coordinator_if_due(coordinator: ChangeCoordinator, now_ms: float) -> None:
+        if coordinator.next_deadline_ms <= now_ms:
+            coordinator.tick(now_ms)
+
+    def _apply_committed(self, now_ms: float) -> None:
+        """Applies what has been committed; after some entries a snapshot takes their place."""
+        raft, coordinator = self.raft, self.coordinator
+        assert raft is not None, "only a voter applies entries"
+        assert coordinator is not None, "a voter has a coordinator"
+        snapshot_index = raft.persistent_state.last_included_index
+        if snapshot_index > self._applied_index:  # a leader's snapshot came
+            self.state_machines.restore(raft.persistent_state.snapshot)
+            self._applied_index = snapshot_index
+        if self._applied_index >= raft.commit_index:
+            return
+        for entry in raft.entries_between(self._applied_index, raft.commit_index):
+            if not is_voters_entry(entry.data):
+                self.state_machines.apply(entry.data)
+        self._applied_index = raft.commit_index
+        for on_committed in self.commit_listeners:
+            on_committed(now_ms)
+        coordinator.next_deadline_ms = now_ms
+        coordinator.tick(now_ms)
+        if raft.commit_index - raft.persistent_state.last_included_index > COMPACTION_ENTRY_COUNT:
+            raft.compact(self._applied_index, self.state_machines.snapshot())
 
     # Operators
 
-    def submit_command(self, id: str, what: list[Any], now: float) -> bool:
-        """Brings it to the leader until that has an answer; False where too many are under way."""
-        errand = self.pending_commands.get(id)
-        if errand is None:
-            if len(self.pending_commands) >= ERRANDS:
-                return False
-            self.pending_commands[id] = PendingOperatorCommand(what, now, now)
-        elif what[0] != "find" and errand.what[0] != "propose":
-            errand.what, errand.since = what, now
-        return True
-
-    def forward_command(self, id: str, now: float) -> None:
-        errand = self.pending_commands[id]
-        errand.at = now + AGAIN
-        if now - errand.since > LASTS:
-            del self.pending_commands[id]
+    def submit_command(self, change_id: str, command: OperatorCommand, now_ms: float) -> bool:
+        """Brings a command to the leader until it is answered; False where too many are pending."""
+        return self.operator_commands.submit(change_id, command, now_ms)
+
+    def forward_command(self, change_id: str, now_ms: float) -> None:
+        """Brings a pending command to the leader, from the second attempt on to all voters.
+
+        Between changes it is found out late that a leader is gone.
+        """
+        pending = self.operator_commands.next_attempt(change_id, now_ms)
+        if pending is None:
             return
-        body = ["do", id, *errand.what]
-        leader = self.participant.leader
-        errand.tries += 1  # a leader that is gone is found out late between changes
-        for to in [leader] if leader and errand.tries == 1 else self.participant.voters:
-            if to == self.name:
-                self.dispatch(to, body, now)
+        discovery = self.participant.discovery
+        is_for_leader_alone = discovery.leader and pending.attempt_count == 1
+        receivers = [discovery.leader] if is_for_leader_alone else discovery.voters
+        request = OperatorRequest(change_id, pending.command)
+        for receiver in receivers:
+            if receiver == self.name:
+                self._dispatch(receiver, request, now_ms)
             else:
-                self.out.append((to, body))
+                self._outbox.append((receiver, request))
 
-    def found(self, id: str, answer: dict[str, Any]) -> None:
-        errand = self.pending_commands.get(id)
-        if errand is None:
-            return
-        self.change_statuses[id] = answer
-        if len(self.change_statuses) > ANSWERS:
-            del self.change_statuses[next(iter(self.change_statuses))]
-        if answer["end"] in FINAL_OUTCOMES or errand.what[0] == "find":
-            del self.pending_commands[id]
-
-    def change_status(self, id: str) -> dict[str, Any]:
-        """The last word on a change, as far as this server has heard it; an end is the same for ever."""
-        change = self.book.find_change(id) if self.raft is not None else None
-        if change is not None and change.end is not ChangeOutcome.PENDING:
-            said, version = change.said, change.version
-            return {"id": id, "end": change.end.value, "version": version, "said": said, "waits": []}
-        if id in self.change_statuses and self.change_statuses[id]["end"] in FINAL_OUTCOMES:
-            return self.change_statuses[id]
-        if id in self.participant.ended_changes:
-            end, version, said = self.participant.ended_changes[id]
-            return {"id": id, "end": end, "version": version, "said": said, "waits": []}
-        nothing = {"id": id, "end": "unknown", "version": 0, "said": "no leader has told yet", "waits": []}
-        return self.change_statuses.get(id, nothing)
+    def change_status(self, change_id: str) -> ChangeStatus:
+        """What is known of a change here; a final outcome is the same for ever."""
+        change = self.state_machine.find_change(change_id) if self.raft is not None else None
+        if change is not None and change.outcome is not ChangeOutcome.PENDING:
+            return ChangeStatus(change_id, change.outcome.value, change.version, change.outcome_reason)
+        told = self.operator_commands.final_status(change_id)
+        if told is not None:
+            return told
+        ended = self.participant.ended_changes.get(change_id)
+        if ended is not None:
+            return ChangeStatus(change_id, ended.outcome, ended.version, ended.reason)
+        return self.operator_commands.last_status(change_id)
 
     def announce_departure(self) -> None:
-        """Its last word: it will decide nothing more."""
-        self.out += [(to, ["bye", self.run]) for to in self.participant.voters if to != self.name]
+        """The last message: this run decides nothing more."""
+        for voter in self.participant.discovery.voters:
+            if voter != self.name:
+                self._outbox.append((voter, Departure(self.run)))
 
     def list_changes(self) -> list[Change]:
-        return list(self.book.changes.values())
+        """All changes that are kept with details, the newest last."""
+        return list(self.state_machine.changes.values())
--- /dev/null
+++ b/landingshift/policies/operator_calls.py
@@ -0,0 +1,201 @@
+"""What operators call on a server: names, parameters and answers as the command line has them.
+
+Each call takes a list of parameters and returns what MessagePack can hold; a call that can't be answered
+raises an `OperatorCallError`, whose text goes to the operator.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Any
+
+from landingshift.membership.messages import MemberState
+from landingshift.policies.document import MAX_POLICY_BYTES
+from landingshift.policies.errors import (
+    InvalidParamsError,
+    MemberAliveError,
+    NotAVoterError,
+    PolicyTextNotKeptError,
+    TrustRejectedError,
+    UnknownMemberError,
+)
+from landingshift.policies.messages import ChangeStatus, DeclareGone, OperatorCommand, WaitingMember
+from landingshift.policies.state_machine import MAX_REASON_CHARS, Change
+from landingshift.policies.wire import decode_operator_command
+
+if TYPE_CHECKING:
+    from landingshift.policies.service import PolicyService
+
+MAX_CHANGE_ID_CHARS = 64
+MAX_AUTHOR_CHARS = 64
+MAX_SERVER_NAME_CHARS = 32
+MAX_WAITING_MEMBER_COUNT = 64
+
+EXPECTED_COMMAND = "an id and what is to be done are expected"
+EXPECTED_ID = "an id is expected"
+EXPECTED_VERSION = "a version is expected"
+EXPECTED_VERSION_AND_POLICY = "a version and its text are expected"
+
+
+class OperatorCalls:
+    """Answers the calls whose names begin with `policy_`."""
+
+    def __init__(self, service: PolicyService) -> None:
+        self._service = service
+        self._node = service.policy_node
+        self._participant = service.policy_node.participant
+
+    def handlers(self) -> dict[str, Callable[[list[Any]], Any]]:
+        """The calls by name."""
+        return {
+            "policy_do": self.submit,
+            "policy_known": self.change_status,
+            "policy_status": self.server_status,
+            "policy_history": self.history,
+            "policy_text": self.policy_text,
+            "policy_trust": self.trust,
+        }
+
+    def submit(self, params: list[Any]) -> bool:
+        """[id, command, ...]: brings a command to the leader; False where too many are under way."""
+        match params:
+            case [str(change_id), "gone", str(name)]:
+                return self._service.submit_command(change_id, self._declare_gone(name))
+            case [str(change_id), *words] if 0 < len(change_id) <= MAX_CHANGE_ID_CHARS:
+                if _is_valid_command(words):
+                    return self._service.submit_command(change_id, decode_operator_command(words))
+        raise InvalidParamsError(EXPECTED_COMMAND)
+
+    def _declare_gone(self, name: str) -> OperatorCommand:
+        """The command for the run that this server saw last."""
+        record = self._service.member_record(name)
+        if record is None:
+            raise UnknownMemberError(name)
+        if record.state is MemberState.ALIVE:
+            raise MemberAliveError(name)
+        return DeclareGone(name, record.run_id)
+
+    def change_status(self, params: list[Any]) -> dict[str, Any]:
+        """[id]: what is known of a change here."""
+        match params:
+            case [str(change_id)]:
+                return _status_to_map(self._node.change_status(change_id))
+        raise InvalidParamsError(EXPECTED_ID)
+
+    def server_status(self, _params: list[Any]) -> dict[str, Any]:
+        """[]: this server's part, and on voters that of the replicated log."""
+        participant = self._participant
+        now_ms = self._service.clock_ms()
+        may_decide = participant.may_decide(now_ms)
+        leader = participant.discovery.leader
+        leader_record = self._service.member_record(leader) if leader else None
+        status: dict[str, Any] = {
+            "name": self._node.name,
+            "version": self._service.enforcement.applied_version,
+            "decides": may_decide,
+            "why_not": "" if may_decide else self._service.enforcement.standby_reason(),
+            "newest": participant.latest_version,
+            "leader": leader,
+            "leader_at": f"{leader_record.host}:{leader_record.port}" if leader_record is not None else "",
+            "change": participant.change_id,
+            "stage": participant.stage.value,
+            "said": participant.rejection_reason,
+            "voters": list(participant.discovery.voters),
+            "when_cut_off": self._service.settings.when_cut_off,
+        }
+        return status | self._voter_status(now_ms)
+
+    def _voter_status(self, now_ms: float) -> dict[str, Any]:
+        """What only a voter knows; empty on others."""
+        raft, coordinator, state = self._node.raft, self._node.coordinator, self._node.state_machine
+        if raft is None or coordinator is None:
+            return {}
+        is_leader = raft.has_leader_lease(now_ms)
+        status: dict[str, Any] = {
+            "voter": raft.role.value,
+            "term": raft.current_term,
+            "taken_entries": raft.commit_index,
+            "leads": is_leader,
+            "counted": len(state.members),
+            "open": state.pending_change_id,
+        }
+        if is_leader:
+            waiting = coordinator.unprepared_members(now_ms) if state.pending_change_id else []
+            status["waits_for"] = _waiting_to_lists(waiting[:MAX_WAITING_MEMBER_COUNT])
+        return status
+
+    def history(self, _params: list[Any]) -> list[dict[str, Any]]:
+        """[]: all changes that the voters keep, the newest last."""
+        if self._node.raft is None or not self._node.raft.is_voter:
+            raise NotAVoterError(self._participant.discovery.voters)
+        return [_change_to_map(change) for change in self._node.list_changes()]
+
+    def policy_text(self, params: list[Any]) -> bytes:
+        """[version]: the policy of a version."""
+        match params:
+            case [int(version)]:
+                return self._find_policy(version)
+        raise InvalidParamsError(EXPECTED_VERSION)
+
+    def _find_policy(self, version: int) -> bytes:
+        if version == self._participant.version:
+            return self._participant.policy
+        policy = self._node.state_machine.policies.get(version)
+        if policy is None:
+            raise PolicyTextNotKeptError(version)
+        return policy
+
+    def trust(self, params: list[Any]) -> bool:
+        """[version, policy]: an operator's word that no leader will ever tell what is in force."""
+        match params:
+            case [int(version), bytes(policy)] if version >= 0:
+                reason = self._participant.trust_operator(version, policy)
+                if reason:
+                    raise TrustRejectedError(reason)
+                self._service.on_trusted(version)
+                return True
+        raise InvalidParamsError(EXPECTED_VERSION_AND_POLICY)
+
+
+def _is_valid_command(words: list[Any]) -> bool:
+    """Whether an operator's words are a command of the right size; "gone" needs the member table."""
+    match words:
+        case ["propose", bytes(policy), str(author), str(reason)]:
+            return len(policy) <= MAX_POLICY_BYTES and _is_signed(author, reason)
+        case ["withdraw", str(author), str(reason)]:
+            return _is_signed(author, reason)
+        case ["voters", "add" | "remove", str(name)]:
+            return 0 < len(name) <= MAX_SERVER_NAME_CHARS
+        case ["find"]:
+            return True
+    return False
+
+
+def _is_signed(author: str, reason: str) -> bool:
+    return len(author) <= MAX_AUTHOR_CHARS and len(reason) <= MAX_REASON_CHARS
+
+
+def _waiting_to_lists(waiting: list[WaitingMember]) -> list[list[str]]:
+    return [[member.name, member.stage] for member in waiting]
+
+
+def _status_to_map(status: ChangeStatus) -> dict[str, Any]:
+    return {
+        "id": status.change_id,
+        "end": status.outcome,
+        "version": status.version,
+        "said": status.reason,
+        "waits": _waiting_to_lists(list(status.waiting_members)),
+    }
+
+
+def _change_to_map(change: Change) -> dict[str, Any]:
+    return {
+        "id": change.id,
+        "end": change.outcome.value,
+        "version": change.version,
+        "who": change.author,
+        "why": change.reason,
+        "at": change.opened_at_ms,
+        "said": change.outcome_reason,
+    }
--- a/landingshift/policies/settings.py
+++ b/landingshift/policies/settings.py
@@ -8,41 +8,61 @@
 from msgspec import Meta, Struct
 
 from landingshift.membership.messages import MemberName
-from landingshift.policies.participant import PolicySettings
+from landingshift.policies.errors import InvalidSettingError
+from landingshift.policies.policy_settings import PolicySettings
 
 
 class Settings(Struct, forbid_unknown_fields=True, frozen=True):
-    """Alike on all servers of a fleet but for `journal`. RaftTimeouts in ms."""
+    """The keys of the table. Alike on all servers of a fleet but for `journal`.
+
+    Attributes:
+        voters: Voters at first: 1, 3, 5 or 7.
+        journal: Log file of a voter, or of a server that may become one: on a disk that lasts.
+        on: Whether the package is used.
+        when_cut_off: What a server does that hears of no leader for a lease.
+        overlap_ms: For how long two versions may be in use at once, at most.
+        lease_ms: Length of a lease with "stand_aside".
+        spare_ms: Added until the leader takes a lease for expired.
+        wait_ms: After which a change that is not committed is withdrawn.
+        most: Servers that can be members.
+    """
 
     needs: ClassVar[tuple[str, ...]] = ("fleet",)
 
-    voters: Annotated[
-        list[MemberName], Meta(min_length=1, max_length=7)
-    ]  # those that agree at first: 1, 3, 5 or 7
-    journal: str = ""  # of a voter, or one that may become one: on a disk that lasts; one server a file
+    voters: Annotated[list[MemberName], Meta(min_length=1, max_length=7)]
+    journal: str = ""
     on: bool = True
     when_cut_off: Literal["serve", "stand_aside"] = "serve"
-    overlap_ms: Annotated[float, Meta(ge=200.0, le=60_000.0)] = 1_000.0  # two versions at once, at most
-    lease_ms: Annotated[float, Meta(ge=500.0, le=600_000.0)] = 3_000.0  # of "stand_aside"
-    spare_ms: Annotated[float, Meta(ge=0.0, le=60_000.0)] = 300.0  # more until a lease counts as over
-    wait_ms: Annotated[float, Meta(ge=1_000.0, le=86_400_000.0)] = 30_000.0  # for all, then it is withdrawn
-    most: Annotated[int, Meta(ge=2, le=10_000)] = 2_000  # servers that are counted
+    overlap_ms: Annotated[float, Meta(ge=200.0, le=60_000.0)] = 1_000.0
+    lease_ms: Annotated[float, Meta(ge=500.0, le=600_000.0)] = 3_000.0
+    spare_ms: Annotated[float, Meta(ge=0.0, le=60_000.0)] = 300.0
+    wait_ms: Annotated[float, Meta(ge=1_000.0, le=86_400_000.0)] = 30_000.0
+    most: Annotated[int, Meta(ge=2, le=10_000)] = 2_000
 
 
 def check(settings: Settings, _folder: str) -> None:
-    """Raises ValueError("key: what is wrong"); looks at nothing that starting would create."""
-    if len(settings.voters) % 2 == 0:
-        raise ValueError(
-            f"voters: 1, 3, 5 or 7 are expected, not {len(settings.voters)}: one more adds nothing"
-        )
-    if len(set(settings.voters)) != len(settings.voters):
-        raise ValueError("voters: a name stands there twice")
+    """Checks what the types can't say; looks at nothing that starting would create.
+
+    Raises:
+        InvalidSettingError: The text begins with the key.
+    """
+    voter_count = len(settings.voters)
+    if voter_count % 2 == 0:
+        reason = f"1, 3, 5 or 7 are expected, not {voter_count}: one more adds nothing"
+        raise InvalidSettingError("voters", reason)
+    if len(set(settings.voters)) != voter_count:
+        raise InvalidSettingError("voters", "a name stands there twice")
     if settings.journal and not os.path.isabs(settings.journal):
-        raise ValueError(f"journal: an absolute path is expected, not {settings.journal!r}")
+        raise InvalidSettingError("journal", f"an absolute path is expected, not {settings.journal!r}")
 
 
-def plan(settings: Settings) -> PolicySettings:
+def to_policy_settings(settings: Settings) -> PolicySettings:
+    """The table's values by the names of the code."""
     return PolicySettings(
-        tuple(settings.voters), settings.when_cut_off == "stand_aside", settings.overlap_ms,
-        settings.lease_ms, settings.spare_ms, settings.wait_ms,
-    )  # fmt: skip
+        voters=tuple(settings.voters),
+        stands_aside_when_cut_off=settings.when_cut_off == "stand_aside",
+        overlap_ms=settings.overlap_ms,
+        lease_ms=settings.lease_ms,
+        clock_margin_ms=settings.spare_ms,
+        change_timeout_ms=settings.wait_ms,
+    )
--- a/landingshift/policies/state_machine.py
+++ b/landingshift/policies/state_machine.py
@@ -1,156 +1,205 @@
-"""What the voters agree on: who decides, which version is in force, and what became of each change. Pure.
+"""What the voters agree on: members, the version in force, and what became of each change.
 
-Each voter applies the same commands in the same order and comes to the same book. A command that does not fit
-any more when its turn comes (a switch after a new member came, a withdrawal after the switch) does nothing.
+Guarantee: each voter applies the same commands in the same order and comes to the same state; a change's id
+ends in one way for ever. A command that does not fit any more when its turn comes (a commit after a new
+member joined, a withdrawal after the commit) does nothing. Failure mode: once `MAX_CHANGE_ID_COUNT` ids are
+known no new change is begun, since its end could not be kept.
 """
 
 from __future__ import annotations
 
-from enum import Enum
-from typing import Any
-
 import msgspec
 from msgspec import Struct
 
-SHOWN = 256  # changes that are kept with all that was said
-TEXTS = 32  # versions whose text is kept
-IDS = 10_000  # changes of which it is known for ever whether they were taken
-SAID = 300  # characters of a reason
-
+from landingshift.policies.commands import (
+    ChangeOutcome,
+    CommitChange,
+    EndChange,
+    JoinMembers,
+    OpenChange,
+    RemoveMember,
+    decode_command,
+)
 
-class ChangeOutcome(Enum):
-    PENDING = "open"
-    COMMITTED = "taken"
-    REJECTED = "refused"  # by a member, or at once
-    WITHDRAWN = "withdrawn"  # by an operator, or in time
+MAX_DETAILED_CHANGE_COUNT = 256  # ended changes that are kept with reason and author
+MAX_POLICY_TEXT_COUNT = 32  # versions whose policy is kept
+MAX_CHANGE_ID_COUNT = 10_000  # changes of which it is known for ever whether they were committed
+MAX_REASON_CHARS = 300
+DEFAULT_MAX_MEMBER_COUNT = 2000
 
 
 class Change(Struct, array_like=True):
+    """One change; an array in snapshots, so that only the order of the fields is stored.
+
+    Attributes:
+        id: Chosen by whoever asked for it.
+        policy: The policy as it is stored.
+        author: Who asked.
+        reason: Why they asked.
+        opened_at_ms: Unix time of the leader that took it in.
+        outcome: What became of it.
+        version: The version that it became; 0 where it was not committed.
+        outcome_reason: Why it was not committed.
+    """
+
     id: str
     policy: bytes
-    who: str
-    why: str
-    at: float  # Unix ms of the leader that took it in
-    end: ChangeOutcome = ChangeOutcome.PENDING
-    version: int = 0  # that it became, where it was taken
-    said: str = ""  # why not
+    author: str
+    reason: str
+    opened_at_ms: float
+    outcome: ChangeOutcome = ChangeOutcome.PENDING
+    version: int = 0
+    outcome_reason: str = ""
 
 
-class Kept(Struct, array_like=True):
-    """The book as a snapshot."""
+class StateSnapshot(Struct, array_like=True):
+    """The state machine as a snapshot; the fields are those of `PolicyStateMachine`."""
 
     members: dict[str, int]
-    joins: int
+    join_count: int
     version: int
-    texts: dict[int, bytes]
-    open: str
+    policies: dict[int, bytes]
+    pending_change_id: str
     changes: list[Change]
-    ids: dict[str, int]
+    final_versions: dict[str, int]
 
 
 class PolicyStateMachine:
-    """`most`: members that may be counted."""
-
-    def __init__(self, most: int = 2000) -> None:
-        self.most = most
-        self.members: dict[str, int] = {}  # who decides, and the run that was counted
-        self.joins = 0  # how often that grew: a switch holds for those that its leader had asked
-        self.version = 0  # in force; 0 is the settings of each start
-        self.texts: dict[int, bytes] = {0: b""}
-        self.pending_change_id = ""  # the change under way
+    """The replicated state of policies.
+
+    Attributes:
+        max_member_count: Servers that can be members.
+        members: Who must take part in a change, and the run that joined.
+        join_count: How often `members` grew: a commit holds for those that its leader had asked.
+        version: In force; 0 is the settings of each start.
+        policies: Policy of each version that is kept.
+        pending_change_id: The change under way; empty for none.
+        changes: Changes with all details, in the order of their ids' first appearance.
+        final_versions: For each change that ended its version, 0 where it was not committed.
+    """
+
+    def __init__(self, max_member_count: int = DEFAULT_MAX_MEMBER_COUNT) -> None:
+        self.max_member_count = max_member_count
+        self.members: dict[str, int] = {}
+        self.join_count = 0
+        self.version = 0
+        self.policies: dict[int, bytes] = {0: b""}
+        self.pending_change_id = ""
         self.changes: dict[str, Change] = {}
-        self.ids: dict[str, int] = {}  # each change that ended: its version, 0 where it was not taken
-
-    def find_change(self, id: str) -> Change | None:
-        """What became of it; one that is long past is told without its words."""
-        change = self.changes.get(id)
-        if change is None and id in self.ids:
-            version = self.ids[id]
-            change = Change(
-                id, b"", "", "", 0.0, ChangeOutcome.COMMITTED if version else ChangeOutcome.WITHDRAWN, version
-            )
-        return change
+        self.final_versions: dict[str, int] = {}
+
+    def find_change(self, change_id: str) -> Change | None:
+        """What became of a change; one that is long past is told without its details."""
+        change = self.changes.get(change_id)
+        if change is not None or change_id not in self.final_versions:
+            return change
+        version = self.final_versions[change_id]
+        outcome = ChangeOutcome.COMMITTED if version else ChangeOutcome.WITHDRAWN
+        return Change(change_id, b"", "", "", 0.0, outcome, version)
+
+    def has_member(self, name: str, run: int) -> bool:
+        """Whether this very run is a member."""
+        return self.members.get(name) == run
 
     @property
-    def full(self) -> bool:
-        return len(self.ids) >= IDS
+    def is_full(self) -> bool:
+        """Whether no new change can be begun."""
+        return len(self.final_versions) >= MAX_CHANGE_ID_COUNT
 
     # Commands
 
     def apply(self, data: bytes) -> None:
+        """Applies a committed entry."""
         if not data:
             return  # a leader's first entry
-        match msgspec.msgpack.decode(data):
-            case ["join", list(some)]:
-                for name, run in some:
-                    self.join(name, run)
-            case ["gone", str(name), int(run)]:
-                if self.members.get(name) == run:
+        match decode_command(data):
+            case JoinMembers(members):
+                for name, run in members:
+                    self._join(name, run)
+            case RemoveMember(name, run):
+                if self.has_member(name, run):
                     del self.members[name]
-            case ["propose", str(id), bytes(policy), str(who), str(why), at]:
-                self.propose(Change(id, policy, who, why, float(at)))
-            case ["switch", str(id), int(joins)]:
-                if id == self.pending_change_id and joins == self.joins:
-                    self.switch(self.changes[id])
-            case ["end", str(id), str(end), str(said), at]:
-                self.withdraw(id, ChangeOutcome(end), said, float(at))
-
-    def join(self, name: str, run: int) -> None:
-        if self.members.get(name) != run and (name in self.members or len(self.members) < self.most):
+            case OpenChange() as command:
+                self._open(command)
+            case CommitChange(change_id, join_count):
+                if change_id == self.pending_change_id and join_count == self.join_count:
+                    self._commit(self.changes[change_id])
+            case EndChange() as command:
+                self._end(command)
+
+    def _join(self, name: str, run: int) -> None:
+        has_room = name in self.members or len(self.members) < self.max_member_count
+        if not self.has_member(name, run) and has_room:
             self.members[name] = run  # its earlier run has ended: one name is one process at a time
-            self.joins += 1
+            self.join_count += 1
 
-    def propose(self, change: Change) -> None:
-        if change.id in self.changes or change.id in self.ids or self.full:
+    def _open(self, command: OpenChange) -> None:
+        change_id = command.change_id
+        if change_id in self.changes or change_id in self.final_versions or self.is_full:
             return  # asked twice, done once
-        self.changes[change.id] = change
+        change = Change(change_id, command.policy, command.author, command.reason, command.opened_at_ms)
+        self.changes[change_id] = change
         if self.pending_change_id:
-            self.close(
-                change, ChangeOutcome.REJECTED, f"another change is under way: {self.pending_change_id}"
-            )
-        elif change.policy == self.texts[self.version]:
-            self.close(change, ChangeOutcome.REJECTED, f"it says what version {self.version} says")
+            reason = f"another change is under way: {self.pending_change_id}"
+            self._close(change, ChangeOutcome.REJECTED, reason)
+        elif change.policy == self.policies[self.version]:
+            self._close(change, ChangeOutcome.REJECTED, f"it says what version {self.version} says")
         else:
-            self.pending_change_id = change.id
+            self.pending_change_id = change_id
 
-    def switch(self, change: Change) -> None:
+    def _commit(self, change: Change) -> None:
         self.version += 1
-        self.texts[self.version] = change.policy
-        if self.version > TEXTS:  # 0 is the start's, and costs nothing
-            self.texts.pop(self.version - TEXTS, None)
-        change.version, self.pending_change_id = self.version, ""
-        self.close(change, ChangeOutcome.COMMITTED, "")
-
-    def withdraw(self, id: str, end: ChangeOutcome, said: str, at: float) -> None:
-        change = self.changes.get(id)
-        if change is None and id not in self.ids and not self.full:
-            change = self.changes[id] = Change(id, b"", "", "", at)  # whoever proposes it later is told so
-        if change is not None and change.end is ChangeOutcome.PENDING:
-            if self.pending_change_id == id:
-                self.pending_change_id = ""
-            self.close(change, end, said)
-
-    def close(self, change: Change, end: ChangeOutcome, said: str) -> None:
-        change.end, change.said = end, said[:SAID]
-        self.ids[change.id] = change.version
-        for id in [i for i, c in self.changes.items() if c.end is not ChangeOutcome.PENDING][:-SHOWN]:
-            del self.changes[id]
+        self.policies[self.version] = change.policy
+        if self.version > MAX_POLICY_TEXT_COUNT:  # 0 is the start's, and costs nothing
+            self.policies.pop(self.version - MAX_POLICY_TEXT_COUNT, None)
+        change.version = self.version
+        self.pending_change_id = ""
+        self._close(change, ChangeOutcome.COMMITTED, "")
+
+    def _end(self, command: EndChange) -> None:
+        change_id = command.change_id
+        change = self.changes.get(change_id)
+        if change is None and change_id not in self.final_versions and not self.is_full:
+            # Whoever proposes it later is told that it was withdrawn.
+            change = Change(change_id, b"", "", "", command.ended_at_ms)
+            self.changes[change_id] = change
+        if change is None or change.outcome is not ChangeOutcome.PENDING:
+            return
+        if self.pending_change_id == change_id:
+            self.pending_change_id = ""
+        self._close(change, command.outcome, command.reason)
+
+    def _close(self, change: Change, outcome: ChangeOutcome, reason: str) -> None:
+        change.outcome = outcome
+        change.outcome_reason = reason[:MAX_REASON_CHARS]
+        self.final_versions[change.id] = change.version
+        ended_ids = [id for id, each in self.changes.items() if each.outcome is not ChangeOutcome.PENDING]
+        for ended_id in ended_ids[:-MAX_DETAILED_CHANGE_COUNT]:
+            del self.changes[ended_id]
 
     # Snapshots
 
     def snapshot(self) -> bytes:
-        changes = list(self.changes.values())
-        kept = Kept(
-            self.members, self.joins, self.version, self.texts, self.pending_change_id, changes, self.ids
+        """The whole state."""
+        return msgspec.msgpack.encode(
+            StateSnapshot(
+                self.members,
+                self.join_count,
+                self.version,
+                self.policies,
+                self.pending_change_id,
+                list(self.changes.values()),
+                self.final_versions,
+            )
         )
-        return msgspec.msgpack.encode(kept)
 
     def restore(self, state: bytes) -> None:
-        kept = msgspec.msgpack.decode(state, type=Kept)
-        self.members, self.joins, self.version = kept.members, kept.joins, kept.version
-        self.texts, self.pending_change_id, self.ids = kept.texts, kept.open, kept.ids
-        self.changes = {change.id: change for change in kept.changes}
-
-
-def command(*words: Any) -> bytes:
-    return msgspec.msgpack.encode(words)
+        """Takes the state of a snapshot in place of its own."""
+        snapshot = msgspec.msgpack.decode(state, type=StateSnapshot)
+        self.members = snapshot.members
+        self.join_count = snapshot.join_count
+        self.version = snapshot.version
+        self.policies = snapshot.policies
+        self.pending_change_id = snapshot.pending_change_id
+        self.changes = {change.id: change for change in snapshot.changes}
+        self.final_versions = snapshot.final_versions
--- /dev/null
+++ b/landingshift/policies/wire.py
@@ -0,0 +1,248 @@
+"""Encoding of the messages of policies: lists whose first word names the kind.
+
+The only module that knows these lists. A body may be larger than a datagram.
+"""
+
+from __future__ import annotations
+
+from typing import Any
+
+from landingshift.policies.errors import UnreadableMessageError
+from landingshift.policies.messages import (
+    ChangePhase,
+    ChangeStatus,
+    ChangeVoters,
+    DeclareGone,
+    Departure,
+    EndedChange,
+    FindChange,
+    MemberMessage,
+    MembershipRefusal,
+    Message,
+    OperatorCommand,
+    OperatorRequest,
+    PolicyRequest,
+    PolicyText,
+    ProposeChange,
+    RaftPacket,
+    Redirect,
+    StatusPoll,
+    StatusReply,
+    StatusRequest,
+    UnknownCommand,
+    UnreadableStatusRequest,
+    WaitingMember,
+    WithdrawChange,
+)
+
+MAX_TOLD_VOTER_COUNT = 9  # voters of an answer that are kept
+
+_PHASES = {phase.value: phase for phase in ChangePhase}
+
+
+def encode_operator_command(command: OperatorCommand) -> list[Any]:
+    """Words of a command."""
+    match command:
+        case ProposeChange(policy, author, reason):
+            return ["propose", policy, author, reason]
+        case WithdrawChange(author, reason):
+            return ["withdraw", author, reason]
+        case ChangeVoters(is_addition, name):
+            return ["voters", "add" if is_addition else "remove", name]
+        case DeclareGone(name, run):
+            return ["gone", name, run]
+        case FindChange():
+            return ["find"]
+        case UnknownCommand():
+            return []
+
+
+def decode_operator_command(words: list[Any]) -> OperatorCommand:
+    """Command of its words."""
+    match words:
+        case ["propose", bytes(policy), str(author), str(reason)]:
+            return ProposeChange(policy, author, reason)
+        case ["withdraw", str(author), str(reason)]:
+            return WithdrawChange(author, reason)
+        case ["voters", str(action), str(name)]:
+            return ChangeVoters(action == "add", name)
+        case ["gone", str(name), int(run)]:
+            return DeclareGone(name, run)
+        case ["find", *_]:
+            return FindChange()
+    return UnknownCommand()
+
+
+def encode_message(message: Message) -> list[Any]:
+    """Body of a message."""
+    match message:
+        case RaftPacket(data):
+            return ["vote", data]
+        case OperatorRequest(change_id, command):
+            return ["do", change_id, *encode_operator_command(command)]
+        case Departure(run):
+            return ["bye", run]
+        case ChangeStatus(change_id, outcome, version, reason, waiting_members):
+            waiting = [[member.name, member.stage] for member in waiting_members]
+            return ["found", change_id, outcome, version, reason, waiting]
+    return _encode_member_message(message)
+
+
+def _encode_member_message(message: MemberMessage) -> list[Any]:
+    """Body of a message between a member and the leader."""
+    match message:
+        case StatusRequest():
+            return _encode_status_request(message)
+        case UnreadableStatusRequest(number):
+            return ["here", 0, number]
+        case StatusReply():
+            return _encode_status_reply(message)
+        case Redirect(number, leader):
+            return ["ask", number, leader]
+        case MembershipRefusal(number, reason):
+            return ["no", number, reason]
+        case StatusPoll():
+            return ["look"]
+        case PolicyRequest(change_id, version):
+            return ["want", change_id, version]
+        case PolicyText(change_id, version, policy):
+            return ["text", change_id, version, policy]
+
+
+def _encode_status_request(request: StatusRequest) -> list[Any]:
+    return [
+        "here",
+        request.run,
+        request.number,
+        request.version,
+        request.change_id,
+        request.stage,
+        request.rejection_reason,
+        request.fingerprint,
+        request.can_become_voter,
+    ]
+
+
+def _encode_status_reply(reply: StatusReply) -> list[Any]:
+    ended: list[Any] = []
+    if reply.ended is not None:
+        ended = [reply.ended.change_id, reply.ended.outcome, reply.ended.version, reply.ended.reason]
+    return [
+        "told",
+        reply.number,
+        reply.is_member,
+        reply.version,
+        reply.change_id,
+        reply.phase.value,
+        ended,
+        reply.is_lease_granted,
+        list(reply.voters),
+    ]
+
+
+def decode_message(body: list[Any]) -> Message:
+    """Message of a body.
+
+    Raises:
+        UnreadableMessageError: It is no message of this protocol.
+    """
+    match body:
+        case ["vote", bytes(data)]:
+            return RaftPacket(data)
+        case ["do", str(change_id), *words]:
+            return OperatorRequest(change_id, decode_operator_command(words))
+        case ["bye", int(run)]:
+            return Departure(run)
+        case ["found", str(change_id), str(outcome), int(version), str(reason), list(waiting)]:
+            return ChangeStatus(change_id, outcome, version, reason, _decode_waiting(waiting))
+    return _decode_member_message(body)
+
+
+def _decode_member_message(body: list[Any]) -> MemberMessage:
+    match body:
+        case ["here", *fields]:
+            return _decode_status_request(fields)
+        case ["told", *fields]:
+            return _decode_status_reply(fields)
+        case ["ask", int(number), str(leader)]:
+            return Redirect(number, leader)
+        case ["no", int(number), str(reason)]:
+            return MembershipRefusal(number, reason)
+        case ["look"]:
+            return StatusPoll()
+        case ["want", str(change_id), int(version)]:
+            return PolicyRequest(change_id, version)
+        case ["text", str(change_id), int(version), bytes(policy)]:
+            return PolicyText(change_id, version, policy)
+    raise UnreadableMessageError(body)
+
+
+def _decode_status_request(fields: list[Any]) -> StatusRequest | UnreadableStatusRequest:
+    match fields:
+        case [
+            int(run),
+            int(number),
+            int(version),
+            str(change_id),
+            str(stage),
+            str(reason),
+            fingerprint,
+            bool(can_become_voter),
+        ]:
+            return StatusRequest(
+                run, number, version, change_id, stage, reason, fingerprint, can_become_voter
+            )
+        case [_, int(number), *_]:
+            return UnreadableStatusRequest(number)
+    raise UnreadableMessageError(fields)
+
+
+def _decode_status_reply(fields: list[Any]) -> StatusReply:
+    match fields:
+        case [
+            int(number),
+            bool(is_member),
+            int(version),
+            str(change_id),
+            str(phase),
+            list(ended),
+            bool(is_lease_granted),
+            [str(), *_] as voters,
+        ]:
+            names = tuple(str(name) for name in voters[:MAX_TOLD_VOTER_COUNT])
+            return StatusReply(
+                number,
+                is_member,
+                version,
+                change_id,
+                _decode_phase(phase),
+                _decode_ended(ended),
+                is_lease_granted,
+                names,
+            )
+    raise UnreadableMessageError(fields)
+
+
+def _decode_phase(value: str) -> ChangePhase:
+    """Phase of its name; one of a newer build wants nothing that this one could do."""
+    return _PHASES.get(value, ChangePhase.NONE)
+
+
+def _decode_ended(fields: list[Any]) -> EndedChange | None:
+    match fields:
+        case []:
+            return None
+        case [str(change_id), str(outcome), int(version), str(reason)]:
+            return EndedChange(change_id, outcome, version, reason)
+    raise UnreadableMessageError(fields)
+
+
+def _decode_waiting(pairs: list[Any]) -> tuple[WaitingMember, ...]:
+    waiting = []
+    for pair in pairs:
+        match pair:
+            case [str(name), str(stage)]:
+                waiting.append(WaitingMember(name, stage))
+            case _:
+                raise UnreadableMessageError(pairs)
+    return tuple(waiting)
--- a/landingshift/testbed/experiments/policies.py
+++ b/landingshift/testbed/experiments/policies.py
@@ -9,7 +9,7 @@
 from concurrent.futures import ProcessPoolExecutor
 
 from landingshift.consensus.raft import Role
-from landingshift.policies.node import FINAL_OUTCOMES
+from landingshift.policies.commands import FINAL_OUTCOMES
 from landingshift.testbed.experiments.rows import Row, all_real, must
 from landingshift.testbed.simulation.policy_change import Hall, address, play
 from landingshift.testbed.verification.invariants import broken
@@ -166,7 +166,7 @@
     hall.run(2500.0)
     id = hall.propose("n3", 1)
     hall.run(1500.0)
-    said = hall.minds["n3"].part.change_status(id)["said"]
+    said = hall.minds["n3"].part.change_status(id).reason
     must(row, said == "n4: methods.m.criticality: not here", f"it says {said!r}")
     must(row, not any(e[3] for e in hall.history if e[1] == "decided"), "it was decided by")
     return hall
--- a/landingshift/testbed/simulation/cluster.py
+++ b/landingshift/testbed/simulation/cluster.py
@@ -18,8 +18,9 @@
 from landingshift.maintenance.capacity_constraints import DisruptionBudget
 from landingshift.maintenance.coordinator import CoordinatorSettings
 from landingshift.maintenance.replicated_state import command
-from landingshift.policies.node import FINAL_OUTCOMES
-from landingshift.policies.participant import PolicySettings
+from landingshift.policies.commands import FINAL_OUTCOMES
+from landingshift.policies.messages import ChangeVoters, FindChange, ProposeChange
+from landingshift.policies.policy_settings import PolicySettings
 from landingshift.testbed.experiments.scenarios import Act, Coverage, Day, cuts
 from landingshift.testbed.simulation.cold_start import Store
 from landingshift.testbed.simulation.server import CAPACITY, METHODS, WAIT, Disk, Home, Sent, address, text
@@ -241,11 +242,11 @@
         if act.kind == "change":
             id = f"c{len(self.ids)}"
             self.ids.append(id)
-            home.part.submit_command(id, ["propose", text(len(self.ids)), "lab", "a trial"], now)
+            home.part.submit_command(id, ProposeChange(text(len(self.ids)), "lab", "a trial"), now)
         else:
             name = f"n{act.who[0] % (self.day.voters + 1)}"
-            how = "remove" if name in home.part.participant.voters else "add"
-            home.part.submit_command(f"{how} {name}", ["voters", how, name], now)
+            how = "remove" if name in home.part.participant.discovery.voters else "add"
+            home.part.submit_command(f"{how} {name}", ChangeVoters(how == "add", name), now)
         home.host.turn()
 
     def wish(self, names: list[str], minutes: float, tries: int) -> None:
@@ -267,8 +268,8 @@
             found.add("nobody leads")
         elif lead.part.coordinator is not None and lead.maintenance is not None:
             desk = lead.part.coordinator
-            if lead.part.book.pending_change_id:
-                found.add(f"change {'switching' if desk.switching_change_id else desk.phase}")
+            if lead.part.state_machine.pending_change_id:
+                found.add(f"change {'switching' if desk.switching_change_id else desk.phase.value}")
             found |= {f"work {w.stage.value}" for w in lead.maintenance.requests.values()}
         for home in self.homes.values():
             if home.host.up and home.agent.start_sequence.stage.value != "warm":
@@ -330,9 +331,9 @@
                 continue
             for id in self.ids:
                 known = home.part.change_status(id)
-                if known["end"] in FINAL_OUTCOMES and (again or (home.name, id) not in self.ends):
+                if known.outcome in FINAL_OUTCOMES and (again or (home.name, id) not in self.ends):
                     self.ends.add((home.name, id))
-                    self.note("end", home.name, id, known["end"], known["version"])
+                    self.note("end", home.name, id, known.outcome, known.version)
 
     # A day
 
@@ -369,8 +370,8 @@
     def ask_all(self) -> None:
         for home in self.homes.values():
             for id in self.ids:
-                if home.host.up and home.part.change_status(id)["end"] not in FINAL_OUTCOMES:
-                    home.part.submit_command(id, ["find"], home.clock())
+                if home.host.up and home.part.change_status(id).outcome not in FINAL_OUTCOMES:
+                    home.part.submit_command(id, FindChange(), home.clock())
                     home.host.turn()
 
     def restless(self) -> list[str]:
@@ -405,6 +406,6 @@
             found.append(
                 f"work is not over: {[(w.name, w.stage.value) for w in lead.maintenance.requests.values()]}"
             )
-        if lead is not None and lead.part.book.pending_change_id:
-            found.append(f"{lead.part.book.pending_change_id} is under way, of {open_}")
+        if lead is not None and lead.part.state_machine.pending_change_id:
+            found.append(f"{lead.part.state_machine.pending_change_id} is under way, of {open_}")
         return found
--- a/landingshift/testbed/simulation/policy_change.py
+++ b/landingshift/testbed/simulation/policy_change.py
@@ -16,8 +16,10 @@
 
 from landingshift.consensus.persistent_state import PersistentState
 from landingshift.consensus.timeouts import RaftTimeouts
-from landingshift.policies.node import FINAL_OUTCOMES, PolicyNode
-from landingshift.policies.participant import PolicySettings
+from landingshift.policies.commands import FINAL_OUTCOMES
+from landingshift.policies.messages import ChangeVoters, DeclareGone, FindChange, ProposeChange
+from landingshift.policies.node import PolicyNode
+from landingshift.policies.policy_settings import PolicySettings
 from landingshift.testbed.simulation.virtual_time import Address, Host, World
 from landingshift.testbed.verification.invariants import History
 
@@ -46,7 +48,7 @@
             name, self.run, hall.plan, check, stored, hall.chance, now, lambda: hall.world.now, TIMES
         )
         self.participant = self.part.participant
-        self.participant.list_alive_peers = lambda: [
+        self.participant.discovery.list_alive_peers = lambda: [
             n for n in hall.names if n != name and n not in hall.down
         ]
         self.decide_at = now + LOOK * hall.chance.random()
@@ -147,7 +149,7 @@
             voter.has_leader_lease = lambda now_ms: voter.role.value == "leader"  # type: ignore[method-assign]
         if self.away == "arm":
             real = desk.unprepared_members
-            desk.unprepared_members = lambda now: [w for w in real(now) if w[1] != "away"]  # type: ignore[method-assign]
+            desk.unprepared_members = lambda now_ms: [w for w in real(now_ms) if w.stage != "away"]  # type: ignore[method-assign]
 
     def save(self, name: str, stored: PersistentState | None) -> None:
         if self.chance.random() < self.crash:
@@ -167,7 +169,7 @@
         id = f"c{len(self.proposed)}"
         self.proposed.append(id)
         self.minds[name].part.submit_command(
-            id, ["propose", text(number), "lab", "a trial"], self.hosts[name].clock()
+            id, ProposeChange(text(number), "lab", "a trial"), self.hosts[name].clock()
         )
         self.hosts[name].turn()
         return id
@@ -175,27 +177,29 @@
     def gone(self, name: str, who: str) -> None:
         """An operator's word to `name` that the run of `who` that was there last has ended."""
         self.minds[name].part.submit_command(
-            f"gone {who}", ["gone", who, self.minds[who].run], self.hosts[name].clock()
+            f"gone {who}", DeclareGone(who, self.minds[who].run), self.hosts[name].clock()
         )
         self.hosts[name].turn()
 
     def replace(self, name: str, how: str, who: str) -> None:
         """Has a voter added or removed; asked of `name`."""
-        self.minds[name].part.submit_command(f"{how} {who}", ["voters", how, who], self.hosts[name].clock())
+        self.minds[name].part.submit_command(
+            f"{how} {who}", ChangeVoters(how == "add", who), self.hosts[name].clock()
+        )
         self.hosts[name].turn()
 
     def ask(self, name: str, id: str) -> None:
         part = self.minds[name].part
-        part.submit_command(id, ["find"], self.hosts[name].clock())
+        part.submit_command(id, FindChange(), self.hosts[name].clock())
         self.hosts[name].turn()
 
     def end(self, name: str, id: str) -> str:
         """What this server says became of it; an end goes into the history."""
         known = self.minds[name].part.change_status(id)
-        if known["end"] in FINAL_OUTCOMES and (name, id) not in self.told:
+        if known.outcome in FINAL_OUTCOMES and (name, id) not in self.told:
             self.told.add((name, id))
-            self.history.append((self.world.now, "end", name, id, known["end"], known["version"]))
-        return str(known["end"])
+            self.history.append((self.world.now, "end", name, id, known.outcome, known.version))
+        return str(known.outcome)
 
     def run(self, ms: float) -> None:
         self.world.run(self.world.now + ms)
@@ -219,7 +223,7 @@
         self.told.clear()
         for name in self.names:
             for id in self.proposed:
-                if self.minds[name].part.change_status(id)["end"] not in FINAL_OUTCOMES:
+                if self.minds[name].part.change_status(id).outcome not in FINAL_OUTCOMES:
                     self.ask(name, id)
         self.run(1500.0)
 
--- a/landingshift/testbed/simulation/server.py
+++ b/landingshift/testbed/simulation/server.py
@@ -143,7 +143,7 @@
         self.part = PolicyNode(
             self.name, me.run_id, town.rules, lambda policy: "", journal, chance, now, self.wall, town.times
         )
-        self.part.participant.list_alive_peers = lambda: self.node.member_table.present_names
+        self.part.participant.discovery.list_alive_peers = lambda: self.node.member_table.present_names
         self.maintenance_agent = MaintenanceAgent(self.disk.mark)
         self.maintenance = MaintenanceState()
         self.coordinator: MaintenanceCoordinator | None = None
@@ -187,7 +187,7 @@
             voter.has_leader_lease = lambda now_ms: voter.role.value == "leader"  # type: ignore[method-assign]
         if self.away == "arm" and desk is not None:
             real = desk.unprepared_members
-            desk.unprepared_members = lambda now: [w for w in real(now) if w[1] != "away"]  # type: ignore[method-assign]
+            desk.unprepared_members = lambda now_ms: [w for w in real(now_ms) if w.stage != "away"]  # type: ignore[method-assign]
         if self.away == "end":
             self.maintenance_agent.goes = self.goes_anyhow  # type: ignore[method-assign]
         if self.away == "booking" and lending is not None:
@@ -394,7 +394,7 @@
         body = self.maintenance_agent.report(
             now, CAPACITY, f"m{self.i % 2}", False, warmth, self.load, self.ok, self.all
         )
-        leader = self.part.participant.leader
+        leader = self.part.participant.discovery.leader
         if leader == self.name:
             self.hear_work(self.node.local_record, body)
         elif leader:
@@ -404,7 +404,7 @@
         match body:
             case ["at", *_]:
                 answer = answer_report(
-                    self.coordinator, sender, self.part.participant.voters, body, self.clock()
+                    self.coordinator, sender, self.part.participant.discovery.voters, body, self.clock()
                 )
                 if answer is not None and sender.name == self.name:
                     self.hear_work(sender, answer)
@@ -543,8 +543,8 @@
             "errands": len(node.indirect_probes),
             "book": len(node.contact_addresses),
             "table": len(node.member_table.members),
-            "words": len(part.pending_commands),
-            "answers": len(part.change_statuses),
+            "words": len(part.operator_commands.pending),
+            "answers": len(part.operator_commands.statuses),
             "sent": len(follower.request_sent_at_ms),
             "reports": len(self.maintenance_agent.sent),
             "jobs": len(self.jobs),
--- a/landingshift/testbed/verification/search_policy_change.py
+++ b/landingshift/testbed/verification/search_policy_change.py
@@ -14,8 +14,10 @@
 
 from landingshift.consensus.persistent_state import PersistentState
 from landingshift.consensus.timeouts import RaftTimeouts
+from landingshift.policies.messages import ChangePhase, ProposeChange
 from landingshift.policies.node import PolicyNode
-from landingshift.policies.participant import ParticipantStage, PolicySettings
+from landingshift.policies.participant import ParticipantStage
+from landingshift.policies.policy_settings import PolicySettings
 from landingshift.testbed.simulation.policy_change import text
 
 NAMES = ("n0", "n1", "n2")
@@ -68,16 +70,15 @@
                 tuple(now - at for at in f.request_sent_at_ms.values()),
             ))  # fmt: skip
             if desk is not None:
-                acks = [
-                    (n, a.run, a.change, a.stage, a.version) for n, a in sorted(desk.status_reports.items())
-                ]
+                told = [(name, report.request) for name, report in sorted(desk.reports.by_member.items())]
+                acks = [(name, r.run, r.change_id, r.stage, r.version) for name, r in told]
                 seen.append(
                     (
                         tuple(acks),
                         desk.phase,
                         desk.switching_change_id,
-                        part.book.version,
-                        part.book.pending_change_id,
+                        part.state_machine.version,
+                        part.state_machine.pending_change_id,
                     )
                 )
         way = tuple(sorted(repr(m) for m in self.way))
@@ -109,10 +110,10 @@
         lead.raft.start_election()
         for _ in range(4):
             self.round(state, NAMES)
-        state.parts["n0"].submit_command("c", ["propose", text(1), "lab", "a trial"], state.now)
+        state.parts["n0"].submit_command("c", ProposeChange(text(1), "lab", "a trial"), state.now)
         state.parts["n0"].forward_command("c", state.now)
         self.out(state, "n0")
-        while state.parts["n0"].coordinator.phase != "arm":  # type: ignore[union-attr]
+        while state.parts["n0"].coordinator.phase is not ChangePhase.PREPARE:  # type: ignore[union-attr]
             self.round(state, NAMES)
         self.round(state, ("n0", "n1"))
         self.round(state, ("n0", "n1"))
@@ -149,7 +150,7 @@
                 state.disk = copy.deepcopy(stored)
                 part.on_state_saved(state.now)
             if part.coordinator is not None:
-                part.coordinator.step(state.now)
+                part.coordinator.tick(state.now)
             part.deliver_messages(state.now)
             for to, body in part.take_outgoing():
                 if (
