--- a/landingshift/testbed/simulation/server.py
+++ b/landingshift/testbed/simulation/server.py
@@ -31,13 +31,17 @@
 from landingshift.coldstart.downstream_saturation import DownstreamSaturation
 from landingshift.coldstart.service_discovery import ServiceDiscoveryPoller
 from landingshift.consensus.persistent_state import PersistentState
-from landingshift.maintenance.agent import MaintenanceAgent, answer_report
+from landingshift.maintenance.agent import MaintenanceAgent
 from landingshift.maintenance.coordinator import MaintenanceCoordinator
-from landingshift.maintenance.replicated_state import NAME, MaintenanceState
+from landingshift.maintenance.messages import LoadReport, ReportAnswer, ServerStatus
+from landingshift.maintenance.replicated_state import MaintenanceState
+from landingshift.maintenance.storage import STATE_MACHINE_NAME
+from landingshift.maintenance.wire import PACKAGE, decode_message, encode_answer, encode_report
 from landingshift.membership.member_table import Member
 from landingshift.membership.messages import DEPARTED_STATES, MemberRecord, MemberState, Message
 from landingshift.membership.node import SwimNode, SwimTimings
 from landingshift.policies.node import PolicyNode
+from landingshift.testbed.simulation.maintenance import AgentWithoutExpiry, SimulatedEnvironment
 from landingshift.testbed.simulation.virtual_time import Address, Host
 from landingshift.testbed.verification.invariants import GRACE
 
@@ -130,7 +134,7 @@
         )
         self.node = SwimNode(me, town.peers(i), times, 1000, chance, now, self.heard_of)
         self.node.state_observers.append(self.sees)
-        self.node.message_handlers |= {"policies": self.hear_policies, NAME: self.hear_work}
+        self.node.message_handlers |= {"policies": self.hear_policies, PACKAGE: self.hear_work}
         self.agent = ColdStartCoordinator(self.node, town.plan, chance, now)
         if self.away == "quiet" and self.agent.grantor is not None:
             lending = self.agent.grantor
@@ -144,17 +148,15 @@
             self.name, me.run_id, town.rules, lambda policy: "", journal, chance, now, self.wall, town.times
         )
         self.part.participant.discovery.list_alive_peers = lambda: self.node.member_table.present_names
-        self.maintenance_agent = MaintenanceAgent(self.disk.mark)
+        agent_type = AgentWithoutExpiry if self.away == "end" else MaintenanceAgent
+        self.maintenance_agent = agent_type(self.disk.mark)
         self.maintenance = MaintenanceState()
+        self.environment = SimulatedEnvironment(self)
         self.coordinator: MaintenanceCoordinator | None = None
         if self.part.raft is not None:
-            self.part.state_machines.register(NAME, self.maintenance)
+            self.part.state_machines.register(STATE_MACHINE_NAME, self.maintenance)
             self.part.commit_listeners.append(self.taken)
-            self.coordinator = MaintenanceCoordinator(
-                self.maintenance, town.work, self.propose, self.leads, self.gone,
-                self.node.member_table.known_names, self.wall,
-                lambda *_, **__: None,
-            )  # fmt: skip
+            self.coordinator = MaintenanceCoordinator(self.maintenance, town.work, self.environment)
         self.without()
         self.tenant = Tenant(100_000.0)
         self.server = AdmissionController(
@@ -188,8 +190,6 @@
         if self.away == "arm" and desk is not None:
             real = desk.unprepared_members
             desk.unprepared_members = lambda now_ms: [w for w in real(now_ms) if w.stage != "away"]  # type: ignore[method-assign]
-        if self.away == "end":
-            self.maintenance_agent.goes = self.goes_anyhow  # type: ignore[method-assign]
         if self.away == "booking" and lending is not None:
             asked = lending.call_quota_grantor.renew
 
@@ -201,11 +201,6 @@
 
             lending.call_quota_grantor.renew = forgets  # type: ignore[method-assign,assignment]
 
-    def goes_anyhow(self, now: float) -> bool:
-        self.maintenance_agent.going = self.maintenance_agent.leave.number
-        self.maintenance_agent.leave.used()
-        return True
-
     # What it notes
 
     def clock(self) -> float:
@@ -386,39 +381,56 @@
         self.report(now)
         if self.coordinator is not None:
             self.coordinator.step(now)
-        busy = self.maintenance_agent.stage or (self.coordinator is not None and self.maintenance.requests)
+        busy = self.maintenance_agent.request_state or (
+            self.coordinator is not None and self.maintenance.requests
+        )
         self.work_at = now + (BUSY if busy else REST) * self.pace.uniform(0.9, 1.1)
 
     def report(self, now: float) -> None:
-        warmth = self.warmth() if self.ends_at == inf else 0.0
-        body = self.maintenance_agent.report(
-            now, CAPACITY, f"m{self.i % 2}", False, warmth, self.load, self.ok, self.all
+        status = ServerStatus(
+            capacity=CAPACITY,
+            model=f"m{self.i % 2}",
+            serves_critical_methods=False,
+            warm_fraction=self.warmth() if self.ends_at == inf else 0.0,
+            rpcs_per_second=self.load,
+            ok_count=self.ok,
+            answered_count=self.all,
         )
+        report = self.maintenance_agent.next_report(now, status)
         leader = self.part.participant.discovery.leader
         if leader == self.name:
-            self.hear_work(self.node.local_record, body)
+            self.on_maintenance_report(self.node.local_record, report)
         elif leader:
-            self.node.send_to_member(leader, NAME, body)
+            self.node.send_to_member(leader, PACKAGE, encode_report(report))
 
     def hear_work(self, sender: MemberRecord, body: list[Any]) -> None:
-        match body:
-            case ["at", *_]:
-                answer = answer_report(
-                    self.coordinator, sender, self.part.participant.discovery.voters, body, self.clock()
-                )
-                if answer is not None and sender.name == self.name:
-                    self.hear_work(sender, answer)
-                elif answer is not None:
-                    self.node.send_to_member(sender.name, NAME, answer)
-            case ["told", int(number), str(stage), int(permission), float(lasts)]:
-                if self.maintenance_agent.told(
-                    number, stage, permission, lasts
-                ) and self.maintenance_agent.goes(self.clock()):
-                    self.disk.mark = self.maintenance_agent.going
-                    wish = self.town.permitted(self.name)
-                    self.note("left", self.maintenance_agent.going, wish)
-                    self.report(self.clock())
-                    self.drain(self.town.work_ms(self.name))
+        match decode_message(body):
+            case LoadReport() as report:
+                self.on_maintenance_report(sender, report)
+            case ReportAnswer() as answer:
+                self.on_maintenance_answer(answer)
+
+    def on_maintenance_report(self, sender: MemberRecord, report: LoadReport) -> None:
+        if self.coordinator is None:
+            return
+        voters = self.part.participant.discovery.voters
+        answer = self.coordinator.on_server_report(sender, voters, report, self.clock())
+        if answer is None:
+            return
+        if sender.name == self.name:
+            self.on_maintenance_answer(answer)
+        else:
+            self.node.send_to_member(sender.name, PACKAGE, encode_answer(answer))
+
+    def on_maintenance_answer(self, answer: ReportAnswer) -> None:
+        agent = self.maintenance_agent
+        if not agent.on_answer(answer) or not agent.begin_draining(self.clock()):
+            return
+        self.disk.mark = agent.draining_permit
+        permit_in_force = self.town.permitted(self.name)
+        self.note("left", agent.draining_permit, permit_in_force)
+        self.report(self.clock())
+        self.drain(self.town.work_ms(self.name))
 
     def gone(self, name: str) -> bool:
         record = self.node.member_table.record(name)
@@ -426,7 +438,7 @@
 
     def taken(self, now: float) -> None:
         if self.coordinator is not None:
-            self.coordinator.look_at = min(self.coordinator.look_at, now)
+            self.coordinator.evaluate_soon(now)
 
     def drain(self, away: float) -> None:
         """A notice, from outside or by a permission; `away` ms after its end it is started again."""
@@ -546,7 +558,7 @@
             "words": len(part.operator_commands.pending),
             "answers": len(part.operator_commands.statuses),
             "sent": len(follower.request_sent_at_ms),
-            "reports": len(self.maintenance_agent.sent),
+            "reports": self.maintenance_agent.unanswered_count,
             "jobs": len(self.jobs),
         }
         if part.raft is not None:
