--- a/landingshift/testbed/simulation/server.py
+++ b/landingshift/testbed/simulation/server.py
@@ -146,7 +146,7 @@
         self.part = PolicyNode(
             self.name, me.run_id, town.rules, lambda policy: "", journal, chance, now, self.wall, town.times
         )
-        self.part.participant.list_alive_peers = lambda: self.node.member_table.present_names
+        self.part.participant.discovery.list_alive_peers = lambda: self.node.member_table.present_names
         agent_type = AgentWithoutExpiry if self.away == "end" else MaintenanceAgent
         self.maintenance_agent = agent_type(self.disk.mark)
         self.maintenance = MaintenanceState()
@@ -188,7 +188,7 @@
             voter.has_leader_lease = lambda now_ms: voter.role.value == "leader"  # type: ignore[method-assign]
         if self.away == "arm" and desk is not None:
             real = desk.unprepared_members
-            desk.unprepared_members = lambda now: [w for w in real(now) if w[1] != "away"]  # type: ignore[method-assign]
+            desk.unprepared_members = lambda now_ms: [w for w in real(now_ms) if w.stage != "away"]  # type: ignore[method-assign]
         if self.away == "booking" and grantor is not None:
             quotas = grantor.call_quota_grantor
             renew = quotas.renew
@@ -397,7 +397,7 @@
             answered_count=self.all,
         )
         report = self.maintenance_agent.next_report(now, status)
-        leader = self.part.participant.leader
+        leader = self.part.participant.discovery.leader
         if leader == self.name:
             self.on_maintenance_report(self.node.local_record, report)
         elif leader:
@@ -413,7 +413,7 @@
     def on_maintenance_report(self, sender: MemberRecord, report: LoadReport) -> None:
         if self.coordinator is None:
             return
-        voters = self.part.participant.voters
+        voters = self.part.participant.discovery.voters
         answer = self.coordinator.on_server_report(sender, voters, report, self.clock())
         if answer is None:
             return
@@ -555,8 +555,8 @@
             "errands": len(node.failure_detector.indirect_probes),
             "book": len(node.contacts),
             "table": len(node.member_table.members),
-            "words": len(part.pending_commands),
-            "answers": len(part.change_statuses),
+            "words": len(part.operator_commands.pending),
+            "answers": len(part.operator_commands.statuses),
             "sent": len(follower.request_sent_at_ms),
             "reports": self.maintenance_agent.unanswered_count,
             "jobs": len(self.jobs),
