--- a/tests/test_golden_protocol.py
+++ b/tests/test_golden_protocol.py
@@ -43,6 +43,16 @@
 }
 
 
+def own_address() -> str:
+    """An address of this process alone, at a port below those that the system hands out.
+
+    The service needs one port for TCP and UDP; a port that the system chose for TCP may be taken on UDP by an
+    unbound socket of any other process.
+    """
+    process = os.getpid()
+    return f"127.{200 + process % 50}.{process // 50 % 250}.1:{21_000 + process % 1000}"
+
+
 def shape(value: Any) -> Any:
     """Names and types without the values, which differ from run to run."""
     match value:
@@ -234,7 +244,7 @@
     def test_calls_and_answers(self) -> None:
         folder = self.enterContext(tempfile.TemporaryDirectory())
         toml = {
-            "fleet": {"fleet": "golden", "listen": "127.0.0.1:0"},
+            "fleet": {"fleet": "golden", "listen": own_address()},
             "coldstart": {"servers": 1, "lenders": ["n3"], "calls_s": 10.0, "snapshot": f"{folder}/list"},
             "policies": {"voters": ["n3"], "journal": f"{folder}/journal"},
             "upkeep": {"capacity": 10.0, "mark": f"{folder}/mark"},
