--- a/landingshift/testbed/simulation/cluster.py
+++ b/landingshift/testbed/simulation/cluster.py
@@ -13,13 +13,14 @@
 from typing import Any
 
 from landingshift.coldstart.coordinator import ColdStartPlan
-from landingshift.consensus.raft import Stored
-from landingshift.consensus.raft import Times as Beats
+from landingshift.consensus.persistent_state import PersistentState
+from landingshift.consensus.timeouts import RaftTimeouts
 from landingshift.maintenance.capacity_constraints import DisruptionBudget
-from landingshift.maintenance.coordinator import CoordinatorSettings
-from landingshift.maintenance.replicated_state import command
-from landingshift.policies.follower import Plan as Rules
-from landingshift.policies.part import ENDED
+from landingshift.maintenance.commands import AddRequests
+from landingshift.maintenance.coordinator_settings import CoordinatorSettings
+from landingshift.maintenance.requests import MaintenanceRequest
+from landingshift.policies.node import FINAL_OUTCOMES
+from landingshift.policies.participant import PolicySettings
 from landingshift.testbed.experiments.scenarios import Act, Coverage, Day, cuts
 from landingshift.testbed.simulation.cold_start import Store
 from landingshift.testbed.simulation.server import CAPACITY, METHODS, WAIT, Disk, Home, Sent, address, text
@@ -53,6 +54,11 @@
 }
 
 
+def added_requests(names: list[str], duration_minutes: float, wall_ms: float) -> AddRequests:
+    """Returns the command by which operators request maintenance of `names`."""
+    return AddRequests(tuple(MaintenanceRequest(name, duration_minutes, wall_ms) for name in names))
+
+
 class Town:
     """`away` takes one defence from all; `seen` counts what was met."""
 
@@ -63,25 +69,35 @@
         self.chance = Random(f"{day.seed} town")
         self.history: History = []
         servers, names = day.servers, [f"n{i}" for i in range(day.servers)]
-        self.rules = Rules(
-            tuple(names[: day.voters]), day.aside, overlap=OVERLAP, lease=LEASE, spare=SPARE, wait=6000.0
+        self.rules = PolicySettings(
+            tuple(names[: day.voters]),
+            day.aside,
+            overlap_ms=OVERLAP,
+            lease_ms=LEASE,
+            clock_margin_ms=SPARE,
+            change_timeout_ms=6000.0,
         )
-        self.times = Beats(beat=100.0, wait=500.0)
+        self.times = RaftTimeouts(heartbeat_interval_ms=100.0, election_timeout_ms=500.0)
         self.store = Store(CALLS * servers)
         lenders = tuple(names[: max(2, servers // 3)])
         self.plan = ColdStartPlan(
             lenders, CALLS * servers, servers, 0.1, 1500.0, 300.0, max(2.0, servers / 3.0), float(servers),
             4000.0, 2.0,
         )  # fmt: skip
-        needs = (
+        budget = (
             DisruptionBudget(-1.0, 0.0, 0.0, 0.0) if away == "floor" else DisruptionBudget(0.1, 0.0, 0.0, 0.0)
         )
         self.work = CoordinatorSettings(
-            needs, lasts=2000.0, spare=300.0, back=0.05, rings=False, fades=10_000.0
+            budget,
+            permit_valid_ms=2000.0,
+            permit_grace_ms=300.0,
+            warm_up_minutes=0.05,
+            is_staged=False,
+            peak_decay_ms=10_000.0,
         )
         self.walls = [NOON] * servers
         # One more than there are voters has a journal and could be one.
-        self.disks = [Disk(Stored() if i <= day.voters else None) for i in range(servers)]
+        self.disks = [Disk(PersistentState() if i <= day.voters else None) for i in range(servers)]
         self.back_after: dict[int, float] = {}
         self.homes: dict[int, Home] = {}
         self.runs = [0] * servers
@@ -113,7 +129,7 @@
         """The number of the permission in force, as the voter that leads has it; 0 where none knows."""
         home = self.leader()
         wish = home.maintenance.requests.get(name) if home is not None else None
-        return wish.number if wish is not None else 0
+        return wish.permit_number if wish is not None else 0
 
     def work_ms(self, name: str) -> float:
         return self.asked.get(name, 0.0) * 60_000.0
@@ -146,8 +162,8 @@
 
     def ended(self, home: Home) -> None:
         """It has drained: its last word, then its supervisor starts it anew."""
-        home.part.bye()
-        for to, body in home.part.take_out():
+        home.part.announce_departure()
+        for to, body in home.part.take_outgoing():
             home.node.send_to_member(to, "policies", body)
         for at, message in home.node.take_outgoing():
             self.world.carry(home.host.address, at, message)
@@ -236,18 +252,17 @@
         if act.kind == "change":
             id = f"c{len(self.ids)}"
             self.ids.append(id)
-            home.part.ask_for(id, ["propose", text(len(self.ids)), "lab", "a trial"], now)
+            home.part.submit_command(id, ["propose", text(len(self.ids)), "lab", "a trial"], now)
         else:
             name = f"n{act.who[0] % (self.day.voters + 1)}"
-            how = "remove" if name in home.part.follower.voters else "add"
-            home.part.ask_for(f"{how} {name}", ["voters", how, name], now)
+            how = "remove" if name in home.part.participant.voters else "add"
+            home.part.submit_command(f"{how} {name}", ["voters", how, name], now)
         home.host.turn()
 
     def wish(self, names: list[str], minutes: float, tries: int) -> None:
         """Asked of whoever leads; an operator tries again where nobody does."""
         home = self.leader()
-        rows = [[n, minutes, home.wall(), 1.0, 0.0, float("inf"), False, ""] for n in names] if home else []
-        if home is not None and home.propose(command("wish", rows)):
+        if home is not None and home.environment.propose(added_requests(names, minutes, home.wall())):
             self.asked |= dict.fromkeys(names, minutes)
             self.note("wished", tuple(names))
             home.host.turn()
@@ -260,11 +275,11 @@
         lead = self.leader()
         if lead is None:
             found.add("nobody leads")
-        elif lead.part.desk is not None and lead.maintenance is not None:
-            desk = lead.part.desk
-            if lead.part.book.open:
-                found.add(f"change {'switching' if desk.switching else desk.want}")
-            found |= {f"work {w.stage.value}" for w in lead.maintenance.requests.values()}
+        elif lead.part.coordinator is not None and lead.maintenance is not None:
+            desk = lead.part.coordinator
+            if lead.part.book.pending_change_id:
+                found.add(f"change {'switching' if desk.switching_change_id else desk.phase}")
+            found |= {f"work {w.state.value}" for w in lead.maintenance.requests.values()}
         for home in self.homes.values():
             if home.host.up and home.agent.start_sequence.stage.value != "warm":
                 found.add(f"start {home.agent.start_sequence.stage.value}")
@@ -324,8 +339,8 @@
             if not home.host.up:
                 continue
             for id in self.ids:
-                known = home.part.known(id)
-                if known["end"] in ENDED and (again or (home.name, id) not in self.ends):
+                known = home.part.change_status(id)
+                if known["end"] in FINAL_OUTCOMES and (again or (home.name, id) not in self.ends):
                     self.ends.add((home.name, id))
                     self.note("end", home.name, id, known["end"], known["version"])
 
@@ -364,8 +379,8 @@
     def ask_all(self) -> None:
         for home in self.homes.values():
             for id in self.ids:
-                if home.host.up and home.part.known(id)["end"] not in ENDED:
-                    home.part.ask_for(id, ["find"], home.clock())
+                if home.host.up and home.part.change_status(id)["end"] not in FINAL_OUTCOMES:
+                    home.part.submit_command(id, ["find"], home.clock())
                     home.host.turn()
 
     def restless(self) -> list[str]:
@@ -376,7 +391,7 @@
             return [f"down: {down}"]
         checks: list[tuple[str, Callable[[Home], bool]]] = [
             ("not warm", lambda h: h.agent.start_sequence.stage.value == "warm"),
-            ("not counted", lambda h: h.part.follower.joined),
+            ("not counted", lambda h: h.part.participant.is_member),
             ("does not decide", lambda h: h.may),
             ("not listed", lambda h: h.listed),
         ]
@@ -384,7 +399,7 @@
             some = [h.name for h in homes if not well(h)]
             if some:
                 found.append(f"{word}: {some}")
-        versions = {h.part.follower.version for h in homes}
+        versions = {h.part.participant.version for h in homes}
         if len(versions) > 1:
             found.append(f"versions {sorted(versions)}")
         blind = [(a.name, b.name) for a, b in combinations(homes, 2) if a.gone(b.name) or b.gone(a.name)]
@@ -398,8 +413,8 @@
             found.append("nobody leads")
         elif lead.maintenance.requests:
             found.append(
-                f"work is not over: {[(w.name, w.stage.value) for w in lead.maintenance.requests.values()]}"
+                f"work is not over: {[(w.name, w.state.value) for w in lead.maintenance.requests.values()]}"
             )
-        if lead is not None and lead.part.book.open:
-            found.append(f"{lead.part.book.open} is under way, of {open_}")
+        if lead is not None and lead.part.book.pending_change_id:
+            found.append(f"{lead.part.book.pending_change_id} is under way, of {open_}")
         return found
--- a/landingshift/testbed/simulation/server.py
+++ b/landingshift/testbed/simulation/server.py
@@ -30,14 +30,18 @@
 from landingshift.coldstart.coordinator import ColdStartCoordinator, LoadObservation
 from landingshift.coldstart.downstream_saturation import DownstreamSaturation
 from landingshift.coldstart.service_discovery import ServiceDiscoveryPoller
-from landingshift.consensus.raft import Stored
-from landingshift.maintenance.agent import MaintenanceAgent, answer_report
+from landingshift.consensus.persistent_state import PersistentState
+from landingshift.maintenance.agent import MaintenanceAgent
 from landingshift.maintenance.coordinator import MaintenanceCoordinator
-from landingshift.maintenance.replicated_state import NAME, MaintenanceState
+from landingshift.maintenance.messages import LoadReport, ReportAnswer, ServerStatus
+from landingshift.maintenance.replicated_state import MaintenanceState
+from landingshift.maintenance.storage import STATE_MACHINE_NAME
+from landingshift.maintenance.wire import PACKAGE, decode_message, encode_answer, encode_report
 from landingshift.membership.member_table import Member
 from landingshift.membership.messages import DEPARTED_STATES, MemberRecord, MemberState, Message
 from landingshift.membership.node import SwimNode, SwimTimings
-from landingshift.policies.part import Part
+from landingshift.policies.node import PolicyNode
+from landingshift.testbed.simulation.maintenance import AgentWithoutExpiry, SimulatedEnvironment
 from landingshift.testbed.simulation.virtual_time import Address, Host
 from landingshift.testbed.verification.invariants import GRACE
 
@@ -109,7 +113,7 @@
 class Disk:
     """What lasts when its server does not. `full`: it takes nothing; `dies`: at the next write, unwritten."""
 
-    journal: Stored | None
+    journal: PersistentState | None
     mark: int = 0
     full: bool = False
     dies: float = 0.0  # ms that the server is then away; 0: it does not
@@ -130,7 +134,7 @@
         )
         self.node = SwimNode(me, town.peers(i), times, 1000, chance, now, self.heard_of)
         self.node.state_observers.append(self.sees)
-        self.node.message_handlers |= {"policies": self.hear_policies, NAME: self.hear_work}
+        self.node.message_handlers |= {"policies": self.hear_policies, PACKAGE: self.hear_work}
         self.agent = ColdStartCoordinator(self.node, town.plan, chance, now)
         if self.away == "quiet" and self.agent.grantor is not None:
             lending = self.agent.grantor
@@ -140,21 +144,19 @@
         self.seek = ServiceDiscoveryPoller(town.day.servers, 20.0, True, 3000.0, chance, now)
         self.strain = DownstreamSaturation()
         journal = copied(self.disk.journal) if self.disk.journal is not None else None
-        self.part = Part(
+        self.part = PolicyNode(
             self.name, me.run_id, town.rules, lambda policy: "", journal, chance, now, self.wall, town.times
         )
-        self.part.follower.others = lambda: self.node.member_table.present_names
-        self.maintenance_agent = MaintenanceAgent(self.disk.mark)
+        self.part.participant.list_alive_peers = lambda: self.node.member_table.present_names
+        agent_type = AgentWithoutExpiry if self.away == "end" else MaintenanceAgent
+        self.maintenance_agent = agent_type(self.disk.mark)
         self.maintenance = MaintenanceState()
+        self.environment = SimulatedEnvironment(self)
         self.coordinator: MaintenanceCoordinator | None = None
-        if self.part.voter is not None:
-            self.part.shelf.add(NAME, self.maintenance)
-            self.part.hearers.append(self.taken)
-            self.coordinator = MaintenanceCoordinator(
-                self.maintenance, town.work, self.propose, self.leads, self.gone,
-                self.node.member_table.known_names, self.wall,
-                lambda *_, **__: None,
-            )  # fmt: skip
+        if self.part.raft is not None:
+            self.part.state_machines.register(STATE_MACHINE_NAME, self.maintenance)
+            self.part.commit_listeners.append(self.taken)
+            self.coordinator = MaintenanceCoordinator(self.maintenance, town.work, self.environment)
         self.without()
         self.tenant = Tenant(100_000.0)
         self.server = AdmissionController(
@@ -182,14 +184,12 @@
 
     def without(self) -> None:
         """Takes the defence that is away, where it lies in one of the packages' objects."""
-        voter, desk, lending = self.part.voter, self.part.desk, self.agent.grantor
+        voter, desk, lending = self.part.raft, self.part.coordinator, self.agent.grantor
         if self.away == "sure" and voter is not None:
-            voter.sure = lambda now: voter.role.value == "leader"  # type: ignore[method-assign]
+            voter.has_leader_lease = lambda now_ms: voter.role.value == "leader"  # type: ignore[method-assign]
         if self.away == "arm" and desk is not None:
-            real = desk.waits
-            desk.waits = lambda now: [w for w in real(now) if w[1] != "away"]  # type: ignore[method-assign]
-        if self.away == "end":
-            self.maintenance_agent.goes = self.goes_anyhow  # type: ignore[method-assign]
+            real = desk.unprepared_members
+            desk.unprepared_members = lambda now: [w for w in real(now) if w[1] != "away"]  # type: ignore[method-assign]
         if self.away == "booking" and lending is not None:
             asked = lending.call_quota_grantor.renew
 
@@ -201,11 +201,6 @@
 
             lending.call_quota_grantor.renew = forgets  # type: ignore[method-assign,assignment]
 
-    def goes_anyhow(self, now: float) -> bool:
-        self.maintenance_agent.going = self.maintenance_agent.leave.number
-        self.maintenance_agent.leave.used()
-        return True
-
     # What it notes
 
     def clock(self) -> float:
@@ -231,7 +226,7 @@
     def next_deadline_ms(self) -> float:
         return min(
             self.node.next_deadline_ms(),
-            self.part.next(),
+            self.part.next_deadline_ms(),
             self.server.next_check_ms,
             self.look_at,
             self.work_at,
@@ -268,7 +263,7 @@
     def on_timer(self, now: float) -> None:
         if self.node.next_deadline_ms() <= now:
             self.node.on_timer(now)
-        if self.part.next() <= now:
+        if self.part.next_deadline_ms() <= now:
             self.part.tick(now)
         if now >= self.look_at:
             self.look_at = now + LOOK
@@ -290,7 +285,7 @@
         for _ in range(8):
             if not self.save():
                 break
-            out = self.part.take_out()
+            out = self.part.take_outgoing()
             for to, body in out:
                 self.node.send_to_member(to, "policies", body)
             if not out:
@@ -300,7 +295,7 @@
     # Disk, policies, and by what the module decides
 
     def save(self) -> bool:
-        stored = self.part.unsaved()
+        stored = self.part.unsaved_state()
         if stored is None:
             return True
         if self.disk.full:
@@ -310,13 +305,13 @@
             self.town.kill(self.i, away)
             return False
         self.disk.journal = copied(stored)
-        self.part.saved(self.clock())
-        self.part.deliver(self.clock())
+        self.part.on_state_saved(self.clock())
+        self.part.deliver_messages(self.clock())
         return True
 
     def decide(self, now: float) -> None:
-        f, server = self.part.follower, self.server
-        may = f.may(now) or (f.joined and self.away == "lease") or self.away == "ask"
+        f, server = self.part.participant, self.server
+        may = f.may_decide(now) or (f.is_member and self.away == "lease") or self.away == "ask"
         server.now_ms = now
         if f.version > self.laid:
             self.laid = f.version
@@ -328,14 +323,14 @@
         server.settle()
 
     def hear_policies(self, sender: MemberRecord, body: list[Any]) -> None:
-        self.part.hear(sender.name, body, self.clock())
+        self.part.on_message(sender.name, body, self.clock())
 
     def propose(self, data: bytes) -> bool:
-        voter = self.part.voter
+        voter = self.part.raft
         return voter is not None and voter.propose(data) is not None
 
     def leads(self, _now: float = 0.0) -> bool:
-        return self.part.voter is not None and self.part.voter.sure(self.clock())
+        return self.part.raft is not None and self.part.raft.has_leader_lease(self.clock())
 
     # The common start
 
@@ -386,39 +381,56 @@
         self.report(now)
         if self.coordinator is not None:
             self.coordinator.step(now)
-        busy = self.maintenance_agent.stage or (self.coordinator is not None and self.maintenance.requests)
+        busy = self.maintenance_agent.request_state or (
+            self.coordinator is not None and self.maintenance.requests
+        )
         self.work_at = now + (BUSY if busy else REST) * self.pace.uniform(0.9, 1.1)
 
     def report(self, now: float) -> None:
-        warmth = self.warmth() if self.ends_at == inf else 0.0
-        body = self.maintenance_agent.report(
-            now, CAPACITY, f"m{self.i % 2}", False, warmth, self.load, self.ok, self.all
+        status = ServerStatus(
+            capacity=CAPACITY,
+            model=f"m{self.i % 2}",
+            serves_critical_methods=False,
+            warm_fraction=self.warmth() if self.ends_at == inf else 0.0,
+            rpcs_per_second=self.load,
+            ok_count=self.ok,
+            answered_count=self.all,
         )
-        leader = self.part.follower.leader
+        report = self.maintenance_agent.next_report(now, status)
+        leader = self.part.participant.leader
         if leader == self.name:
-            self.hear_work(self.node.local_record, body)
+            self.on_maintenance_report(self.node.local_record, report)
         elif leader:
-            self.node.send_to_member(leader, NAME, body)
+            self.node.send_to_member(leader, PACKAGE, encode_report(report))
 
     def hear_work(self, sender: MemberRecord, body: list[Any]) -> None:
-        match body:
-            case ["at", *_]:
-                answer = answer_report(
-                    self.coordinator, sender, self.part.follower.voters, body, self.clock()
-                )
-                if answer is not None and sender.name == self.name:
-                    self.hear_work(sender, answer)
-                elif answer is not None:
-                    self.node.send_to_member(sender.name, NAME, answer)
-            case ["told", int(number), str(stage), int(permission), float(lasts)]:
-                if self.maintenance_agent.told(
-                    number, stage, permission, lasts
-                ) and self.maintenance_agent.goes(self.clock()):
-                    self.disk.mark = self.maintenance_agent.going
-                    wish = self.town.permitted(self.name)
-                    self.note("left", self.maintenance_agent.going, wish)
-                    self.report(self.clock())
-                    self.drain(self.town.work_ms(self.name))
+        match decode_message(body):
+            case LoadReport() as report:
+                self.on_maintenance_report(sender, report)
+            case ReportAnswer() as answer:
+                self.on_maintenance_answer(answer)
+
+    def on_maintenance_report(self, sender: MemberRecord, report: LoadReport) -> None:
+        if self.coordinator is None:
+            return
+        voters = self.part.participant.voters
+        answer = self.coordinator.on_server_report(sender, voters, report, self.clock())
+        if answer is None:
+            return
+        if sender.name == self.name:
+            self.on_maintenance_answer(answer)
+        else:
+            self.node.send_to_member(sender.name, PACKAGE, encode_answer(answer))
+
+    def on_maintenance_answer(self, answer: ReportAnswer) -> None:
+        agent = self.maintenance_agent
+        if not agent.on_answer(answer) or not agent.begin_draining(self.clock()):
+            return
+        self.disk.mark = agent.draining_permit
+        permit_in_force = self.town.permitted(self.name)
+        self.note("left", agent.draining_permit, permit_in_force)
+        self.report(self.clock())
+        self.drain(self.town.work_ms(self.name))
 
     def gone(self, name: str) -> bool:
         record = self.node.member_table.record(name)
@@ -426,7 +438,7 @@
 
     def taken(self, now: float) -> None:
         if self.coordinator is not None:
-            self.coordinator.look_at = min(self.coordinator.look_at, now)
+            self.coordinator.evaluate_soon(now)
 
     def drain(self, away: float) -> None:
         """A notice, from outside or by a permission; `away` ms after its end it is started again."""
@@ -465,7 +477,7 @@
             self.decided()
 
     def decided(self) -> None:
-        f = self.part.follower
+        f = self.part.participant
         self.note("decided", max(0, f.version), f.policy)
 
     def start_run(self, rpc: Rpc) -> None:
@@ -537,24 +549,24 @@
 
     def sizes(self) -> dict[str, int]:
         """Of all that could grow, against the bounds that `promises` has."""
-        node, part, follower = self.node, self.part, self.part.follower
+        node, part, follower = self.node, self.part, self.part.participant
         found = {
             "out": len(node.outbox),
             "errands": len(node.indirect_probes),
             "book": len(node.contact_addresses),
             "table": len(node.member_table.members),
-            "words": len(part.errands),
-            "answers": len(part.answers),
-            "sent": len(follower.sent),
-            "reports": len(self.maintenance_agent.sent),
+            "words": len(part.pending_commands),
+            "answers": len(part.change_statuses),
+            "sent": len(follower.request_sent_at_ms),
+            "reports": self.maintenance_agent.unanswered_count,
             "jobs": len(self.jobs),
         }
-        if part.voter is not None:
-            found |= {"log": len(part.voter.stored.entries), "votes": len(part.voter.out)}
+        if part.raft is not None:
+            found |= {"log": len(part.raft.persistent_state.entries), "votes": part.raft.outgoing_count}
         return found
 
 
-def copied(stored: Stored) -> Stored:
+def copied(stored: PersistentState) -> PersistentState:
     """Entries never change, so that their list alone is copied."""
     return replace(stored, entries=list(stored.entries))
 
--- a/tests/test_golden_histories.py
+++ b/tests/test_golden_histories.py
@@ -17,7 +17,7 @@
 from landingshift.maintenance.replicated_state import MaintenanceState
 from landingshift.membership import wire
 from landingshift.membership.messages import Message
-from landingshift.testbed.experiments import maintenance as upkeep
+from landingshift.testbed.experiments import maintenance
 from landingshift.testbed.experiments.rows import Row
 from landingshift.testbed.experiments.scenarios import draw
 from landingshift.testbed.simulation import policy_change as assent
@@ -77,7 +77,7 @@
             found[f"day {seed}"] = {
                 "datagrams": recorder.found,
                 "history": [len(history), digest(history)],
-                "snapshots": [digest(home.part.shelf.dump()) for home in town.homes.values()],
+                "snapshots": [digest(home.part.state_machines.snapshot()) for home in town.homes.values()],
             }
         assert_golden_json(self, "whole_fleet.json", found)
         assert_golden_json(self, "membership_datagrams.json", dict(sorted(samples.items())))
@@ -91,7 +91,7 @@
             found[f"history {seed}"] = {
                 "messages": recorder.found,
                 "history": [len(hall.history), digest(hall.history)],
-                "snapshots": [digest(mind.part.shelf.dump()) for mind in hall.minds.values()],
+                "snapshots": [digest(mind.part.state_machines.snapshot()) for mind in hall.minds.values()],
             }
         assert_golden_json(self, "policies_histories.json", found)
 
@@ -117,7 +117,10 @@
     def test_work_on_machines(self) -> None:
         found = {}
         apply = MaintenanceState.apply
-        for name, play in {"drawn": upkeep.drawn, "day": lambda *a: upkeep.whole_day(*a, count=60)}.items():
+        for name, play in {
+            "drawn": maintenance.random_faults,
+            "day": lambda *a: maintenance.whole_day(*a, count=60),
+        }.items():
             entries = hashlib.sha256()
             dumps: dict[int, MaintenanceState] = {}
 
@@ -135,6 +138,6 @@
                 "entries": entries.hexdigest(),
                 "figures": row.figures,
                 "broken": row.broken,
-                "snapshots": [digest(book.dump()) for book in dumps.values()],
+                "snapshots": [digest(book.snapshot()) for book in dumps.values()],
             }
         assert_golden_json(self, "work_on_machines.json", found)
