--- a/landingshift/net/protocol/gateway.py
+++ b/landingshift/net/protocol/gateway.py
@@ -12,7 +12,7 @@
 from landingshift.net.protocol.lines import ProtocolError
 
 MAX_BODY_BYTES = 2048
-MAX_MESSAGE_BYTES = 16384  # an RPC with all its fields takes a fifth of this
+MAX_MESSAGE_BYTES = 16384
 RPC_ID = re.compile("[0-9a-fA-F]{16}")
 NUMBER = re.compile(r"[0-9]{1,15}(\.[0-9]{1,15})?")
 MIN_MEMORY_KB = 1e-6
@@ -94,7 +94,7 @@
 class MessageDecoder:
     """Bytes of one connection to messages.
 
-    Keeps no parser between two pieces: a parser takes 40 KB, and many connections are idle.
+    Keeps no parser between two pieces: parsers are large, and many connections are idle.
     """
 
     def __init__(self) -> None:
--- a/landingshift/net/routing/health.py
+++ b/landingshift/net/routing/health.py
@@ -10,7 +10,7 @@
 from landingshift.net.transport.loop import Loop
 from landingshift.net.transport.stream import Address
 
-REPORT_INTERVAL_MS = 200.0  # fourteen reports in a row may be lost before the roster forgets a server
+REPORT_INTERVAL_MS = 200.0  # well below the time after which the roster forgets a server
 
 
 class HealthReporter:
