--- a/landingshift/coldstart/adaptive_limit.py
+++ b/landingshift/coldstart/adaptive_limit.py
@@ -13,12 +13,12 @@
 WINDOW_MS = 1000.0  # in which reports are gathered
 SLOW_START_GROWTH_FRACTION = 1.0  # per window until something was saturated
 GROWTH_FRACTION = 0.1  # per window after that
-UNSATURATED_MAX = 0.5  # saturation up to which the limit is raised
-SATURATED_MIN = 1.0  # saturation above which the limit is halved
-DECREASE_DIVISOR = 2.0
+UNSATURATED_RATIO = 0.5  # saturation up to which the limit is raised
+SATURATED_RATIO = 1.0  # saturation above which the limit is halved
+DECREASE_RATIO = 0.5
 HOLD_WINDOW_COUNT = 2  # after a decrease: its effect shows later
 MAX_REPORT_COUNT = 4096  # in one window
-MIN_PERMITS = 0.25  # below one nobody is admitted for some windows, then one
+MIN_PERMIT_COUNT = 0.25  # below one nobody is admitted for some windows, then one
 
 
 class AdaptiveLimit:
@@ -29,7 +29,9 @@
         minimum: It never falls below that.
     """
 
-    def __init__(self, initial: float, maximum: float, now_ms: float, minimum: float = MIN_PERMITS) -> None:
+    def __init__(
+        self, initial: float, maximum: float, now_ms: float, minimum: float = MIN_PERMIT_COUNT
+    ) -> None:
         self.limit = min(initial, maximum)
         self.minimum = minimum
         self._maximum = maximum
@@ -77,8 +79,8 @@
         """The rule itself, for one window; `saturation` is None where nobody had anything to report."""
         if self._hold_windows:
             self._hold_windows -= 1
-        elif saturation is not None and saturation > SATURATED_MIN:
-            self.limit = max(self.minimum, self.limit / DECREASE_DIVISOR)
+        elif saturation is not None and saturation > SATURATED_RATIO:
+            self.limit = max(self.minimum, self.limit * DECREASE_RATIO)
             self._hold_windows = HOLD_WINDOW_COUNT
             self._growth_fraction = GROWTH_FRACTION
         elif was_exhausted and saturation is None and self.limit < 1.0:
@@ -91,7 +93,7 @@
         """Silence counts as unsaturated only as long as nothing was ever saturated: nobody has called yet."""
         if saturation is None:
             return self._growth_fraction >= SLOW_START_GROWTH_FRACTION
-        return saturation <= UNSATURATED_MAX
+        return saturation <= UNSATURATED_RATIO
 
     def _raised_limit(self) -> float:
         return self.limit + max(self.minimum, self._growth_fraction * self.limit)
--- a/landingshift/coldstart/coordinator.py
+++ b/landingshift/coldstart/coordinator.py
@@ -27,7 +27,7 @@
 
 REQUESTS_PER_LEASE_COUNT = 3.0  # two may be lost
 REQUEST_JITTER = (0.9, 1.1)  # bounds of the factor on the interval between requests
-EARLY_REQUEST_DIVISOR = 4.0  # of that interval, for a server whose need has grown
+EARLY_REQUEST_FRACTION = 0.25  # of that interval, for a server whose need has grown
 EARLY_REQUEST_NEED_RATIO = 2.0  # of what is needed to what was asked for last
 SATISFIED_FRACTION = 0.9  # of what is needed; with less a second grantor is asked too
 SECOND_GRANTOR_LEASE_COUNT = 5.0  # for which it is asked, once it was needed
@@ -79,7 +79,7 @@
         held_leases: What it holds, by the grantors' names.
         start_sequence: Its way from start to warm.
         observation: What it saw of itself last.
-        told_baseline_ms: The lowest baseline that a grantor told, 0 where unknown.
+        reported_baseline_ms: The lowest baseline that a grantor told, 0 where unknown.
         next_request_ms: When the next request is due.
         request_count: Requests since the start.
         response_count: Answers that were taken.
@@ -102,7 +102,7 @@
             plan.grantor_timeout_ms, plan.max_servers, plan.ungranted_starts_per_second, rng, now_ms
         )
         self.observation = LoadObservation()
-        self.told_baseline_ms = 0.0
+        self.reported_baseline_ms = 0.0
         self._request_interval_ms = plan.lease_ms / REQUESTS_PER_LEASE_COUNT
         # Servers that start in one second must not ask in step for ever.
         self.next_request_ms = now_ms + self._request_interval_ms * rng.random()
@@ -171,7 +171,7 @@
             self.observation.needed_calls_per_second > EARLY_REQUEST_NEED_RATIO * known_need
             and self.call_quota(now_ms) >= SATISFIED_FRACTION * requested
         )
-        earliest_ms = self._requested_at_ms + self._request_interval_ms / EARLY_REQUEST_DIVISOR
+        earliest_ms = self._requested_at_ms + self._request_interval_ms * EARLY_REQUEST_FRACTION
         return has_need_grown and now_ms >= earliest_ms
 
     def _forget_expired_leases(self, now_ms: float) -> None:
@@ -263,4 +263,4 @@
         if is_quota_taken or is_permit_taken:
             self.start_sequence.last_grantor_response_ms = now_ms
             self.response_count += 1
-            self.told_baseline_ms = grant.baseline_latency_ms
+            self.reported_baseline_ms = grant.baseline_latency_ms
--- a/landingshift/coldstart/downstream_saturation.py
+++ b/landingshift/coldstart/downstream_saturation.py
@@ -74,12 +74,12 @@
             span_ms = max(BUCKET_WIDTH_MS, min(WINDOW_MS, now_ms - self._first_wanted_ms))
         return sum(bucket.wanted_count for bucket in self._buckets) * 1000.0 / span_ms
 
-    def saturation(self, now_ms: float, told_baseline_ms: float) -> float:
+    def saturation(self, now_ms: float, reported_baseline_ms: float) -> float:
         """How saturated the downstream is: 0 healthy, 1 saturated, more where it is worse.
 
         Args:
             now_ms: Time.
-            told_baseline_ms: The lowest baseline that others know, 0 where none does.
+            reported_baseline_ms: The lowest baseline that others know, 0 where none does.
 
         Returns:
             `UNKNOWN_SATURATION` where no call ended within the window.
@@ -90,7 +90,9 @@
         call_count = answered_count + failed_count
         if not call_count:
             return UNKNOWN_SATURATION
-        known_baselines = [baseline for baseline in (self.baseline_latency_ms, told_baseline_ms) if baseline]
+        known_baselines = [
+            baseline for baseline in (self.baseline_latency_ms, reported_baseline_ms) if baseline
+        ]
         by_latency = 0.0
         if known_baselines and answered_count:
             by_latency = (mean_ms / min(known_baselines) - 1.0) / (SATURATED_LATENCY_RATIO - 1.0)
--- a/landingshift/coldstart/grantor.py
+++ b/landingshift/coldstart/grantor.py
@@ -29,7 +29,7 @@
             now_ms: Time.
             recovery_grace_ms: How long it grants no more than is claimed; one booking where it is None.
         """
-        calls_per_second = plan.part_per_grantor(
+        calls_per_second = plan.amount_per_grantor(
             plan.downstream_calls_per_second * (1.0 - plan.floor_fraction)
         )
         self.call_quota_grantor = LeaseGrantor(
@@ -39,8 +39,8 @@
             calls_per_second, calls_per_second, now_ms, minimum=calls_per_second * MIN_CALLS_FRACTION
         )
         self.start_permits = StartPermitPool(
-            plan.part_per_grantor(plan.initial_permits),
-            plan.part_per_grantor(plan.max_permits),
+            plan.amount_per_grantor(plan.initial_permits),
+            plan.amount_per_grantor(plan.max_permits),
             plan.lease_ms,
             plan.expiry_margin_ms,
             now_ms,
--- a/landingshift/coldstart/boot_mark.py
+++ b/landingshift/coldstart/last_boot.py
@@ -7,8 +7,8 @@
 MAX_BOOT_ID_BYTES = 64
 
 
-def write_boot_mark(path: str, boot_id: str) -> None:
-    """Replaces the mark; it is synced and renamed, so that a crash leaves the old one or the new one.
+def write_last_boot_id(path: str, boot_id: str) -> None:
+    """Replaces the id; the file is synced and renamed, so that a crash leaves the old one or the new one.
 
     Raises:
         OSError: It can't be written.
@@ -21,7 +21,7 @@
     os.replace(temporary_path, path)
 
 
-def read_boot_mark(path: str) -> str:
+def read_last_boot_id(path: str) -> str:
     """The boot id of the last run, empty where it is unknown."""
     try:
         with open(path) as file:
@@ -30,8 +30,8 @@
         return ""
 
 
-def remove_boot_mark(path: str) -> bool:
-    """False where the mark can't be removed."""
+def remove_last_boot_id(path: str) -> bool:
+    """False where the file can't be removed."""
     try:
         os.unlink(path)
     except FileNotFoundError:
--- a/landingshift/coldstart/plan.py
+++ b/landingshift/coldstart/plan.py
@@ -35,7 +35,7 @@
     grantor_timeout_ms: float
     ungranted_starts_per_second: float
 
-    def part_per_grantor(self, amount: float) -> float:
+    def amount_per_grantor(self, amount: float) -> float:
         """What one grantor has of an amount that all of them grant together."""
         return amount / len(self.grantor_names) if self.grantor_names else 0.0
 
--- a/landingshift/coldstart/service.py
+++ b/landingshift/coldstart/service.py
@@ -10,10 +10,10 @@
 from landingshift import failpoints
 from landingshift.admission.interface import Outcome
 from landingshift.coldstart import wire
-from landingshift.coldstart.boot_mark import read_boot_mark, remove_boot_mark, write_boot_mark
 from landingshift.coldstart.coordinator import ColdStartCoordinator, LoadObservation
 from landingshift.coldstart.downstream_saturation import DownstreamSaturation
 from landingshift.coldstart.endpoint_discovery import EndpointDiscovery
+from landingshift.coldstart.last_boot import read_last_boot_id, remove_last_boot_id, write_last_boot_id
 from landingshift.coldstart.lease_history import LeaseHistory
 from landingshift.coldstart.operator_views import cold_start_status, granted_leases, published_metadata
 from landingshift.coldstart.recovery_grace import SystemBoot, recovery_grace_ms
@@ -37,23 +37,23 @@
 def grantor_recovery_grace_ms(settings: Settings, name: str, log: Callable[..., None]) -> float | None:
     """How long this server must grant no more than is claimed from it, if it is a grantor.
 
-    The mark of this boot is on disk before anything is granted: a later process of this boot must find it.
+    The id of this boot is on disk before anything is granted: a later process of this boot must find it.
 
     Returns:
-        None for one booking, infinity for a mark that would prove too much and can't be removed.
+        None for one booking, infinity for an id that would prove too much and can't be removed.
     """
     if not settings.endpoint_cache_path or name not in settings.grantor_names:
         return None
     path = f"{settings.endpoint_cache_path}.boot"
     boot = SystemBoot(*failpoints.boot())
-    marked_boot_id = read_boot_mark(path)
-    grace_ms = recovery_grace_ms(cold_start_plan(settings).booking_ms, boot, marked_boot_id)
+    last_boot_id = read_last_boot_id(path)
+    grace_ms = recovery_grace_ms(cold_start_plan(settings).booking_ms, boot, last_boot_id)
     try:
-        write_boot_mark(path, boot.boot_id)
+        write_last_boot_id(path, boot.boot_id)
     except OSError as error:
-        log("coldstart_boot_mark_not_written", error=str(error))
-        # Without a mark the next process waits. One of an older boot would let it grant too early.
-        return inf if marked_boot_id and not remove_boot_mark(path) else None
+        log("coldstart_boot_id_not_saved", error=str(error))
+        # Without an id the next process waits. That of an older boot would let it grant too early.
+        return inf if last_boot_id and not remove_last_boot_id(path) else None
     log("coldstart_recovery_grace", ms=round(grace_ms), uptime_s=round(boot.uptime_ms / 1000.0))
     return grace_ms
 
@@ -114,7 +114,7 @@
             warm_fraction=min(1.0, age_ms / warm_up_ms) if warm_up_ms else 1.0,
             needed_calls_per_second=needed,
             waiting_rpcs_per_second=admission.values.size(now_ms) / RPC_RATE_WINDOW_SECONDS,
-            saturation=self._saturation.saturation(now_ms, self._coordinator.told_baseline_ms),
+            saturation=self._saturation.saturation(now_ms, self._coordinator.reported_baseline_ms),
             baseline_latency_ms=self._saturation.baseline_latency_ms,
         )
 
--- a/landingshift/coldstart/settings.py
+++ b/landingshift/coldstart/settings.py
@@ -13,7 +13,7 @@
 from landingshift.membership.settings import parse_address
 
 USEFUL_QUOTA_CALLS_PER_SECOND = 3.0  # with which a server gets on with its start
-INITIAL_PERMITS_WITHOUT_QUOTAS = 32.0  # where no quotas bound what starting servers call
+INITIAL_PERMIT_COUNT_WITHOUT_QUOTAS = 32.0  # where no quotas bound what starting servers call
 MAX_FLOOR_FRACTION = 0.5
 PositiveRate = Annotated[float, Meta(gt=0.0, le=1e6)]
 RateOrZero = Annotated[float, Meta(ge=0.0, le=1e6)]
@@ -110,7 +110,7 @@
     """
     grantor_count = float(len(settings.grantor_names))
     max_permits = settings.max_permits or max(float(settings.max_servers), grantor_count)
-    initial_permits = INITIAL_PERMITS_WITHOUT_QUOTAS
+    initial_permits = INITIAL_PERMIT_COUNT_WITHOUT_QUOTAS
     if settings.downstream_calls_per_second:
         initial_permits = settings.downstream_calls_per_second / USEFUL_QUOTA_CALLS_PER_SECOND
     return settings.initial_permits or min(max_permits, max(initial_permits, grantor_count)), max_permits
--- a/landingshift/coldstart/start_permits.py
+++ b/landingshift/coldstart/start_permits.py
@@ -15,7 +15,7 @@
 from landingshift.coldstart.adaptive_limit import AdaptiveLimit
 from landingshift.coldstart.leases import LeaseGrantor, LeaseRequest
 
-WHOLE_PERMIT = 1.0
+PERMIT_AMOUNT = 1.0
 
 
 @dataclass(slots=True, frozen=True)
@@ -92,6 +92,7 @@
             waiting.setdefault(candidate.zone, []).append(name)
 
     def urgency(name: str) -> tuple[float, float, str]:
+        """Most work, then the longest wait, then the name."""
         candidate = candidates[name]
         return candidate.waiting_rpcs_per_second, -candidate.waiting_since_ms, name
 
@@ -135,7 +136,7 @@
         if self.limiter.evaluate(now_ms, self._is_exhausted()):
             self.lease_grantor.capacity = self.limiter.limit
         self.lease_grantor.invalidate_division()  # a free permit goes to the next who asks, at once
-        wanted_amount = WHOLE_PERMIT if request.wants_permit else 0.0
+        wanted_amount = PERMIT_AMOUNT if request.wants_permit else 0.0
         granted = self.lease_grantor.renew(
             LeaseRequest(
                 request.holder_name,
@@ -146,14 +147,14 @@
             ),
             now_ms,
         )
-        if granted is not None and 0.0 < granted < WHOLE_PERMIT:
+        if granted is not None and 0.0 < granted < PERMIT_AMOUNT:
             self._revoke_fraction(request.holder_name)
             return 0.0
         return granted
 
     def permits_in_use(self) -> int:
         """Servers that hold a permit, or may still believe that they do."""
-        return sum(grant.booked_amount >= WHOLE_PERMIT for grant in self.lease_grantor.grants.values())
+        return sum(grant.booked_amount >= PERMIT_AMOUNT for grant in self.lease_grantor.grants.values())
 
     def _update_candidate(self, request: PermitRequest, now_ms: float) -> None:
         if not request.wants_permit:
@@ -168,7 +169,7 @@
     def _is_exhausted(self) -> bool:
         """Whether somebody waits and no whole permit is free."""
         in_use = self.permits_in_use()
-        return len(self.candidates) > in_use and in_use + WHOLE_PERMIT > self.limiter.limit
+        return len(self.candidates) > in_use and in_use + PERMIT_AMOUNT > self.limiter.limit
 
     def _revoke_fraction(self, name: str) -> None:
         """A fraction of a permit is none, and must not be booked either."""
@@ -181,8 +182,8 @@
         holders = [
             name
             for name, grant in self.lease_grantor.grants.items()
-            if grant.booked_amount >= WHOLE_PERMIT and name in self.candidates
+            if grant.booked_amount >= PERMIT_AMOUNT and name in self.candidates
         ]
         free_count = int(capacity) - self.permits_in_use()
         chosen = assign_permits(self.candidates, holders, free_count)
-        return dict.fromkeys([*holders, *chosen], WHOLE_PERMIT)
+        return dict.fromkeys([*holders, *chosen], PERMIT_AMOUNT)
--- a/landingshift/testbed/simulation/cold_start.py
+++ b/landingshift/testbed/simulation/cold_start.py
@@ -109,7 +109,7 @@
             warm_fraction=self.warmth(now),
             needed_calls_per_second=self.need(now),
             waiting_rpcs_per_second=float(self.i % 7),
-            saturation=self.strain.saturation(now, agent.told_baseline_ms),
+            saturation=self.strain.saturation(now, agent.reported_baseline_ms),
             baseline_latency_ms=self.strain.baseline_latency_ms,
         )
         agent.on_timer(now, seen)
--- a/landingshift/testbed/simulation/server.py
+++ b/landingshift/testbed/simulation/server.py
@@ -353,7 +353,7 @@
             if started.is_open
             else 0.0,
             waiting_rpcs_per_second=self.server.values.size(now) / 2.0,
-            saturation=self.strain.saturation(now, self.agent.told_baseline_ms),
+            saturation=self.strain.saturation(now, self.agent.reported_baseline_ms),
             baseline_latency_ms=self.strain.baseline_latency_ms,
         )
         if self.agent.on_timer(now, seen):
--- a/tests/test_coldstart.py
+++ b/tests/test_coldstart.py
@@ -17,11 +17,11 @@
     mean_rate_below_cap,
     random_start_delay_ms,
 )
-from landingshift.coldstart.boot_mark import read_boot_mark, remove_boot_mark, write_boot_mark
 from landingshift.coldstart.downstream_saturation import UNKNOWN_SATURATION, DownstreamSaturation
 from landingshift.coldstart.errors import EndpointCacheError, InvalidMessageError
 from landingshift.coldstart.fair_division import max_min_fair_shares
 from landingshift.coldstart.grantor import ColdStartGrantor
+from landingshift.coldstart.last_boot import read_last_boot_id, remove_last_boot_id, write_last_boot_id
 from landingshift.coldstart.leases import LeaseGrantor, LeaseRequest
 from landingshift.coldstart.messages import ColdStartGrant, ColdStartRequest
 from landingshift.coldstart.recovery_grace import SystemBoot, recovery_grace_ms
@@ -122,7 +122,7 @@
 
 class RecoveryGraceTest(unittest.TestCase):
     def test_only_a_mark_of_another_boot_shortens_the_grace_period(self) -> None:
-        for marked_boot_id, boot_id, uptime_ms, grace_ms in [
+        for last_boot_id, boot_id, uptime_ms, grace_ms in [
             ("", "b", 9e9, 1830.0),  # its first run, or a disk that was lost
             ("b", "b", 9e9, 1830.0),  # killed and started again
             ("a", "b", 9e9, 0.0),
@@ -130,23 +130,23 @@
             ("a", "", 0.0, 1830.0),  # a system that tells no boot
             ("a", "b", -50.0, 1830.0),
         ]:
-            with self.subTest(marked_boot_id=marked_boot_id, uptime_ms=uptime_ms):
+            with self.subTest(last_boot_id=last_boot_id, uptime_ms=uptime_ms):
                 boot = SystemBoot(boot_id, uptime_ms)
-                self.assertEqual(recovery_grace_ms(1830.0, boot, marked_boot_id), grace_ms)
+                self.assertEqual(recovery_grace_ms(1830.0, boot, last_boot_id), grace_ms)
 
-    def test_boot_mark_that_cannot_be_read_is_none(self) -> None:
+    def test_boot_id_that_cannot_be_read_is_unknown(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = f"{folder}/n1.boot"
-            self.assertEqual(read_boot_mark(path), "")
-            write_boot_mark(path, "first")
-            write_boot_mark(path, "second")
-            self.assertEqual(read_boot_mark(path), "second")
-            self.assertTrue(remove_boot_mark(path))
-            self.assertTrue(remove_boot_mark(path))
+            self.assertEqual(read_last_boot_id(path), "")
+            write_last_boot_id(path, "first")
+            write_last_boot_id(path, "second")
+            self.assertEqual(read_last_boot_id(path), "second")
+            self.assertTrue(remove_last_boot_id(path))
+            self.assertTrue(remove_last_boot_id(path))
             Path(path).write_bytes(b"\xff\xfe")
-            self.assertEqual(read_boot_mark(path), "")
+            self.assertEqual(read_last_boot_id(path), "")
             with self.assertRaises(OSError):
-                write_boot_mark(f"{folder}/none/n1.boot", "x")
+                write_last_boot_id(f"{folder}/none/n1.boot", "x")
 
 
 class AdaptiveLimitTest(unittest.TestCase):
@@ -287,7 +287,7 @@
 
 class DownstreamSaturationTest(unittest.TestCase):
     def test_saturation_follows_latency_and_failures(self) -> None:
-        for answered, failed, duration_ms, told_baseline_ms, low, high in [
+        for answered, failed, duration_ms, reported_baseline_ms, low, high in [
             (20, 0, 20.0, 0.0, 0.0, 0.01),
             (20, 0, 60.0, 20.0, 0.99, 1.01),
             (12, 4, 20.0, 20.0, 0.99, 1.01),
@@ -295,14 +295,14 @@
             (0, 1, 0.0, 20.0, 3.9, 4.1),
             (20, 0, 900.0, 0.0, 0.0, 0.01),
         ]:
-            with self.subTest(answered=answered, failed=failed, told_baseline_ms=told_baseline_ms):
+            with self.subTest(answered=answered, failed=failed, reported_baseline_ms=reported_baseline_ms):
                 window = DownstreamSaturation()
                 for call in range(answered + failed):
                     window.on_call_finished(1000.0 + call, call < answered, duration_ms)
-                saturation = window.saturation(1100.0, told_baseline_ms)
+                saturation = window.saturation(1100.0, reported_baseline_ms)
                 self.assertTrue(low <= saturation <= high, saturation)
                 # Nothing outlasts its cause; and that nothing was called does not show a healthy downstream.
-                self.assertEqual(window.saturation(60_000.0, told_baseline_ms), UNKNOWN_SATURATION)
+                self.assertEqual(window.saturation(60_000.0, reported_baseline_ms), UNKNOWN_SATURATION)
 
     def test_wanted_calls_of_a_new_server_count_since_its_first_call(self) -> None:
         window = DownstreamSaturation()
--- a/tests/test_golden_storage.py
+++ b/tests/test_golden_storage.py
@@ -13,7 +13,7 @@
 from msgspec import msgpack
 
 from landingshift.coldstart import endpoint_cache
-from landingshift.coldstart.boot_mark import read_boot_mark, write_boot_mark
+from landingshift.coldstart.last_boot import read_last_boot_id, write_last_boot_id
 from landingshift.consensus.raft import Append, Appended, Ask, Entry, Install, Message, Stored, Vote
 from landingshift.consensus.raft_log import Journal
 from landingshift.consensus.state_machines import Shelf, entry
@@ -150,9 +150,9 @@
 
     def test_mark_of_a_boot(self) -> None:
         path = str(self.folder / "list.boot")
-        write_boot_mark(path, "0f0f-boot")
+        write_last_boot_id(path, "0f0f-boot")
         assert_golden_bytes(self, "boot_mark", Path(path).read_bytes())
-        self.assertEqual(read_boot_mark(str(FOLDER / "boot_mark")), "0f0f-boot")
+        self.assertEqual(read_last_boot_id(str(FOLDER / "boot_mark")), "0f0f-boot")
 
     def test_mark_of_work(self) -> None:
         path = str(self.folder / "mark")
--- /dev/null
+++ b/tests/test_membership_cluster.py
@@ -0,0 +1,214 @@
+"""Cluster membership of many nodes in virtual time: deaths, pauses, partitions, restarts, floods."""
+
+from __future__ import annotations
+
+import unittest
+from random import Random
+from typing import Any
+
+from landingshift.membership.failure_detector import MAX_INDIRECT_PROBES
+from landingshift.membership.messages import DIGEST_BUCKET_COUNT, Ping, PingRequest, TableDigestMessage
+from landingshift.membership.node import REPLIES_PER_SECOND, SwimNode
+from landingshift.membership.outbox import MAX_OUTBOX_MESSAGES
+from landingshift.membership.timings import SwimTimings
+from landingshift.testbed.simulation.virtual_time import Host, World
+from tests.test_membership import address, message, record
+
+MAX_MEMBERS = 1000
+
+
+class SimulatedCluster:
+    """Nodes in virtual time.
+
+    Attributes:
+        log_lines: What they logged, as time, index of the node, event and fields.
+    """
+
+    def __init__(self, node_count: int, seed: int = 1, **world: Any) -> None:
+        self.world = World(seed, **world)
+        self.log_lines: list[tuple[float, int, str, dict[str, Any]]] = []
+        self.nodes: dict[int, SwimNode] = {}
+        self.hosts: dict[int, Host] = {}
+        for index in range(node_count):
+            self.start(index)
+
+    def start(self, index: int, seed_count: int = 3, clock_offset_ms: float = 0.0) -> SwimNode:
+        rng = Random(f"{self.world.chance.random()} {index}")
+        local_record = record(index, run_id=rng.getrandbits(48))
+        node = SwimNode(
+            local_record,
+            [address(seed) for seed in range(seed_count)],
+            SwimTimings(),
+            MAX_MEMBERS,
+            rng,
+            self.world.now + clock_offset_ms,
+            self.logger(index),
+        )
+        self.nodes[index] = node
+        self.hosts[index] = self.world.start(address(index), node, clock_offset_ms)
+        return node
+
+    def logger(self, index: int) -> Any:
+        return lambda event, **fields: self.log_lines.append((self.world.now, index, event, fields))
+
+    def run(self, duration_ms: float) -> None:
+        self.world.run(self.world.now + duration_ms)
+
+    def kill(self, *indexes: int) -> None:
+        for index in indexes:
+            self.world.kill(address(index))
+            del self.nodes[index]
+
+    def run_until_all_know(self, timeout_ms: float, *present: int) -> float:
+        """Virtual ms until all know that just these are present; fails past the time-out."""
+        started_at_ms = self.world.now
+        while not self.all_know(*present):
+            if self.world.now - started_at_ms > timeout_ms:
+                raise AssertionError(f"not within {timeout_ms} ms")
+            self.run(50.0)
+        return self.world.now - started_at_ms
+
+    def all_know(self, *present: int) -> bool:
+        names = {f"n{index}" for index in present}
+        return all(
+            set(node.member_table.present_index) == names - {f"n{index}"}
+            for index, node in self.nodes.items()
+        )
+
+    def declared_dead(self) -> set[str]:
+        return {fields["name"] for _, _, event, fields in self.log_lines if event == "fleet_dead"}
+
+
+class SimulatedClusterTest(unittest.TestCase):
+    """Several members, with what the network and the machines do to them."""
+
+    def formed_cluster(self, node_count: int, **world: Any) -> SimulatedCluster:
+        cluster = SimulatedCluster(node_count, **world)
+        cluster.run_until_all_know(10_000.0, *range(node_count))
+        return cluster
+
+    def test_members_find_each_other_and_learn_of_deaths(self) -> None:
+        for loss in (0.0, 0.1):
+            with self.subTest(loss=loss):
+                cluster = self.formed_cluster(60, loss=loss)
+                cluster.kill(7, 8)
+                elapsed_ms = cluster.run_until_all_know(6_500.0, *range(7), *range(9, 60))
+                self.assertGreater(elapsed_ms, 1000.0)  # not on a single lost datagram
+                self.assertEqual(cluster.declared_dead(), {"n7", "n8"})
+
+    def test_pauses_of_300_ms_are_no_deaths(self) -> None:
+        cluster = self.formed_cluster(30)
+        for turn in range(40):
+            cluster.hosts[turn % 30].stop(300.0)
+            cluster.run(700.0)
+        self.assertEqual(cluster.declared_dead(), set())
+
+    def test_slow_members_are_not_declared_dead_nor_declare_others_dead(self) -> None:
+        # A full core takes hundreds of ms until it looks at a datagram.
+        cluster = self.formed_cluster(30)
+        for index in range(10):
+            cluster.hosts[index].lag = 80.0
+        cluster.run(60_000.0)
+        self.assertEqual(cluster.declared_dead(), set())
+
+    def test_member_paused_for_long_rejoins_and_declares_nobody_dead(self) -> None:
+        cluster = self.formed_cluster(20)
+        cluster.hosts[3].stop(15_000.0)
+        cluster.run(14_000.0)
+        self.assertEqual(cluster.declared_dead(), {"n3"})
+        cluster.run_until_all_know(8_000.0, *range(20))
+        self.assertEqual(cluster.declared_dead(), {"n3"})  # though all were silent to it for 15 s
+
+    def test_restarted_member_is_told_from_its_earlier_process(self) -> None:
+        for clock_offset_ms in (0.0, -3_600_000.0):  # its clock was stepped back meanwhile
+            with self.subTest(clock_offset_ms=clock_offset_ms):
+                cluster = self.formed_cluster(10)
+                cluster.kill(4)
+                cluster.run(200.0)  # long before its death is known
+                run_id = cluster.start(4, clock_offset_ms=clock_offset_ms).local_record.run_id
+                cluster.run_until_all_know(5_000.0, *range(10))
+                cluster.run(6_000.0)
+                self.assertTrue(cluster.all_know(*range(10)))
+                known_run_ids = {
+                    node.member_table.members["n4"].record.run_id
+                    for index, node in cluster.nodes.items()
+                    if index != 4
+                }
+                self.assertEqual(known_run_ids, {run_id})
+
+    def test_partitioned_halves_rejoin(self) -> None:
+        cluster = self.formed_cluster(20)
+        half = {address(index) for index in range(10)}
+        cluster.world.cut = lambda sender, receiver: (sender in half) != (receiver in half)
+        cluster.run(20_000.0)
+        self.assertEqual(
+            set(cluster.nodes[0].member_table.present_index), {f"n{index}" for index in range(1, 10)}
+        )
+        cluster.world.cut = lambda sender, receiver: False
+        cluster.run_until_all_know(15_000.0, *range(20))
+
+    def test_link_cut_in_one_direction_is_no_death(self) -> None:
+        cluster = self.formed_cluster(12)
+        cluster.world.cut = lambda sender, receiver: (sender, receiver) == (address(1), address(2))
+        cluster.run(30_000.0)
+        self.assertEqual(cluster.declared_dead(), set())
+
+    def test_member_that_sends_but_receives_nothing_does_not_empty_others_tables(self) -> None:
+        cluster = self.formed_cluster(12)
+        cluster.world.cut = lambda sender, receiver: receiver == address(5)
+        cluster.run(20_000.0)
+        for index, node in cluster.nodes.items():
+            if index != 5:
+                self.assertGreaterEqual(len(node.member_table.present_names), 10, f"n{index}")
+
+    def test_member_that_leaves_is_not_declared_dead(self) -> None:
+        cluster = self.formed_cluster(12)
+        cluster.nodes[2].leave(cluster.world.now)
+        cluster.hosts[2].turn()
+        cluster.run(100.0)
+        cluster.kill(2)
+        remaining = [index for index in range(12) if index != 2]
+        elapsed_ms = cluster.run_until_all_know(3_000.0, *remaining)
+        self.assertLess(elapsed_ms, 2_000.0)
+        self.assertEqual(cluster.declared_dead(), set())
+
+    def test_two_members_with_one_name_are_logged(self) -> None:
+        cluster = self.formed_cluster(6)
+        other_record = record(50, name="n3", run_id=5)
+        other = SwimNode(
+            other_record,
+            [address(0)],
+            SwimTimings(),
+            100,
+            Random(9),
+            cluster.world.now,
+            cluster.logger(50),
+        )
+        cluster.world.start(address(50), other)
+        cluster.run(20_000.0)
+        self.assertIn("fleet_name_twice", {event for _, _, event, _ in cluster.log_lines})
+
+    def test_message_rate_of_a_member_does_not_grow_with_the_cluster(self) -> None:
+        rates = []
+        for node_count in (30, 120):
+            cluster = self.formed_cluster(node_count)
+            cluster.run(20_000.0)
+            messages_before = cluster.world.messages
+            cluster.run(10_000.0)
+            rates.append((cluster.world.messages - messages_before) / node_count / 10.0)
+        self.assertLess(rates[1], 1.2 * rates[0])
+        self.assertLess(rates[1], 8.0)
+
+    def test_answers_a_flood_of_requests_within_bounds(self) -> None:
+        node = SimulatedCluster(1).nodes[0]
+        node.member_table.merge(record(1), 0.0)
+        digest = TableDigestMessage((7,) * DIGEST_BUCKET_COUNT, True)
+        node.take_outgoing()
+        for number in range(20_000):
+            node.on_message(message(digest, number), 10.0)
+            node.on_message(message(PingRequest("10.0.0.9", 9, "n9"), number), 10.0)
+        self.assertLessEqual(len(node.take_outgoing()), 26 * REPLIES_PER_SECOND)
+        self.assertLessEqual(len(node.failure_detector.indirect_probes), MAX_INDIRECT_PROBES)
+        for number in range(20_000):
+            node.on_message(message(Ping(""), number), 10.0)
+        self.assertLessEqual(len(node.outbox.pending), MAX_OUTBOX_MESSAGES)
