--- a/landingshift/consensus/raft.py
+++ b/landingshift/consensus/raft.py
@@ -1,470 +1,395 @@
-"""One sequence of entries among a few voters, though they crash, stop and are cut off.
+"""One Raft node: roles, terms and what is committed, after Raft's paper with pre-votes and check quorum.
 
-After Raft's paper, with pre-votes and a leader that steps down without a majority. Pure: time, chance and
-messages come in; messages go out, and what must be on disk before they may. The driver's part of the bargain:
-`unsaved()` is written and synced, then `saved()` is called, then `take_out()` gives the messages that rest on
-it. A voter that lost what it had saved must not come back under its name.
+Guarantee: all nodes commit the same entries in the same order, through crashes, pauses and cut networks.
+Failure mode: without a majority nothing is committed and no leader is elected; a leader that hears of no
+majority for an election timeout steps down.
+
+Pure: time, chance and messages come in; messages go out. The driver's part: what `unsaved_state` gives is
+written and synced, then `on_state_saved` is called, then `take_outgoing` gives the messages that rest on it.
+A node that lost what it had saved must not come back under its name.
 """
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
 from enum import Enum
 from random import Random
-from typing import Annotated
-
-import msgspec
-from msgspec import Meta, Struct
-
-BATCH = 16  # entries in a message
-OUT = 1024  # messages that may wait for the driver
-LONGEST = 10_000  # entries that are kept after the last snapshot
-ROUNDS = 64  # beats whose times a leader keeps
-SURE = 0.9  # share of `wait` for which a leader may count on the promise of those who heard it
 
-MOST = 9  # voters, while one is replaced
-VOTERS = b"\xc1"  # an entry that begins so names the voters from then on; no other data does, being msgpack
+from landingshift.consensus import election
+from landingshift.consensus.log_replication import LeaderReplication, Outbox, append_from_leader
+from landingshift.consensus.messages import (
+    AppendEntries,
+    AppendEntriesResponse,
+    InstallSnapshot,
+    LogEntry,
+    Message,
+    RequestVote,
+    VoteResponse,
+)
+from landingshift.consensus.persistent_state import DurableState, PersistentState
+from landingshift.consensus.timeouts import RaftTimeouts
+from landingshift.consensus.voters import VoterConfiguration, encode_voters_entry
 
-Index = Annotated[int, Meta(ge=0, le=2**53)]
+MAX_LOG_ENTRY_COUNT = 10_000  # after the last snapshot; a full log takes no proposals
 
 
 class Role(Enum):
+    """What a node is in its term. The values stand in the operators' status."""
+
     FOLLOWER = "follower"
-    ASKING = "asking"  # whether it would be elected, before it disturbs anybody (pre-vote)
+    PRE_CANDIDATE = "asking"  # asks whether it would be elected, before it raises its term
     CANDIDATE = "candidate"
     LEADER = "leader"
 
 
-class Entry(Struct, array_like=True, frozen=True):
-    term: Index
-    data: bytes
-
+class RaftNode:
+    """One server of the group. A server that is not among the voters only follows.
 
-@dataclass(slots=True)
-class Stored:
-    """What a voter has on disk. `base` is the last index that the snapshot `state` covers."""
-
-    term: int = 0
-    vote: str = ""
-    base: int = 0
-    base_term: int = 0
-    state: bytes = b""
-    entries: list[Entry] = field(default_factory=list)
-    voters: tuple[str, ...] = ()  # as of `base`; empty: those of the settings
+    Attributes:
+        name: This server's name.
+        role: What it is in its term.
+        leader: The leader that it knows of; empty where it knows none.
+        commit_index: Highest index that is known to be committed.
+        additional_senders: Names that are heard although the log does not name them as voters (yet).
+        next_deadline_ms: When `tick` is due.
+    """
 
+    def __init__(
+        self,
+        name: str,
+        initial_voters: tuple[str, ...],
+        persistent_state: PersistentState,
+        timeouts: RaftTimeouts,
+        rng: Random,
+        now_ms: float,
+    ) -> None:
+        """Starts as a follower.
+
+        Args:
+            name: This server's name.
+            initial_voters: Voters until the log names others.
+            persistent_state: What is on disk.
+            timeouts: Alike on all servers.
+            rng: Draws the election timeouts.
+            now_ms: Monotonic clock.
+        """
+        self.name = name
+        self.timeouts = timeouts
+        self.role = Role.FOLLOWER
+        self.leader = ""
+        self.commit_index = persistent_state.last_included_index
+        self.additional_senders: set[str] = set(initial_voters)
+        self._rng = rng
+        self._state = DurableState(persistent_state)
+        self._configuration = VoterConfiguration(name, initial_voters, self._state)
+        self._outbox = Outbox()
+        self._replication = LeaderReplication(self._state, self._configuration, self._outbox)
+        self._votes: set[str] = set()
+        self._synced_index = self._state.last_index  # up to where this node's own log is on disk
+        self._now_ms = now_ms
+        self._leader_heard_at_ms = now_ms
+        self.next_deadline_ms = 0.0
+        self._restart_election_timeout()
+
+    # What others may know
 
-class Ask(Struct, array_like=True, frozen=True, forbid_unknown_fields=True, tag="a"):
-    """For a vote, or `pre`: whether there would be one."""
+    @property
+    def persistent_state(self) -> PersistentState:
+        """Term, vote and log, saved or not."""
+        return self._state.persistent
 
-    term: Index
-    last: Index
-    last_term: Index
-    pre: bool
+    @property
+    def current_term(self) -> int:
+        """The latest term that this node has seen."""
+        return self._state.term
 
+    @property
+    def last_log_index(self) -> int:
+        """Index of the last entry of the log."""
+        return self._state.last_index
 
-class Vote(Struct, array_like=True, frozen=True, forbid_unknown_fields=True, tag="v"):
-    term: Index
-    given: bool
-    pre: bool
+    @property
+    def voters(self) -> tuple[str, ...]:
+        """All voters, by the newest set in the log."""
+        return self._configuration.voters
 
+    @property
+    def peers(self) -> tuple[str, ...]:
+        """All voters but this node."""
+        return self._configuration.peers
 
-class Append(Struct, array_like=True, frozen=True, forbid_unknown_fields=True, tag="e"):
-    """Entries after `before`; none of them is a beat. `round` tells answers to old ones from new."""
+    @property
+    def is_voter(self) -> bool:
+        """Whether this node votes."""
+        return self._configuration.is_voter
 
-    term: Index
-    before: Index
-    before_term: Index
-    entries: Annotated[tuple[Entry, ...], Meta(max_length=BATCH)]
-    commit: Index
-    round: Index
+    @property
+    def is_voter_change_committed(self) -> bool:
+        """Whether the newest set of voters is committed."""
+        return self._configuration.is_committed(self.commit_index)
 
+    @property
+    def heartbeat_round(self) -> int:
+        """Number of the last heartbeat round that this node sent."""
+        return self._replication.lease.round
 
-class Appended(Struct, array_like=True, frozen=True, forbid_unknown_fields=True, tag="r"):
-    """`match`: up to where the logs are alike; where `good` is False, from where to try."""
+    @property
+    def outgoing_count(self) -> int:
+        """Messages that wait for the driver."""
+        return len(self._outbox.messages)
 
-    term: Index
-    good: bool
-    match: Index
-    round: Index
+    def entries_between(self, after: int, through: int) -> list[LogEntry]:
+        """Entries past `after` up to `through`, as far as the log reaches back."""
+        return self._state.entries_between(after, through)
 
+    def has_recent_response(self, peer: str, now_ms: float) -> bool:
+        """Whether `peer` answered this leader within the last election timeout."""
+        last_response_ms = self._replication.last_response_ms(peer)
+        return now_ms - last_response_ms < self.timeouts.election_timeout_ms
 
-class Install(Struct, array_like=True, frozen=True, forbid_unknown_fields=True, tag="i"):
-    """A snapshot for one that is further behind than the log goes back."""
+    def has_leader_lease(self, now_ms: float) -> bool:
+        """Whether this node leads, knows all that was committed before, and nobody else can lead just now.
 
-    term: Index
-    base: Index
-    base_term: Index
-    state: bytes
-    round: Index
-    voters: Annotated[tuple[str, ...], Meta(max_length=MOST)] = ()
+        What it says while this holds is older than anything that a later leader does.
+        """
+        if self.role is not Role.LEADER or self._state.term_at(self.commit_index) != self._state.term:
+            return False
+        timeout_ms = self.timeouts.election_timeout_ms
+        return self._replication.lease.is_held(self._configuration, timeout_ms, now_ms)
 
+    # The driver's part
 
-Message = Ask | Vote | Append | Appended | Install
+    def unsaved_state(self) -> PersistentState | None:
+        """What must be written and synced before any message goes out; None where nothing changed."""
+        return self._state.persistent if self._state.is_dirty else None
 
+    def on_state_saved(self) -> None:
+        """What `unsaved_state` gave is on disk."""
+        self._state.is_dirty = False
+        self._synced_index = self._state.last_index
+        if self.role is Role.LEADER:
+            self._advance_commit_index()
 
-@dataclass(slots=True, frozen=True)
-class Times:
-    """ms. An election waits `wait` up to twice that; a leader without a majority for `wait` steps down."""
+    def take_outgoing(self) -> list[tuple[str, Message]]:
+        """Receivers and messages; none while they rest on what a crash could still take back."""
+        return [] if self._state.is_dirty else self._outbox.take_all()
 
-    beat: float = 150.0
-    wait: float = 900.0
+    def tick(self, now_ms: float) -> None:
+        """Does what is due: a leader's heartbeats and check quorum, or a follower's election."""
+        self._now_ms = now_ms
+        if now_ms < self.next_deadline_ms:
+            return
+        if self.role is Role.LEADER:
+            self._tick_leader()
+        elif self._configuration.may_stand_for_election(self.commit_index):
+            self._start_pre_vote()
+        else:
+            self._restart_election_timeout()
 
+    def on_message(self, sender: str, message: Message, now_ms: float) -> None:
+        """Takes a message of a voter; messages of anybody else are dropped."""
+        is_known = sender in self._configuration.peers or sender in self.additional_senders
+        if sender == self.name or not is_known:
+            return
+        self._now_ms = now_ms
+        if self._would_unseat_leader(sender, message):
+            return
+        # A pre-vote is about a term that nobody is in yet.
+        is_pre_vote = isinstance(message, RequestVote | VoteResponse) and message.is_pre_vote
+        if message.term > self._state.term and not is_pre_vote:
+            self._become_follower(message.term, "")
+        match message:
+            case RequestVote():
+                self._on_request_vote(sender, message)
+            case VoteResponse():
+                self._on_vote_response(sender, message)
+            case AppendEntries():
+                self._on_append_entries(sender, message)
+            case InstallSnapshot():
+                self._on_install_snapshot(sender, message)
+            case AppendEntriesResponse():
+                self._on_append_entries_response(sender, message)
 
-class Voter:
-    """`voters` are all names until the log names others; one that is not among them only follows.
+    # The log
 
-    Voters change one at a time: the newest set in the log counts from then on, taken or not, and majorities
-    of two sets that differ by one name always share a voter.
-    """
+    def propose(self, data: bytes) -> int | None:
+        """Appends an entry.
 
-    def __init__(
-        self, name: str, voters: tuple[str, ...], stored: Stored, times: Times, chance: Random, now: float
-    ) -> None:
-        self.name, self.first, self.times, self.chance = name, voters, times, chance
-        self.stored = stored
-        self.known: set[str] = set(voters)  # who may be heard, also before the log names them
-        self.role = Role.FOLLOWER
-        self.leader = ""
-        self.commit = stored.base
-        self.votes: set[str] = set()
-        self.next: dict[str, int] = {}
-        self.match: dict[str, int] = {}
-        self.heard: dict[str, float] = {}  # when each other last answered the leader
-        self.rounds = 0
-        self.round_at: dict[int, float] = {}  # when the last rounds went out
-        self.acked_at: dict[str, float] = {}  # when the round went out that each other answered last
-        self.synced = self.last  # up to where this voter's own log is on disk
-        self.changed = False  # term, vote, snapshot or entries wait to be saved
-        self.out: list[tuple[str, Message]] = []
-        self.now = self.leader_at = now
-        self.due = 0.0
-        self.patience()
-        self.know()
-
-    # Who votes
-
-    def know(self) -> None:
-        """The newest voters of the log; called whenever such an entry comes or goes."""
-        sets = [(0, self.stored.voters or self.first)]
-        for index in range(self.last, self.stored.base, -1):
-            found = self.names(index)
-            if found:
-                sets.insert(1, (index, found))
-                if len(sets) == 3:
-                    break
-        self.named, self.voters = sets[-1]
-        self.before = sets[-2][1] if len(sets) > 1 else self.voters  # the set that this one took the place of
-        self.others = tuple(v for v in self.voters if v != self.name)
-        for other in self.others if self.role is Role.LEADER else ():
-            self.next.setdefault(other, self.last + 1)
-            self.match.setdefault(other, 0)
-            self.heard.setdefault(other, self.now)
-
-    def names(self, index: int) -> tuple[str, ...]:
-        data = self.stored.entries[index - self.stored.base - 1].data
-        if not data.startswith(VOTERS):
-            return ()
-        return tuple(msgspec.msgpack.decode(data[len(VOTERS) :], type=list[str]))
+        Returns:
+            Its index, known to be committed once `commit_index` reaches it in this term; None on a node that
+            does not lead or whose log is full.
+        """
+        if self.role is not Role.LEADER or len(self._state.persistent.entries) >= MAX_LOG_ENTRY_COUNT:
+            return None
+        self._state.append(LogEntry(self._state.term, data))
+        self._replication.broadcast(self.commit_index, self._now_ms)
+        return self._state.last_index
 
-    @property
-    def votes_too(self) -> bool:
-        return self.name in self.voters
+    def change_voters(self, voters: tuple[str, ...], now_ms: float) -> int | None:
+        """Adds or removes one voter.
 
-    @property
-    def stands(self) -> bool:
-        """Whether it may be elected. One that is removed is, too, until that is taken: it may be the only one
-        that has the entry, and those who are left can't win over its longer log."""
-        return self.votes_too or (self.named > self.commit and self.name in self.before)
-
-    def replace(self, voters: tuple[str, ...], now: float) -> int | None:
-        """The entry's index; None where it can't be just now: one at a time, by one that leads for sure."""
-        one = len(set(voters) ^ set(self.voters)) == 1 and 1 <= len(voters) <= MOST
-        if not one or self.named > self.commit or not self.sure(now):
+        Returns:
+            The entry's index; None where it can't be just now: changes go one after the other, each of one
+            name, by a leader with its lease.
+        """
+        if not self._configuration.is_single_change(voters) or not self.is_voter_change_committed:
             return None
-        index = self.propose(VOTERS + msgspec.msgpack.encode(list(voters)))
-        self.know()
+        if not self.has_leader_lease(now_ms):
+            return None
+        index = self.propose(encode_voters_entry(voters))
+        self._refresh_voters()
         return index
 
-    # The log
-
-    @property
-    def last(self) -> int:
-        return self.stored.base + len(self.stored.entries)
-
-    def term_at(self, index: int) -> int | None:
-        """None before the snapshot and past the end."""
-        s = self.stored
-        if index == s.base:
-            return s.base_term
-        return s.entries[index - s.base - 1].term if s.base < index <= self.last else None
-
-    def entries(self, after: int, up_to: int) -> list[Entry]:
-        """Those past `after` up to `up_to`, as far as the log goes back."""
-        base = self.stored.base
-        return self.stored.entries[max(0, after - base) : max(0, up_to - base)]
-
-    def compact(self, index: int, state: bytes) -> None:
-        """The application's state up to `index`, which is committed, stands for the entries."""
-        if self.stored.base < index <= self.commit:
-            term = self.term_at(index)
-            assert term is not None
-            s = self.stored
-            named = [found for i in range(s.base + 1, index + 1) if (found := self.names(i))]
-            s.voters = named[-1] if named else s.voters
-            s.entries = s.entries[index - s.base :]
-            s.base, s.base_term, s.state = index, term, state
-            self.changed = True
-
-    # The driver's
-
-    def unsaved(self) -> Stored | None:
-        return self.stored if self.changed else None
-
-    def saved(self) -> None:
-        """What `unsaved` gave is on disk."""
-        self.changed, self.synced = False, self.last
-        if self.role is Role.LEADER:
-            self.count()
+    def compact(self, index: int, snapshot: bytes) -> None:
+        """Lets the state machines' state up to `index`, which is committed, stand for the entries."""
+        if self._state.last_included_index < index <= self.commit_index:
+            self._state.compact(index, snapshot, self._configuration.voters_as_of(index))
 
-    def take_out(self) -> list[tuple[str, Message]]:
-        """Nothing that rests on what a crash could still take back."""
-        if self.changed:
-            return []
-        out, self.out = self.out, []
-        return out
-
-    def send(self, to: str, message: Message) -> None:
-        if len(self.out) < OUT:
-            self.out.append((to, message))
-
-    # Time
-
-    def patience(self) -> None:
-        self.due = self.now + self.times.wait * self.chance.uniform(1.0, 2.0)
-
-    def tick(self, now: float) -> None:
-        self.now = now
-        if now < self.due:
+    def _advance_commit_index(self) -> None:
+        """Commits what a majority has on disk, if its last entry is of this term."""
+        index = self._replication.majority_index(self._synced_index)
+        if index <= self.commit_index or self._state.term_at(index) != self._state.term:
             return
-        if self.role is Role.LEADER:
-            here = sum(now - self.heard[other] < self.times.wait for other in self.others) + self.votes_too
-            if not self.most(here):
-                self.follow(self.stored.term, "")  # it may be cut off: whoever asks must not rely on it
-                return
-            self.due = now + self.times.beat
-            self.beat()
-        elif self.stands:
-            self.ask(True)
-        else:
-            self.patience()
+        self.commit_index = index
+        if not self.is_voter and self.is_voter_change_committed:
+            self._become_follower(self._state.term, "")  # it led its own removal to the end
 
-    def sure(self, now: float) -> bool:
-        """Whether this leads, knows all that was taken before, and nobody else can lead just now.
+    def _refresh_voters(self) -> None:
+        self._configuration.refresh()
+        if self.role is Role.LEADER:
+            self._replication.track_new_peers(self._now_ms)
 
-        Who answered a beat gives no vote for `wait` after it; a majority of them is in any majority. So what
-        is said while this holds is older than anything a later leader does.
-        """
-        if self.role is not Role.LEADER or self.term_at(self.commit) != self.stored.term:
-            return False
-        own = now if self.votes_too else -1e9
-        since = sorted([own, *(self.acked_at.get(other, -1e9) for other in self.others)], reverse=True)
-        return now < since[len(self.voters) // 2] + self.times.wait * SURE
+    # Roles
 
-    def most(self, count: int) -> bool:
-        return 2 * count > len(self.voters)
+    def start_election(self) -> None:
+        """Raises the term and asks for votes at once, without a pre-vote."""
+        self._state.enter_term(self._state.term + 1, voted_for=self.name)
+        self._request_votes(Role.CANDIDATE, self._state.term)
 
-    # Elections
+    def _start_pre_vote(self) -> None:
+        self._request_votes(Role.PRE_CANDIDATE, self._state.term + 1)
 
-    def ask(self, pre: bool) -> None:
-        self.role = Role.ASKING if pre else Role.CANDIDATE
+    def _request_votes(self, role: Role, term: int) -> None:
+        self.role = role
         self.leader = ""
-        self.votes = {self.name}
-        if not pre:
-            self.stored.term, self.stored.vote, self.changed = self.stored.term + 1, self.name, True
-        self.patience()
-        term = self.stored.term + 1 if pre else self.stored.term
-        last_term = self.term_at(self.last)
-        assert last_term is not None
-        for other in self.others:
-            self.send(other, Ask(term, self.last, last_term, pre))
-        self.elected()
-
-    def elected(self) -> None:
-        if not self.most(len(self.votes & set(self.voters))):
+        self._votes = {self.name}
+        self._restart_election_timeout()
+        is_pre_vote = role is Role.PRE_CANDIDATE
+        request = RequestVote(term, self._state.last_index, self._state.last_term, is_pre_vote)
+        for peer in self._configuration.peers:
+            self._outbox.send(peer, request)
+        self._count_votes()
+
+    def _count_votes(self) -> None:
+        votes = self._votes & set(self._configuration.voters)
+        if not self._configuration.is_majority(len(votes)):
             return
-        if self.role is Role.ASKING:
-            self.ask(False)
+        if self.role is Role.PRE_CANDIDATE:
+            self.start_election()
         elif self.role is Role.CANDIDATE:
-            self.role, self.leader = Role.LEADER, self.name
-            self.next = dict.fromkeys(self.others, self.last + 1)
-            self.match = dict.fromkeys(self.others, 0)
-            self.heard = dict.fromkeys(self.others, self.now)
-            self.acked_at.clear()
-            self.due = self.now + self.times.beat
-            # An entry of its own term commits all before it; without one they would wait for the next change.
-            self.stored.entries.append(Entry(self.stored.term, b""))
-            self.changed = True
-            self.beat()
+            self._become_leader()
+
+    def _become_leader(self) -> None:
+        self.role = Role.LEADER
+        self.leader = self.name
+        self._replication.begin_term(self._now_ms)
+        self.next_deadline_ms = self._now_ms + self.timeouts.heartbeat_interval_ms
+        # An entry of its own term commits all before it; without one they would wait for the next proposal.
+        self._state.append(LogEntry(self._state.term, b""))
+        self._replication.broadcast(self.commit_index, self._now_ms)
+
+    def _become_follower(self, term: int, leader: str) -> None:
+        if term > self._state.term:
+            self._state.enter_term(term)
+        self.role = Role.FOLLOWER
+        self.leader = leader
+        self._restart_election_timeout()
 
-    @property
-    def content(self) -> bool:
-        """It leads, or heard a leader lately: what that one may count on is that no other is chosen."""
-        return self.role is Role.LEADER or self.now - self.leader_at < self.times.wait
-
-    def asked(self, who: str, m: Ask) -> None:
-        mine = self.term_at(self.last)
-        assert mine is not None
-        good = (m.last_term, m.last) >= (mine, self.last)
-        if m.pre:
-            # Who hears a leader wants no other: a voter that was cut off must not unseat it on its return.
-            self.send(who, Vote(m.term, good and not self.content and m.term > self.stored.term, True))
-            return
-        if m.term < self.stored.term:
-            self.send(who, Vote(self.stored.term, False, False))
-            return
-        given = good and self.stored.vote in ("", who)
-        if given and self.stored.vote != who:
-            self.stored.vote, self.changed = who, True
-        if given:
-            self.patience()
-        self.send(who, Vote(m.term, given, False))
-
-    def voted(self, who: str, m: Vote) -> None:
-        if not m.given:
+    def _follow_leader(self, leader: str, term: int) -> None:
+        self._become_follower(term, leader)
+        self._leader_heard_at_ms = self._now_ms
+
+    def _tick_leader(self) -> None:
+        """Check quorum, then a heartbeat round: a leader that may be cut off must not be relied on."""
+        if not self._replication.has_quorum_contact(self.timeouts.election_timeout_ms, self._now_ms):
+            self._become_follower(self._state.term, "")
             return
-        if (m.pre and self.role is Role.ASKING and m.term == self.stored.term + 1) or (
-            not m.pre and self.role is Role.CANDIDATE and m.term == self.stored.term
-        ):
-            self.votes.add(who)
-            self.elected()
+        self.next_deadline_ms = self._now_ms + self.timeouts.heartbeat_interval_ms
+        self._replication.broadcast(self.commit_index, self._now_ms)
 
-    def follow(self, term: int, leader: str) -> None:
-        if term > self.stored.term:
-            self.stored.term, self.stored.vote, self.changed = term, "", True
-        self.role, self.leader = Role.FOLLOWER, leader
-        self.patience()
+    def _restart_election_timeout(self) -> None:
+        """Draws anew when to stand for election: apart from others, so that one wins."""
+        timeout_ms = self.timeouts.election_timeout_ms * self._rng.uniform(1.0, 2.0)
+        self.next_deadline_ms = self._now_ms + timeout_ms
 
-    # Entries
+    @property
+    def _hears_leader(self) -> bool:
+        """Whether it leads or heard a leader lately, which may then count on no other being elected."""
+        silence_ms = self._now_ms - self._leader_heard_at_ms
+        return self.role is Role.LEADER or silence_ms < self.timeouts.election_timeout_ms
 
-    def propose(self, data: bytes) -> int | None:
-        """Its index, known to be taken once `commit` reaches it in this term; None where this leads not."""
-        if self.role is not Role.LEADER or len(self.stored.entries) >= LONGEST:
-            return None
-        self.stored.entries.append(Entry(self.stored.term, data))
-        self.changed = True
-        self.beat()
-        return self.last
-
-    def beat(self) -> None:
-        self.rounds += 1
-        self.round_at[self.rounds] = self.now
-        self.round_at.pop(self.rounds - ROUNDS, None)
-        for other in self.others:
-            self.feed(other)
-
-    def feed(self, other: str) -> None:
-        s, before = self.stored, self.next[other] - 1
-        term = self.term_at(before)
-        if term is None:
-            self.send(other, Install(s.term, s.base, s.base_term, s.state, self.rounds, s.voters))
-            return
-        some = tuple(self.entries(before, before + BATCH))
-        self.send(other, Append(s.term, before, term, some, self.commit, self.rounds))
+    def _would_unseat_leader(self, sender: str, message: Message) -> bool:
+        """Whether not even the term of a request may be heard: the leader relies on its lease."""
+        is_vote_request = isinstance(message, RequestVote) and not message.is_pre_vote
+        return is_vote_request and self._hears_leader and sender != self.leader
 
-    def append(self, who: str, m: Append) -> None:
-        if m.term < self.stored.term:
-            self.send(who, Appended(self.stored.term, False, 0, m.round))
+    # Messages
+
+    def _on_request_vote(self, candidate: str, request: RequestVote) -> None:
+        if request.is_pre_vote:
+            response = election.answer_pre_vote(self._state, request, self._hears_leader)
+        else:
+            response = election.answer_vote(self._state, candidate, request)
+            if response.is_granted:
+                self._state.vote_for(candidate)
+                self._restart_election_timeout()
+        self._outbox.send(candidate, response)
+
+    def _on_vote_response(self, voter: str, response: VoteResponse) -> None:
+        if not response.is_granted:
             return
-        self.hear_leader(who, m.term)
-        s = self.stored
-        before, entries = m.before, m.entries
-        if before < s.base:  # the snapshot has those already
-            entries, before = entries[s.base - before :], s.base
-        elif self.term_at(before) != m.before_term:
-            # Back by the whole term at once, not entry by entry.
-            back = min(before - 1, self.last)
-            wrong = self.term_at(back)
-            while back > s.base and self.term_at(back) == wrong and back > self.commit:
-                back -= 1
-            self.send(who, Appended(s.term, False, max(back, self.commit), m.round))
+        if response.is_pre_vote:
+            is_awaited = self.role is Role.PRE_CANDIDATE and response.term == self._state.term + 1
+        else:
+            is_awaited = self.role is Role.CANDIDATE and response.term == self._state.term
+        if is_awaited:
+            self._votes.add(voter)
+            self._count_votes()
+
+    def _on_append_entries(self, leader: str, request: AppendEntries) -> None:
+        if request.term < self._state.term:
+            self._respond(leader, False, 0, request.round)
             return
-        for i, entry in enumerate(entries, before + 1):
-            if self.term_at(i) != entry.term:
-                gone = self.last >= i
-                del s.entries[i - s.base - 1 :]
-                s.entries.append(entry)
-                self.changed = True
-                if gone or entry.data.startswith(VOTERS):
-                    self.know()
-        match = before + len(entries)
-        self.commit = max(self.commit, min(m.commit, match))
-        self.send(who, Appended(s.term, True, match, m.round))
-
-    def hear_leader(self, who: str, term: int) -> None:
-        self.follow(term, who)
-        self.leader_at = self.now
-
-    def install(self, who: str, m: Install) -> None:
-        s = self.stored
-        if m.term < s.term:
-            self.send(who, Appended(s.term, False, 0, m.round))
+        self._follow_leader(leader, request.term)
+        result = append_from_leader(self._state, request, self.commit_index)
+        if result.changes_voters:
+            self._refresh_voters()
+        if result.is_success:
+            self.commit_index = max(self.commit_index, min(request.leader_commit, result.match_index))
+        self._respond(leader, result.is_success, result.match_index, request.round)
+
+    def _on_install_snapshot(self, leader: str, request: InstallSnapshot) -> None:
+        if request.term < self._state.term:
+            self._respond(leader, False, 0, request.round)
             return
-        self.hear_leader(who, m.term)
-        if m.base > self.commit:
-            s.entries = s.entries[m.base - s.base :] if self.term_at(m.base) == m.base_term else []
-            s.base, s.base_term, s.state, self.changed = m.base, m.base_term, m.state, True
-            s.voters, self.commit = m.voters, m.base
-            self.know()
-        self.send(who, Appended(s.term, True, max(m.base, 0), m.round))
-
-    def appended(self, who: str, m: Appended) -> None:
-        if self.role is not Role.LEADER or m.term != self.stored.term or who not in self.others:
+        self._follow_leader(leader, request.term)
+        index = request.last_included_index
+        if index > self.commit_index:
+            term, snapshot = request.last_included_term, request.snapshot
+            self._state.install_snapshot(index, term, snapshot, request.voters)
+            self.commit_index = index
+            self._refresh_voters()
+        self._respond(leader, True, index, request.round)
+
+    def _on_append_entries_response(self, peer: str, response: AppendEntriesResponse) -> None:
+        is_current = self.role is Role.LEADER and response.term == self._state.term
+        if not is_current or peer not in self._configuration.peers:
             return
-        self.heard[who] = self.now
-        if m.round in self.round_at:
-            self.acked_at[who] = max(self.acked_at.get(who, -1e9), self.round_at[m.round])
-        if m.good:
-            self.match[who] = max(self.match[who], m.match)
-            self.next[who] = max(self.next[who], self.match[who] + 1)
-            self.count()
-            if self.next[who] <= self.last and m.round == self.rounds:
-                self.feed(who)
-        else:
-            self.next[who] = max(self.match[who] + 1, min(self.next[who] - 1, m.match + 1))
-            if m.round == self.rounds:
-                self.feed(who)
-
-    def count(self) -> None:
-        """Commits what a majority has on disk, if its last entry is of this term."""
-        own = self.synced if self.votes_too else 0
-        places = sorted([own, *(self.match[other] for other in self.others)], reverse=True)
-        index = places[len(self.voters) // 2]
-        if index > self.commit and self.term_at(index) == self.stored.term:
-            self.commit = index
-            if not self.votes_too and self.named <= index:
-                self.follow(self.stored.term, "")  # it led its own leaving to the end
-
-    # Hearing
-
-    def hear(self, who: str, message: Message, now: float) -> None:
-        if who == self.name or (who not in self.others and who not in self.known):
-            return
-        self.now = now
-        term = message.term
-        if isinstance(message, Ask) and not message.pre and self.content and who != self.leader:
-            return  # not even its term: it would unseat the leader that others were promised to
-        # A pre-vote is about a term that nobody is in yet.
-        about = isinstance(message, Ask | Vote) and message.pre
-        if term > self.stored.term and not about:
-            self.follow(term, "")
-        match message:
-            case Ask():
-                self.asked(who, message)
-            case Vote():
-                self.voted(who, message)
-            case Append():
-                self.append(who, message)
-            case Install():
-                self.install(who, message)
-            case Appended():
-                self.appended(who, message)
+        self._replication.record_response(peer, response, self._now_ms)
+        if response.is_success:
+            self._advance_commit_index()
+        if self._replication.needs_more(peer, response):
+            self._replication.send_to(peer, self.commit_index)
+
+    def _respond(self, leader: str, is_success: bool, match_index: int, request_round: int) -> None:
+        response = AppendEntriesResponse(self._state.term, is_success, match_index, request_round)
+        self._outbox.send(leader, response)
