--- a/landingshift/coldstart/service.py
+++ b/landingshift/coldstart/service.py
@@ -82,7 +82,7 @@
         self._discovery = EndpointDiscovery(self._loop, membership, settings, rng, self._log)
         self._lease_history = LeaseHistory()
         self._handed_quota = NO_QUOTA
-        self._router.health_reporter.hold_back(self.name)
+        self._router.health_reporter.add_readiness_gate(self.name)
         self._router.observers.add(self)
         membership.operator_rpc.handlers |= {"coldstart": self._on_status_call, "lent": self._on_lent_call}
         self._node.message_handlers[wire.PACKAGE] = self._on_message
@@ -159,7 +159,7 @@
             members=len(self._node.member_table.present_names) + 1,
         )
         if start.is_open:
-            self._router.health_reporter.release(self.name)
+            self._router.health_reporter.remove_readiness_gate(self.name)
 
     def _hand_out_quota(self) -> None:
         """Tells the admission how many calls a second it may make, where that has changed."""
--- a/landingshift/ledger/service.py
+++ b/landingshift/ledger/service.py
@@ -22,6 +22,7 @@
 from landingshift.ledger.entries import Raw, Word, identity
 from landingshift.ledger.outbox import Outbox
 from landingshift.ledger.settings import Settings
+from landingshift.net.routing.observers import AnswerKind
 from landingshift.net.transport.loop import Timer
 from landingshift.net.transport.stream import Stream
 from landingshift.net.transport.worker import Worker
@@ -145,7 +146,7 @@
 
     # Ok answers
 
-    def hold_answer(self, rpc: RoutedRpc, result: bytes, work: float) -> bool:
+    def defer_answer(self, rpc: RoutedRpc, result: bytes, work: float) -> bool:
         assert rpc.job is not None
         raw = self.use(rpc, result, work)
         if not self.outbox.add(raw):
@@ -162,7 +163,7 @@
         self.soonest = min(self.soonest, held.due)
         return True
 
-    def release_by(self, by: float) -> None:
+    def flush_by(self, by: float) -> None:
         self.by = by
         for held in self.held.values():
             held.due = min(held.due, by)
@@ -175,16 +176,16 @@
         if not mark and rpc.dedup_key is not None and (s.identity_key or not rpc.has_cache_key):
             mark = rpc.dedup_key[1]  # a token; a read's key says what it is about, not which try it is
         what = mark.encode(errors="surrogatepass") if mark else rpc.body
-        known = identity(tenant, rpc.name, bool(mark), what)
+        known = identity(tenant, rpc.method_name, bool(mark), what)
         at = round(time.time() * 1000.0)
-        return Raw(0, at, tenant, rpc.name, round(work * 1000.0), len(rpc.body), len(result), known)
+        return Raw(0, at, tenant, rpc.method_name, round(work * 1000.0), len(rpc.body), len(result), known)
 
     def without(self, rpc: RoutedRpc, result: bytes) -> bool:
         """No room for its use: as the installation chose, it goes unbilled and counted, or is aborted."""
         self.dropped += 1
         self.mode(True)
         if self.settings.stuck == "abort":
-            self.router.abort_held_answer(rpc)
+            self.router.answers.abort_deferred(rpc)
             return True
         return False
 
@@ -199,7 +200,7 @@
     def let_go(self, held: Held) -> None:
         result = self.take_out(held)
         failpoints.reach("ledger.answering")
-        self.router.send_held_answer(held.rpc, result)
+        self.router.answers.send_deferred(held.rpc, result)
         self.unless_answered(held)
 
     def take_out(self, held: Held) -> bytes:
@@ -211,8 +212,8 @@
         if self.by_rpc.pop(held.rpc, None) is not None:  # nobody waited any more: no use
             self.outbox.settle(self.outbox.void, held.raw.n)
 
-    def on_answered(self, rpc: RoutedRpc, how: str) -> None:
-        held = self.by_rpc.pop(rpc, None) if how == "ok" else None
+    def on_answered(self, rpc: RoutedRpc, kind: AnswerKind) -> None:
+        held = self.by_rpc.pop(rpc, None) if kind is AnswerKind.OK else None
         if held is None:
             return
         connection = self.router.gateways.connections.get(rpc.connection)
@@ -268,7 +269,7 @@
             self.mode(True)
             if self.settings.stuck == "abort":
                 self.take_out(held)
-                self.router.abort_held_answer(held.rpc)
+                self.router.answers.abort_deferred(held.rpc)
                 self.unless_answered(held)
             else:
                 self.let_go(held)
@@ -336,7 +337,7 @@
     """Raises ValueError("folder: ...") where the store can't be used."""
     ledger = Ledger(host, settings)
     ledger.wait_for_start()
-    host.router.attempt_id_field = settings.identity_field
-    host.router.answer_gate = ledger
+    host.router.intake.attempt_id_field = settings.identity_field
+    host.router.answers.gate = ledger
     host.router.observers.add(ledger)
     return ledger
--- a/landingshift/membership/operator_rpc.py
+++ b/landingshift/membership/operator_rpc.py
@@ -15,8 +15,9 @@
 from landingshift.membership.errors import ConnectionClosedError
 from landingshift.membership.errors import OperatorRpcError as OperatorRpcError
 from landingshift.net.protocol import gateway
+from landingshift.net.transport.listener import Listener
 from landingshift.net.transport.loop import Loop
-from landingshift.net.transport.stream import Address, Listener, Stream
+from landingshift.net.transport.stream import Address, Stream
 
 MAX_CONNECTIONS = 16
 MAX_RESPONSE_BYTES = 4 << 20
--- a/landingshift/net/transport/worker.py
+++ b/landingshift/net/transport/worker.py
@@ -1,7 +1,7 @@
 """Work off the loop: a process of our own behind a bounded queue, one end of a socket pair on the loop.
 
 The loop never waits for it. What the owner does while the queue is full or the process is gone is the owner's
-rule; `room` tells before anything is written. FrameDecoder are four bytes of length and as many of message.
+rule; `free_bytes` tells before anything is written. Frames are four bytes of length and as many of message.
 """
 
 from __future__ import annotations
@@ -13,53 +13,89 @@
 from collections.abc import Iterator
 from typing import Protocol
 
+from landingshift.errors import LandingshiftError
 from landingshift.net.transport.loop import Loop
 from landingshift.net.transport.stream import Stream
 
-BIGGEST = 16 << 20  # bytes of one frame
+MAX_FRAME_BYTES = 16 << 20
+LENGTH_BYTES = 4
 WORKER_FD_VARIABLE = "LANDINGSHIFT_WORKER_FD"  # where the process finds its end of the pair
 
 
-class FrameError(Exception):
-    """A length past the bound: the two sides disagree."""
+class FrameError(LandingshiftError):
+    """A length past the bound: the two sides disagree.
+
+    Attributes:
+        size: The length that was told, in bytes.
+    """
+
+    def __init__(self, size: int) -> None:
+        super().__init__(size)
+        self.size = size
 
 
 class FrameDecoder:
-    """Bytes to whole frames."""
+    """Bytes to complete frames."""
 
     def __init__(self) -> None:
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> Iterator[bytes]:
+        """Yields the message of each complete frame.
+
+        Raises:
+            FrameError: What follows the frames given out so far is none.
+        """
         self.buffer += data
-        at = 0
+        start = 0
         try:
-            while len(self.buffer) >= at + 4:
-                size = int.from_bytes(self.buffer[at : at + 4], "big")
-                if size > BIGGEST:
+            while len(self.buffer) >= start + LENGTH_BYTES:
+                message_start = start + LENGTH_BYTES
+                size = int.from_bytes(self.buffer[start:message_start], "big")
+                if size > MAX_FRAME_BYTES:
                     raise FrameError(size)
-                if len(self.buffer) < at + 4 + size:
+                end = message_start + size
+                if len(self.buffer) < end:
                     return
-                yield bytes(self.buffer[at + 4 : at + 4 + size])
-                at += 4 + size
+                yield bytes(self.buffer[message_start:end])
+                start = end
         finally:
-            del self.buffer[:at]
+            del self.buffer[:start]
 
 
 def encode_frame(message: bytes) -> bytes:
-    return len(message).to_bytes(4, "big") + message
+    """The frame of a message."""
+    return len(message).to_bytes(LENGTH_BYTES, "big") + message
 
 
-class Owner(Protocol):
-    def on_message(self, message: bytes) -> None: ...
-    def on_worker_lost(self, reason: str) -> None: ...  # the process is gone or its end of the pair is closed
+class WorkerOwner(Protocol):
+    """Hears what the process says."""
 
+    def on_message(self, message: bytes) -> None:
+        """A message came."""
+
+    def on_worker_lost(self, reason: str) -> None:
+        """The process is gone or its end of the pair is closed."""
 
-class Worker:
-    """`module` is run by this interpreter; it takes its end with `inherited_socket()`."""
 
-    def __init__(self, loop: Loop, module: str, args: list[str], owner: Owner, bound: int) -> None:
-        self.owner, self.bound = owner, bound
+class Worker:
+    """A process that runs `module` with this interpreter; it takes its end with `inherited_socket`.
+
+    Args:
+        module: To run.
+        args: Of its command line.
+        owner: Hears what it says.
+        max_queued_bytes: Of messages that the process has not taken.
+
+    Raises:
+        OSError: The process could not be started.
+    """
+
+    def __init__(
+        self, loop: Loop, module: str, args: list[str], owner: WorkerOwner, max_queued_bytes: int
+    ) -> None:
+        self.owner = owner
+        self.max_queued_bytes = max_queued_bytes
         ours, theirs = socket.socketpair()
         fd = theirs.fileno()
         try:
@@ -75,28 +111,31 @@
         finally:
             theirs.close()
         ours.setblocking(False)
-        self.frames = FrameDecoder()
-        self.stream = Stream(loop, ours, self, bound)
+        self.decoder = FrameDecoder()
+        self.stream = Stream(loop, ours, self, max_queued_bytes)
 
     def free_bytes(self) -> int:
         """Bytes that may still be queued."""
-        return self.bound - len(self.stream.output) if self.stream.is_open else 0
+        return self.max_queued_bytes - len(self.stream.output) if self.stream.is_open else 0
 
     def send(self, message: bytes) -> None:
+        """Queues a message for the process."""
         self.stream.write(encode_frame(message))
 
     def on_data(self, data: bytes) -> None:
+        """Bytes came from the process."""
         try:
-            for message in self.frames.feed(data):
+            for message in self.decoder.feed(data):
                 self.owner.on_message(message)
         except FrameError:
             self.stream.close("bad_frame")
 
     def on_eof(self) -> None:
+        """The process has closed its end."""
         self.stream.close("closed")
 
     def on_closed(self, reason: str) -> None:
-        # Its end of the pair shows EOF now, on which it finishes what it has and goes.
+        """The pair is closed: the process sees EOF now, on which it finishes what it has and goes."""
         self.owner.on_worker_lost(reason)
 
     def has_exited(self) -> bool:
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -14,7 +14,7 @@
 
 from landingshift.admission.interface import Idempotency
 from landingshift.net.program.config import ServerConfigError, decode_config
-from landingshift.net.routing.engine import Engine as EngineLink
+from landingshift.net.routing.engine_link import EngineLink
 from landingshift.net.transport.loop import Loop
 from tests.helpers import CONFIG, Engine, Gateway, World, launch, until
 
@@ -118,7 +118,8 @@
         for door in doors:
             self.addCleanup(door.close)
         here, there = (door.getsockname() for door in doors)
-        link = EngineLink(loop, here, SimpleNamespace(engine_up=repr, stats=repr), lambda *_, **__: None)
+        link = EngineLink(loop, here, lambda *_, **__: None)
+        link.start(SimpleNamespace(on_engine_up=repr, on_gauges=repr))  # type: ignore[arg-type]
         peer = doors[0].accept()[0]
         self.addCleanup(peer.close)
         peer.sendall(b"HELLO old 60000\r\nSTATS s1 0.2 1 0.1 3\r\n")
@@ -126,15 +127,15 @@
         def ready() -> bool:
             loop.after(0.0, lambda: None)
             loop.run_pass()
-            return link.ready
+            return link.is_ready
 
         until(ready)
         stream = link.stream
         assert stream is not None
         self.addCleanup(stream.sock.close)
-        link.say(SimpleNamespace(command=None), b"RUN a m 0\r\n\r\n", True)  # type: ignore[arg-type]
-        link.move(there)
-        link.move(here)
+        link.send_command(object(), b"RUN a m 0\r\n\r\n", starts_run=True)  # type: ignore[arg-type]
+        link.change_address(there)
+        link.change_address(here)
         self.assertEqual((link.stream is stream, stream.is_open, link.address), (True, True, here))
 
 
