--- a/landingshift/maintenance/traffic_meter.py
+++ b/landingshift/maintenance/traffic_meter.py
@@ -4,6 +4,8 @@
 
 from typing import TYPE_CHECKING
 
+from landingshift.net.routing.observers import AnswerKind
+
 if TYPE_CHECKING:
     from landingshift.net.routing.rpc_record import RoutedRpc
 
@@ -34,10 +36,10 @@
         """Takes the router's event that an RPC was received."""
         self._received_count += 1
 
-    def on_answered(self, _rpc: RoutedRpc, how: str) -> None:
-        """Takes the router's event that an RPC was answered; `how`: its outcome."""
+    def on_answered(self, _rpc: RoutedRpc, kind: AnswerKind) -> None:
+        """Takes the router's event that an RPC was answered."""
         self.answered_count += 1.0
-        self.ok_count += how == "ok"
+        self.ok_count += kind is AnswerKind.OK
 
     def roll_window(self, now_ms: float) -> None:
         """Computes the rate, if a window is complete."""
--- a/landingshift/policies/enforcement.py
+++ b/landingshift/policies/enforcement.py
@@ -10,6 +10,7 @@
 from typing import TYPE_CHECKING
 
 from landingshift import failpoints
+from landingshift.net.routing.observers import AnswerKind
 from landingshift.policies.overlay import PolicyOverlay
 from landingshift.policies.participant import ChangeParticipant
 
@@ -44,7 +45,7 @@
         self._may_decide = False
         self._checked_at_ms = self._loop.now_ms
         self._router.before_decisions = self.before_decisions
-        self._router.health_reporter.hold_back(self.name)
+        self._router.health_reporter.add_readiness_gate(self.name)
         if failpoints.history:
             self._router.observers.add(self)
 
@@ -69,7 +70,7 @@
         self._overlay.apply(self._participant.policy)
         controller.now_ms = self._loop.now_ms
         controller.on_settings_changed()
-        self._router.needs_settle = True
+        self._router.request_settle()
         self.applied_version = self._participant.version
         self._log("policy_version", version=self.applied_version)
 
@@ -79,9 +80,9 @@
         if not is_shutting_down or not may_decide:
             controller.now_ms = self._loop.now_ms
             controller.set_standby(not may_decide)
-            self._router.needs_settle = True
+            self._router.request_settle()
         if may_decide:
-            self._router.health_reporter.release(self.name)
+            self._router.health_reporter.remove_readiness_gate(self.name)
         reason = "" if may_decide else self.standby_reason()
         self._log("policy_aside", on=not may_decide, version=self._participant.version, why=reason)
 
@@ -104,9 +105,9 @@
         """An RPC was started: a decision."""
         self._note_decision()
 
-    def on_answered(self, _rpc: RoutedRpc, how: str) -> None:
+    def on_answered(self, _rpc: RoutedRpc, kind: AnswerKind) -> None:
         """A rejection is a decision, too, of a server that may decide."""
-        if how == "pushed_back" and self._may_decide:
+        if kind is AnswerKind.REJECTED and self._may_decide:
             self._note_decision()
 
     def _note_decision(self) -> None:
--- a/landingshift/policies/service.py
+++ b/landingshift/policies/service.py
@@ -180,7 +180,7 @@
     def on_trusted(self, version: int) -> None:
         """An operator's word for the version in force was taken."""
         self._log("policy_trusted", version=version)
-        self._router.needs_settle = True
+        self._router.request_settle()
 
     def finish(self) -> None:
         """The loop has ended: nothing more is decided here, which is what the others wait for."""
--- a/landingshift/testbed/processes/stand_ins.py
+++ b/landingshift/testbed/processes/stand_ins.py
@@ -15,8 +15,9 @@
 
 from landingshift.net.protocol import gateway
 from landingshift.net.protocol.lines import LineDecoder, encode_line
+from landingshift.net.transport.listener import Listener
 from landingshift.net.transport.loop import Loop
-from landingshift.net.transport.stream import Address, Listener, Stream
+from landingshift.net.transport.stream import Address, Stream
 
 HERE = "127.0.0.1"
 BOUND = 1 << 22
@@ -177,7 +178,7 @@
     def on_data(self, data: bytes) -> None:
         for message in self.reader.feed(data):
             if isinstance(message, gateway.Request):
-                self.yard.list.come(partial(self.answer, message.number))
+                self.yard.list.come(partial(self.answer, message.message_id))
 
     def answer(self, number: int) -> None:
         yard, chance = self.yard, self.yard.chance
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -11,12 +11,12 @@
 
 from landingshift.admission.interface import Idempotency, Outcome
 from landingshift.net.program import config
-from landingshift.net.program.log import Log
+from landingshift.net.program.log import EventLog
 from landingshift.net.protocol import engine, gateway
 from landingshift.net.protocol.lines import ProtocolError
-from landingshift.net.routing.database import Database
-from landingshift.net.routing.dedup import ENTRY, DedupTable
-from landingshift.net.routing.engine import Engine
+from landingshift.net.routing.database_pool import DatabasePool
+from landingshift.net.routing.dedup import ENTRY_BYTES, DedupTable
+from landingshift.net.routing.engine_link import EngineLink
 from landingshift.net.routing.health import HealthReporter
 from landingshift.net.routing.rpc_record import RoutedRpc
 from landingshift.net.transport.loop import Loop
@@ -27,8 +27,13 @@
 def routed(rid: int, effect: Idempotency = Idempotency.IDEMPOTENT, dedup_key: str = "s") -> RoutedRpc:
     return RoutedRpc(
         **{**BLANK, "method": replace(METHOD, idempotency=effect)},
-        rid=b"%016x" % rid, name=b"m", body=b"", connection=0, number=rid, dedup_key=(b"m", dedup_key),
-    )  # fmt: skip
+        rpc_id=b"%016x" % rid,
+        method_name=b"m",
+        body=b"",
+        connection=0,
+        message_id=rid,
+        dedup_key=(b"m", dedup_key),
+    )
 
 
 class Table(unittest.TestCase):
@@ -62,15 +67,15 @@
 
 class Bytes(unittest.TestCase):
     def test_engine_lines(self) -> None:
-        good = engine.Done(7, b"aa", Outcome.OK, 1.5, b"a\r\nb")
+        good = engine.RunEnded(7, b"aa", Outcome.OK, 1.5, b"a\r\nb")
         for data, messages in [
             (b"DONE 7 aa good 1.5 4\r\na\r\nb\r\n", [good]),
             (b"DONE 7 aa bad 1.5 0\r\n\r\nNOTE 8 x y 99\r\n",
-             [engine.Done(7, b"aa", Outcome.ABORTED, 1.5, b""), engine.Note(8)]),
+             [engine.RunEnded(7, b"aa", Outcome.ABORTED, 1.5, b""), engine.OtherNotice(8)]),
             (b"DONE 7 aa gone 0\r\nNO RUN aa\r\n",
-             [engine.Done(7, b"aa", Outcome.NOT_SENT, 0.0, b""), engine.No(b"RUN", b"aa")]),
+             [engine.RunEnded(7, b"aa", Outcome.NOT_SENT, 0.0, b""), engine.CommandRefused(b"RUN", b"aa")]),
             (b"STATS t 1 2.5 3 4\r\nTESTED t bad\r\n",
-             [engine.Stats(b"t", [1, 2.5, 3, 4]), engine.Tested(b"t", False)]),
+             [engine.GaugeReport(b"t", [1, 2.5, 3, 4]), engine.SelfTestResult(b"t", False)]),
         ]:  # fmt: skip
             with self.subTest(data=data):
                 whole, split = engine.NoticeDecoder(), engine.NoticeDecoder()
@@ -88,10 +93,10 @@
     def test_a_gateway_message_in_pieces_stays_bounded(self) -> None:
         reader = gateway.MessageDecoder()
         messages = reader.feed(b"\x94\x00\x01\xa1m\xc6\x7f\xff\xff\xff")
-        while not messages and len(reader.rest) < 1 << 20:
+        while not messages and len(reader.buffer) < 1 << 20:
             messages = reader.feed(bytes(1000))
         self.assertEqual(messages, [gateway.ProtocolFailure("oversized")])
-        self.assertLess(len(reader.rest), 20000)
+        self.assertLess(len(reader.buffer), 20000)
 
 
 class Results(unittest.TestCase):
@@ -99,14 +104,16 @@
         # What goes when the memory is short: results of reads whole, of others all but that they happened.
         for effect, known in [(Idempotency.IDEMPOTENT, False), (Idempotency.KEYED, True)]:
             with self.subTest(effect=effect):
-                kept = DedupTable(20 * (ENTRY + 1000), response_cache_ttl_ms=60000.0)
+                kept = DedupTable(20 * (ENTRY_BYTES + 1000), response_cache_ttl_ms=60000.0)
                 for i in range(100):
                     rpc = routed(i, effect, str(i))
-                    kept.keep(rpc, 60000.0)
-                    entry = kept.owned(rpc)
+                    kept.reserve(rpc, 60000.0)
+                    entry = kept.owned_by(rpc)
                     assert entry is not None
-                    kept.end(entry, Outcome.OK, bytes(1000), float(i))
-                self.assertLess(sum(len(e.result or b"") for e in kept.entries.values()), 20 * (ENTRY + 1000))
+                    kept.complete(entry, Outcome.OK, bytes(1000), float(i))
+                self.assertLess(
+                    sum(len(e.result or b"") for e in kept.entries.values()), 20 * (ENTRY_BYTES + 1000)
+                )
                 self.assertEqual(kept.find(routed(200, effect, "0"), 200.0, 200.0) is not None, known)
                 self.assertIsNotNone(kept.find(routed(200, effect, "99"), 200.0, 200.0))
 
@@ -122,11 +129,11 @@
             with self.subTest(effect=effect, outcome=outcome, at=at):
                 kept = DedupTable(10000, response_cache_ttl_ms=500.0)
                 owner = routed(1, effect)
-                kept.keep(owner, 5000.0)
+                kept.reserve(owner, 5000.0)
                 self.assertIsNotNone(kept.find(routed(2, effect), 100.0, 100.0))
-                entry = kept.owned(owner)
+                entry = kept.owned_by(owner)
                 assert entry is not None
-                kept.end(entry, outcome, b"r", 200.0)
+                kept.complete(entry, outcome, b"r", 200.0)
                 self.assertEqual(kept.find(routed(3, effect), at, at) is not None, known)
 
 
@@ -138,20 +145,19 @@
         loop = Loop(lambda: faults.append(traceback.format_exc()))
         told: list[Any] = []
         lines: list[Any] = []
-        database = Database(
-            loop, door.getsockname(), lambda *a: told.append(a), lambda *a, **_: lines.append(a)
-        )
+        database = DatabasePool(loop, door.getsockname(), lambda *a, **_: lines.append(a))
+        database.start(mock.Mock(on_call_finished=lambda *facts: told.append(facts)))
         rpc = routed(1)
-        with mock.patch("landingshift.net.routing.database.IDLE", 40.0):
+        with mock.patch("landingshift.net.routing.database_pool.MAX_IDLE_MS", 40.0):
             self.assertTrue(database.call(rpc, 1000.0))
             loop.run_pass()
             peer = door.accept()[0]
             peer.settimeout(5.0)
-            peer.sendall(b"%b ROWS 2\r\nok\r\n" % rpc.rid)
+            peer.sendall(b"%b ROWS 2\r\nok\r\n" % rpc.rpc_id)
             while not told or database.links:
                 loop.run_pass()
             self.assertEqual((told[0][0], told[0][1], told[0][3]), (rpc, Outcome.OK, b"ok"))
-            self.assertTrue(peer.recv(100).startswith(b"Q " + rpc.rid))
+            self.assertTrue(peer.recv(100).startswith(b"Q " + rpc.rpc_id))
             self.assertEqual(peer.recv(100), b"")
             peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             peer.close()  # with a reset, which is no loss
@@ -174,10 +180,10 @@
             (False, True, True, True, False), (False, True, True, False, True),
         ]:  # fmt: skip
             with self.subTest(working=working, good=good, cheap=cheap, deep=deep):
-                link: Any = mock.Mock(spec=Engine, working=working)
-                link.test.side_effect = lambda told: told("tested")
+                link: Any = mock.Mock(spec=EngineLink, is_working=working)
+                link.run_self_test.side_effect = lambda told: told("tested")
                 health = HealthReporter(mock.Mock(spec=Loop), "n", mock.Mock(), link, True)
-                health.set(good, cheap)
+                health.set_health(good, cheap)
                 told: list[Any] = []
                 health.check(deep, told.append)
                 self.assertEqual(told, [answer])
@@ -196,9 +202,9 @@
         env = {"GW_NAME": "n3", "GW_LISTEN": "127.0.0.1:7001"}
         site = config.decode_config(least, env)
         self.assertEqual((site.name, site.listen, site.seed), ("n3", ("127.0.0.1", 7001), 255))
-        self.assertEqual((site.stop_ms, site.memory_mb, site.sockets), (3000.0, 192.0, 1024))
+        self.assertEqual((site.stop_ms, site.memory_mb, site.max_sockets), (3000.0, 192.0, 1024))
         self.assertEqual(
-            (site.database, site.gauges, site.tenants, list(site.methods)), (None, [], {}, ["m"])
+            (site.database, site.gauge_names, site.tenants, list(site.methods)), (None, [], {}, ["m"])
         )
         self.assertEqual(config.decode_config({**least, "name": "n4"}, env).name, "n4")
         with self.assertRaisesRegex(config.ServerConfigError, "^listen: missing"):
@@ -208,7 +214,7 @@
 class Lines(unittest.TestCase):
     def test_a_log_that_nobody_reads_holds_nothing_up(self) -> None:
         reads, writes = os.pipe()
-        log = Log(writes)
+        log = EventLog(writes)
         for i in range(3000):
             log("mode", text="x" * 100, i=i)
         self.assertGreater(log.lost, 0)
