--- a/landingshift/coldstart/recovery_grace.py
+++ b/landingshift/coldstart/recovery_grace.py
@@ -8,15 +8,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
-
-
-@dataclass(slots=True, frozen=True)
-class SystemBoot:
-    """`id` is drawn by the system at each start of the machine; `uptime` in ms since then."""
-
-    boot_id: str
-    uptime_ms: float
+from landingshift.system_clock import SystemBoot
 
 
 def recovery_grace_ms(kept: float, now: SystemBoot, marked: str) -> float:
--- a/landingshift/coldstart/service.py
+++ b/landingshift/coldstart/service.py
@@ -6,13 +6,13 @@
 from random import Random
 from typing import TYPE_CHECKING, Any
 
-from landingshift import failpoints
+from landingshift import decision_history, failpoints, system_clock
 from landingshift.admission.interface import Outcome
 from landingshift.coldstart import endpoint_cache
 from landingshift.coldstart.coordinator import PACKAGE, ColdStartCoordinator, LoadObservation
 from landingshift.coldstart.downstream_saturation import DownstreamSaturation
 from landingshift.coldstart.endpoint_list_client import EndpointListRequest
-from landingshift.coldstart.recovery_grace import SystemBoot, recovery_grace_ms
+from landingshift.coldstart.recovery_grace import recovery_grace_ms
 from landingshift.coldstart.service_discovery import ServiceDiscoveryPoller
 from landingshift.coldstart.settings import Settings, cold_start_plan
 from landingshift.coldstart.start_sequence import StartStage
@@ -68,7 +68,7 @@
         if not self.settings.snapshot:
             return False
         found = endpoint_cache.load(
-            self.settings.snapshot, self.fleet.settings.cluster_name, failpoints.wall()
+            self.settings.snapshot, self.fleet.settings.cluster_name, system_clock.wall_clock_ms()
         )
         self.log("coldstart_list", entries=len(found.entries), age_s=round(found.age / 1000.0), why=found.why)
         self.node.add_contact_addresses(found.entries)
@@ -82,7 +82,7 @@
         settings, path = self.settings, f"{self.settings.snapshot}.boot"
         if not settings.snapshot or self.node.local_record.name not in settings.lenders:
             return None
-        boot, marked = SystemBoot(*failpoints.boot()), endpoint_cache.marked(path)
+        boot, marked = system_clock.system_boot(), endpoint_cache.marked(path)
         ms = recovery_grace_ms(cold_start_plan(settings).booking_ms, boot, marked)
         try:
             endpoint_cache.mark(path, boot.boot_id)
@@ -155,7 +155,7 @@
             )
             if start.is_open:
                 self.router.health_reporter.release(self.name)
-        if failpoints.history:
+        if decision_history.is_recording():
             self.note()
         self.hand_share(now)
         if self.settings.list_service and self.seek.poll_due(now, self.node.has_joined):
@@ -181,7 +181,7 @@
             )
             if self.noted.get(lender) != held:
                 self.noted[lender] = held
-                failpoints.note("loan", name, lender, *held)
+                decision_history.record("loan", name, lender, *held)
 
     def hand_share(self, now: float) -> None:
         if self.settings.calls_s and self.router.admission is not None:
@@ -211,7 +211,10 @@
             return
         try:
             endpoint_cache.save(
-                self.settings.snapshot, self.fleet.settings.cluster_name, entries, failpoints.wall()
+                self.settings.snapshot,
+                self.fleet.settings.cluster_name,
+                entries,
+                system_clock.wall_clock_ms(),
             )
             self.saved = entries
         except OSError as err:  # the old one stays; a start is only slower without
--- a/landingshift/failpoints.py
+++ b/landingshift/failpoints.py
@@ -1,11 +1,13 @@
-"""Failpoints: named places at which a test may end the process, to see what its successor finds.
-
-`LANDINGSHIFT_CRASH=name` or `name:3` (the third time) kills the process there; `LANDINGSHIFT_SLOW=name:200`
-waits so many ms each time. With `LANDINGSHIFT_CRASH_ONCE=path` only the first process that gets there dies,
-and leaves the file. Unset, `reach` looks at two empty values. `LANDINGSHIFT_CLOCK=-60000` sets the wall
-clock that packages read through `wall` so many ms back. `LANDINGSHIFT_HISTORY=path` names a file to which
-`note` adds what was believed and decided, for a checker that knows promises only. `LANDINGSHIFT_BOOT=id:ms`
-stands for the boot of the machine and how long it is up.
+"""Failpoints: named places at which a test ends or delays a process, to see what its successor finds.
+
+Environment variables set them for the whole process:
+
+- `LANDINGSHIFT_CRASH=name` kills the process at the failpoint of that name; `name:3` at the third visit.
+- `LANDINGSHIFT_CRASH_ONCE=path` lets only the first process that gets there die; it creates the file.
+- `LANDINGSHIFT_SLOW=name:200` waits 200 ms each time the failpoint is reached.
+
+Tests that walk through failpoints within one process call `arm`; `reach` then raises `SimulatedCrashError`.
+With nothing set, `reach` costs two comparisons of strings.
 """
 
 from __future__ import annotations
@@ -13,66 +15,114 @@
 import os
 import signal
 import time
-
-crash, _, _times = os.environ.get("LANDINGSHIFT_CRASH", "").partition(":")
-left = int(_times or 1)
-mark = os.environ.get("LANDINGSHIFT_CRASH_ONCE", "")
-slow, _, _ms = os.environ.get("LANDINGSHIFT_SLOW", "").partition(":")
-pause = float(_ms or 0.0) / 1000.0
-ahead = float(os.environ.get("LANDINGSHIFT_CLOCK", "") or 0.0)
-booted = os.environ.get("LANDINGSHIFT_BOOT", "")
-history = os.environ.get("LANDINGSHIFT_HISTORY", "")
-
-
-class Crash(BaseException):
-    """Raised in place of a kill by tests that walk through the failpoints within one process."""
-
-
-inside = False  # set by such tests: raise, do not kill
-
-
-def arm(name: str, times: int = 1) -> None:
-    """Raises `Crash` at the point of this name the `times`-th time; an empty name disarms."""
-    global crash, left, inside
-    crash, left, inside = name, times, True
-
-
-def reach(name: str) -> None:
-    global left
-    if name == slow:
-        time.sleep(pause)
-    if name == crash:
-        left -= 1
-        if left == 0:
-            if inside:
-                raise Crash(name)
-            if mark:
-                try:
-                    os.close(os.open(mark, os.O_CREAT | os.O_EXCL))
-                except FileExistsError:
-                    return
-            os.kill(os.getpid(), signal.SIGKILL)
-
-
-def wall() -> float:
-    """Unix ms."""
-    return time.time() * 1000.0 + ahead
-
-
-def boot() -> tuple[str, float]:
-    """The system's name for this start of the machine, "" where it has none, and ms since then."""
-    if booted:
-        name, _, ms = booted.partition(":")
-        return name, float(ms or 0.0)
+from collections.abc import Mapping
+
+CRASH_VARIABLE = "LANDINGSHIFT_CRASH"
+CRASH_ONCE_VARIABLE = "LANDINGSHIFT_CRASH_ONCE"
+SLOW_VARIABLE = "LANDINGSHIFT_SLOW"
+
+
+class SimulatedCrashError(BaseException):
+    """Raised in place of a kill at an armed failpoint.
+
+    It derives from BaseException so that no handler of ordinary errors survives the crash.
+
+    Attributes:
+        failpoint: The name of the failpoint that was reached.
+    """
+
+    def __init__(self, failpoint: str) -> None:
+        super().__init__(failpoint)
+        self.failpoint = failpoint
+
+
+class Failpoints:
+    """What happens at which failpoint of one process; an empty name stands for no failpoint.
+
+    Args:
+        crash_name: The failpoint at which the process dies.
+        visits_before_crash: At which visit it dies, counted from 1.
+        crash_marker_path: A file that the dying process creates; where it exists already, nobody dies. Empty
+            for none.
+        slow_name: The failpoint at which the process waits.
+        delay_ms: How long it waits there.
+    """
+
+    __slots__ = (
+        "_crash_marker_path",
+        "_crash_name",
+        "_delay_seconds",
+        "_raises_instead_of_kill",
+        "_slow_name",
+        "_visits_left",
+    )
+
+    def __init__(
+        self,
+        crash_name: str = "",
+        visits_before_crash: int = 1,
+        crash_marker_path: str = "",
+        slow_name: str = "",
+        delay_ms: float = 0.0,
+    ) -> None:
+        self._crash_name = crash_name
+        self._visits_left = visits_before_crash
+        self._crash_marker_path = crash_marker_path
+        self._slow_name = slow_name
+        self._delay_seconds = delay_ms / 1000.0
+        self._raises_instead_of_kill = False
+
+    @classmethod
+    def from_environment(cls, environment: Mapping[str, str]) -> Failpoints:
+        """Returns what the environment variables set.
+
+        Raises:
+            ValueError: For a count or a delay that is no number.
+        """
+        crash_name, _, visits = environment.get(CRASH_VARIABLE, "").partition(":")
+        slow_name, _, delay_ms = environment.get(SLOW_VARIABLE, "").partition(":")
+        return cls(
+            crash_name=crash_name,
+            visits_before_crash=int(visits or 1),
+            crash_marker_path=environment.get(CRASH_ONCE_VARIABLE, ""),
+            slow_name=slow_name,
+            delay_ms=float(delay_ms or 0.0),
+        )
+
+    def arm(self, name: str, visits_before_crash: int = 1) -> None:
+        """Lets `reach` raise SimulatedCrashError at the given visit of a failpoint; an empty name disarms."""
+        self._crash_name = name
+        self._visits_left = visits_before_crash
+        self._raises_instead_of_kill = True
+
+    def reach(self, name: str) -> None:
+        """Waits, dies or raises where that is set for this failpoint; else does nothing."""
+        if name == self._slow_name:
+            time.sleep(self._delay_seconds)
+        if name == self._crash_name:
+            self._on_crash_point_reached(name)
+
+    def _on_crash_point_reached(self, name: str) -> None:
+        self._visits_left -= 1
+        if self._visits_left != 0:
+            return
+        if self._raises_instead_of_kill:
+            raise SimulatedCrashError(name)
+        if self._crash_marker_path and not _create_marker(self._crash_marker_path):
+            return
+        os.kill(os.getpid(), signal.SIGKILL)
+
+
+def _create_marker(path: str) -> bool:
+    """Creates an empty file; False where it is there already, whoever made it."""
     try:
-        with open("/proc/sys/kernel/random/boot_id") as file:
-            return file.read(64).strip(), time.clock_gettime(time.CLOCK_BOOTTIME) * 1000.0
-    except (OSError, AttributeError):
-        return "", 0.0
+        os.close(os.open(path, os.O_CREAT | os.O_EXCL))
+    except FileExistsError:
+        return False
+    return True
 
 
-def note(what: str, *values: object) -> None:
-    """One line of the history: monotonic ms, which all processes of a machine share, and what was so then."""
-    if history:
-        with open(history, "a") as file:
-            file.write(repr((time.monotonic() * 1000.0, what, *values)) + "\n")
+_process_failpoints = Failpoints.from_environment(os.environ)
+# Bound once: a call costs no more than that of a function.
+reach = _process_failpoints.reach
+arm = _process_failpoints.arm
--- a/landingshift/maintenance/service.py
+++ b/landingshift/maintenance/service.py
@@ -7,7 +7,7 @@
 from random import Random
 from typing import TYPE_CHECKING, Any, Protocol, cast
 
-from landingshift import failpoints
+from landingshift import decision_history, failpoints, system_clock
 from landingshift.consensus.state_machines import StateMachine
 from landingshift.maintenance.agent import MaintenanceAgent
 from landingshift.maintenance.commands import Command
@@ -95,7 +95,7 @@
 
     def wall_clock_ms(self) -> float:
         """Returns Unix ms."""
-        return failpoints.wall()
+        return system_clock.wall_clock_ms()
 
     def monotonic_ms(self) -> float:
         """Returns ms of the loop's clock, read anew."""
@@ -230,7 +230,7 @@
             return
         permit_number = self.agent.draining_permit
         self._record_used_permit(permit_number)
-        failpoints.note("left", self.node.local_record.name, permit_number)
+        decision_history.record("left", self.node.local_record.name, permit_number)
         self.log("maintenance_draining", number=permit_number)
         self.send_report()
         self.membership.flush_outgoing()
--- a/landingshift/policies/service.py
+++ b/landingshift/policies/service.py
@@ -6,7 +6,7 @@
 from random import Random
 from typing import TYPE_CHECKING, Any
 
-from landingshift import failpoints
+from landingshift import decision_history, failpoints, system_clock
 from landingshift.admission.controller import AdmissionController
 from landingshift.consensus.errors import RaftLogError
 from landingshift.consensus.raft_log import RaftLogFile
@@ -58,7 +58,7 @@
             stored,
             chance,
             self.loop.now_ms,
-            failpoints.wall,
+            system_clock.wall_clock_ms,
             most=settings.most,
         )
         self.participant = self.part.participant
@@ -72,7 +72,7 @@
         self.node.message_handlers[PACKAGE] = self.hear
         self.router.before_decisions = self.before
         self.router.health_reporter.hold_back(self.name)  # no gateway need hear of one that can't decide yet
-        if failpoints.history:
+        if decision_history.is_recording():
             self.router.observers.add(self)
         fleet.operator_rpc.handlers |= {
             "policy_do": self.do, "policy_known": self.known, "policy_status": self.status,
@@ -241,7 +241,7 @@
     def note(self) -> None:
         f = self.participant
         policy = f.policy if f.version == self.laid else b""
-        failpoints.note("decided", self.node.local_record.name, self.laid, policy, self.looked)
+        decision_history.record("decided", self.node.local_record.name, self.laid, policy, self.looked)
 
     # For operators
 
--- a/landingshift/testbed/experiments/ledger.py
+++ b/landingshift/testbed/experiments/ledger.py
@@ -84,7 +84,7 @@
                 try:
                     with self.store.changing() as book:
                         book.take(batch, self.now)
-                except failpoints.Crash:
+                except failpoints.SimulatedCrashError:
                     self.crash()
                     continue
                 break
@@ -185,7 +185,7 @@
                 failpoints.arm(self.chance.choice(SENDING), self.chance.randrange(1, 4))
             try:
                 return export(self.store, receiver, self.chance, lambda *_, **__: None, once, lambda _: None)
-            except failpoints.Crash:
+            except failpoints.SimulatedCrashError:
                 self.crashes += 1
             finally:
                 failpoints.arm("")
@@ -432,7 +432,7 @@
     assert name is not None
     for point in COMMIT:
         failpoints.arm(point)
-        with suppress(failpoints.Crash), world.store.changing() as book:
+        with suppress(failpoints.SimulatedCrashError), world.store.changing() as book:
             book.close(name, world.now, world.store.first_open(), world.store.raw_totals(name))
         world.crash()
     before = world.store.totals(name)
@@ -467,7 +467,7 @@
     before, listed = stored(world.store), world.store.disputed()
     for point in ("ledger.compact", "ledger.compacted", *COMMIT):
         failpoints.arm(point)
-        with suppress(failpoints.Crash):
+        with suppress(failpoints.SimulatedCrashError):
             compact(world.store, last, world.now, None)
         world.crash()
     gone = compact(world.store, last, world.now, None)
@@ -502,7 +502,7 @@
         chance.shuffle(order)
         for world in order:
             failpoints.arm(chance.choice(("ledger.merge", "ledger.merged", "")), 1)
-            with suppress(failpoints.Crash):
+            with suppress(failpoints.SimulatedCrashError):
                 bring_file(merged, world.store.path)
             failpoints.arm("")
         for world in worlds:
--- a/tests/test_coldstart.py
+++ b/tests/test_coldstart.py
@@ -19,7 +19,7 @@
 from landingshift.coldstart.downstream_saturation import UNKNOWN_SATURATION, DownstreamSaturation
 from landingshift.coldstart.endpoint_cache import mark, marked, unmark
 from landingshift.coldstart.leases import LeaseGrantor, max_min_fair_shares
-from landingshift.coldstart.recovery_grace import SystemBoot, recovery_grace_ms
+from landingshift.coldstart.recovery_grace import recovery_grace_ms
 from landingshift.coldstart.service_discovery import ANSWER, ServiceDiscoveryPoller
 from landingshift.coldstart.start_permits import (
     REST,
@@ -30,6 +30,7 @@
 )
 from landingshift.coldstart.start_sequence import StartSequence, StartStage
 from landingshift.membership.messages import MemberRecord, MemberState
+from landingshift.system_clock import SystemBoot
 from landingshift.testbed.experiments.cold_start import experiment
 from landingshift.testbed.simulation.cold_start import Case
 from landingshift.testbed.simulation.leases import LEASE, SPARE
@@ -274,7 +275,7 @@
         endpoint_cache.save(self.path, "lab", self.entries, 1.0)
         for point in ("coldstart.snapshot_half", "coldstart.snapshot_synced"):
             failpoints.arm(point)
-            with self.assertRaises(failpoints.Crash):
+            with self.assertRaises(failpoints.SimulatedCrashError):
                 endpoint_cache.save(self.path, "lab", self.entries[:1], 2.0)
             self.assertEqual(endpoint_cache.load(self.path, "lab", 0.0).entries, self.entries)
         failpoints.arm("")
--- a/tests/test_raft_log.py
+++ b/tests/test_raft_log.py
@@ -99,7 +99,7 @@
                 log = self.open_log()
                 state_after = with_random_change(state, rng)
                 failpoints.arm(point)
-                with self.assertRaises(failpoints.Crash):
+                with self.assertRaises(failpoints.SimulatedCrashError):
                     log.save(state_after)
                 failpoints.arm("")
                 self.close(log)
