--- a/landingshift/cli/fleet.py
+++ b/landingshift/cli/fleet.py
@@ -34,13 +34,13 @@
         )
     try:
         found = next(
-            (f.settings for f in features.load_features(path, every=True) if f.table == "fleet"), None
+            (f.settings for f in features.load_features(path, include_off=True) if f.table == "fleet"), None
         )
     except features.FeatureConfigError as err:
         raise Told(str(err)) from err
     if not isinstance(found, Settings):
         raise Told(f"{path}: there is no table [fleet]")
-    return parse_address("listen", found.listen)
+    return parse_address("listen", found.listen_address)
 
 
 def asked(at: str | None, toml: str | None, call: str, params: list[Any] | None = None) -> Any:
--- a/landingshift/policies/service.py
+++ b/landingshift/policies/service.py
@@ -12,6 +12,7 @@
 from landingshift.consensus.raft_log import RaftLogFile
 from landingshift.membership.messages import MemberRecord, MemberState
 from landingshift.membership.service import MembershipService
+from landingshift.net.routing.observers import AnswerKind
 from landingshift.net.transport.loop import Timer
 from landingshift.policies.document import LARGEST, PolicyOverlay
 from landingshift.policies.node import PolicyNode
@@ -71,7 +72,7 @@
         self.part.participant.list_alive_peers = lambda: self.node.member_table.present_names
         self.node.message_handlers[PACKAGE] = self.hear
         self.router.before_decisions = self.before
-        self.router.health_reporter.hold_back(self.name)  # no gateway need hear of one that can't decide yet
+        self.router.health_reporter.add_readiness_gate(self.name)  # it can't decide yet
         if decision_history.is_recording():
             self.router.observers.add(self)
         fleet.operator_rpc.handlers |= {
@@ -177,9 +178,9 @@
             if server.stop_at_ms is None or not may:
                 server.now_ms = self.loop.now_ms
                 server.set_standby(not may)
-                self.router.needs_settle = True
+                self.router.request_settle()
             if may:
-                self.router.health_reporter.release(self.name)
+                self.router.health_reporter.remove_readiness_gate(self.name)
             self.log("policy_aside", on=not may, version=f.version, why="" if may else self.why())
 
     def lay(self, server: AdmissionController) -> None:
@@ -187,7 +188,7 @@
         self.base.apply(self.participant.policy)
         server.now_ms = self.loop.now_ms
         server.on_settings_changed()
-        self.router.needs_settle = True
+        self.router.request_settle()
         self.laid = self.participant.version
         self.log("policy_version", version=self.laid)
 
@@ -234,8 +235,8 @@
     def on_started(self, _rpc: RoutedRpc) -> None:
         self.note()
 
-    def on_answered(self, _rpc: RoutedRpc, how: str) -> None:
-        if how == "pushed_back" and self.may:
+    def on_answered(self, _rpc: RoutedRpc, kind: AnswerKind) -> None:
+        if kind is AnswerKind.REJECTED and self.may:
             self.note()
 
     def note(self) -> None:
@@ -330,7 +331,7 @@
                 if why:
                     raise ValueError(why)
                 self.log("policy_trusted", version=version)
-                self.router.needs_settle = True
+                self.router.request_settle()
                 return True
         raise ValueError("a version and its text are expected")
 
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -10,9 +10,15 @@
 import msgpack
 
 from landingshift.net.protocol import gateway as wire
-from landingshift.net.routing.gateways import AWAY, QUIET, WHOLE, Connection, Gateways
+from landingshift.net.routing.gateway_connection import (
+    GOAWAY_GRACE_MS,
+    MAX_MESSAGE_MS,
+    VERIFICATION_TIME_MS,
+    GatewayConnection,
+)
+from landingshift.net.routing.gateways import Gateways
 from landingshift.net.transport.loop import Loop
-from landingshift.net.transport.stream import DISCARD, LINGER, LINGERS, Stream
+from landingshift.net.transport.stream import LINGER_MS, MAX_DISCARDED_BYTES, MAX_LINGERS, Stream
 from tests.helpers import Engine, Gateway, World, until
 from tests.test_server import prove, resident
 
@@ -25,15 +31,15 @@
         self.probes: list[int] = []
         self.hung_up: list[int] = []
 
-    def read(self, connection: Connection, call: wire.Request) -> None:
-        connection.rpcs[call.number] = call  # type: ignore[assignment]
-        self.reads.append(call.number)
+    def on_request(self, connection: GatewayConnection, call: wire.Request) -> None:
+        connection.rpcs[call.message_id] = call  # type: ignore[assignment]
+        self.reads.append(call.message_id)
 
-    def hangup(self, rpc: Any) -> None:
-        self.hung_up.append(rpc.number)
+    def on_abandoned(self, rpc: Any) -> None:
+        self.hung_up.append(rpc.message_id)
 
-    def probe(self, connection: Connection, call: wire.Request) -> None:
-        self.probes.append(call.number)
+    def on_health_check(self, connection: GatewayConnection, call: wire.Request) -> None:
+        self.probes.append(call.message_id)
 
 
 class Door:
@@ -42,16 +48,15 @@
     def __init__(self, case: unittest.TestCase, most: int = 64, idle: float = 30000.0) -> None:
         self.case, self.news, self.ended = case, News(), list[str]()
         self.loop = Loop(lambda: case.fail("a handler raised"))
-        self.gateways = Gateways(
-            self.loop, ("127.0.0.1", 0), most, unsent=1 << 26, idle=idle, news=self.news, log=self.log
-        )
+        self.gateways = Gateways(self.loop, ("127.0.0.1", 0), most, 1 << 26, idle, log=self.log)
+        self.gateways.start(self.news)
         case.addCleanup(self.gateways.listener.close)
 
     def log(self, event: str, reason: str = "", **_: Any) -> None:
         if event == "connection":
             self.ended.append(reason)
 
-    def come(self, proven: bool = False) -> tuple[socket.socket, Connection]:
+    def come(self, proven: bool = False) -> tuple[socket.socket, GatewayConnection]:
         before = set(self.gateways.connections)
         peer = socket.create_connection(self.gateways.listener.address)
         self.case.addCleanup(peer.close)
@@ -60,7 +65,7 @@
         self.turn_until(lambda: set(self.gateways.connections) != before)
         (connection,) = set(self.gateways.connections) - before
         self.case.addCleanup(connection.stream.sock.close)
-        connection.proven = proven
+        connection.is_verified = proven
         return peer, connection
 
     def turn_until(self, holds: Any) -> None:
@@ -80,7 +85,7 @@
     return msgpack.packb([0, number, "m", [{}, b"work"]])
 
 
-def arrives(connection: Connection) -> None:
+def arrives(connection: GatewayConnection) -> None:
     """Waits until bytes are there for it to read."""
     until(lambda: bool(peek(connection.stream.sock)))
 
@@ -96,19 +101,22 @@
     """An RPC that lies in the socket while its connection is about to be closed."""
 
     def test_quiet_and_idle_ones_are_read_once_more(self) -> None:
-        for why, proven, wait in [("proved nothing", False, QUIET), ("asked to go", True, AWAY)]:
+        for why, proven, wait in [
+            ("proved nothing", False, VERIFICATION_TIME_MS),
+            ("asked to go", True, GOAWAY_GRACE_MS),
+        ]:
             with self.subTest(why=why):
                 door = Door(self)
                 peer, connection = door.come(proven)
                 if proven:
-                    connection.goaway()
+                    connection.send_goaway()
                     door.turn_until(lambda c=connection: not c.stream.output)
                 peer.sendall(rpc())
                 arrives(connection)
                 door.later(wait + 1.0)
-                connection.rest()
+                connection.check_idle()
                 self.assertEqual((door.news.reads, connection.stream.close_reason), ([1], ""))
-                connection.answer(1, wire.ok(1, b"r", {}))
+                connection.answer(1, wire.encode_ok(1, b"r", {}))
                 door.turn_until(lambda c=connection: not c.stream.output)
                 self.assertIn(msgpack.packb([1, 1, None, [b"r", {}]]), peer.recv(4096))
 
@@ -119,9 +127,9 @@
             door.turn_until(lambda: True)
         first.sendall(rpc())
         arrives(one)
-        self.assertFalse(door.gateways.make_room())  # the one that was quiet for longest has just sent
+        self.assertFalse(door.gateways.evict_idle())  # the one that was quiet for longest has just sent
         self.assertEqual((door.news.reads, one.stream.is_open, two.stream.is_open), ([1], True, True))
-        self.assertTrue(door.gateways.make_room())
+        self.assertTrue(door.gateways.evict_idle())
         self.assertEqual((one.stream.is_open, two.stream.is_open), (True, False))
         self.assertEqual(second.recv(10), b"")
 
@@ -130,11 +138,11 @@
         peer, connection = door.come(proven=True)
         peer.sendall(rpc() + rpc(2)[:9])
         door.turn_until(lambda: door.news.reads)
-        door.later(WHOLE + 1.0)
-        connection.rest()
+        door.later(MAX_MESSAGE_MS + 1.0)
+        connection.check_idle()
         self.assertEqual((connection.stream.is_open, connection.stream.close_reason), (True, ""))
-        connection.answer(1, wire.ok(1, b"r", {}))
-        connection.rest()
+        connection.answer(1, wire.encode_ok(1, b"r", {}))
+        connection.check_idle()
         self.assertEqual(msgpack.unpackb(peer.recv(4096))[:3], [1, 1, None])
         self.assertEqual(connection.stream.close_reason, "unfinished")  # now nothing is owed
 
@@ -144,19 +152,19 @@
         peer, connection = door.come(proven=True)
         peer.sendall(rpc())
         door.turn_until(lambda: door.news.reads)
-        connection.stream.bound = 1 << 24
+        connection.stream.max_unsent_bytes = 1 << 24
         connection.answer(1, bytes(1 << 23))
-        connection.goaway()
+        connection.send_goaway()
         door.turn_until(lambda: True)
         self.assertTrue(connection.stream.output)
-        door.later(AWAY + 1.0)
-        connection.rest()
+        door.later(GOAWAY_GRACE_MS + 1.0)
+        connection.check_idle()
         peer.sendall(rpc(2))
         door.turn_until(lambda: len(door.news.reads) > 1)
         self.assertEqual(connection.stream.close_reason, "")
-        door.later(2.0 * AWAY + 1.0)
+        door.later(2.0 * GOAWAY_GRACE_MS + 1.0)
         connection.answer(2, b"")
-        connection.rest()
+        connection.check_idle()
         self.assertEqual(connection.stream.close_reason, "goaway")  # nobody holds a place for ever
 
     def test_nothing_is_acted_on_after_the_half_close(self) -> None:
@@ -174,7 +182,7 @@
         peer, connection = door.come(proven=True)
         connection.stream.close_gracefully("goaway")
         peer.setblocking(False)
-        data = bytes(DISCARD // 4)
+        data = bytes(MAX_DISCARDED_BYTES // 4)
 
         def over() -> bool:
             try:
@@ -186,7 +194,7 @@
             return not connection.stream.is_open
 
         door.turn_until(over)
-        self.assertLess(connection.stream.discarded, 3 * DISCARD)
+        self.assertLess(connection.stream.discarded_bytes, 3 * MAX_DISCARDED_BYTES)
 
     def test_an_answer_reaches_who_is_cut(self) -> None:
         # More of its bytes are unread: a close would be a reset, which takes the answer along.
@@ -234,13 +242,13 @@
         stream, theirs = self.owing()
         stream.close_gracefully("goaway")
         spells = 0
-        while stream.is_open and spells < 3 * LINGERS:
+        while stream.is_open and spells < 3 * MAX_LINGERS:
             theirs.recv(4096)
             stream.sent_bytes += 1  # as if a byte had gone
             stream.linger()
             spells += 1
-        self.assertLessEqual(spells, LINGERS + 1)
-        self.assertGreater(LINGER, 0.0)
+        self.assertLessEqual(spells, MAX_LINGERS + 1)
+        self.assertGreater(LINGER_MS, 0.0)
 
     def test_half_closed_with_an_rpc_and_a_probe_open(self) -> None:
         w = World(self)
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -41,6 +41,7 @@
 from landingshift.maintenance.storage import decode_command, encode_command
 from landingshift.maintenance.traffic_meter import TrafficMeter
 from landingshift.maintenance.wire import decode_message, encode_answer, encode_report
+from landingshift.net.routing.observers import AnswerKind
 from landingshift.testbed.experiments.maintenance import VIRTUAL_ROWS, play_virtual_row
 from landingshift.testbed.simulation.maintenance_fleet import SimulatedFleet
 from landingshift.testbed.verification.maintenance_state import state_violations
@@ -315,9 +316,9 @@
         self.assertEqual(meter.rpcs_per_second, 0.0)
         meter.roll_window(2000.0)
         self.assertEqual(meter.rpcs_per_second, 20.0)
-        for outcome in ("ok", "error", "ok"):
-            meter.on_answered(rpc, outcome)
-        self.assertEqual((meter.ok_count, meter.answered_count), (2.0, 3.0))
+        for kind in (AnswerKind.OK, AnswerKind.ABORTED, AnswerKind.REJECTED, AnswerKind.OK):
+            meter.on_answered(rpc, kind)
+        self.assertEqual((meter.ok_count, meter.answered_count), (2.0, 4.0))
 
 
 class NewLeadersTest(unittest.TestCase):
