--- a/landingshift/coldstart/endpoint_discovery.py
+++ b/landingshift/coldstart/endpoint_discovery.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from random import Random
 
-from landingshift import failpoints
+from landingshift import system_clock
 from landingshift.coldstart import endpoint_cache
 from landingshift.coldstart.endpoint_cache import CachedEndpoints
 from landingshift.coldstart.endpoint_list_client import EndpointListRequest
@@ -89,7 +89,9 @@
         cached = CachedEndpoints([], 0.0)
         reason = ""
         try:
-            cached = endpoint_cache.load(path, self._membership.settings.cluster_name, failpoints.wall())
+            cached = endpoint_cache.load(
+                path, self._membership.settings.cluster_name, system_clock.wall_clock_ms()
+            )
         except EndpointCacheError as error:
             reason = error.reason
         age_seconds = round(cached.age_ms / 1000.0)
@@ -105,7 +107,9 @@
         if not path or not endpoints or endpoints == self._saved_endpoints:
             return
         try:
-            endpoint_cache.save(path, self._membership.settings.cluster_name, endpoints, failpoints.wall())
+            endpoint_cache.save(
+                path, self._membership.settings.cluster_name, endpoints, system_clock.wall_clock_ms()
+            )
             self._saved_endpoints = endpoints
         except OSError as error:  # the old one stays; a start is only slower without
             self._log("coldstart_endpoint_cache_not_saved", error=str(error))
--- a/landingshift/coldstart/lease_history.py
+++ b/landingshift/coldstart/lease_history.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from landingshift import failpoints
+from landingshift import decision_history
 from landingshift.coldstart.coordinator import ColdStartCoordinator
 
 HISTORY_EVENT = "loan"
@@ -16,7 +16,7 @@
 
     def update(self, coordinator: ColdStartCoordinator) -> None:
         """Notes what has changed."""
-        if not failpoints.history:
+        if not decision_history.is_recording():
             return
         holder_name = coordinator.node.local_record.name
         for grantor_name, leases in coordinator.held_leases.items():
@@ -28,4 +28,4 @@
             )
             if self._noted.get(grantor_name) != held:
                 self._noted[grantor_name] = held
-                failpoints.note(HISTORY_EVENT, holder_name, grantor_name, *held)
+                decision_history.record(HISTORY_EVENT, holder_name, grantor_name, *held)
--- a/landingshift/coldstart/recovery_grace.py
+++ b/landingshift/coldstart/recovery_grace.py
@@ -12,20 +12,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
-
-
-@dataclass(slots=True, frozen=True)
-class SystemBoot:
-    """One boot of the machine.
-
-    Attributes:
-        boot_id: Drawn by the operating system at each boot, empty where it tells none.
-        uptime_ms: Since then.
-    """
-
-    boot_id: str
-    uptime_ms: float
+from landingshift.system_clock import SystemBoot
 
 
 def recovery_grace_ms(booking_ms: float, current_boot: SystemBoot, last_boot_id: str) -> float:
--- a/landingshift/coldstart/service.py
+++ b/landingshift/coldstart/service.py
@@ -7,7 +7,7 @@
 from random import Random
 from typing import TYPE_CHECKING, Any
 
-from landingshift import failpoints
+from landingshift import failpoints, system_clock
 from landingshift.admission.interface import Outcome
 from landingshift.coldstart import wire
 from landingshift.coldstart.coordinator import ColdStartCoordinator, LoadObservation
@@ -16,7 +16,7 @@
 from landingshift.coldstart.last_boot import read_last_boot_id, remove_last_boot_id, write_last_boot_id
 from landingshift.coldstart.lease_history import LeaseHistory
 from landingshift.coldstart.operator_views import cold_start_status, granted_leases, published_metadata
-from landingshift.coldstart.recovery_grace import SystemBoot, recovery_grace_ms
+from landingshift.coldstart.recovery_grace import recovery_grace_ms
 from landingshift.coldstart.settings import Settings, cold_start_plan
 from landingshift.membership.messages import MemberRecord
 from landingshift.membership.service import MembershipService
@@ -45,7 +45,7 @@
     if not settings.endpoint_cache_path or name not in settings.grantor_names:
         return None
     path = f"{settings.endpoint_cache_path}.boot"
-    boot = SystemBoot(*failpoints.boot())
+    boot = system_clock.system_boot()
     last_boot_id = read_last_boot_id(path)
     grace_ms = recovery_grace_ms(cold_start_plan(settings).booking_ms, boot, last_boot_id)
     try:
--- a/tests/test_coldstart.py
+++ b/tests/test_coldstart.py
@@ -24,7 +24,7 @@
 from landingshift.coldstart.last_boot import read_last_boot_id, remove_last_boot_id, write_last_boot_id
 from landingshift.coldstart.leases import LeaseGrantor, LeaseRequest
 from landingshift.coldstart.messages import ColdStartGrant, ColdStartRequest
-from landingshift.coldstart.recovery_grace import SystemBoot, recovery_grace_ms
+from landingshift.coldstart.recovery_grace import recovery_grace_ms
 from landingshift.coldstart.service_discovery import POLL_TIMEOUT_MS, ServiceDiscoveryPoller
 from landingshift.coldstart.start_permits import (
     PermitRequest,
@@ -34,6 +34,7 @@
 )
 from landingshift.coldstart.start_sequence import StartSequence, StartStage
 from landingshift.membership.messages import MemberRecord, MemberState
+from landingshift.system_clock import SystemBoot
 from landingshift.testbed.experiments.cold_start import experiment
 from landingshift.testbed.simulation.cold_start import Case
 from landingshift.testbed.simulation.leases import LEASE, SPARE
@@ -361,7 +362,7 @@
         endpoint_cache.save(self.path, "lab", self.endpoints, 1.0)
         for point in ("coldstart.snapshot_half", "coldstart.snapshot_synced"):
             failpoints.arm(point)
-            with self.assertRaises(failpoints.Crash):
+            with self.assertRaises(failpoints.SimulatedCrashError):
                 endpoint_cache.save(self.path, "lab", self.endpoints[:1], 2.0)
             self.assertEqual(endpoint_cache.load(self.path, "lab", 0.0).endpoints, self.endpoints)
         failpoints.arm("")
