--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -316,9 +316,9 @@
         self.assertEqual(meter.rpcs_per_second, 0.0)
         meter.roll_window(2000.0)
         self.assertEqual(meter.rpcs_per_second, 20.0)
-        for kind in (AnswerKind.OK, AnswerKind.ABORTED, AnswerKind.OK):
+        for kind in (AnswerKind.OK, AnswerKind.ABORTED, AnswerKind.REJECTED, AnswerKind.OK):
             meter.on_answered(rpc, kind)
-        self.assertEqual((meter.ok_count, meter.answered_count), (2.0, 3.0))
+        self.assertEqual((meter.ok_count, meter.answered_count), (2.0, 4.0))
 
 
 class NewLeadersTest(unittest.TestCase):
