--- a/landingshift/consensus/leader_lease.py
+++ b/landingshift/consensus/leader_lease.py
@@ -12,7 +12,7 @@
 
 from landingshift.consensus.voters import VoterConfiguration
 
-LEASE_FRACTION = 0.9  # of the election timeout: the rest covers clocks that run apart
+LEASE_FRACTION = 0.9  # of the election timeout; the rest is margin for clocks that run apart
 REMEMBERED_ROUND_COUNT = 64  # heartbeat rounds whose sending times are kept for late responses
 NEVER_MS = -inf
 
--- a/landingshift/consensus/state_machines.py
+++ b/landingshift/consensus/state_machines.py
@@ -1,6 +1,6 @@
 """The state machines on one replicated log: each applies its own entries, one snapshot holds them all.
 
-An entry is a MessagePack array whose first word names the command; an entry of any but the first state
+An entry is a MessagePack array whose first field names the command; an entry of any but the first state
 machine begins with that machine's name and "/".
 
 Guarantee: a voter on which a feature is off still keeps that feature's entries and snapshot for the others.
@@ -29,16 +29,16 @@
         """Takes the state of a snapshot in place of its own."""
 
 
-def encode_entry(name: str, *words: object) -> bytes:
-    """Entry for the state machine `name`: a command's first word and its arguments."""
-    return msgspec.msgpack.encode([name + NAME_SUFFIX, *words])
+def encode_entry(name: str, *fields: object) -> bytes:
+    """Entry for the state machine `name`: the command's name and its arguments."""
+    return msgspec.msgpack.encode([name + NAME_SUFFIX, *fields])
 
 
 def _state_machine_name(data: bytes) -> str | None:
     """Whose entry it is; None for one that names nobody, which is the first state machine's."""
-    words = msgspec.msgpack.decode(data) if data else []
-    first_word = str(words[0]) if words else ""
-    return first_word.removesuffix(NAME_SUFFIX) if first_word.endswith(NAME_SUFFIX) else None
+    fields = msgspec.msgpack.decode(data) if data else []
+    first_field = str(fields[0]) if fields else ""
+    return first_field.removesuffix(NAME_SUFFIX) if first_field.endswith(NAME_SUFFIX) else None
 
 
 class StateMachineRegistry:
--- a/landingshift/policies/change_log.py
+++ b/landingshift/policies/change_log.py
@@ -7,7 +7,7 @@
 
 from landingshift import failpoints
 from landingshift.policies.node import PolicyNode
-from landingshift.policies.participant import ParticipantStage
+from landingshift.policies.participant import ParticipantState
 
 SWITCHING_STEP = "switching"  # the commit is proposed
 NO_STEP = "none"  # stands in failpoints for an empty name
@@ -19,14 +19,14 @@
 
     Attributes:
         change_id: The change that this server takes part in.
-        stage: How far it is.
+        state: How far it is.
         pending_change_id: The change under way, as far as entries are applied here.
         is_leader: Whether this server leads.
         leader_step: Of the change, where this server leads it.
     """
 
     change_id: str = ""
-    stage: ParticipantStage = ParticipantStage.NONE
+    state: ParticipantState = ParticipantState.NONE
     pending_change_id: str = ""
     is_leader: bool = False
     leader_step: str = ""
@@ -49,10 +49,10 @@
         self._previous = current
         if current.leader_step != previous.leader_step:
             failpoints.reach(f"policies.leads_{current.leader_step or NO_STEP}")
-        if (current.stage, current.change_id) != (previous.stage, previous.change_id):
-            failpoints.reach(f"policies.{current.stage.value or NO_STEP}")
+        if (current.state, current.change_id) != (previous.state, previous.change_id):
+            failpoints.reach(f"policies.{current.state.value or NO_STEP}")
             reason = self._node.participant.rejection_reason
-            self._log("policy_stage", change=current.change_id, stage=current.stage.value, said=reason)
+            self._log("policy_stage", change=current.change_id, stage=current.state.value, said=reason)
         if current.is_leader != previous.is_leader:
             raft = self._node.raft
             term = raft.current_term if raft is not None else 0
@@ -70,7 +70,7 @@
             is_switching = bool(coordinator.switching_change_id)
             leader_step = SWITCHING_STEP if is_switching else coordinator.phase.value
         return ChangeProgress(
-            participant.change_id, participant.stage, pending_change_id, is_leader, leader_step
+            participant.change_id, participant.state, pending_change_id, is_leader, leader_step
         )
 
     def _log_ended(self, change_id: str) -> None:
--- a/landingshift/policies/coordinator.py
+++ b/landingshift/policies/coordinator.py
@@ -26,7 +26,7 @@
     ChangePhase,
     ChangeStatus,
     ChangeVoters,
-    DeclareGone,
+    DeclareDeparted,
     EndedChange,
     FindChange,
     MembershipRefusal,
@@ -42,7 +42,7 @@
     WaitingMember,
     WithdrawChange,
 )
-from landingshift.policies.participant import ParticipantStage
+from landingshift.policies.participant import ParticipantState
 from landingshift.policies.policy_settings import PolicySettings
 from landingshift.policies.state_machine import Change, PolicyStateMachine
 from landingshift.policies.voter_changes import plan_voter_change
@@ -56,10 +56,10 @@
 MAX_JOIN_COUNT = 256  # members that one entry takes
 MAX_REASON_CHARS = 200
 
-WANTED_STAGES = {
+WANTED_STATES = {
     ChangePhase.NONE: (),
-    ChangePhase.VALIDATE: (ParticipantStage.VALIDATED, ParticipantStage.PREPARED),
-    ChangePhase.PREPARE: (ParticipantStage.PREPARED,),
+    ChangePhase.VALIDATE: (ParticipantState.VALIDATED, ParticipantState.PREPARED),
+    ChangePhase.PREPARE: (ParticipantState.PREPARED,),
 }
 
 
@@ -174,8 +174,8 @@
             leader = self._raft.name
             return f"its [policies] is another than {leader}'s: {request.fingerprint}, not {own_fingerprint}"
         state = self._state
-        is_room = sender in state.members or len(state.members) < state.max_member_count
-        return "" if is_room else f"{state.max_member_count} members are counted, which is the most"
+        has_capacity = sender in state.members or len(state.members) < state.max_member_count
+        return "" if has_capacity else f"{state.max_member_count} members are counted, which is the most"
 
     def _wanted_phase(self) -> ChangePhase:
         if self._change_id == self._state.pending_change_id:
@@ -213,7 +213,7 @@
             case ChangeVoters() as command:
                 self._change_voters(sender, change_id, command, now_ms)
                 return
-            case DeclareGone(name, run):
+            case DeclareDeparted(name, run):
                 self._remove_member(sender, change_id, name, run)
                 return
             case ProposeChange(policy, author, reason) if change is None:
@@ -278,9 +278,9 @@
         """Members that a commit must wait for: neither prepared nor certainly standing aside."""
         waiting = []
         for name, run in self._state.members.items():
-            stage = self.reports.stage_of(name, run, self._state.pending_change_id)
-            if stage != ParticipantStage.PREPARED and not self.reports.stands_aside(name, now_ms):
-                waiting.append(WaitingMember(name, stage))
+            state = self.reports.state_of(name, run, self._state.pending_change_id)
+            if state != ParticipantState.PREPARED and not self.reports.is_on_standby(name, now_ms):
+                waiting.append(WaitingMember(name, state))
         return waiting
 
     def tick(self, now_ms: float) -> None:
@@ -337,7 +337,7 @@
         if self.switching_change_id or self._ending_change_id == change_id:
             return
         waiting = self.unprepared_members(now_ms)
-        rejecting = next((each for each in waiting if each.stage == ParticipantStage.REJECTED), None)
+        rejecting = next((each for each in waiting if each.state == ParticipantState.REJECTED), None)
         if rejecting is not None:
             reason = self.reports.by_member[rejecting.name].request.rejection_reason
             self._end_change(change_id, ChangeOutcome.REJECTED, f"{rejecting.name}: {reason}")
@@ -376,8 +376,8 @@
         change_id = self._state.pending_change_id
         if not change_id:
             return bool(report.request.change_id)  # prepared for what is over
-        is_at_wanted_stage = report.request.stage in WANTED_STAGES[self.phase]
-        return report.request.change_id != change_id or not is_at_wanted_stage
+        has_wanted_state = report.request.state in WANTED_STATES[self.phase]
+        return report.request.change_id != change_id or not has_wanted_state
 
 
 def _is_open(change: Change | None) -> bool:
@@ -386,12 +386,12 @@
 
 
 def _are_all_validated(waiting: list[WaitingMember]) -> bool:
-    return all(member.stage == ParticipantStage.VALIDATED for member in waiting)
+    return all(member.state == ParticipantState.VALIDATED for member in waiting)
 
 
 def _describe_waiting(waiting: list[WaitingMember]) -> str:
-    """Names and stages for a change's reason, the first few of them."""
-    named = [f"{member.name} ({member.stage or 'no text yet'})" for member in waiting]
+    """Names and states for a change's reason, the first few of them."""
+    named = [f"{member.name} ({member.state or 'no text yet'})" for member in waiting]
     unnamed_count = len(named) - MAX_NAMED_MEMBER_COUNT
     more = f" and {unnamed_count} more" if unnamed_count > 0 else ""
     return ", ".join(named[:MAX_NAMED_MEMBER_COUNT]) + more
--- a/landingshift/policies/document.py
+++ b/landingshift/policies/document.py
@@ -18,7 +18,7 @@
 MAX_POLICY_BYTES = 65_536  # as it is stored
 NEWEST_FORMAT = 2  # that this build reads
 MAX_FIGURE = 1e15  # well below where floats lose whole numbers
-WHOLE_POLICY = "the whole"  # stands for the key in errors that are about no key
+POLICY_ROOT = "the whole"  # stands for the key in errors that are about no key
 NOT_TOML = "no TOML"  # as well
 
 Figures = dict[str, dict[str, dict[str, float]]]  # by table, name and key; the rules have the name ""
@@ -66,10 +66,10 @@
     try:
         packed = msgspec.msgpack.encode(data, order="deterministic")
     except (OverflowError, TypeError) as error:  # TOML has larger numbers, and dates
-        raise InvalidPolicyError(WHOLE_POLICY, str(error)) from error
+        raise InvalidPolicyError(POLICY_ROOT, str(error)) from error
     decode_policy(packed, NEWEST_FORMAT)
     if len(packed) > MAX_POLICY_BYTES:
-        raise InvalidPolicyError(WHOLE_POLICY, f"{len(packed)} bytes, {MAX_POLICY_BYTES} at most")
+        raise InvalidPolicyError(POLICY_ROOT, f"{len(packed)} bytes, {MAX_POLICY_BYTES} at most")
     return packed
 
 
@@ -107,9 +107,9 @@
     try:
         data = msgspec.msgpack.decode(packed)
     except (msgspec.DecodeError, RecursionError) as error:
-        raise InvalidPolicyError(WHOLE_POLICY, str(error)) from error
+        raise InvalidPolicyError(POLICY_ROOT, str(error)) from error
     if not isinstance(data, dict):
-        raise InvalidPolicyError(WHOLE_POLICY, "tables are expected")
+        raise InvalidPolicyError(POLICY_ROOT, "tables are expected")
     return data
 
 
--- a/landingshift/policies/enforcement.py
+++ b/landingshift/policies/enforcement.py
@@ -63,7 +63,7 @@
         if may_decide != self._may_decide or controller is not self._controller:
             self._may_decide = may_decide
             self._controller = controller
-            self._tell_controller(controller)
+            self._update_controller(controller)
 
     def _apply_version(self, controller: AdmissionController) -> None:
         failpoints.reach("policies.laid")
@@ -74,7 +74,7 @@
         self.applied_version = self._participant.version
         self._log("policy_version", version=self.applied_version)
 
-    def _tell_controller(self, controller: AdmissionController) -> None:
+    def _update_controller(self, controller: AdmissionController) -> None:
         may_decide = self._may_decide
         is_shutting_down = controller.stop_at_ms is not None
         if not is_shutting_down or not may_decide:
--- a/landingshift/policies/errors.py
+++ b/landingshift/policies/errors.py
@@ -76,7 +76,7 @@
         super().__init__(f"it is no voter: ask one of {', '.join(voters)}")
 
 
-class PolicyTextNotKeptError(OperatorCallError):
+class PolicyNotStoredError(OperatorCallError):
     """The text of a version is not on this server any more."""
 
     def __init__(self, version: int) -> None:
--- a/landingshift/policies/leader_discovery.py
+++ b/landingshift/policies/leader_discovery.py
@@ -49,8 +49,8 @@
         self._turn = (self._turn + 1) % len(candidates)
         self.leader = candidates[self._turn]
         self._unanswered_by_leader_count = 0
-        were_all_asked = self._unanswered_count >= MAX_UNANSWERED_COUNT * len(candidates)
-        peers = self.list_alive_peers() if were_all_asked else []
+        has_tried_all = self._unanswered_count >= MAX_UNANSWERED_COUNT * len(candidates)
+        peers = self.list_alive_peers() if has_tried_all else []
         if peers and self._turn == 0:  # none of those whom it knows is there: anybody knows the leader
             self.leader = self._rng.choice(peers)
 
@@ -73,7 +73,7 @@
         self.on_refused()
         self.leader = leader
 
-    def on_voters_told(self, voters: tuple[str, ...]) -> None:
+    def on_voters_received(self, voters: tuple[str, ...]) -> None:
         """The leader named the voters."""
         self.voters = list(voters)
         self._redirect_count = 0
--- a/landingshift/policies/member_reports.py
+++ b/landingshift/policies/member_reports.py
@@ -15,7 +15,7 @@
 
 NEVER_MS = -inf
 CLOCK_DRIFT_FRACTION = 0.02  # of a lease, by which two monotonic clocks may run apart in it
-AWAY_STAGE = "away"  # of a member that says nothing
+SILENT_STATE = "away"  # of a member that says nothing
 
 
 @dataclass(slots=True, frozen=True)
@@ -49,19 +49,19 @@
         self.by_member[member] = MemberReport(request, now_ms if is_leased else leased_at_ms)
         if previous is None:
             return True
-        progress_before = (previous.request.change_id, previous.request.stage)
-        return progress_before != (request.change_id, request.stage)
+        progress_before = (previous.request.change_id, previous.request.state)
+        return progress_before != (request.change_id, request.state)
 
-    def stage_of(self, member: str, run: int, change_id: str) -> str:
+    def state_of(self, member: str, run: int, change_id: str) -> str:
         """How far this run is with the change; "away" where it has said nothing of it."""
         report = self.by_member.get(member)
         if report is None or report.request.run != run or report.request.change_id != change_id:
-            return AWAY_STAGE
-        return report.request.stage
+            return SILENT_STATE
+        return report.request.state
 
-    def stands_aside(self, member: str, now_ms: float) -> bool:
+    def is_on_standby(self, member: str, now_ms: float) -> bool:
         """Whether it decides nothing for certain: its last lease is over, by its own clock too."""
-        if not self._settings.stands_aside_when_cut_off:
+        if not self._settings.is_standby_when_cut_off:
             return False
         report = self.by_member.get(member)
         leased_at_ms = report.leased_at_ms if report is not None else NEVER_MS
--- a/landingshift/policies/messages.py
+++ b/landingshift/policies/messages.py
@@ -43,7 +43,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class DeclareGone:
+class DeclareDeparted:
     """An operator's word that this run of a member has ended."""
 
     name: str
@@ -60,7 +60,9 @@
     """A command of a newer build."""
 
 
-OperatorCommand = ProposeChange | WithdrawChange | ChangeVoters | DeclareGone | FindChange | UnknownCommand
+OperatorCommand = (
+    ProposeChange | WithdrawChange | ChangeVoters | DeclareDeparted | FindChange | UnknownCommand
+)
 
 
 # Messages between servers
@@ -86,7 +88,7 @@
         number: Of the request; an answer names it.
         version: In force at the member; -1 for none yet.
         change_id: The change that it has the policy of; empty for none.
-        stage: How far it is with that change (`ParticipantStage`).
+        state: How far it is with that change (`ParticipantState`).
         rejection_reason: Why it can't decide by that policy.
         fingerprint: Its settings, which must be the leader's.
         can_become_voter: Whether it has a log file.
@@ -96,7 +98,7 @@
     number: int
     version: int
     change_id: str
-    stage: str
+    state: str
     rejection_reason: str
     fingerprint: object
     can_become_voter: bool
@@ -206,10 +208,10 @@
 
 @dataclass(slots=True, frozen=True)
 class WaitingMember:
-    """A member that a change waits for, and how far it is; the stage is "away" for one that says nothing."""
+    """A member that a change waits for, and how far it is; the state is "away" for one that says nothing."""
 
     name: str
-    stage: str
+    state: str
 
 
 @dataclass(slots=True, frozen=True)
--- a/landingshift/policies/node.py
+++ b/landingshift/policies/node.py
@@ -101,9 +101,7 @@
         self._applied_index = 0
         self._outbox: list[tuple[str, Message]] = []
         if persistent_state is not None:
-            if persistent_state.last_included_index:
-                self.state_machines.restore(persistent_state.snapshot)
-                self._applied_index = persistent_state.last_included_index
+            self._restore_applied(persistent_state)
             timeouts = timeouts or RaftTimeouts()
             self.raft = RaftNode(name, settings.voters, persistent_state, timeouts, rng, now_ms)
             self.coordinator = ChangeCoordinator(self.raft, self.state_machine, settings, wall_clock_ms)
@@ -242,15 +240,18 @@
         if coordinator.next_deadline_ms <= now_ms:
             coordinator.tick(now_ms)
 
+    def _restore_applied(self, persistent_state: PersistentState) -> None:
+        """Takes the snapshot, at the start or of a leader, where it covers more than is applied."""
+        if persistent_state.last_included_index > self._applied_index:
+            self.state_machines.restore(persistent_state.snapshot)
+            self._applied_index = persistent_state.last_included_index
+
     def _apply_committed(self, now_ms: float) -> None:
         """Applies what has been committed; after some entries a snapshot takes their place."""
         raft, coordinator = self.raft, self.coordinator
         assert raft is not None, "only a voter applies entries"
         assert coordinator is not None, "a voter has a coordinator"
-        snapshot_index = raft.persistent_state.last_included_index
-        if snapshot_index > self._applied_index:  # a leader's snapshot came
-            self.state_machines.restore(raft.persistent_state.snapshot)
-            self._applied_index = snapshot_index
+        self._restore_applied(raft.persistent_state)
         if self._applied_index >= raft.commit_index:
             return
         for entry in raft.entries_between(self._applied_index, raft.commit_index):
@@ -279,8 +280,8 @@
         if pending is None:
             return
         discovery = self.participant.discovery
-        is_for_leader_alone = discovery.leader and pending.attempt_count == 1
-        receivers = [discovery.leader] if is_for_leader_alone else discovery.voters
+        is_first_attempt = pending.attempt_count == 1
+        receivers = [discovery.leader] if discovery.leader and is_first_attempt else discovery.voters
         request = OperatorRequest(change_id, pending.command)
         for receiver in receivers:
             if receiver == self.name:
@@ -293,9 +294,9 @@
         change = self.state_machine.find_change(change_id) if self.raft is not None else None
         if change is not None and change.outcome is not ChangeOutcome.PENDING:
             return ChangeStatus(change_id, change.outcome.value, change.version, change.outcome_reason)
-        told = self.operator_commands.final_status(change_id)
-        if told is not None:
-            return told
+        final_status = self.operator_commands.final_status(change_id)
+        if final_status is not None:
+            return final_status
         ended = self.participant.ended_changes.get(change_id)
         if ended is not None:
             return ChangeStatus(change_id, ended.outcome, ended.version, ended.reason)
--- a/landingshift/policies/operator_calls.py
+++ b/landingshift/policies/operator_calls.py
@@ -15,11 +15,11 @@
     InvalidParamsError,
     MemberAliveError,
     NotAVoterError,
-    PolicyTextNotKeptError,
+    PolicyNotStoredError,
     TrustRejectedError,
     UnknownMemberError,
 )
-from landingshift.policies.messages import ChangeStatus, DeclareGone, OperatorCommand, WaitingMember
+from landingshift.policies.messages import ChangeStatus, DeclareDeparted, OperatorCommand, WaitingMember
 from landingshift.policies.state_machine import MAX_REASON_CHARS, Change
 from landingshift.policies.wire import decode_operator_command
 
@@ -60,20 +60,20 @@
         """[id, command, ...]: brings a command to the leader; False where too many are under way."""
         match params:
             case [str(change_id), "gone", str(name)]:
-                return self._service.submit_command(change_id, self._declare_gone(name))
-            case [str(change_id), *words] if 0 < len(change_id) <= MAX_CHANGE_ID_CHARS:
-                if _is_valid_command(words):
-                    return self._service.submit_command(change_id, decode_operator_command(words))
+                return self._service.submit_command(change_id, self._declare_departed(name))
+            case [str(change_id), *fields] if 0 < len(change_id) <= MAX_CHANGE_ID_CHARS:
+                if _is_valid_command(fields):
+                    return self._service.submit_command(change_id, decode_operator_command(fields))
         raise InvalidParamsError(EXPECTED_COMMAND)
 
-    def _declare_gone(self, name: str) -> OperatorCommand:
+    def _declare_departed(self, name: str) -> OperatorCommand:
         """The command for the run that this server saw last."""
         record = self._service.member_record(name)
         if record is None:
             raise UnknownMemberError(name)
         if record.state is MemberState.ALIVE:
             raise MemberAliveError(name)
-        return DeclareGone(name, record.run_id)
+        return DeclareDeparted(name, record.run_id)
 
     def change_status(self, params: list[Any]) -> dict[str, Any]:
         """[id]: what is known of a change here."""
@@ -98,7 +98,7 @@
             "leader": leader,
             "leader_at": f"{leader_record.host}:{leader_record.port}" if leader_record is not None else "",
             "change": participant.change_id,
-            "stage": participant.stage.value,
+            "stage": participant.state.value,
             "said": participant.rejection_reason,
             "voters": list(participant.discovery.voters),
             "when_cut_off": self._service.settings.when_cut_off,
@@ -142,7 +142,7 @@
             return self._participant.policy
         policy = self._node.state_machine.policies.get(version)
         if policy is None:
-            raise PolicyTextNotKeptError(version)
+            raise PolicyNotStoredError(version)
         return policy
 
     def trust(self, params: list[Any]) -> bool:
@@ -157,9 +157,9 @@
         raise InvalidParamsError(EXPECTED_VERSION_AND_POLICY)
 
 
-def _is_valid_command(words: list[Any]) -> bool:
-    """Whether an operator's words are a command of the right size; "gone" needs the member table."""
-    match words:
+def _is_valid_command(fields: list[Any]) -> bool:
+    """Whether an operator's fields are a command of the right size; "gone" needs the member table."""
+    match fields:
         case ["propose", bytes(policy), str(author), str(reason)]:
             return len(policy) <= MAX_POLICY_BYTES and _is_signed(author, reason)
         case ["withdraw", str(author), str(reason)]:
@@ -176,7 +176,7 @@
 
 
 def _waiting_to_lists(waiting: list[WaitingMember]) -> list[list[str]]:
-    return [[member.name, member.stage] for member in waiting]
+    return [[member.name, member.state] for member in waiting]
 
 
 def _status_to_map(status: ChangeStatus) -> dict[str, Any]:
--- a/landingshift/policies/operator_commands.py
+++ b/landingshift/policies/operator_commands.py
@@ -14,7 +14,7 @@
 FORWARD_INTERVAL_MS = 300.0  # between two attempts to bring a command to the leader
 COMMAND_TIMEOUT_MS = 120_000.0  # then one that nobody answered is given up
 MAX_PENDING_COMMAND_COUNT = 32
-MAX_KEPT_STATUS_COUNT = 256
+MAX_STORED_STATUS_COUNT = 256
 
 
 @dataclass(slots=True)
@@ -83,7 +83,7 @@
         if pending is None:
             return
         self.statuses[change_id] = status
-        if len(self.statuses) > MAX_KEPT_STATUS_COUNT:
+        if len(self.statuses) > MAX_STORED_STATUS_COUNT:
             del self.statuses[next(iter(self.statuses))]
         if status.outcome in FINAL_OUTCOMES or isinstance(pending.command, FindChange):
             del self.pending[change_id]
--- a/landingshift/policies/participant.py
+++ b/landingshift/policies/participant.py
@@ -9,7 +9,7 @@
    decided by the new one.
 3. It gives that up only on the word of what became of this very change: a late answer from before the change
    was opened must not free it.
-4. With `stands_aside_when_cut_off` each decision needs a lease, of `lease_ms`, at all times.
+4. With `is_standby_when_cut_off` each decision needs a lease, of `lease_ms`, at all times.
 
 A lease counts from when its request was sent, by this server's monotonic clock. Failure mode: cut off while
 prepared, it stands aside until a leader tells what became of the change.
@@ -48,7 +48,7 @@
 MAX_REASON_CHARS = 200
 
 
-class ParticipantStage(StrEnum):
+class ParticipantState(StrEnum):
     """Of the change under way, at one server. Each is left only for a later one, or for NONE at its end."""
 
     NONE = ""
@@ -69,7 +69,7 @@
         policy: Of that version.
         latest_version: The newest version that it knows to be in force.
         change_id: The change that it has the policy of; empty for none.
-        stage: How far it is with that change.
+        state: How far it is with that change.
         rejection_reason: Why it can't decide by that policy.
         lease_expiry_ms: When its lease ends, by its own monotonic clock.
         ended_changes: What became of changes that it took part in, newest last.
@@ -110,7 +110,7 @@
         self.policy = b""
         self.latest_version = -1
         self.change_id = ""
-        self.stage = ParticipantStage.NONE
+        self.state = ParticipantState.NONE
         self.rejection_reason = ""
         self._change_policy = b""
         self.lease_expiry_ms = now_ms
@@ -126,7 +126,7 @@
     @property
     def needs_lease(self) -> bool:
         """Whether decisions need a lease just now."""
-        return self._settings.stands_aside_when_cut_off or self.stage is ParticipantStage.PREPARED
+        return self._settings.is_standby_when_cut_off or self.state is ParticipantState.PREPARED
 
     def may_decide(self, now_ms: float) -> bool:
         """Whether an RPC may be decided now, by `version`."""
@@ -140,7 +140,7 @@
         Returns:
             Why not; empty where it was taken.
         """
-        if self._settings.stands_aside_when_cut_off:
+        if self._settings.is_standby_when_cut_off:
             return "it stands aside without a leader: when_cut_off is stand_aside"
         if self.is_member or version < self.version:
             return f"it has version {self.version} from a leader"
@@ -172,7 +172,7 @@
             self.last_request_number,
             self.version,
             self.change_id,
-            self.stage.value,
+            self.state.value,
             self.rejection_reason,
             self._settings.fingerprint,
             self.can_become_voter,
@@ -181,12 +181,12 @@
 
     def _request_interval_ms(self) -> float:
         """How often to ask: often enough to keep a lease that is needed, else rarely."""
-        is_change_going_on = self.stage is not ParticipantStage.NONE
+        is_change_going_on = self.state is not ParticipantState.NONE
         if is_change_going_on or self.latest_version > self.version >= 0:
             return self._prepared_request_interval_ms
         if not self.is_member:
             return FIRST_RETRY_MS
-        if self._settings.stands_aside_when_cut_off:
+        if self._settings.is_standby_when_cut_off:
             return self._settings.lease_ms / REQUESTS_PER_LEASE
         return IDLE_REQUEST_INTERVAL_MS
 
@@ -232,7 +232,7 @@
     def _on_status_reply(self, leader: str, reply: StatusReply, now_ms: float) -> None:
         self.last_answered_number = reply.number
         self.discovery.on_answered(leader)
-        self.discovery.on_voters_told(reply.voters)
+        self.discovery.on_voters_received(reply.voters)
         self.next_deadline_ms = now_ms + IDLE_REQUEST_INTERVAL_MS
         self.is_member = reply.is_member
         self.refusal_reason = ""
@@ -253,7 +253,7 @@
             self._adopt(ended.version, self._change_policy)
         self.change_id = ""
         self._change_policy = b""
-        self.stage = ParticipantStage.NONE
+        self.state = ParticipantState.NONE
         self.rejection_reason = ""
 
     def _request_missing_policies(self, reply: StatusReply, now_ms: float) -> None:
@@ -268,8 +268,8 @@
     def _prepare_if_wanted(self, reply: StatusReply, now_ms: float) -> None:
         """Rule 2: prepared, it decides under short leases only; a longer one that it has is cut."""
         is_wanted = reply.change_id == self.change_id and reply.phase is ChangePhase.PREPARE
-        if is_wanted and self.stage is ParticipantStage.VALIDATED:
-            self.stage = ParticipantStage.PREPARED
+        if is_wanted and self.state is ParticipantState.VALIDATED:
+            self.state = ParticipantState.PREPARED
             latest_expiry_ms = now_ms + self._settings.prepared_lease_ms
             self.lease_expiry_ms = min(self.lease_expiry_ms, latest_expiry_ms)
             self._request_at_once(now_ms)
@@ -277,7 +277,7 @@
     def _extend_lease(self, reply: StatusReply) -> None:
         if not reply.is_lease_granted or not reply.is_member or reply.version != self.version:
             return
-        is_prepared = self.stage is ParticipantStage.PREPARED
+        is_prepared = self.state is ParticipantState.PREPARED
         lease_ms = self._settings.prepared_lease_ms if is_prepared else self._settings.lease_ms
         sent_at_ms = self.request_sent_at_ms[reply.number]
         self.lease_expiry_ms = max(self.lease_expiry_ms, sent_at_ms + lease_ms)
@@ -288,7 +288,7 @@
             self.change_id = text.change_id
             self._change_policy = text.policy
             is_rejected = bool(self.rejection_reason)
-            self.stage = ParticipantStage.REJECTED if is_rejected else ParticipantStage.VALIDATED
+            self.state = ParticipantState.REJECTED if is_rejected else ParticipantState.VALIDATED
             self._request_at_once(now_ms)
         elif not text.change_id and text.version == self.latest_version > self.version:
             self._adopt(text.version, text.policy)
--- a/landingshift/policies/policy_settings.py
+++ b/landingshift/policies/policy_settings.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-PREPARED_LEASE_FRACTION = 0.8  # of the overlap: the rest is for the message that ends the old version
+PREPARED_LEASE_FRACTION = 0.8  # of the overlap; the rest is margin
 
 
 @dataclass(slots=True, frozen=True)
@@ -13,7 +13,7 @@
 
     Attributes:
         voters: Voters until the log names others.
-        stands_aside_when_cut_off: Whether each decision needs a lease at all times, so that a change need not
+        is_standby_when_cut_off: Whether each decision needs a lease at all times, so that a change need not
             wait for a server that is cut off.
         overlap_ms: For how long two versions may be in use at once, at most.
         lease_ms: Length of a lease between changes, where such leases are needed.
@@ -22,7 +22,7 @@
     """
 
     voters: tuple[str, ...]
-    stands_aside_when_cut_off: bool
+    is_standby_when_cut_off: bool
     overlap_ms: float = 1000.0
     lease_ms: float = 3000.0
     clock_margin_ms: float = 300.0
@@ -36,5 +36,5 @@
     @property
     def fingerprint(self) -> str:
         """What must be alike at who asks and who answers; sent with each request."""
-        when_cut_off = "stand_aside" if self.stands_aside_when_cut_off else "serve"
+        when_cut_off = "stand_aside" if self.is_standby_when_cut_off else "serve"
         return f"{when_cut_off} {self.overlap_ms:g} {self.lease_ms:g}"
--- a/landingshift/policies/settings.py
+++ b/landingshift/policies/settings.py
@@ -60,7 +60,7 @@
     """The table's values by the names of the code."""
     return PolicySettings(
         voters=tuple(settings.voters),
-        stands_aside_when_cut_off=settings.when_cut_off == "stand_aside",
+        is_standby_when_cut_off=settings.when_cut_off == "stand_aside",
         overlap_ms=settings.overlap_ms,
         lease_ms=settings.lease_ms,
         clock_margin_ms=settings.spare_ms,
--- a/landingshift/policies/state_machine.py
+++ b/landingshift/policies/state_machine.py
@@ -128,8 +128,8 @@
                 self._end(command)
 
     def _join(self, name: str, run: int) -> None:
-        has_room = name in self.members or len(self.members) < self.max_member_count
-        if not self.has_member(name, run) and has_room:
+        has_capacity = name in self.members or len(self.members) < self.max_member_count
+        if not self.has_member(name, run) and has_capacity:
             self.members[name] = run  # its earlier run has ended: one name is one process at a time
             self.join_count += 1
 
--- a/landingshift/policies/wire.py
+++ b/landingshift/policies/wire.py
@@ -12,7 +12,7 @@
     ChangePhase,
     ChangeStatus,
     ChangeVoters,
-    DeclareGone,
+    DeclareDeparted,
     Departure,
     EndedChange,
     FindChange,
@@ -35,13 +35,13 @@
     WithdrawChange,
 )
 
-MAX_TOLD_VOTER_COUNT = 9  # voters of an answer that are kept
+MAX_RECEIVED_VOTER_COUNT = 9  # voters of an answer that are kept
 
 _PHASES = {phase.value: phase for phase in ChangePhase}
 
 
 def encode_operator_command(command: OperatorCommand) -> list[Any]:
-    """Words of a command."""
+    """Fields of a command, its name first."""
     match command:
         case ProposeChange(policy, author, reason):
             return ["propose", policy, author, reason]
@@ -49,7 +49,7 @@
             return ["withdraw", author, reason]
         case ChangeVoters(is_addition, name):
             return ["voters", "add" if is_addition else "remove", name]
-        case DeclareGone(name, run):
+        case DeclareDeparted(name, run):
             return ["gone", name, run]
         case FindChange():
             return ["find"]
@@ -57,9 +57,9 @@
             return []
 
 
-def decode_operator_command(words: list[Any]) -> OperatorCommand:
-    """Command of its words."""
-    match words:
+def decode_operator_command(fields: list[Any]) -> OperatorCommand:
+    """Command of its fields."""
+    match fields:
         case ["propose", bytes(policy), str(author), str(reason)]:
             return ProposeChange(policy, author, reason)
         case ["withdraw", str(author), str(reason)]:
@@ -67,7 +67,7 @@
         case ["voters", str(action), str(name)]:
             return ChangeVoters(action == "add", name)
         case ["gone", str(name), int(run)]:
-            return DeclareGone(name, run)
+            return DeclareDeparted(name, run)
         case ["find", *_]:
             return FindChange()
     return UnknownCommand()
@@ -83,7 +83,7 @@
         case Departure(run):
             return ["bye", run]
         case ChangeStatus(change_id, outcome, version, reason, waiting_members):
-            waiting = [[member.name, member.stage] for member in waiting_members]
+            waiting = [[member.name, member.state] for member in waiting_members]
             return ["found", change_id, outcome, version, reason, waiting]
     return _encode_member_message(message)
 
@@ -116,7 +116,7 @@
         request.number,
         request.version,
         request.change_id,
-        request.stage,
+        request.state,
         request.rejection_reason,
         request.fingerprint,
         request.can_become_voter,
@@ -149,8 +149,8 @@
     match body:
         case ["vote", bytes(data)]:
             return RaftPacket(data)
-        case ["do", str(change_id), *words]:
-            return OperatorRequest(change_id, decode_operator_command(words))
+        case ["do", str(change_id), *fields]:
+            return OperatorRequest(change_id, decode_operator_command(fields))
         case ["bye", int(run)]:
             return Departure(run)
         case ["found", str(change_id), str(outcome), int(version), str(reason), list(waiting)]:
@@ -184,13 +184,13 @@
             int(number),
             int(version),
             str(change_id),
-            str(stage),
+            str(state),
             str(reason),
             fingerprint,
             bool(can_become_voter),
         ]:
             return StatusRequest(
-                run, number, version, change_id, stage, reason, fingerprint, can_become_voter
+                run, number, version, change_id, state, reason, fingerprint, can_become_voter
             )
         case [_, int(number), *_]:
             return UnreadableStatusRequest(number)
@@ -209,7 +209,7 @@
             bool(is_lease_granted),
             [str(), *_] as voters,
         ]:
-            names = tuple(str(name) for name in voters[:MAX_TOLD_VOTER_COUNT])
+            names = tuple(str(name) for name in voters[:MAX_RECEIVED_VOTER_COUNT])
             return StatusReply(
                 number,
                 is_member,
@@ -241,8 +241,8 @@
     waiting = []
     for pair in pairs:
         match pair:
-            case [str(name), str(stage)]:
-                waiting.append(WaitingMember(name, stage))
+            case [str(name), str(state)]:
+                waiting.append(WaitingMember(name, state))
             case _:
                 raise UnreadableMessageError(pairs)
     return tuple(waiting)
--- a/landingshift/testbed/simulation/policy_change.py
+++ b/landingshift/testbed/simulation/policy_change.py
@@ -17,7 +17,7 @@
 from landingshift.consensus.persistent_state import PersistentState
 from landingshift.consensus.timeouts import RaftTimeouts
 from landingshift.policies.commands import FINAL_OUTCOMES
-from landingshift.policies.messages import ChangeVoters, DeclareGone, FindChange, ProposeChange
+from landingshift.policies.messages import ChangeVoters, DeclareDeparted, FindChange, ProposeChange
 from landingshift.policies.node import PolicyNode
 from landingshift.policies.policy_settings import PolicySettings
 from landingshift.testbed.simulation.virtual_time import Address, Host, World
@@ -149,7 +149,7 @@
             voter.has_leader_lease = lambda now_ms: voter.role.value == "leader"  # type: ignore[method-assign]
         if self.away == "arm":
             real = desk.unprepared_members
-            desk.unprepared_members = lambda now_ms: [w for w in real(now_ms) if w.stage != "away"]  # type: ignore[method-assign]
+            desk.unprepared_members = lambda now_ms: [w for w in real(now_ms) if w.state != "away"]  # type: ignore[method-assign]
 
     def save(self, name: str, stored: PersistentState | None) -> None:
         if self.chance.random() < self.crash:
@@ -177,7 +177,7 @@
     def gone(self, name: str, who: str) -> None:
         """An operator's word to `name` that the run of `who` that was there last has ended."""
         self.minds[name].part.submit_command(
-            f"gone {who}", DeclareGone(who, self.minds[who].run), self.hosts[name].clock()
+            f"gone {who}", DeclareDeparted(who, self.minds[who].run), self.hosts[name].clock()
         )
         self.hosts[name].turn()
 
--- a/landingshift/testbed/simulation/server.py
+++ b/landingshift/testbed/simulation/server.py
@@ -188,7 +188,7 @@
             voter.has_leader_lease = lambda now_ms: voter.role.value == "leader"  # type: ignore[method-assign]
         if self.away == "arm" and desk is not None:
             real = desk.unprepared_members
-            desk.unprepared_members = lambda now_ms: [w for w in real(now_ms) if w.stage != "away"]  # type: ignore[method-assign]
+            desk.unprepared_members = lambda now_ms: [w for w in real(now_ms) if w.state != "away"]  # type: ignore[method-assign]
         if self.away == "booking" and grantor is not None:
             quotas = grantor.call_quota_grantor
             renew = quotas.renew
--- a/landingshift/testbed/verification/search_policy_change.py
+++ b/landingshift/testbed/verification/search_policy_change.py
@@ -16,7 +16,7 @@
 from landingshift.consensus.timeouts import RaftTimeouts
 from landingshift.policies.messages import ChangePhase, ProposeChange
 from landingshift.policies.node import PolicyNode
-from landingshift.policies.participant import ParticipantStage
+from landingshift.policies.participant import ParticipantState
 from landingshift.policies.policy_settings import PolicySettings
 from landingshift.testbed.simulation.policy_change import text
 
@@ -65,13 +65,13 @@
         for part in self.parts.values():
             f, desk = part.participant, part.coordinator
             seen.append((
-                part.run, f.is_member, f.version, f.latest_version, f.change_id, f.stage,
+                part.run, f.is_member, f.version, f.latest_version, f.change_id, f.state,
                 max(0.0, f.lease_expiry_ms - now), f.last_answered_number, f.last_request_number,
                 tuple(now - at for at in f.request_sent_at_ms.values()),
             ))  # fmt: skip
             if desk is not None:
                 told = [(name, report.request) for name, report in sorted(desk.reports.by_member.items())]
-                acks = [(name, r.run, r.change_id, r.stage, r.version) for name, r in told]
+                acks = [(name, r.run, r.change_id, r.state, r.version) for name, r in told]
                 seen.append(
                     (
                         tuple(acks),
@@ -118,7 +118,7 @@
         self.round(state, ("n0", "n1"))
         self.round(state, ("n0", "n1"))
         self.round(state, ("n2",))
-        assert all(part.participant.stage is ParticipantStage.PREPARED for part in state.parts.values())
+        assert all(part.participant.state is ParticipantState.PREPARED for part in state.parts.values())
         state.parts["n2"].participant.send_status_request(state.now)
         self.out(state, "n2")  # the last word that the leader waits for is under way
         for part in state.parts.values():
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -35,7 +35,7 @@
     ChangePhase,
     ChangeStatus,
     ChangeVoters,
-    DeclareGone,
+    DeclareDeparted,
     Departure,
     EndedChange,
     FindChange,
@@ -55,7 +55,7 @@
     WithdrawChange,
 )
 from landingshift.policies.overlay import PolicyOverlay
-from landingshift.policies.participant import ChangeParticipant, ParticipantStage
+from landingshift.policies.participant import ChangeParticipant, ParticipantState
 from landingshift.policies.policy_settings import PolicySettings
 from landingshift.policies.state_machine import (
     MAX_CHANGE_ID_COUNT,
@@ -285,7 +285,7 @@
         OperatorRequest("c", WithdrawChange("me", "why")),
         OperatorRequest("c", ChangeVoters(True, "w")),
         OperatorRequest("c", ChangeVoters(False, "w")),
-        OperatorRequest("c", DeclareGone("w", 7)),
+        OperatorRequest("c", DeclareDeparted("w", 7)),
         OperatorRequest("c", FindChange()),
         Departure(1),
         ChangeStatus("c", "open", 0, "", (WaitingMember("w", "away"),)),
@@ -345,7 +345,7 @@
         self.answer(participant, now_ms, change_id="c", phase=ChangePhase.VALIDATE)
         participant.on_message("v", PolicyText("c", 0, b"new"), now_ms)
         self.answer(participant, now_ms, change_id="c", phase=ChangePhase.PREPARE)
-        self.assertIs(participant.stage, ParticipantStage.PREPARED)
+        self.assertIs(participant.state, ParticipantState.PREPARED)
 
     def test_decides_nothing_before_it_is_a_member_and_has_the_policy(self) -> None:
         participant = self.participant()
@@ -391,14 +391,14 @@
         self.prepare(participant, 1000.0)
         late_reply = StatusReply(late_number, True, 0, "", ChangePhase.NONE, None, True, ("v",))
         participant.on_message("v", late_reply, 1900.0)
-        self.assertIs(participant.stage, ParticipantStage.PREPARED)
+        self.assertIs(participant.state, ParticipantState.PREPARED)
         # Nor one that does not say what became of this very change.
         self.answer(participant, 1900.0, is_lease_granted=False)
-        self.assertIs(participant.stage, ParticipantStage.PREPARED)
+        self.assertIs(participant.state, ParticipantState.PREPARED)
         self.assertFalse(participant.may_decide(1900.0))
         other = EndedChange("other", "taken", 1, "")
         self.answer(participant, 1950.0, ended=other, is_lease_granted=False)
-        self.assertIs(participant.stage, ParticipantStage.PREPARED)
+        self.assertIs(participant.state, ParticipantState.PREPARED)
 
     def test_end_of_its_change_frees_it_with_the_new_version_or_the_old(self) -> None:
         for outcome, version, policy in [("taken", 1, b"new"), ("refused", 0, b"")]:
@@ -407,8 +407,8 @@
             ended = EndedChange("c", outcome, version, "why")
             self.answer(participant, 2000.0, version=version, ended=ended)
             self.assertEqual(participant.ended_changes, {"c": ended})
-            state = (participant.version, participant.policy, participant.stage)
-            self.assertEqual(state, (version, policy, ParticipantStage.NONE))
+            state = (participant.version, participant.policy, participant.state)
+            self.assertEqual(state, (version, policy, ParticipantState.NONE))
             self.assertTrue(participant.may_decide(1e9))
 
     def test_newer_version_stops_it_until_the_policy_is_there(self) -> None:
@@ -422,9 +422,9 @@
         participant = self.started(conflict="methods.m: none")
         self.answer(participant, 100.0, change_id="c", phase=ChangePhase.VALIDATE)
         participant.on_message("v", PolicyText("c", 0, b"new"), 101.0)
-        self.assertIs(participant.stage, ParticipantStage.REJECTED)
+        self.assertIs(participant.state, ParticipantState.REJECTED)
         self.answer(participant, 200.0, change_id="c", phase=ChangePhase.PREPARE)
-        self.assertIs(participant.stage, ParticipantStage.REJECTED)
+        self.assertIs(participant.state, ParticipantState.REJECTED)
 
     def test_operators_word_counts_only_where_no_leader_has_answered(self) -> None:
         participant = self.participant()
