--- /dev/null
+++ b/landingshift/admission/recent_callers.py
@@ -0,0 +1,56 @@
+"""Who has called in the last seconds, and how many of the callers come back within them."""
+
+from __future__ import annotations
+
+from collections import Counter
+from math import inf
+
+from landingshift.admission.interface import Rpc
+from landingshift.admission.rolling_window import RollingWindow
+from landingshift.admission.server_state import ServerState
+
+CALLER_BUCKET_COUNT, CALLER_BUCKET_MS = 4, 1000.0
+RETURN_BUCKET_COUNT, RETURN_BUCKET_MS = 5, 2000.0
+
+
+class RecentCallers:
+    """The callers of the last 4 s.
+
+    Attributes:
+        caller_ids: One for each RPC of the last 4 s.
+        returns: 1 for each RPC of the last 10 s whose caller was here within those 4 s, else 0.
+        first_rpc_ms: When this server read its first RPC; infinite before.
+    """
+
+    def __init__(self, server: ServerState) -> None:
+        self._server = server
+        self.caller_ids = RollingWindow(CALLER_BUCKET_COUNT, CALLER_BUCKET_MS)
+        self.returns = RollingWindow(RETURN_BUCKET_COUNT, RETURN_BUCKET_MS)
+        self.first_rpc_ms = inf
+
+    def record(self, rpc: Rpc) -> None:
+        """Notes the caller of an RPC that was read."""
+        now_ms = self._server.now_ms
+        self.first_rpc_ms = min(self.first_rpc_ms, now_ms)
+        self.caller_ids.advance(now_ms)
+        was_here = any(rpc.caller_id in bucket for bucket in self.caller_ids.buckets)
+        self.returns.add(now_ms, 1.0 if was_here else 0.0)
+        self.caller_ids.add(now_ms, rpc.caller_id)
+
+    def return_fraction(self) -> float:
+        """Fraction of RPCs whose caller had been here; 1 before the first RPC."""
+        return self.returns.mean(self._server.now_ms, 1.0)
+
+    def largest_share(self) -> float:
+        """Fraction of the recent RPCs that came from the busiest caller; 1 before the first RPC.
+
+        A cold server counts each caller that the settings name as one that asked, less so as it learns who
+        calls: a first credit is taken by each of all callers, and one that knows none yet would get it
+        times their number.
+        """
+        now_ms, settings = self._server.now_ms, self._server.settings
+        counts = Counter(self.caller_ids.values(now_ms))
+        known = min(1.0, max(0.0, now_ms - self.first_rpc_ms) / self.caller_ids.duration_ms)
+        assumed = (1.0 - known) * (settings.starts_cold and settings.caller_count > 0)
+        total = counts.total() + assumed * settings.caller_count
+        return (max(counts.values(), default=0) + assumed) / total if total else 1.0
--- a/landingshift/coldstart/service.py
+++ b/landingshift/coldstart/service.py
@@ -115,7 +115,7 @@
             needed_calls_per_second=max(1.0, MORE * self.strain.wanted_calls_per_second(now))
             if self.agent.start_sequence.is_open
             else 0.0,
-            waiting_rpcs_per_second=server.values.size(now) / 2.0,
+            waiting_rpcs_per_second=server.arrivals_per_second(now),
             saturation=self.strain.saturation(now, self.agent.told_baseline_ms),
             baseline_latency_ms=self.strain.baseline_latency_ms,
         )
--- a/landingshift/drill/adapter.py
+++ b/landingshift/drill/adapter.py
@@ -12,8 +12,9 @@
 
 import msgspec
 
-from landingshift.admission.controller import AdmissionController, ManagedRpc
+from landingshift.admission.controller import AdmissionController
 from landingshift.admission.interface import Gauges, Outcome, Rpc, Settings
+from landingshift.admission.managed_rpc import ManagedRpc
 from landingshift.settings import decode
 
 OUTCOMES = {
--- a/landingshift/net/routing/rpc_record.py
+++ b/landingshift/net/routing/rpc_record.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from landingshift.admission.controller import ManagedRpc
 from landingshift.admission.interface import Rpc
+from landingshift.admission.managed_rpc import ManagedRpc
 
 if TYPE_CHECKING:
     from landingshift.net.routing.database import Call
--- a/landingshift/testbed/simulation/server.py
+++ b/landingshift/testbed/simulation/server.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from landingshift.admission.controller import AdmissionController, ManagedRpc
+from landingshift.admission.controller import AdmissionController
 from landingshift.admission.interface import (
     DownstreamKind,
     Gauges,
@@ -27,6 +27,7 @@
     Settings,
     Tenant,
 )
+from landingshift.admission.managed_rpc import ManagedRpc
 from landingshift.coldstart.coordinator import ColdStartCoordinator, LoadObservation
 from landingshift.coldstart.downstream_saturation import DownstreamSaturation
 from landingshift.coldstart.service_discovery import ServiceDiscoveryPoller
@@ -163,7 +164,7 @@
             settings(town.day.servers, self.tenant), chance.getrandbits(32), self, now
         )
         if self.away == "due":
-            self.server.enforce_deadline = lambda job: inf  # type: ignore[method-assign]
+            self.server.enforce_deadline = lambda managed: inf  # type: ignore[method-assign]
         self.jobs: dict[int, ManagedRpc] = {}  # without an answer, by their numbers
         self.engine: dict[
             int, ManagedRpc
@@ -347,7 +348,7 @@
             needed_calls_per_second=max(1.0, 1.25 * self.strain.wanted_calls_per_second(now))
             if started.is_open
             else 0.0,
-            waiting_rpcs_per_second=self.server.values.size(now) / 2.0,
+            waiting_rpcs_per_second=self.server.arrivals_per_second(now),
             saturation=self.strain.saturation(now, self.agent.told_baseline_ms),
             baseline_latency_ms=self.strain.baseline_latency_ms,
         )
@@ -450,7 +451,7 @@
         self.server.now_ms = now
         self.server.start_draining(STOP)
         if self.away == "grace":
-            self.server.accept_until_ms = inf
+            self.server.draining.accept_until_ms = inf
         self.ends_at = now + STOP
         self.town.back_after[self.i] = away
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -22,7 +22,7 @@
 
 import msgpack
 
-from landingshift.admission.controller import AdmissionController, ManagedRpc
+from landingshift.admission.controller import AdmissionController
 from landingshift.admission.interface import (
     DownstreamKind,
     Gauges,
@@ -33,6 +33,7 @@
     RunCancellation,
     Settings,
 )
+from landingshift.admission.managed_rpc import ManagedRpc
 from landingshift.testbed import MEMORY
 from landingshift.testbed.experiments.rows import Row
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -2,7 +2,6 @@
 from dataclasses import replace
 from typing import Any
 
-from landingshift.admission.controller import Ring, RpcState
 from landingshift.admission.interface import (
     DownstreamKind,
     Idempotency,
@@ -11,6 +10,8 @@
     RunCancellation,
     Tenant,
 )
+from landingshift.admission.managed_rpc import RpcState
+from landingshift.admission.rolling_window import RollingWindow
 from tests.helpers import METHOD, Bench
 
 TOKENED = replace(METHOD, idempotency=Idempotency.KEYED)
@@ -75,7 +76,7 @@
     def test_start_order(self) -> None:
         low, high = METHOD, replace(METHOD, criticality=5.0)
         b = Bench(low, core_count=1)
-        b.server.learned[high] = b.server.learned[low]
+        b.server.service_times[high] = b.server.service_times[low]
         jobs = [b.read(method=m) for m in (low, high, low)]
         b.server.settle()
         self.assertEqual([bool(b.fates(j)) for j in jobs], [False, True, False])
@@ -116,10 +117,10 @@
         for on_cores, runs in [(2, 6), (8, 2)]:
             with self.subTest(on_cores=on_cores):
                 b = Bench()
-                b.server.cap = 6.0
+                b.server.limit.limit = 6.0
                 for _ in range(60):
                     b.tick(50.0, 1.0, on_cores)
-                b.server.reading = 0.0
+                b.server.limit.reading_cores = 0.0
                 for _ in range(9):
                     b.read()
                 b.server.settle()
@@ -162,7 +163,7 @@
         held = b.read()
         for _ in range(10):
             b.tick(on_cores=4)
-        self.assertEqual((b.server.reading, b.fates(held)), (0.0, []))
+        self.assertEqual((b.server.limit.reading_cores, b.fates(held)), (0.0, []))
         b.tick(use=0.75, on_cores=3)
         self.assertEqual(b.fates(held), ["start_run"])
 
@@ -171,11 +172,11 @@
         for on_cores, use, starts in [(4.0, 1.0, False), (0.0, 0.3, True)]:
             with self.subTest(on_cores=on_cores):
                 b = Bench()
-                b.server.learned[best] = b.server.learned[METHOD]
+                b.server.service_times[best] = b.server.service_times[METHOD]
                 for i in range(20):
                     b.read(method=best, waited_ms=0.0 if i % 4 == 0 else 1500.0)
                     b.server.settle()
-                    for job in list(b.server.places[RpcState.RUNNING]):
+                    for job in list(b.server.state.rpcs_by_state[RpcState.RUNNING]):
                         b.server.on_run_finished(job, Outcome.OK, 20.0)
                     b.tick(50.0, use, on_cores)
                 poor = b.read()
@@ -189,7 +190,7 @@
         b = Bench(memory_kb=250.0)
         jobs = [b.read() for _ in range(30)]
         b.server.settle()
-        self.assertLessEqual(b.server.kb, 250.0)
+        self.assertLessEqual(b.server.state.memory_in_use_kb, 250.0)
         self.assertTrue(any(b.fates(j) == ["start_run"] for j in jobs))
         self.assertTrue(any(b.fates(j) == ["reject"] for j in jobs))
 
@@ -262,12 +263,12 @@
         b = Bench(CALLS, downstream=DownstreamKind.SHARED_STORE)
         b.server.set_call_quota(0.4)
         b.server.set_call_quota(8.0)
-        self.assertEqual(b.server.rate, 8.0)
-        b.server.rate = 1.0  # as after two calls in a row without an answer
+        self.assertEqual(b.server.calls.calls_per_second, 8.0)
+        b.server.calls.calls_per_second = 1.0  # as after two calls in a row without an answer
         b.server.set_call_quota(16.0)
-        self.assertEqual(b.server.rate, 1.0)
+        self.assertEqual(b.server.calls.calls_per_second, 1.0)
         b.server.set_call_quota(0.5)
-        self.assertEqual(b.server.rate, 0.5)
+        self.assertEqual(b.server.calls.calls_per_second, 0.5)
 
     def test_what_is_saved_up_does_not_pass_a_share_of_the_store(self) -> None:
         # One server that had most of the store's calls lent made a fifth more of them than it bears.
@@ -293,9 +294,9 @@
                         begun += [b.server.now_ms] * (len(b.names("start_call")) - len(begun))
                     b.tick()
                     begun += [b.server.now_ms] * (len(b.names("start_call")) - len(begun))
-                    for job in list(b.server.places[RpcState.CALLING]):
+                    for job in list(b.server.state.rpcs_by_state[RpcState.CALLING]):
                         b.server.on_call_finished(job, Outcome.OK, 12.0)
-                    for job in list(b.server.places[RpcState.RUNNING]):
+                    for job in list(b.server.state.rpcs_by_state[RpcState.RUNNING]):
                         b.server.on_run_finished(job, Outcome.OK, 50.0)
                 peak = max(sum(at <= t < at + 1000.0 for t in begun) for at in begun)
                 self.assertLessEqual(peak, 1.1 * share)
@@ -344,7 +345,7 @@
         low.criticality, high.latency_objective_ms = 9.0, 40.0
         b.server.on_settings_changed()
         self.assertEqual([round(j.objective_at_ms - j.arrived_at_ms) for j in jobs], [1000, 40])
-        self.assertEqual(b.server.shortest, 40.0)
+        self.assertEqual(b.server.state.shortest_objective_ms, 40.0)
         b.at(5.0)
         b.server.on_run_finished(runs, Outcome.OK, 5.0)
         b.server.settle()
@@ -451,7 +452,7 @@
                 b.server.settle()
                 b.server.on_call_needed(job)
             b.server.settle()
-            jobs = {j.rpc: j for place in b.server.places.values() for j in place}
+            jobs = {j.rpc: j for place in b.server.state.rpcs_by_state.values() for j in place}
             for what, rpc, *_ in b.names("start_call", "skip_call")[seen:]:
                 seen += 1
                 if what == "start_call":
@@ -526,7 +527,7 @@
             ([(0.0, 1.0)], 1000.0, []),
         ]:
             with self.subTest(now=now):
-                ring = Ring(3, 10.0)
+                ring = RollingWindow(3, 10.0)
                 for at, value in adds:
                     ring.add(at, value)
                     ring.values(at)
@@ -592,8 +593,8 @@
             if i % 5 == 0:
                 b.read(tenant=calm)
         b.tick()
-        self.assertEqual(b.server.worth[calm], 1.0)
-        self.assertLess(b.server.worth[loud], 0.8)
+        self.assertEqual(b.server.tenants.weights[calm], 1.0)
+        self.assertLess(b.server.tenants.weights[loud], 0.8)
 
 
 if __name__ == "__main__":
--- a/tests/test_golden_decisions.py
+++ b/tests/test_golden_decisions.py
@@ -9,7 +9,7 @@
 
 from msgspec import msgpack
 
-from landingshift.admission.controller import ManagedRpc
+from landingshift.admission.managed_rpc import ManagedRpc
 from tests import test_hot_restart
 from tests.golden_files import assert_golden_bytes, assert_golden_json, golden_bytes
 
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -19,7 +19,6 @@
 from hypothesis import strategies as st
 from msgspec import msgpack
 
-from landingshift.admission.controller import ManagedRpc, RpcState
 from landingshift.admission.interface import (
     DownstreamKind,
     Gauges,
@@ -30,6 +29,7 @@
     Rpc,
     Tenant,
 )
+from landingshift.admission.managed_rpc import ManagedRpc, RpcState
 from landingshift.hot_restart.carrier import HEAD, MOST, BadCarrier, Carrier, Frame
 from landingshift.hot_restart.journal import Full, Journal, Kind
 from landingshift.hot_restart.plan import (
@@ -358,7 +358,7 @@
         given["rings"]["pushed"] = [0, 0, [[]], [0.0]]
         new.server.import_state(given, [])
         self.assertFalse(hasattr(new.server, "of the next build"))
-        self.assertEqual(new.server.pushed.count, len(new.server.pushed.buckets))
+        self.assertEqual(new.server.check.failures.bucket_count, len(new.server.check.failures.buckets))
 
 
 class Moving(unittest.TestCase):
--- a/tests/test_throng.py
+++ b/tests/test_throng.py
@@ -14,8 +14,8 @@
 from random import Random
 from typing import Any
 
-from landingshift.admission.controller import ManagedRpc, RpcState
 from landingshift.admission.interface import DownstreamKind, Gauges, LoadAdvertisement, Outcome
+from landingshift.admission.managed_rpc import ManagedRpc, RpcState
 from tests.helpers import METHOD, Bench
 
 STEP = 10.0  # ms of virtual time
