--- a/landingshift/hot_restart/state.py
+++ b/landingshift/hot_restart/state.py
@@ -18,31 +18,32 @@
 from landingshift.admission.controller import AdmissionController
 from landingshift.admission.interface import Outcome
 from landingshift.net.protocol import engine as engine_wire
-from landingshift.net.routing.database import BOUND as DATABASE_BOUND
-from landingshift.net.routing.database import WHOLE, Call, Link
-from landingshift.net.routing.dedup import ENTRY, Entry
-from landingshift.net.routing.engine import BOUND as ENGINE_BOUND
-from landingshift.net.routing.engine import RETRY, Command
-from landingshift.net.routing.gateways import BOUND as GATEWAY_BOUND
-from landingshift.net.routing.gateways import RESET, Connection
-from landingshift.net.routing.router import Router, ServerConfig
+from landingshift.net.routing.database_pool import MAX_UNSENT_BYTES as DATABASE_MAX_UNSENT_BYTES
+from landingshift.net.routing.database_pool import DatabaseCall, DatabaseLink
+from landingshift.net.routing.dedup import ENTRY_BYTES, DedupEntry
+from landingshift.net.routing.engine_link import MAX_UNSENT_BYTES as ENGINE_MAX_UNSENT_BYTES
+from landingshift.net.routing.engine_link import RECONNECT_DELAY_MS, EngineCommand, GaugeQuery
+from landingshift.net.routing.gateway_connection import MAX_UNSENT_BYTES as GATEWAY_MAX_UNSENT_BYTES
+from landingshift.net.routing.gateway_connection import RESET_TIME_MS, GatewayConnection
+from landingshift.net.routing.router import Router
 from landingshift.net.routing.rpc_record import RoutedRpc
+from landingshift.net.routing.server_config import ServerConfig
 from landingshift.net.transport.loop import Loop
-from landingshift.net.transport.stream import LINGER, Stream
+from landingshift.net.transport.stream import Stream
 
 # Stored name -> attribute. The stored names are part of the format and stay when an attribute is renamed.
 # What the RPC's record holds besides what the admission controller was told.
 RPC_STATE = {
-    "rid": "rid",
-    "name": "name",
+    "rid": "rpc_id",
+    "name": "method_name",
     "body": "body",
-    "number": "number",
+    "number": "message_id",
     "dedup_key": "dedup_key",
-    "answered": "answered",
-    "gone": "gone",
-    "closed": "closed",
-    "need": "need",
-    "need_body": "need_body",
+    "answered": "is_answered",
+    "gone": "is_abandoned",
+    "closed": "is_closed",
+    "need": "call_notice_number",
+    "need_body": "call_request",
     "mark": "attempt_id",
 }
 # What the admission controller was told of the RPC.
@@ -60,28 +61,28 @@
 }
 # Of a gateway's connection.
 CONNECTION_STATE = {
-    "read": "read",
-    "probes": "probes",
-    "bad": "bad",
-    "fault": "fault",
-    "away": "away",
-    "proven": "proven",
-    "born": "born",
-    "heard": "heard",
-    "half": "half",
+    "read": "rpc_count",
+    "probes": "health_check_count",
+    "bad": "invalid_count",
+    "fault": "last_invalid_field",
+    "away": "goaway_deadline_ms",
+    "proven": "is_verified",
+    "born": "accepted_ms",
+    "heard": "last_message_ms",
+    "half": "partial_since_ms",
 }
 # Of the link to the engine.
 ENGINE_LINK_STATE = {
-    "last": "last",
-    "links": "links",
-    "tags": "tags",
-    "ready": "ready",
-    "met": "met",
-    "greeted": "greeted",
-    "moving": "moving",
-    "linked": "linked",
-    "lost": "lost",
-    "heard": "heard",
+    "last": "last_notice_number",
+    "links": "link_count",
+    "tags": "tag_count",
+    "ready": "is_ready",
+    "met": "has_reached_engine",
+    "greeted": "is_greeted",
+    "moving": "is_changing_address",
+    "linked": "linked_at_ms",
+    "lost": "lost_at_ms",
+    "heard": "answered_at_ms",
 }
 
 
@@ -178,9 +179,10 @@
     """One use each. The old router is left as it is, and goes on if the new one does not."""
 
     def __init__(self, router: Router) -> None:
-        if router.todo or router.needs_settle or router.loop.pending_writers or router.database.leaving:
+        driver = router.driver
+        if driver.deferred or driver.needs_settle or router.loop.pending_writers or router.database.cancelled:
             raise CannotMove("a pass is not over")
-        if router.answer_gate is not None:
+        if router.answers.gate is not None:
             raise CannotMove("a gate holds answers")
         self.router = router
         self.fds: list[int] = []
@@ -188,14 +190,15 @@
         self.links += [link for link in self.retired() if link not in self.links]
         self.connections = list(router.gateways.connections)
 
-    def retired(self) -> list[Link]:
+    def retired(self) -> list[DatabaseLink]:
         """Links that end once their last calls do."""
-        return list({rpc.call.link: None for rpc in self.router.rpcs if rpc.call is not None})
+        calls = self.router.database.calls
+        return list({calls[rpc].link: None for rpc in self.router.table if rpc in calls})
 
     def give(self) -> tuple[bytes, list[int]]:
         """The state, and the descriptors it speaks of, the listener first; all stay the old process's own."""
         r = self.router
-        r.engine.give_up_tests()
+        r.engine.abandon_self_tests()
         self.fds.append(r.gateways.listener.sock.fileno())
         module, jobs = r.admission.export_state() if r.admission is not None else (None, [])
         rpcs: list[RoutedRpc] = [job.rpc for job in jobs if isinstance(job.rpc, RoutedRpc)]
@@ -206,18 +209,26 @@
             if entry.owner not in known:
                 known[entry.owner] = len(rpcs)
                 rpcs.append(entry.owner)
-        for rpc in r.rpcs:
+        for rpc in r.table:
             if rpc not in known:
                 raise CannotMove("an RPC that the module does not know")
         places = {entry: i for i, entry in enumerate(entries)}
-        for entry in {rpc.original: None for rpc in rpcs if rpc.original is not None}:
+        originals = r.dedup.originals
+        for entry in {originals[rpc]: None for rpc in rpcs if rpc in originals}:
             if entry not in places:  # replaced by a newer one while repeats still wait for it
                 raise CannotMove("a repeat waits for a result that was replaced")
         state = State(
             connections=[self.connection(c, known) for c in self.connections],
             rpcs=[self.rpc(rpc, places) for rpc in rpcs],
             entries=[
-                OfEntry(known[e.owner], e.until, e.outcome and e.outcome.value, e.ended, e.result, e.work)
+                OfEntry(
+                    known[e.owner],
+                    e.expires_ms,
+                    e.outcome and e.outcome.value,
+                    e.ended_ms,
+                    e.result,
+                    e.run_time_ms,
+                )
                 for e in entries
             ],
             links=[self.link(link, known) for link in self.links if link.stream is not None],
@@ -225,11 +236,15 @@
             module=module,
             jobs=len(jobs),
             cold=r.admission.settings.starts_cold if r.admission is not None else False,
-            told=r.told,
+            told=r.answers.headers,
             draining=r.is_draining,
-            stop_at=r.stop_at,
-            health=[r.health_reporter.good, r.health_reporter.cheap, r.health_reporter.is_reporting],
-            idle=r.gateways.idle,
+            stop_at=r.shutdown.stop_at_ms,
+            health=[
+                r.health_reporter.is_healthy,
+                r.health_reporter.is_shallow,
+                r.health_reporter.is_reporting,
+            ],
+            idle=r.gateways.context.idle_limit_ms,
         )
         return msgpack.encode(state), self.fds
 
@@ -246,46 +261,55 @@
             reason=stream.close_reason,
         )
 
-    def connection(self, c: Connection, known: dict[RoutedRpc, int]) -> OfConnection:
+    def connection(self, c: GatewayConnection, known: dict[RoutedRpc, int]) -> OfConnection:
         counts = stored_values(c, CONNECTION_STATE)
         return OfConnection(
-            self.stream(c.stream), c.reader.rest, counts, {n: known[rpc] for n, rpc in c.rpcs.items()}
+            self.stream(c.stream), c.decoder.buffer, counts, {n: known[rpc] for n, rpc in c.rpcs.items()}
         )
 
-    def rpc(self, rpc: RoutedRpc, places: dict[Entry, int]) -> OfRpc:
+    def rpc(self, rpc: RoutedRpc, places: dict[DedupEntry, int]) -> OfRpc:
         site = self.router.config
         connection = self.router.gateways.connections.get(rpc.connection)
-        command = rpc.command
+        command = self.router.engine.commands.get(rpc)
+        original = self.router.dedup.originals.get(rpc)
+        used_links = self.router.database.used_links.get(rpc, ())
         return OfRpc(
             method=site.settings.methods.index(rpc.method),
             tenant=next((name for name, t in site.tenants.items() if t is rpc.tenant), None),
             own=stored_values(rpc, RPC_STATE),
             facts=stored_values(rpc, RPC_FACTS),
             connection=self.connections.index(connection) if connection is not None else -1,
-            command=[command.data, command.runs, command.end, command.doubt, command.held_back]
+            command=[
+                command.data,
+                command.starts_run,
+                command.stream_end,
+                command.is_in_doubt,
+                command.is_withheld,
+            ]
             if command is not None
             else None,
-            entry=places[rpc.original] if rpc.original is not None else -1,
-            waits=rpc.original is not None and rpc in rpc.original.waiting,
-            stale=[i for i, link in enumerate(self.links) if link in rpc.stale],
+            entry=places[original] if original is not None else -1,
+            waits=original is not None and rpc in original.waiters,
+            stale=[i for i, link in enumerate(self.links) if link in used_links],
         )
 
-    def link(self, link: Link, known: dict[RoutedRpc, int]) -> OfLink:
+    def link(self, link: DatabaseLink, known: dict[RoutedRpc, int]) -> OfLink:
         assert link.stream is not None
         calls = [
-            [known[c.rpc], c.start, c.end, c.timer.due_ms if c.timer else 0.0] for c in link.calls.values()
+            [known[c.rpc], c.started_ms, c.stream_end, c.timer.due_ms if c.timer else 0.0]
+            for c in link.calls.values()
         ]
         fresh = link in self.router.database.links
-        return OfLink(self.stream(link.stream), bytes(link.reader.lines.buffer), fresh, calls)
+        return OfLink(self.stream(link.stream), bytes(link.decoder.lines.buffer), fresh, calls)
 
     def engine(self, known: dict[RoutedRpc, int]) -> OfEngine:
         e = self.router.engine
         return OfEngine(
             self.stream(e.stream) if e.stream is not None else None,
-            bytes(e.reader.lines.buffer),
+            bytes(e.decoder.lines.buffer),
             stored_values(e, ENGINE_LINK_STATE),
-            list(e.stats) if e.stats is not None else None,
-            [known[c.rpc] for c in e.unsure if c.rpc.command is c and not c.rpc.closed],
+            [e.gauge_query.tag, e.gauge_query.bytes_before] if e.gauge_query is not None else None,
+            [known[c.rpc] for c in e.unconfirmed if e.commands.get(c.rpc) is c],
         )
 
 
@@ -316,29 +340,31 @@
         connections = [self.connection(one) for one in st.connections]
         for rpc, one in zip(self.rpcs, st.rpcs, strict=True):
             rpc.connection = connections[one.connection].slot if one.connection >= 0 else -1
-            if not rpc.closed:
-                rpc.slot = r.rpcs.put(rpc)
-                r.by_id[rpc.rid] = rpc.slot
+            if not rpc.is_closed:
+                r.table.add(rpc)
         self.entries()
         links = [self.link(one) for one in st.links]
         for rpc, one in zip(self.rpcs, st.rpcs, strict=True):
-            rpc.stale = [links[i] for i in one.stale if i < len(links)]
+            used_links = [links[i] for i in one.stale if i < len(links)]
+            if used_links:
+                r.database.used_links[rpc] = used_links
         self.engine()
-        r.told, r.is_draining = st.told, st.draining
-        if r.is_draining:
-            r.stop_at = st.stop_at or loop.now_ms + site.stop_ms
-            r.depart_later()  # the old one's timer stays with it: nobody else would end this drain
+        r.answers.headers = st.told
+        if st.draining:
+            # The old one's timer stays with it: nobody else would end this drain.
+            r.shutdown.resume(st.stop_at or loop.now_ms + site.stop_ms)
         if st.module is not None:
             settings = replace(site.settings, starts_cold=st.cold)
-            r.admission = AdmissionController(settings, site.seed, r, loop.now_ms)
-            r.admission.now_ms = loop.now_ms
-            jobs = r.admission.import_state(st.module, list(self.rpcs[: st.jobs]))
+            controller = AdmissionController(settings, site.seed, r.actions, loop.now_ms)
+            r.driver.controller = controller
+            controller.now_ms = loop.now_ms
+            jobs = controller.import_state(st.module, list(self.rpcs[: st.jobs]))
             for mine, job in zip(self.rpcs, jobs, strict=False):
-                mine.job = None if mine.closed else job
-        r.gateways.idle = st.idle
+                mine.job = None if mine.is_closed else job
+        r.gateways.context.idle_limit_ms = st.idle
         for connection in connections:
-            connection.rest()
-        r.health_reporter.good, r.health_reporter.cheap, reporting = st.health
+            connection.check_idle()
+        r.health_reporter.is_healthy, r.health_reporter.is_shallow, reporting = st.health
         if reporting:
             r.health_reporter.start()
         return r
@@ -349,10 +375,10 @@
         stream.queued_bytes, stream.sent_bytes, stream.last_activity_ms = one.queued, one.sent, one.last
         stream.is_reading, stream.close_reason = one.reading, one.reason
         if stream.unsent_budget:
-            stream.unsent_budget.bytes += len(one.out)
+            stream.unsent_budget.used_bytes += len(one.out)
         if one.reason:
-            stream.timer = self.loop.after(LINGER, stream.linger)
-        stream.watch()
+            stream.start_linger_timer()
+        stream.update_watch()
         if one.out:
             self.loop.pending_writers[stream] = None
         return stream
@@ -365,54 +391,66 @@
         rpc = RoutedRpc(
             method=method, tenant=tenant, connection=-1, **attribute_values(one.facts, RPC_FACTS), **own
         )
-        if one.command is not None:
-            rpc.command = Command(rpc, *one.command)
+        if one.command is not None and not rpc.is_closed:
+            self.router.engine.commands[rpc] = EngineCommand(rpc, *one.command)
         return rpc
 
-    def connection(self, one: OfConnection) -> Connection:
+    def connection(self, one: OfConnection) -> GatewayConnection:
         gateways = self.router.gateways
-        connection = Connection(
-            gateways, lambda c: self.stream(one.stream, c, GATEWAY_BOUND, unsent=gateways.unsent, reads=1)
+        connection = gateways.add(
+            lambda c: self.stream(
+                one.stream,
+                c,
+                GATEWAY_MAX_UNSENT_BYTES,
+                unsent_budget=gateways.unsent_budget,
+                reads_per_pass=1,
+            )
         )
-        connection.reader.rest = one.rest
+        connection.decoder.buffer = one.rest
         for name, value in attribute_values(one.counts, CONNECTION_STATE).items():
             setattr(connection, name, value)
         connection.rpcs = {number: self.rpcs[i] for number, i in one.rpcs.items()}
         if not one.stream.reading and connection.rpcs:
-            self.loop.after(RESET, connection.stream.check)
+            self.loop.after(RESET_TIME_MS, connection.stream.check_error)
         return connection
 
     def entries(self) -> None:
         table, made = self.router.dedup, []
         for one in self.state.entries:
             outcome = Outcome(one.outcome) if one.outcome is not None else None
-            entry = Entry(
-                self.rpcs[one.owner], one.until, outcome, one.ended, result=one.result, work=one.work
+            entry = DedupEntry(
+                self.rpcs[one.owner],
+                one.until,
+                outcome,
+                one.ended,
+                run_time_ms=one.work,
+                result=one.result,
             )
             dedup_key = entry.owner.dedup_key
             assert dedup_key is not None
             table.entries[dedup_key] = entry
-            table.bytes += ENTRY + len(one.result or b"")
+            table.used_bytes += ENTRY_BYTES + len(one.result or b"")
             made.append(entry)
         for rpc, of in zip(self.rpcs, self.state.rpcs, strict=True):
             if of.entry >= 0:
-                rpc.original = made[of.entry]
+                table.link_repeat(rpc, made[of.entry])
                 if of.waits:
-                    made[of.entry].waiting[rpc] = None
+                    made[of.entry].waiters[rpc] = None
 
-    def link(self, one: OfLink) -> Link:
+    def link(self, one: OfLink) -> DatabaseLink:
         pool = self.router.database
-        link = Link(pool, lambda link: self.stream(one.stream, link, DATABASE_BOUND))
-        link.reader.lines.buffer += one.buffer
+        link = DatabaseLink(pool, lambda link: self.stream(one.stream, link, DATABASE_MAX_UNSENT_BYTES))
+        link.decoder.lines.buffer += one.buffer
         if one.fresh:
             pool.links.append(link)
         if one.buffer:
-            link.half = self.loop.after(WHOLE, lambda: link.close("unfinished"))
+            link.start_partial_reply_timer()
         for i, start, end, at in one.calls:
             rpc = self.rpcs[i]
-            rpc.call = call = Call(rpc, link, start, end)
-            link.calls[rpc.rid] = call
-            call.timer = self.loop.after(max(0.0, at - self.loop.now_ms), partial(pool.timeout, call))
+            call = DatabaseCall(rpc, link, start, end)
+            pool.calls[rpc] = call
+            link.calls[rpc.rpc_id] = call
+            call.timer = self.loop.after(max(0.0, at - self.loop.now_ms), partial(pool.on_timeout, call))
         return link
 
     def engine(self) -> None:
@@ -420,11 +458,11 @@
         for name, value in one.plain.items():
             if name in ENGINE_LINK_STATE:
                 setattr(e, ENGINE_LINK_STATE[name], value)
-        e.reader = engine_wire.NoticeDecoder()
-        e.reader.lines.buffer += one.buffer
-        e.stats = (one.stats[0], one.stats[1]) if one.stats is not None else None
-        e.unsure.extend(c for c in (self.rpcs[i].command for i in one.unsure) if c is not None)
+        e.decoder = engine_wire.NoticeDecoder()
+        e.decoder.lines.buffer += one.buffer
+        e.gauge_query = GaugeQuery(one.stats[0], one.stats[1]) if one.stats is not None else None
+        e.unconfirmed.extend(e.commands[self.rpcs[i]] for i in one.unsure if self.rpcs[i] in e.commands)
         if one.stream is not None:
-            e.stream = self.stream(one.stream, e, ENGINE_BOUND)
+            e.stream = self.stream(one.stream, e, ENGINE_MAX_UNSENT_BYTES)
         else:
-            e.next = self.loop.after(RETRY, e.attach)
+            e.reconnect_timer = self.loop.after(RECONNECT_DELAY_MS, e.attach)
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -10,7 +10,7 @@
 import msgpack
 
 from landingshift.admission.interface import Idempotency
-from landingshift.net.program.main import Signals
+from landingshift.net.program.signals import SignalWatcher
 from landingshift.net.transport.loop import Loop
 from tests.helpers import METHOD, Bench, Engine, Gateway, World, until
 from tests.test_connections import Door
@@ -62,15 +62,15 @@
         waits.sendall(msgpack.packb([0, 1, "m", [{}, b"work"]]))
         short = Short(door.gateways.listener.sock)
         door.gateways.listener.sock = short  # type: ignore[assignment]
-        door.gateways.leave()
+        door.gateways.start_draining()
         door.turn_until(lambda: short.asked > 2)
-        self.assertFalse(door.gateways.gone())
+        self.assertFalse(door.gateways.is_drained())
         short.short = False
         door.turn_until(lambda: door.news.reads == [1])
         self.assertFalse(door.gateways.listener.is_open)
         for connection in door.gateways.connections:
             connection.stream.close("test")
-        self.assertTrue(door.gateways.gone())
+        self.assertTrue(door.gateways.is_drained())
 
     def test_who_comes_again_at_once_is_refused(self) -> None:
         # Neither taken, nor left waiting until after the stop.
@@ -205,9 +205,9 @@
         peer, connection = door.come(proven=True)
         peer.sendall(msgpack.packb([0, 1, "m", [{}, b"work"]]))
         door.turn_until(lambda: door.news.reads)
-        door.gateways.leave()
+        door.gateways.start_draining()
         door.turn_until(lambda: not connection.stream.output)
-        connection.away = door.loop.now_ms  # the time that it had is over
+        connection.goaway_deadline_ms = door.loop.now_ms  # the time that it had is over
         connection.answer(1, msgpack.packb([1, 1, None, [b"r", {}]]))
         passes = 0
         while not connection.stream.close_reason and passes < 3:
@@ -244,15 +244,15 @@
         # A pass of the loop may take long; what comes after the grace must not run for that.
         loop, heard = Loop(lambda: None), []
         kept = {n: signal.getsignal(n) for n in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)}
-        signals = Signals(loop)
+        signals = SignalWatcher(loop)
         for number, handler in kept.items():
             self.addCleanup(signal.signal, number, handler)
         self.addCleanup(signal.set_wakeup_fd, -1)
-        self.addCleanup(signals.seen.close)
-        self.addCleanup(signals.wakes.close)
-        signals.heard = lambda number, at: heard.append((number, at))
+        self.addCleanup(signals.reader.close)
+        self.addCleanup(signals.writer.close)
+        signals.on_signal = lambda number, at: heard.append((number, at))
         os.kill(os.getpid(), signal.SIGTERM)
-        until(lambda: signal.SIGTERM in signals.came)
+        until(lambda: signal.SIGTERM in signals.came_ms)
         after = loop.clock_ms()
         until(lambda: loop.clock_ms() > after + 20.0)  # the rest of a long pass
         loop.run_pass()
--- a/tests/test_golden_protocol.py
+++ b/tests/test_golden_protocol.py
@@ -17,7 +17,8 @@
 from landingshift.membership import large_messages, wire
 from landingshift.membership.large_messages import LargeMessageTransport
 from landingshift.membership.messages import MemberRecord, MemberState
-from landingshift.membership.node import SwimNode, SwimTimings
+from landingshift.membership.node import SwimNode
+from landingshift.membership.timings import SwimTimings
 from landingshift.net.program import features
 from landingshift.net.program.config import decode_config as read_site
 from landingshift.net.protocol import database, engine, gateway, roster
@@ -61,10 +62,10 @@
             self,
             "gateway_written.json",
             {
-                "ok": gateway.ok(7, b"body", told),
-                "pushed back": gateway.pushed_back(7, told),
-                "aborted": gateway.aborted(7, told),
-                "health": gateway.probed(7, True, told),
+                "ok": gateway.encode_ok(7, b"body", told),
+                "pushed back": gateway.encode_rejected(7, told),
+                "aborted": gateway.encode_aborted(7, told),
+                "health": gateway.encode_health(7, True, told),
                 "goaway": gateway.GOAWAY,
             },
         )
@@ -72,7 +73,7 @@
     def test_read(self) -> None:
         data = gateway.pack([0, 9, "m", [FIELDS, b"body"]]) + gateway.pack([2, "giveUp", [9]])
         messages = gateway.MessageDecoder().feed(data + gateway.pack([2, "other", []]) + b"\xc1")
-        fields = gateway.fields(messages[0].params, "try-mark")  # type: ignore[union-attr]
+        fields = gateway.decode_fields(messages[0].params, "try-mark")  # type: ignore[union-attr]
         values = [getattr(fields, name) for name in type(fields).__slots__]
         rows: list[Any] = [[getattr(m, name) for name in type(m).__slots__] for m in messages]
         assert_golden_json(
@@ -82,7 +83,11 @@
                 "data": data,
                 "messages": rows,
                 "fields": values,
-                "deep": [gateway.deep([{"deep": "1"}]), gateway.deep([{}]), gateway.deep([])],
+                "deep": [
+                    gateway.is_deep_health_check([{"deep": "1"}]),
+                    gateway.is_deep_health_check([{}]),
+                    gateway.is_deep_health_check([]),
+                ],
             },
         )
 
@@ -93,18 +98,18 @@
             self,
             "engine_database_roster_written.json",
             {
-                "attach": engine.attach(3),
-                "run": engine.run(RID, b"m", b"body"),
-                "feed": engine.feed(RID, b"rows"),
-                "skip": engine.skip(RID, 5),
-                "halt": engine.halt(RID),
-                "stat": engine.stat(b"s1"),
-                "test": engine.test(b"t1"),
-                "query": database.call(RID, 120.4, b"q"),
-                "empty query": database.call(RID, 0.0, b""),
-                "give up": database.give_up(RID),
-                "on": roster.here("n3", True).decode(),
-                "off": roster.here("n3", False).decode(),
+                "attach": engine.encode_attach(3),
+                "run": engine.encode_run(RID, b"m", b"body"),
+                "feed": engine.encode_call_reply(RID, b"rows"),
+                "skip": engine.encode_skip_call(RID, 5),
+                "halt": engine.encode_halt(RID),
+                "stat": engine.encode_gauge_query(b"s1"),
+                "test": engine.encode_self_test(b"t1"),
+                "query": database.encode_call(RID, 120.4, b"q"),
+                "empty query": database.encode_call(RID, 0.0, b""),
+                "give up": database.encode_cancel(RID),
+                "on": roster.encode_presence("n3", True).decode(),
+                "off": roster.encode_presence("n3", False).decode(),
             },
         )
 
@@ -123,7 +128,9 @@
         replies += RID + b" ROWS 4\r\nrows\r\n" + RID + b" ROWS 0\r\n\r\n"
         rows = [[getattr(m, name) for name in type(m).__slots__] for m in engine.NoticeDecoder().feed(sent)]
         rows = [[getattr(value, "value", value) for value in row] for row in rows]
-        found = [[rid, outcome.value, body] for rid, outcome, body in database.ReplyDecoder().feed(replies)]
+        found = [
+            [reply.rpc_id, reply.outcome.value, reply.rows] for reply in database.ReplyDecoder().feed(replies)
+        ]
         assert_golden_json(self, "engine_database_read.json", {"notices": rows, "replies": found})
 
 
@@ -132,11 +139,11 @@
         kinds = set()
         for name, data in golden_json("membership_datagrams.json").items():
             with self.subTest(name=name):
-                if len(data) <= wire.LARGEST:
+                if len(data) <= wire.MAX_DATAGRAM_BYTES:
                     message = wire.decode("golden", data)
-                    kinds.add(message.kind)
+                    kinds.add(type(message.payload))
                     self.assertEqual(wire.encode("golden", message), data)
-        self.assertEqual(kinds, set(type(message.kind)))
+        self.assertEqual(kinds, set(wire.WIRE_NAMES))
 
     def test_large_messages(self) -> None:
         sent: list[bytes] = []
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -502,7 +502,7 @@
         self.engine.send(b"DONE 4 %016x good 5 1\r\nx\r\nDONE 5 %016x bad 5 0\r\n\r\n" % (2, 4))
         self.assertEqual(self.answers(g, 4), {1: b"runs", 2: b"x", 4: "Failed", 5: b"told"})
         self.assertEqual(self.faults, [])
-        self.assertEqual((len(self.router.rpcs), len(self.router.by_id)), (0, 0))
+        self.assertEqual((len(self.router.table.slots), len(self.router.table.slot_by_id)), (0, 0))
 
     def test_deadlines_and_a_drain_move_as_they_are(self) -> None:
         # A taker that counted the wait anew would answer at 1,400 ms; a full machine must not look like one.
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from landingshift.admission.interface import Idempotency, Method, Outcome
-from landingshift.net.routing.dedup import ENTRY, DedupTable
+from landingshift.net.routing.dedup import ENTRY_BYTES, DedupTable
 from landingshift.net.routing.rpc_record import RoutedRpc
 from tests.helpers import METHOD, SETTINGS, Bench, Engine, Gateway, World, until
 from tests.test_server import prove
@@ -26,11 +26,11 @@
         is_duplicate=False,
         is_retry=False,
         is_write=False,
-        rid=b"",
-        name=b"m",
+        rpc_id=b"",
+        method_name=b"m",
         body=b"",
         connection=0,
-        number=0,
+        message_id=0,
         dedup_key=(b"m", name),
     )
 
@@ -39,41 +39,41 @@
     """Times in ms; the window of 500 opens when the first try reached the machine, at 0."""
 
     def table(self) -> tuple[DedupTable, RoutedRpc]:
-        kept, first = DedupTable(1 << 20, 0.0, oldest=12000.0), routed("a")
-        kept.keep(first, 501.0)
+        kept, first = DedupTable(1 << 20, 0.0, max_age_ms=12000.0), routed("a")
+        kept.reserve(first, 501.0)
         return kept, first
 
     def test_it_counts_to_the_arrival(self) -> None:
         for read, waited, known in [(400.0, 0.0, True), (700.0, 250.0, True), (700.0, 150.0, False)]:
             with self.subTest(read=read, waited=waited):
                 kept, first = self.table()
-                entry = kept.owned(first)
+                entry = kept.owned_by(first)
                 assert entry is not None
-                kept.end(entry, Outcome.OK, b"r", 100.0)
+                kept.complete(entry, Outcome.OK, b"r", 100.0)
                 self.assertIs(kept.find(routed("a"), read, read - waited), entry if known else None)
 
     def test_it_does_not_end_under_a_run(self) -> None:
         kept, first = self.table()
-        entry = kept.owned(first)
+        entry = kept.owned_by(first)
         assert entry is not None
         self.assertIs(kept.find(routed("a"), 9000.0, 9000.0), entry)
-        kept.end(entry, Outcome.OK, b"r", 9001.0)
+        kept.complete(entry, Outcome.OK, b"r", 9001.0)
         self.assertIsNone(kept.find(routed("a"), 9002.0, 9002.0))
 
     def test_short_memory_forgets_no_effect(self) -> None:
-        kept = DedupTable(3 * (ENTRY + 100), 0.0, oldest=1000.0)
+        kept = DedupTable(3 * (ENTRY_BYTES + 100), 0.0, max_age_ms=1000.0)
         names = ["runs", "late", "within", "over"]
         owners = {name: routed(name) for name in names}
         for name, until_ms in [("runs", 10.0), ("late", 1500.0), ("within", 5000.0), ("over", 900.0)]:
-            kept.keep(owners[name], until_ms)
+            kept.reserve(owners[name], until_ms)
         for name in names[1:]:
-            entry = kept.owned(owners[name])
+            entry = kept.owned_by(owners[name])
             assert entry is not None
-            kept.end(entry, Outcome.OK, bytes(90), 10.0)
-        entry = kept.owned(owners["within"])
+            kept.complete(entry, Outcome.OK, bytes(90), 10.0)
+        entry = kept.owned_by(owners["within"])
         assert entry is not None
-        kept.end(entry, Outcome.OK, bytes(2000), 2000.0)
-        self.assertEqual({n for n, rpc in owners.items() if kept.owned(rpc)}, {"runs", "late", "within"})
+        kept.complete(entry, Outcome.OK, bytes(2000), 2000.0)
+        self.assertEqual({n for n, rpc in owners.items() if kept.owned_by(rpc)}, {"runs", "late", "within"})
 
 
 class OnSockets(unittest.TestCase):
