--- a/landingshift/drill/__init__.py
+++ b/landingshift/drill/__init__.py
@@ -1,1 +1,1 @@
-"""The bench adapter: decodes the simulator's wire, dispatches to the decision module, encodes replies."""
+"""The simulator's adapter: its wire in, calls of the controller, and the controller's actions out."""
--- a/landingshift/drill/__main__.py
+++ b/landingshift/drill/__main__.py
@@ -1,3 +1,5 @@
+"""Serves the simulator on the standard streams: `python -m landingshift.drill`."""
+
 import sys
 
 from landingshift.drill.adapter import main
--- /dev/null
+++ b/landingshift/drill/wire.py
@@ -0,0 +1,203 @@
+"""The simulator's wire: its words, the events that it sends and the checks of their fields.
+
+A message is a JSON array that begins with its word. `Batch` opens a moment, `End` closes it; between them
+stand events, each with the number of the instance that it is for. Only this module knows the words; the
+controller's terms are given out.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import Any
+
+from landingshift.admission.interface import Gauges, Outcome, Rpc, Settings
+from landingshift.drill.errors import (
+    NotANumberError,
+    UnknownEventError,
+    UnknownReferenceError,
+    WrongFieldsError,
+)
+
+# Messages to the adapter.
+BATCH, END, CONFIGURE, DESTROY = "Batch", "End", "Configure", "Destroy"
+INGRESS, RESULT, WANTS_CALL, CALL_DONE = "Ingress", "Result", "WantsCall", "CallDone"
+HANGUP, QUIESCE, ELAPSED = "Hangup", "Quiesce", "Elapsed"
+
+# Messages to the simulator.
+EXECUTE, YANK, BUSY, ERROR = "Execute", "Yank", "Busy", "Error"
+GO_CALL, BYPASS = "GoCall", "Bypass"
+RETAIN, EVICT, JOIN = "Retain", "Evict", "Join"
+SET_HEALTH, ADVERTISE, REAP_AFTER = "SetHealth", "Advertise", "ReapAfter"
+NOTIFY_ME, NOTE_DOWN, GIVE_IN, YIELD = "NotifyMe", "NoteDown", "GiveIn", "Yield"
+
+OUTCOMES = {
+    "served": Outcome.OK,
+    "server_error": Outcome.ABORTED,
+    "turned_away": Outcome.REJECTED,
+    "no_answer": Outcome.NO_RESPONSE,
+    "no_connection": Outcome.NO_CONNECTION,
+    "connection_lost": Outcome.CONNECTION_LOST,
+    "called_off": Outcome.CANCELLED,
+    "not_sent": Outcome.NOT_SENT,
+}
+FIELD_COUNTS = {INGRESS: 12, RESULT: 3, WANTS_CALL: 1, CALL_DONE: 3, HANGUP: 1, QUIESCE: 1, ELAPSED: 2}
+"""Fields of each event behind the number of its instance; those that are missing are null."""
+
+HINT_BIT, RETRY_BIT, WRITE_BIT = 1, 2, 4
+"""Of the marks of an RPC: its work hint is valid, it is a further attempt, it writes."""
+METHOD_FIELD, TENANT_FIELD = 6, 8
+NUMBER_FIELDS = (2, 3, 4, 7, 11)
+"""Fields of `Ingress` that are numbers or null."""
+
+
+@dataclass(slots=True, eq=False)
+class SimulatedRpc(Rpc):
+    """An RPC with the id by which the simulator knows it."""
+
+    rpc_id: str
+
+
+@dataclass(slots=True)
+class RpcRead:
+    """An RPC has been read."""
+
+    rpc: SimulatedRpc
+
+
+@dataclass(slots=True)
+class RunFinished:
+    """A run is over, or the attempt that a duplicate waited for."""
+
+    rpc_id: str
+    outcome: Outcome
+    run_ms: float
+
+
+@dataclass(slots=True)
+class CallNeeded:
+    """A run needs a downstream call."""
+
+    rpc_id: str
+
+
+@dataclass(slots=True)
+class CallFinished:
+    """A downstream call is over."""
+
+    rpc_id: str
+    outcome: Outcome
+    latency_ms: float
+
+
+@dataclass(slots=True)
+class CallerGone:
+    """Nobody waits for the RPC any more."""
+
+    rpc_id: str
+
+
+@dataclass(slots=True)
+class DrainNotice:
+    """The instance is to leave."""
+
+    remaining_ms: float
+
+
+@dataclass(slots=True)
+class TimerFired:
+    """A check that was asked for is due."""
+
+    gauges: Gauges
+
+
+Event = RpcRead | RunFinished | CallNeeded | CallFinished | CallerGone | DrainNotice | TimerFired
+
+
+def padded_fields(name: str, fields: list[Any]) -> list[Any]:
+    """The fields of an event in full number; trailing ones that are null may be left out."""
+    count = FIELD_COUNTS[name]
+    return [*fields, *[None] * (count - len(fields))][:count]
+
+
+def check_event(name: str, fields: list[Any], settings: Settings) -> None:
+    """Checks the fields of an event.
+
+    Args:
+        name: Its word.
+        fields: Its fields, padded.
+        settings: Of the instance that it is for.
+
+    Raises:
+        MalformedMessageError: A field is of the wrong kind, or names what the settings do not have.
+    """
+    if name == ELAPSED:
+        return
+    if name == QUIESCE:
+        if not isinstance(fields[0], int | float):
+            raise WrongFieldsError(name, "a time")
+        return
+    if not isinstance(fields[0], str):
+        raise WrongFieldsError(name, "the id of an RPC")
+    if name in (RESULT, CALL_DONE):
+        _check_end(name, fields)
+    elif name == INGRESS:
+        _check_rpc(fields, settings)
+
+
+def _check_end(name: str, fields: list[Any]) -> None:
+    outcome, elapsed_ms = fields[1], fields[2]
+    if outcome not in OUTCOMES or not isinstance(elapsed_ms, int | float):
+        raise WrongFieldsError(name, f"an outcome and a time, not {outcome!r} and {elapsed_ms!r}")
+
+
+def _check_rpc(fields: list[Any], settings: Settings) -> None:
+    method, tenant = fields[METHOD_FIELD], fields[TENANT_FIELD]
+    if not isinstance(method, int) or not 0 <= method < len(settings.methods):
+        raise UnknownReferenceError(INGRESS, "type", method)
+    if settings.tenants and not 0 <= (tenant or 0) < len(settings.tenants):
+        raise UnknownReferenceError(INGRESS, "client-group", tenant)
+    numbers = [fields[place] for place in NUMBER_FIELDS]
+    if not all(number is None or isinstance(number, int | float) for number in numbers):
+        raise NotANumberError(INGRESS)
+
+
+def decode_event(name: str, fields: list[Any], settings: Settings) -> Event:
+    """The event of fields that `check_event` took."""
+    match name:
+        case "Ingress":
+            return RpcRead(_decode_rpc(fields, settings))
+        case "Result":
+            return RunFinished(fields[0], OUTCOMES[fields[1]], fields[2])
+        case "WantsCall":
+            return CallNeeded(fields[0])
+        case "CallDone":
+            return CallFinished(fields[0], OUTCOMES[fields[1]], fields[2])
+        case "Hangup":
+            return CallerGone(fields[0])
+        case "Quiesce":
+            return DrainNotice(fields[0])
+        case "Elapsed":
+            stats = fields[1] or {}
+            return TimerFired(Gauges(stats.get("core_use"), stats.get("on_cores"), stats.get("links")))
+    raise UnknownEventError(name)
+
+
+def _decode_rpc(fields: list[Any], settings: Settings) -> SimulatedRpc:
+    rpc_id, key, ttl_ms, waited_ms, memory_kb, caller_id, method, hint_ms, tenant, _, original, marks = fields
+    bits = marks or 0
+    # A remaining time of 0 stands for one that is not told, unless the callers tell it.
+    tells_remaining = ttl_ms is not None and (ttl_ms > 0 or settings.callers_send_deadline)
+    return SimulatedRpc(
+        method=settings.methods[method],
+        tenant=settings.tenants[tenant or 0] if settings.tenants else None,
+        remaining_ms=ttl_ms if tells_remaining else None,
+        waited_ms=waited_ms or 0.0,
+        memory_kb=memory_kb or 0.0,
+        caller_id=caller_id or 0,
+        work_hint_ms=hint_ms if hint_ms and bits & HINT_BIT else None,
+        has_cache_key=bool(key),
+        is_duplicate=bool(original),
+        is_retry=bool(bits & RETRY_BIT),
+        is_write=bool(bits & WRITE_BIT),
+        rpc_id=rpc_id,
+    )
--- a/landingshift/net/program/config.py
+++ b/landingshift/net/program/config.py
@@ -16,7 +16,7 @@
 )
 from landingshift.net.program.config_reader import REQUIRED, ConfigReader
 from landingshift.net.routing.server_config import ServerConfig
-from landingshift.settings import BadSetting, decode
+from landingshift.settings import SettingsError, decode_settings
 
 __all__ = ["ServerConfigError", "decode_config", "load_config"]
 
@@ -85,7 +85,7 @@
 
 def _decode_settings(settings: ConfigReader) -> Settings:
     try:
-        return decode(settings.data, settings.path)
-    except BadSetting as err:
+        return decode_settings(settings.data, settings.path)
+    except SettingsError as err:
         key, _, problem = str(err).partition(": ")
         raise ServerConfigError(key, problem) from err
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -42,7 +42,7 @@
 
     def test_an_exception_in_the_module_is_reported(self) -> None:
         with mock.patch(
-            "landingshift.drill.adapter.AdmissionController.settle", side_effect=ValueError("odd")
+            "landingshift.admission.controller.AdmissionController.settle", side_effect=ValueError("odd")
         ):
             _, out, _ = exchange(["Batch", 10.0, 1], START, ["End"], ["Batch", 14.0, 2], READ, ["End"])
         told = [v for v in out if v[0] == "GiveIn"]
