--- a/landingshift/coldstart/service.py
+++ b/landingshift/coldstart/service.py
@@ -30,7 +30,6 @@
 MIN_TIMER_DELAY_MS = 5.0
 NEED_HEADROOM_RATIO = 1.25  # of what is asked for to what is needed: room to grow into
 MIN_NEEDED_CALLS_PER_SECOND = 1.0
-RPC_RATE_WINDOW_SECONDS = 2.0  # of the admission's recent values, whose count gives the rate of work
 NO_QUOTA = -1.0  # a quota that was never handed out
 
 
@@ -113,7 +112,7 @@
         return LoadObservation(
             warm_fraction=min(1.0, age_ms / warm_up_ms) if warm_up_ms else 1.0,
             needed_calls_per_second=needed,
-            waiting_rpcs_per_second=admission.values.size(now_ms) / RPC_RATE_WINDOW_SECONDS,
+            waiting_rpcs_per_second=admission.arrivals_per_second(now_ms),
             saturation=self._saturation.saturation(now_ms, self._coordinator.reported_baseline_ms),
             baseline_latency_ms=self._saturation.baseline_latency_ms,
         )
--- a/landingshift/net/routing/rpc_record.py
+++ b/landingshift/net/routing/rpc_record.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 
-from landingshift.admission.controller import ManagedRpc
 from landingshift.admission.interface import Rpc
+from landingshift.admission.managed_rpc import ManagedRpc
 
 
 @dataclass(slots=True, eq=False)
