--- a/tests/test_golden_protocol.py
+++ b/tests/test_golden_protocol.py
@@ -269,6 +269,10 @@
             for _ in range(20):
                 loop.after(2.0, lambda: None)
                 loop.run_pass()
+            if method == "upkeep_status":
+                # Whether this server's own report is late is a matter of the machine's load.
+                self.assertLessEqual(set(result["lost"]), {"n3"})
+                result["lost"] = []
             found[f"{method} {json.dumps(params, default=repr)}"] = [kind, number, error, shape(result)]
         while services:
             services.pop().finish()
