--- a/benchmarks/handover.py
+++ b/benchmarks/handover.py
@@ -21,8 +21,8 @@
     RunCancellation,
     Settings,
 )
-from landingshift.hot_restart.carrier import MOST, Carrier, Frame
-from landingshift.hot_restart.journal import Journal, Kind
+from landingshift.hot_restart.channel import MAX_FRAME_DESCRIPTORS, Channel, Frame
+from landingshift.hot_restart.request_journal import RecordKind, RequestJournal
 
 FDS, RPCS = 400, 1000
 
@@ -77,16 +77,16 @@
 def descriptors() -> None:
     """400 descriptors over the carrier and closed again on the other side."""
     ours, theirs = socket.socketpair()
-    a, b = Carrier(ours), Carrier(theirs)
+    a, b = Channel(ours), Channel(theirs)
     fds = [os.memfd_create("x") for _ in range(FDS)]
 
     def move() -> None:
         got: list[int] = []
-        for i in range(0, FDS, MOST):
-            a.send(Frame(1, b"", fds[i : i + MOST]))
+        for i in range(0, FDS, MAX_FRAME_DESCRIPTORS):
+            a.send(Frame(1, b"", fds[i : i + MAX_FRAME_DESCRIPTORS]))
             a.flush()
-            for frame in b.read():
-                got += frame.fds
+            for frame in b.receive():
+                got += frame.descriptors
         for fd in got:
             os.close(fd)
 
@@ -122,12 +122,12 @@
 
 def journal() -> None:
     """Records of 1 KB, as an RPC read on probation makes."""
-    record, shared = bytes(1024), Journal.make(64 << 20)
+    record, shared = bytes(1024), RequestJournal.create(64 << 20)
 
     def write() -> None:
-        shared.map[8:16] = bytes(8)
+        shared.memory[8:16] = bytes(8)
         for i in range(10_000):
-            shared.write(Kind.READ, i, record)
+            shared.write(RecordKind.BYTES_READ, i, record)
 
     print(f"a record of 1 KB: {timed(write) / 10:.2f} us")
     shared.close()
--- /dev/null
+++ b/landingshift/hot_restart/state_export.py
@@ -0,0 +1,240 @@
+"""Export of all that a server has in hand, as bytes and descriptors for another build.
+
+Called between two passes of the loop, when nothing waits to be settled.
+
+Guarantee: the old router is left as it is and goes on if the new one does not.
+Failure mode: state that can't be transferred is refused by a `StateTransferError` before anything is given
+away.
+"""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from msgspec import msgpack
+
+from landingshift.admission.controller import ManagedRpc
+from landingshift.hot_restart.errors import (
+    AnswersGatedError,
+    ReplacedResultError,
+    UnfinishedPassError,
+    UnmanagedRpcError,
+)
+from landingshift.hot_restart.stored_state import (
+    CONNECTION_NAMES,
+    ENGINE_LINK_NAMES,
+    NO_INDEX,
+    RPC_FACT_NAMES,
+    RPC_RECORD_NAMES,
+    StoredCommand,
+    StoredConnection,
+    StoredDatabaseCall,
+    StoredDatabaseLink,
+    StoredDedupEntry,
+    StoredEngineLink,
+    StoredGaugeQuery,
+    StoredHealth,
+    StoredRpc,
+    StoredState,
+    StoredStream,
+    stored_values,
+)
+from landingshift.net.routing.database_pool import DatabaseCall, DatabaseLink
+from landingshift.net.routing.dedup import DedupEntry
+from landingshift.net.routing.gateway_connection import GatewayConnection
+from landingshift.net.routing.router import Router
+from landingshift.net.routing.rpc_record import RoutedRpc
+from landingshift.net.transport.stream import Stream
+
+
+class ExportedState(NamedTuple):
+    """What goes to the other build.
+
+    Attributes:
+        data: A `StoredState` in MessagePack.
+        descriptors: Those that it speaks of, the listener first; all stay the old process's own.
+    """
+
+    data: bytes
+    descriptors: list[int]
+
+
+class StateExporter:
+    """Exports one router's state once.
+
+    Raises:
+        StateTransferError: Where a pass is not over, or answers are gated.
+    """
+
+    def __init__(self, router: Router) -> None:
+        driver = router.driver
+        if driver.deferred or driver.needs_settle or router.loop.pending_writers or router.database.cancelled:
+            raise UnfinishedPassError
+        if router.answers.gate is not None:
+            raise AnswersGatedError
+        self._router = router
+        self._descriptors: list[int] = []
+        self._connections = list(router.gateways.connections)
+        self._links = [*router.database.links]
+        self._links += [link for link in self._links_with_calls() if link not in self._links]
+        self._rpc_indexes: dict[RoutedRpc, int] = {}
+        self._entry_indexes: dict[DedupEntry, int] = {}
+
+    def _links_with_calls(self) -> list[DatabaseLink]:
+        """Returns links that have calls, retired ones too."""
+        calls = self._router.database.calls
+        return list({calls[rpc].link: None for rpc in self._router.table if rpc in calls})
+
+    def export(self) -> ExportedState:
+        """Returns the state and its descriptors.
+
+        Raises:
+            StateTransferError: Where the admission controller lacks an RPC, or one repeats a replaced result.
+        """
+        router = self._router
+        router.engine.abandon_self_tests()
+        self._descriptors.append(router.gateways.listener.sock.fileno())
+        admission = router.admission
+        admission_state = None
+        managed_rpcs: list[ManagedRpc] = []
+        if admission is not None:
+            admission_state, managed_rpcs = admission.export_state()
+        rpcs = self._index_rpcs(managed_rpcs)
+        self._index_dedup_entries(rpcs)
+        # The order of the fields is that of the descriptors.
+        state = StoredState(
+            connections=[self._connection(connection) for connection in self._connections],
+            rpcs=[self._rpc(rpc) for rpc in rpcs],
+            dedup_entries=[self._dedup_entry(entry) for entry in self._entry_indexes],
+            database_links=[self._link(link) for link in self._links if link.stream is not None],
+            engine_link=self._engine_link(),
+            admission=admission_state,
+            managed_rpc_count=len(managed_rpcs),
+            starts_cold=admission is not None and admission.settings.starts_cold,
+            answer_headers=router.answers.headers,
+            is_draining=router.is_draining,
+            stop_at_ms=router.shutdown.stop_at_ms,
+            health=self._health(),
+            idle_limit_ms=router.gateways.context.idle_limit_ms,
+        )
+        return ExportedState(msgpack.encode(state), self._descriptors)
+
+    def _index_rpcs(self, managed_rpcs: list[ManagedRpc]) -> list[RoutedRpc]:
+        """Numbers all RPCs: the admission controller's in its order, then owners of deduplication entries."""
+        rpcs = [managed.rpc for managed in managed_rpcs if isinstance(managed.rpc, RoutedRpc)]
+        assert len(rpcs) == len(managed_rpcs)
+        self._rpc_indexes = {rpc: index for index, rpc in enumerate(rpcs)}
+        for entry in self._router.dedup.entries.values():
+            if entry.owner not in self._rpc_indexes:
+                self._rpc_indexes[entry.owner] = len(rpcs)
+                rpcs.append(entry.owner)
+        if any(rpc not in self._rpc_indexes for rpc in self._router.table):
+            raise UnmanagedRpcError
+        return rpcs
+
+    def _index_dedup_entries(self, rpcs: list[RoutedRpc]) -> None:
+        """Numbers the entries. One that a newer one has replaced can't be found again by its key."""
+        dedup = self._router.dedup
+        self._entry_indexes = {entry: index for index, entry in enumerate(dedup.entries.values())}
+        originals = dedup.originals
+        if any(originals[rpc] not in self._entry_indexes for rpc in rpcs if rpc in originals):
+            raise ReplacedResultError
+
+    def _stream(self, stream: Stream) -> StoredStream:
+        self._descriptors.append(stream.sock.fileno())
+        return StoredStream(
+            descriptor_index=len(self._descriptors) - 1,
+            output=bytes(stream.output),
+            queued_bytes=stream.queued_bytes,
+            sent_bytes=stream.sent_bytes,
+            last_activity_ms=stream.last_activity_ms,
+            is_reading=stream.is_reading,
+            is_connecting=stream.is_connecting,
+            close_reason=stream.close_reason,
+        )
+
+    def _connection(self, connection: GatewayConnection) -> StoredConnection:
+        return StoredConnection(
+            stream=self._stream(connection.stream),
+            unread=connection.decoder.buffer,
+            attributes=stored_values(connection, CONNECTION_NAMES),
+            rpc_indexes={number: self._rpc_indexes[rpc] for number, rpc in connection.rpcs.items()},
+        )
+
+    def _rpc(self, rpc: RoutedRpc) -> StoredRpc:
+        router = self._router
+        config = router.config
+        connection = router.gateways.connections.get(rpc.connection)
+        original = router.dedup.originals.get(rpc)
+        used_links = router.database.used_links.get(rpc, ())
+        return StoredRpc(
+            method_index=config.settings.methods.index(rpc.method),
+            tenant_name=next((name for name, tenant in config.tenants.items() if tenant is rpc.tenant), None),
+            record=stored_values(rpc, RPC_RECORD_NAMES),
+            facts=stored_values(rpc, RPC_FACT_NAMES),
+            connection_index=NO_INDEX if connection is None else self._connections.index(connection),
+            command=self._command(rpc),
+            original_index=NO_INDEX if original is None else self._entry_indexes[original],
+            waits_for_original=original is not None and rpc in original.waiters,
+            used_link_indexes=[index for index, link in enumerate(self._links) if link in used_links],
+        )
+
+    def _command(self, rpc: RoutedRpc) -> StoredCommand | None:
+        command = self._router.engine.commands.get(rpc)
+        if command is None:
+            return None
+        return StoredCommand(
+            data=command.data,
+            starts_run=command.starts_run,
+            stream_end=command.stream_end,
+            is_in_doubt=command.is_in_doubt,
+            is_withheld=command.is_withheld,
+        )
+
+    def _dedup_entry(self, entry: DedupEntry) -> StoredDedupEntry:
+        return StoredDedupEntry(
+            owner_index=self._rpc_indexes[entry.owner],
+            expires_ms=entry.expires_ms,
+            outcome=entry.outcome.value if entry.outcome is not None else None,
+            ended_ms=entry.ended_ms,
+            result=entry.result,
+            run_time_ms=entry.run_time_ms,
+        )
+
+    def _link(self, link: DatabaseLink) -> StoredDatabaseLink:
+        assert link.stream is not None
+        return StoredDatabaseLink(
+            stream=self._stream(link.stream),
+            unread=bytes(link.decoder.lines.buffer),
+            takes_new_calls=link in self._router.database.links,
+            calls=[self._call(call) for call in link.calls.values()],
+        )
+
+    def _call(self, call: DatabaseCall) -> StoredDatabaseCall:
+        return StoredDatabaseCall(
+            rpc_index=self._rpc_indexes[call.rpc],
+            started_ms=call.started_ms,
+            stream_end=call.stream_end,
+            times_out_ms=call.timer.due_ms if call.timer else 0.0,
+        )
+
+    def _engine_link(self) -> StoredEngineLink:
+        engine = self._router.engine
+        gauge_query = None
+        if engine.gauge_query is not None:
+            gauge_query = StoredGaugeQuery(engine.gauge_query.tag, engine.gauge_query.bytes_before)
+        return StoredEngineLink(
+            stream=self._stream(engine.stream) if engine.stream is not None else None,
+            unread=bytes(engine.decoder.lines.buffer),
+            attributes=stored_values(engine, ENGINE_LINK_NAMES),
+            gauge_query=gauge_query,
+            unconfirmed_rpc_indexes=[
+                self._rpc_indexes[command.rpc]
+                for command in engine.unconfirmed
+                if engine.commands.get(command.rpc) is command
+            ],
+        )
+
+    def _health(self) -> StoredHealth:
+        reporter = self._router.health_reporter
+        return StoredHealth(reporter.is_healthy, reporter.is_shallow, reporter.is_reporting)
--- /dev/null
+++ b/tests/hot_restart_fixtures.py
@@ -0,0 +1,276 @@
+"""Fixtures for state that moves between builds: random events for a controller, a router with its peers."""
+
+from __future__ import annotations
+
+import contextlib
+import os
+import random
+import select
+import socket
+import time
+import traceback
+import unittest
+from dataclasses import dataclass
+from typing import Any
+
+import msgpack as message_pack
+
+from landingshift.admission.controller import ManagedRpc, RpcState
+from landingshift.admission.interface import (
+    DownstreamKind,
+    Gauges,
+    Idempotency,
+    LoadAdvertisement,
+    Method,
+    Outcome,
+    Rpc,
+    Tenant,
+)
+from landingshift.hot_restart.state_export import StateExporter
+from landingshift.hot_restart.state_import import StateImporter
+from landingshift.net.program.config import decode_config
+from landingshift.net.routing.router import Router
+from landingshift.net.transport.loop import Loop
+from tests.helpers import CONFIG, Bench, Peer
+
+EVENT_WEIGHTS = {"read": 8, "tick": 6, "ended": 3, "wants_call": 6, "call_done": 3, "hangup": 1}
+STATE_FOR_EVENT = {"wants_call": RpcState.RUNNING, "call_done": RpcState.CALLING}
+STATES_WITH_A_RUN = (RpcState.RUNNING, RpcState.ABORTED, RpcState.ABANDONED, RpcState.CALLING)
+CALL_OUTCOMES = [Outcome.OK, Outcome.OK, Outcome.NO_RESPONSE, Outcome.REJECTED]
+
+CALLING_METHOD = Method(Idempotency.IDEMPOTENT, 1000.0, 0.0, 3000.0, 1.0, 0.0, 5000.0, True, 0.5)
+TOKEN_METHOD = Method(Idempotency.KEYED, 800.0, 0.0, 2000.0, 3.0, 1.0, 1500.0, True, 0.0)
+TENANT = Tenant(20.0)
+
+PEER_TIMEOUT_SECONDS = 5.0
+FAULT_EVENTS = ("fault", "engine_no", "notices_missing")
+
+
+@dataclass(frozen=True)
+class PlayedEvent:
+    """What happens to a controller; `fraction` in [0, 1) draws the RPC and all figures of the event."""
+
+    name: str
+    fraction: float
+
+
+class DecisionPlayback:
+    """Plays events into a controller and records its actions."""
+
+    def bench(self) -> Bench:
+        return Bench(
+            CALLING_METHOD,
+            TOKEN_METHOD,
+            tenants=[TENANT],
+            downstream=DownstreamKind.SHARED_STORE,
+            downstream_concurrency_quota=1.0,
+            downstream_quota_window_ms=2000.0,
+            load_advertisement=LoadAdvertisement.CREDIT,
+            starts_cold=True,
+            memory_kb=9000.0,
+            response_cache_ttl_ms=500.0,
+        )
+
+    def events(self, rng: random.Random, count: int) -> list[PlayedEvent]:
+        names = rng.choices(list(EVENT_WEIGHTS), list(EVENT_WEIGHTS.values()), k=count)
+        return [PlayedEvent(name, rng.random()) for name in names]
+
+    def play(self, bench: Bench, rpcs: list[ManagedRpc], events: list[PlayedEvent]) -> list[Any]:
+        """Returns the actions of each event, with RPCs by their number; `rpcs` gets those that are read."""
+        steps: list[Any] = []
+        numbers = {managed.rpc: number for number, managed in enumerate(rpcs)}
+        for event in events:
+            bench.did.clear()
+            self._play_event(bench, rpcs, event)
+            if event.name == "read":
+                numbers[rpcs[-1].rpc] = len(rpcs) - 1
+            bench.server.settle()
+            steps.append([(name, *_numbered(values, numbers)) for name, *values in bench.did])
+        return steps
+
+    def _play_event(self, bench: Bench, rpcs: list[ManagedRpc], event: PlayedEvent) -> None:
+        server = bench.server
+        fraction = event.fraction
+        wanted_state = STATE_FOR_EVENT.get(event.name)
+        open_rpcs = [managed for managed in rpcs if managed.state is not None]
+        candidates = [managed for managed in open_rpcs if wanted_state in (None, managed.state)]
+        if event.name == "read":
+            rpcs.append(self._read(bench, fraction))
+        elif event.name == "tick":
+            server.now_ms += fraction * 60
+            if server.now_ms >= server.next_check_ms - 1.0:
+                server.on_timer(Gauges(0.5 + fraction / 2, 2 + 8 * fraction, 30.0))
+        elif candidates:
+            managed = candidates[int(fraction * len(candidates))]
+            if event.name == "ended" and managed.state in STATES_WITH_A_RUN:
+                outcome = Outcome.OK if fraction < 0.9 else Outcome.ABORTED
+                server.on_run_finished(managed, outcome, 20 + 100 * fraction)
+            elif event.name == "wants_call":
+                server.on_call_needed(managed)
+            elif event.name == "call_done":
+                server.on_call_finished(managed, CALL_OUTCOMES[int(fraction * 4)], 10 + 80 * fraction)
+            elif event.name == "hangup":
+                server.on_caller_gone(managed)
+
+    def _read(self, bench: Bench, fraction: float) -> ManagedRpc:
+        return bench.read(
+            method=CALLING_METHOD if fraction < 0.7 else TOKEN_METHOD,
+            tenant=TENANT,
+            remaining_ms=200 + 2800 * fraction,
+            caller_id=int(fraction * 5),
+            memory_kb=5 + 90 * fraction,
+            has_cache_key=fraction < 0.3,
+            waited_ms=fraction * 50,
+        )
+
+
+class RouterHarness:
+    """A router in this process, linked to an engine and a database that the test plays.
+
+    `move` replaces it by one made from its state and descriptors; the peers notice nothing.
+    """
+
+    def __init__(self, case: unittest.TestCase) -> None:
+        self.case = case
+        self.engine_listener = socket.create_server(("127.0.0.1", 0))
+        self.database_listener = socket.create_server(("127.0.0.1", 0))
+        self.roster = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        self.roster.bind(("127.0.0.1", 0))
+        for sock in (self.engine_listener, self.database_listener, self.roster):
+            sock.settimeout(PEER_TIMEOUT_SECONDS)
+            case.addCleanup(sock.close)
+        addresses = {
+            "engine": _address(self.engine_listener),
+            "db": _address(self.database_listener),
+            "roster": _address(self.roster),
+        }
+        self.config = decode_config(CONFIG | addresses, {})
+        self.faults: list[str] = []
+        self.loop = self.new_loop()
+        self.router = Router(self.loop, self.config, self.log)
+        case.addCleanup(lambda: self.close_descriptors(self.router))
+        self.engine = self._greet_engine()
+        self.unpacker = message_pack.Unpacker()
+        self.rpc_count = 0
+
+    def _greet_engine(self) -> Peer:
+        self.run_until_readable(self.engine_listener)
+        engine = self.peer(self.engine_listener.accept()[0])
+        self.run_until_readable(engine)
+        self.case.assertEqual(engine.line()[0], ["ATTACH", "0"])
+        engine.send(b"HELLO old 60000\r\n")
+        self.run_until_readable(engine)
+        self.case.assertEqual(engine.line()[0], ["STAT", "s1"])
+        engine.send(b"STATS s1 0.2 1 0.1 3\r\n")
+        self.run()
+        return engine
+
+    def log(self, event: str, **fields: Any) -> None:
+        if event in FAULT_EVENTS:
+            self.faults.append(f"{event} {fields}")
+
+    def new_loop(self) -> Loop:
+        return Loop(lambda: self.faults.append(traceback.format_exc()))
+
+    def peer(self, sock: socket.socket) -> Peer:
+        peer = Peer.__new__(Peer)
+        peer.sock, peer.buffer = sock, b""
+        sock.settimeout(PEER_TIMEOUT_SECONDS)
+        self.case.addCleanup(sock.close)
+        return peer
+
+    def run(self, duration_ms: float = 15.0) -> None:
+        end_ms = self.loop.clock_ms() + duration_ms
+        self.loop.after(duration_ms, lambda: None)
+        while self.loop.clock_ms() < end_ms:
+            self.loop.run_pass()
+
+    def run_until_readable(self, source: socket.socket | Peer) -> None:
+        """Lets the router go on until something has come."""
+        sock, buffer = (source.sock, source.buffer) if isinstance(source, Peer) else (source, b"")
+        for _ in range(1000):
+            if b"\r\n" in buffer or select.select([sock], [], [], 0.0)[0]:
+                return
+            self.run(5.0)
+
+    def connect_gateway(self) -> socket.socket:
+        sock = socket.create_connection(self.router.gateways.listener.address)
+        sock.settimeout(PEER_TIMEOUT_SECONDS)
+        self.case.addCleanup(sock.close)
+        return sock
+
+    def accept_database_link(self) -> Peer:
+        self.run_until_readable(self.database_listener)
+        return self.peer(self.database_listener.accept()[0])
+
+    def request(self, method: str, body: bytes, **fields: str) -> bytes:
+        """A request as a gateway sends it, with the next message number."""
+        self.rpc_count += 1
+        header = {
+            "id": f"{self.rpc_count:016x}",
+            "at": str(int(time.time() * 1000)),
+            "from": "4",
+            "tenant": "t",
+            "wait": "2000",
+            "kb": "10",
+            **fields,
+        }
+        return bytes(message_pack.packb([0, self.rpc_count, method, [header, body]]))
+
+    def next_command(self) -> tuple[list[str], bytes]:
+        """The next command that the engine gets; queries for its gauges are answered on the way."""
+        for _ in range(50):
+            self.run(5.0)
+            self.run_until_readable(self.engine)
+            words, body = self.engine.line()
+            if words[0] != "STAT":
+                return words, body
+            self.engine.send(f"STATS {words[1]} 0.2 1 0.1 3\r\n".encode())
+        raise TimeoutError
+
+    def answers(self, gateway: socket.socket, count: int) -> dict[int, Any]:
+        """Bodies or error codes of the answers by message number; each RPC may have one only."""
+        found: dict[int, Any] = {}
+        gateway.settimeout(0.02)
+        for _ in range(100):
+            self.run(5.0)
+            with contextlib.suppress(TimeoutError):
+                self.unpacker.feed(gateway.recv(65536))
+            for kind, number, error, result in self.unpacker:
+                self.case.assertEqual(kind, 1)
+                self.case.assertNotIn(number, found, "answered twice")
+                found[number] = error[0] if error else result[0]
+            if len(found) >= count:
+                return found
+        return found
+
+    def close_descriptors(self, router: Router) -> None:
+        """Closes a router's copies of its descriptors without a word to the peers."""
+        streams = [connection.stream for connection in router.gateways.connections]
+        streams += [link.stream for link in router.database.links if link.stream]
+        streams += [router.engine.stream] if router.engine.stream else []
+        for stream in streams:
+            stream.sock.close()
+        router.gateways.listener.sock.close()
+        router.health_reporter.roster.sock.close()
+        router.loop.selector.close()
+
+    def move(self) -> None:
+        """Replaces the router by one that another build would make of its state."""
+        exported = StateExporter(self.router).export()
+        copies = [os.dup(descriptor) for descriptor in exported.descriptors]
+        old_router = self.router
+        self.loop = self.new_loop()
+        importer = StateImporter(exported.data, copies)
+        self.router = importer.import_router(self.loop, self.config, self.log)
+        self.close_descriptors(old_router)
+
+
+def _numbered(values: list[Any], numbers: dict[Rpc, int]) -> list[Any]:
+    """RPCs by their number, if they have one; other values as they are."""
+    return [numbers.get(value, value) if isinstance(value, Rpc) else value for value in values]
+
+
+def _address(sock: socket.socket) -> str:
+    host, port = sock.getsockname()
+    return f"{host}:{port}"
--- a/tests/test_golden_decisions.py
+++ b/tests/test_golden_decisions.py
@@ -10,8 +10,8 @@
 from msgspec import msgpack
 
 from landingshift.admission.controller import ManagedRpc
-from tests import test_hot_restart
 from tests.golden_files import assert_golden_bytes, assert_golden_json, golden_bytes
+from tests.hot_restart_fixtures import DecisionPlayback
 
 SEEDS = range(12)
 # Names of actions as the golden files have them.
@@ -37,12 +37,12 @@
 
 class Decisions(unittest.TestCase):
     def setUp(self) -> None:
-        self.deciding = test_hot_restart.Deciding()
+        self.playback = DecisionPlayback()
 
     def played(self, seed: int, count: int = 600) -> tuple[Any, list[ManagedRpc], list[Any], random.Random]:
         chance = random.Random(seed)
-        bench, jobs = self.deciding.bench(), list[ManagedRpc]()
-        done = self.deciding.play(bench, jobs, self.deciding.events(chance, count))
+        bench, jobs = self.playback.bench(), list[ManagedRpc]()
+        done = self.playback.play(bench, jobs, self.playback.events(chance, count))
         if seed % 4 == 3:
             bench.server.start_draining(1000.0)
         return bench, jobs, done, chance
@@ -61,7 +61,7 @@
             bench, jobs, _, chance = self.played(seed, 300)
             given, order = bench.server.export_state()
             assert_golden_bytes(self, f"admission_state_{seed}.msgpack", msgpack.encode(given))
-            new = self.deciding.bench()
+            new = self.playback.bench()
             new.server.now_ms = bench.server.now_ms
             earlier = msgpack.decode(golden_bytes(f"admission_state_{seed}.msgpack"))
             taken = dict(
@@ -69,9 +69,9 @@
             )
             self.assertEqual(msgpack.encode(new.server.export_state()[0]), msgpack.encode(given))
             heirs = [taken.get(job, job) for job in jobs]
-            events = self.deciding.events(chance, 300)
-            old = self.deciding.play(bench, jobs, events)
-            self.assertEqual(self.deciding.play(new, heirs, events), old)
+            events = self.playback.events(chance, 300)
+            old = self.playback.play(bench, jobs, events)
+            self.assertEqual(self.playback.play(new, heirs, events), old)
             assert_golden_json(
                 self,
                 f"admission_afterwards_{seed}.json",
--- a/tests/test_golden_storage.py
+++ b/tests/test_golden_storage.py
@@ -25,7 +25,8 @@
 from landingshift.consensus.persistent_state import PersistentState
 from landingshift.consensus.raft_log import RaftLogFile
 from landingshift.consensus.state_machines import StateMachineRegistry, encode_entry
-from landingshift.hot_restart import journal as moved
+from landingshift.hot_restart.request_journal import RecordKind, RequestJournal
+from landingshift.hot_restart.state_export import StateExporter
 from landingshift.ledger.compact import compact
 from landingshift.ledger.entries import Batch, Gap, Raw, decode
 from landingshift.ledger.records import Exporting
@@ -34,8 +35,8 @@
 from landingshift.maintenance.replicated_state import MaintenanceState
 from landingshift.maintenance.storage import STATE_MACHINE_NAME
 from landingshift.policies.state_machine import PolicyStateMachine
-from tests import test_hot_restart
 from tests.golden_files import FOLDER, assert_golden_bytes, assert_golden_json, golden_bytes, golden_json
+from tests.hot_restart_fixtures import RouterHarness
 
 DAY = 86_400_000
 
@@ -188,22 +189,21 @@
 class HotRestart(unittest.TestCase):
     def test_names_in_the_state(self) -> None:
         """A router with an RPC at each layer: the state that another build reads has the same names."""
-        moving = test_hot_restart.Moving("test_everything_in_hand_goes_on")
-        moving.setUp()
-        self.addCleanup(moving.doCleanups)
-        gateway = moving.gateway()
+        harness = RouterHarness(self)
+        gateway = harness.connect_gateway()
         gateway.sendall(
-            moving.rpc("m", b"runs") + moving.rpc("m", b"calls") + moving.rpc("token", b"kept", once="k")
+            harness.request("m", b"runs")
+            + harness.request("m", b"calls")
+            + harness.request("token", b"kept", once="k")
         )
         for _ in range(3):
-            moving.command()
-        moving.engine.send(b"NEED 1 %016x 4\r\nbody\r\n" % 2)
-        moving.wait_for(moving.doors[1])
-        database = moving.peer(moving.doors[1].accept()[0])
-        moving.wait_for(database)
-        gateway.sendall(moving.rpc("token", b"kept", once="k"))
-        moving.pump(30.0)
-        data, _ = test_hot_restart.Giver(moving.router).give()
+            harness.next_command()
+        harness.engine.send(b"NEED 1 %016x 4\r\nbody\r\n" % 2)
+        database = harness.accept_database_link()
+        harness.run_until_readable(database)
+        gateway.sendall(harness.request("token", b"kept", once="k"))
+        harness.run(30.0)
+        data, _ = StateExporter(harness.router).export()
         state = msgpack.decode(data)
         state["module"] = {part: sorted(state["module"][part]) for part in ("plain", "rings")}
         for rpc in state["rpcs"]:
@@ -214,17 +214,17 @@
         assert_golden_json(self, "hot_restart_state.json", shape(state))
 
     def test_journal(self) -> None:
-        journal = moved.Journal.make(4096)
+        journal = RequestJournal.create(4096)
         self.addCleanup(journal.close)
-        for i, kind in enumerate(moved.Kind):
+        for i, kind in enumerate(RecordKind):
             journal.write(kind, i, b"data" * i)
-        assert_golden_bytes(self, "hot_restart_journal", journal.map[:256])
+        assert_golden_bytes(self, "hot_restart_journal", journal.memory[:256])
         fd = os.memfd_create("golden")
         os.write(fd, golden_bytes("hot_restart_journal").ljust(4096, b"\0"))
-        again = moved.Journal(fd, 4096, False)
+        again = RequestJournal.open(fd, 4096)
         self.addCleanup(again.close)
         rows = [(int(kind), whom, data) for _, kind, whom, data in again.read()]
-        self.assertEqual(rows, [(i + 1, i, b"data" * i) for i in range(len(moved.Kind))])
+        self.assertEqual(rows, [(i + 1, i, b"data" * i) for i in range(len(RecordKind))])
 
 
 class Ledger(Folder):
