--- a/landingshift/cli/lab.py
+++ b/landingshift/cli/lab.py
@@ -3,40 +3,88 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable, Iterator
+from dataclasses import dataclass
+from functools import wraps
 from pathlib import Path
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Any
 
 import click
 
+from landingshift.cli.errors import EXIT_FAILED
 from landingshift.testbed.experiments.rows import Row
 
 if TYPE_CHECKING:
     from landingshift.testbed.experiments.scenarios import Day
 
-BROKEN = 1
-
+MAX_REAL_MINUTES = 600.0
+MAX_SHOWN_VIOLATIONS = 3
+SMALLER_SUFFIX = ".small.json"
 
 Command = Callable[..., None]
 
 
-def common(breaks: list[str]) -> Callable[[Command], Command]:
-    """Options that all experiments have; `breaks`: the defences that one can take away."""
+@dataclass(frozen=True, slots=True)
+class ExperimentOptions:
+    """What all experiments can be told.
+
+    Attributes:
+        seed: Of all that is drawn.
+        json_path: The file that gets all figures.
+        removed_defence: The defence that is taken away, to see that the experiment notices; None for none.
+        only_case: The one case to run; None for all.
+    """
+
+    seed: int
+    json_path: str | None
+    removed_defence: str | None
+    only_case: str | None
+
+
+def experiment_options(defences: list[str]) -> Callable[[Command], Command]:
+    """Adds the options of all experiments; the command gets `options`.
+
+    Args:
+        defences: Those that one can take away.
+    """
 
     def add(command: Command) -> Command:
-        seed = click.option("--seed", type=int, default=1, show_default=True)
-        file = click.option(
+        @wraps(command)
+        def run(seed: int, file: str | None, broken: str | None, only: str | None, **others: Any) -> None:
+            command(options=ExperimentOptions(seed, file, broken, only), **others)
+
+        seed_option = click.option("--seed", type=int, default=1, show_default=True)
+        json_option = click.option(
             "--json", "file", type=click.Path(dir_okay=False), help="All figures, to this file."
         )
-        broken = click.option("--break", "broken", type=click.Choice(breaks))
-        return seed(file(broken(click.option("--only", help="One case by its name.")(command))))
+        break_option = click.option("--break", "broken", type=click.Choice(defences))
+        only_option = click.option("--only", help="One case by its name.")
+        return seed_option(json_option(break_option(only_option(run))))
 
     return add
 
 
-def processes(most: int) -> Callable[[Command], Command]:
-    """How many real ones the rows that take some have."""
-    kind, said = click.IntRange(0, most), "Real processes; 0: virtual only."
-    return click.option("--servers", type=kind, default=0, show_default=True, help=said)
+def server_count_option(max_count: int) -> Callable[[Command], Command]:
+    """Adds the number of real processes in those rows that take some."""
+    return click.option(
+        "--servers",
+        "server_count",
+        type=click.IntRange(0, max_count),
+        default=0,
+        show_default=True,
+        help="Real processes; 0: virtual only.",
+    )
+
+
+class InvalidDayError(click.UsageError):
+    """A file that holds no day, or none that can be made smaller.
+
+    Attributes:
+        path: Of the file.
+    """
+
+    def __init__(self, path: str, reason: str) -> None:
+        super().__init__(f"{path}: {reason}")
+        self.path = path
 
 
 @click.group()
@@ -49,81 +97,64 @@
 @click.option(
     "--kills", type=click.IntRange(0, 10_000), default=5, show_default=True, help="Runs with a kill."
 )
-@common(["cursor", "identity", "chain", "disputed", "batch"])
-def ledger(
-    repeats: int, kills: int, seed: int, file: str | None, broken: str | None, only: str | None
-) -> None:
+@experiment_options(["cursor", "identity", "chain", "disputed", "batch"])
+def ledger(repeats: int, kills: int, options: ExperimentOptions) -> None:
     """Totals stay equal through failing receivers, exporters, disks and kills of the server."""
     from landingshift.testbed.experiments.ledger import experiment
 
-    show(experiment(repeats, kills, seed, broken, only), file)
+    rows = experiment(repeats, kills, options.seed, options.removed_defence, options.only_case)
+    print_rows(rows, options.json_path)
 
 
 @group.command()
 @click.option("--repeats", type=click.IntRange(1, 100_000), default=5, show_default=True)
-@processes(400)
-@common(["quiet", "booking", "shares"])
+@server_count_option(400)
+@experiment_options(["quiet", "booking", "shares"])
 @click.option("--plot", type=click.Path(dir_okay=False), help="Real starts by second, to this picture.")
-def coldstart(
-    repeats: int,
-    servers: int,
-    seed: int,
-    file: str | None,
-    broken: str | None,
-    only: str | None,
-    plot: str | None,
-) -> None:
+def coldstart(repeats: int, server_count: int, options: ExperimentOptions, plot: str | None) -> None:
     """A fleet that comes up together spares list service and store, whatever fails meanwhile."""
     from landingshift.testbed.experiments.cold_start import experiment
 
-    show(experiment(repeats, seed, servers, broken, only), file, plot)
+    rows = experiment(repeats, options.seed, server_count, options.removed_defence, options.only_case)
+    print_rows(rows, options.json_path, plot)
 
 
 @group.command()
 @click.option("--repeats", type=click.IntRange(1, 100_000), default=5, show_default=True)
 @click.option("--histories", type=click.IntRange(1, 10_000_000), default=200, show_default=True)
-@processes(400)
-@common(["lease", "ask", "sure", "arm", "disk"])
-def policy(
-    repeats: int,
-    histories: int,
-    servers: int,
-    seed: int,
-    file: str | None,
-    broken: str | None,
-    only: str | None,
-) -> None:
+@server_count_option(400)
+@experiment_options(["lease", "ask", "sure", "arm", "disk"])
+def policy(repeats: int, histories: int, server_count: int, options: ExperimentOptions) -> None:
     """A change of policy takes hold everywhere or nowhere, whatever fails meanwhile."""
     from landingshift.testbed.experiments.policies import experiment
 
-    show(experiment(repeats, seed, servers, broken or "", only, histories), file)
+    removed_defence = options.removed_defence or ""
+    rows = experiment(repeats, options.seed, server_count, removed_defence, options.only_case, histories)
+    print_rows(rows, options.json_path)
 
 
 @group.command()
 @click.option("--repeats", type=click.IntRange(1, 1_000_000), default=20, show_default=True)
-@processes(100)
-@common(["floor", "end"])
+@server_count_option(100)
+@experiment_options(["floor", "end"])
 @click.option("--plot", type=click.Path(dir_okay=False), help="The simulated day, to this picture.")
-def upkeep(
-    repeats: int,
-    servers: int,
-    seed: int,
-    file: str | None,
-    broken: str | None,
-    only: str | None,
-    plot: str | None,
-) -> None:
+def upkeep(repeats: int, server_count: int, options: ExperimentOptions, plot: str | None) -> None:
     """Machines go out for work within what the floor leaves, whatever fails meanwhile."""
     from landingshift.testbed.experiments.maintenance import experiment
-    from landingshift.testbed.experiments.plots import day
 
-    def drawn() -> Iterator[Row]:
-        for row in experiment(repeats, seed, servers, broken or "", only):
-            if plot and "day" in row.series:
-                day(row.series["day"], plot)
-            yield row
+    removed_defence = options.removed_defence or ""
+    rows = experiment(repeats, options.seed, server_count, removed_defence, options.only_case)
+    print_rows(_with_day_plotted(rows, plot), options.json_path)
+
 
-    show(drawn(), file)
+def _with_day_plotted(rows: Iterable[Row], plot_path: str | None) -> Iterator[Row]:
+    """Passes rows on, and plots those that have a simulated day."""
+    from landingshift.testbed.experiments.plots import day
+
+    for row in rows:
+        if plot_path and "day" in row.series:
+            day(row.series["day"], plot_path)
+        yield row
 
 
 @group.command()
@@ -131,88 +162,93 @@
 @click.option("--minutes", type=click.FloatRange(0.05, 10_000.0), default=10_000.0, help="At most so long.")
 @click.option("--repeats", type=click.IntRange(1, 1000), default=1, help="Real runs.")
 @click.option("--keep", type=click.Path(file_okay=False), help="Failing days, made smaller, to this folder.")
-@processes(200)
-@common(["lease", "ask", "sure", "arm", "quiet", "booking", "end", "floor", "due", "grace", "suspect"])
+@server_count_option(200)
+@experiment_options(
+    ["lease", "ask", "sure", "arm", "quiet", "booking", "end", "floor", "due", "grace", "suspect"]
+)
 def fleet(
-    days: int,
-    minutes: float,
-    repeats: int,
-    keep: str | None,
-    servers: int,
-    seed: int,
-    file: str | None,
-    broken: str | None,
-    only: str | None,
+    days: int, minutes: float, repeats: int, keep: str | None, server_count: int, options: ExperimentOptions
 ) -> None:
     """All packages at once under faults drawn from the seed: virtual days, or real processes for minutes."""
-    from landingshift.testbed.experiments import chance_faults as town
-    from landingshift.testbed.verification import corpus as files
-
-    if broken:
-        show([town.without(broken, days, seed)], file)
-        return
-    if servers:
-        from landingshift.testbed.experiments.chance_faults_real import many
-
-        show(many(servers, seed, min(minutes, 600.0), repeats), file)
-        return
-    for row, whole in town.experiment(days, seed, minutes=minutes):
-        if file:
-            files.save(file, row, whole)
-        if keep:
-            for path in files.keep(keep, [one["day"] for one in row.series["smallest"]]):
+    from landingshift.testbed.experiments import chance_faults
+
+    if options.removed_defence:
+        row = chance_faults.without(options.removed_defence, days, options.seed)
+        print_rows([row], options.json_path)
+    elif server_count:
+        from landingshift.testbed.experiments import chance_faults_real
+
+        real_minutes = min(minutes, MAX_REAL_MINUTES)
+        rows = chance_faults_real.many(server_count, options.seed, real_minutes, repeats)
+        print_rows(rows, options.json_path)
+    else:
+        _run_virtual_days(days, minutes, options, keep)
+
+
+def _run_virtual_days(days: int, minutes: float, options: ExperimentOptions, corpus_path: str | None) -> None:
+    """Runs days until one breaks a promise; what is found so far is saved after each step."""
+    from landingshift.testbed.experiments import chance_faults
+    from landingshift.testbed.verification import corpus
+
+    for row, run in chance_faults.experiment(days, options.seed, minutes=minutes):
+        if options.json_path:
+            corpus.save(options.json_path, row, run)
+        smallest_failures = row.series["smallest"]
+        if corpus_path:
+            for path in corpus.keep(corpus_path, [failure["day"] for failure in smallest_failures]):
                 click.echo(f"kept   {path}")
-        for one in row.series["smallest"]:
-            click.echo("\n".join(["", f"{one['promise']}:", *one["told"]]))
-        show([row], None)
+        for failure in smallest_failures:
+            click.echo("\n".join(["", f"{failure['promise']}:", *failure["told"]]))
+        print_rows([row], None)
 
 
-def kept(path: str) -> Day:
+def read_day(path: str) -> Day:
+    """Returns the day in a file. Raises InvalidDayError for what is none."""
     from landingshift.testbed.experiments.scenarios import read
 
     try:
         return read(Path(path).read_bytes())
     except ValueError as err:
-        raise click.UsageError(f"{path}: {err}") from err
+        raise InvalidDayError(path, str(err)) from err
 
 
 @group.command()
 @click.argument("day", type=click.Path(exists=True, dir_okay=False))
 @click.option("--log", is_flag=True, help="All that happened, a line each.")
-@click.option("--break", "broken", help="Without this defence.")
-def replay(day: str, log: bool, broken: str | None) -> None:
+@click.option("--break", "removed_defence", default="", help="Without this defence.")
+def replay(day: str, log: bool, removed_defence: str) -> None:
     """Plays a kept day again, and says what does not hold."""
-    from landingshift.testbed.experiments import scenarios as days
+    from landingshift.testbed.experiments import scenarios
     from landingshift.testbed.simulation.cluster import OVERLAP, Town
-    from landingshift.testbed.verification.invariants import FLEET
-    from landingshift.testbed.verification.invariants import broken as judged
+    from landingshift.testbed.verification import invariants
 
-    found = kept(day)
-    click.echo("\n".join(days.told(found)))
-    history = Town(found, broken or "").play()
+    scenario = read_day(day)
+    click.echo("\n".join(scenarios.told(scenario)))
+    history = Town(scenario, removed_defence).play()
     if log:
-        for at, *rest in history:
-            click.echo(f"{at:10.1f}  {' '.join(str(r) for r in rest)}")
-    wrong = judged(history, OVERLAP, FLEET)
-    click.echo("\n".join(wrong) if wrong else "all promises hold")
-    raise SystemExit(BROKEN if wrong else 0)
+        for at_ms, *values in history:
+            click.echo(f"{at_ms:10.1f}  {' '.join(str(value) for value in values)}")
+    violations = invariants.broken(history, OVERLAP, invariants.FLEET)
+    click.echo("\n".join(violations) if violations else "all promises hold")
+    raise SystemExit(EXIT_FAILED if violations else 0)
 
 
 @group.command()
 @click.argument("day", type=click.Path(exists=True, dir_okay=False))
 @click.option("--plays", type=click.IntRange(1, 100_000), default=400, show_default=True)
-@click.option("--break", "broken", help="Without this defence.")
-def reduce(day: str, plays: int, broken: str | None) -> None:
+@click.option("--break", "removed_defence", default="", help="Without this defence.")
+def reduce(day: str, plays: int, removed_defence: str) -> None:
     """Makes a failing day smaller, into a file beside it."""
-    from landingshift.testbed.experiments import scenarios as days
+    from landingshift.testbed.experiments import scenarios
     from landingshift.testbed.experiments.chance_faults import smaller
 
-    least, promise, played = smaller(kept(day), broken or "", plays)
+    smallest, promise, played_count = smaller(read_day(day), removed_defence, plays)
     if not promise:
-        raise click.UsageError(f"{day}: all promises hold on it")
-    beside = Path(day).with_suffix(".small.json")
-    beside.write_bytes(days.written(least))
-    click.echo("\n".join([f"{promise}, after {played} plays, in {beside}:", *days.told(least)]))
+        raise InvalidDayError(day, "all promises hold on it")
+    smallest_path = Path(day).with_suffix(SMALLER_SUFFIX)
+    smallest_path.write_bytes(scenarios.written(smallest))
+    heading = f"{promise}, after {played_count} plays, in {smallest_path}:"
+    click.echo("\n".join([heading, *scenarios.told(smallest)]))
 
 
 @group.command()
@@ -220,34 +256,48 @@
 @click.argument("page", type=click.Path(dir_okay=False))
 def report(found: str, page: str) -> None:
     """One HTML page of what `lab fleet --json` wrote."""
-    from landingshift.testbed.experiments import report as html
-    from landingshift.testbed.verification import corpus as keep
+    from landingshift.testbed.experiments import report as html_report
+    from landingshift.testbed.verification import corpus
 
     try:
-        run = keep.load(found)
+        run = corpus.load(found)
     except ValueError as err:
         raise click.UsageError(str(err)) from err
-    Path(page).write_text(html.page(run.figures, run.broken, run.smallest, run.seen(), run.rested))
+    html = html_report.page(run.figures, run.broken, run.smallest, run.seen(), run.rested)
+    Path(page).write_text(html)
     click.echo(page)
 
 
-def show(found: Iterable[Row], file: str | None, plot: str | None = None) -> None:
-    """A line a row as it is done; ends with status 1 where a promise did not hold."""
-    rows = []
-    for row in found:
-        rows.append(row)
-        click.echo(f"{'holds ' if row.holds else 'BROKEN'}  {row.name:28} {row.runs:6} runs  {row.figures}")
-        for text in row.broken[:3]:
-            click.echo(f"        {text}")
-    if file:
-        import orjson
-
-        with open(file, "wb") as out:
-            out.write(orjson.dumps([row.told() for row in rows], option=orjson.OPT_INDENT_2))
-    runs = {row.name: row.series for row in rows if row.series}
-    if plot and runs:
+def print_rows(rows: Iterable[Row], json_path: str | None, plot_path: str | None = None) -> None:
+    """Writes a line a row as it is done.
+
+    Ends with `EXIT_FAILED` where a promise did not hold.
+
+    Args:
+        rows: Of the experiment.
+        json_path: The file that gets all figures.
+        plot_path: The picture that gets the series of all rows.
+    """
+    finished: list[Row] = []
+    for row in rows:
+        finished.append(row)
+        verdict = "holds " if row.holds else "BROKEN"
+        click.echo(f"{verdict}  {row.name:28} {row.runs:6} runs  {row.figures}")
+        for violation in row.broken[:MAX_SHOWN_VIOLATIONS]:
+            click.echo(f"        {violation}")
+    if json_path:
+        _save_rows(finished, json_path)
+    series_by_row = {row.name: row.series for row in finished if row.series}
+    if plot_path and series_by_row:
         from landingshift.testbed.experiments.plots import starts
 
-        starts(runs, plot)
-    if not all(row.holds for row in rows):
-        raise SystemExit(BROKEN)
+        starts(series_by_row, plot_path)
+    if not all(row.holds for row in finished):
+        raise SystemExit(EXIT_FAILED)
+
+
+def _save_rows(rows: list[Row], path: str) -> None:
+    import orjson
+
+    data = orjson.dumps([row.told() for row in rows], option=orjson.OPT_INDENT_2)
+    Path(path).write_bytes(data)
--- a/landingshift/cli/ledger.py
+++ b/landingshift/cli/ledger.py
@@ -16,22 +16,18 @@
 
 import click
 
-from landingshift.cli.main import USAGE, say
+from landingshift.cli.errors import EXIT_FAILED, CommandError
+from landingshift.cli.output import print_json
 from landingshift.ledger.book import Refused
 from landingshift.ledger.names import shown, taken
 from landingshift.ledger.settings import Settings
 from landingshift.ledger.store import FILE, BadStore, Lock, Store
 from landingshift.net.program import features
 
-BROKEN = 1  # exit status where a promise was found broken
 AMOUNT = Decimal(10) ** 12
 TEXT = 1000  # characters of a reason
 
 
-class Told(click.ClickException):
-    exit_code = USAGE
-
-
 def now() -> int:
     return round(time.time() * 1000.0)
 
@@ -40,15 +36,15 @@
     """The table [ledger] and the folder of its file."""
     path = path or os.environ.get(features.SETTINGS_FILE_VARIABLE)
     if not path:
-        raise Told(f"--toml or {features.SETTINGS_FILE_VARIABLE} is to name the file with [ledger]")
+        raise CommandError(f"--toml or {features.SETTINGS_FILE_VARIABLE} is to name the file with [ledger]")
     try:
         found = next(
             (f.settings for f in features.load_features(path, include_off=True) if f.table == "ledger"), None
         )
     except features.FeatureConfigError as err:
-        raise Told(str(err)) from err
+        raise CommandError(str(err)) from err
     if found is None:
-        raise Told(f"{path}: there is no table [ledger]")
+        raise CommandError(f"{path}: there is no table [ledger]")
     return found, os.path.dirname(os.path.abspath(path))
 
 
@@ -57,7 +53,7 @@
     """The store that the settings name; the server may be writing to it meanwhile."""
     s, _ = settings_of(toml)
     if must and not os.path.exists(os.path.join(s.folder, FILE)):
-        raise Told(f"{s.folder}: there is no ledger")
+        raise CommandError(f"{s.folder}: there is no ledger")
     store = Store(s.folder, s.instance, s.zone, s.period, s.window_s * 1000, s.recent)
     try:
         yield store
@@ -73,9 +69,9 @@
         try:
             command(*args, **options)
         except (Refused, BadStore, ValueError) as err:
-            raise Told(str(err)) from err
+            raise CommandError(str(err)) from err
         except (sqlite3.Error, OSError) as err:
-            raise Told(f"the store can't be used: {err}") from err
+            raise CommandError(f"the store can't be used: {err}") from err
 
     return run
 
@@ -119,7 +115,7 @@
             "bytes": os.path.getsize(store.path),
         }
     if json:
-        say(data)
+        print_json(data)
         return
     for key, value in data.items():
         click.echo(f"{key:10} {', '.join(p[0] for p in value) if isinstance(value, list) else value}")
@@ -134,7 +130,7 @@
     with opened(toml) as store:
         for name, (uses, work, size_in, size_out), closed in store.periods():
             if json:
-                say(
+                print_json(
                     {
                         "period": name,
                         "uses": uses,
@@ -252,7 +248,7 @@
                 "method": shown(store.named(use.method)),
                 "work_ms": use.work / 1000.0,
             }
-            say(row) if json else click.echo("  ".join(f"{v}" for v in row.values()))
+            print_json(row) if json else click.echo("  ".join(f"{v}" for v in row.values()))
 
 
 @group.command()
@@ -273,7 +269,7 @@
     with opened(toml) as store:
         found = 0
         for one in statements(store, plan, period, taken(tenant) if tenant is not None else None):
-            say(as_json(one)) if form == "json" else click.echo(as_csv(one, not found), nl=False)
+            print_json(as_json(one)) if form == "json" else click.echo(as_csv(one, not found), nl=False)
             found += 1
         if tenant is not None and not found:
             raise Refused(f"{tenant}: nothing in {period}")
@@ -307,7 +303,7 @@
         with bar:
             found = audit(store, lambda number: bar.update(number - bar.pos))
         if json:
-            say(
+            print_json(
                 {
                     "entries": store.book.last,
                     "findings": [{"number": f.number, "what": f.what} for f in found],
@@ -318,7 +314,7 @@
         if not found and not json:
             click.echo(f"{store.book.last} entries hold, the newest is {store.book.hash.hex()}")
     if found:
-        raise SystemExit(BROKEN)
+        raise SystemExit(EXIT_FAILED)
 
 
 @group.command()
@@ -330,16 +326,16 @@
 @guarded
 def export(url: str, follow: bool, timeout_ms: float, seed: int, toml: str | None) -> None:
     """Delivers all entries' records exactly once, however the receiver fails."""
-    from landingshift.cli.logs import logger
+    from landingshift.cli.logs import event_logger
     from landingshift.ledger.exporter import Receiver
     from landingshift.ledger.exporter import export as run
 
     receiver = Receiver(url, timeout_ms)
     with opened(toml) as store:
-        stop = run(store, receiver, Random(seed), logger(), not follow)
+        stop = run(store, receiver, Random(seed), event_logger(), not follow)
         click.echo(stop.reason if stop else f"exported up to entry {store.meta('exported') or 0}")
     if stop:
-        raise SystemExit(BROKEN)
+        raise SystemExit(EXIT_FAILED)
 
 
 @group.command(name="serve")
@@ -392,11 +388,11 @@
             continue
         click.echo(f"{name}: {brought.word()}", err=json)
     for period, belongs, tenant, method, uses, work, *_ in merged.totals() if json else []:
-        say({"period": period, "belongs": belongs, "tenant": shown(tenant), "method": shown(method), "uses":
-        uses, "work_us": work})  # fmt: skip
+        row = {"period": period, "belongs": belongs, "tenant": shown(tenant), "method": shown(method)}
+        print_json(row | {"uses": uses, "work_us": work})
     merged.close()
     if failed:
-        raise SystemExit(BROKEN)
+        raise SystemExit(EXIT_FAILED)
 
 
 @group.command()
--- a/landingshift/cli/upkeep.py
+++ b/landingshift/cli/upkeep.py
@@ -8,8 +8,9 @@
 
 import click
 
-from landingshift.cli.fleet import BROKEN, Told, asked, from_leader, table, where
-from landingshift.cli.main import say
+from landingshift.cli.errors import EXIT_FAILED, CommandError
+from landingshift.cli.operator_client import OperatorClient, server_options
+from landingshift.cli.output import ProgressLine, format_unix_ms, print_json, print_table
 from landingshift.maintenance.requests import RequestState
 
 MS_PER_MINUTE = 60_000.0
@@ -20,7 +21,7 @@
 REQUEST_COLUMNS = ("name", "stage", "number", "minutes", "urgency", "out", "why")
 
 
-class NoMachinesNamedError(Told):
+class NoMachinesNamedError(CommandError):
     """A request names no machine."""
 
     def __init__(self) -> None:
@@ -38,14 +39,14 @@
         if status.get(key):
             click.echo(f"{key:10} {status[key]}")
     if status["wishes"]:
-        table(status["wishes"], REQUEST_COLUMNS)
+        print_table(status["wishes"], REQUEST_COLUMNS)
     else:
         click.echo("nobody is wanted for work")
 
 
 @group.command()
 @click.argument("names", nargs=-1)
-@where
+@server_options
 @click.option("--zone", help="All machines of a zone.")
 @click.option("--all", "every", is_flag=True, help="All machines that are there.")
 @click.option(
@@ -63,8 +64,7 @@
 @click.option("--wait", type=click.FloatRange(0.0, 86_400.0), default=0.0, help="Seconds, for their end.")
 def ask(
     names: tuple[str, ...],
-    at: str | None,
-    toml: str | None,
+    client: OperatorClient,
     as_json: bool,
     zone: str | None,
     every: bool,
@@ -79,7 +79,7 @@
     """Says that machines are wanted for work: when each goes, the servers settle."""
     chosen = list(names)
     if zone or every:
-        chosen += _members(at, toml, zone, every)
+        chosen += _members(client, zone, every)
     if not chosen:
         raise NoMachinesNamedError
     now_ms = time.time() * 1000.0
@@ -89,18 +89,18 @@
         [name, minutes, urgency, not_before_ms, not_after_ms, alone, together]
         for name in dict.fromkeys(chosen)
     ]
-    count = from_leader(at, toml, "upkeep_ask", rows)
+    count = client.call_leader("upkeep_ask", rows)
     if wait:
-        follow(at, toml, set(chosen), wait, as_json)
+        follow(client, set(chosen), wait, as_json)
     elif as_json:
-        say({"asked": count})
+        print_json({"asked": count})
     else:
         click.echo(f"{count} are asked for")
 
 
-def _members(at: str | None, toml: str | None, zone: str | None, every: bool) -> list[str]:
+def _members(client: OperatorClient, zone: str | None, every: bool) -> list[str]:
     """Returns the names of the members that are alive, of one zone or all."""
-    members = asked(at, toml, "members")
+    members = client.call("members")
     return [
         member["name"]
         for member in members
@@ -108,33 +108,28 @@
     ]
 
 
-def follow(at: str | None, toml: str | None, names: set[str], wait_seconds: float, as_json: bool) -> None:
+def follow(client: OperatorClient, names: set[str], wait_seconds: float, as_json: bool) -> None:
     """Shows the progress on a terminal until all requests have ended; status 1 where not all were done."""
     began_ms = time.time() * 1000.0 - MAX_CLOCK_OFFSET_MS
-    _wait_until_ended(at, toml, names, wait_seconds, is_shown=not as_json)
-    history = from_leader(at, toml, "upkeep_history")
+    _wait_until_ended(client, names, wait_seconds, is_shown=not as_json)
+    history = client.call_leader("upkeep_history")
     ended = [row for row in history if row["name"] in names and row["since"] >= began_ms]
     if as_json:
-        say(ended)
+        print_json(ended)
     else:
         _show_failures(ended)
     completed = {row["name"] for row in ended if row["end"] == RequestState.COMPLETED.value}
     if completed != names:
-        raise SystemExit(BROKEN)
+        raise SystemExit(EXIT_FAILED)
 
 
-def _wait_until_ended(
-    at: str | None, toml: str | None, names: set[str], wait_seconds: float, is_shown: bool
-) -> None:
+def _wait_until_ended(client: OperatorClient, names: set[str], wait_seconds: float, is_shown: bool) -> None:
     end = time.monotonic() + wait_seconds
-    shown = ""
+    line = ProgressLine(is_shown)
     while True:
-        status = from_leader(at, toml, "upkeep_status")
+        status = client.call_leader("upkeep_status")
         states = {row["name"]: row["stage"] for row in status["wishes"] if row["name"] in names}
-        progress = _progress(len(names), states)
-        if is_shown and progress != shown:
-            click.echo(progress, err=True)
-            shown = progress
+        line.show(_progress(len(names), states))
         if not states or time.monotonic() > end:
             return
         time.sleep(POLL_INTERVAL_SECONDS)
@@ -154,76 +149,76 @@
 
 
 @group.command()
-@where
-def status(at: str | None, toml: str | None, as_json: bool) -> None:
+@server_options
+def status(client: OperatorClient, as_json: bool) -> None:
     """Who is wanted, how far each is, and what is waited for."""
-    found = from_leader(at, toml, "upkeep_status")
+    found = client.call_leader("upkeep_status")
     if as_json:
-        say(found)
+        print_json(found)
     else:
         show_status(found)
 
 
 @group.command()
-@where
-def plan(at: str | None, toml: str | None, as_json: bool) -> None:
+@server_options
+def plan(client: OperatorClient, as_json: bool) -> None:
     """Dry run: who would go when at the demand of now, and the least capacity."""
-    found = from_leader(at, toml, "upkeep_plan")
+    found = client.call_leader("upkeep_plan")
     if as_json:
-        say(found)
+        print_json(found)
         return
     rows = [{"name": name, "from_min": start, "to_min": end} for name, start, end in found["steps"]]
     if rows:
-        table(rows, ("name", "from_min", "to_min"))
+        print_table(rows, ("name", "from_min", "to_min"))
     click.echo(f"least capacity {found['least_capacity']:g}, floor {found['floor']:g}")
 
 
 @group.command()
 @click.argument("names", nargs=-1, required=True)
-@where
+@server_options
 @click.option("--why", default="", help="Kept in the history.")
-def cancel(names: tuple[str, ...], at: str | None, toml: str | None, as_json: bool, why: str) -> None:
+def cancel(names: tuple[str, ...], client: OperatorClient, as_json: bool, why: str) -> None:
     """Takes wishes back that nobody has been permitted yet; hold comes first for the others."""
-    count = from_leader(at, toml, "upkeep_cancel", [why, *names])
+    count = client.call_leader("upkeep_cancel", [why, *names])
     if as_json:
-        say({"cancelled": count})
+        print_json({"cancelled": count})
     else:
         click.echo(f"{count} of {len(names)} cancelled")
     if count < len(names):
-        raise SystemExit(BROKEN)
+        raise SystemExit(EXIT_FAILED)
 
 
 @group.command()
-@where
+@server_options
 @click.option("--why", required=True, help="Shown in the status.")
-def hold(at: str | None, toml: str | None, as_json: bool, why: str) -> None:
+def hold(client: OperatorClient, as_json: bool, why: str) -> None:
     """Nobody is let go from now on; who is out comes back."""
-    from_leader(at, toml, "upkeep_hold", [why])
+    client.call_leader("upkeep_hold", [why])
     if as_json:
-        say({"held": why})
+        print_json({"held": why})
     else:
         click.echo("held")
 
 
 @group.command()
-@where
-def resume(at: str | None, toml: str | None, as_json: bool) -> None:
+@server_options
+def resume(client: OperatorClient, as_json: bool) -> None:
     """Goes on after a hold."""
-    from_leader(at, toml, "upkeep_hold", [""])
+    client.call_leader("upkeep_hold", [""])
     if as_json:
-        say({"held": ""})
+        print_json({"held": ""})
     else:
         click.echo("goes on")
 
 
 @group.command()
-@where
-def history(at: str | None, toml: str | None, as_json: bool) -> None:
+@server_options
+def history(client: OperatorClient, as_json: bool) -> None:
     """What became of earlier wishes."""
-    rows = from_leader(at, toml, "upkeep_history")
+    rows = client.call_leader("upkeep_history")
     if as_json:
-        say(rows)
+        print_json(rows)
         return
     for row in rows:
-        row["at"] = time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(row["at"] / 1000.0))
-    table(rows, ("at", "name", "end", "number", "why"))
+        row["at"] = format_unix_ms(row["at"])
+    print_table(rows, ("at", "name", "end", "number", "why"))
