--- a/benchmarks/handover.py
+++ b/benchmarks/handover.py
@@ -105,7 +105,7 @@
         job = old.on_rpc_read(Rpc(METHOD, None, 30000.0, 0.0, 10.0, i % 40, None, False, False, False, False))
         old.settle()
         if i % 3 == 0 and job.state is not None:
-            old.on_run_finished(next(iter(old.state.in_state(job.state))), Outcome.OK, 5.0)
+            old.on_run_finished(next(iter(old.state.rpcs_by_state[job.state])), Outcome.OK, 5.0)
     _, jobs = old.export_state()
     packed = msgpack.encode(old.export_state()[0])
     new = AdmissionController(SETTINGS, 1, Nothing(), 0.0)  # type: ignore[arg-type]
--- a/landingshift/admission/backpressure.py
+++ b/landingshift/admission/backpressure.py
@@ -12,7 +12,7 @@
 from landingshift.admission.deadline_check import DeadlineCheck
 from landingshift.admission.draining import Draining
 from landingshift.admission.interface import Actions, LoadAdvertisement
-from landingshift.admission.managed_rpc import ManagedRpc, RpcState
+from landingshift.admission.managed_rpc import ManagedRpc
 from landingshift.admission.mode_log import ModeLog
 from landingshift.admission.recent_callers import RecentCallers
 from landingshift.admission.retry_policy import RetryPolicy
@@ -94,7 +94,7 @@
     def _update_queue_weight(self) -> None:
         """Moves the weight by one a second at the most, down while more than one RPC a core is queued."""
         capacity = self._server.settings.core_count
-        queued = len(self._server.in_state(RpcState.QUEUED))
+        queued = len(self._server.queued)
         step = self._server.seconds_since_check * max(-1.0, (capacity - queued) / capacity)
         self.queue_weight = max(MIN_ADVERTISED_WEIGHT, min(1.0, self.queue_weight * (1.0 + step)))
 
@@ -110,7 +110,7 @@
         self._modes.set(READ_OVERLOAD_MODE, is_overloaded, f"unread for {unread_ms:.0f} ms")
 
     def _log_shedding(self) -> None:
-        queued, limit = len(self._server.in_state(RpcState.QUEUED)), self._limit
+        queued, limit = len(self._server.queued), self._limit
         reason = f"held {queued} cap {limit.limit:.0f} use {limit.core_utilization:.2f}"
         self._modes.set(SHEDDING_MODE, self.queue_weight < SHEDDING_THRESHOLD, reason)
 
@@ -128,7 +128,7 @@
         Split evenly it would starve while others leave theirs.
         """
         server = self._server
-        running = max(self._limit.limit, len(server.in_state(RpcState.RUNNING)))
-        in_hand = running + len(server.in_state(RpcState.CALLING))
-        in_hand += len(server.in_state(RpcState.AWAITING_CALL_SLOT))
+        running = max(self._limit.limit, len(server.running))
+        in_hand = running + len(server.calling)
+        in_hand += len(server.awaiting_call_slot)
         return (in_hand + server.settings.core_count) * self._callers.largest_share()
--- a/landingshift/admission/check_timer.py
+++ b/landingshift/admission/check_timer.py
@@ -9,7 +9,7 @@
 
 from landingshift.admission.draining import CHECK_INTERVAL_MS
 from landingshift.admission.interface import Actions
-from landingshift.admission.managed_rpc import ManagedRpc, RpcState
+from landingshift.admission.managed_rpc import ManagedRpc
 from landingshift.admission.server_state import ServerState
 
 IDLE_CHECK_INTERVAL_MS = 200.0
@@ -52,7 +52,7 @@
     def bring_forward_while_busy(self) -> None:
         """Ends an idle server's rest where RPCs are queued or wait for a call."""
         server = self._server
-        is_busy = server.in_state(RpcState.QUEUED) or server.in_state(RpcState.AWAITING_CALL_SLOT)
+        is_busy = server.queued or server.awaiting_call_slot
         if is_busy and self.next_check_ms > server.now_ms + CHECK_INTERVAL_MS:
             self.schedule(CHECK_INTERVAL_MS / 2.0)
 
--- a/landingshift/admission/concurrency_limit.py
+++ b/landingshift/admission/concurrency_limit.py
@@ -9,7 +9,7 @@
 from __future__ import annotations
 
 from landingshift.admission.interface import Gauges
-from landingshift.admission.managed_rpc import ManagedRpc, RpcState
+from landingshift.admission.managed_rpc import ManagedRpc
 from landingshift.admission.rolling_window import RollingWindow
 from landingshift.admission.server_state import SAFE_FRACTION, ServerState
 
@@ -97,7 +97,7 @@
         self.reading_cores = SMOOTHING_OLD * self.reading_cores + SMOOTHING_NEW * reading
         idle_cores = core_count - (gauges.on_cores if gauges.on_cores is not None else running)
         is_busy = self.core_utilization >= BUSY_UTILIZATION
-        if idle_cores > 0 and self._server.in_state(RpcState.QUEUED):
+        if idle_cores > 0 and self._server.queued:
             self.limit = max(self.limit, running + idle_cores)
         elif is_busy and self._server.now_ms - self.last_cut_ms >= CUT_INTERVAL_MS:
             self._cut()
--- a/landingshift/admission/controller.py
+++ b/landingshift/admission/controller.py
@@ -200,7 +200,7 @@
         """Decides once all events of a moment are in: rejects what fails the check, starts the best."""
         self.scheduler.reject_failed()
         self.scheduler.start_best()
-        if self.state.in_state(RpcState.AWAITING_CALL_SLOT):
+        if self.state.awaiting_call_slot:
             self.calls.assign_slots(self.lifecycle.resume)
         self.timer.bring_forward_while_busy()
 
@@ -225,7 +225,7 @@
         is_saturated = self.limit.update(gauges)
         self.order.update_floor(is_saturated, self.check.failure_count())
         self.check.recheck_all()
-        self.order.refresh(self.state.in_state(RpcState.QUEUED))
+        self.order.refresh(self.state.queued)
         if self.state.settings.downstream is not DownstreamKind.NONE:
             self.calls.update_rate()
         if now_ms // SLOW_UPDATE_INTERVAL_MS > self.state.last_check_ms // SLOW_UPDATE_INTERVAL_MS:
@@ -266,7 +266,7 @@
         self.draining.start(remaining_ms, notified_ago_ms)
         self.check.recheck_all()
         self.timer.schedule_for_drain(remaining_ms)
-        queued = len(self.state.in_state(RpcState.QUEUED))
+        queued = len(self.state.queued)
         self._actions.log(f"draining: {remaining_ms:.0f} ms left, {queued} held")
 
     def set_standby(self, is_standby: bool) -> None:
@@ -281,7 +281,7 @@
     def on_settings_changed(self) -> None:
         """Judges what is queued by figures of methods and tenants that have changed in place."""
         self.state.refresh_objectives()
-        queue = self.state.in_state(RpcState.QUEUED)
+        queue = self.state.queued
         for managed in queue:
             managed.refresh_objective()
         self.order.refresh(queue)
--- a/landingshift/admission/deadline_check.py
+++ b/landingshift/admission/deadline_check.py
@@ -8,7 +8,6 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
 from math import inf
 
 from landingshift.admission.draining import Draining
@@ -82,14 +81,15 @@
         """Takes an RPC that was read into account."""
         self.next_failure_ms = min(self.next_failure_ms, self.queued_until_ms(managed))
 
-    def failed(self, queue: Iterable[ManagedRpc]) -> list[ManagedRpc]:
-        """Those of the queue that are to be rejected by now."""
+    def is_due(self) -> bool:
+        """Whether a queued RPC may have failed."""
+        return self._server.now_ms >= self.next_failure_ms
+
+    def failed(self) -> list[ManagedRpc]:
+        """The queued RPCs that are to be rejected by now."""
         now_ms = self._server.now_ms
-        if now_ms < self.next_failure_ms:
-            return []
-        return [managed for managed in queue if now_ms >= self.queued_until_ms(managed)]
-
-    def plan_next(self, queue: Iterable[ManagedRpc]) -> None:
-        """Finds out when the next of the queue fails."""
-        if self._server.now_ms >= self.next_failure_ms:
-            self.next_failure_ms = min(map(self.queued_until_ms, queue), default=inf)
+        return [managed for managed in self._server.queued if now_ms >= self.queued_until_ms(managed)]
+
+    def plan_next(self) -> None:
+        """Finds out when the next queued RPC fails."""
+        self.next_failure_ms = min(map(self.queued_until_ms, self._server.queued), default=inf)
--- a/landingshift/admission/downstream_calls.py
+++ b/landingshift/admission/downstream_calls.py
@@ -17,7 +17,7 @@
 from math import inf
 
 from landingshift.admission.interface import DownstreamKind, Outcome
-from landingshift.admission.managed_rpc import ManagedRpc, RpcEvent, RpcState
+from landingshift.admission.managed_rpc import ManagedRpc, RpcEvent
 from landingshift.admission.mode_log import ModeLog
 from landingshift.admission.rolling_window import RollingWindow
 from landingshift.admission.server_state import SAFE_FRACTION, ServerState
@@ -168,7 +168,7 @@
         if len(recent) >= MIN_RECENT_FOR_CUT and (is_unanswered or is_intolerable):
             cut = 1.0 - RATE_CUT_PER_SECOND * seconds
             self.calls_per_second = max(MIN_CALLS_PER_SECOND, min(self.calls_per_second, len(recent)) * cut)
-        elif answered or not self._server.in_state(RpcState.AWAITING_CALL_SLOT):
+        elif answered or not self._server.awaiting_call_slot:
             if self.calls_per_second <= UNLIMITED_RATE_FACTOR * len(recent) + UNLIMITED_RATE_MARGIN:
                 self.calls_per_second = self.calls_per_second * (1.0 + seconds)
             elif not is_slow:
@@ -186,7 +186,7 @@
         """
         server = self._server
         mean_ms = self.mean_latency_ms()
-        waiting = sorted(server.in_state(RpcState.AWAITING_CALL_SLOT), key=lambda managed: -managed.call_gain)
+        waiting = sorted(server.awaiting_call_slot, key=lambda managed: -managed.call_gain)
         for place, managed in enumerate(waiting, 1):
             waited_ms = server.now_ms - managed.call_started_at_ms
             wait_ms = max(waited_ms, place * 1000.0 / self.calls_per_second)
@@ -232,7 +232,7 @@
     def _has_slot(self, managed: ManagedRpc) -> bool:
         """Whether the RPC may call now, by rate, calls in flight and quota."""
         settings = self._server.settings
-        in_flight = len(self._server.in_state(RpcState.CALLING))
+        in_flight = len(self._server.calling)
         if self.tokens < 1.0 or in_flight >= self._max_in_flight():
             return False
         has_quota = (
@@ -259,8 +259,7 @@
         """
         settings = self._server.settings
         in_flight_ms = sum(
-            calling.call_expires_at_ms - calling.call_started_at_ms
-            for calling in self._server.in_state(RpcState.CALLING)
+            calling.call_expires_at_ms - calling.call_started_at_ms for calling in self._server.calling
         )
         quota_ms = settings.downstream_concurrency_quota * settings.downstream_quota_window_ms * SAFE_FRACTION
         used_ms = self.call_time_ms.total(self._server.now_ms)
--- a/landingshift/admission/queue_scheduler.py
+++ b/landingshift/admission/queue_scheduler.py
@@ -8,7 +8,7 @@
 
 from landingshift.admission.concurrency_limit import ConcurrencyLimit
 from landingshift.admission.deadline_check import DeadlineCheck
-from landingshift.admission.managed_rpc import ManagedRpc, RpcEvent, RpcState
+from landingshift.admission.managed_rpc import ManagedRpc, RpcEvent
 from landingshift.admission.rpc_lifecycle import RpcLifecycle
 from landingshift.admission.server_state import ServerState
 from landingshift.admission.start_order import StartOrder
@@ -33,14 +33,15 @@
 
     def reject_failed(self) -> None:
         """Rejects all that fail the deadline check by now."""
-        queue = self._server.in_state(RpcState.QUEUED)
-        for managed in self._check.failed(queue):
+        if not self._check.is_due():
+            return
+        for managed in self._check.failed():
             self._lifecycle.resume(managed, RpcEvent.SHED)
-        self._check.plan_next(queue)
+        self._check.plan_next()
 
     def start_best(self) -> None:
         """Makes room in memory and starts RPCs in their order while slots are free."""
-        queue = self._server.in_state(RpcState.QUEUED)
+        queue = self._server.queued
         if not queue or not (self._lacks_memory() or self._limit.free_slots() >= 1.0):
             return
         ordered = self._order.sort(queue, newest_first=self._check.failure_count() > 0)
--- a/landingshift/admission/rpc_lifecycle.py
+++ b/landingshift/admission/rpc_lifecycle.py
@@ -94,7 +94,7 @@
         assert reached is state, f"{reached} in place of {state}"
         self._server.now_ms = now_ms
         managed.state = state
-        self._server.in_state(state)[managed] = None
+        self._server.rpcs_by_state[state][managed] = None
 
     def _states(self, managed: ManagedRpc) -> Lifecycle:
         """The states of an RPC."""
--- a/landingshift/admission/server_state.py
+++ b/landingshift/admission/server_state.py
@@ -18,6 +18,11 @@
         started_at_ms: When the server started; its caches are cold then.
         last_check_ms: When `on_timer` last ran.
         rpcs_by_state: All RPCs in hand. Each inner dict has the order in which RPCs came to the state.
+        queued: The RPCs of `RpcState.QUEUED`, the same dict; so do the next three.
+        running: Those of `RUNNING`.
+        awaiting_call_slot: Those of `AWAITING_CALL_SLOT`.
+        calling: Those of `CALLING`.
+        max_memory_kb: Memory that may be in use.
         memory_in_use_kb: What RPCs in hand and deduplication entries take.
         shortest_objective_ms: The least latency objective of a method.
     """
@@ -28,6 +33,13 @@
         self.started_at_ms = now_ms
         self.last_check_ms = now_ms
         self.rpcs_by_state: dict[RpcState, dict[ManagedRpc, None]] = {state: {} for state in RpcState}
+        self.queued = self.rpcs_by_state[RpcState.QUEUED]
+        self.running = self.rpcs_by_state[RpcState.RUNNING]
+        self.awaiting_call_slot = self.rpcs_by_state[RpcState.AWAITING_CALL_SLOT]
+        self.calling = self.rpcs_by_state[RpcState.CALLING]
+        self._aborted = self.rpcs_by_state[RpcState.ABORTED]
+        self._abandoned = self.rpcs_by_state[RpcState.ABANDONED]
+        self.max_memory_kb = settings.memory_kb * SAFE_FRACTION
         self.memory_in_use_kb = 0.0
         self.shortest_objective_ms = 0.0
         self.refresh_objectives()
@@ -41,29 +53,17 @@
         """Time since the last run of `on_timer`, by which rates move."""
         return (self.now_ms - self.last_check_ms) / 1000.0
 
-    @property
-    def max_memory_kb(self) -> float:
-        """Memory that may be in use."""
-        return self.settings.memory_kb * SAFE_FRACTION
-
-    def in_state(self, state: RpcState) -> dict[ManagedRpc, None]:
-        """The RPCs in a state, in the order they came to it."""
-        return self.rpcs_by_state[state]
-
     def all_rpcs(self) -> list[ManagedRpc]:
         """All RPCs in hand, by state."""
         return [managed for rpcs in self.rpcs_by_state.values() for managed in rpcs]
 
     def running_count(self) -> int:
         """Runs on the cores. Those that nobody waits for any more are there too."""
-        states = (RpcState.RUNNING, RpcState.ABORTED, RpcState.ABANDONED)
-        return sum(len(self.rpcs_by_state[state]) for state in states)
+        return len(self.running) + len(self._aborted) + len(self._abandoned)
 
     def calling_count(self) -> int:
         """Runs off the cores, at a downstream call or waiting for one."""
-        return len(self.rpcs_by_state[RpcState.CALLING]) + len(
-            self.rpcs_by_state[RpcState.AWAITING_CALL_SLOT]
-        )
+        return len(self.calling) + len(self.awaiting_call_slot)
 
     def add(self, managed: ManagedRpc) -> None:
         """Enters an RPC under its state."""
--- a/landingshift/drill/instance.py
+++ b/landingshift/drill/instance.py
@@ -40,12 +40,12 @@
     def handle(self, event: wire.Event) -> None:
         """Tells the controller of an event; one for an RPC that it has let go of is passed over."""
         match event:
-            case wire.RpcRead(rpc):
-                self._rpcs[rpc.rpc_id] = self.controller.on_rpc_read(rpc)
-            case wire.DrainNotice(remaining_ms):
-                self.controller.start_draining(remaining_ms)
-            case wire.TimerFired(gauges):
-                self.controller.on_timer(gauges)
+            case wire.RpcRead():
+                self._rpcs[event.rpc.rpc_id] = self.controller.on_rpc_read(event.rpc)
+            case wire.TimerFired():
+                self.controller.on_timer(event.gauges)
+            case wire.DrainNotice():
+                self.controller.start_draining(event.remaining_ms)
             case _:
                 managed = self._rpcs.get(event.rpc_id)
                 if managed is not None:
@@ -53,12 +53,12 @@
 
     def _handle_rpc_event(self, managed: ManagedRpc, event: wire.Event) -> None:
         match event:
-            case wire.RunFinished(_, outcome, run_ms):
-                self.controller.on_run_finished(managed, outcome, run_ms)
+            case wire.RunFinished():
+                self.controller.on_run_finished(managed, event.outcome, event.run_ms)
             case wire.CallNeeded():
                 self.controller.on_call_needed(managed)
-            case wire.CallFinished(_, outcome, latency_ms):
-                self.controller.on_call_finished(managed, outcome, latency_ms)
+            case wire.CallFinished():
+                self.controller.on_call_finished(managed, event.outcome, event.latency_ms)
             case wire.CallerGone():
                 self.controller.on_caller_gone(managed)
 
