--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -37,7 +37,17 @@
 from landingshift.testbed import MEMORY
 from landingshift.testbed.experiments.rows import Row
 
-METHOD = Method(Idempotency.IDEMPOTENT, 1000.0, 0.0, 3000.0, 1.0, 0.0, 5000.0, False, 0.0)
+METHOD = Method(
+    idempotency=Idempotency.IDEMPOTENT,
+    latency_objective_ms=1000.0,
+    objective_work_factor=0.0,
+    deadline_ms=3000.0,
+    criticality=1.0,
+    late_value_fraction=0.0,
+    dedup_window_ms=5000.0,
+    calls_downstream=False,
+    degraded_value_fraction=0.0,
+)
 SETTINGS = Settings(
     methods=[METHOD],
     tenants=[],
@@ -68,40 +78,62 @@
 )
 
 
-class Bench:
-    """Records what the server asks for as (action, rpc) pairs and moves its clock."""
+class AdmissionBench:
+    """An admission controller whose actions are recorded and whose clock the test moves.
+
+    Attributes:
+        actions: Each as its name and arguments, in order.
+        method: Of RPCs for which the test names none.
+        controller: Under test.
+    """
 
     def __init__(self, method: Method = METHOD, *others: Method, **settings: Any) -> None:
-        self.did: list[tuple[Any, ...]] = []
+        self.actions: list[tuple[Any, ...]] = []
         self.method = method
-        self.server = AdmissionController(
-            replace(SETTINGS, methods=[method, *others], **settings), 1, self, 0.0
-        )
+        changed = replace(SETTINGS, methods=[method, *others], **settings)
+        self.controller = AdmissionController(changed, seed=1, actions=self, now_ms=0.0)
 
     def __getattr__(self, name: str) -> Any:
-        return lambda *values: self.did.append((name, *values))
+        """Records any action."""
+        return lambda *values: self.actions.append((name, *values))
 
     def read(self, **facts: Any) -> ManagedRpc:
+        """Has an RPC read, of which `facts` says what differs from `BLANK`."""
         facts.setdefault("method", self.method)
-        rpc = Rpc(**{**BLANK, **facts})
-        return self.server.on_rpc_read(rpc)
+        return self.controller.on_rpc_read(Rpc(**{**BLANK, **facts}))
 
-    def tick(
-        self, ms: float = 50.0, use: float = 1.0, on_cores: float | None = None, links: float = 0.0
+    def start(self, **facts: Any) -> ManagedRpc:
+        """Has an RPC read and everything settled."""
+        managed = self.read(**facts)
+        self.controller.settle()
+        return managed
+
+    def run_check(
+        self,
+        elapsed_ms: float = 50.0,
+        core_utilization: float = 1.0,
+        on_cores: float | None = None,
+        open_connections: float = 0.0,
     ) -> None:
-        self.server.now_ms += ms
-        cores = len(self.names("start_run"))
-        self.server.on_timer(Gauges(use, cores if on_cores is None else on_cores, links))
-        self.server.settle()
+        """Moves the clock and fires the timer; without `on_cores`, all runs ever started are on the cores."""
+        self.controller.now_ms += elapsed_ms
+        started = len(self.actions_named("start_run"))
+        gauges = Gauges(core_utilization, started if on_cores is None else on_cores, open_connections)
+        self.controller.on_timer(gauges)
+        self.controller.settle()
 
-    def at(self, now: float) -> None:
-        self.server.now_ms = now
+    def set_time(self, now_ms: float) -> None:
+        """Sets the clock."""
+        self.controller.now_ms = now_ms
 
-    def names(self, *names: str, job: ManagedRpc | None = None) -> list[tuple[Any, ...]]:
-        return [d for d in self.did if d[0] in names and (job is None or d[1] is job.rpc)]
+    def actions_named(self, *names: str) -> list[tuple[Any, ...]]:
+        """The actions of these names."""
+        return [action for action in self.actions if action[0] in names]
 
-    def fates(self, job: ManagedRpc) -> list[str]:
-        return [d[0] for d in self.did if len(d) > 1 and d[1] is job.rpc and d[0] != "release"]
+    def action_names_of(self, managed: ManagedRpc) -> list[str]:
+        """Names of the actions for an RPC, but for its release."""
+        actions = [action for action in self.actions if len(action) > 1 and action[1] is managed.rpc]
+        return [action[0] for action in actions if action[0] != "release"]
 
 
 BLANK: dict[str, Any] = {
@@ -116,6 +148,7 @@
     "is_retry": False,
     "is_write": False,
 }
+"""What is known of an RPC in tests that do not care."""
 
 
 def until(holds: Callable[[], bool], bound: float = 10.0) -> None:
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -12,7 +12,7 @@
 from landingshift.admission.interface import Idempotency
 from landingshift.net.program.signals import SignalWatcher
 from landingshift.net.transport.loop import Loop
-from tests.helpers import METHOD, Bench, Engine, Gateway, World, until
+from tests.helpers import METHOD, AdmissionBench, Engine, Gateway, World, until
 from tests.test_connections import Door
 
 
@@ -231,14 +231,14 @@
                     self.assertFalse(g.probe()[0])  # it leaves, but has all the time that it was given
 
     def test_a_short_notice_is_looked_at_at_once(self) -> None:
-        b = Bench()
-        job = b.read()
-        b.server.settle()
-        b.did.clear()
-        b.server.start_draining(60.0)
-        self.assertEqual([d for d in b.did if d[0] == "schedule_check"], [("schedule_check", 1.0)])
-        b.tick(1.0)
-        self.assertEqual(b.fates(job), ["abort"])
+        bench = AdmissionBench()
+        job = bench.read()
+        bench.controller.settle()
+        bench.actions.clear()
+        bench.controller.start_draining(60.0)
+        self.assertEqual([d for d in bench.actions if d[0] == "schedule_check"], [("schedule_check", 1.0)])
+        bench.run_check(1.0)
+        self.assertEqual(bench.action_names_of(job), ["abort"])
 
     def test_its_time_counts_from_the_signal_on(self) -> None:
         # A pass of the loop may take long; what comes after the grace must not run for that.
@@ -259,15 +259,15 @@
         self.assertEqual([number for number, _ in heard], [signal.SIGTERM])
         self.assertLessEqual(heard[0][1], after)
 
-        b = Bench(core_count=1)
-        b.at(400.0)
-        b.server.start_draining(2000.0, 300.0)  # the grace is 1,000 ms
+        bench = AdmissionBench(core_count=1)
+        bench.set_time(400.0)
+        bench.controller.start_draining(2000.0, 300.0)  # the grace is 1,000 ms
         runs: dict[float, list[Any]] = {}
         for arrived in (1099.0, 1101.0):
-            b.at(1200.0)
-            job = b.read(method=METHOD, waited_ms=1200.0 - arrived, remaining_ms=700.0)
-            b.server.settle()
-            runs[arrived] = b.fates(job)
+            bench.set_time(1200.0)
+            job = bench.read(method=METHOD, waited_ms=1200.0 - arrived, remaining_ms=700.0)
+            bench.controller.settle()
+            runs[arrived] = bench.action_names_of(job)
         self.assertEqual(runs, {1099.0: ["start_run"], 1101.0: ["reject"]})
         self.assertIs(METHOD.idempotency, Idempotency.IDEMPOTENT)
 
--- a/tests/test_golden_decisions.py
+++ b/tests/test_golden_decisions.py
@@ -44,7 +44,7 @@
         bench, jobs = self.deciding.bench(), list[ManagedRpc]()
         done = self.deciding.play(bench, jobs, self.deciding.events(chance, count))
         if seed % 4 == 3:
-            bench.server.start_draining(1000.0)
+            bench.controller.start_draining(1000.0)
         return bench, jobs, done, chance
 
     def test_the_same_events_give_the_same_actions(self) -> None:
@@ -59,15 +59,15 @@
     def test_state_of_an_earlier_build_is_written_alike_and_taken_over(self) -> None:
         for seed in (2, 3):
             bench, jobs, _, chance = self.played(seed, 300)
-            given, order = bench.server.export_state()
+            given, order = bench.controller.export_state()
             assert_golden_bytes(self, f"admission_state_{seed}.msgpack", msgpack.encode(given))
             new = self.deciding.bench()
-            new.server.now_ms = bench.server.now_ms
+            new.controller.now_ms = bench.controller.now_ms
             earlier = msgpack.decode(golden_bytes(f"admission_state_{seed}.msgpack"))
             taken = dict(
-                zip(order, new.server.import_state(earlier, [job.rpc for job in order]), strict=True)
+                zip(order, new.controller.import_state(earlier, [job.rpc for job in order]), strict=True)
             )
-            self.assertEqual(msgpack.encode(new.server.export_state()[0]), msgpack.encode(given))
+            self.assertEqual(msgpack.encode(new.controller.export_state()[0]), msgpack.encode(given))
             heirs = [taken.get(job, job) for job in jobs]
             events = self.deciding.events(chance, 300)
             old = self.deciding.play(bench, jobs, events)
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -46,7 +46,7 @@
 from landingshift.net.program.config import decode_config as read_site
 from landingshift.net.routing.router import Router
 from landingshift.net.transport.loop import Loop
-from tests.helpers import CONFIG, Bench, Peer
+from tests.helpers import CONFIG, AdmissionBench, Peer
 
 WAY = [Event.ASKED, Event.READY, Event.REHEARSAL, Event.MOVE, Event.TOOK]
 
@@ -250,8 +250,8 @@
     TOKEN = Method(Idempotency.KEYED, 800.0, 0.0, 2000.0, 3.0, 1.0, 1500.0, True, 0.0)
     TENANT = Tenant(20.0)
 
-    def bench(self) -> Bench:
-        return Bench(
+    def bench(self) -> AdmissionBench:
+        return AdmissionBench(
             self.CALLS,
             self.TOKEN,
             tenants=[self.TENANT],
@@ -269,13 +269,15 @@
         names = chance.choices(list(weights), list(weights.values()), k=count)
         return [(name, chance.random()) for name in names]
 
-    def play(self, bench: Bench, jobs: list[ManagedRpc], events: list[tuple[str, float]]) -> list[Any]:
+    def play(
+        self, bench: AdmissionBench, jobs: list[ManagedRpc], events: list[tuple[str, float]]
+    ) -> list[Any]:
         done: list[Any] = []
         number = {job.rpc: i for i, job in enumerate(jobs)}
         for name, x in events:
-            bench.did.clear()
+            bench.actions.clear()
             server, fit = (
-                bench.server,
+                bench.controller,
                 {"wants_call": RpcState.RUNNING, "call_done": RpcState.CALLING}.get(name),
             )
             live = [j for j in jobs if j.state is not None and j.state is (fit or j.state)]
@@ -314,7 +316,10 @@
                     server.on_caller_gone(job)
             server.settle()
             done.append(
-                [(d[0], *(number.get(v, v) if isinstance(v, Rpc) else v for v in d[1:])) for d in bench.did]
+                [
+                    (d[0], *(number.get(v, v) if isinstance(v, Rpc) else v for v in d[1:]))
+                    for d in bench.actions
+                ]
             )
         return done
 
@@ -325,18 +330,18 @@
             old, jobs = self.bench(), list[ManagedRpc]()
             self.play(old, jobs, self.events(chance, 400))
             if seed % 5 == 4:
-                old.server.start_draining(1000.0)
-            given, order = old.server.export_state()
+                old.controller.start_draining(1000.0)
+            given, order = old.controller.export_state()
             given = msgpack.decode(msgpack.encode(given))
             new = self.bench()
-            new.server.now_ms = old.server.now_ms
-            taken = dict(zip(order, new.server.import_state(given, [j.rpc for j in order]), strict=True))
+            new.controller.now_ms = old.controller.now_ms
+            taken = dict(zip(order, new.controller.import_state(given, [j.rpc for j in order]), strict=True))
             places |= {job.state for job in order}
             heirs = [taken.get(job, job) for job in jobs]
             events = self.events(chance, 300)
             with self.subTest(seed=seed):
                 self.assertEqual(self.play(new, heirs, events), self.play(old, jobs, events))
-                self.assertEqual(old.server.export_state()[0], new.server.export_state()[0])
+                self.assertEqual(old.controller.export_state()[0], new.controller.export_state()[0])
         self.assertGreaterEqual(
             places,
             {
@@ -351,14 +356,16 @@
 
     def test_what_another_build_does_not_know_stays_as_it_is(self) -> None:
         old, new = self.bench(), self.bench()
-        given, _ = old.server.export_state()
+        given, _ = old.controller.export_state()
         given["plain"]["of the next build"] = 1
         given["rings"].pop("stretch")
         given["rings"]["of the next build"] = [0, 0, [], []]
         given["rings"]["pushed"] = [0, 0, [[]], [0.0]]
-        new.server.import_state(given, [])
-        self.assertFalse(hasattr(new.server, "of the next build"))
-        self.assertEqual(new.server.check.failures.bucket_count, len(new.server.check.failures.buckets))
+        new.controller.import_state(given, [])
+        self.assertFalse(hasattr(new.controller, "of the next build"))
+        self.assertEqual(
+            new.controller.check.failures.bucket_count, len(new.controller.check.failures.buckets)
+        )
 
 
 class Moving(unittest.TestCase):
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -7,7 +7,7 @@
 from landingshift.admission.interface import Idempotency, Method, Outcome
 from landingshift.net.routing.dedup import ENTRY_BYTES, DedupTable
 from landingshift.net.routing.rpc_record import RoutedRpc
-from tests.helpers import METHOD, SETTINGS, Bench, Engine, Gateway, World, until
+from tests.helpers import METHOD, SETTINGS, AdmissionBench, Engine, Gateway, World, until
 from tests.test_server import prove
 
 TOKENED = Method(Idempotency.KEYED, 1000.0, 0.0, 3000.0, 1.0, 0.0, 500.0, False, 0.0)
@@ -340,8 +340,8 @@
                 self.assertEqual(g.answer(), (n, answer))
 
     def test_age_counts_for_the_deadline_that_is_not_told(self) -> None:
-        b = Bench(method=METHOD, callers_send_deadline=False)
-        job = b.read(waited_ms=2500.0, remaining_ms=None)
+        bench = AdmissionBench(method=METHOD, callers_send_deadline=False)
+        job = bench.read(waited_ms=2500.0, remaining_ms=None)
         self.assertEqual(job.deadline_at_ms, METHOD.deadline_ms - 2500.0)
         self.assertFalse(SETTINGS.starts_cold)
 
--- a/tests/test_throng.py
+++ b/tests/test_throng.py
@@ -16,7 +16,7 @@
 
 from landingshift.admission.interface import DownstreamKind, Gauges, LoadAdvertisement, Outcome
 from landingshift.admission.managed_rpc import ManagedRpc, RpcState
-from tests.helpers import METHOD, Bench
+from tests.helpers import METHOD, AdmissionBench
 
 STEP = 10.0  # ms of virtual time
 CORES, CROWD, FROM, COLD, FALL = 2, 8.0, 0.2, 9000.0, 2000.0
@@ -46,7 +46,7 @@
     """A cold server: the module, its cores, what still waits to be read."""
 
     def __init__(self, gateways: int) -> None:
-        self.bench = Bench(
+        self.bench = AdmissionBench(
             RPCS,
             caller_count=gateways,
             core_count=CORES,
@@ -60,7 +60,7 @@
             downstream_quota_window_ms=OVER,
             lost_call_linger_ms=100.0,
         )
-        self.server = self.bench.server
+        self.server = self.bench.controller
         self.unread: deque[tuple[float, int]] = deque()
         self.jobs: dict[Any, tuple[ManagedRpc, float]] = {}  # by RPC, with what is left of its work
         self.read = 0.0  # ms of a core that went into the next RPC to be read
@@ -123,7 +123,7 @@
     def step(self, rate: float) -> None:
         self.now += STEP
         for machine in self.machines:
-            machine.bench.at(self.now)
+            machine.bench.set_time(self.now)
             machine.work(self.now, self.chance)
         self.send(rate)
         self.store()
@@ -136,8 +136,8 @@
                 self.heard |= {(g, machine): machine.server.advertised_load for g in range(len(self.weights))}
 
     def carry_out(self, machine: Machine) -> None:
-        while machine.told < len(machine.bench.did):
-            what, *values = machine.bench.did[machine.told]
+        while machine.told < len(machine.bench.actions):
+            what, *values = machine.bench.actions[machine.told]
             machine.told += 1
             if what not in ("start_run", "start_call", "release", "reject", "abort"):
                 continue
