--- a/tests/hot_restart_fixtures.py
+++ b/tests/hot_restart_fixtures.py
@@ -31,7 +31,7 @@
 from landingshift.net.program.config import decode_config
 from landingshift.net.routing.router import Router
 from landingshift.net.transport.loop import Loop
-from tests.helpers import CONFIG, Bench, Peer
+from tests.helpers import CONFIG, AdmissionBench, Peer
 
 EVENT_WEIGHTS = {"read": 8, "tick": 6, "ended": 3, "wants_call": 6, "call_done": 3, "hangup": 1}
 STATE_FOR_EVENT = {"wants_call": RpcState.RUNNING, "call_done": RpcState.CALLING}
@@ -57,8 +57,8 @@
 class DecisionPlayback:
     """Plays events into a controller and records its actions."""
 
-    def bench(self) -> Bench:
-        return Bench(
+    def bench(self) -> AdmissionBench:
+        return AdmissionBench(
             CALLING_METHOD,
             TOKEN_METHOD,
             tenants=[TENANT],
@@ -75,21 +75,21 @@
         names = rng.choices(list(EVENT_WEIGHTS), list(EVENT_WEIGHTS.values()), k=count)
         return [PlayedEvent(name, rng.random()) for name in names]
 
-    def play(self, bench: Bench, rpcs: list[ManagedRpc], events: list[PlayedEvent]) -> list[Any]:
+    def play(self, bench: AdmissionBench, rpcs: list[ManagedRpc], events: list[PlayedEvent]) -> list[Any]:
         """Returns the actions of each event, with RPCs by their number; `rpcs` gets those that are read."""
         steps: list[Any] = []
         numbers = {managed.rpc: number for number, managed in enumerate(rpcs)}
         for event in events:
-            bench.did.clear()
+            bench.actions.clear()
             self._play_event(bench, rpcs, event)
             if event.name == "read":
                 numbers[rpcs[-1].rpc] = len(rpcs) - 1
-            bench.server.settle()
-            steps.append([(name, *_numbered(values, numbers)) for name, *values in bench.did])
+            bench.controller.settle()
+            steps.append([(name, *_numbered(values, numbers)) for name, *values in bench.actions])
         return steps
 
-    def _play_event(self, bench: Bench, rpcs: list[ManagedRpc], event: PlayedEvent) -> None:
-        server = bench.server
+    def _play_event(self, bench: AdmissionBench, rpcs: list[ManagedRpc], event: PlayedEvent) -> None:
+        server = bench.controller
         fraction = event.fraction
         wanted_state = STATE_FOR_EVENT.get(event.name)
         open_rpcs = [managed for managed in rpcs if managed.state is not None]
@@ -112,7 +112,7 @@
             elif event.name == "hangup":
                 server.on_caller_gone(managed)
 
-    def _read(self, bench: Bench, fraction: float) -> ManagedRpc:
+    def _read(self, bench: AdmissionBench, fraction: float) -> ManagedRpc:
         return bench.read(
             method=CALLING_METHOD if fraction < 0.7 else TOKEN_METHOD,
             tenant=TENANT,
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -305,12 +305,12 @@
             old_rpcs = list[ManagedRpc]()
             self.playback.play(old, old_rpcs, self.playback.events(rng, 400))
             if seed % 5 == 4:
-                old.server.start_draining(1000.0)
-            exported, order = old.server.export_state()
+                old.controller.start_draining(1000.0)
+            exported, order = old.controller.export_state()
             exported = msgpack.decode(msgpack.encode(exported))
             new = self.playback.bench()
-            new.server.now_ms = old.server.now_ms
-            imported = new.server.import_state(exported, [managed.rpc for managed in order])
+            new.controller.now_ms = old.controller.now_ms
+            imported = new.controller.import_state(exported, [managed.rpc for managed in order])
             counterparts = dict(zip(order, imported, strict=True))
             seen_states |= {managed.state for managed in order}
             new_rpcs = [counterparts.get(managed, managed) for managed in old_rpcs]
@@ -319,7 +319,7 @@
                 self.assertEqual(
                     self.playback.play(new, new_rpcs, events), self.playback.play(old, old_rpcs, events)
                 )
-                self.assertEqual(old.server.export_state()[0], new.server.export_state()[0])
+                self.assertEqual(old.controller.export_state()[0], new.controller.export_state()[0])
         self.assertGreaterEqual(
             seen_states,
             {
@@ -334,14 +334,16 @@
 
     def test_ignores_what_only_another_build_knows(self) -> None:
         old, new = self.playback.bench(), self.playback.bench()
-        exported, _ = old.server.export_state()
+        exported, _ = old.controller.export_state()
         exported["plain"]["of the next build"] = 1
         exported["rings"].pop("stretch")
         exported["rings"]["of the next build"] = [0, 0, [], []]
         exported["rings"]["pushed"] = [0, 0, [[]], [0.0]]
-        new.server.import_state(exported, [])
-        self.assertFalse(hasattr(new.server, "of the next build"))
-        self.assertEqual(new.server.check.failures.bucket_count, len(new.server.check.failures.buckets))
+        new.controller.import_state(exported, [])
+        self.assertFalse(hasattr(new.controller, "of the next build"))
+        self.assertEqual(
+            new.controller.check.failures.bucket_count, len(new.controller.check.failures.buckets)
+        )
 
 
 class RouterStateTest(unittest.TestCase):
