--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -117,7 +117,7 @@
 }
 
 
-def until(holds: Callable[[], bool], bound: float = 10.0) -> None:
+def wait_until(holds: Callable[[], bool], bound: float = 10.0) -> None:
     """Waits for a condition; the bound only ends a test that fails."""
     end = time.monotonic() + bound
     while not holds():
@@ -128,67 +128,67 @@
 class Peer:
     """One side of a connection to the program, read and written by the test itself."""
 
-    def __init__(self, world: World, sock: socket.socket) -> None:
-        self.world, self.sock, self.buffer = world, sock, b""
+    def __init__(self, program: ProgramUnderTest, sock: socket.socket) -> None:
+        self.program, self.sock, self.buffer = program, sock, b""
         sock.settimeout(10.0)
-        world.case.addCleanup(sock.close)
+        program.test.addCleanup(sock.close)
 
     def send(self, data: bytes) -> None:
         self.sock.sendall(data)
 
-    def more(self) -> None:
+    def receive_more(self) -> None:
         data = self.sock.recv(65536)
         if not data:
             raise EOFError
         self.buffer += data
 
-    def line(self) -> tuple[list[str], bytes]:
+    def read_line(self) -> tuple[list[str], bytes]:
         """The next line and, where its kind has one, the body behind it."""
         while b"\r\n" not in self.buffer:
-            self.more()
+            self.receive_more()
         head, _, self.buffer = self.buffer.partition(b"\r\n")
         words, body = head.decode().split(), b""
         if words[0] in ("RUN", "FEED", "Q"):
             size = int(words.pop())
             while len(self.buffer) < size + 2:
-                self.more()
+                self.receive_more()
             body, self.buffer = self.buffer[:size], self.buffer[size + 2 :]
         return words, body
 
-    def closes(self) -> bool:
+    def is_closed_by_program(self) -> bool:
         try:
             while True:
-                self.more()
+                self.receive_more()
         except (EOFError, ConnectionResetError):
             return True
         except TimeoutError:
             return False
 
 
-class Engine(Peer):
+class EngineStandIn(Peer):
     """A stand-in for the engine; tells the gauges whenever they are asked for."""
 
-    def __init__(self, world: World, hello: str = "HELLO old 60000") -> None:
-        super().__init__(world, world.engine_door.accept()[0])
-        self.attached = self.line()[0]
+    def __init__(self, program: ProgramUnderTest, hello: str = "HELLO old 60000") -> None:
+        super().__init__(program, program.engine_listener.accept()[0])
+        self.attach_command = self.read_line()[0]
         if hello:
-            self.say(hello)
+            self.send_notice(hello)
 
-    def say(self, *words: Any, body: bytes | None = None) -> None:
+    def send_notice(self, *words: Any, body: bytes | None = None) -> None:
         text = " ".join(str(w) for w in words).encode()
         self.send(text + b"\r\n" if body is None else b"%b %d\r\n%b\r\n" % (text, len(body), body))
 
-    def next(self) -> tuple[list[str], bytes]:
+    def next_command(self) -> tuple[list[str], bytes]:
         end = time.monotonic() + 10.0
         while time.monotonic() < end:
-            words, body = self.line()
+            words, body = self.read_line()
             if words[0] != "STAT":
                 return words, body
-            self.say("STATS", words[1], 0.2, 1, 0.1, 3)
+            self.send_notice("STATS", words[1], 0.2, 1, 0.1, 3)
         raise TimeoutError("no command but STAT")
 
     @contextmanager
-    def answering(self) -> Iterator[None]:
+    def answering_gauge_queries(self) -> Iterator[None]:
         """Tells the gauges in the background until it is left; what else comes meanwhile is lost."""
         over = threading.Event()
         self.sock.settimeout(0.02)
@@ -196,9 +196,9 @@
         def serve() -> None:
             while not over.is_set():
                 with suppress(TimeoutError, OSError, EOFError):
-                    words, _ = self.line()
+                    words, _ = self.read_line()
                     if words[0] == "STAT":
-                        self.say("STATS", words[1], 0.2, 1, 0.1, 3)
+                        self.send_notice("STATS", words[1], 0.2, 1, 0.1, 3)
 
         thread = threading.Thread(target=serve)
         thread.start()
@@ -209,43 +209,43 @@
             thread.join()
             self.sock.settimeout(10.0)
 
-    def expect(self, *words: str) -> bytes:
-        got, body = self.next()
+    def expect_command(self, *words: str) -> bytes:
+        got, body = self.next_command()
         assert got[: len(words)] == list(words), f"{got} where {words} is due"
         return body
 
 
-class Gateway(Peer):
-    def __init__(self, world: World) -> None:
-        super().__init__(world, socket.create_connection(world.address))
-        self.numbers = 0
+class GatewayClient(Peer):
+    def __init__(self, program: ProgramUnderTest) -> None:
+        super().__init__(program, socket.create_connection(program.address))
+        self.last_message_id = 0
         self.unpacker = msgpack.Unpacker()
 
-    def rpc(self, method: str = "m", body: bytes = b"work", **fields: Any) -> int:
-        """Sends an RPC whose id is its place in the world; None leaves a field out."""
-        self.numbers += 1
-        self.world.ids += 1
+    def send_rpc(self, method: str = "m", body: bytes = b"work", **fields: Any) -> int:
+        """Sends an RPC whose id is its place among all of the test; None leaves a field out."""
+        self.last_message_id += 1
+        self.program.rpc_count += 1
         told = {
-            "id": f"{self.world.ids:016x}", "at": str(int(time.time() * 1000)), "from": "4", "tenant": "t",
+            "id": f"{self.program.rpc_count:016x}", "at": str(int(time.time() * 1000)), "from": "4", "tenant": "t",
             "wait": "3000", "kb": "10", "rank": "0.5", **fields,
         }  # fmt: skip
         told = {k: v for k, v in told.items() if v is not None}
-        self.send(msgpack.packb([0, self.numbers, method, [told, body]]))
-        return self.numbers
+        self.send(msgpack.packb([0, self.last_message_id, method, [told, body]]))
+        return self.last_message_id
 
     @property
-    def id(self) -> str:
-        return f"{self.world.ids:016x}"
+    def last_rpc_id(self) -> str:
+        return f"{self.program.rpc_count:016x}"
 
-    def probe(self, **fields: str) -> Any:
-        self.send_probe(**fields)
-        return self.message()[3]
+    def check_health(self, **fields: str) -> Any:
+        self.send_health_check(**fields)
+        return self.read_message()[3]
 
-    def send_probe(self, **fields: str) -> None:
-        self.numbers += 1
-        self.send(msgpack.packb([0, self.numbers, "probe", [fields]]))
+    def send_health_check(self, **fields: str) -> None:
+        self.last_message_id += 1
+        self.send(msgpack.packb([0, self.last_message_id, "probe", [fields]]))
 
-    def message(self) -> Any:
+    def read_message(self) -> Any:
         while True:
             for message in self.unpacker:
                 return message
@@ -254,30 +254,30 @@
                 raise EOFError
             self.unpacker.feed(data)
 
-    def final(self) -> tuple[int, Any]:
+    def read_final_answer(self) -> tuple[int, Any]:
         """The next answer; it may have been asked to go before."""
-        while (message := self.message())[0] != 1:
+        while (message := self.read_message())[0] != 1:
             assert message == [2, "goaway", []]
         return message[1], message[2][0] if message[2] else message[3][0]
 
-    def ends(self) -> str:
+    def read_until_end(self) -> str:
         """How the connection ends, whatever comes before: `closed` or `reset`."""
         try:
             while True:
-                self.message()
+                self.read_message()
         except EOFError:
             return "closed"
         except ConnectionResetError:
             return "reset"
 
-    def answer(self) -> tuple[int, Any]:
+    def read_answer(self) -> tuple[int, Any]:
         """Number and outcome: the bytes of a result, or the error's word."""
-        kind, number, error, result = self.message()
+        kind, number, error, result = self.read_message()
         assert kind == 1
         return number, error[0] if error else result[0]
 
 
-class World:
+class ProgramUnderTest:
     """The program started with stand-ins for all it talks to."""
 
     def __init__(
@@ -291,38 +291,42 @@
         files: int = 0,
         **change: Any,
     ) -> None:
-        """`toml`: our own settings, in which {folder} stands for the world's folder.
+        """`toml`: our own settings, in which {folder} stands for a folder of the test.
 
         `files`: the system's limit on descriptors for the program.
         """
-        self.case, self.ids = case, 0
-        self.doors()
+        self.test, self.rpc_count = case, 0
+        self.open_listeners()
         self.folder = tempfile.TemporaryDirectory(dir=MEMORY)
         case.addCleanup(self.folder.cleanup)
-        self.toml, self.env, self.command, self.files = toml, env or {}, command or [], files
-        self.start(self.config(limits or {}, change), engine)
+        self.toml, self.env, self.command, self.max_descriptors = toml, env or {}, command or [], files
+        self.start(self.make_config(limits or {}, change), engine)
 
     def start(self, config: Any, engine: bool = True) -> None:
-        case = self.case
+        case = self.test
         if self.toml:
             path = Path(self.folder.name) / "ours.toml"
             path.write_text(self.toml.replace("{folder}", self.folder.name))
             self.env["LANDINGSHIFT_TOML"] = str(path)
-        self.process = launch(self.folder.name, config, self.env, self.command, self.files)
-        case.addCleanup(self.end)
-        self.lines: list[dict[str, Any]] = []
-        self.address = tuple(self.logged("started")["listen"])
+        self.process = launch_program(self.folder.name, config, self.env, self.command, self.max_descriptors)
+        case.addCleanup(self.kill)
+        self.log_entries: list[dict[str, Any]] = []
+        self.address = tuple(self.wait_for_log("started")["listen"])
         if engine:
-            self.engine = Engine(self)
-            assert self.engine.line()[0][0] == "STAT"
-            self.engine.say("STATS", "s1", 0.2, 1, 0.1, 3)
-            self.logged("engine_ready")
+            self.engine = EngineStandIn(self)
+            assert self.engine.read_line()[0][0] == "STAT"
+            self.engine.send_notice("STATS", "s1", 0.2, 1, 0.1, 3)
+            self.wait_for_log("engine_ready")
 
-    def config(self, limits: dict[str, Any], change: dict[str, Any]) -> dict[str, Any]:
+    def make_config(self, limits: dict[str, Any], change: dict[str, Any]) -> dict[str, Any]:
         def at(sock: socket.socket) -> str:
             return "{}:{}".format(*sock.getsockname())
 
-        doors = {"engine": at(self.engine_door), "db": at(self.database_door), "roster": at(self.roster)}
+        doors = {
+            "engine": at(self.engine_listener),
+            "db": at(self.database_listener),
+            "roster": at(self.roster),
+        }
         config = json.loads(json.dumps(CONFIG)) | doors | {"limits": CONFIG["limits"] | limits}
         for path, value in change.items():
             *way, last = path.split("__")
@@ -332,60 +336,60 @@
             inner[last.replace("_", "-") if way else last] = value
         return config
 
-    def doors(self) -> None:
+    def open_listeners(self) -> None:
         """Where engine, database and roster are reached from now on."""
-        self.engine_door = socket.create_server(("127.0.0.1", 0))
-        self.database_door = socket.create_server(("127.0.0.1", 0))
+        self.engine_listener = socket.create_server(("127.0.0.1", 0))
+        self.database_listener = socket.create_server(("127.0.0.1", 0))
         self.roster = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.roster.bind(("127.0.0.1", 0))
-        for sock in (self.engine_door, self.database_door, self.roster):
+        for sock in (self.engine_listener, self.database_listener, self.roster):
             sock.settimeout(10.0)
-            self.case.addCleanup(sock.close)
+            self.test.addCleanup(sock.close)
 
     def reload(self, config: str = "", **change: Any) -> None:
         """A new configuration, with SIGHUP."""
-        write(self.folder.name, config or self.config({}, change))
+        write(self.folder.name, config or self.make_config({}, change))
         self.process.send_signal(signal.SIGHUP)
 
-    def database(self) -> Peer:
-        return Peer(self, self.database_door.accept()[0])
+    def accept_database_link(self) -> Peer:
+        return Peer(self, self.database_listener.accept()[0])
 
     @contextmanager
     def paused(self) -> Iterator[None]:
         """What is done meanwhile reaches the program all at once, in one pass of its loop."""
         self.process.send_signal(signal.SIGSTOP)
-        until(lambda: self.state() == "T")
+        wait_until(lambda: self.process_state() == "T")
         try:
             yield
         finally:
             self.process.send_signal(signal.SIGCONT)
 
-    def state(self) -> str:
+    def process_state(self) -> str:
         return Path(f"/proc/{self.process.pid}/stat").read_text().rsplit(") ", 1)[1][0]
 
-    def ends(self) -> int:
+    def wait_for_exit(self) -> int:
         """Its exit status; what it logged until then is in `lines`."""
         status = self.process.wait(10.0)
         assert self.process.stdout is not None
-        self.lines += [json.loads(text) for text in self.process.stdout]
+        self.log_entries += [json.loads(text) for text in self.process.stdout]
         return status
 
-    def logged(self, event: str, **fields: Any) -> dict[str, Any]:
+    def wait_for_log(self, event: str, **fields: Any) -> dict[str, Any]:
         """The next log line of this kind."""
         assert self.process.stdout is not None
         # A line that never comes must fail the test, not hold it up.
         watch = threading.Timer(10.0, self.process.kill)
         watch.start()
-        self.case.addCleanup(watch.cancel)
+        self.test.addCleanup(watch.cancel)
         for text in self.process.stdout:
             entry: dict[str, Any] = json.loads(text)
-            self.lines.append(entry)
+            self.log_entries.append(entry)
             if entry["event"] == event and fields.items() <= entry.items():
                 watch.cancel()
                 return entry
-        raise AssertionError(f"no line {event} {fields} among {self.lines[-20:]}")
+        raise AssertionError(f"no line {event} {fields} among {self.log_entries[-20:]}")
 
-    def end(self) -> None:
+    def kill(self) -> None:
         self.process.kill()
         self.process.communicate()
 
@@ -396,7 +400,7 @@
     return path
 
 
-def launch(
+def launch_program(
     folder: str,
     config: Any,
     env: dict[str, str] | None = None,
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -18,7 +18,7 @@
 from landingshift.net.routing.observers import RpcObservers
 from landingshift.testbed import MEMORY
 from landingshift.testbed.processes.export_receiver import Books, Failing, Server
-from tests.helpers import CONFIG, Gateway, World
+from tests.helpers import CONFIG, GatewayClient, ProgramUnderTest
 
 ON = '[ledger]\nfolder = "/tmp/x"\ninstance = "n1"\n'
 
@@ -106,12 +106,12 @@
         self.assertEqual(lines, [("observer_cut_off", "bad")])
 
     def test_serve_is_what_the_platform_starts(self) -> None:
-        w = World(self, command=["serve"])
-        g = Gateway(w)
-        n = g.rpc()
-        w.engine.expect("RUN", g.id)
-        w.engine.say("DONE 1", g.id, "good 5", body=b"r")
-        self.assertEqual(g.answer(), (n, b"r"))
+        w = ProgramUnderTest(self, command=["serve"])
+        g = GatewayClient(w)
+        n = g.send_rpc()
+        w.engine.expect_command("RUN", g.last_rpc_id)
+        w.engine.send_notice("DONE 1", g.last_rpc_id, "good 5", body=b"r")
+        self.assertEqual(g.read_answer(), (n, b"r"))
 
 
 class Commands(unittest.TestCase):
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -19,64 +19,64 @@
 from landingshift.net.routing.gateways import Gateways
 from landingshift.net.transport.loop import Loop
 from landingshift.net.transport.stream import LINGER_MS, MAX_DISCARDED_BYTES, MAX_LINGERS, Stream
-from tests.helpers import Engine, Gateway, World, until
+from tests.helpers import EngineStandIn, GatewayClient, ProgramUnderTest, wait_until
 from tests.test_server import prove, resident
 
 
-class News:
+class RecordedGatewayEvents:
     """Takes what gateways send: an RPC is open until the test answers it."""
 
     def __init__(self) -> None:
-        self.reads: list[int] = []
-        self.probes: list[int] = []
-        self.hung_up: list[int] = []
+        self.request_ids: list[int] = []
+        self.health_check_ids: list[int] = []
+        self.abandoned_ids: list[int] = []
 
     def on_request(self, connection: GatewayConnection, call: wire.Request) -> None:
         connection.rpcs[call.message_id] = call  # type: ignore[assignment]
-        self.reads.append(call.message_id)
+        self.request_ids.append(call.message_id)
 
     def on_abandoned(self, rpc: Any) -> None:
-        self.hung_up.append(rpc.message_id)
+        self.abandoned_ids.append(rpc.message_id)
 
     def on_health_check(self, connection: GatewayConnection, call: wire.Request) -> None:
-        self.probes.append(call.message_id)
+        self.health_check_ids.append(call.message_id)
 
 
-class Door:
+class GatewaysUnderTest:
     """The gateways' part of the program on a loop that is turned by hand, and peers that come."""
 
     def __init__(self, case: unittest.TestCase, most: int = 64, idle: float = 30000.0) -> None:
-        self.case, self.news, self.ended = case, News(), list[str]()
+        self.test, self.events, self.close_reasons = case, RecordedGatewayEvents(), list[str]()
         self.loop = Loop(lambda: case.fail("a handler raised"))
         self.gateways = Gateways(self.loop, ("127.0.0.1", 0), most, 1 << 26, idle, log=self.log)
-        self.gateways.start(self.news)
+        self.gateways.start(self.events)
         case.addCleanup(self.gateways.listener.close)
 
     def log(self, event: str, reason: str = "", **_: Any) -> None:
         if event == "connection":
-            self.ended.append(reason)
+            self.close_reasons.append(reason)
 
-    def come(self, proven: bool = False) -> tuple[socket.socket, GatewayConnection]:
+    def connect(self, proven: bool = False) -> tuple[socket.socket, GatewayConnection]:
         before = set(self.gateways.connections)
         peer = socket.create_connection(self.gateways.listener.address)
-        self.case.addCleanup(peer.close)
+        self.test.addCleanup(peer.close)
         peer.settimeout(5.0)
         peer.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.turn_until(lambda: set(self.gateways.connections) != before)
+        self.run_passes_until(lambda: set(self.gateways.connections) != before)
         (connection,) = set(self.gateways.connections) - before
-        self.case.addCleanup(connection.stream.sock.close)
+        self.test.addCleanup(connection.stream.sock.close)
         connection.is_verified = proven
         return peer, connection
 
-    def turn_until(self, holds: Any) -> None:
+    def run_passes_until(self, holds: Any) -> None:
         def once() -> bool:
             self.loop.after(0.0, lambda: None)  # so that the pass waits for nothing
             self.loop.run_pass()
             return bool(holds())
 
-        until(once)
+        wait_until(once)
 
-    def later(self, ms: float) -> None:
+    def advance_clock(self, ms: float) -> None:
         """The loop's clock says so without a pass: what comes now has not been read."""
         self.loop.now_ms += ms
 
@@ -87,7 +87,7 @@
 
 def arrives(connection: GatewayConnection) -> None:
     """Waits until bytes are there for it to read."""
-    until(lambda: bool(peek(connection.stream.sock)))
+    wait_until(lambda: bool(peek(connection.stream.sock)))
 
 
 def peek(sock: socket.socket) -> bytes:
@@ -106,39 +106,39 @@
             ("asked to go", True, GOAWAY_GRACE_MS),
         ]:
             with self.subTest(why=why):
-                door = Door(self)
-                peer, connection = door.come(proven)
+                door = GatewaysUnderTest(self)
+                peer, connection = door.connect(proven)
                 if proven:
                     connection.send_goaway()
-                    door.turn_until(lambda c=connection: not c.stream.output)
+                    door.run_passes_until(lambda c=connection: not c.stream.output)
                 peer.sendall(rpc())
                 arrives(connection)
-                door.later(wait + 1.0)
+                door.advance_clock(wait + 1.0)
                 connection.check_idle()
-                self.assertEqual((door.news.reads, connection.stream.close_reason), ([1], ""))
+                self.assertEqual((door.events.request_ids, connection.stream.close_reason), ([1], ""))
                 connection.answer(1, wire.encode_ok(1, b"r", {}))
-                door.turn_until(lambda c=connection: not c.stream.output)
+                door.run_passes_until(lambda c=connection: not c.stream.output)
                 self.assertIn(msgpack.packb([1, 1, None, [b"r", {}]]), peer.recv(4096))
 
     def test_crowding_out_spares_who_has_just_sent(self) -> None:
-        door = Door(self, most=2)
-        (first, one), (second, two) = door.come(), door.come()
+        door = GatewaysUnderTest(self, most=2)
+        (first, one), (second, two) = door.connect(), door.connect()
         for _ in range(3):
-            door.turn_until(lambda: True)
+            door.run_passes_until(lambda: True)
         first.sendall(rpc())
         arrives(one)
         self.assertFalse(door.gateways.evict_idle())  # the one that was quiet for longest has just sent
-        self.assertEqual((door.news.reads, one.stream.is_open, two.stream.is_open), ([1], True, True))
+        self.assertEqual((door.events.request_ids, one.stream.is_open, two.stream.is_open), ([1], True, True))
         self.assertTrue(door.gateways.evict_idle())
         self.assertEqual((one.stream.is_open, two.stream.is_open), (True, False))
         self.assertEqual(second.recv(10), b"")
 
     def test_a_half_message_does_not_take_answers_that_are_owed(self) -> None:
-        door = Door(self)
-        peer, connection = door.come(proven=True)
+        door = GatewaysUnderTest(self)
+        peer, connection = door.connect(proven=True)
         peer.sendall(rpc() + rpc(2)[:9])
-        door.turn_until(lambda: door.news.reads)
-        door.later(MAX_MESSAGE_MS + 1.0)
+        door.run_passes_until(lambda: door.events.request_ids)
+        door.advance_clock(MAX_MESSAGE_MS + 1.0)
         connection.check_idle()
         self.assertEqual((connection.stream.is_open, connection.stream.close_reason), (True, ""))
         connection.answer(1, wire.encode_ok(1, b"r", {}))
@@ -148,38 +148,38 @@
 
     def test_who_has_not_been_told_to_go_is_listened_to(self) -> None:
         # `goaway` lies behind answers that a slow reader has not taken: it goes on sending.
-        door = Door(self)
-        peer, connection = door.come(proven=True)
+        door = GatewaysUnderTest(self)
+        peer, connection = door.connect(proven=True)
         peer.sendall(rpc())
-        door.turn_until(lambda: door.news.reads)
+        door.run_passes_until(lambda: door.events.request_ids)
         connection.stream.max_unsent_bytes = 1 << 24
         connection.answer(1, bytes(1 << 23))
         connection.send_goaway()
-        door.turn_until(lambda: True)
+        door.run_passes_until(lambda: True)
         self.assertTrue(connection.stream.output)
-        door.later(GOAWAY_GRACE_MS + 1.0)
+        door.advance_clock(GOAWAY_GRACE_MS + 1.0)
         connection.check_idle()
         peer.sendall(rpc(2))
-        door.turn_until(lambda: len(door.news.reads) > 1)
+        door.run_passes_until(lambda: len(door.events.request_ids) > 1)
         self.assertEqual(connection.stream.close_reason, "")
-        door.later(2.0 * GOAWAY_GRACE_MS + 1.0)
+        door.advance_clock(2.0 * GOAWAY_GRACE_MS + 1.0)
         connection.answer(2, b"")
         connection.check_idle()
         self.assertEqual(connection.stream.close_reason, "goaway")  # nobody holds a place for ever
 
     def test_nothing_is_acted_on_after_the_half_close(self) -> None:
-        door = Door(self)
-        peer, connection = door.come(proven=True)
+        door = GatewaysUnderTest(self)
+        peer, connection = door.connect(proven=True)
         connection.stream.close_gracefully("goaway")
         peer.sendall(rpc())
         self.assertEqual(peer.recv(10), b"")
         peer.close()
-        door.turn_until(lambda: door.ended)
-        self.assertEqual((door.news.reads, door.ended), ([], ["goaway"]))
+        door.run_passes_until(lambda: door.close_reasons)
+        self.assertEqual((door.events.request_ids, door.close_reasons), ([], ["goaway"]))
 
     def test_who_goes_on_sending_after_it_is_cut(self) -> None:
-        door = Door(self)
-        peer, connection = door.come(proven=True)
+        door = GatewaysUnderTest(self)
+        peer, connection = door.connect(proven=True)
         connection.stream.close_gracefully("goaway")
         peer.setblocking(False)
         data = bytes(MAX_DISCARDED_BYTES // 4)
@@ -193,24 +193,24 @@
                 return True
             return not connection.stream.is_open
 
-        door.turn_until(over)
+        door.run_passes_until(over)
         self.assertLess(connection.stream.discarded_bytes, 3 * MAX_DISCARDED_BYTES)
 
     def test_an_answer_reaches_who_is_cut(self) -> None:
         # More of its bytes are unread: a close would be a reset, which takes the answer along.
-        w = World(self)
+        w = ProgramUnderTest(self)
         for first, reason in [
             (msgpack.packb([0, 1, "unknown", [{}, b""]]), "bad_rpc"),
             (msgpack.packb([0, 1, "probe", [{}]]) + b"\xc1", "garbage"),
         ]:
             with self.subTest(reason=reason):
-                g = Gateway(w)
+                g = GatewayClient(w)
                 with w.paused():
                     g.send(first + bytes(40000))
-                self.assertEqual(g.message()[1], 1)
-                self.assertEqual(g.ends(), "closed")
+                self.assertEqual(g.read_message()[1], 1)
+                self.assertEqual(g.read_until_end(), "closed")
                 g.sock.close()
-                self.assertEqual(w.logged("connection")["reason"], reason)
+                self.assertEqual(w.wait_for_log("connection")["reason"], reason)
 
 
 class PeerClose(unittest.TestCase):
@@ -220,7 +220,7 @@
         ours, theirs = socket.socketpair()
         self.addCleanup(theirs.close)
         ours.setblocking(False)
-        owner = News()
+        owner = RecordedGatewayEvents()
         owner.on_closed = lambda reason: None  # type: ignore[attr-defined]
         stream = Stream(loop, ours, owner, 1 << 26)  # type: ignore[arg-type]
         stream.write(bytes(1 << 25))
@@ -251,57 +251,57 @@
         self.assertGreater(LINGER_MS, 0.0)
 
     def test_half_closed_with_an_rpc_and_a_probe_open(self) -> None:
-        w = World(self)
-        g, d = Gateway(w), Gateway(w)
-        n = g.rpc()
-        w.engine.expect("RUN", g.id)
+        w = ProgramUnderTest(self)
+        g, d = GatewayClient(w), GatewayClient(w)
+        n = g.send_rpc()
+        w.engine.expect_command("RUN", g.last_rpc_id)
         with w.paused():
-            d.send_probe(deep="1")
+            d.send_health_check(deep="1")
             for one in (g, d):
                 one.sock.shutdown(socket.SHUT_WR)
-            w.engine.say("DONE 1", g.id, "good 5", body=b"r")
-        self.assertEqual((g.final(), g.ends()), ((n, b"r"), "closed"))
-        self.assertEqual((d.final(), d.ends()), ((1, True), "closed"))
+            w.engine.send_notice("DONE 1", g.last_rpc_id, "good 5", body=b"r")
+        self.assertEqual((g.read_final_answer(), g.read_until_end()), ((n, b"r"), "closed"))
+        self.assertEqual((d.read_final_answer(), d.read_until_end()), ((1, True), "closed"))
 
     def test_a_reset_in_each_state(self) -> None:
-        w = World(self)
-        other = Gateway(w)
+        w = ProgramUnderTest(self)
+        other = GatewayClient(w)
         prove(w, other)
         notice = 1
         for state in ("idle", "half", "running", "calling", "answered", "half closed"):
             with self.subTest(state=state):
-                g = Gateway(w)
+                g = GatewayClient(w)
                 rid = ""
                 if state == "half":
                     g.send(rpc()[:9])
                 elif state != "idle":
-                    g.rpc("once")
-                    rid = g.id
-                    w.engine.expect("RUN", rid)
+                    g.send_rpc("once")
+                    rid = g.last_rpc_id
+                    w.engine.expect_command("RUN", rid)
                 if state == "calling":
                     notice += 1
-                    w.engine.say("NEED", notice, rid, body=b"q")
-                    db = w.database()
-                    db.line()
+                    w.engine.send_notice("NEED", notice, rid, body=b"q")
+                    db = w.accept_database_link()
+                    db.read_line()
                 if state == "answered":
                     notice += 1
-                    w.engine.say("DONE", notice, rid, "good 5", body=b"r")
-                    g.answer()
+                    w.engine.send_notice("DONE", notice, rid, "good 5", body=b"r")
+                    g.read_answer()
                 if state == "half closed":
                     g.sock.shutdown(socket.SHUT_WR)
-                    self.assertEqual(g.message(), [2, "goaway", []])
+                    self.assertEqual(g.read_message(), [2, "goaway", []])
                 g.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 g.sock.close()
-                self.assertIn(w.logged("connection")["reason"], ("reset", "closed_by_gateway"))
+                self.assertIn(w.wait_for_log("connection")["reason"], ("reset", "closed_by_gateway"))
                 if state == "calling":
-                    self.assertEqual(db.line()[0], ["X", rid])
+                    self.assertEqual(db.read_line()[0], ["X", rid])
                 if state in ("running", "calling", "half closed"):
                     notice += 1
-                    w.engine.say("DONE", notice, rid, "good 5", body=b"for nobody")
-        m = other.rpc()
-        w.engine.expect("RUN", other.id)
-        w.engine.say("DONE", notice + 1, other.id, "good 5", body=b"r")
-        self.assertEqual(other.answer(), (m, b"r"))
+                    w.engine.send_notice("DONE", notice, rid, "good 5", body=b"for nobody")
+        m = other.send_rpc()
+        w.engine.expect_command("RUN", other.last_rpc_id)
+        w.engine.send_notice("DONE", notice + 1, other.last_rpc_id, "good 5", body=b"r")
+        self.assertEqual(other.read_answer(), (m, b"r"))
 
 
 class Pieces(unittest.TestCase):
@@ -329,14 +329,14 @@
             return {"8": b"\xc4%c" % len(value), "16": b"\xc5" + struct.pack(">H", len(value)),
                     "32": b"\xc6" + struct.pack(">I", len(value))}[form] + value  # fmt: skip
 
-        w = World(self)
-        g = Gateway(w)
+        w = ProgramUnderTest(self)
+        g = GatewayClient(w)
         g.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         for i, form in enumerate(("8", "16", "32")):
             for pieces in (1, 7, 10_000):
                 with self.subTest(form=form, pieces=pieces):
-                    w.ids += 1
-                    rid = f"{'ABCDEF' if pieces == 7 else 'abcdef'}{w.ids:010}"  # hex digits, of either case
+                    w.rpc_count += 1
+                    rid = f"{'ABCDEF' if pieces == 7 else 'abcdef'}{w.rpc_count:010}"  # hex digits of either case
                     told = {"id": rid, "at": str(int(time.time() * 1000)), "from": "1",
                             "tenant": "t", "wait": "2500", "kb": "2.5", "new": "x"}  # fmt: skip
                     n = 10 * i + min(pieces, 9)
@@ -347,57 +347,57 @@
                     size = max(1, len(data) // pieces)
                     for at in range(0, len(data), size):
                         g.send(data[at : at + size])
-                    self.assertEqual(w.engine.expect("RUN", told["id"]), b"\x00work")
-                    w.engine.say("DONE", w.ids, told["id"], "good 5", body=b"r")
-                    self.assertEqual(g.answer(), (n, b"r"))
+                    self.assertEqual(w.engine.expect_command("RUN", told["id"]), b"\x00work")
+                    w.engine.send_notice("DONE", w.rpc_count, told["id"], "good 5", body=b"r")
+                    self.assertEqual(g.read_answer(), (n, b"r"))
 
 
 class Descriptors(unittest.TestCase):
     def test_idle_clients_in_every_place_while_the_roster_is_silent(self) -> None:
-        w = World(self, limits={"sockets": 96})
+        w = ProgramUnderTest(self, limits={"sockets": 96})
         w.roster.close()
-        g = Gateway(w)
+        g = GatewayClient(w)
         prove(w, g)
-        crowd = [Gateway(w) for _ in range(60)]  # more than places; they only keep theirs
-        n = g.rpc()
-        w.engine.expect("RUN", g.id)
+        crowd = [GatewayClient(w) for _ in range(60)]  # more than places; they only keep theirs
+        n = g.send_rpc()
+        w.engine.expect_command("RUN", g.last_rpc_id)
         w.engine.sock.close()  # and the link to the engine needs a descriptor again
-        link = Engine(w)
-        link.say("DONE 2", g.id, "good 5", body=b"r")
-        self.assertEqual(g.answer(), (n, b"r"))
-        self.assertTrue(Gateway(w).probe()[0])
-        self.assertTrue(all(one.closes() for one in crowd))
+        link = EngineStandIn(w)
+        link.send_notice("DONE 2", g.last_rpc_id, "good 5", body=b"r")
+        self.assertEqual(g.read_answer(), (n, b"r"))
+        self.assertTrue(GatewayClient(w).check_health()[0])
+        self.assertTrue(all(one.is_closed_by_program() for one in crowd))
 
     def test_fewer_descriptors_than_told(self) -> None:
         # What the system gives counts: the links to engine and database need theirs beside the gateways'.
-        w = World(self, limits={"sockets": 1024}, files=96)
+        w = ProgramUnderTest(self, limits={"sockets": 1024}, files=96)
         with w.paused():  # each has its RPC there once it is accepted, so that none of them makes room
-            crowd = [Gateway(w) for _ in range(100)]
+            crowd = [GatewayClient(w) for _ in range(100)]
             for one in crowd:
-                one.rpc(wait="9000")
-        w.logged("connections_full")
-        ids = [w.engine.next()[0][1] for _ in range(20)]
-        w.engine.say("NEED 1", ids[0], body=b"q")
-        self.assertEqual(w.database().line()[0][:2], ["Q", ids[0]])
+                one.send_rpc(wait="9000")
+        w.wait_for_log("connections_full")
+        ids = [w.engine.next_command()[0][1] for _ in range(20)]
+        w.engine.send_notice("NEED 1", ids[0], body=b"q")
+        self.assertEqual(w.accept_database_link().read_line()[0][:2], ["Q", ids[0]])
         w.engine.sock.close()
-        self.assertEqual(Engine(w).attached, ["ATTACH", "1"])
+        self.assertEqual(EngineStandIn(w).attach_command, ["ATTACH", "1"])
 
     def test_an_honest_gateway_in_a_flood(self) -> None:
-        w = World(self, limits={"sockets": 128})
-        g = Gateway(w)
+        w = ProgramUnderTest(self, limits={"sockets": 128})
+        g = GatewayClient(w)
         prove(w, g)
         flood = [msgpack.packb([0, 1, "m", [{"id": "x"}, b""]]), b"\xc1" * 2000, rpc()[:9], b""]
         crowd = []
         for i in range(200):
-            crowd.append(Gateway(w))
+            crowd.append(GatewayClient(w))
             with contextlib.suppress(OSError):  # it has made room already
                 crowd[-1].send(flood[i % len(flood)])
             if i % 20 == 0:
-                n = g.rpc()
-                w.engine.expect("RUN", g.id)
-                w.engine.say("DONE", i // 20 + 2, g.id, "good 5", body=b"r")
-                self.assertEqual(g.answer(), (n, b"r"))
-        self.assertTrue(all(one.closes() for one in crowd))
+                n = g.send_rpc()
+                w.engine.expect_command("RUN", g.last_rpc_id)
+                w.engine.send_notice("DONE", i // 20 + 2, g.last_rpc_id, "good 5", body=b"r")
+                self.assertEqual(g.read_answer(), (n, b"r"))
+        self.assertTrue(all(one.is_closed_by_program() for one in crowd))
         self.assertLess(resident(w.process.pid), 64.0)
 
 
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -12,33 +12,35 @@
 from landingshift.admission.interface import Idempotency
 from landingshift.net.program.signals import SignalWatcher
 from landingshift.net.transport.loop import Loop
-from tests.helpers import METHOD, Bench, Engine, Gateway, World, until
-from tests.test_connections import Door
+from tests.helpers import METHOD, Bench, EngineStandIn, GatewayClient, ProgramUnderTest, wait_until
+from tests.test_connections import GatewaysUnderTest
 
 
-def waiting(w: World, count: int) -> list[Gateway]:
+def waiting(w: ProgramUnderTest, count: int) -> list[GatewayClient]:
     """Gateways whose connections wait to be accepted, each with an RPC written."""
-    crowd = [Gateway(w) for _ in range(count)]
+    crowd = [GatewayClient(w) for _ in range(count)]
     for one in crowd:
-        one.rpc()
+        one.send_rpc()
     return crowd
 
 
 class Backlog(unittest.TestCase):
     def test_a_full_table_keeps_nobody_out_who_has_come(self) -> None:
         # Closing the listener over them would reset what was written before the notice.
-        w = World(self, limits={"sockets": 80}, settings__classes__0__late_share=0.0)  # 16 connections
-        crowd = [Gateway(w) for _ in range(16)]
+        w = ProgramUnderTest(
+            self, limits={"sockets": 80}, settings__classes__0__late_share=0.0
+        )  # 16 connections
+        crowd = [GatewayClient(w) for _ in range(16)]
         for one in crowd:
-            one.rpc(wait="9000")
+            one.send_rpc(wait="9000")
         with w.paused():
             late = waiting(w, 5)
             w.process.send_signal(signal.SIGTERM)
-        answers = [one.final()[1] for one in crowd + late]
+        answers = [one.read_final_answer()[1] for one in crowd + late]
         self.assertLessEqual(set(answers), {"Busy", "Failed"})
         for one in crowd + late:
             one.sock.close()
-        self.assertEqual(w.ends(), 0)
+        self.assertEqual(w.wait_for_exit(), 0)
 
     def test_without_descriptors_the_door_stays_open_until_some_are_free(self) -> None:
         class Short:
@@ -56,17 +58,17 @@
             def __getattr__(self, name: str) -> Any:
                 return getattr(self.sock, name)
 
-        door = Door(self)
+        door = GatewaysUnderTest(self)
         waits = socket.create_connection(door.gateways.listener.address)
         self.addCleanup(waits.close)
         waits.sendall(msgpack.packb([0, 1, "m", [{}, b"work"]]))
         short = Short(door.gateways.listener.sock)
         door.gateways.listener.sock = short  # type: ignore[assignment]
         door.gateways.start_draining()
-        door.turn_until(lambda: short.asked > 2)
+        door.run_passes_until(lambda: short.asked > 2)
         self.assertFalse(door.gateways.is_drained())
         short.short = False
-        door.turn_until(lambda: door.news.reads == [1])
+        door.run_passes_until(lambda: door.events.request_ids == [1])
         self.assertFalse(door.gateways.listener.is_open)
         for connection in door.gateways.connections:
             connection.stream.close("test")
@@ -74,45 +76,45 @@
 
     def test_who_comes_again_at_once_is_refused(self) -> None:
         # Neither taken, nor left waiting until after the stop.
-        w = World(self)
-        g = Gateway(w)
-        self.assertTrue(g.probe()[0])
+        w = ProgramUnderTest(self)
+        g = GatewayClient(w)
+        self.assertTrue(g.check_health()[0])
         w.process.send_signal(signal.SIGTERM)
-        self.assertEqual(g.message(), [2, "goaway", []])
+        self.assertEqual(g.read_message(), [2, "goaway", []])
         with self.assertRaises(ConnectionRefusedError):
             socket.create_connection(w.address, timeout=0.5)
         g.sock.close()
-        self.assertEqual(w.ends(), 0)
+        self.assertEqual(w.wait_for_exit(), 0)
 
 
 class NoEngine(unittest.TestCase):
     def test_what_was_written_is_told_that_it_never_ran(self) -> None:
-        w = World(self, engine=False)
-        known = Gateway(w)
-        self.assertTrue(known.probe()[0])
+        w = ProgramUnderTest(self, engine=False)
+        known = GatewayClient(w)
+        self.assertTrue(known.check_health()[0])
         with w.paused():
-            n = known.rpc()
+            n = known.send_rpc()
             late = waiting(w, 1)[0]
             w.process.send_signal(signal.SIGTERM)
-        self.assertEqual(known.final(), (n, "Busy"))
-        self.assertEqual(late.final(), (1, "Busy"))
-        self.assertEqual([one.ends() for one in (known, late)], ["closed", "closed"])
+        self.assertEqual(known.read_final_answer(), (n, "Busy"))
+        self.assertEqual(late.read_final_answer(), (1, "Busy"))
+        self.assertEqual([one.read_until_end() for one in (known, late)], ["closed", "closed"])
         for one in (known, late):
             one.sock.close()
-        self.assertEqual(w.ends(), 0)
-        self.assertEqual(w.lines[-1]["event"], "stopped")
+        self.assertEqual(w.wait_for_exit(), 0)
+        self.assertEqual(w.log_entries[-1]["event"], "stopped")
 
     def test_an_engine_that_comes_up_after_the_notice_lists_nobody(self) -> None:
-        w = World(self, engine=False)
-        link = Engine(w, hello="")
-        g = Gateway(w)
-        self.assertTrue(g.probe()[0])
+        w = ProgramUnderTest(self, engine=False)
+        link = EngineStandIn(w, hello="")
+        g = GatewayClient(w)
+        self.assertTrue(g.check_health()[0])
         w.process.send_signal(signal.SIGTERM)
-        self.assertEqual(g.message(), [2, "goaway", []])
-        link.say("HELLO old 60000")
-        w.logged("engine_link")
+        self.assertEqual(g.read_message(), [2, "goaway", []])
+        link.send_notice("HELLO old 60000")
+        w.wait_for_log("engine_link")
         g.sock.close()
-        self.assertEqual(w.ends(), 0)
+        self.assertEqual(w.wait_for_exit(), 0)
         w.roster.setblocking(False)
         with self.assertRaises(BlockingIOError):  # gateways would send to what is gone
             w.roster.recv(100)
@@ -120,93 +122,93 @@
 
 class Notice(unittest.TestCase):
     def test_signals_while_it_runs_and_again(self) -> None:
-        w = World(self)
-        g = Gateway(w)
-        n = g.rpc()
-        w.engine.expect("RUN", g.id)
+        w = ProgramUnderTest(self)
+        g = GatewayClient(w)
+        n = g.send_rpc()
+        w.engine.expect_command("RUN", g.last_rpc_id)
         with w.paused():
-            half = Gateway(w)
+            half = GatewayClient(w)
             half.send(b"\x94\x00\x01\xa1m")  # an RPC that never becomes whole
-            w.engine.say("DONE 1", g.id, "good 5", body=b"r")
+            w.engine.send_notice("DONE 1", g.last_rpc_id, "good 5", body=b"r")
             for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM, signal.SIGINT):
                 w.process.send_signal(number)
-        self.assertEqual(g.final(), (n, b"r"))
-        w.logged("mode")
+        self.assertEqual(g.read_final_answer(), (n, b"r"))
+        w.wait_for_log("mode")
         w.process.send_signal(signal.SIGTERM)
         w.process.send_signal(signal.SIGHUP)
-        self.assertFalse(g.probe()[0])
+        self.assertFalse(g.check_health()[0])
         g.sock.close()
         half.sock.close()
-        self.assertEqual(w.ends(), 0)
+        self.assertEqual(w.wait_for_exit(), 0)
 
     def test_a_probe_in_the_same_moment(self) -> None:
         for deep in ("", "1"):
             with self.subTest(deep=deep):
-                w = World(self)
-                g = Gateway(w)
+                w = ProgramUnderTest(self)
+                g = GatewayClient(w)
                 with w.paused():
-                    g.send_probe(deep=deep)
+                    g.send_health_check(deep=deep)
                     w.process.send_signal(signal.SIGTERM)
-                self.assertEqual(g.message()[0], 1)
-                self.assertFalse(g.probe()[0])
+                self.assertEqual(g.read_message()[0], 1)
+                self.assertFalse(g.check_health()[0])
                 g.sock.close()
-                self.assertEqual(w.ends(), 0)
+                self.assertEqual(w.wait_for_exit(), 0)
 
     def test_a_call_and_an_answer_in_the_same_moment(self) -> None:
-        w = World(self)
-        g = Gateway(w)
-        n = g.rpc()
-        rid = g.id
-        w.engine.expect("RUN", rid)
-        w.engine.say("NEED 1", rid, body=b"q")
-        db = w.database()
-        db.line()
+        w = ProgramUnderTest(self)
+        g = GatewayClient(w)
+        n = g.send_rpc()
+        rid = g.last_rpc_id
+        w.engine.expect_command("RUN", rid)
+        w.engine.send_notice("NEED 1", rid, body=b"q")
+        db = w.accept_database_link()
+        db.read_line()
         with w.paused():
             db.send(f"{rid} ROWS 2\r\nok\r\n".encode())
             w.process.send_signal(signal.SIGTERM)
-        self.assertEqual(w.engine.expect("FEED", rid), b"ok")
-        w.engine.say("DONE 2", rid, "good 9", body=b"r")
-        self.assertEqual(g.final(), (n, b"r"))
+        self.assertEqual(w.engine.expect_command("FEED", rid), b"ok")
+        w.engine.send_notice("DONE 2", rid, "good 9", body=b"r")
+        self.assertEqual(g.read_final_answer(), (n, b"r"))
         g.sock.close()
-        self.assertEqual(w.ends(), 0)
+        self.assertEqual(w.wait_for_exit(), 0)
 
     def test_the_link_to_the_engine_lost_in_the_same_moment(self) -> None:
-        w = World(self)
-        g = Gateway(w)
-        n = g.rpc("once")
-        w.engine.expect("RUN", g.id)
+        w = ProgramUnderTest(self)
+        g = GatewayClient(w)
+        n = g.send_rpc("once")
+        w.engine.expect_command("RUN", g.last_rpc_id)
         with w.paused():
             w.engine.sock.close()
             w.process.send_signal(signal.SIGTERM)
-        link = Engine(w)
-        link.say("DONE 1", g.id, "good 9", body=b"r")
-        self.assertEqual(g.final(), (n, b"r"))
+        link = EngineStandIn(w)
+        link.send_notice("DONE 1", g.last_rpc_id, "good 9", body=b"r")
+        self.assertEqual(g.read_final_answer(), (n, b"r"))
         g.sock.close()
-        self.assertEqual(w.ends(), 0)
+        self.assertEqual(w.wait_for_exit(), 0)
 
     def test_it_does_not_end_over_open_connections(self) -> None:
         # What lies unread in one of them would make its close a reset, which takes the answer along.
-        w = World(self, stop_ms=400)
-        g = Gateway(w)
-        n = g.rpc(wait="9000")
-        w.engine.expect("RUN", g.id)
+        w = ProgramUnderTest(self, stop_ms=400)
+        g = GatewayClient(w)
+        n = g.send_rpc(wait="9000")
+        w.engine.expect_command("RUN", g.last_rpc_id)
         w.process.send_signal(signal.SIGTERM)
-        self.assertEqual(g.final(), (n, "Failed"))
-        self.assertEqual(g.ends(), "closed")  # its half
+        self.assertEqual(g.read_final_answer(), (n, "Failed"))
+        self.assertEqual(g.read_until_end(), "closed")  # its half
         self.assertIsNone(w.process.poll())
         g.send(b"\x94\x00")  # half a line
         self.assertIsNone(w.process.poll())
         g.sock.close()
-        self.assertEqual(w.ends(), 0)
-        self.assertEqual((w.lines[-1]["event"], w.lines[-1]["connections"]), ("stopped", 0))
+        self.assertEqual(w.wait_for_exit(), 0)
+        self.assertEqual((w.log_entries[-1]["event"], w.log_entries[-1]["connections"]), ("stopped", 0))
 
     def test_the_last_answer_is_followed_by_the_close(self) -> None:
-        door = Door(self)
-        peer, connection = door.come(proven=True)
+        door = GatewaysUnderTest(self)
+        peer, connection = door.connect(proven=True)
         peer.sendall(msgpack.packb([0, 1, "m", [{}, b"work"]]))
-        door.turn_until(lambda: door.news.reads)
+        door.run_passes_until(lambda: door.events.request_ids)
         door.gateways.start_draining()
-        door.turn_until(lambda: not connection.stream.output)
+        door.run_passes_until(lambda: not connection.stream.output)
         connection.goaway_deadline_ms = door.loop.now_ms  # the time that it had is over
         connection.answer(1, msgpack.packb([1, 1, None, [b"r", {}]]))
         passes = 0
@@ -219,16 +221,16 @@
     def test_short_and_long_notices(self) -> None:
         for stop_ms in (60, 200, 9e6):
             with self.subTest(stop_ms=stop_ms):
-                w = World(self, stop_ms=stop_ms)
-                g = Gateway(w)
-                n = g.rpc(wait="700")
-                w.engine.expect("RUN", g.id)
+                w = ProgramUnderTest(self, stop_ms=stop_ms)
+                g = GatewayClient(w)
+                n = g.send_rpc(wait="700")
+                w.engine.expect_command("RUN", g.last_rpc_id)
                 w.process.send_signal(signal.SIGTERM)
-                self.assertEqual(g.final(), (n, "Failed"))
+                self.assertEqual(g.read_final_answer(), (n, "Failed"))
                 if stop_ms < 1e6:
-                    self.assertEqual(w.ends(), 0)
+                    self.assertEqual(w.wait_for_exit(), 0)
                 else:
-                    self.assertFalse(g.probe()[0])  # it leaves, but has all the time that it was given
+                    self.assertFalse(g.check_health()[0])  # it leaves, but has all the time that it was given
 
     def test_a_short_notice_is_looked_at_at_once(self) -> None:
         b = Bench()
@@ -252,9 +254,9 @@
         self.addCleanup(signals.writer.close)
         signals.on_signal = lambda number, at: heard.append((number, at))
         os.kill(os.getpid(), signal.SIGTERM)
-        until(lambda: signal.SIGTERM in signals.came_ms)
+        wait_until(lambda: signal.SIGTERM in signals.came_ms)
         after = loop.clock_ms()
-        until(lambda: loop.clock_ms() > after + 20.0)  # the rest of a long pass
+        wait_until(lambda: loop.clock_ms() > after + 20.0)  # the rest of a long pass
         loop.run_pass()
         self.assertEqual([number for number, _ in heard], [signal.SIGTERM])
         self.assertLessEqual(heard[0][1], after)
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -382,10 +382,10 @@
         self.wait_for(self.doors[0])
         self.engine = self.peer(self.doors[0].accept()[0])
         self.wait_for(self.engine)
-        self.assertEqual(self.engine.line()[0], ["ATTACH", "0"])
+        self.assertEqual(self.engine.read_line()[0], ["ATTACH", "0"])
         self.engine.send(b"HELLO old 60000\r\n")
         self.wait_for(self.engine)
-        self.assertEqual(self.engine.line()[0], ["STAT", "s1"])
+        self.assertEqual(self.engine.read_line()[0], ["STAT", "s1"])
         self.engine.send(b"STATS s1 0.2 1 0.1 3\r\n")
         self.pump()
         self.unpacker = msgpack_.Unpacker()
@@ -435,7 +435,7 @@
         for _ in range(50):
             self.pump(5.0)
             self.wait_for(self.engine)
-            words, body = self.engine.line()
+            words, body = self.engine.read_line()
             if words[0] != "STAT":
                 return words, body
             self.engine.send(f"STATS {words[1]} 0.2 1 0.1 3\r\n".encode())
@@ -484,7 +484,7 @@
         self.wait_for(self.doors[1])
         database = self.peer(self.doors[1].accept()[0])
         self.wait_for(database)
-        self.assertEqual(database.line()[0][:2], ["Q", f"{2:016x}"])
+        self.assertEqual(database.read_line()[0][:2], ["Q", f"{2:016x}"])
         self.engine.send(b"DONE 2 %016x good 5 4\r\ntold\r\n" % 3)
         self.assertEqual(self.answers(g, 1), {3: b"told"})
         half = self.rpc("m", b"half")
--- a/tests/test_membership_service.py
+++ b/tests/test_membership_service.py
@@ -15,7 +15,7 @@
 
 from landingshift.membership.operator_rpc import OperatorRpcError, call_operator_rpc
 from landingshift.testbed.processes.harness import TALK, unused_net
-from tests.helpers import CONFIG, Gateway, World, launch
+from tests.helpers import CONFIG, GatewayClient, ProgramUnderTest, launch_program
 
 SETTINGS_TEMPLATE = '[fleet]\nfleet = "lab"\nlisten = "{address}"\nzone = "z{zone}"\npeers = [{peers}]\n'
 SERVER_COUNT = 5
@@ -29,13 +29,13 @@
         net, claim = unused_net()
         self.addCleanup(claim.close)
         self.addresses = [(f"127.{net}.0.{index + 1}", TALK) for index in range(SERVER_COUNT)]
-        self.worlds: list[World] = [self.start(index) for index in range(SERVER_COUNT)]
+        self.worlds: list[ProgramUnderTest] = [self.start(index) for index in range(SERVER_COUNT)]
 
-    def start(self, index: int) -> World:
+    def start(self, index: int) -> ProgramUnderTest:
         peers = ", ".join('"{}:{}"'.format(*address) for address in self.addresses[:2])
         address = "{}:{}".format(*self.addresses[index])
         toml = SETTINGS_TEMPLATE.format(address=address, zone=index % 2, peers=peers)
-        return World(self, toml=toml, name=f"n{index}", seed=f"{index + 1:x}", stop_ms=300)
+        return ProgramUnderTest(self, toml=toml, name=f"n{index}", seed=f"{index + 1:x}", stop_ms=300)
 
     def call(self, index: int, method: str) -> Any:
         return call_operator_rpc(self.addresses[index], method, [])
@@ -74,7 +74,7 @@
         earlier_run_ids = self.run_ids("n4")
         # A restart under its name is another run, whatever is said of the earlier one. It has another seed,
         # as the platform gives with each start.
-        self.worlds[4] = World(self, toml=self.worlds[4].toml, name="n4", seed="77", stop_ms=300)
+        self.worlds[4] = ProgramUnderTest(self, toml=self.worlds[4].toml, name="n4", seed="77", stop_ms=300)
         self.wait_until(8.0, lambda: all(self.states(index) == all_alive for index in everyone))
         self.assertNotEqual(earlier_run_ids, self.run_ids("n4"))
         self.worlds[2].process.send_signal(signal.SIGTERM)
@@ -96,9 +96,9 @@
             for data in (*INVALID_DATAGRAMS, os.urandom(200)):
                 sender.sendto(data, self.addresses[0])
                 sent_count += 1
-        Gateway(self.worlds[0]).probe()  # it serves as before
+        GatewayClient(self.worlds[0]).check_health()  # it serves as before
         self.assertGreater(sent_count, 1000)
-        self.assertIn("garbage", self.worlds[0].logged("fleet_datagrams_rejected"))
+        self.assertIn("garbage", self.worlds[0].wait_for_log("fleet_datagrams_rejected"))
         # On a full machine one that is flooded may be suspected for a moment, which takes nothing from it.
         self.wait_until(
             10.0,
@@ -107,8 +107,8 @@
         for world in self.worlds:
             world.process.kill()
         for world in self.worlds:
-            world.ends()
-            self.assertEqual([line for line in world.lines if line["event"] == "fleet_dead"], [])
+            world.wait_for_exit()
+            self.assertEqual([line for line in world.log_entries if line["event"] == "fleet_dead"], [])
 
     def test_answers_operators_and_closes_connections_of_others(self) -> None:
         command = [sys.executable, "-c", "from landingshift.cli import start; start()", "fleet"]
@@ -136,7 +136,7 @@
         path = f"{folder}/ours.toml"
         with open(path, "w") as file:
             file.write(toml)
-        process = launch(folder, CONFIG, {"LANDINGSHIFT_TOML": path})
+        process = launch_program(folder, CONFIG, {"LANDINGSHIFT_TOML": path})
         _, err = process.communicate(timeout=20)
         case.assertEqual(process.returncode, 2)
         return err
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -14,59 +14,61 @@
 
 import msgpack
 
-from tests.helpers import CONFIG, Engine, Gateway, World, launch
+from tests.helpers import CONFIG, EngineStandIn, GatewayClient, ProgramUnderTest, launch_program
 
 
-def prove(w: World, g: Gateway) -> None:
+def prove(w: ProgramUnderTest, g: GatewayClient) -> None:
     """An RPC that the engine knows and ends with notice 1."""
-    n = g.rpc()
-    w.engine.expect("RUN", g.id)
-    w.engine.say("DONE 1", g.id, "good 5", body=b"r")
-    assert g.answer() == (n, b"r")
+    n = g.send_rpc()
+    w.engine.expect_command("RUN", g.last_rpc_id)
+    w.engine.send_notice("DONE 1", g.last_rpc_id, "good 5", body=b"r")
+    assert g.read_answer() == (n, b"r")
 
 
 class Serving(unittest.TestCase):
     def test_outcomes(self) -> None:
-        w = World(self)
-        g = Gateway(w)
+        w = ProgramUnderTest(self)
+        g = GatewayClient(w)
         for end, answer in [
             ("good", b"\x00\r\nany"), ("good", b""), ("bad", "Failed"), ("cut", "Failed"), ("gone", "Failed"),
             (None, "Failed"),
         ]:  # fmt: skip
             with self.subTest(end=end):
-                n = g.rpc(body=b"\r\n\xff" + bytes(2000))
-                self.assertEqual(w.engine.expect("RUN", g.id, "m"), b"\r\n\xff" + bytes(2000))
+                n = g.send_rpc(body=b"\r\n\xff" + bytes(2000))
+                self.assertEqual(
+                    w.engine.expect_command("RUN", g.last_rpc_id, "m"), b"\r\n\xff" + bytes(2000)
+                )
                 if end is None:
-                    w.engine.say("NO RUN", g.id)
+                    w.engine.send_notice("NO RUN", g.last_rpc_id)
                 else:
                     result = answer if isinstance(answer, bytes) else b""
-                    w.engine.say("DONE", w.ids, g.id, end, 12.5, body=result)
-                self.assertEqual(g.answer(), (n, answer))
+                    w.engine.send_notice("DONE", w.rpc_count, g.last_rpc_id, end, 12.5, body=result)
+                self.assertEqual(g.read_answer(), (n, answer))
 
     def test_split_bytes_and_many_at_once(self) -> None:
-        w = World(self)
-        g = Gateway(w)
+        w = ProgramUnderTest(self)
+        g = GatewayClient(w)
         g.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         told = {"id": "ab" * 8, "at": str(int(time.time() * 1000)),
                 "from": "1", "tenant": "t", "wait": "2500", "kb": "2.5"}  # fmt: skip
         for byte in msgpack.packb([0, 1, "m", [told, b"x" * 40]]):
             g.send(bytes([byte]))
-        w.engine.expect("RUN", "ab" * 8)
+        w.engine.expect_command("RUN", "ab" * 8)
         for byte in b"DONE 1 %b good 3 4\r\nr\r\ns\r\n" % (b"ab" * 8):
             w.engine.send(bytes([byte]))
-        self.assertEqual(g.answer(), (1, b"r\r\ns"))
-        g.numbers = 1
-        numbers = [g.rpc(wait="2000") for _ in range(33)]
-        self.assertEqual(g.answer(), (numbers[32], "Busy"))  # 32 may be open
-        ids = [w.engine.next()[0][1] for _ in range(32)]
+        self.assertEqual(g.read_answer(), (1, b"r\r\ns"))
+        g.last_message_id = 1
+        numbers = [g.send_rpc(wait="2000") for _ in range(33)]
+        self.assertEqual(g.read_answer(), (numbers[32], "Busy"))  # 32 may be open
+        ids = [w.engine.next_command()[0][1] for _ in range(32)]
         w.engine.send(
             b"".join(b"DONE %d %b good 1 1\r\nx\r\n" % (i + 2, r.encode()) for i, r in enumerate(ids))
         )
-        self.assertEqual(sorted(g.answer() for _ in range(32)), [(n, b"x") for n in numbers[:32]])
+        self.assertEqual(sorted(g.read_answer() for _ in range(32)), [(n, b"x") for n in numbers[:32]])
 
     def test_bad_fields_are_answered_once_as_never_run(self) -> None:
-        w = World(self)
-        g = Gateway(w)
+        w = ProgramUnderTest(self)
+        g = GatewayClient(w)
         prove(w, g)
         for method, change in [
             ("x", {}), ("m", {"id": "xyz"}), ("m", {"id": "a b\r\nRUN"}), ("m", {"tenant": "u"}),
@@ -79,20 +81,20 @@
             ("m", {"at": "1"}), ("m", {"at": "99999999999999"}), ("m", {"wait": "999999999"}),
         ]:  # fmt: skip
             with self.subTest(method=method, **change):
-                n = g.rpc(method, **change)
-                self.assertEqual(g.answer(), (n, "Busy"))
-        n = g.rpc()
-        twin = g.rpc(id=f"{w.ids:016x}")
-        self.assertEqual(g.answer(), (twin, "Busy"))  # two with one id could not be told apart
-        w.ids -= 1
-        w.engine.expect("RUN", g.id)
-        w.engine.say("DONE", 2, g.id, "good", 2, body=b"r")
-        self.assertEqual(g.answer(), (n, b"r"))
+                n = g.send_rpc(method, **change)
+                self.assertEqual(g.read_answer(), (n, "Busy"))
+        n = g.send_rpc()
+        twin = g.send_rpc(id=f"{w.rpc_count:016x}")
+        self.assertEqual(g.read_answer(), (twin, "Busy"))  # two with one id could not be told apart
+        w.rpc_count -= 1
+        w.engine.expect_command("RUN", g.last_rpc_id)
+        w.engine.send_notice("DONE", 2, g.last_rpc_id, "good", 2, body=b"r")
+        self.assertEqual(g.read_answer(), (n, b"r"))
 
     def test_broken_bytes_end_one_connection(self) -> None:
-        w = World(self)
-        other = Gateway(w)
-        n = other.rpc(wait="9000")
+        w = ProgramUnderTest(self)
+        other = GatewayClient(w)
+        n = other.send_rpc(wait="9000")
         for data, reason in [
             (b"\xc1", "garbage"), (b"GET / HTTP/1.1\r\n\r\n", "bad_message"),
             (msgpack.packb([0, 1, "m"]), "bad_message"), (msgpack.packb([1, 1, None, 1]), "bad_message"),
@@ -102,189 +104,189 @@
             (msgpack.packb([0, 5, "probe", [{}]]) + msgpack.packb([2, "unknown", []]) + b"\xc1", "garbage"),
         ]:  # fmt: skip
             with self.subTest(reason=reason, data=data[:20]):
-                g = Gateway(w)
+                g = GatewayClient(w)
                 g.send(data)
-                self.assertTrue(g.closes())
+                self.assertTrue(g.is_closed_by_program())
                 g.sock.close()
-                self.assertEqual(w.logged("connection")["reason"], reason)
-        g = Gateway(w)
-        self.assertEqual((g.rpc(wait="9000000000000000"), "Busy"), g.answer())
-        self.assertTrue(g.closes())  # it has brought nothing else
-        w.engine.expect("RUN")
-        w.engine.say("DONE 1", f"{1:016x}", "good 2", body=b"r")
-        self.assertEqual(other.answer(), (n, b"r"))
+                self.assertEqual(w.wait_for_log("connection")["reason"], reason)
+        g = GatewayClient(w)
+        self.assertEqual((g.send_rpc(wait="9000000000000000"), "Busy"), g.read_answer())
+        self.assertTrue(g.is_closed_by_program())  # it has brought nothing else
+        w.engine.expect_command("RUN")
+        w.engine.send_notice("DONE 1", f"{1:016x}", "good 2", body=b"r")
+        self.assertEqual(other.read_answer(), (n, b"r"))
 
     def test_answers_come_in_time(self) -> None:
-        w = World(self, settings__extra__n_cores=1)
-        g = Gateway(w)
+        w = ProgramUnderTest(self, settings__extra__n_cores=1)
+        g = GatewayClient(w)
         start = time.monotonic()
-        runs = g.rpc(wait="400")
-        w.engine.expect("RUN", g.id)
-        held = g.rpc(wait="400")
+        runs = g.send_rpc(wait="400")
+        w.engine.expect_command("RUN", g.last_rpc_id)
+        held = g.send_rpc(wait="400")
         outcomes = {}
         while len(outcomes) < 2:
-            number, outcomes[number] = g.answer()
+            number, outcomes[number] = g.read_answer()
         self.assertEqual(outcomes, {runs: "Failed", held: "Busy"})
         self.assertLess(time.monotonic() - start, 0.53)  # the slack of the rule; no gauges meanwhile
-        w.engine.say("DONE 1", f"{1:016x}", "good 400", body=b"late")  # answered once only
-        n = g.rpc()
-        w.engine.expect("RUN", g.id)
-        w.engine.say("DONE 2", g.id, "good 1", body=b"r")
-        self.assertEqual(g.answer(), (n, b"r"))
+        w.engine.send_notice("DONE 1", f"{1:016x}", "good 400", body=b"late")  # answered once only
+        n = g.send_rpc()
+        w.engine.expect_command("RUN", g.last_rpc_id)
+        w.engine.send_notice("DONE 2", g.last_rpc_id, "good 1", body=b"r")
+        self.assertEqual(g.read_answer(), (n, b"r"))
 
     def test_after_a_pause_sockets_are_read_before_deadlines(self) -> None:
-        w = World(self)
-        g = Gateway(w)
-        n = g.rpc(wait="600")
-        w.engine.expect("RUN", g.id)
+        w = ProgramUnderTest(self)
+        g = GatewayClient(w)
+        n = g.send_rpc(wait="600")
+        w.engine.expect_command("RUN", g.last_rpc_id)
         os.kill(w.process.pid, signal.SIGSTOP)
-        w.engine.say("DONE 1", g.id, "good 5", body=b"in time")
+        w.engine.send_notice("DONE 1", g.last_rpc_id, "good 5", body=b"in time")
         time.sleep(0.8)
         os.kill(w.process.pid, signal.SIGCONT)
-        self.assertEqual(g.answer(), (n, b"in time"))
+        self.assertEqual(g.read_answer(), (n, b"in time"))
 
     def test_give_up_is_not_answered(self) -> None:
-        w = World(self)
-        g = Gateway(w)
-        n = g.rpc()
-        w.engine.expect("RUN", g.id)
-        w.engine.say("NEED 1", g.id, body=b"q")
-        db = w.database()
-        self.assertEqual(db.line()[0][:2], ["Q", g.id])
+        w = ProgramUnderTest(self)
+        g = GatewayClient(w)
+        n = g.send_rpc()
+        w.engine.expect_command("RUN", g.last_rpc_id)
+        w.engine.send_notice("NEED 1", g.last_rpc_id, body=b"q")
+        db = w.accept_database_link()
+        self.assertEqual(db.read_line()[0][:2], ["Q", g.last_rpc_id])
         g.send(msgpack.packb([2, "giveUp", [n]]))
-        self.assertEqual(db.line()[0], ["X", g.id])
-        w.engine.say("DONE 2", g.id, "cut 9 0")
-        self.assertEqual(g.probe()[0], True)  # the next message, not an answer to what was given up
+        self.assertEqual(db.read_line()[0], ["X", g.last_rpc_id])
+        w.engine.send_notice("DONE 2", g.last_rpc_id, "cut 9 0")
+        self.assertEqual(g.check_health()[0], True)  # the next message, not an answer to what was given up
 
     def test_a_gateway_that_only_stops_writing_gets_its_answer(self) -> None:
-        w = World(self)
+        w = ProgramUnderTest(self)
         for leaves in (False, True):
             with self.subTest(leaves=leaves):
-                g = Gateway(w)
-                n = g.rpc()
-                w.engine.expect("RUN", g.id)
+                g = GatewayClient(w)
+                n = g.send_rpc()
+                w.engine.expect_command("RUN", g.last_rpc_id)
                 if leaves:
                     g.sock.close()
-                    self.assertEqual(w.logged("connection")["open"], 1)
-                    w.engine.say("DONE 2", g.id, "good 9", body=b"for nobody")
+                    self.assertEqual(w.wait_for_log("connection")["open"], 1)
+                    w.engine.send_notice("DONE 2", g.last_rpc_id, "good 9", body=b"for nobody")
                 else:
                     g.sock.shutdown(socket.SHUT_WR)
-                    self.assertEqual(g.message(), [2, "goaway", []])
-                    w.engine.say("DONE 1", g.id, "good 9", body=b"r")
-                    self.assertEqual(g.answer(), (n, b"r"))
-                    self.assertEqual(w.logged("connection")["reason"], "closed_by_gateway")
+                    self.assertEqual(g.read_message(), [2, "goaway", []])
+                    w.engine.send_notice("DONE 1", g.last_rpc_id, "good 9", body=b"r")
+                    self.assertEqual(g.read_answer(), (n, b"r"))
+                    self.assertEqual(w.wait_for_log("connection")["reason"], "closed_by_gateway")
 
 
 class Repeats(unittest.TestCase):
     def test_joined(self) -> None:
-        w = World(self, settings__extra__share_for=60000.0)
-        g = Gateway(w)
+        w = ProgramUnderTest(self, settings__extra__share_for=60000.0)
+        g = GatewayClient(w)
         notice = 0
         for method, field, end, answers in [
             ("m", "key", "good", b"r"), ("token", "once", "good", b"r"), ("token", "once", "bad", "Failed"),
         ]:  # fmt: skip
             with self.subTest(method=method, end=end):
                 told = {field: f"{notice:016x}"}
-                numbers = [g.rpc(method, **told)]
-                first = g.id
-                w.engine.expect("RUN", first)
-                numbers.append(g.rpc(method, **told))  # while it runs
-                self.assertEqual(g.probe()[0], True)
+                numbers = [g.send_rpc(method, **told)]
+                first = g.last_rpc_id
+                w.engine.expect_command("RUN", first)
+                numbers.append(g.send_rpc(method, **told))  # while it runs
+                self.assertEqual(g.check_health()[0], True)
                 notice += 1
-                w.engine.say("DONE", notice, first, end, 9, body=b"r" if end == "good" else b"")
-                self.assertEqual(sorted([g.answer(), g.answer()]), [(n, answers) for n in numbers])
-                n = g.rpc(method, **told)  # from the kept result
-                self.assertEqual(g.answer(), (n, answers))
-        n = g.rpc("m", key="f" * 16)
-        w.engine.expect("RUN", g.id)
+                w.engine.send_notice("DONE", notice, first, end, 9, body=b"r" if end == "good" else b"")
+                self.assertEqual(sorted([g.read_answer(), g.read_answer()]), [(n, answers) for n in numbers])
+                n = g.send_rpc(method, **told)  # from the kept result
+                self.assertEqual(g.read_answer(), (n, answers))
+        n = g.send_rpc("m", key="f" * 16)
+        w.engine.expect_command("RUN", g.last_rpc_id)
 
 
 class EngineLink(unittest.TestCase):
     def test_up_late(self) -> None:
-        w = World(self, engine=False)
-        link = Engine(w, hello="")
-        self.assertEqual(link.attached, ["ATTACH", "0"])
-        g = Gateway(w)
-        self.assertEqual(g.probe()[0], True)
-        self.assertEqual(g.probe(deep="1")[0], False)  # no work gets done here yet
-        n = g.rpc()
-        self.assertEqual(g.answer(), (n, "Busy"))
-        link.say("HELLO new 10")
-        self.assertEqual(w.logged("engine_link")["cold"], True)
-        n = g.rpc()
-        link.expect("RUN", g.id)
+        w = ProgramUnderTest(self, engine=False)
+        link = EngineStandIn(w, hello="")
+        self.assertEqual(link.attach_command, ["ATTACH", "0"])
+        g = GatewayClient(w)
+        self.assertEqual(g.check_health()[0], True)
+        self.assertEqual(g.check_health(deep="1")[0], False)  # no work gets done here yet
+        n = g.send_rpc()
+        self.assertEqual(g.read_answer(), (n, "Busy"))
+        link.send_notice("HELLO new 10")
+        self.assertEqual(w.wait_for_log("engine_link")["cold"], True)
+        n = g.send_rpc()
+        link.expect_command("RUN", g.last_rpc_id)
         self.assertEqual(w.roster.recv(100), b"HERE n3 on")
-        self.assertEqual(g.probe(deep="1")[0], True)
+        self.assertEqual(g.check_health(deep="1")[0], True)
 
     def test_lost_and_attached_again(self) -> None:
-        w = World(self)
-        g = Gateway(w)
+        w = ProgramUnderTest(self)
+        g = GatewayClient(w)
         numbers = []
         for _ in range(3):
-            numbers.append(g.rpc())
-            w.engine.expect("RUN", g.id)
+            numbers.append(g.send_rpc())
+            w.engine.expect_command("RUN", g.last_rpc_id)
         done, waits, unsaid = numbers
-        w.engine.say("NEED 1", f"{2:016x}", body=b"q")
-        db = w.database()
-        self.assertEqual(db.line()[1], b"q")
+        w.engine.send_notice("NEED 1", f"{2:016x}", body=b"q")
+        db = w.accept_database_link()
+        self.assertEqual(db.read_line()[1], b"q")
         w.engine.sock.close()
-        w.logged("engine_link_lost")
-        once, token, plain = g.rpc("once"), g.rpc("token", once="1"), g.rpc()
+        w.wait_for_log("engine_link_lost")
+        once, token, plain = g.send_rpc("once"), g.send_rpc("token", once="1"), g.send_rpc()
         db.send(b"%016x ROWS 2\r\nok\r\n" % 2)
-        self.assertEqual(g.probe()[0], True)
-        link = Engine(w)
-        self.assertEqual(link.attached, ["ATTACH", "1"])
-        link.say("NEED 1", f"{2:016x}", body=b"q")  # told again: must not lead to a second call
-        link.say("DONE 2", f"{1:016x}", "good 7", body=b"while away")
-        link.say("NOTE 3 anything at all")
-        link.say("DONE 2", f"{1:016x}", "good 7", body=b"again")
-        said = [link.next() for _ in range(5)]
+        self.assertEqual(g.check_health()[0], True)
+        link = EngineStandIn(w)
+        self.assertEqual(link.attach_command, ["ATTACH", "1"])
+        link.send_notice("NEED 1", f"{2:016x}", body=b"q")  # told again: must not lead to a second call
+        link.send_notice("DONE 2", f"{1:016x}", "good 7", body=b"while away")
+        link.send_notice("NOTE 3 anything at all")
+        link.send_notice("DONE 2", f"{1:016x}", "good 7", body=b"again")
+        said = [link.next_command() for _ in range(5)]
         # What was given to the lost link and can run again is said again, as is all that came meanwhile.
         self.assertEqual(
             sorted((s[0][0], int(s[0][1], 16)) for s in said),
             [("FEED", 2), ("RUN", 3), ("RUN", 4), ("RUN", 5), ("RUN", 6)],
         )
         for notice, i in enumerate((2, 3, 4, 5, 6), 4):
-            link.say("DONE", notice, f"{i:016x}", "good 7", body=b"r")
-        answers = [g.answer() for _ in range(6)]
+            link.send_notice("DONE", notice, f"{i:016x}", "good 7", body=b"r")
+        answers = [g.read_answer() for _ in range(6)]
         self.assertEqual(answers[0], (done, b"while away"))
         self.assertEqual(sorted(answers[1:]), [(n, b"r") for n in (waits, unsaid, once, token, plain)])
 
     def test_work_that_may_have_run_is_not_said_again(self) -> None:
-        w = World(self)
-        g = Gateway(w)
-        n = g.rpc("once", wait="900")
-        w.engine.expect("RUN", g.id)
+        w = ProgramUnderTest(self)
+        g = GatewayClient(w)
+        n = g.send_rpc("once", wait="900")
+        w.engine.expect_command("RUN", g.last_rpc_id)
         w.engine.sock.close()
-        link = Engine(w)
-        link.expect("RUN", g.id)  # only once it is answered, to hear how it ended
-        self.assertEqual(g.answer(), (n, "Failed"))
-        link.say("DONE 1", g.id, "gone 0 0")
-        m = g.rpc("once")
-        link.expect("RUN", g.id)
-        link.say("DONE 2", g.id, "good 3", body=b"r")
-        self.assertEqual(g.answer(), (m, b"r"))
+        link = EngineStandIn(w)
+        link.expect_command("RUN", g.last_rpc_id)  # only once it is answered, to hear how it ended
+        self.assertEqual(g.read_answer(), (n, "Failed"))
+        link.send_notice("DONE 1", g.last_rpc_id, "gone 0 0")
+        m = g.send_rpc("once")
+        link.expect_command("RUN", g.last_rpc_id)
+        link.send_notice("DONE 2", g.last_rpc_id, "good 3", body=b"r")
+        self.assertEqual(g.read_answer(), (m, b"r"))
 
     def test_a_link_that_hangs_is_left(self) -> None:
-        w = World(self)
-        g = Gateway(w)
-        n = g.rpc(wait="9000")
-        w.engine.expect("RUN", g.id)
-        self.assertEqual(w.logged("engine_link_lost")["reason"], "silent")
-        link = Engine(w)
-        link.say("DONE 1", g.id, "good 3", body=b"r")
-        self.assertEqual(g.answer(), (n, b"r"))
+        w = ProgramUnderTest(self)
+        g = GatewayClient(w)
+        n = g.send_rpc(wait="9000")
+        w.engine.expect_command("RUN", g.last_rpc_id)
+        self.assertEqual(w.wait_for_log("engine_link_lost")["reason"], "silent")
+        link = EngineStandIn(w)
+        link.send_notice("DONE 1", g.last_rpc_id, "good 3", body=b"r")
+        self.assertEqual(g.read_answer(), (n, b"r"))
 
     def test_what_is_no_notice_ends_the_link(self) -> None:
-        w = World(self)
+        w = ProgramUnderTest(self)
         for i, data in enumerate(
             [b"DONE x y\r\n", b"?" * 600, b"NEED 1 aa 99999999\r\n", b"DONE 1 a good x 0\r\n"]
         ):
             with self.subTest(data=data[:20]):
                 w.engine.send(data)
-                self.assertTrue(w.engine.closes())
-                w.engine = Engine(w)
-                self.assertEqual(w.engine.attached, ["ATTACH", "0"], i)
+                self.assertTrue(w.engine.is_closed_by_program())
+                w.engine = EngineStandIn(w)
+                self.assertEqual(w.engine.attach_command, ["ATTACH", "0"], i)
 
 
 class Calls(unittest.TestCase):
@@ -294,60 +296,65 @@
             ("TIMEOUT\r\n", True), ("NONE\r\n", True),
         ]:  # fmt: skip
             with self.subTest(reply=reply):
-                w = World(self)  # a new one each: a store that never answers well is not asked three times
-                g = Gateway(w)
-                n = g.rpc()
-                w.engine.expect("RUN", g.id)
-                w.engine.say("NEED", 1, g.id, body=b"q\r\n")
+                w = ProgramUnderTest(
+                    self
+                )  # a new one each: a store that never answers well is not asked three times
+                g = GatewayClient(w)
+                n = g.send_rpc()
+                w.engine.expect_command("RUN", g.last_rpc_id)
+                w.engine.send_notice("NEED", 1, g.last_rpc_id, body=b"q\r\n")
                 # A second call for one RPC goes on another link: a copy of the first reply may still come.
-                links = [w.database() for _ in range(3 if retried else 1)]
+                links = [w.accept_database_link() for _ in range(3 if retried else 1)]
                 for link in links:
-                    words, body = link.line()
-                    self.assertEqual((words[:2], body), (["Q", g.id], b"q\r\n"))
-                    link.send(f"{g.id} {reply}".encode())
+                    words, body = link.read_line()
+                    self.assertEqual((words[:2], body), (["Q", g.last_rpc_id], b"q\r\n"))
+                    link.send(f"{g.last_rpc_id} {reply}".encode())
                     link.sock.close()
                 if retried:
-                    w.engine.expect("SKIP", g.id, "1")
+                    w.engine.expect_command("SKIP", g.last_rpc_id, "1")
                 else:
-                    self.assertEqual(w.engine.expect("FEED", g.id), reply.partition("\r\n")[2][:-2].encode())
-                w.engine.say("DONE", 2, g.id, "good 5", body=b"r")
-                self.assertEqual(g.answer(), (n, b"r"))
+                    self.assertEqual(
+                        w.engine.expect_command("FEED", g.last_rpc_id),
+                        reply.partition("\r\n")[2][:-2].encode(),
+                    )
+                w.engine.send_notice("DONE", 2, g.last_rpc_id, "good 5", body=b"r")
+                self.assertEqual(g.read_answer(), (n, b"r"))
 
     def test_database_lost(self) -> None:
         for refused in (False, True):
             with self.subTest(refused=refused):
-                w = World(self)
-                g = Gateway(w)
+                w = ProgramUnderTest(self)
+                g = GatewayClient(w)
                 if refused:
-                    w.database_door.close()
+                    w.database_listener.close()
                 for method in ("m", "once"):
-                    n = g.rpc(method)
-                    w.engine.expect("RUN", g.id)
-                    w.engine.say("NEED", 2 * w.ids, g.id, body=b"q")
+                    n = g.send_rpc(method)
+                    w.engine.expect_command("RUN", g.last_rpc_id)
+                    w.engine.send_notice("NEED", 2 * w.rpc_count, g.last_rpc_id, body=b"q")
                     # A broken link proves nothing: what may have had its effect is not called again.
                     for _ in range(0 if refused else 3 if method == "m" else 1):
-                        db = w.database()
-                        self.assertEqual(db.line()[0][:2], ["Q", g.id])
+                        db = w.accept_database_link()
+                        self.assertEqual(db.read_line()[0][:2], ["Q", g.last_rpc_id])
                         db.sock.close()
                     if method == "m":
-                        w.engine.expect("SKIP", g.id)
-                        w.engine.say("DONE", 2 * w.ids + 1, g.id, "good 5", body=b"r")
-                    self.assertEqual(g.answer(), (n, b"r" if method == "m" else "Failed"))
+                        w.engine.expect_command("SKIP", g.last_rpc_id)
+                        w.engine.send_notice("DONE", 2 * w.rpc_count + 1, g.last_rpc_id, "good 5", body=b"r")
+                    self.assertEqual(g.read_answer(), (n, b"r" if method == "m" else "Failed"))
 
     def test_a_call_without_reply_is_given_up(self) -> None:
-        w = World(self)
-        g = Gateway(w)
-        g.rpc("once", wait="2000")
-        w.engine.expect("RUN", g.id)
-        w.engine.say("NEED 1", g.id, body=b"q")
-        db = w.database()
-        self.assertEqual(db.line()[0][:2], ["Q", g.id])
-        self.assertTrue(db.closes())  # which gives it up
-        self.assertEqual(g.answer()[1], "Failed")
+        w = ProgramUnderTest(self)
+        g = GatewayClient(w)
+        g.send_rpc("once", wait="2000")
+        w.engine.expect_command("RUN", g.last_rpc_id)
+        w.engine.send_notice("NEED 1", g.last_rpc_id, body=b"q")
+        db = w.accept_database_link()
+        self.assertEqual(db.read_line()[0][:2], ["Q", g.last_rpc_id])
+        self.assertTrue(db.is_closed_by_program())  # which gives it up
+        self.assertEqual(g.read_answer()[1], "Failed")
 
     def test_a_spoilt_reply_costs_its_own_call_only(self) -> None:
-        w = World(self)
-        g = Gateway(w)
+        w = ProgramUnderTest(self)
+        g = GatewayClient(w)
         notice = 0
         for reply in [
             b"%b ROWS 9\r\nok\r\n", b"%b ROWS 1\r\nok\r\n", b"%b ROWS 0\r\nok\r\n", b"%b ROWS -2\r\nok\r\n",
@@ -355,76 +362,76 @@
             b"%b " + b"x" * 600, b"%b ROWS", b"%b ROWS 2 2\r\nok\r\n",
         ]:  # fmt: skip
             with self.subTest(reply=reply[:20]):
-                n, m = g.rpc("once"), g.rpc()
-                ids = [w.engine.next()[0][1] for _ in range(2)]
+                n, m = g.send_rpc("once"), g.send_rpc()
+                ids = [w.engine.next_command()[0][1] for _ in range(2)]
                 calls = []
                 for rid in ids:
                     notice += 1
-                    w.engine.say("NEED", notice, rid, body=b"q")
-                    calls.append(w.database())
-                    self.assertEqual(calls[-1].line()[0][1], rid)
-                spoilt = ids.index(f"{w.ids:016x}")
+                    w.engine.send_notice("NEED", notice, rid, body=b"q")
+                    calls.append(w.accept_database_link())
+                    self.assertEqual(calls[-1].read_line()[0][1], rid)
+                spoilt = ids.index(f"{w.rpc_count:016x}")
                 start = time.monotonic()
                 calls[spoilt].send(reply.replace(b"%b", ids[spoilt].encode()))
-                self.assertTrue(calls[spoilt].closes())
-                again = w.database()  # this method may call again
-                self.assertEqual(again.line()[0][:2], ["Q", ids[spoilt]])
+                self.assertTrue(calls[spoilt].is_closed_by_program())
+                again = w.accept_database_link()  # this method may call again
+                self.assertEqual(again.read_line()[0][:2], ["Q", ids[spoilt]])
                 self.assertLess(time.monotonic() - start, 0.25)  # long before the call would run out of time
                 # Good replies with more than belongs to them are good.
                 for db, rid in ((calls[1 - spoilt], ids[1 - spoilt]), (again, ids[spoilt])):
                     db.send(b"%b ROWS 1\r\n?\r\n" % (b"e" * 16) + b"%b ROWS 2\r\nok\r\n" % rid.encode() * 2)
                 for _ in range(2):
-                    words, body = w.engine.next()
+                    words, body = w.engine.next_command()
                     self.assertEqual((words[0], body), ("FEED", b"ok"))
                 for rid in ids:
                     notice += 1
-                    w.engine.say("DONE", notice, rid, "good 5", body=b"r")
-                self.assertEqual(sorted([g.answer(), g.answer()]), [(n, b"r"), (m, b"r")])
+                    w.engine.send_notice("DONE", notice, rid, "good 5", body=b"r")
+                self.assertEqual(sorted([g.read_answer(), g.read_answer()]), [(n, b"r"), (m, b"r")])
                 calls[1 - spoilt].sock.close()
                 again.sock.close()
 
     def test_a_late_reply_is_not_taken_for_that_of_the_next_call(self) -> None:
-        w = World(self)
-        g = Gateway(w)
-        g.rpc()
-        w.engine.expect("RUN", g.id)
-        w.engine.say("NEED 1", g.id, body=b"q")
-        first = w.database()
-        first.line()
-        second = w.database()  # on a link of its own
-        self.assertEqual(second.line()[0][:2], ["Q", g.id])
-        first.send(f"{g.id} ROWS 4\r\nlate\r\n".encode())
-        second.send(f"{g.id} ROWS 3\r\nnew\r\n".encode())
-        self.assertEqual(w.engine.expect("FEED", g.id), b"new")
+        w = ProgramUnderTest(self)
+        g = GatewayClient(w)
+        g.send_rpc()
+        w.engine.expect_command("RUN", g.last_rpc_id)
+        w.engine.send_notice("NEED 1", g.last_rpc_id, body=b"q")
+        first = w.accept_database_link()
+        first.read_line()
+        second = w.accept_database_link()  # on a link of its own
+        self.assertEqual(second.read_line()[0][:2], ["Q", g.last_rpc_id])
+        first.send(f"{g.last_rpc_id} ROWS 4\r\nlate\r\n".encode())
+        second.send(f"{g.last_rpc_id} ROWS 3\r\nnew\r\n".encode())
+        self.assertEqual(w.engine.expect_command("FEED", g.last_rpc_id), b"new")
 
 
 class Peers(unittest.TestCase):
     def test_descriptors_run_out(self) -> None:
         for told, really, most in [(80, 1024, 16), (256, 30, 40)]:  # 64 of those told are not for gateways
             with self.subTest(told=told, really=really):
-                w = World(self, limits={"sockets": told})
+                w = ProgramUnderTest(self, limits={"sockets": told})
                 resource.prlimit(w.process.pid, resource.RLIMIT_NOFILE, (really, really))
                 # Who has something open keeps its place.
                 crowd, numbers = [], []
                 for _ in range(most):
-                    crowd.append(Gateway(w))
-                    numbers.append(crowd[-1].rpc(wait="9000"))
+                    crowd.append(GatewayClient(w))
+                    numbers.append(crowd[-1].send_rpc(wait="9000"))
                     time.sleep(0.01)
-                more = [Gateway(w) for _ in range(60)]
-                w.logged("connections_full")
-                ids = [w.engine.next()[0][1] for _ in range(12)]
+                more = [GatewayClient(w) for _ in range(60)]
+                w.wait_for_log("connections_full")
+                ids = [w.engine.next_command()[0][1] for _ in range(12)]
                 for i, rid in enumerate(ids):
-                    w.engine.say("DONE", i + 1, rid, "good 5", body=b"r")
-                self.assertEqual([one.answer() for one in crowd[:12]], [(n, b"r") for n in numbers[:12]])
+                    w.engine.send_notice("DONE", i + 1, rid, "good 5", body=b"r")
+                self.assertEqual([one.read_answer() for one in crowd[:12]], [(n, b"r") for n in numbers[:12]])
                 for gateway in crowd + more:
                     gateway.sock.close()
-                w.logged("connections_room")
-                self.assertEqual(Gateway(w).probe()[0], True)
+                w.wait_for_log("connections_room")
+                self.assertEqual(GatewayClient(w).check_health()[0], True)
                 self.assertLess(cpu(w.process.pid), 2.0)  # an accept that can't be done must not spin
 
     def test_a_peer_that_does_not_read(self) -> None:
-        w = World(self)
-        g = Gateway(w)
+        w = ProgramUnderTest(self)
+        g = GatewayClient(w)
         g.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         g.sock.settimeout(5.0)
         flood = b"".join(msgpack.packb([0, i, "probe", [{}]]) for i in range(1, 20001))
@@ -433,116 +440,116 @@
                 g.sock.sendall(flood)
         except OSError:
             pass
-        while w.logged("connection")["reason"] != "stalled":
+        while w.wait_for_log("connection")["reason"] != "stalled":
             pass
-        self.assertEqual(Gateway(w).probe()[0], True)
+        self.assertEqual(GatewayClient(w).check_health()[0], True)
         self.assertLess(resident(w.process.pid), 64.0)
 
     def test_quiet_ones_are_asked_to_go(self) -> None:
-        w = World(self, settings__extra__caller_idle=400.0)
-        silent, polite = Gateway(w), Gateway(w)
+        w = ProgramUnderTest(self, settings__extra__caller_idle=400.0)
+        silent, polite = GatewayClient(w), GatewayClient(w)
         prove(w, polite)
-        self.assertEqual(polite.message(), [2, "goaway", []])
-        n = polite.rpc()  # crossed it: still answered
-        w.engine.expect("RUN", polite.id)
-        w.engine.say("DONE 2", polite.id, "good 5", body=b"r")
-        self.assertEqual(polite.answer(), (n, b"r"))
+        self.assertEqual(polite.read_message(), [2, "goaway", []])
+        n = polite.send_rpc()  # crossed it: still answered
+        w.engine.expect_command("RUN", polite.last_rpc_id)
+        w.engine.send_notice("DONE 2", polite.last_rpc_id, "good 5", body=b"r")
+        self.assertEqual(polite.read_answer(), (n, b"r"))
         polite.sock.close()
-        self.assertTrue(silent.closes())
-        reasons = {w.logged("connection")["reason"] for _ in range(2)}
+        self.assertTrue(silent.is_closed_by_program())
+        reasons = {w.wait_for_log("connection")["reason"] for _ in range(2)}
         self.assertEqual(reasons, {"closed_by_gateway", "quiet"})
 
     def test_whoever_proves_nothing_is_soon_gone(self) -> None:
         # Hundreds of them would take every descriptor and the core from the gateways.
-        w = World(self, limits={"sockets": 128})
-        g = Gateway(w)
+        w = ProgramUnderTest(self, limits={"sockets": 128})
+        g = GatewayClient(w)
         prove(w, g)
         for first in (b"", b"\x94\x00", msgpack.packb([0, 1, "probe", [{}]])):
             with self.subTest(first=first[:4]):
                 start = time.monotonic()
-                crowd = [Gateway(w) for _ in range(150)]
+                crowd = [GatewayClient(w) for _ in range(150)]
                 for one in crowd:
                     with contextlib.suppress(OSError):  # it may have made room already
                         one.send(first)
-                self.assertEqual(Gateway(w).probe()[0], True)
-                self.assertTrue(all(one.closes() for one in crowd))
+                self.assertEqual(GatewayClient(w).check_health()[0], True)
+                self.assertTrue(all(one.is_closed_by_program() for one in crowd))
                 self.assertLess(time.monotonic() - start, 2.5)
-                self.assertEqual(g.probe()[0], True)
+                self.assertEqual(g.check_health()[0], True)
         g.send(b"\x94\x00\x01")  # half a message, even from one that is known
-        self.assertTrue(g.closes())
+        self.assertTrue(g.is_closed_by_program())
 
     def test_strangers_bring_no_more_than_so_many(self) -> None:
         # Their RPCs wait with their bodies: those of hundreds of connections would fill the memory.
-        w = World(self, limits={"sockets": 200}, settings__extra__n_cores=1)
-        known = Gateway(w)
+        w = ProgramUnderTest(self, limits={"sockets": 200}, settings__extra__n_cores=1)
+        known = GatewayClient(w)
         prove(w, known)
-        crowd = [Gateway(w) for _ in range(40)]
+        crowd = [GatewayClient(w) for _ in range(40)]
         for one in crowd:
             for _ in range(32):
-                one.rpc(wait="9000", kb="0.001")
+                one.send_rpc(wait="9000", kb="0.001")
         told = select.select([one.sock for one in crowd], [], [], 3.0)[0]  # long before their time is over
-        self.assertEqual([one.answer()[1] for one in crowd if one.sock in told[:1]], ["Busy"])
-        n = known.rpc(wait="250")  # held
+        self.assertEqual([one.read_answer()[1] for one in crowd if one.sock in told[:1]], ["Busy"])
+        n = known.send_rpc(wait="250")  # held
         start = time.monotonic()
-        self.assertEqual(known.answer(), (n, "Busy"))
+        self.assertEqual(known.read_answer(), (n, "Busy"))
         self.assertGreater(time.monotonic() - start, 0.1)
 
     def test_an_rpc_that_the_engine_does_not_know_ends_its_connection(self) -> None:
-        w = World(self, settings__extra__n_cores=1)
-        g, bad = Gateway(w), Gateway(w)
-        m = bad.rpc()
-        w.engine.expect("RUN", bad.id)
-        unknown, held = bad.id, [bad.rpc() for _ in range(20)]
-        w.engine.say("NO RUN", unknown)
-        self.assertEqual(bad.answer(), (m, "Failed"))
-        self.assertTrue(bad.closes())
-        n = g.rpc()
+        w = ProgramUnderTest(self, settings__extra__n_cores=1)
+        g, bad = GatewayClient(w), GatewayClient(w)
+        m = bad.send_rpc()
+        w.engine.expect_command("RUN", bad.last_rpc_id)
+        unknown, held = bad.last_rpc_id, [bad.send_rpc() for _ in range(20)]
+        w.engine.send_notice("NO RUN", unknown)
+        self.assertEqual(bad.read_answer(), (m, "Failed"))
+        self.assertTrue(bad.is_closed_by_program())
+        n = g.send_rpc()
         self.assertGreater(len(held), 0)
-        w.engine.expect("RUN", g.id)  # before any of those
-        w.engine.say("DONE 1", g.id, "good 5", body=b"r")
-        self.assertEqual(g.answer(), (n, b"r"))
+        w.engine.expect_command("RUN", g.last_rpc_id)  # before any of those
+        w.engine.send_notice("DONE 1", g.last_rpc_id, "good 5", body=b"r")
+        self.assertEqual(g.read_answer(), (n, b"r"))
 
     def test_health_checks_follow_the_engine(self) -> None:
-        w = World(self)
-        g = Gateway(w)
-        self.assertEqual(g.probe(deep="1")[0], True)
-        w.engine_door.close()
+        w = ProgramUnderTest(self)
+        g = GatewayClient(w)
+        self.assertEqual(g.check_health(deep="1")[0], True)
+        w.engine_listener.close()
         w.engine.sock.close()
-        w.logged("engine_link_lost")
+        w.wait_for_log("engine_link_lost")
         # A link that breaks is routine: a server that works must not look ill for it.
-        self.assertEqual((g.probe(deep="1")[0], g.probe()[0]), (True, True))
+        self.assertEqual((g.check_health(deep="1")[0], g.check_health()[0]), (True, True))
         time.sleep(1.6)
-        g = Gateway(w)
-        self.assertEqual((g.probe(deep="1")[0], g.probe()[0]), (False, True))
+        g = GatewayClient(w)
+        self.assertEqual((g.check_health(deep="1")[0], g.check_health()[0]), (False, True))
 
     def test_roster_down(self) -> None:
-        w = World(self)
+        w = ProgramUnderTest(self)
         w.roster.close()
         time.sleep(0.5)  # reports into the void
-        self.assertEqual(Gateway(w).probe()[0], True)
+        self.assertEqual(GatewayClient(w).check_health()[0], True)
 
 
 class Leaving(unittest.TestCase):
     def test_drain(self) -> None:
-        w = World(self)
-        g = Gateway(w)
-        early = g.rpc()
-        w.engine.expect("RUN", g.id)
+        w = ProgramUnderTest(self)
+        g = GatewayClient(w)
+        early = g.send_rpc()
+        w.engine.expect_command("RUN", g.last_rpc_id)
         w.process.send_signal(signal.SIGTERM)
         start = time.monotonic()
         while w.roster.recv(100) != b"HERE n3 off":
             pass
-        self.assertEqual(g.probe()[0], False)
-        within = g.rpc()
-        w.engine.expect("RUN", g.id)  # within the grace
+        self.assertEqual(g.check_health()[0], False)
+        within = g.send_rpc()
+        w.engine.expect_command("RUN", g.last_rpc_id)  # within the grace
         time.sleep(0.35)
-        late = g.rpc()
-        self.assertEqual(g.answer(), (late, "Busy"))
-        w.engine.say("DONE 1", f"{1:016x}", "good 5", body=b"r")
-        self.assertEqual(g.answer(), (early, b"r"))
+        late = g.send_rpc()
+        self.assertEqual(g.read_answer(), (late, "Busy"))
+        w.engine.send_notice("DONE 1", f"{1:016x}", "good 5", body=b"r")
+        self.assertEqual(g.read_answer(), (early, b"r"))
         seen: dict[Any, Any] = {}
         while within not in seen or "goaway" not in seen:
-            message = g.message()
+            message = g.read_message()
             seen[message[1]] = message
         self.assertEqual(seen[within][2][0], "Failed")  # ran too long for the stop
         g.sock.close()
@@ -555,69 +562,71 @@
 class Reload(unittest.TestCase):
     def test_links_move_while_work_goes_on(self) -> None:
         # By default SIGHUP ends a program, and all that it holds is lost.
-        w = World(self)
-        g = Gateway(w)
-        n = g.rpc("once")
-        first = g.id
-        w.engine.expect("RUN", first)
-        w.engine.say("NEED 1", first, body=b"q")
-        db = w.database()
-        db.line()
-        w.doors()
+        w = ProgramUnderTest(self)
+        g = GatewayClient(w)
+        n = g.send_rpc("once")
+        first = g.last_rpc_id
+        w.engine.expect_command("RUN", first)
+        w.engine.send_notice("NEED 1", first, body=b"q")
+        db = w.accept_database_link()
+        db.read_line()
+        w.open_listeners()
         w.reload()
-        m = g.rpc("once")
+        m = g.send_rpc("once")
         # The old link is left only once it has shown that all it was given arrived: nothing is in doubt.
         said = []
         with self.assertRaises((EOFError, ConnectionResetError)):
             while True:
-                said.append(w.engine.next()[0][0])
-        link = Engine(w)
-        self.assertEqual(link.attached, ["ATTACH", "1"])
+                said.append(w.engine.next_command()[0][0])
+        link = EngineStandIn(w)
+        self.assertEqual(link.attach_command, ["ATTACH", "1"])
         self.assertEqual(w.roster.recv(100), b"HERE n3 on")
         db.send(b"%b ROWS 2\r\nok\r\n" % first.encode())  # a call under way ends where it was made
         while len(said) < 2:  # the second RPC on either link, and the reply
-            words, body = link.next()
+            words, body = link.next_command()
             said.append(words[0])
             self.assertEqual(body, b"ok" if words[0] == "FEED" else b"work")
         self.assertEqual(sorted(said), ["FEED", "RUN"])
-        link.say("DONE 2", first, "good 9", body=b"r")
-        self.assertEqual(g.answer(), (n, b"r"))
-        link.say("NEED 3", g.id, body=b"q")
-        self.assertEqual(w.database().line()[0][:2], ["Q", g.id])  # at the new address
-        link.say("DONE 4", g.id, "good 9", body=b"r")
-        self.assertEqual(g.answer(), (m, b"r"))
+        link.send_notice("DONE 2", first, "good 9", body=b"r")
+        self.assertEqual(g.read_answer(), (n, b"r"))
+        link.send_notice("NEED 3", g.last_rpc_id, body=b"q")
+        self.assertEqual(
+            w.accept_database_link().read_line()[0][:2], ["Q", g.last_rpc_id]
+        )  # at the new address
+        link.send_notice("DONE 4", g.last_rpc_id, "good 9", body=b"r")
+        self.assertEqual(g.read_answer(), (m, b"r"))
 
     def test_an_unusable_one_changes_nothing(self) -> None:
-        w = World(self)
-        g = Gateway(w)
+        w = ProgramUnderTest(self)
+        g = GatewayClient(w)
         for config, change, words in [
             ("{", {}, "GW_CONFIG"), ("", {"engine": "nowhere"}, "engine"), ("", {"db": None}, "db"),
             ("", {"settings__extra__n_cores": 0}, "n-cores"),
         ]:  # fmt: skip
             with self.subTest(words=words):
                 w.reload(config, **change)
-                self.assertIn(words, w.logged("reload_failed")["error"])
-                n = g.rpc()
-                w.engine.expect("RUN", g.id)
-                w.engine.say("DONE", w.ids, g.id, "good 9", body=b"r")
-                self.assertEqual(g.answer(), (n, b"r"))
+                self.assertIn(words, w.wait_for_log("reload_failed")["error"])
+                n = g.send_rpc()
+                w.engine.expect_command("RUN", g.last_rpc_id)
+                w.engine.send_notice("DONE", w.rpc_count, g.last_rpc_id, "good 9", body=b"r")
+                self.assertEqual(g.read_answer(), (n, b"r"))
 
     def test_two_in_a_row_during_a_drain(self) -> None:
-        w = World(self)
-        g = Gateway(w)
-        n = g.rpc()
-        w.engine.expect("RUN", g.id)
+        w = ProgramUnderTest(self)
+        g = GatewayClient(w)
+        n = g.send_rpc()
+        w.engine.expect_command("RUN", g.last_rpc_id)
         w.process.send_signal(signal.SIGTERM)
-        w.logged("mode")
-        w.doors()
+        w.wait_for_log("mode")
+        w.open_listeners()
         w.reload()
-        w.doors()
+        w.open_listeners()
         w.reload()
         self.assertEqual(w.roster.recv(100), b"HERE n3 off")
-        link = Engine(w)
-        self.assertEqual(link.attached, ["ATTACH", "0"])
-        link.say("DONE 1", g.id, "good 9", body=b"r")
-        self.assertEqual(g.answer(), (n, b"r"))
+        link = EngineStandIn(w)
+        self.assertEqual(link.attach_command, ["ATTACH", "0"])
+        link.send_notice("DONE 1", g.last_rpc_id, "good 9", body=b"r")
+        self.assertEqual(g.read_answer(), (n, b"r"))
         g.sock.close()
         self.assertEqual(w.process.wait(5.0), 0)
 
@@ -638,7 +647,7 @@
         ]:  # fmt: skip
             with self.subTest(path=path, value=value), tempfile.TemporaryDirectory() as folder:
                 config: Any = launch_config(path, value)
-                process = launch(folder, config)
+                process = launch_program(folder, config)
                 out, err = process.communicate(timeout=20)
                 self.assertEqual((process.returncode, out), (2, ""))
                 self.assertIn(words, err)
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -16,7 +16,7 @@
 from landingshift.net.program.config import ServerConfigError, decode_config
 from landingshift.net.routing.engine_link import EngineLink
 from landingshift.net.transport.loop import Loop
-from tests.helpers import CONFIG, Engine, Gateway, World, launch, until
+from tests.helpers import CONFIG, EngineStandIn, GatewayClient, ProgramUnderTest, launch_program, wait_until
 
 ROOT = Path(__file__).parent.parent
 
@@ -102,12 +102,12 @@
             self.assertIn(words, str(caught.exception))
 
     def test_a_tenant_with_spaces_is_served(self) -> None:
-        w = World(self, settings__orgs__0__name="Vargas y Hijos")
-        g = Gateway(w)
-        n = g.rpc(tenant="Vargas y Hijos")
-        w.engine.expect("RUN", g.id)
-        w.engine.say("DONE 1", g.id, "good 5", body=b"r")
-        self.assertEqual(g.answer(), (n, b"r"))
+        w = ProgramUnderTest(self, settings__orgs__0__name="Vargas y Hijos")
+        g = GatewayClient(w)
+        n = g.send_rpc(tenant="Vargas y Hijos")
+        w.engine.expect_command("RUN", g.last_rpc_id)
+        w.engine.send_notice("DONE 1", g.last_rpc_id, "good 5", body=b"r")
+        self.assertEqual(g.read_answer(), (n, b"r"))
 
 
 class Reload(unittest.TestCase):
@@ -129,7 +129,7 @@
             loop.run_pass()
             return link.is_ready
 
-        until(ready)
+        wait_until(ready)
         stream = link.stream
         assert stream is not None
         self.addCleanup(stream.sock.close)
@@ -152,7 +152,7 @@
 
     def test_a_notice_before_it_listens_ends_it_with_nothing_taken(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
-            process = launch(folder, CONFIG)
+            process = launch_program(folder, CONFIG)
             process.send_signal(signal.SIGTERM)
             out, err = process.communicate(timeout=20)
             self.assertNotIn("Traceback", err)
@@ -162,42 +162,42 @@
             )
 
     def test_killed_behind_an_accept_and_started_again(self) -> None:
-        w = World(self)
-        g = Gateway(w)
-        g.rpc("once")
-        first = g.id
-        w.engine.expect("RUN", first)
+        w = ProgramUnderTest(self)
+        g = GatewayClient(w)
+        g.send_rpc("once")
+        first = g.last_rpc_id
+        w.engine.expect_command("RUN", first)
         with w.paused():
-            late = Gateway(w)
-            late.rpc()
+            late = GatewayClient(w)
+            late.send_rpc()
             w.process.kill()
         self.assertEqual(w.process.wait(10.0), -signal.SIGKILL)
-        self.assertLessEqual({g.ends(), late.ends()}, {"closed", "reset"})
+        self.assertLessEqual({g.read_until_end(), late.read_until_end()}, {"closed", "reset"})
         start = time.monotonic()
         w.engine.sock.close()
         w.process.communicate()
-        w.start(w.config({}, {"listen": "{}:{}".format(*w.address)}))  # at its old address
+        w.start(w.make_config({}, {"listen": "{}:{}".format(*w.address)}))  # at its old address
         self.assertLess(time.monotonic() - start, 10.0)
-        again = Gateway(w)
-        n = again.rpc("once")
-        w.engine.expect("RUN", again.id)
-        w.engine.say("DONE 1", again.id, "good 5", body=b"r")
-        self.assertEqual(again.answer(), (n, b"r"))
+        again = GatewayClient(w)
+        n = again.send_rpc("once")
+        w.engine.expect_command("RUN", again.last_rpc_id)
+        w.engine.send_notice("DONE 1", again.last_rpc_id, "good 5", body=b"r")
+        self.assertEqual(again.read_answer(), (n, b"r"))
 
     def test_older_and_later_engines(self) -> None:
         for hello, cold in [("HELLO old 3600000", False), ("HELLO new 0", True), ("HELLO new 600000", True)]:
             with self.subTest(hello=hello):
-                w = World(self, engine=False)
-                g = Gateway(w)
-                n = g.rpc()
-                self.assertEqual(g.answer(), (n, "Busy"))
-                link = Engine(w, hello=hello)
-                self.assertEqual(w.logged("engine_link")["cold"], cold)
+                w = ProgramUnderTest(self, engine=False)
+                g = GatewayClient(w)
+                n = g.send_rpc()
+                self.assertEqual(g.read_answer(), (n, "Busy"))
+                link = EngineStandIn(w, hello=hello)
+                self.assertEqual(w.wait_for_log("engine_link")["cold"], cold)
                 w.engine = link
-                n = g.rpc()
-                link.expect("RUN", g.id)
-                link.say("DONE 1", g.id, "good 5", body=b"r")
-                self.assertEqual(g.answer(), (n, b"r"))
+                n = g.send_rpc()
+                link.expect_command("RUN", g.last_rpc_id)
+                link.send_notice("DONE 1", g.last_rpc_id, "good 5", body=b"r")
+                self.assertEqual(g.read_answer(), (n, b"r"))
 
     def test_nine_in_ten_are_ready_within_ten_seconds(self) -> None:
         """Thirty at once on a shared processor."""
@@ -206,7 +206,7 @@
             crowd = []
             for i in range(30):
                 (Path(folder) / str(i)).mkdir()
-                crowd.append(launch(f"{folder}/{i}", CONFIG))
+                crowd.append(launch_program(f"{folder}/{i}", CONFIG))
             try:
                 for process in crowd:
                     assert process.stdout is not None
