--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -226,9 +226,15 @@
         self.last_message_id += 1
         self.program.rpc_count += 1
         told = {
-            "id": f"{self.program.rpc_count:016x}", "at": str(int(time.time() * 1000)), "from": "4", "tenant": "t",
-            "wait": "3000", "kb": "10", "rank": "0.5", **fields,
-        }  # fmt: skip
+            "id": self.last_rpc_id,
+            "at": str(int(time.time() * 1000)),
+            "from": "4",
+            "tenant": "t",
+            "wait": "3000",
+            "kb": "10",
+            "rank": "0.5",
+            **fields,
+        }
         told = {k: v for k, v in told.items() if v is not None}
         self.send(msgpack.packb([0, self.last_message_id, method, [told, body]]))
         return self.last_message_id
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -198,19 +198,19 @@
 
     def test_an_answer_reaches_who_is_cut(self) -> None:
         # More of its bytes are unread: a close would be a reset, which takes the answer along.
-        w = ProgramUnderTest(self)
+        program = ProgramUnderTest(self)
         for first, reason in [
             (msgpack.packb([0, 1, "unknown", [{}, b""]]), "bad_rpc"),
             (msgpack.packb([0, 1, "probe", [{}]]) + b"\xc1", "garbage"),
         ]:
             with self.subTest(reason=reason):
-                g = GatewayClient(w)
-                with w.paused():
-                    g.send(first + bytes(40000))
-                self.assertEqual(g.read_message()[1], 1)
-                self.assertEqual(g.read_until_end(), "closed")
-                g.sock.close()
-                self.assertEqual(w.wait_for_log("connection")["reason"], reason)
+                gateway = GatewayClient(program)
+                with program.paused():
+                    gateway.send(first + bytes(40000))
+                self.assertEqual(gateway.read_message()[1], 1)
+                self.assertEqual(gateway.read_until_end(), "closed")
+                gateway.sock.close()
+                self.assertEqual(program.wait_for_log("connection")["reason"], reason)
 
 
 class PeerClose(unittest.TestCase):
@@ -251,57 +251,61 @@
         self.assertGreater(LINGER_MS, 0.0)
 
     def test_half_closed_with_an_rpc_and_a_probe_open(self) -> None:
-        w = ProgramUnderTest(self)
-        g, d = GatewayClient(w), GatewayClient(w)
-        n = g.send_rpc()
-        w.engine.expect_command("RUN", g.last_rpc_id)
-        with w.paused():
-            d.send_health_check(deep="1")
-            for one in (g, d):
+        program = ProgramUnderTest(self)
+        gateway, other_gateway = GatewayClient(program), GatewayClient(program)
+        message_id = gateway.send_rpc()
+        program.engine.expect_command("RUN", gateway.last_rpc_id)
+        with program.paused():
+            other_gateway.send_health_check(deep="1")
+            for one in (gateway, other_gateway):
                 one.sock.shutdown(socket.SHUT_WR)
-            w.engine.send_notice("DONE 1", g.last_rpc_id, "good 5", body=b"r")
-        self.assertEqual((g.read_final_answer(), g.read_until_end()), ((n, b"r"), "closed"))
-        self.assertEqual((d.read_final_answer(), d.read_until_end()), ((1, True), "closed"))
+            program.engine.send_notice("DONE 1", gateway.last_rpc_id, "good 5", body=b"r")
+        self.assertEqual(
+            (gateway.read_final_answer(), gateway.read_until_end()), ((message_id, b"r"), "closed")
+        )
+        self.assertEqual(
+            (other_gateway.read_final_answer(), other_gateway.read_until_end()), ((1, True), "closed")
+        )
 
     def test_a_reset_in_each_state(self) -> None:
-        w = ProgramUnderTest(self)
-        other = GatewayClient(w)
-        prove(w, other)
+        program = ProgramUnderTest(self)
+        other = GatewayClient(program)
+        prove(program, other)
         notice = 1
         for state in ("idle", "half", "running", "calling", "answered", "half closed"):
             with self.subTest(state=state):
-                g = GatewayClient(w)
+                gateway = GatewayClient(program)
                 rid = ""
                 if state == "half":
-                    g.send(rpc()[:9])
+                    gateway.send(rpc()[:9])
                 elif state != "idle":
-                    g.send_rpc("once")
-                    rid = g.last_rpc_id
-                    w.engine.expect_command("RUN", rid)
+                    gateway.send_rpc("once")
+                    rid = gateway.last_rpc_id
+                    program.engine.expect_command("RUN", rid)
                 if state == "calling":
                     notice += 1
-                    w.engine.send_notice("NEED", notice, rid, body=b"q")
-                    db = w.accept_database_link()
+                    program.engine.send_notice("NEED", notice, rid, body=b"q")
+                    db = program.accept_database_link()
                     db.read_line()
                 if state == "answered":
                     notice += 1
-                    w.engine.send_notice("DONE", notice, rid, "good 5", body=b"r")
-                    g.read_answer()
+                    program.engine.send_notice("DONE", notice, rid, "good 5", body=b"r")
+                    gateway.read_answer()
                 if state == "half closed":
-                    g.sock.shutdown(socket.SHUT_WR)
-                    self.assertEqual(g.read_message(), [2, "goaway", []])
-                g.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-                g.sock.close()
-                self.assertIn(w.wait_for_log("connection")["reason"], ("reset", "closed_by_gateway"))
+                    gateway.sock.shutdown(socket.SHUT_WR)
+                    self.assertEqual(gateway.read_message(), [2, "goaway", []])
+                gateway.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+                gateway.sock.close()
+                self.assertIn(program.wait_for_log("connection")["reason"], ("reset", "closed_by_gateway"))
                 if state == "calling":
                     self.assertEqual(db.read_line()[0], ["X", rid])
                 if state in ("running", "calling", "half closed"):
                     notice += 1
-                    w.engine.send_notice("DONE", notice, rid, "good 5", body=b"for nobody")
-        m = other.send_rpc()
-        w.engine.expect_command("RUN", other.last_rpc_id)
-        w.engine.send_notice("DONE", notice + 1, other.last_rpc_id, "good 5", body=b"r")
-        self.assertEqual(other.read_answer(), (m, b"r"))
+                    program.engine.send_notice("DONE", notice, rid, "good 5", body=b"for nobody")
+        message_id = other.send_rpc()
+        program.engine.expect_command("RUN", other.last_rpc_id)
+        program.engine.send_notice("DONE", notice + 1, other.last_rpc_id, "good 5", body=b"r")
+        self.assertEqual(other.read_answer(), (message_id, b"r"))
 
 
 class Pieces(unittest.TestCase):
@@ -329,14 +333,15 @@
             return {"8": b"\xc4%c" % len(value), "16": b"\xc5" + struct.pack(">H", len(value)),
                     "32": b"\xc6" + struct.pack(">I", len(value))}[form] + value  # fmt: skip
 
-        w = ProgramUnderTest(self)
-        g = GatewayClient(w)
-        g.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        program = ProgramUnderTest(self)
+        gateway = GatewayClient(program)
+        gateway.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         for i, form in enumerate(("8", "16", "32")):
             for pieces in (1, 7, 10_000):
                 with self.subTest(form=form, pieces=pieces):
-                    w.rpc_count += 1
-                    rid = f"{'ABCDEF' if pieces == 7 else 'abcdef'}{w.rpc_count:010}"  # hex digits of either case
+                    program.rpc_count += 1
+                    hex_digits = "ABCDEF" if pieces == 7 else "abcdef"  # of either case
+                    rid = f"{hex_digits}{program.rpc_count:010}"
                     told = {"id": rid, "at": str(int(time.time() * 1000)), "from": "1",
                             "tenant": "t", "wait": "2500", "kb": "2.5", "new": "x"}  # fmt: skip
                     n = 10 * i + min(pieces, 9)
@@ -346,59 +351,59 @@
                     data += blob(b"\x00work", form)
                     size = max(1, len(data) // pieces)
                     for at in range(0, len(data), size):
-                        g.send(data[at : at + size])
-                    self.assertEqual(w.engine.expect_command("RUN", told["id"]), b"\x00work")
-                    w.engine.send_notice("DONE", w.rpc_count, told["id"], "good 5", body=b"r")
-                    self.assertEqual(g.read_answer(), (n, b"r"))
+                        gateway.send(data[at : at + size])
+                    self.assertEqual(program.engine.expect_command("RUN", told["id"]), b"\x00work")
+                    program.engine.send_notice("DONE", program.rpc_count, told["id"], "good 5", body=b"r")
+                    self.assertEqual(gateway.read_answer(), (n, b"r"))
 
 
 class Descriptors(unittest.TestCase):
     def test_idle_clients_in_every_place_while_the_roster_is_silent(self) -> None:
-        w = ProgramUnderTest(self, limits={"sockets": 96})
-        w.roster.close()
-        g = GatewayClient(w)
-        prove(w, g)
-        crowd = [GatewayClient(w) for _ in range(60)]  # more than places; they only keep theirs
-        n = g.send_rpc()
-        w.engine.expect_command("RUN", g.last_rpc_id)
-        w.engine.sock.close()  # and the link to the engine needs a descriptor again
-        link = EngineStandIn(w)
-        link.send_notice("DONE 2", g.last_rpc_id, "good 5", body=b"r")
-        self.assertEqual(g.read_answer(), (n, b"r"))
-        self.assertTrue(GatewayClient(w).check_health()[0])
+        program = ProgramUnderTest(self, limits={"sockets": 96})
+        program.roster.close()
+        gateway = GatewayClient(program)
+        prove(program, gateway)
+        crowd = [GatewayClient(program) for _ in range(60)]  # more than places; they only keep theirs
+        message_id = gateway.send_rpc()
+        program.engine.expect_command("RUN", gateway.last_rpc_id)
+        program.engine.sock.close()  # and the link to the engine needs a descriptor again
+        link = EngineStandIn(program)
+        link.send_notice("DONE 2", gateway.last_rpc_id, "good 5", body=b"r")
+        self.assertEqual(gateway.read_answer(), (message_id, b"r"))
+        self.assertTrue(GatewayClient(program).check_health()[0])
         self.assertTrue(all(one.is_closed_by_program() for one in crowd))
 
     def test_fewer_descriptors_than_told(self) -> None:
         # What the system gives counts: the links to engine and database need theirs beside the gateways'.
-        w = ProgramUnderTest(self, limits={"sockets": 1024}, files=96)
-        with w.paused():  # each has its RPC there once it is accepted, so that none of them makes room
-            crowd = [GatewayClient(w) for _ in range(100)]
+        program = ProgramUnderTest(self, limits={"sockets": 1024}, files=96)
+        with program.paused():  # each has its RPC there once it is accepted, so that none of them makes room
+            crowd = [GatewayClient(program) for _ in range(100)]
             for one in crowd:
                 one.send_rpc(wait="9000")
-        w.wait_for_log("connections_full")
-        ids = [w.engine.next_command()[0][1] for _ in range(20)]
-        w.engine.send_notice("NEED 1", ids[0], body=b"q")
-        self.assertEqual(w.accept_database_link().read_line()[0][:2], ["Q", ids[0]])
-        w.engine.sock.close()
-        self.assertEqual(EngineStandIn(w).attach_command, ["ATTACH", "1"])
+        program.wait_for_log("connections_full")
+        ids = [program.engine.next_command()[0][1] for _ in range(20)]
+        program.engine.send_notice("NEED 1", ids[0], body=b"q")
+        self.assertEqual(program.accept_database_link().read_line()[0][:2], ["Q", ids[0]])
+        program.engine.sock.close()
+        self.assertEqual(EngineStandIn(program).attach_command, ["ATTACH", "1"])
 
     def test_an_honest_gateway_in_a_flood(self) -> None:
-        w = ProgramUnderTest(self, limits={"sockets": 128})
-        g = GatewayClient(w)
-        prove(w, g)
+        program = ProgramUnderTest(self, limits={"sockets": 128})
+        gateway = GatewayClient(program)
+        prove(program, gateway)
         flood = [msgpack.packb([0, 1, "m", [{"id": "x"}, b""]]), b"\xc1" * 2000, rpc()[:9], b""]
         crowd = []
         for i in range(200):
-            crowd.append(GatewayClient(w))
+            crowd.append(GatewayClient(program))
             with contextlib.suppress(OSError):  # it has made room already
                 crowd[-1].send(flood[i % len(flood)])
             if i % 20 == 0:
-                n = g.send_rpc()
-                w.engine.expect_command("RUN", g.last_rpc_id)
-                w.engine.send_notice("DONE", i // 20 + 2, g.last_rpc_id, "good 5", body=b"r")
-                self.assertEqual(g.read_answer(), (n, b"r"))
+                message_id = gateway.send_rpc()
+                program.engine.expect_command("RUN", gateway.last_rpc_id)
+                program.engine.send_notice("DONE", i // 20 + 2, gateway.last_rpc_id, "good 5", body=b"r")
+                self.assertEqual(gateway.read_answer(), (message_id, b"r"))
         self.assertTrue(all(one.is_closed_by_program() for one in crowd))
-        self.assertLess(resident(w.process.pid), 64.0)
+        self.assertLess(resident(program.process.pid), 64.0)
 
 
 if __name__ == "__main__":
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -16,9 +16,9 @@
 from tests.test_connections import GatewaysUnderTest
 
 
-def waiting(w: ProgramUnderTest, count: int) -> list[GatewayClient]:
+def waiting(program: ProgramUnderTest, count: int) -> list[GatewayClient]:
     """Gateways whose connections wait to be accepted, each with an RPC written."""
-    crowd = [GatewayClient(w) for _ in range(count)]
+    crowd = [GatewayClient(program) for _ in range(count)]
     for one in crowd:
         one.send_rpc()
     return crowd
@@ -27,20 +27,20 @@
 class Backlog(unittest.TestCase):
     def test_a_full_table_keeps_nobody_out_who_has_come(self) -> None:
         # Closing the listener over them would reset what was written before the notice.
-        w = ProgramUnderTest(
+        program = ProgramUnderTest(
             self, limits={"sockets": 80}, settings__classes__0__late_share=0.0
         )  # 16 connections
-        crowd = [GatewayClient(w) for _ in range(16)]
+        crowd = [GatewayClient(program) for _ in range(16)]
         for one in crowd:
             one.send_rpc(wait="9000")
-        with w.paused():
-            late = waiting(w, 5)
-            w.process.send_signal(signal.SIGTERM)
+        with program.paused():
+            late = waiting(program, 5)
+            program.process.send_signal(signal.SIGTERM)
         answers = [one.read_final_answer()[1] for one in crowd + late]
         self.assertLessEqual(set(answers), {"Busy", "Failed"})
         for one in crowd + late:
             one.sock.close()
-        self.assertEqual(w.wait_for_exit(), 0)
+        self.assertEqual(program.wait_for_exit(), 0)
 
     def test_without_descriptors_the_door_stays_open_until_some_are_free(self) -> None:
         class Short:
@@ -76,131 +76,133 @@
 
     def test_who_comes_again_at_once_is_refused(self) -> None:
         # Neither taken, nor left waiting until after the stop.
-        w = ProgramUnderTest(self)
-        g = GatewayClient(w)
-        self.assertTrue(g.check_health()[0])
-        w.process.send_signal(signal.SIGTERM)
-        self.assertEqual(g.read_message(), [2, "goaway", []])
+        program = ProgramUnderTest(self)
+        gateway = GatewayClient(program)
+        self.assertTrue(gateway.check_health()[0])
+        program.process.send_signal(signal.SIGTERM)
+        self.assertEqual(gateway.read_message(), [2, "goaway", []])
         with self.assertRaises(ConnectionRefusedError):
-            socket.create_connection(w.address, timeout=0.5)
-        g.sock.close()
-        self.assertEqual(w.wait_for_exit(), 0)
+            socket.create_connection(program.address, timeout=0.5)
+        gateway.sock.close()
+        self.assertEqual(program.wait_for_exit(), 0)
 
 
 class NoEngine(unittest.TestCase):
     def test_what_was_written_is_told_that_it_never_ran(self) -> None:
-        w = ProgramUnderTest(self, engine=False)
-        known = GatewayClient(w)
+        program = ProgramUnderTest(self, engine=False)
+        known = GatewayClient(program)
         self.assertTrue(known.check_health()[0])
-        with w.paused():
-            n = known.send_rpc()
-            late = waiting(w, 1)[0]
-            w.process.send_signal(signal.SIGTERM)
-        self.assertEqual(known.read_final_answer(), (n, "Busy"))
+        with program.paused():
+            message_id = known.send_rpc()
+            late = waiting(program, 1)[0]
+            program.process.send_signal(signal.SIGTERM)
+        self.assertEqual(known.read_final_answer(), (message_id, "Busy"))
         self.assertEqual(late.read_final_answer(), (1, "Busy"))
         self.assertEqual([one.read_until_end() for one in (known, late)], ["closed", "closed"])
         for one in (known, late):
             one.sock.close()
-        self.assertEqual(w.wait_for_exit(), 0)
-        self.assertEqual(w.log_entries[-1]["event"], "stopped")
+        self.assertEqual(program.wait_for_exit(), 0)
+        self.assertEqual(program.log_entries[-1]["event"], "stopped")
 
     def test_an_engine_that_comes_up_after_the_notice_lists_nobody(self) -> None:
-        w = ProgramUnderTest(self, engine=False)
-        link = EngineStandIn(w, hello="")
-        g = GatewayClient(w)
-        self.assertTrue(g.check_health()[0])
-        w.process.send_signal(signal.SIGTERM)
-        self.assertEqual(g.read_message(), [2, "goaway", []])
+        program = ProgramUnderTest(self, engine=False)
+        link = EngineStandIn(program, hello="")
+        gateway = GatewayClient(program)
+        self.assertTrue(gateway.check_health()[0])
+        program.process.send_signal(signal.SIGTERM)
+        self.assertEqual(gateway.read_message(), [2, "goaway", []])
         link.send_notice("HELLO old 60000")
-        w.wait_for_log("engine_link")
-        g.sock.close()
-        self.assertEqual(w.wait_for_exit(), 0)
-        w.roster.setblocking(False)
+        program.wait_for_log("engine_link")
+        gateway.sock.close()
+        self.assertEqual(program.wait_for_exit(), 0)
+        program.roster.setblocking(False)
         with self.assertRaises(BlockingIOError):  # gateways would send to what is gone
-            w.roster.recv(100)
+            program.roster.recv(100)
 
 
 class Notice(unittest.TestCase):
     def test_signals_while_it_runs_and_again(self) -> None:
-        w = ProgramUnderTest(self)
-        g = GatewayClient(w)
-        n = g.send_rpc()
-        w.engine.expect_command("RUN", g.last_rpc_id)
-        with w.paused():
-            half = GatewayClient(w)
+        program = ProgramUnderTest(self)
+        gateway = GatewayClient(program)
+        message_id = gateway.send_rpc()
+        program.engine.expect_command("RUN", gateway.last_rpc_id)
+        with program.paused():
+            half = GatewayClient(program)
             half.send(b"\x94\x00\x01\xa1m")  # an RPC that never becomes whole
-            w.engine.send_notice("DONE 1", g.last_rpc_id, "good 5", body=b"r")
+            program.engine.send_notice("DONE 1", gateway.last_rpc_id, "good 5", body=b"r")
             for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM, signal.SIGINT):
-                w.process.send_signal(number)
-        self.assertEqual(g.read_final_answer(), (n, b"r"))
-        w.wait_for_log("mode")
-        w.process.send_signal(signal.SIGTERM)
-        w.process.send_signal(signal.SIGHUP)
-        self.assertFalse(g.check_health()[0])
-        g.sock.close()
+                program.process.send_signal(number)
+        self.assertEqual(gateway.read_final_answer(), (message_id, b"r"))
+        program.wait_for_log("mode")
+        program.process.send_signal(signal.SIGTERM)
+        program.process.send_signal(signal.SIGHUP)
+        self.assertFalse(gateway.check_health()[0])
+        gateway.sock.close()
         half.sock.close()
-        self.assertEqual(w.wait_for_exit(), 0)
+        self.assertEqual(program.wait_for_exit(), 0)
 
     def test_a_probe_in_the_same_moment(self) -> None:
         for deep in ("", "1"):
             with self.subTest(deep=deep):
-                w = ProgramUnderTest(self)
-                g = GatewayClient(w)
-                with w.paused():
-                    g.send_health_check(deep=deep)
-                    w.process.send_signal(signal.SIGTERM)
-                self.assertEqual(g.read_message()[0], 1)
-                self.assertFalse(g.check_health()[0])
-                g.sock.close()
-                self.assertEqual(w.wait_for_exit(), 0)
+                program = ProgramUnderTest(self)
+                gateway = GatewayClient(program)
+                with program.paused():
+                    gateway.send_health_check(deep=deep)
+                    program.process.send_signal(signal.SIGTERM)
+                self.assertEqual(gateway.read_message()[0], 1)
+                self.assertFalse(gateway.check_health()[0])
+                gateway.sock.close()
+                self.assertEqual(program.wait_for_exit(), 0)
 
     def test_a_call_and_an_answer_in_the_same_moment(self) -> None:
-        w = ProgramUnderTest(self)
-        g = GatewayClient(w)
-        n = g.send_rpc()
-        rid = g.last_rpc_id
-        w.engine.expect_command("RUN", rid)
-        w.engine.send_notice("NEED 1", rid, body=b"q")
-        db = w.accept_database_link()
+        program = ProgramUnderTest(self)
+        gateway = GatewayClient(program)
+        message_id = gateway.send_rpc()
+        rid = gateway.last_rpc_id
+        program.engine.expect_command("RUN", rid)
+        program.engine.send_notice("NEED 1", rid, body=b"q")
+        db = program.accept_database_link()
         db.read_line()
-        with w.paused():
+        with program.paused():
             db.send(f"{rid} ROWS 2\r\nok\r\n".encode())
-            w.process.send_signal(signal.SIGTERM)
-        self.assertEqual(w.engine.expect_command("FEED", rid), b"ok")
-        w.engine.send_notice("DONE 2", rid, "good 9", body=b"r")
-        self.assertEqual(g.read_final_answer(), (n, b"r"))
-        g.sock.close()
-        self.assertEqual(w.wait_for_exit(), 0)
+            program.process.send_signal(signal.SIGTERM)
+        self.assertEqual(program.engine.expect_command("FEED", rid), b"ok")
+        program.engine.send_notice("DONE 2", rid, "good 9", body=b"r")
+        self.assertEqual(gateway.read_final_answer(), (message_id, b"r"))
+        gateway.sock.close()
+        self.assertEqual(program.wait_for_exit(), 0)
 
     def test_the_link_to_the_engine_lost_in_the_same_moment(self) -> None:
-        w = ProgramUnderTest(self)
-        g = GatewayClient(w)
-        n = g.send_rpc("once")
-        w.engine.expect_command("RUN", g.last_rpc_id)
-        with w.paused():
-            w.engine.sock.close()
-            w.process.send_signal(signal.SIGTERM)
-        link = EngineStandIn(w)
-        link.send_notice("DONE 1", g.last_rpc_id, "good 9", body=b"r")
-        self.assertEqual(g.read_final_answer(), (n, b"r"))
-        g.sock.close()
-        self.assertEqual(w.wait_for_exit(), 0)
+        program = ProgramUnderTest(self)
+        gateway = GatewayClient(program)
+        message_id = gateway.send_rpc("once")
+        program.engine.expect_command("RUN", gateway.last_rpc_id)
+        with program.paused():
+            program.engine.sock.close()
+            program.process.send_signal(signal.SIGTERM)
+        link = EngineStandIn(program)
+        link.send_notice("DONE 1", gateway.last_rpc_id, "good 9", body=b"r")
+        self.assertEqual(gateway.read_final_answer(), (message_id, b"r"))
+        gateway.sock.close()
+        self.assertEqual(program.wait_for_exit(), 0)
 
     def test_it_does_not_end_over_open_connections(self) -> None:
         # What lies unread in one of them would make its close a reset, which takes the answer along.
-        w = ProgramUnderTest(self, stop_ms=400)
-        g = GatewayClient(w)
-        n = g.send_rpc(wait="9000")
-        w.engine.expect_command("RUN", g.last_rpc_id)
-        w.process.send_signal(signal.SIGTERM)
-        self.assertEqual(g.read_final_answer(), (n, "Failed"))
-        self.assertEqual(g.read_until_end(), "closed")  # its half
-        self.assertIsNone(w.process.poll())
-        g.send(b"\x94\x00")  # half a line
-        self.assertIsNone(w.process.poll())
-        g.sock.close()
-        self.assertEqual(w.wait_for_exit(), 0)
-        self.assertEqual((w.log_entries[-1]["event"], w.log_entries[-1]["connections"]), ("stopped", 0))
+        program = ProgramUnderTest(self, stop_ms=400)
+        gateway = GatewayClient(program)
+        message_id = gateway.send_rpc(wait="9000")
+        program.engine.expect_command("RUN", gateway.last_rpc_id)
+        program.process.send_signal(signal.SIGTERM)
+        self.assertEqual(gateway.read_final_answer(), (message_id, "Failed"))
+        self.assertEqual(gateway.read_until_end(), "closed")  # its half
+        self.assertIsNone(program.process.poll())
+        gateway.send(b"\x94\x00")  # half a line
+        self.assertIsNone(program.process.poll())
+        gateway.sock.close()
+        self.assertEqual(program.wait_for_exit(), 0)
+        self.assertEqual(
+            (program.log_entries[-1]["event"], program.log_entries[-1]["connections"]), ("stopped", 0)
+        )
 
     def test_the_last_answer_is_followed_by_the_close(self) -> None:
         door = GatewaysUnderTest(self)
@@ -221,16 +223,18 @@
     def test_short_and_long_notices(self) -> None:
         for stop_ms in (60, 200, 9e6):
             with self.subTest(stop_ms=stop_ms):
-                w = ProgramUnderTest(self, stop_ms=stop_ms)
-                g = GatewayClient(w)
-                n = g.send_rpc(wait="700")
-                w.engine.expect_command("RUN", g.last_rpc_id)
-                w.process.send_signal(signal.SIGTERM)
-                self.assertEqual(g.read_final_answer(), (n, "Failed"))
+                program = ProgramUnderTest(self, stop_ms=stop_ms)
+                gateway = GatewayClient(program)
+                message_id = gateway.send_rpc(wait="700")
+                program.engine.expect_command("RUN", gateway.last_rpc_id)
+                program.process.send_signal(signal.SIGTERM)
+                self.assertEqual(gateway.read_final_answer(), (message_id, "Failed"))
                 if stop_ms < 1e6:
-                    self.assertEqual(w.wait_for_exit(), 0)
+                    self.assertEqual(program.wait_for_exit(), 0)
                 else:
-                    self.assertFalse(g.check_health()[0])  # it leaves, but has all the time that it was given
+                    self.assertFalse(
+                        gateway.check_health()[0]
+                    )  # it leaves, but has all the time that it was given
 
     def test_a_short_notice_is_looked_at_at_once(self) -> None:
         b = Bench()
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -77,130 +77,139 @@
 
 
 class OnSockets(unittest.TestCase):
-    def tokened(self, w: ProgramUnderTest, g: GatewayClient, token: str, **fields: Any) -> tuple[int, str]:
-        return g.send_rpc("token", once=token, **fields), g.last_rpc_id
+    def tokened(
+        self, program: ProgramUnderTest, gateway: GatewayClient, token: str, **fields: Any
+    ) -> tuple[int, str]:
+        return gateway.send_rpc("token", once=token, **fields), gateway.last_rpc_id
 
     def test_a_repeat_that_came_within_the_window_and_is_read_after_it(self) -> None:
-        w = ProgramUnderTest(self, settings__classes__1__repeat_window=250.0)
-        g = GatewayClient(w)
+        program = ProgramUnderTest(self, settings__classes__1__repeat_window=250.0)
+        gateway = GatewayClient(program)
         came = int(time.time() * 1000)
-        _, first = self.tokened(w, g, "a", at=str(came))
-        w.engine.expect_command("RUN", first)
-        w.engine.send_notice("DONE 1", first, "good 5", body=b"r")
-        g.read_answer()
+        _, first = self.tokened(program, gateway, "a", at=str(came))
+        program.engine.expect_command("RUN", first)
+        program.engine.send_notice("DONE 1", first, "good 5", body=b"r")
+        gateway.read_answer()
         wait_until(lambda: time.time() * 1000 > came + 400)
         for wait in ("3000", "50"):  # read past the end of its own wait, too: told "Busy" it ran and did not
-            n, _ = self.tokened(w, g, "a", at=str(came + 200), wait=wait)
-            self.assertEqual(g.read_answer(), (n, b"r"))  # from the first run
-        m, rid = self.tokened(w, g, "a")  # this one came after it
-        w.engine.expect_command("RUN", rid)
-        w.engine.send_notice("DONE 2", rid, "good 5", body=b"s")
-        self.assertEqual(g.read_answer(), (m, b"s"))
+            n, _ = self.tokened(program, gateway, "a", at=str(came + 200), wait=wait)
+            self.assertEqual(gateway.read_answer(), (n, b"r"))  # from the first run
+        m, rid = self.tokened(program, gateway, "a")  # this one came after it
+        program.engine.expect_command("RUN", rid)
+        program.engine.send_notice("DONE 2", rid, "good 5", body=b"s")
+        self.assertEqual(gateway.read_answer(), (m, b"s"))
 
     def test_windows_shorter_than_a_run(self) -> None:
         for window in (0.0, 100.0):
             with self.subTest(window=window):
-                w = ProgramUnderTest(self, settings__classes__1__repeat_window=window)
-                g = GatewayClient(w)
+                program = ProgramUnderTest(self, settings__classes__1__repeat_window=window)
+                gateway = GatewayClient(program)
                 came = time.monotonic()
-                n, first = self.tokened(w, g, "a")
-                w.engine.expect_command("RUN", first)
+                n, first = self.tokened(program, gateway, "a")
+                program.engine.expect_command("RUN", first)
                 wait_until(lambda c=came: time.monotonic() > c + 0.25)
-                m, _ = self.tokened(w, g, "a")
-                self.assertTrue(g.check_health()[0])
-                w.engine.send_notice("DONE 1", first, "good 5", body=b"r")
-                self.assertEqual(sorted([g.read_answer(), g.read_answer()]), [(n, b"r"), (m, b"r")])
+                m, _ = self.tokened(program, gateway, "a")
+                self.assertTrue(gateway.check_health()[0])
+                program.engine.send_notice("DONE 1", first, "good 5", body=b"r")
+                self.assertEqual(
+                    sorted([gateway.read_answer(), gateway.read_answer()]), [(n, b"r"), (m, b"r")]
+                )
 
     def test_with_the_first_trys_end_in_one_pass(self) -> None:
-        w = ProgramUnderTest(self)
-        g, h = GatewayClient(w), GatewayClient(w)
-        prove(w, h)
+        program = ProgramUnderTest(self)
+        gateway, other_gateway = GatewayClient(program), GatewayClient(program)
+        prove(program, other_gateway)
         for i, end in enumerate(("good", "bad")):
             with self.subTest(end=end):
-                n, first = self.tokened(w, g, end)
-                w.engine.expect_command("RUN", first)
-                with w.paused():
-                    m, _ = self.tokened(w, h, end)
-                    w.engine.send_notice("DONE", i + 2, first, end, 5, body=b"r" if end == "good" else b"")
+                n, first = self.tokened(program, gateway, end)
+                program.engine.expect_command("RUN", first)
+                with program.paused():
+                    m, _ = self.tokened(program, other_gateway, end)
+                    program.engine.send_notice(
+                        "DONE", i + 2, first, end, 5, body=b"r" if end == "good" else b""
+                    )
                 answer = b"r" if end == "good" else "Failed"
-                self.assertEqual((g.read_final_answer(), h.read_final_answer()), ((n, answer), (m, answer)))
+                self.assertEqual(
+                    (gateway.read_final_answer(), other_gateway.read_final_answer()),
+                    ((n, answer), (m, answer)),
+                )
 
     def test_with_the_first_trys_hang_up_in_one_pass(self) -> None:
         for gone in ("giveUp", "close"):
             with self.subTest(gone=gone):
-                w = ProgramUnderTest(self)
-                g, h = GatewayClient(w), GatewayClient(w)
-                prove(w, h)
-                n, first = self.tokened(w, g, "a")
-                w.engine.expect_command("RUN", first)
-                with w.paused():
+                program = ProgramUnderTest(self)
+                gateway, other_gateway = GatewayClient(program), GatewayClient(program)
+                prove(program, other_gateway)
+                n, first = self.tokened(program, gateway, "a")
+                program.engine.expect_command("RUN", first)
+                with program.paused():
                     if gone == "close":
-                        g.sock.close()
+                        gateway.sock.close()
                     else:
-                        g.send(b"\x93\x02\xa6giveUp\x91%c" % n)
-                    m, _ = self.tokened(w, h, "a")
-                self.assertTrue(GatewayClient(w).check_health()[0])
-                w.engine.send_notice(
+                        gateway.send(b"\x93\x02\xa6giveUp\x91%c" % n)
+                    m, _ = self.tokened(program, other_gateway, "a")
+                self.assertTrue(GatewayClient(program).check_health()[0])
+                program.engine.send_notice(
                     "DONE 2", first, "good 5", body=b"r"
                 )  # it had started: its effect may be there
-                self.assertEqual(h.read_answer(), (m, b"r"))
+                self.assertEqual(other_gateway.read_answer(), (m, b"r"))
 
     def test_after_the_first_try_was_pushed_back_it_runs(self) -> None:
         # Within the window, and where the first try, held behind another RPC, outlived it unrun.
         for window, wait in ((5000.0, "150"), (50.0, "500")):
             with self.subTest(window=window):
-                w = ProgramUnderTest(
+                program = ProgramUnderTest(
                     self, settings__extra__n_cores=1, settings__classes__1__repeat_window=window
                 )
-                g = GatewayClient(w)
-                g.send_rpc()
-                w.engine.expect_command("RUN", g.last_rpc_id)  # takes the only place
-                n, _ = self.tokened(w, g, "a", wait=wait)
-                self.assertEqual(g.read_answer(), (n, "Busy"))
-                m, again = self.tokened(w, g, "a")
-                w.engine.send_notice("DONE 1", f"{1:016x}", "good 5", body=b"r")
-                self.assertEqual(g.read_answer(), (1, b"r"))
-                w.engine.expect_command("RUN", again)
-                w.engine.send_notice("DONE 2", again, "good 5", body=b"s")
-                self.assertEqual(g.read_answer(), (m, b"s"))
+                gateway = GatewayClient(program)
+                gateway.send_rpc()
+                program.engine.expect_command("RUN", gateway.last_rpc_id)  # takes the only place
+                n, _ = self.tokened(program, gateway, "a", wait=wait)
+                self.assertEqual(gateway.read_answer(), (n, "Busy"))
+                m, again = self.tokened(program, gateway, "a")
+                program.engine.send_notice("DONE 1", f"{1:016x}", "good 5", body=b"r")
+                self.assertEqual(gateway.read_answer(), (1, b"r"))
+                program.engine.expect_command("RUN", again)
+                program.engine.send_notice("DONE 2", again, "good 5", body=b"s")
+                self.assertEqual(gateway.read_answer(), (m, b"s"))
 
     def test_after_the_first_try_was_aborted_its_result_counts(self) -> None:
-        w = ProgramUnderTest(self)
-        g = GatewayClient(w)
-        n, first = self.tokened(w, g, "a", wait="200")
-        w.engine.expect_command("RUN", first)
-        self.assertEqual(g.read_answer(), (n, "Failed"))
-        m, _ = self.tokened(w, g, "a")
-        self.assertTrue(g.check_health()[0])
-        w.engine.send_notice("DONE 1", first, "good 400", body=b"r")
-        self.assertEqual(g.read_answer(), (m, b"r"))
+        program = ProgramUnderTest(self)
+        gateway = GatewayClient(program)
+        n, first = self.tokened(program, gateway, "a", wait="200")
+        program.engine.expect_command("RUN", first)
+        self.assertEqual(gateway.read_answer(), (n, "Failed"))
+        m, _ = self.tokened(program, gateway, "a")
+        self.assertTrue(gateway.check_health()[0])
+        program.engine.send_notice("DONE 1", first, "good 400", body=b"r")
+        self.assertEqual(gateway.read_answer(), (m, b"r"))
 
     def test_the_same_id_again(self) -> None:
-        w = ProgramUnderTest(self)
-        g, h = GatewayClient(w), GatewayClient(w)
+        program = ProgramUnderTest(self)
+        gateway, other_gateway = GatewayClient(program), GatewayClient(program)
         for i, (method, answer) in enumerate([("m", "Busy"), ("once", "Failed"), ("token", "Failed")]):
             with self.subTest(method=method):
-                n = g.send_rpc(method, once="a")
-                rid = g.last_rpc_id
-                w.engine.expect_command("RUN", rid)
+                message_id = gateway.send_rpc(method, once="a")
+                rid = gateway.last_rpc_id
+                program.engine.expect_command("RUN", rid)
                 # Told that it never ran, its sender would have it run elsewhere beside the first one.
-                m = h.send_rpc(method, id=rid, once="a")
-                w.rpc_count -= 1
-                self.assertEqual(h.read_answer(), (m, answer))
+                other_id = other_gateway.send_rpc(method, id=rid, once="a")
+                program.rpc_count -= 1
+                self.assertEqual(other_gateway.read_answer(), (other_id, answer))
                 if answer == "Busy":  # nothing but an unknown RPC came on it
-                    self.assertEqual(h.read_until_end(), "closed")
-                    h = GatewayClient(w)
-                w.engine.send_notice("DONE", i + 1, rid, "good 5", body=b"r")
-                self.assertEqual(g.read_answer(), (n, b"r"))
+                    self.assertEqual(other_gateway.read_until_end(), "closed")
+                    other_gateway = GatewayClient(program)
+                program.engine.send_notice("DONE", i + 1, rid, "good 5", body=b"r")
+                self.assertEqual(gateway.read_answer(), (message_id, b"r"))
 
 
 class Strangers(unittest.TestCase):
     def test_a_kept_result_is_for_gateways_alone(self) -> None:
         # Whoever repeats a gateway's key on a connection of its own must not get what was made for that one.
-        w = ProgramUnderTest(
+        program = ProgramUnderTest(
             self, settings__extra__share_for=60000.0, settings__extra__class_skip_worth=[0.5, 0.3, 0.0]
         )
-        g = GatewayClient(w)
+        gateway = GatewayClient(program)
         notice = 0
         for method, field in (("token", "once"), ("m", "key")):
             for known in (False, True):
@@ -208,115 +217,120 @@
                     with self.subTest(method=method, known=known, runs=runs):
                         notice += 1
                         told = {field: f"{notice:016x}"}
-                        n, first = g.send_rpc(method, **told), g.last_rpc_id
-                        w.engine.expect_command("RUN", first)
+                        message_id, first = gateway.send_rpc(method, **told), gateway.last_rpc_id
+                        program.engine.expect_command("RUN", first)
                         if not runs:
-                            w.engine.send_notice("DONE", notice, first, "good 5", body=b"r")
-                            self.assertEqual(g.read_answer(), (n, b"r"))
-                        h = GatewayClient(w)
-                        m, rid = h.send_rpc(method, **told), h.last_rpc_id
+                            program.engine.send_notice("DONE", notice, first, "good 5", body=b"r")
+                            self.assertEqual(gateway.read_answer(), (message_id, b"r"))
+                        other_gateway = GatewayClient(program)
+                        other_id, rid = other_gateway.send_rpc(method, **told), other_gateway.last_rpc_id
                         if runs:
-                            self.assertTrue(g.check_health()[0])
-                            w.engine.send_notice("DONE", notice, first, "good 5", body=b"r")
-                            self.assertEqual(g.read_answer(), (n, b"r"))
-                        w.engine.expect_command("SKIP", rid, "0")
+                            self.assertTrue(gateway.check_health()[0])
+                            program.engine.send_notice("DONE", notice, first, "good 5", body=b"r")
+                            self.assertEqual(gateway.read_answer(), (message_id, b"r"))
+                        program.engine.expect_command("SKIP", rid, "0")
                         if not known:
-                            w.engine.send_notice("NO SKIP", rid)
-                        with w.engine.answering_gauge_queries():
-                            self.assertEqual(h.read_final_answer(), (m, b"r" if known else "Failed"))
+                            program.engine.send_notice("NO SKIP", rid)
+                        with program.engine.answering_gauge_queries():
+                            self.assertEqual(
+                                other_gateway.read_final_answer(), (other_id, b"r" if known else "Failed")
+                            )
                         if known:
-                            again = h.send_rpc(method, **told)  # it has proved itself by then
-                            self.assertEqual(h.read_final_answer(), (again, b"r"))
+                            again = other_gateway.send_rpc(method, **told)  # it has proved itself by then
+                            self.assertEqual(other_gateway.read_final_answer(), (again, b"r"))
                         else:
-                            self.assertEqual(h.read_until_end(), "closed")
+                            self.assertEqual(other_gateway.read_until_end(), "closed")
 
     def test_where_the_engine_may_not_be_asked_the_connection_proves_itself(self) -> None:
         # No call of this method may be left out, so that the engine refuses SKIP for what it knows too: a
         # gateway that came again after a reset was cut off for it, and all that it had open was lost.
-        w = ProgramUnderTest(self, settings__extra__class_skip_worth=[0.5, 0.0, 0.0])
-        g = GatewayClient(w)
-        n, notice = g.send_rpc("token", once="a"), 1
-        w.engine.expect_command("RUN", g.last_rpc_id)
-        w.engine.send_notice("DONE", notice, g.last_rpc_id, "good 5", body=b"r")
-        self.assertEqual(g.read_answer(), (n, b"r"))
+        program = ProgramUnderTest(self, settings__extra__class_skip_worth=[0.5, 0.0, 0.0])
+        gateway = GatewayClient(program)
+        message_id, notice = gateway.send_rpc("token", once="a"), 1
+        program.engine.expect_command("RUN", gateway.last_rpc_id)
+        program.engine.send_notice("DONE", notice, gateway.last_rpc_id, "good 5", body=b"r")
+        self.assertEqual(gateway.read_answer(), (message_id, b"r"))
         for proves in ("before", "DONE", "NEED", "nothing"):
             with self.subTest(proves=proves):
-                h = GatewayClient(w)
+                other_gateway = GatewayClient(program)
                 if proves == "nothing":
-                    came, n = time.monotonic(), h.send_rpc("token", once="a")
-                    with w.engine.answering_gauge_queries():
-                        self.assertEqual(h.read_final_answer(), (n, "Failed"))
+                    came, message_id = time.monotonic(), other_gateway.send_rpc("token", once="a")
+                    with program.engine.answering_gauge_queries():
+                        self.assertEqual(other_gateway.read_final_answer(), (message_id, "Failed"))
                     self.assertLess(time.monotonic() - came, 2.0)  # of the 3 s that its caller waits
                     continue
                 if proves == "before":
                     notice += 1
-                    other = h.send_rpc()
-                    w.engine.expect_command("RUN", h.last_rpc_id)
-                    w.engine.send_notice("DONE", notice, h.last_rpc_id, "good 5", body=b"s")
-                    self.assertEqual(h.read_answer(), (other, b"s"))
-                repeats = [h.send_rpc("token", once="a") for _ in range(2)]
+                    other = other_gateway.send_rpc()
+                    program.engine.expect_command("RUN", other_gateway.last_rpc_id)
+                    program.engine.send_notice("DONE", notice, other_gateway.last_rpc_id, "good 5", body=b"s")
+                    self.assertEqual(other_gateway.read_answer(), (other, b"s"))
+                repeats = [other_gateway.send_rpc("token", once="a") for _ in range(2)]
                 if proves != "before":
-                    other, rid, notice = h.send_rpc(), h.last_rpc_id, notice + 1
-                    w.engine.expect_command("RUN", rid)
+                    other, rid, notice = other_gateway.send_rpc(), other_gateway.last_rpc_id, notice + 1
+                    program.engine.expect_command("RUN", rid)
                     if proves == "NEED":
-                        w.engine.send_notice("NEED", notice, rid, body=b"q")
+                        program.engine.send_notice("NEED", notice, rid, body=b"q")
                     else:
-                        w.engine.send_notice("DONE", notice, rid, "good 5", body=b"s")
-                        self.assertEqual(h.read_answer(), (other, b"s"))
-                self.assertEqual([h.read_answer(), h.read_answer()], [(repeat, b"r") for repeat in repeats])
+                        program.engine.send_notice("DONE", notice, rid, "good 5", body=b"s")
+                        self.assertEqual(other_gateway.read_answer(), (other, b"s"))
+                self.assertEqual(
+                    [other_gateway.read_answer(), other_gateway.read_answer()],
+                    [(repeat, b"r") for repeat in repeats],
+                )
 
     def test_on_a_new_connection_in_a_flood(self) -> None:
         # More RPCs in hand than strangers may bring: the repeat heard "Busy", as if its first try never ran.
-        w = ProgramUnderTest(self, limits={"sockets": 200}, settings__extra__n_cores=1)
-        g = GatewayClient(w)
-        n = g.send_rpc("token", once="a")
-        w.engine.expect_command("RUN", g.last_rpc_id)
-        w.engine.send_notice("DONE 1", g.last_rpc_id, "good 5", body=b"r")
-        self.assertEqual(g.read_answer(), (n, b"r"))
-        crowd = [GatewayClient(w) for _ in range(40)]
+        program = ProgramUnderTest(self, limits={"sockets": 200}, settings__extra__n_cores=1)
+        gateway = GatewayClient(program)
+        message_id = gateway.send_rpc("token", once="a")
+        program.engine.expect_command("RUN", gateway.last_rpc_id)
+        program.engine.send_notice("DONE 1", gateway.last_rpc_id, "good 5", body=b"r")
+        self.assertEqual(gateway.read_answer(), (message_id, b"r"))
+        crowd = [GatewayClient(program) for _ in range(40)]
         for one in crowd:
             for _ in range(32):
                 one.send_rpc(wait="9000", kb="0.001")
-        h = GatewayClient(w)
+        other_gateway = GatewayClient(program)
         for method, answer in [("m", "Busy"), ("token", "Failed")]:
             with self.subTest(method=method):
-                came, n = time.monotonic(), h.send_rpc(method, once="a")
-                self.assertEqual(h.read_answer(), (n, answer))
+                came, message_id = time.monotonic(), other_gateway.send_rpc(method, once="a")
+                self.assertEqual(other_gateway.read_answer(), (message_id, answer))
                 self.assertLess(time.monotonic() - came, 0.9)  # at once, not as one that waits to be proven
 
     def test_the_link_lost_while_it_is_asked(self) -> None:
-        w = ProgramUnderTest(self, settings__extra__class_skip_worth=[0.5, 0.3, 0.0])
-        g, h = GatewayClient(w), GatewayClient(w)
-        g.send_rpc("token", once="a")
-        first = g.last_rpc_id
-        w.engine.expect_command("RUN", first)
-        w.engine.send_notice("DONE 1", first, "good 5", body=b"r")
-        g.read_answer()
-        n = h.send_rpc("token", once="a")
-        w.engine.expect_command("SKIP", h.last_rpc_id, "0")
-        w.engine.sock.close()
-        w.engine = EngineStandIn(w)
-        w.engine.expect_command("SKIP", h.last_rpc_id, "0")
-        with w.engine.answering_gauge_queries():
-            self.assertEqual(h.read_answer(), (n, b"r"))
+        program = ProgramUnderTest(self, settings__extra__class_skip_worth=[0.5, 0.3, 0.0])
+        gateway, other_gateway = GatewayClient(program), GatewayClient(program)
+        gateway.send_rpc("token", once="a")
+        first = gateway.last_rpc_id
+        program.engine.expect_command("RUN", first)
+        program.engine.send_notice("DONE 1", first, "good 5", body=b"r")
+        gateway.read_answer()
+        message_id = other_gateway.send_rpc("token", once="a")
+        program.engine.expect_command("SKIP", other_gateway.last_rpc_id, "0")
+        program.engine.sock.close()
+        program.engine = EngineStandIn(program)
+        program.engine.expect_command("SKIP", other_gateway.last_rpc_id, "0")
+        with program.engine.answering_gauge_queries():
+            self.assertEqual(other_gateway.read_answer(), (message_id, b"r"))
 
 
 class NotTold(unittest.TestCase):
     def test_a_wait_that_callers_do_not_tell(self) -> None:
         # A site of another customer: every RPC was turned down for the field that it does not have.
-        w = ProgramUnderTest(
+        program = ProgramUnderTest(
             self, settings__extra__passes_deadline=False, settings__classes__0__give_up=600.0
         )
-        g = GatewayClient(w)
-        n = g.send_rpc(wait=None)
-        w.engine.expect_command("RUN", g.last_rpc_id)
-        w.engine.send_notice("DONE 1", g.last_rpc_id, "good 5", body=b"r")
-        self.assertEqual(g.read_answer(), (n, b"r"))
+        gateway = GatewayClient(program)
+        message_id = gateway.send_rpc(wait=None)
+        program.engine.expect_command("RUN", gateway.last_rpc_id)
+        program.engine.send_notice("DONE 1", gateway.last_rpc_id, "good 5", body=b"r")
+        self.assertEqual(gateway.read_answer(), (message_id, b"r"))
         for wait in (None, "2000"):  # what is told all the same is not what counts there
             came = time.time()
-            n = g.send_rpc(wait=wait, at=str(int(came * 1000) - 300))
-            w.engine.expect_command("RUN", g.last_rpc_id)
-            self.assertEqual(g.read_answer(), (n, "Failed"))
+            message_id = gateway.send_rpc(wait=wait, at=str(int(came * 1000) - 300))
+            program.engine.expect_command("RUN", gateway.last_rpc_id)
+            self.assertEqual(gateway.read_answer(), (message_id, "Failed"))
             self.assertLess(time.time() - came, 0.35)
         told = GatewayClient(ProgramUnderTest(self))
         self.assertEqual(
@@ -327,13 +341,13 @@
 class Clock(unittest.TestCase):
     def test_steps(self) -> None:
         """`at` is Unix time: a step shows as age, or as a time to come."""
-        w = ProgramUnderTest(self)
-        g = GatewayClient(w)
+        program = ProgramUnderTest(self)
+        gateway = GatewayClient(program)
         prove_at = int(time.time() * 1000)
-        n = g.send_rpc(at=str(prove_at))
-        w.engine.expect_command("RUN", g.last_rpc_id)
-        w.engine.send_notice("DONE 1", g.last_rpc_id, "good 5", body=b"r")
-        self.assertEqual(g.read_answer(), (n, b"r"))
+        message_id = gateway.send_rpc(at=str(prove_at))
+        program.engine.expect_command("RUN", gateway.last_rpc_id)
+        program.engine.send_notice("DONE 1", gateway.last_rpc_id, "good 5", body=b"r")
+        self.assertEqual(gateway.read_answer(), (message_id, b"r"))
         for step, answer in [
             (-2900, "runs"),
             (-3100, "Busy"),
@@ -342,12 +356,14 @@
             (-130000, "Busy"),
         ]:
             with self.subTest(step=step):
-                n = g.send_rpc(at=str(int(time.time() * 1000) + step))
+                message_id = gateway.send_rpc(at=str(int(time.time() * 1000) + step))
                 if answer == "runs":
-                    w.engine.expect_command("RUN", g.last_rpc_id)
-                    w.engine.send_notice("DONE", w.rpc_count, g.last_rpc_id, "good 5", body=b"r")
+                    program.engine.expect_command("RUN", gateway.last_rpc_id)
+                    program.engine.send_notice(
+                        "DONE", program.rpc_count, gateway.last_rpc_id, "good 5", body=b"r"
+                    )
                     answer = b"r"  # type: ignore[assignment]
-                self.assertEqual(g.read_answer(), (n, answer))
+                self.assertEqual(gateway.read_answer(), (message_id, answer))
 
     def test_age_counts_for_the_deadline_that_is_not_told(self) -> None:
         b = Bench(method=METHOD, callers_send_deadline=False)
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -17,59 +17,61 @@
 from tests.helpers import CONFIG, EngineStandIn, GatewayClient, ProgramUnderTest, launch_program
 
 
-def prove(w: ProgramUnderTest, g: GatewayClient) -> None:
+def prove(program: ProgramUnderTest, gateway: GatewayClient) -> None:
     """An RPC that the engine knows and ends with notice 1."""
-    n = g.send_rpc()
-    w.engine.expect_command("RUN", g.last_rpc_id)
-    w.engine.send_notice("DONE 1", g.last_rpc_id, "good 5", body=b"r")
-    assert g.read_answer() == (n, b"r")
+    message_id = gateway.send_rpc()
+    program.engine.expect_command("RUN", gateway.last_rpc_id)
+    program.engine.send_notice("DONE 1", gateway.last_rpc_id, "good 5", body=b"r")
+    assert gateway.read_answer() == (message_id, b"r")
 
 
 class Serving(unittest.TestCase):
     def test_outcomes(self) -> None:
-        w = ProgramUnderTest(self)
-        g = GatewayClient(w)
+        program = ProgramUnderTest(self)
+        gateway = GatewayClient(program)
         for end, answer in [
             ("good", b"\x00\r\nany"), ("good", b""), ("bad", "Failed"), ("cut", "Failed"), ("gone", "Failed"),
             (None, "Failed"),
         ]:  # fmt: skip
             with self.subTest(end=end):
-                n = g.send_rpc(body=b"\r\n\xff" + bytes(2000))
+                message_id = gateway.send_rpc(body=b"\r\n\xff" + bytes(2000))
                 self.assertEqual(
-                    w.engine.expect_command("RUN", g.last_rpc_id, "m"), b"\r\n\xff" + bytes(2000)
+                    program.engine.expect_command("RUN", gateway.last_rpc_id, "m"), b"\r\n\xff" + bytes(2000)
                 )
                 if end is None:
-                    w.engine.send_notice("NO RUN", g.last_rpc_id)
+                    program.engine.send_notice("NO RUN", gateway.last_rpc_id)
                 else:
                     result = answer if isinstance(answer, bytes) else b""
-                    w.engine.send_notice("DONE", w.rpc_count, g.last_rpc_id, end, 12.5, body=result)
-                self.assertEqual(g.read_answer(), (n, answer))
+                    program.engine.send_notice(
+                        "DONE", program.rpc_count, gateway.last_rpc_id, end, 12.5, body=result
+                    )
+                self.assertEqual(gateway.read_answer(), (message_id, answer))
 
     def test_split_bytes_and_many_at_once(self) -> None:
-        w = ProgramUnderTest(self)
-        g = GatewayClient(w)
-        g.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        program = ProgramUnderTest(self)
+        gateway = GatewayClient(program)
+        gateway.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         told = {"id": "ab" * 8, "at": str(int(time.time() * 1000)),
                 "from": "1", "tenant": "t", "wait": "2500", "kb": "2.5"}  # fmt: skip
         for byte in msgpack.packb([0, 1, "m", [told, b"x" * 40]]):
-            g.send(bytes([byte]))
-        w.engine.expect_command("RUN", "ab" * 8)
+            gateway.send(bytes([byte]))
+        program.engine.expect_command("RUN", "ab" * 8)
         for byte in b"DONE 1 %b good 3 4\r\nr\r\ns\r\n" % (b"ab" * 8):
-            w.engine.send(bytes([byte]))
-        self.assertEqual(g.read_answer(), (1, b"r\r\ns"))
-        g.last_message_id = 1
-        numbers = [g.send_rpc(wait="2000") for _ in range(33)]
-        self.assertEqual(g.read_answer(), (numbers[32], "Busy"))  # 32 may be open
-        ids = [w.engine.next_command()[0][1] for _ in range(32)]
-        w.engine.send(
+            program.engine.send(bytes([byte]))
+        self.assertEqual(gateway.read_answer(), (1, b"r\r\ns"))
+        gateway.last_message_id = 1
+        numbers = [gateway.send_rpc(wait="2000") for _ in range(33)]
+        self.assertEqual(gateway.read_answer(), (numbers[32], "Busy"))  # 32 may be open
+        ids = [program.engine.next_command()[0][1] for _ in range(32)]
+        program.engine.send(
             b"".join(b"DONE %d %b good 1 1\r\nx\r\n" % (i + 2, r.encode()) for i, r in enumerate(ids))
         )
-        self.assertEqual(sorted(g.read_answer() for _ in range(32)), [(n, b"x") for n in numbers[:32]])
+        self.assertEqual(sorted(gateway.read_answer() for _ in range(32)), [(n, b"x") for n in numbers[:32]])
 
     def test_bad_fields_are_answered_once_as_never_run(self) -> None:
-        w = ProgramUnderTest(self)
-        g = GatewayClient(w)
-        prove(w, g)
+        program = ProgramUnderTest(self)
+        gateway = GatewayClient(program)
+        prove(program, gateway)
         for method, change in [
             ("x", {}), ("m", {"id": "xyz"}), ("m", {"id": "a b\r\nRUN"}), ("m", {"tenant": "u"}),
             ("m", {"at": None}),
@@ -81,20 +83,20 @@
             ("m", {"at": "1"}), ("m", {"at": "99999999999999"}), ("m", {"wait": "999999999"}),
         ]:  # fmt: skip
             with self.subTest(method=method, **change):
-                n = g.send_rpc(method, **change)
-                self.assertEqual(g.read_answer(), (n, "Busy"))
-        n = g.send_rpc()
-        twin = g.send_rpc(id=f"{w.rpc_count:016x}")
-        self.assertEqual(g.read_answer(), (twin, "Busy"))  # two with one id could not be told apart
-        w.rpc_count -= 1
-        w.engine.expect_command("RUN", g.last_rpc_id)
-        w.engine.send_notice("DONE", 2, g.last_rpc_id, "good", 2, body=b"r")
-        self.assertEqual(g.read_answer(), (n, b"r"))
+                message_id = gateway.send_rpc(method, **change)
+                self.assertEqual(gateway.read_answer(), (message_id, "Busy"))
+        message_id = gateway.send_rpc()
+        twin = gateway.send_rpc(id=f"{program.rpc_count:016x}")
+        self.assertEqual(gateway.read_answer(), (twin, "Busy"))  # two with one id could not be told apart
+        program.rpc_count -= 1
+        program.engine.expect_command("RUN", gateway.last_rpc_id)
+        program.engine.send_notice("DONE", 2, gateway.last_rpc_id, "good", 2, body=b"r")
+        self.assertEqual(gateway.read_answer(), (message_id, b"r"))
 
     def test_broken_bytes_end_one_connection(self) -> None:
-        w = ProgramUnderTest(self)
-        other = GatewayClient(w)
-        n = other.send_rpc(wait="9000")
+        program = ProgramUnderTest(self)
+        other = GatewayClient(program)
+        message_id = other.send_rpc(wait="9000")
         for data, reason in [
             (b"\xc1", "garbage"), (b"GET / HTTP/1.1\r\n\r\n", "bad_message"),
             (msgpack.packb([0, 1, "m"]), "bad_message"), (msgpack.packb([1, 1, None, 1]), "bad_message"),
@@ -104,137 +106,142 @@
             (msgpack.packb([0, 5, "probe", [{}]]) + msgpack.packb([2, "unknown", []]) + b"\xc1", "garbage"),
         ]:  # fmt: skip
             with self.subTest(reason=reason, data=data[:20]):
-                g = GatewayClient(w)
-                g.send(data)
-                self.assertTrue(g.is_closed_by_program())
-                g.sock.close()
-                self.assertEqual(w.wait_for_log("connection")["reason"], reason)
-        g = GatewayClient(w)
-        self.assertEqual((g.send_rpc(wait="9000000000000000"), "Busy"), g.read_answer())
-        self.assertTrue(g.is_closed_by_program())  # it has brought nothing else
-        w.engine.expect_command("RUN")
-        w.engine.send_notice("DONE 1", f"{1:016x}", "good 2", body=b"r")
-        self.assertEqual(other.read_answer(), (n, b"r"))
+                gateway = GatewayClient(program)
+                gateway.send(data)
+                self.assertTrue(gateway.is_closed_by_program())
+                gateway.sock.close()
+                self.assertEqual(program.wait_for_log("connection")["reason"], reason)
+        gateway = GatewayClient(program)
+        self.assertEqual((gateway.send_rpc(wait="9000000000000000"), "Busy"), gateway.read_answer())
+        self.assertTrue(gateway.is_closed_by_program())  # it has brought nothing else
+        program.engine.expect_command("RUN")
+        program.engine.send_notice("DONE 1", f"{1:016x}", "good 2", body=b"r")
+        self.assertEqual(other.read_answer(), (message_id, b"r"))
 
     def test_answers_come_in_time(self) -> None:
-        w = ProgramUnderTest(self, settings__extra__n_cores=1)
-        g = GatewayClient(w)
+        program = ProgramUnderTest(self, settings__extra__n_cores=1)
+        gateway = GatewayClient(program)
         start = time.monotonic()
-        runs = g.send_rpc(wait="400")
-        w.engine.expect_command("RUN", g.last_rpc_id)
-        held = g.send_rpc(wait="400")
+        runs = gateway.send_rpc(wait="400")
+        program.engine.expect_command("RUN", gateway.last_rpc_id)
+        held = gateway.send_rpc(wait="400")
         outcomes = {}
         while len(outcomes) < 2:
-            number, outcomes[number] = g.read_answer()
+            number, outcomes[number] = gateway.read_answer()
         self.assertEqual(outcomes, {runs: "Failed", held: "Busy"})
         self.assertLess(time.monotonic() - start, 0.53)  # the slack of the rule; no gauges meanwhile
-        w.engine.send_notice("DONE 1", f"{1:016x}", "good 400", body=b"late")  # answered once only
-        n = g.send_rpc()
-        w.engine.expect_command("RUN", g.last_rpc_id)
-        w.engine.send_notice("DONE 2", g.last_rpc_id, "good 1", body=b"r")
-        self.assertEqual(g.read_answer(), (n, b"r"))
+        program.engine.send_notice("DONE 1", f"{1:016x}", "good 400", body=b"late")  # answered once only
+        message_id = gateway.send_rpc()
+        program.engine.expect_command("RUN", gateway.last_rpc_id)
+        program.engine.send_notice("DONE 2", gateway.last_rpc_id, "good 1", body=b"r")
+        self.assertEqual(gateway.read_answer(), (message_id, b"r"))
 
     def test_after_a_pause_sockets_are_read_before_deadlines(self) -> None:
-        w = ProgramUnderTest(self)
-        g = GatewayClient(w)
-        n = g.send_rpc(wait="600")
-        w.engine.expect_command("RUN", g.last_rpc_id)
-        os.kill(w.process.pid, signal.SIGSTOP)
-        w.engine.send_notice("DONE 1", g.last_rpc_id, "good 5", body=b"in time")
+        program = ProgramUnderTest(self)
+        gateway = GatewayClient(program)
+        message_id = gateway.send_rpc(wait="600")
+        program.engine.expect_command("RUN", gateway.last_rpc_id)
+        os.kill(program.process.pid, signal.SIGSTOP)
+        program.engine.send_notice("DONE 1", gateway.last_rpc_id, "good 5", body=b"in time")
         time.sleep(0.8)
-        os.kill(w.process.pid, signal.SIGCONT)
-        self.assertEqual(g.read_answer(), (n, b"in time"))
+        os.kill(program.process.pid, signal.SIGCONT)
+        self.assertEqual(gateway.read_answer(), (message_id, b"in time"))
 
     def test_give_up_is_not_answered(self) -> None:
-        w = ProgramUnderTest(self)
-        g = GatewayClient(w)
-        n = g.send_rpc()
-        w.engine.expect_command("RUN", g.last_rpc_id)
-        w.engine.send_notice("NEED 1", g.last_rpc_id, body=b"q")
-        db = w.accept_database_link()
-        self.assertEqual(db.read_line()[0][:2], ["Q", g.last_rpc_id])
-        g.send(msgpack.packb([2, "giveUp", [n]]))
-        self.assertEqual(db.read_line()[0], ["X", g.last_rpc_id])
-        w.engine.send_notice("DONE 2", g.last_rpc_id, "cut 9 0")
-        self.assertEqual(g.check_health()[0], True)  # the next message, not an answer to what was given up
+        program = ProgramUnderTest(self)
+        gateway = GatewayClient(program)
+        message_id = gateway.send_rpc()
+        program.engine.expect_command("RUN", gateway.last_rpc_id)
+        program.engine.send_notice("NEED 1", gateway.last_rpc_id, body=b"q")
+        db = program.accept_database_link()
+        self.assertEqual(db.read_line()[0][:2], ["Q", gateway.last_rpc_id])
+        gateway.send(msgpack.packb([2, "giveUp", [message_id]]))
+        self.assertEqual(db.read_line()[0], ["X", gateway.last_rpc_id])
+        program.engine.send_notice("DONE 2", gateway.last_rpc_id, "cut 9 0")
+        self.assertEqual(
+            gateway.check_health()[0], True
+        )  # the next message, not an answer to what was given up
 
     def test_a_gateway_that_only_stops_writing_gets_its_answer(self) -> None:
-        w = ProgramUnderTest(self)
+        program = ProgramUnderTest(self)
         for leaves in (False, True):
             with self.subTest(leaves=leaves):
-                g = GatewayClient(w)
-                n = g.send_rpc()
-                w.engine.expect_command("RUN", g.last_rpc_id)
+                gateway = GatewayClient(program)
+                message_id = gateway.send_rpc()
+                program.engine.expect_command("RUN", gateway.last_rpc_id)
                 if leaves:
-                    g.sock.close()
-                    self.assertEqual(w.wait_for_log("connection")["open"], 1)
-                    w.engine.send_notice("DONE 2", g.last_rpc_id, "good 9", body=b"for nobody")
+                    gateway.sock.close()
+                    self.assertEqual(program.wait_for_log("connection")["open"], 1)
+                    program.engine.send_notice("DONE 2", gateway.last_rpc_id, "good 9", body=b"for nobody")
                 else:
-                    g.sock.shutdown(socket.SHUT_WR)
-                    self.assertEqual(g.read_message(), [2, "goaway", []])
-                    w.engine.send_notice("DONE 1", g.last_rpc_id, "good 9", body=b"r")
-                    self.assertEqual(g.read_answer(), (n, b"r"))
-                    self.assertEqual(w.wait_for_log("connection")["reason"], "closed_by_gateway")
+                    gateway.sock.shutdown(socket.SHUT_WR)
+                    self.assertEqual(gateway.read_message(), [2, "goaway", []])
+                    program.engine.send_notice("DONE 1", gateway.last_rpc_id, "good 9", body=b"r")
+                    self.assertEqual(gateway.read_answer(), (message_id, b"r"))
+                    self.assertEqual(program.wait_for_log("connection")["reason"], "closed_by_gateway")
 
 
 class Repeats(unittest.TestCase):
     def test_joined(self) -> None:
-        w = ProgramUnderTest(self, settings__extra__share_for=60000.0)
-        g = GatewayClient(w)
+        program = ProgramUnderTest(self, settings__extra__share_for=60000.0)
+        gateway = GatewayClient(program)
         notice = 0
         for method, field, end, answers in [
             ("m", "key", "good", b"r"), ("token", "once", "good", b"r"), ("token", "once", "bad", "Failed"),
         ]:  # fmt: skip
             with self.subTest(method=method, end=end):
                 told = {field: f"{notice:016x}"}
-                numbers = [g.send_rpc(method, **told)]
-                first = g.last_rpc_id
-                w.engine.expect_command("RUN", first)
-                numbers.append(g.send_rpc(method, **told))  # while it runs
-                self.assertEqual(g.check_health()[0], True)
+                numbers = [gateway.send_rpc(method, **told)]
+                first = gateway.last_rpc_id
+                program.engine.expect_command("RUN", first)
+                numbers.append(gateway.send_rpc(method, **told))  # while it runs
+                self.assertEqual(gateway.check_health()[0], True)
                 notice += 1
-                w.engine.send_notice("DONE", notice, first, end, 9, body=b"r" if end == "good" else b"")
-                self.assertEqual(sorted([g.read_answer(), g.read_answer()]), [(n, answers) for n in numbers])
-                n = g.send_rpc(method, **told)  # from the kept result
-                self.assertEqual(g.read_answer(), (n, answers))
-        n = g.send_rpc("m", key="f" * 16)
-        w.engine.expect_command("RUN", g.last_rpc_id)
+                program.engine.send_notice("DONE", notice, first, end, 9, body=b"r" if end == "good" else b"")
+                self.assertEqual(
+                    sorted([gateway.read_answer(), gateway.read_answer()]),
+                    [(message_id, answers) for message_id in numbers],
+                )
+                message_id = gateway.send_rpc(method, **told)  # from the kept result
+                self.assertEqual(gateway.read_answer(), (message_id, answers))
+        message_id = gateway.send_rpc("m", key="f" * 16)
+        program.engine.expect_command("RUN", gateway.last_rpc_id)
 
 
 class EngineLink(unittest.TestCase):
     def test_up_late(self) -> None:
-        w = ProgramUnderTest(self, engine=False)
-        link = EngineStandIn(w, hello="")
+        program = ProgramUnderTest(self, engine=False)
+        link = EngineStandIn(program, hello="")
         self.assertEqual(link.attach_command, ["ATTACH", "0"])
-        g = GatewayClient(w)
-        self.assertEqual(g.check_health()[0], True)
-        self.assertEqual(g.check_health(deep="1")[0], False)  # no work gets done here yet
-        n = g.send_rpc()
-        self.assertEqual(g.read_answer(), (n, "Busy"))
+        gateway = GatewayClient(program)
+        self.assertEqual(gateway.check_health()[0], True)
+        self.assertEqual(gateway.check_health(deep="1")[0], False)  # no work gets done here yet
+        message_id = gateway.send_rpc()
+        self.assertEqual(gateway.read_answer(), (message_id, "Busy"))
         link.send_notice("HELLO new 10")
-        self.assertEqual(w.wait_for_log("engine_link")["cold"], True)
-        n = g.send_rpc()
-        link.expect_command("RUN", g.last_rpc_id)
-        self.assertEqual(w.roster.recv(100), b"HERE n3 on")
-        self.assertEqual(g.check_health(deep="1")[0], True)
+        self.assertEqual(program.wait_for_log("engine_link")["cold"], True)
+        message_id = gateway.send_rpc()
+        link.expect_command("RUN", gateway.last_rpc_id)
+        self.assertEqual(program.roster.recv(100), b"HERE n3 on")
+        self.assertEqual(gateway.check_health(deep="1")[0], True)
 
     def test_lost_and_attached_again(self) -> None:
-        w = ProgramUnderTest(self)
-        g = GatewayClient(w)
+        program = ProgramUnderTest(self)
+        gateway = GatewayClient(program)
         numbers = []
         for _ in range(3):
-            numbers.append(g.send_rpc())
-            w.engine.expect_command("RUN", g.last_rpc_id)
+            numbers.append(gateway.send_rpc())
+            program.engine.expect_command("RUN", gateway.last_rpc_id)
         done, waits, unsaid = numbers
-        w.engine.send_notice("NEED 1", f"{2:016x}", body=b"q")
-        db = w.accept_database_link()
+        program.engine.send_notice("NEED 1", f"{2:016x}", body=b"q")
+        db = program.accept_database_link()
         self.assertEqual(db.read_line()[1], b"q")
-        w.engine.sock.close()
-        w.wait_for_log("engine_link_lost")
-        once, token, plain = g.send_rpc("once"), g.send_rpc("token", once="1"), g.send_rpc()
+        program.engine.sock.close()
+        program.wait_for_log("engine_link_lost")
+        once, token, plain = gateway.send_rpc("once"), gateway.send_rpc("token", once="1"), gateway.send_rpc()
         db.send(b"%016x ROWS 2\r\nok\r\n" % 2)
-        self.assertEqual(g.check_health()[0], True)
-        link = EngineStandIn(w)
+        self.assertEqual(gateway.check_health()[0], True)
+        link = EngineStandIn(program)
         self.assertEqual(link.attach_command, ["ATTACH", "1"])
         link.send_notice("NEED 1", f"{2:016x}", body=b"q")  # told again: must not lead to a second call
         link.send_notice("DONE 2", f"{1:016x}", "good 7", body=b"while away")
@@ -248,45 +255,45 @@
         )
         for notice, i in enumerate((2, 3, 4, 5, 6), 4):
             link.send_notice("DONE", notice, f"{i:016x}", "good 7", body=b"r")
-        answers = [g.read_answer() for _ in range(6)]
+        answers = [gateway.read_answer() for _ in range(6)]
         self.assertEqual(answers[0], (done, b"while away"))
         self.assertEqual(sorted(answers[1:]), [(n, b"r") for n in (waits, unsaid, once, token, plain)])
 
     def test_work_that_may_have_run_is_not_said_again(self) -> None:
-        w = ProgramUnderTest(self)
-        g = GatewayClient(w)
-        n = g.send_rpc("once", wait="900")
-        w.engine.expect_command("RUN", g.last_rpc_id)
-        w.engine.sock.close()
-        link = EngineStandIn(w)
-        link.expect_command("RUN", g.last_rpc_id)  # only once it is answered, to hear how it ended
-        self.assertEqual(g.read_answer(), (n, "Failed"))
-        link.send_notice("DONE 1", g.last_rpc_id, "gone 0 0")
-        m = g.send_rpc("once")
-        link.expect_command("RUN", g.last_rpc_id)
-        link.send_notice("DONE 2", g.last_rpc_id, "good 3", body=b"r")
-        self.assertEqual(g.read_answer(), (m, b"r"))
+        program = ProgramUnderTest(self)
+        gateway = GatewayClient(program)
+        message_id = gateway.send_rpc("once", wait="900")
+        program.engine.expect_command("RUN", gateway.last_rpc_id)
+        program.engine.sock.close()
+        link = EngineStandIn(program)
+        link.expect_command("RUN", gateway.last_rpc_id)  # only once it is answered, to hear how it ended
+        self.assertEqual(gateway.read_answer(), (message_id, "Failed"))
+        link.send_notice("DONE 1", gateway.last_rpc_id, "gone 0 0")
+        other_id = gateway.send_rpc("once")
+        link.expect_command("RUN", gateway.last_rpc_id)
+        link.send_notice("DONE 2", gateway.last_rpc_id, "good 3", body=b"r")
+        self.assertEqual(gateway.read_answer(), (other_id, b"r"))
 
     def test_a_link_that_hangs_is_left(self) -> None:
-        w = ProgramUnderTest(self)
-        g = GatewayClient(w)
-        n = g.send_rpc(wait="9000")
-        w.engine.expect_command("RUN", g.last_rpc_id)
-        self.assertEqual(w.wait_for_log("engine_link_lost")["reason"], "silent")
-        link = EngineStandIn(w)
-        link.send_notice("DONE 1", g.last_rpc_id, "good 3", body=b"r")
-        self.assertEqual(g.read_answer(), (n, b"r"))
+        program = ProgramUnderTest(self)
+        gateway = GatewayClient(program)
+        message_id = gateway.send_rpc(wait="9000")
+        program.engine.expect_command("RUN", gateway.last_rpc_id)
+        self.assertEqual(program.wait_for_log("engine_link_lost")["reason"], "silent")
+        link = EngineStandIn(program)
+        link.send_notice("DONE 1", gateway.last_rpc_id, "good 3", body=b"r")
+        self.assertEqual(gateway.read_answer(), (message_id, b"r"))
 
     def test_what_is_no_notice_ends_the_link(self) -> None:
-        w = ProgramUnderTest(self)
+        program = ProgramUnderTest(self)
         for i, data in enumerate(
             [b"DONE x y\r\n", b"?" * 600, b"NEED 1 aa 99999999\r\n", b"DONE 1 a good x 0\r\n"]
         ):
             with self.subTest(data=data[:20]):
-                w.engine.send(data)
-                self.assertTrue(w.engine.is_closed_by_program())
-                w.engine = EngineStandIn(w)
-                self.assertEqual(w.engine.attach_command, ["ATTACH", "0"], i)
+                program.engine.send(data)
+                self.assertTrue(program.engine.is_closed_by_program())
+                program.engine = EngineStandIn(program)
+                self.assertEqual(program.engine.attach_command, ["ATTACH", "0"], i)
 
 
 class Calls(unittest.TestCase):
@@ -296,65 +303,67 @@
             ("TIMEOUT\r\n", True), ("NONE\r\n", True),
         ]:  # fmt: skip
             with self.subTest(reply=reply):
-                w = ProgramUnderTest(
+                program = ProgramUnderTest(
                     self
                 )  # a new one each: a store that never answers well is not asked three times
-                g = GatewayClient(w)
-                n = g.send_rpc()
-                w.engine.expect_command("RUN", g.last_rpc_id)
-                w.engine.send_notice("NEED", 1, g.last_rpc_id, body=b"q\r\n")
+                gateway = GatewayClient(program)
+                message_id = gateway.send_rpc()
+                program.engine.expect_command("RUN", gateway.last_rpc_id)
+                program.engine.send_notice("NEED", 1, gateway.last_rpc_id, body=b"q\r\n")
                 # A second call for one RPC goes on another link: a copy of the first reply may still come.
-                links = [w.accept_database_link() for _ in range(3 if retried else 1)]
+                links = [program.accept_database_link() for _ in range(3 if retried else 1)]
                 for link in links:
                     words, body = link.read_line()
-                    self.assertEqual((words[:2], body), (["Q", g.last_rpc_id], b"q\r\n"))
-                    link.send(f"{g.last_rpc_id} {reply}".encode())
+                    self.assertEqual((words[:2], body), (["Q", gateway.last_rpc_id], b"q\r\n"))
+                    link.send(f"{gateway.last_rpc_id} {reply}".encode())
                     link.sock.close()
                 if retried:
-                    w.engine.expect_command("SKIP", g.last_rpc_id, "1")
+                    program.engine.expect_command("SKIP", gateway.last_rpc_id, "1")
                 else:
                     self.assertEqual(
-                        w.engine.expect_command("FEED", g.last_rpc_id),
+                        program.engine.expect_command("FEED", gateway.last_rpc_id),
                         reply.partition("\r\n")[2][:-2].encode(),
                     )
-                w.engine.send_notice("DONE", 2, g.last_rpc_id, "good 5", body=b"r")
-                self.assertEqual(g.read_answer(), (n, b"r"))
+                program.engine.send_notice("DONE", 2, gateway.last_rpc_id, "good 5", body=b"r")
+                self.assertEqual(gateway.read_answer(), (message_id, b"r"))
 
     def test_database_lost(self) -> None:
         for refused in (False, True):
             with self.subTest(refused=refused):
-                w = ProgramUnderTest(self)
-                g = GatewayClient(w)
+                program = ProgramUnderTest(self)
+                gateway = GatewayClient(program)
                 if refused:
-                    w.database_listener.close()
+                    program.database_listener.close()
                 for method in ("m", "once"):
-                    n = g.send_rpc(method)
-                    w.engine.expect_command("RUN", g.last_rpc_id)
-                    w.engine.send_notice("NEED", 2 * w.rpc_count, g.last_rpc_id, body=b"q")
+                    message_id = gateway.send_rpc(method)
+                    program.engine.expect_command("RUN", gateway.last_rpc_id)
+                    program.engine.send_notice("NEED", 2 * program.rpc_count, gateway.last_rpc_id, body=b"q")
                     # A broken link proves nothing: what may have had its effect is not called again.
                     for _ in range(0 if refused else 3 if method == "m" else 1):
-                        db = w.accept_database_link()
-                        self.assertEqual(db.read_line()[0][:2], ["Q", g.last_rpc_id])
+                        db = program.accept_database_link()
+                        self.assertEqual(db.read_line()[0][:2], ["Q", gateway.last_rpc_id])
                         db.sock.close()
                     if method == "m":
-                        w.engine.expect_command("SKIP", g.last_rpc_id)
-                        w.engine.send_notice("DONE", 2 * w.rpc_count + 1, g.last_rpc_id, "good 5", body=b"r")
-                    self.assertEqual(g.read_answer(), (n, b"r" if method == "m" else "Failed"))
+                        program.engine.expect_command("SKIP", gateway.last_rpc_id)
+                        program.engine.send_notice(
+                            "DONE", 2 * program.rpc_count + 1, gateway.last_rpc_id, "good 5", body=b"r"
+                        )
+                    self.assertEqual(gateway.read_answer(), (message_id, b"r" if method == "m" else "Failed"))
 
     def test_a_call_without_reply_is_given_up(self) -> None:
-        w = ProgramUnderTest(self)
-        g = GatewayClient(w)
-        g.send_rpc("once", wait="2000")
-        w.engine.expect_command("RUN", g.last_rpc_id)
-        w.engine.send_notice("NEED 1", g.last_rpc_id, body=b"q")
-        db = w.accept_database_link()
-        self.assertEqual(db.read_line()[0][:2], ["Q", g.last_rpc_id])
+        program = ProgramUnderTest(self)
+        gateway = GatewayClient(program)
+        gateway.send_rpc("once", wait="2000")
+        program.engine.expect_command("RUN", gateway.last_rpc_id)
+        program.engine.send_notice("NEED 1", gateway.last_rpc_id, body=b"q")
+        db = program.accept_database_link()
+        self.assertEqual(db.read_line()[0][:2], ["Q", gateway.last_rpc_id])
         self.assertTrue(db.is_closed_by_program())  # which gives it up
-        self.assertEqual(g.read_answer()[1], "Failed")
+        self.assertEqual(gateway.read_answer()[1], "Failed")
 
     def test_a_spoilt_reply_costs_its_own_call_only(self) -> None:
-        w = ProgramUnderTest(self)
-        g = GatewayClient(w)
+        program = ProgramUnderTest(self)
+        gateway = GatewayClient(program)
         notice = 0
         for reply in [
             b"%b ROWS 9\r\nok\r\n", b"%b ROWS 1\r\nok\r\n", b"%b ROWS 0\r\nok\r\n", b"%b ROWS -2\r\nok\r\n",
@@ -362,225 +371,228 @@
             b"%b " + b"x" * 600, b"%b ROWS", b"%b ROWS 2 2\r\nok\r\n",
         ]:  # fmt: skip
             with self.subTest(reply=reply[:20]):
-                n, m = g.send_rpc("once"), g.send_rpc()
-                ids = [w.engine.next_command()[0][1] for _ in range(2)]
+                message_id, other_id = gateway.send_rpc("once"), gateway.send_rpc()
+                ids = [program.engine.next_command()[0][1] for _ in range(2)]
                 calls = []
                 for rid in ids:
                     notice += 1
-                    w.engine.send_notice("NEED", notice, rid, body=b"q")
-                    calls.append(w.accept_database_link())
+                    program.engine.send_notice("NEED", notice, rid, body=b"q")
+                    calls.append(program.accept_database_link())
                     self.assertEqual(calls[-1].read_line()[0][1], rid)
-                spoilt = ids.index(f"{w.rpc_count:016x}")
+                spoilt = ids.index(f"{program.rpc_count:016x}")
                 start = time.monotonic()
                 calls[spoilt].send(reply.replace(b"%b", ids[spoilt].encode()))
                 self.assertTrue(calls[spoilt].is_closed_by_program())
-                again = w.accept_database_link()  # this method may call again
+                again = program.accept_database_link()  # this method may call again
                 self.assertEqual(again.read_line()[0][:2], ["Q", ids[spoilt]])
                 self.assertLess(time.monotonic() - start, 0.25)  # long before the call would run out of time
                 # Good replies with more than belongs to them are good.
                 for db, rid in ((calls[1 - spoilt], ids[1 - spoilt]), (again, ids[spoilt])):
                     db.send(b"%b ROWS 1\r\n?\r\n" % (b"e" * 16) + b"%b ROWS 2\r\nok\r\n" % rid.encode() * 2)
                 for _ in range(2):
-                    words, body = w.engine.next_command()
+                    words, body = program.engine.next_command()
                     self.assertEqual((words[0], body), ("FEED", b"ok"))
                 for rid in ids:
                     notice += 1
-                    w.engine.send_notice("DONE", notice, rid, "good 5", body=b"r")
-                self.assertEqual(sorted([g.read_answer(), g.read_answer()]), [(n, b"r"), (m, b"r")])
+                    program.engine.send_notice("DONE", notice, rid, "good 5", body=b"r")
+                self.assertEqual(
+                    sorted([gateway.read_answer(), gateway.read_answer()]),
+                    [(message_id, b"r"), (other_id, b"r")],
+                )
                 calls[1 - spoilt].sock.close()
                 again.sock.close()
 
     def test_a_late_reply_is_not_taken_for_that_of_the_next_call(self) -> None:
-        w = ProgramUnderTest(self)
-        g = GatewayClient(w)
-        g.send_rpc()
-        w.engine.expect_command("RUN", g.last_rpc_id)
-        w.engine.send_notice("NEED 1", g.last_rpc_id, body=b"q")
-        first = w.accept_database_link()
+        program = ProgramUnderTest(self)
+        gateway = GatewayClient(program)
+        gateway.send_rpc()
+        program.engine.expect_command("RUN", gateway.last_rpc_id)
+        program.engine.send_notice("NEED 1", gateway.last_rpc_id, body=b"q")
+        first = program.accept_database_link()
         first.read_line()
-        second = w.accept_database_link()  # on a link of its own
-        self.assertEqual(second.read_line()[0][:2], ["Q", g.last_rpc_id])
-        first.send(f"{g.last_rpc_id} ROWS 4\r\nlate\r\n".encode())
-        second.send(f"{g.last_rpc_id} ROWS 3\r\nnew\r\n".encode())
-        self.assertEqual(w.engine.expect_command("FEED", g.last_rpc_id), b"new")
+        second = program.accept_database_link()  # on a link of its own
+        self.assertEqual(second.read_line()[0][:2], ["Q", gateway.last_rpc_id])
+        first.send(f"{gateway.last_rpc_id} ROWS 4\r\nlate\r\n".encode())
+        second.send(f"{gateway.last_rpc_id} ROWS 3\r\nnew\r\n".encode())
+        self.assertEqual(program.engine.expect_command("FEED", gateway.last_rpc_id), b"new")
 
 
 class Peers(unittest.TestCase):
     def test_descriptors_run_out(self) -> None:
         for told, really, most in [(80, 1024, 16), (256, 30, 40)]:  # 64 of those told are not for gateways
             with self.subTest(told=told, really=really):
-                w = ProgramUnderTest(self, limits={"sockets": told})
-                resource.prlimit(w.process.pid, resource.RLIMIT_NOFILE, (really, really))
+                program = ProgramUnderTest(self, limits={"sockets": told})
+                resource.prlimit(program.process.pid, resource.RLIMIT_NOFILE, (really, really))
                 # Who has something open keeps its place.
                 crowd, numbers = [], []
                 for _ in range(most):
-                    crowd.append(GatewayClient(w))
+                    crowd.append(GatewayClient(program))
                     numbers.append(crowd[-1].send_rpc(wait="9000"))
                     time.sleep(0.01)
-                more = [GatewayClient(w) for _ in range(60)]
-                w.wait_for_log("connections_full")
-                ids = [w.engine.next_command()[0][1] for _ in range(12)]
+                more = [GatewayClient(program) for _ in range(60)]
+                program.wait_for_log("connections_full")
+                ids = [program.engine.next_command()[0][1] for _ in range(12)]
                 for i, rid in enumerate(ids):
-                    w.engine.send_notice("DONE", i + 1, rid, "good 5", body=b"r")
+                    program.engine.send_notice("DONE", i + 1, rid, "good 5", body=b"r")
                 self.assertEqual([one.read_answer() for one in crowd[:12]], [(n, b"r") for n in numbers[:12]])
                 for gateway in crowd + more:
                     gateway.sock.close()
-                w.wait_for_log("connections_room")
-                self.assertEqual(GatewayClient(w).check_health()[0], True)
-                self.assertLess(cpu(w.process.pid), 2.0)  # an accept that can't be done must not spin
+                program.wait_for_log("connections_room")
+                self.assertEqual(GatewayClient(program).check_health()[0], True)
+                self.assertLess(cpu(program.process.pid), 2.0)  # an accept that can't be done must not spin
 
     def test_a_peer_that_does_not_read(self) -> None:
-        w = ProgramUnderTest(self)
-        g = GatewayClient(w)
-        g.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        g.sock.settimeout(5.0)
+        program = ProgramUnderTest(self)
+        gateway = GatewayClient(program)
+        gateway.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        gateway.sock.settimeout(5.0)
         flood = b"".join(msgpack.packb([0, i, "probe", [{}]]) for i in range(1, 20001))
         try:
             for _ in range(200):
-                g.sock.sendall(flood)
+                gateway.sock.sendall(flood)
         except OSError:
             pass
-        while w.wait_for_log("connection")["reason"] != "stalled":
+        while program.wait_for_log("connection")["reason"] != "stalled":
             pass
-        self.assertEqual(GatewayClient(w).check_health()[0], True)
-        self.assertLess(resident(w.process.pid), 64.0)
+        self.assertEqual(GatewayClient(program).check_health()[0], True)
+        self.assertLess(resident(program.process.pid), 64.0)
 
     def test_quiet_ones_are_asked_to_go(self) -> None:
-        w = ProgramUnderTest(self, settings__extra__caller_idle=400.0)
-        silent, polite = GatewayClient(w), GatewayClient(w)
-        prove(w, polite)
+        program = ProgramUnderTest(self, settings__extra__caller_idle=400.0)
+        silent, polite = GatewayClient(program), GatewayClient(program)
+        prove(program, polite)
         self.assertEqual(polite.read_message(), [2, "goaway", []])
-        n = polite.send_rpc()  # crossed it: still answered
-        w.engine.expect_command("RUN", polite.last_rpc_id)
-        w.engine.send_notice("DONE 2", polite.last_rpc_id, "good 5", body=b"r")
-        self.assertEqual(polite.read_answer(), (n, b"r"))
+        message_id = polite.send_rpc()  # crossed it: still answered
+        program.engine.expect_command("RUN", polite.last_rpc_id)
+        program.engine.send_notice("DONE 2", polite.last_rpc_id, "good 5", body=b"r")
+        self.assertEqual(polite.read_answer(), (message_id, b"r"))
         polite.sock.close()
         self.assertTrue(silent.is_closed_by_program())
-        reasons = {w.wait_for_log("connection")["reason"] for _ in range(2)}
+        reasons = {program.wait_for_log("connection")["reason"] for _ in range(2)}
         self.assertEqual(reasons, {"closed_by_gateway", "quiet"})
 
     def test_whoever_proves_nothing_is_soon_gone(self) -> None:
         # Hundreds of them would take every descriptor and the core from the gateways.
-        w = ProgramUnderTest(self, limits={"sockets": 128})
-        g = GatewayClient(w)
-        prove(w, g)
+        program = ProgramUnderTest(self, limits={"sockets": 128})
+        gateway = GatewayClient(program)
+        prove(program, gateway)
         for first in (b"", b"\x94\x00", msgpack.packb([0, 1, "probe", [{}]])):
             with self.subTest(first=first[:4]):
                 start = time.monotonic()
-                crowd = [GatewayClient(w) for _ in range(150)]
+                crowd = [GatewayClient(program) for _ in range(150)]
                 for one in crowd:
                     with contextlib.suppress(OSError):  # it may have made room already
                         one.send(first)
-                self.assertEqual(GatewayClient(w).check_health()[0], True)
+                self.assertEqual(GatewayClient(program).check_health()[0], True)
                 self.assertTrue(all(one.is_closed_by_program() for one in crowd))
                 self.assertLess(time.monotonic() - start, 2.5)
-                self.assertEqual(g.check_health()[0], True)
-        g.send(b"\x94\x00\x01")  # half a message, even from one that is known
-        self.assertTrue(g.is_closed_by_program())
+                self.assertEqual(gateway.check_health()[0], True)
+        gateway.send(b"\x94\x00\x01")  # half a message, even from one that is known
+        self.assertTrue(gateway.is_closed_by_program())
 
     def test_strangers_bring_no_more_than_so_many(self) -> None:
         # Their RPCs wait with their bodies: those of hundreds of connections would fill the memory.
-        w = ProgramUnderTest(self, limits={"sockets": 200}, settings__extra__n_cores=1)
-        known = GatewayClient(w)
-        prove(w, known)
-        crowd = [GatewayClient(w) for _ in range(40)]
+        program = ProgramUnderTest(self, limits={"sockets": 200}, settings__extra__n_cores=1)
+        known = GatewayClient(program)
+        prove(program, known)
+        crowd = [GatewayClient(program) for _ in range(40)]
         for one in crowd:
             for _ in range(32):
                 one.send_rpc(wait="9000", kb="0.001")
         told = select.select([one.sock for one in crowd], [], [], 3.0)[0]  # long before their time is over
         self.assertEqual([one.read_answer()[1] for one in crowd if one.sock in told[:1]], ["Busy"])
-        n = known.send_rpc(wait="250")  # held
+        message_id = known.send_rpc(wait="250")  # held
         start = time.monotonic()
-        self.assertEqual(known.read_answer(), (n, "Busy"))
+        self.assertEqual(known.read_answer(), (message_id, "Busy"))
         self.assertGreater(time.monotonic() - start, 0.1)
 
     def test_an_rpc_that_the_engine_does_not_know_ends_its_connection(self) -> None:
-        w = ProgramUnderTest(self, settings__extra__n_cores=1)
-        g, bad = GatewayClient(w), GatewayClient(w)
-        m = bad.send_rpc()
-        w.engine.expect_command("RUN", bad.last_rpc_id)
+        program = ProgramUnderTest(self, settings__extra__n_cores=1)
+        gateway, bad = GatewayClient(program), GatewayClient(program)
+        message_id = bad.send_rpc()
+        program.engine.expect_command("RUN", bad.last_rpc_id)
         unknown, held = bad.last_rpc_id, [bad.send_rpc() for _ in range(20)]
-        w.engine.send_notice("NO RUN", unknown)
-        self.assertEqual(bad.read_answer(), (m, "Failed"))
+        program.engine.send_notice("NO RUN", unknown)
+        self.assertEqual(bad.read_answer(), (message_id, "Failed"))
         self.assertTrue(bad.is_closed_by_program())
-        n = g.send_rpc()
+        other_id = gateway.send_rpc()
         self.assertGreater(len(held), 0)
-        w.engine.expect_command("RUN", g.last_rpc_id)  # before any of those
-        w.engine.send_notice("DONE 1", g.last_rpc_id, "good 5", body=b"r")
-        self.assertEqual(g.read_answer(), (n, b"r"))
+        program.engine.expect_command("RUN", gateway.last_rpc_id)  # before any of those
+        program.engine.send_notice("DONE 1", gateway.last_rpc_id, "good 5", body=b"r")
+        self.assertEqual(gateway.read_answer(), (other_id, b"r"))
 
     def test_health_checks_follow_the_engine(self) -> None:
-        w = ProgramUnderTest(self)
-        g = GatewayClient(w)
-        self.assertEqual(g.check_health(deep="1")[0], True)
-        w.engine_listener.close()
-        w.engine.sock.close()
-        w.wait_for_log("engine_link_lost")
+        program = ProgramUnderTest(self)
+        gateway = GatewayClient(program)
+        self.assertEqual(gateway.check_health(deep="1")[0], True)
+        program.engine_listener.close()
+        program.engine.sock.close()
+        program.wait_for_log("engine_link_lost")
         # A link that breaks is routine: a server that works must not look ill for it.
-        self.assertEqual((g.check_health(deep="1")[0], g.check_health()[0]), (True, True))
+        self.assertEqual((gateway.check_health(deep="1")[0], gateway.check_health()[0]), (True, True))
         time.sleep(1.6)
-        g = GatewayClient(w)
-        self.assertEqual((g.check_health(deep="1")[0], g.check_health()[0]), (False, True))
+        gateway = GatewayClient(program)
+        self.assertEqual((gateway.check_health(deep="1")[0], gateway.check_health()[0]), (False, True))
 
     def test_roster_down(self) -> None:
-        w = ProgramUnderTest(self)
-        w.roster.close()
+        program = ProgramUnderTest(self)
+        program.roster.close()
         time.sleep(0.5)  # reports into the void
-        self.assertEqual(GatewayClient(w).check_health()[0], True)
+        self.assertEqual(GatewayClient(program).check_health()[0], True)
 
 
 class Leaving(unittest.TestCase):
     def test_drain(self) -> None:
-        w = ProgramUnderTest(self)
-        g = GatewayClient(w)
-        early = g.send_rpc()
-        w.engine.expect_command("RUN", g.last_rpc_id)
-        w.process.send_signal(signal.SIGTERM)
+        program = ProgramUnderTest(self)
+        gateway = GatewayClient(program)
+        early = gateway.send_rpc()
+        program.engine.expect_command("RUN", gateway.last_rpc_id)
+        program.process.send_signal(signal.SIGTERM)
         start = time.monotonic()
-        while w.roster.recv(100) != b"HERE n3 off":
+        while program.roster.recv(100) != b"HERE n3 off":
             pass
-        self.assertEqual(g.check_health()[0], False)
-        within = g.send_rpc()
-        w.engine.expect_command("RUN", g.last_rpc_id)  # within the grace
+        self.assertEqual(gateway.check_health()[0], False)
+        within = gateway.send_rpc()
+        program.engine.expect_command("RUN", gateway.last_rpc_id)  # within the grace
         time.sleep(0.35)
-        late = g.send_rpc()
-        self.assertEqual(g.read_answer(), (late, "Busy"))
-        w.engine.send_notice("DONE 1", f"{1:016x}", "good 5", body=b"r")
-        self.assertEqual(g.read_answer(), (early, b"r"))
+        late = gateway.send_rpc()
+        self.assertEqual(gateway.read_answer(), (late, "Busy"))
+        program.engine.send_notice("DONE 1", f"{1:016x}", "good 5", body=b"r")
+        self.assertEqual(gateway.read_answer(), (early, b"r"))
         seen: dict[Any, Any] = {}
         while within not in seen or "goaway" not in seen:
-            message = g.read_message()
+            message = gateway.read_message()
             seen[message[1]] = message
         self.assertEqual(seen[within][2][0], "Failed")  # ran too long for the stop
-        g.sock.close()
-        self.assertEqual(w.process.wait(5.0), 0)
+        gateway.sock.close()
+        self.assertEqual(program.process.wait(5.0), 0)
         self.assertLess(time.monotonic() - start, 1.6)
         with self.assertRaises(ConnectionRefusedError):
-            socket.create_connection(w.address)
+            socket.create_connection(program.address)
 
 
 class Reload(unittest.TestCase):
     def test_links_move_while_work_goes_on(self) -> None:
         # By default SIGHUP ends a program, and all that it holds is lost.
-        w = ProgramUnderTest(self)
-        g = GatewayClient(w)
-        n = g.send_rpc("once")
-        first = g.last_rpc_id
-        w.engine.expect_command("RUN", first)
-        w.engine.send_notice("NEED 1", first, body=b"q")
-        db = w.accept_database_link()
+        program = ProgramUnderTest(self)
+        gateway = GatewayClient(program)
+        message_id = gateway.send_rpc("once")
+        first = gateway.last_rpc_id
+        program.engine.expect_command("RUN", first)
+        program.engine.send_notice("NEED 1", first, body=b"q")
+        db = program.accept_database_link()
         db.read_line()
-        w.open_listeners()
-        w.reload()
-        m = g.send_rpc("once")
+        program.open_listeners()
+        program.reload()
+        other_id = gateway.send_rpc("once")
         # The old link is left only once it has shown that all it was given arrived: nothing is in doubt.
         said = []
         with self.assertRaises((EOFError, ConnectionResetError)):
             while True:
-                said.append(w.engine.next_command()[0][0])
-        link = EngineStandIn(w)
+                said.append(program.engine.next_command()[0][0])
+        link = EngineStandIn(program)
         self.assertEqual(link.attach_command, ["ATTACH", "1"])
-        self.assertEqual(w.roster.recv(100), b"HERE n3 on")
+        self.assertEqual(program.roster.recv(100), b"HERE n3 on")
         db.send(b"%b ROWS 2\r\nok\r\n" % first.encode())  # a call under way ends where it was made
         while len(said) < 2:  # the second RPC on either link, and the reply
             words, body = link.next_command()
@@ -588,47 +600,49 @@
             self.assertEqual(body, b"ok" if words[0] == "FEED" else b"work")
         self.assertEqual(sorted(said), ["FEED", "RUN"])
         link.send_notice("DONE 2", first, "good 9", body=b"r")
-        self.assertEqual(g.read_answer(), (n, b"r"))
-        link.send_notice("NEED 3", g.last_rpc_id, body=b"q")
+        self.assertEqual(gateway.read_answer(), (message_id, b"r"))
+        link.send_notice("NEED 3", gateway.last_rpc_id, body=b"q")
         self.assertEqual(
-            w.accept_database_link().read_line()[0][:2], ["Q", g.last_rpc_id]
+            program.accept_database_link().read_line()[0][:2], ["Q", gateway.last_rpc_id]
         )  # at the new address
-        link.send_notice("DONE 4", g.last_rpc_id, "good 9", body=b"r")
-        self.assertEqual(g.read_answer(), (m, b"r"))
+        link.send_notice("DONE 4", gateway.last_rpc_id, "good 9", body=b"r")
+        self.assertEqual(gateway.read_answer(), (other_id, b"r"))
 
     def test_an_unusable_one_changes_nothing(self) -> None:
-        w = ProgramUnderTest(self)
-        g = GatewayClient(w)
+        program = ProgramUnderTest(self)
+        gateway = GatewayClient(program)
         for config, change, words in [
             ("{", {}, "GW_CONFIG"), ("", {"engine": "nowhere"}, "engine"), ("", {"db": None}, "db"),
             ("", {"settings__extra__n_cores": 0}, "n-cores"),
         ]:  # fmt: skip
             with self.subTest(words=words):
-                w.reload(config, **change)
-                self.assertIn(words, w.wait_for_log("reload_failed")["error"])
-                n = g.send_rpc()
-                w.engine.expect_command("RUN", g.last_rpc_id)
-                w.engine.send_notice("DONE", w.rpc_count, g.last_rpc_id, "good 9", body=b"r")
-                self.assertEqual(g.read_answer(), (n, b"r"))
+                program.reload(config, **change)
+                self.assertIn(words, program.wait_for_log("reload_failed")["error"])
+                message_id = gateway.send_rpc()
+                program.engine.expect_command("RUN", gateway.last_rpc_id)
+                program.engine.send_notice(
+                    "DONE", program.rpc_count, gateway.last_rpc_id, "good 9", body=b"r"
+                )
+                self.assertEqual(gateway.read_answer(), (message_id, b"r"))
 
     def test_two_in_a_row_during_a_drain(self) -> None:
-        w = ProgramUnderTest(self)
-        g = GatewayClient(w)
-        n = g.send_rpc()
-        w.engine.expect_command("RUN", g.last_rpc_id)
-        w.process.send_signal(signal.SIGTERM)
-        w.wait_for_log("mode")
-        w.open_listeners()
-        w.reload()
-        w.open_listeners()
-        w.reload()
-        self.assertEqual(w.roster.recv(100), b"HERE n3 off")
-        link = EngineStandIn(w)
+        program = ProgramUnderTest(self)
+        gateway = GatewayClient(program)
+        message_id = gateway.send_rpc()
+        program.engine.expect_command("RUN", gateway.last_rpc_id)
+        program.process.send_signal(signal.SIGTERM)
+        program.wait_for_log("mode")
+        program.open_listeners()
+        program.reload()
+        program.open_listeners()
+        program.reload()
+        self.assertEqual(program.roster.recv(100), b"HERE n3 off")
+        link = EngineStandIn(program)
         self.assertEqual(link.attach_command, ["ATTACH", "0"])
-        link.send_notice("DONE 1", g.last_rpc_id, "good 9", body=b"r")
-        self.assertEqual(g.read_answer(), (n, b"r"))
-        g.sock.close()
-        self.assertEqual(w.process.wait(5.0), 0)
+        link.send_notice("DONE 1", gateway.last_rpc_id, "good 9", body=b"r")
+        self.assertEqual(gateway.read_answer(), (message_id, b"r"))
+        gateway.sock.close()
+        self.assertEqual(program.process.wait(5.0), 0)
 
 
 class Config(unittest.TestCase):
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -102,12 +102,12 @@
             self.assertIn(words, str(caught.exception))
 
     def test_a_tenant_with_spaces_is_served(self) -> None:
-        w = ProgramUnderTest(self, settings__orgs__0__name="Vargas y Hijos")
-        g = GatewayClient(w)
-        n = g.send_rpc(tenant="Vargas y Hijos")
-        w.engine.expect_command("RUN", g.last_rpc_id)
-        w.engine.send_notice("DONE 1", g.last_rpc_id, "good 5", body=b"r")
-        self.assertEqual(g.read_answer(), (n, b"r"))
+        program = ProgramUnderTest(self, settings__orgs__0__name="Vargas y Hijos")
+        gateway = GatewayClient(program)
+        message_id = gateway.send_rpc(tenant="Vargas y Hijos")
+        program.engine.expect_command("RUN", gateway.last_rpc_id)
+        program.engine.send_notice("DONE 1", gateway.last_rpc_id, "good 5", body=b"r")
+        self.assertEqual(gateway.read_answer(), (message_id, b"r"))
 
 
 class Reload(unittest.TestCase):
@@ -162,42 +162,44 @@
             )
 
     def test_killed_behind_an_accept_and_started_again(self) -> None:
-        w = ProgramUnderTest(self)
-        g = GatewayClient(w)
-        g.send_rpc("once")
-        first = g.last_rpc_id
-        w.engine.expect_command("RUN", first)
-        with w.paused():
-            late = GatewayClient(w)
+        program = ProgramUnderTest(self)
+        gateway = GatewayClient(program)
+        gateway.send_rpc("once")
+        first = gateway.last_rpc_id
+        program.engine.expect_command("RUN", first)
+        with program.paused():
+            late = GatewayClient(program)
             late.send_rpc()
-            w.process.kill()
-        self.assertEqual(w.process.wait(10.0), -signal.SIGKILL)
-        self.assertLessEqual({g.read_until_end(), late.read_until_end()}, {"closed", "reset"})
+            program.process.kill()
+        self.assertEqual(program.process.wait(10.0), -signal.SIGKILL)
+        self.assertLessEqual({gateway.read_until_end(), late.read_until_end()}, {"closed", "reset"})
         start = time.monotonic()
-        w.engine.sock.close()
-        w.process.communicate()
-        w.start(w.make_config({}, {"listen": "{}:{}".format(*w.address)}))  # at its old address
+        program.engine.sock.close()
+        program.process.communicate()
+        program.start(
+            program.make_config({}, {"listen": "{}:{}".format(*program.address)})
+        )  # at its old address
         self.assertLess(time.monotonic() - start, 10.0)
-        again = GatewayClient(w)
-        n = again.send_rpc("once")
-        w.engine.expect_command("RUN", again.last_rpc_id)
-        w.engine.send_notice("DONE 1", again.last_rpc_id, "good 5", body=b"r")
-        self.assertEqual(again.read_answer(), (n, b"r"))
+        again = GatewayClient(program)
+        message_id = again.send_rpc("once")
+        program.engine.expect_command("RUN", again.last_rpc_id)
+        program.engine.send_notice("DONE 1", again.last_rpc_id, "good 5", body=b"r")
+        self.assertEqual(again.read_answer(), (message_id, b"r"))
 
     def test_older_and_later_engines(self) -> None:
         for hello, cold in [("HELLO old 3600000", False), ("HELLO new 0", True), ("HELLO new 600000", True)]:
             with self.subTest(hello=hello):
-                w = ProgramUnderTest(self, engine=False)
-                g = GatewayClient(w)
-                n = g.send_rpc()
-                self.assertEqual(g.read_answer(), (n, "Busy"))
-                link = EngineStandIn(w, hello=hello)
-                self.assertEqual(w.wait_for_log("engine_link")["cold"], cold)
-                w.engine = link
-                n = g.send_rpc()
-                link.expect_command("RUN", g.last_rpc_id)
-                link.send_notice("DONE 1", g.last_rpc_id, "good 5", body=b"r")
-                self.assertEqual(g.read_answer(), (n, b"r"))
+                program = ProgramUnderTest(self, engine=False)
+                gateway = GatewayClient(program)
+                message_id = gateway.send_rpc()
+                self.assertEqual(gateway.read_answer(), (message_id, "Busy"))
+                link = EngineStandIn(program, hello=hello)
+                self.assertEqual(program.wait_for_log("engine_link")["cold"], cold)
+                program.engine = link
+                message_id = gateway.send_rpc()
+                link.expect_command("RUN", gateway.last_rpc_id)
+                link.send_notice("DONE 1", gateway.last_rpc_id, "good 5", body=b"r")
+                self.assertEqual(gateway.read_answer(), (message_id, b"r"))
 
     def test_nine_in_ten_are_ready_within_ten_seconds(self) -> None:
         """Thirty at once on a shared processor."""
