--- a/landingshift/policies/service.py
+++ b/landingshift/policies/service.py
@@ -6,7 +6,7 @@
 from random import Random
 from typing import TYPE_CHECKING, Any
 
-from landingshift import failpoints
+from landingshift import system_clock
 from landingshift.consensus.errors import RaftLogError
 from landingshift.consensus.raft_log import RaftLogFile
 from landingshift.consensus.state_machines import StateMachine
@@ -71,7 +71,7 @@
             log_file.persistent_state if log_file is not None else None,
             Random(f"{config.seed} policies {config.name}"),
             self._loop.now_ms,
-            failpoints.wall,
+            system_clock.wall_clock_ms,
             max_member_count=settings.most,
         )
         self._participant = self.policy_node.participant
