--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -1,7 +1,7 @@
-"""Figures of the ledger: `python -m benchmarks.ledger [--uses N] [--big N]`; prints JSON. Takes minutes.
+"""Figures of usage metering: `python -m benchmarks.ledger [--rate N] [--big N]`; prints JSON. Takes minutes.
 
-- rate: uses a second that the store's process takes from an outbox, and how long each was not durable.
-- server: the same server without and with the ledger, in turn: CPU an RPC, latency, passes of the loop.
+- rate: uses a second that the store's process takes from a queue, and how long each was not durable.
+- server: the same server without and with metering, in turn: CPU an RPC, latency, passes of the loop.
 - big: a store of millions of uses: opening, totals, bytes a use, memory.
 """
 
@@ -16,6 +16,7 @@
 import sys
 import tempfile
 import time
+from collections.abc import Callable
 from pathlib import Path
 from random import Random
 from statistics import median
@@ -24,192 +25,256 @@
 import msgspec
 import orjson
 
-from landingshift.ledger.entries import Batch, Raw, Word
-from landingshift.ledger.outbox import Outbox
 from landingshift.ledger.settings import Settings
-from landingshift.ledger.store import Store
+from landingshift.ledger.store import STORE_FILE, UsageStore
+from landingshift.ledger.store_messages import ReportedUsage, StoreStatus, UsageBatch
+from landingshift.ledger.store_process import MAX_IN_FLIGHT_BATCH_COUNT, WORKER_MODULE
+from landingshift.ledger.usage_queue import DeliveryOutcome, UsageQueue
 from landingshift.net.transport.worker import WORKER_FD_VARIABLE, FrameDecoder, encode_frame
 from landingshift.testbed.processes.single_server import Gateway, Stage
 
-TICKS = os.sysconf("SC_CLK_TCK")
+TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
+QUEUE_LIMIT_BYTES = 64 << 20
+READ_BYTES = 65536
+POLL_SECONDS = 0.005
+WARM_UP_SECONDS = 0.5
+GATEWAY_END_TIMEOUT_SECONDS = 5.0
+TENANT_COUNT = 500
+BIG_BATCH_USAGE_COUNT = 2000
+BIG_MEMORY_SAMPLE_COUNT = 5
+BIG_START_MS = 1_764_547_200_000  # December 2025
+BIG_PERIOD = "2025-12"
+BIG_SPAN_MS = 30 * 86_400_000
 
 
 def p99(values: list[float]) -> float:
+    """The 99th percentile; 0 of nothing."""
     return sorted(values)[int(len(values) * 0.99)] if values else 0.0
 
 
-def cpu(pid: int) -> float:
-    """Seconds that a process has used."""
+def cpu_seconds(pid: int) -> float:
+    """What a process has used."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND
 
 
-def rss(pid: int) -> int:
-    """KB."""
+def memory_kb(pid: int) -> int:
+    """Resident memory of a process."""
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * resource.getpagesize() // 1024
 
 
-def some_use(n: int, at: int, chance: Random) -> Raw:
-    return Raw(n, at, b"club %d" % chance.randrange(500), b"m", 90_000, 800, 2000, chance.randbytes(16))
+def random_usage(sequence: int, at_ms: int, rng: Random) -> ReportedUsage:
+    """One use of one of many tenants."""
+    tenant = b"club %d" % rng.randrange(TENANT_COUNT)
+    return ReportedUsage(sequence, at_ms, tenant, b"m", 90_000, 800, 2000, rng.randbytes(16))
 
 
-def rate(per_second: int, seconds: float) -> dict[str, Any]:
-    """Offers so many uses a second to a real store process, as the service does, and waits for nothing."""
-    with tempfile.TemporaryDirectory() as folder:
-        ours, theirs = socket.socketpair()
-        settings = Settings(folder=folder, instance="bench")
-        process = subprocess.Popen(
-            [
-                sys.executable,
-                "-m",
-                "landingshift.ledger.worker",
-                msgspec.json.encode(settings).decode(),
-                "ab",
-            ],
+class StoreLoad:
+    """A real store process and the load that the service would give it."""
+
+    def __init__(self, directory: str) -> None:
+        self.link, theirs = socket.socketpair()
+        settings = Settings(directory=directory, instance="bench")
+        self.process = subprocess.Popen(
+            [sys.executable, "-m", WORKER_MODULE, msgspec.json.encode(settings).decode(), "ab"],
             env=os.environ | {WORKER_FD_VARIABLE: str(theirs.fileno())},
             pass_fds=[theirs.fileno()],
         )
         theirs.close()
-        frames, encode = FrameDecoder(), msgspec.msgpack.encode
-        decode = msgspec.msgpack.Decoder(Word).decode
-        ours.recv(4096)  # it is open
-        box, chance, began = Outbox(64 << 20), Random(1), time.perf_counter()
-        born: dict[int, float] = {}
-        waits: list[float] = []
-        offered, done = 0, 0
-        while done < per_second * seconds:
-            now = time.perf_counter()
-            due = min(int((now - began) * per_second), int(per_second * seconds))
-            for _ in range(due - offered):
-                raw = some_use(0, round(time.time() * 1000), chance)
-                box.add(raw)
-                born[raw.n] = now
-            offered = due
-            batch = box.cut(4)
-            if batch is not None:
-                ours.sendall(encode_frame(encode(batch)))
-            if select.select([ours], [], [], 0.005)[0]:
-                for message in frames.feed(ours.recv(65536)):
-                    for raw in box.ack(decode(message).acked):
-                        waits.append((time.perf_counter() - born.pop(raw.n)) * 1000.0)
-                        box.settle(box.sent, raw.n)
-                        done += 1
-        took = time.perf_counter() - began
-        while not box.empty:
-            batch = box.cut(4)
-            if batch is not None:
-                ours.sendall(encode_frame(encode(batch)))
-            for message in frames.feed(ours.recv(65536)):
-                box.ack(decode(message).acked)
-        used, memory = cpu(process.pid), rss(process.pid)
-        ours.close()
-        process.wait()
-        size = Path(folder, "ledger.sqlite").stat().st_size
+        self.link.recv(READ_BYTES)  # it is open
+        self.queue = UsageQueue(QUEUE_LIMIT_BYTES)
+        self.not_durable_ms: list[float] = []
+        self._frames = FrameDecoder()
+        self._encode = msgspec.msgpack.encode
+        self._decode = msgspec.msgpack.Decoder(StoreStatus).decode
+        self._offered_at: dict[int, float] = {}
+        self._rng = Random(1)
+
+    def offer(self, count: int) -> None:
+        """Queues so many uses."""
+        offered_at = time.perf_counter()
+        for _ in range(count):
+            usage = random_usage(0, round(time.time() * 1000), self._rng)
+            self.queue.add(usage)
+            self._offered_at[usage.sequence] = offered_at
+
+    def send(self) -> None:
+        """Sends the next batch, if any."""
+        batch = self.queue.next_batch(MAX_IN_FLIGHT_BATCH_COUNT)
+        if batch is not None:
+            self.link.sendall(encode_frame(self._encode(batch)))
+
+    def receive(self) -> None:
+        """Takes the status and settles what is durable."""
+        for message in self._frames.feed(self.link.recv(READ_BYTES)):
+            for usage in self.queue.acknowledge(self._decode(message).committed_batch):
+                waited_seconds = time.perf_counter() - self._offered_at.pop(usage.sequence)
+                self.not_durable_ms.append(waited_seconds * 1000.0)
+                self.queue.add_outcome(DeliveryOutcome.DELIVERED, usage.sequence)
+
+    def close(self) -> None:
+        """Ends the process."""
+        self.link.close()
+        self.process.wait()
+
+
+def measure_rate(uses_per_second: int, seconds: float) -> dict[str, Any]:
+    """Offers so many uses a second to a real store process, as the service does, and waits for nothing."""
+    with tempfile.TemporaryDirectory() as directory:
+        load = StoreLoad(directory)
+        began = time.perf_counter()
+        total_count = int(uses_per_second * seconds)
+        offered_count = 0
+        while len(load.not_durable_ms) < total_count:
+            due_count = min(int((time.perf_counter() - began) * uses_per_second), total_count)
+            load.offer(due_count - offered_count)
+            offered_count = due_count
+            load.send()
+            if select.select([load.link], [], [], POLL_SECONDS)[0]:
+                load.receive()
+        took_seconds = time.perf_counter() - began
+        while not load.queue.is_empty:
+            load.send()
+            load.receive()
+        used_seconds = cpu_seconds(load.process.pid)
+        store_memory_kb = memory_kb(load.process.pid)
+        load.close()
+        size_bytes = Path(directory, STORE_FILE).stat().st_size
         return {
-            "offered_a_second": per_second,
-            "durable_a_second": round(done / took),
-            "not_durable_ms": {"p50": round(median(waits), 2), "p99": round(p99(waits), 2)},
-            "store_cpu_us_a_use": round(used / done * 1e6, 2),
-            "store_memory_kb": memory,
-            "bytes_a_use": round(size / done, 1),
+            "offered_a_second": uses_per_second,
+            "durable_a_second": round(total_count / took_seconds),
+            "not_durable_ms": {
+                "p50": round(median(load.not_durable_ms), 2),
+                "p99": round(p99(load.not_durable_ms), 2),
+            },
+            "store_cpu_us_a_use": round(used_seconds / total_count * 1e6, 2),
+            "store_memory_kb": store_memory_kb,
+            "bytes_a_use": round(size_bytes / total_count, 1),
         }
 
 
-def load(stage: Stage, seconds: float, gateways: int, window: int, pace: float) -> dict[str, Any]:
+def measure_load(
+    stage: Stage, seconds: float, gateway_count: int, window: int, pace_ms: float
+) -> dict[str, Any]:
     """Closed load for CPU and latency; paced, a given rate."""
     assert stage.process
     pid = stage.process.pid
-    peers = [Gateway(stage, f"{time.time()} {i}", window, pace) for i in range(gateways)]
-    time.sleep(0.5)
-    before, at, had = cpu(pid), time.perf_counter(), sum(len(g.took) for g in peers)
+    gateways = [Gateway(stage, f"{time.time()} {i}", window, pace_ms) for i in range(gateway_count)]
+    time.sleep(WARM_UP_SECONDS)
+    cpu_before = cpu_seconds(pid)
+    began = time.perf_counter()
+    answered_before = sum(len(gateway.took) for gateway in gateways)
     time.sleep(seconds)
-    used, wall, count = cpu(pid) - before, time.perf_counter() - at, sum(len(g.took) for g in peers) - had
-    for peer in peers:
-        peer.stopping = True
-    for peer in peers:
-        peer.thread.join(5.0)
-    took = [t for peer in peers for t in peer.took]
+    used_seconds = cpu_seconds(pid) - cpu_before
+    wall_seconds = time.perf_counter() - began
+    answered_count = sum(len(gateway.took) for gateway in gateways) - answered_before
+    for gateway in gateways:
+        gateway.stopping = True
+    for gateway in gateways:
+        gateway.thread.join(GATEWAY_END_TIMEOUT_SECONDS)
+    latencies_ms = [latency_ms for gateway in gateways for latency_ms in gateway.took]
     return {
-        "rpcs_a_second": round(count / wall),
-        "cpu_us_an_rpc": round(used / max(1, count) * 1e6, 1),
-        "latency_ms": {"p50": round(median(took), 2), "p99": round(p99(took), 2)},
-        "memory_kb": rss(pid),
+        "rpcs_a_second": round(answered_count / wall_seconds),
+        "cpu_us_an_rpc": round(used_seconds / max(1, answered_count) * 1e6, 1),
+        "latency_ms": {"p50": round(median(latencies_ms), 2), "p99": round(p99(latencies_ms), 2)},
+        "memory_kb": memory_kb(pid),
     }
 
 
-def server(seconds: float, repeats: int, gateways: int, window: int, pace: float = 0.0) -> dict[str, Any]:
-    """Without and with, in turn, on the same machine in one run."""
-    found: dict[str, list[dict[str, Any]]] = {"off": [], "after_answer": [], "before_answer": []}
+def measure_server(
+    seconds: float, repeats: int, gateway_count: int, window: int, pace_ms: float = 0.0
+) -> dict[str, Any]:
+    """Without and with metering, in turn, on the same machine in one run."""
+    rows: dict[str, list[dict[str, Any]]] = {"off": [], "after_answer": [], "before_answer": []}
     for _ in range(repeats):
-        for way, rows in found.items():
-            with tempfile.TemporaryDirectory() as folder:
-                toml = (
-                    f'[ledger]\nfolder = "{folder}/l"\ninstance = "b"\ndurable = "{way}"\n'
-                    if way != "off"
-                    else ""
-                )
-                os.environ["BENCH_PASSES"] = folder + "/passes"
-                stage = Stage(folder, toml, module="benchmarks.passes")
-                stage.start()
-                row = load(stage, seconds, gateways, window, pace)
-                stage.leave()
-                rows.append(row | {"passes": orjson.loads(Path(folder, "passes").read_bytes())})
-                stage.close()
+        for durability, found in rows.items():
+            found.append(_measure_one_server(durability, seconds, gateway_count, window, pace_ms))
+    return {durability: _medians(found) for durability, found in rows.items()}
+
+
+def _measure_one_server(
+    durability: str, seconds: float, gateway_count: int, window: int, pace_ms: float
+) -> dict[str, Any]:
+    with tempfile.TemporaryDirectory() as directory:
+        toml = f'[ledger]\nfolder = "{directory}/l"\ninstance = "b"\ndurable = "{durability}"\n'
+        os.environ["BENCH_PASSES"] = directory + "/passes"
+        stage = Stage(directory, "" if durability == "off" else toml, module="benchmarks.passes")
+        stage.start()
+        row = measure_load(stage, seconds, gateway_count, window, pace_ms)
+        stage.leave()
+        row["passes"] = orjson.loads(Path(directory, "passes").read_bytes())
+        stage.close()
+        return row
+
+
+def _medians(rows: list[dict[str, Any]]) -> dict[str, Any]:
     return {
-        way: {
-            "rpcs_a_second": median(r["rpcs_a_second"] for r in rows),
-            "cpu_us_an_rpc": median(r["cpu_us_an_rpc"] for r in rows),
-            "latency_p50_ms": median(r["latency_ms"]["p50"] for r in rows),
-            "latency_p99_ms": median(r["latency_ms"]["p99"] for r in rows),
-            "pass_p50_ms": round(median(r["passes"]["p50"] for r in rows), 3),
-            "pass_p99_ms": round(median(r["passes"]["p99"] for r in rows), 3),
-            "memory_kb": median(r["memory_kb"] for r in rows),
-        }
-        for way, rows in found.items()
+        "rpcs_a_second": median(row["rpcs_a_second"] for row in rows),
+        "cpu_us_an_rpc": median(row["cpu_us_an_rpc"] for row in rows),
+        "latency_p50_ms": median(row["latency_ms"]["p50"] for row in rows),
+        "latency_p99_ms": median(row["latency_ms"]["p99"] for row in rows),
+        "pass_p50_ms": round(median(row["passes"]["p50"] for row in rows), 3),
+        "pass_p99_ms": round(median(row["passes"]["p99"] for row in rows), 3),
+        "memory_kb": median(row["memory_kb"] for row in rows),
     }
 
 
-def big(uses: int) -> dict[str, Any]:
+def measure_big_store(usage_count: int) -> dict[str, Any]:
     """A store of so many uses over a month; opening and reading it in this process."""
-    with tempfile.TemporaryDirectory() as folder:
-        store = Store(folder, "bench", "Europe/Copenhagen", "month", 900_000, 100_000)
-        store.open_run(b"run", 0)
-        chance, start, n = Random(1), 1_764_547_200_000, 0
-        step = 30 * 86_400_000 / uses
-        began, memory = time.perf_counter(), []
-        for number in range(1, uses // 2000 + 1):
-            batch = []
-            for _ in range(2000):
-                n += 1
-                batch.append(some_use(n, start + int(n * step), chance))
-            with store.changing() as book:
-                book.take(Batch(number, batch, [raw.n for raw in batch], [], []), start)
-            if number % (uses // 10_000) == 0:
-                memory.append(rss(os.getpid()))
-        took = time.perf_counter() - began
-        store.close()
+    with tempfile.TemporaryDirectory() as directory:
         began = time.perf_counter()
-        store = Store(folder, "bench", "Europe/Copenhagen", "month", 900_000, 100_000)
-        opened = time.perf_counter() - began
+        memory_samples_kb = _fill_store(directory, usage_count)
+        fill_seconds = time.perf_counter() - began
         began = time.perf_counter()
-        rows = store.totals("2025-12")
-        read = time.perf_counter() - began
-        size = Path(store.path).stat().st_size
-        total = store.sums("2025-12")[0]
+        store = _open_big_store(directory)
+        open_seconds = time.perf_counter() - began
+        began = time.perf_counter()
+        totals = store.tenant_totals(BIG_PERIOD)
+        read_seconds = time.perf_counter() - began
+        size_bytes = Path(store.path).stat().st_size
+        uses_in_period = store.period_sum(BIG_PERIOD).uses
         store.close()
+        written_count = usage_count // BIG_BATCH_USAGE_COUNT * BIG_BATCH_USAGE_COUNT
         return {
-            "uses": n,
-            "in_the_period": total,
-            "written_a_second": round(n / took),
-            "open_ms": round(opened * 1000.0, 1),
-            "totals_ms": round(read * 1000.0, 1),
-            "rows": len(rows),
-            "bytes_a_use": round(size / n, 1),
-            "memory_kb_by_fifths": memory,
+            "uses": written_count,
+            "in_the_period": uses_in_period,
+            "written_a_second": round(written_count / fill_seconds),
+            "open_ms": round(open_seconds * 1000.0, 1),
+            "totals_ms": round(read_seconds * 1000.0, 1),
+            "rows": len(totals),
+            "bytes_a_use": round(size_bytes / written_count, 1),
+            "memory_kb_by_fifths": memory_samples_kb,
         }
 
 
+def _open_big_store(directory: str) -> UsageStore:
+    return UsageStore(directory, "bench", "Europe/Copenhagen", "month", 900_000, 100_000)
+
+
+def _fill_store(directory: str, usage_count: int) -> list[int]:
+    """Memory at each fifth, in KB."""
+    rng = Random(1)
+    interval_ms = BIG_SPAN_MS / usage_count
+    batch_count = usage_count // BIG_BATCH_USAGE_COUNT
+    memory_samples_kb = []
+    sequence = 0
+    with _open_big_store(directory) as store:
+        store.start_run(b"run", 0)
+        for number in range(1, batch_count + 1):
+            usages = []
+            for _ in range(BIG_BATCH_USAGE_COUNT):
+                sequence += 1
+                usages.append(random_usage(sequence, BIG_START_MS + int(sequence * interval_ms), rng))
+            delivered = [usage.sequence for usage in usages]
+            with store.changing() as ledger:
+                ledger.apply_batch(UsageBatch(number, usages, delivered, [], []), BIG_START_MS)
+            if number % max(1, batch_count // BIG_MEMORY_SAMPLE_COUNT) == 0:
+                memory_samples_kb.append(memory_kb(os.getpid()))
+    return memory_samples_kb
+
+
 def main() -> None:
+    """Measures what the arguments ask for and prints a line of JSON for each part."""
     parser = argparse.ArgumentParser(description=__doc__.partition("\n")[0] if __doc__ else "")
     parser.add_argument("--rate", type=int, default=20_000)
     parser.add_argument("--seconds", type=float, default=5.0)
@@ -217,16 +282,16 @@
     parser.add_argument("--big", type=int, default=10_000_000)
     parser.add_argument("--only", choices=["rate", "server", "thousand", "light", "big"])
     args = parser.parse_args()
-    parts = {
-        "rate": lambda: rate(args.rate, args.seconds),
-        "server": lambda: server(args.seconds, args.repeats, 8, 8),
-        "thousand": lambda: server(args.seconds, args.repeats, 10, 1, 10.0),
-        "light": lambda: server(args.seconds, args.repeats, 4, 1, 20.0),
-        "big": lambda: big(args.big),
+    parts: dict[str, Callable[[], dict[str, Any]]] = {
+        "rate": lambda: measure_rate(args.rate, args.seconds),
+        "server": lambda: measure_server(args.seconds, args.repeats, 8, 8),
+        "thousand": lambda: measure_server(args.seconds, args.repeats, 10, 1, 10.0),
+        "light": lambda: measure_server(args.seconds, args.repeats, 4, 1, 20.0),
+        "big": lambda: measure_big_store(args.big),
     }
-    for name, part in parts.items():
+    for name, measure in parts.items():
         if args.only in (None, name):
-            print(orjson.dumps({name: part()}).decode(), flush=True)
+            print(orjson.dumps({name: measure()}).decode(), flush=True)
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/landingshift/cli/ledger_operations.py
@@ -0,0 +1,188 @@
+"""Commands of `landingshift ledger` about a whole store: export, merging, backup, repair."""
+
+from __future__ import annotations
+
+import os
+from random import Random
+from typing import TYPE_CHECKING
+
+import click
+import msgspec
+
+from landingshift.cli.ledger_accounting import EXIT_BROKEN
+from landingshift.cli.ledger_options import (
+    json_option,
+    load_settings,
+    open_store,
+    reports_errors,
+    toml_option,
+    wall_clock_ms,
+)
+from landingshift.cli.main import say
+from landingshift.ledger.errors import FileExistsAlreadyError, StoreUnavailableError
+from landingshift.ledger.name_escaping import escape_name
+from landingshift.ledger.store import UsageStore
+from landingshift.ledger.store_lock import StoreLock
+
+if TYPE_CHECKING:
+    from landingshift.ledger.merge_rules import MergeResult
+    from landingshift.ledger.merged_store import MergedStore
+
+PEER_TIMEOUT_MS = 10_000.0
+SERVING_IDENTITY_COUNT = 1000  # who only reads needs no deduplication window
+
+
+@click.command()
+@click.option("--to", "url", required=True, help="The receiver, like http://127.0.0.1:8080/ledger.")
+@click.option("--follow", is_flag=True, help="Goes on as new entries come.")
+@click.option("--timeout-ms", type=float, default=5000.0)
+@click.option("--seed", type=int, default=1)
+@toml_option
+@reports_errors
+def export(url: str, follow: bool, timeout_ms: float, seed: int, toml: str | None) -> None:
+    """Delivers all entries' records exactly once, however the receiver fails."""
+    from landingshift.cli.logs import logger
+    from landingshift.ledger.exporter import Exporter
+    from landingshift.ledger.receiver_client import HttpReceiver
+
+    receiver = HttpReceiver(url, timeout_ms)
+    with open_store(toml) as store:
+        stop = Exporter(store, receiver, Random(seed), logger()).run(follow)
+        click.echo(stop.reason if stop else f"exported up to entry {store.exported_number()}")
+    if stop:
+        raise SystemExit(EXIT_BROKEN)
+
+
+@click.command()
+@click.option("--listen", required=True, help="Where other instances ask, like 127.0.0.1:9400.")
+@toml_option
+@reports_errors
+def serve(listen: str, toml: str | None) -> None:
+    """Lets other instances read this one's ledger, until it is ended."""
+    from landingshift.ledger import peer_exchange
+
+    settings = load_settings(toml).table
+    with open_store(toml):
+        pass  # a store that can't be used is told at once
+    reading_settings = msgspec.structs.replace(settings, max_identity_count=SERVING_IDENTITY_COUNT)
+    server, port = peer_exchange.serve(lambda: UsageStore.from_settings(reading_settings), listen)
+    click.echo(f"listening on port {port}", err=True)
+    server.wait_for_termination()
+
+
+@click.command()
+@click.argument("peers", nargs=-1, required=True)
+@click.option("--into", required=True, type=click.Path(dir_okay=False), help="The merged ledger's file.")
+@json_option
+@toml_option
+@reports_errors
+def merge(peers: tuple[str, ...], into: str, as_json: bool, toml: str | None) -> None:
+    """Brings ledgers together: addresses of `ledger serve`, or files. Any order, any repetition."""
+    import grpc
+
+    merged = _open_merged(into, toml)
+    failed_count = 0
+    for peer in peers:
+        try:
+            result = _merge_one(merged, peer)
+        except (StoreUnavailableError, grpc.RpcError) as err:
+            failed_count += 1
+            problem = err if isinstance(err, StoreUnavailableError) else err.code().name
+            click.echo(f"{peer}: {problem}", err=True)
+            continue
+        click.echo(f"{peer}: {result.summary()}", err=as_json)
+    if as_json:
+        _say_totals(merged)
+    merged.close()
+    if failed_count:
+        raise SystemExit(EXIT_BROKEN)
+
+
+def _open_merged(path: str, toml: str | None) -> MergedStore:
+    from landingshift.ledger.merged_store import MergedStore
+
+    settings = load_settings(toml).table
+    return MergedStore(path, settings.time_zone, settings.period_unit, settings.dedup_window_ms)
+
+
+def _merge_one(merged: MergedStore, peer: str) -> MergeResult:
+    from landingshift.ledger.peer_exchange import PeerClient
+    from landingshift.ledger.reconciliation import merge_file, merge_peer
+
+    if os.path.exists(peer):
+        return merge_file(merged, peer)
+    with PeerClient(peer, PEER_TIMEOUT_MS) as client:
+        return merge_peer(merged, client)
+
+
+def _say_totals(merged: MergedStore) -> None:
+    for entry in merged.tenant_totals():
+        say(
+            {
+                "period": entry.period,
+                "belongs": entry.service_period,
+                "tenant": escape_name(entry.tenant),
+                "method": escape_name(entry.method),
+                "uses": entry.totals.uses,
+                "work_us": entry.totals.work_us,
+            }
+        )
+
+
+@click.command()
+@click.argument("path", metavar="TO", type=click.Path(dir_okay=False))
+@toml_option
+@reports_errors
+def backup(path: str, toml: str | None) -> None:
+    """A copy that holds, while the server goes on."""
+    if os.path.exists(path):
+        raise FileExistsAlreadyError(path)
+    with open_store(toml) as store:
+        store.backup(path)
+        click.echo(f"{path}: up to entry {store.ledger.last_number}")
+
+
+@click.command()
+@click.argument("period")
+@click.option("--unexported", is_flag=True, help="Also what no receiver has.")
+@toml_option
+@reports_errors
+def compact(period: str, unexported: bool, toml: str | None) -> None:
+    """Takes the single uses out of all periods up to this one; totals, chain and corrections stay."""
+    from landingshift.ledger.compaction import compact_store
+
+    with open_store(toml) as store:
+        exported_number = None if unexported else store.exported_number()
+        size_before_bytes = os.path.getsize(store.path)
+        removed_count = compact_store(store, period, wall_clock_ms(), exported_number)
+        size_after_bytes = os.path.getsize(store.path)
+        click.echo(
+            f"{removed_count} uses gone, {size_before_bytes // 1024} KB to {size_after_bytes // 1024} KB"
+        )
+
+
+@click.command(name="catch-up")
+@click.option("--from", "source", required=True, type=click.Path(exists=True), help="Merged ledger.")
+@toml_option
+@reports_errors
+def catch_up(source: str, toml: str | None) -> None:
+    """Gives a ledger back from an old copy what the merged one has of it; with the server down."""
+    from landingshift.ledger.repair import restore_missing_entries
+
+    with StoreLock(load_settings(toml).table.directory, timeout_ms=0.0), open_store(toml) as store:
+        merged = _open_merged(source, toml)
+        restored_count = restore_missing_entries(store, merged)
+        click.echo(f"{restored_count} entries came back, up to entry {store.ledger.last_number}")
+        merged.close()
+
+
+@click.command()
+@toml_option
+@reports_errors
+def reindex(toml: str | None) -> None:
+    """Makes totals and lists anew from the entries; the server must be down."""
+    from landingshift.ledger.repair import reindex as reindex_store
+
+    with StoreLock(load_settings(toml).table.directory, timeout_ms=0.0), open_store(toml) as store:
+        reindex_store(store)
+        click.echo(f"made anew from {store.ledger.last_number} entries")
--- a/landingshift/ledger/audit.py
+++ b/landingshift/ledger/audit.py
@@ -5,198 +5,133 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 from hashlib import blake2b
+from itertools import islice
 
 import msgspec
 
-from landingshift.ledger.book import digest
-from landingshift.ledger.entries import (
-    START,
-    Closed,
-    Compacted,
-    Correction,
-    Entry,
-    Kind,
-    Name,
-    Opened,
-    Resolved,
-    Settled,
-    Use,
-    chain,
-    decode,
-    numbers,
-)
-from landingshift.ledger.store import Store
-
-
-@dataclass(slots=True)
+from landingshift.ledger.entries import GENESIS_HASH, HASH_BYTES, EntryRow, chain_hash, decode
+from landingshift.ledger.replay import LedgerReplay
+from landingshift.ledger.schema import META_LAST_NUMBER
+from landingshift.ledger.store_reader import StoreReader
+from landingshift.ledger.totals import ZERO_TOTALS, UsageTotals, baseline_digest, sum_by_period
+
+MAX_FINDING_COUNT = 100
+PROGRESS_INTERVAL_ENTRIES = 1000
+
+
+@dataclass(frozen=True, slots=True)
 class Finding:
-    number: int  # of the entry; 0 where it concerns the index
-    what: str
-
-
-class Replay:
-    """The totals as the entries give them, by the rules of the book but by none of its code."""
-
-    def __init__(self, store: Store) -> None:
-        self.calendar = store.calendar
-        self.totals: dict[tuple[str, str, int, int], list[int]] = {}
-        self.open: dict[int, Use] = {}  # neither settled nor resolved
-        self.disputed: set[int] = set()
-        self.names: dict[int, bool] = {}
-        self.until = 0
-
-    def begin(self, store: Store, gap: Compacted) -> None:
-        """As things stood at a compaction's last entry."""
-        self.until = gap.until
-        for period, belongs, tenant, method, *sums in store.baseline():
-            self.totals[period, belongs, tenant, method] = sums  # type: ignore[index, assignment]
-        for number, kind, data, _ in store.rows(1, gap.last):
-            entry = decode(kind, data)
-            if isinstance(entry, Name):
-                self.names[number] = entry.tenant
-            elif isinstance(entry, Use):
-                self.open[number] = entry
-            elif isinstance(entry, Opened | Settled):
-                self.disputed.update(n for n in numbers(entry.disputed) if n in self.open)
-
-    def add(self, at: int, belongs: str, tenant: int, method: int, sums: tuple[int, int, int, int]) -> None:
-        period = belongs if at >= self.until else self.calendar.at(self.until).name
-        total = self.totals.setdefault(
-            (period, "" if belongs == period else belongs, tenant, method), [0, 0, 0, 0]
-        )
-        for i, value in enumerate(sums):
-            total[i] += value
-
-    def count(self, spans: list[int]) -> Iterator[str]:
-        for number in numbers(spans):
-            use = self.open.pop(number, None)
-            if use is None:
-                yield f"settles entry {number}, which is no unsettled use"
-                continue
-            self.disputed.discard(number)
-            belongs = self.calendar.at(use.at).name
-            self.add(use.at, belongs, use.tenant, use.method, (1, use.work, use.size_in, use.size_out))
-
-    def drop(self, spans: list[int]) -> Iterator[str]:
-        for number in numbers(spans):
-            self.disputed.discard(number)
-            if self.open.pop(number, None) is None:
-                yield f"settles entry {number}, which is no unsettled use"
-
-    def doubt(self, spans: list[int]) -> Iterator[str]:
-        for number in numbers(spans):
-            if number not in self.open:
-                yield f"disputes entry {number}, which is no unsettled use"
-            self.disputed.add(number)
-
-    def take(self, number: int, entry: Entry) -> Iterator[str]:
-        match entry:
-            case Opened():
-                yield from self.doubt(entry.disputed)
-            case Name():
-                self.names[number] = entry.tenant
-            case Use():
-                if self.names.get(entry.tenant) is not True or self.names.get(entry.method) is not False:
-                    yield "names no tenant or method"
-                self.open[number] = entry
-            case Settled():
-                yield from self.count(entry.counted)
-                yield from self.drop([*entry.repeats, *entry.void])
-                yield from self.doubt(entry.disputed)
-            case Resolved():
-                yield from self.count(entry.billed)
-                yield from self.drop(entry.waived)
-            case Correction():
-                period = self.calendar.named(entry.belongs)
-                sums = (entry.uses, entry.work, 0, 0)
-                self.add(period.end - 1, entry.belongs, entry.tenant, entry.method, sums)
-            case Closed():
-                rows: list[tuple[object, ...]] = [
-                    (b, t, m, *s) for (p, b, t, m), s in self.totals.items() if p == entry.period
-                ]
-                if digest(rows) != entry.totals:
-                    yield f"closed {entry.period} with totals that its entries do not give"
-                self.until = entry.end
-
-
-def audit(store: Store, progress: Callable[[int], None] = lambda _: None) -> list[Finding]:
-    """All findings, at most a hundred; `progress` hears of every thousandth entry."""
-    found: list[Finding] = []
-    replay, before, due = Replay(store), START, 1
-    gap = compacted(store)
-    if gap is not None:
-        if kept_digest(store, gap.last) != gap.kept:
-            found.append(Finding(gap.last, "an entry kept from the compacted part is changed or missing"))
-        if digest(store.baseline()) != gap.baseline:
-            found.append(Finding(gap.last, "the totals of the compacted part are changed"))
-        before, due = gap.hash, gap.last + 1
-        replay.begin(store, gap)
-    for number, kind, data, hash_ in store.rows(due):
-        if len(found) >= 100:
-            break
-        if number % 1000 == 0:
-            progress(number)
-        if number != due:
-            found.append(
-                Finding(due, "missing" if number == due + 1 else f"missing, and all before {number}")
-            )
-            due = number
-        elif chain(before, kind, data) != hash_:
-            found.append(Finding(number, "changed, or out of its order"))
-        before, due = hash_, number + 1
-        try:
-            found += [Finding(number, what) for what in replay.take(number, decode(kind, data))]
-        except (msgspec.DecodeError, ValueError, KeyError) as err:
-            found.append(Finding(number, f"cannot be read: {err}"))
-    head = store.meta("head")
-    if head is not None and head != due - 1:
-        found.append(Finding(due, f"missing: the newest is {head}"))
-    index = {
-        (p, b, t, m): [u, w, i, o]
-        for p, b, t, m, u, w, i, o in store.db.execute(
-            "SELECT period, belongs, tenant, method, uses, work, size_in, size_out FROM totals"
-        )
-    }
-    for place in sorted({*index, *replay.totals}):
-        have, right = index.get(place, [0, 0, 0, 0]), replay.totals.get(place, [0, 0, 0, 0])
-        if have != right:
-            found.append(
-                Finding(
+    """Something that does not hold."""
+
+    entry_number: int
+    """0 where it is about the index."""
+    problem: str
+
+
+def audit_store(reader: StoreReader, on_progress: Callable[[int], None] = lambda _: None) -> list[Finding]:
+    """Checks the chain, the entries and the index.
+
+    Args:
+        reader: The store.
+        on_progress: Gets the number of every thousandth entry.
+
+    Returns:
+        All findings, at most a hundred.
+    """
+    audit = _Audit(reader, on_progress)
+    findings = list(islice(audit.check_entries(), MAX_FINDING_COUNT))
+    findings += audit.check_index()
+    return findings[:MAX_FINDING_COUNT]
+
+
+def retained_digest(reader: StoreReader, last_number: int) -> bytes:
+    """Digest of the entries up to `last_number` that are there now."""
+    digest = blake2b(digest_size=HASH_BYTES)
+    for row in reader.rows(1, last_number):
+        digest.update(b"%d %d %d " % (row.number, row.kind, len(row.data)))
+        digest.update(row.data)
+        digest.update(row.hash)
+    return digest.digest()
+
+
+class _Audit:
+    """One pass over the entries, then the index against what they give."""
+
+    def __init__(self, reader: StoreReader, on_progress: Callable[[int], None]) -> None:
+        self.reader = reader
+        self.on_progress = on_progress
+        self.replay = LedgerReplay(reader)
+        self.last_hash = GENESIS_HASH
+        self.next_number = 1
+
+    def check_entries(self) -> Iterator[Finding]:
+        """What does not hold about the entries, in their order."""
+        yield from self._check_compacted_part()
+        for row in self.reader.rows(self.next_number):
+            if row.number % PROGRESS_INTERVAL_ENTRIES == 0:
+                self.on_progress(row.number)
+            yield from self._check_chain(row)
+            try:
+                problems = list(self.replay.apply(row.number, decode(row.kind, row.data)))
+            except (msgspec.DecodeError, ValueError, KeyError) as err:
+                problems = [f"cannot be read: {err}"]
+            for problem in problems:
+                yield Finding(row.number, problem)
+
+    def check_index(self) -> Iterator[Finding]:
+        """What the index says otherwise than the entries."""
+        newest_number = self.reader.meta(META_LAST_NUMBER)
+        if newest_number is not None and newest_number != self.next_number - 1:
+            yield Finding(self.next_number, f"missing: the newest is {newest_number}")
+        yield from self._check_totals()
+        yield from self._check_period_sums()
+        for number in sorted(self.reader.disputed_numbers() ^ self.replay.disputed):
+            yield Finding(0, f"entry {number} is disputed in the index or in the entries, not in both")
+
+    def _check_compacted_part(self) -> Iterator[Finding]:
+        compaction = self.reader.newest_compaction()
+        if compaction is None:
+            return
+        last_number = compaction.last_number
+        if retained_digest(self.reader, last_number) != compaction.retained_digest:
+            yield Finding(last_number, "an entry kept from the compacted part is changed or missing")
+        if baseline_digest(self.reader.baseline()) != compaction.baseline_digest:
+            yield Finding(last_number, "the totals of the compacted part are changed")
+        self.last_hash = compaction.last_hash
+        self.next_number = last_number + 1
+        self.replay.start_after(self.reader, compaction)
+
+    def _check_chain(self, row: EntryRow) -> Iterator[Finding]:
+        if row.number != self.next_number:
+            is_one = row.number == self.next_number + 1
+            yield Finding(self.next_number, "missing" if is_one else f"missing, and all before {row.number}")
+        elif chain_hash(self.last_hash, row.kind, row.data) != row.hash:
+            yield Finding(row.number, "changed, or out of its order")
+        self.last_hash = row.hash
+        self.next_number = row.number + 1
+
+    def _check_totals(self) -> Iterator[Finding]:
+        stored = self.reader.all_totals()
+        for key in sorted({*stored, *self.replay.totals}):
+            found = stored.get(key, ZERO_TOTALS)
+            expected = self.replay.totals.get(key, ZERO_TOTALS)
+            if found != expected:
+                tenant = self.reader.name_of(key.tenant_number)
+                method = self.reader.name_of(key.method_number)
+                yield Finding(
                     0,
-                    f"totals of {place[0]}, {store.named(place[2])!r}, {store.named(place[3])!r} are "
-                    f"{have}, not {right}",
+                    f"totals of {key.period}, {tenant!r}, {method!r} are "
+                    f"{_as_text(found)}, not {_as_text(expected)}",
                 )
-            )
-    for period, *sums in store.db.execute("SELECT period, uses, work, size_in, size_out FROM sums"):
-        right = [
-            sum(column)
-            for column in zip(*(s for p, s in replay.totals.items() if p[0] == period), strict=True)
-        ]
-        if sums != (right or [0, 0, 0, 0]):
-            found.append(Finding(0, f"sums of {period} are {sums}, not {right}"))
-    listed = {number for (number,) in store.db.execute("SELECT number FROM disputed")}
-    for number in sorted(listed ^ replay.disputed):
-        found.append(Finding(0, f"entry {number} is disputed in the index or in the entries, not in both"))
-    return found[:100]
-
-
-def compacted(store: Store) -> Compacted | None:
-    """The newest compaction."""
-    row = store.db.execute(
-        "SELECT data FROM entries WHERE kind = ? ORDER BY number DESC LIMIT 1", (Kind.COMPACTED,)
-    ).fetchone()
-    if row is None:
-        return None
-    entry = decode(Kind.COMPACTED, row[0])
-    assert isinstance(entry, Compacted)
-    return entry
-
-
-def kept_digest(store: Store, last: int) -> bytes:
-    """Of the entries up to `last` as they are now."""
-    h = blake2b(digest_size=16)
-    for number, kind, data, hash_ in store.rows(1, last):
-        h.update(b"%d %d %d " % (number, kind, len(data)))
-        h.update(data)
-        h.update(hash_)
-    return h.digest()
+
+    def _check_period_sums(self) -> Iterator[Finding]:
+        expected_sums = sum_by_period(self.replay.totals)
+        for period, found in self.reader.period_sums().items():
+            expected = expected_sums.get(period)
+            if found != (expected or ZERO_TOTALS):
+                text = _as_text(expected) if expected is not None else "[]"
+                yield Finding(0, f"sums of {period} are {_as_text(found)}, not {text}")
+
+
+def _as_text(totals: UsageTotals) -> str:
+    return str(list(totals.as_row()))
--- a/landingshift/ledger/entries.py
+++ b/landingshift/ledger/entries.py
@@ -1,202 +1,242 @@
-"""What the ledger is made of: entries that are only ever appended, each with a hash over the one before.
+"""The entries of the ledger: only ever appended, each with a hash over the one before it.
 
 An entry's hash is blake2b of 16 bytes over the hash before it, its kind and its data (MessagePack of the
-struct).
+struct as an array: fields are stored by position). Lists of numbers are packed as `number_ranges`
+specifies.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterator
 from enum import IntEnum
 from hashlib import blake2b
-from typing import Any
+from typing import Any, NamedTuple
 
 from msgspec import Struct, msgpack
 
-START = bytes(16)  # the hash before the first entry
-IDENTITY = 16  # bytes
+from landingshift.ledger.errors import UnknownEntryKindError
 
+HASH_BYTES = 16
+IDENTITY_BYTES = 16
+GENESIS_HASH = bytes(HASH_BYTES)
+"""The hash before the first entry."""
+
+
+class EntryKind(IntEnum):
+    """Stored with each entry; the values never change."""
 
-class Kind(IntEnum):
     OPENED = 1
     NAME = 2
-    USE = 3
-    SETTLED = 4
+    USAGE = 3
+    SETTLEMENT = 4
     CORRECTION = 5
-    CLOSED = 6
+    PERIOD_CLOSE = 6
     GAP = 7
-    RESOLVED = 8
-    COMPACTED = 9
+    RESOLUTION = 8
+    COMPACTION = 9
 
 
 class Opened(Struct, array_like=True):
-    """A server's start; what its predecessor left unsettled is disputed from here on."""
+    """A server run opened the ledger; what its predecessor left unsettled is disputed from here on."""
 
-    run: bytes
-    at: int
-    disputed: list[int]  # ranges
+    run_id: bytes
+    at_ms: int
+    """Unix time."""
+    disputed: list[int]
+    """Ranges of usage entries."""
 
 
-class Name(Struct, array_like=True):
-    """A tenant or method; later entries name it by this entry's number."""
+class NameEntry(Struct, array_like=True):
+    """A tenant or a method; later entries refer to it by this entry's number."""
 
-    tenant: bool
+    is_tenant: bool
     name: bytes
 
 
-class Use(Struct, array_like=True):
-    """One RPC answered ok. `at` Unix ms, `work` in us, sizes in bytes."""
-
-    n: int  # the server's own count
-    at: int
-    tenant: int
-    method: int
-    work: int
-    size_in: int
-    size_out: int
+class UsageRecord(Struct, array_like=True):
+    """One RPC answered ok."""
+
+    sequence: int
+    """The server run's own count of its usage."""
+    at_ms: int
+    """Unix time."""
+    tenant_number: int
+    """Entry that names the tenant."""
+    method_number: int
+    """Entry that names the method."""
+    work_us: int
+    bytes_in: int
+    bytes_out: int
     identity: bytes
+    """Of the client's attempt, as `attempt_identity` gives it."""
 
 
-class Settled(Struct, array_like=True):
-    """What became of uses, as ranges of entry numbers: first, count, first, count, ..."""
+class Settlement(Struct, array_like=True):
+    """What became of usage, as ranges of usage entries."""
 
     counted: list[int]
-    repeats: list[int]  # of a use that was counted within the window
-    void: list[int]  # the answer never left whole
-    disputed: list[int]  # nobody knows whether it arrived
+    duplicates: list[int]
+    """Attempts whose identity was counted within the window."""
+    undelivered: list[int]
+    """The answer never left complete."""
+    disputed: list[int]
+    """Whether the answer arrived is unknown."""
 
 
 class Correction(Struct, array_like=True):
-    at: int
-    tenant: int
-    method: int
-    belongs: str  # the period that it is about
-    period: str  # the open one in which it counts
+    """An operator's change of what a tenant is billed."""
+
+    at_ms: int
+    tenant_number: int
+    method_number: int
+    service_period: str
+    """The period that the correction is about."""
+    period: str
+    """The open period in which it counts."""
     uses: int
-    work: int  # us
-    amount: str  # a decimal number in the plan's currency, or empty
+    work_us: int
+    amount: str
+    """A decimal number in the plan's currency, or empty."""
     reason: str
-    who: str
+    author: str
+
 
+class PeriodClose(Struct, array_like=True):
+    """A period is closed; its totals never change afterwards."""
 
-class Closed(Struct, array_like=True):
-    at: int
+    at_ms: int
     period: str
-    start: int
-    end: int
-    totals: bytes  # digest of the period's totals as they stay
+    start_ms: int
+    end_ms: int
+    totals_digest: bytes
 
 
-class Gap(Struct, array_like=True):
-    """Uses that could not be kept: counted, never billed."""
+class UsageGap(Struct, array_like=True):
+    """Usage that could not be stored: counted, never billed."""
 
-    at: int
-    dropped: int
+    at_ms: int
+    dropped_count: int
 
 
-class Resolved(Struct, array_like=True):
-    """An operator's word on disputed uses."""
+class Resolution(Struct, array_like=True):
+    """An operator's decision about disputed usage."""
 
-    at: int
-    billed: list[int]  # ranges
+    at_ms: int
+    billed: list[int]
+    """Ranges of usage entries."""
     waived: list[int]
+    """Ranges of usage entries."""
     reason: str
-    who: str
+    author: str
 
 
-class Compacted(Struct, array_like=True):
-    """Settled uses up to entry `last` are gone; the chain goes on from `hash`, the totals from a baseline."""
+class Compaction(Struct, array_like=True):
+    """Settled usage up to one is removed; the chain goes on from its hash, the totals from a baseline."""
+
+    at_ms: int
+    period: str
+    """Closed, and the last that has lost its usage records."""
+    last_number: int
+    """The last entry of the compacted part."""
+    last_hash: bytes
+    retained_digest: bytes
+    """Of the entries up to `last_number` that stayed."""
+    baseline_digest: bytes
+    """Of the totals as they were at `last_number`."""
+    closed_end_ms: int
+    """End of the last period that was closed by then."""
 
-    at: int
-    period: str  # closed, and the last that has lost its uses
-    last: int
-    hash: bytes  # of entry `last`
-    kept: bytes  # digest of the entries up to `last` that stayed
-    baseline: bytes  # digest of the totals as they were at `last`
-    until: int  # end of the last period closed by then
 
+class EntryRow(NamedTuple):
+    """An entry as it is stored, in the order of the columns."""
 
-Entry = Opened | Name | Use | Settled | Correction | Closed | Gap | Resolved | Compacted
-KINDS: dict[type, Kind] = {
-    Opened: Kind.OPENED, Name: Kind.NAME, Use: Kind.USE, Settled: Kind.SETTLED, Correction: Kind.CORRECTION,
-    Closed: Kind.CLOSED, Gap: Kind.GAP, Resolved: Kind.RESOLVED, Compacted: Kind.COMPACTED,
-}  # fmt: skip
-DECODERS: dict[Kind, msgpack.Decoder[Any]] = {k: msgpack.Decoder(struct) for struct, k in KINDS.items()}
+    number: int
+    kind: int
+    data: bytes
+    hash: bytes
+
+
+Entry = (
+    Opened
+    | NameEntry
+    | UsageRecord
+    | Settlement
+    | Correction
+    | PeriodClose
+    | UsageGap
+    | Resolution
+    | Compaction
+)
+KIND_BY_TYPE: dict[type, EntryKind] = {
+    Opened: EntryKind.OPENED,
+    NameEntry: EntryKind.NAME,
+    UsageRecord: EntryKind.USAGE,
+    Settlement: EntryKind.SETTLEMENT,
+    Correction: EntryKind.CORRECTION,
+    PeriodClose: EntryKind.PERIOD_CLOSE,
+    UsageGap: EntryKind.GAP,
+    Resolution: EntryKind.RESOLUTION,
+    Compaction: EntryKind.COMPACTION,
+}
+_DECODERS: dict[int, msgpack.Decoder[Any]] = {
+    kind: msgpack.Decoder(entry_type) for entry_type, kind in KIND_BY_TYPE.items()
+}
 encode = msgpack.Encoder().encode
 
 
 def decode(kind: int, data: bytes) -> Entry:
-    """Raises msgspec.DecodeError or KeyError for what no build has written."""
-    entry: Entry = DECODERS[Kind(kind)].decode(data)
-    return entry
-
-
-def chain(before: bytes, kind: int, data: bytes) -> bytes:
-    h = blake2b(before, digest_size=16)
-    h.update(bytes((kind,)))
-    h.update(data)
-    return h.digest()
-
+    """Decodes an entry of any kind.
 
-def identity(tenant: bytes, method: bytes, marked: bool, what: bytes) -> bytes:
-    """Of a client's try: by its mark (token, key or the installation's field) or, unmarked, by the body.
-
-    Lengths stand before the parts: names may hold any bytes, and two tries must not meet in one digest by
-    that.
+    Raises:
+        msgspec.DecodeError: The data is not what any build has written.
+        UnknownEntryKindError: There is no such kind.
     """
-    parts = b"%d %d %b%b%b" % (len(tenant), len(method), tenant, method, what)
-    return blake2b(parts, digest_size=IDENTITY, person=b"use:mark" if marked else b"use:body").digest()
-
-
-def ranges(numbers: list[int]) -> list[int]:
-    """Sorted numbers as first, count, first, count, ..."""
-    out: list[int] = []
-    for number in sorted(numbers):
-        if out and out[-2] + out[-1] == number:
-            out[-1] += 1
-        else:
-            out += (number, 1)
-    return out
-
-
-def pairs(spans: list[int]) -> Iterator[tuple[int, int]]:
-    return zip(spans[::2], spans[1::2], strict=True)
-
+    decoder = _DECODERS.get(kind)
+    if decoder is None:
+        raise UnknownEntryKindError(kind)
+    entry: Entry = decoder.decode(data)
+    return entry
 
-def numbers(spans: list[int]) -> list[int]:
-    return [n for first, count in pairs(spans) for n in range(first, first + count)]
 
+def decode_usage(data: bytes) -> UsageRecord:
+    """Decodes the data of a usage entry.
 
-# Between the server and the process that keeps the store
+    Raises:
+        msgspec.DecodeError: The data is not what any build has written.
+    """
+    record: UsageRecord = _DECODERS[EntryKind.USAGE].decode(data)
+    return record
 
 
-class Raw(Struct, array_like=True):
-    """A use as the server tells it, with names in full."""
+def decode_period_close(data: bytes) -> PeriodClose:
+    """Decodes the data of a period's close.
 
-    n: int
-    at: int
-    tenant: bytes
-    method: bytes
-    work: int
-    size_in: int
-    size_out: int
-    identity: bytes
+    Raises:
+        msgspec.DecodeError: The data is not what any build has written.
+    """
+    period_close: PeriodClose = _DECODERS[EntryKind.PERIOD_CLOSE].decode(data)
+    return period_close
 
 
-class Batch(Struct, array_like=True):
-    """Committed as one; `number` rises by one within a run and makes a repetition known."""
+def chain_hash(previous_hash: bytes, kind: int, data: bytes) -> bytes:
+    """The hash of an entry that follows the one with `previous_hash`."""
+    digest = blake2b(previous_hash, digest_size=HASH_BYTES)
+    digest.update(bytes((kind,)))
+    digest.update(data)
+    return digest.digest()
 
-    number: int
-    uses: list[Raw]
-    sent: list[int]  # by n: the gateway's machine has the whole answer
-    void: list[int]
-    disputed: list[int]
-    dropped: int = 0
 
+def attempt_identity(tenant: bytes, method: bytes, has_attempt_id: bool, content: bytes) -> bytes:
+    """Identifies a client's attempt, so that its retries are counted once.
 
-class Word(Struct, array_like=True):
-    """What the process tells: `acked` is the last batch committed; `fault` says why none is at the moment."""
+    Lengths stand before the parts: names may hold any bytes, and two attempts must not get one digest by
+    that.
 
-    acked: int
-    fault: str = ""
-    shortened: int = 0  # times that identities were forgotten within their window
+    Args:
+        tenant: Name of the tenant.
+        method: Name of the method.
+        has_attempt_id: Whether `content` names the attempt (a token, a key or the installation's field).
+        content: What names the attempt, else the body of the RPC.
+    """
+    parts = b"%d %d %b%b%b" % (len(tenant), len(method), tenant, method, content)
+    person = b"use:mark" if has_attempt_id else b"use:body"
+    return blake2b(parts, digest_size=IDENTITY_BYTES, person=person).digest()
--- /dev/null
+++ b/landingshift/ledger/export_records.py
@@ -0,0 +1,133 @@
+"""Entries as records for the receiver: usage in the order it was settled, corrections, closed periods."""
+
+from __future__ import annotations
+
+from landingshift.ledger.entries import (
+    GENESIS_HASH,
+    Correction,
+    Entry,
+    EntryKind,
+    PeriodClose,
+    Resolution,
+    Settlement,
+    UsageRecord,
+    decode,
+    decode_usage,
+)
+from landingshift.ledger.export_pb2 import Batch, Record
+from landingshift.ledger.number_ranges import iterate_ranges
+from landingshift.ledger.store import UsageStore
+
+MAX_BATCH_RECORD_COUNT = 2000  # an entry's own are never parted
+MAX_BATCH_ENTRY_COUNT = 20_000  # looked at for one batch
+MAX_CACHED_NAME_COUNT = 65_536
+EXPORTED_KINDS = (
+    EntryKind.SETTLEMENT,
+    EntryKind.RESOLUTION,
+    EntryKind.CORRECTION,
+    EntryKind.PERIOD_CLOSE,
+)
+
+
+class ExportReader:
+    """Reads one store, forward. Usage gets the period that the ledger gave it: by the closes before it."""
+
+    def __init__(self, store: UsageStore) -> None:
+        self._store = store
+        self._period_closes: list[tuple[int, int]] = []  # entry, end of the period
+        self._names: dict[int, bytes] = {}
+
+    def hash_at(self, number: int) -> bytes | None:
+        """The chain's hash at an entry; None where this ledger has it not."""
+        if number == 0:
+            return GENESIS_HASH
+        row = self._store.row(number)
+        if row is not None:
+            return row.hash
+        compaction = self._store.newest_compaction()
+        if compaction is not None and compaction.last_number == number:
+            return compaction.last_hash
+        return None
+
+    def newest_number(self) -> int:
+        """The ledger's newest entry."""
+        return self._store.newest_number()
+
+    def next_batch(self, after: int) -> Batch | None:
+        """What comes after this entry; None at the ledger's end."""
+        batch = Batch(instance=self._store.instance, to=after)
+        setattr(batch, "from", after)  # the field's name is a keyword of Python
+        batch.from_hash = self.hash_at(after) or b""
+        for entry_count, row in enumerate(self._store.rows(after + 1)):
+            if entry_count >= MAX_BATCH_ENTRY_COUNT or len(batch.records) >= MAX_BATCH_RECORD_COUNT:
+                break
+            if row.kind in EXPORTED_KINDS:
+                batch.records.extend(self._records(row.number, decode(row.kind, row.data)))
+            batch.to = row.number
+            batch.to_hash = row.hash
+        return batch if batch.to > after else None
+
+    def _records(self, number: int, entry: Entry) -> list[Record]:
+        match entry:
+            case Settlement(counted=ranges) | Resolution(billed=ranges):
+                return self._usage_records(number, ranges)
+            case Correction():
+                return [self._correction_record(number, entry)]
+            case PeriodClose():
+                return [Record(kind=Record.CLOSE, id=number, at_ms=entry.at_ms, period=entry.period)]
+        return []
+
+    def _usage_records(self, settling_number: int, ranges: list[int]) -> list[Record]:
+        closed_end_ms = self._closed_end_ms_before(settling_number)
+        return [
+            self._usage_record(row.number, decode_usage(row.data), closed_end_ms)
+            for first, count in iterate_ranges(ranges)
+            for row in self._store.rows(first, first + count - 1)
+        ]
+
+    def _usage_record(self, number: int, usage: UsageRecord, closed_end_ms: int) -> Record:
+        period, service_period = self._store.calendar.assign(usage.at_ms, closed_end_ms)
+        return Record(
+            kind=Record.USE,
+            id=number,
+            at_ms=usage.at_ms,
+            tenant=self._name_of(usage.tenant_number),
+            method=self._name_of(usage.method_number),
+            period=period,
+            belongs=service_period,
+            uses=1,
+            work_us=usage.work_us,
+            size_in=usage.bytes_in,
+            size_out=usage.bytes_out,
+            identity=usage.identity,
+        )
+
+    def _correction_record(self, number: int, correction: Correction) -> Record:
+        return Record(
+            kind=Record.CORRECTION,
+            id=number,
+            at_ms=correction.at_ms,
+            tenant=self._name_of(correction.tenant_number),
+            method=self._name_of(correction.method_number),
+            period=correction.period,
+            belongs=correction.service_period,
+            uses=correction.uses,
+            work_us=correction.work_us,
+            amount=correction.amount,
+            reason=correction.reason,
+            who=correction.author,
+        )
+
+    def _closed_end_ms_before(self, number: int) -> int:
+        """End of the last period that was closed when this entry was made."""
+        last_known = self._period_closes[-1][0] if self._period_closes else 0
+        self._period_closes += self._store.period_close_ends(last_known)
+        ends = (end_ms for close_number, end_ms in self._period_closes if close_number < number)
+        return max(ends, default=0)
+
+    def _name_of(self, number: int) -> bytes:
+        if number not in self._names:
+            if len(self._names) > MAX_CACHED_NAME_COUNT:
+                self._names.clear()
+            self._names[number] = self._store.name_of(number)
+        return self._names[number]
--- a/landingshift/ledger/exporter.py
+++ b/landingshift/ledger/exporter.py
@@ -1,112 +1,119 @@
-"""The exporter's hands: HTTP to the receiver, as `docs/ledger-export.md` specifies. A process of its own."""
+"""Carries out the steps of the export cursor, in a process of its own."""
 
 from __future__ import annotations
 
-import http.client
 import time
 from collections.abc import Callable
 from random import Random
-from typing import Any
-from urllib.parse import quote, urlsplit
-
-from google.protobuf.message import DecodeError
 
 from landingshift import failpoints
-from landingshift.ledger.cursor import Ask, Cursor, Idle, Send, Stop, Wait
+from landingshift.ledger.errors import ReceiverUnavailableError
+from landingshift.ledger.export_cursor import (
+    ExportCursor,
+    ExportStep,
+    Idle,
+    QueryCursor,
+    SendBatch,
+    Stop,
+    Wait,
+)
 from landingshift.ledger.export_pb2 import Ack
-from landingshift.ledger.records import Exporting
-from landingshift.ledger.store import Store
-
-REPLY = 1 << 16  # bytes of one reply at the most
-TYPE = {"Content-Type": "application/x-protobuf"}
-
-
-class NoReply(Exception):
-    """What became of what was sent is unknown; the text says how it ended."""
-
-
-class Receiver:
-    """`url` like http://127.0.0.1:8080/ledger; each question has a connection of its own."""
-
-    def __init__(self, url: str, timeout: float) -> None:
-        """`timeout` in ms. Raises ValueError for what is no such address."""
-        parts = urlsplit(url)
-        if parts.scheme not in ("http", "https") or not parts.hostname:
-            raise ValueError(f"{url}: an http or https address is expected")
-        self.parts, self.timeout = parts, timeout / 1000.0
-
-    def ask(self, method: str, path: str, body: bytes | None = None) -> Ack:
-        kind = http.client.HTTPSConnection if self.parts.scheme == "https" else http.client.HTTPConnection
-        connection = kind(str(self.parts.hostname), self.parts.port, timeout=self.timeout)
-        try:
-            connection.request(method, self.parts.path.rstrip("/") + path, body, TYPE)
-            reply = connection.getresponse()
-            data = reply.read(REPLY)
-            if reply.status not in (200, 409):  # 409: not its cursor; the reply says which is
-                raise NoReply(f"status {reply.status}")
-            ack: Ack = Ack.FromString(data)
-            if not ack.instance:
-                raise NoReply("an empty reply")
-            return ack
-        except (OSError, http.client.HTTPException, DecodeError) as err:
-            raise NoReply(f"{type(err).__name__}: {err}") from err
-        finally:
-            connection.close()
-
-
-def export(
-    store: Store,
-    receiver: Any,
-    chance: Random,
-    log: Callable[..., None],
-    once: bool = True,
-    sleep: Callable[[float], None] = time.sleep,
-    poll: float = 1000.0,
-) -> Stop | None:
-    """Until all is exported (`once`) or without an end; a Stop where someone has to look. Times in ms."""
-    entries = Exporting(store)
-    cursor = Cursor(entries.hash_at, chance)
-    path = f"/v1/cursor?instance={quote(store.instance)}"
-    while True:
-        newest = entries.newest()
-        step = cursor.next(newest)
-        reply: Ack | None = None
-        try:
-            match step:
-                case Idle():
-                    failpoints.reach("ledger.exported")
-                    if once:
-                        return None
-                    sleep(poll / 1000.0)
-                case Wait(ms=ms):
-                    sleep(ms / 1000.0)
-                case Ask():
-                    reply = receiver.ask("GET", path)
-                case Send(after=after):
-                    batch = entries.batch(after)
-                    assert batch is not None
-                    failpoints.reach("ledger.export")
-                    reply = receiver.ask("POST", "/v1/batch", batch.SerializeToString())
-                    failpoints.reach("ledger.export_heard")
-        except NoReply as err:
-            cursor.failed()
-            if cursor.fails & (cursor.fails - 1) == 0:  # the first, second, fourth, ... in a row
-                log("export_failed", error=str(err), fails=cursor.fails)
-            continue
-        if reply is None:
-            continue
-        before = cursor.rewinds
-        stop = cursor.heard(reply.cursor, reply.hash, entries.newest())
-        if stop is not None:
-            log("export_stopped", reason=stop.reason)
-            return stop
-        if cursor.rewinds > before:
-            log("export_rewound", cursor=reply.cursor, had=cursor.most)
-        note(store, reply.cursor)
+from landingshift.ledger.export_records import ExportReader
+from landingshift.ledger.receiver_client import BATCH_PATH, Receiver, cursor_path
+from landingshift.ledger.store import UsageStore
+
+POLL_INTERVAL_MS = 1000.0  # between two looks for new entries where the exporter goes on
+
+Log = Callable[..., None]
+
+
+class Exporter:
+    """Delivers a store's entries to a receiver.
+
+    Attributes:
+        cursor: What the receiver has and what is next.
+    """
 
+    def __init__(
+        self,
+        store: UsageStore,
+        receiver: Receiver,
+        rng: Random,
+        log: Log,
+        sleep: Callable[[float], None] = time.sleep,
+    ) -> None:
+        """Begins without knowing the receiver.
 
-def note(store: Store, cursor: int) -> None:
-    """Kept for `status` and `compact` alone: the receiver is the authority."""
-    if store.meta("exported") != cursor:
-        with store.writing():
-            store.note("exported", cursor)
+        Args:
+            store: The store.
+            receiver: Gets the entries.
+            rng: Spreads the backoff.
+            log: Takes an event and its fields.
+            sleep: Waits for so many seconds.
+        """
+        self._store = store
+        self._receiver = receiver
+        self._log = log
+        self._sleep = sleep
+        self._entries = ExportReader(store)
+        self.cursor = ExportCursor(self._entries.hash_at, rng)
+
+    def run(self, follow: bool = False) -> Stop | None:
+        """Exports until all is exported, or without an end.
+
+        Args:
+            follow: Whether to go on as new entries come.
+
+        Returns:
+            A stop where an operator has to look; None where all is exported.
+        """
+        while True:
+            step = self.cursor.next_step(self._entries.newest_number())
+            if isinstance(step, Idle):
+                failpoints.reach("ledger.exported")
+                if not follow:
+                    return None
+                self._sleep(POLL_INTERVAL_MS / 1000.0)
+                continue
+            try:
+                reply = self._carry_out(step)
+            except ReceiverUnavailableError as err:
+                self._on_failure(err)
+                continue
+            stop = self._on_reply(reply) if reply is not None else None
+            if stop is not None:
+                return stop
+
+    def _carry_out(self, step: ExportStep) -> Ack | None:
+        """The receiver's reply, where the step asks for one."""
+        match step:
+            case Wait(delay_ms=delay_ms):
+                self._sleep(delay_ms / 1000.0)
+            case QueryCursor():
+                return self._receiver.request("GET", cursor_path(self._store.instance))
+            case SendBatch(after=after):
+                batch = self._entries.next_batch(after)
+                assert batch is not None
+                failpoints.reach("ledger.export")
+                reply = self._receiver.request("POST", BATCH_PATH, batch.SerializeToString())
+                failpoints.reach("ledger.export_heard")
+                return reply
+        return None
+
+    def _on_failure(self, error: ReceiverUnavailableError) -> None:
+        self.cursor.on_request_failed()
+        failure_count = self.cursor.failure_count
+        is_power_of_two = failure_count & (failure_count - 1) == 0
+        if is_power_of_two:  # few lines however long the receiver is away
+            self._log("export_failed", error=str(error), fails=failure_count)
+
+    def _on_reply(self, reply: Ack) -> Stop | None:
+        rewind_count = self.cursor.rewind_count
+        stop = self.cursor.on_reply(reply.cursor, reply.hash, self._entries.newest_number())
+        if stop is not None:
+            self._log("export_stopped", reason=stop.reason)
+            return stop
+        if self.cursor.rewind_count > rewind_count:
+            self._log("export_rewound", cursor=reply.cursor, had=self.cursor.furthest_cursor)
+        self._store.remember_exported(reply.cursor)
+        return None
--- /dev/null
+++ b/landingshift/ledger/name_escaping.py
@@ -0,0 +1,31 @@
+r"""Names of any bytes as text and back: printable UTF-8 as it is, all else as \xNN."""
+
+from __future__ import annotations
+
+import re
+
+_ESCAPE = re.compile(rb"\\(?:x([0-9a-f]{2})|(\\))")
+
+
+def escape_name(name: bytes) -> str:
+    """A name as printable text."""
+    parts = []
+    for character in name.decode("utf-8", "surrogateescape"):
+        if character == "\\":
+            parts.append("\\\\")
+        elif character.isprintable():
+            parts.append(character)
+        else:
+            parts += [f"\\x{byte:02x}" for byte in character.encode("utf-8", "surrogateescape")]
+    return "".join(parts)
+
+
+def unescape_name(text: str) -> bytes:
+    """The bytes for which `escape_name` gives this text."""
+    return _ESCAPE.sub(_unescape_match, text.encode("utf-8", "surrogateescape"))
+
+
+def _unescape_match(match: re.Match[bytes]) -> bytes:
+    if match.group(1):
+        return bytes((int(match.group(1), 16),))
+    return b"\\"
--- a/landingshift/ledger/periods.py
+++ b/landingshift/ledger/periods.py
@@ -5,81 +5,108 @@
 import re
 from dataclasses import dataclass
 from datetime import UTC, date, datetime, timedelta
-from typing import Literal
+from typing import Literal, NamedTuple
 from zoneinfo import ZoneInfo
 
-Unit = Literal["day", "week", "month"]
-NAMES = {"day": r"(\d{4})-(\d\d)-(\d\d)", "week": r"(\d{4})-W(\d\d)", "month": r"(\d{4})-(\d\d)"}
+from landingshift.ledger.errors import InvalidPeriodError
 
-
-class BadPeriod(ValueError):
-    """The text says what name was expected."""
+PeriodUnit = Literal["day", "week", "month"]
+_NAME_PATTERNS = {"day": r"(\d{4})-(\d\d)-(\d\d)", "week": r"(\d{4})-W(\d\d)", "month": r"(\d{4})-(\d\d)"}
+_EXAMPLE_DAY = date(2026, 3, 2)
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Period:
-    """From `start` to under `end`, Unix ms."""
+    """From `start_ms` to under `end_ms`, Unix time."""
 
-    start: int
-    end: int
+    start_ms: int
+    end_ms: int
     name: str
 
 
-class Calendar:
+class PeriodAssignment(NamedTuple):
+    """Where usage counts."""
+
+    period: str
+    """In which the usage counts."""
+    service_period: str
+    """In which it was rendered, where that is another one; else empty."""
+
+
+class BillingCalendar:
     """Periods start at local midnight, so that a day has 23, 24 or 25 hours and none is missed or doubled."""
 
-    def __init__(self, zone: str, unit: Unit) -> None:
-        self.zone, self.unit = ZoneInfo(zone), unit
-        self.last = Period(0, 0, "")  # most uses fall into the one before's period
+    def __init__(self, time_zone: str, unit: PeriodUnit) -> None:
+        self.time_zone = ZoneInfo(time_zone)
+        self.unit = unit
+        self._latest = Period(0, 0, "")  # most usage falls into the period of the usage before it
 
-    def at(self, ms: int) -> Period:
-        if not self.last.start <= ms < self.last.end:
-            self.last = self.of(datetime.fromtimestamp(ms / 1000.0, UTC).astimezone(self.zone).date())
-        return self.last
+    def period_at(self, at_ms: int) -> Period:
+        """The period that holds a time."""
+        if not self._latest.start_ms <= at_ms < self._latest.end_ms:
+            local_time = datetime.fromtimestamp(at_ms / 1000.0, UTC).astimezone(self.time_zone)
+            self._latest = self._period_of_day(local_time.date())
+        return self._latest
 
-    def counts_in(self, at: int, until: int) -> tuple[str, str]:
-        """The period in which a use of this time counts, and the one it belongs to where that is another.
+    def assign(self, at_ms: int, closed_end_ms: int) -> PeriodAssignment:
+        """Decides in which period usage counts: its own while that is open, else the first open one.
 
-        `until`: end of the last period that was closed when it was settled.
+        A closed period never changes, so usage that is settled late counts later and names the period it is
+        from.
+
+        Args:
+            at_ms: When the usage was rendered, Unix time.
+            closed_end_ms: End of the last period that was closed when the usage was settled.
         """
-        belongs = self.at(at).name
-        return (belongs, "") if at >= until else (self.at(until).name, belongs)
+        service_period = self.period_at(at_ms).name
+        if at_ms >= closed_end_ms:
+            return PeriodAssignment(service_period, "")
+        return PeriodAssignment(self.period_at(closed_end_ms).name, service_period)
+
+    def period_named(self, name: str) -> Period:
+        """The period of this name.
 
-    def named(self, name: str) -> Period:
-        match = re.fullmatch(NAMES[self.unit], name)
+        Raises:
+            InvalidPeriodError: It names no period of the calendar's unit.
+        """
+        match = re.fullmatch(_NAME_PATTERNS[self.unit], name)
+        if match is None:
+            raise self._invalid(name)
+        parts = [int(part) for part in match.groups()]
         try:
-            if not match:
-                raise ValueError(name)
-            parts = [int(part) for part in match.groups()]
             if self.unit == "week":
                 day = date.fromisocalendar(parts[0], parts[1], 1)
             else:
-                day = date(*[*parts, 1][:3])
+                day = date(parts[0], parts[1], parts[2] if self.unit == "day" else 1)
         except ValueError as err:
-            raise BadPeriod(
-                f"{name!r} names no {self.unit}; one like {self.name(date(2026, 3, 2))} does"
-            ) from err
-        return self.of(day)
+            raise self._invalid(name) from err
+        return self._period_of_day(day)
+
+    def following(self, period: Period) -> Period:
+        """The period that begins where this one ends."""
+        return self.period_at(period.end_ms)
 
-    def after(self, period: Period) -> Period:
-        return self.at(period.end)
+    def _invalid(self, name: str) -> InvalidPeriodError:
+        return InvalidPeriodError(name, self.unit, self._name_of(_EXAMPLE_DAY))
 
-    def of(self, day: date) -> Period:
+    def _period_of_day(self, day: date) -> Period:
         if self.unit == "day":
-            first, last = day, day + timedelta(days=1)
+            first = day
+            following = day + timedelta(days=1)
         elif self.unit == "week":
             first = day - timedelta(days=day.weekday())
-            last = first + timedelta(days=7)
+            following = first + timedelta(days=7)
         else:
             first = day.replace(day=1)
-            last = (first + timedelta(days=32)).replace(day=1)
-        return Period(self.midnight(first), self.midnight(last), self.name(first))
+            following = (first + timedelta(days=32)).replace(day=1)
+        return Period(self._midnight_ms(first), self._midnight_ms(following), self._name_of(first))
 
-    def midnight(self, day: date) -> int:
+    def _midnight_ms(self, day: date) -> int:
         # Where the clock jumps over midnight, the day starts at the jump: fold 0 gives just that instant.
-        return int(datetime(day.year, day.month, day.day, tzinfo=self.zone).timestamp() * 1000.0)
+        midnight = datetime(day.year, day.month, day.day, tzinfo=self.time_zone)
+        return int(midnight.timestamp() * 1000.0)
 
-    def name(self, day: date) -> str:
+    def _name_of(self, day: date) -> str:
         if self.unit == "day":
             return day.isoformat()
         if self.unit == "week":
--- a/landingshift/ledger/repair.py
+++ b/landingshift/ledger/repair.py
@@ -2,73 +2,114 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterable
+
 from landingshift import failpoints
-from landingshift.ledger.audit import Replay, audit, compacted
-from landingshift.ledger.book import Refused
-from landingshift.ledger.entries import Closed, Correction, Name, Opened, decode
-from landingshift.ledger.merged import Merged
-from landingshift.ledger.store import Store, by_period
+from landingshift.ledger.audit import audit_store
+from landingshift.ledger.entries import Correction, Entry, NameEntry, Opened, PeriodClose, decode
+from landingshift.ledger.errors import CorruptLedgerError, DivergedLedgerError
+from landingshift.ledger.merged_store import MergedStore
+from landingshift.ledger.recovery import recover_ledger
+from landingshift.ledger.replay import LedgerReplay
+from landingshift.ledger.schema import META_FIRST_PENDING, META_LAST_NUMBER, META_RUN_ID
+from landingshift.ledger.store import UsageStore
+from landingshift.ledger.totals import sum_by_period
+
+MAX_ROW_COUNT = 5000  # entries copied at a time
+INDEX_TABLES = ("names", "totals", "sums", "disputed", "corrections", "closed")
 
-PART = 5000  # entries at a time
 
+def reindex(store: UsageStore) -> None:
+    """Makes the index anew, all or nothing.
 
-def reindex(store: Store) -> None:
-    """All or nothing. Raises Refused where the entries themselves do not hold."""
-    for finding in audit(store):
-        if finding.number:
-            raise Refused(f"entry {finding.number}: {finding.what}; totals can't be made from that")
+    Raises:
+        CorruptLedgerError: The entries themselves do not hold.
+    """
+    for finding in audit_store(store):
+        if finding.entry_number:
+            raise CorruptLedgerError(finding.entry_number, finding.problem, "totals can't be made from that")
     with store.changing():
-        rebuild(store)
-
-
-def rebuild(store: Store) -> None:
-    """Within a transaction."""
-    replay, gap, db = Replay(store), compacted(store), store.db
-    for table in ("names", "totals", "sums", "disputed", "corrections", "closed"):
-        db.execute(f"DELETE FROM {table}")
-    if gap is not None:
-        replay.begin(store, gap)
-    low, newest = 0, 0
-    for number, kind, data, _ in store.rows():
-        entry = decode(kind, data)
-        newest = number
-        if gap is None or number > gap.last:
-            for _ in replay.take(number, entry):
-                pass
-        match entry:
-            case Name():
-                db.execute("INSERT INTO names VALUES(?, ?, ?)", (entry.tenant, entry.name, number))
-            case Closed():
-                db.execute("INSERT INTO closed VALUES(?, ?)", (entry.period, number))
-            case Correction():
-                db.execute("INSERT INTO corrections VALUES(?, ?)", (number, entry.period))
-            case Opened():
-                low = number
-    failpoints.reach("ledger.rebuild")
-    totals = replay.totals
-    db.executemany("INSERT INTO totals VALUES(?, ?, ?, ?, ?, ?, ?, ?)", [(*p, *s) for p, s in totals.items()])
-    db.executemany("INSERT INTO sums VALUES(?, ?, ?, ?, ?)", [(p, *s) for p, s in by_period(totals).items()])
-    db.executemany("INSERT INTO disputed VALUES(?)", [(n,) for n in sorted(replay.disputed)])
-    pending = [number for number in replay.open if number not in replay.disputed and number > low]
-    store.note("low", min(pending, default=newest + 1))
-    store.note("head", newest)
+        _rebuild_index(store)
 
 
-def catch_up(store: Store, merged: Merged) -> int:
-    """Takes what the merged ledger has of this one and it lacks; returns how many entries.
+def restore_missing_entries(store: UsageStore, merged: MergedStore) -> int:
+    """Takes what the merged ledger has of this one and it lacks.
 
-    Raises Refused where this ledger has entries of its own that the merged line has not: then both stand, and
-    the merged ledger has the totals.
+    Returns:
+        How many entries came back.
+
+    Raises:
+        DivergedLedgerError: This ledger has entries of its own that the merged branch has not. Both stand,
+            and the merged ledger has the totals.
     """
-    line, head, hash_ = merged.current(store.instance), store.book.last, store.book.hash
-    if merged.hash_at(line, head) != hash_:
-        raise Refused(f"entry {head} is another one, or not there, in the merged ledger: the two have parted")
-    came = 0
+    branch = merged.current_branch(store.instance)
+    last_number = store.ledger.last_number
+    if merged.hash_at(branch, last_number) != store.ledger.last_hash:
+        raise DivergedLedgerError(last_number)
+    restored_count = 0
     with store.changing():
-        while rows := merged.rows(line, head, PART):
+        while rows := merged.rows_after(branch, last_number, MAX_ROW_COUNT):
             store.db.executemany("INSERT INTO entries VALUES(?, ?, ?, ?)", rows)
-            head, came = rows[-1][0], came + len(rows)
-        rebuild(store)
-        store.note("run", None)  # whoever opens it next is another run: what is unsettled is disputed
-        store.book = store.read()
-    return came
+            last_number = rows[-1].number
+            restored_count += len(rows)
+        _rebuild_index(store)
+        store.set_meta(META_RUN_ID, None)  # whoever opens it next is another run: what is pending is disputed
+        store.ledger = recover_ledger(store, store.max_identity_count)
+    return restored_count
+
+
+def _rebuild_index(store: UsageStore) -> None:
+    """Within a commit."""
+    replay = LedgerReplay(store)
+    compaction = store.newest_compaction()
+    for table in INDEX_TABLES:
+        store.db.execute(f"DELETE FROM {table}")
+    compacted_number = 0
+    if compaction is not None:
+        compacted_number = compaction.last_number
+        replay.start_after(store, compaction)
+    run_start_number = 0
+    newest_number = 0
+    for row in store.rows():
+        entry = decode(row.kind, row.data)
+        newest_number = row.number
+        if row.number > compacted_number:
+            for _ in replay.apply(row.number, entry):
+                pass  # the audit has reported what does not hold
+        if isinstance(entry, Opened):
+            run_start_number = row.number
+        _index_entry(store, row.number, entry)
+    failpoints.reach("ledger.rebuild")
+    _write_replayed(store, replay)
+    pending = _pending_numbers(replay, run_start_number)
+    store.set_meta(META_FIRST_PENDING, min(pending, default=newest_number + 1))
+    store.set_meta(META_LAST_NUMBER, newest_number)
+
+
+def _index_entry(store: UsageStore, number: int, entry: Entry) -> None:
+    match entry:
+        case NameEntry():
+            store.db.execute("INSERT INTO names VALUES(?, ?, ?)", (entry.is_tenant, entry.name, number))
+        case PeriodClose():
+            store.db.execute("INSERT INTO closed VALUES(?, ?)", (entry.period, number))
+        case Correction():
+            store.db.execute("INSERT INTO corrections VALUES(?, ?)", (number, entry.period))
+
+
+def _write_replayed(store: UsageStore, replay: LedgerReplay) -> None:
+    store.db.executemany(
+        "INSERT INTO totals VALUES(?, ?, ?, ?, ?, ?, ?, ?)",
+        [(*key, *usage.as_row()) for key, usage in replay.totals.items()],
+    )
+    store.db.executemany(
+        "INSERT INTO sums VALUES(?, ?, ?, ?, ?)",
+        [(period, *usage.as_row()) for period, usage in sum_by_period(replay.totals).items()],
+    )
+    store.db.executemany("INSERT INTO disputed VALUES(?)", [(number,) for number in sorted(replay.disputed)])
+
+
+def _pending_numbers(replay: LedgerReplay, run_start_number: int) -> Iterable[int]:
+    """Usage of the latest run that is neither settled nor disputed."""
+    return (
+        number for number in replay.unsettled if number not in replay.disputed and number > run_start_number
+    )
--- a/landingshift/ledger/service.py
+++ b/landingshift/ledger/service.py
@@ -1,343 +1,276 @@
-"""The ledger at the server: ok answers pass here, uses go to the store's process, what became of them
-follows.
+"""Usage metering at the server: ok answers pass here, their usage goes to the store's process.
 
-A use is *sent* once the gateway's machine has acknowledged the whole answer, *void* where the answer never
-left whole, and *disputed* where the connection broke in between.
+Guarantee: with `before_answer`, an ok answer goes once its usage is durable, or shortly before its
+deadline. Failure mode: where the store can't keep up, answers go early (`stuck = "answer"`) or are aborted
+(`stuck = "abort"`); usage for which the queue has no room is dropped and counted, never billed.
 """
 
 from __future__ import annotations
 
-import os
-import select
 import time
-from collections import deque
 from dataclasses import dataclass
-from fcntl import ioctl
-from termios import TIOCOUTQ
 from typing import TYPE_CHECKING
 
-import msgspec
-
 from landingshift import failpoints
-from landingshift.ledger.entries import Raw, Word, identity
-from landingshift.ledger.outbox import Outbox
+from landingshift.ledger.delivery_tracker import DeliveryTracker
+from landingshift.ledger.entries import attempt_identity
+from landingshift.ledger.errors import InvalidSettingError
 from landingshift.ledger.settings import Settings
+from landingshift.ledger.store_messages import ReportedUsage
+from landingshift.ledger.store_process import StoreProcess
+from landingshift.ledger.usage_queue import DeliveryOutcome, UsageQueue
 from landingshift.net.routing.observers import AnswerKind
 from landingshift.net.transport.loop import Timer
-from landingshift.net.transport.stream import Stream
-from landingshift.net.transport.worker import Worker
 
 if TYPE_CHECKING:
     from landingshift.net.program.features import ServiceHost
     from landingshift.net.routing.rpc_record import RoutedRpc
 
-AHEAD = 4  # batches on their way: more would only wait in the socket
-START = 10_000.0  # ms that the store's process has to open the store, besides the wait for its lock
-EARLY = 15.0  # ms before its deadline that an ok answer goes out whatever the store does
-FINISH = 400.0  # ms that the end of the server waits for the last commit
-PAUSES = (50.0, 200.0, 1000.0, 5000.0)  # ms between two starts of the store's process
-RESULTS = 4  # times the queue that results may take which wait for their commit
-STEADY = 60_000.0  # ms after which a store's process that ends counts as the first to do so
-SENDS = 60_000.0  # ms that an answer may be on its way before nobody knows
-GOOD_ENDS = ("closed_by_gateway", "goaway")  # the gateway read all before the connection ended
+DEADLINE_MARGIN_MS = 15.0  # before its deadline an ok answer goes out whatever the store does
+MAX_RESULTS_RATIO = 4  # of the queue's bound, that results may take which wait for their commit
+NEVER_MS = float("inf")
 
 
 @dataclass(slots=True, eq=False)
-class Held:
-    """An ok answer and its use."""
+class MeteredAnswer:
+    """An ok answer and its usage."""
 
     rpc: RoutedRpc
     result: bytes
-    due: float
-    raw: Raw
-    passed: bool = False
-    stream: Stream | None = None  # once it is answered
-    end: int = 0  # where the answer ends in the stream
-    gone: float = 0.0  # when it was given to the stream
+    """Empty once the answer has gone."""
+    due_ms: float
+    """When the answer goes whatever the store does; loop time."""
+    usage: ReportedUsage
+    is_released: bool = False
+    """Whether the answer is no longer deferred."""
 
 
-class Ledger:
-    name = "ledger"
+class UsageMeter:
+    """The answer gate and the observer of answers.
 
-    def __init__(self, host: ServiceHost, settings: Settings) -> None:
-        self.router, self.loop, self.log = host.router, host.router.loop, host.log
-        self.settings = settings
-        self.before = settings.durable == "before_answer"
-        self.run = os.urandom(8)
-        self.outbox = Outbox(settings.queue_kb * 1024)
-        self.held: dict[int, Held] = {}  # by use, not durable yet or not passed yet
-        self.by_rpc: dict[RoutedRpc, Held] = {}  # until answered
-        self.leaving: deque[Held] = deque()  # answered, not known to have arrived
-        self.soonest = float("inf")  # no held answer is due before this
-        self.tick_timer: Timer | None = None
-        self.decode = msgspec.msgpack.Decoder(Word).decode
-        self.encode = msgspec.msgpack.Encoder().encode
-        self.starts = self.early = self.dropped = self.shortened = 0
-        self.started_at = self.loop.now_ms
-        self.settle_at = self.loop.now_ms  # when what became of uses is told without a new one
-        self.results = 0  # bytes of those that are held
-        self.by = float("inf")  # when all that is held must go, once the server drains
-        self.ready = self.finishing = False
-        self.stuck = False
-        self.fault = ""
-        self.worker: Worker | None = None
-        self.start()
+    Attributes:
+        name: Of the observer, in the log.
+    """
 
-    # The store's process
+    name = "ledger"
 
-    def start(self) -> None:
-        settings = self.settings
-        words = [msgspec.json.encode(settings).decode(), self.run.hex()]
-        self.starts = self.starts + 1 if self.loop.now_ms - self.started_at < STEADY else 1
-        self.started_at = self.loop.now_ms
-        try:
-            self.worker = Worker(
-                self.loop, "landingshift.ledger.worker", words, self, settings.queue_kb * 2048
-            )
-        except OSError as err:
-            self.on_worker_lost(str(err))
+    def __init__(self, host: ServiceHost, settings: Settings) -> None:
+        self._router = host.router
+        self._loop = host.router.loop
+        self._log = host.log
+        self._settings = settings
+        self._queue = UsageQueue(settings.queue_kb * 1024)
+        self._tracker = DeliveryTracker(self._loop, self._queue)
+        self._not_durable: dict[int, MeteredAnswer] = {}  # by sequence of the usage
+        self._unanswered: dict[RoutedRpc, MeteredAnswer] = {}
+        self._deferred_result_bytes = 0
+        self._next_due_ms = NEVER_MS  # no deferred answer is due before this
+        self._flush_deadline_ms = NEVER_MS  # when all answers must go, once the server drains
+        self._tick_timer: Timer | None = None
+        self._is_behind = False
+        self._early_answer_count = 0
+        self._dropped_count = 0
+        self._store_process = StoreProcess(self._loop, self._log, settings, self._queue, self)
 
     def wait_for_start(self) -> None:
-        """Before the first RPC is read: a store that can't be used must keep the server from starting."""
-        end = time.monotonic() + (START + self.settings.lock_wait_ms) / 1000.0
-        while not self.ready and not self.fault and time.monotonic() < end:
-            if self.worker is None or not self.worker.stream.is_open:
-                break
-            if select.select([self.worker.stream.sock], [], [], 0.1)[0]:
-                self.worker.stream.read()
-        if not self.ready:
-            raise ValueError(f"folder: {self.fault or 'the process that keeps the store did not start'}")
-
-    def on_message(self, message: bytes) -> None:
-        word = self.decode(message)
-        if word.fault:
-            if word.fault != self.fault:
-                self.log("ledger_fault", error=word.fault, waiting=len(self.held), starts=self.starts)
-            self.fault = word.fault
-            return
-        if word.shortened > self.shortened:
-            self.log("mode", text=f"ledger forgets: more identities than `recent` within the window, "
-                     f"{word.shortened} times")  # fmt: skip
-            self.shortened = max(word.shortened, 2 * self.shortened)
-        if self.fault:
-            self.log("ledger_well", after=self.fault, waiting=len(self.held))
-            self.fault = ""
-        first = not self.ready
-        self.ready = True
-        self.durable(word.acked)
-        if first and self.worker is not None:
-            for batch in self.outbox.again():
-                self.worker.send(self.encode(batch))
-        self.push()
-
-    def on_worker_lost(self, reason: str) -> None:
-        self.ready = False
-        if self.finishing:
-            return
-        pause = PAUSES[min(self.starts, len(PAUSES)) - 1]
-        self.log("ledger_store_gone", reason=reason, waiting=len(self.held), starts=self.starts, pause=pause)
-        self.loop.after(pause, self.restart)
+        """Blocks until the store is open.
+
+        Raises:
+            InvalidSettingError: The store can't be used.
+        """
+        if not self._store_process.wait_until_ready():
+            problem = self._store_process.error or "the process that keeps the store did not start"
+            raise InvalidSettingError("folder", problem)
 
-    def restart(self) -> None:
-        if self.worker is not None and not self.worker.has_exited():
-            self.loop.after(PAUSES[0], self.restart)  # it finishes what it has read and holds the lock
-        else:
-            self.start()
+    def finish(self) -> None:
+        """The last commit: all connections are gone, so what became of each answer is known."""
+        self._tracker.settle_known()
+        self._tracker.dispute_rest()
+        if self._store_process.finish():
+            self._log(
+                "ledger_finished",
+                owed=len(self._queue.unacknowledged),
+                uses=self._queue.last_sequence,
+                dropped=self._dropped_count,
+            )
 
-    # Ok answers
+    # The answer gate
 
-    def defer_answer(self, rpc: RoutedRpc, result: bytes, work: float) -> bool:
+    def defer_answer(self, rpc: RoutedRpc, result: bytes, run_time_ms: float) -> bool:
+        """Whether the answer waits here until its usage is durable."""
         assert rpc.job is not None
-        raw = self.use(rpc, result, work)
-        if not self.outbox.add(raw):
-            return self.without(rpc, result)
-        held = Held(rpc, result if self.before else b"", min(rpc.job.deadline_at_ms - EARLY, self.by), raw)
-        self.held[raw.n] = self.by_rpc[rpc] = held
-        self.arm(self.settings.commit_ms)
-        if not self.before:
-            held.passed = True
+        usage = self._measure(rpc, result, run_time_ms)
+        if not self._queue.add(usage):
+            return self._abort_unmetered(rpc)
+        is_deferred = self._settings.durability == "before_answer"
+        due_ms = min(rpc.job.deadline_at_ms - DEADLINE_MARGIN_MS, self._flush_deadline_ms)
+        answer = MeteredAnswer(rpc, result if is_deferred else b"", due_ms, usage, not is_deferred)
+        self._not_durable[usage.sequence] = answer
+        self._unanswered[rpc] = answer
+        self._tick_within(self._settings.commit_ms)
+        if not is_deferred:
             return False
-        self.results += len(result)
-        if self.results > RESULTS * self.outbox.bound:
-            held.due = self.loop.now_ms  # memory is bounded: it goes at the next tick, durable or not
-        self.soonest = min(self.soonest, held.due)
+        self._deferred_result_bytes += len(result)
+        if self._deferred_result_bytes > MAX_RESULTS_RATIO * self._queue.limit_bytes:
+            answer.due_ms = self._loop.now_ms  # memory is bounded: it goes at the next tick, durable or not
+        self._next_due_ms = min(self._next_due_ms, answer.due_ms)
         return True
 
-    def flush_by(self, by: float) -> None:
-        self.by = by
-        for held in self.held.values():
-            held.due = min(held.due, by)
-        self.soonest = min(self.soonest, by) if self.held else self.soonest
+    def flush_by(self, deadline_ms: float) -> None:
+        """The server drains: whatever is deferred goes by then; loop time."""
+        self._flush_deadline_ms = deadline_ms
+        for answer in self._not_durable.values():
+            answer.due_ms = min(answer.due_ms, deadline_ms)
+        if self._not_durable:
+            self._next_due_ms = min(self._next_due_ms, deadline_ms)
 
-    def use(self, rpc: RoutedRpc, result: bytes, work: float) -> Raw:
-        s = self.settings
+    def _measure(self, rpc: RoutedRpc, result: bytes, run_time_ms: float) -> ReportedUsage:
         tenant = rpc.tenant_name.encode(errors="surrogatepass")
-        mark = rpc.attempt_id
-        if not mark and rpc.dedup_key is not None and (s.identity_key or not rpc.has_cache_key):
-            mark = rpc.dedup_key[1]  # a token; a read's key says what it is about, not which try it is
-        what = mark.encode(errors="surrogatepass") if mark else rpc.body
-        known = identity(tenant, rpc.method_name, bool(mark), what)
-        at = round(time.time() * 1000.0)
-        return Raw(0, at, tenant, rpc.method_name, round(work * 1000.0), len(rpc.body), len(result), known)
-
-    def without(self, rpc: RoutedRpc, result: bytes) -> bool:
-        """No room for its use: as the installation chose, it goes unbilled and counted, or is aborted."""
-        self.dropped += 1
-        self.mode(True)
-        if self.settings.stuck == "abort":
-            self.router.answers.abort_deferred(rpc)
+        attempt_id = self._attempt_id(rpc)
+        content = attempt_id.encode(errors="surrogatepass") if attempt_id else rpc.body
+        return ReportedUsage(
+            sequence=0,
+            at_ms=round(time.time() * 1000.0),
+            tenant=tenant,
+            method=rpc.method_name,
+            work_us=round(run_time_ms * 1000.0),
+            bytes_in=len(rpc.body),
+            bytes_out=len(result),
+            identity=attempt_identity(tenant, rpc.method_name, bool(attempt_id), content),
+        )
+
+    def _attempt_id(self, rpc: RoutedRpc) -> str | None:
+        """What names the client's attempt: the installation's field, else the token, else nothing.
+
+        A read's key says what the read is about, not which attempt it is, unless the installation says so.
+        """
+        if rpc.attempt_id or rpc.dedup_key is None:
+            return rpc.attempt_id
+        if rpc.has_cache_key and not self._settings.key_names_attempt:
+            return None
+        return rpc.dedup_key[1]
+
+    def _abort_unmetered(self, rpc: RoutedRpc) -> bool:
+        """No room for its usage: as the settings say, the answer is aborted, or goes unbilled and counted."""
+        self._dropped_count += 1
+        self._set_behind(True)
+        if self._settings.overdue_action == "abort":
+            self._router.answers.abort_deferred(rpc)
             return True
         return False
 
-    def durable(self, number: int) -> None:
-        for raw in self.outbox.ack(number):
-            held = self.held.pop(raw.n, None)
-            if held is not None and not held.passed:
-                self.let_go(held)
-        if self.stuck and self.outbox.bytes < self.outbox.bound // 2 and not self.fault:
-            self.mode(False)
+    # The store's process
 
-    def let_go(self, held: Held) -> None:
-        result = self.take_out(held)
-        failpoints.reach("ledger.answering")
-        self.router.answers.send_deferred(held.rpc, result)
-        self.unless_answered(held)
+    def on_durable(self, batch_number: int) -> None:
+        """All batches up to this one are committed: their answers go."""
+        for usage in self._queue.acknowledge(batch_number):
+            answer = self._not_durable.pop(usage.sequence, None)
+            if answer is not None and not answer.is_released:
+                self._send(answer)
+        is_half_empty = self._queue.queued_bytes < self._queue.limit_bytes // 2
+        if self._is_behind and is_half_empty and not self._store_process.error:
+            self._set_behind(False)
 
-    def take_out(self, held: Held) -> bytes:
-        result, held.result, held.passed = held.result, b"", True
-        self.results -= len(result)
-        return result
+    def waiting_count(self) -> int:
+        """How many uses are not durable yet."""
+        return len(self._not_durable)
 
-    def unless_answered(self, held: Held) -> None:
-        if self.by_rpc.pop(held.rpc, None) is not None:  # nobody waited any more: no use
-            self.outbox.settle(self.outbox.void, held.raw.n)
+    # Answers
 
     def on_answered(self, rpc: RoutedRpc, kind: AnswerKind) -> None:
-        held = self.by_rpc.pop(rpc, None) if kind is AnswerKind.OK else None
-        if held is None:
+        """An answer was written to its connection."""
+        answer = self._unanswered.pop(rpc, None) if kind is AnswerKind.OK else None
+        if answer is None:
             return
-        connection = self.router.gateways.connections.get(rpc.connection)
+        connection = self._router.gateways.connections.get(rpc.connection)
         assert connection is not None
-        held.stream, held.end, held.gone = connection.stream, connection.stream.queued_bytes, self.loop.now_ms
-        self.leaving.append(held)
-        self.arm(self.settings.settle_ms)
+        self._tracker.track(answer.usage.sequence, connection.stream)
+        self._tick_within(self._settings.settle_ms)
+
+    def _send(self, answer: MeteredAnswer) -> None:
+        result = self._release(answer)
+        failpoints.reach("ledger.answering")
+        self._router.answers.send_deferred(answer.rpc, result)
+        self._settle_unless_answered(answer)
+
+    def _abort(self, answer: MeteredAnswer) -> None:
+        self._release(answer)
+        self._router.answers.abort_deferred(answer.rpc)
+        self._settle_unless_answered(answer)
+
+    def _release(self, answer: MeteredAnswer) -> bytes:
+        result = answer.result
+        answer.result = b""
+        answer.is_released = True
+        self._deferred_result_bytes -= len(result)
+        return result
+
+    def _settle_unless_answered(self, answer: MeteredAnswer) -> None:
+        """Where nobody waited for the answer any more, there is no usage."""
+        if self._unanswered.pop(answer.rpc, None) is not None:
+            self._queue.add_outcome(DeliveryOutcome.UNDELIVERED, answer.usage.sequence)
 
     # Every few ms while there is anything to do
 
-    def arm(self, delay: float) -> None:
-        at = self.loop.now_ms + delay
-        if self.tick_timer is None or at < self.tick_timer.due_ms:
-            self.loop.cancel(self.tick_timer)
-            self.tick_timer = self.loop.after(delay, self.tick)
-
-    def tick(self) -> None:
-        self.tick_timer = None
-        s, now = self.settings, self.loop.now_ms
-        if now >= self.settle_at:
-            self.follow()
-        if not self.before:
-            for held in [h for h in self.by_rpc.values() if h.passed]:
-                self.unless_answered(held)
-        if self.loop.now_ms >= self.soonest:
-            self.answer_late_ones()
-        self.push()
-        if self.held or self.by_rpc:
-            self.arm(s.commit_ms)
-        elif self.leaving or not self.outbox.empty:
-            self.arm(max(1.0, self.settle_at - now))
-
-    def push(self) -> None:
-        """New uses at once; what became of earlier ones goes with them, or by itself from time to time."""
-        worker = self.worker
-        while self.ready and worker is not None and worker.free_bytes() > 0:
-            batch = self.outbox.cut(AHEAD, self.finishing or self.loop.now_ms >= self.settle_at)
-            if batch is None:
-                break
-            failpoints.reach("ledger.push")
-            worker.send(self.encode(batch))
-        if self.loop.now_ms >= self.settle_at:
-            self.settle_at = self.loop.now_ms + self.settings.settle_ms
-
-    def answer_late_ones(self) -> None:
-        """No RPC lost: the deadline does not wait for a disk."""
-        now, left = self.loop.now_ms, float("inf")
-        for held in [h for h in self.held.values() if not h.passed]:
-            if now < held.due:
-                left = min(left, held.due)
-                continue
-            self.early += 1
-            self.mode(True)
-            if self.settings.stuck == "abort":
-                self.take_out(held)
-                self.router.answers.abort_deferred(held.rpc)
-                self.unless_answered(held)
-            else:
-                self.let_go(held)
-        self.soonest = left
-
-    def follow(self) -> None:
-        """Finds out what became of answers that were given to their connections."""
-        waits: deque[Held] = deque()
-        unsent: dict[Stream, int] = {}
-        for held in self.leaving:
-            stream = held.stream
-            assert stream is not None
-            out = self.outbox
-            if not stream.is_open:
-                whole = stream.sent_bytes >= held.end
-                to = out.void if not whole else out.sent if stream.close_reason in GOOD_ENDS else out.disputed
-            elif stream.sent_bytes < held.end:
-                waits.append(held)
+    def _tick_within(self, delay_ms: float) -> None:
+        due_ms = self._loop.now_ms + delay_ms
+        if self._tick_timer is None or due_ms < self._tick_timer.due_ms:
+            self._loop.cancel(self._tick_timer)
+            self._tick_timer = self._loop.after(delay_ms, self._tick)
+
+    def _tick(self) -> None:
+        self._tick_timer = None
+        now_ms = self._loop.now_ms
+        if now_ms >= self._store_process.outcomes_due_ms:
+            self._tracker.settle_known()
+        if self._settings.durability == "after_answer":
+            for answer in list(self._unanswered.values()):
+                if answer.is_released:
+                    self._settle_unless_answered(answer)
+        if now_ms >= self._next_due_ms:
+            self._release_due()
+        self._store_process.push()
+        if self._not_durable or self._unanswered:
+            self._tick_within(self._settings.commit_ms)
+        elif not self._tracker.is_empty or not self._queue.is_empty:
+            self._tick_within(max(1.0, self._store_process.outcomes_due_ms - now_ms))
+
+    def _release_due(self) -> None:
+        """Sends or aborts answers that are due: the deadline does not wait for a disk."""
+        now_ms = self._loop.now_ms
+        next_due_ms = NEVER_MS
+        for answer in [answer for answer in self._not_durable.values() if not answer.is_released]:
+            if now_ms < answer.due_ms:
+                next_due_ms = min(next_due_ms, answer.due_ms)
                 continue
+            self._early_answer_count += 1
+            self._set_behind(True)
+            if self._settings.overdue_action == "abort":
+                self._abort(answer)
             else:
-                if stream not in unsent:
-                    unsent[stream] = int.from_bytes(ioctl(stream.sock, TIOCOUTQ, bytes(4)), "little")
-                # Acknowledged up to here: what the kernel still has is the end of what was sent.
-                if stream.sent_bytes - unsent[stream] < held.end:
-                    if self.loop.now_ms - held.gone < SENDS:
-                        waits.append(held)
-                        continue
-                    to = out.disputed
-                else:
-                    to = out.sent
-            out.settle(to, held.raw.n)
-        self.leaving = waits
-
-    def mode(self, on: bool) -> None:
-        if self.stuck != on:
-            self.stuck = on
-            self.log(
-                "mode",
-                text=f"ledger {'behind' if on else 'level'}: {self.outbox.bytes // 1024} KB wait, "
-                f"{self.early} answered before durable, {self.dropped} dropped",
-            )
+                self._send(answer)
+        self._next_due_ms = next_due_ms
 
-    def finish(self) -> None:
-        """The last commit: all connections are gone, so what became of each answer is known."""
-        self.finishing = True
-        self.follow()
-        for held in self.leaving:
-            self.outbox.settle(self.outbox.disputed, held.raw.n)
-        self.leaving.clear()
-        end = time.monotonic() + FINISH / 1000.0
-        worker = self.worker
-        if worker is None:
+    def _set_behind(self, is_behind: bool) -> None:
+        if self._is_behind == is_behind:
             return
-        while not self.outbox.empty and worker.stream.is_open and time.monotonic() < end:
-            self.push()
-            worker.stream.flush()
-            if select.select([worker.stream.sock], [], [], 0.02)[0]:
-                worker.stream.read()
-        if worker.stream.is_open:
-            worker.stream.close("finished")
-        self.log("ledger_finished", owed=len(self.outbox.unacked), uses=self.outbox.n, dropped=self.dropped)
-
-
-def attach(host: ServiceHost, settings: Settings) -> Ledger:
-    """Raises ValueError("folder: ...") where the store can't be used."""
-    ledger = Ledger(host, settings)
-    ledger.wait_for_start()
-    host.router.intake.attempt_id_field = settings.identity_field
-    host.router.answers.gate = ledger
-    host.router.observers.add(ledger)
-    return ledger
+        self._is_behind = is_behind
+        self._log(
+            "mode",
+            text=f"ledger {'behind' if is_behind else 'level'}: {self._queue.queued_bytes // 1024} KB wait, "
+            f"{self._early_answer_count} answered before durable, {self._dropped_count} dropped",
+        )
+
+
+def attach(host: ServiceHost, settings: Settings) -> UsageMeter:
+    """Switches usage metering on.
+
+    Raises:
+        InvalidSettingError: The store can't be used.
+    """
+    meter = UsageMeter(host, settings)
+    meter.wait_for_start()
+    host.router.intake.attempt_id_field = settings.attempt_id_field
+    host.router.answers.gate = meter
+    host.router.observers.add(meter)
+    return meter
--- a/landingshift/ledger/statements.py
+++ b/landingshift/ledger/statements.py
@@ -6,163 +6,132 @@
 import io
 from collections.abc import Iterator
 from dataclasses import dataclass
-from datetime import datetime
 from decimal import Decimal
 from itertools import groupby
 from typing import Any
 
-from landingshift.ledger.book import Refused
-from landingshift.ledger.entries import Correction, Kind, Opened, Resolved, Settled, Use, decode, pairs
-from landingshift.ledger.names import shown
-from landingshift.ledger.prices import Charge, Plan, charges
-from landingshift.ledger.store import Store
-
-
-@dataclass(slots=True)
+from landingshift.ledger.entries import Correction
+from landingshift.ledger.name_escaping import escape_name
+from landingshift.ledger.price_plan import PricePlan
+from landingshift.ledger.pricing import LineCharge, line_charges
+from landingshift.ledger.store_reader import StoreReader
+
+CSV_HEADER = [
+    "tenant",
+    "period",
+    "line",
+    "unit",
+    "quantity",
+    "free",
+    "amount",
+    "currency",
+    "belongs",
+    "reason",
+]
+
+
+@dataclass(frozen=True, slots=True)
 class Statement:
+    """What a tenant pays for a period."""
+
     tenant: str
+    """Escaped name."""
     period: str
-    closed: bool
+    is_closed: bool
     currency: str
-    charges: list[Charge]
+    charges: list[LineCharge]
     corrections: list[Correction]
     total: Decimal
+    """Sum of the rounded lines."""
     uses: int
 
 
-def statements(store: Store, plan: Plan, period: str, tenant: bytes | None = None) -> Iterator[Statement]:
-    """One a tenant with anything in the period, in the order of names, one in memory at a time."""
-    name = store.book.period(period).name
-    closed = store.db.execute("SELECT 1 FROM closed WHERE period = ?", (name,)).fetchone() is not None
-    corrected: dict[bytes, list[Correction]] = {}
-    for (data,) in store.db.execute(
-        "SELECT e.data FROM corrections c JOIN entries e USING(number) WHERE period = ?", (name,)
-    ):
-        entry = decode(Kind.CORRECTION, data)
-        assert isinstance(entry, Correction)
-        corrected.setdefault(store.named(entry.tenant), []).append(entry)
-    for who, totals in groupby(store.totals(name), key=lambda total: total[1]):
-        if tenant is not None and who != tenant:
+def statements(
+    reader: StoreReader, plan: PricePlan, period: str, tenant: bytes | None = None
+) -> Iterator[Statement]:
+    """Statements of all tenants with anything in a period, or of one; in the order of names, one at a time.
+
+    Raises:
+        InvalidPeriodError: The name names no period.
+    """
+    name = reader.calendar.period_named(period).name
+    is_closed = reader.is_closed(name)
+    corrections_by_tenant: dict[bytes, list[Correction]] = {}
+    for correction in reader.corrections(name):
+        corrected_tenant = reader.name_of(correction.tenant_number)
+        corrections_by_tenant.setdefault(corrected_tenant, []).append(correction)
+    for billed_tenant, totals in groupby(reader.tenant_totals(name), key=lambda entry: entry.tenant):
+        if tenant is not None and billed_tenant != tenant:
             continue
-        rows = list(totals)
-        lines, fixes = charges(plan, who, rows), corrected.get(who, [])
-        amounts = [line.amount for line in lines] + [plan.rounded(Decimal(c.amount or 0)) for c in fixes]
+        tenant_totals = list(totals)
+        charges = line_charges(plan, billed_tenant, tenant_totals)
+        corrections = corrections_by_tenant.get(billed_tenant, [])
+        amounts = [charge.amount for charge in charges]
+        amounts += [plan.rounded(Decimal(correction.amount or 0)) for correction in corrections]
         yield Statement(
-            shown(who),
+            escape_name(billed_tenant),
             name,
-            closed,
+            is_closed,
             plan.currency,
-            lines,
-            fixes,
+            charges,
+            corrections,
             sum(amounts, Decimal(0)),
-            sum(row[3] for row in rows),
+            sum(entry.totals.uses for entry in tenant_totals),
         )
 
 
-def as_json(one: Statement) -> dict[str, Any]:
+def statement_to_json(statement: Statement) -> dict[str, Any]:
+    """The statement with the keys that its readers know."""
+    lines = [_charge_to_json(charge) for charge in statement.charges]
+    lines += [_correction_to_json(correction) for correction in statement.corrections]
     return {
-        "tenant": one.tenant,
-        "period": one.period,
-        "closed": one.closed,
-        "currency": one.currency,
-        "uses": one.uses,
-        "lines": [
-            {
-                "name": c.name,
-                "unit": c.unit,
-                "quantity": str(c.quantity),
-                "free": str(c.free),
-                "amount": str(c.amount),
-                "late": {k: str(v) for k, v in c.late.items()},
-            }
-            for c in one.charges
-        ]
-        + [
-            {
-                "name": "correction",
-                "unit": "",
-                "quantity": str(c.uses),
-                "free": "0",
-                "amount": c.amount or "0",
-                "late": {c.belongs: str(c.uses)},
-                "reason": c.reason,
-                "who": c.who,
-            }
-            for c in one.corrections
-        ],
-        "total": str(one.total),
+        "tenant": statement.tenant,
+        "period": statement.period,
+        "closed": statement.is_closed,
+        "currency": statement.currency,
+        "uses": statement.uses,
+        "lines": lines,
+        "total": str(statement.total),
     }
 
 
-def story(store: Store, number: int) -> Iterator[str]:
-    """What an entry says, and of a use what became of it. Raises Refused for none."""
-    row = store.db.execute("SELECT kind, data, hash FROM entries WHERE number = ?", (number,)).fetchone()
-    if row is None:
-        raise Refused(f"{number}: there is no such entry")
-    entry = decode(row[0], row[1])
-    yield f"entry {number}: {Kind(row[0]).name.lower()}, hash {bytes(row[2]).hex()}"
-    if not isinstance(entry, Use):
-        yield str(entry)
-        return
-    at = datetime.fromtimestamp(entry.at / 1000.0, store.calendar.zone)
-    yield f"{shown(store.named(entry.tenant))} {shown(store.named(entry.method))} at {at.isoformat()}"
-    yield f"{entry.work / 1000.0:g} ms of work, {entry.size_in} bytes in, {entry.size_out} out"
-    yield f"identity {entry.identity.hex()}, period {store.calendar.at(entry.at).name}"
-    fates = ("counted", "a repeat of one counted before", "void: the answer never left whole", "disputed")
-    for other, kind, data, _ in store.rows(number):
-        later = decode(kind, data)
-        match later:
-            case Settled():
-                spans = (later.counted, later.repeats, later.void, later.disputed)
-                words = [word for word, span in zip(fates, spans, strict=True) if within(span, number)]
-            case Resolved():
-                words = [
-                    f"{word} by {later.who}: {later.reason}"
-                    for word, span in (("billed", later.billed), ("waived", later.waived))
-                    if within(span, number)
-                ]
-            case Opened():
-                words = ["disputed: the server ended before it was known"] * within(later.disputed, number)
-            case _:
-                words = []
-        for word in words:
-            yield f"entry {other}: {word}"
-            if "disputed" not in word:
-                return
-    yield "nothing is known of its answer yet"
-
-
-def within(spans: list[int], number: int) -> bool:
-    return any(first <= number < first + count for first, count in pairs(spans))
-
-
-HEAD = ["tenant", "period", "line", "unit", "quantity", "free", "amount", "currency", "belongs", "reason"]
-
-
-def as_csv(one: Statement, head: bool) -> str:
-    out = io.StringIO()
-    rows = csv.writer(out, lineterminator="\n")
-    if head:
-        rows.writerow(HEAD)
-    for c in one.charges:
-        late = " ".join(f"{k}={v}" for k, v in c.late.items())
-        rows.writerow(
-            [one.tenant, one.period, c.name, c.unit, c.quantity, c.free, c.amount, one.currency, late, ""]
-        )
-    for fix in one.corrections:
-        rows.writerow(
-            [
-                one.tenant,
-                one.period,
-                "correction",
-                "",
-                fix.uses,
-                0,
-                fix.amount or 0,
-                one.currency,
-                fix.belongs,
-                fix.reason,
-            ]
-        )
-    rows.writerow([one.tenant, one.period, "total", "", "", "", one.total, one.currency, "", ""])
-    return out.getvalue()
+def _charge_to_json(charge: LineCharge) -> dict[str, Any]:
+    return {
+        "name": charge.name,
+        "unit": charge.unit,
+        "quantity": str(charge.quantity),
+        "free": str(charge.free_quantity),
+        "amount": str(charge.amount),
+        "late": {period: str(quantity) for period, quantity in charge.late_quantities.items()},
+    }
+
+
+def _correction_to_json(correction: Correction) -> dict[str, Any]:
+    return {
+        "name": "correction",
+        "unit": "",
+        "quantity": str(correction.uses),
+        "free": "0",
+        "amount": correction.amount or "0",
+        "late": {correction.service_period: str(correction.uses)},
+        "reason": correction.reason,
+        "who": correction.author,
+    }
+
+
+def statement_to_csv(statement: Statement, with_header: bool) -> str:
+    """The statement's lines, and its total as the last one."""
+    output = io.StringIO()
+    writer = csv.writer(output, lineterminator="\n")
+    if with_header:
+        writer.writerow(CSV_HEADER)
+    beginning = [statement.tenant, statement.period]
+    for charge in statement.charges:
+        late = " ".join(f"{period}={quantity}" for period, quantity in charge.late_quantities.items())
+        quantities = [charge.quantity, charge.free_quantity, charge.amount]
+        writer.writerow([*beginning, charge.name, charge.unit, *quantities, statement.currency, late, ""])
+    for correction in statement.corrections:
+        ending = [statement.currency, correction.service_period, correction.reason]
+        writer.writerow([*beginning, "correction", "", correction.uses, 0, correction.amount or 0, *ending])
+    writer.writerow([*beginning, "total", "", "", "", statement.total, statement.currency, "", ""])
+    return output.getvalue()
--- /dev/null
+++ b/landingshift/ledger/store_reader.py
@@ -0,0 +1,262 @@
+"""Questions to a store, answered from its tables; the columns' names stand here and in the writing alone."""
+
+from __future__ import annotations
+
+import sqlite3
+from collections.abc import Collection, Iterator
+
+from landingshift.ledger.dedup_window import DedupWindow
+from landingshift.ledger.entries import (
+    Compaction,
+    Correction,
+    Entry,
+    EntryKind,
+    EntryRow,
+    Settlement,
+    UsageRecord,
+    decode,
+    decode_period_close,
+    decode_usage,
+)
+from landingshift.ledger.number_ranges import decode_ranges
+from landingshift.ledger.periods import BillingCalendar
+from landingshift.ledger.schema import META_EXPORTED_NUMBER
+from landingshift.ledger.totals import (
+    ZERO_TOTALS,
+    PeriodSummary,
+    TenantTotals,
+    Totals,
+    TotalsKey,
+    UsageTotals,
+)
+
+NO_LIMIT = 1 << 62
+UNKNOWN_NAME = b"?"
+
+
+class StoreReader:
+    """Reads a store, whoever writes to it meanwhile.
+
+    Attributes:
+        db: The open database.
+        calendar: The store's billing periods.
+        dedup_window_ms: Within which a like RPC is a retry.
+    """
+
+    def __init__(self, db: sqlite3.Connection, calendar: BillingCalendar, dedup_window_ms: int) -> None:
+        self.db = db
+        self.calendar = calendar
+        self.dedup_window_ms = dedup_window_ms
+
+    def meta(self, key: str) -> object:
+        """A value of the table `meta`; None where there is none."""
+        row = self.db.execute("SELECT value FROM meta WHERE key = ?", (key,)).fetchone()
+        return row[0] if row else None
+
+    def exported_number(self) -> int:
+        """The entry up to which the receiver had everything when it was last asked."""
+        number = self.meta(META_EXPORTED_NUMBER)
+        return number if isinstance(number, int) else 0
+
+    # Entries
+
+    def rows(self, first: int = 1, last: int = NO_LIMIT) -> Iterator[EntryRow]:
+        """Entries from `first` up to `last`, both included, in their order."""
+        cursor = self.db.execute(
+            "SELECT number, kind, data, hash FROM entries WHERE number BETWEEN ? AND ? ORDER BY number",
+            (first, last),
+        )
+        return map(EntryRow._make, cursor)
+
+    def row(self, number: int) -> EntryRow | None:
+        """One entry."""
+        return next(self.rows(number, number), None)
+
+    def row_before(self, number: int) -> EntryRow | None:
+        """The newest entry before this number."""
+        row = self.db.execute(
+            "SELECT number, kind, data, hash FROM entries WHERE number < ? ORDER BY number DESC LIMIT 1",
+            (number,),
+        ).fetchone()
+        return EntryRow._make(row) if row else None
+
+    def newest_number(self) -> int:
+        """Number of the newest entry; 0 where there is none."""
+        return self.db.execute("SELECT max(number) FROM entries").fetchone()[0] or 0
+
+    def usage_count(self, last: int) -> int:
+        """How many usage entries there are up to `last`."""
+        count: int = self.db.execute(
+            "SELECT count(*) FROM entries WHERE number <= ? AND kind = ?", (last, EntryKind.USAGE)
+        ).fetchone()[0]
+        return count
+
+    def usage_time_at(self, number: int) -> int | None:
+        """When the newest usage up to this entry was, Unix ms."""
+        row = self.db.execute(
+            "SELECT data FROM entries WHERE number <= ? AND kind = ? ORDER BY number DESC LIMIT 1",
+            (number, EntryKind.USAGE),
+        ).fetchone()
+        return decode_usage(row[0]).at_ms if row else None
+
+    def newest_compaction(self) -> Compaction | None:
+        """The newest compaction; what is before its last entry has no settled usage any more."""
+        row = self.db.execute(
+            "SELECT data FROM entries WHERE kind = ? ORDER BY number DESC LIMIT 1", (EntryKind.COMPACTION,)
+        ).fetchone()
+        if row is None:
+            return None
+        entry = decode(EntryKind.COMPACTION, row[0])
+        assert isinstance(entry, Compaction)
+        return entry
+
+    def period_close_ends(self, after: int = 0) -> list[tuple[int, int]]:
+        """The entry and the end, Unix ms, of each period that was closed after an entry, in their order."""
+        rows = self.db.execute(
+            "SELECT c.number, e.data FROM closed c JOIN entries e USING(number) "
+            "WHERE number > ? ORDER BY number",
+            (after,),
+        )
+        return [(number, decode_period_close(data).end_ms) for number, data in rows]
+
+    def corrections(self, period: str) -> Iterator[Correction]:
+        """Corrections that count in a period."""
+        rows = self.db.execute(
+            "SELECT e.data FROM corrections c JOIN entries e USING(number) WHERE period = ?", (period,)
+        )
+        for (data,) in rows:
+            entry = decode(EntryKind.CORRECTION, data)
+            assert isinstance(entry, Correction)
+            yield entry
+
+    def disputed(self) -> list[tuple[int, UsageRecord]]:
+        """Disputed usage and its entries, in their order."""
+        rows = self.db.execute(
+            "SELECT d.number, e.data FROM disputed d JOIN entries e USING(number) ORDER BY number"
+        )
+        return [(number, decode_usage(data)) for number, data in rows]
+
+    def disputed_numbers(self) -> set[int]:
+        """Entries of disputed usage."""
+        return {number for (number,) in self.db.execute("SELECT number FROM disputed")}
+
+    # Names
+
+    def name_of(self, number: int) -> bytes:
+        """The tenant or method that an entry names."""
+        row = self.db.execute("SELECT name FROM names WHERE number = ?", (number,)).fetchone()
+        return row[0] if row else UNKNOWN_NAME
+
+    def has_tenant(self, name: bytes) -> bool:
+        """Whether any entry names this tenant."""
+        return (
+            self.db.execute("SELECT 1 FROM names WHERE tenant = 1 AND name = ?", (name,)).fetchone()
+            is not None
+        )
+
+    # Periods and totals
+
+    def tenant_totals(self, period: str) -> list[TenantTotals]:
+        """What counts in a period, in the order of tenants and methods."""
+        rows = self.db.execute(
+            """SELECT belongs, t.name, m.name, uses, work, size_in, size_out FROM totals
+               JOIN names t ON t.number = totals.tenant AND t.tenant = 1
+               JOIN names m ON m.number = totals.method AND m.tenant = 0
+               WHERE period = ? ORDER BY t.name, m.name, belongs""",
+            (period,),
+        )
+        return [
+            TenantTotals(period, service_period, tenant, method, UsageTotals(*sums))
+            for service_period, tenant, method, *sums in rows
+        ]
+
+    def period_totals(self, period: str) -> Totals:
+        """What counts in a period, by the numbers of the names."""
+        return self._totals("SELECT * FROM totals WHERE period = ?", (period,))
+
+    def all_totals(self) -> Totals:
+        """What counts in any period, by the numbers of the names."""
+        return self._totals("SELECT * FROM totals", ())
+
+    def baseline(self) -> Totals:
+        """Totals as they were at the newest compaction's last entry."""
+        return self._totals("SELECT * FROM baseline", ())
+
+    def _totals(self, statement: str, parameters: tuple[str, ...]) -> Totals:
+        rows = self.db.execute(statement, parameters)
+        return {
+            TotalsKey(period, service_period, tenant, method): UsageTotals(*sums)
+            for period, service_period, tenant, method, *sums in rows
+        }
+
+    def period_sum(self, period: str) -> UsageTotals:
+        """Totals of a whole period."""
+        row = self.db.execute(
+            "SELECT uses, work, size_in, size_out FROM sums WHERE period = ?", (period,)
+        ).fetchone()
+        return UsageTotals(*row) if row else ZERO_TOTALS
+
+    def period_sums(self) -> dict[str, UsageTotals]:
+        """Totals of each period with anything in it, in the order of names."""
+        rows = self.db.execute("SELECT period, uses, work, size_in, size_out FROM sums")
+        return {period: UsageTotals(*sums) for period, *sums in rows}
+
+    def periods(self) -> list[PeriodSummary]:
+        """All periods with anything in them, in their order."""
+        closed = {name for (name,) in self.db.execute("SELECT period FROM closed")}
+        summaries = [
+            PeriodSummary(name, totals, name in closed) for name, totals in self.period_sums().items()
+        ]
+        return sorted(summaries, key=lambda summary: self.calendar.period_named(summary.name).start_ms)
+
+    def is_closed(self, period: str) -> bool:
+        """Whether a period was closed."""
+        row = self.db.execute("SELECT 1 FROM closed WHERE period = ?", (period,)).fetchone()
+        return row is not None
+
+    def first_open_period(self) -> str | None:
+        """The earliest period with totals that is not closed."""
+        return next((summary.name for summary in self.periods() if not summary.is_closed), None)
+
+    # Retries of old usage
+
+    def counted_near(self, records: Collection[UsageRecord]) -> DedupWindow:
+        """Identities that were counted within a window of the times of these records."""
+        known = DedupWindow(self.dedup_window_ms, NO_LIMIT)
+        times = [record.at_ms for record in records]
+        if not times:
+            return known
+        wanted = {record.identity for record in records}
+        latest_ms = max(times) + 2 * self.dedup_window_ms
+        candidates: dict[int, UsageRecord] = {}
+        for number, kind, data, _ in self.rows(self._first_entry_since(min(times) - self.dedup_window_ms)):
+            if kind == EntryKind.USAGE:
+                record = decode_usage(data)
+                if record.at_ms > latest_ms:
+                    break
+                if record.identity in wanted:
+                    candidates[number] = record
+            elif kind == EntryKind.SETTLEMENT and candidates:
+                _add_counted(known, decode(kind, data), candidates)
+        return known
+
+    def _first_entry_since(self, at_ms: int) -> int:
+        """An entry before which all usage is older, if clocks only went forward; found by bisection."""
+        low = 1
+        high = self.newest_number() or 1
+        while low < high:
+            middle = (low + high) // 2
+            usage_time_ms = self.usage_time_at(middle)
+            if usage_time_ms is None or usage_time_ms < at_ms:
+                low = middle + 1
+            else:
+                high = middle
+        return low
+
+
+def _add_counted(known: DedupWindow, settlement: Entry, candidates: dict[int, UsageRecord]) -> None:
+    assert isinstance(settlement, Settlement)
+    for number in decode_ranges(settlement.counted):
+        record = candidates.get(number)
+        if record is not None:
+            known.add(record.identity, record.at_ms)
--- a/landingshift/ledger/worker.py
+++ b/landingshift/ledger/worker.py
@@ -1,6 +1,8 @@
-"""The process that keeps the store: commits in groups what the server says, and tells what is durable.
+"""The process that keeps the store: commits in groups what the server sends, and reports what is durable.
 
-Whatever was read when the server's end closes is committed before it goes: the server may have been killed.
+Guarantee: whatever was read when the server's end closes is committed before the process ends, since the
+server may have been killed. Failure mode: while the disk takes no commit, batches wait here and at the
+server, whose bound is the bound.
 """
 
 from __future__ import annotations
@@ -11,113 +13,147 @@
 import sqlite3
 import sys
 import time
-from collections import deque
-from collections.abc import Callable
 from contextlib import suppress
 
 import msgspec
 
 from landingshift import failpoints
-from landingshift.ledger.book import Refused
-from landingshift.ledger.entries import Batch, Word
+from landingshift.ledger.errors import CommandRejectedError, StoreUnavailableError
 from landingshift.ledger.settings import Settings
-from landingshift.ledger.store import BadStore, Lock, Store
+from landingshift.ledger.store import UsageStore
+from landingshift.ledger.store_lock import StoreLock
+from landingshift.ledger.store_messages import StoreStatus, UsageBatch
 from landingshift.net.transport.worker import FrameDecoder, encode_frame, inherited_socket
 
-GROUP = 4 << 20  # bytes read into one commit at the most
-PAUSES = (0.02, 0.1, 0.25, 0.5, 1.0)  # s between tries of a commit that fails
-
-
-def now() -> int:
-    return round(time.time() * 1000.0)
+MAX_GROUP_BYTES = 4 << 20  # of an incomplete frame, past which a commit waits for no more
+MAX_READ_BYTES = 1 << 18
+COMMIT_RETRY_SECONDS = (
+    0.02,
+    0.1,
+    0.25,
+    0.5,
+    1.0,
+)  # between attempts of a commit that fails; the last one repeats
+NO_BATCH = -1
+EXIT_COMMIT_FAILED = 1
+EXIT_STORE_UNAVAILABLE = 2
 
 
 def main() -> int:
-    signal.signal(signal.SIGTERM, signal.SIG_IGN)  # the server says when: it may still have uses to bring
-    signal.signal(signal.SIGINT, signal.SIG_IGN)
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)
+    """Runs the process; its arguments are the settings as JSON and the run's id in hexadecimal."""
+    for ignored_signal in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
+        signal.signal(ignored_signal, signal.SIG_IGN)  # the server says when: it may still have usage to send
     settings = msgspec.json.decode(sys.argv[1], type=Settings)
-    run = bytes.fromhex(sys.argv[2])
-    sock = inherited_socket()
-    encode = msgspec.msgpack.encode
+    run_id = bytes.fromhex(sys.argv[2])
+    link = ServerLink(inherited_socket())
+    try:
+        os.makedirs(settings.directory, mode=0o700, exist_ok=True)
+        lock = StoreLock(settings.directory, settings.lock_wait_ms)
+        store = UsageStore.from_settings(settings)
+        store.start_run(run_id, wall_clock_ms())
+    except (StoreUnavailableError, OSError, sqlite3.Error) as err:
+        link.report(StoreStatus(NO_BATCH, str(err)))
+        return EXIT_STORE_UNAVAILABLE
+    link.report(StoreStatus(store.ledger.last_batch_number))
+    with lock, store:
+        return StoreWorker(link, store).run()
+
+
+def wall_clock_ms() -> int:
+    """Unix time."""
+    return round(time.time() * 1000.0)
 
-    def tell(word: Word) -> None:
-        with suppress(OSError):  # the server is gone; what it said is still to be committed
-            sock.sendall(encode_frame(encode(word)))
 
-    try:
-        os.makedirs(settings.folder, mode=0o700, exist_ok=True)
-        lock = Lock(settings.folder, settings.lock_wait_ms)
-        store = opened(settings)
-        store.open_run(run, now())
-    except (BadStore, OSError, sqlite3.Error) as err:
-        tell(Word(-1, str(err)))
-        return 2
-    tell(Word(store.book.batch))
-    frames, decode = FrameDecoder(), msgspec.msgpack.Decoder(Batch).decode
-    waiting: deque[Batch] = deque()
-    there, pause = True, 0
-    while there or waiting:
-        if there and not waiting:
-            there = more(sock, frames, waiting, decode, True)
-        while there and len(frames.buffer) < GROUP and more(sock, frames, waiting, decode, False):
-            pass
-        if not waiting:
-            continue
-        failpoints.reach("ledger.take")
+class ServerLink:
+    """The server's end of the socket pair.
+
+    Attributes:
+        is_connected: False once the server has closed its end.
+        batches: What came and is not committed yet, in order.
+    """
+
+    def __init__(self, sock: socket.socket) -> None:
+        self._sock = sock
+        self._frames = FrameDecoder()
+        self._decode = msgspec.msgpack.Decoder(UsageBatch).decode
+        self._encode = msgspec.msgpack.Encoder().encode
+        self.is_connected = True
+        self.batches: list[UsageBatch] = []
+
+    def report(self, status: StoreStatus) -> None:
+        """Sends a status; without a server, what it sent before is still to be committed."""
+        with suppress(OSError):
+            self._sock.sendall(encode_frame(self._encode(status)))
+
+    def receive(self) -> None:
+        """Waits for the next batch where there is none, then takes all that has come."""
+        if self.is_connected and not self.batches:
+            self.is_connected = self._read(is_blocking=True)
+        while self.is_connected and len(self._frames.buffer) < MAX_GROUP_BYTES:
+            if not self._read(is_blocking=False):
+                break
+
+    def _read(self, is_blocking: bool) -> bool:
+        """Reads once; False at the end, or where nothing has come and it is not to block."""
+        self._sock.setblocking(is_blocking)
         try:
-            with store.changing() as book:
-                for batch in waiting:
-                    book.take(batch, now())
-        except Refused as err:
-            tell(Word(store.book.batch, str(err)))
-            return 1
-        except sqlite3.Error as err:
-            # Full or slow disks come back: nothing is dropped here, the server's bound is the bound.
-            tell(Word(-1, f"{store.path}: {err}"))
-            if not there and pause >= len(PAUSES):
-                return 1  # nobody waits any more, and the disk does not come back
-            time.sleep(PAUSES[min(pause, len(PAUSES) - 1)])
-            pause += 1
-            continue
-        pause = 0
-        acked = waiting[-1].number
-        waiting.clear()
+            data = self._sock.recv(MAX_READ_BYTES)
+        except BlockingIOError:
+            return False
+        except OSError:
+            data = b""
+        self.batches += [self._decode(message) for message in self._frames.feed(data)]
+        return bool(data)
+
+
+class StoreWorker:
+    """Commits batches until the server has closed its end and all is durable."""
+
+    def __init__(self, link: ServerLink, store: UsageStore) -> None:
+        self._link = link
+        self._store = store
+        self._failed_commit_count = 0  # in a row
+
+    def run(self) -> int:
+        """The process's exit status."""
+        while self._link.is_connected or self._link.batches:
+            self._link.receive()
+            if not self._link.batches:
+                continue
+            failpoints.reach("ledger.take")
+            try:
+                self._commit()
+            except CommandRejectedError as err:
+                self._link.report(StoreStatus(self._store.ledger.last_batch_number, str(err)))
+                return EXIT_COMMIT_FAILED
+            except sqlite3.Error as err:
+                self._link.report(StoreStatus(NO_BATCH, f"{self._store.path}: {err}"))
+                if self._is_abandoned():
+                    return EXIT_COMMIT_FAILED
+                self._wait_before_retry()
+        return 0
+
+    def _commit(self) -> None:
+        batches = self._link.batches
+        with self._store.changing() as ledger:
+            for batch in batches:
+                ledger.apply_batch(batch, wall_clock_ms())
+        self._failed_commit_count = 0
+        committed_batch = batches[-1].number
+        batches.clear()
         failpoints.reach("ledger.acking")
-        tell(Word(acked, shortened=store.book.recent.shortened))
-    store.close()
-    lock.close()
-    return 0
-
-
-def opened(settings: Settings) -> Store:
-    return Store(
-        settings.folder,
-        settings.instance,
-        settings.zone,
-        settings.period,
-        settings.window_s * 1000,
-        settings.recent,
-    )
-
-
-def more(
-    sock: socket.socket,
-    frames: FrameDecoder,
-    waiting: deque[Batch],
-    decode: Callable[[bytes], Batch],
-    wait: bool,
-) -> bool:
-    """Takes what has come; False at the end, or where nothing more is there and it is not to wait."""
-    sock.setblocking(wait)
-    try:
-        data = sock.recv(1 << 18)
-    except BlockingIOError:
-        return False
-    except OSError:
-        data = b""
-    waiting.extend(decode(message) for message in frames.feed(data))
-    return bool(data)
+        shortened_count = self._store.ledger.dedup_window.shortened_count
+        self._link.report(StoreStatus(committed_batch, shortened_count=shortened_count))
+
+    def _is_abandoned(self) -> bool:
+        """Whether nobody waits any more and the disk does not come back."""
+        return not self._link.is_connected and self._failed_commit_count >= len(COMMIT_RETRY_SECONDS)
+
+    def _wait_before_retry(self) -> None:
+        """Full or slow disks come back: nothing is dropped here."""
+        attempt = min(self._failed_commit_count, len(COMMIT_RETRY_SECONDS) - 1)
+        time.sleep(COMMIT_RETRY_SECONDS[attempt])
+        self._failed_commit_count += 1
 
 
 if __name__ == "__main__":
--- a/landingshift/testbed/experiments/ledger_real.py
+++ b/landingshift/testbed/experiments/ledger_real.py
@@ -8,100 +8,185 @@
 import tempfile
 import time
 from concurrent.futures import ThreadPoolExecutor
+from dataclasses import dataclass
+from enum import Enum
 from random import Random
 
-from landingshift.ledger.audit import audit
-from landingshift.ledger.entries import Settled, Use, decode, identity, numbers
-from landingshift.ledger.store import Store
+from landingshift.ledger.audit import audit_store
+from landingshift.ledger.entries import Settlement, UsageRecord, attempt_identity, decode
+from landingshift.ledger.number_ranges import decode_ranges
+from landingshift.ledger.store import UsageStore
 from landingshift.testbed.experiments.rows import Row, must
 from landingshift.testbed.processes.single_server import METHOD, TENANT, Gateway, Stage
 
-TOML = '[ledger]\nfolder = "{folder}/ledger"\ninstance = "lab"\nlock_wait_ms = 20000\n'
-WAYS = ("none", "server", "store", "both", "slow")
-SLOW = {"LANDINGSHIFT_SLOW": "ledger.commit:200"}  # ms a commit
-ABREAST = 4
-
-
-def fates(folder: str) -> tuple[set[bytes], set[bytes], list[str]]:
-    """Identities that are counted, those that are disputed, and what an audit finds."""
-    store = Store(folder + "/ledger", "lab", "UTC", "month", 900_000, 100_000)
-    uses: dict[int, bytes] = {}
-    counted: set[bytes] = set()
-    for number, kind, data, _ in store.rows():
-        entry = decode(kind, data)
-        if isinstance(entry, Use):
-            uses[number] = entry.identity
-        elif isinstance(entry, Settled):
-            counted |= {uses[n] for n in numbers(entry.counted)}
-    disputed = {uses[n] for (n,) in store.db.execute("SELECT number FROM disputed")}
-    found = [f"audit: entry {f.number}: {f.what}" for f in audit(store)]
-    store.close()
-    return counted, disputed, found
-
-
-def one(chance: Random, way: str, forgets: bool) -> tuple[Row, int, int]:
-    """One run; the row holds what broke, and how many were received and disputed."""
-    row = Row(way)
-    with tempfile.TemporaryDirectory() as folder:
-        stage = Stage(folder, TOML.format(folder=folder))
-        try:
-            stage.env = SLOW if way == "slow" else {}
-            stage.start()
-            gateways = [Gateway(stage, f"{i}", 8) for i in range(4)]
-            time.sleep(chance.uniform(0.05, 0.5))
-            children = stage.children()
-            if way in ("store", "both"):
-                for child in children:
-                    with contextlib.suppress(ProcessLookupError):
-                        os.kill(child, signal.SIGKILL)
-            if way in ("server", "both"):
-                stage.kill()
-            elif way in ("store", "slow"):
-                time.sleep(0.5)
-            for gateway in gateways:
-                gateway.stopping = True
-            for gateway in gateways:
-                gateway.thread.join(15.0)
-            if way in ("server", "both"):
-                stage.start()
-            stage.leave()
-            got = {identity(TENANT.encode(), METHOD.encode(), False, body) for g in gateways for body in g.ok}
-            billed, disputed, found = fates(folder)
-            if forgets:
-                disputed = set()
-            row.broken += found[:2]
-            must(row, billed <= got, f"{way}: {len(billed - got)} billed that nobody received")
-            must(
-                row,
-                got <= billed | disputed,
-                f"{way}: {len(got - billed - disputed)} received and not billed",
-            )
-            if way in ("none", "store", "slow"):
-                must(row, billed == got and not disputed, f"{way}: billed {len(billed)} of {len(got)}")
-            late = max((t for g in gateways for t in g.took), default=0.0)
-            must(row, late < 3000.0, f"{way}: an answer came after {late:.0f} ms")
-            return row, len(got), len(disputed)
-        finally:
-            stage.close()
+LEDGER_TOML = '[ledger]\nfolder = "{directory}/ledger"\ninstance = "lab"\nlock_wait_ms = 20000\n'
+SLOW_COMMITS = {"LANDINGSHIFT_SLOW": "ledger.commit:200"}  # ms a commit
+PARALLEL_RUN_COUNT = 4
+GATEWAY_COUNT = 4
+OPEN_RPCS_PER_GATEWAY_COUNT = 8
+KILL_DELAY_SECONDS = (0.05, 0.5)
+RECOVERY_SECONDS = 0.5
+GATEWAY_END_TIMEOUT_SECONDS = 15.0
+MAX_ANSWER_MS = 3000.0
+MAX_REPORTED_FINDING_COUNT = 2
+
+
+class Disturbance(Enum):
+    """What happens to a server under load; the values are the names of rows."""
+
+    NONE = "none"
+    SERVER_KILLED = "server"
+    STORE_KILLED = "store"
+    BOTH_KILLED = "both"
+    SLOW_COMMITS = "slow"
 
+    @property
+    def kills_server(self) -> bool:
+        """Whether the server is killed and started again."""
+        return self in (Disturbance.SERVER_KILLED, Disturbance.BOTH_KILLED)
 
-def kills(runs: int, seed: int, take_away: str | None = None) -> Row:
+    @property
+    def kills_store(self) -> bool:
+        """Whether the store's process is killed."""
+        return self in (Disturbance.STORE_KILLED, Disturbance.BOTH_KILLED)
+
+
+@dataclass(frozen=True, slots=True)
+class LedgerOutcome:
+    """What a ledger says after a run, by identities of attempts."""
+
+    counted: set[bytes]
+    disputed: set[bytes]
+    problems: list[str]
+    """Of an audit."""
+
+
+@dataclass(frozen=True, slots=True)
+class KillResult:
+    """One run."""
+
+    broken: list[str]
+    received_count: int
+    disputed_count: int
+
+
+def run_kills(runs: int, seed: int, removed_defence: str | None = None) -> Row:
+    """The row of all runs, which take the disturbances in turn."""
     row = Row("kills", figures={"received": 0, "disputed": 0, "most_disputed": 0})
-    forgets = take_away == "disputed"
-    with ThreadPoolExecutor(ABREAST) as pool:
+    ignores_disputes = removed_defence == "disputed"
+    disturbances = list(Disturbance)
+    with ThreadPoolExecutor(PARALLEL_RUN_COUNT) as pool:
         jobs = [
-            pool.submit(one, Random(f"{seed} kill {i}"), WAYS[i % len(WAYS)], forgets) for i in range(runs)
+            pool.submit(
+                _run_one,
+                Random(f"{seed} kill {run}"),
+                disturbances[run % len(disturbances)],
+                ignores_disputes,
+            )
+            for run in range(runs)
         ]
         for job in jobs:
             try:
-                done, received, disputed = job.result()
+                _add_result(row, job.result())
             except Exception as err:
                 row.broken.append(f"{type(err).__name__}: {err}")
-                continue
-            finally:
-                row.runs += 1
-            row.broken += done.broken
-            row.figures["received"] += received
-            row.figures["disputed"] += disputed
-            row.figures["most_disputed"] = max(row.figures["most_disputed"], disputed)
+            row.runs += 1
     return row
+
+
+def _add_result(row: Row, result: KillResult) -> None:
+    row.broken += result.broken
+    row.figures["received"] += result.received_count
+    row.figures["disputed"] += result.disputed_count
+    row.figures["most_disputed"] = max(row.figures["most_disputed"], result.disputed_count)
+
+
+def _run_one(rng: Random, disturbance: Disturbance, ignores_disputes: bool) -> KillResult:
+    row = Row(disturbance.value)
+    with tempfile.TemporaryDirectory() as directory:
+        stage = Stage(directory, LEDGER_TOML.format(directory=directory))
+        try:
+            stage.env = SLOW_COMMITS if disturbance is Disturbance.SLOW_COMMITS else {}
+            stage.start()
+            gateways = [
+                Gateway(stage, f"{index}", OPEN_RPCS_PER_GATEWAY_COUNT) for index in range(GATEWAY_COUNT)
+            ]
+            time.sleep(rng.uniform(*KILL_DELAY_SECONDS))
+            _disturb(stage, disturbance)
+            _end_load(gateways)
+            if disturbance.kills_server:
+                stage.start()
+            stage.leave()
+            outcome = _read_outcome(directory)
+            _check(row, disturbance, gateways, outcome, set() if ignores_disputes else outcome.disputed)
+            disputed_count = 0 if ignores_disputes else len(outcome.disputed)
+            return KillResult(row.broken, len(_received(gateways)), disputed_count)
+        finally:
+            stage.close()
+
+
+def _disturb(stage: Stage, disturbance: Disturbance) -> None:
+    children = stage.children()
+    if disturbance.kills_store:
+        for child in children:
+            with contextlib.suppress(ProcessLookupError):
+                os.kill(child, signal.SIGKILL)
+    if disturbance.kills_server:
+        stage.kill()
+    elif disturbance is not Disturbance.NONE:
+        time.sleep(RECOVERY_SECONDS)
+
+
+def _end_load(gateways: list[Gateway]) -> None:
+    for gateway in gateways:
+        gateway.stopping = True
+    for gateway in gateways:
+        gateway.thread.join(GATEWAY_END_TIMEOUT_SECONDS)
+
+
+def _received(gateways: list[Gateway]) -> set[bytes]:
+    """Identities of the attempts whose answers arrived."""
+    return {
+        attempt_identity(TENANT.encode(), METHOD.encode(), has_attempt_id=False, content=body)
+        for gateway in gateways
+        for body in gateway.ok
+    }
+
+
+def _read_outcome(directory: str) -> LedgerOutcome:
+    with UsageStore(directory + "/ledger", "lab", "UTC", "month", 900_000, 100_000) as store:
+        identities: dict[int, bytes] = {}
+        counted: set[bytes] = set()
+        for row in store.rows():
+            entry = decode(row.kind, row.data)
+            if isinstance(entry, UsageRecord):
+                identities[row.number] = entry.identity
+            elif isinstance(entry, Settlement):
+                counted |= {identities[number] for number in decode_ranges(entry.counted)}
+        disputed = {identities[number] for number in store.disputed_numbers()}
+        problems = [
+            f"audit: entry {finding.entry_number}: {finding.problem}" for finding in audit_store(store)
+        ]
+    return LedgerOutcome(counted, disputed, problems)
+
+
+def _check(
+    row: Row,
+    disturbance: Disturbance,
+    gateways: list[Gateway],
+    outcome: LedgerOutcome,
+    disputed: set[bytes],
+) -> None:
+    """Adds what does not hold to the row."""
+    name = disturbance.value
+    received = _received(gateways)
+    billed = outcome.counted
+    row.broken += outcome.problems[:MAX_REPORTED_FINDING_COUNT]
+    must(row, billed <= received, f"{name}: {len(billed - received)} billed that nobody received")
+    lost_count = len(received - billed - disputed)
+    must(row, received <= billed | disputed, f"{name}: {lost_count} received and not billed")
+    if not disturbance.kills_server:
+        is_equal = billed == received and not disputed
+        must(row, is_equal, f"{name}: billed {len(billed)} of {len(received)}")
+    slowest_ms = max((took_ms for gateway in gateways for took_ms in gateway.took), default=0.0)
+    must(row, slowest_ms < MAX_ANSWER_MS, f"{name}: an answer came after {slowest_ms:.0f} ms")
--- /dev/null
+++ b/landingshift/testbed/experiments/ledger_store_cases.py
@@ -0,0 +1,271 @@
+"""Cases of the ledger's experiment: clocks, disks, files, settings and names that fail or are odd."""
+
+from __future__ import annotations
+
+import os
+import shutil
+import sqlite3
+from typing import Any
+
+from landingshift.ledger import audit
+from landingshift.ledger.entries import EntryKind, attempt_identity
+from landingshift.ledger.errors import StoreUnavailableError
+from landingshift.ledger.store import UsageStore
+from landingshift.ledger.store_lock import StoreLock
+from landingshift.net.program.features import FeatureConfigError, load_features
+from landingshift.testbed.experiments.ledger_simulation import (
+    DAY_MS,
+    DEDUP_WINDOW_MS,
+    PERIOD_UNIT,
+    START_MS,
+    TIME_ZONE,
+    LedgerCase,
+    LedgerSimulation,
+    billed_totals,
+)
+from landingshift.testbed.experiments.rows import Row, must
+from landingshift.testbed.processes.export_receiver import FaultyReceiver, ReceiverState
+
+FULL_DISK_USAGE_COUNT = 2000
+UNBOUNDED_PAGE_COUNT = 1_000_000_000
+TORN_TAIL_BYTES = 100
+LOCK_TIMEOUT_MS = 30.0
+TENANT_COUNT = 100_000
+TENANT_BATCH_USAGE_COUNT = 2000
+ODD_NAMES = (
+    b"",
+    b"\0",
+    b"\xff\xfe",
+    b"a,b\n",
+    "æøå".encode(),
+    b"\\x00",
+    b"'; DROP TABLE entries",
+    bytes(1000),
+)
+BAD_SETTINGS = {
+    "folder": '"relative"',
+    "instance": '"a b"',
+    "zone": '"No/Where"',
+    "period": "3",
+    "commit_ms": "-1",
+    "plan": '"none.toml"',
+    "unknown": "1",
+}
+"""TOML values, each refused by itself."""
+
+
+def retries(case: LedgerCase) -> None:
+    """A retry on another connection, after a restart, in the next period, and late after a close."""
+    simulation = LedgerSimulation(case.rng, case.directory)
+    midnight_ms = simulation.store.calendar.period_at(START_MS).end_ms
+    simulation.now_ms = midnight_ms - 10_000
+    attempts = (
+        (b"a" * 16, (0, 1_000)),
+        (b"b" * 16, (0, 15_000)),
+        (b"c" * 16, (0, DEDUP_WINDOW_MS - 1, DEDUP_WINDOW_MS + 1)),
+    )
+    for identity, offsets_ms in attempts:
+        for offset_ms in offsets_ms:
+            simulation.report_delivered(identity, midnight_ms - 10_000 + offset_ms)
+            simulation.commit()
+    simulation.crash()
+    simulation.report_delivered(b"b" * 16, midnight_ms + 20_000)
+    simulation.commit()
+    simulation.now_ms = midnight_ms + DAY_MS
+    simulation.close_ended_period()
+    simulation.report_delivered(b"d" * 16, midnight_ms - 5_000)  # before midnight, settled after the close
+    simulation.commit()
+    simulation.check(case.row)
+    uses = {
+        (key.period, key.service_period): billed.uses
+        for key, billed in billed_totals(simulation.store).items()
+    }
+    expected = {("2026-03-29", ""): 3, ("2026-03-30", ""): 1, ("2026-03-30", "2026-03-29"): 1}
+    must(case.row, uses == expected, f"{uses}")
+    simulation.store.close()
+
+
+def clock_steps_back(case: LedgerCase) -> None:
+    """Usage around midnight while the clock steps forth and back."""
+    simulation = LedgerSimulation(case.rng, case.directory)
+    midnight_ms = simulation.store.calendar.period_at(START_MS).end_ms
+    for offset_ms in (-1, 0, -1, -3_600_000, 1):
+        simulation.now_ms = midnight_ms + offset_ms
+        simulation.report_delivered(case.rng.randbytes(16))
+        simulation.commit()
+    simulation.check(case.row)
+    must(case.row, simulation.store.period_sum("2026-03-29").uses == 3, "a use is in the wrong period")
+    simulation.store.close()
+
+
+def disk_full(case: LedgerCase) -> None:
+    """What fails to be written is written once there is room; nothing is half there."""
+    simulation = LedgerSimulation(case.rng, case.directory)
+    simulation.run_traffic(20)
+    db = simulation.store.db
+    page_count = db.execute("PRAGMA page_count").fetchone()[0]
+    db.execute(f"PRAGMA max_page_count = {page_count}")
+    for _ in range(FULL_DISK_USAGE_COUNT):
+        simulation.report_delivered(case.rng.randbytes(16))
+    must(case.row, not _can_commit(simulation), "the disk was not full")
+    db.execute(f"PRAGMA max_page_count = {UNBOUNDED_PAGE_COUNT}")
+    simulation.commit_again()
+    simulation.commit()
+    simulation.check(case.row)
+    simulation.store.close()
+
+
+def disk_read_only(case: LedgerCase) -> None:
+    """A commit that the disk refuses changes nothing, and is made once it can be."""
+    simulation = LedgerSimulation(case.rng, case.directory)
+    simulation.run_traffic(10)
+    before = billed_totals(simulation.store)
+    simulation.store.db.execute("PRAGMA query_only = ON")
+    simulation.report_delivered(case.rng.randbytes(16))
+    must(case.row, not _can_commit(simulation), "it wrote to a disk that takes nothing")
+    must(case.row, billed_totals(simulation.store) == before, "a commit that failed changed the totals")
+    simulation.store.db.execute("PRAGMA query_only = OFF")
+    simulation.commit_again()
+    simulation.check(case.row)
+    simulation.store.close()
+
+
+def _can_commit(simulation: LedgerSimulation) -> bool:
+    try:
+        simulation.commit()
+    except sqlite3.Error:
+        return False
+    return True
+
+
+def torn_page(case: LedgerCase) -> None:
+    """The last commit's pages are half written, as after a power cut: it opens at the commit before."""
+    simulation = LedgerSimulation(case.rng, case.directory)
+    simulation.run_traffic(30)
+    simulation.store.db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
+    commits = [(simulation.store.ledger.last_number, billed_totals(simulation.store))]
+    for _ in range(5):
+        simulation.report_delivered(case.rng.randbytes(16))
+        simulation.commit()
+        commits.append((simulation.store.ledger.last_number, billed_totals(simulation.store)))
+    torn_directory = os.path.join(case.directory, "torn")
+    os.mkdir(torn_directory)
+    for name in ("ledger.sqlite", "ledger.sqlite-wal"):
+        shutil.copy(os.path.join(case.directory, name), os.path.join(torn_directory, name))
+    wal_path = os.path.join(torn_directory, "ledger.sqlite-wal")
+    size_bytes = os.path.getsize(wal_path)
+    with open(wal_path, "r+b") as wal:
+        wal.truncate(case.rng.randrange(size_bytes // 2, size_bytes))
+        wal.seek(-TORN_TAIL_BYTES, os.SEEK_END)
+        wal.write(case.rng.randbytes(TORN_TAIL_BYTES))
+    with UsageStore(torn_directory, "n1", TIME_ZONE, PERIOD_UNIT, DEDUP_WINDOW_MS, 1000) as store:
+        state = (store.ledger.last_number, billed_totals(store))
+        must(case.row, state in commits, "it opened between two commits")
+        must(case.row, not audit.audit_store(store), "what it opened does not hold")
+    simulation.store.close()
+
+
+def locked(case: LedgerCase) -> None:
+    """A second server is refused while the first one has the store."""
+    with StoreLock(case.directory, 0.0):
+        try:
+            StoreLock(case.directory, LOCK_TIMEOUT_MS)
+            case.row.broken.append("two servers have one store")
+        except StoreUnavailableError as err:
+            is_named = "held by another server" in str(err) and case.directory in str(err)
+            must(case.row, is_named, f"said {err}")
+    StoreLock(case.directory, 0.0).close()
+
+
+def tampered(case: LedgerCase) -> None:
+    """Each change to the file is found and named."""
+    simulation = LedgerSimulation(case.rng, case.directory)
+    simulation.run_traffic(60)
+    db = simulation.store.db
+    usage_numbers = [
+        number for (number,) in db.execute("SELECT number FROM entries WHERE kind = ?", (EntryKind.USAGE,))
+    ]
+    victim = case.rng.choice(usage_numbers[1:-1])
+    newest = simulation.store.ledger.last_number
+    changes: dict[str, tuple[str, dict[str, Any], int]] = {
+        "changed": (
+            "UPDATE entries SET data = CAST(data || x'00' AS BLOB) WHERE number = :victim",
+            {"victim": victim},
+            victim,
+        ),
+        "missing": ("DELETE FROM entries WHERE number = :victim", {"victim": victim}, victim),
+        "cut off": ("DELETE FROM entries WHERE number = :newest", {"newest": newest}, newest),
+        "index": ("UPDATE totals SET uses = uses + 1 WHERE tenant > 0", {}, 0),
+        "reordered": (
+            "UPDATE entries SET data = (SELECT data FROM entries WHERE number = :other) "
+            "WHERE number = :victim",
+            {"victim": victim, "other": usage_numbers[0]},
+            victim,
+        ),
+    }
+    for name, (statement, parameters, expected_number) in changes.items():
+        db.execute("BEGIN")
+        db.execute(statement, parameters)
+        found = {finding.entry_number for finding in audit.audit_store(simulation.store)}
+        is_found = expected_number in found
+        must(case.row, is_found, f"{name}: entry {expected_number} is not among {sorted(found)[:5]}")
+        db.execute("ROLLBACK")
+    must(case.row, not audit.audit_store(simulation.store), "what was put back does not hold")
+    simulation.store.close()
+
+
+def many_tenants(case: LedgerCase) -> None:
+    """A hundred thousand tenants of one use each."""
+    simulation = LedgerSimulation(case.rng, case.directory)
+    simulation.queue.limit_bytes = 1 << 30
+    for number in range(TENANT_COUNT):
+        identity = number.to_bytes(16, "big")
+        simulation.report_delivered(identity, START_MS + 1, b"club %d" % number)
+        if len(simulation.queue.unsent_usages) >= TENANT_BATCH_USAGE_COUNT:
+            simulation.commit()
+    simulation.commit()
+    simulation.check(case.row)
+    uses = simulation.store.period_sum("2026-03-29").uses
+    must(case.row, uses == TENANT_COUNT, "not every tenant's use is there")
+    case.row.figures["bytes_a_use"] = os.path.getsize(simulation.store.path) // TENANT_COUNT
+    simulation.store.close()
+
+
+def bad_settings(case: LedgerCase) -> None:
+    """Each is refused with file, table and key, and nothing is made."""
+    good_values = {
+        "folder": f'"{case.directory}/l"',
+        "instance": '"n1"',
+        "zone": '"UTC"',
+        "period": '"day"',
+        "commit_ms": "5",
+    }
+    for key, value in BAD_SETTINGS.items():
+        _check_refused(case.row, case.directory, good_values | {key: value}, key)
+
+
+def _check_refused(row: Row, directory: str, values: dict[str, str], key: str) -> None:
+    path = os.path.join(directory, "ours.toml")
+    with open(path, "w") as file:
+        file.write("[ledger]\n" + "".join(f"{name} = {value}\n" for name, value in values.items()))
+    try:
+        load_features(path)
+        row.broken.append(f"{key} = {values[key]} was taken")
+    except FeatureConfigError as err:
+        must(row, all(text in str(err) for text in (path, "[ledger]", key)), f"said {err}")
+    must(row, not os.path.exists(os.path.join(directory, "l")), "a refused start left something behind")
+
+
+def any_bytes(case: LedgerCase) -> None:
+    """Names of any bytes are billed and exported as they are."""
+    simulation = LedgerSimulation(case.rng, case.directory)
+    for tenant in ODD_NAMES:
+        for method in (b"m", tenant):
+            identity = attempt_identity(tenant, method, has_attempt_id=False, content=b"")
+            simulation.report_delivered(identity, None, tenant, method)
+    simulation.commit()
+    simulation.check(case.row)
+    state = ReceiverState()
+    simulation.export(FaultyReceiver(state, case.rng, fault_probability=0.0))
+    must(case.row, state.totals() == billed_totals(simulation.store), "a name came out changed")
+    simulation.store.close()
--- a/landingshift/testbed/processes/export_receiver.py
+++ b/landingshift/testbed/processes/export_receiver.py
@@ -1,135 +1,246 @@
-"""A stand-in for what invoices are made from (`docs/ledger-export.md`), with failures from a seed."""
+"""A stand-in for the system that makes invoices (`docs/ledger-export.md`), with failures from a seed."""
 
 from __future__ import annotations
 
 import http.server
 import threading
+from dataclasses import dataclass
+from enum import Enum
 from random import Random
+from types import TracebackType
+from typing import NamedTuple
 from urllib.parse import parse_qs, urlsplit
 
-from landingshift.ledger.entries import START
+from landingshift.ledger.entries import GENESIS_HASH
+from landingshift.ledger.errors import ReceiverUnavailableError
 from landingshift.ledger.export_pb2 import Ack, Batch, Record
-from landingshift.ledger.exporter import NoReply
 
-FAULTS = ("before", "after", "mid_body", "twice", "old", "loses", "away")
-LOST = 100  # records that `loses` takes, at the least
+MIN_LOST_RECORD_COUNT = 100  # that a receiver which comes back from a copy lacks
+OUTAGE_REQUEST_COUNTS = (3, 30, 1000)  # that nobody answers
+MID_BODY_LOSS_FRACTION = 0.5  # of connections that end in the middle of a batch, else in the reply
+SERVER_POLL_SECONDS = 0.05
+HTTP_OK = 200
+HTTP_CONFLICT = 409
 
 
-class Books:
-    """Cursor and records change together; `checks` False takes a batch whatever its cursor."""
+class Fault(Enum):
+    """How a request fails; the values are the names of cases."""
 
-    def __init__(self, checks: bool = True) -> None:
-        self.checks = checks
+    BEFORE_REQUEST = "before"
+    AFTER_REQUEST = "after"
+    MID_BODY = "mid_body"
+    DUPLICATED_REQUEST = "twice"
+    STALE_REPLY = "old"
+    LOST_RECORDS = "loses"
+    OUTAGE = "away"
+
+
+class InjectedFaultError(ReceiverUnavailableError):
+    """A request that fails on purpose."""
+
+    def __init__(self, fault: Fault) -> None:
+        super().__init__(fault.value)
+        self.fault = fault
+
+
+class RecordKey(NamedTuple):
+    """What records are summed up by."""
+
+    period: str
+    service_period: str
+    """Where it is another one; else empty."""
+    tenant: bytes
+    method: bytes
+
+
+class BilledTotals(NamedTuple):
+    """What is billed."""
+
+    uses: int
+    work_us: int
+
+
+@dataclass(frozen=True, slots=True)
+class AppliedBatch:
+    """The state after a batch."""
+
+    cursor: int
+    hash: bytes
+    record_count: int
+
+
+class ReceiverState:
+    """Cursor and records, which change together.
+
+    Attributes:
+        instance: Whose records they are.
+        history: The state after each batch.
+        records: All that were applied.
+    """
+
+    def __init__(self, checks_cursor: bool = True) -> None:
+        """Begins empty.
+
+        Args:
+            checks_cursor: False applies a batch whatever its cursor.
+        """
+        self._checks_cursor = checks_cursor
         self.instance = ""
-        self.past: list[tuple[int, bytes, int]] = [(0, START, 0)]  # cursor, hash, records, after each batch
+        self.history = [AppliedBatch(0, GENESIS_HASH, 0)]
         self.records: list[Record] = []
 
-    @property
-    def cursor(self) -> int:
-        return self.past[-1][0]
-
-    def ack(self, applied: bool = False, at: int = -1) -> Ack:
-        cursor, hash_, _ = self.past[at]
-        return Ack(instance=self.instance or "-", cursor=cursor, hash=hash_, applied=applied)
+    def ack(self, is_applied: bool = False, history_index: int = -1) -> Ack:
+        """The reply as of a state; the newest one by default."""
+        state = self.history[history_index]
+        return Ack(instance=self.instance or "-", cursor=state.cursor, hash=state.hash, applied=is_applied)
 
     def apply(self, batch: Batch) -> tuple[int, Ack]:
         """HTTP status and reply."""
         self.instance = batch.instance
-        if self.checks and (getattr(batch, "from") != self.cursor or batch.from_hash != self.past[-1][1]):
-            return 409, self.ack()
+        newest = self.history[-1]
+        is_next = getattr(batch, "from") == newest.cursor and batch.from_hash == newest.hash
+        if self._checks_cursor and not is_next:
+            return HTTP_CONFLICT, self.ack()
         self.records += batch.records
-        self.past.append((batch.to, batch.to_hash, len(self.records)))
-        return 200, self.ack(True)
+        self.history.append(AppliedBatch(batch.to, batch.to_hash, len(self.records)))
+        return HTTP_OK, self.ack(is_applied=True)
 
-    def lose(self) -> None:
+    def lose_records(self) -> None:
         """Comes back from a copy that lacks its last hundred records."""
-        most = len(self.records) - LOST
-        while len(self.past) > 1 and self.past[-1][2] > max(0, most):
-            self.past.pop()
-        del self.records[self.past[-1][2] :]
-
-    def totals(self) -> dict[tuple[str, str, bytes, bytes], tuple[int, int]]:
-        """Uses and work in us by period, the one it belongs to, tenant and method."""
-        found: dict[tuple[str, str, bytes, bytes], tuple[int, int]] = {}
-        for r in self.records:
-            if r.kind != Record.CLOSE:
-                belongs = r.belongs if r.belongs != r.period else ""
-                place = (r.period, belongs, r.tenant, r.method)
-                uses, work = found.get(place, (0, 0))
-                found[place] = uses + r.uses, work + r.work_us
-        return found
-
-
-class Failing:
-    """Asked like the exporter's `Receiver`, without sockets; fails as the seed says."""
-
-    def __init__(self, books: Books, chance: Random, share: float, faults: tuple[str, ...] = FAULTS) -> None:
-        self.books, self.chance, self.share, self.faults = books, chance, share, faults
-        self.away = 0  # questions that nobody answers
-        self.seen: dict[str, int] = {}
-
-    def ask(self, method: str, path: str, body: bytes | None = None) -> Ack:
-        books = self.books
-        if self.away:
-            self.away -= 1
-            raise NoReply("away")
-        fault = self.chance.choice(self.faults) if self.chance.random() < self.share else ""
-        if fault:
-            self.seen[fault] = self.seen.get(fault, 0) + 1
-        if fault == "before":
-            raise NoReply(fault)
-        if fault == "away":
-            self.away = self.chance.choice((3, 30, 1000))
-            raise NoReply(fault)
-        if fault == "loses":
-            books.lose()
-        if method == "GET":
-            reply = books.ack()
-        else:
-            batch = Batch.FromString(body or b"")
-            if fault == "mid_body" and self.chance.random() < 0.5:
-                raise NoReply(fault)  # what came was no whole batch: nothing is taken
-            _, reply = books.apply(batch)
-            if fault == "twice":
-                _, reply = books.apply(batch)
-        if fault in ("after", "mid_body"):
-            raise NoReply(fault)
-        if fault == "old":
-            reply = books.ack(at=self.chance.randrange(len(books.past)))
+        remaining_count = max(0, len(self.records) - MIN_LOST_RECORD_COUNT)
+        while len(self.history) > 1 and self.history[-1].record_count > remaining_count:
+            self.history.pop()
+        del self.records[self.history[-1].record_count :]
+
+    def totals(self) -> dict[RecordKey, BilledTotals]:
+        """What is billed."""
+        totals: dict[RecordKey, BilledTotals] = {}
+        for record in self.records:
+            if record.kind == Record.CLOSE:
+                continue
+            service_period = record.belongs if record.belongs != record.period else ""
+            key = RecordKey(record.period, service_period, record.tenant, record.method)
+            before = totals.get(key, BilledTotals(0, 0))
+            totals[key] = BilledTotals(before.uses + record.uses, before.work_us + record.work_us)
+        return totals
+
+
+class FaultyReceiver:
+    """A receiver without sockets, which fails as the seed says.
+
+    Attributes:
+        state: What was applied.
+        fault_probability: Of each request.
+        outage_request_count: Requests that nobody answers from now on.
+        fault_counts: How often each fault occurred.
+    """
+
+    def __init__(
+        self,
+        state: ReceiverState,
+        rng: Random,
+        fault_probability: float,
+        faults: tuple[Fault, ...] = tuple(Fault),
+    ) -> None:
+        self.state = state
+        self.fault_probability = fault_probability
+        self.outage_request_count = 0
+        self.fault_counts: dict[Fault, int] = {}
+        self._rng = rng
+        self._faults = faults
+
+    def request(self, method: str, _path: str, body: bytes | None = None) -> Ack:
+        """Takes a request of the exporter.
+
+        Raises:
+            InjectedFaultError: The request fails.
+        """
+        if self.outage_request_count:
+            self.outage_request_count -= 1
+            raise InjectedFaultError(Fault.OUTAGE)
+        fault = self._draw_fault()
+        if fault is Fault.BEFORE_REQUEST:
+            raise InjectedFaultError(fault)
+        if fault is Fault.OUTAGE:
+            self.outage_request_count = self._rng.choice(OUTAGE_REQUEST_COUNTS)
+            raise InjectedFaultError(fault)
+        if fault is Fault.LOST_RECORDS:
+            self.state.lose_records()
+        reply = self.state.ack() if method == "GET" else self._apply(body or b"", fault)
+        if fault in (Fault.AFTER_REQUEST, Fault.MID_BODY):
+            raise InjectedFaultError(fault)
+        if fault is Fault.STALE_REPLY:
+            return self.state.ack(history_index=self._rng.randrange(len(self.state.history)))
         return reply
 
+    def _draw_fault(self) -> Fault | None:
+        if self._rng.random() >= self.fault_probability:
+            return None
+        fault = self._rng.choice(self._faults)
+        self.fault_counts[fault] = self.fault_counts.get(fault, 0) + 1
+        return fault
+
+    def _apply(self, body: bytes, fault: Fault | None) -> Ack:
+        batch = Batch.FromString(body)
+        if fault is Fault.MID_BODY and self._rng.random() < MID_BODY_LOSS_FRACTION:
+            raise InjectedFaultError(fault)  # what came was no complete batch: nothing is applied
+        _, reply = self.state.apply(batch)
+        if fault is Fault.DUPLICATED_REQUEST:
+            _, reply = self.state.apply(batch)
+        return reply
 
-class Server:
-    """The same over HTTP on loopback, in a thread."""
 
-    def __init__(self, receiver: Failing) -> None:
-        class Handler(http.server.BaseHTTPRequestHandler):
-            def answer(self, body: bytes | None) -> None:
-                path = urlsplit(self.path)
-                receiver.books.instance = parse_qs(path.query).get("instance", [receiver.books.instance])[0]
-                try:
-                    reply = receiver.ask(self.command, path.path, body).SerializeToString()
-                except NoReply:
-                    self.connection.close()
-                    self.close_connection = True
-                    return
-                self.send_response(200)
-                self.send_header("Content-Length", str(len(reply)))
-                self.end_headers()
-                self.wfile.write(reply)
+class HttpReceiverServer:
+    """The same over HTTP on loopback, in a thread.
 
-            def do_GET(self) -> None:
-                self.answer(None)
+    Attributes:
+        url: Where it listens.
+    """
 
-            def do_POST(self) -> None:
-                self.answer(self.rfile.read(int(self.headers["Content-Length"])))
+    def __init__(self, receiver: FaultyReceiver) -> None:
+        self._server = http.server.HTTPServer(("127.0.0.1", 0), _handler_type(receiver))
+        self.url = f"http://127.0.0.1:{self._server.server_port}/ledger"
+        threading.Thread(target=self._server.serve_forever, args=(SERVER_POLL_SECONDS,), daemon=True).start()
 
-            def log_message(self, *_: object) -> None: ...
+    def __enter__(self) -> HttpReceiverServer:
+        """Listens already."""
+        return self
 
-        self.server = http.server.HTTPServer(("127.0.0.1", 0), Handler)
-        self.url = f"http://127.0.0.1:{self.server.server_port}/ledger"
-        threading.Thread(target=self.server.serve_forever, args=(0.05,), daemon=True).start()
+    def __exit__(
+        self, _type: type[BaseException] | None, _error: BaseException | None, _trace: TracebackType | None
+    ) -> None:
+        """Stops it."""
+        self.close()
 
     def close(self) -> None:
-        self.server.shutdown()
-        self.server.server_close()
+        """Stops it."""
+        self._server.shutdown()
+        self._server.server_close()
+
+
+def _handler_type(receiver: FaultyReceiver) -> type[http.server.BaseHTTPRequestHandler]:
+    class Handler(http.server.BaseHTTPRequestHandler):
+        def answer(self, body: bytes | None) -> None:
+            path = urlsplit(self.path)
+            instance = parse_qs(path.query).get("instance", [receiver.state.instance])[0]
+            receiver.state.instance = instance
+            try:
+                reply = receiver.request(self.command, path.path, body).SerializeToString()
+            except ReceiverUnavailableError:
+                self.connection.close()
+                self.close_connection = True
+                return
+            self.send_response(HTTP_OK)
+            self.send_header("Content-Length", str(len(reply)))
+            self.end_headers()
+            self.wfile.write(reply)
+
+        def do_GET(self) -> None:
+            self.answer(None)
+
+        def do_POST(self) -> None:
+            self.answer(self.rfile.read(int(self.headers["Content-Length"])))
+
+        def log_message(self, *_: object) -> None: ...
+
+    return Handler
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -12,12 +12,12 @@
 from click.testing import CliRunner
 
 from landingshift.cli.main import main
-from landingshift.ledger.entries import Batch, Raw
-from landingshift.ledger.store import Store
+from landingshift.ledger.store import UsageStore
+from landingshift.ledger.store_messages import ReportedUsage, UsageBatch
 from landingshift.net.program.features import FeatureConfigError, load_features
 from landingshift.net.routing.observers import RpcObservers
 from landingshift.testbed import MEMORY
-from landingshift.testbed.processes.export_receiver import Books, Failing, Server
+from landingshift.testbed.processes.export_receiver import FaultyReceiver, HttpReceiverServer, ReceiverState
 from tests.helpers import CONFIG, Gateway, World
 
 ON = '[ledger]\nfolder = "/tmp/x"\ninstance = "n1"\n'
@@ -134,13 +134,15 @@
 
     def fill(self, instance: str, at: int) -> None:
         Path(self.folder, instance).mkdir(exist_ok=True)
-        store = Store(f"{self.folder}/{instance}", instance, "UTC", "month", 900_000, 1000)
+        store = UsageStore(f"{self.folder}/{instance}", instance, "UTC", "month", 900_000, 1000)
         for run, settled in ((b"1", [1, 2, 3]), (b"2", [])):
-            store.open_run(run, at)
-            with store.changing() as book:
-                uses = [Raw(n, at + n, b"club", b"m", 5000, 9, 9, run + b"%015d" % n) for n in (1, 2, 3)]
-                book.take(Batch(1, uses, settled, [], []), at)
-        store.open_run(b"3", at)  # the second run was killed
+            store.start_run(run, at)
+            with store.changing() as ledger:
+                uses = [
+                    ReportedUsage(n, at + n, b"club", b"m", 5000, 9, 9, run + b"%015d" % n) for n in (1, 2, 3)
+                ]
+                ledger.apply_batch(UsageBatch(1, uses, settled, [], []), at)
+        store.start_run(b"3", at)  # the second run was killed
         store.close()
 
     def run_(self, *words: str, status: int = 0) -> str:
@@ -170,11 +172,11 @@
         self.assertIn("before", self.run_("close", "2025-12"))
         self.assertIn("hold", self.run_("verify"))
         self.run_("compact", "2025-12", status=2)  # not exported
-        books = Books()
-        server = Server(Failing(books, Random(1), 0.0))
+        receiver_state = ReceiverState()
+        server = HttpReceiverServer(FaultyReceiver(receiver_state, Random(1), fault_probability=0.0))
         self.addCleanup(server.close)
         self.run_("export", "--to", server.url)
-        self.assertEqual(sum(sums[0] for sums in books.totals().values()), 3)
+        self.assertEqual(sum(billed.uses for billed in receiver_state.totals().values()), 3)
         self.assertIn("uses gone", self.run_("compact", "2025-12"))
         self.assertIn("hold", self.run_("verify"))
         self.assertEqual(json.loads(self.run_("periods", "--json"))["uses"], 3)
@@ -182,33 +184,38 @@
         self.run_("backup", f"{self.folder}/copy.sqlite", status=2)
 
     def test_verify_names_what_is_wrong(self) -> None:
-        store = Store(f"{self.folder}/n1", "n1", "UTC", "month", 900_000, 1000)
+        store = UsageStore(f"{self.folder}/n1", "n1", "UTC", "month", 900_000, 1000)
         store.db.execute("DELETE FROM entries WHERE number = 5")
         store.close()
         self.assertIn("entry 5: missing", self.run_("verify", status=1))
         self.run_("compact", "2025-12", "--unexported", status=2)
 
     def test_reindex_makes_what_only_the_index_lost(self) -> None:
-        store = Store(f"{self.folder}/n1", "n1", "UTC", "month", 900_000, 1000)
-        before, listed = store.totals("2025-12"), store.disputed()
+        store = UsageStore(f"{self.folder}/n1", "n1", "UTC", "month", 900_000, 1000)
+        before, listed = store.tenant_totals("2025-12"), store.disputed()
         for table in ("totals", "sums", "disputed", "names"):
             store.db.execute(f"DELETE FROM {table}")
         store.close()
         self.run_("verify", status=1)
         self.run_("reindex")
         self.assertIn("hold", self.run_("verify"))
-        store = Store(f"{self.folder}/n1", "n1", "UTC", "month", 900_000, 1000)
+        store = UsageStore(f"{self.folder}/n1", "n1", "UTC", "month", 900_000, 1000)
         self.addCleanup(store.close)
-        self.assertEqual((store.totals("2025-12"), store.disputed()), (before, listed))
+        self.assertEqual((store.tenant_totals("2025-12"), store.disputed()), (before, listed))
 
     def test_an_old_copy_catches_up_from_the_merged_ledger(self) -> None:
         copy, into = f"{self.folder}/copy.sqlite", f"{self.folder}/all.sqlite"
         self.run_("backup", copy)
         at = 1_764_547_200_000
-        store = Store(f"{self.folder}/n1", "n1", "UTC", "month", 900_000, 1000)
-        with store.changing() as book:
-            use = Raw(9, at + 9, b"new club", b"m", 5000, 9, 9, b"x" * 16)
-            book.take(Batch(1, [use, Raw(10, at + 10, b"club", b"m", 1, 9, 9, b"y" * 16)], [9], [], []), at)
+        store = UsageStore(f"{self.folder}/n1", "n1", "UTC", "month", 900_000, 1000)
+        with store.changing() as ledger:
+            use = ReportedUsage(9, at + 9, b"new club", b"m", 5000, 9, 9, b"x" * 16)
+            ledger.apply_batch(
+                UsageBatch(
+                    1, [use, ReportedUsage(10, at + 10, b"club", b"m", 1, 9, 9, b"y" * 16)], [9], [], []
+                ),
+                at,
+            )
         store.close()
         self.run_("merge", f"{self.folder}/n1/ledger.sqlite", "--into", into)
         for name in ("ledger.sqlite-wal", "ledger.sqlite-shm"):
@@ -217,10 +224,10 @@
         self.assertIn("lacks", self.run_("merge", f"{self.folder}/n1/ledger.sqlite", "--into", into))
         self.assertIn("came back", self.run_("catch-up", "--from", into))
         self.assertIn("hold", self.run_("verify"))
-        store = Store(f"{self.folder}/n1", "n1", "UTC", "month", 900_000, 1000)
+        store = UsageStore(f"{self.folder}/n1", "n1", "UTC", "month", 900_000, 1000)
         self.addCleanup(store.close)
-        self.assertEqual(store.sums("2025-12")[0], 4)
-        self.assertEqual(store.open_run(b"next", at), 1)  # what was not settled when the copy was merged
+        self.assertEqual(store.period_sum("2025-12").uses, 4)
+        self.assertEqual(store.start_run(b"next", at), 1)  # what was not settled when the copy was merged
 
     def test_merge_of_files(self) -> None:
         self.settings("n2")
--- a/tests/test_golden_storage.py
+++ b/tests/test_golden_storage.py
@@ -26,10 +26,12 @@
 from landingshift.consensus.raft_log import RaftLogFile
 from landingshift.consensus.state_machines import StateMachineRegistry, encode_entry
 from landingshift.hot_restart import journal as moved
-from landingshift.ledger.compact import compact
-from landingshift.ledger.entries import Batch, Gap, Raw, decode
-from landingshift.ledger.records import Exporting
-from landingshift.ledger.store import FILE, Store
+from landingshift.ledger.compaction import compact_store
+from landingshift.ledger.entries import UsageGap, decode
+from landingshift.ledger.export_records import ExportReader
+from landingshift.ledger.store import STORE_FILE, UsageStore
+from landingshift.ledger.store_messages import ReportedUsage, UsageBatch
+from landingshift.ledger.usage_ledger import CorrectionRequest
 from landingshift.maintenance.permit_file import read_used_permit, write_used_permit
 from landingshift.maintenance.replicated_state import MaintenanceState
 from landingshift.maintenance.storage import STATE_MACHINE_NAME
@@ -230,30 +232,35 @@
 class Ledger(Folder):
     """A ledger with every kind of entry; the chained hashes make any changed byte show."""
 
-    def make(self) -> Store:
-        store = Store(str(self.folder), "n1", "UTC", "day", 1000, 1000)
+    def make(self) -> UsageStore:
+        store = UsageStore(str(self.folder), "n1", "UTC", "day", 1000, 1000)
         self.addCleanup(store.close)
-        raws = [Raw(i, 100 + i, b"t%d" % (i % 2), b"m", 5000 + i, 10, 20, b"%016d" % i) for i in range(1, 7)]
+        raws = [
+            ReportedUsage(i, 100 + i, b"t%d" % (i % 2), b"m", 5000 + i, 10, 20, b"%016d" % i)
+            for i in range(1, 7)
+        ]
         raws[3].identity = raws[2].identity  # a retry within the window
-        store.open_run(b"run-1", 50)
-        with store.changing() as book:
-            book.take(Batch(1, raws[:4], [1, 2, 3], [], [], 2), 110)
-            book.take(Batch(2, raws[4:], [4], [5], []), 120)
-        store.open_run(b"run-2", 200)
-        with store.changing() as book:
-            book.append(Gap(210, 3))
-            book.correct(b"t1", b"m", "1970-01-01", 2, 10, "1.5", "a reason", "me", 220)
-        with store.changing() as book:
+        store.start_run(b"run-1", 50)
+        with store.changing() as ledger:
+            ledger.apply_batch(UsageBatch(1, raws[:4], [1, 2, 3], [], [], 2), 110)
+            ledger.apply_batch(UsageBatch(2, raws[4:], [4], [5], []), 120)
+        store.start_run(b"run-2", 200)
+        with store.changing() as ledger:
+            ledger.append(UsageGap(210, 3))
+            ledger.correct(CorrectionRequest(b"t1", b"m", "1970-01-01", 2, 10, "1.5", "a reason", "me"), 220)
+        with store.changing() as ledger:
             uses = dict(store.disputed())
-            book.resolve(uses, [], store.counted_about(uses), "checked", "me", 230)
-        with store.changing() as book:
-            late = Raw(1, DAY + 500, b"t1", b"m", 4000, 1, 2, b"z" * 16)
-            book.take(Batch(1, [late], [1], [], []), DAY + 500)
-        with store.changing() as book:
-            book.close("1970-01-01", 2 * DAY, store.first_open(), store.raw_totals("1970-01-01"))
+            ledger.resolve_disputes(uses, [], store.counted_near(uses.values()), "checked", "me", 230)
+        with store.changing() as ledger:
+            late = ReportedUsage(1, DAY + 500, b"t1", b"m", 4000, 1, 2, b"z" * 16)
+            ledger.apply_batch(UsageBatch(1, [late], [1], [], []), DAY + 500)
+        with store.changing() as ledger:
+            ledger.close_period(
+                "1970-01-01", 2 * DAY, store.first_open_period(), store.period_totals("1970-01-01")
+            )
         return store
 
-    def content(self, store: Store) -> dict[str, Any]:
+    def content(self, store: UsageStore) -> dict[str, Any]:
         tables = ("entries", "names", "totals", "sums", "baseline", "disputed", "corrections", "closed")
         found: dict[str, Any] = {
             table: sorted(store.db.execute(f"SELECT * FROM {table}").fetchall()) for table in tables
@@ -264,31 +271,31 @@
 
     def test_every_kind_of_entry_and_the_export(self) -> None:
         store = self.make()
-        batch = Exporting(store).batch(0)
+        batch = ExportReader(store).next_batch(0)
         assert batch is not None
         found = self.content(store) | {"export": batch.SerializeToString(deterministic=True)}
         kinds = {kind for _, kind, _, _ in found["entries"]}
-        compact(store, "1970-01-01", 3 * DAY, store.book.last)
+        compact_store(store, "1970-01-01", 3 * DAY, store.ledger.last_number)
         found["after compaction"] = self.content(store)
         kinds |= {kind for _, kind, _, _ in found["after compaction"]["entries"]}
         self.assertEqual(kinds, set(range(1, 10)))
         assert_golden_json(self, "ledger.json", found)
 
     def test_an_earlier_file_is_read(self) -> None:
-        path = self.folder / FILE
+        path = self.folder / STORE_FILE
         if not (FOLDER / "ledger.sqlite").exists() and os.environ.get("LANDINGSHIFT_WRITE_GOLDEN") == "1":
             made = self.make()
             made.backup(str(FOLDER / "ledger.sqlite"))
             made.close()
             path.unlink()
         shutil.copy(FOLDER / "ledger.sqlite", path)
-        store = Store(str(self.folder), "n1", "UTC", "day", 1000, 1000)
+        store = UsageStore(str(self.folder), "n1", "UTC", "day", 1000, 1000)
         self.addCleanup(store.close)
         wanted = golden_json("ledger.json")
         rows = [list(row) for row in store.rows()]
         self.assertEqual(rows, wanted["entries"])
         self.assertEqual(type(decode(*rows[0][1:3])).__name__, "Opened")
-        batch = Exporting(store).batch(0)
+        batch = ExportReader(store).next_batch(0)
         assert batch is not None
         self.assertEqual(batch.SerializeToString(deterministic=True), wanted["export"])
-        self.assertEqual([name for name, _, _ in store.periods()], ["1970-01-01", "1970-01-02"])
+        self.assertEqual([period.name for period in store.periods()], ["1970-01-01", "1970-01-02"])
