--- a/tests/test_ledger_service.py
+++ b/tests/test_ledger_service.py
@@ -1,4 +1,4 @@
-"""The ledger in a running server: what is billed is what gateways got."""
+"""Usage metering in a running server: what is billed is what gateways got."""
 
 import contextlib
 import tempfile
@@ -6,8 +6,8 @@
 import unittest
 from typing import Any
 
-from landingshift.ledger.entries import Use
-from landingshift.ledger.store import Store
+from landingshift.ledger.entries import UsageRecord
+from landingshift.ledger.store import UsageStore
 from tests.helpers import Gateway, World, launch
 
 TOML = """
@@ -17,169 +17,174 @@
 commit_ms = 5
 lock_wait_ms = 2000
 """
+RESULT = b"r" * 30
 
 
-def store(w: World) -> Store:
-    return Store(w.folder.name + "/ledger", "n3", "UTC", "month", 900_000, 100_000)
+def open_store(world: World) -> UsageStore:
+    return UsageStore(world.folder.name + "/ledger", "n3", "UTC", "month", 900_000, 100_000)
 
 
-def billed(w: World) -> dict[tuple[bytes, bytes], int]:
-    s = store(w)
+def billed_uses(world: World) -> dict[tuple[bytes, bytes], int]:
+    """Uses by tenant and method."""
     found: dict[tuple[bytes, bytes], int] = {}
-    for (period,) in s.db.execute("SELECT period FROM sums").fetchall():
-        for _, tenant, method, uses, *_ in s.totals(period):
-            found[tenant, method] = found.get((tenant, method), 0) + uses
-    s.close()
+    with open_store(world) as store:
+        for period in store.periods():
+            for entry in store.tenant_totals(period.name):
+                key = entry.tenant, entry.method
+                found[key] = found.get(key, 0) + entry.totals.uses
     return found
 
 
-def disputed(w: World) -> list[Use]:
-    s = store(w)
-    found = [use for _, use in s.disputed()]
-    s.close()
-    return found
-
-
-def leave(w: World) -> None:
-    w.process.terminate()
-    w.logged("stopped")
-    w.process.wait(5)
-
-
-def serve(w: World, g: Gateway, method: str = "m", **fields: Any) -> Any:
-    n = g.rpc(method, **fields)
-    w.engine.expect("RUN", g.id)
-    w.engine.say("DONE", w.ids, g.id, "good 12.5", body=b"r" * 30)
-    return n
-
-
-def once(case: unittest.TestCase, point: str) -> dict[str, str]:
-    folder = tempfile.TemporaryDirectory()
-    case.addCleanup(folder.cleanup)
-    return {"LANDINGSHIFT_CRASH": point, "LANDINGSHIFT_CRASH_ONCE": folder.name + "/crashed"}
-
-
-class Billing(unittest.TestCase):
-    def test_only_ok_answers_are_billed_once_each(self) -> None:
-        for durable in ("before_answer", "after_answer"):
-            with self.subTest(durable=durable):
-                w = World(self, toml=TOML + f'durable = "{durable}"\n')
-                g = Gateway(w)
-                for i in range(3):
-                    n = serve(w, g, body=b"route %d" % i)
-                    self.assertEqual(g.answer(), (n, b"r" * 30))
-                n = serve(w, g, body=b"route 1")  # a repeated attempt: its first was answered ok
-                self.assertEqual(g.answer(), (n, b"r" * 30))
-                n = g.rpc(body=b"fails")
-                w.engine.expect("RUN", g.id)
-                w.engine.say("DONE 9", g.id, "bad 5", body=b"")
-                self.assertEqual(g.answer(), (n, "Failed"))
-                n = g.rpc("nothing")
-                self.assertEqual(g.answer(), (n, "Busy"))
-                leave(w)
-                self.assertEqual(billed(w), {(b"t", b"m"): 3})
-                self.assertEqual(disputed(w), [])
-
-    def test_an_answer_that_cannot_leave_is_no_use(self) -> None:
-        w = World(self, toml=TOML)
-        g, h = Gateway(w), Gateway(w)
-        g.rpc(body=b"given up")
-        w.engine.expect("RUN", g.id)
-        g.send(b"\x93\x02\xa6giveUp\x91\x01")
-        n = serve(w, h, body=b"good")
-        self.assertEqual(h.answer(), (n, b"r" * 30))
-        w.ids += 1
-        w.engine.say("DONE", w.ids, f"{1:016x}", "good 1", body=b"x")
-        n = serve(w, h, body=b"good too")
-        self.assertEqual(h.answer(), (n, b"r" * 30))
-        leave(w)
-        self.assertEqual(billed(w), {(b"t", b"m"): 2})
+def disputed_usage(world: World) -> list[UsageRecord]:
+    with open_store(world) as store:
+        return [record for _, record in store.disputed()]
+
+
+def stop_server(world: World) -> None:
+    world.process.terminate()
+    world.logged("stopped")
+    world.process.wait(5)
+
+
+def run_rpc(world: World, gateway: Gateway, method: str = "m", **fields: Any) -> Any:
+    """An RPC that the engine answers ok; returns the number of its request."""
+    number = gateway.rpc(method, **fields)
+    world.engine.expect("RUN", gateway.id)
+    world.engine.say("DONE", world.ids, gateway.id, "good 12.5", body=RESULT)
+    return number
+
+
+def crash_once(case: unittest.TestCase, failpoint: str) -> dict[str, str]:
+    """The environment in which the first process that gets to a failpoint is killed there."""
+    directory = tempfile.TemporaryDirectory()
+    case.addCleanup(directory.cleanup)
+    return {"LANDINGSHIFT_CRASH": failpoint, "LANDINGSHIFT_CRASH_ONCE": directory.name + "/crashed"}
+
+
+class MeteringServiceTest(unittest.TestCase):
+    def test_bills_only_ok_answers_and_each_once(self) -> None:
+        for durability in ("before_answer", "after_answer"):
+            with self.subTest(durability=durability):
+                world = World(self, toml=TOML + f'durable = "{durability}"\n')
+                gateway = Gateway(world)
+                for index in range(3):
+                    number = run_rpc(world, gateway, body=b"route %d" % index)
+                    self.assertEqual(gateway.answer(), (number, RESULT))
+                number = run_rpc(
+                    world, gateway, body=b"route 1"
+                )  # a retry: its first attempt was answered ok
+                self.assertEqual(gateway.answer(), (number, RESULT))
+                number = gateway.rpc(body=b"fails")
+                world.engine.expect("RUN", gateway.id)
+                world.engine.say("DONE 9", gateway.id, "bad 5", body=b"")
+                self.assertEqual(gateway.answer(), (number, "Failed"))
+                number = gateway.rpc("nothing")
+                self.assertEqual(gateway.answer(), (number, "Busy"))
+                stop_server(world)
+                self.assertEqual(billed_uses(world), {(b"t", b"m"): 3})
+                self.assertEqual(disputed_usage(world), [])
+
+    def test_an_answer_that_cannot_leave_is_not_billed(self) -> None:
+        world = World(self, toml=TOML)
+        abandoning, other = Gateway(world), Gateway(world)
+        abandoning.rpc(body=b"given up")
+        world.engine.expect("RUN", abandoning.id)
+        abandoning.send(b"\x93\x02\xa6giveUp\x91\x01")
+        number = run_rpc(world, other, body=b"good")
+        self.assertEqual(other.answer(), (number, RESULT))
+        world.ids += 1
+        world.engine.say("DONE", world.ids, f"{1:016x}", "good 1", body=b"x")
+        number = run_rpc(world, other, body=b"good too")
+        self.assertEqual(other.answer(), (number, RESULT))
+        stop_server(world)
+        self.assertEqual(billed_uses(world), {(b"t", b"m"): 2})
 
     def test_after_a_kill_what_was_not_known_to_arrive_is_disputed(self) -> None:
-        for point, billable in (("ledger.push:2", 0), ("ledger.answering:2", 0)):
-            with self.subTest(point=point):
-                w = World(self, toml=TOML, env={"LANDINGSHIFT_CRASH": point})
-                g = Gateway(w)
-                serve(w, g, body=b"one")
-                got = 0
+        for failpoint, min_billed in (("ledger.push:2", 0), ("ledger.answering:2", 0)):
+            with self.subTest(failpoint=failpoint):
+                world = World(self, toml=TOML, env={"LANDINGSHIFT_CRASH": failpoint})
+                gateway = Gateway(world)
+                run_rpc(world, gateway, body=b"one")
+                received_count = 0
                 try:
-                    g.answer()
-                    got = 1
-                    serve(w, g, body=b"two")
-                    g.answer()
-                    got = 2
+                    gateway.answer()
+                    received_count = 1
+                    run_rpc(world, gateway, body=b"two")
+                    gateway.answer()
+                    received_count = 2
                 except (EOFError, ConnectionResetError, BrokenPipeError):
                     pass
-                w.process.wait(5)
-                w.env.pop("LANDINGSHIFT_CRASH")
-                w.doors()
-                w.start(w.config({}, {}))
-                leave(w)
-                total = sum(billed(w).values())
-                self.assertLessEqual(total, got)
-                self.assertLessEqual(got, total + len(disputed(w)))
-                self.assertGreaterEqual(total, billable)
-
-    def test_a_store_held_by_another_server_is_refused_at_the_start(self) -> None:
-        w = World(self, toml=TOML.replace("2000", "100"))
-        process = launch(w.folder.name, w.config({}, {}), w.env)
-        out = process.communicate(timeout=20)
-        self.assertEqual(process.returncode, 2, out)
-        self.assertIn("held by another server", out[1])
-        self.assertIn("[ledger] folder", out[1])
+                world.process.wait(5)
+                world.env.pop("LANDINGSHIFT_CRASH")
+                world.doors()
+                world.start(world.config({}, {}))
+                stop_server(world)
+                billed_count = sum(billed_uses(world).values())
+                self.assertLessEqual(billed_count, received_count)
+                self.assertLessEqual(received_count, billed_count + len(disputed_usage(world)))
+                self.assertGreaterEqual(billed_count, min_billed)
+
+    def test_refuses_to_start_on_a_store_that_another_server_holds(self) -> None:
+        world = World(self, toml=TOML.replace("2000", "100"))
+        process = launch(world.folder.name, world.config({}, {}), world.env)
+        output = process.communicate(timeout=20)
+        self.assertEqual(process.returncode, 2, output)
+        self.assertIn("held by another server", output[1])
+        self.assertIn("[ledger] folder", output[1])
 
     def test_a_store_process_that_dies_comes_back_and_nothing_is_lost(self) -> None:
         # Killed before the commit, after it, and before it could say so.
-        for point in ("ledger.appended:2", "ledger.committed:4", "ledger.acking:2"):
-            with self.subTest(point=point):
-                w = World(self, toml=TOML, env=once(self, point))
-                g = Gateway(w)
-                for i in range(4):
-                    n = serve(w, g, body=b"route %d" % i)
-                    self.assertEqual(g.answer(), (n, b"r" * 30))
-                leave(w)
-                self.assertIn("ledger_store_gone", [line["event"] for line in w.lines])
-                self.assertEqual(billed(w), {(b"t", b"m"): 4})
-                self.assertEqual(disputed(w), [])
+        for failpoint in ("ledger.appended:2", "ledger.committed:4", "ledger.acking:2"):
+            with self.subTest(failpoint=failpoint):
+                world = World(self, toml=TOML, env=crash_once(self, failpoint))
+                gateway = Gateway(world)
+                for index in range(4):
+                    number = run_rpc(world, gateway, body=b"route %d" % index)
+                    self.assertEqual(gateway.answer(), (number, RESULT))
+                stop_server(world)
+                self.assertIn("ledger_store_exited", [line["event"] for line in world.lines])
+                self.assertEqual(billed_uses(world), {(b"t", b"m"): 4})
+                self.assertEqual(disputed_usage(world), [])
 
     def test_a_drain_does_not_wait_for_a_store_that_hangs(self) -> None:
         # All that was read is answered before the stop, and the notice shortens what an answer may wait.
-        w = World(self, toml=TOML, env={"LANDINGSHIFT_SLOW": "ledger.take:3000"})
-        g = Gateway(w)
-        n = serve(w, g, body=b"slow")
+        world = World(self, toml=TOML, env={"LANDINGSHIFT_SLOW": "ledger.take:3000"})
+        gateway = Gateway(world)
+        number = run_rpc(world, gateway, body=b"slow")
         time.sleep(0.1)
-        w.process.terminate()
+        world.process.terminate()
         begun = time.monotonic()
-        said = [m for m in (g.message(), g.message()) if m[0] == 1]  # the other asks it to go
-        self.assertEqual([(m[1], m[3][0]) for m in said], [(n, b"r" * 30)])
+        messages = (gateway.message(), gateway.message())
+        answers = [message for message in messages if message[0] == 1]  # the other asks it to go
+        self.assertEqual([(answer[1], answer[3][0]) for answer in answers], [(number, RESULT)])
         self.assertLess(time.monotonic() - begun, 1.4)  # stop_ms is 1500
-        self.assertEqual(w.logged("mode")["text"][:15], "draining: 1500 ")
+        self.assertEqual(world.logged("mode")["text"][:15], "draining: 1500 ")
 
     def test_results_that_wait_for_a_commit_are_bounded(self) -> None:
-        # 64 KB of uses let four times that of results wait; 90 of 4 KB are more, and the rest goes at once.
-        w = World(self, toml=TOML + "queue_kb = 64\n", env={"LANDINGSHIFT_SLOW": "ledger.take:1500"})
-        gateways = [Gateway(w) for _ in range(3)]
-        for i in range(90):
-            gateways[i % 3].rpc(body=b"%d" % i)
-        for i in range(90):
-            rid = w.engine.next()[0][1]
-            w.engine.say("DONE", i + 1, rid, "good 1", body=bytes(4000))
+        # 64 KB of usage let four times that of results wait; 90 of 4 KB are more, and the rest goes at once.
+        world = World(self, toml=TOML + "queue_kb = 64\n", env={"LANDINGSHIFT_SLOW": "ledger.take:1500"})
+        gateways = [Gateway(world) for _ in range(3)]
+        for index in range(90):
+            gateways[index % 3].rpc(body=b"%d" % index)
+        for index in range(90):
+            rpc_id = world.engine.next()[0][1]
+            world.engine.say("DONE", index + 1, rpc_id, "good 1", body=bytes(4000))
         time.sleep(0.5)
-        early = 0
-        for g in gateways:
-            g.sock.setblocking(False)
+        early_count = 0
+        for gateway in gateways:
+            gateway.sock.setblocking(False)
             with contextlib.suppress(BlockingIOError):
                 while True:
-                    g.unpacker.feed(g.sock.recv(65536))
-            early += sum(1 for _ in g.unpacker)
-        self.assertTrue(20 <= early <= 45, early)
+                    gateway.unpacker.feed(gateway.sock.recv(65536))
+            early_count += sum(1 for _ in gateway.unpacker)
+        self.assertTrue(20 <= early_count <= 45, early_count)
 
     def test_a_slow_store_holds_no_answer_past_its_deadline(self) -> None:
-        w = World(self, toml=TOML, env={"LANDINGSHIFT_SLOW": "ledger.take:900"})
-        g = Gateway(w)
+        world = World(self, toml=TOML, env={"LANDINGSHIFT_SLOW": "ledger.take:900"})
+        gateway = Gateway(world)
         begun = time.monotonic()
-        n = serve(w, g, body=b"slow", wait="400")
-        self.assertEqual(g.answer(), (n, b"r" * 30))
+        number = run_rpc(world, gateway, body=b"slow", wait="400")
+        self.assertEqual(gateway.answer(), (number, RESULT))
         self.assertLess(time.monotonic() - begun, 0.4)
 
 
