--- a/benchmarks/hot_restart.py
+++ b/benchmarks/hot_restart.py
@@ -130,7 +130,7 @@
         managed_rpc = old.on_rpc_read(rpc)
         old.settle()
         if number % 3 == 0 and managed_rpc.state is not None:
-            old.on_run_finished(next(iter(old.places[managed_rpc.state])), Outcome.OK, 5.0)
+            old.on_run_finished(next(iter(old.state.in_state(managed_rpc.state))), Outcome.OK, 5.0)
     exported, managed_rpcs = old.export_state()
     packed = msgpack.encode(exported)
     new = AdmissionController(SETTINGS, 1, NoActions(), 0.0)  # type: ignore[arg-type]
@@ -139,7 +139,8 @@
     print(f"given and packed: {median_ms(lambda: msgpack.encode(old.export_state()[0])):.2f} ms")
 
     def import_state() -> None:
-        new.places = {state: {} for state in new.places}
+        for rpcs_in_state in new.state.rpcs_by_state.values():
+            rpcs_in_state.clear()
         new.import_state(msgpack.decode(packed), rpcs)
 
     print(f"unpacked and taken: {median_ms(import_state):.2f} ms")
--- a/landingshift/hot_restart/state_export.py
+++ b/landingshift/hot_restart/state_export.py
@@ -13,7 +13,7 @@
 
 from msgspec import msgpack
 
-from landingshift.admission.controller import ManagedRpc
+from landingshift.admission.managed_rpc import ManagedRpc
 from landingshift.hot_restart.errors import (
     AnswersGatedError,
     ReplacedResultError,
--- a/tests/hot_restart_fixtures.py
+++ b/tests/hot_restart_fixtures.py
@@ -15,7 +15,6 @@
 
 import msgpack as message_pack
 
-from landingshift.admission.controller import ManagedRpc, RpcState
 from landingshift.admission.interface import (
     DownstreamKind,
     Gauges,
@@ -26,6 +25,7 @@
     Rpc,
     Tenant,
 )
+from landingshift.admission.managed_rpc import ManagedRpc, RpcState
 from landingshift.hot_restart.state_export import StateExporter
 from landingshift.hot_restart.state_import import StateImporter
 from landingshift.net.program.config import decode_config
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -15,7 +15,7 @@
 from hypothesis import strategies as st
 from msgspec import msgpack
 
-from landingshift.admission.controller import ManagedRpc, RpcState
+from landingshift.admission.managed_rpc import ManagedRpc, RpcState
 from landingshift.hot_restart.channel import FRAME_HEADER, MAX_FRAME_DESCRIPTORS, Channel, Frame
 from landingshift.hot_restart.errors import InvalidFrameError, JournalFullError, StateTransferError
 from landingshift.hot_restart.request_journal import RecordKind, RequestJournal
@@ -341,7 +341,7 @@
         exported["rings"]["pushed"] = [0, 0, [[]], [0.0]]
         new.server.import_state(exported, [])
         self.assertFalse(hasattr(new.server, "of the next build"))
-        self.assertEqual(new.server.pushed.count, len(new.server.pushed.buckets))
+        self.assertEqual(new.server.check.failures.bucket_count, len(new.server.check.failures.buckets))
 
 
 class RouterStateTest(unittest.TestCase):
