--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -1,4 +1,4 @@
-"""Hot restart: the state machine, the channel, the request journal, and state that moves between builds."""
+"""Hot restart: the state machine, the channel between the processes, the request journal."""
 
 from __future__ import annotations
 
@@ -8,19 +8,14 @@
 import signal
 import socket
 import unittest
-from dataclasses import replace
 from itertools import product
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from msgspec import msgpack
 
-from landingshift.admission.managed_rpc import ManagedRpc, RpcState
 from landingshift.hot_restart.channel import FRAME_HEADER, MAX_FRAME_DESCRIPTORS, Channel, Frame
-from landingshift.hot_restart.errors import InvalidFrameError, JournalFullError, StateTransferError
+from landingshift.hot_restart.errors import InvalidFrameError, JournalFullError
 from landingshift.hot_restart.request_journal import RecordKind, RequestJournal
-from landingshift.hot_restart.state_export import StateExporter
-from landingshift.hot_restart.state_import import StateImporter
 from landingshift.hot_restart.state_machine import (
     NEW_PROCESS_SERVES,
     OLD_PROCESS_SERVES,
@@ -31,7 +26,6 @@
     RestartState,
     RestartTimeouts,
 )
-from tests.hot_restart_fixtures import DecisionPlayback, RouterHarness
 
 EVENTS_TO_PROBATION = [
     RestartEvent.REQUESTED,
@@ -291,164 +285,5 @@
         journal.close()
 
 
-class AdmissionStateTest(unittest.TestCase):
-    """A controller with another's state decides as that one: the same events are played into both."""
-
-    def setUp(self) -> None:
-        self.playback = DecisionPlayback()
-
-    def test_same_events_give_the_same_decisions_after_an_import(self) -> None:
-        seen_states = set()
-        for seed in range(25):
-            rng = random.Random(seed)
-            old = self.playback.bench()
-            old_rpcs = list[ManagedRpc]()
-            self.playback.play(old, old_rpcs, self.playback.events(rng, 400))
-            if seed % 5 == 4:
-                old.server.start_draining(1000.0)
-            exported, order = old.server.export_state()
-            exported = msgpack.decode(msgpack.encode(exported))
-            new = self.playback.bench()
-            new.server.now_ms = old.server.now_ms
-            imported = new.server.import_state(exported, [managed.rpc for managed in order])
-            counterparts = dict(zip(order, imported, strict=True))
-            seen_states |= {managed.state for managed in order}
-            new_rpcs = [counterparts.get(managed, managed) for managed in old_rpcs]
-            events = self.playback.events(rng, 300)
-            with self.subTest(seed=seed):
-                self.assertEqual(
-                    self.playback.play(new, new_rpcs, events), self.playback.play(old, old_rpcs, events)
-                )
-                self.assertEqual(old.server.export_state()[0], new.server.export_state()[0])
-        self.assertGreaterEqual(
-            seen_states,
-            {
-                RpcState.QUEUED,
-                RpcState.RUNNING,
-                RpcState.AWAITING_CALL_SLOT,
-                RpcState.CALLING,
-                RpcState.ABORTED,
-                None,
-            },
-        )
-
-    def test_ignores_what_only_another_build_knows(self) -> None:
-        old, new = self.playback.bench(), self.playback.bench()
-        exported, _ = old.server.export_state()
-        exported["plain"]["of the next build"] = 1
-        exported["rings"].pop("stretch")
-        exported["rings"]["of the next build"] = [0, 0, [], []]
-        exported["rings"]["pushed"] = [0, 0, [[]], [0.0]]
-        new.server.import_state(exported, [])
-        self.assertFalse(hasattr(new.server, "of the next build"))
-        self.assertEqual(new.server.check.failures.bucket_count, len(new.server.check.failures.buckets))
-
-
-class RouterStateTest(unittest.TestCase):
-    """A router made from another's state and descriptors, in one process; the peers notice nothing."""
-
-    def setUp(self) -> None:
-        self.harness = RouterHarness(self)
-
-    def test_work_in_hand_goes_on_after_three_moves(self) -> None:
-        harness = self.harness
-        gateway = harness.connect_gateway()
-        gateway.sendall(
-            harness.request("m", b"runs")
-            + harness.request("m", b"calls")
-            + harness.request("token", b"kept", once="k")
-        )
-        for _ in range(3):
-            harness.next_command()
-        harness.engine.send(b"NEED 1 %016x 4\r\nbody\r\n" % 2)
-        database = harness.accept_database_link()
-        harness.run_until_readable(database)
-        self.assertEqual(database.line()[0][:2], ["Q", f"{2:016x}"])
-        harness.engine.send(b"DONE 2 %016x good 5 4\r\ntold\r\n" % 3)
-        self.assertEqual(harness.answers(gateway, 1), {3: b"told"})
-        partial_request = harness.request("m", b"half")
-        gateway.sendall(partial_request[:50])
-        harness.engine.send(b"DONE 3 %016x good 5 4\r\nr" % 1)  # a partial notice
-        database.send(b"%016x ROWS 5\r\nre" % 2)  # a partial reply
-        harness.run()
-        for _ in range(3):
-            harness.move()
-        harness.engine.send(b"uns\r\n")
-        database.send(b"ply\r\n")
-        self.assertEqual(harness.next_command(), (["FEED", f"{2:016x}"], b"reply"))
-        gateway.sendall(partial_request[50:] + harness.request("token", b"kept", once="k"))
-        self.assertEqual(harness.next_command(), (["RUN", f"{4:016x}", "m"], b"half"))
-        harness.engine.send(b"DONE 4 %016x good 5 1\r\nx\r\nDONE 5 %016x bad 5 0\r\n\r\n" % (2, 4))
-        self.assertEqual(harness.answers(gateway, 4), {1: b"runs", 2: b"x", 4: "Failed", 5: b"told"})
-        self.assertEqual(harness.faults, [])
-        table = harness.router.table
-        self.assertEqual((len(table.slots), len(table.slot_by_id)), (0, 0))
-
-    def test_deadlines_and_a_drain_move_as_they_are(self) -> None:
-        # An import that counted the wait anew would answer at 1,400 ms; a busy machine must not look like
-        # one.
-        harness = self.harness
-        gateway = harness.connect_gateway()
-        gateway.sendall(harness.request("m", b"late", wait="800"))
-        harness.next_command()
-        begun_ms = harness.loop.clock_ms()
-        harness.router.drain()
-        harness.run(600.0)
-        harness.move()
-        self.assertTrue(harness.router.is_draining)
-        self.assertEqual(harness.answers(gateway, 1), {1: "Failed"})
-        self.assertLess(harness.loop.clock_ms() - begun_ms, 1200.0)
-        gateway.close()
-        end_ms = harness.loop.clock_ms() + 10_000.0
-        while harness.loop.is_running and harness.loop.clock_ms() < end_ms:
-            harness.run()
-        self.assertFalse(harness.loop.is_running)  # the drain ends where it went on
-        self.assertEqual(harness.faults, [])
-
-    def test_listener_keeps_its_backlog(self) -> None:
-        harness = self.harness
-        waiting_gateway = harness.connect_gateway()  # connected, not accepted
-        waiting_gateway.sendall(harness.request("m", b"early"))
-        harness.move()
-        self.assertEqual(harness.next_command(), (["RUN", f"{1:016x}", "m"], b"early"))
-        harness.engine.send(b"DONE 1 %016x good 5 2\r\nok\r\n" % 1)
-        self.assertEqual(harness.answers(waiting_gateway, 1), {1: b"ok"})
-
-    def test_unsent_bytes_go_out_once(self) -> None:
-        harness = self.harness
-        gateway = harness.connect_gateway()
-        gateway.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        rpc_count = 30
-        gateway.sendall(b"".join(harness.request("m", b"%d" % number) for number in range(rpc_count)))
-        for number in range(rpc_count):
-            harness.next_command()
-            result = b"%04d" % number * 1000
-            harness.engine.send(b"DONE %d %016x good 5 4000\r\n%b\r\n" % (number + 1, number + 1, result))
-        harness.run(30.0)
-        connection = next(iter(harness.router.gateways.connections))
-        connection.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        harness.move()
-        self.assertEqual(
-            harness.answers(gateway, rpc_count),
-            {number + 1: b"%04d" % number * 1000 for number in range(rpc_count)},
-        )
-
-    def test_old_router_goes_on_when_the_import_is_refused(self) -> None:
-        harness = self.harness
-        gateway = harness.connect_gateway()
-        gateway.sendall(harness.request("m", b"runs"))
-        harness.next_command()
-        exported = StateExporter(harness.router).export()
-        copies = [os.dup(descriptor) for descriptor in exported.descriptors]
-        config_without_methods = replace(
-            harness.config, settings=replace(harness.config.settings, methods=[]), methods={}
-        )
-        importer = StateImporter(exported.data, copies)
-        with self.assertRaisesRegex(StateTransferError, "method"):
-            importer.import_router(harness.new_loop(), config_without_methods, harness.log)
-        harness.engine.send(b"DONE 1 %016x good 5 2\r\nok\r\n" % 1)
-        self.assertEqual(harness.answers(gateway, 1), {1: b"ok"})
-
-
 if __name__ == "__main__":
     unittest.main()
