--- a/benchmarks/hot_restart.py
+++ b/benchmarks/hot_restart.py
@@ -130,7 +130,7 @@
         managed_rpc = old.on_rpc_read(rpc)
         old.settle()
         if number % 3 == 0 and managed_rpc.state is not None:
-            old.on_run_finished(next(iter(old.state.in_state(managed_rpc.state))), Outcome.OK, 5.0)
+            old.on_run_finished(next(iter(old.state.rpcs_by_state[managed_rpc.state])), Outcome.OK, 5.0)
     exported, managed_rpcs = old.export_state()
     packed = msgpack.encode(exported)
     new = AdmissionController(SETTINGS, 1, NoActions(), 0.0)  # type: ignore[arg-type]
