--- a/landingshift/hot_restart/state_import.py
+++ b/landingshift/hot_restart/state_import.py
@@ -76,11 +76,11 @@
             if not has_method or not has_tenant:
                 raise IncompatibleSettingsError
         router = Router(loop, config, log, self._sockets[0])
-        _RouterState(self._state, self._sockets, loop, config, router).apply()
+        _StateRestorer(self._state, self._sockets, loop, config, router).restore()
         return router
 
 
-class _RouterState:
+class _StateRestorer:
     """Puts a state into a new router, a part at a time in the order in which the parts need each other."""
 
     def __init__(
@@ -98,7 +98,8 @@
         self._router = router
         self._rpcs: list[RoutedRpc] = []
 
-    def apply(self) -> None:
+    def restore(self) -> None:
+        """Restores all parts; called once."""
         router = self._router
         state = self._state
         self._rpcs = [self._rpc(stored) for stored in state.rpcs]
