--- a/tests/hot_restart_fixtures.py
+++ b/tests/hot_restart_fixtures.py
@@ -157,10 +157,10 @@
         self.run_until_readable(self.engine_listener)
         engine = self.peer(self.engine_listener.accept()[0])
         self.run_until_readable(engine)
-        self.case.assertEqual(engine.line()[0], ["ATTACH", "0"])
+        self.case.assertEqual(engine.read_line()[0], ["ATTACH", "0"])
         engine.send(b"HELLO old 60000\r\n")
         self.run_until_readable(engine)
-        self.case.assertEqual(engine.line()[0], ["STAT", "s1"])
+        self.case.assertEqual(engine.read_line()[0], ["STAT", "s1"])
         engine.send(b"STATS s1 0.2 1 0.1 3\r\n")
         self.run()
         return engine
@@ -222,7 +222,7 @@
         for _ in range(50):
             self.run(5.0)
             self.run_until_readable(self.engine)
-            words, body = self.engine.line()
+            words, body = self.engine.read_line()
             if words[0] != "STAT":
                 return words, body
             self.engine.send(f"STATS {words[1]} 0.2 1 0.1 3\r\n".encode())
--- a/tests/test_state_transfer.py
+++ b/tests/test_state_transfer.py
@@ -91,7 +91,7 @@
         harness.engine.send(b"NEED 1 %016x 4\r\nbody\r\n" % 2)
         database = harness.accept_database_link()
         harness.run_until_readable(database)
-        self.assertEqual(database.line()[0][:2], ["Q", f"{2:016x}"])
+        self.assertEqual(database.read_line()[0][:2], ["Q", f"{2:016x}"])
         harness.engine.send(b"DONE 2 %016x good 5 4\r\ntold\r\n" % 3)
         self.assertEqual(harness.answers(gateway, 1), {3: b"told"})
         partial_request = harness.request("m", b"half")
