--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -11,6 +11,7 @@
 
 from click.testing import CliRunner
 
+from landingshift.cli.errors import EXIT_USAGE
 from landingshift.cli.main import main
 from landingshift.ledger.entries import Batch, Raw
 from landingshift.ledger.store import Store
@@ -21,11 +22,28 @@
 from tests.helpers import CONFIG, GatewayClient, ProgramUnderTest
 
 ON = '[ledger]\nfolder = "/tmp/x"\ninstance = "n1"\n'
+PRINT_LOADED_MODULES = """
+import sys
+import landingshift.net.program.main
+from landingshift.net.program import features
+assert features.load_features(sys.argv[1]) == []
+unwanted = (
+    "landingshift.ledger.", "landingshift.testbed", "landingshift.cli",
+    "click", "structlog", "google", "grpc", "sqlite3", "asyncio", "zoneinfo",
+)
+print([module for module in sys.modules if module.startswith(unwanted)])
+"""
+START_WITHOUT_CLICK = """
+import sys
+sys.modules["click"] = None
+from landingshift.cli import start
+start()
+"""
 
 
-class Ours(unittest.TestCase):
-    def test_what_is_wrong_is_told_by_file_table_and_key(self) -> None:
-        for text, said in [
+class SettingsCheckTest(unittest.TestCase):
+    def test_names_file_table_and_key_of_what_is_wrong(self) -> None:
+        for text, message_part in [
             ("[ledger", "ours.toml"), ("[other]\n", "[other]"), ("ledger = 3\n", "ledger"),
             ('[ledger]\ninstance = "n"\n', "[ledger] folder"), (ON + "commit = 3\n", "[ledger] commit"),
             (ON + "commit_ms = -1\n", "[ledger] commit_ms"), (ON + 'commit_ms = "x"\n', "[ledger] commit_ms"),
@@ -38,80 +56,77 @@
                 path.write_text(text)
                 with self.assertRaises(FeatureConfigError) as caught:
                     load_features(str(path))
-                self.assertIn(said, str(caught.exception))
+                self.assertIn(message_part, str(caught.exception))
                 self.assertIn("ours.toml", str(caught.exception))
                 result = CliRunner().invoke(main, ["check", str(path)])
-                self.assertEqual(result.exit_code, 2)
-                self.assertIn(said, result.output)
+                self.assertEqual(result.exit_code, EXIT_USAGE)
+                self.assertIn(message_part, result.output)
 
-    def test_what_is_off_is_not_loaded(self) -> None:
+    def test_server_loads_no_package_that_is_switched_off(self) -> None:
         # Its memory limit can be 32 MB: no package, and no library that only one of them needs.
-        code = (
-            "import sys, landingshift.net.program.main, landingshift.net.program.features as f\n"
-            "assert f.load_features(sys.argv[1]) == []\n"
-            "print([m for m in sys.modules if m.startswith(('landingshift.ledger.', 'landingshift.testbed',\n"
-            "'landingshift.cli', 'click', 'structlog', 'google', 'grpc', 'sqlite3', 'asyncio', 'zoneinfo'))])"
-        )
-        found = subprocess.run(
-            [sys.executable, "-c", code, "deploy/landingshift.toml"],
+        result = subprocess.run(
+            [sys.executable, "-c", PRINT_LOADED_MODULES, "deploy/landingshift.toml"],
             capture_output=True,
             text=True,
             check=True,
         )
-        self.assertEqual(found.stdout.strip(), "[]")
+        self.assertEqual(result.stdout.strip(), "[]")
 
     def test_check_reads_both_kinds_of_file(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
-            good, bad, ours = Path(folder, "a.json"), Path(folder, "b.json"), Path(folder, "ours.toml")
-            good.write_text(json.dumps(CONFIG))
-            bad.write_text(json.dumps(CONFIG | {"seed": "xyz"}))
-            ours.write_text(ON)
-            result = CliRunner().invoke(main, ["check", str(good), str(ours)])
+            valid_json, invalid_json = Path(folder, "a.json"), Path(folder, "b.json")
+            toml = Path(folder, "ours.toml")
+            valid_json.write_text(json.dumps(CONFIG))
+            invalid_json.write_text(json.dumps(CONFIG | {"seed": "xyz"}))
+            toml.write_text(ON)
+            result = CliRunner().invoke(main, ["check", str(valid_json), str(toml)])
             self.assertEqual(result.exit_code, 0, result.output)
-            result = CliRunner().invoke(main, ["check", str(good), str(bad)])
-            self.assertEqual(result.exit_code, 2)
+            result = CliRunner().invoke(main, ["check", str(valid_json), str(invalid_json)])
+            self.assertEqual(result.exit_code, EXIT_USAGE)
             self.assertIn("seed", result.output)
 
 
-class Extra(unittest.TestCase):
+class MissingExtraTest(unittest.TestCase):
     def test_without_click_the_command_says_what_is_missing(self) -> None:
-        code = "import sys; sys.modules['click'] = None; from landingshift.cli import start; start()"
-        found = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True)
-        self.assertEqual((found.returncode, "extra `cli`" in found.stderr), (2, True), found.stderr)
+        command = [sys.executable, "-c", START_WITHOUT_CLICK]
+        result = subprocess.run(command, capture_output=True, text=True, check=False)
+        self.assertEqual((result.returncode, "extra `cli`" in result.stderr), (2, True), result.stderr)
 
 
-class Watching(unittest.TestCase):
-    def test_an_observer_that_raises_is_cut_off_and_the_others_go_on(self) -> None:
-        heard: list[Any] = []
+class RpcObserversTest(unittest.TestCase):
+    def test_observer_that_raises_is_cut_off_and_the_others_go_on(self) -> None:
+        heard: list[str] = []
 
-        class Good:
+        class RecordingObserver:
             name = "good"
 
             def __getattr__(self, event: str) -> Any:
                 return lambda *facts: heard.append(event)
 
-        class Bad(Good):
+        class RaisingObserver(RecordingObserver):
             name = "bad"
 
             def on_started(self, _: Any) -> None:
                 raise ValueError("defect")
 
-        lines: list[Any] = []
-        observers = RpcObservers(lambda event, **fields: lines.append((event, fields["name"])))
-        observers.add(Bad())
-        observers.add(Good())
+        log_lines: list[tuple[str, str]] = []
+        observers = RpcObservers(lambda event, **fields: log_lines.append((event, fields["name"])))
+        observers.add(RaisingObserver())
+        observers.add(RecordingObserver())
         for event in ("on_read", "on_started", "on_closed"):
             observers.notify(event, None)
         self.assertEqual(heard, ["on_read", "on_read", "on_started", "on_closed"])
-        self.assertEqual(lines, [("observer_cut_off", "bad")])
+        self.assertEqual(log_lines, [("observer_cut_off", "bad")])
+
 
+class ServeTest(unittest.TestCase):
     def test_serve_is_what_the_platform_starts(self) -> None:
-        w = ProgramUnderTest(self, command=["serve"])
-        g = GatewayClient(w)
-        n = g.send_rpc()
-        w.engine.expect_command("RUN", g.last_rpc_id)
-        w.engine.send_notice("DONE 1", g.last_rpc_id, "good 5", body=b"r")
-        self.assertEqual(g.read_answer(), (n, b"r"))
+        program = ProgramUnderTest(self, command=["serve"])
+        gateway = GatewayClient(program)
+        number = gateway.send_rpc()
+        program.engine.expect_command("RUN", gateway.last_rpc_id)
+        program.engine.send_notice("DONE 1", gateway.last_rpc_id, "good 5", body=b"r")
+        self.assertEqual(gateway.read_answer(), (number, b"r"))
 
 
 class Commands(unittest.TestCase):
