--- a/landingshift/admission/controller.py
+++ b/landingshift/admission/controller.py
@@ -14,7 +14,7 @@
     queue_scheduler     applies these three to the queue, and the limit of memory
     service_times       what the check and the order know of runs
     tenant_quotas       what a tenant beyond its quota counts for
-    downstream_calls    who calls the layer below, when, for how long
+    downstream_calls    who calls the layer below, for how long; call_rate and call_quota bound it
     retry_policy        what may be attempted again
     dedup_entries       which RPCs enter the deduplication table
     backpressure        what callers hear; recent_callers and idle_connections with it
@@ -31,6 +31,8 @@
 from typing import Any
 
 from landingshift.admission.backpressure import Backpressure
+from landingshift.admission.call_quota import CallQuota
+from landingshift.admission.call_rate import CallRate
 from landingshift.admission.check_timer import MIN_CHECK_INTERVAL_MS, CheckTimer
 from landingshift.admission.concurrency_limit import ConcurrencyLimit
 from landingshift.admission.deadline_check import DeadlineCheck
@@ -55,7 +57,7 @@
 from landingshift.admission.rpc_lifecycle import RpcLifecycle
 from landingshift.admission.server_state import ServerState
 from landingshift.admission.service_times import ServiceTimes
-from landingshift.admission.snapshot import Snapshot
+from landingshift.admission.snapshot import SnapshotParts, export_state, import_state
 from landingshift.admission.start_order import StartOrder
 from landingshift.admission.tenant_quotas import TenantQuotas
 
@@ -87,7 +89,8 @@
         self.draining = Draining(self.state, actions)
         self.check = DeadlineCheck(self.state, self.draining, self.order)
         self.limit = ConcurrencyLimit(self.state)
-        self.calls = DownstreamCalls(self.state, self.modes)
+        self.call_rate = CallRate(self.state, self.modes)
+        self.calls = DownstreamCalls(self.state, self.call_rate, CallQuota(self.state))
         self.retries = RetryPolicy(self.state, self.calls)
         self.dedup = DedupEntries(self.state, actions)
         self.callers = RecentCallers(self.state)
@@ -106,34 +109,9 @@
             self.state, actions, self.dedup, self.calls, self.retries, self.backpressure.reject
         )
         self.scheduler = QueueScheduler(self.state, self.check, self.order, self.limit, self.lifecycle)
-        self._snapshot = Snapshot(
-            self._stored_parts(),
-            self.state,
-            self.service_times,
-            self.tenants,
-            self.dedup,
-            self.modes,
-            self.lifecycle,
-        )
         actions.set_health(True, True)
         self.timer.schedule(CHECK_INTERVAL_MS * Random(seed).random())
 
-    def _stored_parts(self) -> dict[str, object]:
-        """The parts whose figures and windows a hot restart carries over, by the names of `snapshot`."""
-        return {
-            "server": self.state,
-            "timer": self.timer,
-            "order": self.order,
-            "draining": self.draining,
-            "check": self.check,
-            "limit": self.limit,
-            "calls": self.calls,
-            "retries": self.retries,
-            "callers": self.callers,
-            "connections": self.connections,
-            "backpressure": self.backpressure,
-        }
-
     # Events of RPCs
 
     def on_rpc_read(self, rpc: Rpc) -> ManagedRpc:
@@ -167,7 +145,7 @@
         if managed.state is None:
             return
         if managed.state is RpcState.CALLING:
-            self.calls.on_given_up(managed)
+            self.calls.on_cancelled(managed)
         if managed.state is not RpcState.AWAITING_ORIGINAL and outcome is Outcome.OK:
             self.limit.record_run(managed, run_ms)
             managed.service_times.record(self.state.now_ms, run_ms, managed.total_call_ms)
@@ -227,7 +205,7 @@
         self.check.recheck_all()
         self.order.refresh(self.state.queued)
         if self.state.settings.downstream is not DownstreamKind.NONE:
-            self.calls.update_rate()
+            self.calls.update()
         if now_ms // SLOW_UPDATE_INTERVAL_MS > self.state.last_check_ms // SLOW_UPDATE_INTERVAL_MS:
             self.tenants.update()
             self.connections.update(gauges.open_connections or 0.0)
@@ -276,7 +254,7 @@
 
     def set_call_quota(self, calls_per_second: float) -> None:
         """Sets the downstream calls a second that the fleet leaves to this server."""
-        self.calls.set_quota(calls_per_second)
+        self.call_rate.set_quota(calls_per_second)
 
     def on_settings_changed(self) -> None:
         """Judges what is queued by figures of methods and tenants that have changed in place."""
@@ -331,7 +309,7 @@
 
     def export_state(self) -> tuple[dict[str, Any], list[ManagedRpc]]:
         """All that is learned and in hand, as plain values, and the RPCs in the order of its places."""
-        return self._snapshot.export_state()
+        return export_state(self._snapshot_parts())
 
     def import_state(self, state: dict[str, Any], rpcs: list[Rpc]) -> list[ManagedRpc]:
         """Goes on where another build was.
@@ -343,6 +321,28 @@
         Returns:
             The handles of the RPCs in the same order.
         """
-        managed_rpcs = self._snapshot.import_state(state, rpcs)
+        managed_rpcs = import_state(self._snapshot_parts(), state, rpcs)
         self.timer.rearm()
         return managed_rpcs
+
+    def _snapshot_parts(self) -> SnapshotParts:
+        return SnapshotParts(
+            server=self.state,
+            service_times=self.service_times,
+            lifecycle=self.lifecycle,
+            modes=self.modes,
+            tenants=self.tenants,
+            dedup=self.dedup,
+            timer=self.timer,
+            order=self.order,
+            draining=self.draining,
+            check=self.check,
+            limit=self.limit,
+            calls=self.calls,
+            call_rate=self.call_rate,
+            call_quota=self.calls.quota,
+            retries=self.retries,
+            callers=self.callers,
+            connections=self.connections,
+            backpressure=self.backpressure,
+        )
--- a/landingshift/admission/deadline_check.py
+++ b/landingshift/admission/deadline_check.py
@@ -27,7 +27,8 @@
     """Decides until when each queued RPC may start.
 
     Attributes:
-        failures: One for each RPC rejected for failing the check in the last 2 s. next_failure_ms: Before
+        failures: One for each RPC rejected for failing the check in the last 2 s.
+        next_failure_ms: Before
         this no queued RPC fails: what the check goes by changes at timer checks only. 0 has
             all looked at again.
     """
--- a/landingshift/admission/rpc_lifecycle.py
+++ b/landingshift/admission/rpc_lifecycle.py
@@ -172,7 +172,7 @@
     def _give_up_run(self, managed: ManagedRpc, previous: RpcState | None) -> None:
         """Answers a run that is not over, unless nobody waits, and cancels it where the engine can."""
         if previous is RpcState.CALLING:
-            self._calls.on_given_up(managed)
+            self._calls.on_cancelled(managed)
         if managed.state is RpcState.ABORTED:
             self._actions.abort(managed.rpc)
         if self._server.settings.run_cancellation is not RunCancellation.NONE:
--- a/landingshift/admission/snapshot.py
+++ b/landingshift/admission/snapshot.py
@@ -7,17 +7,29 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
+from dataclasses import dataclass
 from typing import Any
 
+from landingshift.admission.backpressure import Backpressure
+from landingshift.admission.call_quota import CallQuota
+from landingshift.admission.call_rate import CallRate
+from landingshift.admission.check_timer import CheckTimer
+from landingshift.admission.concurrency_limit import ConcurrencyLimit
+from landingshift.admission.deadline_check import DeadlineCheck
 from landingshift.admission.dedup_entries import DedupEntries
+from landingshift.admission.downstream_calls import DownstreamCalls
+from landingshift.admission.draining import Draining
+from landingshift.admission.idle_connections import IdleConnections
 from landingshift.admission.interface import Method, Rpc
 from landingshift.admission.managed_rpc import ManagedRpc, RpcState
 from landingshift.admission.mode_log import ModeLog
+from landingshift.admission.recent_callers import RecentCallers
+from landingshift.admission.retry_policy import RetryPolicy
 from landingshift.admission.rolling_window import RollingWindow
 from landingshift.admission.rpc_lifecycle import RpcLifecycle
 from landingshift.admission.server_state import ServerState
 from landingshift.admission.service_times import ServiceTimes
+from landingshift.admission.start_order import StartOrder
 from landingshift.admission.tenant_quotas import TenantQuotas
 
 STORED_FIGURES = {
@@ -33,12 +45,12 @@
     "reading": ("limit", "reading_cores"),
     "on_cores": ("limit", "busy_cores"),
     "shortest": ("server", "shortest_objective_ms"),
-    "tokens": ("calls", "tokens"),
-    "rate": ("calls", "calls_per_second"),
-    "share": ("calls", "quota_per_second"),
-    "lost_row": ("calls", "consecutive_losses"),
-    "slowed": ("calls", "last_pause_ms"),
-    "call_mean": ("calls", "recent_mean_ms"),
+    "tokens": ("call_rate", "tokens"),
+    "rate": ("call_rate", "calls_per_second"),
+    "share": ("call_rate", "quota_per_second"),
+    "lost_row": ("call_rate", "consecutive_losses"),
+    "slowed": ("call_rate", "last_pause_ms"),
+    "call_mean": ("call_rate", "recent_mean_ms"),
     "advert": ("backpressure", "advertised_load"),
     "link_idle": ("connections", "idle_timeout_ms"),
     "weight": ("backpressure", "queue_weight"),
@@ -49,7 +61,7 @@
     "fails": ("check", "next_failure_ms"),
     "alarm": ("timer", "next_check_ms"),
 }
-"""Single figures, in the order in which they are stored: stored name, part of the controller, attribute."""
+"""Single figures, in the order in which they are stored: stored name, part, attribute."""
 
 STORED_WINDOWS = {
     "stretch": ("limit", "slowdown"),
@@ -61,8 +73,8 @@
     "tries_seen": ("retries", "retry_marks"),
     "unread": ("backpressure", "unread_ms"),
     "call_times": ("calls", "latency_ms"),
-    "call_recent": ("calls", "recent_ms"),
-    "call_load": ("calls", "call_time_ms"),
+    "call_recent": ("call_rate", "recent_ms"),
+    "call_load": ("call_quota", "call_time_ms"),
 }
 """Rolling windows, as above. Those of methods and tenants follow them, by their place in the settings."""
 
@@ -81,106 +93,104 @@
 """Of each RPC, stored without names in this order, behind its state."""
 
 
-class Snapshot:
-    """Writes and reads the stored form of a controller's parts."""
-
-    def __init__(
-        self,
-        parts: Mapping[str, object],
-        server: ServerState,
-        service_times: dict[Method, ServiceTimes],
-        tenants: TenantQuotas,
-        dedup: DedupEntries,
-        modes: ModeLog,
-        lifecycle: RpcLifecycle,
-    ) -> None:
-        """Wires the snapshot; `parts` has the objects that the tables name."""
-        self._parts = parts
-        self._server = server
-        self._service_times = service_times
-        self._tenants = tenants
-        self._dedup = dedup
-        self._modes = modes
-        self._lifecycle = lifecycle
-
-    def export_state(self) -> tuple[dict[str, Any], list[ManagedRpc]]:
-        """All that is learned and in hand.
-
-        Returns:
-            The state as plain values, and the RPCs in the order in which it names them.
-        """
-        rpcs = self._server.all_rpcs()
-        rpcs += [managed for managed in self._dedup.expires_at_ms if managed.state is None]
-        places = {managed: place for place, managed in enumerate(rpcs)}
-        state = {
-            "plain": {
-                stored: getattr(self._parts[part], name) for stored, (part, name) in STORED_FIGURES.items()
-            },
-            "modes": dict(self._modes.is_on),
-            "worth": list(self._tenants.weights.values()),
-            "rings": {stored: _export_window(window) for stored, window in self._windows().items()},
-            "learned": [
-                [times.changes_seen, times.p99_ms, times.mean_own_ms, times.base_own_ms]
-                for times in self._service_times.values()
-            ],
-            "jobs": [
-                [managed.state, *(getattr(managed, name) for name in STORED_RPC_ATTRIBUTES)]
-                for managed in rpcs
-            ],
-            "kept": [
-                [places[managed], expires_at_ms]
-                for managed, expires_at_ms in self._dedup.expires_at_ms.items()
-            ],
-        }
-        return state, rpcs
-
-    def import_state(self, state: dict[str, Any], rpcs: list[Rpc]) -> list[ManagedRpc]:
-        """Goes on where another build was.
-
-        Args:
-            state: What that build exported.
-            rpcs: Its RPCs, in the order of the export.
-
-        Returns:
-            The handles of the RPCs in the same order.
-        """
-        for stored, value in state["plain"].items():
-            if stored in STORED_FIGURES:
-                part, name = STORED_FIGURES[stored]
-                setattr(self._parts[part], name, value)
-        self._modes.is_on |= state["modes"]
-        for tenant, weight in zip(self._tenants.weights, state["worth"], strict=True):
-            self._tenants.weights[tenant] = weight
-        for stored, window in self._windows().items():
-            if stored in state["rings"]:
-                _import_window(window, state["rings"][stored])
-        for times, values in zip(self._service_times.values(), state["learned"], strict=True):
-            times.changes_seen, times.p99_ms, times.mean_own_ms, times.base_own_ms = values
-        managed_rpcs = [
-            self._import_rpc(rpc, values) for rpc, values in zip(rpcs, state["jobs"], strict=True)
-        ]
-        self._dedup.expires_at_ms = {managed_rpcs[place]: end_ms for place, end_ms in state["kept"]}
-        return managed_rpcs
-
-    def _import_rpc(self, rpc: Rpc, stored: list[Any]) -> ManagedRpc:
-        state, *values = stored
-        managed = ManagedRpc(rpc, self._service_times[rpc.method], self._server.now_ms)
-        for name, value in zip(STORED_RPC_ATTRIBUTES, values, strict=True):
-            setattr(managed, name, value)
-        if state is not None:
-            self._lifecycle.restore(managed, RpcState(state))
-        return managed
-
-    def _windows(self) -> dict[str, RollingWindow]:
-        """All rolling windows by their stored names, in the order in which they are stored."""
-        windows = {
-            stored: getattr(self._parts[part], name) for stored, (part, name) in STORED_WINDOWS.items()
-        }
-        for place, times in enumerate(self._service_times.values()):
-            windows |= {f"whole {place}": times.run_ms, f"own {place}": times.own_ms}
-        for place, window in enumerate(self._tenants.arrivals.values()):
-            windows[f"tenant {place}"] = window
-        return windows
+@dataclass(frozen=True)
+class SnapshotParts:
+    """The parts of a controller whose state is stored; the tables name them as these fields."""
+
+    server: ServerState
+    service_times: dict[Method, ServiceTimes]
+    lifecycle: RpcLifecycle
+    modes: ModeLog
+    tenants: TenantQuotas
+    dedup: DedupEntries
+    timer: CheckTimer
+    order: StartOrder
+    draining: Draining
+    check: DeadlineCheck
+    limit: ConcurrencyLimit
+    calls: DownstreamCalls
+    call_rate: CallRate
+    call_quota: CallQuota
+    retries: RetryPolicy
+    callers: RecentCallers
+    connections: IdleConnections
+    backpressure: Backpressure
+
+
+def export_state(parts: SnapshotParts) -> tuple[dict[str, Any], list[ManagedRpc]]:
+    """All that is learned and in hand.
+
+    Returns:
+        The state as plain values, and the RPCs in the order in which it names them.
+    """
+    entries = parts.dedup.expires_at_ms
+    rpcs = parts.server.all_rpcs() + [managed for managed in entries if managed.state is None]
+    places = {managed: place for place, managed in enumerate(rpcs)}
+    state = {
+        "plain": {
+            stored: getattr(getattr(parts, part), name) for stored, (part, name) in STORED_FIGURES.items()
+        },
+        "modes": dict(parts.modes.is_on),
+        "worth": list(parts.tenants.weights.values()),
+        "rings": {stored: _export_window(window) for stored, window in _windows(parts).items()},
+        "learned": [
+            [times.changes_seen, times.p99_ms, times.mean_own_ms, times.base_own_ms]
+            for times in parts.service_times.values()
+        ],
+        "jobs": [
+            [managed.state, *(getattr(managed, name) for name in STORED_RPC_ATTRIBUTES)] for managed in rpcs
+        ],
+        "kept": [[places[managed], expires_at_ms] for managed, expires_at_ms in entries.items()],
+    }
+    return state, rpcs
+
+
+def import_state(parts: SnapshotParts, state: dict[str, Any], rpcs: list[Rpc]) -> list[ManagedRpc]:
+    """Goes on where another build was.
+
+    Args:
+        parts: Of a controller that has just been made.
+        state: What that build exported.
+        rpcs: Its RPCs, in the order of the export.
+
+    Returns:
+        The handles of the RPCs in the same order.
+    """
+    for stored, value in state["plain"].items():
+        if stored in STORED_FIGURES:
+            part, name = STORED_FIGURES[stored]
+            setattr(getattr(parts, part), name, value)
+    parts.modes.is_on |= state["modes"]
+    for tenant, weight in zip(parts.tenants.weights, state["worth"], strict=True):
+        parts.tenants.weights[tenant] = weight
+    for stored, window in _windows(parts).items():
+        if stored in state["rings"]:
+            _import_window(window, state["rings"][stored])
+    for times, values in zip(parts.service_times.values(), state["learned"], strict=True):
+        times.changes_seen, times.p99_ms, times.mean_own_ms, times.base_own_ms = values
+    managed_rpcs = [_import_rpc(parts, rpc, stored) for rpc, stored in zip(rpcs, state["jobs"], strict=True)]
+    parts.dedup.expires_at_ms = {managed_rpcs[place]: end_ms for place, end_ms in state["kept"]}
+    return managed_rpcs
+
+
+def _import_rpc(parts: SnapshotParts, rpc: Rpc, stored: list[Any]) -> ManagedRpc:
+    state, *values = stored
+    managed = ManagedRpc(rpc, parts.service_times[rpc.method], parts.server.now_ms)
+    for name, value in zip(STORED_RPC_ATTRIBUTES, values, strict=True):
+        setattr(managed, name, value)
+    if state is not None:
+        parts.lifecycle.restore(managed, RpcState(state))
+    return managed
+
+
+def _windows(parts: SnapshotParts) -> dict[str, RollingWindow]:
+    """All rolling windows by their stored names, in the order in which they are stored."""
+    windows = {stored: getattr(getattr(parts, part), name) for stored, (part, name) in STORED_WINDOWS.items()}
+    for place, times in enumerate(parts.service_times.values()):
+        windows |= {f"whole {place}": times.run_ms, f"own {place}": times.own_ms}
+    for place, window in enumerate(parts.tenants.arrivals.values()):
+        windows[f"tenant {place}"] = window
+    return windows
 
 
 def _export_window(window: RollingWindow) -> list[Any]:
--- a/tests/test_admission_calls.py
+++ b/tests/test_admission_calls.py
@@ -41,12 +41,12 @@
         bench = AdmissionBench(CALLING_METHOD, downstream=DownstreamKind.SHARED_STORE)
         bench.controller.set_call_quota(0.4)
         bench.controller.set_call_quota(8.0)
-        self.assertEqual(bench.controller.calls.calls_per_second, 8.0)
-        bench.controller.calls.calls_per_second = 1.0  # as after two calls in a row without an answer
+        self.assertEqual(bench.controller.call_rate.calls_per_second, 8.0)
+        bench.controller.call_rate.calls_per_second = 1.0  # as after two calls in a row without an answer
         bench.controller.set_call_quota(16.0)
-        self.assertEqual(bench.controller.calls.calls_per_second, 1.0)
+        self.assertEqual(bench.controller.call_rate.calls_per_second, 1.0)
         bench.controller.set_call_quota(0.5)
-        self.assertEqual(bench.controller.calls.calls_per_second, 0.5)
+        self.assertEqual(bench.controller.call_rate.calls_per_second, 0.5)
 
     def test_burst_after_idle_time_stays_within_the_quota(self) -> None:
         # One server that had most of the store's calls lent made a fifth more of them than it bears.
