--- a/landingshift/settings.py
+++ b/landingshift/settings.py
@@ -149,26 +149,15 @@
 
 
 def decode_settings(data: Any, path: str = "") -> Settings:
-    """The settings of a server.
-
-    Args:
-        data: Their decoded JSON.
-        path: Their key in the configuration, for errors.
+    """The settings of decoded JSON, whose key in the configuration is `path`.
 
     Raises:
         SettingsError: A key is missing or wrong; the text begins with it.
     """
     top = SettingsTable(data, path)
     extra, rules, permissions = top.table("extra"), top.table("rules"), top.table("permissions", {})
-    methods = [
-        _decode_method(method, extra, f"{path}.extra.class-skip-worth", index)
-        for index, method in enumerate(top.tables("classes"))
-    ]
-    if not methods:
-        raise SettingsError(top.path_of("classes"), "at least one is expected")
-    core_count = extra.number("n-cores")
-    if core_count < 1:
-        raise WrongSettingError(extra.path_of("n-cores"), "1 or more", core_count)
+    methods = _decode_methods(top, extra, f"{path}.extra.class-skip-worth")
+    core_count = _decode_core_count(extra)
     return Settings(
         methods=methods,
         tenants=[Tenant(tenant.number("allowance-per-s", 0.0)) for tenant in top.tables("orgs")],
@@ -176,7 +165,7 @@
         criticality_is_per_work=top.value("worth-by", None) == "work",
         server_count=max(1, int(top.number("peers-total", 1))),
         caller_count=int(extra.number("callers", 0.0)),
-        core_count=int(core_count),
+        core_count=core_count,
         starts_cold=bool(extra.value("cold", False)),
         cold_speed_fraction=rules.number("cold-from"),
         warm_up_ms=rules.number("cold"),
@@ -199,6 +188,22 @@
     )
 
 
+def _decode_methods(top: SettingsTable, extra: SettingsTable, skip_key: str) -> list[Method]:
+    methods = [
+        _decode_method(method, extra, skip_key, index) for index, method in enumerate(top.tables("classes"))
+    ]
+    if not methods:
+        raise SettingsError(top.path_of("classes"), "at least one is expected")
+    return methods
+
+
+def _decode_core_count(extra: SettingsTable) -> int:
+    core_count = extra.number("n-cores")
+    if core_count < 1:
+        raise WrongSettingError(extra.path_of("n-cores"), "1 or more", core_count)
+    return int(core_count)
+
+
 def _decode_method(method: SettingsTable, extra: SettingsTable, skip_key: str, index: int) -> Method:
     """A method, of which two figures stand in lists beside it.
 
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,3 +1,5 @@
+"""The simulator's adapter, from lines in to lines out."""
+
 import io
 import json
 import unittest
@@ -21,50 +23,59 @@
 READ = ["Ingress", 3, "aa", None, 500.0, 1.0, 20.0, 0, 0, None, None, 0.5, None, 0]
 
 
-def exchange(*lines: Any) -> tuple[int, list[Any], str]:
-    text = "\n".join(line if isinstance(line, str) else json.dumps(line) for line in lines) + "\n"
-    out, errors = io.BytesIO(), io.StringIO()
-    code = main(io.BytesIO(text.encode()), out, errors)
-    return code, [json.loads(v) for v in out.getvalue().splitlines()], errors.getvalue()
+def exchange(*messages: Any) -> tuple[int, list[Any], str]:
+    """Exit status, replies and errors of an adapter that is sent these messages, or lines as they are."""
+    lines = [message if isinstance(message, str) else json.dumps(message) for message in messages]
+    replies, errors = io.BytesIO(), io.StringIO()
+    status = main(io.BytesIO("\n".join([*lines, ""]).encode()), replies, errors)
+    return status, [json.loads(line) for line in replies.getvalue().splitlines()], errors.getvalue()
 
 
-class Wire(unittest.TestCase):
-    def test_exchange(self) -> None:
-        code, out, errors = exchange(
+class Exchanges(unittest.TestCase):
+    def test_answers_each_batch_with_the_actions_and_its_number(self) -> None:
+        status, replies, errors = exchange(
             ["Batch", 10.0, 1], START, ["End"], ["Batch", 14.0, 2], READ, ["End"],
             ["Batch", 18.5, 3], ["Result", 3, "aa", "served", 4.5], ["Hangup", 3, "aa"], ["End"],
             ["Batch", 20.0, 4], ["Destroy", 3], ["End"],
         )  # fmt: skip
-        self.assertEqual((code, errors), (0, ""))
-        self.assertIn(["SetHealth", 3, True, True], out)
-        self.assertIn(["Execute", 3, "aa"], out)
-        self.assertEqual([v for v in out if v[0] == "Yield"], [["Yield", n] for n in (1, 2, 3, 4)])
+        self.assertEqual((status, errors), (0, ""))
+        self.assertIn(["SetHealth", 3, True, True], replies)
+        self.assertIn(["Execute", 3, "aa"], replies)
+        yields = [reply for reply in replies if reply[0] == "Yield"]
+        self.assertEqual(yields, [["Yield", number] for number in (1, 2, 3, 4)])
 
-    def test_an_exception_in_the_module_is_reported(self) -> None:
-        with mock.patch(
-            "landingshift.admission.controller.AdmissionController.settle", side_effect=ValueError("odd")
-        ):
-            _, out, _ = exchange(["Batch", 10.0, 1], START, ["End"], ["Batch", 14.0, 2], READ, ["End"])
-        told = [v for v in out if v[0] == "GiveIn"]
-        self.assertEqual([v[1] for v in told], [3])
-        self.assertIn("odd", told[0][2])
+    def test_reports_an_exception_in_the_controller_with_its_instance(self) -> None:
+        settle = "landingshift.admission.controller.AdmissionController.settle"
+        with mock.patch(settle, side_effect=ValueError("odd")):
+            _, replies, _ = exchange(["Batch", 10.0, 1], START, ["End"], ["Batch", 14.0, 2], READ, ["End"])
+        faults = [reply for reply in replies if reply[0] == "GiveIn"]
+        self.assertEqual([fault[1] for fault in faults], [3])
+        self.assertIn("odd", faults[0][2])
 
-    def test_malformed(self) -> None:
+    def test_ends_at_a_malformed_message_and_names_its_line_and_fault(self) -> None:
         batch = ["Batch", 10.0, 1]
-        for lines, word in [
+        for messages, text in [
             (["{"], "line 1"),
+            (["[]"], "line 1: a message is an array that begins with its name: b'[]\\n'"),
+            ([batch, batch], "a batch begins before the last one ended"),
+            ([["Batch", "x", 1]], "Batch takes a clock and a number"),
             ([batch, ["Nonsense", 3]], "unknown event"),
+            ([batch, ["Result", "x"]], "Result names no instance"),
             ([batch, READ], "not configured"),
             ([batch, START, [*READ[:7], "x", 9, *READ[9:]]], "line 3"),
+            ([batch, START, [*READ[:8], 4, *READ[9:]]], "Ingress of unknown type 4"),
             ([batch, START, ["Result", 3, "aa", "odd", 1.0]], "outcome"),
-            ([batch, ["Configure", 3, 7, {}]], "settings"),
+            ([batch, START, ["Quiesce", 3, "x"]], "Quiesce takes a time"),
+            ([batch, START, ["Hangup", 3, 4]], "Hangup takes the id of an RPC"),
+            ([batch, ["Configure", 3]], "Configure takes a seed and settings"),
+            ([batch, ["Configure", 3, 7, {}]], "settings: BadSetting extra: missing"),
             ([["End"]], "outside a batch"),
             ([batch], "inside a batch"),
         ]:
-            with self.subTest(word=word):
-                code, _, errors = exchange(*lines)
-                self.assertNotEqual(code, 0)
-                self.assertIn(word, errors)
+            with self.subTest(text=text):
+                status, _, errors = exchange(*messages)
+                self.assertNotEqual(status, 0)
+                self.assertIn(text, errors)
 
 
 if __name__ == "__main__":
