--- a/landingshift/admission/backpressure.py
+++ b/landingshift/admission/backpressure.py
@@ -25,7 +25,7 @@
 MIN_ADVERTISED_WEIGHT = 0.2
 READ_OVERLOAD_MODE, READ_OVERLOAD_THRESHOLD = "drowning", 0.3
 SHEDDING_MODE, SHEDDING_THRESHOLD = "shedding", 0.7
-ADVERTISED_DIGITS = 3
+ADVERTISED_DIGIT_COUNT = 3
 NEVER_ADVERTISED = -1.0
 
 
@@ -76,8 +76,8 @@
         self._check.record_rejection(managed)
         is_final = self._retries.is_final_rejection(managed)
         is_accepting = self._draining.is_accepting
-        away_fraction = 1.0 - self.read_responsiveness if is_accepting else 1.0
-        retry_after_ms = self._server.settings.max_retry_after_ms * away_fraction
+        retry_after_fraction = 1.0 - self.read_responsiveness if is_accepting else 1.0
+        retry_after_ms = self._server.settings.max_retry_after_ms * retry_after_fraction
         self._actions.reject(managed.rpc, retry_after_ms, is_final and is_accepting)
 
     def update(self) -> None:
@@ -86,7 +86,7 @@
         self._update_read_responsiveness()
         self._log_shedding()
         advertisement = self._server.settings.load_advertisement
-        amount = round(self._amount(advertisement), ADVERTISED_DIGITS)
+        amount = round(self._amount(advertisement), ADVERTISED_DIGIT_COUNT)
         if amount != self.advertised_load and advertisement is not LoadAdvertisement.NONE:
             self.advertised_load = amount
             self._actions.advertise_load(amount)
@@ -129,6 +129,6 @@
         """
         server = self._server
         running = max(self._limit.limit, len(server.running))
-        in_hand = running + len(server.calling)
-        in_hand += len(server.awaiting_call_slot)
-        return (in_hand + server.settings.core_count) * self._callers.largest_share()
+        in_flight = running + len(server.calling)
+        in_flight += len(server.awaiting_call_slot)
+        return (in_flight + server.settings.core_count) * self._callers.busiest_caller_fraction()
--- a/landingshift/admission/check_timer.py
+++ b/landingshift/admission/check_timer.py
@@ -43,27 +43,27 @@
         """False for a timer whose place an earlier check has taken."""
         return self._server.now_ms >= self.next_check_ms - TIMER_TOLERANCE_MS
 
-    def bring_forward_for(self, managed: ManagedRpc) -> None:
+    def schedule_before_deadline(self, managed: ManagedRpc) -> None:
         """Has an RPC that was read looked at before its deadline."""
         ends_before_check = managed.check_deadline_ms < self.next_check_ms + CHECK_INTERVAL_MS
         if ends_before_check and self.next_check_ms > self._server.now_ms + MIN_CHECK_INTERVAL_MS:
             self.schedule(MIN_CHECK_INTERVAL_MS)
 
-    def bring_forward_while_busy(self) -> None:
+    def schedule_while_busy(self) -> None:
         """Ends an idle server's rest where RPCs are queued or wait for a call."""
         server = self._server
         is_busy = server.queued or server.awaiting_call_slot
         if is_busy and self.next_check_ms > server.now_ms + CHECK_INTERVAL_MS:
             self.schedule(CHECK_INTERVAL_MS / 2.0)
 
-    def schedule_next(self, look_again_ms: list[float]) -> None:
+    def schedule_next(self, next_checks_ms: list[float]) -> None:
         """Sets the timer after a check.
 
         Args:
-            look_again_ms: When each RPC in hand needs to be looked at.
+            next_checks_ms: When each RPC in hand needs to be looked at.
         """
         now_ms = self._server.now_ms
-        next_ms = min([now_ms + IDLE_CHECK_INTERVAL_MS, *look_again_ms])
+        next_ms = min([now_ms + IDLE_CHECK_INTERVAL_MS, *next_checks_ms])
         self.schedule(max(MIN_CHECK_INTERVAL_MS, next_ms - now_ms))
 
     def schedule_for_drain(self, remaining_ms: float) -> None:
--- a/landingshift/admission/concurrency_limit.py
+++ b/landingshift/admission/concurrency_limit.py
@@ -13,7 +13,7 @@
 from landingshift.admission.rolling_window import RollingWindow
 from landingshift.admission.server_state import SAFE_FRACTION, ServerState
 
-BUSY_UTILIZATION = 0.95
+BUSY_UTILIZATION_FRACTION = 0.95
 """Core utilization from which the cores count as busy."""
 CUT_INTERVAL_MS = 500.0
 """Between two cuts, so that the effect of one is measured before the next."""
@@ -96,7 +96,7 @@
         reading = max(0.0, on_cores - running)
         self.reading_cores = SMOOTHING_OLD * self.reading_cores + SMOOTHING_NEW * reading
         idle_cores = core_count - (gauges.on_cores if gauges.on_cores is not None else running)
-        is_busy = self.core_utilization >= BUSY_UTILIZATION
+        is_busy = self.core_utilization >= BUSY_UTILIZATION_FRACTION
         if idle_cores > 0 and self._server.queued:
             self.limit = max(self.limit, running + idle_cores)
         elif is_busy and self._server.now_ms - self.last_cut_ms >= CUT_INTERVAL_MS:
--- a/landingshift/admission/controller.py
+++ b/landingshift/admission/controller.py
@@ -3,8 +3,7 @@
 A program sets `now_ms`, calls a method for each event, then `settle`, and carries out the `Actions` that it
 is asked for. It guarantees that each RPC that was read is answered once, that no work begins which cannot
 end in time by what is known, and that memory, cores and the layer below stay within what they survive.
-Under overload it rejects rather than queues. It decides alone: no peer is asked between an RPC and its
-answer.
+Under overload it rejects rather than queues. It decides alone, without asking a peer.
 
 Each rule has its module:
 
@@ -131,7 +130,7 @@
         if managed.state is RpcState.QUEUED and not self.dedup.retain(managed):
             self.lifecycle.resume(managed, RpcEvent.SHED)
         self.check.note_queued(managed)
-        self.timer.bring_forward_for(managed)
+        self.timer.schedule_before_deadline(managed)
         return managed
 
     def on_run_finished(self, managed: ManagedRpc, outcome: Outcome, run_ms: float) -> None:
@@ -180,7 +179,7 @@
         self.scheduler.start_best()
         if self.state.awaiting_call_slot:
             self.calls.assign_slots(self.lifecycle.resume)
-        self.timer.bring_forward_while_busy()
+        self.timer.schedule_while_busy()
 
     # Time
 
@@ -190,10 +189,10 @@
             return
         self._update_rules(gauges)
         self.dedup.expire()
-        look_again_ms = [self.enforce_deadline(managed) for managed in self.state.all_rpcs()]
+        next_checks_ms = [self.enforce_deadline(managed) for managed in self.state.all_rpcs()]
         self.backpressure.update()
         self.state.last_check_ms = self.state.now_ms
-        self.timer.schedule_next(look_again_ms)
+        self.timer.schedule_next(next_checks_ms)
 
     def _update_rules(self, gauges: Gauges) -> None:
         """Moves what the rules go by."""
--- a/landingshift/admission/deadline_check.py
+++ b/landingshift/admission/deadline_check.py
@@ -2,8 +2,7 @@
 
 Guards against work for callers that have left or will have: under overload throughput looks healthy while
 no answer is in time. A queued RPC is rejected when it fails, not when a slot becomes free, so that its
-caller can still go elsewhere. The check is the expired-only one until runs have ended: the margin is then
-0.
+caller can still go elsewhere. Until runs have ended the margin is 0: only expired RPCs fail.
 """
 
 from __future__ import annotations
@@ -28,9 +27,8 @@
 
     Attributes:
         failures: One for each RPC rejected for failing the check in the last 2 s.
-        next_failure_ms: Before
-        this no queued RPC fails: what the check goes by changes at timer checks only. 0 has
-            all looked at again.
+        next_failure_ms: Before this no queued RPC fails: what the check goes by changes at timer checks only.
+            0 has all looked at again.
     """
 
     def __init__(self, server: ServerState, draining: Draining, order: StartOrder) -> None:
--- a/landingshift/admission/recent_callers.py
+++ b/landingshift/admission/recent_callers.py
@@ -33,15 +33,15 @@
         now_ms = self._server.now_ms
         self.first_rpc_ms = min(self.first_rpc_ms, now_ms)
         self.caller_ids.advance(now_ms)
-        was_here = any(rpc.caller_id in bucket for bucket in self.caller_ids.buckets)
-        self.returns.add(now_ms, 1.0 if was_here else 0.0)
+        has_called = any(rpc.caller_id in bucket for bucket in self.caller_ids.buckets)
+        self.returns.add(now_ms, 1.0 if has_called else 0.0)
         self.caller_ids.add(now_ms, rpc.caller_id)
 
     def return_fraction(self) -> float:
         """Fraction of RPCs whose caller had been here; 1 before the first RPC."""
         return self.returns.mean(self._server.now_ms, 1.0)
 
-    def largest_share(self) -> float:
+    def busiest_caller_fraction(self) -> float:
         """Fraction of the recent RPCs that came from the busiest caller; 1 before the first RPC.
 
         A cold server counts each caller that the settings name as one that asked, less so as it learns who
--- a/landingshift/admission/rpc_lifecycle.py
+++ b/landingshift/admission/rpc_lifecycle.py
@@ -149,16 +149,16 @@
             self._server.remove(managed)
         never_ran = previous in (RpcState.AWAITING_ORIGINAL, RpcState.QUEUED)
         if state in (None, RpcState.REJECTED) or (state is RpcState.ABORTED and never_ran):
-            self._leave(managed, state)
+            self._release(managed, state)
             return
         managed.state = RpcState.RUNNING if state is RpcState.CALL_SKIPPED else state
         self._server.add(managed)
         if state in (RpcState.ABORTED, RpcState.ABANDONED):
-            self._give_up_run(managed, previous)
+            self._stop_waiting_for_run(managed, previous)
         else:
             self._proceed(managed, state)
 
-    def _leave(self, managed: ManagedRpc, state: RpcState | None) -> None:
+    def _release(self, managed: ManagedRpc, state: RpcState | None) -> None:
         """Answers an RPC where that is left to do, and lets go of it."""
         managed.state = None
         if state is RpcState.REJECTED:
@@ -169,7 +169,7 @@
         managed.lifecycle.close()
         self._actions.release(managed.rpc)
 
-    def _give_up_run(self, managed: ManagedRpc, previous: RpcState | None) -> None:
+    def _stop_waiting_for_run(self, managed: ManagedRpc, previous: RpcState | None) -> None:
         """Answers a run that is not over, unless nobody waits, and cancels it where the engine can."""
         if previous is RpcState.CALLING:
             self._calls.on_cancelled(managed)
--- a/landingshift/drill/adapter.py
+++ b/landingshift/drill/adapter.py
@@ -29,7 +29,7 @@
 from landingshift.settings import decode_settings
 
 EXIT_OK, EXIT_MALFORMED = 0, 2
-TRACE_FRAMES = 4
+TRACE_FRAME_COUNT = 4
 MAX_QUOTED_BYTES = 200
 
 
@@ -79,7 +79,7 @@
         self._handle_for_instance(self._batch.now_ms, name, message[1], message[2:])
         return False
 
-    def take_reply(self) -> list[list[Any]]:
+    def close_batch(self) -> list[list[Any]]:
         """Settles the instances that had events, closes the batch and returns all messages of it."""
         assert self._batch is not None
         for instance_id, instance in self._touched.items():
@@ -140,7 +140,7 @@
         try:
             step()
         except Exception:
-            self._outbox.append([wire.GIVE_IN, instance_id, traceback.format_exc(limit=-TRACE_FRAMES)])
+            self._outbox.append([wire.GIVE_IN, instance_id, traceback.format_exc(limit=-TRACE_FRAME_COUNT)])
 
 
 def main(source: BinaryIO, sink: BinaryIO, errors: TextIO) -> int:
@@ -165,7 +165,7 @@
             errors.write(f"line {number}: {err}: {line[:MAX_QUOTED_BYTES]!r}\n")
             return EXIT_MALFORMED
         if is_reply_ready:
-            sink.write(encoder.encode_lines(adapter.take_reply()))
+            sink.write(encoder.encode_lines(adapter.close_batch()))
             sink.flush()
     if adapter.is_in_batch:
         errors.write("input ended inside a batch\n")
--- a/landingshift/drill/wire.py
+++ b/landingshift/drill/wire.py
@@ -186,11 +186,11 @@
     rpc_id, key, ttl_ms, waited_ms, memory_kb, caller_id, method, hint_ms, tenant, _, original, marks = fields
     bits = marks or 0
     # A remaining time of 0 stands for one that is not told, unless the callers tell it.
-    tells_remaining = ttl_ms is not None and (ttl_ms > 0 or settings.callers_send_deadline)
+    has_remaining = ttl_ms is not None and (ttl_ms > 0 or settings.callers_send_deadline)
     return SimulatedRpc(
         method=settings.methods[method],
         tenant=settings.tenants[tenant or 0] if settings.tenants else None,
-        remaining_ms=ttl_ms if tells_remaining else None,
+        remaining_ms=ttl_ms if has_remaining else None,
         waited_ms=waited_ms or 0.0,
         memory_kb=memory_kb or 0.0,
         caller_id=caller_id or 0,
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -33,7 +33,7 @@
     RunCancellation,
     Settings,
 )
-from landingshift.admission.managed_rpc import ManagedRpc
+from landingshift.admission.managed_rpc import ManagedRpc, RpcState
 from landingshift.testbed import MEMORY
 from landingshift.testbed.experiments.rows import Row
 
@@ -78,6 +78,19 @@
 )
 
 
+def assert_consistent(controller: AdmissionController) -> None:
+    """Invariants of a controller that hold after each settling."""
+    state = controller.state
+    for rpc_state, rpcs in state.rpcs_by_state.items():
+        assert all(managed.state is rpc_state for managed in rpcs), f"an RPC is not {rpc_state.name}"
+    waiting = [*state.queued, *state.rpcs_by_state[RpcState.AWAITING_ORIGINAL]]
+    running = [managed for managed in state.all_rpcs() if managed not in waiting]
+    memory_kb = sum(managed.rpc.memory_kb for managed in waiting)
+    memory_kb += sum(managed.rpc.memory_kb for managed in running) * state.settings.running_memory_factor
+    memory_kb += len(controller.dedup.expires_at_ms) * state.settings.dedup_entry_kb
+    assert abs(memory_kb - state.memory_in_use_kb) < 1e-3, (memory_kb, state.memory_in_use_kb)
+
+
 class AdmissionBench:
     """An admission controller whose actions are recorded and whose clock the test moves.
 
@@ -121,6 +134,7 @@
         gauges = Gauges(core_utilization, started if on_cores is None else on_cores, open_connections)
         self.controller.on_timer(gauges)
         self.controller.settle()
+        assert_consistent(self.controller)
 
     def set_time(self, now_ms: float) -> None:
         """Sets the clock."""
--- a/tests/hot_restart_fixtures.py
+++ b/tests/hot_restart_fixtures.py
@@ -31,7 +31,7 @@
 from landingshift.net.program.config import decode_config
 from landingshift.net.routing.router import Router
 from landingshift.net.transport.loop import Loop
-from tests.helpers import CONFIG, AdmissionBench, Peer
+from tests.helpers import CONFIG, AdmissionBench, Peer, assert_consistent
 
 EVENT_WEIGHTS = {"read": 8, "tick": 6, "ended": 3, "wants_call": 6, "call_done": 3, "hangup": 1}
 STATE_FOR_EVENT = {"wants_call": RpcState.RUNNING, "call_done": RpcState.CALLING}
@@ -85,6 +85,7 @@
             if event.name == "read":
                 numbers[rpcs[-1].rpc] = len(rpcs) - 1
             bench.controller.settle()
+            assert_consistent(bench.controller)
             steps.append([(name, *_numbered(values, numbers)) for name, *values in bench.actions])
         return steps
 
