--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -97,10 +97,10 @@
         return b""
 
 
-class OwnClose(unittest.TestCase):
+class ServerClosesTest(unittest.TestCase):
     """An RPC that lies in the socket while its connection is about to be closed."""
 
-    def test_quiet_and_idle_ones_are_read_once_more(self) -> None:
+    def test_socket_is_read_once_more_before_an_idle_connection_is_closed(self) -> None:
         for why, proven, wait in [
             ("proved nothing", False, VERIFICATION_TIME_MS),
             ("asked to go", True, GOAWAY_GRACE_MS),
@@ -120,7 +120,7 @@
                 door.run_passes_until(lambda c=connection: not c.stream.output)
                 self.assertIn(msgpack.packb([1, 1, None, [b"r", {}]]), peer.recv(4096))
 
-    def test_crowding_out_spares_who_has_just_sent(self) -> None:
+    def test_eviction_spares_a_connection_that_has_just_sent(self) -> None:
         door = GatewaysUnderTest(self, most=2)
         (first, one), (second, two) = door.connect(), door.connect()
         for _ in range(3):
@@ -133,7 +133,7 @@
         self.assertEqual((one.stream.is_open, two.stream.is_open), (True, False))
         self.assertEqual(second.recv(10), b"")
 
-    def test_a_half_message_does_not_take_answers_that_are_owed(self) -> None:
+    def test_partial_message_closes_only_after_owed_answers(self) -> None:
         door = GatewaysUnderTest(self)
         peer, connection = door.connect(proven=True)
         peer.sendall(rpc() + rpc(2)[:9])
@@ -146,7 +146,7 @@
         self.assertEqual(msgpack.unpackb(peer.recv(4096))[:3], [1, 1, None])
         self.assertEqual(connection.stream.close_reason, "unfinished")  # now nothing is owed
 
-    def test_who_has_not_been_told_to_go_is_listened_to(self) -> None:
+    def test_connection_with_unsent_goaway_is_still_read(self) -> None:
         # `goaway` lies behind answers that a slow reader has not taken: it goes on sending.
         door = GatewaysUnderTest(self)
         peer, connection = door.connect(proven=True)
@@ -167,7 +167,7 @@
         connection.check_idle()
         self.assertEqual(connection.stream.close_reason, "goaway")  # nobody holds a place for ever
 
-    def test_nothing_is_acted_on_after_the_half_close(self) -> None:
+    def test_requests_after_the_half_close_are_ignored(self) -> None:
         door = GatewaysUnderTest(self)
         peer, connection = door.connect(proven=True)
         connection.stream.close_gracefully("goaway")
@@ -177,7 +177,7 @@
         door.run_passes_until(lambda: door.close_reasons)
         self.assertEqual((door.events.request_ids, door.close_reasons), ([], ["goaway"]))
 
-    def test_who_goes_on_sending_after_it_is_cut(self) -> None:
+    def test_bytes_after_a_cut_off_are_discarded_up_to_a_bound(self) -> None:
         door = GatewaysUnderTest(self)
         peer, connection = door.connect(proven=True)
         connection.stream.close_gracefully("goaway")
@@ -196,7 +196,7 @@
         door.run_passes_until(over)
         self.assertLess(connection.stream.discarded_bytes, 3 * MAX_DISCARDED_BYTES)
 
-    def test_an_answer_reaches_who_is_cut(self) -> None:
+    def test_answers_written_before_a_cut_off_arrive(self) -> None:
         # More of its bytes are unread: a close would be a reset, which takes the answer along.
         program = ProgramUnderTest(self)
         for first, reason in [
@@ -213,7 +213,7 @@
                 self.assertEqual(program.wait_for_log("connection")["reason"], reason)
 
 
-class PeerClose(unittest.TestCase):
+class GatewayClosesTest(unittest.TestCase):
     def owing(self) -> tuple[Stream, socket.socket]:
         """A stream with much more to write than the other side has room for."""
         loop = Loop(lambda: self.fail("a handler raised"))
@@ -238,7 +238,7 @@
         stream.linger()
         self.assertFalse(stream.is_open)  # nothing taken in a whole spell
 
-    def test_a_spell_without_end_is_none(self) -> None:
+    def test_lingering_ends_after_a_bounded_number_of_waits(self) -> None:
         stream, theirs = self.owing()
         stream.close_gracefully("goaway")
         spells = 0
@@ -250,7 +250,7 @@
         self.assertLessEqual(spells, MAX_LINGERS + 1)
         self.assertGreater(LINGER_MS, 0.0)
 
-    def test_half_closed_with_an_rpc_and_a_probe_open(self) -> None:
+    def test_half_closed_connection_gets_answers_to_its_rpc_and_health_check(self) -> None:
         program = ProgramUnderTest(self)
         gateway, other_gateway = GatewayClient(program), GatewayClient(program)
         message_id = gateway.send_rpc()
@@ -267,7 +267,7 @@
             (other_gateway.read_final_answer(), other_gateway.read_until_end()), ((1, True), "closed")
         )
 
-    def test_a_reset_in_each_state(self) -> None:
+    def test_reset_in_each_state_ends_only_its_connection(self) -> None:
         program = ProgramUnderTest(self)
         other = GatewayClient(program)
         prove(program, other)
@@ -308,8 +308,8 @@
         self.assertEqual(other.read_answer(), (message_id, b"r"))
 
 
-class Pieces(unittest.TestCase):
-    def test_every_form_that_the_format_allows(self) -> None:
+class MessageFormsTest(unittest.TestCase):
+    def test_requests_decode_in_every_form_of_messagepack_and_any_pieces(self) -> None:
         # A gateway's library may choose longer forms than the shortest one.
         def text(value: str, form: str) -> bytes:
             raw = value.encode()
@@ -357,7 +357,7 @@
                     self.assertEqual(gateway.read_answer(), (n, b"r"))
 
 
-class Descriptors(unittest.TestCase):
+class DescriptorLimitTest(unittest.TestCase):
     def test_idle_clients_in_every_place_while_the_roster_is_silent(self) -> None:
         program = ProgramUnderTest(self, limits={"sockets": 96})
         program.roster.close()
@@ -373,7 +373,7 @@
         self.assertTrue(GatewayClient(program).check_health()[0])
         self.assertTrue(all(one.is_closed_by_program() for one in crowd))
 
-    def test_fewer_descriptors_than_told(self) -> None:
+    def test_serves_with_fewer_descriptors_than_configured(self) -> None:
         # What the system gives counts: the links to engine and database need theirs beside the gateways'.
         program = ProgramUnderTest(self, limits={"sockets": 1024}, files=96)
         with program.paused():  # each has its RPC there once it is accepted, so that none of them makes room
@@ -387,7 +387,7 @@
         program.engine.sock.close()
         self.assertEqual(EngineStandIn(program).attach_command, ["ATTACH", "1"])
 
-    def test_an_honest_gateway_in_a_flood(self) -> None:
+    def test_gateway_is_served_during_a_flood_of_strangers(self) -> None:
         program = ProgramUnderTest(self, limits={"sockets": 128})
         gateway = GatewayClient(program)
         prove(program, gateway)
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -24,12 +24,11 @@
     return crowd
 
 
-class Backlog(unittest.TestCase):
-    def test_a_full_table_keeps_nobody_out_who_has_come(self) -> None:
+class BacklogTest(unittest.TestCase):
+    def test_drain_accepts_what_waits_though_the_table_is_full(self) -> None:
         # Closing the listener over them would reset what was written before the notice.
-        program = ProgramUnderTest(
-            self, limits={"sockets": 80}, settings__classes__0__late_share=0.0
-        )  # 16 connections
+        # 16 connections.
+        program = ProgramUnderTest(self, limits={"sockets": 80}, settings__classes__0__late_share=0.0)
         crowd = [GatewayClient(program) for _ in range(16)]
         for one in crowd:
             one.send_rpc(wait="9000")
@@ -42,7 +41,7 @@
             one.sock.close()
         self.assertEqual(program.wait_for_exit(), 0)
 
-    def test_without_descriptors_the_door_stays_open_until_some_are_free(self) -> None:
+    def test_listener_stays_open_until_descriptors_are_free(self) -> None:
         class Short:
             """The listening socket of a process that has no descriptors left."""
 
@@ -74,7 +73,7 @@
             connection.stream.close("test")
         self.assertTrue(door.gateways.is_drained())
 
-    def test_who_comes_again_at_once_is_refused(self) -> None:
+    def test_reconnect_during_a_drain_is_refused(self) -> None:
         # Neither taken, nor left waiting until after the stop.
         program = ProgramUnderTest(self)
         gateway = GatewayClient(program)
@@ -87,8 +86,8 @@
         self.assertEqual(program.wait_for_exit(), 0)
 
 
-class NoEngine(unittest.TestCase):
-    def test_what_was_written_is_told_that_it_never_ran(self) -> None:
+class DrainWithoutEngineTest(unittest.TestCase):
+    def test_drain_without_engine_rejects_what_waits_unread(self) -> None:
         program = ProgramUnderTest(self, engine=False)
         known = GatewayClient(program)
         self.assertTrue(known.check_health()[0])
@@ -104,7 +103,7 @@
         self.assertEqual(program.wait_for_exit(), 0)
         self.assertEqual(program.log_entries[-1]["event"], "stopped")
 
-    def test_an_engine_that_comes_up_after_the_notice_lists_nobody(self) -> None:
+    def test_engine_up_after_the_notice_starts_no_reports(self) -> None:
         program = ProgramUnderTest(self, engine=False)
         link = EngineStandIn(program, hello="")
         gateway = GatewayClient(program)
@@ -120,8 +119,8 @@
             program.roster.recv(100)
 
 
-class Notice(unittest.TestCase):
-    def test_signals_while_it_runs_and_again(self) -> None:
+class DrainNoticeTest(unittest.TestCase):
+    def test_repeated_signals_are_one_notice(self) -> None:
         program = ProgramUnderTest(self)
         gateway = GatewayClient(program)
         message_id = gateway.send_rpc()
@@ -141,7 +140,7 @@
         half.sock.close()
         self.assertEqual(program.wait_for_exit(), 0)
 
-    def test_a_probe_in_the_same_moment(self) -> None:
+    def test_health_check_at_the_moment_of_the_notice_is_answered(self) -> None:
         for deep in ("", "1"):
             with self.subTest(deep=deep):
                 program = ProgramUnderTest(self)
@@ -154,7 +153,7 @@
                 gateway.sock.close()
                 self.assertEqual(program.wait_for_exit(), 0)
 
-    def test_a_call_and_an_answer_in_the_same_moment(self) -> None:
+    def test_call_and_answer_at_the_moment_of_the_notice(self) -> None:
         program = ProgramUnderTest(self)
         gateway = GatewayClient(program)
         message_id = gateway.send_rpc()
@@ -172,7 +171,7 @@
         gateway.sock.close()
         self.assertEqual(program.wait_for_exit(), 0)
 
-    def test_the_link_to_the_engine_lost_in_the_same_moment(self) -> None:
+    def test_engine_link_lost_at_the_moment_of_the_notice(self) -> None:
         program = ProgramUnderTest(self)
         gateway = GatewayClient(program)
         message_id = gateway.send_rpc("once")
@@ -186,7 +185,7 @@
         gateway.sock.close()
         self.assertEqual(program.wait_for_exit(), 0)
 
-    def test_it_does_not_end_over_open_connections(self) -> None:
+    def test_process_does_not_end_while_connections_are_open(self) -> None:
         # What lies unread in one of them would make its close a reset, which takes the answer along.
         program = ProgramUnderTest(self, stop_ms=400)
         gateway = GatewayClient(program)
@@ -204,7 +203,7 @@
             (program.log_entries[-1]["event"], program.log_entries[-1]["connections"]), ("stopped", 0)
         )
 
-    def test_the_last_answer_is_followed_by_the_close(self) -> None:
+    def test_connection_closes_right_after_its_last_answer(self) -> None:
         door = GatewaysUnderTest(self)
         peer, connection = door.connect(proven=True)
         peer.sendall(msgpack.packb([0, 1, "m", [{}, b"work"]]))
@@ -220,7 +219,7 @@
             passes += 1
         self.assertEqual(connection.stream.close_reason, "goaway")
 
-    def test_short_and_long_notices(self) -> None:
+    def test_rpcs_are_answered_within_short_and_long_notices(self) -> None:
         for stop_ms in (60, 200, 9e6):
             with self.subTest(stop_ms=stop_ms):
                 program = ProgramUnderTest(self, stop_ms=stop_ms)
@@ -232,11 +231,10 @@
                 if stop_ms < 1e6:
                     self.assertEqual(program.wait_for_exit(), 0)
                 else:
-                    self.assertFalse(
-                        gateway.check_health()[0]
-                    )  # it leaves, but has all the time that it was given
+                    # It leaves, but has all the time that it was given.
+                    self.assertFalse(gateway.check_health()[0])
 
-    def test_a_short_notice_is_looked_at_at_once(self) -> None:
+    def test_short_notice_is_checked_at_once(self) -> None:
         b = Bench()
         job = b.read()
         b.server.settle()
@@ -246,7 +244,7 @@
         b.tick(1.0)
         self.assertEqual(b.fates(job), ["abort"])
 
-    def test_its_time_counts_from_the_signal_on(self) -> None:
+    def test_notice_counts_from_the_signal_not_from_the_pass(self) -> None:
         # A pass of the loop may take long; what comes after the grace must not run for that.
         loop, heard = Loop(lambda: None), []
         kept = {n: signal.getsignal(n) for n in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)}
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -36,7 +36,7 @@
     )
 
 
-class Table(unittest.TestCase):
+class SlotsTest(unittest.TestCase):
     def test_a_slot_used_again_has_another_number(self) -> None:
         slots: Slots[str] = Slots()
         first = slots.put("a")
@@ -48,8 +48,8 @@
         )
 
 
-class Time(unittest.TestCase):
-    def test_order_cancel_and_bound(self) -> None:
+class LoopTimersTest(unittest.TestCase):
+    def test_timers_fire_in_order_whatever_others_raise_and_cancelled_ones_take_no_memory(self) -> None:
         faults: list[int] = []
         loop, fired = Loop(lambda: faults.append(1)), []
         for delay in (3.0, 1.0, 2.0):
@@ -65,8 +65,8 @@
         loop.selector.close()
 
 
-class Bytes(unittest.TestCase):
-    def test_engine_lines(self) -> None:
+class DecodersTest(unittest.TestCase):
+    def test_engine_lines_decode_alike_in_one_piece_and_byte_by_byte(self) -> None:
         good = engine.RunEnded(7, b"aa", Outcome.OK, 1.5, b"a\r\nb")
         for data, messages in [
             (b"DONE 7 aa good 1.5 4\r\na\r\nb\r\n", [good]),
@@ -99,8 +99,8 @@
         self.assertLess(len(reader.buffer), 20000)
 
 
-class Results(unittest.TestCase):
-    def test_bound(self) -> None:
+class DedupTableTest(unittest.TestCase):
+    def test_full_table_forgets_results_but_not_that_an_effect_happened(self) -> None:
         # What goes when the memory is short: results of reads whole, of others all but that they happened.
         for effect, known in [(Idempotency.IDEMPOTENT, False), (Idempotency.KEYED, True)]:
             with self.subTest(effect=effect):
@@ -117,7 +117,7 @@
                 self.assertEqual(kept.find(routed(200, effect, "0"), 200.0, 200.0) is not None, known)
                 self.assertIsNotNone(kept.find(routed(200, effect, "99"), 200.0, 200.0))
 
-    def test_how_long(self) -> None:
+    def test_entry_lasts_as_long_as_its_outcome_and_idempotency_allow(self) -> None:
         for effect, outcome, at, known in [
             (Idempotency.IDEMPOTENT, Outcome.OK, 600.0, True),
             (Idempotency.IDEMPOTENT, Outcome.OK, 800.0, False),
@@ -137,7 +137,7 @@
                 self.assertEqual(kept.find(routed(3, effect), at, at) is not None, known)
 
 
-class Calls(unittest.TestCase):
+class DatabasePoolTest(unittest.TestCase):
     def test_an_idle_link_is_closed_before_the_database_does(self) -> None:
         # Half a call that crosses the other side's close could not be told from one that ran.
         door = socket.create_server(("127.0.0.1", 0))
@@ -172,8 +172,8 @@
         door.close()
 
 
-class Checks(unittest.TestCase):
-    def test_a_deep_check_does_work_unless_the_module_answers_it(self) -> None:
+class HealthReporterTest(unittest.TestCase):
+    def test_deep_check_runs_a_self_test_unless_the_controller_answers_it(self) -> None:
         for working, good, cheap, deep, answer in [
             (True, True, False, True, "tested"), (True, True, True, True, True),
             (True, True, False, False, True), (True, False, False, True, False),
@@ -189,8 +189,8 @@
                 self.assertEqual(told, [answer])
 
 
-class Configuration(unittest.TestCase):
-    def test_the_least_and_what_the_environment_adds(self) -> None:
+class DecodeConfigTest(unittest.TestCase):
+    def test_minimal_config_takes_defaults_and_name_from_environment(self) -> None:
         least = {
             "engine": "127.0.0.1:1", "roster": "127.0.0.1:2", "seed": "ff",
             "settings": {
@@ -211,8 +211,8 @@
             config.decode_config(least, {"GW_NAME": "n3"})
 
 
-class Lines(unittest.TestCase):
-    def test_a_log_that_nobody_reads_holds_nothing_up(self) -> None:
+class EventLogTest(unittest.TestCase):
+    def test_log_that_nobody_reads_counts_lost_events_and_never_blocks(self) -> None:
         reads, writes = os.pipe()
         log = EventLog(writes)
         for i in range(3000):
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -35,7 +35,7 @@
     )
 
 
-class Window(unittest.TestCase):
+class RepeatWindowTest(unittest.TestCase):
     """Times in ms; the window of 500 opens when the first try reached the machine, at 0."""
 
     def table(self) -> tuple[DedupTable, RoutedRpc]:
@@ -43,7 +43,7 @@
         kept.reserve(first, 501.0)
         return kept, first
 
-    def test_it_counts_to_the_arrival(self) -> None:
+    def test_window_counts_to_the_arrival_of_the_repeat(self) -> None:
         for read, waited, known in [(400.0, 0.0, True), (700.0, 250.0, True), (700.0, 150.0, False)]:
             with self.subTest(read=read, waited=waited):
                 kept, first = self.table()
@@ -52,7 +52,7 @@
                 kept.complete(entry, Outcome.OK, b"r", 100.0)
                 self.assertIs(kept.find(routed("a"), read, read - waited), entry if known else None)
 
-    def test_it_does_not_end_under_a_run(self) -> None:
+    def test_window_does_not_end_while_the_first_attempt_runs(self) -> None:
         kept, first = self.table()
         entry = kept.owned_by(first)
         assert entry is not None
@@ -60,7 +60,7 @@
         kept.complete(entry, Outcome.OK, b"r", 9001.0)
         self.assertIsNone(kept.find(routed("a"), 9002.0, 9002.0))
 
-    def test_short_memory_forgets_no_effect(self) -> None:
+    def test_eviction_forgets_no_attempt_that_may_still_be_repeated(self) -> None:
         kept = DedupTable(3 * (ENTRY_BYTES + 100), 0.0, max_age_ms=1000.0)
         names = ["runs", "late", "within", "over"]
         owners = {name: routed(name) for name in names}
@@ -76,7 +76,7 @@
         self.assertEqual({n for n, rpc in owners.items() if kept.owned_by(rpc)}, {"runs", "late", "within"})
 
 
-class OnSockets(unittest.TestCase):
+class RepeatsOnSocketsTest(unittest.TestCase):
     def tokened(
         self, program: ProgramUnderTest, gateway: GatewayClient, token: str, **fields: Any
     ) -> tuple[int, str]:
@@ -99,7 +99,7 @@
         program.engine.send_notice("DONE 2", rid, "good 5", body=b"s")
         self.assertEqual(gateway.read_answer(), (m, b"s"))
 
-    def test_windows_shorter_than_a_run(self) -> None:
+    def test_repeat_joins_a_run_that_is_longer_than_the_window(self) -> None:
         for window in (0.0, 100.0):
             with self.subTest(window=window):
                 program = ProgramUnderTest(self, settings__classes__1__repeat_window=window)
@@ -115,7 +115,7 @@
                     sorted([gateway.read_answer(), gateway.read_answer()]), [(n, b"r"), (m, b"r")]
                 )
 
-    def test_with_the_first_trys_end_in_one_pass(self) -> None:
+    def test_repeat_and_end_of_the_first_attempt_in_one_pass(self) -> None:
         program = ProgramUnderTest(self)
         gateway, other_gateway = GatewayClient(program), GatewayClient(program)
         prove(program, other_gateway)
@@ -134,7 +134,7 @@
                     ((n, answer), (m, answer)),
                 )
 
-    def test_with_the_first_trys_hang_up_in_one_pass(self) -> None:
+    def test_repeat_and_hang_up_of_the_first_attempt_in_one_pass(self) -> None:
         for gone in ("giveUp", "close"):
             with self.subTest(gone=gone):
                 program = ProgramUnderTest(self)
@@ -149,12 +149,11 @@
                         gateway.send(b"\x93\x02\xa6giveUp\x91%c" % n)
                     m, _ = self.tokened(program, other_gateway, "a")
                 self.assertTrue(GatewayClient(program).check_health()[0])
-                program.engine.send_notice(
-                    "DONE 2", first, "good 5", body=b"r"
-                )  # it had started: its effect may be there
+                # It had started: its effect may be there.
+                program.engine.send_notice("DONE 2", first, "good 5", body=b"r")
                 self.assertEqual(other_gateway.read_answer(), (m, b"r"))
 
-    def test_after_the_first_try_was_pushed_back_it_runs(self) -> None:
+    def test_repeat_runs_after_the_first_attempt_was_rejected(self) -> None:
         # Within the window, and where the first try, held behind another RPC, outlived it unrun.
         for window, wait in ((5000.0, "150"), (50.0, "500")):
             with self.subTest(window=window):
@@ -173,7 +172,7 @@
                 program.engine.send_notice("DONE 2", again, "good 5", body=b"s")
                 self.assertEqual(gateway.read_answer(), (m, b"s"))
 
-    def test_after_the_first_try_was_aborted_its_result_counts(self) -> None:
+    def test_repeat_gets_the_result_of_an_attempt_answered_as_aborted(self) -> None:
         program = ProgramUnderTest(self)
         gateway = GatewayClient(program)
         n, first = self.tokened(program, gateway, "a", wait="200")
@@ -184,7 +183,7 @@
         program.engine.send_notice("DONE 1", first, "good 400", body=b"r")
         self.assertEqual(gateway.read_answer(), (m, b"r"))
 
-    def test_the_same_id_again(self) -> None:
+    def test_second_rpc_with_an_id_in_flight_is_not_run(self) -> None:
         program = ProgramUnderTest(self)
         gateway, other_gateway = GatewayClient(program), GatewayClient(program)
         for i, (method, answer) in enumerate([("m", "Busy"), ("once", "Failed"), ("token", "Failed")]):
@@ -203,8 +202,8 @@
                 self.assertEqual(gateway.read_answer(), (message_id, b"r"))
 
 
-class Strangers(unittest.TestCase):
-    def test_a_kept_result_is_for_gateways_alone(self) -> None:
+class StrangersTest(unittest.TestCase):
+    def test_stored_result_goes_only_to_verified_connections(self) -> None:
         # Whoever repeats a gateway's key on a connection of its own must not get what was made for that one.
         program = ProgramUnderTest(
             self, settings__extra__share_for=60000.0, settings__extra__class_skip_worth=[0.5, 0.3, 0.0]
@@ -241,7 +240,7 @@
                         else:
                             self.assertEqual(other_gateway.read_until_end(), "closed")
 
-    def test_where_the_engine_may_not_be_asked_the_connection_proves_itself(self) -> None:
+    def test_repeat_waits_for_its_connection_where_the_engine_can_not_be_asked(self) -> None:
         # No call of this method may be left out, so that the engine refuses SKIP for what it knows too: a
         # gateway that came again after a reset was cut off for it, and all that it had open was lost.
         program = ProgramUnderTest(self, settings__extra__class_skip_worth=[0.5, 0.0, 0.0])
@@ -279,7 +278,7 @@
                     [(repeat, b"r") for repeat in repeats],
                 )
 
-    def test_on_a_new_connection_in_a_flood(self) -> None:
+    def test_repeat_on_a_new_connection_in_a_flood_is_aborted_not_rejected(self) -> None:
         # More RPCs in hand than strangers may bring: the repeat heard "Busy", as if its first try never ran.
         program = ProgramUnderTest(self, limits={"sockets": 200}, settings__extra__n_cores=1)
         gateway = GatewayClient(program)
@@ -298,7 +297,7 @@
                 self.assertEqual(other_gateway.read_answer(), (message_id, answer))
                 self.assertLess(time.monotonic() - came, 0.9)  # at once, not as one that waits to be proven
 
-    def test_the_link_lost_while_it_is_asked(self) -> None:
+    def test_engine_link_lost_while_the_engine_is_asked_about_a_repeat(self) -> None:
         program = ProgramUnderTest(self, settings__extra__class_skip_worth=[0.5, 0.3, 0.0])
         gateway, other_gateway = GatewayClient(program), GatewayClient(program)
         gateway.send_rpc("token", once="a")
@@ -315,8 +314,8 @@
             self.assertEqual(other_gateway.read_answer(), (message_id, b"r"))
 
 
-class NotTold(unittest.TestCase):
-    def test_a_wait_that_callers_do_not_tell(self) -> None:
+class UntoldWaitTest(unittest.TestCase):
+    def test_wait_that_callers_do_not_tell_is_the_deadline_of_the_method(self) -> None:
         # A site of another customer: every RPC was turned down for the field that it does not have.
         program = ProgramUnderTest(
             self, settings__extra__passes_deadline=False, settings__classes__0__give_up=600.0
@@ -333,13 +332,12 @@
             self.assertEqual(gateway.read_answer(), (message_id, "Failed"))
             self.assertLess(time.time() - came, 0.35)
         told = GatewayClient(ProgramUnderTest(self))
-        self.assertEqual(
-            (told.send_rpc(wait=None), "Busy"), told.read_answer()
-        )  # where they do, it must be there
+        # Where they do, it must be there.
+        self.assertEqual((told.send_rpc(wait=None), "Busy"), told.read_answer())
 
 
-class Clock(unittest.TestCase):
-    def test_steps(self) -> None:
+class ArrivalClockTest(unittest.TestCase):
+    def test_arrival_times_out_of_range_are_rejected(self) -> None:
         """`at` is Unix time: a step shows as age, or as a time to come."""
         program = ProgramUnderTest(self)
         gateway = GatewayClient(program)
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -25,8 +25,8 @@
     assert gateway.read_answer() == (message_id, b"r")
 
 
-class Serving(unittest.TestCase):
-    def test_outcomes(self) -> None:
+class ServingTest(unittest.TestCase):
+    def test_each_end_of_a_run_is_answered_by_its_outcome(self) -> None:
         program = ProgramUnderTest(self)
         gateway = GatewayClient(program)
         for end, answer in [
@@ -47,7 +47,7 @@
                     )
                 self.assertEqual(gateway.read_answer(), (message_id, answer))
 
-    def test_split_bytes_and_many_at_once(self) -> None:
+    def test_bytes_one_by_one_and_many_messages_at_once(self) -> None:
         program = ProgramUnderTest(self)
         gateway = GatewayClient(program)
         gateway.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -93,7 +93,7 @@
         program.engine.send_notice("DONE", 2, gateway.last_rpc_id, "good", 2, body=b"r")
         self.assertEqual(gateway.read_answer(), (message_id, b"r"))
 
-    def test_broken_bytes_end_one_connection(self) -> None:
+    def test_malformed_bytes_end_only_their_connection(self) -> None:
         program = ProgramUnderTest(self)
         other = GatewayClient(program)
         message_id = other.send_rpc(wait="9000")
@@ -118,7 +118,7 @@
         program.engine.send_notice("DONE 1", f"{1:016x}", "good 2", body=b"r")
         self.assertEqual(other.read_answer(), (message_id, b"r"))
 
-    def test_answers_come_in_time(self) -> None:
+    def test_every_rpc_is_answered_by_its_deadline(self) -> None:
         program = ProgramUnderTest(self, settings__extra__n_cores=1)
         gateway = GatewayClient(program)
         start = time.monotonic()
@@ -147,7 +147,7 @@
         os.kill(program.process.pid, signal.SIGCONT)
         self.assertEqual(gateway.read_answer(), (message_id, b"in time"))
 
-    def test_give_up_is_not_answered(self) -> None:
+    def test_cancelled_rpc_is_not_answered(self) -> None:
         program = ProgramUnderTest(self)
         gateway = GatewayClient(program)
         message_id = gateway.send_rpc()
@@ -158,9 +158,8 @@
         gateway.send(msgpack.packb([2, "giveUp", [message_id]]))
         self.assertEqual(db.read_line()[0], ["X", gateway.last_rpc_id])
         program.engine.send_notice("DONE 2", gateway.last_rpc_id, "cut 9 0")
-        self.assertEqual(
-            gateway.check_health()[0], True
-        )  # the next message, not an answer to what was given up
+        # The next message, not an answer to what was given up.
+        self.assertEqual(gateway.check_health()[0], True)
 
     def test_a_gateway_that_only_stops_writing_gets_its_answer(self) -> None:
         program = ProgramUnderTest(self)
@@ -181,8 +180,8 @@
                     self.assertEqual(program.wait_for_log("connection")["reason"], "closed_by_gateway")
 
 
-class Repeats(unittest.TestCase):
-    def test_joined(self) -> None:
+class RepeatsTest(unittest.TestCase):
+    def test_repeats_are_answered_by_the_first_attempt(self) -> None:
         program = ProgramUnderTest(self, settings__extra__share_for=60000.0)
         gateway = GatewayClient(program)
         notice = 0
@@ -208,8 +207,8 @@
         program.engine.expect_command("RUN", gateway.last_rpc_id)
 
 
-class EngineLink(unittest.TestCase):
-    def test_up_late(self) -> None:
+class EngineLinkTest(unittest.TestCase):
+    def test_rpcs_before_the_engine_is_up_are_rejected(self) -> None:
         program = ProgramUnderTest(self, engine=False)
         link = EngineStandIn(program, hello="")
         self.assertEqual(link.attach_command, ["ATTACH", "0"])
@@ -225,7 +224,7 @@
         self.assertEqual(program.roster.recv(100), b"HERE n3 on")
         self.assertEqual(gateway.check_health(deep="1")[0], True)
 
-    def test_lost_and_attached_again(self) -> None:
+    def test_link_lost_and_attached_again_goes_on_with_its_runs(self) -> None:
         program = ProgramUnderTest(self)
         gateway = GatewayClient(program)
         numbers = []
@@ -259,7 +258,7 @@
         self.assertEqual(answers[0], (done, b"while away"))
         self.assertEqual(sorted(answers[1:]), [(n, b"r") for n in (waits, unsaid, once, token, plain)])
 
-    def test_work_that_may_have_run_is_not_said_again(self) -> None:
+    def test_run_that_may_have_happened_is_not_sent_again(self) -> None:
         program = ProgramUnderTest(self)
         gateway = GatewayClient(program)
         message_id = gateway.send_rpc("once", wait="900")
@@ -274,7 +273,7 @@
         link.send_notice("DONE 2", gateway.last_rpc_id, "good 3", body=b"r")
         self.assertEqual(gateway.read_answer(), (other_id, b"r"))
 
-    def test_a_link_that_hangs_is_left(self) -> None:
+    def test_silent_engine_link_is_closed_and_made_again(self) -> None:
         program = ProgramUnderTest(self)
         gateway = GatewayClient(program)
         message_id = gateway.send_rpc(wait="9000")
@@ -284,7 +283,7 @@
         link.send_notice("DONE 1", gateway.last_rpc_id, "good 3", body=b"r")
         self.assertEqual(gateway.read_answer(), (message_id, b"r"))
 
-    def test_what_is_no_notice_ends_the_link(self) -> None:
+    def test_malformed_notice_ends_the_engine_link(self) -> None:
         program = ProgramUnderTest(self)
         for i, data in enumerate(
             [b"DONE x y\r\n", b"?" * 600, b"NEED 1 aa 99999999\r\n", b"DONE 1 a good x 0\r\n"]
@@ -296,16 +295,15 @@
                 self.assertEqual(program.engine.attach_command, ["ATTACH", "0"], i)
 
 
-class Calls(unittest.TestCase):
-    def test_replies(self) -> None:
+class DatabaseCallsTest(unittest.TestCase):
+    def test_each_database_reply_feeds_or_retries_the_run(self) -> None:
         for reply, retried in [
             ("ROWS 3\r\na\r\n\r\n", False), ("ROWS 0\r\n\r\n", False), ("FULL\r\n", True), ("FAIL\r\n", True),
             ("TIMEOUT\r\n", True), ("NONE\r\n", True),
         ]:  # fmt: skip
             with self.subTest(reply=reply):
-                program = ProgramUnderTest(
-                    self
-                )  # a new one each: a store that never answers well is not asked three times
+                # A new one each: a store that never answers well is not asked three times.
+                program = ProgramUnderTest(self)
                 gateway = GatewayClient(program)
                 message_id = gateway.send_rpc()
                 program.engine.expect_command("RUN", gateway.last_rpc_id)
@@ -327,7 +325,7 @@
                 program.engine.send_notice("DONE", 2, gateway.last_rpc_id, "good 5", body=b"r")
                 self.assertEqual(gateway.read_answer(), (message_id, b"r"))
 
-    def test_database_lost(self) -> None:
+    def test_calls_on_a_lost_database_link_are_retried_where_safe(self) -> None:
         for refused in (False, True):
             with self.subTest(refused=refused):
                 program = ProgramUnderTest(self)
@@ -350,7 +348,7 @@
                         )
                     self.assertEqual(gateway.read_answer(), (message_id, b"r" if method == "m" else "Failed"))
 
-    def test_a_call_without_reply_is_given_up(self) -> None:
+    def test_call_without_reply_times_out(self) -> None:
         program = ProgramUnderTest(self)
         gateway = GatewayClient(program)
         gateway.send_rpc("once", wait="2000")
@@ -361,7 +359,7 @@
         self.assertTrue(db.is_closed_by_program())  # which gives it up
         self.assertEqual(gateway.read_answer()[1], "Failed")
 
-    def test_a_spoilt_reply_costs_its_own_call_only(self) -> None:
+    def test_malformed_reply_costs_only_its_own_call(self) -> None:
         program = ProgramUnderTest(self)
         gateway = GatewayClient(program)
         notice = 0
@@ -417,8 +415,8 @@
         self.assertEqual(program.engine.expect_command("FEED", gateway.last_rpc_id), b"new")
 
 
-class Peers(unittest.TestCase):
-    def test_descriptors_run_out(self) -> None:
+class PeersTest(unittest.TestCase):
+    def test_serves_on_when_descriptors_run_out(self) -> None:
         for told, really, most in [(80, 1024, 16), (256, 30, 40)]:  # 64 of those told are not for gateways
             with self.subTest(told=told, really=really):
                 program = ProgramUnderTest(self, limits={"sockets": told})
@@ -441,7 +439,7 @@
                 self.assertEqual(GatewayClient(program).check_health()[0], True)
                 self.assertLess(cpu(program.process.pid), 2.0)  # an accept that can't be done must not spin
 
-    def test_a_peer_that_does_not_read(self) -> None:
+    def test_gateway_that_does_not_read_is_closed_as_stalled(self) -> None:
         program = ProgramUnderTest(self)
         gateway = GatewayClient(program)
         gateway.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -457,7 +455,7 @@
         self.assertEqual(GatewayClient(program).check_health()[0], True)
         self.assertLess(resident(program.process.pid), 64.0)
 
-    def test_quiet_ones_are_asked_to_go(self) -> None:
+    def test_idle_verified_connections_get_goaway(self) -> None:
         program = ProgramUnderTest(self, settings__extra__caller_idle=400.0)
         silent, polite = GatewayClient(program), GatewayClient(program)
         prove(program, polite)
@@ -471,7 +469,7 @@
         reasons = {program.wait_for_log("connection")["reason"] for _ in range(2)}
         self.assertEqual(reasons, {"closed_by_gateway", "quiet"})
 
-    def test_whoever_proves_nothing_is_soon_gone(self) -> None:
+    def test_unverified_connection_is_closed_after_a_second(self) -> None:
         # Hundreds of them would take every descriptor and the core from the gateways.
         program = ProgramUnderTest(self, limits={"sockets": 128})
         gateway = GatewayClient(program)
@@ -490,7 +488,7 @@
         gateway.send(b"\x94\x00\x01")  # half a message, even from one that is known
         self.assertTrue(gateway.is_closed_by_program())
 
-    def test_strangers_bring_no_more_than_so_many(self) -> None:
+    def test_unverified_connections_are_rejected_past_the_bound_of_rpcs(self) -> None:
         # Their RPCs wait with their bodies: those of hundreds of connections would fill the memory.
         program = ProgramUnderTest(self, limits={"sockets": 200}, settings__extra__n_cores=1)
         known = GatewayClient(program)
@@ -534,15 +532,15 @@
         gateway = GatewayClient(program)
         self.assertEqual((gateway.check_health(deep="1")[0], gateway.check_health()[0]), (False, True))
 
-    def test_roster_down(self) -> None:
+    def test_roster_that_is_down_is_no_fault(self) -> None:
         program = ProgramUnderTest(self)
         program.roster.close()
         time.sleep(0.5)  # reports into the void
         self.assertEqual(GatewayClient(program).check_health()[0], True)
 
 
-class Leaving(unittest.TestCase):
-    def test_drain(self) -> None:
+class DrainTest(unittest.TestCase):
+    def test_drain_answers_all_that_was_read_and_closes_connections(self) -> None:
         program = ProgramUnderTest(self)
         gateway = GatewayClient(program)
         early = gateway.send_rpc()
@@ -571,8 +569,8 @@
             socket.create_connection(program.address)
 
 
-class Reload(unittest.TestCase):
-    def test_links_move_while_work_goes_on(self) -> None:
+class ReloadTest(unittest.TestCase):
+    def test_reload_moves_links_while_rpcs_run(self) -> None:
         # By default SIGHUP ends a program, and all that it holds is lost.
         program = ProgramUnderTest(self)
         gateway = GatewayClient(program)
@@ -602,13 +600,12 @@
         link.send_notice("DONE 2", first, "good 9", body=b"r")
         self.assertEqual(gateway.read_answer(), (message_id, b"r"))
         link.send_notice("NEED 3", gateway.last_rpc_id, body=b"q")
-        self.assertEqual(
-            program.accept_database_link().read_line()[0][:2], ["Q", gateway.last_rpc_id]
-        )  # at the new address
+        # At the new address.
+        self.assertEqual(program.accept_database_link().read_line()[0][:2], ["Q", gateway.last_rpc_id])
         link.send_notice("DONE 4", gateway.last_rpc_id, "good 9", body=b"r")
         self.assertEqual(gateway.read_answer(), (other_id, b"r"))
 
-    def test_an_unusable_one_changes_nothing(self) -> None:
+    def test_unusable_reload_changes_nothing(self) -> None:
         program = ProgramUnderTest(self)
         gateway = GatewayClient(program)
         for config, change, words in [
@@ -625,7 +622,7 @@
                 )
                 self.assertEqual(gateway.read_answer(), (message_id, b"r"))
 
-    def test_two_in_a_row_during_a_drain(self) -> None:
+    def test_reloads_during_a_drain(self) -> None:
         program = ProgramUnderTest(self)
         gateway = GatewayClient(program)
         message_id = gateway.send_rpc()
@@ -645,8 +642,8 @@
         self.assertEqual(program.process.wait(5.0), 0)
 
 
-class Config(unittest.TestCase):
-    def test_bad_ones_end_the_program_and_name_the_key(self) -> None:
+class ConfigTest(unittest.TestCase):
+    def test_unusable_config_ends_the_program_with_its_key(self) -> None:
         for path, value, words in [
             ((), "{", "GW_CONFIG"), ((), "[]", "configuration"), (("name",), None, "name"),
             (("name",), "a b", "name"), (("listen",), "nowhere", "listen"), (("engine",), 5, "engine"),
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -35,8 +35,8 @@
     return config
 
 
-class Settings(unittest.TestCase):
-    def test_null_says_as_much_as_nothing(self) -> None:
+class SettingsTest(unittest.TestCase):
+    def test_null_counts_as_an_absent_key(self) -> None:
         for path in [
             "limits", "limits.memory_mb", "limits.sockets", "limits.cores", "stop_ms", "settings.orgs",
             "settings.permissions", "settings.extra.gauges", "settings.extra.class-calls",
@@ -52,7 +52,7 @@
                     repr(decode_config(changed(path, None), {})), repr(decode_config(changed(path, ...), {}))
                 )
 
-    def test_lists_of_another_length(self) -> None:
+    def test_lists_shorter_or_longer_than_the_methods_are_taken(self) -> None:
         for calls, skip, want in [
             ([], [], [(False, 0.0)] * 3),
             ([True], [0.5], [(True, 0.5), (False, 0.0), (False, 0.0)]),
@@ -65,7 +65,7 @@
                 methods = decode_config(config, {}).settings.methods
                 self.assertEqual([(m.calls_downstream, m.degraded_value_fraction) for m in methods], want)
 
-    def test_names_and_orders_of_another_site(self) -> None:
+    def test_names_and_orders_of_another_installation(self) -> None:
         config = changed("settings.classes", [
             {"name": name, "effect": effect, "give-up": 100.0 * i, "slo": 50.0, "value": 1.0, "new": {}}
             for i, (name, effect) in enumerate(
@@ -81,7 +81,7 @@
         )  # fmt: skip
         self.assertEqual(list(told.tenants), ["Vargas y Hijos", "Ærø", "a\tb"])
 
-    def test_what_can_not_be_used_is_named(self) -> None:
+    def test_unusable_value_is_reported_by_its_key(self) -> None:
         for path, value, words in [
             ("settings.classes.1.name", "m", "settings.classes[1].name"),
             ("settings.classes.1.name", "a b", "settings.classes[1].name"),
@@ -110,8 +110,8 @@
         self.assertEqual(gateway.read_answer(), (message_id, b"r"))
 
 
-class Reload(unittest.TestCase):
-    def test_a_link_that_is_being_left_proves_what_it_was_given(self) -> None:
+class ChangeAddressTest(unittest.TestCase):
+    def test_link_that_is_being_left_is_kept_until_its_commands_are_confirmed(self) -> None:
         # However often the address changes meanwhile: what is in doubt may not run again, and is lost.
         loop = Loop(lambda: self.fail("a handler raised"))
         doors = [socket.create_server(("127.0.0.1", 0)) for _ in range(2)]
@@ -139,8 +139,8 @@
         self.assertEqual((link.stream is stream, stream.is_open, link.address), (True, True, here))
 
 
-class Program(unittest.TestCase):
-    def test_a_hang_up_of_its_first_moments_ends_nothing(self) -> None:
+class ProgramStartTest(unittest.TestCase):
+    def test_sighup_before_the_start_is_ignored(self) -> None:
         # SIGHUP may come before the interpreter is there; what it would tell is read at the start anyway.
         run = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
         before, _, program = run.rpartition("exec ")
@@ -150,7 +150,7 @@
         self.assertFalse(mask & 1 << signal.SIGTERM - 1)  # the notice to leave must not be lost
         self.assertEqual(program.split()[1:], ["-m", "landingshift"])
 
-    def test_a_notice_before_it_listens_ends_it_with_nothing_taken(self) -> None:
+    def test_notice_before_it_listens_ends_it_with_nothing_accepted(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             process = launch_program(folder, CONFIG)
             process.send_signal(signal.SIGTERM)
@@ -161,7 +161,7 @@
                 [json.loads(text)["event"] for text in out.splitlines()][:1], ["started"] if out else []
             )
 
-    def test_killed_behind_an_accept_and_started_again(self) -> None:
+    def test_restart_after_a_kill_behind_an_accept(self) -> None:
         program = ProgramUnderTest(self)
         gateway = GatewayClient(program)
         gateway.send_rpc("once")
@@ -176,9 +176,8 @@
         start = time.monotonic()
         program.engine.sock.close()
         program.process.communicate()
-        program.start(
-            program.make_config({}, {"listen": "{}:{}".format(*program.address)})
-        )  # at its old address
+        # At its old address.
+        program.start(program.make_config({}, {"listen": "{}:{}".format(*program.address)}))
         self.assertLess(time.monotonic() - start, 10.0)
         again = GatewayClient(program)
         message_id = again.send_rpc("once")
@@ -186,7 +185,7 @@
         program.engine.send_notice("DONE 1", again.last_rpc_id, "good 5", body=b"r")
         self.assertEqual(again.read_answer(), (message_id, b"r"))
 
-    def test_older_and_later_engines(self) -> None:
+    def test_coldness_follows_the_hello_of_older_and_later_engines(self) -> None:
         for hello, cold in [("HELLO old 3600000", False), ("HELLO new 0", True), ("HELLO new 600000", True)]:
             with self.subTest(hello=hello):
                 program = ProgramUnderTest(self, engine=False)
@@ -201,7 +200,7 @@
                 link.send_notice("DONE 1", gateway.last_rpc_id, "good 5", body=b"r")
                 self.assertEqual(gateway.read_answer(), (message_id, b"r"))
 
-    def test_nine_in_ten_are_ready_within_ten_seconds(self) -> None:
+    def test_nine_in_ten_starts_are_ready_within_ten_seconds(self) -> None:
         """Thirty at once on a shared processor."""
         with tempfile.TemporaryDirectory() as folder:
             start, took = time.monotonic(), []
--- a/tests/test_throng.py
+++ b/tests/test_throng.py
@@ -97,7 +97,7 @@
         self.sent.add(self.there, budget + 2.0 * sqrt(budget) + 2.0)
 
 
-class ProgramUnderTest:
+class ServerThrong:
     def __init__(self, servers: int, gateways: int, uneven: bool) -> None:
         self.chance, self.now = Random(1), 0.0
         self.machines = [Machine(gateways) for _ in range(servers)]
@@ -162,11 +162,11 @@
         self.calls = [call for call in self.calls if call[0] > self.now]
 
 
-class Throng(unittest.TestCase):
-    def test_neither_servers_nor_store_get_more_than_they_bear(self) -> None:
+class ThrongTest(unittest.TestCase):
+    def test_cold_servers_keep_themselves_and_the_store_within_their_limits(self) -> None:
         for servers, gateways, uneven in [(20, 20, False), (30, 30, False), (30, 30, True)]:
             with self.subTest(server_count=servers, gateways=gateways, uneven=uneven):
-                world, steps = ProgramUnderTest(servers, gateways, uneven), int(10_000 / STEP)
+                world, steps = ServerThrong(servers, gateways, uneven), int(10_000 / STEP)
                 warm = servers * CORES * STEP / WORK  # RPCs in a step
                 for _ in range(steps):
                     # Twice what all of them do once they are warm: ten times what they do at first.
