--- a/landingshift/policies/enforcement.py
+++ b/landingshift/policies/enforcement.py
@@ -9,7 +9,7 @@
 
 from typing import TYPE_CHECKING
 
-from landingshift import failpoints
+from landingshift import decision_history, failpoints
 from landingshift.net.routing.observers import AnswerKind
 from landingshift.policies.overlay import PolicyOverlay
 from landingshift.policies.participant import ChangeParticipant
@@ -46,7 +46,7 @@
         self._checked_at_ms = self._loop.now_ms
         self._router.before_decisions = self.before_decisions
         self._router.health_reporter.add_readiness_gate(self.name)
-        if failpoints.history:
+        if decision_history.is_recording():
             self._router.observers.add(self)
 
     def before_decisions(self) -> None:
@@ -63,7 +63,7 @@
         if may_decide != self._may_decide or controller is not self._controller:
             self._may_decide = may_decide
             self._controller = controller
-            self._tell_controller(controller)
+            self._update_controller(controller)
 
     def _apply_version(self, controller: AdmissionController) -> None:
         failpoints.reach("policies.laid")
@@ -74,7 +74,7 @@
         self.applied_version = self._participant.version
         self._log("policy_version", version=self.applied_version)
 
-    def _tell_controller(self, controller: AdmissionController) -> None:
+    def _update_controller(self, controller: AdmissionController) -> None:
         may_decide = self._may_decide
         is_shutting_down = controller.stop_at_ms is not None
         if not is_shutting_down or not may_decide:
@@ -113,4 +113,6 @@
     def _note_decision(self) -> None:
         participant = self._participant
         policy = participant.policy if participant.version == self.applied_version else b""
-        failpoints.note("decided", self._server_name, self.applied_version, policy, self._checked_at_ms)
+        decision_history.record(
+            "decided", self._server_name, self.applied_version, policy, self._checked_at_ms
+        )
