--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -27,15 +27,15 @@
             (1.0, None, 3000.0, False),  # no time left, though no margin is learned yet
             (1.0, None, 3500.0, False),
         ]
-        for late, run, waited, starts in table:
-            with self.subTest(late=late, run=run, waited=waited):
-                bench = AdmissionBench(replace(METHOD, late_value_fraction=late))
-                if run:
+        for late_value, run_ms, waited_ms, starts in table:
+            with self.subTest(late_value=late_value, run_ms=run_ms, waited_ms=waited_ms):
+                bench = AdmissionBench(replace(METHOD, late_value_fraction=late_value))
+                if run_ms:
                     first = bench.start()
-                    bench.set_time(run)
-                    bench.controller.on_run_finished(first, Outcome.OK, run)
+                    bench.set_time(run_ms)
+                    bench.controller.on_run_finished(first, Outcome.OK, run_ms)
                     bench.run_check()
-                managed = bench.start(waited_ms=waited, remaining_ms=3000.0 - waited)
+                managed = bench.start(waited_ms=waited_ms, remaining_ms=3000.0 - waited_ms)
                 self.assertEqual(bench.action_names_of(managed), ["start_run"] if starts else ["reject"])
 
     def test_rejects_queued_rpc_when_it_fails_and_not_when_a_slot_frees(self) -> None:
@@ -128,11 +128,11 @@
                 self.assertEqual(len(bench.actions_named("start_run")), runs)
 
     def test_runs_stay_within_what_the_server_survives_cold_or_calling(self) -> None:
-        for cold, most in [(False, 13), (True, 4)]:
-            with self.subTest(starts_cold=cold):
+        for starts_cold, max_runs in [(False, 13), (True, 4)]:
+            with self.subTest(starts_cold=starts_cold):
                 bench = AdmissionBench(
                     replace(CALLING_METHOD, degraded_value_fraction=0.0),
-                    starts_cold=cold,
+                    starts_cold=starts_cold,
                     downstream=DownstreamKind.TIER,
                 )
                 managed_rpcs = [bench.read() for _ in range(60)]
@@ -141,7 +141,7 @@
                     for managed in managed_rpcs:
                         bench.controller.on_call_needed(managed)
                     bench.run_check(1.0, 0.1, 0)
-                self.assertLessEqual(len(bench.actions_named("start_run")), most + 1)
+                self.assertLessEqual(len(bench.actions_named("start_run")), max_runs + 1)
 
     def test_limit_gives_way_to_reads(self) -> None:
         for reads, runs in [(0, 4), (3, 3), (8, 1)]:
