--- a/landingshift/policies/document.py
+++ b/landingshift/policies/document.py
@@ -141,7 +141,7 @@
 def flatten_policy(packed: bytes) -> dict[str, float]:
     """Figures of a stored policy by dotted key."""
     return {
-        ".".join(part for part in (table, name, key) if part): value
+        ".".join(segment for segment in (table, name, key) if segment): value
         for table, names in decode_policy(packed, NEWEST_FORMAT).items()
         for name, values in names.items()
         for key, value in values.items()
--- a/landingshift/policies/node.py
+++ b/landingshift/policies/node.py
@@ -42,6 +42,7 @@
 
 STATE_MACHINE_NAME = "policies"
 COMPACTION_ENTRY_COUNT = 200  # entries after which a snapshot takes their place
+DEFAULT_TIMEOUTS = RaftTimeouts()
 MAX_LOCAL_DELIVERY_COUNT = 8  # times in a row that messages to itself may bring about others
 
 
@@ -70,7 +71,7 @@
         rng: Random,
         now_ms: float,
         wall_clock_ms: Callable[[], float],
-        timeouts: RaftTimeouts | None = None,
+        timeouts: RaftTimeouts = DEFAULT_TIMEOUTS,
         max_member_count: int = DEFAULT_MAX_MEMBER_COUNT,
     ) -> None:
         """Starts with what is on disk.
@@ -84,7 +85,7 @@
             rng: Spreads requests and elections.
             now_ms: Monotonic clock.
             wall_clock_ms: Unix time, for what people read.
-            timeouts: Raft's intervals; None for the defaults.
+            timeouts: Raft's intervals.
             max_member_count: Servers that can be members.
         """
         self.name = name
@@ -97,12 +98,11 @@
         self.state_machines.register(STATE_MACHINE_NAME, self.state_machine)
         self.commit_listeners: list[Callable[[float], None]] = []
         self.operator_commands = OperatorCommands()
-        self._settings = settings
+        self._initial_voters = settings.voters
         self._applied_index = 0
         self._outbox: list[tuple[str, Message]] = []
         if persistent_state is not None:
             self._restore_applied(persistent_state)
-            timeouts = timeouts or RaftTimeouts()
             self.raft = RaftNode(name, settings.voters, persistent_state, timeouts, rng, now_ms)
             self.coordinator = ChangeCoordinator(self.raft, self.state_machine, settings, wall_clock_ms)
             self.participant.can_become_voter = True
@@ -211,7 +211,7 @@
         except InvalidMessageError:
             return
         # Voters that this node's log does not name yet are known from the settings and from the leader.
-        self.raft.additional_senders = {*self._settings.voters, *self.participant.discovery.voters}
+        self.raft.additional_senders = {*self._initial_voters, *self.participant.discovery.voters}
         self.raft.on_message(sender, packet, now_ms)
         self._apply_committed(now_ms)
 
