--- a/landingshift/ledger/compaction.py
+++ b/landingshift/ledger/compaction.py
@@ -185,5 +185,5 @@
     store.db.execute("DELETE FROM baseline")
     store.db.executemany(
         "INSERT INTO baseline VALUES(?, ?, ?, ?, ?, ?, ?, ?)",
-        [(*key, *usage.as_row()) for key, usage in totals.items()],
+        [(*key.as_row(), *usage.as_row()) for key, usage in totals.items()],
     )
--- a/landingshift/ledger/export_records.py
+++ b/landingshift/ledger/export_records.py
@@ -86,15 +86,15 @@
         ]
 
     def _usage_record(self, number: int, usage: UsageRecord, closed_end_ms: int) -> Record:
-        period, service_period = self._store.calendar.assign(usage.at_ms, closed_end_ms)
+        assigned = self._store.calendar.assign(usage.at_ms, closed_end_ms)
         return Record(
             kind=Record.USE,
             id=number,
             at_ms=usage.at_ms,
             tenant=self._name_of(usage.tenant_number),
             method=self._name_of(usage.method_number),
-            period=period,
-            belongs=service_period,
+            period=assigned.period,
+            belongs=assigned.service_period,
             uses=1,
             work_us=usage.work_us,
             size_in=usage.bytes_in,
--- a/landingshift/ledger/merged_store.py
+++ b/landingshift/ledger/merged_store.py
@@ -12,6 +12,8 @@
 from contextlib import AbstractContextManager
 from dataclasses import dataclass
 
+from msgspec import structs
+
 from landingshift.ledger.database import ADD_TOTALS, connect, make_tables, transaction
 from landingshift.ledger.entries import (
     GENESIS_HASH,
@@ -249,7 +251,8 @@
                 for number in decode_ranges(ranges):
                     self._add_usage(state, number)
             case Correction():
-                key = correction_key(entry)._replace(
+                key = structs.replace(
+                    correction_key(entry),
                     tenant_number=self._name_id(state.name, entry.tenant_number),
                     method_number=self._name_id(state.name, entry.method_number),
                 )
@@ -280,7 +283,7 @@
         record = self._entry(state.name, number)
         if not isinstance(record, UsageRecord):
             raise StoreUnavailableError(state.name, f"entry {number} is no use")
-        period, service_period = self.calendar.assign(record.at_ms, state.closed_end_ms)
+        assigned = self.calendar.assign(record.at_ms, state.closed_end_ms)
         self.db.execute(
             "INSERT OR IGNORE INTO uses VALUES(?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, 0)",
             (
@@ -288,8 +291,8 @@
                 record.at_ms,
                 state.name,
                 number,
-                period,
-                service_period,
+                assigned.period,
+                assigned.service_period,
                 self._name_id(state.name, record.tenant_number),
                 self._name_id(state.name, record.method_number),
                 record.work_us,
@@ -320,7 +323,7 @@
             )
 
     def _add_totals(self, key: TotalsKey, totals: UsageTotals) -> None:
-        self.db.execute(ADD_TOTALS, (*key, *totals.as_row()))
+        self.db.execute(ADD_TOTALS, (*key.as_row(), *totals.as_row()))
 
     def tenant_totals(self) -> list[TenantTotals]:
         """What counts, in the order of periods, tenants and methods; without totals of nothing."""
--- a/landingshift/ledger/periods.py
+++ b/landingshift/ledger/periods.py
@@ -5,9 +5,11 @@
 import re
 from dataclasses import dataclass
 from datetime import UTC, date, datetime, timedelta
-from typing import Literal, NamedTuple
+from typing import Literal
 from zoneinfo import ZoneInfo
 
+from msgspec import Struct
+
 from landingshift.ledger.errors import InvalidPeriodError
 
 PeriodUnit = Literal["day", "week", "month"]
@@ -24,7 +26,7 @@
     name: str
 
 
-class PeriodAssignment(NamedTuple):
+class PeriodAssignment(Struct, frozen=True):
     """Where usage counts."""
 
     period: str
--- a/landingshift/ledger/repair.py
+++ b/landingshift/ledger/repair.py
@@ -99,7 +99,7 @@
 def _write_replayed(store: UsageStore, replay: LedgerReplay) -> None:
     store.db.executemany(
         "INSERT INTO totals VALUES(?, ?, ?, ?, ?, ?, ?, ?)",
-        [(*key, *usage.as_row()) for key, usage in replay.totals.items()],
+        [(*key.as_row(), *usage.as_row()) for key, usage in replay.totals.items()],
     )
     store.db.executemany(
         "INSERT INTO sums VALUES(?, ?, ?, ?, ?)",
--- a/landingshift/ledger/store.py
+++ b/landingshift/ledger/store.py
@@ -214,7 +214,9 @@
                 [(entry.is_tenant, entry.name, number) for number, entry in changes.names],
             )
         if changes.totals:
-            db.executemany(ADD_TOTALS, [(*key, *usage.as_row()) for key, usage in changes.totals.items()])
+            db.executemany(
+                ADD_TOTALS, [(*key.as_row(), *usage.as_row()) for key, usage in changes.totals.items()]
+            )
             period_sums = sum_by_period(changes.totals)
             db.executemany(ADD_PERIOD_SUM, [(name, *usage.as_row()) for name, usage in period_sums.items()])
         if changes.disputed:
--- a/landingshift/ledger/totals.py
+++ b/landingshift/ledger/totals.py
@@ -4,7 +4,6 @@
 
 from collections.abc import Iterable, Mapping
 from hashlib import blake2b
-from typing import NamedTuple
 
 from msgspec import Struct
 
@@ -40,7 +39,7 @@
 ZERO_TOTALS = UsageTotals()
 
 
-class TotalsKey(NamedTuple):
+class TotalsKey(Struct, frozen=True, order=True):
     """What usage is summed up by, in the order of the stored columns."""
 
     period: str
@@ -50,6 +49,10 @@
     tenant_number: int
     method_number: int
 
+    def as_row(self) -> tuple[str, str, int, int]:
+        """In the order of the stored columns."""
+        return self.period, self.service_period, self.tenant_number, self.method_number
+
 
 class TenantTotals(Struct, frozen=True):
     """Totals of one tenant and method, with names in full."""
@@ -83,12 +86,12 @@
 
 def period_digest(totals: Mapping[TotalsKey, UsageTotals]) -> bytes:
     """Digest of one period's totals, whatever their order."""
-    return _digest((*key[1:], *usage.as_row()) for key, usage in totals.items())
+    return _digest((*key.as_row()[1:], *usage.as_row()) for key, usage in totals.items())
 
 
 def baseline_digest(totals: Mapping[TotalsKey, UsageTotals]) -> bytes:
     """Digest of the totals of all periods, whatever their order."""
-    return _digest((*key, *usage.as_row()) for key, usage in totals.items())
+    return _digest((*key.as_row(), *usage.as_row()) for key, usage in totals.items())
 
 
 def _digest(rows: Iterable[tuple[object, ...]]) -> bytes:
--- a/landingshift/ledger/usage_ledger.py
+++ b/landingshift/ledger/usage_ledger.py
@@ -11,7 +11,8 @@
 
 from collections.abc import Mapping, MutableMapping
 from dataclasses import dataclass, field
-from typing import NamedTuple
+
+from msgspec import Struct
 
 from landingshift.ledger.dedup_window import DedupWindow
 from landingshift.ledger.entries import (
@@ -78,7 +79,7 @@
     author: str
 
 
-class PendingUsage(NamedTuple):
+class PendingUsage(Struct, frozen=True):
     """Usage that is not settled yet."""
 
     entry_number: int
@@ -184,19 +185,22 @@
         self.pending[usage.sequence] = PendingUsage(self.append(record), record)
 
     def _name_number(self, is_tenant: bool, name: bytes) -> int:
-        number = self.name_numbers.get((is_tenant, name))
-        if number is None:
+        try:
+            return self.name_numbers[is_tenant, name]
+        except KeyError:
             entry = NameEntry(is_tenant, name)
             number = self.append(entry)
             self.name_numbers[is_tenant, name] = number
             self.changes.names.append((number, entry))
-        return number
+            return number
 
     def _settle(self, batch: UsageBatch) -> None:
         counted = []
         duplicates = []
         for sequence in batch.delivered:
-            number, record = self._take_pending(sequence)
+            pending = self._take_pending(sequence)
+            number = pending.entry_number
+            record = pending.record
             if self.dedup_window.contains(record.identity, record.at_ms):
                 duplicates.append(number)
             else:
@@ -222,8 +226,8 @@
 
     def _count(self, record: UsageRecord) -> None:
         self.dedup_window.add(record.identity, record.at_ms)
-        period, service_period = self.calendar.assign(record.at_ms, self.closed_end_ms)
-        key = TotalsKey(period, service_period, record.tenant_number, record.method_number)
+        assigned = self.calendar.assign(record.at_ms, self.closed_end_ms)
+        key = TotalsKey(assigned.period, assigned.service_period, record.tenant_number, record.method_number)
         self._add_totals(key, UsageTotals(1, record.work_us, record.bytes_in, record.bytes_out))
 
     def _add_totals(self, key: TotalsKey, usage: UsageTotals) -> None:
