--- a/benchmarks/ways.py
+++ b/benchmarks/ledger_design.py
@@ -1,4 +1,4 @@
-"""What the ledger's design note weighed: `python -m benchmarks.ways`. Prints tables.
+"""What the ledger's design note weighed: `python -m benchmarks.ledger_design`. Prints tables.
 
 - identity: of generated attempts and retries, how many each identity merges (lost) or misses (billed twice).
 - delay: how late a loop's timer comes while usage is stored in a thread or a process beside it.
--- a/landingshift/cli/ledger_accounting.py
+++ b/landingshift/cli/ledger_accounting.py
@@ -9,6 +9,7 @@
 
 import click
 
+from landingshift.cli.errors import EXIT_FAILED
 from landingshift.cli.ledger_options import (
     CorrectionTooLargeError,
     InvalidOptionError,
@@ -22,7 +23,7 @@
     toml_option,
     wall_clock_ms,
 )
-from landingshift.cli.main import say
+from landingshift.cli.output import print_json
 from landingshift.ledger.errors import (
     InvalidDisputeSelectionError,
     NoPricePlanError,
@@ -34,7 +35,6 @@
 from landingshift.ledger.totals import PeriodSummary
 from landingshift.ledger.usage_ledger import CorrectionRequest
 
-EXIT_BROKEN = 1  # exit status where a promise was found broken
 MAX_CORRECTION = Decimal(10) ** 12  # of uses, ms of work or an amount
 
 
@@ -47,7 +47,7 @@
     with open_store(toml) as store:
         data = _status(store)
     if as_json:
-        say(data)
+        print_json(data)
         return
     for key, value in data.items():
         text = ", ".join(period[0] for period in value) if isinstance(value, list) else value
@@ -86,7 +86,7 @@
     with open_store(toml) as store:
         for period in store.periods():
             if as_json:
-                say(_period_to_json(period))
+                print_json(_period_to_json(period))
             else:
                 state = "closed" if period.is_closed else "open  "
                 work_seconds = period.totals.work_us / 1e6
@@ -235,7 +235,7 @@
                 "work_ms": usage.work_us / 1000.0,
             }
             if as_json:
-                say(row)
+                print_json(row)
             else:
                 click.echo("  ".join(f"{value}" for value in row.values()))
 
@@ -260,7 +260,7 @@
         is_first = True
         for found in statements(store, plan, period, billed_tenant):
             if output_format == "json":
-                say(statement_to_json(found))
+                print_json(statement_to_json(found))
             else:
                 click.echo(statement_to_csv(found, with_header=is_first), nl=False)
             is_first = False
@@ -298,7 +298,7 @@
             findings = audit_store(store, lambda number: bar.update(number - bar.pos))
     if as_json:
         listed = [{"number": finding.entry_number, "what": finding.problem} for finding in findings]
-        say({"entries": ledger.last_number, "findings": listed})
+        print_json({"entries": ledger.last_number, "findings": listed})
     else:
         for finding in findings:
             place = f"entry {finding.entry_number}: " if finding.entry_number else ""
@@ -306,4 +306,4 @@
         if not findings:
             click.echo(f"{ledger.last_number} entries hold, the newest is {ledger.last_hash.hex()}")
     if findings:
-        raise SystemExit(EXIT_BROKEN)
+        raise SystemExit(EXIT_FAILED)
--- a/landingshift/cli/ledger_operations.py
+++ b/landingshift/cli/ledger_operations.py
@@ -9,7 +9,7 @@
 import click
 import msgspec
 
-from landingshift.cli.ledger_accounting import EXIT_BROKEN
+from landingshift.cli.errors import EXIT_FAILED
 from landingshift.cli.ledger_options import (
     json_option,
     load_settings,
@@ -18,7 +18,7 @@
     toml_option,
     wall_clock_ms,
 )
-from landingshift.cli.main import say
+from landingshift.cli.output import print_json
 from landingshift.ledger.errors import FileExistsAlreadyError, StoreUnavailableError
 from landingshift.ledger.name_escaping import escape_name
 from landingshift.ledger.store import UsageStore
@@ -41,16 +41,16 @@
 @reports_errors
 def export(url: str, follow: bool, timeout_ms: float, seed: int, toml: str | None) -> None:
     """Delivers all entries' records exactly once, however the receiver fails."""
-    from landingshift.cli.logs import logger
+    from landingshift.cli.logs import event_logger
     from landingshift.ledger.exporter import Exporter
     from landingshift.ledger.receiver_client import HttpReceiver
 
     receiver = HttpReceiver(url, timeout_ms)
     with open_store(toml) as store:
-        stop = Exporter(store, receiver, Random(seed), logger()).run(follow)
+        stop = Exporter(store, receiver, Random(seed), event_logger()).run(follow)
         click.echo(stop.reason if stop else f"exported up to entry {store.exported_number()}")
     if stop:
-        raise SystemExit(EXIT_BROKEN)
+        raise SystemExit(EXIT_FAILED)
 
 
 @click.command()
@@ -95,7 +95,7 @@
         _say_totals(merged)
     merged.close()
     if failed_count:
-        raise SystemExit(EXIT_BROKEN)
+        raise SystemExit(EXIT_FAILED)
 
 
 def _open_merged(path: str, toml: str | None) -> MergedStore:
@@ -117,7 +117,7 @@
 
 def _say_totals(merged: MergedStore) -> None:
     for entry in merged.tenant_totals():
-        say(
+        print_json(
             {
                 "period": entry.period,
                 "belongs": entry.service_period,
--- a/landingshift/cli/ledger_options.py
+++ b/landingshift/cli/ledger_options.py
@@ -14,7 +14,7 @@
 
 import click
 
-from landingshift.cli.main import USAGE
+from landingshift.cli.errors import CommandError
 from landingshift.ledger.errors import CommandRejectedError, LedgerError, StoreUnavailableError
 from landingshift.ledger.settings import Settings
 from landingshift.ledger.store import STORE_FILE, UsageStore
@@ -24,11 +24,9 @@
 MAX_TEXT_LENGTH = 1000  # characters of a reason or an author
 
 
-class LedgerCommandError(click.ClickException):
+class LedgerCommandError(CommandError):
     """A command can't be done, and nothing has changed."""
 
-    exit_code = USAGE
-
 
 class NoSettingsFileError(LedgerCommandError):
     """Neither the option nor the environment names the file of settings."""
--- a/landingshift/testbed/experiments/ledger_merge_cases.py
+++ b/landingshift/testbed/experiments/ledger_merge_cases.py
@@ -69,7 +69,7 @@
     case.rng.shuffle(order)
     for simulation in order:
         failpoints.arm(case.rng.choice(MERGE_FAILPOINTS), 1)
-        with suppress(failpoints.Crash):
+        with suppress(failpoints.SimulatedCrashError):
             merge_file(merged, simulation.store.path)
         failpoints.arm("")
     for simulation in simulations:
--- a/landingshift/testbed/experiments/ledger_period_cases.py
+++ b/landingshift/testbed/experiments/ledger_period_cases.py
@@ -28,7 +28,7 @@
     assert name is not None
     for failpoint in COMMIT_FAILPOINTS:
         failpoints.arm(failpoint)
-        with suppress(failpoints.Crash):
+        with suppress(failpoints.SimulatedCrashError):
             _close(simulation, name)
         simulation.crash()
     before = simulation.store.tenant_totals(name)
@@ -72,7 +72,7 @@
     disputed_before = simulation.store.disputed()
     for failpoint in COMPACTION_FAILPOINTS:
         failpoints.arm(failpoint)
-        with suppress(failpoints.Crash):
+        with suppress(failpoints.SimulatedCrashError):
             compact_store(simulation.store, last_closed, simulation.now_ms, None)
         simulation.crash()
     removed_count = compact_store(simulation.store, last_closed, simulation.now_ms, None)
--- a/landingshift/testbed/experiments/ledger_simulation.py
+++ b/landingshift/testbed/experiments/ledger_simulation.py
@@ -202,7 +202,7 @@
         try:
             with self.store.changing() as ledger:
                 ledger.apply_batch(batch, self.now_ms)
-        except failpoints.Crash:
+        except failpoints.SimulatedCrashError:
             return False
         return True
 
@@ -308,7 +308,7 @@
             exporter = Exporter(self.store, receiver, self.rng, _no_log, sleep=_no_sleep)
             try:
                 return exporter.run()
-            except failpoints.Crash:
+            except failpoints.SimulatedCrashError:
                 self.crash_count += 1
             finally:
                 failpoints.arm("")
--- a/landingshift/testbed/simulation/server.py
+++ b/landingshift/testbed/simulation/server.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from landingshift.admission.controller import AdmissionController, ManagedRpc
+from landingshift.admission.controller import AdmissionController
 from landingshift.admission.interface import (
     DownstreamKind,
     Gauges,
@@ -27,6 +27,7 @@
     Settings,
     Tenant,
 )
+from landingshift.admission.managed_rpc import ManagedRpc
 from landingshift.coldstart.coordinator import ColdStartCoordinator, LoadObservation
 from landingshift.coldstart.downstream_saturation import DownstreamSaturation
 from landingshift.coldstart.leases import LeaseRequest
@@ -146,7 +147,7 @@
         self.part = PolicyNode(
             self.name, me.run_id, town.rules, lambda policy: "", journal, chance, now, self.wall, town.times
         )
-        self.part.participant.list_alive_peers = lambda: self.node.member_table.present_names
+        self.part.participant.discovery.list_alive_peers = lambda: self.node.member_table.present_names
         agent_type = AgentWithoutExpiry if self.away == "end" else MaintenanceAgent
         self.maintenance_agent = agent_type(self.disk.mark)
         self.maintenance = MaintenanceState()
@@ -162,7 +163,7 @@
             settings(town.day.servers, self.tenant), chance.getrandbits(32), self, now
         )
         if self.away == "due":
-            self.server.enforce_deadline = lambda job: inf  # type: ignore[method-assign]
+            self.server.enforce_deadline = lambda managed: inf  # type: ignore[method-assign]
         self.jobs: dict[int, ManagedRpc] = {}  # without an answer, by their numbers
         self.engine: dict[
             int, ManagedRpc
@@ -188,7 +189,7 @@
             voter.has_leader_lease = lambda now_ms: voter.role.value == "leader"  # type: ignore[method-assign]
         if self.away == "arm" and desk is not None:
             real = desk.unprepared_members
-            desk.unprepared_members = lambda now: [w for w in real(now) if w[1] != "away"]  # type: ignore[method-assign]
+            desk.unprepared_members = lambda now_ms: [w for w in real(now_ms) if w.state != "away"]  # type: ignore[method-assign]
         if self.away == "booking" and grantor is not None:
             quotas = grantor.call_quota_grantor
             renew = quotas.renew
@@ -347,8 +348,8 @@
             needed_calls_per_second=max(1.0, 1.25 * self.strain.wanted_calls_per_second(now))
             if started.is_open
             else 0.0,
-            waiting_rpcs_per_second=self.server.values.size(now) / 2.0,
-            saturation=self.strain.saturation(now, self.agent.told_baseline_ms),
+            waiting_rpcs_per_second=self.server.arrivals_per_second(now),
+            saturation=self.strain.saturation(now, self.agent.reported_baseline_ms),
             baseline_latency_ms=self.strain.baseline_latency_ms,
         )
         if self.agent.on_timer(now, seen):
@@ -397,7 +398,7 @@
             answered_count=self.all,
         )
         report = self.maintenance_agent.next_report(now, status)
-        leader = self.part.participant.leader
+        leader = self.part.participant.discovery.leader
         if leader == self.name:
             self.on_maintenance_report(self.node.local_record, report)
         elif leader:
@@ -413,7 +414,7 @@
     def on_maintenance_report(self, sender: MemberRecord, report: LoadReport) -> None:
         if self.coordinator is None:
             return
-        voters = self.part.participant.voters
+        voters = self.part.participant.discovery.voters
         answer = self.coordinator.on_server_report(sender, voters, report, self.clock())
         if answer is None:
             return
@@ -450,7 +451,7 @@
         self.server.now_ms = now
         self.server.start_draining(STOP)
         if self.away == "grace":
-            self.server.accept_until_ms = inf
+            self.server.draining.accept_until_ms = inf
         self.ends_at = now + STOP
         self.town.back_after[self.i] = away
 
@@ -555,8 +556,8 @@
             "errands": len(node.failure_detector.indirect_probes),
             "book": len(node.contacts),
             "table": len(node.member_table.members),
-            "words": len(part.pending_commands),
-            "answers": len(part.change_statuses),
+            "words": len(part.operator_commands.pending),
+            "answers": len(part.operator_commands.statuses),
             "sent": len(follower.request_sent_at_ms),
             "reports": self.maintenance_agent.unanswered_count,
             "jobs": len(self.jobs),
--- a/tests/test_ledger_service.py
+++ b/tests/test_ledger_service.py
@@ -8,7 +8,7 @@
 
 from landingshift.ledger.entries import UsageRecord
 from landingshift.ledger.store import UsageStore
-from tests.helpers import Gateway, World, launch
+from tests.helpers import GatewayClient, ProgramUnderTest, launch_program
 
 TOML = """
 [ledger]
@@ -20,11 +20,11 @@
 RESULT = b"r" * 30
 
 
-def open_store(world: World) -> UsageStore:
+def open_store(world: ProgramUnderTest) -> UsageStore:
     return UsageStore(world.folder.name + "/ledger", "n3", "UTC", "month", 900_000, 100_000)
 
 
-def billed_uses(world: World) -> dict[tuple[bytes, bytes], int]:
+def billed_uses(world: ProgramUnderTest) -> dict[tuple[bytes, bytes], int]:
     """Uses by tenant and method."""
     found: dict[tuple[bytes, bytes], int] = {}
     with open_store(world) as store:
@@ -35,22 +35,22 @@
     return found
 
 
-def disputed_usage(world: World) -> list[UsageRecord]:
+def disputed_usage(world: ProgramUnderTest) -> list[UsageRecord]:
     with open_store(world) as store:
         return [record for _, record in store.disputed()]
 
 
-def stop_server(world: World) -> None:
+def stop_server(world: ProgramUnderTest) -> None:
     world.process.terminate()
-    world.logged("stopped")
+    world.wait_for_log("stopped")
     world.process.wait(5)
 
 
-def run_rpc(world: World, gateway: Gateway, method: str = "m", **fields: Any) -> Any:
+def run_rpc(world: ProgramUnderTest, gateway: GatewayClient, method: str = "m", **fields: Any) -> Any:
     """An RPC that the engine answers ok; returns the number of its request."""
-    number = gateway.rpc(method, **fields)
-    world.engine.expect("RUN", gateway.id)
-    world.engine.say("DONE", world.ids, gateway.id, "good 12.5", body=RESULT)
+    number = gateway.send_rpc(method, **fields)
+    world.engine.expect_command("RUN", gateway.last_rpc_id)
+    world.engine.send_notice("DONE", world.rpc_count, gateway.last_rpc_id, "good 12.5", body=RESULT)
     return number
 
 
@@ -65,59 +65,59 @@
     def test_bills_only_ok_answers_and_each_once(self) -> None:
         for durability in ("before_answer", "after_answer"):
             with self.subTest(durability=durability):
-                world = World(self, toml=TOML + f'durable = "{durability}"\n')
-                gateway = Gateway(world)
+                world = ProgramUnderTest(self, toml=TOML + f'durable = "{durability}"\n')
+                gateway = GatewayClient(world)
                 for index in range(3):
                     number = run_rpc(world, gateway, body=b"route %d" % index)
-                    self.assertEqual(gateway.answer(), (number, RESULT))
+                    self.assertEqual(gateway.read_answer(), (number, RESULT))
                 number = run_rpc(
                     world, gateway, body=b"route 1"
                 )  # a retry: its first attempt was answered ok
-                self.assertEqual(gateway.answer(), (number, RESULT))
-                number = gateway.rpc(body=b"fails")
-                world.engine.expect("RUN", gateway.id)
-                world.engine.say("DONE 9", gateway.id, "bad 5", body=b"")
-                self.assertEqual(gateway.answer(), (number, "Failed"))
-                number = gateway.rpc("nothing")
-                self.assertEqual(gateway.answer(), (number, "Busy"))
+                self.assertEqual(gateway.read_answer(), (number, RESULT))
+                number = gateway.send_rpc(body=b"fails")
+                world.engine.expect_command("RUN", gateway.last_rpc_id)
+                world.engine.send_notice("DONE 9", gateway.last_rpc_id, "bad 5", body=b"")
+                self.assertEqual(gateway.read_answer(), (number, "Failed"))
+                number = gateway.send_rpc("nothing")
+                self.assertEqual(gateway.read_answer(), (number, "Busy"))
                 stop_server(world)
                 self.assertEqual(billed_uses(world), {(b"t", b"m"): 3})
                 self.assertEqual(disputed_usage(world), [])
 
     def test_an_answer_that_cannot_leave_is_not_billed(self) -> None:
-        world = World(self, toml=TOML)
-        abandoning, other = Gateway(world), Gateway(world)
-        abandoning.rpc(body=b"given up")
-        world.engine.expect("RUN", abandoning.id)
+        world = ProgramUnderTest(self, toml=TOML)
+        abandoning, other = GatewayClient(world), GatewayClient(world)
+        abandoning.send_rpc(body=b"given up")
+        world.engine.expect_command("RUN", abandoning.last_rpc_id)
         abandoning.send(b"\x93\x02\xa6giveUp\x91\x01")
         number = run_rpc(world, other, body=b"good")
-        self.assertEqual(other.answer(), (number, RESULT))
-        world.ids += 1
-        world.engine.say("DONE", world.ids, f"{1:016x}", "good 1", body=b"x")
+        self.assertEqual(other.read_answer(), (number, RESULT))
+        world.rpc_count += 1
+        world.engine.send_notice("DONE", world.rpc_count, f"{1:016x}", "good 1", body=b"x")
         number = run_rpc(world, other, body=b"good too")
-        self.assertEqual(other.answer(), (number, RESULT))
+        self.assertEqual(other.read_answer(), (number, RESULT))
         stop_server(world)
         self.assertEqual(billed_uses(world), {(b"t", b"m"): 2})
 
     def test_after_a_kill_what_was_not_known_to_arrive_is_disputed(self) -> None:
         for failpoint, min_billed in (("ledger.push:2", 0), ("ledger.answering:2", 0)):
             with self.subTest(failpoint=failpoint):
-                world = World(self, toml=TOML, env={"LANDINGSHIFT_CRASH": failpoint})
-                gateway = Gateway(world)
+                world = ProgramUnderTest(self, toml=TOML, env={"LANDINGSHIFT_CRASH": failpoint})
+                gateway = GatewayClient(world)
                 run_rpc(world, gateway, body=b"one")
                 received_count = 0
                 try:
-                    gateway.answer()
+                    gateway.read_answer()
                     received_count = 1
                     run_rpc(world, gateway, body=b"two")
-                    gateway.answer()
+                    gateway.read_answer()
                     received_count = 2
                 except (EOFError, ConnectionResetError, BrokenPipeError):
                     pass
                 world.process.wait(5)
                 world.env.pop("LANDINGSHIFT_CRASH")
-                world.doors()
-                world.start(world.config({}, {}))
+                world.open_listeners()
+                world.start(world.make_config({}, {}))
                 stop_server(world)
                 billed_count = sum(billed_uses(world).values())
                 self.assertLessEqual(billed_count, received_count)
@@ -125,8 +125,8 @@
                 self.assertGreaterEqual(billed_count, min_billed)
 
     def test_refuses_to_start_on_a_store_that_another_server_holds(self) -> None:
-        world = World(self, toml=TOML.replace("2000", "100"))
-        process = launch(world.folder.name, world.config({}, {}), world.env)
+        world = ProgramUnderTest(self, toml=TOML.replace("2000", "100"))
+        process = launch_program(world.folder.name, world.make_config({}, {}), world.env)
         output = process.communicate(timeout=20)
         self.assertEqual(process.returncode, 2, output)
         self.assertIn("held by another server", output[1])
@@ -136,39 +136,41 @@
         # Killed before the commit, after it, and before it could say so.
         for failpoint in ("ledger.appended:2", "ledger.committed:4", "ledger.acking:2"):
             with self.subTest(failpoint=failpoint):
-                world = World(self, toml=TOML, env=crash_once(self, failpoint))
-                gateway = Gateway(world)
+                world = ProgramUnderTest(self, toml=TOML, env=crash_once(self, failpoint))
+                gateway = GatewayClient(world)
                 for index in range(4):
                     number = run_rpc(world, gateway, body=b"route %d" % index)
-                    self.assertEqual(gateway.answer(), (number, RESULT))
+                    self.assertEqual(gateway.read_answer(), (number, RESULT))
                 stop_server(world)
-                self.assertIn("ledger_store_exited", [line["event"] for line in world.lines])
+                self.assertIn("ledger_store_exited", [line["event"] for line in world.log_entries])
                 self.assertEqual(billed_uses(world), {(b"t", b"m"): 4})
                 self.assertEqual(disputed_usage(world), [])
 
     def test_a_drain_does_not_wait_for_a_store_that_hangs(self) -> None:
         # All that was read is answered before the stop, and the notice shortens what an answer may wait.
-        world = World(self, toml=TOML, env={"LANDINGSHIFT_SLOW": "ledger.take:3000"})
-        gateway = Gateway(world)
+        world = ProgramUnderTest(self, toml=TOML, env={"LANDINGSHIFT_SLOW": "ledger.take:3000"})
+        gateway = GatewayClient(world)
         number = run_rpc(world, gateway, body=b"slow")
         time.sleep(0.1)
         world.process.terminate()
         begun = time.monotonic()
-        messages = (gateway.message(), gateway.message())
+        messages = (gateway.read_message(), gateway.read_message())
         answers = [message for message in messages if message[0] == 1]  # the other asks it to go
         self.assertEqual([(answer[1], answer[3][0]) for answer in answers], [(number, RESULT)])
         self.assertLess(time.monotonic() - begun, 1.4)  # stop_ms is 1500
-        self.assertEqual(world.logged("mode")["text"][:15], "draining: 1500 ")
+        self.assertEqual(world.wait_for_log("mode")["text"][:15], "draining: 1500 ")
 
     def test_results_that_wait_for_a_commit_are_bounded(self) -> None:
         # 64 KB of usage let four times that of results wait; 90 of 4 KB are more, and the rest goes at once.
-        world = World(self, toml=TOML + "queue_kb = 64\n", env={"LANDINGSHIFT_SLOW": "ledger.take:1500"})
-        gateways = [Gateway(world) for _ in range(3)]
+        world = ProgramUnderTest(
+            self, toml=TOML + "queue_kb = 64\n", env={"LANDINGSHIFT_SLOW": "ledger.take:1500"}
+        )
+        gateways = [GatewayClient(world) for _ in range(3)]
         for index in range(90):
-            gateways[index % 3].rpc(body=b"%d" % index)
+            gateways[index % 3].send_rpc(body=b"%d" % index)
         for index in range(90):
-            rpc_id = world.engine.next()[0][1]
-            world.engine.say("DONE", index + 1, rpc_id, "good 1", body=bytes(4000))
+            rpc_id = world.engine.next_command()[0][1]
+            world.engine.send_notice("DONE", index + 1, rpc_id, "good 1", body=bytes(4000))
         time.sleep(0.5)
         early_count = 0
         for gateway in gateways:
@@ -180,11 +182,11 @@
         self.assertTrue(20 <= early_count <= 45, early_count)
 
     def test_a_slow_store_holds_no_answer_past_its_deadline(self) -> None:
-        world = World(self, toml=TOML, env={"LANDINGSHIFT_SLOW": "ledger.take:900"})
-        gateway = Gateway(world)
+        world = ProgramUnderTest(self, toml=TOML, env={"LANDINGSHIFT_SLOW": "ledger.take:900"})
+        gateway = GatewayClient(world)
         begun = time.monotonic()
         number = run_rpc(world, gateway, body=b"slow", wait="400")
-        self.assertEqual(gateway.answer(), (number, RESULT))
+        self.assertEqual(gateway.read_answer(), (number, RESULT))
         self.assertLess(time.monotonic() - begun, 0.4)
 
 
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -16,7 +16,7 @@
 from landingshift.net.program.config import ServerConfigError, decode_config
 from landingshift.net.routing.engine_link import EngineLink
 from landingshift.net.transport.loop import Loop
-from tests.helpers import CONFIG, Engine, Gateway, World, launch, until
+from tests.helpers import CONFIG, EngineStandIn, GatewayClient, ProgramUnderTest, launch_program, wait_until
 
 ROOT = Path(__file__).parent.parent
 
@@ -35,8 +35,8 @@
     return config
 
 
-class Settings(unittest.TestCase):
-    def test_null_says_as_much_as_nothing(self) -> None:
+class SettingsTest(unittest.TestCase):
+    def test_null_counts_as_an_absent_key(self) -> None:
         for path in [
             "limits", "limits.memory_mb", "limits.sockets", "limits.cores", "stop_ms", "settings.orgs",
             "settings.permissions", "settings.extra.gauges", "settings.extra.class-calls",
@@ -52,7 +52,7 @@
                     repr(decode_config(changed(path, None), {})), repr(decode_config(changed(path, ...), {}))
                 )
 
-    def test_lists_of_another_length(self) -> None:
+    def test_lists_shorter_or_longer_than_the_methods_are_taken(self) -> None:
         for calls, skip, want in [
             ([], [], [(False, 0.0)] * 3),
             ([True], [0.5], [(True, 0.5), (False, 0.0), (False, 0.0)]),
@@ -65,7 +65,7 @@
                 methods = decode_config(config, {}).settings.methods
                 self.assertEqual([(m.calls_downstream, m.degraded_value_fraction) for m in methods], want)
 
-    def test_names_and_orders_of_another_site(self) -> None:
+    def test_names_and_orders_of_another_installation(self) -> None:
         config = changed("settings.classes", [
             {"name": name, "effect": effect, "give-up": 100.0 * i, "slo": 50.0, "value": 1.0, "new": {}}
             for i, (name, effect) in enumerate(
@@ -81,7 +81,7 @@
         )  # fmt: skip
         self.assertEqual(list(told.tenants), ["Vargas y Hijos", "Ærø", "a\tb"])
 
-    def test_what_can_not_be_used_is_named(self) -> None:
+    def test_unusable_value_is_reported_by_its_key(self) -> None:
         for path, value, words in [
             ("settings.classes.1.name", "m", "settings.classes[1].name"),
             ("settings.classes.1.name", "a b", "settings.classes[1].name"),
@@ -102,16 +102,16 @@
             self.assertIn(words, str(caught.exception))
 
     def test_a_tenant_with_spaces_is_served(self) -> None:
-        w = World(self, settings__orgs__0__name="Vargas y Hijos")
-        g = Gateway(w)
-        n = g.rpc(tenant="Vargas y Hijos")
-        w.engine.expect("RUN", g.id)
-        w.engine.say("DONE 1", g.id, "good 5", body=b"r")
-        self.assertEqual(g.answer(), (n, b"r"))
+        program = ProgramUnderTest(self, settings__orgs__0__name="Vargas y Hijos")
+        gateway = GatewayClient(program)
+        message_id = gateway.send_rpc(tenant="Vargas y Hijos")
+        program.engine.expect_command("RUN", gateway.last_rpc_id)
+        program.engine.send_notice("DONE 1", gateway.last_rpc_id, "good 5", body=b"r")
+        self.assertEqual(gateway.read_answer(), (message_id, b"r"))
 
 
-class Reload(unittest.TestCase):
-    def test_a_link_that_is_being_left_proves_what_it_was_given(self) -> None:
+class ChangeAddressTest(unittest.TestCase):
+    def test_link_that_is_being_left_is_kept_until_its_commands_are_confirmed(self) -> None:
         # However often the address changes meanwhile: what is in doubt may not run again, and is lost.
         loop = Loop(lambda: self.fail("a handler raised"))
         doors = [socket.create_server(("127.0.0.1", 0)) for _ in range(2)]
@@ -129,7 +129,7 @@
             loop.run_pass()
             return link.is_ready
 
-        until(ready)
+        wait_until(ready)
         stream = link.stream
         assert stream is not None
         self.addCleanup(stream.sock.close)
@@ -139,8 +139,8 @@
         self.assertEqual((link.stream is stream, stream.is_open, link.address), (True, True, here))
 
 
-class Program(unittest.TestCase):
-    def test_a_hang_up_of_its_first_moments_ends_nothing(self) -> None:
+class ProgramStartTest(unittest.TestCase):
+    def test_sighup_before_the_start_is_ignored(self) -> None:
         # SIGHUP may come before the interpreter is there; what it would tell is read at the start anyway.
         run = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
         before, _, program = run.rpartition("exec ")
@@ -150,9 +150,9 @@
         self.assertFalse(mask & 1 << signal.SIGTERM - 1)  # the notice to leave must not be lost
         self.assertEqual(program.split()[1:], ["-m", "landingshift"])
 
-    def test_a_notice_before_it_listens_ends_it_with_nothing_taken(self) -> None:
+    def test_notice_before_it_listens_ends_it_with_nothing_accepted(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
-            process = launch(folder, CONFIG)
+            process = launch_program(folder, CONFIG)
             process.send_signal(signal.SIGTERM)
             out, err = process.communicate(timeout=20)
             self.assertNotIn("Traceback", err)
@@ -161,52 +161,53 @@
                 [json.loads(text)["event"] for text in out.splitlines()][:1], ["started"] if out else []
             )
 
-    def test_killed_behind_an_accept_and_started_again(self) -> None:
-        w = World(self)
-        g = Gateway(w)
-        g.rpc("once")
-        first = g.id
-        w.engine.expect("RUN", first)
-        with w.paused():
-            late = Gateway(w)
-            late.rpc()
-            w.process.kill()
-        self.assertEqual(w.process.wait(10.0), -signal.SIGKILL)
-        self.assertLessEqual({g.ends(), late.ends()}, {"closed", "reset"})
+    def test_restart_after_a_kill_behind_an_accept(self) -> None:
+        program = ProgramUnderTest(self)
+        gateway = GatewayClient(program)
+        gateway.send_rpc("once")
+        first = gateway.last_rpc_id
+        program.engine.expect_command("RUN", first)
+        with program.paused():
+            late = GatewayClient(program)
+            late.send_rpc()
+            program.process.kill()
+        self.assertEqual(program.process.wait(10.0), -signal.SIGKILL)
+        self.assertLessEqual({gateway.read_until_end(), late.read_until_end()}, {"closed", "reset"})
         start = time.monotonic()
-        w.engine.sock.close()
-        w.process.communicate()
-        w.start(w.config({}, {"listen": "{}:{}".format(*w.address)}))  # at its old address
+        program.engine.sock.close()
+        program.process.communicate()
+        # At its old address.
+        program.start(program.make_config({}, {"listen": "{}:{}".format(*program.address)}))
         self.assertLess(time.monotonic() - start, 10.0)
-        again = Gateway(w)
-        n = again.rpc("once")
-        w.engine.expect("RUN", again.id)
-        w.engine.say("DONE 1", again.id, "good 5", body=b"r")
-        self.assertEqual(again.answer(), (n, b"r"))
+        again = GatewayClient(program)
+        message_id = again.send_rpc("once")
+        program.engine.expect_command("RUN", again.last_rpc_id)
+        program.engine.send_notice("DONE 1", again.last_rpc_id, "good 5", body=b"r")
+        self.assertEqual(again.read_answer(), (message_id, b"r"))
 
-    def test_older_and_later_engines(self) -> None:
+    def test_coldness_follows_the_hello_of_older_and_later_engines(self) -> None:
         for hello, cold in [("HELLO old 3600000", False), ("HELLO new 0", True), ("HELLO new 600000", True)]:
             with self.subTest(hello=hello):
-                w = World(self, engine=False)
-                g = Gateway(w)
-                n = g.rpc()
-                self.assertEqual(g.answer(), (n, "Busy"))
-                link = Engine(w, hello=hello)
-                self.assertEqual(w.logged("engine_link")["cold"], cold)
-                w.engine = link
-                n = g.rpc()
-                link.expect("RUN", g.id)
-                link.say("DONE 1", g.id, "good 5", body=b"r")
-                self.assertEqual(g.answer(), (n, b"r"))
-
-    def test_nine_in_ten_are_ready_within_ten_seconds(self) -> None:
+                program = ProgramUnderTest(self, engine=False)
+                gateway = GatewayClient(program)
+                message_id = gateway.send_rpc()
+                self.assertEqual(gateway.read_answer(), (message_id, "Busy"))
+                link = EngineStandIn(program, hello=hello)
+                self.assertEqual(program.wait_for_log("engine_link")["cold"], cold)
+                program.engine = link
+                message_id = gateway.send_rpc()
+                link.expect_command("RUN", gateway.last_rpc_id)
+                link.send_notice("DONE 1", gateway.last_rpc_id, "good 5", body=b"r")
+                self.assertEqual(gateway.read_answer(), (message_id, b"r"))
+
+    def test_nine_in_ten_starts_are_ready_within_ten_seconds(self) -> None:
         """Thirty at once on a shared processor."""
         with tempfile.TemporaryDirectory() as folder:
             start, took = time.monotonic(), []
             crowd = []
             for i in range(30):
                 (Path(folder) / str(i)).mkdir()
-                crowd.append(launch(f"{folder}/{i}", CONFIG))
+                crowd.append(launch_program(f"{folder}/{i}", CONFIG))
             try:
                 for process in crowd:
                     assert process.stdout is not None
--- a/tests/test_throng.py
+++ b/tests/test_throng.py
@@ -14,9 +14,9 @@
 from random import Random
 from typing import Any
 
-from landingshift.admission.controller import ManagedRpc, RpcState
 from landingshift.admission.interface import DownstreamKind, Gauges, LoadAdvertisement, Outcome
-from tests.helpers import METHOD, Bench
+from landingshift.admission.managed_rpc import ManagedRpc, RpcState
+from tests.helpers import METHOD, AdmissionBench
 
 STEP = 10.0  # ms of virtual time
 CORES, CROWD, FROM, COLD, FALL = 2, 8.0, 0.2, 9000.0, 2000.0
@@ -46,7 +46,7 @@
     """A cold server: the module, its cores, what still waits to be read."""
 
     def __init__(self, gateways: int) -> None:
-        self.bench = Bench(
+        self.bench = AdmissionBench(
             RPCS,
             caller_count=gateways,
             core_count=CORES,
@@ -60,7 +60,7 @@
             downstream_quota_window_ms=OVER,
             lost_call_linger_ms=100.0,
         )
-        self.server = self.bench.server
+        self.server = self.bench.controller
         self.unread: deque[tuple[float, int]] = deque()
         self.jobs: dict[Any, tuple[ManagedRpc, float]] = {}  # by RPC, with what is left of its work
         self.read = 0.0  # ms of a core that went into the next RPC to be read
@@ -97,7 +97,7 @@
         self.sent.add(self.there, budget + 2.0 * sqrt(budget) + 2.0)
 
 
-class World:
+class ServerThrong:
     def __init__(self, servers: int, gateways: int, uneven: bool) -> None:
         self.chance, self.now = Random(1), 0.0
         self.machines = [Machine(gateways) for _ in range(servers)]
@@ -123,7 +123,7 @@
     def step(self, rate: float) -> None:
         self.now += STEP
         for machine in self.machines:
-            machine.bench.at(self.now)
+            machine.bench.set_time(self.now)
             machine.work(self.now, self.chance)
         self.send(rate)
         self.store()
@@ -136,8 +136,8 @@
                 self.heard |= {(g, machine): machine.server.advertised_load for g in range(len(self.weights))}
 
     def carry_out(self, machine: Machine) -> None:
-        while machine.told < len(machine.bench.did):
-            what, *values = machine.bench.did[machine.told]
+        while machine.told < len(machine.bench.actions):
+            what, *values = machine.bench.actions[machine.told]
             machine.told += 1
             if what not in ("start_run", "start_call", "release", "reject", "abort"):
                 continue
@@ -162,11 +162,11 @@
         self.calls = [call for call in self.calls if call[0] > self.now]
 
 
-class Throng(unittest.TestCase):
-    def test_neither_servers_nor_store_get_more_than_they_bear(self) -> None:
+class ThrongTest(unittest.TestCase):
+    def test_cold_servers_keep_themselves_and_the_store_within_their_limits(self) -> None:
         for servers, gateways, uneven in [(20, 20, False), (30, 30, False), (30, 30, True)]:
             with self.subTest(server_count=servers, gateways=gateways, uneven=uneven):
-                world, steps = World(servers, gateways, uneven), int(10_000 / STEP)
+                world, steps = ServerThrong(servers, gateways, uneven), int(10_000 / STEP)
                 warm = servers * CORES * STEP / WORK  # RPCs in a step
                 for _ in range(steps):
                     # Twice what all of them do once they are warm: ten times what they do at first.
