--- a/landingshift/cli/lab.py
+++ b/landingshift/cli/lab.py
@@ -11,10 +11,10 @@
 import click
 
 from landingshift.cli.errors import EXIT_FAILED
-from landingshift.testbed.experiments.rows import Row
+from landingshift.testbed.experiments.rows import ExperimentRow
 
 if TYPE_CHECKING:
-    from landingshift.testbed.experiments.scenarios import Day
+    from landingshift.testbed.experiments.scenarios import Scenario
 
 MAX_REAL_MINUTES = 600.0
 MAX_SHOWN_VIOLATIONS = 3
@@ -147,13 +147,13 @@
     print_rows(_with_day_plotted(rows, plot), options.json_path)
 
 
-def _with_day_plotted(rows: Iterable[Row], plot_path: str | None) -> Iterator[Row]:
+def _with_day_plotted(rows: Iterable[ExperimentRow], plot_path: str | None) -> Iterator[ExperimentRow]:
     """Passes rows on, and plots those that have a simulated day."""
-    from landingshift.testbed.experiments.plots import day
+    from landingshift.testbed.experiments.plots import plot_maintenance_day
 
     for row in rows:
         if plot_path and "day" in row.series:
-            day(row.series["day"], plot_path)
+            plot_maintenance_day(row.series["day"], plot_path)
         yield row
 
 
@@ -173,13 +173,13 @@
     from landingshift.testbed.experiments import chance_faults
 
     if options.removed_defence:
-        row = chance_faults.without(options.removed_defence, days, options.seed)
+        row = chance_faults.find_without_defence(options.removed_defence, days, options.seed)
         print_rows([row], options.json_path)
     elif server_count:
         from landingshift.testbed.experiments import chance_faults_real
 
         real_minutes = min(minutes, MAX_REAL_MINUTES)
-        rows = chance_faults_real.many(server_count, options.seed, real_minutes, repeats)
+        rows = chance_faults_real.play_real_scenarios(server_count, options.seed, real_minutes, repeats)
         print_rows(rows, options.json_path)
     else:
         _run_virtual_days(days, minutes, options, keep)
@@ -202,12 +202,12 @@
         print_rows([row], None)
 
 
-def read_day(path: str) -> Day:
+def read_day(path: str) -> Scenario:
     """Returns the day in a file. Raises InvalidDayError for what is none."""
-    from landingshift.testbed.experiments.scenarios import read
+    from landingshift.testbed.experiments.scenarios import decode_scenario
 
     try:
-        return read(Path(path).read_bytes())
+        return decode_scenario(Path(path).read_bytes())
     except ValueError as err:
         raise InvalidDayError(path, str(err)) from err
 
@@ -223,7 +223,7 @@
     from landingshift.testbed.verification import invariants
 
     scenario = read_day(day)
-    click.echo("\n".join(scenarios.told(scenario)))
+    click.echo("\n".join(scenarios.describe_scenario(scenario)))
     history = Town(scenario, removed_defence).play()
     if log:
         for at_ms, *values in history:
@@ -240,15 +240,15 @@
 def reduce(day: str, plays: int, removed_defence: str) -> None:
     """Makes a failing day smaller, into a file beside it."""
     from landingshift.testbed.experiments import scenarios
-    from landingshift.testbed.experiments.chance_faults import smaller
+    from landingshift.testbed.experiments.chance_faults import shrink_failure
 
-    smallest, promise, played_count = smaller(read_day(day), removed_defence, plays)
+    smallest, promise, played_count = shrink_failure(read_day(day), removed_defence, plays)
     if not promise:
         raise InvalidDayError(day, "all promises hold on it")
     smallest_path = Path(day).with_suffix(SMALLER_SUFFIX)
-    smallest_path.write_bytes(scenarios.written(smallest))
+    smallest_path.write_bytes(scenarios.encode_scenario(smallest))
     heading = f"{promise}, after {played_count} plays, in {smallest_path}:"
-    click.echo("\n".join([heading, *scenarios.told(smallest)]))
+    click.echo("\n".join([heading, *scenarios.describe_scenario(smallest)]))
 
 
 @group.command()
@@ -263,12 +263,12 @@
         run = corpus.load(found)
     except ValueError as err:
         raise click.UsageError(str(err)) from err
-    html = html_report.page(run.figures, run.broken, run.smallest, run.seen(), run.rested)
+    html = html_report.render_page(run.figures, run.broken, run.smallest, run.seen(), run.rested)
     Path(page).write_text(html)
     click.echo(page)
 
 
-def print_rows(rows: Iterable[Row], json_path: str | None, plot_path: str | None = None) -> None:
+def print_rows(rows: Iterable[ExperimentRow], json_path: str | None, plot_path: str | None = None) -> None:
     """Writes a line a row as it is done.
 
     Ends with `EXIT_FAILED` where a promise did not hold.
@@ -278,26 +278,26 @@
         json_path: The file that gets all figures.
         plot_path: The picture that gets the series of all rows.
     """
-    finished: list[Row] = []
+    finished: list[ExperimentRow] = []
     for row in rows:
         finished.append(row)
         verdict = "holds " if row.holds else "BROKEN"
         click.echo(f"{verdict}  {row.name:28} {row.runs:6} runs  {row.figures}")
-        for violation in row.broken[:MAX_SHOWN_VIOLATIONS]:
+        for violation in row.violations[:MAX_SHOWN_VIOLATIONS]:
             click.echo(f"        {violation}")
     if json_path:
         _save_rows(finished, json_path)
     series_by_row = {row.name: row.series for row in finished if row.series}
     if plot_path and series_by_row:
-        from landingshift.testbed.experiments.plots import starts
+        from landingshift.testbed.experiments.plots import plot_starts
 
-        starts(series_by_row, plot_path)
+        plot_starts(series_by_row, plot_path)
     if not all(row.holds for row in finished):
         raise SystemExit(EXIT_FAILED)
 
 
-def _save_rows(rows: list[Row], path: str) -> None:
+def _save_rows(rows: list[ExperimentRow], path: str) -> None:
     import orjson
 
-    data = orjson.dumps([row.told() for row in rows], option=orjson.OPT_INDENT_2)
+    data = orjson.dumps([row.to_json() for row in rows], option=orjson.OPT_INDENT_2)
     Path(path).write_bytes(data)
--- a/landingshift/testbed/experiments/chance_faults.py
+++ b/landingshift/testbed/experiments/chance_faults.py
@@ -1,7 +1,8 @@
-"""The whole fleet under chance faults, in virtual time: many drawn days, each judged from its history alone.
+"""The whole fleet under random faults in virtual time: drawn scenarios, each judged from its history alone.
 
-Days are drawn round by round: after each, what has met is known, and the next round seeks what has not. A day
-that fails is made smaller until nothing can be left out, and told as an incident.
+Scenarios are drawn in rounds: after each round it is known which faults have overlapped, and the next one
+prefers overlaps that are missing. A failing scenario is shrunk until no fault can be left out, and described
+as an incident.
 """
 
 from __future__ import annotations
@@ -12,153 +13,232 @@
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import dataclass, field
 from functools import partial
-from typing import Any
 
-from landingshift.testbed.experiments.rows import Row
-from landingshift.testbed.experiments.scenarios import Coverage, Day, draw, told
+from landingshift.testbed.experiments.rows import ExperimentRow
+from landingshift.testbed.experiments.scenarios import Coverage, Scenario, describe_scenario, draw_scenario
 from landingshift.testbed.simulation.cluster import BREAKS, OVERLAP, Town
 from landingshift.testbed.verification.invariants import FLEET, broken
 from landingshift.testbed.verification.shrinking import Reduced
 
-ROUND = 400  # days of one round, after which what has met is counted
-CHUNK = 10  # days that one worker plays at a time
-KEPT = 8  # failing days that are made smaller, side by side
-PLAYS = 150  # for each
+ROUND_SCENARIO_COUNT = 400
+"""After which overlaps are counted."""
+CHUNK_SCENARIO_COUNT = 10
+"""That one worker plays at a time."""
+MAX_SHRUNK_COUNT = 8
+"""Failing scenarios that are shrunk, in parallel."""
+EXPERIMENT_PLAY_COUNT = 150
+"""Tries to shrink each failing scenario of an experiment."""
+SHRINK_PLAY_COUNT = 400
+"""Tries to shrink one scenario by itself."""
+UNLIMITED_MINUTES = 1e9
+COUNTED_EVENTS = ("read", "answer", "run", "killed", "starts", "drains", "left", "buried", "loan", "begins")
 
 
 @dataclass(slots=True)
-class Played:
-    """Of some days: what was broken by seed, what met, how much there was."""
-
-    days: int = 0
-    events: int = 0
+class SearchResult:
+    """What some scenarios showed.
+
+    Attributes:
+        scenario_count: How many were played.
+        event_count: Events of virtual time.
+        virtual_ms: Virtual time that passed.
+        violations: By seed.
+        failing: By seed; where the draw was steered the seed alone does not give the scenario.
+        coverage: Which faults overlapped.
+        counts: Of `COUNTED_EVENTS`, and of ends of policy changes.
+        recovery_ms: From the last fault of each until all was well.
+    """
+
+    scenario_count: int = 0
+    event_count: int = 0
     virtual_ms: float = 0.0
-    broken: dict[int, list[str]] = field(default_factory=dict)
-    failing: dict[int, Day] = field(default_factory=dict)  # a seed alone is no day: it was steered
+    violations: dict[int, list[str]] = field(default_factory=dict)
+    failing: dict[int, Scenario] = field(default_factory=dict)
     coverage: Coverage = field(default_factory=Coverage)
     counts: Counter[str] = field(default_factory=Counter)
-    rested: list[float] = field(default_factory=list)  # ms until all was well after the last fault
+    recovery_ms: list[float] = field(default_factory=list)
 
-    def add(self, other: Played) -> None:
-        self.days += other.days
-        self.events += other.events
+    def merge(self, other: SearchResult) -> None:
+        """Adds what other scenarios showed."""
+        self.scenario_count += other.scenario_count
+        self.event_count += other.event_count
         self.virtual_ms += other.virtual_ms
-        self.broken |= other.broken
+        self.violations |= other.violations
         self.failing |= other.failing
-        self.coverage.add(other.coverage)
+        self.coverage.merge(other.coverage)
         self.counts.update(other.counts)
-        self.rested += other.rested
-
-
-def judge(day: Day, away: str = "") -> list[str]:
-    """What does not hold; a promise's name stands first."""
-    return broken(Town(day, away).play(), OVERLAP, FLEET)
+        self.recovery_ms += other.recovery_ms
 
 
-def play(day: Day, away: str = "") -> Played:
-    played = Played(days=1)
-    town = Town(day, away, played.coverage)
-    history = town.play()
-    wrong = broken(history, OVERLAP, FLEET)
-    if wrong:
-        played.broken[day.seed], played.failing[day.seed] = wrong, day
-    played.events, played.virtual_ms = town.world.count, town.world.now
-    counted = ("read", "answer", "run", "killed", "starts", "drains", "left", "buried", "loan", "begins")
-    played.counts.update(what for _, what, *_ in history if what in counted)
-    played.counts.update({f"change {e[4]}" for e in history if e[1] == "end"})
-    played.rested.append(town.world.now - next(e[0] for e in history if e[1] == "quiet"))
-    return played
-
-
-def some(seeds: list[int], away: str, seen: dict[tuple[str, str], int] | None) -> Played:
-    found = Played()
+def check_scenario(scenario: Scenario, removed_defence: str) -> list[str]:
+    """Plays a scenario; returns its violations, each with the invariant's name in front."""
+    try:
+        return broken(Town(scenario, removed_defence).play(), OVERLAP, FLEET)
+    except Exception as err:  # of the software or of the simulation: either fails the scenario
+        return [_crash_text(err)]
+
+
+def invariant_names(violations: list[str]) -> list[str]:
+    """Returns the invariants that were violated."""
+    return [text.partition(":")[0] for text in violations]
+
+
+def shrink_failure(
+    scenario: Scenario, removed_defence: str = "", plays: int = SHRINK_PLAY_COUNT
+) -> tuple[Scenario, str, int]:
+    """Shrinks a failing scenario.
+
+    Args:
+        scenario: The one that fails.
+        removed_defence: Without which it is played.
+        plays: How many scenarios may be tried.
+
+    Returns:
+        The smallest scenario found that violates the same invariant, its name ("" where all hold), and how
+        many were played.
+    """
+    violated = invariant_names(check_scenario(scenario, removed_defence))
+    if not violated:
+        return scenario, "", 1
+
+    def still_fails(smaller: Scenario) -> bool:
+        return violated[0] in invariant_names(check_scenario(smaller, removed_defence))
+
+    reduced = Reduced(scenario, still_fails, plays)
+    return reduced.run(), violated[0], reduced.plays
+
+
+def run_rounds(
+    scenario_count: int, seed: int, removed_defence: str = "", is_steered: bool = True
+) -> Iterator[SearchResult]:
+    """Plays drawn scenarios in parallel; yields what all so far showed, after each round.
+
+    Args:
+        scenario_count: How many.
+        seed: Of the first one.
+        removed_defence: Without which they are played.
+        is_steered: Whether overlaps that are missing so far are preferred.
+    """
+    total = SearchResult()
+    pair_counts = None
+    with ProcessPoolExecutor() as pool:
+        for first in range(seed, seed + scenario_count, ROUND_SCENARIO_COUNT):
+            seeds = list(range(first, min(seed + scenario_count, first + ROUND_SCENARIO_COUNT)))
+            chunks = [seeds[i : i + CHUNK_SCENARIO_COUNT] for i in range(0, len(seeds), CHUNK_SCENARIO_COUNT)]
+            play_chunk = partial(_play_chunk, removed_defence=removed_defence, pair_counts=pair_counts)
+            for result in pool.map(play_chunk, chunks):
+                total.merge(result)
+            yield total
+            pair_counts = total.coverage.pair_counts() if is_steered else None
+
+
+def _play_chunk(
+    seeds: list[int], removed_defence: str, pair_counts: dict[tuple[str, str], int] | None
+) -> SearchResult:
+    total = SearchResult()
     for seed in seeds:
-        day = draw(seed, seen)
+        scenario = draw_scenario(seed, pair_counts)
         try:
-            found.add(play(day, away))
-        except Exception as err:  # of a package or of the town: such a day fails, the others go on
-            wrong = [f"crash: {type(err).__name__}: {err}"]
-            found.add(Played(days=1, broken={seed: wrong}, failing={seed: day}))
-    return found
+            total.merge(_play(scenario, removed_defence))
+        except Exception as err:  # of the software or of the simulation: it fails this scenario alone
+            violations = {seed: [_crash_text(err)]}
+            total.merge(SearchResult(scenario_count=1, violations=violations, failing={seed: scenario}))
+    return total
+
+
+def _play(scenario: Scenario, removed_defence: str) -> SearchResult:
+    result = SearchResult(scenario_count=1)
+    cluster = Town(scenario, removed_defence, result.coverage)
+    history = cluster.play()
+    violations = broken(history, OVERLAP, FLEET)
+    if violations:
+        result.violations[scenario.seed] = violations
+        result.failing[scenario.seed] = scenario
+    result.event_count = cluster.world.count
+    result.virtual_ms = cluster.world.now
+    result.counts.update(event for _, event, *_ in history if event in COUNTED_EVENTS)
+    result.counts.update({f"change {entry[4]}" for entry in history if entry[1] == "end"})
+    quiet_at_ms = next(entry[0] for entry in history if entry[1] == "quiet")
+    result.recovery_ms.append(cluster.world.now - quiet_at_ms)
+    return result
+
+
+def _crash_text(err: Exception) -> str:
+    return f"crash: {type(err).__name__}: {err}"
 
 
-def many(count: int, seed: int, away: str = "", steer: bool = True) -> Iterator[tuple[Played, Any]]:
-    """All so far and what the last round sought, after each round."""
-    whole, seen = Played(), None
+def experiment(
+    scenario_count: int,
+    seed: int,
+    removed_defence: str = "",
+    minutes: float = UNLIMITED_MINUTES,
+    plays: int = EXPERIMENT_PLAY_COUNT,
+) -> Iterator[tuple[ExperimentRow, SearchResult]]:
+    """Plays drawn scenarios, and shrinks those that fail.
+
+    Args:
+        scenario_count: How many at the most.
+        seed: Of the first one.
+        removed_defence: Without which they are played, until the first one fails.
+        minutes: After which no further round begins.
+        plays: How many scenarios may be tried to shrink one.
+
+    Yields:
+        The row, with the shrunk scenarios in its series, and what all scenarios showed.
+    """
+    row = ExperimentRow("days")
+    began = time.monotonic()
+    total = SearchResult()
+    for total in run_rounds(scenario_count, seed, removed_defence):
+        _add_figures(row, total, began)
+        if time.monotonic() - began > minutes * 60.0 or (removed_defence and total.violations):
+            break
+    row.violations = [f"seed {seed}: {texts[0]}" for seed, texts in sorted(total.violations.items())]
+    shrunk_count = 1 if removed_defence else MAX_SHRUNK_COUNT
+    seeds = sorted(total.violations)[:shrunk_count]
     with ProcessPoolExecutor() as pool:
-        for first in range(seed, seed + count, ROUND):
-            seeds = list(range(first, min(seed + count, first + ROUND)))
-            chunks = [seeds[i : i + CHUNK] for i in range(0, len(seeds), CHUNK)]
-            for part in pool.map(partial(some, away=away, seen=seen), chunks):
-                whole.add(part)
-            yield whole, seen
-            seen = whole.coverage.pairs() if steer else None
-
-
-def smaller(day: Day, away: str = "", plays: int = 400) -> tuple[Day, str, int]:
-    """The smallest day found in which the same promise is broken, its name, and how many were played."""
-    first = names(failure(day, away))
-    if not first:
-        return day, "", 1
-    reduced = Reduced(day, lambda d: first[0] in names(failure(d, away)), plays)
-    return reduced.run(), first[0], reduced.plays
-
-
-def failure(day: Day, away: str) -> list[str]:
-    try:
-        return judge(day, away)
-    except Exception as err:
-        return [f"crash: {type(err).__name__}: {err}"]
-
-
-def names(wrong: list[str]) -> list[str]:
-    return [text.partition(":")[0] for text in wrong]
+        shrink = partial(shrink_failure, removed_defence=removed_defence, plays=plays)
+        shrunk = pool.map(shrink, [total.failing[seed] for seed in seeds])
+        row.series["smallest"] = [
+            {
+                "seed": seed,
+                "promise": invariant,
+                "plays": play_count,
+                "told": describe_scenario(scenario),
+                "day": scenario,
+            }
+            for seed, (scenario, invariant, play_count) in zip(seeds, shrunk, strict=True)
+        ]
+    yield row, total
 
 
-def figures(row: Row, whole: Played, began: float) -> None:
-    rested = sorted(whole.rested)
-    row.runs = whole.days
+def _add_figures(row: ExperimentRow, total: SearchResult, began: float) -> None:
+    recovery_ms = sorted(total.recovery_ms)
+    millions = total.event_count / 1e6
+    row.runs = total.scenario_count
     row.figures |= {
-        "events_millions": round(whole.events / 1e6, 2),
-        "events_millions_a_minute": round(whole.events / 1e6 / (time.monotonic() - began) * 60.0, 2),
-        "virtual_hours": round(whole.virtual_ms / 3.6e6, 2),
-        "pairs_unmet": len(whole.coverage.unmet()),
-        "stages_met": len(whole.coverage.stages()),
-        "rest_s_median": round(rested[len(rested) // 2] / 1000.0, 1) if rested else 0.0,
-        "rest_s_worst": round(rested[-1] / 1000.0, 1) if rested else 0.0,
-        **whole.counts,
+        "events_millions": round(millions, 2),
+        "events_millions_a_minute": round(millions / (time.monotonic() - began) * 60.0, 2),
+        "virtual_hours": round(total.virtual_ms / 3.6e6, 2),
+        "pairs_unmet": len(total.coverage.unmet_pairs()),
+        "stages_met": len(total.coverage.stage_counts()),
+        "rest_s_median": round(recovery_ms[len(recovery_ms) // 2] / 1000.0, 1) if recovery_ms else 0.0,
+        "rest_s_worst": round(recovery_ms[-1] / 1000.0, 1) if recovery_ms else 0.0,
+        **total.counts,
     }
 
 
-def experiment(
-    count: int, seed: int, away: str = "", minutes: float = 1e9, plays: int = PLAYS
-) -> Iterator[tuple[Row, Played]]:
-    """Rows as rounds go on; the last one has the failing days, made smaller, in its series."""
-    row, began, whole = Row("days"), time.monotonic(), Played()
-    for whole, _ in many(count, seed, away):
-        figures(row, whole, began)
-        if time.monotonic() - began > minutes * 60.0 or (away and whole.broken):
-            break
-    row.broken = [f"seed {s}: {text}" for s, texts in sorted(whole.broken.items()) for text in texts[:1]]
-    kept = sorted(whole.broken)[:KEPT] if not away else sorted(whole.broken)[:1]
-    with ProcessPoolExecutor() as pool:
-        least = pool.map(partial(smaller, away=away, plays=plays), [whole.failing[s] for s in kept])
-        row.series["smallest"] = [
-            {"seed": s, "promise": promise, "plays": played, "told": told(day), "day": day}
-            for s, (day, promise, played) in zip(kept, least, strict=True)
-        ]
-    yield row, whole
-
-
-def without(away: str, most: int, seed: int) -> Row:
-    """How many days it takes until the promise that rests on a defence is found broken without it."""
-    row = Row(f"without {away}")
-    for whole, _ in many(most, seed, away, steer=False):
-        row.runs = whole.days
-        found = [s for s, texts in sorted(whole.broken.items()) if BREAKS[away] in names(texts)]
-        if found:
-            row.figures["found_at"] = found[0] - seed + 1
-            row.figures["found_of"] = f"{len(found)} of {whole.days}"
+def find_without_defence(removed_defence: str, max_count: int, seed: int) -> ExperimentRow:
+    """Counts scenarios until the invariant that rests on a defence is found violated without it."""
+    row = ExperimentRow(f"without {removed_defence}")
+    invariant = BREAKS[removed_defence]
+    for total in run_rounds(max_count, seed, removed_defence, is_steered=False):
+        row.runs = total.scenario_count
+        violations = sorted(total.violations.items())
+        seeds = [failing for failing, texts in violations if invariant in invariant_names(texts)]
+        if seeds:
+            row.figures["found_at"] = seeds[0] - seed + 1
+            row.figures["found_of"] = f"{len(seeds)} of {total.scenario_count}"
             return row
-    row.broken.append(f"{BREAKS[away]} was not found broken without {away} in {most} days")
+    row.violations.append(f"{invariant} was not found broken without {removed_defence} in {max_count} days")
     return row
--- a/landingshift/testbed/experiments/chance_faults_real.py
+++ b/landingshift/testbed/experiments/chance_faults_real.py
@@ -21,8 +21,14 @@
 from landingshift.testbed import MEMORY
 from landingshift.testbed.experiments.maintenance_harness import COLD_START_SETTINGS, MaintenanceHarness
 from landingshift.testbed.experiments.policies_real import ENDED, OVERLAP
-from landingshift.testbed.experiments.rows import Row, must
-from landingshift.testbed.experiments.scenarios import BETWEEN, KINDS, Act, act, cuts
+from landingshift.testbed.experiments.rows import ExperimentRow
+from landingshift.testbed.experiments.scenarios import (
+    FAULT_KINDS,
+    LINK_FAULT_KINDS,
+    Fault,
+    blocks_link,
+    draw_fault,
+)
 from landingshift.testbed.verification.invariants import loans, permissions
 
 HERE = (
@@ -41,26 +47,26 @@
 LATEST = 25.0  # s after its end until which a fault's recovery is looked for
 
 
-def drawn(seed: int, servers: int, seconds: float) -> list[Act]:
+def drawn(seed: int, servers: int, seconds: float) -> list[Fault]:
     chance = Random(f"{seed} real day")
-    weights = [KINDS[name].weight for name in HERE]
+    weights = [FAULT_KINDS[name].weight for name in HERE]
     acts = []
     for _ in range(max(3, int(seconds / EACH))):
         at = round(chance.uniform(0.0, max(1.0, seconds - 3.0)) * 1000.0)
-        acts.append(act(chance, chance.choices(HERE, weights)[0], at, servers, seconds * 1000.0))
-    return sorted(acts, key=lambda a: (a.at, a.kind, a.who))
+        acts.append(draw_fault(chance, chance.choices(HERE, weights)[0], at, servers, seconds * 1000.0))
+    return sorted(acts, key=lambda a: (a.start_ms, a.kind, a.servers))
 
 
 class Siege:
     """One run: `acts` done to `count` servers over `seconds`."""
 
-    def __init__(self, folder: str, count: int, seed: int, seconds: float, acts: list[Act]) -> None:
+    def __init__(self, folder: str, count: int, seed: int, seconds: float, acts: list[Fault]) -> None:
         load = LOAD if count <= MANY else RPCS * 0.04
         packages = COLD_START_SETTINGS.format(count=count, calls=CALLS * count)
         self.yard = MaintenanceHarness(folder, count, seed, load, 0.1, packages)
         self.rig, self.seconds, self.acts = self.yard.rig, seconds, acts
         self.rate = self.rig.rate
-        self.under: dict[int, Act] = {}
+        self.under: dict[int, Fault] = {}
         self.began = 0.0
         self.answers: list[tuple[float, int, int]] = []  # s, ok, all so far
         self.sizes: list[tuple[float, float, float]] = []  # s, mean MB, mean descriptors
@@ -72,19 +78,21 @@
     def timeline(self) -> list[tuple[float, Callable[[], None]]]:
         events: list[tuple[float, Callable[[], None]]] = []
         for place, one in enumerate(self.acts):
-            events.append((one.at / 1000.0, partial(self.begin, place, one)))
-            if one.lasts:
-                events.append(((one.at + one.lasts) / 1000.0, partial(self.over, place, one)))
+            events.append((one.start_ms / 1000.0, partial(self.begin, place, one)))
+            if one.duration_ms:
+                events.append(((one.start_ms + one.duration_ms) / 1000.0, partial(self.over, place, one)))
             if one.kind == "crash_loop":
-                steps = range(1, int(one.lasts / one.amount))
-                events += [((one.at + k * one.amount) / 1000.0, partial(self.crash, one)) for k in steps]
+                steps = range(1, int(one.duration_ms / one.amount))
+                events += [
+                    ((one.start_ms + k * one.amount) / 1000.0, partial(self.crash, one)) for k in steps
+                ]
         return sorted(events, key=lambda e: e[0])
 
-    def begin(self, place: int, one: Act) -> None:
+    def begin(self, place: int, one: Fault) -> None:
         yard, rig = self.yard, self.rig
-        if one.lasts:
+        if one.duration_ms:
             self.under[place] = one
-        for i in one.who:
+        for i in one.servers:
             up = i in yard.up()
             match one.kind:
                 case "kill" | "zone":
@@ -96,7 +104,7 @@
                 case "notice" if up:
                     rig.processes[i].send_signal(signal.SIGTERM)
                 case "stop" if up:
-                    rig.stop(i, one.lasts / 1000.0)
+                    rig.stop(i, one.duration_ms / 1000.0)
                 case "full" if up and i <= len(yard.voters):
                     self.full(i, True)
                 case "change" if up:
@@ -105,20 +113,20 @@
         if one.kind == "store_falls":
             rig.do(lambda: rig.yard.store.flood(int(one.amount * rig.yard.store.crowd / 2.0)))
         if one.kind == "wish":
-            self.wish([rig.name(i) for i in one.who], one.amount)
+            self.wish([rig.name(i) for i in one.servers], one.amount)
         self.links()
 
-    def over(self, place: int, one: Act) -> None:
+    def over(self, place: int, one: Fault) -> None:
         del self.under[place]
-        for i in one.who:
+        for i in one.servers:
             if one.kind in ("kill", "zone"):
                 self.yard.not_restarted.discard(i)  # its supervisor starts it
             if one.kind == "full" and i in self.limits:
                 self.full(i, False)
         self.links()
 
-    def crash(self, one: Act) -> None:
-        for i in one.who:
+    def crash(self, one: Fault) -> None:
+        for i in one.servers:
             if i in self.yard.up():
                 self.rig.kill(i)
 
@@ -145,12 +153,14 @@
     def links(self) -> None:
         """Loss, doubles, delay and load are the most of all acts under way; a cut holds while any does."""
         under, rig = list(self.under.values()), self.rig
-        sides = [(a, {rig.name(i) for i in a.who}) for a in under if a.kind in BETWEEN and a.who]
+        sides = [
+            (a, {rig.name(i) for i in a.servers}) for a in under if a.kind in LINK_FAULT_KINDS and a.servers
+        ]
         began = self.began
 
         def cut(a: str, b: str) -> bool:
             at = (time.monotonic() - began) * 1000.0
-            return any(cuts(one, side, a, b, at - one.at) for one, side in sides)
+            return any(blocks_link(one, side, a, b, at - one.start_ms) for one, side in sides)
 
         def most(kind: str) -> float:
             return max((a.amount for a in under if a.kind == kind), default=0.0)
@@ -180,7 +190,7 @@
             count = len(there)
             self.sizes.append((at, sum(f[0] for f in there) / count, sum(f[1] for f in there) / count))
 
-    def run(self, row: Row) -> None:
+    def run(self, row: ExperimentRow) -> None:
         yard = self.yard
         yard.start_all()
         self.began = time.monotonic()
@@ -201,33 +211,33 @@
         yard.not_restarted.clear()
         self.settle(row)
 
-    def settle(self, row: Row) -> None:
+    def settle(self, row: ExperimentRow) -> None:
         yard = self.yard
 
         def well() -> bool:
             return len(yard.up()) == yard.count and all(yard.status(i).get("decides") for i in yard.up())
 
         began = time.monotonic()
-        must(
-            row, yard.rig.until(SETTLE, well), f"not all decide again: {[yard.status(i) for i in yard.up()]}"
+        row.require(
+            yard.rig.until(SETTLE, well), f"not all decide again: {[yard.status(i) for i in yard.up()]}"
         )
         row.figures["rest_s"] = round(time.monotonic() - began, 1)
-        must(row, yard.wait_until_ended(yard.names, SETTLE), "work is not over")
+        row.require(yard.wait_until_ended(yard.names, SETTLE), "work is not over")
         yard.agreed(row, 20.0)
         # One whose proposer died may be known to nobody.
         yard.ids = [id for id in yard.ids if yard.end(0, id)["end"] in ENDED]
 
-    def judge(self, row: Row) -> None:
+    def judge(self, row: ExperimentRow) -> None:
         self.yard.check(row)
         history = self.rig.history()
         most = loans(history, 0)
         bears = CALLS * self.yard.count
-        must(row, most <= bears * 1.0001, f"shares: {most:.0f} believed in of {bears:.0f}")
-        row.broken += [
+        row.require(most <= bears * 1.0001, f"shares: {most:.0f} believed in of {bears:.0f}")
+        row.violations += [
             f"permissions: {text}" for text in permissions([(*e, 0) for e in history], OVERLAP)[:2]
         ]
         row.figures |= {"acts": len(self.acts), "changes": self.ids, "wishes": self.wishes}
-        row.figures |= quarters(self.sizes) | recovery(self.answers, self.acts)
+        row.figures |= quarters(self.sizes) | recovery_figures(self.answers, self.acts)
         row.series["answers"], row.series["sizes"] = self.answers, self.sizes
 
 
@@ -258,16 +268,16 @@
     return 100.0 * (some[-1][1] - some[0][1]) / (some[-1][2] - some[0][2])
 
 
-def recovery(answers: list[tuple[float, int, int]], acts: list[Act]) -> dict[str, Any]:
+def recovery_figures(answers: list[tuple[float, int, int]], acts: list[Fault]) -> dict[str, Any]:
     """s from the end of each fault that nothing else overlapped until service is back, median and worst."""
-    faults = [a for a in acts if a.kind not in ("change", "wish", "load") and a.lasts]
+    faults = [a for a in acts if a.kind not in ("change", "wish", "load") and a.duration_ms]
     found: list[tuple[float, str]] = []
     for one in faults:
-        end = (one.at + one.lasts) / 1000.0
-        others = [b for b in faults if b is not one and b.at / 1000.0 < end + 10.0]
-        if any((b.at + b.lasts) / 1000.0 > one.at / 1000.0 - 5.0 for b in others):
+        end = (one.start_ms + one.duration_ms) / 1000.0
+        others = [b for b in faults if b is not one and b.start_ms / 1000.0 < end + 10.0]
+        if any((b.start_ms + b.duration_ms) / 1000.0 > one.start_ms / 1000.0 - 5.0 for b in others):
             continue
-        before = share(answers, one.at / 1000.0 - 5.0, one.at / 1000.0)
+        before = share(answers, one.start_ms / 1000.0 - 5.0, one.start_ms / 1000.0)
         at = end
         while before >= 0.0 and at < end + LATEST:
             if share(answers, at, at + 2.0) >= before - BACK:
@@ -281,9 +291,9 @@
     return {"alone": len(found), "back_s": found[len(found) // 2][0], "back_worst": list(found[-1])}
 
 
-def many(servers: int, seed: int, minutes: float, repeats: int) -> Iterator[Row]:
+def play_real_scenarios(servers: int, seed: int, minutes: float, repeats: int) -> Iterator[ExperimentRow]:
     for k in range(repeats):
-        row = Row(f"real {seed + k}")
+        row = ExperimentRow(f"real {seed + k}")
         acts = drawn(seed + k, servers, minutes * 60.0)
         with tempfile.TemporaryDirectory(dir=MEMORY) as folder:
             siege = Siege(folder, servers, seed + k, minutes * 60.0, acts)
@@ -291,7 +301,7 @@
                 siege.run(row)
                 siege.judge(row)
             except (RuntimeError, OperatorRpcError) as err:
-                must(row, False, str(err))
+                row.require(False, str(err))
             finally:
                 siege.yard.stop_supervisor()
                 siege.rig.close()
--- a/landingshift/testbed/experiments/cold_start.py
+++ b/landingshift/testbed/experiments/cold_start.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from landingshift.testbed import MEMORY
-from landingshift.testbed.experiments.rows import Row, must
+from landingshift.testbed.experiments.rows import ExperimentRow
 from landingshift.testbed.simulation.cold_start import Case, Rise, address
 from landingshift.testbed.simulation.leases import Lent
 from landingshift.testbed.verification.search_leases import Search
@@ -38,69 +38,68 @@
         return rise
 
 
-def check(row: Row, rise: Rise, within: float) -> None:
+def check(row: ExperimentRow, rise: Rise, within: float) -> None:
     """Warm within so many times the least (and a second for those who came last), all bounds kept."""
     while rise.warm_at < 0.0 and rise.world.now < LATEST:
         rise.run(1000.0)
     bounds(row, rise)
-    must(row, rise.warm_at >= 0.0, f"not warm after {rise.world.now / 1000.0:.0f} s")
-    must(
-        row,
+    row.require(rise.warm_at >= 0.0, f"not warm after {rise.world.now / 1000.0:.0f} s")
+    row.require(
         rise.warm_at <= within * rise.least() + 1000.0,
         f"warm after {rise.warm_at:.0f} ms, least {rise.least():.0f}",
     )
     top(row, "warm_over_least", rise.warm_at / rise.least())
 
 
-def bounds(row: Row, rise: Rise) -> None:
+def bounds(row: ExperimentRow, rise: Rise) -> None:
     case = rise.case
-    row.broken += rise.broken[:2]
+    row.violations += rise.broken[:2]
     calls, asks = rise.peak_calls(), rise.peak(rise.asks)
-    must(row, not rise.store.fell, "the store fell")
-    must(row, calls <= PEAK * case.calls, f"{calls} calls in a second at a store that bears {case.calls:g}")
-    must(row, asks <= max(3.0, PEAK * case.asks), f"the list was asked {asks} times in a second")
+    row.require(not rise.store.fell, "the store fell")
+    row.require(calls <= PEAK * case.calls, f"{calls} calls in a second at a store that bears {case.calls:g}")
+    row.require(asks <= max(3.0, PEAK * case.asks), f"the list was asked {asks} times in a second")
     top(row, "calls_over_bears", calls / case.calls)
     top(row, "asks_over_bears", asks / case.asks)
     top(row, "messages_a_server_s", rise.world.messages / case.servers / rise.world.now * 1000.0)
 
 
-def top(row: Row, name: str, value: float) -> None:
+def top(row: ExperimentRow, name: str, value: float) -> None:
     row.figures[name] = max(row.figures.get(name, 0.0), round(value, 2))
 
 
 # In virtual time
 
 
-def lent(tried: Tried, row: Row) -> None:
+def lent(tried: Tried, row: ExperimentRow) -> None:
     """What eight holders believe in, through loss, doubles, delays, stops, restarts and uneven clocks."""
     lent = Lent(tried.chance.randrange(1 << 30), quiet=tried.away != "quiet", books=tried.away != "booking")
     for _ in range(5000):
         lent.step()
-    must(row, lent.most <= lent.capacity + 1e-9, f"{lent.most:.2f} believed in of {lent.capacity:g}")
+    row.require(lent.most <= lent.capacity + 1e-9, f"{lent.most:.2f} believed in of {lent.capacity:g}")
     top(row, "most_of_10", lent.most)
 
 
-def search(tried: Tried, row: Row) -> None:
+def search(tried: Tried, row: ExperimentRow) -> None:
     """Every order of one lender and two holders, to a depth, until so many states were seen."""
     found = Search(tried.away != "quiet", tried.away != "booking").run(DEPTH, STATES)
-    must(row, not found.broken, found.broken)
+    row.require(not found.broken, found.broken)
     row.figures |= {"states": found.states, "most_of_4": found.most}
 
 
-def all_at_once(tried: Tried, row: Row) -> None:
+def all_at_once(tried: Tried, row: ExperimentRow) -> None:
     rise = tried.rise()
     rise.start_all()
     check(row, rise, 1.5)
 
 
-def power_cut(tried: Tried, row: Row) -> None:
+def power_cut(tried: Tried, row: ExperimentRow) -> None:
     """The machines were off: lenders know that nothing they granted before can still be believed."""
     rise = tried.rise(power=True)
     rise.start_all()
     check(row, rise, 1.3)
 
 
-def lenders_killed(tried: Tried, row: Row) -> None:
+def lenders_killed(tried: Tried, row: ExperimentRow) -> None:
     """One killed and started anew, which knows nothing of what it lent, and one killed for good."""
     rise = tried.rise()
     rise.start_all()
@@ -113,7 +112,7 @@
     check(row, rise, 5.0)  # a third of what is lent is out of use
 
 
-def holders_lost(tried: Tried, row: Row) -> None:
+def holders_lost(tried: Tried, row: ExperimentRow) -> None:
     """Of those who hold places some are killed, some stopped for 5 s, some cut off."""
     rise = tried.rise(places=SCARCE)
     rise.start_all()
@@ -135,7 +134,7 @@
     check(row, rise, 4.0)
 
 
-def zone_cut(tried: Tried, row: Row) -> None:
+def zone_cut(tried: Tried, row: ExperimentRow) -> None:
     """A zone cut off goes on by itself; the halves meet again with other beliefs."""
     rise = tried.rise()
     rise.start_all()
@@ -144,11 +143,11 @@
     rise.world.at(20_000.0, lambda: setattr(rise.world, "cut", lambda a, b: False))
     rise.run(19_000.0)
     begun = sum(m.opened > 0.0 for i, m in rise.minds.items() if i % 3 == 0)
-    must(row, begun > rise.case.servers // 12, f"only {begun} began in the zone that was cut off")
+    row.require(begun > rise.case.servers // 12, f"only {begun} began in the zone that was cut off")
     check(row, rise, 4.0)
 
 
-def bad_network(tried: Tried, row: Row) -> None:
+def bad_network(tried: Tried, row: ExperimentRow) -> None:
     """10 % lost, 10 % doubled, one link cut one way; in one second, or in waves."""
     for spread in (1000.0, 15_000.0):
         rise = tried.rise({"loss": 0.1})
@@ -158,7 +157,7 @@
         check(row, rise, 4.0)
 
 
-def store_collapses(tried: Tried, row: Row) -> None:
+def store_collapses(tried: Tried, row: ExperimentRow) -> None:
     """A crowd from elsewhere brings the store down when half are up: it must come back without a hand."""
     rise = tried.rise()
     rise.start_all()
@@ -166,7 +165,7 @@
         rise.run(500.0)
     rise.store.waiting += 4.0 * rise.case.calls
     rise.run(1000.0)
-    must(row, rise.store.fell, "the store did not fall")
+    row.require(rise.store.fell, "the store did not fall")
     began = rise.world.now
     while rise.store.fell and rise.world.now < LATEST:
         rise.run(500.0)
@@ -174,7 +173,7 @@
     check(row, rise, 12.0)
 
 
-def list_service(tried: Tried, row: Row) -> None:
+def list_service(tried: Tried, row: ExperimentRow) -> None:
     """Down throughout, back when all wait for it, gone in the middle; nobody knows anybody else."""
     for up in ((1e9, 1e12), (8000.0, 1e12), (0.0, 2000.0)):
         rise = tried.rise(know="list", list_up=up, asks=10.0)
@@ -182,10 +181,10 @@
         rise.run(60_000.0)
         bounds(row, rise)
         begun = sum(m.opened > 0.0 for m in rise.minds.values())
-        must(row, begun > rise.case.servers // 4, f"only {begun} began")
+        row.require(begun > rise.case.servers // 4, f"only {begun} began")
 
 
-def crash_loop(tried: Tried, row: Row) -> None:
+def crash_loop(tried: Tried, row: ExperimentRow) -> None:
     """Half of them crash again and again for 20 s."""
     rise = tried.rise()
     rise.start_all()
@@ -198,7 +197,7 @@
     check(row, rise, 8.0)
 
 
-def hour_of_load(tried: Tried, row: Row) -> None:
+def hour_of_load(tried: Tried, row: ExperimentRow) -> None:
     """An hour of full cores: all hear late, by 40 ms on average, and one is stopped for 300 ms each 2 s."""
     rise = tried.rise(servers=30, lenders=3, calls=60.0)
     rise.start_all()
@@ -209,7 +208,7 @@
         rise.hosts[tried.chance.randrange(30)].stop(300.0)
         rise.run(2000.0)
     dead = sum(event == "fleet_dead" for _, _, event in rise.lines)
-    must(row, dead == 0, f"{dead} buried of whom none was dead")
+    row.require(dead == 0, f"{dead} buried of whom none was dead")
     row.figures["false_deaths"] = dead
     rise.kill(7)
     began = rise.world.now
@@ -219,11 +218,11 @@
     ):
         rise.run(50.0)
     row.figures["death_known_s"] = round((rise.world.now - began) / 1000.0, 1)
-    must(row, rise.world.now - began < 15_000.0, "a death under load was not known after 15 s")
+    row.require(rise.world.now - began < 15_000.0, "a death under load was not known after 15 s")
 
 
-def large(servers: int) -> Callable[[Tried, Row], None]:
-    def case(tried: Tried, row: Row) -> None:
+def large(servers: int) -> Callable[[Tried, ExperimentRow], None]:
+    def case(tried: Tried, row: ExperimentRow) -> None:
         few = tried.scale.get("servers")
         count = few or servers
         rise = tried.rise(
@@ -236,7 +235,7 @@
     return case
 
 
-VIRTUAL: dict[str, Callable[[Tried, Row], None]] = {
+VIRTUAL: dict[str, Callable[[Tried, ExperimentRow], None]] = {
     "lent": lent,
     "search": search,
     "all_at_once": all_at_once,
@@ -257,17 +256,17 @@
 
 def experiment(
     repeats: int, seed: int, servers: int, take_away: str | None = None, only: str | None = None
-) -> Iterator[Row]:
+) -> Iterator[ExperimentRow]:
     """Rows as they are done; `servers` real processes in the real ones, 0 for none of them."""
     for name, case in VIRTUAL.items():
         if (only and only != name) or (not only and name in RARE[1:] and not servers):
             continue
-        row = Row(name)
+        row = ExperimentRow(name)
         for run in range(1 if name in RARE else repeats):
             try:
                 case(Tried(f"{seed} {name} {run}", {}, take_away or ""), row)
             except Exception as err:
-                row.broken.append(f"run {run}: {type(err).__name__}: {err}")
+                row.violations.append(f"run {run}: {type(err).__name__}: {err}")
             row.runs += 1
         yield row
     if servers:
@@ -276,11 +275,11 @@
         for name, real in (REAL | LONG).items():
             if (only and only != name) or (not only and name in LONG):
                 continue
-            row = Row(name)
+            row = ExperimentRow(name)
             with tempfile.TemporaryDirectory(dir=MEMORY) as folder:
                 try:
                     real(folder, servers, seed, take_away or "", row)
                 except Exception as err:
-                    row.broken.append(f"{type(err).__name__}: {err}")
+                    row.violations.append(f"{type(err).__name__}: {err}")
             row.runs += 1
             yield row
--- a/landingshift/testbed/experiments/cold_start_real.py
+++ b/landingshift/testbed/experiments/cold_start_real.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from landingshift.testbed.experiments.rows import Row, must
+from landingshift.testbed.experiments.rows import ExperimentRow
 from landingshift.testbed.processes.harness import Rig, believed
 
 CALLS = 4.0  # calls a second and server that the store bears
@@ -84,12 +84,12 @@
         """ms: the store fills caches at what it bears, and cores are cold for a while."""
         return max(COLD, 0.95 * self.count * FILL / (CALLS * self.count) * 1000.0)
 
-    def end(self, row: Row, warm: float = 0.0) -> None:
+    def end(self, row: ExperimentRow, warm: float = 0.0) -> None:
         """Waits until it is warm, `warm` seconds at most; then all that must hold whatever was done to it."""
         rig, yard = self.rig, self.rig.yard
         if warm:
             rig.until(warm, lambda: rig.warm_at >= 0.0)
-            must(row, rig.warm_at >= 0.0, f"not warm after {warm:g} s: {rig.warm[-1]}")
+            row.require(rig.warm_at >= 0.0, f"not warm after {warm:g} s: {rig.warm[-1]}")
             row.figures["warm_s"] = round(rig.warm_at / 1000.0, 1)
             row.figures["least_s"] = round(self.least() / 1000.0, 1)
         unanswered = rig.quiet()
@@ -106,21 +106,21 @@
             "servers": self.count, "bears": bears,
             "by_second": [(round(at / 1000.0, 1), warm, calls) for at, warm, calls in rig.warm],
         }  # fmt: skip
-        must(row, yard.store.peak() <= PEAK * bears, f"{yard.store.peak()} calls a second of {bears:g}")
-        must(row, not yard.store.falls, "the store fell")
-        must(row, yard.list.peak() <= max(3.0, PEAK * ASKS), f"the list was asked {yard.list.peak()} times")
-        must(row, believed(history, 0) <= bears, f"shares of {believed(history, 0):.1f} of {bears:g}")
+        row.require(yard.store.peak() <= PEAK * bears, f"{yard.store.peak()} calls a second of {bears:g}")
+        row.require(not yard.store.falls, "the store fell")
+        row.require(yard.list.peak() <= max(3.0, PEAK * ASKS), f"the list was asked {yard.list.peak()} times")
+        row.require(believed(history, 0) <= bears, f"shares of {believed(history, 0):.1f} of {bears:g}")
         for wrong in ("lost", "late", "twice"):
-            must(row, not rig.ends[wrong], f"{rig.ends[wrong]} RPCs {wrong}")
-        must(row, not unanswered, f"{unanswered} RPCs without an answer")
-        must(row, not any(code for code in codes if code != -9), f"exit status {set(codes)}")
+            row.require(not rig.ends[wrong], f"{rig.ends[wrong]} RPCs {wrong}")
+        row.require(not unanswered, f"{unanswered} RPCs without an answer")
+        row.require(not any(code for code in codes if code != -9), f"exit status {set(codes)}")
 
 
-Case = Callable[[str, int, int, str, Row], None]
+Case = Callable[[str, int, int, str, ExperimentRow], None]
 
 
-def case(play: Callable[[Fleet, Row], None], know: str = "peers", **how: Any) -> Case:
-    def run(folder: str, count: int, seed: int, away: str, row: Row) -> None:
+def case(play: Callable[[Fleet, ExperimentRow], None], know: str = "peers", **how: Any) -> Case:
+    def run(folder: str, count: int, seed: int, away: str, row: ExperimentRow) -> None:
         fleet = Fleet(folder, count, seed, know=know, away=away, **how)
         try:
             play(fleet, row)
@@ -135,12 +135,12 @@
     return 20.0 + 6.0 * fleet.least() / 1000.0
 
 
-def at_once(fleet: Fleet, row: Row) -> None:
+def at_once(fleet: Fleet, row: ExperimentRow) -> None:
     fleet.start_all()
     fleet.end(row, wait(fleet))
 
 
-def lenders_killed(fleet: Fleet, row: Row) -> None:
+def lenders_killed(fleet: Fleet, row: ExperimentRow) -> None:
     """A lender killed while all ask it, back a second later with its memory gone."""
     fleet.start_all()
     time.sleep(5.0)
@@ -149,10 +149,10 @@
     fleet.rig.start(0)
     fleet.end(row, wait(fleet))
     said = [e["ms"] for e in fleet.rig.logged(0) if e["event"] == "coldstart_recovery_grace"]
-    must(row, len(said) == 2 and min(said) > 1000, f"a lender of the same boot kept quiet for {said} ms")
+    row.require(len(said) == 2 and min(said) > 1000, f"a lender of the same boot kept quiet for {said} ms")
 
 
-def stopped_and_cut(fleet: Fleet, row: Row) -> None:
+def stopped_and_cut(fleet: Fleet, row: ExperimentRow) -> None:
     """One who starts is stopped for 5 s, one is cut off, one hears but is not heard; 10 % is lost."""
     rig, last = fleet.rig, fleet.count - 1
     rig.switch.loss, rig.switch.double, rig.switch.late = 0.1, 0.1, 5.0
@@ -166,7 +166,7 @@
     fleet.end(row, wait(fleet))
 
 
-def killed_at_each_step(fleet: Fleet, row: Row) -> None:
+def killed_at_each_step(fleet: Fleet, row: ExperimentRow) -> None:
     """A joiner dies as it reaches each stage, and is started again."""
     rig = fleet.rig
     for k, stage in enumerate(STAGES):
@@ -186,11 +186,11 @@
                 rig.start(i)
         return len(died) == len(STAGES)
 
-    must(row, rig.until(wait(fleet), again), f"only {len(died)} died")
+    row.require(rig.until(wait(fleet), again), f"only {len(died)} died")
     fleet.end(row, wait(fleet))
 
 
-def list_down(fleet: Fleet, row: Row) -> None:
+def list_down(fleet: Fleet, row: ExperimentRow) -> None:
     """Nobody knows anybody; the list service is down, then slow, then tells where nobody is, then half."""
     rig = fleet.rig
     rig.do(rig.yard.list_door.close)
@@ -205,11 +205,11 @@
     fleet.end(row, 3.0 * wait(fleet))
 
 
-def from_disk(fleet: Fleet, row: Row) -> None:
+def from_disk(fleet: Fleet, row: ExperimentRow) -> None:
     """All are killed once warm and start from their snapshots, two of them bad; the list service is down."""
     rig = fleet.rig
     fleet.start_all()
-    must(row, rig.until(3.0 * wait(fleet), lambda: rig.warm_at >= 0.0), "the first start did not come up")
+    row.require(rig.until(3.0 * wait(fleet), lambda: rig.warm_at >= 0.0), "the first start did not come up")
     time.sleep(6.0)
     for i in range(fleet.count):
         rig.kill(i)
@@ -229,28 +229,27 @@
         [e["ms"] for e in rig.logged(i) if e["event"] == "coldstart_recovery_grace"]
         for i in range(fleet.lenders)
     ]
-    must(
-        row,
+    row.require(
         all(len(ms) == 2 and ms[0] > 1000 and ms[1] == 0 for ms in said),
         f"lenders kept quiet for {said}",
     )
-    must(row, len(rig.yard.list.times) == asked, "the list service was asked although all knew neighbours")
+    row.require(len(rig.yard.list.times) == asked, "the list service was asked although all knew neighbours")
 
 
-def store_collapses(fleet: Fleet, row: Row) -> None:
+def store_collapses(fleet: Fleet, row: ExperimentRow) -> None:
     """A crowd from elsewhere brings the store down when half are up: it must come back without a hand."""
     rig, store = fleet.rig, fleet.rig.yard.store
     fleet.start_all()
     rig.until(wait(fleet), lambda: bool(rig.warm) and rig.warm[-1][1] >= fleet.count // 2)
     rig.do(lambda: store.flood(int(3.0 * store.crowd)))
-    must(row, store.fell, "the store did not fall")
-    must(row, rig.until(60.0, lambda: not store.fell), "the store did not come back")
-    must(row, store.falls == 1, f"the store fell {store.falls} times")
+    row.require(store.fell, "the store did not fall")
+    row.require(rig.until(60.0, lambda: not store.fell), "the store did not come back")
+    row.require(store.falls == 1, f"the store fell {store.falls} times")
     store.falls = 0
     fleet.end(row, wait(fleet))
 
 
-def rude(fleet: Fleet, row: Row) -> None:
+def rude(fleet: Fleet, row: ExperimentRow) -> None:
     """A peer that sends nonsense at full speed to a lender all the while."""
     import socket
 
@@ -275,7 +274,7 @@
         sock.close()
 
 
-def baseline(folder: str, count: int, seed: int, away: str, row: Row) -> None:
+def baseline(folder: str, count: int, seed: int, away: str, row: ExperimentRow) -> None:
     """The program as it was: for the figures beside the others', it promises nothing here."""
     fleet = Fleet(folder, count, seed, packages=False)
     try:
@@ -283,20 +282,20 @@
         fleet.rig.until(wait(fleet), lambda: fleet.rig.warm_at >= 0.0)
         fleet.end(row)
         row.figures["warm_s"] = round(fleet.rig.warm_at / 1000.0, 1)
-        row.figures["said"] = row.broken
-        row.broken = []
+        row.figures["said"] = row.violations
+        row.violations = []
     finally:
         fleet.rig.close()
 
 
-def overload(fleet: Fleet, row: Row) -> None:
+def overload(fleet: Fleet, row: ExperimentRow) -> None:
     """Three minutes at 140 % of what engines do: nobody is taken for dead, and a real death is known."""
     rig, last = fleet.rig, fleet.count - 1
     fleet.start_all()
     rig.until(wait(fleet), lambda: rig.warm_at >= 0.0)
     time.sleep(180.0)
     wrong = [(i, e) for i in range(fleet.count) for e in rig.logged(i) if e["event"] == "fleet_dead"]
-    must(row, not wrong, f"{len(wrong)} false deaths: {wrong[:2]}")
+    row.require(not wrong, f"{len(wrong)} false deaths: {wrong[:2]}")
     rig.kill(last)
     began = time.monotonic()
 
@@ -304,7 +303,7 @@
         gone = [any(e["event"] == "fleet_gone" for e in rig.logged(i)) for i in range(last)]
         return sum(gone) >= 0.99 * len(gone)
 
-    must(row, rig.until(20.0, known), "a death is not known after 20 s")
+    row.require(rig.until(20.0, known), "a death is not known after 20 s")
     row.figures["death_known_s"] = round(time.monotonic() - began, 1)
     fleet.end(row)
 
--- a/landingshift/testbed/experiments/ledger.py
+++ b/landingshift/testbed/experiments/ledger.py
@@ -19,7 +19,7 @@
 from landingshift.testbed.experiments import ledger_period_cases as period_cases
 from landingshift.testbed.experiments import ledger_store_cases as store_cases
 from landingshift.testbed.experiments.ledger_simulation import CaseFunction, LedgerCase
-from landingshift.testbed.experiments.rows import Row
+from landingshift.testbed.experiments.rows import ExperimentRow
 from landingshift.testbed.processes.export_receiver import Fault
 
 CASES: dict[str, CaseFunction] = {
@@ -51,7 +51,7 @@
 
 def experiment(
     repeats: int, kills: int, seed: int, removed_defence: str | None = None, only: str | None = None
-) -> Iterator[Row]:
+) -> Iterator[ExperimentRow]:
     """Rows as they are done; a run that raises is broken. The same seed gives the same faults.
 
     Args:
@@ -71,8 +71,10 @@
             yield run_kills(kills, seed, removed_defence)
 
 
-def _run_case(name: str, run_case: CaseFunction, repeats: int, seed: int, removed_defence: str | None) -> Row:
-    row = Row(name)
+def _run_case(
+    name: str, run_case: CaseFunction, repeats: int, seed: int, removed_defence: str | None
+) -> ExperimentRow:
+    row = ExperimentRow(name)
     for run in range(_run_count(name, repeats)):
         # Kills are of processes here: nothing is learned from waiting for a disk.
         with tempfile.TemporaryDirectory(dir=MEMORY) as directory:
@@ -80,7 +82,7 @@
             try:
                 run_case(LedgerCase(rng, directory, row, removed_defence != "cursor"))
             except Exception as err:
-                row.broken.append(f"run {run}: {type(err).__name__}: {err}")
+                row.violations.append(f"run {run}: {type(err).__name__}: {err}")
             finally:
                 failpoints.arm("")
         row.runs += 1
--- a/landingshift/testbed/experiments/ledger_export_cases.py
+++ b/landingshift/testbed/experiments/ledger_export_cases.py
@@ -13,7 +13,6 @@
     billed_totals,
     remove_store_files,
 )
-from landingshift.testbed.experiments.rows import must
 from landingshift.testbed.processes.export_receiver import (
     Fault,
     FaultyReceiver,
@@ -39,10 +38,10 @@
     _stop_faults(receiver)
     stop = simulation.export(receiver)
     simulation.check(row)
-    must(row, stop is None, f"the export stopped: {stop}")
-    must(row, state.totals() == billed_totals(simulation.store), DIFFERENT_TOTALS)
+    row.require(stop is None, f"the export stopped: {stop}")
+    row.require(state.totals() == billed_totals(simulation.store), DIFFERENT_TOTALS)
     ids = [(record.kind, record.id) for record in state.records]
-    must(row, len(ids) == len(set(ids)), "a record is there twice")
+    row.require(len(ids) == len(set(ids)), "a record is there twice")
     for fault, count in receiver.fault_counts.items():
         _add_figure(case, fault.value, count)
     _add_figure(case, "crashes", simulation.crash_count)
@@ -66,7 +65,7 @@
             simulation.export(receiver)
         _stop_faults(receiver)
         simulation.export(receiver)
-        must(case.row, state.totals() == billed_totals(simulation.store), DIFFERENT_TOTALS)
+        case.row.require(state.totals() == billed_totals(simulation.store), DIFFERENT_TOTALS)
         _add_figure(case, "faults", sum(receiver.fault_counts.values()))
         simulation.store.close()
 
@@ -81,7 +80,7 @@
     receiver = FaultyReceiver(state, case.rng, fault_probability=0.3, faults=HTTP_FAULTS)
     with HttpReceiverServer(receiver) as server:
         simulation.export(HttpReceiver(server.url, HTTP_TIMEOUT_MS))
-    must(case.row, state.totals() == billed_totals(simulation.store), DIFFERENT_TOTALS)
+    case.row.require(state.totals() == billed_totals(simulation.store), DIFFERENT_TOTALS)
     simulation.store.close()
 
 
@@ -105,8 +104,8 @@
         if goes_on:
             simulation.run_traffic(60)
         stop = simulation.export(receiver)
-        must(case.row, stop is not None, "an old copy went on exporting")
-        must(case.row, state.totals() == billed_before, "the receiver took what is not its ledger's")
+        case.row.require(stop is not None, "an old copy went on exporting")
+        case.row.require(state.totals() == billed_before, "the receiver took what is not its ledger's")
     simulation.store.close()
 
 
--- a/landingshift/testbed/experiments/ledger_merge_cases.py
+++ b/landingshift/testbed/experiments/ledger_merge_cases.py
@@ -24,7 +24,7 @@
     billed_totals,
     remove_store_files,
 )
-from landingshift.testbed.experiments.rows import Row, must
+from landingshift.testbed.experiments.rows import ExperimentRow
 from landingshift.testbed.processes.export_receiver import BilledTotals, RecordKey
 
 MERGE_FAILPOINTS = ("ledger.merge", "ledger.merged", "")
@@ -42,10 +42,10 @@
     ]
     _run_shared_attempts(case, simulations)
     found = [_merge_in_any_order(case, simulations, turn) for turn in range(3)]
-    must(case.row, all(totals == found[0] for totals in found), "the order of merging changed the totals")
+    case.row.require(all(totals == found[0] for totals in found), "the order of merging changed the totals")
     shared = [entry for entry in found[0] if entry.period == SHARED_ATTEMPTS_PERIOD]
     shared_uses = sum(entry.totals.uses for entry in shared)
-    must(case.row, shared_uses == SHARED_ATTEMPT_COUNT, f"a retry on another instance counted: {shared}")
+    case.row.require(shared_uses == SHARED_ATTEMPT_COUNT, f"a retry on another instance counted: {shared}")
     _check_one_alone(case, simulations[0])
     for simulation in simulations:
         simulation.store.close()
@@ -90,7 +90,7 @@
     }
     billed = billed_totals(simulation.store)
     not_empty = {key: totals for key, totals in billed.items() if totals != BilledTotals(0, 0)}
-    must(case.row, merged_totals == not_empty, "one alone is not itself")
+    case.row.require(merged_totals == not_empty, "one alone is not itself")
     merged.close()
 
 
@@ -119,22 +119,22 @@
     row = case.row
     simulation.run_traffic(20)
     result = merge_peer(merged, peer)
-    must(row, result.new_entry_count == simulation.store.ledger.last_number, "not all came")
+    row.require(result.new_entry_count == simulation.store.ledger.last_number, "not all came")
     copy = os.path.join(case.directory, "copy.sqlite")
     simulation.store.backup(copy)
     simulation.now_ms += DAY_MS
     simulation.run_traffic(20)
     merge_peer(merged, peer)
     is_up_to_date = merged.heads()["n1"].number == simulation.store.ledger.last_number
-    must(row, is_up_to_date, "a day away is not brought up to date")
+    row.require(is_up_to_date, "a day away is not brought up to date")
     merged_before = merged.tenant_totals()
     billed_before = billed_totals(simulation.store)
     _go_back_to_copy(simulation, copy)
     simulation.store = simulation.open_store()
-    must(row, merge_peer(merged, peer).missing_entry_count > 0, "an old copy was not noticed")
+    row.require(merge_peer(merged, peer).missing_entry_count > 0, "an old copy was not noticed")
     restore_missing_entries(simulation.store, merged)
-    must(row, billed_totals(simulation.store) == billed_before, "caught up, it has other totals")
-    must(row, not audit.audit_store(simulation.store), "caught up, it does not hold")
+    row.require(billed_totals(simulation.store) == billed_before, "caught up, it has other totals")
+    row.require(not audit.audit_store(simulation.store), "caught up, it does not hold")
     _go_back_to_copy(simulation, copy)
     simulation.restart_server()
     _check_diverged(row, simulation, merged, peer, merged_before)
@@ -147,7 +147,7 @@
 
 
 def _check_diverged(
-    row: Row,
+    row: ExperimentRow,
     simulation: LedgerSimulation,
     merged: MergedStore,
     peer: PeerClient,
@@ -158,9 +158,9 @@
         simulation.report_delivered(simulation.rng.randbytes(16), START_MS + 9 * DAY_MS)
         simulation.commit()
         branch = merge_peer(merged, peer).branch
-        must(row, branch != "n1", "an old copy that went on was not noticed")
+        row.require(branch != "n1", "an old copy that went on was not noticed")
     totals = merged.tenant_totals()
     others = [entry for entry in totals if entry.period != AFTER_COPY_PERIOD]
-    must(row, others == merged_before, "what the old copy lacks was lost")
+    row.require(others == merged_before, "what the old copy lacks was lost")
     new_uses = sum(entry.totals.uses for entry in totals if entry.period == AFTER_COPY_PERIOD)
-    must(row, new_uses == 2, "what it went on with is not there")
+    row.require(new_uses == 2, "what it went on with is not there")
--- a/landingshift/testbed/experiments/ledger_period_cases.py
+++ b/landingshift/testbed/experiments/ledger_period_cases.py
@@ -14,7 +14,6 @@
     LedgerSimulation,
     billed_totals,
 )
-from landingshift.testbed.experiments.rows import must
 
 COMPACTION_FAILPOINTS = ("ledger.compact", "ledger.compacted", *COMMIT_FAILPOINTS)
 
@@ -32,20 +31,20 @@
             _close(simulation, name)
         simulation.crash()
     before = simulation.store.tenant_totals(name)
-    must(case.row, not _close(simulation, name), "a period closed twice")
+    case.row.require(not _close(simulation, name), "a period closed twice")
     period = simulation.store.calendar.period_named(name)
     simulation.closed_end_ms = period.end_ms
     simulation.enter_correction()
     simulation.report_delivered(case.rng.randbytes(16), period.start_ms)
     simulation.commit()
-    must(case.row, simulation.store.tenant_totals(name) == before, "a closed period changed")
+    case.row.require(simulation.store.tenant_totals(name) == before, "a closed period changed")
     today = simulation.store.calendar.period_at(simulation.now_ms).name
     for refused_name, description in ((today, "an open day"), ("2026-02-30", "no day")):
         try:
             with simulation.store.changing() as ledger:
                 first_open = simulation.store.first_open_period()
                 ledger.close_period(refused_name, simulation.now_ms, first_open, {})
-            case.row.broken.append(f"it closed {description}")
+            case.row.violations.append(f"it closed {description}")
         except CommandRejectedError:
             pass
     simulation.check(case.row)
@@ -78,14 +77,14 @@
     removed_count = compact_store(simulation.store, last_closed, simulation.now_ms, None)
     uses_left = len(simulation.store.ledger.pending) + removed_count
     row.figures["uses_left"] = row.figures.get("uses_left", 0) + uses_left
-    must(row, billed_totals(simulation.store) == totals_before, "compacting changed the totals")
-    must(row, simulation.store.disputed() == disputed_before, "compacting changed what is disputed")
+    row.require(billed_totals(simulation.store) == totals_before, "compacting changed the totals")
+    row.require(simulation.store.disputed() == disputed_before, "compacting changed what is disputed")
     simulation.run_traffic(20)
     simulation.check(row)
     open_period = simulation.store.calendar.period_at(simulation.now_ms).name
     try:
         compact_store(simulation.store, open_period, simulation.now_ms, None)
-        row.broken.append("an open period was compacted")
+        row.violations.append("an open period was compacted")
     except CommandRejectedError:
         pass
     simulation.store.close()
--- a/landingshift/testbed/experiments/ledger_real.py
+++ b/landingshift/testbed/experiments/ledger_real.py
@@ -16,7 +16,7 @@
 from landingshift.ledger.entries import Settlement, UsageRecord, attempt_identity, decode
 from landingshift.ledger.number_ranges import decode_ranges
 from landingshift.ledger.store import UsageStore
-from landingshift.testbed.experiments.rows import Row, must
+from landingshift.testbed.experiments.rows import ExperimentRow
 from landingshift.testbed.processes.single_server import METHOD, TENANT, Gateway, Stage
 
 LEDGER_TOML = '[ledger]\nfolder = "{directory}/ledger"\ninstance = "lab"\nlock_wait_ms = 20000\n'
@@ -70,9 +70,9 @@
     disputed_count: int
 
 
-def run_kills(runs: int, seed: int, removed_defence: str | None = None) -> Row:
+def run_kills(runs: int, seed: int, removed_defence: str | None = None) -> ExperimentRow:
     """The row of all runs, which take the disturbances in turn."""
-    row = Row("kills", figures={"received": 0, "disputed": 0, "most_disputed": 0})
+    row = ExperimentRow("kills", figures={"received": 0, "disputed": 0, "most_disputed": 0})
     ignores_disputes = removed_defence == "disputed"
     disturbances = list(Disturbance)
     with ThreadPoolExecutor(PARALLEL_RUN_COUNT) as pool:
@@ -89,20 +89,20 @@
             try:
                 _add_result(row, job.result())
             except Exception as err:
-                row.broken.append(f"{type(err).__name__}: {err}")
+                row.violations.append(f"{type(err).__name__}: {err}")
             row.runs += 1
     return row
 
 
-def _add_result(row: Row, result: KillResult) -> None:
-    row.broken += result.broken
+def _add_result(row: ExperimentRow, result: KillResult) -> None:
+    row.violations += result.broken
     row.figures["received"] += result.received_count
     row.figures["disputed"] += result.disputed_count
     row.figures["most_disputed"] = max(row.figures["most_disputed"], result.disputed_count)
 
 
 def _run_one(rng: Random, disturbance: Disturbance, ignores_disputes: bool) -> KillResult:
-    row = Row(disturbance.value)
+    row = ExperimentRow(disturbance.value)
     with tempfile.TemporaryDirectory() as directory:
         stage = Stage(directory, LEDGER_TOML.format(directory=directory))
         try:
@@ -120,7 +120,7 @@
             outcome = _read_outcome(directory)
             _check(row, disturbance, gateways, outcome, set() if ignores_disputes else outcome.disputed)
             disputed_count = 0 if ignores_disputes else len(outcome.disputed)
-            return KillResult(row.broken, len(_received(gateways)), disputed_count)
+            return KillResult(row.violations, len(_received(gateways)), disputed_count)
         finally:
             stage.close()
 
@@ -171,7 +171,7 @@
 
 
 def _check(
-    row: Row,
+    row: ExperimentRow,
     disturbance: Disturbance,
     gateways: list[Gateway],
     outcome: LedgerOutcome,
@@ -181,12 +181,12 @@
     name = disturbance.value
     received = _received(gateways)
     billed = outcome.counted
-    row.broken += outcome.problems[:MAX_REPORTED_FINDING_COUNT]
-    must(row, billed <= received, f"{name}: {len(billed - received)} billed that nobody received")
+    row.violations += outcome.problems[:MAX_REPORTED_FINDING_COUNT]
+    row.require(billed <= received, f"{name}: {len(billed - received)} billed that nobody received")
     lost_count = len(received - billed - disputed)
-    must(row, received <= billed | disputed, f"{name}: {lost_count} received and not billed")
+    row.require(received <= billed | disputed, f"{name}: {lost_count} received and not billed")
     if not disturbance.kills_server:
         is_equal = billed == received and not disputed
-        must(row, is_equal, f"{name}: billed {len(billed)} of {len(received)}")
+        row.require(is_equal, f"{name}: billed {len(billed)} of {len(received)}")
     slowest_ms = max((took_ms for gateway in gateways for took_ms in gateway.took), default=0.0)
-    must(row, slowest_ms < MAX_ANSWER_MS, f"{name}: an answer came after {slowest_ms:.0f} ms")
+    row.require(slowest_ms < MAX_ANSWER_MS, f"{name}: an answer came after {slowest_ms:.0f} ms")
--- a/landingshift/testbed/experiments/ledger_simulation.py
+++ b/landingshift/testbed/experiments/ledger_simulation.py
@@ -18,7 +18,7 @@
 from landingshift.ledger.store_messages import ReportedUsage, UsageBatch
 from landingshift.ledger.usage_ledger import CorrectionRequest
 from landingshift.ledger.usage_queue import DeliveryOutcome, UsageQueue
-from landingshift.testbed.experiments.rows import Row, must
+from landingshift.testbed.experiments.rows import ExperimentRow
 from landingshift.testbed.processes.export_receiver import BilledTotals, RecordKey
 
 TIME_ZONE = "Europe/Copenhagen"
@@ -66,7 +66,7 @@
     rng: Random
     directory: str
     """Of its own."""
-    row: Row
+    row: ExperimentRow
     receiver_checks_cursor: bool = True
     """False where that defence is taken away."""
 
@@ -293,12 +293,12 @@
 
     # Checks and export
 
-    def check(self, row: Row) -> None:
+    def check(self, row: ExperimentRow) -> None:
         """The store bills what was answered, and holds."""
         totals = billed_totals(self.store)
-        must(row, totals == self.expected.totals, "the totals are not what was answered")
+        row.require(totals == self.expected.totals, "the totals are not what was answered")
         for finding in audit.audit_store(self.store)[:MAX_REPORTED_FINDING_COUNT]:
-            row.broken.append(f"audit: entry {finding.entry_number}: {finding.problem}")
+            row.violations.append(f"audit: entry {finding.entry_number}: {finding.problem}")
 
     def export(self, receiver: Receiver, with_crashes: bool = False) -> Stop | None:
         """Exports until all is there, starting the exporter again where it was killed."""
--- a/landingshift/testbed/experiments/ledger_store_cases.py
+++ b/landingshift/testbed/experiments/ledger_store_cases.py
@@ -23,7 +23,7 @@
     LedgerSimulation,
     billed_totals,
 )
-from landingshift.testbed.experiments.rows import Row, must
+from landingshift.testbed.experiments.rows import ExperimentRow
 from landingshift.testbed.processes.export_receiver import FaultyReceiver, ReceiverState
 
 FULL_DISK_USAGE_COUNT = 2000
@@ -81,7 +81,7 @@
         for key, billed in billed_totals(simulation.store).items()
     }
     expected = {("2026-03-29", ""): 3, ("2026-03-30", ""): 1, ("2026-03-30", "2026-03-29"): 1}
-    must(case.row, uses == expected, f"{uses}")
+    case.row.require(uses == expected, f"{uses}")
     simulation.store.close()
 
 
@@ -94,7 +94,7 @@
         simulation.report_delivered(case.rng.randbytes(16))
         simulation.commit()
     simulation.check(case.row)
-    must(case.row, simulation.store.period_sum("2026-03-29").uses == 3, "a use is in the wrong period")
+    case.row.require(simulation.store.period_sum("2026-03-29").uses == 3, "a use is in the wrong period")
     simulation.store.close()
 
 
@@ -107,7 +107,7 @@
     db.execute(f"PRAGMA max_page_count = {page_count}")
     for _ in range(FULL_DISK_USAGE_COUNT):
         simulation.report_delivered(case.rng.randbytes(16))
-    must(case.row, not _can_commit(simulation), "the disk was not full")
+    case.row.require(not _can_commit(simulation), "the disk was not full")
     db.execute(f"PRAGMA max_page_count = {UNBOUNDED_PAGE_COUNT}")
     simulation.commit_again()
     simulation.commit()
@@ -122,8 +122,8 @@
     before = billed_totals(simulation.store)
     simulation.store.db.execute("PRAGMA query_only = ON")
     simulation.report_delivered(case.rng.randbytes(16))
-    must(case.row, not _can_commit(simulation), "it wrote to a disk that takes nothing")
-    must(case.row, billed_totals(simulation.store) == before, "a commit that failed changed the totals")
+    case.row.require(not _can_commit(simulation), "it wrote to a disk that takes nothing")
+    case.row.require(billed_totals(simulation.store) == before, "a commit that failed changed the totals")
     simulation.store.db.execute("PRAGMA query_only = OFF")
     simulation.commit_again()
     simulation.check(case.row)
@@ -160,8 +160,8 @@
         wal.write(case.rng.randbytes(TORN_TAIL_BYTES))
     with UsageStore(torn_directory, "n1", TIME_ZONE, PERIOD_UNIT, DEDUP_WINDOW_MS, 1000) as store:
         state = (store.ledger.last_number, billed_totals(store))
-        must(case.row, state in commits, "it opened between two commits")
-        must(case.row, not audit.audit_store(store), "what it opened does not hold")
+        case.row.require(state in commits, "it opened between two commits")
+        case.row.require(not audit.audit_store(store), "what it opened does not hold")
     simulation.store.close()
 
 
@@ -170,10 +170,10 @@
     with StoreLock(case.directory, 0.0):
         try:
             StoreLock(case.directory, LOCK_TIMEOUT_MS)
-            case.row.broken.append("two servers have one store")
+            case.row.violations.append("two servers have one store")
         except StoreUnavailableError as err:
             is_named = "held by another server" in str(err) and case.directory in str(err)
-            must(case.row, is_named, f"said {err}")
+            case.row.require(is_named, f"said {err}")
     StoreLock(case.directory, 0.0).close()
 
 
@@ -208,9 +208,9 @@
         db.execute(statement, parameters)
         found = {finding.entry_number for finding in audit.audit_store(simulation.store)}
         is_found = expected_number in found
-        must(case.row, is_found, f"{name}: entry {expected_number} is not among {sorted(found)[:5]}")
+        case.row.require(is_found, f"{name}: entry {expected_number} is not among {sorted(found)[:5]}")
         db.execute("ROLLBACK")
-    must(case.row, not audit.audit_store(simulation.store), "what was put back does not hold")
+    case.row.require(not audit.audit_store(simulation.store), "what was put back does not hold")
     simulation.store.close()
 
 
@@ -226,7 +226,7 @@
     simulation.commit()
     simulation.check(case.row)
     uses = simulation.store.period_sum("2026-03-29").uses
-    must(case.row, uses == TENANT_COUNT, "not every tenant's use is there")
+    case.row.require(uses == TENANT_COUNT, "not every tenant's use is there")
     case.row.figures["bytes_a_use"] = os.path.getsize(simulation.store.path) // TENANT_COUNT
     simulation.store.close()
 
@@ -244,16 +244,16 @@
         _check_refused(case.row, case.directory, good_values | {key: value}, key)
 
 
-def _check_refused(row: Row, directory: str, values: dict[str, str], key: str) -> None:
+def _check_refused(row: ExperimentRow, directory: str, values: dict[str, str], key: str) -> None:
     path = os.path.join(directory, "ours.toml")
     with open(path, "w") as file:
         file.write("[ledger]\n" + "".join(f"{name} = {value}\n" for name, value in values.items()))
     try:
         load_features(path)
-        row.broken.append(f"{key} = {values[key]} was taken")
+        row.violations.append(f"{key} = {values[key]} was taken")
     except FeatureConfigError as err:
-        must(row, all(text in str(err) for text in (path, "[ledger]", key)), f"said {err}")
-    must(row, not os.path.exists(os.path.join(directory, "l")), "a refused start left something behind")
+        row.require(all(text in str(err) for text in (path, "[ledger]", key)), f"said {err}")
+    row.require(not os.path.exists(os.path.join(directory, "l")), "a refused start left something behind")
 
 
 def any_bytes(case: LedgerCase) -> None:
@@ -267,5 +267,5 @@
     simulation.check(case.row)
     state = ReceiverState()
     simulation.export(FaultyReceiver(state, case.rng, fault_probability=0.0))
-    must(case.row, state.totals() == billed_totals(simulation.store), "a name came out changed")
+    case.row.require(state.totals() == billed_totals(simulation.store), "a name came out changed")
     simulation.store.close()
--- a/landingshift/testbed/experiments/maintenance.py
+++ b/landingshift/testbed/experiments/maintenance.py
@@ -15,7 +15,7 @@
 from landingshift.maintenance.planner import MS_PER_MINUTE, select_next
 from landingshift.maintenance.requests import MaintenanceRequest, RequestState
 from landingshift.maintenance.schedule_bounds import duration_lower_bound_ms, exact_rounds, greedy_rounds
-from landingshift.testbed.experiments.rows import Row, all_real, must
+from landingshift.testbed.experiments.rows import ExperimentRow, play_real_rows
 from landingshift.testbed.simulation.maintenance_fleet import (
     DAY_MINUTES,
     MACHINE_CAPACITY_RPCS_PER_SECOND,
@@ -31,7 +31,7 @@
 """Of which only the first few do something."""
 
 
-def whole_day(row: Row, seed: int, without: str, count: int = 200) -> None:
+def whole_day(row: ExperimentRow, seed: int, without: str, count: int = 200) -> None:
     """Maintenance of all machines is requested, ten minutes each, from the night on, under the day's load."""
     fleet = SimulatedFleet(seed, count, without=without)
     for _ in range(3):
@@ -47,10 +47,10 @@
     row.figures["over_least"] = max(row.figures.get("over_least", 0.0), round(took_ms / bound_ms, 2))
     ends = {ended.final_state for ended in fleet.state.history}
     left = len(fleet.state.requests)
-    must(row, ends == {RequestState.COMPLETED.value} and not left, f"ends {ends}, {left} left")
+    row.require(ends == {RequestState.COMPLETED.value} and not left, f"ends {ends}, {left} left")
     _must_keep_headroom(row, fleet, "")
-    must(row, took_ms <= MAX_DURATION_RATIO * bound_ms, f"took {took_ms / bound_ms:.2f} of the least")
-    row.broken += fleet.violations[:2]
+    row.require(took_ms <= MAX_DURATION_RATIO * bound_ms, f"took {took_ms / bound_ms:.2f} of the least")
+    row.violations += fleet.violations[:2]
     row.figures["fixed_batches_min"] = _fixed_batches_minutes(fleet)
 
 
@@ -74,12 +74,12 @@
     return round(batches * (fleet.outage_minutes + fleet.warm_up_ms / MS_PER_MINUTE))
 
 
-def _must_keep_headroom(row: Row, fleet: SimulatedFleet, prefix: str) -> None:
+def _must_keep_headroom(row: ExperimentRow, fleet: SimulatedFleet, prefix: str) -> None:
     headroom = fleet.min_headroom
-    must(row, headroom >= -HEADROOM_TOLERANCE, f"{prefix}capacity {-headroom:.0f} under the floor")
+    row.require(headroom >= -HEADROOM_TOLERANCE, f"{prefix}capacity {-headroom:.0f} under the floor")
 
 
-def random_faults(row: Row, seed: int, without: str) -> None:
+def random_faults(row: ExperimentRow, seed: int, without: str) -> None:
     """Twelve machines, requests and faults drawn from the seed; in the end every request has ended."""
     fleet = SimulatedFleet(seed, 12, zones=2, warm_up_ms=4000.0, without=without)
     fleet.outage_minutes = 0.2
@@ -89,16 +89,16 @@
         for _ in range(fleet.rng.randint(1, 8)):
             fleet.step()
     _recover(fleet)
-    row.broken += [f"seed {seed}: {text}" for text in fleet.violations[:2]]
+    row.violations += [f"seed {seed}: {text}" for text in fleet.violations[:2]]
     open_requests = {request.name: request.state.value for request in fleet.state.requests.values()}
     waiting_reason = fleet.coordinator.waiting_reason
-    must(row, not open_requests, f"seed {seed}: left hanging: {open_requests}, {waiting_reason}")
+    row.require(not open_requests, f"seed {seed}: left hanging: {open_requests}, {waiting_reason}")
     permits = [
         ended.permit_number
         for ended in fleet.state.history
         if ended.final_state == RequestState.COMPLETED.value
     ]
-    must(row, len(permits) == len(set(permits)), f"seed {seed}: one permission, two holders")
+    row.require(len(permits) == len(set(permits)), f"seed {seed}: one permission, two holders")
     row.figures["done"] = row.figures.get("done", 0) + len(permits)
 
 
@@ -135,7 +135,7 @@
             break
 
 
-def capacity_kept(row: Row, seed: int, without: str) -> None:
+def capacity_kept(row: ExperimentRow, seed: int, without: str) -> None:
     """Without faults the capacity stays above the constraints, and nobody leaves that would go below it."""
     fleet = SimulatedFleet(seed, 20, zones=2, warm_up_ms=4000.0, without=without)
     fleet.outage_minutes = 0.3
@@ -157,7 +157,7 @@
         headroom = _capacity_up(fleet) - fleet.load(fleet.now_ms) * 2000.0 * 1.1
         if newly_down and headroom < -HEADROOM_TOLERANCE:
             violation = f"{sorted(newly_down)} let go {-headroom:.0f} under the floor after a crash"
-            row.broken.append(f"seed {seed}: {violation}")
+            row.violations.append(f"seed {seed}: {violation}")
             break
 
 
@@ -169,7 +169,7 @@
     return sum(MACHINE_CAPACITY_RPCS_PER_SECOND for machine in fleet.machines.values() if machine.is_up)
 
 
-def late_permit(row: Row, seed: int, without: str) -> None:
+def late_permit(row: ExperimentRow, seed: int, without: str) -> None:
     """A permit is on its way while load rises and it is withheld: it must not be used when it comes."""
     fleet = SimulatedFleet(seed, 12, zones=2, warm_up_ms=1000.0, without=without)
     fleet.outage_minutes = 0.5
@@ -187,11 +187,11 @@
     for _ in range(60):
         fleet.step()
     has_stayed = not machine.draining_permit and machine.is_up
-    must(row, has_stayed, f"seed {seed}: {name} left by {machine.draining_permit}, too late")
-    row.broken += [f"seed {seed}: {text}" for text in fleet.violations[:1]]
+    row.require(has_stayed, f"seed {seed}: {name} left by {machine.draining_permit}, too late")
+    row.violations += [f"seed {seed}: {text}" for text in fleet.violations[:1]]
 
 
-def greedy_order(row: Row, seed: int, _without: str) -> None:
+def greedy_order(row: ExperimentRow, seed: int, _without: str) -> None:
     """How far the greedy order is from the exact one on small fleets."""
     rng = Random(f"{seed} greedy")
     names = [f"n{index}" for index in range(rng.randint(4, 7))]
@@ -203,13 +203,13 @@
     constraints = CapacityConstraints(machines, DisruptionBudget(0.0, 0.3, 0.3, 0.3), demand)
     exact = exact_rounds(names, constraints)
     greedy = greedy_rounds(names, constraints)
-    must(row, (exact < 0) == (greedy < 0), f"seed {seed}: exact {exact}, greedy {greedy}")
+    row.require((exact < 0) == (greedy < 0), f"seed {seed}: exact {exact}, greedy {greedy}")
     if exact > 0:
         row.figures["exact"] = row.figures.get("exact", 0) + exact
         row.figures["greedy"] = row.figures.get("greedy", 0) + greedy
 
 
-VIRTUAL_ROWS: dict[str, Callable[[Row, int, str], None]] = {
+VIRTUAL_ROWS: dict[str, Callable[[ExperimentRow, int, str], None]] = {
     "drawn": random_faults,
     "floor_kept": capacity_kept,
     "late_word": late_permit,
@@ -219,9 +219,9 @@
 """Rows by the names that the command line knows."""
 
 
-def play_virtual_row(name: str, runs: int, seed: int, without: str) -> Row:
+def play_virtual_row(name: str, runs: int, seed: int, without: str) -> ExperimentRow:
     """Returns a row played `runs` times from consecutive seeds; the whole day is played once."""
-    row = Row(name)
+    row = ExperimentRow(name)
     for offset in range(1 if name == "whole_day" else runs):
         VIRTUAL_ROWS[name](row, seed + offset, without)
         row.runs += 1
@@ -230,7 +230,7 @@
 
 def experiment(
     repeats: int, seed: int, servers: int, without: str = "", only: str | None = None
-) -> Iterator[Row]:
+) -> Iterator[ExperimentRow]:
     """Plays all rows, or the one named `only`; those of real processes with `servers` of them."""
     for name in VIRTUAL_ROWS:
         if only in (None, name):
@@ -238,4 +238,4 @@
     if servers:
         from landingshift.testbed.experiments.maintenance_real import LONG, REAL
 
-        yield from all_real(REAL, LONG, only, servers, repeats, seed)
+        yield from play_real_rows(REAL, LONG, only, servers, repeats, seed)
--- a/landingshift/testbed/experiments/maintenance_harness.py
+++ b/landingshift/testbed/experiments/maintenance_harness.py
@@ -10,7 +10,7 @@
 from landingshift.maintenance.requests import RequestState
 from landingshift.membership.operator_rpc import OperatorRpcError, call_operator_rpc
 from landingshift.testbed.experiments.policies_real import CORES, WORK, Council
-from landingshift.testbed.experiments.rows import Row, must
+from landingshift.testbed.experiments.rows import ExperimentRow
 
 CAPACITY_RPCS_PER_SECOND = CORES * 1000.0 / WORK
 OUTAGE_SECONDS = 0.5
@@ -158,26 +158,28 @@
 
     # What must hold
 
-    def must_end(self, row: Row, names: Iterable[str], wait_seconds: float, prefix: str = "") -> None:
+    def must_end(
+        self, row: ExperimentRow, names: Iterable[str], wait_seconds: float, prefix: str = ""
+    ) -> None:
         """Waits until no request of `names` is open; notes a violation where one stays."""
         has_ended = self.wait_until_ended(names, wait_seconds)
         status = {} if has_ended else self.leader_status()
-        must(row, has_ended, f"{prefix}not over: {status}")
+        row.require(has_ended, f"{prefix}not over: {status}")
 
-    def must_be_completed(self, row: Row, names: Iterable[str]) -> None:
+    def must_be_completed(self, row: ExperimentRow, names: Iterable[str]) -> None:
         """Notes a violation unless the requests of exactly `names` ended, all completed."""
         found = self.final_states()
         wanted = dict.fromkeys(names, RequestState.COMPLETED.value)
-        must(row, found == wanted, f"they ended as {found}")
+        row.require(found == wanted, f"they ended as {found}")
 
-    def check(self, row: Row, finish: bool = True) -> None:
+    def check(self, row: ExperimentRow, finish: bool = True) -> None:
         """Checks what must hold afterwards, permits among it."""
         self.stop_supervisor()
         if self._supervisor.is_alive():
             self._supervisor.join(5.0)
         departures = [entry for entry in self.rig.history() if entry[1] == "left"]
         permits = [entry[3] for entry in departures]
-        must(row, len(permits) == len(set(permits)), f"a permission was used twice: {departures}")
+        row.require(len(permits) == len(set(permits)), f"a permission was used twice: {departures}")
         row.figures |= {"left": len(departures), "started_again": self.restart_count}
         super().check(row, finish)
 
--- a/landingshift/testbed/experiments/maintenance_real.py
+++ b/landingshift/testbed/experiments/maintenance_real.py
@@ -19,7 +19,7 @@
     MaintenanceHarness,
 )
 from landingshift.testbed.experiments.policies_real import across, up_or_dead
-from landingshift.testbed.experiments.rows import Row, must
+from landingshift.testbed.experiments.rows import ExperimentRow
 
 NIGHT_LOAD_FRACTION = 0.3
 """Two of six may be out of service, and a zone beside them."""
@@ -32,8 +32,8 @@
 FIRST_REQUESTED_INDEX = 3
 """Servers from this one on are requested where the first voters are to stay."""
 
-Play = Callable[[MaintenanceHarness, Row], None]
-RealRow = Callable[[str, int, int, Row], None]
+Play = Callable[[MaintenanceHarness, ExperimentRow], None]
+RealRow = Callable[[str, int, int, ExperimentRow], None]
 
 
 def real_row(
@@ -51,7 +51,7 @@
         has_cold_start: Servers that start ask for start permits, too.
     """
 
-    def run(folder: str, count: int, seed: int, row: Row) -> None:
+    def run(folder: str, count: int, seed: int, row: ExperimentRow) -> None:
         share = FULL_LOAD_FRACTION * (count - 1) / count if is_fully_loaded else load
         headroom_ratio = 0.0 if is_fully_loaded else HEADROOM_RATIO
         settings = ""
@@ -62,14 +62,14 @@
             play(harness, row)
             harness.check(row)
         except (RuntimeError, OperatorRpcError) as err:
-            must(row, False, str(err))
+            row.require(False, str(err))
         finally:
             harness.close()
 
     return run
 
 
-def all_replaced(harness: MaintenanceHarness, row: Row) -> None:
+def all_replaced(harness: MaintenanceHarness, row: ExperimentRow) -> None:
     """All are requested, by two operators; never more is out of service than the constraints let."""
     harness.start_all()
     began = time.monotonic()
@@ -80,7 +80,7 @@
     harness.must_be_completed(row, harness.names)
     allowed = int(harness.count * (1.0 - MODERATE_LOAD_FRACTION * (1.0 + HEADROOM_RATIO)))
     within = max_unavailable <= max(1, allowed)
-    must(row, within, f"{max_unavailable} were out at once, {allowed} may be")
+    row.require(within, f"{max_unavailable} were out at once, {allowed} may be")
 
 
 def _watch_until_ended(harness: MaintenanceHarness, wait_seconds: float) -> int:
@@ -98,7 +98,7 @@
     return max_unavailable
 
 
-def at_full_load(harness: MaintenanceHarness, row: Row) -> None:
+def at_full_load(harness: MaintenanceHarness, row: ExperimentRow) -> None:
     """All are replaced while what comes in is what all but one can serve."""
     harness.start_all()
     began = time.monotonic()
@@ -108,7 +108,7 @@
     harness.must_be_completed(row, harness.names)
 
 
-def service(harness: MaintenanceHarness, row: Row) -> None:
+def service(harness: MaintenanceHarness, row: ExperimentRow) -> None:
     """The share of RPCs answered ok while all are replaced, beside the same time without maintenance."""
     harness.start_all()
     time.sleep(3.0)
@@ -128,14 +128,14 @@
         "ok_without": round(without_work, 2),
     }
     texts = f"{with_work:.2f} % ok with work, {without_work:.2f} % without"
-    must(row, with_work >= without_work - 1.0, texts)
+    row.require(with_work >= without_work - 1.0, texts)
 
 
 def _ok_percent(outcomes: Counter[str]) -> float:
     return 100.0 * outcomes["ok"] / max(1, sum(outcomes.values()))
 
 
-def zone_gets_notice(harness: MaintenanceHarness, row: Row) -> None:
+def zone_gets_notice(harness: MaintenanceHarness, row: ExperimentRow) -> None:
     """While two are out of service a zone gets a notice from outside to end."""
 
     def notify(index: int) -> None:
@@ -144,12 +144,12 @@
     _zone_ends(harness, row, notify)
 
 
-def zone_loses_power(harness: MaintenanceHarness, row: Row) -> None:
+def zone_loses_power(harness: MaintenanceHarness, row: ExperimentRow) -> None:
     """While two are out of service a zone loses its power, and then starts cold."""
     _zone_ends(harness, row, harness.rig.kill)
 
 
-def _zone_ends(harness: MaintenanceHarness, row: Row, end_server: Callable[[int], None]) -> None:
+def _zone_ends(harness: MaintenanceHarness, row: ExperimentRow, end_server: Callable[[int], None]) -> None:
     """Ends a zone for a while: it counts against the budget, and what was requested ends all the same."""
     harness.start_all()
     zone = [index for index in range(harness.count) if index % 3 == 0]
@@ -162,7 +162,7 @@
         end_server(index)
     processes = harness.rig.processes
     has_ended = harness.rig.until(8.0, lambda: all(processes[index].poll() is not None for index in zone))
-    must(row, has_ended, "the zone did not go")
+    row.require(has_ended, "the zone did not go")
     time.sleep(5.0)
     restored_at_ms = time.monotonic() * 1000.0
     harness.not_restarted.difference_update(zone)
@@ -171,10 +171,10 @@
     # What was permitted before may still leave; after that the lost voters leave none to spare.
     last_ms = failed_at_ms + PERMIT_VALID_MS + 1000.0
     late = [e for e in harness.rig.history() if e[1] == "left" and last_ms < e[0] < restored_at_ms]
-    must(row, not late, f"let go while a zone was out: {late}")
+    row.require(not late, f"let go while a zone was out: {late}")
 
 
-def crash_meanwhile(harness: MaintenanceHarness, row: Row) -> None:
+def crash_meanwhile(harness: MaintenanceHarness, row: ExperimentRow) -> None:
     """A server without a request crashes for good just after a permit: it counts against the budget."""
     harness.start_all()
     last = harness.count - 1
@@ -186,7 +186,7 @@
     harness.must_end(row, requested, 60.0)
 
 
-def leader_killed(harness: MaintenanceHarness, row: Row) -> None:
+def leader_killed(harness: MaintenanceHarness, row: ExperimentRow) -> None:
     """The leader dies as soon as a permit is issued, and again later; all requests end all the same."""
     harness.start_all()
     requested = harness.names[FIRST_REQUESTED_INDEX:]
@@ -196,11 +196,11 @@
         harness.rig.until(8.0, partial(harness.has_permitted, leader))
         harness.rig.kill(leader)
         time.sleep(2.0)
-    must(row, harness.wait_until_ended(requested, 90.0), "not over")
+    row.require(harness.wait_until_ended(requested, 90.0), "not over")
     harness.must_be_completed(row, requested)
 
 
-def stopped_past_the_expiry(harness: MaintenanceHarness, row: Row) -> None:
+def stopped_past_the_expiry(harness: MaintenanceHarness, row: ExperimentRow) -> None:
     """Stopped as it gets a permit, and resumed after its expiry: it must not leave on that one."""
     rig = harness.rig
     last = harness.count - 1
@@ -217,12 +217,12 @@
         return any(line["event"] == event for line in rig.logged(last))
 
     has_noticed = rig.until(25.0, partial(has_logged, "maintenance_permit_expired"))
-    must(row, has_noticed, "it did not notice that it was late")
-    must(row, not has_logged("maintenance_draining"), "it left on a void permission")
+    row.require(has_noticed, "it did not notice that it was late")
+    row.require(not has_logged("maintenance_draining"), "it left on a void permission")
     harness.call(harness.leader(), "upkeep_hold", "the trial is over")
 
 
-def cut_off(harness: MaintenanceHarness, row: Row) -> None:
+def cut_off(harness: MaintenanceHarness, row: ExperimentRow) -> None:
     """Cut off just as it is requested: whether it leaves or not, it counts as out until it is back."""
     harness.start_all()
     last = harness.names[-1]
@@ -236,14 +236,14 @@
     harness.must_end(row, harness.names[FIRST_REQUESTED_INDEX:], 60.0)
 
 
-def killed_at_each_step(harness: MaintenanceHarness, row: Row) -> None:
+def killed_at_each_step(harness: MaintenanceHarness, row: ExperimentRow) -> None:
     """The permitted one dies as it gets its permit and as it begins to drain; its request ends."""
     harness.start_all()
     for step in ("upkeep.permitted", "upkeep.draining"):
         _kill_at(harness, row, step)
 
 
-def _kill_at(harness: MaintenanceHarness, row: Row, step: str) -> None:
+def _kill_at(harness: MaintenanceHarness, row: ExperimentRow, step: str) -> None:
     rig = harness.rig
     last = harness.count - 1
     name = rig.name(last)
@@ -256,7 +256,7 @@
     time.sleep(1.0)
     harness.request_maintenance([name])
     has_died = rig.until(20.0, lambda: rig.processes[last].poll() is not None)
-    must(row, has_died, f"{step}: it did not die")
+    row.require(has_died, f"{step}: it did not die")
     rig.killed.add(name)
     time.sleep(0.5)
     harness.start(last)
@@ -264,7 +264,7 @@
     harness.must_end(row, [name], 40.0, f"{step}: ")
 
 
-def never_restarted(harness: MaintenanceHarness, row: Row) -> None:
+def never_restarted(harness: MaintenanceHarness, row: ExperimentRow) -> None:
     """One never comes back: it stays counted as out, and the others go on as the constraints let them."""
     harness.start_all()
     last = harness.count - 1
@@ -278,10 +278,10 @@
     requests = harness.maintenance_status(harness.leader())["wishes"]
     states = {request["name"]: request["stage"] for request in requests}
     away = (RequestState.DRAINING.value, RequestState.OUT_OF_SERVICE.value)
-    must(row, states.get(name) in away, f"it is {states}")
+    row.require(states.get(name) in away, f"it is {states}")
 
 
-def overloaded(harness: MaintenanceHarness, row: Row) -> None:
+def overloaded(harness: MaintenanceHarness, row: ExperimentRow) -> None:
     """Load leaves no room: nobody leaves, the status says why, and the request is cancelled."""
     harness.start_all()
     name = harness.names[-1]
@@ -290,16 +290,16 @@
     status = harness.maintenance_status(harness.leader())
     demand = status["demand"] * (1.0 + HEADROOM_RATIO)
     is_loaded = demand > CAPACITY_RPCS_PER_SECOND * (harness.count - 1)
-    must(row, is_loaded, f"the load was not brought: {status['demand']:.0f} a second")
+    row.require(is_loaded, f"the load was not brought: {status['demand']:.0f} a second")
     states = [request["stage"] for request in status["wishes"]]
-    must(row, states == [RequestState.REQUESTED.value], f"{status['wishes']}")
+    row.require(states == [RequestState.REQUESTED.value], f"{status['wishes']}")
     is_explained = "the whole" in status["waits_for"] or status["room"] < CAPACITY_RPCS_PER_SECOND
-    must(row, is_explained, f"it says {status}")
+    row.require(is_explained, f"it says {status}")
     harness.call(harness.leader(), "upkeep_cancel", "no room", name)
-    must(row, harness.wait_until_ended([name], 10.0), "not cancelled")
+    row.require(harness.wait_until_ended([name], 10.0), "not cancelled")
 
 
-def with_a_policy_change(harness: MaintenanceHarness, row: Row) -> None:
+def with_a_policy_change(harness: MaintenanceHarness, row: ExperimentRow) -> None:
     """A change of policy while machines are out of service: it takes hold, and all requests end."""
     harness.start_all()
     requested = harness.names[FIRST_REQUESTED_INDEX:]
@@ -307,7 +307,7 @@
     harness.rig.until(10.0, lambda: harness.has_permitted(harness.leader()))
     change = harness.propose(0, 1)
     harness.taken(row, 1, change, 30.0)
-    must(row, harness.wait_until_ended(requested, 60.0), "not over")
+    row.require(harness.wait_until_ended(requested, 60.0), "not over")
     harness.version(row, 1, 15.0)
 
 
--- a/landingshift/testbed/experiments/plots.py
+++ b/landingshift/testbed/experiments/plots.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 
-def day(shown: list[tuple[float, float, float, float, int]], path: str) -> None:
+def plot_maintenance_day(shown: list[tuple[float, float, float, float, int]], path: str) -> None:
     """Work over a day: minutes, capacity that serves, what is asked for, what must stay in, machines away."""
     import matplotlib
 
@@ -27,7 +27,7 @@
     pyplot.close(figure)
 
 
-def starts(runs: dict[str, dict[str, Any]], path: str) -> None:
+def plot_starts(runs: dict[str, dict[str, Any]], path: str) -> None:
     """`runs`: by name, `by_second` (s, servers warm, calls so far), `servers` and `bears` calls a second."""
     import matplotlib
 
--- a/landingshift/testbed/experiments/policies.py
+++ b/landingshift/testbed/experiments/policies.py
@@ -10,7 +10,7 @@
 
 from landingshift.consensus.raft import Role
 from landingshift.policies.commands import FINAL_OUTCOMES
-from landingshift.testbed.experiments.rows import Row, all_real, must
+from landingshift.testbed.experiments.rows import ExperimentRow, play_real_rows
 from landingshift.testbed.simulation.policy_change import Hall, address, play
 from landingshift.testbed.verification.invariants import broken
 from landingshift.testbed.verification.search_policy_change import Search
@@ -18,25 +18,25 @@
 CHUNK = 50  # histories that one worker plays at a time
 
 
-def judged(row: Row, hall: Hall) -> None:
+def judged(row: ExperimentRow, hall: Hall) -> None:
     """Promises, and that all is well in the end: one version everywhere, and one answer from everybody."""
-    row.broken += broken(hall.history, hall.plan.overlap_ms)
+    row.violations += broken(hall.history, hall.plan.overlap_ms)
     minds = hall.minds.values()
     versions = {m.participant.version for m in minds}
-    must(row, len(versions) == 1, f"versions {versions} in the end")
-    must(row, all(m.participant.is_member for m in minds), "not all are counted in the end")
-    must(row, all(m.participant.may_decide(m.clock()) for m in minds), "not all decide in the end")
+    row.require(len(versions) == 1, f"versions {versions} in the end")
+    row.require(all(m.participant.is_member for m in minds), "not all are counted in the end")
+    row.require(all(m.participant.may_decide(m.clock()) for m in minds), "not all decide in the end")
 
 
-def histories(first: int, count: int, away: str) -> Row:
+def histories(first: int, count: int, away: str) -> ExperimentRow:
     """With faults drawn from the seed."""
-    row = Row("histories", runs=count)
+    row = ExperimentRow("histories", runs=count)
     ends = {"taken": 0, "refused": 0, "withdrawn": 0}
     for seed in range(first, first + count):
         hall = play(seed, away=away)
-        had = len(row.broken)
+        had = len(row.violations)
         judged(row, hall)
-        row.broken[had:] = [f"seed {seed}: {text}" for text in row.broken[had:]]
+        row.violations[had:] = [f"seed {seed}: {text}" for text in row.violations[had:]]
         for entry in {(e[3], e[4]) for e in hall.history if e[1] == "end"}:
             ends[entry[1]] += 1
     row.figures |= ends
@@ -51,15 +51,15 @@
     raise AssertionError("nobody leads")
 
 
-def taken(row: Row, hall: Hall, id: str) -> None:
+def taken(row: ExperimentRow, hall: Hall, id: str) -> None:
     ends = {hall.end(name, id) for name in hall.names if name not in hall.down} - {"unknown"}
-    must(row, ends == {"taken"}, f"{id} is {ends}")
+    row.require(ends == {"taken"}, f"{id} is {ends}")
 
 
 # One row for what must hold in a case of its own; each is given its seed and the defence that is away
 
 
-def without_faults(row: Row, seed: int, away: str) -> Hall:
+def without_faults(row: ExperimentRow, seed: int, away: str) -> Hall:
     """200 servers: how long a change takes."""
     hall = Hall(seed, 200, 5, away=away)
     hall.run(4000.0)
@@ -68,13 +68,13 @@
     while hall.world.now < began + 10_000.0 and {m.participant.version for m in hall.minds.values()} != {1}:
         hall.world.run(hall.world.now + 20.0)
     top(row, "took_s", (hall.world.now - began) / 1000.0)
-    must(row, hall.world.now - began <= 2000.0, f"took {hall.world.now - began:.0f} ms")
+    row.require(hall.world.now - began <= 2000.0, f"took {hall.world.now - began:.0f} ms")
     hall.run(300.0)
     taken(row, hall, id)
     return hall
 
 
-def with_loss(row: Row, seed: int, away: str) -> Hall:
+def with_loss(row: ExperimentRow, seed: int, away: str) -> Hall:
     """200 servers and 5 % of all messages lost."""
     hall = Hall(seed, 200, 5, away=away, change_timeout_ms=20_000.0)
     hall.world.loss = 0.05
@@ -89,7 +89,7 @@
     return hall
 
 
-def tenth_down(row: Row, seed: int, away: str) -> Hall:
+def tenth_down(row: ExperimentRow, seed: int, away: str) -> Hall:
     """A tenth of 200 is down and stands aside in time: a change takes no more than the lease and 2 s."""
     hall = Hall(
         seed, 200, 5, True, away=away, lease_ms=3000.0, clock_margin_ms=300.0, change_timeout_ms=20_000.0
@@ -102,14 +102,14 @@
     while hall.world.now < began + 20_000.0 and {m.participant.version for m in rest} != {1}:
         hall.world.run(hall.world.now + 20.0)
     top(row, "took_s", (hall.world.now - began) / 1000.0)
-    must(row, hall.world.now - began <= 5000.0, f"took {hall.world.now - began:.0f} ms")
+    row.require(hall.world.now - began <= 5000.0, f"took {hall.world.now - began:.0f} ms")
     hall.run(300.0)
     taken(row, hall, id)
     hall.settle(4000.0)
     return hall
 
 
-def leader_wakes(row: Row, seed: int, away: str) -> Hall:
+def leader_wakes(row: ExperimentRow, seed: int, away: str) -> Hall:
     """A leader cut off with one member stands still and wakes: it must not vouch for that one any more."""
     hall = Hall(seed, 5, 3, True, away=away)
     hall.run(2500.0)
@@ -126,7 +126,7 @@
     return hall
 
 
-def majority_gone(row: Row, seed: int, away: str) -> Hall:
+def majority_gone(row: ExperimentRow, seed: int, away: str) -> Hall:
     """For good: those that run decide on."""
     hall = Hall(seed, 6, 3, away=away)
     hall.run(2500.0)
@@ -138,12 +138,12 @@
     since = hall.world.now + 2000.0
     hall.run(20_000.0)
     late = {e[2] for e in hall.history if e[1] == "decided" and e[0] > since}
-    must(row, late == {"n2", "n3", "n4", "n5"}, f"only {late} decide on")
+    row.require(late == {"n2", "n3", "n4", "n5"}, f"only {late} decide on")
     hall.settle()
     return hall
 
 
-def both_sides(row: Row, seed: int, away: str) -> Hall:
+def both_sides(row: ExperimentRow, seed: int, away: str) -> Hall:
     """Two changes at the same instant on both sides of a cut."""
     hall = Hall(seed, 6, 3, away=away)
     hall.run(2500.0)
@@ -153,11 +153,11 @@
     hall.run(3000.0)
     hall.settle()
     ends = {hall.end("n5", one), hall.end("n5", two)}
-    must(row, ends <= set(FINAL_OUTCOMES), f"they ended as {ends}")
+    row.require(ends <= set(FINAL_OUTCOMES), f"they ended as {ends}")
     return hall
 
 
-def refused(row: Row, seed: int, away: str) -> Hall:
+def refused(row: ExperimentRow, seed: int, away: str) -> Hall:
     """One can't read it."""
     hall = Hall(seed, 5, 3, away=away)
     hall.refusing["n4"] = lambda policy: "methods.m.criticality: not here" if policy else ""
@@ -167,12 +167,12 @@
     id = hall.propose("n3", 1)
     hall.run(1500.0)
     said = hall.minds["n3"].part.change_status(id).reason
-    must(row, said == "n4: methods.m.criticality: not here", f"it says {said!r}")
-    must(row, not any(e[3] for e in hall.history if e[1] == "decided"), "it was decided by")
+    row.require(said == "n4: methods.m.criticality: not here", f"it says {said!r}")
+    row.require(not any(e[3] for e in hall.history if e[1] == "decided"), "it was decided by")
     return hall
 
 
-def forgets(row: Row, seed: int, away: str) -> Hall:
+def forgets(row: ExperimentRow, seed: int, away: str) -> Hall:
     """Voters die between write and sync all the while: what they promised must be on disk first."""
     hall = Hall(seed, 4, 3, away=away)
     for number in range(25):
@@ -191,7 +191,7 @@
     return hall
 
 
-def gone_late(row: Row, seed: int, away: str) -> Hall:
+def gone_late(row: ExperimentRow, seed: int, away: str) -> Hall:
     """An operator's word that one has ended reaches the leader only once that machine is back."""
     hall = Hall(seed, 5, 3, away=away)
     hall.run(2500.0)
@@ -206,12 +206,12 @@
     hall.world.cut = lambda a, b: cut in (a, b)
     id = hall.propose("n3", 1)
     hall.run(3000.0)
-    must(row, hall.end("n3", id) not in FINAL_OUTCOMES, "it did not wait for one that is there")
+    row.require(hall.end("n3", id) not in FINAL_OUTCOMES, "it did not wait for one that is there")
     hall.settle()
     return hall
 
 
-def voters_replaced(row: Row, seed: int, away: str) -> Hall:
+def voters_replaced(row: ExperimentRow, seed: int, away: str) -> Hall:
     """One of three is gone for good: another is added, the dead one removed, and a second may die then."""
     hall = Hall(seed, 6, 3, away=away)
     hall.run(2500.0)
@@ -225,7 +225,7 @@
     hall.run(2000.0)
     voters = hall.minds["n3"].part.raft
     assert voters is not None
-    must(row, set(voters.voters) == {"n1", "n2", "n3"}, f"voters are {voters.voters}")
+    row.require(set(voters.voters) == {"n1", "n2", "n3"}, f"voters are {voters.voters}")
     hall.kill("n1")
     hall.run(3000.0)
     for name in ("n0", "n1"):
@@ -239,7 +239,7 @@
     return hall
 
 
-def settings_outdated(row: Row, seed: int, away: str) -> Hall:
+def settings_outdated(row: ExperimentRow, seed: int, away: str) -> Hall:
     """All voters of the settings are replaced one after the other; whoever starts then finds the new one."""
     hall = Hall(seed, 6, 3, away=away)
     hall.run(2500.0)
@@ -248,7 +248,7 @@
         hall.run(3000.0)
     voter = hall.minds["n3"].part.raft
     assert voter is not None
-    must(row, voter.voters == ("n3",), f"voters are {voter.voters}")
+    row.require(voter.voters == ("n3",), f"voters are {voter.voters}")
     for name in ("n3", "n5", "n0"):
         hall.kill(name)
         hall.start(name)
@@ -261,14 +261,14 @@
     hall.kill("n5")
     hall.start("n5")
     hall.run(12_000.0)
-    must(
-        row, hall.minds["n5"].participant.is_member, "n5 does not find the leader among those that are there"
+    row.require(
+        hall.minds["n5"].participant.is_member, "n5 does not find the leader among those that are there"
     )
     hall.settle()
     return hall
 
 
-VIRTUAL: dict[str, Callable[[Row, int, str], Hall]] = {
+VIRTUAL: dict[str, Callable[[ExperimentRow, int, str], Hall]] = {
     "without_faults": without_faults,
     "with_loss": with_loss,
     "tenth_down": tenth_down,
@@ -284,37 +284,37 @@
 LARGE = ("without_faults", "with_loss", "tenth_down")  # 200 servers each
 
 
-def searched(depth: int, most: int, away: str) -> Row:
+def searched(depth: int, most: int, away: str) -> ExperimentRow:
     """Every order of a small model, in both ways of being cut off."""
-    row = Row("search", figures={"depth": depth})
+    row = ExperimentRow("search", figures={"depth": depth})
     for aside in (False, True):
         found = Search(aside, away).run(depth, most)
         row.runs += found.states
         row.figures["depth"] = min(row.figures["depth"], found.deepest)
-        must(row, not found.broken, f"all_or_none: {found.broken}")
+        row.require(not found.broken, f"all_or_none: {found.broken}")
     return row
 
 
-def top(row: Row, name: str, value: float) -> None:
+def top(row: ExperimentRow, name: str, value: float) -> None:
     row.figures[name] = max(row.figures.get(name, 0.0), round(value, 2))
 
 
-def virtual(name: str, runs: int, seed: int, away: str) -> Row:
-    row = Row(name)
+def virtual(name: str, runs: int, seed: int, away: str) -> ExperimentRow:
+    row = ExperimentRow(name)
     for i in range(max(1, runs // 10) if name in LARGE else runs):
         judged(row, VIRTUAL[name](row, seed + i, away))
         row.runs += 1
     return row
 
 
-def many(count: int, seed: int, away: str) -> Row:
+def many(count: int, seed: int, away: str) -> ExperimentRow:
     """Histories on all cores, put together."""
-    row = Row("histories")
+    row = ExperimentRow("histories")
     chunks = [(seed + i, min(CHUNK, count - i), away) for i in range(0, count, CHUNK)]
     with ProcessPoolExecutor() as pool:
         for part in pool.map(histories, *zip(*chunks, strict=True)):
             row.runs += part.runs
-            row.broken += part.broken
+            row.violations += part.violations
             for key, value in part.figures.items():
                 row.figures[key] = row.figures.get(key, 0) + value
     return row
@@ -322,7 +322,7 @@
 
 def experiment(
     repeats: int, seed: int, servers: int, away: str = "", only: str | None = None, count: int = 200
-) -> Iterator[Row]:
+) -> Iterator[ExperimentRow]:
     """`repeats` of each virtual row, `count` histories; `servers`: also the rows of real processes."""
     if only in (None, "search"):
         yield searched(12, 100 * count, away)
@@ -334,4 +334,4 @@
     if servers:
         from landingshift.testbed.experiments.policies_real import LONG, REAL
 
-        yield from all_real(REAL, LONG, only, servers, repeats, seed)
+        yield from play_real_rows(REAL, LONG, only, servers, repeats, seed)
--- a/landingshift/testbed/experiments/policies_real.py
+++ b/landingshift/testbed/experiments/policies_real.py
@@ -16,7 +16,7 @@
 
 from landingshift.membership.operator_rpc import OperatorRpcError, call_operator_rpc
 from landingshift.policies.document import parse_policy
-from landingshift.testbed.experiments.rows import Row, must
+from landingshift.testbed.experiments.rows import ExperimentRow
 from landingshift.testbed.processes.harness import Rig
 from landingshift.testbed.processes.single_server import METHOD, TENANT
 from landingshift.testbed.verification.invariants import broken
@@ -156,11 +156,11 @@
         self.rig.until(wait, over)
         return found
 
-    def taken(self, row: Row, i: int, id: str, wait: float = 15.0) -> None:
+    def taken(self, row: ExperimentRow, i: int, id: str, wait: float = 15.0) -> None:
         found = self.ended(i, id, wait)
-        must(row, found["end"] == "taken", f"{id} is {found}")
+        row.require(found["end"] == "taken", f"{id} is {found}")
 
-    def version(self, row: Row, version: int, wait: float = 10.0) -> None:
+    def version(self, row: ExperimentRow, version: int, wait: float = 10.0) -> None:
         """Until all that run decide by it."""
 
         def there() -> bool:
@@ -168,9 +168,9 @@
 
         good = self.rig.until(wait, there)
         if not good:
-            must(row, False, f"not all at version {version}: {[self.status(i) for i in self.up()]}")
+            row.require(False, f"not all at version {version}: {[self.status(i) for i in self.up()]}")
 
-    def agreed(self, row: Row, wait: float) -> None:
+    def agreed(self, row: ExperimentRow, wait: float) -> None:
         """Until all decide by one version, whichever: a change that was under way may still pass."""
 
         def there() -> bool:
@@ -178,7 +178,7 @@
             return all(s.get("decides") for s in found) and len({s["version"] for s in found}) == 1
 
         good = self.rig.until(wait, there)
-        must(row, good, f"not all decide by one version: {[self.status(i) for i in self.up()]}")
+        row.require(good, f"not all decide by one version: {[self.status(i) for i in self.up()]}")
 
     def cut(self, rule: Callable[[str, str], bool]) -> None:
         self.rig.do(lambda: setattr(self.rig.switch, "cut", rule))
@@ -200,17 +200,17 @@
 
     # What must hold
 
-    def check(self, row: Row, finish: bool = True) -> None:
+    def check(self, row: ExperimentRow, finish: bool = True) -> None:
         rig = self.rig
         for id in self.ids:
             for i in self.up():
                 found = self.ended(i, id, 6.0)
-                must(row, found["end"] in ENDED, f"{id} has no end at {rig.name(i)}: {found}")
+                row.require(found["end"] in ENDED, f"{id} has no end at {rig.name(i)}: {found}")
         unanswered = rig.quiet()
         codes = rig.drain_all()
         history = sorted([*rig.history(), *self.ends], key=lambda entry: entry[0])
         decided = [e for e in history if e[1] == "decided"]
-        row.broken += broken(history, OVERLAP)
+        row.violations += broken(history, OVERLAP)
         ends: dict[str, int] = {}
         for entry in {(e[3], e[4]) for e in self.ends}:
             ends[entry[1]] = ends.get(entry[1], 0) + 1
@@ -219,9 +219,9 @@
             "rpcs": dict(rig.ends), "overlap_ms": round(overlap(decided)),
         }  # fmt: skip
         for wrong in ("lost", "late", "twice"):
-            must(row, not rig.ends[wrong], f"{rig.ends[wrong]} RPCs {wrong}")
-        must(row, not unanswered, f"{unanswered} RPCs without an answer")
-        must(row, not any(code for code in codes if code not in (0, -9)), f"exit status {set(codes)}")
+            row.require(not rig.ends[wrong], f"{rig.ends[wrong]} RPCs {wrong}")
+        row.require(not unanswered, f"{unanswered} RPCs without an answer")
+        row.require(not any(code for code in codes if code not in (0, -9)), f"exit status {set(codes)}")
 
 
 def overlap(decided: list[tuple[Any, ...]]) -> float:
@@ -247,25 +247,25 @@
     return a == mute
 
 
-Case = Callable[[str, int, int, Row], None]
+Case = Callable[[str, int, int, ExperimentRow], None]
 
 
-def case(work: Callable[[Council, Row], None], cut_off: str = "serve") -> Case:
-    def run(folder: str, count: int, seed: int, row: Row) -> None:
+def case(work: Callable[[Council, ExperimentRow], None], cut_off: str = "serve") -> Case:
+    def run(folder: str, count: int, seed: int, row: ExperimentRow) -> None:
         # Hundreds on one machine: its cores must not be what is measured.
         council = Council(folder, count, seed, cut_off, LOAD if count <= MANY else LOAD / 20.0)
         try:
             work(council, row)
             council.check(row)
         except (RuntimeError, OperatorRpcError) as err:
-            must(row, False, str(err))
+            row.require(False, str(err))
         finally:
             council.rig.close()
 
     return run
 
 
-def without_faults(c: Council, row: Row) -> None:
+def without_faults(c: Council, row: ExperimentRow) -> None:
     """Three changes in a row, one asked twice."""
     c.start_all()
     for number in range(3):
@@ -277,13 +277,13 @@
         row.figures["took_s"] = round(time.monotonic() - began, 2)
 
 
-def down_all_along(c: Council, row: Row) -> None:
+def down_all_along(c: Council, row: ExperimentRow) -> None:
     """One is killed before the change: it waits and is withdrawn; once the operator says it is gone, not."""
     c.start_all()
     last = c.count - 1
     c.rig.kill(last)
     found = c.ended(0, c.propose(0, 1), WAIT / 1000.0 + 8.0)
-    must(row, found["end"] == "withdrawn" and f"n{last}" in found["said"], f"it is {found}")
+    row.require(found["end"] == "withdrawn" and f"n{last}" in found["said"], f"it is {found}")
     c.gone(1, f"n{last}")
     c.taken(row, 1, c.propose(1, 2))
     c.version(row, 1)
@@ -291,7 +291,7 @@
     c.version(row, 1, 15.0)
 
 
-def lapses(c: Council, row: Row) -> None:
+def lapses(c: Council, row: ExperimentRow) -> None:
     """The same where those cut off stand aside: it passes once the lease is over."""
     c.start_all()
     last = c.count - 1
@@ -299,12 +299,12 @@
     began = time.monotonic()
     c.taken(row, 0, c.propose(0, 1))
     row.figures["took_s"] = round(time.monotonic() - began, 2)
-    must(row, time.monotonic() - began < LEASE / 1000.0 + 2.5, f"took {row.figures['took_s']} s")
+    row.require(time.monotonic() - began < LEASE / 1000.0 + 2.5, f"took {row.figures['took_s']} s")
     c.start(last)
     c.version(row, 1, 15.0)
 
 
-def down_at_the_switch(c: Council, row: Row) -> None:
+def down_at_the_switch(c: Council, row: ExperimentRow) -> None:
     """A member dies as it is armed and is back a second later; the change takes hold or not, everywhere."""
     last = c.count - 1
     c.start_all((last,))
@@ -312,7 +312,7 @@
     c.start(last, LANDINGSHIFT_CRASH="policies.armed")
     c.rig.until(10.0, lambda: bool(c.status(last).get("decides")))
     id = c.propose(0, 1)
-    must(row, c.rig.until(8.0, lambda: c.rig.processes[last].poll() is not None), "it did not die")
+    row.require(c.rig.until(8.0, lambda: c.rig.processes[last].poll() is not None), "it did not die")
     c.rig.killed.add(c.rig.name(last))
     time.sleep(1.0)
     c.start(last)
@@ -320,7 +320,7 @@
     c.version(row, 1, 15.0)
 
 
-def killed_at_each_step(c: Council, row: Row) -> None:
+def killed_at_each_step(c: Council, row: ExperimentRow) -> None:
     """Member, leader and voter die at each named step of a change; the member asked to propose it, too."""
     c.start_all()
     rig, version = c.rig, 0
@@ -346,10 +346,10 @@
             time.sleep(0.3)
             c.start(who)
         found = c.ended(c.count - 2, id, 20.0)
-        must(row, found["end"] in ENDED, f"{step}: {found}")
+        row.require(found["end"] in ENDED, f"{step}: {found}")
         version += found["end"] == "taken"
         c.version(row, version, 15.0)
-    must(row, sum(v == "died" for v in row.figures.values()) >= 7, f"too few died: {row.figures}")
+    row.require(sum(v == "died" for v in row.figures.values()) >= 7, f"too few died: {row.figures}")
 
 
 def dead(c: Council, i: int) -> bool:
@@ -370,7 +370,7 @@
         time.sleep(2.8)
 
 
-def proposer_killed(c: Council, row: Row) -> None:
+def proposer_killed(c: Council, row: ExperimentRow) -> None:
     """Who was asked dies at once; asked again elsewhere with the same id, it is done once."""
     c.start_all()
     last = c.count - 1
@@ -382,7 +382,7 @@
     c.version(row, 1, 15.0)
 
 
-def leader_paused(c: Council, row: Row) -> None:
+def leader_paused(c: Council, row: ExperimentRow) -> None:
     """The leader stands still past its lease in the middle of a change and goes on as if nothing had been."""
     c.start_all()
     leader = c.leader()
@@ -395,7 +395,7 @@
     c.version(row, 1, 10.0)
 
 
-def leader_cut_and_paused(c: Council, row: Row) -> None:
+def leader_cut_and_paused(c: Council, row: ExperimentRow) -> None:
     """Cut off with one member, the leader stands still and wakes: it must not vouch for that one any more."""
     c.start_all()
     leader, last = c.leader(), c.count - 1
@@ -409,7 +409,7 @@
     c.version(row, 1, 15.0)
 
 
-def majority_gone(c: Council, row: Row) -> None:
+def majority_gone(c: Council, row: ExperimentRow) -> None:
     """Two of three voters are killed: RPCs are decided on, no change passes; back, it does."""
     c.start_all()
     c.taken(row, 3, c.propose(3, 1))
@@ -419,15 +419,15 @@
     id = c.propose(2, 2)
     time.sleep(5.0)
     for i in c.up():
-        must(row, bool(c.status(i).get("decides")), f"n{i} stands aside: {c.status(i)}")
-    must(row, c.end(3, id)["end"] not in ENDED, "a change passed without a majority")
+        row.require(bool(c.status(i).get("decides")), f"n{i} stands aside: {c.status(i)}")
+    row.require(c.end(3, id)["end"] not in ENDED, "a change passed without a majority")
     c.start(0)
     c.start(1)
     c.taken(row, 3, id, 20.0)
     c.version(row, 2, 15.0)
 
 
-def majority_gone_for_good(c: Council, row: Row) -> None:
+def majority_gone_for_good(c: Council, row: ExperimentRow) -> None:
     """They never come back: those that run decide on by the version in force."""
     c.start_all()
     c.taken(row, 3, c.propose(3, 1))
@@ -438,22 +438,22 @@
     time.sleep(8.0)
     for i in c.up():
         status = c.status(i)
-        must(row, bool(status.get("decides")) and status["version"] == 1, f"n{i}: {status}")
-    must(row, c.rig.ends["ok"] > ok + 100, "RPCs were not answered on")
+        row.require(bool(status.get("decides")) and status["version"] == 1, f"n{i}: {status}")
+    row.require(c.rig.ends["ok"] > ok + 100, "RPCs were not answered on")
     for i in c.up():
-        must(row, c.end(i, "c0")["end"] == "taken", f"n{i} does not know the end")
+        row.require(c.end(i, "c0")["end"] == "taken", f"n{i} does not know the end")
     c.ids.clear()  # the one that comes now can't be told any more
     last = c.count - 1
     c.rig.doomed.add(c.rig.name(last))
     c.rig.kill(last)
     c.start(last)
     time.sleep(2.0)
-    must(row, c.status(last).get("decides") is False, "it decides before it has asked")
+    row.require(c.status(last).get("decides") is False, "it decides before it has asked")
     c.call(last, "policy_trust", 1, c.call(2, "policy_text", 1))
-    must(row, c.rig.until(2.0, lambda: bool(c.status(last).get("decides"))), "it does not take the word")
+    row.require(c.rig.until(2.0, lambda: bool(c.status(last).get("decides"))), "it does not take the word")
 
 
-def voters_replaced(c: Council, row: Row) -> None:
+def voters_replaced(c: Council, row: ExperimentRow) -> None:
     """One of three voters is gone for good: a spare is added, the dead one removed; then another dies."""
     c.start_all()
     c.taken(row, 4, c.propose(4, 1))
@@ -463,7 +463,7 @@
         id = f"{how} {name}"
         c.call(4, "policy_do", id, "voters", how, name)
         good = c.rig.until(10.0, lambda id=id: c.call(4, "policy_known", id)["end"] == "taken")  # type: ignore[misc]
-        must(row, good, f"{id}: {c.call(4, 'policy_known', id)}")
+        row.require(good, f"{id}: {c.call(4, 'policy_known', id)}")
     c.gone(4, "n0")
     c.rig.kill(1)
     time.sleep(1.0)
@@ -471,10 +471,10 @@
     c.taken(row, 4, c.propose(4, 2), 20.0)
     c.version(row, 2, 15.0)
     voters = set(c.status(4)["voters"])
-    must(row, voters == {"n1", "n2", "n3"}, f"voters are {voters}")
+    row.require(voters == {"n1", "n2", "n3"}, f"voters are {voters}")
 
 
-def cuts(c: Council, row: Row) -> None:
+def cuts(c: Council, row: ExperimentRow) -> None:
     """Halves, then one heard by nobody, then a cut that flaps each 300 ms; a change in each."""
     c.start_all()
     half = {c.rig.name(i) for i in range(c.count) if i % 2}
@@ -493,12 +493,12 @@
         c.whole()
         time.sleep(2.0)
         for id in c.ids:
-            must(row, c.ended(2, id, 15.0)["end"] in ENDED, f"{id} does not end")
+            row.require(c.ended(2, id, 15.0)["end"] in ENDED, f"{id} does not end")
     versions = {c.status(i).get("version") for i in c.up()}
     c.version(row, max(v for v in versions if v is not None), 15.0)
 
 
-def at_one_instant(c: Council, row: Row) -> None:
+def at_one_instant(c: Council, row: ExperimentRow) -> None:
     """Ten changes proposed at once at all servers: each ends, and in one order."""
     c.start_all()
     ids = [f"at-once-{k}" for k in range(10)]
@@ -509,17 +509,17 @@
     for thread in threads:
         thread.join()
     ends = [c.ended(k % c.count, id)["end"] for k, id in enumerate(ids)]
-    must(row, "taken" in ends, f"none was taken: {ends}")
+    row.require("taken" in ends, f"none was taken: {ends}")
     c.version(row, ends.count("taken"), 10.0)
 
 
-def older_build(c: Council, row: Row) -> None:
+def older_build(c: Council, row: ExperimentRow) -> None:
     """One build can't read the change: it is named, and nobody decides by it."""
     last = c.count - 1
     c.start_all((last,))
     c.start(last, LANDINGSHIFT_FORMAT="1")
-    must(
-        row, c.rig.until(10.0, lambda: bool(c.status(last).get("decides"))), "the older build does not decide"
+    row.require(
+        c.rig.until(10.0, lambda: bool(c.status(last).get("decides"))), "the older build does not decide"
     )
     id = "newer"
     c.ids.append(id)
@@ -527,12 +527,12 @@
     c.call(0, "policy_do", id, "propose", policy, "lab", "a newer format")
     found = c.ended(1, id)
     said = f"n{last}: format: this build reads up to 1, not 2"
-    must(row, found["end"] == "refused" and found["said"] == said, f"it is {found}")
+    row.require(found["end"] == "refused" and found["said"] == said, f"it is {found}")
     c.taken(row, 1, c.propose(1, 1))
     c.version(row, 1)
 
 
-def disk(c: Council, row: Row) -> None:
+def disk(c: Council, row: ExperimentRow) -> None:
     """A voter's disk is full and has room again; one is torn, one is from last week: both are refused."""
     c.start_all()
     rig, leader = c.rig, c.leader()
@@ -548,7 +548,7 @@
     c.version(row, 1)
     resource.prlimit(pid, resource.RLIMIT_FSIZE, had)
     rig.until(5.0, lambda: Path(c.journal(other)).stat().st_size > len(old[other][0]) + 20)
-    must(row, Path(c.journal(other)).stat().st_size > len(old[other][0]) + 20, "it did not save again")
+    row.require(Path(c.journal(other)).stat().st_size > len(old[other][0]) + 20, "it did not save again")
     # The journal of last week beside the seal of today, and damage in the middle.
     for i, damage in ((other, "old"), (third, "torn")):
         rig.doomed.add(rig.name(i))
@@ -560,10 +560,10 @@
         else:
             path.write_bytes(good[:60] + bytes([good[60] ^ 255]) + good[61:])
         c.start(i)
-        must(row, rig.until(5.0, partial(dead, c, i)), f"{damage}: it runs")
-        must(row, rig.processes[i].poll() == 2, f"{damage}: exit status {rig.processes[i].poll()}")
+        row.require(rig.until(5.0, partial(dead, c, i)), f"{damage}: it runs")
+        row.require(rig.processes[i].poll() == 2, f"{damage}: exit status {rig.processes[i].poll()}")
         last = Path(rig.folder, f"{rig.name(i)}.log").read_bytes().splitlines()[-1].decode()
-        must(row, "[policies] journal: " in last and c.journal(i) in last, f"{damage}: {last}")
+        row.require("[policies] journal: " in last and c.journal(i) in last, f"{damage}: {last}")
         row.figures[damage] = last[-70:]
         path.write_bytes(good)
         c.start(i)
@@ -572,7 +572,7 @@
     c.version(row, 2, 15.0)
 
 
-def comes_and_goes(c: Council, row: Row) -> None:
+def comes_and_goes(c: Council, row: ExperimentRow) -> None:
     """A member is started and another drained in the middle of changes."""
     last = c.count - 1
     c.start_all((last,))
@@ -586,11 +586,11 @@
             c.rig.killed.add(c.rig.name(last - 1))
         found = c.ended(1, id, 15.0)
         version += found["end"] == "taken"
-        must(row, found["end"] == "taken", f"{id}: {found}")
+        row.require(found["end"] == "taken", f"{id}: {found}")
     c.version(row, version, 15.0)
 
 
-def chance(c: Council, row: Row) -> None:
+def chance(c: Council, row: ExperimentRow) -> None:
     """Faults drawn from the seed for ten seconds, changes all the while; then all is whole and must agree."""
     c.start_all()
     rig, draw = c.rig, Random(f"{c.seed} chance")
@@ -620,8 +620,8 @@
     for j in range(c.count):
         if j not in c.up():
             c.start(j)
-    must(
-        row, rig.until(25.0, lambda: all(c.status(i).get("decides") for i in c.up())), "not all decide again"
+    row.require(
+        rig.until(25.0, lambda: all(c.status(i).get("decides") for i in c.up())), "not all decide again"
     )
     for id in c.ids:
         c.ended(0, id, 2.0)
@@ -629,7 +629,7 @@
     c.ids = [id for id in c.ids if c.end(0, id)["end"] in ENDED]  # one whose proposer died may be unknown
 
 
-def service(c: Council, row: Row) -> None:
+def service(c: Council, row: ExperimentRow) -> None:
     """Half a minute without a change and half a minute with one each two seconds, at the same load."""
     c.start_all()
     time.sleep(3.0)
@@ -643,8 +643,7 @@
         done = c.rig.ends - before
         shares.append(100.0 * done["ok"] / max(1, sum(done.values())))
     row.figures |= {"ok_without": round(shares[0], 2), "ok_with_changes": round(shares[1], 2)}
-    must(
-        row,
+    row.require(
         abs(shares[0] - shares[1]) <= 2.0,
         f"{shares[0]:.1f} % ok without changes, {shares[1]:.1f} % with",
     )
--- a/landingshift/testbed/experiments/report.py
+++ b/landingshift/testbed/experiments/report.py
@@ -6,7 +6,7 @@
 from html import escape
 from typing import Any
 
-from landingshift.testbed.experiments.scenarios import KINDS, Coverage
+from landingshift.testbed.experiments.scenarios import FAULT_KINDS, Coverage
 from landingshift.testbed.verification.invariants import FLEET, PAGES
 
 STYLE = """body{font:15px/1.45 system-ui,sans-serif;max-width:70rem;margin:2rem auto;color:#1c2733}
@@ -17,7 +17,7 @@
 .holds{color:#176b3a}.broken{color:#a3201d;font-weight:600}figure{margin:1rem 0}"""
 
 
-def page(figures: dict[str, Any], broken: list[str], smallest: list[dict[str, Any]], seen: Coverage,
+def render_page(figures: dict[str, Any], broken: list[str], smallest: list[dict[str, Any]], seen: Coverage,
          rested: list[float]) -> str:  # fmt: skip
     parts = [
         "<!doctype html><html lang=en><meta charset=utf-8><title>The fleet under chance faults</title>",
@@ -74,7 +74,7 @@
 
 
 def pairs(seen: Coverage) -> str:
-    met, names = seen.pairs(), sorted(KINDS)
+    met, names = seen.pair_counts(), sorted(FAULT_KINDS)
     most = max(met.values(), default=1)
     head = "".join(f"<th class=v>{n}" for n in names)
     rows = []
@@ -84,12 +84,12 @@
             count = met.get((a, b), 0)
             cells.append(f"<td class=n{shade(count, most)}>{count}")
         rows.append(f"<tr><th>{a}{''.join(cells)}")
-    return f"<table><tr><th>{head}{''.join(rows)}</table><p>{len(seen.unmet())} pairs have not met.</p>"
+    return f"<table><tr><th>{head}{''.join(rows)}</table><p>{len(seen.unmet_pairs())} pairs have not met.</p>"
 
 
 def stages(seen: Coverage) -> str:
-    met = seen.stages()
-    names, found = sorted(KINDS), sorted({stage for _, stage in met})
+    met = seen.stage_counts()
+    names, found = sorted(FAULT_KINDS), sorted({stage for _, stage in met})
     most = max(met.values(), default=1)
     head = "".join(f"<th class=v>{s}" for s in found)
     rows = [
--- a/landingshift/testbed/simulation/cluster.py
+++ b/landingshift/testbed/simulation/cluster.py
@@ -22,7 +22,7 @@
 from landingshift.policies.commands import FINAL_OUTCOMES
 from landingshift.policies.messages import ChangeVoters, FindChange, ProposeChange
 from landingshift.policies.policy_settings import PolicySettings
-from landingshift.testbed.experiments.scenarios import Act, Coverage, Day, cuts
+from landingshift.testbed.experiments.scenarios import Coverage, Fault, Scenario, blocks_link
 from landingshift.testbed.simulation.cold_start import Store
 from landingshift.testbed.simulation.server import CAPACITY, METHODS, WAIT, Disk, Home, Sent, address, text
 from landingshift.testbed.simulation.virtual_time import Address, Host, World
@@ -63,16 +63,16 @@
 class Town:
     """`away` takes one defence from all; `seen` counts what was met."""
 
-    def __init__(self, day: Day, away: str = "", seen: Coverage | None = None) -> None:
+    def __init__(self, day: Scenario, away: str = "", seen: Coverage | None = None) -> None:
         self.day, self.away, self.seen = day, away, seen or Coverage()
         self.world = World(day.seed)
         self.world.most = STORM
         self.chance = Random(f"{day.seed} town")
         self.history: History = []
-        servers, names = day.servers, [f"n{i}" for i in range(day.servers)]
+        servers, names = day.server_count, [f"n{i}" for i in range(day.server_count)]
         self.rules = PolicySettings(
-            tuple(names[: day.voters]),
-            day.aside,
+            tuple(names[: day.voter_count]),
+            day.stands_aside,
             overlap_ms=OVERLAP,
             lease_ms=LEASE,
             clock_margin_ms=SPARE,
@@ -98,14 +98,14 @@
         )
         self.walls = [NOON] * servers
         # One more than there are voters has a journal and could be one.
-        self.disks = [Disk(PersistentState() if i <= day.voters else None) for i in range(servers)]
+        self.disks = [Disk(PersistentState() if i <= day.voter_count else None) for i in range(servers)]
         self.back_after: dict[int, float] = {}
         self.homes: dict[int, Home] = {}
         self.runs = [0] * servers
-        self.under: dict[int, Act] = {}  # acts that are under way, by their place in the day
-        self.sides = [{address(i) for i in act.who} for act in day.acts]
+        self.under: dict[int, Fault] = {}  # acts that are under way, by their place in the day
+        self.sides = [{address(i) for i in act.servers} for act in day.faults]
         self.list_up = True
-        self.rate = day.load * servers * CAPACITY  # RPCs a second
+        self.rate = day.load_ratio * servers * CAPACITY  # RPCs a second
         self.more = 1.0
         self.owed, self.numbers = 0.0, 0
         self.told: dict[int, tuple[float, bool]] = {}  # what gateways were told of each server, and when
@@ -121,7 +121,7 @@
         return Random(f"{self.day.seed} {i} {run}")
 
     def peers(self, i: int) -> list[Address]:
-        return [address(j) for j in range(self.day.servers) if j != i][:4]
+        return [address(j) for j in range(self.day.server_count) if j != i][:4]
 
     def note(self, what: str, *values: Any) -> None:
         self.history.append((self.world.now, what, *values))
@@ -176,7 +176,9 @@
 
     def cut(self, a: Address, b: Address) -> bool:
         now = self.world.now
-        return any(cuts(act, self.sides[place], a, b, now - act.at) for place, act in self.under.items())
+        return any(
+            blocks_link(act, self.sides[place], a, b, now - act.start_ms) for place, act in self.under.items()
+        )
 
     def links(self) -> None:
         """Loss, doubles and delay are the most of all acts under way."""
@@ -192,32 +194,32 @@
 
     # Acts
 
-    def begin(self, place: int, act: Act) -> None:
-        self.seen.begin(act.kind, sorted({a.kind for a in self.under.values()}), self.stages())
-        self.note("begins", act.kind, place, act.who, act.lasts, act.amount)
-        if act.lasts:
+    def begin(self, place: int, act: Fault) -> None:
+        self.seen.record(act.kind, sorted({a.kind for a in self.under.values()}), self.stages())
+        self.note("begins", act.kind, place, act.servers, act.duration_ms, act.amount)
+        if act.duration_ms:
             self.under[place] = act
-            self.world.after(act.lasts, partial(self.over, place))
+            self.world.after(act.duration_ms, partial(self.over, place))
         self.links()
-        for i in act.who:
+        for i in act.servers:
             home = self.homes.get(i)
             up = home is not None and home.host.up
             match act.kind:
                 case "kill" | "zone":
-                    self.kill(i, act.lasts)
+                    self.kill(i, act.duration_ms)
                 case "crash_loop":
                     self.loop(place, i, act)
                 case "notice" if up and home is not None:
-                    home.host.arrive(("notice", act.lasts))
+                    home.host.arrive(("notice", act.duration_ms))
                 case "stop" | "pause" if up and home is not None:
-                    self.note("still", home.name, self.world.now + act.lasts)
-                    home.host.stop(act.lasts)
+                    self.note("still", home.name, self.world.now + act.duration_ms)
+                    home.host.stop(act.duration_ms)
                 case "hang" if home is not None:
-                    home.hangs = max(home.hangs, self.world.now + act.lasts)
+                    home.hangs = max(home.hangs, self.world.now + act.duration_ms)
                 case "starved" if home is not None:
                     home.host.lag = act.amount
                 case "torn" if up:
-                    self.disks[i].dies = act.lasts
+                    self.disks[i].dies = act.duration_ms
                 case "full":
                     self.disks[i].full = True
                 case "clock":
@@ -227,35 +229,35 @@
         if act.kind == "store_falls":
             self.store.waiting += act.amount * self.store.bears
         if act.kind == "wish":
-            self.wish([f"n{i}" for i in act.who], act.amount, 30)
+            self.wish([f"n{i}" for i in act.servers], act.amount, 30)
 
     def over(self, place: int) -> None:
         act = self.under.pop(place)
         self.note("over", act.kind, place)
         self.links()
-        for i in act.who:
+        for i in act.servers:
             home = self.homes.get(i)
             if act.kind == "starved" and home is not None:
                 home.host.lag = 0.0
                 home.host.wake()
             if act.kind == "full":
-                self.disks[i].full = any(a.kind == "full" and i in a.who for a in self.under.values())
+                self.disks[i].full = any(a.kind == "full" and i in a.servers for a in self.under.values())
             if act.kind == "torn":
                 self.disks[i].dies = 0.0
 
-    def loop(self, place: int, i: int, act: Act) -> None:
+    def loop(self, place: int, i: int, act: Fault) -> None:
         if place in self.under:
             self.kill(i, act.amount / 2.0)
             self.world.after(act.amount, partial(self.loop, place, i, act))
 
-    def errand(self, act: Act, home: Home) -> None:
+    def errand(self, act: Fault, home: Home) -> None:
         now = home.clock()
         if act.kind == "change":
             id = f"c{len(self.ids)}"
             self.ids.append(id)
             home.part.submit_command(id, ProposeChange(text(len(self.ids)), "lab", "a trial"), now)
         else:
-            name = f"n{act.who[0] % (self.day.voters + 1)}"
+            name = f"n{act.servers[0] % (self.day.voter_count + 1)}"
             how = "remove" if name in home.part.participant.discovery.voters else "add"
             home.part.submit_command(f"{how} {name}", ChangeVoters(how == "add", name), now)
         home.host.turn()
@@ -349,7 +351,7 @@
 
     def play(self) -> History:
         day, world = self.day, self.world
-        for i in range(day.servers):
+        for i in range(day.server_count):
             world.at(self.chance.uniform(0.0, 500.0), partial(self.start, i))
         world.after(SEND, self.look)
         world.after(LOOK, self.watch)
@@ -357,16 +359,16 @@
         self.note("bounds", self.plan.downstream_calls_per_second, self.plan.max_permits)
         self.note("each", CAPACITY)
         began = 4000.0  # the first start has settled, more or less
-        for place, act in enumerate(day.acts):
-            world.at(began + act.at, partial(self.begin, place, act))
-        world.run(began + day.ms)
+        for place, act in enumerate(day.faults):
+            world.at(began + act.start_ms, partial(self.begin, place, act))
+        world.run(began + day.duration_ms)
         self.settle()
         return self.history
 
     def settle(self) -> None:
         """Nothing is done to it any more: it comes to rest, and whoever is asked answers."""
         self.note("quiet")
-        self.rate = min(self.rate, 0.3 * self.day.servers * CAPACITY)
+        self.rate = min(self.rate, 0.3 * self.day.server_count * CAPACITY)
         end = self.world.now + SETTLE
         while self.world.now < end and self.restless():
             self.world.run(self.world.now + REST)
--- a/landingshift/testbed/simulation/server.py
+++ b/landingshift/testbed/simulation/server.py
@@ -141,7 +141,7 @@
         self.agent = ColdStartCoordinator(self.node, town.plan, chance, now)
         if self.away == "quiet" and self.agent.grantor is not None:
             self.agent.grantor.set_recovery_grace_until(now)
-        self.seek = ServiceDiscoveryPoller(town.day.servers, 20.0, True, 3000.0, chance, now)
+        self.seek = ServiceDiscoveryPoller(town.day.server_count, 20.0, True, 3000.0, chance, now)
         self.strain = DownstreamSaturation()
         journal = copied(self.disk.journal) if self.disk.journal is not None else None
         self.part = PolicyNode(
@@ -160,7 +160,7 @@
         self.without()
         self.tenant = Tenant(100_000.0)
         self.server = AdmissionController(
-            settings(town.day.servers, self.tenant), chance.getrandbits(32), self, now
+            settings(town.day.server_count, self.tenant), chance.getrandbits(32), self, now
         )
         if self.away == "due":
             self.server.enforce_deadline = lambda managed: inf  # type: ignore[method-assign]
--- a/landingshift/testbed/verification/corpus.py
+++ b/landingshift/testbed/verification/corpus.py
@@ -9,9 +9,9 @@
 import msgspec
 from msgspec import Struct
 
-from landingshift.testbed.experiments.chance_faults import Played
-from landingshift.testbed.experiments.rows import Row
-from landingshift.testbed.experiments.scenarios import Coverage, Day, told, written
+from landingshift.testbed.experiments.chance_faults import SearchResult
+from landingshift.testbed.experiments.rows import ExperimentRow
+from landingshift.testbed.experiments.scenarios import Coverage, Scenario, describe_scenario, encode_scenario
 
 
 class Found(Struct):
@@ -25,17 +25,17 @@
 
     def seen(self) -> Coverage:
         coverage = Coverage()
-        coverage.met = Counter({(a, b, stage): count for a, b, stage, count in self.met})
+        coverage.counts = Counter({(a, b, stage): count for a, b, stage, count in self.met})
         return coverage
 
 
-def found(row: Row, whole: Played) -> Found:
+def found(row: ExperimentRow, whole: SearchResult) -> Found:
     smallest = [{k: v for k, v in one.items() if k != "day"} for one in row.series["smallest"]]
-    met = [(*key, count) for key, count in sorted(whole.coverage.met.items())]
-    return Found(row.figures, row.broken, smallest, met, whole.rested)
+    met = [(*key, count) for key, count in sorted(whole.coverage.counts.items())]
+    return Found(row.figures, row.violations, smallest, met, whole.recovery_ms)
 
 
-def save(path: str, row: Row, whole: Played) -> None:
+def save(path: str, row: ExperimentRow, whole: SearchResult) -> None:
     Path(path).write_bytes(msgspec.json.encode(found(row, whole)))
 
 
@@ -47,13 +47,13 @@
         raise ValueError(f"{path}: {err}") from err
 
 
-def keep(folder: str, days: list[Day]) -> list[str]:
+def keep(folder: str, days: list[Scenario]) -> list[str]:
     """A file a day, told in a text beside it; their paths."""
     Path(folder).mkdir(parents=True, exist_ok=True)
     paths = []
     for day in days:
         path = Path(folder, f"day-{day.seed}.json")
-        path.write_bytes(written(day))
-        path.with_suffix(".txt").write_text("\n".join(told(day)) + "\n")
+        path.write_bytes(encode_scenario(day))
+        path.with_suffix(".txt").write_text("\n".join(describe_scenario(day)) + "\n")
         paths.append(str(path))
     return paths
--- a/landingshift/testbed/verification/shrinking.py
+++ b/landingshift/testbed/verification/shrinking.py
@@ -10,7 +10,7 @@
 
 from msgspec.structs import replace
 
-from landingshift.testbed.experiments.scenarios import Act, Day
+from landingshift.testbed.experiments.scenarios import Fault, Scenario
 
 PLAYS = 400
 FEWEST = 2  # servers
@@ -18,11 +18,11 @@
 
 
 class Reduced:
-    def __init__(self, day: Day, fails: Callable[[Day], bool], plays: int = PLAYS) -> None:
+    def __init__(self, day: Scenario, fails: Callable[[Scenario], bool], plays: int = PLAYS) -> None:
         self.day, self.fails, self.left = day, fails, plays
         self.plays = 0
 
-    def smaller(self, day: Day) -> bool:
+    def smaller(self, day: Scenario) -> bool:
         """Keeps it where it still fails."""
         if not self.left:
             return False
@@ -33,7 +33,7 @@
         self.day = day
         return True
 
-    def run(self) -> Day:
+    def run(self) -> Scenario:
         size = -1
         while self.left and size != weight(self.day):
             size = weight(self.day)
@@ -45,66 +45,71 @@
     def acts(self) -> None:
         """Halves, then quarters, then single ones are left out (delta debugging)."""
         parts = 2
-        while self.left and len(self.day.acts) > 0:
-            acts = self.day.acts
+        while self.left and len(self.day.faults) > 0:
+            acts = self.day.faults
             size = -(-len(acts) // parts)
             cut = False
             for first in range(0, len(acts), size):
-                if self.smaller(replace(self.day, acts=acts[:first] + acts[first + size :])):
+                if self.smaller(replace(self.day, faults=acts[:first] + acts[first + size :])):
                     cut = True
                     break
             if not cut and size == 1:
                 return
             parts = max(2, parts - 1) if cut else min(len(acts), parts * 2)
 
-    def each(self, step: Callable[[Day], Iterator[Day]]) -> None:
+    def each(self, step: Callable[[Scenario], Iterator[Scenario]]) -> None:
         """Goes on from each that still fails, until none of them does."""
         again = True
         while again and self.left:
             again = any(self.smaller(day) for day in step(self.day))
 
 
-def weight(day: Day) -> int:
+def weight(day: Scenario) -> int:
     return len(written_short(day))
 
 
-def written_short(day: Day) -> str:
-    return f"{day.servers} {day.voters} {day.ms:.0f} {[(a.kind, a.at, a.who, a.lasts) for a in day.acts]}"
+def written_short(day: Scenario) -> str:
+    faults = [(a.kind, a.start_ms, a.servers, a.duration_ms) for a in day.faults]
+    return f"{day.server_count} {day.voter_count} {day.duration_ms:.0f} {faults}"
 
 
-def servers(day: Day) -> Iterator[Day]:
+def servers(day: Scenario) -> Iterator[Scenario]:
     """The last one less, where nothing is done to it."""
-    used = max((i for a in day.acts for i in a.who), default=-1)
-    if day.servers > max(FEWEST, used + 1, day.voters):
-        yield replace(day, servers=day.servers - 1)
-    if day.voters > 3:
-        yield replace(day, voters=3)
+    used = max((i for a in day.faults for i in a.servers), default=-1)
+    if day.server_count > max(FEWEST, used + 1, day.voter_count):
+        yield replace(day, server_count=day.server_count - 1)
+    if day.voter_count > 3:
+        yield replace(day, voter_count=3)
 
 
-def shorter(day: Day) -> Iterator[Day]:
-    last = max((a.at + a.lasts for a in day.acts), default=0.0)
+def shorter(day: Scenario) -> Iterator[Scenario]:
+    last = max((a.start_ms + a.duration_ms for a in day.faults), default=0.0)
     for ms in (last + 100.0, last + 2000.0):
-        if ms < day.ms - 500.0:
-            yield replace(day, ms=ms)
-    for i, a in enumerate(day.acts):
-        if a.lasts > 400.0:
-            yield replace(day, acts=with_act(day, i, replace(a, lasts=round(a.lasts / 2.0))))
+        if ms < day.duration_ms - 500.0:
+            yield replace(day, duration_ms=ms)
+    for i, a in enumerate(day.faults):
+        if a.duration_ms > 400.0:
+            yield replace(day, faults=with_act(day, i, replace(a, duration_ms=round(a.duration_ms / 2.0))))
 
 
-def simpler(day: Day) -> Iterator[Day]:
+def simpler(day: Scenario) -> Iterator[Scenario]:
     """One server in place of several, less load, round times, an earlier beginning."""
-    for i, a in enumerate(day.acts):
-        for who in a.who if len(a.who) > 1 else ():
-            yield replace(day, acts=with_act(day, i, replace(a, who=tuple(w for w in a.who if w != who))))
-        if a.at % ROUND:
-            yield replace(day, acts=with_act(day, i, replace(a, at=a.at // ROUND * ROUND)))
-    first = min((a.at for a in day.acts), default=0.0)
+    for i, a in enumerate(day.faults):
+        for who in a.servers if len(a.servers) > 1 else ():
+            yield replace(
+                day, faults=with_act(day, i, replace(a, servers=tuple(w for w in a.servers if w != who)))
+            )
+        if a.start_ms % ROUND:
+            yield replace(day, faults=with_act(day, i, replace(a, start_ms=a.start_ms // ROUND * ROUND)))
+    first = min((a.start_ms for a in day.faults), default=0.0)
     if first >= ROUND:
-        early = tuple(replace(a, at=a.at - first // ROUND * ROUND) for a in day.acts)
-        yield replace(day, acts=early)
-    if day.load > 0.3:
-        yield replace(day, load=0.3)
+        early = tuple(replace(a, start_ms=a.start_ms - first // ROUND * ROUND) for a in day.faults)
+        yield replace(day, faults=early)
+    if day.load_ratio > 0.3:
+        yield replace(day, load_ratio=0.3)
 
 
-def with_act(day: Day, i: int, act: Act) -> tuple[Act, ...]:
-    return tuple(sorted([*day.acts[:i], act, *day.acts[i + 1 :]], key=lambda a: (a.at, a.kind, a.who)))
+def with_act(day: Scenario, i: int, act: Fault) -> tuple[Fault, ...]:
+    return tuple(
+        sorted([*day.faults[:i], act, *day.faults[i + 1 :]], key=lambda a: (a.start_ms, a.kind, a.servers))
+    )
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -35,7 +35,7 @@
 )
 from landingshift.admission.managed_rpc import ManagedRpc, RpcState
 from landingshift.testbed import MEMORY
-from landingshift.testbed.experiments.rows import Row
+from landingshift.testbed.experiments.rows import ExperimentRow
 
 METHOD = Method(
     idempotency=Idempotency.IDEMPOTENT,
@@ -504,10 +504,10 @@
     """
 
     real: ClassVar[dict[str, Any]] = {}
-    play: ClassVar[Callable[[str], Row]]
+    play: ClassVar[Callable[[str], ExperimentRow]]
     abreast: ClassVar[int] = 1
     pool: ClassVar[ProcessPoolExecutor]
-    rows: ClassVar[dict[str, Future[Row]]] = {}
+    rows: ClassVar[dict[str, Future[ExperimentRow]]] = {}
 
     @classmethod
     def setUpClass(cls) -> None:
@@ -518,4 +518,4 @@
 
     def holds(self, name: str) -> None:
         row = self.rows[name].result()
-        self.assertEqual(row.broken, [], row.figures)
+        self.assertEqual(row.violations, [], row.figures)
--- a/tests/test_chance.py
+++ b/tests/test_chance.py
@@ -13,9 +13,18 @@
 from msgspec.structs import replace
 
 from landingshift.testbed import MEMORY
-from landingshift.testbed.experiments.chance_faults import failure, names, smaller
-from landingshift.testbed.experiments.chance_faults_real import recovery
-from landingshift.testbed.experiments.scenarios import KINDS, Act, Coverage, Day, draw, read, told, written
+from landingshift.testbed.experiments.chance_faults import check_scenario, invariant_names, shrink_failure
+from landingshift.testbed.experiments.chance_faults_real import recovery_figures
+from landingshift.testbed.experiments.scenarios import (
+    FAULT_KINDS,
+    Coverage,
+    Fault,
+    Scenario,
+    decode_scenario,
+    describe_scenario,
+    draw_scenario,
+    encode_scenario,
+)
 from landingshift.testbed.simulation.cluster import BREAKS, OVERLAP, Town
 from landingshift.testbed.verification.invariants import FLEET, broken
 from landingshift.testbed.verification.shrinking import Reduced
@@ -25,84 +34,90 @@
 WITHOUT = sorted(
     (DAYS / "without").glob("*.json")
 )  # made smaller: each fails without the defence of its name
-QUIET = Day(5, 4, 3, 3000.0, False, 0.3, ())
+QUIET = Scenario(5, 4, 3, 3000.0, False, 0.3, ())
 
 
 class Drawn(unittest.TestCase):
     def test_all_promises_hold_on_drawn_days_and_on_kept_ones(self) -> None:
-        days = {str(seed): draw(seed) for seed in range(1, 17)}
-        days |= {path.name: read(path.read_bytes()) for path in [*sorted(DAYS.glob("*.json")), *WITHOUT]}
+        days = {str(seed): draw_scenario(seed) for seed in range(1, 17)}
+        days |= {
+            path.name: decode_scenario(path.read_bytes()) for path in [*sorted(DAYS.glob("*.json")), *WITHOUT]
+        }
         with ProcessPoolExecutor() as pool:
-            for name, wrong in zip(days, pool.map(failure, days.values(), [""] * len(days)), strict=True):
+            for name, wrong in zip(
+                days, pool.map(check_scenario, days.values(), [""] * len(days)), strict=True
+            ):
                 with self.subTest(day=name):
                     self.assertEqual(wrong, [])
 
     def test_each_defence_is_missed(self) -> None:
         with ProcessPoolExecutor() as pool:
-            days = [read(path.read_bytes()) for path in WITHOUT]
-            found = pool.map(failure, days, [path.stem for path in WITHOUT])
+            days = [decode_scenario(path.read_bytes()) for path in WITHOUT]
+            found = pool.map(check_scenario, days, [path.stem for path in WITHOUT])
             for path, wrong in zip(WITHOUT, found, strict=True):
                 with self.subTest(away=path.stem):
-                    self.assertIn(BREAKS[path.stem], names(wrong))
+                    self.assertIn(BREAKS[path.stem], invariant_names(wrong))
         self.assertGreater(len(WITHOUT), 6)
 
     def test_a_day_is_the_same_each_time_and_is_more_than_nothing(self) -> None:
-        day = draw(3)
+        day = draw_scenario(3)
         one, two = Town(day).play(), Town(day).play()
         self.assertEqual(one, two)
-        self.assertEqual(draw(3), day)
+        self.assertEqual(draw_scenario(3), day)
         for what in ("read", "run", "answer", "loan", "decided", "sees", "begins"):
             self.assertGreater(sum(e[1] == what for e in one), 5, what)
 
     def test_what_met_is_counted_and_sought(self) -> None:
         seen = Coverage()
-        acts = (Act(0.0, "cut_off", (1,), 900.0), Act(300.0, "kill", (2,), 500.0))
-        Town(Day(1, 4, 3, 3000.0, False, 0.3, acts), seen=seen).play()
-        self.assertEqual(seen.of("kill", "cut_off"), 1)
-        self.assertEqual(seen.of("kill", "loss"), 0)
-        self.assertIn(("kill", "loss"), seen.unmet())
-        often = {(min(a, b), max(a, b)): 99 for a in KINDS for b in KINDS if "full" not in (a, b)}
-        drawn = [a.kind for seed in range(40) for a in draw(seed, often).acts]
-        plain = [a.kind for seed in range(40) for a in draw(seed).acts]
+        acts = (Fault(0.0, "cut_off", (1,), 900.0), Fault(300.0, "kill", (2,), 500.0))
+        Town(Scenario(1, 4, 3, 3000.0, False, 0.3, acts), seen=seen).play()
+        self.assertEqual(seen.pair_count("kill", "cut_off"), 1)
+        self.assertEqual(seen.pair_count("kill", "loss"), 0)
+        self.assertIn(("kill", "loss"), seen.unmet_pairs())
+        often = {(min(a, b), max(a, b)): 99 for a in FAULT_KINDS for b in FAULT_KINDS if "full" not in (a, b)}
+        drawn = [a.kind for seed in range(40) for a in draw_scenario(seed, often).faults]
+        plain = [a.kind for seed in range(40) for a in draw_scenario(seed).faults]
         self.assertGreater(drawn.count("full"), 3 * plain.count("full"))
 
 
 class Smaller(unittest.TestCase):
     def test_what_does_not_matter_is_left_out(self) -> None:
-        day = draw(7)
+        day = draw_scenario(7)
         plays = []
 
-        def fails(tried: Day) -> bool:
+        def fails(tried: Scenario) -> bool:
             plays.append(tried)
-            kinds = [a.kind for a in tried.acts]
-            return tried.servers >= 3 and "late" in kinds and "kill" in kinds[kinds.index("late") :]
+            kinds = [a.kind for a in tried.faults]
+            return tried.server_count >= 3 and "late" in kinds and "kill" in kinds[kinds.index("late") :]
 
-        noise = [a for a in day.acts if a.kind != "kill"]
-        late, kill = Act(2110.0, "late", (0,)), Act(5000.0, "kill", (1, 2), 4000.0)
-        day = Day(7, 9, 3, 20_000.0, False, 1.1, tuple(sorted([*noise, late, kill], key=lambda a: a.at)))
+        noise = [a for a in day.faults if a.kind != "kill"]
+        late, kill = Fault(2110.0, "late", (0,)), Fault(5000.0, "kill", (1, 2), 4000.0)
+        day = Scenario(
+            7, 9, 3, 20_000.0, False, 1.1, tuple(sorted([*noise, late, kill], key=lambda a: a.start_ms))
+        )
         least = Reduced(day, fails).run()
-        self.assertEqual([a.kind for a in least.acts], ["late", "kill"])
-        self.assertEqual((least.servers, least.load, len(least.acts[1].who)), (3, 0.3, 1))
-        self.assertLess(least.acts[1].lasts, 500.0)
+        self.assertEqual([a.kind for a in least.faults], ["late", "kill"])
+        self.assertEqual((least.server_count, least.load_ratio, len(least.faults[1].servers)), (3, 0.3, 1))
+        self.assertLess(least.faults[1].duration_ms, 500.0)
         self.assertLess(len(plays), 400)
 
     def test_a_day_without_a_defence_ends_as_an_incident_that_still_fails(self) -> None:
-        small = read((DAYS / "without" / "arm.json").read_bytes())
-        noise = (Act(900.0, "delay", (), 400.0, 20.0), Act(2900.0, "load", (), 1000.0, 1.5))
-        day = replace(small, acts=tuple(sorted([*small.acts, *noise], key=lambda a: a.at)))
-        least, promise, played = smaller(day, "arm", 30)
+        small = decode_scenario((DAYS / "without" / "arm.json").read_bytes())
+        noise = (Fault(900.0, "delay", (), 400.0, 20.0), Fault(2900.0, "load", (), 1000.0, 1.5))
+        day = replace(small, faults=tuple(sorted([*small.faults, *noise], key=lambda a: a.start_ms)))
+        least, promise, played = shrink_failure(day, "arm", 30)
         self.assertEqual(promise, "all_or_none")
-        self.assertIn("all_or_none", names(failure(least, "arm")))
-        self.assertLess(len(least.acts), len(day.acts))
+        self.assertIn("all_or_none", invariant_names(check_scenario(least, "arm")))
+        self.assertLess(len(least.faults), len(day.faults))
         self.assertLessEqual(played, 30)
-        self.assertIn("a change of policy is proposed", "\n".join(told(least)))
+        self.assertIn("a change of policy is proposed", "\n".join(describe_scenario(least)))
 
 
 class Files(unittest.TestCase):
     def test_there_and_back_and_what_is_wrong_is_named(self) -> None:
-        day = draw(11)
-        self.assertEqual(read(written(day)), day)
-        good = json.loads(written(day))
+        day = draw_scenario(11)
+        self.assertEqual(decode_scenario(encode_scenario(day)), day)
+        good = json.loads(encode_scenario(day))
         for change, said in [
             ({"voters": 99}, "servers, voters"),
             ({"acts": [[0, "earthquake", [0]]]}, "acts[0]: no such kind: earthquake"),
@@ -111,7 +126,7 @@
             ({"seed": "x"}, "not a day"),
         ]:
             with self.subTest(change=change), self.assertRaises(ValueError) as caught:
-                read(json.dumps(good | change).encode())
+                decode_scenario(json.dumps(good | change).encode())
             self.assertIn(said, str(caught.exception))
 
     def test_what_operators_see(self) -> None:
@@ -185,7 +200,7 @@
                     self.assertNotEqual(broken(list(bad), OVERLAP, {name: FLEET[name]}), [])
 
     def test_a_quiet_day_holds(self) -> None:
-        self.assertEqual(failure(QUIET, ""), [])
+        self.assertEqual(check_scenario(QUIET, ""), [])
 
     def test_recovery_is_looked_for_after_faults_that_stood_alone(self) -> None:
         # 10 RPCs a second, of which half fail from 20 to 26 s
@@ -193,18 +208,18 @@
         for i in range(100):
             ok += 5 if not 40 <= i < 52 else 2
             answers.append((i / 2.0, ok, 5 * (i + 1)))
-        found = recovery(answers, [Act(20_000.0, "kill", (1,), 3000.0)])
+        found = recovery_figures(answers, [Fault(20_000.0, "kill", (1,), 3000.0)])
         self.assertEqual(found["alone"], 1)
         self.assertTrue(2.0 <= found["back_s"] <= 4.0, found)
-        both = [Act(20_000.0, "kill", (1,), 3000.0), Act(21_000.0, "loss", (0,), 3000.0)]
-        self.assertEqual(recovery(answers, both), {"alone": 0})
+        both = [Fault(20_000.0, "kill", (1,), 3000.0), Fault(21_000.0, "loss", (0,), 3000.0)]
+        self.assertEqual(recovery_figures(answers, both), {"alone": 0})
 
 
 class Real(unittest.TestCase):
     def test_half_a_minute_of_six_processes_with_all_rooms_on(self) -> None:
-        from landingshift.testbed.experiments.chance_faults_real import many
+        from landingshift.testbed.experiments.chance_faults_real import play_real_scenarios
 
-        (row,) = many(6, 3, 0.4, 1)
-        self.assertEqual(row.broken, [], row.figures)
+        (row,) = play_real_scenarios(6, 3, 0.4, 1)
+        self.assertEqual(row.violations, [], row.figures)
         self.assertGreater(row.figures["rpcs"]["ok"], 300)
         self.assertGreater(row.figures["acts"], 5)
--- a/tests/test_coldstart.py
+++ b/tests/test_coldstart.py
@@ -376,11 +376,11 @@
     def test_clusters_start_with_all_bounds_kept(self) -> None:
         for row in experiment(1, 1, 0):
             with self.subTest(row=row.name):
-                self.assertEqual(row.broken, [])
+                self.assertEqual(row.violations, [])
 
     def test_leases_keep_their_bound_through_many_histories(self) -> None:
         (row,) = experiment(8, 1, 0, only="lent")
-        self.assertEqual(row.broken, [])
+        self.assertEqual(row.violations, [])
         self.assertGreater(row.figures["most_of_10"], 6.0)  # it is leased, not merely kept safe
 
     def test_each_defence_is_needed(self) -> None:
--- a/tests/test_coldstart_service.py
+++ b/tests/test_coldstart_service.py
@@ -14,7 +14,7 @@
 from landingshift.membership.operator_rpc import OperatorRpcError, call_operator_rpc
 from landingshift.testbed import MEMORY
 from landingshift.testbed.experiments.cold_start_real import REAL, Fleet
-from landingshift.testbed.experiments.rows import Row
+from landingshift.testbed.experiments.rows import ExperimentRow
 from tests.helpers import RealRows
 from tests.test_membership_service import refused
 
@@ -22,8 +22,8 @@
 CONCURRENT_ROW_COUNT = 3  # they mostly wait
 
 
-def run_row(name: str, away: str = "") -> Row:
-    row = Row(name)
+def run_row(name: str, away: str = "") -> ExperimentRow:
+    row = ExperimentRow(name)
     with tempfile.TemporaryDirectory(dir=MEMORY) as folder:
         REAL[name](folder, SERVER_COUNT, 1, away, row)
     return row
@@ -33,7 +33,7 @@
     """Each brings its failure about; what must hold afterwards is checked from the history alone."""
 
     real, play, abreast = REAL, staticmethod(run_row), CONCURRENT_ROW_COUNT
-    without: ClassVar[Future[Row]]
+    without: ClassVar[Future[ExperimentRow]]
 
     @classmethod
     def setUpClass(cls) -> None:
@@ -66,7 +66,7 @@
 
     def test_without_quotas_the_downstream_sees_more_than_it_bears(self) -> None:
         row = self.without.result()
-        self.assertTrue(any("calls a second" in text for text in row.broken), row)
+        self.assertTrue(any("calls a second" in text for text in row.violations), row)
 
 
 class OperatorCallsTest(unittest.TestCase):
--- a/tests/test_golden_histories.py
+++ b/tests/test_golden_histories.py
@@ -18,8 +18,8 @@
 from landingshift.membership import wire
 from landingshift.membership.messages import Message
 from landingshift.testbed.experiments import maintenance
-from landingshift.testbed.experiments.rows import Row
-from landingshift.testbed.experiments.scenarios import draw
+from landingshift.testbed.experiments.rows import ExperimentRow
+from landingshift.testbed.experiments.scenarios import draw_scenario
 from landingshift.testbed.simulation import policy_change as assent
 from landingshift.testbed.simulation.cluster import Town
 from landingshift.testbed.simulation.cold_start import Case, Rise
@@ -72,7 +72,7 @@
         for seed in (3, 11, 12):
             recorder = Recorder()
             with recorder.recorded():
-                town = Town(draw(seed))
+                town = Town(draw_scenario(seed))
                 history = town.play()
             samples = recorder.samples | samples
             found[f"day {seed}"] = {
@@ -133,12 +133,12 @@
                 apply(book, data)
 
             with mock.patch.object(MaintenanceState, "apply", applied):
-                row = Row(name)
+                row = ExperimentRow(name)
                 play(row, 5, "")
             found[name] = {
                 "entries": entries.hexdigest(),
                 "figures": row.figures,
-                "broken": row.broken,
+                "broken": row.violations,
                 "snapshots": [digest(book.snapshot()) for book in dumps.values()],
             }
         assert_golden_json(self, "work_on_machines.json", found)
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -591,7 +591,7 @@
         rows = [row for row in experiment(5, 0, 7) if row.name not in RUN_ONCE_CASES]
         for row in rows:
             with self.subTest(case=row.name):
-                self.assertEqual(row.broken, [])
+                self.assertEqual(row.violations, [])
         self.assertEqual({row.name for row in rows} | set(RUN_ONCE_CASES), set(CASES))
 
     def test_cases_break_where_a_defence_is_removed(self) -> None:
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -383,7 +383,7 @@
         for name in VIRTUAL_ROWS:
             with self.subTest(name=name):
                 row = play_virtual_row(name, 15, 1, "")
-                self.assertEqual(row.broken, [], row.figures)
+                self.assertEqual(row.violations, [], row.figures)
 
     def test_a_removed_defence_is_found(self) -> None:
         for without, name in [("floor", "floor_kept"), ("end", "late_word")]:
--- a/tests/test_maintenance_service.py
+++ b/tests/test_maintenance_service.py
@@ -11,7 +11,7 @@
 from landingshift.testbed import MEMORY
 from landingshift.testbed.experiments.maintenance_harness import MaintenanceHarness
 from landingshift.testbed.experiments.maintenance_real import REAL
-from landingshift.testbed.experiments.rows import Row, many_real
+from landingshift.testbed.experiments.rows import ExperimentRow, play_real_row
 from tests.helpers import RealRows
 from tests.test_membership_service import refused
 
@@ -20,8 +20,8 @@
 COMMAND = [sys.executable, "-c", "from landingshift.cli import start; start()", "upkeep"]
 
 
-def run_row(name: str) -> Row:
-    return many_real(name, REAL[name], SERVERS, 1, 1)
+def run_row(name: str) -> ExperimentRow:
+    return play_real_row(name, REAL[name], SERVERS, 1, 1)
 
 
 class RealRowsTest(RealRows):
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -476,14 +476,14 @@
 class Histories(unittest.TestCase):
     def test_invariants_hold_under_random_faults(self) -> None:
         row = histories(0, 40, "")
-        self.assertEqual(row.broken, [])
+        self.assertEqual(row.violations, [])
         self.assertGreater(row.figures["taken"], 40)
 
     def test_invariants_hold_in_each_scenario(self) -> None:
         for name in VIRTUAL:
             with self.subTest(name=name):
                 row = virtual(name, 4, 1, "")
-                self.assertEqual(row.broken, [], row.figures)
+                self.assertEqual(row.violations, [], row.figures)
 
     def test_invariants_hold_in_every_order_of_a_small_model(self) -> None:
         self.assertEqual(searched(5, 4000, "").broken, [])
@@ -501,7 +501,7 @@
         ]:
             with self.subTest(defence=defence):
                 row = virtual(scenario, 20, 1, defence) if scenario else histories(0, 30, defence)
-                self.assertTrue(any(invariant in text for text in row.broken), row.broken[:5])
+                self.assertTrue(any(invariant in text for text in row.violations), row.violations[:5])
 
 
 class Invariants(unittest.TestCase):
