--- a/landingshift/cli/lab.py
+++ b/landingshift/cli/lab.py
@@ -219,16 +219,16 @@
 def replay(day: str, log: bool, removed_defence: str) -> None:
     """Plays a kept day again, and says what does not hold."""
     from landingshift.testbed.experiments import scenarios
-    from landingshift.testbed.simulation.cluster import OVERLAP, Town
+    from landingshift.testbed.simulation.cluster import OVERLAP_MS, SimulatedCluster
     from landingshift.testbed.verification import invariants
 
     scenario = read_day(day)
     click.echo("\n".join(scenarios.told(scenario)))
-    history = Town(scenario, removed_defence).play()
+    history = SimulatedCluster(scenario, removed_defence).play()
     if log:
         for at_ms, *values in history:
             click.echo(f"{at_ms:10.1f}  {' '.join(str(value) for value in values)}")
-    violations = invariants.broken(history, OVERLAP, invariants.FLEET)
+    violations = invariants.find_violations(history, OVERLAP_MS, invariants.CLUSTER_INVARIANTS)
     click.echo("\n".join(violations) if violations else "all promises hold")
     raise SystemExit(EXIT_FAILED if violations else 0)
 
--- a/landingshift/testbed/experiments/chance_faults.py
+++ b/landingshift/testbed/experiments/chance_faults.py
@@ -16,9 +16,9 @@
 
 from landingshift.testbed.experiments.rows import Row
 from landingshift.testbed.experiments.scenarios import Coverage, Day, draw, told
-from landingshift.testbed.simulation.cluster import BREAKS, OVERLAP, Town
-from landingshift.testbed.verification.invariants import FLEET, broken
-from landingshift.testbed.verification.shrinking import Reduced
+from landingshift.testbed.simulation.cluster import INVARIANT_BY_REMOVED_DEFENCE, OVERLAP_MS, SimulatedCluster
+from landingshift.testbed.verification.invariants import CLUSTER_INVARIANTS, find_violations
+from landingshift.testbed.verification.shrinking import Shrinker
 
 ROUND = 400  # days of one round, after which what has met is counted
 CHUNK = 10  # days that one worker plays at a time
@@ -52,21 +52,21 @@
 
 def judge(day: Day, away: str = "") -> list[str]:
     """What does not hold; a promise's name stands first."""
-    return broken(Town(day, away).play(), OVERLAP, FLEET)
+    return find_violations(SimulatedCluster(day, away).play(), OVERLAP_MS, CLUSTER_INVARIANTS)
 
 
 def play(day: Day, away: str = "") -> Played:
     played = Played(days=1)
-    town = Town(day, away, played.coverage)
+    town = SimulatedCluster(day, away, played.coverage)
     history = town.play()
-    wrong = broken(history, OVERLAP, FLEET)
+    wrong = find_violations(history, OVERLAP_MS, CLUSTER_INVARIANTS)
     if wrong:
         played.broken[day.seed], played.failing[day.seed] = wrong, day
-    played.events, played.virtual_ms = town.world.count, town.world.now
+    played.events, played.virtual_ms = town.network.event_count, town.network.now_ms
     counted = ("read", "answer", "run", "killed", "starts", "drains", "left", "buried", "loan", "begins")
     played.counts.update(what for _, what, *_ in history if what in counted)
     played.counts.update({f"change {e[4]}" for e in history if e[1] == "end"})
-    played.rested.append(town.world.now - next(e[0] for e in history if e[1] == "quiet"))
+    played.rested.append(town.network.now_ms - next(e[0] for e in history if e[1] == "quiet"))
     return played
 
 
@@ -100,8 +100,8 @@
     first = names(failure(day, away))
     if not first:
         return day, "", 1
-    reduced = Reduced(day, lambda d: first[0] in names(failure(d, away)), plays)
-    return reduced.run(), first[0], reduced.plays
+    reduced = Shrinker(day, lambda d: first[0] in names(failure(d, away)), plays)
+    return reduced.run(), first[0], reduced.play_count
 
 
 def failure(day: Day, away: str) -> list[str]:
@@ -155,10 +155,16 @@
     row = Row(f"without {away}")
     for whole, _ in many(most, seed, away, steer=False):
         row.runs = whole.days
-        found = [s for s, texts in sorted(whole.broken.items()) if BREAKS[away] in names(texts)]
+        found = [
+            s
+            for s, texts in sorted(whole.broken.items())
+            if INVARIANT_BY_REMOVED_DEFENCE[away] in names(texts)
+        ]
         if found:
             row.figures["found_at"] = found[0] - seed + 1
             row.figures["found_of"] = f"{len(found)} of {whole.days}"
             return row
-    row.broken.append(f"{BREAKS[away]} was not found broken without {away} in {most} days")
+    row.broken.append(
+        f"{INVARIANT_BY_REMOVED_DEFENCE[away]} was not found broken without {away} in {most} days"
+    )
     return row
--- a/landingshift/testbed/experiments/chance_faults_real.py
+++ b/landingshift/testbed/experiments/chance_faults_real.py
@@ -20,10 +20,10 @@
 from landingshift.membership.operator_rpc import OperatorRpcError
 from landingshift.testbed import MEMORY
 from landingshift.testbed.experiments.maintenance_harness import COLD_START_SETTINGS, MaintenanceHarness
-from landingshift.testbed.experiments.policies_real import ENDED, OVERLAP
+from landingshift.testbed.experiments.policies_real import ENDED, OVERLAP_MS
 from landingshift.testbed.experiments.rows import Row, must
 from landingshift.testbed.experiments.scenarios import BETWEEN, KINDS, Act, act, cuts
-from landingshift.testbed.verification.invariants import loans, permissions
+from landingshift.testbed.verification.invariants import max_leased, permissions
 
 HERE = (
     "kill", "crash_loop", "zone", "notice", "stop", "cut_off", "halves", "mute", "deaf", "flaps", "loss",
@@ -220,11 +220,11 @@
     def judge(self, row: Row) -> None:
         self.yard.check(row)
         history = self.rig.history()
-        most = loans(history, 0)
+        most = max_leased(history, 0)
         bears = CALLS * self.yard.count
         must(row, most <= bears * 1.0001, f"shares: {most:.0f} believed in of {bears:.0f}")
         row.broken += [
-            f"permissions: {text}" for text in permissions([(*e, 0) for e in history], OVERLAP)[:2]
+            f"permissions: {text}" for text in permissions([(*e, 0) for e in history], OVERLAP_MS)[:2]
         ]
         row.figures |= {"acts": len(self.acts), "changes": self.ids, "wishes": self.wishes}
         row.figures |= quarters(self.sizes) | recovery(self.answers, self.acts)
--- a/landingshift/testbed/experiments/cold_start.py
+++ b/landingshift/testbed/experiments/cold_start.py
@@ -12,11 +12,17 @@
 
 from landingshift.testbed import MEMORY
 from landingshift.testbed.experiments.rows import Row, must
-from landingshift.testbed.simulation.cold_start import Case, Rise, address
-from landingshift.testbed.simulation.leases import Lent
-from landingshift.testbed.verification.search_leases import Search
-
-SMALL: dict[str, Any] = {"servers": 60, "lenders": 3, "calls": 120.0, "know": "snapshot", "cold_ms": 2000.0}
+from landingshift.testbed.simulation.cold_start import ColdStartCase, ColdStartSimulation, address
+from landingshift.testbed.simulation.leases import LeaseSimulation
+from landingshift.testbed.verification.search_leases import LeaseSearch
+
+SMALL: dict[str, Any] = {
+    "server_count": 60,
+    "grantor_count": 3,
+    "downstream_calls_per_second": 120.0,
+    "discovery": "snapshot",
+    "warm_up_ms": 2000.0,
+}
 SCARCE = (32.0, 128.0)  # places, so that some wait for one
 LATEST = 200_000.0  # virtual ms after which a fleet counts as stuck
 DEPTH, STATES = 14, 40_000
@@ -29,39 +35,51 @@
     def __init__(self, seed: str, scale: dict[str, Any], away: str) -> None:
         self.chance, self.scale, self.away = Random(seed), scale, away
 
-    def rise(self, world: dict[str, Any] | None = None, **change: Any) -> Rise:
-        case = Case(**SMALL | change | self.scale)
+    def rise(self, world: dict[str, Any] | None = None, **change: Any) -> ColdStartSimulation:
+        case = ColdStartCase(**SMALL | change | self.scale)
         if self.away == "shares":
-            case.baseline = True
-        rise = Rise(case, self.chance.randrange(1 << 30), **world or {})
-        rise.quiet = self.away != "quiet"
+            case.is_uncoordinated = True
+        rise = ColdStartSimulation(case, self.chance.randrange(1 << 30), **world or {})
+        rise.has_recovery_grace = self.away != "quiet"
         return rise
 
 
-def check(row: Row, rise: Rise, within: float) -> None:
+def check(row: Row, rise: ColdStartSimulation, within: float) -> None:
     """Warm within so many times the least (and a second for those who came last), all bounds kept."""
-    while rise.warm_at < 0.0 and rise.world.now < LATEST:
+    while rise.warm_at_ms < 0.0 and rise.network.now_ms < LATEST:
         rise.run(1000.0)
     bounds(row, rise)
-    must(row, rise.warm_at >= 0.0, f"not warm after {rise.world.now / 1000.0:.0f} s")
+    must(row, rise.warm_at_ms >= 0.0, f"not warm after {rise.network.now_ms / 1000.0:.0f} s")
     must(
         row,
-        rise.warm_at <= within * rise.least() + 1000.0,
-        f"warm after {rise.warm_at:.0f} ms, least {rise.least():.0f}",
+        rise.warm_at_ms <= within * rise.min_warm_up_ms() + 1000.0,
+        f"warm after {rise.warm_at_ms:.0f} ms, least {rise.min_warm_up_ms():.0f}",
     )
-    top(row, "warm_over_least", rise.warm_at / rise.least())
+    top(row, "warm_over_least", rise.warm_at_ms / rise.min_warm_up_ms())
 
 
-def bounds(row: Row, rise: Rise) -> None:
+def bounds(row: Row, rise: ColdStartSimulation) -> None:
     case = rise.case
-    row.broken += rise.broken[:2]
-    calls, asks = rise.peak_calls(), rise.peak(rise.asks)
-    must(row, not rise.store.fell, "the store fell")
-    must(row, calls <= PEAK * case.calls, f"{calls} calls in a second at a store that bears {case.calls:g}")
-    must(row, asks <= max(3.0, PEAK * case.asks), f"the list was asked {asks} times in a second")
-    top(row, "calls_over_bears", calls / case.calls)
-    top(row, "asks_over_bears", asks / case.asks)
-    top(row, "messages_a_server_s", rise.world.messages / case.servers / rise.world.now * 1000.0)
+    row.broken += rise.violations[:2]
+    calls, asks = rise.peak_calls_per_second(), rise.peak_per_second(rise.list_poll_times_ms)
+    must(row, not rise.store.is_overloaded, "the store fell")
+    must(
+        row,
+        calls <= PEAK * case.downstream_calls_per_second,
+        f"{calls} calls in a second at a store that bears {case.downstream_calls_per_second:g}",
+    )
+    must(
+        row,
+        asks <= max(3.0, PEAK * case.list_polls_per_second),
+        f"the list was asked {asks} times in a second",
+    )
+    top(row, "calls_over_bears", calls / case.downstream_calls_per_second)
+    top(row, "asks_over_bears", asks / case.list_polls_per_second)
+    top(
+        row,
+        "messages_a_server_s",
+        rise.network.message_count / case.server_count / rise.network.now_ms * 1000.0,
+    )
 
 
 def top(row: Row, name: str, value: float) -> None:
@@ -73,18 +91,26 @@
 
 def lent(tried: Tried, row: Row) -> None:
     """What eight holders believe in, through loss, doubles, delays, stops, restarts and uneven clocks."""
-    lent = Lent(tried.chance.randrange(1 << 30), quiet=tried.away != "quiet", books=tried.away != "booking")
+    lent = LeaseSimulation(
+        tried.chance.randrange(1 << 30),
+        has_recovery_grace=tried.away != "quiet",
+        books_old_grants=tried.away != "booking",
+    )
     for _ in range(5000):
         lent.step()
-    must(row, lent.most <= lent.capacity + 1e-9, f"{lent.most:.2f} believed in of {lent.capacity:g}")
-    top(row, "most_of_10", lent.most)
+    must(
+        row,
+        lent.max_believed <= lent.capacity + 1e-9,
+        f"{lent.max_believed:.2f} believed in of {lent.capacity:g}",
+    )
+    top(row, "most_of_10", lent.max_believed)
 
 
 def search(tried: Tried, row: Row) -> None:
     """Every order of one lender and two holders, to a depth, until so many states were seen."""
-    found = Search(tried.away != "quiet", tried.away != "booking").run(DEPTH, STATES)
-    must(row, not found.broken, found.broken)
-    row.figures |= {"states": found.states, "most_of_4": found.most}
+    found = LeaseSearch(tried.away != "quiet", tried.away != "booking").run(DEPTH, STATES)
+    must(row, not found.violation, found.violation)
+    row.figures |= {"states": found.state_count, "most_of_4": found.max_believed}
 
 
 def all_at_once(tried: Tried, row: Row) -> None:
@@ -95,7 +121,7 @@
 
 def power_cut(tried: Tried, row: Row) -> None:
     """The machines were off: lenders know that nothing they granted before can still be believed."""
-    rise = tried.rise(power=True)
+    rise = tried.rise(is_after_power_cut=True)
     rise.start_all()
     check(row, rise, 1.3)
 
@@ -115,23 +141,25 @@
 
 def holders_lost(tried: Tried, row: Row) -> None:
     """Of those who hold places some are killed, some stopped for 5 s, some cut off."""
-    rise = tried.rise(places=SCARCE)
+    rise = tried.rise(permits=SCARCE)
     rise.start_all()
     rise.run(6000.0)
-    lenders = rise.case.lenders
+    lenders = rise.case.grantor_count
     up = [
-        i for i, m in rise.minds.items() if m.agent.has_start_permit(rise.hosts[i].clock()) and i >= lenders
+        i
+        for i, m in rise.servers.items()
+        if m.agent.has_start_permit(rise.hosts[i].clock_ms()) and i >= lenders
     ][:9]
     for i in up[:3]:
         rise.kill(i)
     for i in up[3:6]:
-        rise.hosts[i].stop(5000.0)
+        rise.hosts[i].pause(5000.0)
     gone = {address(i) for i in up[6:]}
-    rise.world.cut = lambda a, b: (a in gone) != (b in gone)
+    rise.network.is_cut = lambda a, b: (a in gone) != (b in gone)
     rise.run(8000.0)
     for i in up[:3]:
         rise.start(i)
-    rise.world.cut = lambda a, b: False
+    rise.network.is_cut = lambda a, b: False
     check(row, rise, 4.0)
 
 
@@ -139,21 +167,23 @@
     """A zone cut off goes on by itself; the halves meet again with other beliefs."""
     rise = tried.rise()
     rise.start_all()
-    zone = {address(i) for i in range(rise.case.servers) if i % 3 == 0}
-    rise.world.at(3000.0, lambda: setattr(rise.world, "cut", lambda a, b: (a in zone) != (b in zone)))
-    rise.world.at(20_000.0, lambda: setattr(rise.world, "cut", lambda a, b: False))
+    zone = {address(i) for i in range(rise.case.server_count) if i % 3 == 0}
+    rise.network.schedule_at(
+        3000.0, lambda: setattr(rise.network, "is_cut", lambda a, b: (a in zone) != (b in zone))
+    )
+    rise.network.schedule_at(20_000.0, lambda: setattr(rise.network, "is_cut", lambda a, b: False))
     rise.run(19_000.0)
-    begun = sum(m.opened > 0.0 for i, m in rise.minds.items() if i % 3 == 0)
-    must(row, begun > rise.case.servers // 12, f"only {begun} began in the zone that was cut off")
+    begun = sum(m.opened_at_ms > 0.0 for i, m in rise.servers.items() if i % 3 == 0)
+    must(row, begun > rise.case.server_count // 12, f"only {begun} began in the zone that was cut off")
     check(row, rise, 4.0)
 
 
 def bad_network(tried: Tried, row: Row) -> None:
     """10 % lost, 10 % doubled, one link cut one way; in one second, or in waves."""
     for spread in (1000.0, 15_000.0):
-        rise = tried.rise({"loss": 0.1})
-        rise.world.double = 0.1
-        rise.world.cut = lambda a, b: a == address(3) and b == address(1)
+        rise = tried.rise({"loss_probability": 0.1})
+        rise.network.duplicate_probability = 0.1
+        rise.network.is_cut = lambda a, b: a == address(3) and b == address(1)
         rise.start_all(spread)
         check(row, rise, 4.0)
 
@@ -162,73 +192,75 @@
     """A crowd from elsewhere brings the store down when half are up: it must come back without a hand."""
     rise = tried.rise()
     rise.start_all()
-    while rise.warm[-1:] < [0.5] and rise.world.now < LATEST:
+    while rise.warm_fractions[-1:] < [0.5] and rise.network.now_ms < LATEST:
         rise.run(500.0)
-    rise.store.waiting += 4.0 * rise.case.calls
+    rise.store.queued_calls += 4.0 * rise.case.downstream_calls_per_second
     rise.run(1000.0)
-    must(row, rise.store.fell, "the store did not fall")
-    began = rise.world.now
-    while rise.store.fell and rise.world.now < LATEST:
+    must(row, rise.store.is_overloaded, "the store did not fall")
+    began = rise.network.now_ms
+    while rise.store.is_overloaded and rise.network.now_ms < LATEST:
         rise.run(500.0)
-    top(row, "down_s", (rise.world.now - began) / 1000.0)
+    top(row, "down_s", (rise.network.now_ms - began) / 1000.0)
     check(row, rise, 12.0)
 
 
 def list_service(tried: Tried, row: Row) -> None:
     """Down throughout, back when all wait for it, gone in the middle; nobody knows anybody else."""
     for up in ((1e9, 1e12), (8000.0, 1e12), (0.0, 2000.0)):
-        rise = tried.rise(know="list", list_up=up, asks=10.0)
+        rise = tried.rise(discovery="list", list_up_ms=up, list_polls_per_second=10.0)
         rise.start_all()
         rise.run(60_000.0)
         bounds(row, rise)
-        begun = sum(m.opened > 0.0 for m in rise.minds.values())
-        must(row, begun > rise.case.servers // 4, f"only {begun} began")
+        begun = sum(m.opened_at_ms > 0.0 for m in rise.servers.values())
+        must(row, begun > rise.case.server_count // 4, f"only {begun} began")
 
 
 def crash_loop(tried: Tried, row: Row) -> None:
     """Half of them crash again and again for 20 s."""
     rise = tried.rise()
     rise.start_all()
-    servers = rise.case.servers
+    servers = rise.case.server_count
     for _ in range(20):
         rise.run(1000.0)
-        for i in [i for i in range(servers // 2, servers) if i in rise.minds and tried.chance.random() < 0.3]:
+        for i in [
+            i for i in range(servers // 2, servers) if i in rise.servers and tried.chance.random() < 0.3
+        ]:
             rise.kill(i)
-            rise.world.after(700.0, lambda i=i: rise.start(i))  # type: ignore[misc]
+            rise.network.schedule_after(700.0, lambda i=i: rise.start(i))  # type: ignore[misc]
     check(row, rise, 8.0)
 
 
 def hour_of_load(tried: Tried, row: Row) -> None:
     """An hour of full cores: all hear late, by 40 ms on average, and one is stopped for 300 ms each 2 s."""
-    rise = tried.rise(servers=30, lenders=3, calls=60.0)
+    rise = tried.rise(server_count=30, grantor_count=3, downstream_calls_per_second=60.0)
     rise.start_all()
     rise.run(20_000.0)
     for host in rise.hosts.values():
-        host.lag = 40.0
+        host.mean_delay_ms = 40.0
     for _ in range(1800):
-        rise.hosts[tried.chance.randrange(30)].stop(300.0)
+        rise.hosts[tried.chance.randrange(30)].pause(300.0)
         rise.run(2000.0)
-    dead = sum(event == "fleet_dead" for _, _, event in rise.lines)
+    dead = sum(event == "fleet_dead" for _, _, event in rise.log_lines)
     must(row, dead == 0, f"{dead} buried of whom none was dead")
     row.figures["false_deaths"] = dead
     rise.kill(7)
-    began = rise.world.now
+    began = rise.network.now_ms
     while (
-        any("n7" in m.node.member_table.present_index for m in rise.minds.values())
-        and rise.world.now < began + 60e3
+        any("n7" in m.node.member_table.present_index for m in rise.servers.values())
+        and rise.network.now_ms < began + 60e3
     ):
         rise.run(50.0)
-    row.figures["death_known_s"] = round((rise.world.now - began) / 1000.0, 1)
-    must(row, rise.world.now - began < 15_000.0, "a death under load was not known after 15 s")
+    row.figures["death_known_s"] = round((rise.network.now_ms - began) / 1000.0, 1)
+    must(row, rise.network.now_ms - began < 15_000.0, "a death under load was not known after 15 s")
 
 
 def large(servers: int) -> Callable[[Tried, Row], None]:
     def case(tried: Tried, row: Row) -> None:
-        few = tried.scale.get("servers")
+        few = tried.scale.get("server_count")
         count = few or servers
         rise = tried.rise(
-            servers=count, calls=2.0 * count, lenders=max(3, count // 60),
-            cold_ms=4000.0, power=True,
+            server_count=count, downstream_calls_per_second=2.0 * count, grantor_count=max(3, count // 60),
+            warm_up_ms=4000.0, is_after_power_cut=True,
         )  # fmt: skip
         rise.start_all()
         check(row, rise, 2.0)
--- a/landingshift/testbed/experiments/policies.py
+++ b/landingshift/testbed/experiments/policies.py
@@ -7,25 +7,27 @@
 
 from collections.abc import Callable, Iterator
 from concurrent.futures import ProcessPoolExecutor
+from functools import partial
 
 from landingshift.consensus.raft import Role
 from landingshift.policies.commands import FINAL_OUTCOMES
 from landingshift.testbed.experiments.rows import Row, all_real, must
-from landingshift.testbed.simulation.policy_change import Hall, address, play
-from landingshift.testbed.verification.invariants import broken
-from landingshift.testbed.verification.search_policy_change import Search
+from landingshift.testbed.simulation.policy_change import PolicyChangeSimulation, address, run_random_history
+from landingshift.testbed.simulation.virtual_time import Address
+from landingshift.testbed.verification.invariants import find_violations
+from landingshift.testbed.verification.search_policy_change import PolicyChangeSearch
 
 CHUNK = 50  # histories that one worker plays at a time
 
 
-def judged(row: Row, hall: Hall) -> None:
+def judged(row: Row, hall: PolicyChangeSimulation) -> None:
     """Promises, and that all is well in the end: one version everywhere, and one answer from everybody."""
-    row.broken += broken(hall.history, hall.plan.overlap_ms)
-    minds = hall.minds.values()
+    row.broken += find_violations(hall.history, hall.settings.overlap_ms)
+    minds = hall.servers.values()
     versions = {m.participant.version for m in minds}
     must(row, len(versions) == 1, f"versions {versions} in the end")
     must(row, all(m.participant.is_member for m in minds), "not all are counted in the end")
-    must(row, all(m.participant.may_decide(m.clock()) for m in minds), "not all decide in the end")
+    must(row, all(m.participant.may_decide(m.clock_ms()) for m in minds), "not all decide in the end")
 
 
 def histories(first: int, count: int, away: str) -> Row:
@@ -33,7 +35,7 @@
     row = Row("histories", runs=count)
     ends = {"taken": 0, "refused": 0, "withdrawn": 0}
     for seed in range(first, first + count):
-        hall = play(seed, away=away)
+        hall = run_random_history(seed, removed_defence=away)
         had = len(row.broken)
         judged(row, hall)
         row.broken[had:] = [f"seed {seed}: {text}" for text in row.broken[had:]]
@@ -43,81 +45,94 @@
     return row
 
 
-def leader(hall: Hall) -> str:
-    for name, mind in hall.minds.items():
-        voter = mind.part.raft
-        if name not in hall.down and voter is not None and voter.role is Role.LEADER:
+def leader(hall: PolicyChangeSimulation) -> str:
+    for name, mind in hall.servers.items():
+        voter = mind.policy_node.raft
+        if name not in hall.down_servers and voter is not None and voter.role is Role.LEADER:
             return name
     raise AssertionError("nobody leads")
 
 
-def taken(row: Row, hall: Hall, id: str) -> None:
-    ends = {hall.end(name, id) for name in hall.names if name not in hall.down} - {"unknown"}
+def taken(row: Row, hall: PolicyChangeSimulation, id: str) -> None:
+    ends = {hall.change_outcome(name, id) for name in hall.server_names if name not in hall.down_servers} - {
+        "unknown"
+    }
     must(row, ends == {"taken"}, f"{id} is {ends}")
 
 
 # One row for what must hold in a case of its own; each is given its seed and the defence that is away
 
 
-def without_faults(row: Row, seed: int, away: str) -> Hall:
+def without_faults(row: Row, seed: int, away: str) -> PolicyChangeSimulation:
     """200 servers: how long a change takes."""
-    hall = Hall(seed, 200, 5, away=away)
+    hall = PolicyChangeSimulation(seed, 200, 5, removed_defence=away)
     hall.run(4000.0)
-    began = hall.world.now
+    began = hall.network.now_ms
     id = hall.propose(f"n{seed % 200}", 1)
-    while hall.world.now < began + 10_000.0 and {m.participant.version for m in hall.minds.values()} != {1}:
-        hall.world.run(hall.world.now + 20.0)
-    top(row, "took_s", (hall.world.now - began) / 1000.0)
-    must(row, hall.world.now - began <= 2000.0, f"took {hall.world.now - began:.0f} ms")
+    while hall.network.now_ms < began + 10_000.0 and {
+        m.participant.version for m in hall.servers.values()
+    } != {1}:
+        hall.network.run_until(hall.network.now_ms + 20.0)
+    top(row, "took_s", (hall.network.now_ms - began) / 1000.0)
+    must(row, hall.network.now_ms - began <= 2000.0, f"took {hall.network.now_ms - began:.0f} ms")
     hall.run(300.0)
     taken(row, hall, id)
     return hall
 
 
-def with_loss(row: Row, seed: int, away: str) -> Hall:
+def with_loss(row: Row, seed: int, away: str) -> PolicyChangeSimulation:
     """200 servers and 5 % of all messages lost."""
-    hall = Hall(seed, 200, 5, away=away, change_timeout_ms=20_000.0)
-    hall.world.loss = 0.05
+    hall = PolicyChangeSimulation(seed, 200, 5, removed_defence=away, change_timeout_ms=20_000.0)
+    hall.network.loss_probability = 0.05
     hall.run(5000.0)
     id = hall.propose(f"n{seed % 200}", 1)
-    began = hall.world.now
-    while hall.world.now < began + 20_000.0 and {m.participant.version for m in hall.minds.values()} != {1}:
-        hall.world.run(hall.world.now + 50.0)
-    top(row, "took_s", (hall.world.now - began) / 1000.0)
+    began = hall.network.now_ms
+    while hall.network.now_ms < began + 20_000.0 and {
+        m.participant.version for m in hall.servers.values()
+    } != {1}:
+        hall.network.run_until(hall.network.now_ms + 50.0)
+    top(row, "took_s", (hall.network.now_ms - began) / 1000.0)
     hall.run(300.0)
     taken(row, hall, id)
     return hall
 
 
-def tenth_down(row: Row, seed: int, away: str) -> Hall:
+def tenth_down(row: Row, seed: int, away: str) -> PolicyChangeSimulation:
     """A tenth of 200 is down and stands aside in time: a change takes no more than the lease and 2 s."""
-    hall = Hall(
-        seed, 200, 5, True, away=away, lease_ms=3000.0, clock_margin_ms=300.0, change_timeout_ms=20_000.0
+    hall = PolicyChangeSimulation(
+        seed,
+        200,
+        5,
+        True,
+        removed_defence=away,
+        lease_ms=3000.0,
+        clock_margin_ms=300.0,
+        change_timeout_ms=20_000.0,
     )
     hall.run(4000.0)
     for i in range(20):
         hall.kill(f"n{199 - i}")
-    id, began = hall.propose("n7", 1), hall.world.now
-    rest = [m for n, m in hall.minds.items() if n not in hall.down]
-    while hall.world.now < began + 20_000.0 and {m.participant.version for m in rest} != {1}:
-        hall.world.run(hall.world.now + 20.0)
-    top(row, "took_s", (hall.world.now - began) / 1000.0)
-    must(row, hall.world.now - began <= 5000.0, f"took {hall.world.now - began:.0f} ms")
+    id, began = hall.propose("n7", 1), hall.network.now_ms
+    rest = [m for n, m in hall.servers.items() if n not in hall.down_servers]
+    while hall.network.now_ms < began + 20_000.0 and {m.participant.version for m in rest} != {1}:
+        hall.network.run_until(hall.network.now_ms + 20.0)
+    top(row, "took_s", (hall.network.now_ms - began) / 1000.0)
+    must(row, hall.network.now_ms - began <= 5000.0, f"took {hall.network.now_ms - began:.0f} ms")
     hall.run(300.0)
     taken(row, hall, id)
     hall.settle(4000.0)
     return hall
 
 
-def leader_wakes(row: Row, seed: int, away: str) -> Hall:
+def leader_wakes(row: Row, seed: int, away: str) -> PolicyChangeSimulation:
     """A leader cut off with one member stands still and wakes: it must not vouch for that one any more."""
-    hall = Hall(seed, 5, 3, True, away=away)
+    hall = PolicyChangeSimulation(seed, 5, 3, True, removed_defence=away)
     hall.run(2500.0)
     lead = leader(hall)
     side = {address(lead), address("n4")}
-    hall.world.cut = lambda a, b: (a in side) != (b in side)
-    hall.hosts[lead].stop(5000.0)
-    other = next(n for n in hall.plan.voters if n != lead)
+    hall.network.is_cut = lambda a, b: (a in side) != (b in side)
+    hall.hosts[lead].pause(5000.0)
+    other = next(n for n in hall.settings.voters if n != lead)
     hall.run(1500.0)
     id = hall.propose(other, 1)
     hall.run(5000.0)
@@ -126,16 +141,16 @@
     return hall
 
 
-def majority_gone(row: Row, seed: int, away: str) -> Hall:
+def majority_gone(row: Row, seed: int, away: str) -> PolicyChangeSimulation:
     """For good: those that run decide on."""
-    hall = Hall(seed, 6, 3, away=away)
+    hall = PolicyChangeSimulation(seed, 6, 3, removed_defence=away)
     hall.run(2500.0)
     id = hall.propose("n5", 1)
     hall.run(1500.0)
     taken(row, hall, id)
     hall.kill("n0")
     hall.kill("n1")
-    since = hall.world.now + 2000.0
+    since = hall.network.now_ms + 2000.0
     hall.run(20_000.0)
     late = {e[2] for e in hall.history if e[1] == "decided" and e[0] > since}
     must(row, late == {"n2", "n3", "n4", "n5"}, f"only {late} decide on")
@@ -143,93 +158,100 @@
     return hall
 
 
-def both_sides(row: Row, seed: int, away: str) -> Hall:
+def both_sides(row: Row, seed: int, away: str) -> PolicyChangeSimulation:
     """Two changes at the same instant on both sides of a cut."""
-    hall = Hall(seed, 6, 3, away=away)
+    hall = PolicyChangeSimulation(seed, 6, 3, removed_defence=away)
     hall.run(2500.0)
     half = {address(n) for n in ("n0", "n3", "n4")}
-    hall.world.cut = lambda a, b: (a in half) != (b in half)
+    hall.network.is_cut = lambda a, b: (a in half) != (b in half)
     one, two = hall.propose("n0", 1), hall.propose("n1", 2)
     hall.run(3000.0)
     hall.settle()
-    ends = {hall.end("n5", one), hall.end("n5", two)}
+    ends = {hall.change_outcome("n5", one), hall.change_outcome("n5", two)}
     must(row, ends <= set(FINAL_OUTCOMES), f"they ended as {ends}")
     return hall
 
 
-def refused(row: Row, seed: int, away: str) -> Hall:
+def refused(row: Row, seed: int, away: str) -> PolicyChangeSimulation:
     """One can't read it."""
-    hall = Hall(seed, 5, 3, away=away)
-    hall.refusing["n4"] = lambda policy: "methods.m.criticality: not here" if policy else ""
+    hall = PolicyChangeSimulation(seed, 5, 3, removed_defence=away)
+    hall.policy_checks["n4"] = lambda policy: "methods.m.criticality: not here" if policy else ""
     hall.kill("n4")
     hall.start("n4")
     hall.run(2500.0)
     id = hall.propose("n3", 1)
     hall.run(1500.0)
-    said = hall.minds["n3"].part.change_status(id).reason
+    said = hall.servers["n3"].policy_node.change_status(id).reason
     must(row, said == "n4: methods.m.criticality: not here", f"it says {said!r}")
     must(row, not any(e[3] for e in hall.history if e[1] == "decided"), "it was decided by")
     return hall
 
 
-def forgets(row: Row, seed: int, away: str) -> Hall:
+def is_between(half: set[Address], a: Address, b: Address) -> bool:
+    """Whether one of two is in the half and the other is not."""
+    return (a in half) != (b in half)
+
+
+def forgets(row: Row, seed: int, away: str) -> PolicyChangeSimulation:
     """Voters die between write and sync all the while: what they promised must be on disk first."""
-    hall = Hall(seed, 4, 3, away=away)
+    hall = PolicyChangeSimulation(seed, 4, 3, removed_defence=away)
     for number in range(25):
-        hall.run(float(hall.chance.choice((60.0, 400.0))))
-        up = [n for n in hall.names if n not in hall.down]
-        hall.propose(hall.chance.choice(up), number)
-        victim = hall.chance.choice(hall.plan.voters)
+        hall.run(float(hall.rng.choice((60.0, 400.0))))
+        up = [n for n in hall.server_names if n not in hall.down_servers]
+        hall.propose(hall.rng.choice(up), number)
+        victim = hall.rng.choice(hall.settings.voters)
         if victim in up and len(up) > 1:
             hall.kill(victim)
-        elif hall.down:
-            hall.start(hall.chance.choice(sorted(hall.down)))
-        half = {address(n) for n in hall.chance.sample(hall.plan.voters, 1)}
-        cut = hall.chance.random() < 0.5
-        hall.world.cut = (lambda a, b, half=half: (a in half) != (b in half)) if cut else (lambda a, b: False)  # type: ignore[misc]
+        elif hall.down_servers:
+            hall.start(hall.rng.choice(sorted(hall.down_servers)))
+        half = {address(n) for n in hall.rng.sample(hall.settings.voters, 1)}
+        if hall.rng.random() < 0.5:
+            hall.network.is_cut = partial(is_between, half)
+        else:
+            hall.network.is_cut = lambda a, b: False
     hall.settle()
     return hall
 
 
-def gone_late(row: Row, seed: int, away: str) -> Hall:
+def gone_late(row: Row, seed: int, away: str) -> PolicyChangeSimulation:
     """An operator's word that one has ended reaches the leader only once that machine is back."""
-    hall = Hall(seed, 5, 3, away=away)
+    hall = PolicyChangeSimulation(seed, 5, 3, removed_defence=away)
     hall.run(2500.0)
     for name in ("n0", "n1", "n4"):
         hall.kill(name)
-    hall.gone("n2", "n4")  # nobody leads: it waits
+    hall.declare_departed("n2", "n4")  # nobody leads: it waits
     hall.run(1000.0)
     for name in ("n4", "n0", "n1"):
         hall.start(name)
     hall.run(4000.0)
     cut = address("n4")
-    hall.world.cut = lambda a, b: cut in (a, b)
+    hall.network.is_cut = lambda a, b: cut in (a, b)
     id = hall.propose("n3", 1)
     hall.run(3000.0)
-    must(row, hall.end("n3", id) not in FINAL_OUTCOMES, "it did not wait for one that is there")
+    must(row, hall.change_outcome("n3", id) not in FINAL_OUTCOMES, "it did not wait for one that is there")
     hall.settle()
     return hall
 
 
-def voters_replaced(row: Row, seed: int, away: str) -> Hall:
+def voters_replaced(row: Row, seed: int, away: str) -> PolicyChangeSimulation:
     """One of three is gone for good: another is added, the dead one removed, and a second may die then."""
-    hall = Hall(seed, 6, 3, away=away)
+    hall = PolicyChangeSimulation(seed, 6, 3, removed_defence=away)
     hall.run(2500.0)
     first = hall.propose("n5", 1)
     hall.run(800.0)
     hall.kill("n0")
     hall.run(2000.0)
-    hall.replace("n4", "add", "n3")
+    hall.change_voter("n4", "add", "n3")
     hall.run(4000.0)
-    hall.replace("n4", "remove", "n0")
+    hall.change_voter("n4", "remove", "n0")
     hall.run(2000.0)
-    voters = hall.minds["n3"].part.raft
+    voters = hall.servers["n3"].policy_node.raft
     assert voters is not None
     must(row, set(voters.voters) == {"n1", "n2", "n3"}, f"voters are {voters.voters}")
     hall.kill("n1")
     hall.run(3000.0)
     for name in ("n0", "n1"):
-        hall.gone("n2", name)
+        hall.declare_departed("n2", name)
     hall.run(1000.0)
     second = hall.propose("n5", 2)
     hall.run(1500.0)
@@ -239,14 +261,14 @@
     return hall
 
 
-def settings_outdated(row: Row, seed: int, away: str) -> Hall:
+def settings_outdated(row: Row, seed: int, away: str) -> PolicyChangeSimulation:
     """All voters of the settings are replaced one after the other; whoever starts then finds the new one."""
-    hall = Hall(seed, 6, 3, away=away)
+    hall = PolicyChangeSimulation(seed, 6, 3, removed_defence=away)
     hall.run(2500.0)
     for how, name in (("add", "n3"), ("remove", "n0"), ("remove", "n1"), ("remove", "n2")):
-        hall.replace("n4", how, name)
+        hall.change_voter("n4", how, name)
         hall.run(3000.0)
-    voter = hall.minds["n3"].part.raft
+    voter = hall.servers["n3"].policy_node.raft
     assert voter is not None
     must(row, voter.voters == ("n3",), f"voters are {voter.voters}")
     for name in ("n3", "n5", "n0"):
@@ -262,13 +284,15 @@
     hall.start("n5")
     hall.run(12_000.0)
     must(
-        row, hall.minds["n5"].participant.is_member, "n5 does not find the leader among those that are there"
+        row,
+        hall.servers["n5"].participant.is_member,
+        "n5 does not find the leader among those that are there",
     )
     hall.settle()
     return hall
 
 
-VIRTUAL: dict[str, Callable[[Row, int, str], Hall]] = {
+VIRTUAL: dict[str, Callable[[Row, int, str], PolicyChangeSimulation]] = {
     "without_faults": without_faults,
     "with_loss": with_loss,
     "tenth_down": tenth_down,
@@ -288,10 +312,10 @@
     """Every order of a small model, in both ways of being cut off."""
     row = Row("search", figures={"depth": depth})
     for aside in (False, True):
-        found = Search(aside, away).run(depth, most)
-        row.runs += found.states
-        row.figures["depth"] = min(row.figures["depth"], found.deepest)
-        must(row, not found.broken, f"all_or_none: {found.broken}")
+        found = PolicyChangeSearch(aside, away).run(depth, most)
+        row.runs += found.state_count
+        row.figures["depth"] = min(row.figures["depth"], found.depth_reached)
+        must(row, not found.violation, f"all_or_none: {found.violation}")
     return row
 
 
--- a/landingshift/testbed/experiments/policies_real.py
+++ b/landingshift/testbed/experiments/policies_real.py
@@ -19,9 +19,9 @@
 from landingshift.testbed.experiments.rows import Row, must
 from landingshift.testbed.processes.harness import Rig
 from landingshift.testbed.processes.single_server import METHOD, TENANT
-from landingshift.testbed.verification.invariants import broken
+from landingshift.testbed.verification.invariants import find_violations
 
-OVERLAP = 1000.0
+OVERLAP_MS = 1000.0
 MANY = 20  # servers up to which all are loaded
 WORK, CORES = 40.0, 1  # an engine does 25 RPCs a second
 LOAD = 1.2  # of what all engines together can do
@@ -74,7 +74,7 @@
 [policies]
 voters = {self.voters}
 when_cut_off = "{self.cut_off}"
-overlap_ms = {OVERLAP}
+overlap_ms = {OVERLAP_MS}
 lease_ms = {LEASE}
 wait_ms = {WAIT}
 {journal}
@@ -210,7 +210,7 @@
         codes = rig.drain_all()
         history = sorted([*rig.history(), *self.ends], key=lambda entry: entry[0])
         decided = [e for e in history if e[1] == "decided"]
-        row.broken += broken(history, OVERLAP)
+        row.broken += find_violations(history, OVERLAP_MS)
         ends: dict[str, int] = {}
         for entry in {(e[3], e[4]) for e in self.ends}:
             ends[entry[1]] = ends.get(entry[1], 0) + 1
--- a/landingshift/testbed/experiments/report.py
+++ b/landingshift/testbed/experiments/report.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from landingshift.testbed.experiments.scenarios import KINDS, Coverage
-from landingshift.testbed.verification.invariants import FLEET, PAGES
+from landingshift.testbed.verification.invariants import CLUSTER_INVARIANTS, PAGE_BY_INVARIANT
 
 STYLE = """body{font:15px/1.45 system-ui,sans-serif;max-width:70rem;margin:2rem auto;color:#1c2733}
 table{border-collapse:collapse;margin:1rem 0}
@@ -35,7 +35,7 @@
 
 def promises(broken: list[str]) -> str:
     rows = []
-    for name, check in FLEET.items():
+    for name, check in CLUSTER_INVARIANTS.items():
         wrong = [text for text in broken if f" {name}:" in f" {text}"]
         how = (
             f"<span class=broken>broken {len(wrong)} times</span>"
@@ -43,7 +43,7 @@
             else "<span class=holds>held</span>"
         )
         said = escape(" ".join((check.__doc__ or "").split()))
-        rows.append(f"<tr><td>{name}<td>{how}<td>{said}<td>{escape(PAGES[name])}")
+        rows.append(f"<tr><td>{name}<td>{how}<td>{said}<td>{escape(PAGE_BY_INVARIANT[name])}")
     crashes = [text for text in broken if " crash:" in text]
     if crashes:
         rows.append(
--- a/landingshift/testbed/simulation/cluster.py
+++ b/landingshift/testbed/simulation/cluster.py
@@ -23,9 +23,18 @@
 from landingshift.policies.messages import ChangeVoters, FindChange, ProposeChange
 from landingshift.policies.policy_settings import PolicySettings
 from landingshift.testbed.experiments.scenarios import Act, Coverage, Day, cuts
-from landingshift.testbed.simulation.cold_start import Store
-from landingshift.testbed.simulation.server import CAPACITY, METHODS, WAIT, Disk, Home, Sent, address, text
-from landingshift.testbed.simulation.virtual_time import Address, Host, World
+from landingshift.testbed.simulation.cold_start import SimulatedStore
+from landingshift.testbed.simulation.server import (
+    CAPACITY,
+    METHODS,
+    WAIT,
+    Disk,
+    Sent,
+    SimulatedServer,
+    address,
+    text,
+)
+from landingshift.testbed.simulation.virtual_time import Address, SimulatedHost, SimulatedNetwork
 from landingshift.testbed.verification.invariants import History
 
 SEND = 50.0  # ms between two looks of the gateways
@@ -39,8 +48,8 @@
 OFFSETS = 1e6, 3e6  # ms that monotonic clocks show at the beginning: never below 0, as on real machines
 SUPERVISOR = 300.0  # ms until a process that ended by a notice is started again, at the least
 NOON = 1.8e12  # Unix ms at the beginning
-OVERLAP, LEASE, SPARE = 1000.0, 900.0, 100.0
-BREAKS = {  # the defence that is taken away: what must then be found broken
+OVERLAP_MS, LEASE, SPARE = 1000.0, 900.0, 100.0
+INVARIANT_BY_REMOVED_DEFENCE = {  # the defence that is taken away: what must then be found broken
     "lease": "all_or_none",
     "ask": "all_or_none",
     "sure": "all_or_none",
@@ -60,26 +69,26 @@
     return AddRequests(tuple(MaintenanceRequest(name, duration_minutes, wall_ms) for name in names))
 
 
-class Town:
+class SimulatedCluster:
     """`away` takes one defence from all; `seen` counts what was met."""
 
     def __init__(self, day: Day, away: str = "", seen: Coverage | None = None) -> None:
         self.day, self.away, self.seen = day, away, seen or Coverage()
-        self.world = World(day.seed)
-        self.world.most = STORM
+        self.network = SimulatedNetwork(day.seed)
+        self.network.max_event_count = STORM
         self.chance = Random(f"{day.seed} town")
         self.history: History = []
         servers, names = day.servers, [f"n{i}" for i in range(day.servers)]
         self.rules = PolicySettings(
             tuple(names[: day.voters]),
             day.aside,
-            overlap_ms=OVERLAP,
+            overlap_ms=OVERLAP_MS,
             lease_ms=LEASE,
             clock_margin_ms=SPARE,
             change_timeout_ms=6000.0,
         )
         self.times = RaftTimeouts(heartbeat_interval_ms=100.0, election_timeout_ms=500.0)
-        self.store = Store(CALLS * servers)
+        self.store = SimulatedStore(CALLS * servers)
         lenders = tuple(names[: max(2, servers // 3)])
         self.plan = ColdStartPlan(
             lenders, CALLS * servers, servers, 0.1, 1500.0, 300.0, max(2.0, servers / 3.0), float(servers),
@@ -100,7 +109,7 @@
         # One more than there are voters has a journal and could be one.
         self.disks = [Disk(PersistentState() if i <= day.voters else None) for i in range(servers)]
         self.back_after: dict[int, float] = {}
-        self.homes: dict[int, Home] = {}
+        self.servers: dict[int, SimulatedServer] = {}
         self.runs = [0] * servers
         self.under: dict[int, Act] = {}  # acts that are under way, by their place in the day
         self.sides = [{address(i) for i in act.who} for act in day.acts]
@@ -113,7 +122,7 @@
         self.ids: list[str] = []
         self.asked: dict[str, float] = {}  # minutes of each machine's last wish
         self.ends: set[tuple[str, str]] = set()
-        self.world.cut = self.cut
+        self.network.is_cut = self.cut
 
     # What homes need of it
 
@@ -124,7 +133,7 @@
         return [address(j) for j in range(self.day.servers) if j != i][:4]
 
     def note(self, what: str, *values: Any) -> None:
-        self.history.append((self.world.now, what, *values))
+        self.history.append((self.network.now_ms, what, *values))
 
     def permitted(self, name: str) -> int:
         """The number of the permission in force, as the voter that leads has it; 0 where none knows."""
@@ -135,47 +144,49 @@
     def work_ms(self, name: str) -> float:
         return self.asked.get(name, 0.0) * 60_000.0
 
-    def leader(self) -> Home | None:
-        return next((h for h in self.homes.values() if h.host.up and h.leads()), None)
+    def leader(self) -> SimulatedServer | None:
+        return next((h for h in self.servers.values() if h.host.is_up and h.leads()), None)
 
     # Processes
 
     def start(self, i: int) -> None:
-        if i in self.homes and self.homes[i].host.up:
+        if i in self.servers and self.servers[i].host.is_up:
             return
         self.runs[i] += 1
         chance = Random(f"{self.day.seed} {i} clock {self.runs[i]}")
         offset, pace = chance.uniform(*OFFSETS), chance.uniform(0.99, 1.01)
-        host = Host(self.world, address(i), None, offset, pace)  # type: ignore[arg-type]
+        host = SimulatedHost(self.network, address(i), None, offset, pace)  # type: ignore[arg-type]
         self.disks[i].dies = 0.0
-        self.world.hosts[address(i)] = host
+        self.network.hosts[address(i)] = host
         self.note("starts", f"n{i}")
-        home = self.homes[i] = Home(self, i, self.runs[i], host)
-        host.mind = home
-        host.turn()
+        home = self.servers[i] = SimulatedServer(self, i, self.runs[i], host)
+        host.process = home
+        host.run_once()
 
     def kill(self, i: int, away: float) -> None:
         """`away` ms until it is started again."""
-        if i in self.homes and self.homes[i].host.up:
-            self.world.kill(address(i))
+        if i in self.servers and self.servers[i].host.is_up:
+            self.network.kill(address(i))
             self.note("killed", f"n{i}")
-        self.world.after(away, partial(self.start, i))
+        self.network.schedule_after(away, partial(self.start, i))
 
-    def ended(self, home: Home) -> None:
+    def ended(self, home: SimulatedServer) -> None:
         """It has drained: its last word, then its supervisor starts it anew."""
-        home.part.announce_departure()
-        for to, body in home.part.take_outgoing():
+        home.policy_node.announce_departure()
+        for to, body in home.policy_node.take_outgoing():
             home.node.send_to_member(to, "policies", body)
         for at, message in home.node.take_outgoing():
-            self.world.carry(home.host.address, at, message)
-        home.host.up = False
+            self.network.transmit(home.host.address, at, message)
+        home.host.is_up = False
         self.note("ended", home.name)
-        self.world.after(max(SUPERVISOR, self.back_after.get(home.i, 0.0)), partial(self.start, home.i))
+        self.network.schedule_after(
+            max(SUPERVISOR, self.back_after.get(home.i, 0.0)), partial(self.start, home.i)
+        )
 
     # The network
 
     def cut(self, a: Address, b: Address) -> bool:
-        now = self.world.now
+        now = self.network.now_ms
         return any(cuts(act, self.sides[place], a, b, now - act.at) for place, act in self.under.items())
 
     def links(self) -> None:
@@ -184,7 +195,11 @@
         def most(kind: str) -> float:
             return max((a.amount for a in self.under.values() if a.kind == kind), default=0.0)
 
-        self.world.loss, self.world.double, self.world.slow = most("loss"), most("twice"), most("delay")
+        self.network.loss_probability, self.network.duplicate_probability, self.network.extra_delay_ms = (
+            most("loss"),
+            most("twice"),
+            most("delay"),
+        )
         self.more = 1.0
         for a in self.under.values():
             self.more *= a.amount if a.kind == "load" else 1.0
@@ -197,25 +212,25 @@
         self.note("begins", act.kind, place, act.who, act.lasts, act.amount)
         if act.lasts:
             self.under[place] = act
-            self.world.after(act.lasts, partial(self.over, place))
+            self.network.schedule_after(act.lasts, partial(self.over, place))
         self.links()
         for i in act.who:
-            home = self.homes.get(i)
-            up = home is not None and home.host.up
+            home = self.servers.get(i)
+            up = home is not None and home.host.is_up
             match act.kind:
                 case "kill" | "zone":
                     self.kill(i, act.lasts)
                 case "crash_loop":
                     self.loop(place, i, act)
                 case "notice" if up and home is not None:
-                    home.host.arrive(("notice", act.lasts))
+                    home.host.receive(("notice", act.lasts))
                 case "stop" | "pause" if up and home is not None:
-                    self.note("still", home.name, self.world.now + act.lasts)
-                    home.host.stop(act.lasts)
+                    self.note("still", home.name, self.network.now_ms + act.lasts)
+                    home.host.pause(act.lasts)
                 case "hang" if home is not None:
-                    home.hangs = max(home.hangs, self.world.now + act.lasts)
+                    home.hangs = max(home.hangs, self.network.now_ms + act.lasts)
                 case "starved" if home is not None:
-                    home.host.lag = act.amount
+                    home.host.mean_delay_ms = act.amount
                 case "torn" if up:
                     self.disks[i].dies = act.lasts
                 case "full":
@@ -225,7 +240,7 @@
                 case "change" | "voters" if up and home is not None:
                     self.errand(act, home)
         if act.kind == "store_falls":
-            self.store.waiting += act.amount * self.store.bears
+            self.store.queued_calls += act.amount * self.store.calls_per_second
         if act.kind == "wish":
             self.wish([f"n{i}" for i in act.who], act.amount, 30)
 
@@ -234,10 +249,10 @@
         self.note("over", act.kind, place)
         self.links()
         for i in act.who:
-            home = self.homes.get(i)
+            home = self.servers.get(i)
             if act.kind == "starved" and home is not None:
-                home.host.lag = 0.0
-                home.host.wake()
+                home.host.mean_delay_ms = 0.0
+                home.host.resume()
             if act.kind == "full":
                 self.disks[i].full = any(a.kind == "full" and i in a.who for a in self.under.values())
             if act.kind == "torn":
@@ -246,19 +261,19 @@
     def loop(self, place: int, i: int, act: Act) -> None:
         if place in self.under:
             self.kill(i, act.amount / 2.0)
-            self.world.after(act.amount, partial(self.loop, place, i, act))
+            self.network.schedule_after(act.amount, partial(self.loop, place, i, act))
 
-    def errand(self, act: Act, home: Home) -> None:
+    def errand(self, act: Act, home: SimulatedServer) -> None:
         now = home.clock()
         if act.kind == "change":
             id = f"c{len(self.ids)}"
             self.ids.append(id)
-            home.part.submit_command(id, ProposeChange(text(len(self.ids)), "lab", "a trial"), now)
+            home.policy_node.submit_command(id, ProposeChange(text(len(self.ids)), "lab", "a trial"), now)
         else:
             name = f"n{act.who[0] % (self.day.voters + 1)}"
-            how = "remove" if name in home.part.participant.discovery.voters else "add"
-            home.part.submit_command(f"{how} {name}", ChangeVoters(how == "add", name), now)
-        home.host.turn()
+            how = "remove" if name in home.policy_node.participant.discovery.voters else "add"
+            home.policy_node.submit_command(f"{how} {name}", ChangeVoters(how == "add", name), now)
+        home.host.run_once()
 
     def wish(self, names: list[str], minutes: float, tries: int) -> None:
         """Asked of whoever leads; an operator tries again where nobody does."""
@@ -266,9 +281,9 @@
         if home is not None and home.environment.propose(added_requests(names, minutes, home.wall())):
             self.asked |= dict.fromkeys(names, minutes)
             self.note("wished", tuple(names))
-            home.host.turn()
+            home.host.run_once()
         elif tries:
-            self.world.after(AGAIN, partial(self.wish, names, minutes, tries - 1))
+            self.network.schedule_after(AGAIN, partial(self.wish, names, minutes, tries - 1))
 
     def stages(self) -> list[str]:
         """Of all plans that are under way."""
@@ -276,26 +291,26 @@
         lead = self.leader()
         if lead is None:
             found.add("nobody leads")
-        elif lead.part.coordinator is not None and lead.maintenance is not None:
-            desk = lead.part.coordinator
-            if lead.part.state_machine.pending_change_id:
+        elif lead.policy_node.coordinator is not None and lead.maintenance is not None:
+            desk = lead.policy_node.coordinator
+            if lead.policy_node.state_machine.pending_change_id:
                 found.add(f"change {'switching' if desk.switching_change_id else desk.phase.value}")
             found |= {f"work {w.state.value}" for w in lead.maintenance.requests.values()}
-        for home in self.homes.values():
-            if home.host.up and home.agent.start_sequence.stage.value != "warm":
+        for home in self.servers.values():
+            if home.host.is_up and home.agent.start_sequence.stage.value != "warm":
                 found.add(f"start {home.agent.start_sequence.stage.value}")
         return sorted(found)
 
     # Gateways
 
     def look(self) -> None:
-        self.world.after(SEND, self.look)
-        for i, home in self.homes.items():
-            listed = home.host.up and home.listed
+        self.network.schedule_after(SEND, self.look)
+        for i, home in self.servers.items():
+            listed = home.host.is_up and home.listed
             if self.told.get(i, (0.0, False))[1] != listed:
-                self.told[i] = self.world.now, listed
+                self.told[i] = self.network.now_ms, listed
             at, what = self.told.get(i, (0.0, False))
-            if self.world.now - at >= LATE:
+            if self.network.now_ms - at >= LATE:
                 self.known[i] = what
         here = [i for i, known in self.known.items() if known]
         self.owed += self.rate * self.more * SEND / 1000.0
@@ -305,8 +320,8 @@
                 self.send(self.chance.choice(here))
 
     def send(self, i: int) -> None:
-        home = self.homes[i]
-        if not home.host.up:
+        home = self.servers[i]
+        if not home.host.is_up:
             self.note("refused", home.name)  # proves that nothing ran: the caller goes elsewhere
             return
         self.numbers += 1
@@ -314,33 +329,33 @@
         rpc = Sent(
             criticality, home.tenant, WAIT, 1.0, 10.0, 0, None, False, False, False, False, self.numbers
         )
-        sent = self.world.now
-        still = home.host.until
+        sent = self.network.now_ms
+        still = home.host.paused_until_ms
         # What a stopped process has not read it can't answer for; the time it waits there is told by `at`.
-        self.world.after(1.0, lambda: home.host.arrive(("read", rpc, max(0.0, still - sent))))
+        self.network.schedule_after(1.0, lambda: home.host.receive(("read", rpc, max(0.0, still - sent))))
 
     def sizes(self) -> None:
-        self.world.after(2000.0, self.sizes)
-        for home in self.homes.values():
-            if home.host.up:
+        self.network.schedule_after(2000.0, self.sizes)
+        for home in self.servers.values():
+            if home.host.is_up:
                 for what, size in home.sizes().items():
                     self.note("size", home.name, what, size)
 
     def watch(self) -> None:
         """What warm cores could do and what is asked of them; ends of changes as each server tells them."""
-        self.world.after(LOOK, self.watch)
-        self.store.look(self.world.now)
-        up = [h for h in self.homes.values() if h.host.up and h.ends_at == float("inf")]
+        self.network.schedule_after(LOOK, self.watch)
+        self.store.look(self.network.now_ms)
+        up = [h for h in self.servers.values() if h.host.is_up and h.ends_at == float("inf")]
         capacity = sum(CAPACITY * h.warmth() for h in up)
         self.note("capacity", capacity, self.rate * self.more, [h.name for h in up])
         self.tell_ends()
 
     def tell_ends(self, again: bool = False) -> None:
-        for home in self.homes.values():
-            if not home.host.up:
+        for home in self.servers.values():
+            if not home.host.is_up:
                 continue
             for id in self.ids:
-                known = home.part.change_status(id)
+                known = home.policy_node.change_status(id)
                 if known.outcome in FINAL_OUTCOMES and (again or (home.name, id) not in self.ends):
                     self.ends.add((home.name, id))
                     self.note("end", home.name, id, known.outcome, known.version)
@@ -348,18 +363,18 @@
     # A day
 
     def play(self) -> History:
-        day, world = self.day, self.world
+        day, world = self.day, self.network
         for i in range(day.servers):
-            world.at(self.chance.uniform(0.0, 500.0), partial(self.start, i))
-        world.after(SEND, self.look)
-        world.after(LOOK, self.watch)
-        world.after(2000.0, self.sizes)
+            world.schedule_at(self.chance.uniform(0.0, 500.0), partial(self.start, i))
+        world.schedule_after(SEND, self.look)
+        world.schedule_after(LOOK, self.watch)
+        world.schedule_after(2000.0, self.sizes)
         self.note("bounds", self.plan.downstream_calls_per_second, self.plan.max_permits)
         self.note("each", CAPACITY)
         began = 4000.0  # the first start has settled, more or less
         for place, act in enumerate(day.acts):
-            world.at(began + act.at, partial(self.begin, place, act))
-        world.run(began + day.ms)
+            world.schedule_at(began + act.at, partial(self.begin, place, act))
+        world.run_until(began + day.ms)
         self.settle()
         return self.history
 
@@ -367,10 +382,10 @@
         """Nothing is done to it any more: it comes to rest, and whoever is asked answers."""
         self.note("quiet")
         self.rate = min(self.rate, 0.3 * self.day.servers * CAPACITY)
-        end = self.world.now + SETTLE
-        while self.world.now < end and self.restless():
-            self.world.run(self.world.now + REST)
-            if self.world.now > end - SETTLE / 2.0:
+        end = self.network.now_ms + SETTLE
+        while self.network.now_ms < end and self.restless():
+            self.network.run_until(self.network.now_ms + REST)
+            if self.network.now_ms > end - SETTLE / 2.0:
                 self.ask_all()
         for word in self.restless():
             self.note("restless", word)
@@ -378,21 +393,21 @@
         self.note("rests", end - SETTLE)
 
     def ask_all(self) -> None:
-        for home in self.homes.values():
+        for home in self.servers.values():
             for id in self.ids:
-                if home.host.up and home.part.change_status(id).outcome not in FINAL_OUTCOMES:
-                    home.part.submit_command(id, FindChange(), home.clock())
-                    home.host.turn()
+                if home.host.is_up and home.policy_node.change_status(id).outcome not in FINAL_OUTCOMES:
+                    home.policy_node.submit_command(id, FindChange(), home.clock())
+                    home.host.run_once()
 
     def restless(self) -> list[str]:
         """What has not come to its end yet; empty once all is well."""
-        homes, found = list(self.homes.values()), []
-        down = [h.name for h in homes if not h.host.up]
+        homes, found = list(self.servers.values()), []
+        down = [h.name for h in homes if not h.host.is_up]
         if down:
             return [f"down: {down}"]
-        checks: list[tuple[str, Callable[[Home], bool]]] = [
+        checks: list[tuple[str, Callable[[SimulatedServer], bool]]] = [
             ("not warm", lambda h: h.agent.start_sequence.stage.value == "warm"),
-            ("not counted", lambda h: h.part.participant.is_member),
+            ("not counted", lambda h: h.policy_node.participant.is_member),
             ("does not decide", lambda h: h.may),
             ("not listed", lambda h: h.listed),
         ]
@@ -400,13 +415,13 @@
             some = [h.name for h in homes if not well(h)]
             if some:
                 found.append(f"{word}: {some}")
-        versions = {h.part.participant.version for h in homes}
+        versions = {h.policy_node.participant.version for h in homes}
         if len(versions) > 1:
             found.append(f"versions {sorted(versions)}")
         blind = [(a.name, b.name) for a, b in combinations(homes, 2) if a.gone(b.name) or b.gone(a.name)]
         if blind:
             found.append(f"do not see each other: {blind[:3]}")
-        if self.store.fell:
+        if self.store.is_overloaded:
             found.append("the store is down")
         open_ = [id for id in self.ids if not any((h.name, id) in self.ends for h in homes)]
         lead = self.leader()
@@ -416,6 +431,6 @@
             found.append(
                 f"work is not over: {[(w.name, w.state.value) for w in lead.maintenance.requests.values()]}"
             )
-        if lead is not None and lead.part.state_machine.pending_change_id:
-            found.append(f"{lead.part.state_machine.pending_change_id} is under way, of {open_}")
+        if lead is not None and lead.policy_node.state_machine.pending_change_id:
+            found.append(f"{lead.policy_node.state_machine.pending_change_id} is under way, of {open_}")
         return found
--- a/landingshift/testbed/simulation/maintenance.py
+++ b/landingshift/testbed/simulation/maintenance.py
@@ -10,7 +10,7 @@
 from landingshift.maintenance.storage import encode_command
 
 if TYPE_CHECKING:
-    from landingshift.testbed.simulation.server import Home
+    from landingshift.testbed.simulation.server import SimulatedServer
 
 
 class AgentWithoutExpiry(MaintenanceAgent):
@@ -25,7 +25,7 @@
 class SimulatedEnvironment:
     """Answers what the coordinator asks by one simulated server's parts."""
 
-    def __init__(self, server: Home) -> None:
+    def __init__(self, server: SimulatedServer) -> None:
         self._server = server
 
     def propose(self, command: Command) -> bool:
--- a/landingshift/testbed/simulation/server.py
+++ b/landingshift/testbed/simulation/server.py
@@ -45,11 +45,11 @@
 from landingshift.membership.timings import SwimTimings
 from landingshift.policies.node import PolicyNode
 from landingshift.testbed.simulation.maintenance import AgentWithoutExpiry, SimulatedEnvironment
-from landingshift.testbed.simulation.virtual_time import Address, Host
+from landingshift.testbed.simulation.virtual_time import Address, SimulatedHost
 from landingshift.testbed.verification.invariants import GRACE
 
 if TYPE_CHECKING:
-    from landingshift.testbed.simulation.cluster import Town
+    from landingshift.testbed.simulation.cluster import SimulatedCluster
 
 PORT = 7101
 LOOK = 200.0  # ms between two steps of the common start
@@ -122,10 +122,10 @@
     dies: float = 0.0  # ms that the server is then away; 0: it does not
 
 
-class Home:
-    def __init__(self, town: Town, i: int, run: int, host: Host) -> None:
+class SimulatedServer:
+    def __init__(self, town: SimulatedCluster, i: int, run: int, host: SimulatedHost) -> None:
         self.town, self.i, self.name, self.host, self.away = town, i, f"n{i}", host, town.away
-        now, chance = host.clock(), town.chance_of(i, run)
+        now, chance = host.clock_ms(), town.chance_of(i, run)
         self.disk = town.disks[i]
         me = MemberRecord(
             self.name, *address(i), f"z{i % 2}", chance.getrandbits(40), 0, 0, MemberState.ALIVE, "", {}
@@ -144,18 +144,18 @@
         self.seek = ServiceDiscoveryPoller(town.day.servers, 20.0, True, 3000.0, chance, now)
         self.strain = DownstreamSaturation()
         journal = copied(self.disk.journal) if self.disk.journal is not None else None
-        self.part = PolicyNode(
+        self.policy_node = PolicyNode(
             self.name, me.run_id, town.rules, lambda policy: "", journal, chance, now, self.wall, town.times
         )
-        self.part.participant.discovery.list_alive_peers = lambda: self.node.member_table.present_names
+        self.policy_node.participant.discovery.list_alive_peers = lambda: self.node.member_table.present_names
         agent_type = AgentWithoutExpiry if self.away == "end" else MaintenanceAgent
         self.maintenance_agent = agent_type(self.disk.mark)
         self.maintenance = MaintenanceState()
         self.environment = SimulatedEnvironment(self)
         self.coordinator: MaintenanceCoordinator | None = None
-        if self.part.raft is not None:
-            self.part.state_machines.register(STATE_MACHINE_NAME, self.maintenance)
-            self.part.commit_listeners.append(self.taken)
+        if self.policy_node.raft is not None:
+            self.policy_node.state_machines.register(STATE_MACHINE_NAME, self.maintenance)
+            self.policy_node.commit_listeners.append(self.taken)
             self.coordinator = MaintenanceCoordinator(self.maintenance, town.work, self.environment)
         self.without()
         self.tenant = Tenant(100_000.0)
@@ -184,7 +184,7 @@
 
     def without(self) -> None:
         """Takes the defence that is away, where it lies in one of the packages' objects."""
-        voter, desk, grantor = self.part.raft, self.part.coordinator, self.agent.grantor
+        voter, desk, grantor = self.policy_node.raft, self.policy_node.coordinator, self.agent.grantor
         if self.away == "sure" and voter is not None:
             voter.has_leader_lease = lambda now_ms: voter.role.value == "leader"  # type: ignore[method-assign]
         if self.away == "arm" and desk is not None:
@@ -205,10 +205,10 @@
     # What it notes
 
     def clock(self) -> float:
-        return self.host.clock()
+        return self.host.clock_ms()
 
     def wall(self) -> float:
-        return self.town.world.now + self.town.walls[self.i]
+        return self.town.network.now_ms + self.town.walls[self.i]
 
     def note(self, what: str, *values: Any) -> None:
         self.town.note(what, self.name, *values)
@@ -227,7 +227,7 @@
     def next_deadline_ms(self) -> float:
         return min(
             self.node.next_deadline_ms(),
-            self.part.next_deadline_ms(),
+            self.policy_node.next_deadline_ms(),
             self.server.next_check_ms,
             self.look_at,
             self.work_at,
@@ -264,8 +264,8 @@
     def on_timer(self, now: float) -> None:
         if self.node.next_deadline_ms() <= now:
             self.node.on_timer(now)
-        if self.part.next_deadline_ms() <= now:
-            self.part.tick(now)
+        if self.policy_node.next_deadline_ms() <= now:
+            self.policy_node.tick(now)
         if now >= self.look_at:
             self.look_at = now + LOOK
             self.look(now)
@@ -286,17 +286,17 @@
         for _ in range(8):
             if not self.save():
                 break
-            out = self.part.take_outgoing()
+            out = self.policy_node.take_outgoing()
             for to, body in out:
                 self.node.send_to_member(to, "policies", body)
             if not out:
                 break
-        return self.node.take_outgoing() if self.host.up else []
+        return self.node.take_outgoing() if self.host.is_up else []
 
     # Disk, policies, and by what the module decides
 
     def save(self) -> bool:
-        stored = self.part.unsaved_state()
+        stored = self.policy_node.unsaved_state()
         if stored is None:
             return True
         if self.disk.full:
@@ -306,12 +306,12 @@
             self.town.kill(self.i, away)
             return False
         self.disk.journal = copied(stored)
-        self.part.on_state_saved(self.clock())
-        self.part.deliver_messages(self.clock())
+        self.policy_node.on_state_saved(self.clock())
+        self.policy_node.deliver_messages(self.clock())
         return True
 
     def decide(self, now: float) -> None:
-        f, server = self.part.participant, self.server
+        f, server = self.policy_node.participant, self.server
         may = f.may_decide(now) or (f.is_member and self.away == "lease") or self.away == "ask"
         server.now_ms = now
         if f.version > self.laid:
@@ -324,14 +324,14 @@
         server.settle()
 
     def hear_policies(self, sender: MemberRecord, body: list[Any]) -> None:
-        self.part.on_message(sender.name, body, self.clock())
+        self.policy_node.on_message(sender.name, body, self.clock())
 
     def propose(self, data: bytes) -> bool:
-        voter = self.part.raft
+        voter = self.policy_node.raft
         return voter is not None and voter.propose(data) is not None
 
     def leads(self, _now: float = 0.0) -> bool:
-        return self.part.raft is not None and self.part.raft.has_leader_lease(self.clock())
+        return self.policy_node.raft is not None and self.policy_node.raft.has_leader_lease(self.clock())
 
     # The common start
 
@@ -365,9 +365,9 @@
         for lender, loans in self.agent.held_leases.items():
             had = (
                 loans.call_quota.held_amount,
-                self.host.world_time(loans.call_quota.expires_at_ms),
+                self.host.network_time_ms(loans.call_quota.expires_at_ms),
                 loans.start_permit.held_amount,
-                self.host.world_time(loans.start_permit.expires_at_ms),
+                self.host.network_time_ms(loans.start_permit.expires_at_ms),
             )
             if self.held.get(lender) != had:
                 self.held[lender] = had
@@ -398,7 +398,7 @@
             answered_count=self.all,
         )
         report = self.maintenance_agent.next_report(now, status)
-        leader = self.part.participant.discovery.leader
+        leader = self.policy_node.participant.discovery.leader
         if leader == self.name:
             self.on_maintenance_report(self.node.local_record, report)
         elif leader:
@@ -414,7 +414,7 @@
     def on_maintenance_report(self, sender: MemberRecord, report: LoadReport) -> None:
         if self.coordinator is None:
             return
-        voters = self.part.participant.discovery.voters
+        voters = self.policy_node.participant.discovery.voters
         answer = self.coordinator.on_server_report(sender, voters, report, self.clock())
         if answer is None:
             return
@@ -461,7 +461,7 @@
         self.reads += 1
         rpc.waited_ms = waited + 1.0
         rpc.remaining_ms = WAIT - rpc.waited_ms
-        self.note("read", rpc.number, self.town.world.now + rpc.remaining_ms)
+        self.note("read", rpc.number, self.town.network.now_ms + rpc.remaining_ms)
         self.server.now_ms = now
         # An answer may come within the call that reads it.
         job = self.server.on_rpc_read(rpc)
@@ -478,7 +478,7 @@
             self.decided()
 
     def decided(self) -> None:
-        f = self.part.participant
+        f = self.policy_node.participant
         self.note("decided", max(0, f.version), f.policy)
 
     def start_run(self, rpc: Rpc) -> None:
@@ -486,7 +486,7 @@
         self.note("run", rpc.number)
         self.decided()
         job = self.engine[rpc.number] = self.jobs[rpc.number]
-        now, world = self.town.world.now, self.town.world
+        now, world = self.town.network.now_ms, self.town.network
         self.busy = [end for end in self.busy if end > now]
         free = sorted(self.busy)[-CORES] if len(self.busy) >= CORES else now
         end = max(now, free) + WORK
@@ -494,35 +494,37 @@
         self.runs += 1
         calls = rpc.method.calls_downstream and (self.filled < FILL or self.runs % FILL == 0)
 
-        world.at(end, lambda: self.arrive(("needs", job) if calls else ("done", job, world.now - now)))
+        world.schedule_at(
+            end, lambda: self.arrive(("needs", job) if calls else ("done", job, world.now_ms - now))
+        )
 
     def start_call(self, rpc: Rpc, timeout_ms: float) -> None:
         assert isinstance(rpc, Sent)
-        job, world = self.engine[rpc.number], self.town.world
-        good, took = self.town.store.call(world.now)
+        job, world = self.engine[rpc.number], self.town.network
+        good, took = self.town.store.call(world.now_ms)
         wait = min(took, timeout_ms, STORE)
         good = good and took <= wait
-        world.after(wait, partial(self.arrive, ("called", job, good, wait)))
+        world.schedule_after(wait, partial(self.arrive, ("called", job, good, wait)))
         if good:
-            world.after(wait + 1.0, partial(self.arrive, ("done", job, WORK + wait)))
+            world.schedule_after(wait + 1.0, partial(self.arrive, ("done", job, WORK + wait)))
 
     def cut(self, job: ManagedRpc) -> None:
         """The engine ends a run at its call once its RPC has been answered."""
         assert isinstance(job.rpc, Sent)
         if job.rpc.number not in self.jobs:
-            self.town.world.after(1.0, partial(self.arrive, ("done", job, WORK)))
+            self.town.network.schedule_after(1.0, partial(self.arrive, ("done", job, WORK)))
 
     def skip_call(self, rpc: Rpc) -> None:
         assert isinstance(rpc, Sent)
         job = self.engine[rpc.number]
-        self.town.world.after(1.0, partial(self.arrive, ("done", job, WORK)))
+        self.town.network.schedule_after(1.0, partial(self.arrive, ("done", job, WORK)))
 
     def arrive(self, message: Any) -> None:
         """Of its engine, which may hang."""
-        if self.town.world.now < self.hangs:
-            self.town.world.at(self.hangs, partial(self.arrive, message))
-        elif self.host.up:
-            self.host.arrive(message)
+        if self.town.network.now_ms < self.hangs:
+            self.town.network.schedule_at(self.hangs, partial(self.arrive, message))
+        elif self.host.is_up:
+            self.host.receive(message)
 
     def reject(self, rpc: Rpc, retry_after_ms: float, is_final: bool) -> None:
         self.answer(rpc, "pushed_back")
@@ -550,7 +552,7 @@
 
     def sizes(self) -> dict[str, int]:
         """Of all that could grow, against the bounds that `promises` has."""
-        node, part, follower = self.node, self.part, self.part.participant
+        node, part, follower = self.node, self.policy_node, self.policy_node.participant
         found = {
             "out": len(node.outbox.pending),
             "errands": len(node.failure_detector.indirect_probes),
--- a/landingshift/testbed/simulation/virtual_time.py
+++ b/landingshift/testbed/simulation/virtual_time.py
@@ -1,137 +1,256 @@
-"""Many servers' decisions in virtual time: one seed, one history. Holds no rule of theirs, only the world.
+"""A deterministic simulation of processes on a network, in virtual time.
 
-Whatever has `hear(message, now)`, `tick(now)`, `next()` and `take_out()` can live here, as
-`membership.node.Node`.
+One seed gives one history: events run in the order of their times (and of their scheduling, where times are
+equal), and all that is left to chance is drawn from one generator. The module decides nothing of its own;
+whatever implements `SimulatedProcess`, as `membership.node.SwimNode` does, can run on a host.
 """
 
 from __future__ import annotations
 
 import heapq
 from collections.abc import Callable
+from math import inf
 from random import Random
 from typing import Any, Protocol
 
+from landingshift.errors import LandingshiftError
+
 Address = tuple[str, int]
-ROUNDING = 1e-6  # ms
-WAITING = 400  # datagrams that a stopped server's socket holds
+TIMER_TOLERANCE_MS = 1e-6
+"""Sums of a time and a clock's offset are rounded by less than this."""
+MAX_QUEUED_MESSAGES = 400
+"""Datagrams that the socket of a paused process holds; more are dropped."""
+NO_EVENT_LIMIT = 1 << 62
+
+
+class EventStormError(LandingshiftError, RuntimeError):
+    """More events were scheduled than a sound simulation has.
+
+    Attributes:
+        event_count: Events scheduled since the beginning.
+        now_ms: The virtual time at which the limit was passed.
+    """
+
+    def __init__(self, event_count: int, now_ms: float) -> None:
+        super().__init__(f"{event_count} events by {now_ms:.0f} ms: a storm")
+        self.event_count = event_count
+        self.now_ms = now_ms
+
 
+class SimulatedProcess(Protocol):
+    """A process that is driven by messages and one timer. Times are those of its host's clock."""
 
-class Mind(Protocol):
-    def on_message(self, message: Any, now_ms: float) -> None: ...
-    def on_timer(self, now_ms: float) -> None: ...
-    def next_deadline_ms(self) -> float: ...
-    def take_outgoing(self) -> list[tuple[Address, Any]]: ...
+    def on_message(self, message: Any, now_ms: float) -> None:
+        """Handles a message that came in."""
 
+    def on_timer(self, now_ms: float) -> None:
+        """Does what is due by `now_ms`."""
 
-class Host:
-    """One server: a mind behind an address, with its own clock, that may stand still or be slow."""
+    def next_deadline_ms(self) -> float:
+        """Returns when `on_timer` is to be called next."""
 
-    def __init__(self, world: World, address: Address, mind: Mind, offset: float, pace: float = 1.0) -> None:
-        self.world, self.address, self.mind, self.offset, self.pace = world, address, mind, offset, pace
-        self.up, self.until, self.lag = True, 0.0, 0.0
-        self.waiting: list[Any] = []  # what came while it stood still
-        self.due = float("inf")
-        self.heard = self.said = 0
+    def take_outgoing(self) -> list[tuple[Address, Any]]:
+        """Returns the messages to send, with their receivers, and forgets them."""
 
-    def clock(self) -> float:
-        return self.world.now * self.pace + self.offset
 
-    def world_time(self, clock: float) -> float:
-        """When its clock shows that."""
-        return (clock - self.offset) / self.pace
+class SimulatedHost:
+    """A machine that runs one process behind an address, by a clock of its own.
 
-    def stop(self, ms: float) -> None:
-        self.until = self.world.now + ms
-        self.world.at(self.until, self.wake)
+    Attributes:
+        network: Where it stands.
+        address: Its address.
+        process: What runs on it.
+        clock_offset_ms: What its clock shows at virtual time 0.
+        clock_rate: How far its clock goes in one virtual ms: 1.01 is a clock that drifts by 1 %.
+        is_up: False once it was killed.
+        paused_until_ms: Virtual time until which the process is stopped; its socket still receives.
+        mean_delay_ms: By how much a starved core is late on average (exponentially distributed); 0 for never.
+        queued_messages: Received, and not read by the process yet.
+        alarm_at_ms: Virtual time of the earliest timer that is scheduled; infinite for none.
+        received_count: Messages that arrived.
+        sent_count: Messages that the process sent.
+    """
 
-    def wake(self) -> None:
-        if self.up and self.world.now >= self.until:
-            waiting, self.waiting = self.waiting, []
-            for message in waiting:  # sockets are read before timers fire
-                self.mind.on_message(message, self.clock())
-            self.turn()
+    def __init__(
+        self,
+        network: SimulatedNetwork,
+        address: Address,
+        process: SimulatedProcess,
+        clock_offset_ms: float,
+        clock_rate: float = 1.0,
+    ) -> None:
+        self.network = network
+        self.address = address
+        self.process = process
+        self.clock_offset_ms = clock_offset_ms
+        self.clock_rate = clock_rate
+        self.is_up = True
+        self.paused_until_ms = 0.0
+        self.mean_delay_ms = 0.0
+        self.queued_messages: list[Any] = []
+        self.alarm_at_ms = inf
+        self.received_count = 0
+        self.sent_count = 0
+
+    @property
+    def is_paused(self) -> bool:
+        """Whether the process is stopped just now."""
+        return self.network.now_ms < self.paused_until_ms
+
+    def clock_ms(self) -> float:
+        """Returns what the host's clock shows."""
+        return self.network.now_ms * self.clock_rate + self.clock_offset_ms
+
+    def network_time_ms(self, clock_ms: float) -> float:
+        """Returns the virtual time at which the host's clock shows `clock_ms`."""
+        return (clock_ms - self.clock_offset_ms) / self.clock_rate
+
+    def pause(self, duration_ms: float) -> None:
+        """Stops the process, as SIGSTOP does, for a span of virtual time."""
+        self.paused_until_ms = self.network.now_ms + duration_ms
+        self.network.schedule_at(self.paused_until_ms, self.resume)
+
+    def resume(self) -> None:
+        """Lets the process read what has queued up, and then do what is due: sockets come before timers."""
+        if not self.is_up or self.is_paused:
+            return
+        messages = self.queued_messages
+        self.queued_messages = []
+        for message in messages:
+            self.process.on_message(message, self.clock_ms())
+        self.run_once()
 
-    def arrive(self, message: Any) -> None:
-        if not self.up:
+    def receive(self, message: Any) -> None:
+        """Hands a message to the process, or queues it while the process is paused or late."""
+        if not self.is_up:
             return
-        self.heard += 1
-        stopped = self.world.now < self.until
-        if stopped or self.lag:
-            if len(self.waiting) < WAITING:
-                self.waiting.append(message)
-            if not stopped:
-                self.world.after(self.world.chance.expovariate(1.0 / self.lag), self.wake)
+        self.received_count += 1
+        if not self.is_paused and not self.mean_delay_ms:
+            self.process.on_message(message, self.clock_ms())
+            self.run_once(with_timers=False)
             return
-        self.mind.on_message(message, self.clock())
-        self.turn(False)
+        if len(self.queued_messages) < MAX_QUEUED_MESSAGES:
+            self.queued_messages.append(message)
+        if not self.is_paused:
+            self.network.schedule_after(self._draw_delay_ms(), self.resume)
 
-    def turn(self, tick: bool = True) -> None:
-        if not self.up or self.world.now < self.until:
+    def run_once(self, with_timers: bool = True) -> None:
+        """Runs the due timer, sends what the process has to say and schedules the next timer."""
+        if not self.is_up or self.is_paused:
             return
-        due = self.mind.next_deadline_ms()
-        if tick and due <= self.clock() + ROUNDING:
-            self.mind.on_timer(
-                max(due, self.clock())
-            )  # sums with an offset may fall short of what was asked for
-        for to, message in self.mind.take_outgoing():
-            self.said += 1
-            self.world.carry(self.address, to, message)
-        due = max((self.mind.next_deadline_ms() - self.offset) / self.pace, self.world.now)
-        if due < self.due or self.due <= self.world.now:
-            self.due = due
-            late = self.world.chance.expovariate(1.0 / self.lag) if self.lag else 0.0
-            self.world.at(due + late, self.alarm)
-
-    def alarm(self) -> None:
-        if self.world.now >= self.due:
-            self.due = float("inf")
-            self.turn()
-
-
-class World:
-    """Time in ms from 0. `cut(a, b)` says whether what `a` sends to `b` is lost just now."""
-
-    def __init__(self, seed: int, latency: tuple[float, float] = (0.2, 2.0), loss: float = 0.0) -> None:
-        self.chance, self.now, self.count = Random(seed), 0.0, 0
-        self.latency, self.loss, self.double, self.slow = latency, loss, 0.0, 0.0
-        self.events: list[tuple[float, int, Callable[[], object]]] = []
-        self.hosts: dict[Address, Host] = {}
-        self.cut: Callable[[Address, Address], bool] = lambda a, b: False
-        self.messages = 0
-        self.most = 1 << 62  # events after which it is a storm, and no day
-
-    def at(self, time: float, action: Callable[[], object]) -> None:
-        self.count += 1
-        heapq.heappush(self.events, (max(time, self.now), self.count, action))
-
-    def after(self, delay: float, action: Callable[[], object]) -> None:
-        self.at(self.now + delay, action)
-
-    def start(self, address: Address, mind: Mind, offset: float = 0.0, pace: float = 1.0) -> Host:
-        host = self.hosts[address] = Host(self, address, mind, offset, pace)
-        host.turn()
+        deadline_ms = self.process.next_deadline_ms()
+        if with_timers and deadline_ms <= self.clock_ms() + TIMER_TOLERANCE_MS:
+            # The clock may show less than the deadline by a rounding error.
+            self.process.on_timer(max(deadline_ms, self.clock_ms()))
+        for receiver, message in self.process.take_outgoing():
+            self.sent_count += 1
+            self.network.transmit(self.address, receiver, message)
+        self._schedule_alarm()
+
+    def _schedule_alarm(self) -> None:
+        due_ms = max(self.network_time_ms(self.process.next_deadline_ms()), self.network.now_ms)
+        is_alarm_pending = self.network.now_ms < self.alarm_at_ms <= due_ms
+        if is_alarm_pending:
+            return
+        self.alarm_at_ms = due_ms
+        delay_ms = self._draw_delay_ms() if self.mean_delay_ms else 0.0
+        self.network.schedule_at(due_ms + delay_ms, self._on_alarm)
+
+    def _on_alarm(self) -> None:
+        if self.network.now_ms >= self.alarm_at_ms:
+            self.alarm_at_ms = inf
+            self.run_once()
+
+    def _draw_delay_ms(self) -> float:
+        return self.network.rng.expovariate(1.0 / self.mean_delay_ms)
+
+
+class SimulatedNetwork:
+    """Hosts, the messages between them, and the events of all in virtual time.
+
+    Attributes:
+        rng: Draws all that is left to chance on the network.
+        now_ms: Virtual time, from 0.
+        event_count: Events scheduled so far.
+        max_event_count: Past it `run_until` raises EventStormError.
+        latency_ms: The least and the most that a message is under way.
+        loss_probability: Of one message.
+        duplicate_probability: That a message arrives twice.
+        extra_delay_ms: Added to each message's latency.
+        hosts: By address.
+        is_cut: Whether what the first address sends to the second is lost just now.
+        message_count: Messages sent so far, lost ones too.
+    """
+
+    def __init__(
+        self, seed: int, latency_ms: tuple[float, float] = (0.2, 2.0), loss_probability: float = 0.0
+    ) -> None:
+        self.rng = Random(seed)
+        self.now_ms = 0.0
+        self.event_count = 0
+        self.max_event_count = NO_EVENT_LIMIT
+        self.latency_ms = latency_ms
+        self.loss_probability = loss_probability
+        self.duplicate_probability = 0.0
+        self.extra_delay_ms = 0.0
+        self.hosts: dict[Address, SimulatedHost] = {}
+        self.is_cut: Callable[[Address, Address], bool] = lambda _sender, _receiver: False
+        self.message_count = 0
+        self._events: list[tuple[float, int, Callable[[], object]]] = []
+
+    def schedule_at(self, time_ms: float, action: Callable[[], object]) -> None:
+        """Has `action` called at a virtual time; at once where that has passed."""
+        self.event_count += 1
+        heapq.heappush(self._events, (max(time_ms, self.now_ms), self.event_count, action))
+
+    def schedule_after(self, delay_ms: float, action: Callable[[], object]) -> None:
+        """Has `action` called `delay_ms` of virtual time from now."""
+        self.schedule_at(self.now_ms + delay_ms, action)
+
+    def start_host(
+        self,
+        address: Address,
+        process: SimulatedProcess,
+        clock_offset_ms: float = 0.0,
+        clock_rate: float = 1.0,
+    ) -> SimulatedHost:
+        """Starts a process behind an address, in place of whatever had that address."""
+        host = SimulatedHost(self, address, process, clock_offset_ms, clock_rate)
+        self.hosts[address] = host
+        host.run_once()
         return host
 
     def kill(self, address: Address) -> None:
-        self.hosts[address].up = False
+        """Ends the process behind an address; what it has not sent is lost."""
+        self.hosts[address].is_up = False
 
-    def carry(self, sender: Address, to: Address, message: Any) -> None:
-        self.messages += 1
-        if self.cut(sender, to):
+    def transmit(self, sender: Address, receiver: Address, message: Any) -> None:
+        """Sends a datagram, which may be lost, delayed, reordered or duplicated."""
+        self.message_count += 1
+        if self.is_cut(sender, receiver):
             return
-        for _ in range(2 if self.double and self.chance.random() < self.double else 1):
-            if not self.loss or self.chance.random() >= self.loss:
-                self.after(self.chance.uniform(*self.latency) + self.slow, lambda: self.land(to, message))
+        is_duplicated = self.duplicate_probability and self.rng.random() < self.duplicate_probability
+        for _ in range(2 if is_duplicated else 1):
+            if self.loss_probability and self.rng.random() < self.loss_probability:
+                continue
+            delay_ms = self.rng.uniform(*self.latency_ms) + self.extra_delay_ms
+            self.schedule_after(delay_ms, lambda: self._deliver(receiver, message))
 
-    def land(self, to: Address, message: Any) -> None:
-        host = self.hosts.get(to)  # whoever has the address when it arrives
+    def _deliver(self, receiver: Address, message: Any) -> None:
+        """Hands a message to whoever has the address when it arrives."""
+        host = self.hosts.get(receiver)
         if host is not None:
-            host.arrive(message)
+            host.receive(message)
+
+    def run_until(self, end_ms: float) -> None:
+        """Runs all events up to a virtual time.
 
-    def run(self, until: float) -> None:
-        while self.events and self.events[0][0] <= until:
-            self.now, _, action = heapq.heappop(self.events)
+        Raises:
+            EventStormError: More than `max_event_count` events were scheduled.
+        """
+        while self._events and self._events[0][0] <= end_ms:
+            self.now_ms, _, action = heapq.heappop(self._events)
             action()
-            if self.count > self.most:
-                raise RuntimeError(f"{self.count} events by {self.now:.0f} ms: a storm")
-        self.now = until
+            if self.event_count > self.max_event_count:
+                raise EventStormError(self.event_count, self.now_ms)
+        self.now_ms = end_ms
--- a/landingshift/testbed/verification/invariants.py
+++ b/landingshift/testbed/verification/invariants.py
@@ -92,7 +92,7 @@
 
 
 Check = Callable[[History, float], list[str]]
-PROMISES: dict[str, Check] = {
+POLICY_INVARIANTS: dict[str, Check] = {
     "one_order": one_order,
     "all_or_none": all_or_none,
     "no_way_back": no_way_back,
@@ -100,8 +100,8 @@
 }
 
 
-def broken(history: History, overlap: float, promises: dict[str, Check] | None = None) -> list[str]:
-    found = PROMISES if promises is None else promises
+def find_violations(history: History, overlap: float, promises: dict[str, Check] | None = None) -> list[str]:
+    found = POLICY_INVARIANTS if promises is None else promises
     return [f"{name}: {text}" for name, check in found.items() for text in check(history, overlap)[:2]]
 
 
@@ -188,7 +188,7 @@
 GRACE = 300.0  # ms of a drain: what comes after it is not run
 
 
-def loans(history: History, which: int) -> float:
+def max_leased(history: History, which: int) -> float:
     """The most that all holders together believed in at one instant; `which`: 0 for shares, 2 for places.
 
     Each holds from each lender what it noted last, until the end that it noted; who is killed believes on in
@@ -211,7 +211,7 @@
         return []
     broken = []
     for which, what, bound in ((0, "calls a second", bounds[0]), (2, "places", bounds[1])):
-        most = loans(history, which)
+        most = max_leased(history, which)
         if most > bound * 1.0001:
             broken.append(f"{most:.2f} {what} are believed in, of {bound:.2f}")
     return broken
@@ -332,7 +332,7 @@
     return [str(e[2]) for e in history if e[1] == "restless"]
 
 
-FLEET: dict[str, Check] = PROMISES | {
+CLUSTER_INVARIANTS: dict[str, Check] = POLICY_INVARIANTS | {
     "answered": answered,
     "drains": drains,
     "shares": shares,
@@ -343,7 +343,7 @@
     "bounded": bounded,
     "rests": rests,
 }
-PAGES = {  # where each is promised
+PAGE_BY_INVARIANT = {  # where each is promised
     "one_order": "docs/policies.md", "all_or_none": "docs/policies.md", "no_way_back": "docs/policies.md",
     "one_answer": "docs/policies.md", "answered": "docs/design.md", "drains": "docs/design.md",
     "shares": "docs/coldstart.md", "permissions": "docs/upkeep.md", "floor": "docs/upkeep.md",
--- a/landingshift/testbed/verification/search_leases.py
+++ b/landingshift/testbed/verification/search_leases.py
@@ -14,7 +14,7 @@
 from landingshift.coldstart.fair_division import max_min_fair_shares
 from landingshift.coldstart.leases import HeldLease, LeaseGrantor, LeaseRequest
 
-LEASE, SPARE = 300.0, 40.0
+LEASE_MS, CLOCK_MARGIN_MS = 300.0, 40.0
 STEP = 100.0  # ms
 CAPACITY = 4.0
 WANTS = {"a": 4.0, "b": 3.0}
@@ -69,22 +69,22 @@
         return repr((grants, max(0.0, lender.recovery_grace_until_ms - now), loans, ghosts, way, self.spent))
 
 
-class Search:
+class LeaseSearch:
     """`quiet`, `books`: whether the lender keeps to those parts of the rule."""
 
-    def __init__(self, quiet: bool = True, books: bool = True) -> None:
-        self.quiet, self.books = quiet, books
-        self.states, self.broken, self.most = 0, "", 0.0
+    def __init__(self, has_recovery_grace: bool = True, books_old_grants: bool = True) -> None:
+        self.has_recovery_grace, self.books_old_grants = has_recovery_grace, books_old_grants
+        self.state_count, self.violation, self.max_believed = 0, "", 0.0
 
     def lender(self, now: float) -> LeaseGrantor:
-        lender = LeaseGrantor(CAPACITY, LEASE, SPARE, now, max_min_fair_shares)
-        if not self.quiet:
+        lender = LeaseGrantor(CAPACITY, LEASE_MS, CLOCK_MARGIN_MS, now, max_min_fair_shares)
+        if not self.has_recovery_grace:
             lender.recovery_grace_until_ms = now
         return lender
 
     def begin(self) -> State:
         lender = self.lender(0.0)
-        state = State(lender, {n: HeldLease(LEASE) for n in WANTS}, dict.fromkeys(WANTS, 1))
+        state = State(lender, {n: HeldLease(LEASE_MS) for n in WANTS}, dict.fromkeys(WANTS, 1))
         for step in (("ask", "a"), ("deliver", 0), ("deliver", 0)):
             state = self.take(state, step)
         state.spent = Spent()
@@ -134,7 +134,7 @@
                 spent.restarts -= 1
                 loan = state.loans[name]
                 state.ghosts.append((loan.held_amount, loan.expires_at_ms))
-                state.loans[name], state.runs[name] = HeldLease(LEASE), state.runs[name] + 1
+                state.loans[name], state.runs[name] = HeldLease(LEASE_MS), state.runs[name] + 1
         return state
 
     def deliver(self, state: State, message: tuple[Any, ...]) -> None:
@@ -142,13 +142,13 @@
             case "ask", str(name), int(run), int(number), float(claims):
                 amount = state.lender.renew(LeaseRequest(name, run, number, claims, WANTS[name]), state.now)
                 if amount is not None:
-                    if not self.books:
+                    if not self.books_old_grants:
                         state.lender.grants[name].booked_amount = amount
                     state.way.append(("give", name, run, number, amount))
             case "give", str(name), int(run), int(number), float(amount) if run == state.runs[name]:
                 state.loans[name].on_grant(number, amount, state.now)
 
-    def run(self, depth: int, most: int) -> Search:
+    def run(self, depth: int, most: int) -> LeaseSearch:
         """All states up to `depth` steps, each once; ends at the first in which too much is believed in."""
         begin = self.begin()
         seen, edge = {begin.key()}, [(begin, ())]
@@ -161,11 +161,11 @@
                     if key in seen:
                         continue
                     seen.add(key)
-                    self.states, self.most = len(seen), max(self.most, after.believed())
+                    self.state_count, self.max_believed = len(seen), max(self.max_believed, after.believed())
                     if after.believed() > CAPACITY + 1e-9:
-                        self.broken = f"{after.believed():g} of {CAPACITY:g}, by {[*way, step]}"
+                        self.violation = f"{after.believed():g} of {CAPACITY:g}, by {[*way, step]}"
                         return self
-                    if self.states >= most:
+                    if self.state_count >= most:
                         return self
                     new.append((after, (*way, step)))
             edge = new
--- a/landingshift/testbed/verification/search_policy_change.py
+++ b/landingshift/testbed/verification/search_policy_change.py
@@ -18,7 +18,7 @@
 from landingshift.policies.node import PolicyNode
 from landingshift.policies.participant import ParticipantState
 from landingshift.policies.policy_settings import PolicySettings
-from landingshift.testbed.simulation.policy_change import text
+from landingshift.testbed.simulation.policy_change import policy_document
 
 NAMES = ("n0", "n1", "n2")
 PASS = 500.0  # ms
@@ -86,19 +86,19 @@
         return (tuple(seen), way, since, repr(self.spent))
 
 
-class Search:
+class PolicyChangeSearch:
     """`away`: "lease" or "ask", as in `assent`."""
 
-    def __init__(self, aside: bool = False, away: str = "") -> None:
-        self.plan = PolicySettings(
+    def __init__(self, aside: bool = False, removed_defence: str = "") -> None:
+        self.settings = PolicySettings(
             ("n0",), aside, overlap_ms=1000.0, lease_ms=900.0, clock_margin_ms=100.0, change_timeout_ms=1e9
         )
-        self.away, self.chance = away, Even()
-        self.states = self.deepest = 0
-        self.broken = ""
+        self.removed_defence, self.rng = removed_defence, Even()
+        self.state_count = self.depth_reached = 0
+        self.violation = ""
 
     def part(self, name: str, run: int, stored: PersistentState | None, now: float) -> PolicyNode:
-        return PolicyNode(name, run, self.plan, lambda _: "", stored, self.chance, now, lambda: 0.0, TIMES)
+        return PolicyNode(name, run, self.settings, lambda _: "", stored, self.rng, now, lambda: 0.0, TIMES)
 
     def begin(self) -> State:
         state = State({}, PersistentState())
@@ -110,7 +110,7 @@
         lead.raft.start_election()
         for _ in range(4):
             self.round(state, NAMES)
-        state.parts["n0"].submit_command("c", ProposeChange(text(1), "lab", "a trial"), state.now)
+        state.parts["n0"].submit_command("c", ProposeChange(policy_document(1), "lab", "a trial"), state.now)
         state.parts["n0"].forward_command("c", state.now)
         self.out(state, "n0")
         while state.parts["n0"].coordinator.phase is not ChangePhase.PREPARE:  # type: ignore[union-attr]
@@ -217,24 +217,24 @@
         for part in state.parts.values():
             f = part.participant
             may = f.may_decide(now)
-            if self.away == "lease":
+            if self.removed_defence == "lease":
                 may = f.is_member and f.latest_version <= f.version
-            elif self.away == "ask":
+            elif self.removed_defence == "ask":
                 may = may or not f.is_member
             if not may:
                 continue
             version = max(0, f.version)
             state.first.setdefault(version, now)
             newer = [at for v, at in state.first.items() if v > version]
-            if newer and now - min(newer) > self.plan.overlap_ms:
+            if newer and now - min(newer) > self.settings.overlap_ms:
                 return f"{part.name} may decide by {version} {now - min(newer):.0f} ms after a newer one"
         return ""
 
-    def run(self, depth: int, most: int = 10_000_000) -> Search:
+    def run(self, depth: int, most: int = 10_000_000) -> PolicyChangeSearch:
         """All states up to `depth` steps from the start, each once; ends at the first broken promise."""
         begin = self.begin()
         seen, edge = {begin.key()}, [(begin, ())]
-        for self.deepest in range(1, depth + 1):
+        for self.depth_reached in range(1, depth + 1):
             new: list[tuple[State, Any]] = []
             for state, way in edge:
                 for step in self.steps(state):
@@ -244,12 +244,12 @@
                     if key in seen:
                         continue
                     seen.add(key)
-                    self.states = len(seen)
+                    self.state_count = len(seen)
                     if why:
-                        self.broken = f"{why}, by {[*way, step]}"
+                        self.violation = f"{why}, by {[*way, step]}"
                         return self
                     new.append((state_after, (*way, step)))
-                    if self.states >= most:
+                    if self.state_count >= most:
                         return self
             edge = new
         return self
--- a/landingshift/testbed/verification/shrinking.py
+++ b/landingshift/testbed/verification/shrinking.py
@@ -17,17 +17,17 @@
 ROUND = 100.0  # ms that times are rounded to, where that makes no difference
 
 
-class Reduced:
+class Shrinker:
     def __init__(self, day: Day, fails: Callable[[Day], bool], plays: int = PLAYS) -> None:
         self.day, self.fails, self.left = day, fails, plays
-        self.plays = 0
+        self.play_count = 0
 
     def smaller(self, day: Day) -> bool:
         """Keeps it where it still fails."""
         if not self.left:
             return False
         self.left -= 1
-        self.plays += 1
+        self.play_count += 1
         if not self.fails(day):
             return False
         self.day = day
--- a/tests/test_chance.py
+++ b/tests/test_chance.py
@@ -16,9 +16,9 @@
 from landingshift.testbed.experiments.chance_faults import failure, names, smaller
 from landingshift.testbed.experiments.chance_faults_real import recovery
 from landingshift.testbed.experiments.scenarios import KINDS, Act, Coverage, Day, draw, read, told, written
-from landingshift.testbed.simulation.cluster import BREAKS, OVERLAP, Town
-from landingshift.testbed.verification.invariants import FLEET, broken
-from landingshift.testbed.verification.shrinking import Reduced
+from landingshift.testbed.simulation.cluster import INVARIANT_BY_REMOVED_DEFENCE, OVERLAP_MS, SimulatedCluster
+from landingshift.testbed.verification.invariants import CLUSTER_INVARIANTS, find_violations
+from landingshift.testbed.verification.shrinking import Shrinker
 
 DAYS = Path(__file__).parent / "days"
 COMMAND = [sys.executable, "-c", "from landingshift.cli import start; start()", "lab"]
@@ -43,12 +43,12 @@
             found = pool.map(failure, days, [path.stem for path in WITHOUT])
             for path, wrong in zip(WITHOUT, found, strict=True):
                 with self.subTest(away=path.stem):
-                    self.assertIn(BREAKS[path.stem], names(wrong))
+                    self.assertIn(INVARIANT_BY_REMOVED_DEFENCE[path.stem], names(wrong))
         self.assertGreater(len(WITHOUT), 6)
 
     def test_a_day_is_the_same_each_time_and_is_more_than_nothing(self) -> None:
         day = draw(3)
-        one, two = Town(day).play(), Town(day).play()
+        one, two = SimulatedCluster(day).play(), SimulatedCluster(day).play()
         self.assertEqual(one, two)
         self.assertEqual(draw(3), day)
         for what in ("read", "run", "answer", "loan", "decided", "sees", "begins"):
@@ -57,7 +57,7 @@
     def test_what_met_is_counted_and_sought(self) -> None:
         seen = Coverage()
         acts = (Act(0.0, "cut_off", (1,), 900.0), Act(300.0, "kill", (2,), 500.0))
-        Town(Day(1, 4, 3, 3000.0, False, 0.3, acts), seen=seen).play()
+        SimulatedCluster(Day(1, 4, 3, 3000.0, False, 0.3, acts), seen=seen).play()
         self.assertEqual(seen.of("kill", "cut_off"), 1)
         self.assertEqual(seen.of("kill", "loss"), 0)
         self.assertIn(("kill", "loss"), seen.unmet())
@@ -80,7 +80,7 @@
         noise = [a for a in day.acts if a.kind != "kill"]
         late, kill = Act(2110.0, "late", (0,)), Act(5000.0, "kill", (1, 2), 4000.0)
         day = Day(7, 9, 3, 20_000.0, False, 1.1, tuple(sorted([*noise, late, kill], key=lambda a: a.at)))
-        least = Reduced(day, fails).run()
+        least = Shrinker(day, fails).run()
         self.assertEqual([a.kind for a in least.acts], ["late", "kill"])
         self.assertEqual((least.servers, least.load, len(least.acts[1].who)), (3, 0.3, 1))
         self.assertLess(least.acts[1].lasts, 500.0)
@@ -180,9 +180,13 @@
             ("rests", [(1.0, "rests", 5.0)], [(1.0, "restless", "nobody leads")]),
         ]:  # fmt: skip
             with self.subTest(promise=name, bad=bad):
-                self.assertEqual(broken(list(good), OVERLAP, {name: FLEET[name]}), [])
+                self.assertEqual(
+                    find_violations(list(good), OVERLAP_MS, {name: CLUSTER_INVARIANTS[name]}), []
+                )
                 if bad:
-                    self.assertNotEqual(broken(list(bad), OVERLAP, {name: FLEET[name]}), [])
+                    self.assertNotEqual(
+                        find_violations(list(bad), OVERLAP_MS, {name: CLUSTER_INVARIANTS[name]}), []
+                    )
 
     def test_a_quiet_day_holds(self) -> None:
         self.assertEqual(failure(QUIET, ""), [])
--- a/tests/test_coldstart.py
+++ b/tests/test_coldstart.py
@@ -36,9 +36,9 @@
 from landingshift.membership.messages import MemberRecord, MemberState
 from landingshift.system_clock import SystemBoot
 from landingshift.testbed.experiments.cold_start import experiment
-from landingshift.testbed.simulation.cold_start import Case
-from landingshift.testbed.simulation.leases import LEASE, SPARE
-from landingshift.testbed.verification.search_leases import Search
+from landingshift.testbed.simulation.cold_start import ColdStartCase
+from landingshift.testbed.simulation.leases import CLOCK_MARGIN_MS, LEASE_MS
+from landingshift.testbed.verification.search_leases import LeaseSearch
 
 WINDOW_MS = 1000.0
 REQUEST = ColdStartRequest(3, 1.5, 20.0, 4, 1.0, True, 7.0, 0.25, 12.5)
@@ -57,14 +57,14 @@
                 self.assertEqual(max_min_fair_shares(wanted, 10.0), shares)
 
     def test_false_claims_are_bounded(self) -> None:
-        grantor = LeaseGrantor(10.0, LEASE, SPARE, 0.0, max_min_fair_shares)
+        grantor = LeaseGrantor(10.0, LEASE_MS, CLOCK_MARGIN_MS, 0.0, max_min_fair_shares)
         self.assertEqual(grantor.renew(LeaseRequest("a", 1, 1, 1e9, 5.0), 2000.0), 5.0)
         self.assertLessEqual(grantor.booked_amount(), 10.0)
         # All is still booked for the one with the false claim.
         self.assertEqual(grantor.renew(LeaseRequest("b", 1, 1, 1e9, 1e9), 2000.0), 0.0)
 
     def test_requests_of_another_shape_or_out_of_bounds_are_not_granted(self) -> None:
-        grantor = ColdStartGrantor(Case().plan(), 0.0)
+        grantor = ColdStartGrantor(ColdStartCase().plan(), 0.0)
         sender = MemberRecord("n9", "10.0.0.1", 1, "z", 1, 0, 0, MemberState.ALIVE, "", {})
 
         def granted(figures: list[Any]) -> ColdStartGrant | None:
@@ -110,15 +110,15 @@
 
 class LeaseSearchTest(unittest.TestCase):
     def test_no_order_of_messages_breaks_the_bound(self) -> None:
-        search = Search().run(7, 6000)
-        self.assertEqual(search.broken, "")
-        self.assertGreater(search.states, 3000)
-        self.assertEqual(search.most, 4.0)  # all is leased: the bound is reached, and not passed
+        search = LeaseSearch().run(7, 6000)
+        self.assertEqual(search.violation, "")
+        self.assertGreater(search.state_count, 3000)
+        self.assertEqual(search.max_believed, 4.0)  # all is leased: the bound is reached, and not passed
 
     def test_each_part_of_the_rule_is_needed(self) -> None:
-        for without in ({"quiet": False}, {"books": False}):
+        for without in ({"has_recovery_grace": False}, {"books_old_grants": False}):
             with self.subTest(without=without):
-                self.assertIn(" of 4, by ", Search(**without).run(12, 40_000).broken)
+                self.assertIn(" of 4, by ", LeaseSearch(**without).run(12, 40_000).violation)
 
 
 class RecoveryGraceTest(unittest.TestCase):
@@ -206,7 +206,7 @@
                 self.assertEqual(assign_permits(candidates, holders, free_count), chosen)
 
     def test_permit_is_kept_while_wanted_and_expires_with_its_lease(self) -> None:
-        pool = StartPermitPool(2.0, 2.0, LEASE, SPARE, -5000.0)
+        pool = StartPermitPool(2.0, 2.0, LEASE_MS, CLOCK_MARGIN_MS, -5000.0)
 
         def renew(name: str, number: int, claimed: float, now_ms: float, wants: bool = True) -> float | None:
             return pool.renew(PermitRequest(name, 1, number, claimed, wants, "z", 1.0, 0.0), now_ms)
--- a/tests/test_golden_histories.py
+++ b/tests/test_golden_histories.py
@@ -21,23 +21,23 @@
 from landingshift.testbed.experiments.rows import Row
 from landingshift.testbed.experiments.scenarios import draw
 from landingshift.testbed.simulation import policy_change as assent
-from landingshift.testbed.simulation.cluster import Town
-from landingshift.testbed.simulation.cold_start import Case, Rise
-from landingshift.testbed.simulation.virtual_time import World
+from landingshift.testbed.simulation.cluster import SimulatedCluster
+from landingshift.testbed.simulation.cold_start import ColdStartCase, ColdStartSimulation
+from landingshift.testbed.simulation.virtual_time import SimulatedNetwork
 from tests.golden_files import assert_golden_json
 
 FLEET = "golden"
 
 
 class Recorder:
-    """Stands in for `World.carry`: digests each message with its time, and passes on what its bytes say."""
+    """Stands in for `SimulatedNetwork.transmit`: digests each message and passes on what its bytes say."""
 
     def __init__(self) -> None:
         self.digest, self.count = hashlib.sha256(), 0
         self.samples: dict[str, bytes] = {}
-        self.carry = World.carry
+        self.carry = SimulatedNetwork.transmit
 
-    def __call__(self, world: World, sender: Any, to: Any, message: Any) -> None:
+    def __call__(self, world: SimulatedNetwork, sender: Any, to: Any, message: Any) -> None:
         if isinstance(message, Message):
             data = wire.encode(FLEET, message)
             _, kind, (_, _, _, body, _) = msgpack.decode(data)
@@ -49,12 +49,12 @@
             data = msgpack.encode(message)
             message = tuple(msgpack.decode(data))
         self.count += 1
-        self.digest.update(f"{world.now!r} {sender!r} {to!r} ".encode() + data)
+        self.digest.update(f"{world.now_ms!r} {sender!r} {to!r} ".encode() + data)
         self.carry(world, sender, to, message)
 
     def recorded(self) -> Any:
         recorder = self
-        return mock.patch.object(World, "carry", lambda *args: recorder(*args))
+        return mock.patch.object(SimulatedNetwork, "transmit", lambda *args: recorder(*args))
 
     @property
     def found(self) -> list[Any]:
@@ -72,13 +72,15 @@
         for seed in (3, 11, 12):
             recorder = Recorder()
             with recorder.recorded():
-                town = Town(draw(seed))
+                town = SimulatedCluster(draw(seed))
                 history = town.play()
             samples = recorder.samples | samples
             found[f"day {seed}"] = {
                 "datagrams": recorder.found,
                 "history": [len(history), digest(history)],
-                "snapshots": [digest(home.part.state_machines.snapshot()) for home in town.homes.values()],
+                "snapshots": [
+                    digest(home.policy_node.state_machines.snapshot()) for home in town.servers.values()
+                ],
             }
         assert_golden_json(self, "whole_fleet.json", found)
         assert_golden_json(self, "membership_datagrams.json", dict(sorted(samples.items())))
@@ -88,30 +90,36 @@
         for seed in range(1, 7):
             recorder = Recorder()
             with recorder.recorded():
-                hall = assent.play(seed, aside=bool(seed % 2))
+                hall = assent.run_random_history(seed, aside=bool(seed % 2))
             found[f"history {seed}"] = {
                 "messages": recorder.found,
                 "history": [len(hall.history), digest(hall.history)],
-                "snapshots": [digest(mind.part.state_machines.snapshot()) for mind in hall.minds.values()],
+                "snapshots": [
+                    digest(mind.policy_node.state_machines.snapshot()) for mind in hall.servers.values()
+                ],
             }
         assert_golden_json(self, "policies_histories.json", found)
 
     def test_cold_start(self) -> None:
         found = {}
-        cases = {"list": Case(40), "snapshot": Case(40, know="snapshot"), "power": Case(30, power=True)}
+        cases = {
+            "list": ColdStartCase(40),
+            "snapshot": ColdStartCase(40, discovery="snapshot"),
+            "power": ColdStartCase(30, is_after_power_cut=True),
+        }
         for name, case in cases.items():
             recorder = Recorder()
             with recorder.recorded():
-                rise = Rise(case, 7)
+                rise = ColdStartSimulation(case, 7)
                 rise.start_all()
                 rise.run(25_000.0)
             found[name] = {
                 "datagrams": recorder.found,
-                "asks": [len(rise.asks), digest(rise.asks)],
-                "warm": digest(rise.warm),
-                "at": rise.warm_at,
-                "broken": rise.broken,
-                "lines": digest([line[:2] for line in rise.lines]),
+                "asks": [len(rise.list_poll_times_ms), digest(rise.list_poll_times_ms)],
+                "warm": digest(rise.warm_fractions),
+                "at": rise.warm_at_ms,
+                "broken": rise.violations,
+                "lines": digest([line[:2] for line in rise.log_lines]),
             }
         assert_golden_json(self, "cold_start.json", found)
 
--- a/tests/test_membership_cluster.py
+++ b/tests/test_membership_cluster.py
@@ -11,7 +11,7 @@
 from landingshift.membership.node import REPLIES_PER_SECOND, SwimNode
 from landingshift.membership.outbox import MAX_OUTBOX_MESSAGES
 from landingshift.membership.timings import SwimTimings
-from landingshift.testbed.simulation.virtual_time import Host, World
+from landingshift.testbed.simulation.virtual_time import SimulatedHost, SimulatedNetwork
 from tests.test_membership import address, message, record
 
 MAX_MEMBERS = 1000
@@ -25,15 +25,15 @@
     """
 
     def __init__(self, node_count: int, seed: int = 1, **world: Any) -> None:
-        self.world = World(seed, **world)
+        self.network = SimulatedNetwork(seed, **world)
         self.log_lines: list[tuple[float, int, str, dict[str, Any]]] = []
         self.nodes: dict[int, SwimNode] = {}
-        self.hosts: dict[int, Host] = {}
+        self.hosts: dict[int, SimulatedHost] = {}
         for index in range(node_count):
             self.start(index)
 
     def start(self, index: int, seed_count: int = 3, clock_offset_ms: float = 0.0) -> SwimNode:
-        rng = Random(f"{self.world.chance.random()} {index}")
+        rng = Random(f"{self.network.rng.random()} {index}")
         local_record = record(index, run_id=rng.getrandbits(48))
         node = SwimNode(
             local_record,
@@ -41,32 +41,32 @@
             SwimTimings(),
             MAX_MEMBERS,
             rng,
-            self.world.now + clock_offset_ms,
+            self.network.now_ms + clock_offset_ms,
             self.logger(index),
         )
         self.nodes[index] = node
-        self.hosts[index] = self.world.start(address(index), node, clock_offset_ms)
+        self.hosts[index] = self.network.start_host(address(index), node, clock_offset_ms)
         return node
 
     def logger(self, index: int) -> Any:
-        return lambda event, **fields: self.log_lines.append((self.world.now, index, event, fields))
+        return lambda event, **fields: self.log_lines.append((self.network.now_ms, index, event, fields))
 
     def run(self, duration_ms: float) -> None:
-        self.world.run(self.world.now + duration_ms)
+        self.network.run_until(self.network.now_ms + duration_ms)
 
     def kill(self, *indexes: int) -> None:
         for index in indexes:
-            self.world.kill(address(index))
+            self.network.kill(address(index))
             del self.nodes[index]
 
     def run_until_all_know(self, timeout_ms: float, *present: int) -> float:
         """Virtual ms until all know that just these are present; fails past the time-out."""
-        started_at_ms = self.world.now
+        started_at_ms = self.network.now_ms
         while not self.all_know(*present):
-            if self.world.now - started_at_ms > timeout_ms:
+            if self.network.now_ms - started_at_ms > timeout_ms:
                 raise AssertionError(f"not within {timeout_ms} ms")
             self.run(50.0)
-        return self.world.now - started_at_ms
+        return self.network.now_ms - started_at_ms
 
     def all_know(self, *present: int) -> bool:
         names = {f"n{index}" for index in present}
@@ -90,7 +90,7 @@
     def test_members_find_each_other_and_learn_of_deaths(self) -> None:
         for loss in (0.0, 0.1):
             with self.subTest(loss=loss):
-                cluster = self.formed_cluster(60, loss=loss)
+                cluster = self.formed_cluster(60, loss_probability=loss)
                 cluster.kill(7, 8)
                 elapsed_ms = cluster.run_until_all_know(6_500.0, *range(7), *range(9, 60))
                 self.assertGreater(elapsed_ms, 1000.0)  # not on a single lost datagram
@@ -99,7 +99,7 @@
     def test_pauses_of_300_ms_are_no_deaths(self) -> None:
         cluster = self.formed_cluster(30)
         for turn in range(40):
-            cluster.hosts[turn % 30].stop(300.0)
+            cluster.hosts[turn % 30].pause(300.0)
             cluster.run(700.0)
         self.assertEqual(cluster.declared_dead(), set())
 
@@ -107,13 +107,13 @@
         # A full core takes hundreds of ms until it looks at a datagram.
         cluster = self.formed_cluster(30)
         for index in range(10):
-            cluster.hosts[index].lag = 80.0
+            cluster.hosts[index].mean_delay_ms = 80.0
         cluster.run(60_000.0)
         self.assertEqual(cluster.declared_dead(), set())
 
     def test_member_paused_for_long_rejoins_and_declares_nobody_dead(self) -> None:
         cluster = self.formed_cluster(20)
-        cluster.hosts[3].stop(15_000.0)
+        cluster.hosts[3].pause(15_000.0)
         cluster.run(14_000.0)
         self.assertEqual(cluster.declared_dead(), {"n3"})
         cluster.run_until_all_know(8_000.0, *range(20))
@@ -139,23 +139,23 @@
     def test_partitioned_halves_rejoin(self) -> None:
         cluster = self.formed_cluster(20)
         half = {address(index) for index in range(10)}
-        cluster.world.cut = lambda sender, receiver: (sender in half) != (receiver in half)
+        cluster.network.is_cut = lambda sender, receiver: (sender in half) != (receiver in half)
         cluster.run(20_000.0)
         self.assertEqual(
             set(cluster.nodes[0].member_table.present_index), {f"n{index}" for index in range(1, 10)}
         )
-        cluster.world.cut = lambda sender, receiver: False
+        cluster.network.is_cut = lambda sender, receiver: False
         cluster.run_until_all_know(15_000.0, *range(20))
 
     def test_link_cut_in_one_direction_is_no_death(self) -> None:
         cluster = self.formed_cluster(12)
-        cluster.world.cut = lambda sender, receiver: (sender, receiver) == (address(1), address(2))
+        cluster.network.is_cut = lambda sender, receiver: (sender, receiver) == (address(1), address(2))
         cluster.run(30_000.0)
         self.assertEqual(cluster.declared_dead(), set())
 
     def test_member_that_sends_but_receives_nothing_does_not_empty_others_tables(self) -> None:
         cluster = self.formed_cluster(12)
-        cluster.world.cut = lambda sender, receiver: receiver == address(5)
+        cluster.network.is_cut = lambda sender, receiver: receiver == address(5)
         cluster.run(20_000.0)
         for index, node in cluster.nodes.items():
             if index != 5:
@@ -163,8 +163,8 @@
 
     def test_member_that_leaves_is_not_declared_dead(self) -> None:
         cluster = self.formed_cluster(12)
-        cluster.nodes[2].leave(cluster.world.now)
-        cluster.hosts[2].turn()
+        cluster.nodes[2].leave(cluster.network.now_ms)
+        cluster.hosts[2].run_once()
         cluster.run(100.0)
         cluster.kill(2)
         remaining = [index for index in range(12) if index != 2]
@@ -181,10 +181,10 @@
             SwimTimings(),
             100,
             Random(9),
-            cluster.world.now,
+            cluster.network.now_ms,
             cluster.logger(50),
         )
-        cluster.world.start(address(50), other)
+        cluster.network.start_host(address(50), other)
         cluster.run(20_000.0)
         self.assertIn("fleet_name_twice", {event for _, _, event, _ in cluster.log_lines})
 
@@ -193,9 +193,9 @@
         for node_count in (30, 120):
             cluster = self.formed_cluster(node_count)
             cluster.run(20_000.0)
-            messages_before = cluster.world.messages
+            messages_before = cluster.network.message_count
             cluster.run(10_000.0)
-            rates.append((cluster.world.messages - messages_before) / node_count / 10.0)
+            rates.append((cluster.network.message_count - messages_before) / node_count / 10.0)
         self.assertLess(rates[1], 1.2 * rates[0])
         self.assertLess(rates[1], 8.0)
 
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -66,7 +66,7 @@
 from landingshift.policies.wire import decode_message, encode_message
 from landingshift.testbed.experiments.policies import VIRTUAL, histories, searched, virtual
 from landingshift.testbed.processes.harness import in_time
-from landingshift.testbed.verification.invariants import broken
+from landingshift.testbed.verification.invariants import find_violations
 from tests.helpers import CONFIG
 
 
@@ -531,7 +531,7 @@
             ([(0, "end", "a", "c", "taken", 1), (9, "end", "b", "c", "withdrawn", 0)], "one_answer"),
         ]:
             with self.subTest(history=history):
-                self.assertTrue(any(invariant in text for text in broken(history, 1000.0)))
+                self.assertTrue(any(invariant in text for text in find_violations(history, 1000.0)))
         sound = [
             (0, "decided", "a", 0, b""),
             (5, "decided", "a", 1, b"x"),
@@ -539,4 +539,4 @@
             (950, "decided", "b", 1, b"x"),
             (960, "end", "b", "c", "taken", 1),
         ]
-        self.assertEqual(broken(sound, 1000.0), [])
+        self.assertEqual(find_violations(sound, 1000.0), [])
