--- a/landingshift/testbed/experiments/cold_start.py
+++ b/landingshift/testbed/experiments/cold_start.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from landingshift.testbed import MEMORY
-from landingshift.testbed.experiments.rows import Row, must
+from landingshift.testbed.experiments.rows import ExperimentRow
 from landingshift.testbed.simulation.cold_start import ColdStartCase, ColdStartSimulation, address
 from landingshift.testbed.simulation.leases import LeaseSimulation
 from landingshift.testbed.verification.search_leases import LeaseSearch
@@ -44,34 +44,30 @@
         return rise
 
 
-def check(row: Row, rise: ColdStartSimulation, within: float) -> None:
+def check(row: ExperimentRow, rise: ColdStartSimulation, within: float) -> None:
     """Warm within so many times the least (and a second for those who came last), all bounds kept."""
     while rise.warm_at_ms < 0.0 and rise.network.now_ms < LATEST:
         rise.run(1000.0)
     bounds(row, rise)
-    must(row, rise.warm_at_ms >= 0.0, f"not warm after {rise.network.now_ms / 1000.0:.0f} s")
-    must(
-        row,
+    row.require(rise.warm_at_ms >= 0.0, f"not warm after {rise.network.now_ms / 1000.0:.0f} s")
+    row.require(
         rise.warm_at_ms <= within * rise.min_warm_up_ms() + 1000.0,
         f"warm after {rise.warm_at_ms:.0f} ms, least {rise.min_warm_up_ms():.0f}",
     )
     top(row, "warm_over_least", rise.warm_at_ms / rise.min_warm_up_ms())
 
 
-def bounds(row: Row, rise: ColdStartSimulation) -> None:
+def bounds(row: ExperimentRow, rise: ColdStartSimulation) -> None:
     case = rise.case
-    row.broken += rise.violations[:2]
+    row.violations += rise.violations[:2]
     calls, asks = rise.peak_calls_per_second(), rise.peak_per_second(rise.list_poll_times_ms)
-    must(row, not rise.store.is_overloaded, "the store fell")
-    must(
-        row,
+    row.require(not rise.store.is_overloaded, "the store fell")
+    row.require(
         calls <= PEAK * case.downstream_calls_per_second,
         f"{calls} calls in a second at a store that bears {case.downstream_calls_per_second:g}",
     )
-    must(
-        row,
-        asks <= max(3.0, PEAK * case.list_polls_per_second),
-        f"the list was asked {asks} times in a second",
+    row.require(
+        asks <= max(3.0, PEAK * case.list_polls_per_second), f"the list was asked {asks} times in a second"
     )
     top(row, "calls_over_bears", calls / case.downstream_calls_per_second)
     top(row, "asks_over_bears", asks / case.list_polls_per_second)
@@ -82,14 +78,14 @@
     )
 
 
-def top(row: Row, name: str, value: float) -> None:
+def top(row: ExperimentRow, name: str, value: float) -> None:
     row.figures[name] = max(row.figures.get(name, 0.0), round(value, 2))
 
 
 # In virtual time
 
 
-def lent(tried: Tried, row: Row) -> None:
+def lent(tried: Tried, row: ExperimentRow) -> None:
     """What eight holders believe in, through loss, doubles, delays, stops, restarts and uneven clocks."""
     lent = LeaseSimulation(
         tried.chance.randrange(1 << 30),
@@ -98,35 +94,33 @@
     )
     for _ in range(5000):
         lent.step()
-    must(
-        row,
-        lent.max_believed <= lent.capacity + 1e-9,
-        f"{lent.max_believed:.2f} believed in of {lent.capacity:g}",
+    row.require(
+        lent.max_believed <= lent.capacity + 1e-9, f"{lent.max_believed:.2f} believed in of {lent.capacity:g}"
     )
     top(row, "most_of_10", lent.max_believed)
 
 
-def search(tried: Tried, row: Row) -> None:
+def search(tried: Tried, row: ExperimentRow) -> None:
     """Every order of one lender and two holders, to a depth, until so many states were seen."""
     found = LeaseSearch(tried.away != "quiet", tried.away != "booking").run(DEPTH, STATES)
-    must(row, not found.violation, found.violation)
+    row.require(not found.violation, found.violation)
     row.figures |= {"states": found.state_count, "most_of_4": found.max_believed}
 
 
-def all_at_once(tried: Tried, row: Row) -> None:
+def all_at_once(tried: Tried, row: ExperimentRow) -> None:
     rise = tried.rise()
     rise.start_all()
     check(row, rise, 1.5)
 
 
-def power_cut(tried: Tried, row: Row) -> None:
+def power_cut(tried: Tried, row: ExperimentRow) -> None:
     """The machines were off: lenders know that nothing they granted before can still be believed."""
     rise = tried.rise(is_after_power_cut=True)
     rise.start_all()
     check(row, rise, 1.3)
 
 
-def lenders_killed(tried: Tried, row: Row) -> None:
+def lenders_killed(tried: Tried, row: ExperimentRow) -> None:
     """One killed and started anew, which knows nothing of what it lent, and one killed for good."""
     rise = tried.rise()
     rise.start_all()
@@ -139,7 +133,7 @@
     check(row, rise, 5.0)  # a third of what is lent is out of use
 
 
-def holders_lost(tried: Tried, row: Row) -> None:
+def holders_lost(tried: Tried, row: ExperimentRow) -> None:
     """Of those who hold places some are killed, some stopped for 5 s, some cut off."""
     rise = tried.rise(permits=SCARCE)
     rise.start_all()
@@ -163,7 +157,7 @@
     check(row, rise, 4.0)
 
 
-def zone_cut(tried: Tried, row: Row) -> None:
+def zone_cut(tried: Tried, row: ExperimentRow) -> None:
     """A zone cut off goes on by itself; the halves meet again with other beliefs."""
     rise = tried.rise()
     rise.start_all()
@@ -174,11 +168,11 @@
     rise.network.schedule_at(20_000.0, lambda: setattr(rise.network, "is_cut", lambda a, b: False))
     rise.run(19_000.0)
     begun = sum(m.opened_at_ms > 0.0 for i, m in rise.servers.items() if i % 3 == 0)
-    must(row, begun > rise.case.server_count // 12, f"only {begun} began in the zone that was cut off")
+    row.require(begun > rise.case.server_count // 12, f"only {begun} began in the zone that was cut off")
     check(row, rise, 4.0)
 
 
-def bad_network(tried: Tried, row: Row) -> None:
+def bad_network(tried: Tried, row: ExperimentRow) -> None:
     """10 % lost, 10 % doubled, one link cut one way; in one second, or in waves."""
     for spread in (1000.0, 15_000.0):
         rise = tried.rise({"loss_probability": 0.1})
@@ -188,7 +182,7 @@
         check(row, rise, 4.0)
 
 
-def store_collapses(tried: Tried, row: Row) -> None:
+def store_collapses(tried: Tried, row: ExperimentRow) -> None:
     """A crowd from elsewhere brings the store down when half are up: it must come back without a hand."""
     rise = tried.rise()
     rise.start_all()
@@ -196,7 +190,7 @@
         rise.run(500.0)
     rise.store.queued_calls += 4.0 * rise.case.downstream_calls_per_second
     rise.run(1000.0)
-    must(row, rise.store.is_overloaded, "the store did not fall")
+    row.require(rise.store.is_overloaded, "the store did not fall")
     began = rise.network.now_ms
     while rise.store.is_overloaded and rise.network.now_ms < LATEST:
         rise.run(500.0)
@@ -204,7 +198,7 @@
     check(row, rise, 12.0)
 
 
-def list_service(tried: Tried, row: Row) -> None:
+def list_service(tried: Tried, row: ExperimentRow) -> None:
     """Down throughout, back when all wait for it, gone in the middle; nobody knows anybody else."""
     for up in ((1e9, 1e12), (8000.0, 1e12), (0.0, 2000.0)):
         rise = tried.rise(discovery="list", list_up_ms=up, list_polls_per_second=10.0)
@@ -212,10 +206,10 @@
         rise.run(60_000.0)
         bounds(row, rise)
         begun = sum(m.opened_at_ms > 0.0 for m in rise.servers.values())
-        must(row, begun > rise.case.server_count // 4, f"only {begun} began")
+        row.require(begun > rise.case.server_count // 4, f"only {begun} began")
 
 
-def crash_loop(tried: Tried, row: Row) -> None:
+def crash_loop(tried: Tried, row: ExperimentRow) -> None:
     """Half of them crash again and again for 20 s."""
     rise = tried.rise()
     rise.start_all()
@@ -230,7 +224,7 @@
     check(row, rise, 8.0)
 
 
-def hour_of_load(tried: Tried, row: Row) -> None:
+def hour_of_load(tried: Tried, row: ExperimentRow) -> None:
     """An hour of full cores: all hear late, by 40 ms on average, and one is stopped for 300 ms each 2 s."""
     rise = tried.rise(server_count=30, grantor_count=3, downstream_calls_per_second=60.0)
     rise.start_all()
@@ -241,7 +235,7 @@
         rise.hosts[tried.chance.randrange(30)].pause(300.0)
         rise.run(2000.0)
     dead = sum(event == "fleet_dead" for _, _, event in rise.log_lines)
-    must(row, dead == 0, f"{dead} buried of whom none was dead")
+    row.require(dead == 0, f"{dead} buried of whom none was dead")
     row.figures["false_deaths"] = dead
     rise.kill(7)
     began = rise.network.now_ms
@@ -251,11 +245,11 @@
     ):
         rise.run(50.0)
     row.figures["death_known_s"] = round((rise.network.now_ms - began) / 1000.0, 1)
-    must(row, rise.network.now_ms - began < 15_000.0, "a death under load was not known after 15 s")
+    row.require(rise.network.now_ms - began < 15_000.0, "a death under load was not known after 15 s")
 
 
-def large(servers: int) -> Callable[[Tried, Row], None]:
-    def case(tried: Tried, row: Row) -> None:
+def large(servers: int) -> Callable[[Tried, ExperimentRow], None]:
+    def case(tried: Tried, row: ExperimentRow) -> None:
         few = tried.scale.get("server_count")
         count = few or servers
         rise = tried.rise(
@@ -268,7 +262,7 @@
     return case
 
 
-VIRTUAL: dict[str, Callable[[Tried, Row], None]] = {
+VIRTUAL: dict[str, Callable[[Tried, ExperimentRow], None]] = {
     "lent": lent,
     "search": search,
     "all_at_once": all_at_once,
@@ -289,17 +283,17 @@
 
 def experiment(
     repeats: int, seed: int, servers: int, take_away: str | None = None, only: str | None = None
-) -> Iterator[Row]:
+) -> Iterator[ExperimentRow]:
     """Rows as they are done; `servers` real processes in the real ones, 0 for none of them."""
     for name, case in VIRTUAL.items():
         if (only and only != name) or (not only and name in RARE[1:] and not servers):
             continue
-        row = Row(name)
+        row = ExperimentRow(name)
         for run in range(1 if name in RARE else repeats):
             try:
                 case(Tried(f"{seed} {name} {run}", {}, take_away or ""), row)
             except Exception as err:
-                row.broken.append(f"run {run}: {type(err).__name__}: {err}")
+                row.violations.append(f"run {run}: {type(err).__name__}: {err}")
             row.runs += 1
         yield row
     if servers:
@@ -308,11 +302,11 @@
         for name, real in (REAL | LONG).items():
             if (only and only != name) or (not only and name in LONG):
                 continue
-            row = Row(name)
+            row = ExperimentRow(name)
             with tempfile.TemporaryDirectory(dir=MEMORY) as folder:
                 try:
                     real(folder, servers, seed, take_away or "", row)
                 except Exception as err:
-                    row.broken.append(f"{type(err).__name__}: {err}")
+                    row.violations.append(f"{type(err).__name__}: {err}")
             row.runs += 1
             yield row
--- a/landingshift/testbed/experiments/policies.py
+++ b/landingshift/testbed/experiments/policies.py
@@ -11,7 +11,7 @@
 
 from landingshift.consensus.raft import Role
 from landingshift.policies.commands import FINAL_OUTCOMES
-from landingshift.testbed.experiments.rows import Row, all_real, must
+from landingshift.testbed.experiments.rows import ExperimentRow, play_real_rows
 from landingshift.testbed.simulation.policy_change import PolicyChangeSimulation, address, run_random_history
 from landingshift.testbed.simulation.virtual_time import Address
 from landingshift.testbed.verification.invariants import find_violations
@@ -20,25 +20,25 @@
 CHUNK = 50  # histories that one worker plays at a time
 
 
-def judged(row: Row, hall: PolicyChangeSimulation) -> None:
+def judged(row: ExperimentRow, hall: PolicyChangeSimulation) -> None:
     """Promises, and that all is well in the end: one version everywhere, and one answer from everybody."""
-    row.broken += find_violations(hall.history, hall.settings.overlap_ms)
+    row.violations += find_violations(hall.history, hall.settings.overlap_ms)
     minds = hall.servers.values()
     versions = {m.participant.version for m in minds}
-    must(row, len(versions) == 1, f"versions {versions} in the end")
-    must(row, all(m.participant.is_member for m in minds), "not all are counted in the end")
-    must(row, all(m.participant.may_decide(m.clock_ms()) for m in minds), "not all decide in the end")
+    row.require(len(versions) == 1, f"versions {versions} in the end")
+    row.require(all(m.participant.is_member for m in minds), "not all are counted in the end")
+    row.require(all(m.participant.may_decide(m.clock_ms()) for m in minds), "not all decide in the end")
 
 
-def histories(first: int, count: int, away: str) -> Row:
+def histories(first: int, count: int, away: str) -> ExperimentRow:
     """With faults drawn from the seed."""
-    row = Row("histories", runs=count)
+    row = ExperimentRow("histories", runs=count)
     ends = {"taken": 0, "refused": 0, "withdrawn": 0}
     for seed in range(first, first + count):
         hall = run_random_history(seed, removed_defence=away)
-        had = len(row.broken)
+        had = len(row.violations)
         judged(row, hall)
-        row.broken[had:] = [f"seed {seed}: {text}" for text in row.broken[had:]]
+        row.violations[had:] = [f"seed {seed}: {text}" for text in row.violations[had:]]
         for entry in {(e[3], e[4]) for e in hall.history if e[1] == "end"}:
             ends[entry[1]] += 1
     row.figures |= ends
@@ -53,17 +53,17 @@
     raise AssertionError("nobody leads")
 
 
-def taken(row: Row, hall: PolicyChangeSimulation, id: str) -> None:
+def taken(row: ExperimentRow, hall: PolicyChangeSimulation, id: str) -> None:
     ends = {hall.change_outcome(name, id) for name in hall.server_names if name not in hall.down_servers} - {
         "unknown"
     }
-    must(row, ends == {"taken"}, f"{id} is {ends}")
+    row.require(ends == {"taken"}, f"{id} is {ends}")
 
 
 # One row for what must hold in a case of its own; each is given its seed and the defence that is away
 
 
-def without_faults(row: Row, seed: int, away: str) -> PolicyChangeSimulation:
+def without_faults(row: ExperimentRow, seed: int, away: str) -> PolicyChangeSimulation:
     """200 servers: how long a change takes."""
     hall = PolicyChangeSimulation(seed, 200, 5, removed_defence=away)
     hall.run(4000.0)
@@ -74,13 +74,13 @@
     } != {1}:
         hall.network.run_until(hall.network.now_ms + 20.0)
     top(row, "took_s", (hall.network.now_ms - began) / 1000.0)
-    must(row, hall.network.now_ms - began <= 2000.0, f"took {hall.network.now_ms - began:.0f} ms")
+    row.require(hall.network.now_ms - began <= 2000.0, f"took {hall.network.now_ms - began:.0f} ms")
     hall.run(300.0)
     taken(row, hall, id)
     return hall
 
 
-def with_loss(row: Row, seed: int, away: str) -> PolicyChangeSimulation:
+def with_loss(row: ExperimentRow, seed: int, away: str) -> PolicyChangeSimulation:
     """200 servers and 5 % of all messages lost."""
     hall = PolicyChangeSimulation(seed, 200, 5, removed_defence=away, change_timeout_ms=20_000.0)
     hall.network.loss_probability = 0.05
@@ -97,7 +97,7 @@
     return hall
 
 
-def tenth_down(row: Row, seed: int, away: str) -> PolicyChangeSimulation:
+def tenth_down(row: ExperimentRow, seed: int, away: str) -> PolicyChangeSimulation:
     """A tenth of 200 is down and stands aside in time: a change takes no more than the lease and 2 s."""
     hall = PolicyChangeSimulation(
         seed,
@@ -117,14 +117,14 @@
     while hall.network.now_ms < began + 20_000.0 and {m.participant.version for m in rest} != {1}:
         hall.network.run_until(hall.network.now_ms + 20.0)
     top(row, "took_s", (hall.network.now_ms - began) / 1000.0)
-    must(row, hall.network.now_ms - began <= 5000.0, f"took {hall.network.now_ms - began:.0f} ms")
+    row.require(hall.network.now_ms - began <= 5000.0, f"took {hall.network.now_ms - began:.0f} ms")
     hall.run(300.0)
     taken(row, hall, id)
     hall.settle(4000.0)
     return hall
 
 
-def leader_wakes(row: Row, seed: int, away: str) -> PolicyChangeSimulation:
+def leader_wakes(row: ExperimentRow, seed: int, away: str) -> PolicyChangeSimulation:
     """A leader cut off with one member stands still and wakes: it must not vouch for that one any more."""
     hall = PolicyChangeSimulation(seed, 5, 3, True, removed_defence=away)
     hall.run(2500.0)
@@ -141,7 +141,7 @@
     return hall
 
 
-def majority_gone(row: Row, seed: int, away: str) -> PolicyChangeSimulation:
+def majority_gone(row: ExperimentRow, seed: int, away: str) -> PolicyChangeSimulation:
     """For good: those that run decide on."""
     hall = PolicyChangeSimulation(seed, 6, 3, removed_defence=away)
     hall.run(2500.0)
@@ -153,12 +153,12 @@
     since = hall.network.now_ms + 2000.0
     hall.run(20_000.0)
     late = {e[2] for e in hall.history if e[1] == "decided" and e[0] > since}
-    must(row, late == {"n2", "n3", "n4", "n5"}, f"only {late} decide on")
+    row.require(late == {"n2", "n3", "n4", "n5"}, f"only {late} decide on")
     hall.settle()
     return hall
 
 
-def both_sides(row: Row, seed: int, away: str) -> PolicyChangeSimulation:
+def both_sides(row: ExperimentRow, seed: int, away: str) -> PolicyChangeSimulation:
     """Two changes at the same instant on both sides of a cut."""
     hall = PolicyChangeSimulation(seed, 6, 3, removed_defence=away)
     hall.run(2500.0)
@@ -168,11 +168,11 @@
     hall.run(3000.0)
     hall.settle()
     ends = {hall.change_outcome("n5", one), hall.change_outcome("n5", two)}
-    must(row, ends <= set(FINAL_OUTCOMES), f"they ended as {ends}")
+    row.require(ends <= set(FINAL_OUTCOMES), f"they ended as {ends}")
     return hall
 
 
-def refused(row: Row, seed: int, away: str) -> PolicyChangeSimulation:
+def refused(row: ExperimentRow, seed: int, away: str) -> PolicyChangeSimulation:
     """One can't read it."""
     hall = PolicyChangeSimulation(seed, 5, 3, removed_defence=away)
     hall.policy_checks["n4"] = lambda policy: "methods.m.criticality: not here" if policy else ""
@@ -182,8 +182,8 @@
     id = hall.propose("n3", 1)
     hall.run(1500.0)
     said = hall.servers["n3"].policy_node.change_status(id).reason
-    must(row, said == "n4: methods.m.criticality: not here", f"it says {said!r}")
-    must(row, not any(e[3] for e in hall.history if e[1] == "decided"), "it was decided by")
+    row.require(said == "n4: methods.m.criticality: not here", f"it says {said!r}")
+    row.require(not any(e[3] for e in hall.history if e[1] == "decided"), "it was decided by")
     return hall
 
 
@@ -192,7 +192,7 @@
     return (a in half) != (b in half)
 
 
-def forgets(row: Row, seed: int, away: str) -> PolicyChangeSimulation:
+def forgets(row: ExperimentRow, seed: int, away: str) -> PolicyChangeSimulation:
     """Voters die between write and sync all the while: what they promised must be on disk first."""
     hall = PolicyChangeSimulation(seed, 4, 3, removed_defence=away)
     for number in range(25):
@@ -213,7 +213,7 @@
     return hall
 
 
-def gone_late(row: Row, seed: int, away: str) -> PolicyChangeSimulation:
+def gone_late(row: ExperimentRow, seed: int, away: str) -> PolicyChangeSimulation:
     """An operator's word that one has ended reaches the leader only once that machine is back."""
     hall = PolicyChangeSimulation(seed, 5, 3, removed_defence=away)
     hall.run(2500.0)
@@ -228,12 +228,12 @@
     hall.network.is_cut = lambda a, b: cut in (a, b)
     id = hall.propose("n3", 1)
     hall.run(3000.0)
-    must(row, hall.change_outcome("n3", id) not in FINAL_OUTCOMES, "it did not wait for one that is there")
+    row.require(hall.change_outcome("n3", id) not in FINAL_OUTCOMES, "it did not wait for one that is there")
     hall.settle()
     return hall
 
 
-def voters_replaced(row: Row, seed: int, away: str) -> PolicyChangeSimulation:
+def voters_replaced(row: ExperimentRow, seed: int, away: str) -> PolicyChangeSimulation:
     """One of three is gone for good: another is added, the dead one removed, and a second may die then."""
     hall = PolicyChangeSimulation(seed, 6, 3, removed_defence=away)
     hall.run(2500.0)
@@ -247,7 +247,7 @@
     hall.run(2000.0)
     voters = hall.servers["n3"].policy_node.raft
     assert voters is not None
-    must(row, set(voters.voters) == {"n1", "n2", "n3"}, f"voters are {voters.voters}")
+    row.require(set(voters.voters) == {"n1", "n2", "n3"}, f"voters are {voters.voters}")
     hall.kill("n1")
     hall.run(3000.0)
     for name in ("n0", "n1"):
@@ -261,7 +261,7 @@
     return hall
 
 
-def settings_outdated(row: Row, seed: int, away: str) -> PolicyChangeSimulation:
+def settings_outdated(row: ExperimentRow, seed: int, away: str) -> PolicyChangeSimulation:
     """All voters of the settings are replaced one after the other; whoever starts then finds the new one."""
     hall = PolicyChangeSimulation(seed, 6, 3, removed_defence=away)
     hall.run(2500.0)
@@ -270,7 +270,7 @@
         hall.run(3000.0)
     voter = hall.servers["n3"].policy_node.raft
     assert voter is not None
-    must(row, voter.voters == ("n3",), f"voters are {voter.voters}")
+    row.require(voter.voters == ("n3",), f"voters are {voter.voters}")
     for name in ("n3", "n5", "n0"):
         hall.kill(name)
         hall.start(name)
@@ -283,16 +283,14 @@
     hall.kill("n5")
     hall.start("n5")
     hall.run(12_000.0)
-    must(
-        row,
-        hall.servers["n5"].participant.is_member,
-        "n5 does not find the leader among those that are there",
+    row.require(
+        hall.servers["n5"].participant.is_member, "n5 does not find the leader among those that are there"
     )
     hall.settle()
     return hall
 
 
-VIRTUAL: dict[str, Callable[[Row, int, str], PolicyChangeSimulation]] = {
+VIRTUAL: dict[str, Callable[[ExperimentRow, int, str], PolicyChangeSimulation]] = {
     "without_faults": without_faults,
     "with_loss": with_loss,
     "tenth_down": tenth_down,
@@ -308,37 +306,37 @@
 LARGE = ("without_faults", "with_loss", "tenth_down")  # 200 servers each
 
 
-def searched(depth: int, most: int, away: str) -> Row:
+def searched(depth: int, most: int, away: str) -> ExperimentRow:
     """Every order of a small model, in both ways of being cut off."""
-    row = Row("search", figures={"depth": depth})
+    row = ExperimentRow("search", figures={"depth": depth})
     for aside in (False, True):
         found = PolicyChangeSearch(aside, away).run(depth, most)
         row.runs += found.state_count
         row.figures["depth"] = min(row.figures["depth"], found.depth_reached)
-        must(row, not found.violation, f"all_or_none: {found.violation}")
+        row.require(not found.violation, f"all_or_none: {found.violation}")
     return row
 
 
-def top(row: Row, name: str, value: float) -> None:
+def top(row: ExperimentRow, name: str, value: float) -> None:
     row.figures[name] = max(row.figures.get(name, 0.0), round(value, 2))
 
 
-def virtual(name: str, runs: int, seed: int, away: str) -> Row:
-    row = Row(name)
+def virtual(name: str, runs: int, seed: int, away: str) -> ExperimentRow:
+    row = ExperimentRow(name)
     for i in range(max(1, runs // 10) if name in LARGE else runs):
         judged(row, VIRTUAL[name](row, seed + i, away))
         row.runs += 1
     return row
 
 
-def many(count: int, seed: int, away: str) -> Row:
+def many(count: int, seed: int, away: str) -> ExperimentRow:
     """Histories on all cores, put together."""
-    row = Row("histories")
+    row = ExperimentRow("histories")
     chunks = [(seed + i, min(CHUNK, count - i), away) for i in range(0, count, CHUNK)]
     with ProcessPoolExecutor() as pool:
         for part in pool.map(histories, *zip(*chunks, strict=True)):
             row.runs += part.runs
-            row.broken += part.broken
+            row.violations += part.violations
             for key, value in part.figures.items():
                 row.figures[key] = row.figures.get(key, 0) + value
     return row
@@ -346,7 +344,7 @@
 
 def experiment(
     repeats: int, seed: int, servers: int, away: str = "", only: str | None = None, count: int = 200
-) -> Iterator[Row]:
+) -> Iterator[ExperimentRow]:
     """`repeats` of each virtual row, `count` histories; `servers`: also the rows of real processes."""
     if only in (None, "search"):
         yield searched(12, 100 * count, away)
@@ -358,4 +356,4 @@
     if servers:
         from landingshift.testbed.experiments.policies_real import LONG, REAL
 
-        yield from all_real(REAL, LONG, only, servers, repeats, seed)
+        yield from play_real_rows(REAL, LONG, only, servers, repeats, seed)
--- a/landingshift/testbed/simulation/leases.py
+++ b/landingshift/testbed/simulation/leases.py
@@ -23,7 +23,7 @@
         books_old_grants: bool = True,
     ) -> None:
         self.chance, self.now, self.capacity = Random(seed), 0.0, capacity
-        self.has_recovery_grace, self.books_old_grants = has_recovery_grace, books_old_grants
+        self.has_recovery_grace, self.books_old_grants_old_grants = has_recovery_grace, books_old_grants
         self.paces = {name: self.chance.uniform(0.99, 1.01) for name in "abcdefgh"}
         self.runs = dict.fromkeys(self.paces, 1)
         self.loans = {name: HeldLease(LEASE_MS) for name in self.paces}
@@ -75,7 +75,7 @@
                     return
                 amount = self.lender.renew(LeaseRequest(name, run, number, claims, wanted), self.now)
                 if amount is not None:
-                    if not self.books_old_grants:  # as if a smaller grant freed the rest at once
+                    if not self.books_old_grants_old_grants:  # as if a smaller grant freed the rest at once
                         self.lender.grants[name].booked_amount = amount
                     self.send(("give", name, run, number, amount))
             case "give", name, run, number, amount:
--- a/landingshift/testbed/verification/search_leases.py
+++ b/landingshift/testbed/verification/search_leases.py
@@ -73,7 +73,7 @@
     """`quiet`, `books`: whether the lender keeps to those parts of the rule."""
 
     def __init__(self, has_recovery_grace: bool = True, books_old_grants: bool = True) -> None:
-        self.has_recovery_grace, self.books_old_grants = has_recovery_grace, books_old_grants
+        self.has_recovery_grace, self.books_old_grants_old_grants = has_recovery_grace, books_old_grants
         self.state_count, self.violation, self.max_believed = 0, "", 0.0
 
     def lender(self, now: float) -> LeaseGrantor:
@@ -142,7 +142,7 @@
             case "ask", str(name), int(run), int(number), float(claims):
                 amount = state.lender.renew(LeaseRequest(name, run, number, claims, WANTS[name]), state.now)
                 if amount is not None:
-                    if not self.books_old_grants:
+                    if not self.books_old_grants_old_grants:
                         state.lender.grants[name].booked_amount = amount
                     state.way.append(("give", name, run, number, amount))
             case "give", str(name), int(run), int(number), float(amount) if run == state.runs[name]:
