--- a/landingshift/testbed/experiments/chance_faults.py
+++ b/landingshift/testbed/experiments/chance_faults.py
@@ -16,9 +16,9 @@
 
 from landingshift.testbed.experiments.rows import ExperimentRow
 from landingshift.testbed.experiments.scenarios import Coverage, Scenario, describe_scenario, draw_scenario
-from landingshift.testbed.simulation.cluster import BREAKS, OVERLAP, Town
-from landingshift.testbed.verification.invariants import FLEET, broken
-from landingshift.testbed.verification.shrinking import Reduced
+from landingshift.testbed.simulation.cluster import INVARIANT_BY_REMOVED_DEFENCE, OVERLAP_MS, SimulatedCluster
+from landingshift.testbed.verification.invariants import CLUSTER_INVARIANTS, find_violations
+from landingshift.testbed.verification.shrinking import Shrinker
 
 ROUND_SCENARIO_COUNT = 400
 """After which overlaps are counted."""
@@ -73,7 +73,9 @@
 def check_scenario(scenario: Scenario, removed_defence: str) -> list[str]:
     """Plays a scenario; returns its violations, each with the invariant's name in front."""
     try:
-        return broken(Town(scenario, removed_defence).play(), OVERLAP, FLEET)
+        return find_violations(
+            SimulatedCluster(scenario, removed_defence).play(), OVERLAP_MS, CLUSTER_INVARIANTS
+        )
     except Exception as err:  # of the software or of the simulation: either fails the scenario
         return [_crash_text(err)]
 
@@ -104,8 +106,8 @@
     def still_fails(smaller: Scenario) -> bool:
         return violated[0] in invariant_names(check_scenario(smaller, removed_defence))
 
-    reduced = Reduced(scenario, still_fails, plays)
-    return reduced.run(), violated[0], reduced.plays
+    reduced = Shrinker(scenario, still_fails, plays)
+    return reduced.run(), violated[0], reduced.play_count
 
 
 def run_rounds(
@@ -148,18 +150,18 @@
 
 def _play(scenario: Scenario, removed_defence: str) -> SearchResult:
     result = SearchResult(scenario_count=1)
-    cluster = Town(scenario, removed_defence, result.coverage)
+    cluster = SimulatedCluster(scenario, removed_defence, result.coverage)
     history = cluster.play()
-    violations = broken(history, OVERLAP, FLEET)
+    violations = find_violations(history, OVERLAP_MS, CLUSTER_INVARIANTS)
     if violations:
         result.violations[scenario.seed] = violations
         result.failing[scenario.seed] = scenario
-    result.event_count = cluster.world.count
-    result.virtual_ms = cluster.world.now
+    result.event_count = cluster.network.event_count
+    result.virtual_ms = cluster.network.now_ms
     result.counts.update(event for _, event, *_ in history if event in COUNTED_EVENTS)
     result.counts.update({f"change {entry[4]}" for entry in history if entry[1] == "end"})
     quiet_at_ms = next(entry[0] for entry in history if entry[1] == "quiet")
-    result.recovery_ms.append(cluster.world.now - quiet_at_ms)
+    result.recovery_ms.append(cluster.network.now_ms - quiet_at_ms)
     return result
 
 
@@ -231,7 +233,7 @@
 def find_without_defence(removed_defence: str, max_count: int, seed: int) -> ExperimentRow:
     """Counts scenarios until the invariant that rests on a defence is found violated without it."""
     row = ExperimentRow(f"without {removed_defence}")
-    invariant = BREAKS[removed_defence]
+    invariant = INVARIANT_BY_REMOVED_DEFENCE[removed_defence]
     for total in run_rounds(max_count, seed, removed_defence, is_steered=False):
         row.runs = total.scenario_count
         violations = sorted(total.violations.items())
--- a/landingshift/testbed/experiments/chance_faults_real.py
+++ b/landingshift/testbed/experiments/chance_faults_real.py
@@ -20,7 +20,7 @@
 from landingshift.membership.operator_rpc import OperatorRpcError
 from landingshift.testbed import MEMORY
 from landingshift.testbed.experiments.maintenance_harness import COLD_START_SETTINGS, MaintenanceHarness
-from landingshift.testbed.experiments.policies_real import ENDED, OVERLAP
+from landingshift.testbed.experiments.policies_real import ENDED, OVERLAP_MS
 from landingshift.testbed.experiments.rows import ExperimentRow
 from landingshift.testbed.experiments.scenarios import (
     FAULT_KINDS,
@@ -29,7 +29,7 @@
     blocks_link,
     draw_fault,
 )
-from landingshift.testbed.verification.invariants import loans, permissions
+from landingshift.testbed.verification.invariants import max_leased, permissions
 
 HERE = (
     "kill", "crash_loop", "zone", "notice", "stop", "cut_off", "halves", "mute", "deaf", "flaps", "loss",
@@ -230,11 +230,11 @@
     def judge(self, row: ExperimentRow) -> None:
         self.yard.check(row)
         history = self.rig.history()
-        most = loans(history, 0)
+        most = max_leased(history, 0)
         bears = CALLS * self.yard.count
         row.require(most <= bears * 1.0001, f"shares: {most:.0f} believed in of {bears:.0f}")
         row.violations += [
-            f"permissions: {text}" for text in permissions([(*e, 0) for e in history], OVERLAP)[:2]
+            f"permissions: {text}" for text in permissions([(*e, 0) for e in history], OVERLAP_MS)[:2]
         ]
         row.figures |= {"acts": len(self.acts), "changes": self.ids, "wishes": self.wishes}
         row.figures |= quarters(self.sizes) | recovery_figures(self.answers, self.acts)
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -388,4 +388,4 @@
     def test_a_removed_defence_is_found(self) -> None:
         for without, name in [("floor", "floor_kept"), ("end", "late_word")]:
             with self.subTest(without=without):
-                self.assertNotEqual(play_virtual_row(name, 15, 1, without).broken, [])
+                self.assertNotEqual(play_virtual_row(name, 15, 1, without).violations, [])
--- a/tests/test_policies_histories.py
+++ b/tests/test_policies_histories.py
@@ -6,7 +6,7 @@
 
 from landingshift.testbed.experiments.policies import VIRTUAL, histories, searched, virtual
 from landingshift.testbed.processes.harness import in_time
-from landingshift.testbed.verification.invariants import broken
+from landingshift.testbed.verification.invariants import find_violations
 
 
 class Histories(unittest.TestCase):
@@ -22,9 +22,9 @@
                 self.assertEqual(row.violations, [], row.figures)
 
     def test_invariants_hold_in_every_order_of_a_small_model(self) -> None:
-        self.assertEqual(searched(5, 4000, "").broken, [])
+        self.assertEqual(searched(5, 4000, "").violations, [])
         for defence in ("lease", "ask"):
-            self.assertIn("all_or_none", str(searched(6, 12_000, defence).broken))
+            self.assertIn("all_or_none", str(searched(6, 12_000, defence).violations))
 
     def test_each_defence_taken_away_breaks_an_invariant(self) -> None:
         """The same histories without one part of the rules: an invariant must be seen to break."""
@@ -67,7 +67,7 @@
             ([(0, "end", "a", "c", "taken", 1), (9, "end", "b", "c", "withdrawn", 0)], "one_answer"),
         ]:
             with self.subTest(history=history):
-                self.assertTrue(any(invariant in text for text in broken(history, 1000.0)))
+                self.assertTrue(any(invariant in text for text in find_violations(history, 1000.0)))
         sound = [
             (0, "decided", "a", 0, b""),
             (5, "decided", "a", 1, b"x"),
@@ -75,4 +75,4 @@
             (950, "decided", "b", 1, b"x"),
             (960, "end", "b", "c", "taken", 1),
         ]
-        self.assertEqual(broken(sound, 1000.0), [])
+        self.assertEqual(find_violations(sound, 1000.0), [])
