--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -37,6 +37,8 @@
 from landingshift.testbed import MEMORY
 from landingshift.testbed.experiments.rows import Row
 
+READ_TIMEOUT_SECONDS = 10.0  # only ends a test that fails
+
 METHOD = Method(
     idempotency=Idempotency.IDEMPOTENT,
     latency_objective_ms=1000.0,
@@ -151,9 +153,9 @@
 """What is known of an RPC in tests that do not care."""
 
 
-def wait_until(holds: Callable[[], bool], bound: float = 10.0) -> None:
-    """Waits for a condition; the bound only ends a test that fails."""
-    end = time.monotonic() + bound
+def wait_until(holds: Callable[[], bool], timeout_seconds: float = READ_TIMEOUT_SECONDS) -> None:
+    """Waits for a condition; the timeout only ends a test that fails."""
+    end = time.monotonic() + timeout_seconds
     while not holds():
         assert time.monotonic() < end, "waited in vain"
         time.sleep(0.002)
@@ -163,14 +165,17 @@
     """One side of a connection to the program, read and written by the test itself."""
 
     def __init__(self, program: ProgramUnderTest, sock: socket.socket) -> None:
-        self.program, self.sock, self.buffer = program, sock, b""
-        sock.settimeout(10.0)
+        self.program = program
+        self.sock = sock
+        self.buffer = b""
+        sock.settimeout(READ_TIMEOUT_SECONDS)
         program.test.addCleanup(sock.close)
 
     def send(self, data: bytes) -> None:
         self.sock.sendall(data)
 
     def receive_more(self) -> None:
+        """Reads once; raises EOFError at the end."""
         data = self.sock.recv(65536)
         if not data:
             raise EOFError
@@ -190,6 +195,7 @@
         return words, body
 
     def is_closed_by_program(self) -> bool:
+        """Whether the program closes the connection, whatever it writes before."""
         try:
             while True:
                 self.receive_more()
@@ -241,7 +247,7 @@
         finally:
             over.set()
             thread.join()
-            self.sock.settimeout(10.0)
+            self.sock.settimeout(READ_TIMEOUT_SECONDS)
 
     def expect_command(self, *words: str) -> bytes:
         got, body = self.next_command()
@@ -322,34 +328,46 @@
 
     def __init__(
         self,
-        case: unittest.TestCase,
+        test: unittest.TestCase,
         limits: Any = None,
         engine: bool = True,
         toml: str = "",
         env: dict[str, str] | None = None,
         command: list[str] | None = None,
-        files: int = 0,
+        max_descriptors: int = 0,
         **change: Any,
     ) -> None:
-        """`toml`: our own settings, in which {folder} stands for a folder of the test.
-
-        `files`: the system's limit on descriptors for the program.
+        """Starts the program.
+
+        Args:
+            test: Ends the program with its end.
+            limits: Changes of the configuration's `limits`.
+            engine: Whether the engine comes up with it.
+            toml: Our own settings, in which {folder} stands for a folder of the test.
+            env: Added to the environment.
+            command: Arguments of the program.
+            max_descriptors: The system's limit for the program; 0 for none.
+            change: Values of the configuration by path, with `__` between keys and `_` for `-`.
         """
-        self.test, self.rpc_count = case, 0
+        self.test = test
+        self.rpc_count = 0
         self.open_listeners()
         self.folder = tempfile.TemporaryDirectory(dir=MEMORY)
-        case.addCleanup(self.folder.cleanup)
-        self.toml, self.env, self.command, self.max_descriptors = toml, env or {}, command or [], files
+        test.addCleanup(self.folder.cleanup)
+        self.toml = toml
+        self.env = env or {}
+        self.command = command or []
+        self.max_descriptors = max_descriptors
         self.start(self.make_config(limits or {}, change), engine)
 
     def start(self, config: Any, engine: bool = True) -> None:
-        case = self.test
+        """Starts the program and waits until it listens, and until its engine is ready where it has one."""
         if self.toml:
             path = Path(self.folder.name) / "ours.toml"
             path.write_text(self.toml.replace("{folder}", self.folder.name))
             self.env["LANDINGSHIFT_TOML"] = str(path)
         self.process = launch_program(self.folder.name, config, self.env, self.command, self.max_descriptors)
-        case.addCleanup(self.kill)
+        self.test.addCleanup(self.kill)
         self.log_entries: list[dict[str, Any]] = []
         self.address = tuple(self.wait_for_log("started")["listen"])
         if engine:
@@ -359,21 +377,23 @@
             self.wait_for_log("engine_ready")
 
     def make_config(self, limits: dict[str, Any], change: dict[str, Any]) -> dict[str, Any]:
-        def at(sock: socket.socket) -> str:
+        """The configuration with these changes, and with the stand-ins' addresses."""
+
+        def address(sock: socket.socket) -> str:
             return "{}:{}".format(*sock.getsockname())
 
-        doors = {
-            "engine": at(self.engine_listener),
-            "db": at(self.database_listener),
-            "roster": at(self.roster),
+        addresses = {
+            "engine": address(self.engine_listener),
+            "db": address(self.database_listener),
+            "roster": address(self.roster),
         }
-        config = json.loads(json.dumps(CONFIG)) | doors | {"limits": CONFIG["limits"] | limits}
+        config = json.loads(json.dumps(CONFIG)) | addresses | {"limits": CONFIG["limits"] | limits}
         for path, value in change.items():
-            *way, last = path.split("__")
+            *outer_keys, last_key = path.split("__")
             inner: Any = config
-            for step in way:
-                inner = inner[int(step) if step.isdigit() else step.replace("_", "-")]
-            inner[last.replace("_", "-") if way else last] = value
+            for key in outer_keys:
+                inner = inner[int(key) if key.isdigit() else key.replace("_", "-")]
+            inner[last_key.replace("_", "-") if outer_keys else last_key] = value
         return config
 
     def open_listeners(self) -> None:
@@ -383,7 +403,7 @@
         self.roster = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.roster.bind(("127.0.0.1", 0))
         for sock in (self.engine_listener, self.database_listener, self.roster):
-            sock.settimeout(10.0)
+            sock.settimeout(READ_TIMEOUT_SECONDS)
             self.test.addCleanup(sock.close)
 
     def reload(self, config: str = "", **change: Any) -> None:
@@ -445,10 +465,10 @@
     config: Any,
     env: dict[str, str] | None = None,
     command: list[str] | None = None,
-    files: int = 0,
+    max_descriptors: int = 0,
 ) -> subprocess.Popen[str]:
     path = write(folder, config)
-    within = ["sh", "-c", f'ulimit -n {files}; exec "$0" "$@"'] if files else []
+    within = ["sh", "-c", f'ulimit -n {max_descriptors}; exec "$0" "$@"'] if max_descriptors else []
     return subprocess.Popen(
         [*within, sys.executable, "-m", "landingshift", *(command or [])],
         text=True, stdout=subprocess.PIPE, stderr=subprocess.PIPE,
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -375,7 +375,7 @@
 
     def test_serves_with_fewer_descriptors_than_configured(self) -> None:
         # What the system gives counts: the links to engine and database need theirs beside the gateways'.
-        program = ProgramUnderTest(self, limits={"sockets": 1024}, files=96)
+        program = ProgramUnderTest(self, limits={"sockets": 1024}, max_descriptors=96)
         with program.paused():  # each has its RPC there once it is accepted, so that none of them makes room
             crowd = [GatewayClient(program) for _ in range(100)]
             for one in crowd:
