--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -106,39 +106,41 @@
             ("asked to go", True, GOAWAY_GRACE_MS),
         ]:
             with self.subTest(why=why):
-                door = GatewaysUnderTest(self)
-                peer, connection = door.connect(proven)
+                harness = GatewaysUnderTest(self)
+                peer, connection = harness.connect(proven)
                 if proven:
                     connection.send_goaway()
-                    door.run_passes_until(lambda c=connection: not c.stream.output)
+                    harness.run_passes_until(lambda c=connection: not c.stream.output)
                 peer.sendall(rpc())
                 arrives(connection)
-                door.advance_clock(wait + 1.0)
+                harness.advance_clock(wait + 1.0)
                 connection.check_idle()
-                self.assertEqual((door.events.request_ids, connection.stream.close_reason), ([1], ""))
+                self.assertEqual((harness.events.request_ids, connection.stream.close_reason), ([1], ""))
                 connection.answer(1, wire.encode_ok(1, b"r", {}))
-                door.run_passes_until(lambda c=connection: not c.stream.output)
+                harness.run_passes_until(lambda c=connection: not c.stream.output)
                 self.assertIn(msgpack.packb([1, 1, None, [b"r", {}]]), peer.recv(4096))
 
     def test_eviction_spares_a_connection_that_has_just_sent(self) -> None:
-        door = GatewaysUnderTest(self, most=2)
-        (first, one), (second, two) = door.connect(), door.connect()
+        harness = GatewaysUnderTest(self, most=2)
+        (first, one), (second, two) = harness.connect(), harness.connect()
         for _ in range(3):
-            door.run_passes_until(lambda: True)
+            harness.run_passes_until(lambda: True)
         first.sendall(rpc())
         arrives(one)
-        self.assertFalse(door.gateways.evict_idle())  # the one that was quiet for longest has just sent
-        self.assertEqual((door.events.request_ids, one.stream.is_open, two.stream.is_open), ([1], True, True))
-        self.assertTrue(door.gateways.evict_idle())
+        self.assertFalse(harness.gateways.evict_idle())  # the one that was quiet for longest has just sent
+        self.assertEqual(
+            (harness.events.request_ids, one.stream.is_open, two.stream.is_open), ([1], True, True)
+        )
+        self.assertTrue(harness.gateways.evict_idle())
         self.assertEqual((one.stream.is_open, two.stream.is_open), (True, False))
         self.assertEqual(second.recv(10), b"")
 
     def test_partial_message_closes_only_after_owed_answers(self) -> None:
-        door = GatewaysUnderTest(self)
-        peer, connection = door.connect(proven=True)
+        harness = GatewaysUnderTest(self)
+        peer, connection = harness.connect(proven=True)
         peer.sendall(rpc() + rpc(2)[:9])
-        door.run_passes_until(lambda: door.events.request_ids)
-        door.advance_clock(MAX_MESSAGE_MS + 1.0)
+        harness.run_passes_until(lambda: harness.events.request_ids)
+        harness.advance_clock(MAX_MESSAGE_MS + 1.0)
         connection.check_idle()
         self.assertEqual((connection.stream.is_open, connection.stream.close_reason), (True, ""))
         connection.answer(1, wire.encode_ok(1, b"r", {}))
@@ -148,38 +150,38 @@
 
     def test_connection_with_unsent_goaway_is_still_read(self) -> None:
         # `goaway` lies behind answers that a slow reader has not taken: it goes on sending.
-        door = GatewaysUnderTest(self)
-        peer, connection = door.connect(proven=True)
+        harness = GatewaysUnderTest(self)
+        peer, connection = harness.connect(proven=True)
         peer.sendall(rpc())
-        door.run_passes_until(lambda: door.events.request_ids)
+        harness.run_passes_until(lambda: harness.events.request_ids)
         connection.stream.max_unsent_bytes = 1 << 24
         connection.answer(1, bytes(1 << 23))
         connection.send_goaway()
-        door.run_passes_until(lambda: True)
+        harness.run_passes_until(lambda: True)
         self.assertTrue(connection.stream.output)
-        door.advance_clock(GOAWAY_GRACE_MS + 1.0)
+        harness.advance_clock(GOAWAY_GRACE_MS + 1.0)
         connection.check_idle()
         peer.sendall(rpc(2))
-        door.run_passes_until(lambda: len(door.events.request_ids) > 1)
+        harness.run_passes_until(lambda: len(harness.events.request_ids) > 1)
         self.assertEqual(connection.stream.close_reason, "")
-        door.advance_clock(2.0 * GOAWAY_GRACE_MS + 1.0)
+        harness.advance_clock(2.0 * GOAWAY_GRACE_MS + 1.0)
         connection.answer(2, b"")
         connection.check_idle()
         self.assertEqual(connection.stream.close_reason, "goaway")  # nobody holds a place for ever
 
     def test_requests_after_the_half_close_are_ignored(self) -> None:
-        door = GatewaysUnderTest(self)
-        peer, connection = door.connect(proven=True)
+        harness = GatewaysUnderTest(self)
+        peer, connection = harness.connect(proven=True)
         connection.stream.close_gracefully("goaway")
         peer.sendall(rpc())
         self.assertEqual(peer.recv(10), b"")
         peer.close()
-        door.run_passes_until(lambda: door.close_reasons)
-        self.assertEqual((door.events.request_ids, door.close_reasons), ([], ["goaway"]))
+        harness.run_passes_until(lambda: harness.close_reasons)
+        self.assertEqual((harness.events.request_ids, harness.close_reasons), ([], ["goaway"]))
 
     def test_bytes_after_a_cut_off_are_discarded_up_to_a_bound(self) -> None:
-        door = GatewaysUnderTest(self)
-        peer, connection = door.connect(proven=True)
+        harness = GatewaysUnderTest(self)
+        peer, connection = harness.connect(proven=True)
         connection.stream.close_gracefully("goaway")
         peer.setblocking(False)
         data = bytes(MAX_DISCARDED_BYTES // 4)
@@ -193,7 +195,7 @@
                 return True
             return not connection.stream.is_open
 
-        door.run_passes_until(over)
+        harness.run_passes_until(over)
         self.assertLess(connection.stream.discarded_bytes, 3 * MAX_DISCARDED_BYTES)
 
     def test_answers_written_before_a_cut_off_arrive(self) -> None:
@@ -363,7 +365,7 @@
         program.roster.close()
         gateway = GatewayClient(program)
         prove(program, gateway)
-        crowd = [GatewayClient(program) for _ in range(60)]  # more than places; they only keep theirs
+        strangers = [GatewayClient(program) for _ in range(60)]  # more than places; they only keep theirs
         message_id = gateway.send_rpc()
         program.engine.expect_command("RUN", gateway.last_rpc_id)
         program.engine.sock.close()  # and the link to the engine needs a descriptor again
@@ -371,14 +373,14 @@
         link.send_notice("DONE 2", gateway.last_rpc_id, "good 5", body=b"r")
         self.assertEqual(gateway.read_answer(), (message_id, b"r"))
         self.assertTrue(GatewayClient(program).check_health()[0])
-        self.assertTrue(all(one.is_closed_by_program() for one in crowd))
+        self.assertTrue(all(one.is_closed_by_program() for one in strangers))
 
     def test_serves_with_fewer_descriptors_than_configured(self) -> None:
         # What the system gives counts: the links to engine and database need theirs beside the gateways'.
         program = ProgramUnderTest(self, limits={"sockets": 1024}, max_descriptors=96)
         with program.paused():  # each has its RPC there once it is accepted, so that none of them makes room
-            crowd = [GatewayClient(program) for _ in range(100)]
-            for one in crowd:
+            strangers = [GatewayClient(program) for _ in range(100)]
+            for one in strangers:
                 one.send_rpc(wait="9000")
         program.wait_for_log("connections_full")
         ids = [program.engine.next_command()[0][1] for _ in range(20)]
@@ -392,17 +394,17 @@
         gateway = GatewayClient(program)
         prove(program, gateway)
         flood = [msgpack.packb([0, 1, "m", [{"id": "x"}, b""]]), b"\xc1" * 2000, rpc()[:9], b""]
-        crowd = []
+        strangers = []
         for i in range(200):
-            crowd.append(GatewayClient(program))
+            strangers.append(GatewayClient(program))
             with contextlib.suppress(OSError):  # it has made room already
-                crowd[-1].send(flood[i % len(flood)])
+                strangers[-1].send(flood[i % len(flood)])
             if i % 20 == 0:
                 message_id = gateway.send_rpc()
                 program.engine.expect_command("RUN", gateway.last_rpc_id)
                 program.engine.send_notice("DONE", i // 20 + 2, gateway.last_rpc_id, "good 5", body=b"r")
                 self.assertEqual(gateway.read_answer(), (message_id, b"r"))
-        self.assertTrue(all(one.is_closed_by_program() for one in crowd))
+        self.assertTrue(all(one.is_closed_by_program() for one in strangers))
         self.assertLess(resident(program.process.pid), 64.0)
 
 
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -18,10 +18,10 @@
 
 def waiting(program: ProgramUnderTest, count: int) -> list[GatewayClient]:
     """Gateways whose connections wait to be accepted, each with an RPC written."""
-    crowd = [GatewayClient(program) for _ in range(count)]
-    for one in crowd:
+    waiting_gateways = [GatewayClient(program) for _ in range(count)]
+    for one in waiting_gateways:
         one.send_rpc()
-    return crowd
+    return waiting_gateways
 
 
 class BacklogTest(unittest.TestCase):
@@ -29,15 +29,15 @@
         # Closing the listener over them would reset what was written before the notice.
         # 16 connections.
         program = ProgramUnderTest(self, limits={"sockets": 80}, settings__classes__0__late_share=0.0)
-        crowd = [GatewayClient(program) for _ in range(16)]
-        for one in crowd:
+        waiting_gateways = [GatewayClient(program) for _ in range(16)]
+        for one in waiting_gateways:
             one.send_rpc(wait="9000")
         with program.paused():
             late = waiting(program, 5)
             program.process.send_signal(signal.SIGTERM)
-        answers = [one.read_final_answer()[1] for one in crowd + late]
+        answers = [one.read_final_answer()[1] for one in waiting_gateways + late]
         self.assertLessEqual(set(answers), {"Busy", "Failed"})
-        for one in crowd + late:
+        for one in waiting_gateways + late:
             one.sock.close()
         self.assertEqual(program.wait_for_exit(), 0)
 
@@ -57,21 +57,21 @@
             def __getattr__(self, name: str) -> Any:
                 return getattr(self.sock, name)
 
-        door = GatewaysUnderTest(self)
-        waits = socket.create_connection(door.gateways.listener.address)
+        harness = GatewaysUnderTest(self)
+        waits = socket.create_connection(harness.gateways.listener.address)
         self.addCleanup(waits.close)
         waits.sendall(msgpack.packb([0, 1, "m", [{}, b"work"]]))
-        short = Short(door.gateways.listener.sock)
-        door.gateways.listener.sock = short  # type: ignore[assignment]
-        door.gateways.start_draining()
-        door.run_passes_until(lambda: short.asked > 2)
-        self.assertFalse(door.gateways.is_drained())
+        short = Short(harness.gateways.listener.sock)
+        harness.gateways.listener.sock = short  # type: ignore[assignment]
+        harness.gateways.start_draining()
+        harness.run_passes_until(lambda: short.asked > 2)
+        self.assertFalse(harness.gateways.is_drained())
         short.short = False
-        door.run_passes_until(lambda: door.events.request_ids == [1])
-        self.assertFalse(door.gateways.listener.is_open)
-        for connection in door.gateways.connections:
+        harness.run_passes_until(lambda: harness.events.request_ids == [1])
+        self.assertFalse(harness.gateways.listener.is_open)
+        for connection in harness.gateways.connections:
             connection.stream.close("test")
-        self.assertTrue(door.gateways.is_drained())
+        self.assertTrue(harness.gateways.is_drained())
 
     def test_reconnect_during_a_drain_is_refused(self) -> None:
         # Neither taken, nor left waiting until after the stop.
@@ -204,18 +204,18 @@
         )
 
     def test_connection_closes_right_after_its_last_answer(self) -> None:
-        door = GatewaysUnderTest(self)
-        peer, connection = door.connect(proven=True)
+        harness = GatewaysUnderTest(self)
+        peer, connection = harness.connect(proven=True)
         peer.sendall(msgpack.packb([0, 1, "m", [{}, b"work"]]))
-        door.run_passes_until(lambda: door.events.request_ids)
-        door.gateways.start_draining()
-        door.run_passes_until(lambda: not connection.stream.output)
-        connection.goaway_deadline_ms = door.loop.now_ms  # the time that it had is over
+        harness.run_passes_until(lambda: harness.events.request_ids)
+        harness.gateways.start_draining()
+        harness.run_passes_until(lambda: not connection.stream.output)
+        connection.goaway_deadline_ms = harness.loop.now_ms  # the time that it had is over
         connection.answer(1, msgpack.packb([1, 1, None, [b"r", {}]]))
         passes = 0
         while not connection.stream.close_reason and passes < 3:
-            door.loop.after(0.0, lambda: None)
-            door.loop.run_pass()
+            harness.loop.after(0.0, lambda: None)
+            harness.loop.run_pass()
             passes += 1
         self.assertEqual(connection.stream.close_reason, "goaway")
 
@@ -246,22 +246,22 @@
 
     def test_notice_counts_from_the_signal_not_from_the_pass(self) -> None:
         # A pass of the loop may take long; what comes after the grace must not run for that.
-        loop, heard = Loop(lambda: None), []
-        kept = {n: signal.getsignal(n) for n in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)}
+        loop, signals_heard = Loop(lambda: None), []
+        previous_handlers = {n: signal.getsignal(n) for n in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)}
         signals = SignalWatcher(loop)
-        for number, handler in kept.items():
+        for number, handler in previous_handlers.items():
             self.addCleanup(signal.signal, number, handler)
         self.addCleanup(signal.set_wakeup_fd, -1)
         self.addCleanup(signals.reader.close)
         self.addCleanup(signals.writer.close)
-        signals.on_signal = lambda number, at: heard.append((number, at))
+        signals.on_signal = lambda number, at: signals_heard.append((number, at))
         os.kill(os.getpid(), signal.SIGTERM)
         wait_until(lambda: signal.SIGTERM in signals.came_ms)
         after = loop.clock_ms()
         wait_until(lambda: loop.clock_ms() > after + 20.0)  # the rest of a long pass
         loop.run_pass()
-        self.assertEqual([number for number, _ in heard], [signal.SIGTERM])
-        self.assertLessEqual(heard[0][1], after)
+        self.assertEqual([number for number, _ in signals_heard], [signal.SIGTERM])
+        self.assertLessEqual(signals_heard[0][1], after)
 
         bench = AdmissionBench(core_count=1)
         bench.set_time(400.0)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -78,9 +78,9 @@
              [engine.GaugeReport(b"t", [1, 2.5, 3, 4]), engine.SelfTestResult(b"t", False)]),
         ]:  # fmt: skip
             with self.subTest(data=data):
-                whole, split = engine.NoticeDecoder(), engine.NoticeDecoder()
-                self.assertEqual(list(whole.feed(data)), messages)
-                self.assertEqual([m for b in data for m in split.feed(bytes([b]))], messages)
+                at_once, piecewise = engine.NoticeDecoder(), engine.NoticeDecoder()
+                self.assertEqual(list(at_once.feed(data)), messages)
+                self.assertEqual([m for b in data for m in piecewise.feed(bytes([b]))], messages)
         for data in (
             b"DONE 7 aa good 1 3\r\nabcd\r\n",
             b"HELLO new\r\n",
@@ -104,18 +104,18 @@
         # What goes when the memory is short: results of reads whole, of others all but that they happened.
         for effect, known in [(Idempotency.IDEMPOTENT, False), (Idempotency.KEYED, True)]:
             with self.subTest(effect=effect):
-                kept = DedupTable(20 * (ENTRY_BYTES + 1000), response_cache_ttl_ms=60000.0)
+                table = DedupTable(20 * (ENTRY_BYTES + 1000), response_cache_ttl_ms=60000.0)
                 for i in range(100):
                     rpc = routed(i, effect, str(i))
-                    kept.reserve(rpc, 60000.0)
-                    entry = kept.owned_by(rpc)
+                    table.reserve(rpc, 60000.0)
+                    entry = table.owned_by(rpc)
                     assert entry is not None
-                    kept.complete(entry, Outcome.OK, bytes(1000), float(i))
+                    table.complete(entry, Outcome.OK, bytes(1000), float(i))
                 self.assertLess(
-                    sum(len(e.result or b"") for e in kept.entries.values()), 20 * (ENTRY_BYTES + 1000)
+                    sum(len(e.result or b"") for e in table.entries.values()), 20 * (ENTRY_BYTES + 1000)
                 )
-                self.assertEqual(kept.find(routed(200, effect, "0"), 200.0, 200.0) is not None, known)
-                self.assertIsNotNone(kept.find(routed(200, effect, "99"), 200.0, 200.0))
+                self.assertEqual(table.find(routed(200, effect, "0"), 200.0, 200.0) is not None, known)
+                self.assertIsNotNone(table.find(routed(200, effect, "99"), 200.0, 200.0))
 
     def test_entry_lasts_as_long_as_its_outcome_and_idempotency_allow(self) -> None:
         for effect, outcome, at, known in [
@@ -127,31 +127,31 @@
             (Idempotency.KEYED, Outcome.OK, 5001.0, False),
         ]:
             with self.subTest(effect=effect, outcome=outcome, at=at):
-                kept = DedupTable(10000, response_cache_ttl_ms=500.0)
+                table = DedupTable(10000, response_cache_ttl_ms=500.0)
                 owner = routed(1, effect)
-                kept.reserve(owner, 5000.0)
-                self.assertIsNotNone(kept.find(routed(2, effect), 100.0, 100.0))
-                entry = kept.owned_by(owner)
+                table.reserve(owner, 5000.0)
+                self.assertIsNotNone(table.find(routed(2, effect), 100.0, 100.0))
+                entry = table.owned_by(owner)
                 assert entry is not None
-                kept.complete(entry, outcome, b"r", 200.0)
-                self.assertEqual(kept.find(routed(3, effect), at, at) is not None, known)
+                table.complete(entry, outcome, b"r", 200.0)
+                self.assertEqual(table.find(routed(3, effect), at, at) is not None, known)
 
 
 class DatabasePoolTest(unittest.TestCase):
     def test_an_idle_link_is_closed_before_the_database_does(self) -> None:
         # Half a call that crosses the other side's close could not be told from one that ran.
-        door = socket.create_server(("127.0.0.1", 0))
+        listener = socket.create_server(("127.0.0.1", 0))
         faults: list[str] = []
         loop = Loop(lambda: faults.append(traceback.format_exc()))
         told: list[Any] = []
         lines: list[Any] = []
-        database = DatabasePool(loop, door.getsockname(), lambda *a, **_: lines.append(a))
+        database = DatabasePool(loop, listener.getsockname(), lambda *a, **_: lines.append(a))
         database.start(mock.Mock(on_call_finished=lambda *facts: told.append(facts)))
         rpc = routed(1)
         with mock.patch("landingshift.net.routing.database_pool.MAX_IDLE_MS", 40.0):
             self.assertTrue(database.call(rpc, 1000.0))
             loop.run_pass()
-            peer = door.accept()[0]
+            peer = listener.accept()[0]
             peer.settimeout(5.0)
             peer.sendall(b"%b ROWS 2\r\nok\r\n" % rpc.rpc_id)
             while not told or database.links:
@@ -169,7 +169,7 @@
             assert link.stream
             link.stream.close("test")
         loop.selector.close()
-        door.close()
+        listener.close()
 
 
 class HealthReporterTest(unittest.TestCase):
@@ -191,7 +191,7 @@
 
 class DecodeConfigTest(unittest.TestCase):
     def test_minimal_config_takes_defaults_and_name_from_environment(self) -> None:
-        least = {
+        minimal = {
             "engine": "127.0.0.1:1", "roster": "127.0.0.1:2", "seed": "ff",
             "settings": {
                 "classes": [{"name": "m", "effect": "fragile", "slo": 800, "give-up": 3000, "value": 1}],
@@ -200,15 +200,15 @@
             },
         }  # fmt: skip
         env = {"GW_NAME": "n3", "GW_LISTEN": "127.0.0.1:7001"}
-        site = config.decode_config(least, env)
+        site = config.decode_config(minimal, env)
         self.assertEqual((site.name, site.listen, site.seed), ("n3", ("127.0.0.1", 7001), 255))
         self.assertEqual((site.stop_ms, site.memory_mb, site.max_sockets), (3000.0, 192.0, 1024))
         self.assertEqual(
             (site.database, site.gauge_names, site.tenants, list(site.methods)), (None, [], {}, ["m"])
         )
-        self.assertEqual(config.decode_config({**least, "name": "n4"}, env).name, "n4")
+        self.assertEqual(config.decode_config({**minimal, "name": "n4"}, env).name, "n4")
         with self.assertRaisesRegex(config.ServerConfigError, "^listen: missing"):
-            config.decode_config(least, {"GW_NAME": "n3"})
+            config.decode_config(minimal, {"GW_NAME": "n3"})
 
 
 class EventLogTest(unittest.TestCase):
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -72,8 +72,8 @@
         kept = DedupTable(3 * (ENTRY_BYTES + 100), 0.0, max_age_ms=1000.0)
         names = ["runs", "late", "within", "over"]
         owners = {name: routed(name) for name in names}
-        for name, until_ms in [("runs", 10.0), ("late", 1500.0), ("within", 5000.0), ("over", 900.0)]:
-            kept.reserve(owners[name], until_ms)
+        for name, expires_ms in [("runs", 10.0), ("late", 1500.0), ("within", 5000.0), ("over", 900.0)]:
+            kept.reserve(owners[name], expires_ms)
         for name in names[1:]:
             entry = kept.owned_by(owners[name])
             assert entry is not None
@@ -81,7 +81,9 @@
         entry = kept.owned_by(owners["within"])
         assert entry is not None
         kept.complete(entry, Outcome.OK, bytes(2000), 2000.0)
-        self.assertEqual({n for n, rpc in owners.items() if kept.owned_by(rpc)}, {"runs", "late", "within"})
+        self.assertEqual(
+            {first_id for first_id, rpc in owners.items() if kept.owned_by(rpc)}, {"runs", "late", "within"}
+        )
 
 
 class RepeatsOnSocketsTest(unittest.TestCase):
@@ -100,12 +102,12 @@
         gateway.read_answer()
         wait_until(lambda: time.time() * 1000 > came + 400)
         for wait in ("3000", "50"):  # read past the end of its own wait, too: told "Busy" it ran and did not
-            n, _ = self.tokened(program, gateway, "a", at=str(came + 200), wait=wait)
-            self.assertEqual(gateway.read_answer(), (n, b"r"))  # from the first run
-        m, rid = self.tokened(program, gateway, "a")  # this one came after it
+            first_id, _ = self.tokened(program, gateway, "a", at=str(came + 200), wait=wait)
+            self.assertEqual(gateway.read_answer(), (first_id, b"r"))  # from the first run
+        second_id, rid = self.tokened(program, gateway, "a")  # this one came after it
         program.engine.expect_command("RUN", rid)
         program.engine.send_notice("DONE 2", rid, "good 5", body=b"s")
-        self.assertEqual(gateway.read_answer(), (m, b"s"))
+        self.assertEqual(gateway.read_answer(), (second_id, b"s"))
 
     def test_repeat_joins_a_run_that_is_longer_than_the_window(self) -> None:
         for window in (0.0, 100.0):
@@ -113,14 +115,15 @@
                 program = ProgramUnderTest(self, settings__classes__1__repeat_window=window)
                 gateway = GatewayClient(program)
                 came = time.monotonic()
-                n, first = self.tokened(program, gateway, "a")
+                first_id, first = self.tokened(program, gateway, "a")
                 program.engine.expect_command("RUN", first)
                 wait_until(lambda c=came: time.monotonic() > c + 0.25)
-                m, _ = self.tokened(program, gateway, "a")
+                second_id, _ = self.tokened(program, gateway, "a")
                 self.assertTrue(gateway.check_health()[0])
                 program.engine.send_notice("DONE 1", first, "good 5", body=b"r")
                 self.assertEqual(
-                    sorted([gateway.read_answer(), gateway.read_answer()]), [(n, b"r"), (m, b"r")]
+                    sorted([gateway.read_answer(), gateway.read_answer()]),
+                    [(first_id, b"r"), (second_id, b"r")],
                 )
 
     def test_repeat_and_end_of_the_first_attempt_in_one_pass(self) -> None:
@@ -129,37 +132,37 @@
         prove(program, other_gateway)
         for i, end in enumerate(("good", "bad")):
             with self.subTest(end=end):
-                n, first = self.tokened(program, gateway, end)
+                first_id, first = self.tokened(program, gateway, end)
                 program.engine.expect_command("RUN", first)
                 with program.paused():
-                    m, _ = self.tokened(program, other_gateway, end)
+                    second_id, _ = self.tokened(program, other_gateway, end)
                     program.engine.send_notice(
                         "DONE", i + 2, first, end, 5, body=b"r" if end == "good" else b""
                     )
                 answer = b"r" if end == "good" else "Failed"
                 self.assertEqual(
                     (gateway.read_final_answer(), other_gateway.read_final_answer()),
-                    ((n, answer), (m, answer)),
+                    ((first_id, answer), (second_id, answer)),
                 )
 
     def test_repeat_and_hang_up_of_the_first_attempt_in_one_pass(self) -> None:
-        for gone in ("giveUp", "close"):
-            with self.subTest(gone=gone):
+        for hang_up in ("giveUp", "close"):
+            with self.subTest(gone=hang_up):
                 program = ProgramUnderTest(self)
                 gateway, other_gateway = GatewayClient(program), GatewayClient(program)
                 prove(program, other_gateway)
-                n, first = self.tokened(program, gateway, "a")
+                first_id, first = self.tokened(program, gateway, "a")
                 program.engine.expect_command("RUN", first)
                 with program.paused():
-                    if gone == "close":
+                    if hang_up == "close":
                         gateway.sock.close()
                     else:
-                        gateway.send(b"\x93\x02\xa6giveUp\x91%c" % n)
-                    m, _ = self.tokened(program, other_gateway, "a")
+                        gateway.send(b"\x93\x02\xa6giveUp\x91%c" % first_id)
+                    second_id, _ = self.tokened(program, other_gateway, "a")
                 self.assertTrue(GatewayClient(program).check_health()[0])
                 # It had started: its effect may be there.
                 program.engine.send_notice("DONE 2", first, "good 5", body=b"r")
-                self.assertEqual(other_gateway.read_answer(), (m, b"r"))
+                self.assertEqual(other_gateway.read_answer(), (second_id, b"r"))
 
     def test_repeat_runs_after_the_first_attempt_was_rejected(self) -> None:
         # Within the window, and where the first try, held behind another RPC, outlived it unrun.
@@ -171,25 +174,25 @@
                 gateway = GatewayClient(program)
                 gateway.send_rpc()
                 program.engine.expect_command("RUN", gateway.last_rpc_id)  # takes the only place
-                n, _ = self.tokened(program, gateway, "a", wait=wait)
-                self.assertEqual(gateway.read_answer(), (n, "Busy"))
-                m, again = self.tokened(program, gateway, "a")
+                first_id, _ = self.tokened(program, gateway, "a", wait=wait)
+                self.assertEqual(gateway.read_answer(), (first_id, "Busy"))
+                second_id, again = self.tokened(program, gateway, "a")
                 program.engine.send_notice("DONE 1", f"{1:016x}", "good 5", body=b"r")
                 self.assertEqual(gateway.read_answer(), (1, b"r"))
                 program.engine.expect_command("RUN", again)
                 program.engine.send_notice("DONE 2", again, "good 5", body=b"s")
-                self.assertEqual(gateway.read_answer(), (m, b"s"))
+                self.assertEqual(gateway.read_answer(), (second_id, b"s"))
 
     def test_repeat_gets_the_result_of_an_attempt_answered_as_aborted(self) -> None:
         program = ProgramUnderTest(self)
         gateway = GatewayClient(program)
-        n, first = self.tokened(program, gateway, "a", wait="200")
+        first_id, first = self.tokened(program, gateway, "a", wait="200")
         program.engine.expect_command("RUN", first)
-        self.assertEqual(gateway.read_answer(), (n, "Failed"))
-        m, _ = self.tokened(program, gateway, "a")
+        self.assertEqual(gateway.read_answer(), (first_id, "Failed"))
+        second_id, _ = self.tokened(program, gateway, "a")
         self.assertTrue(gateway.check_health()[0])
         program.engine.send_notice("DONE 1", first, "good 400", body=b"r")
-        self.assertEqual(gateway.read_answer(), (m, b"r"))
+        self.assertEqual(gateway.read_answer(), (second_id, b"r"))
 
     def test_second_rpc_with_an_id_in_flight_is_not_run(self) -> None:
         program = ProgramUnderTest(self)
@@ -294,8 +297,8 @@
         program.engine.expect_command("RUN", gateway.last_rpc_id)
         program.engine.send_notice("DONE 1", gateway.last_rpc_id, "good 5", body=b"r")
         self.assertEqual(gateway.read_answer(), (message_id, b"r"))
-        crowd = [GatewayClient(program) for _ in range(40)]
-        for one in crowd:
+        strangers = [GatewayClient(program) for _ in range(40)]
+        for one in strangers:
             for _ in range(32):
                 one.send_rpc(wait="9000", kb="0.001")
         other_gateway = GatewayClient(program)
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -124,11 +124,11 @@
         start = time.monotonic()
         runs = gateway.send_rpc(wait="400")
         program.engine.expect_command("RUN", gateway.last_rpc_id)
-        held = gateway.send_rpc(wait="400")
+        held_id = gateway.send_rpc(wait="400")
         outcomes = {}
         while len(outcomes) < 2:
             number, outcomes[number] = gateway.read_answer()
-        self.assertEqual(outcomes, {runs: "Failed", held: "Busy"})
+        self.assertEqual(outcomes, {runs: "Failed", held_id: "Busy"})
         self.assertLess(time.monotonic() - start, 0.53)  # the slack of the rule; no gauges meanwhile
         program.engine.send_notice("DONE 1", f"{1:016x}", "good 400", body=b"late")  # answered once only
         message_id = gateway.send_rpc()
@@ -417,23 +417,26 @@
 
 class PeersTest(unittest.TestCase):
     def test_serves_on_when_descriptors_run_out(self) -> None:
-        for told, really, most in [(80, 1024, 16), (256, 30, 40)]:  # 64 of those told are not for gateways
-            with self.subTest(told=told, really=really):
-                program = ProgramUnderTest(self, limits={"sockets": told})
-                resource.prlimit(program.process.pid, resource.RLIMIT_NOFILE, (really, really))
+        # 64 of the configured sockets are not for gateways.
+        for configured, system_limit, max_connections in [(80, 1024, 16), (256, 30, 40)]:
+            with self.subTest(configured=configured, system_limit=system_limit):
+                program = ProgramUnderTest(self, limits={"sockets": configured})
+                resource.prlimit(program.process.pid, resource.RLIMIT_NOFILE, (system_limit, system_limit))
                 # Who has something open keeps its place.
-                crowd, numbers = [], []
-                for _ in range(most):
-                    crowd.append(GatewayClient(program))
-                    numbers.append(crowd[-1].send_rpc(wait="9000"))
+                clients, numbers = [], []
+                for _ in range(max_connections):
+                    clients.append(GatewayClient(program))
+                    numbers.append(clients[-1].send_rpc(wait="9000"))
                     time.sleep(0.01)
                 more = [GatewayClient(program) for _ in range(60)]
                 program.wait_for_log("connections_full")
                 ids = [program.engine.next_command()[0][1] for _ in range(12)]
                 for i, rid in enumerate(ids):
                     program.engine.send_notice("DONE", i + 1, rid, "good 5", body=b"r")
-                self.assertEqual([one.read_answer() for one in crowd[:12]], [(n, b"r") for n in numbers[:12]])
-                for gateway in crowd + more:
+                self.assertEqual(
+                    [one.read_answer() for one in clients[:12]], [(n, b"r") for n in numbers[:12]]
+                )
+                for gateway in clients + more:
                     gateway.sock.close()
                 program.wait_for_log("connections_room")
                 self.assertEqual(GatewayClient(program).check_health()[0], True)
@@ -477,12 +480,12 @@
         for first in (b"", b"\x94\x00", msgpack.packb([0, 1, "probe", [{}]])):
             with self.subTest(first=first[:4]):
                 start = time.monotonic()
-                crowd = [GatewayClient(program) for _ in range(150)]
-                for one in crowd:
+                clients = [GatewayClient(program) for _ in range(150)]
+                for one in clients:
                     with contextlib.suppress(OSError):  # it may have made room already
                         one.send(first)
                 self.assertEqual(GatewayClient(program).check_health()[0], True)
-                self.assertTrue(all(one.is_closed_by_program() for one in crowd))
+                self.assertTrue(all(one.is_closed_by_program() for one in clients))
                 self.assertLess(time.monotonic() - start, 2.5)
                 self.assertEqual(gateway.check_health()[0], True)
         gateway.send(b"\x94\x00\x01")  # half a message, even from one that is known
@@ -493,12 +496,12 @@
         program = ProgramUnderTest(self, limits={"sockets": 200}, settings__extra__n_cores=1)
         known = GatewayClient(program)
         prove(program, known)
-        crowd = [GatewayClient(program) for _ in range(40)]
-        for one in crowd:
+        clients = [GatewayClient(program) for _ in range(40)]
+        for one in clients:
             for _ in range(32):
                 one.send_rpc(wait="9000", kb="0.001")
-        told = select.select([one.sock for one in crowd], [], [], 3.0)[0]  # long before their time is over
-        self.assertEqual([one.read_answer()[1] for one in crowd if one.sock in told[:1]], ["Busy"])
+        told = select.select([one.sock for one in clients], [], [], 3.0)[0]  # long before their time is over
+        self.assertEqual([one.read_answer()[1] for one in clients if one.sock in told[:1]], ["Busy"])
         message_id = known.send_rpc(wait="250")  # held
         start = time.monotonic()
         self.assertEqual(known.read_answer(), (message_id, "Busy"))
@@ -509,12 +512,12 @@
         gateway, bad = GatewayClient(program), GatewayClient(program)
         message_id = bad.send_rpc()
         program.engine.expect_command("RUN", bad.last_rpc_id)
-        unknown, held = bad.last_rpc_id, [bad.send_rpc() for _ in range(20)]
+        unknown, held_ids = bad.last_rpc_id, [bad.send_rpc() for _ in range(20)]
         program.engine.send_notice("NO RUN", unknown)
         self.assertEqual(bad.read_answer(), (message_id, "Failed"))
         self.assertTrue(bad.is_closed_by_program())
         other_id = gateway.send_rpc()
-        self.assertGreater(len(held), 0)
+        self.assertGreater(len(held_ids), 0)
         program.engine.expect_command("RUN", gateway.last_rpc_id)  # before any of those
         program.engine.send_notice("DONE 1", gateway.last_rpc_id, "good 5", body=b"r")
         self.assertEqual(gateway.read_answer(), (other_id, b"r"))
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -73,13 +73,13 @@
         ])  # fmt: skip
         config["settings"]["orgs"] = [{"name": "Vargas y Hijos"}, {"name": "Ærø"}, {"name": "a\tb"}]
         config["settings"]["unknown"] = config["unknown"] = 5
-        told = decode_config(config, {})
+        config_read = decode_config(config, {})
         self.assertEqual(
-            [(n, m.idempotency, m.deadline_ms, m.dedup_window_ms) for n, m in told.methods.items()],
+            [(n, m.idempotency, m.deadline_ms, m.dedup_window_ms) for n, m in config_read.methods.items()],
             [("probe", Idempotency.NON_IDEMPOTENT, 100.0, 0.0), ("giveUp", Idempotency.KEYED, 200.0, 0.0),
              ("a/b:c", Idempotency.IDEMPOTENT, 300.0, 0.0), ("x", Idempotency.NON_IDEMPOTENT, 400.0, 0.0)],
         )  # fmt: skip
-        self.assertEqual(list(told.tenants), ["Vargas y Hijos", "Ærø", "a\tb"])
+        self.assertEqual(list(config_read.tenants), ["Vargas y Hijos", "Ærø", "a\tb"])
 
     def test_unusable_value_is_reported_by_its_key(self) -> None:
         for path, value, words in [
@@ -114,13 +114,13 @@
     def test_link_that_is_being_left_is_kept_until_its_commands_are_confirmed(self) -> None:
         # However often the address changes meanwhile: what is in doubt may not run again, and is lost.
         loop = Loop(lambda: self.fail("a handler raised"))
-        doors = [socket.create_server(("127.0.0.1", 0)) for _ in range(2)]
-        for door in doors:
-            self.addCleanup(door.close)
-        here, there = (door.getsockname() for door in doors)
-        link = EngineLink(loop, here, lambda *_, **__: None)
+        listeners = [socket.create_server(("127.0.0.1", 0)) for _ in range(2)]
+        for listener in listeners:
+            self.addCleanup(listener.close)
+        first_address, second_address = (listener.getsockname() for listener in listeners)
+        link = EngineLink(loop, first_address, lambda *_, **__: None)
         link.start(SimpleNamespace(on_engine_up=repr, on_gauges=repr))  # type: ignore[arg-type]
-        peer = doors[0].accept()[0]
+        peer = listeners[0].accept()[0]
         self.addCleanup(peer.close)
         peer.sendall(b"HELLO old 60000\r\nSTATS s1 0.2 1 0.1 3\r\n")
 
@@ -134,9 +134,9 @@
         assert stream is not None
         self.addCleanup(stream.sock.close)
         link.send_command(object(), b"RUN a m 0\r\n\r\n", starts_run=True)  # type: ignore[arg-type]
-        link.change_address(there)
-        link.change_address(here)
-        self.assertEqual((link.stream is stream, stream.is_open, link.address), (True, True, here))
+        link.change_address(second_address)
+        link.change_address(first_address)
+        self.assertEqual((link.stream is stream, stream.is_open, link.address), (True, True, first_address))
 
 
 class ProgramStartTest(unittest.TestCase):
@@ -204,17 +204,17 @@
         """Thirty at once on a shared processor."""
         with tempfile.TemporaryDirectory() as folder:
             start, took = time.monotonic(), []
-            crowd = []
+            programs = []
             for i in range(30):
                 (Path(folder) / str(i)).mkdir()
-                crowd.append(launch_program(f"{folder}/{i}", CONFIG))
+                programs.append(launch_program(f"{folder}/{i}", CONFIG))
             try:
-                for process in crowd:
+                for process in programs:
                     assert process.stdout is not None
                     self.assertEqual(json.loads(process.stdout.readline())["event"], "started")
                     took.append(time.monotonic() - start)
             finally:
-                for process in crowd:
+                for process in programs:
                     process.kill()
                     process.communicate()
             self.assertLess(sorted(took)[26], 10.0)
