--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -35,7 +35,7 @@
 )
 from landingshift.admission.managed_rpc import ManagedRpc, RpcState
 from landingshift.testbed import MEMORY
-from landingshift.testbed.experiments.rows import Row
+from landingshift.testbed.experiments.rows import ExperimentRow
 
 READ_TIMEOUT_SECONDS = 10.0  # only ends a test that fails
 
@@ -524,10 +524,10 @@
     """
 
     real: ClassVar[dict[str, Any]] = {}
-    play: ClassVar[Callable[[str], Row]]
+    play: ClassVar[Callable[[str], ExperimentRow]]
     abreast: ClassVar[int] = 1
     pool: ClassVar[ProcessPoolExecutor]
-    rows: ClassVar[dict[str, Future[Row]]] = {}
+    rows: ClassVar[dict[str, Future[ExperimentRow]]] = {}
 
     @classmethod
     def setUpClass(cls) -> None:
@@ -538,4 +538,4 @@
 
     def holds(self, name: str) -> None:
         row = self.rows[name].result()
-        self.assertEqual(row.broken, [], row.figures)
+        self.assertEqual(row.violations, [], row.figures)
