--- a/landingshift/ledger/compaction.py
+++ b/landingshift/ledger/compaction.py
@@ -71,13 +71,12 @@
             raise EntriesNotExportedError(exported_number + 1, plan.last_number)
         if not plan.removed_usage_count:
             return 0
-        _remove_entries(store, plan)
+        store.remove_settled_usage(plan.last_number, plan.retained_numbers)
         failpoints.reach("ledger.compact")
-        _replace_baseline(store, plan.totals)
+        store.index.replace_baseline(plan.totals)
         failpoints.reach("ledger.compacted")
         ledger.append(_compaction_entry(store, plan, period, now_ms))
-    store.db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
-    store.db.execute("VACUUM")
+    store.reclaim_space()
     return plan.removed_usage_count
 
 
@@ -167,23 +166,3 @@
         case PeriodClose():
             return calendar.period_named(entry.period).end_ms >= end_ms
     return False
-
-
-def _remove_entries(store: UsageStore, plan: CompactionPlan) -> None:
-    db = store.db
-    db.execute("CREATE TEMP TABLE IF NOT EXISTS spared(number INTEGER PRIMARY KEY)")
-    db.execute("DELETE FROM spared")
-    db.executemany("INSERT INTO spared VALUES(?)", [(number,) for number in plan.retained_numbers])
-    db.execute(
-        "DELETE FROM entries WHERE number <= ? AND kind IN (?, ?) "
-        "AND number NOT IN (SELECT number FROM spared)",
-        (plan.last_number, EntryKind.USAGE, EntryKind.SETTLEMENT),
-    )
-
-
-def _replace_baseline(store: UsageStore, totals: Totals) -> None:
-    store.db.execute("DELETE FROM baseline")
-    store.db.executemany(
-        "INSERT INTO baseline VALUES(?, ?, ?, ?, ?, ?, ?, ?)",
-        [(*key.as_row(), *usage.as_row()) for key, usage in totals.items()],
-    )
--- a/landingshift/ledger/repair.py
+++ b/landingshift/ledger/repair.py
@@ -8,15 +8,14 @@
 from landingshift.ledger.audit import audit_store
 from landingshift.ledger.entries import Correction, Entry, NameEntry, Opened, PeriodClose, decode
 from landingshift.ledger.errors import CorruptLedgerError, DivergedLedgerError
+from landingshift.ledger.index_writer import IndexWriter
 from landingshift.ledger.merged_store import MergedStore
 from landingshift.ledger.recovery import recover_ledger
 from landingshift.ledger.replay import LedgerReplay
 from landingshift.ledger.schema import META_FIRST_PENDING, META_LAST_NUMBER, META_RUN_ID
 from landingshift.ledger.store import UsageStore
-from landingshift.ledger.totals import sum_by_period
 
 MAX_ROW_COUNT = 5000  # entries copied at a time
-INDEX_TABLES = ("names", "totals", "sums", "disputed", "corrections", "closed")
 
 
 def reindex(store: UsageStore) -> None:
@@ -49,7 +48,7 @@
     restored_count = 0
     with store.changing():
         while rows := merged.rows_after(branch, last_number, MAX_ROW_COUNT):
-            store.db.executemany("INSERT INTO entries VALUES(?, ?, ?, ?)", rows)
+            store.insert_entries(rows)
             last_number = rows[-1].number
             restored_count += len(rows)
         _rebuild_index(store)
@@ -62,8 +61,7 @@
     """Within a commit."""
     replay = LedgerReplay(store)
     compaction = store.newest_compaction()
-    for table in INDEX_TABLES:
-        store.db.execute(f"DELETE FROM {table}")
+    store.index.clear()
     compacted_number = 0
     if compaction is not None:
         compacted_number = compaction.last_number
@@ -78,34 +76,23 @@
                 pass  # the audit has reported what does not hold
         if isinstance(entry, Opened):
             run_start_number = row.number
-        _index_entry(store, row.number, entry)
+        _index_entry(store.index, row.number, entry)
     failpoints.reach("ledger.rebuild")
-    _write_replayed(store, replay)
+    store.index.add_totals(replay.totals)
+    store.index.add_disputed(sorted(replay.disputed))
     pending = _pending_numbers(replay, run_start_number)
     store.set_meta(META_FIRST_PENDING, min(pending, default=newest_number + 1))
     store.set_meta(META_LAST_NUMBER, newest_number)
 
 
-def _index_entry(store: UsageStore, number: int, entry: Entry) -> None:
+def _index_entry(index: IndexWriter, number: int, entry: Entry) -> None:
     match entry:
         case NameEntry():
-            store.db.execute("INSERT INTO names VALUES(?, ?, ?)", (entry.is_tenant, entry.name, number))
+            index.add_names([(number, entry)])
         case PeriodClose():
-            store.db.execute("INSERT INTO closed VALUES(?, ?)", (entry.period, number))
+            index.add_period_closes([(number, entry)])
         case Correction():
-            store.db.execute("INSERT INTO corrections VALUES(?, ?)", (number, entry.period))
-
-
-def _write_replayed(store: UsageStore, replay: LedgerReplay) -> None:
-    store.db.executemany(
-        "INSERT INTO totals VALUES(?, ?, ?, ?, ?, ?, ?, ?)",
-        [(*key.as_row(), *usage.as_row()) for key, usage in replay.totals.items()],
-    )
-    store.db.executemany(
-        "INSERT INTO sums VALUES(?, ?, ?, ?, ?)",
-        [(period, *usage.as_row()) for period, usage in sum_by_period(replay.totals).items()],
-    )
-    store.db.executemany("INSERT INTO disputed VALUES(?)", [(number,) for number in sorted(replay.disputed)])
+            index.add_corrections([(number, entry)])
 
 
 def _pending_numbers(replay: LedgerReplay, run_start_number: int) -> Iterable[int]:
--- a/landingshift/ledger/store.py
+++ b/landingshift/ledger/store.py
@@ -9,13 +9,15 @@
 
 import os
 import sqlite3
-from collections.abc import Iterator
+from collections.abc import Iterable, Iterator
 from contextlib import AbstractContextManager, contextmanager
 from types import TracebackType
 
 from landingshift import failpoints
-from landingshift.ledger.database import ADD_TOTALS, connect, make_tables, transaction
+from landingshift.ledger.database import connect, make_tables, transaction
+from landingshift.ledger.entries import EntryKind, EntryRow
 from landingshift.ledger.errors import StoreMismatchError, StoreUnavailableError
+from landingshift.ledger.index_writer import IndexWriter
 from landingshift.ledger.periods import BillingCalendar, PeriodUnit
 from landingshift.ledger.recovery import recover_ledger
 from landingshift.ledger.schema import (
@@ -33,16 +35,11 @@
 )
 from landingshift.ledger.settings import Settings
 from landingshift.ledger.store_reader import StoreReader
-from landingshift.ledger.totals import sum_by_period
 from landingshift.ledger.usage_ledger import CommitChanges, UsageLedger
 
 STORE_FILE = "ledger.sqlite"
 CACHE_SIZE = -8000  # KB, in the way SQLite counts
 BACKUP_STEP_COUNT = 1000  # pages that are copied at a time, so that the server goes on meanwhile
-ADD_PERIOD_SUM = """INSERT INTO sums VALUES(?, ?, ?, ?, ?) ON CONFLICT DO UPDATE
-    SET uses = uses + excluded.uses,
-    work = work + excluded.work, size_in = size_in + excluded.size_in,
-    size_out = size_out + excluded.size_out"""
 _UNKNOWN_DATA_VERSION = -1
 
 
@@ -54,6 +51,7 @@
         instance: Names this ledger among others.
         time_zone: Of the billing periods.
         period_unit: Of the billing periods.
+        index: Writes the index over the entries.
         ledger: The accounting state as of the last commit that was seen.
     """
 
@@ -89,6 +87,7 @@
         try:
             self._prepare(db)
             super().__init__(db, BillingCalendar(time_zone, period_unit), dedup_window_ms)
+            self.index = IndexWriter(db)
             self._data_version = _UNKNOWN_DATA_VERSION  # the state of the file that `ledger` stands for
             self.ledger = recover_ledger(self, max_identity_count)
         except sqlite3.Error as err:
@@ -169,6 +168,26 @@
             with self.writing():
                 self.set_meta(META_EXPORTED_NUMBER, number)
 
+    def insert_entries(self, rows: Iterable[EntryRow]) -> None:
+        """Adds entries as they are, within a commit; the index does not follow by itself."""
+        self.db.executemany("INSERT INTO entries VALUES(?, ?, ?, ?)", rows)
+
+    def remove_settled_usage(self, last_number: int, retained_numbers: Iterable[int]) -> None:
+        """Removes usage and settlements up to an entry but for those to retain, within a commit."""
+        self.db.execute("CREATE TEMP TABLE IF NOT EXISTS spared(number INTEGER PRIMARY KEY)")
+        self.db.execute("DELETE FROM spared")
+        self.db.executemany("INSERT INTO spared VALUES(?)", [(number,) for number in retained_numbers])
+        self.db.execute(
+            "DELETE FROM entries WHERE number <= ? AND kind IN (?, ?) "
+            "AND number NOT IN (SELECT number FROM spared)",
+            (last_number, EntryKind.USAGE, EntryKind.SETTLEMENT),
+        )
+
+    def reclaim_space(self) -> None:
+        """Gives the space of removed entries back to the disk."""
+        self.db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
+        self.db.execute("VACUUM")
+
     def backup(self, path: str) -> None:
         """Makes a complete copy while the server goes on."""
         copy = sqlite3.connect(path)
@@ -198,7 +217,7 @@
 
     def _write(self, changes: CommitChanges) -> None:
         failpoints.reach("ledger.append")
-        self.db.executemany("INSERT INTO entries VALUES(?, ?, ?, ?)", changes.entries)
+        self.insert_entries(changes.entries)
         failpoints.reach("ledger.appended")
         self._write_index(changes)
         self.set_meta(META_FIRST_PENDING, self.ledger.first_pending_number())
@@ -207,25 +226,9 @@
         failpoints.reach("ledger.indexed")
 
     def _write_index(self, changes: CommitChanges) -> None:
-        db = self.db
-        if changes.names:
-            db.executemany(
-                "INSERT INTO names VALUES(?, ?, ?)",
-                [(entry.is_tenant, entry.name, number) for number, entry in changes.names],
-            )
-        if changes.totals:
-            db.executemany(
-                ADD_TOTALS, [(*key.as_row(), *usage.as_row()) for key, usage in changes.totals.items()]
-            )
-            period_sums = sum_by_period(changes.totals)
-            db.executemany(ADD_PERIOD_SUM, [(name, *usage.as_row()) for name, usage in period_sums.items()])
-        if changes.disputed:
-            db.executemany("INSERT INTO disputed VALUES(?)", [(number,) for number in changes.disputed])
-        if changes.resolved:
-            db.executemany(
-                "DELETE FROM disputed WHERE number = ?", [(number,) for number in changes.resolved]
-            )
-        for number, period_close in changes.period_closes:
-            db.execute("INSERT INTO closed VALUES(?, ?)", (period_close.period, number))
-        for number, correction in changes.corrections:
-            db.execute("INSERT INTO corrections VALUES(?, ?)", (number, correction.period))
+        self.index.add_names(changes.names)
+        self.index.add_totals(changes.totals)
+        self.index.add_disputed(changes.disputed)
+        self.index.remove_disputed(changes.resolved)
+        self.index.add_period_closes(changes.period_closes)
+        self.index.add_corrections(changes.corrections)
