--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -15,9 +15,9 @@
 from typing import Protocol
 
 from landingshift.testbed import MEMORY
-from landingshift.testbed.experiments.cold_start_real import Fleet
-from landingshift.testbed.experiments.policies_real import Council
-from landingshift.testbed.processes.harness import Rig
+from landingshift.testbed.experiments.cold_start_harness import ColdStartHarness
+from landingshift.testbed.experiments.policies_harness import STAND_ASIDE, PolicyHarness
+from landingshift.testbed.processes.harness import ProcessHarness
 
 CLOCK_TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
@@ -33,7 +33,7 @@
 class RunningFleet(Protocol):
     """Servers in processes of their own."""
 
-    rig: Rig
+    servers: ProcessHarness
 
     def start_all(self) -> None:
         """Starts all servers."""
@@ -73,16 +73,16 @@
     """
     with tempfile.TemporaryDirectory(dir=MEMORY) as folder:
         fleet = make_fleet(folder)
-        fleet.rig.rate = 0.0
+        fleet.servers.load.rpcs_per_second = 0.0
         fleet.start_all()
         try:
             time.sleep(SETTLING_SECONDS)
-            process_ids = [process.pid for process in fleet.rig.processes.values()]
+            process_ids = [process.pid for process in fleet.servers.processes.values()]
             before = [usage_of(process_id) for process_id in process_ids]
             time.sleep(measured_seconds)
             after = [usage_of(process_id) for process_id in process_ids]
         finally:
-            fleet.rig.close()
+            fleet.servers.close()
     pairs = zip(before, after, strict=True)
     cpu_seconds = sum(later.cpu_seconds - earlier.cpu_seconds for earlier, later in pairs)
     resident_mb = sum(usage.resident_mb for usage in after)
@@ -95,10 +95,10 @@
     measured_seconds = float(sys.argv[2]) if len(sys.argv) > 2 else DEFAULT_MEASURED_SECONDS
     print(f"{server_count} idle servers, {measured_seconds:g} s")
     fleets: dict[str, Callable[[str], RunningFleet]] = {
-        "as before": lambda folder: Fleet(folder, server_count, SEED, False),
-        "with fleet and coldstart": lambda folder: Fleet(folder, server_count, SEED),
-        "fleet and policies": lambda folder: Council(folder, server_count, SEED, load=0.0),
-        "the same, leased": lambda folder: Council(folder, server_count, SEED, "stand_aside", load=0.0),
+        "as before": lambda folder: ColdStartHarness(folder, server_count, SEED, has_packages=False),
+        "with fleet and coldstart": lambda folder: ColdStartHarness(folder, server_count, SEED),
+        "fleet and policies": lambda folder: PolicyHarness(folder, server_count, SEED, load=0.0),
+        "the same, leased": lambda folder: PolicyHarness(folder, server_count, SEED, STAND_ASIDE, load=0.0),
     }
     for name, make_fleet in fleets.items():
         cpu_percent, resident_mb = measure(server_count, measured_seconds, make_fleet)
--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -31,7 +31,7 @@
 from landingshift.ledger.store_process import MAX_IN_FLIGHT_BATCH_COUNT, WORKER_MODULE
 from landingshift.ledger.usage_queue import DeliveryOutcome, UsageQueue
 from landingshift.net.transport.worker import WORKER_FD_VARIABLE, FrameDecoder, encode_frame
-from landingshift.testbed.processes.single_server import Gateway, Stage
+from landingshift.testbed.processes.single_server import ClosedLoopGateway, SingleServer
 
 TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 QUEUE_LIMIT_BYTES = 64 << 20
@@ -154,25 +154,27 @@
 
 
 def measure_load(
-    stage: Stage, seconds: float, gateway_count: int, window: int, pace_ms: float
+    server: SingleServer, seconds: float, gateway_count: int, window: int, pace_ms: float
 ) -> dict[str, Any]:
     """Closed load for CPU and latency; paced, a given rate."""
-    assert stage.process
-    pid = stage.process.pid
-    gateways = [Gateway(stage, f"{time.time()} {i}", window, pace_ms) for i in range(gateway_count)]
+    assert server.process
+    pid = server.process.pid
+    gateways = [
+        ClosedLoopGateway(server, f"{time.time()} {i}", window, pace_ms) for i in range(gateway_count)
+    ]
     time.sleep(WARM_UP_SECONDS)
     cpu_before = cpu_seconds(pid)
     began = time.perf_counter()
-    answered_before = sum(len(gateway.took) for gateway in gateways)
+    answered_before = sum(len(gateway.latencies_ms) for gateway in gateways)
     time.sleep(seconds)
     used_seconds = cpu_seconds(pid) - cpu_before
     wall_seconds = time.perf_counter() - began
-    answered_count = sum(len(gateway.took) for gateway in gateways) - answered_before
+    answered_count = sum(len(gateway.latencies_ms) for gateway in gateways) - answered_before
     for gateway in gateways:
-        gateway.stopping = True
+        gateway.is_stopping = True
     for gateway in gateways:
         gateway.thread.join(GATEWAY_END_TIMEOUT_SECONDS)
-    latencies_ms = [latency_ms for gateway in gateways for latency_ms in gateway.took]
+    latencies_ms = [latency_ms for gateway in gateways for latency_ms in gateway.latencies_ms]
     return {
         "rpcs_a_second": round(answered_count / wall_seconds),
         "cpu_us_an_rpc": round(used_seconds / max(1, answered_count) * 1e6, 1),
@@ -198,12 +200,12 @@
     with tempfile.TemporaryDirectory() as directory:
         toml = f'[ledger]\nfolder = "{directory}/l"\ninstance = "b"\ndurable = "{durability}"\n'
         os.environ["BENCH_PASSES"] = directory + "/passes"
-        stage = Stage(directory, "" if durability == "off" else toml, module="benchmarks.passes")
-        stage.start()
-        row = measure_load(stage, seconds, gateway_count, window, pace_ms)
-        stage.leave()
+        server = SingleServer(directory, "" if durability == "off" else toml, module="benchmarks.passes")
+        server.start()
+        row = measure_load(server, seconds, gateway_count, window, pace_ms)
+        server.shut_down()
         row["passes"] = orjson.loads(Path(directory, "passes").read_bytes())
-        stage.close()
+        server.close()
         return row
 
 
--- a/landingshift/testbed/experiments/chance_faults_real.py
+++ b/landingshift/testbed/experiments/chance_faults_real.py
@@ -1,4 +1,4 @@
-"""Chance faults among real processes with all packages on: days as data, done to servers of the program.
+"""Random faults among real processes with all packages on.
 
 A supervisor starts whoever ends. What must hold is read off the history that the processes write, the answers
 that their gateways got, and what the system says of their memory and descriptors.
@@ -6,21 +6,18 @@
 
 from __future__ import annotations
 
-import os
 import resource
 import signal
 import tempfile
 import time
 from collections.abc import Callable, Iterator
 from functools import partial
-from pathlib import Path
 from random import Random
-from typing import Any
 
 from landingshift.membership.operator_rpc import OperatorRpcError
 from landingshift.testbed import MEMORY
 from landingshift.testbed.experiments.maintenance_harness import COLD_START_SETTINGS, MaintenanceHarness
-from landingshift.testbed.experiments.policies_real import ENDED, OVERLAP
+from landingshift.testbed.experiments.policies_harness import OVERLAP_MS
 from landingshift.testbed.experiments.rows import ExperimentRow
 from landingshift.testbed.experiments.scenarios import (
     FAULT_KINDS,
@@ -28,282 +25,318 @@
     Fault,
     blocks_link,
     draw_fault,
+    fault_order,
 )
+from landingshift.testbed.experiments.service_samples import (
+    AnswerSample,
+    ProcessSample,
+    quarter_figures,
+    recovery_figures,
+    sample_processes,
+)
+from landingshift.testbed.processes.gateway_load import OK, WITH_KILLED_SERVER
 from landingshift.testbed.verification.invariants import loans, permissions
 
-HERE = (
+REAL_FAULT_KINDS = (
     "kill", "crash_loop", "zone", "notice", "stop", "cut_off", "halves", "mute", "deaf", "flaps", "loss",
     "twice", "delay", "full", "store_falls", "load", "change", "wish",
 )  # fmt: skip
-EACH = 3.0  # s between two acts, on average
-LOAD = 0.5
-RPCS = 3.0  # of each server a second, where so many share one machine that its cores are the limit
-MANY = 20
-CALLS = 1000.0  # calls a second and server that the store bears
-LOOK = 0.5  # s between two looks at what was answered
-SAMPLE = 5.0  # between two at memory and descriptors
-BACK = 2.0  # points of the share answered ok before, within which service counts as back
-SETTLE = 60.0  # s
-LATEST = 25.0  # s after its end until which a fault's recovery is looked for
-
-
-def drawn(seed: int, servers: int, seconds: float) -> list[Fault]:
-    chance = Random(f"{seed} real day")
-    weights = [FAULT_KINDS[name].weight for name in HERE]
-    acts = []
-    for _ in range(max(3, int(seconds / EACH))):
-        at = round(chance.uniform(0.0, max(1.0, seconds - 3.0)) * 1000.0)
-        acts.append(draw_fault(chance, chance.choices(HERE, weights)[0], at, servers, seconds * 1000.0))
-    return sorted(acts, key=lambda a: (a.start_ms, a.kind, a.servers))
-
-
-class Siege:
-    """One run: `acts` done to `count` servers over `seconds`."""
-
-    def __init__(self, folder: str, count: int, seed: int, seconds: float, acts: list[Fault]) -> None:
-        load = LOAD if count <= MANY else RPCS * 0.04
-        packages = COLD_START_SETTINGS.format(count=count, calls=CALLS * count)
-        self.yard = MaintenanceHarness(folder, count, seed, load, 0.1, packages)
-        self.rig, self.seconds, self.acts = self.yard.rig, seconds, acts
-        self.rate = self.rig.rate
-        self.under: dict[int, Fault] = {}
-        self.began = 0.0
-        self.answers: list[tuple[float, int, int]] = []  # s, ok, all so far
-        self.sizes: list[tuple[float, float, float]] = []  # s, mean MB, mean descriptors
-        self.ids = self.wishes = 0
-        self.limits: dict[int, tuple[int, int]] = {}
-
-    # Acts
+"""Those that can be injected into real processes."""
+MEAN_FAULT_INTERVAL_SECONDS = 3.0
+MIN_FAULTS_COUNT = 3
+FAULT_FREE_END_SECONDS = 3.0
+LOAD_RATIO = 0.5
+MAX_FULLY_LOADED_COUNT = 20
+CROWDED_LOAD_RATIO = 3.0 * 0.04
+"""Three RPCs a second and server, where so many share one machine that its cores are the limit."""
+MAX_LOAD_FACTOR = 1.6
+HEADROOM_RATIO = 0.1
+CALLS_PER_SECOND_EACH = 1000.0
+"""That the database serves, for each server."""
+GRANTED_TOLERANCE_RATIO = 1.0001
+ANSWER_SAMPLE_SECONDS = 0.5
+PROCESS_SAMPLE_SECONDS = 5.0
+STEP_SECONDS = 0.01
+SETTLE_TIMEOUT_SECONDS = 60.0
+AGREEMENT_TIMEOUT_SECONDS = 20.0
+FULL_DISK_SPARE_BYTES = 7
+"""Less than an entry of the log takes."""
+FLOOD_QUEUE_FRACTION = 0.5
+
+
+def draw_faults(seed: int, server_count: int, seconds: float) -> list[Fault]:
+    """Draws the faults of a run."""
+    rng = Random(f"{seed} real day")
+    weights = [FAULT_KINDS[name].weight for name in REAL_FAULT_KINDS]
+    faults = []
+    for _ in range(max(MIN_FAULTS_COUNT, int(seconds / MEAN_FAULT_INTERVAL_SECONDS))):
+        start_ms = round(rng.uniform(0.0, max(1.0, seconds - FAULT_FREE_END_SECONDS)) * 1000.0)
+        kind = rng.choices(REAL_FAULT_KINDS, weights)[0]
+        faults.append(draw_fault(rng, kind, start_ms, server_count, seconds * 1000.0))
+    return sorted(faults, key=fault_order)
+
+
+class FaultInjector:
+    """Begins and ends faults among the servers of a harness.
+
+    Attributes:
+        change_count: Policy changes that were proposed.
+        request_count: Servers that maintenance was requested for.
+    """
+
+    def __init__(self, harness: MaintenanceHarness, faults: list[Fault]) -> None:
+        self.change_count = 0
+        self.request_count = 0
+        self._harness = harness
+        self._servers = harness.servers
+        self._faults = faults
+        self._base_rpcs_per_second = harness.servers.load.rpcs_per_second
+        self._active: dict[int, Fault] = {}
+        """By the place in the list of all."""
+        self._file_size_limits: dict[int, tuple[int, int]] = {}
+        """Of servers whose disk is full, as they were before."""
+        self._began_seconds = 0.0
 
     def timeline(self) -> list[tuple[float, Callable[[], None]]]:
+        """Returns what to do when, in seconds from now on."""
+        self._began_seconds = time.monotonic()
         events: list[tuple[float, Callable[[], None]]] = []
-        for place, one in enumerate(self.acts):
-            events.append((one.start_ms / 1000.0, partial(self.begin, place, one)))
-            if one.duration_ms:
-                events.append(((one.start_ms + one.duration_ms) / 1000.0, partial(self.over, place, one)))
-            if one.kind == "crash_loop":
-                steps = range(1, int(one.duration_ms / one.amount))
-                events += [
-                    ((one.start_ms + k * one.amount) / 1000.0, partial(self.crash, one)) for k in steps
-                ]
-        return sorted(events, key=lambda e: e[0])
-
-    def begin(self, place: int, one: Fault) -> None:
-        yard, rig = self.yard, self.rig
-        if one.duration_ms:
-            self.under[place] = one
-        for i in one.servers:
-            up = i in yard.up()
-            match one.kind:
-                case "kill" | "zone":
-                    yard.not_restarted.add(i)
-                    if up:
-                        rig.kill(i)
-                case "crash_loop":
-                    self.crash(one)
-                case "notice" if up:
-                    rig.processes[i].send_signal(signal.SIGTERM)
-                case "stop" if up:
-                    rig.stop(i, one.duration_ms / 1000.0)
-                case "full" if up and i <= len(yard.voters):
-                    self.full(i, True)
-                case "change" if up:
-                    yard.propose(i, self.ids, f"c{self.ids}")
-                    self.ids += 1
-        if one.kind == "store_falls":
-            rig.do(lambda: rig.yard.store.flood(int(one.amount * rig.yard.store.crowd / 2.0)))
-        if one.kind == "wish":
-            self.wish([rig.name(i) for i in one.servers], one.amount)
-        self.links()
-
-    def over(self, place: int, one: Fault) -> None:
-        del self.under[place]
-        for i in one.servers:
-            if one.kind in ("kill", "zone"):
-                self.yard.not_restarted.discard(i)  # its supervisor starts it
-            if one.kind == "full" and i in self.limits:
-                self.full(i, False)
-        self.links()
-
-    def crash(self, one: Fault) -> None:
-        for i in one.servers:
-            if i in self.yard.up():
-                self.rig.kill(i)
-
-    def full(self, i: int, on: bool) -> None:
-        """No room for one more byte in any file of that process."""
-        pid = self.rig.processes[i].pid
+        for place, fault in enumerate(self._faults):
+            start_seconds = fault.start_ms / 1000.0
+            events.append((start_seconds, partial(self._begin, place, fault)))
+            if fault.duration_ms:
+                end_seconds = (fault.start_ms + fault.duration_ms) / 1000.0
+                events.append((end_seconds, partial(self._end, place, fault)))
+            if fault.kind == "crash_loop":
+                for step in range(1, int(fault.duration_ms / fault.amount)):
+                    crash_ms = fault.start_ms + step * fault.amount
+                    events.append((crash_ms / 1000.0, partial(self._crash, fault)))
+        return sorted(events, key=lambda event: event[0])
+
+    def _begin(self, place: int, fault: Fault) -> None:
+        if fault.duration_ms:
+            self._active[place] = fault
+        for index in fault.servers:
+            self._begin_at(index, fault)
+        if fault.kind == "store_falls":
+            database = self._servers.stand_ins.database
+            count = int(fault.amount * database.overload_queue_length * FLOOD_QUEUE_FRACTION)
+            self._servers.run_on_loop(lambda: database.flood(count))
+        if fault.kind == "wish":
+            self._request_maintenance(fault)
+        self._update_links()
+
+    def _begin_at(self, index: int, fault: Fault) -> None:
+        harness = self._harness
+        is_running = index in harness.running()
+        match fault.kind:
+            case "kill" | "zone":
+                harness.not_restarted.add(index)
+                if is_running:
+                    self._servers.kill(index)
+            case "crash_loop":
+                self._crash(fault)
+            case "notice" if is_running:
+                self._servers.processes[index].send_signal(signal.SIGTERM)
+            case "stop" if is_running:
+                self._servers.pause(index, fault.duration_ms / 1000.0)
+            case "full" if is_running and index <= len(harness.voters):
+                self._fill_disk(index)
+            case "change" if is_running:
+                harness.propose(index, self.change_count, f"c{self.change_count}")
+                self.change_count += 1
+
+    def _end(self, place: int, fault: Fault) -> None:
+        del self._active[place]
+        for index in fault.servers:
+            if fault.kind in ("kill", "zone"):
+                self._harness.not_restarted.discard(index)
+            if fault.kind == "full" and index in self._file_size_limits:
+                self._free_disk(index)
+        self._update_links()
+
+    def _crash(self, fault: Fault) -> None:
+        for index in fault.servers:
+            if index in self._harness.running():
+                self._servers.kill(index)
+
+    def _fill_disk(self, index: int) -> None:
+        """Leaves no room for one more entry in any file of a process."""
+        process_id = self._servers.processes[index].pid
         try:
-            if on:
-                size = Path(self.yard.journal(i)).stat().st_size
-                self.limits[i] = resource.prlimit(pid, resource.RLIMIT_FSIZE)
-                resource.prlimit(pid, resource.RLIMIT_FSIZE, (size + 7, self.limits[i][1]))
-            else:
-                resource.prlimit(pid, resource.RLIMIT_FSIZE, self.limits.pop(i))
-        except OSError:  # it is no more: its successor has room
-            self.limits.pop(i, None)
-
-    def wish(self, some: list[str], minutes: float) -> None:
+            size = self._harness.journal_path(index).stat().st_size
+            limits = resource.prlimit(process_id, resource.RLIMIT_FSIZE)
+            self._file_size_limits[index] = limits
+            full = (size + FULL_DISK_SPARE_BYTES, limits[1])
+            resource.prlimit(process_id, resource.RLIMIT_FSIZE, full)
+        except OSError:  # the process is no more: its successor has room
+            self._file_size_limits.pop(index, None)
+
+    def _free_disk(self, index: int) -> None:
+        limits = self._file_size_limits.pop(index)
         try:
-            self.yard.request_maintenance(some, minutes=minutes)
-            self.wishes += len(some)
-        except (RuntimeError, OperatorRpcError):
-            return  # nobody leads: the operator is told, and asks another time
+            resource.prlimit(self._servers.processes[index].pid, resource.RLIMIT_FSIZE, limits)
+        except OSError:  # the process is no more: its successor has room
+            return
 
-    def links(self) -> None:
-        """Loss, doubles, delay and load are the most of all acts under way; a cut holds while any does."""
-        under, rig = list(self.under.values()), self.rig
-        sides = [
-            (a, {rig.name(i) for i in a.servers}) for a in under if a.kind in LINK_FAULT_KINDS and a.servers
+    def _request_maintenance(self, fault: Fault) -> None:
+        names = [self._servers.name(index) for index in fault.servers]
+        try:
+            self._harness.request_maintenance(names, minutes=fault.amount)
+        except (RuntimeError, OperatorRpcError):
+            return  # nobody leads: an operator is told so, and tries another time
+        self.request_count += len(names)
+
+    def _update_links(self) -> None:
+        """Sets up proxy and load: the most of all active faults counts; a cut holds while any does."""
+        active = list(self._active.values())
+        cuts = [
+            (fault, {self._servers.name(index) for index in fault.servers})
+            for fault in active
+            if fault.kind in LINK_FAULT_KINDS and fault.servers
         ]
-        began = self.began
 
-        def cut(a: str, b: str) -> bool:
-            at = (time.monotonic() - began) * 1000.0
-            return any(blocks_link(one, side, a, b, at - one.start_ms) for one, side in sides)
+        def is_cut(sender: str, receiver: str) -> bool:
+            elapsed_ms = (time.monotonic() - self._began_seconds) * 1000.0
+            return any(
+                blocks_link(fault, names, sender, receiver, elapsed_ms - fault.start_ms)
+                for fault, names in cuts
+            )
 
         def most(kind: str) -> float:
-            return max((a.amount for a in under if a.kind == kind), default=0.0)
-
-        more = 1.0
-        for a in under:
-            more *= min(1.6, a.amount) if a.kind == "load" else 1.0
-
-        def switch() -> None:
-            rig.switch.cut, rig.switch.loss = cut, most("loss")
-            rig.switch.double, rig.switch.late = most("twice"), most("delay")
-            rig.rate = self.rate * more
-
-        rig.do(switch)
-
-    # A run
-
-    def look(self, at: float) -> None:
-        ends = self.rig.ends
-        good = ends["ok"]
-        self.answers.append((at, good, sum(ends.values()) - ends["with a killed one"]))
-
-    def sample(self, at: float) -> None:
-        found = [size_of(self.rig.processes[i].pid) for i in self.yard.up()]
-        there = [f for f in found if f is not None]
-        if there:
-            count = len(there)
-            self.sizes.append((at, sum(f[0] for f in there) / count, sum(f[1] for f in there) / count))
+            return max((fault.amount for fault in active if fault.kind == kind), default=0.0)
+
+        load_factor = 1.0
+        for fault in active:
+            load_factor *= min(MAX_LOAD_FACTOR, fault.amount) if fault.kind == "load" else 1.0
+
+        def update() -> None:
+            proxy = self._servers.proxy
+            proxy.is_cut = is_cut
+            proxy.loss_fraction = most("loss")
+            proxy.duplicate_fraction = most("twice")
+            proxy.delay_ms = most("delay")
+            self._servers.load.rpcs_per_second = self._base_rpcs_per_second * load_factor
+
+        self._servers.run_on_loop(update)
+
+
+class RealScenarioRun:
+    """One run with faults among real servers.
+
+    Attributes:
+        harness: The servers.
+    """
+
+    def __init__(self, folder: str, server_count: int, seed: int, seconds: float) -> None:
+        """Starts stand-ins, and no server yet.
+
+        Args:
+            folder: For files.
+            server_count: How many servers there are.
+            seed: Of all that is drawn.
+            seconds: How long faults are injected.
+        """
+        load = LOAD_RATIO if server_count <= MAX_FULLY_LOADED_COUNT else CROWDED_LOAD_RATIO
+        self._calls_per_second = CALLS_PER_SECOND_EACH * server_count
+        settings = COLD_START_SETTINGS.format(count=server_count, calls=self._calls_per_second)
+        self.harness = MaintenanceHarness(folder, server_count, seed, load, HEADROOM_RATIO, settings)
+        self._faults = draw_faults(seed, server_count, seconds)
+        self._injector = FaultInjector(self.harness, self._faults)
+        self._seconds = seconds
+        self._answers: list[AnswerSample] = []
+        self._processes: list[ProcessSample] = []
 
     def run(self, row: ExperimentRow) -> None:
-        yard = self.yard
-        yard.start_all()
-        self.began = time.monotonic()
-        events = self.timeline()
-        looked = sampled = 0.0
-        while (at := time.monotonic() - self.began) < self.seconds + 3.0:
-            while events and events[0][0] <= at:
-                events.pop(0)[1]()
-            if at - looked >= LOOK:
-                looked = at
-                self.look(at)
-            if at - sampled >= SAMPLE:
-                sampled = at
-                self.sample(at)
-            time.sleep(0.01)
-        for _, act_ in events:
-            act_()
-        yard.not_restarted.clear()
-        self.settle(row)
-
-    def settle(self, row: ExperimentRow) -> None:
-        yard = self.yard
-
-        def well() -> bool:
-            return len(yard.up()) == yard.count and all(yard.status(i).get("decides") for i in yard.up())
+        """Injects all faults, and waits until the fleet is well again."""
+        self.harness.start_all()
+        began = time.monotonic()
+        events = self._injector.timeline()
+        answers_sampled_at = 0.0
+        processes_sampled_at = 0.0
+        while (elapsed := time.monotonic() - began) < self._seconds + FAULT_FREE_END_SECONDS:
+            while events and events[0][0] <= elapsed:
+                _, inject = events.pop(0)
+                inject()
+            if elapsed - answers_sampled_at >= ANSWER_SAMPLE_SECONDS:
+                answers_sampled_at = elapsed
+                self._sample_answers(elapsed)
+            if elapsed - processes_sampled_at >= PROCESS_SAMPLE_SECONDS:
+                processes_sampled_at = elapsed
+                self._sample_processes(elapsed)
+            time.sleep(STEP_SECONDS)
+        for _, inject in events:
+            inject()
+        self.harness.not_restarted.clear()
+        self._settle(row)
+
+    def _sample_answers(self, elapsed: float) -> None:
+        outcomes = self.harness.servers.load.outcomes
+        answered = sum(outcomes.values()) - outcomes[WITH_KILLED_SERVER]
+        self._answers.append(AnswerSample(elapsed, outcomes[OK], answered))
+
+    def _sample_processes(self, elapsed: float) -> None:
+        processes = self.harness.servers.processes
+        process_ids = [processes[index].pid for index in self.harness.running()]
+        sample = sample_processes(process_ids, elapsed)
+        if sample is not None:
+            self._processes.append(sample)
+
+    def _settle(self, row: ExperimentRow) -> None:
+        """Requires that all servers are back, agree, and have ended what operators asked for."""
+        harness = self.harness
+
+        def is_well() -> bool:
+            return len(harness.running()) == harness.server_count and harness.all_decide()
 
         began = time.monotonic()
-        row.require(
-            yard.rig.until(SETTLE, well), f"not all decide again: {[yard.status(i) for i in yard.up()]}"
-        )
+        has_settled = harness.servers.wait_until(SETTLE_TIMEOUT_SECONDS, is_well)
+        row.require(has_settled, f"not all decide again: {harness.statuses()}")
         row.figures["rest_s"] = round(time.monotonic() - began, 1)
-        row.require(yard.wait_until_ended(yard.names, SETTLE), "work is not over")
-        yard.agreed(row, 20.0)
-        # One whose proposer died may be known to nobody.
-        yard.ids = [id for id in yard.ids if yard.end(0, id)["end"] in ENDED]
-
-    def judge(self, row: ExperimentRow) -> None:
-        self.yard.check(row)
-        history = self.rig.history()
-        most = loans(history, 0)
-        bears = CALLS * self.yard.count
-        row.require(most <= bears * 1.0001, f"shares: {most:.0f} believed in of {bears:.0f}")
-        row.violations += [
-            f"permissions: {text}" for text in permissions([(*e, 0) for e in history], OVERLAP)[:2]
-        ]
-        row.figures |= {"acts": len(self.acts), "changes": self.ids, "wishes": self.wishes}
-        row.figures |= quarters(self.sizes) | recovery_figures(self.answers, self.acts)
-        row.series["answers"], row.series["sizes"] = self.answers, self.sizes
-
-
-def size_of(pid: int) -> tuple[float, int] | None:
-    """MB that are resident, and open descriptors."""
-    try:
-        pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
-        return pages * resource.getpagesize() / 1e6, len(os.listdir(f"/proc/{pid}/fd"))
-    except OSError:
-        return None
-
-
-def quarters(sizes: list[tuple[float, float, float]]) -> dict[str, Any]:
-    """Means of each quarter of the run."""
-    if len(sizes) < 4:
-        return {}
-    n = len(sizes)
-    parts = [sizes[n * k // 4 : n * (k + 1) // 4] for k in range(4)]
-    means = [[round(sum(s[at] for s in part) / len(part), 1) for part in parts] for at in (1, 2)]
-    return {"memory_mb": means[0], "descriptors": means[1]}
-
-
-def share(answers: list[tuple[float, int, int]], since: float, until: float) -> float:
-    """Answered ok, in per cent, of what was answered then; -1 where nothing was."""
-    some = [a for a in answers if since <= a[0] <= until]
-    if len(some) < 2 or some[-1][2] == some[0][2]:
-        return -1.0
-    return 100.0 * (some[-1][1] - some[0][1]) / (some[-1][2] - some[0][2])
-
-
-def recovery_figures(answers: list[tuple[float, int, int]], acts: list[Fault]) -> dict[str, Any]:
-    """s from the end of each fault that nothing else overlapped until service is back, median and worst."""
-    faults = [a for a in acts if a.kind not in ("change", "wish", "load") and a.duration_ms]
-    found: list[tuple[float, str]] = []
-    for one in faults:
-        end = (one.start_ms + one.duration_ms) / 1000.0
-        others = [b for b in faults if b is not one and b.start_ms / 1000.0 < end + 10.0]
-        if any((b.start_ms + b.duration_ms) / 1000.0 > one.start_ms / 1000.0 - 5.0 for b in others):
-            continue
-        before = share(answers, one.start_ms / 1000.0 - 5.0, one.start_ms / 1000.0)
-        at = end
-        while before >= 0.0 and at < end + LATEST:
-            if share(answers, at, at + 2.0) >= before - BACK:
-                break
-            at += LOOK
-        if before >= 0.0:
-            found.append((round(at - end, 1), one.kind))
-    if not found:
-        return {"alone": 0}
-    found.sort()
-    return {"alone": len(found), "back_s": found[len(found) // 2][0], "back_worst": list(found[-1])}
-
-
-def play_real_scenarios(servers: int, seed: int, minutes: float, repeats: int) -> Iterator[ExperimentRow]:
-    for k in range(repeats):
-        row = ExperimentRow(f"real {seed + k}")
-        acts = drawn(seed + k, servers, minutes * 60.0)
+        has_ended = harness.wait_until_ended(harness.names, SETTLE_TIMEOUT_SECONDS)
+        row.require(has_ended, "work is not over")
+        harness.require_agreement(row, AGREEMENT_TIMEOUT_SECONDS)
+        harness.forget_unknown_changes()
+
+    def check(self, row: ExperimentRow) -> None:
+        """Ends all servers, and checks what must hold whatever was done to them."""
+        self.harness.check(row)
+        history = self.harness.servers.history()
+        granted = loans(history, 0)
+        limit = self._calls_per_second
+        is_bounded = granted <= limit * GRANTED_TOLERANCE_RATIO
+        row.require(is_bounded, f"shares: {granted:.0f} believed in of {limit:.0f}")
+        violations = permissions([(*entry, 0) for entry in history], OVERLAP_MS)
+        row.violations += [f"permissions: {text}" for text in violations[:2]]
+        row.figures |= {
+            "acts": len(self._faults),
+            "changes": self._injector.change_count,
+            "wishes": self._injector.request_count,
+        }
+        row.figures |= quarter_figures(self._processes)
+        row.figures |= recovery_figures(self._answers, self._faults)
+        row.series["answers"] = [tuple(sample) for sample in self._answers]
+        row.series["sizes"] = [tuple(sample) for sample in self._processes]
+
+    def close(self) -> None:
+        """Ends all servers."""
+        self.harness.close()
+
+
+def play_real_scenarios(
+    server_count: int, seed: int, minutes: float, repeats: int
+) -> Iterator[ExperimentRow]:
+    """Plays scenarios of consecutive seeds; yields a row each."""
+    for run_seed in range(seed, seed + repeats):
+        row = ExperimentRow(f"real {run_seed}")
         with tempfile.TemporaryDirectory(dir=MEMORY) as folder:
-            siege = Siege(folder, servers, seed + k, minutes * 60.0, acts)
+            run = RealScenarioRun(folder, server_count, run_seed, minutes * 60.0)
             try:
-                siege.run(row)
-                siege.judge(row)
+                run.run(row)
+                run.check(row)
             except (RuntimeError, OperatorRpcError) as err:
                 row.require(False, str(err))
             finally:
-                siege.yard.stop_supervisor()
-                siege.rig.close()
+                run.close()
         row.runs = 1
         yield row
--- /dev/null
+++ b/landingshift/testbed/experiments/cold_start_harness.py
@@ -0,0 +1,240 @@
+"""Real servers with `[coldstart]` on, which all start from cold."""
+
+from __future__ import annotations
+
+import time
+from enum import Enum
+
+from landingshift.testbed.experiments.rows import ExperimentRow
+from landingshift.testbed.processes.gateway_load import FAILED_OUTCOMES
+from landingshift.testbed.processes.harness import ProcessHarness, StandInCapacity, format_address
+from landingshift.testbed.processes.history import PERMIT_FIELD, QUOTA_FIELD, max_total_granted
+from landingshift.testbed.processes.stand_ins import DEFAULT_CORE_COUNT, DEFAULT_RUN_MS
+
+CALLS_PER_SECOND_EACH = 4.0
+"""That the database serves, for each server."""
+RPCS_PER_SECOND_EACH = 8.0
+LIST_REQUESTS_PER_SECOND = 20.0
+CACHE_FILL_CALLS = 20
+WARM_UP_MS = 2000.0
+MAX_PEAK_RATIO = 1.1
+"""Of what a service serves, that may come within a second."""
+MIN_LIST_PEAK_COUNT = 3.0
+USED_CAPACITY_FRACTION = 0.95
+"""Of the database, that a start uses at the best."""
+CLOCK_OFFSETS_MS = ("0", "60000", "-60000")
+"""Of servers' wall clocks, in turn."""
+ZONES_COUNT = 3
+PEERS_COUNT = 3
+MIN_GRANTORS_COUNT = 2
+MAX_GRANTORS_COUNT = 8
+SERVERS_PER_GRANTOR = 12
+MIN_SERVERS_FOR_MORE_GRANTORS_COUNT = 6
+START_BASE_SECONDS = 20.0
+START_RATIO = 6.0
+"""Of the least time that a start takes, on a machine that has other work too."""
+KILLED_STATUS = -9
+
+
+class KnownServers(Enum):
+    """How a server that starts finds others."""
+
+    PEERS = "peers"
+    """By its settings."""
+    LIST = "list"
+    """By the endpoint list."""
+
+
+class ColdStartHarness:
+    """A fleet that starts.
+
+    Attributes:
+        server_count: How many servers there are.
+        grantor_count: The first of them grant leases.
+        servers: The processes.
+    """
+
+    def __init__(
+        self,
+        folder: str,
+        count: int,
+        seed: int,
+        has_packages: bool = True,
+        known_servers: KnownServers = KnownServers.PEERS,
+        removed_defence: str = "",
+        has_few_permits: bool = True,
+        rpcs_per_second_each: float = RPCS_PER_SECOND_EACH,
+        core_count: int = DEFAULT_CORE_COUNT,
+        run_ms: float = DEFAULT_RUN_MS,
+    ) -> None:
+        """Starts stand-ins, and no server yet.
+
+        Args:
+            folder: For files.
+            count: How many servers there are.
+            seed: Of all that is drawn.
+            has_packages: Whether membership and cold start are on.
+            known_servers: How servers find each other.
+            removed_defence: "shares" turns the packages off.
+            has_few_permits: Whether some have to wait for a start permit; else as it is by default.
+            rpcs_per_second_each: For each server.
+            core_count: Of an engine.
+            run_ms: For which a run takes a core.
+        """
+        self.server_count = count
+        self.grantor_count = MIN_GRANTORS_COUNT
+        if count >= MIN_SERVERS_FOR_MORE_GRANTORS_COUNT:
+            grantor_count = min(MAX_GRANTORS_COUNT, count // SERVERS_PER_GRANTOR)
+            self.grantor_count = max(MIN_GRANTORS_COUNT, grantor_count)
+        self._has_packages = has_packages and removed_defence != "shares"
+        self._known_servers = known_servers
+        self._has_few_permits = has_few_permits
+        capacity = StandInCapacity(
+            calls_per_second=self.calls_per_second,
+            list_requests_per_second=LIST_REQUESTS_PER_SECOND,
+            cache_fill_calls=CACHE_FILL_CALLS,
+            warm_up_ms=WARM_UP_MS,
+            run_ms=run_ms,
+            core_count=core_count,
+        )
+        rpcs_per_second = rpcs_per_second_each * count
+        self.servers = ProcessHarness(folder, count, seed, self._toml, rpcs_per_second, capacity)
+        endpoints = self.servers.proxy.endpoints.values()
+        self.servers.stand_ins.listed_addresses = [endpoint.address for endpoint in endpoints]
+
+    @property
+    def calls_per_second(self) -> float:
+        """What the database serves."""
+        return CALLS_PER_SECOND_EACH * self.server_count
+
+    def _toml(self, index: int) -> str:
+        if not self._has_packages:
+            return ""
+        servers = self.servers
+        addresses = [endpoint.address for endpoint in servers.proxy.endpoints.values()]
+        peers = ""
+        if self._known_servers is KnownServers.PEERS:
+            peers = ", ".join(f'"{format_address(address)}"' for address in addresses[:PEERS_COUNT])
+        list_service = ""
+        if self._known_servers is KnownServers.LIST:
+            list_service = format_address(servers.stand_ins.list_listener.address)
+        grantors = ", ".join(f'"{servers.name(grantor)}"' for grantor in range(self.grantor_count))
+        return f"""
+[fleet]
+fleet = "lab"
+listen = "{format_address(servers.membership_addresses[index])}"
+advertise = "{format_address(addresses[index])}"
+zone = "z{index % ZONES_COUNT}"
+peers = [{peers}]
+[coldstart]
+servers = {self.server_count}
+calls_s = {self.calls_per_second}
+lenders = [{grantors}]
+{self._permit_settings()}
+list_service = "{list_service}"
+list_asks_s = {LIST_REQUESTS_PER_SECOND}
+snapshot = "{self.cache_path(index)}"
+"""
+
+    def _permit_settings(self) -> str:
+        if not self._has_few_permits:
+            return ""
+        first = max(self.grantor_count, self.server_count // 6)
+        most = max(self.grantor_count, self.server_count * 2 // 3)
+        return f"places_first = {first}\nplaces_most = {most}"
+
+    def cache_path(self, index: int) -> str:
+        """Returns where a server keeps the endpoints that it knows."""
+        return f"{self.servers.folder}/n{index}.members"
+
+    def start_all(self, spread_seconds: float = 0.0) -> None:
+        """Starts all servers, over a time or at once."""
+        for index in range(self.server_count):
+            clock_offset = CLOCK_OFFSETS_MS[index % len(CLOCK_OFFSETS_MS)]
+            self.servers.start(index, LANDINGSHIFT_CLOCK=clock_offset)
+            if spread_seconds:
+                time.sleep(spread_seconds / self.server_count)
+
+    def least_start_ms(self) -> float:
+        """Returns the least time of a start: the database fills caches, and cores are cold for a while."""
+        fill_seconds = USED_CAPACITY_FRACTION * self.server_count * CACHE_FILL_CALLS / self.calls_per_second
+        return max(WARM_UP_MS, fill_seconds * 1000.0)
+
+    def max_start_seconds(self) -> float:
+        """Returns how long a start may take in all."""
+        return START_BASE_SECONDS + START_RATIO * self.least_start_ms() / 1000.0
+
+    def is_warm(self) -> bool:
+        """Whether the fleet has come up."""
+        return self.servers.warm_after_ms >= 0.0
+
+    def wait_until_warm(self, timeout_seconds: float = 0.0) -> bool:
+        """Waits until the fleet is warm; returns whether it is in time.
+
+        Args:
+            timeout_seconds: By default as long as a start may take.
+        """
+        return self.servers.wait_until(timeout_seconds or self.max_start_seconds(), self.is_warm)
+
+    def require_warm(self, row: ExperimentRow, timeout_seconds: float = 0.0) -> None:
+        """Requires that the fleet is warm in time, by default that of a start."""
+        timeout_seconds = timeout_seconds or self.max_start_seconds()
+        is_warm = self.wait_until_warm(timeout_seconds)
+        sample = self.servers.warm_series[-1]
+        shown = (sample.elapsed_ms, sample.warm_count, sample.call_count)
+        row.require(is_warm, f"not warm after {timeout_seconds:g} s: {shown}")
+        row.figures["warm_s"] = round(self.servers.warm_after_ms / 1000.0, 1)
+        row.figures["least_s"] = round(self.least_start_ms() / 1000.0, 1)
+
+    def check(self, row: ExperimentRow) -> None:
+        """Ends all servers, and checks what must hold whatever was done to them."""
+        servers = self.servers
+        unanswered = servers.end_load()
+        statuses = servers.shut_down_all()
+        history = servers.history()
+        quota = max_total_granted(history, QUOTA_FIELD)
+        self._add_figures(row, quota, max_total_granted(history, PERMIT_FIELD))
+        self._require_bounded_requests(row)
+        limit = self.calls_per_second
+        row.require(quota <= limit, f"shares of {quota:.1f} of {limit:g}")
+        outcomes = servers.load.outcomes
+        for failure in FAILED_OUTCOMES:
+            row.require(not outcomes[failure], f"{outcomes[failure]} RPCs {failure}")
+        row.require(not unanswered, f"{unanswered} RPCs without an answer")
+        failed = [status for status in statuses if status not in (0, KILLED_STATUS)]
+        row.require(not failed, f"exit status {set(statuses)}")
+
+    def _add_figures(self, row: ExperimentRow, quota: float, permits: float) -> None:
+        stand_ins = self.servers.stand_ins
+        limit = self.calls_per_second
+        row.figures |= {
+            "calls_peak_over_bears": round(stand_ins.database.peak_count() / limit, 2),
+            "falls": stand_ins.database.overload_count,
+            "list_peak": stand_ins.endpoint_list.peak_count(),
+            "ends": dict(self.servers.load.outcomes),
+            "shares_believed": round(quota, 1),
+            "of": limit,
+            "places_believed": permits,
+        }
+        row.series |= {
+            "servers": self.server_count,
+            "bears": limit,
+            "by_second": [
+                (round(sample.elapsed_ms / 1000.0, 1), sample.warm_count, sample.call_count)
+                for sample in self.servers.warm_series
+            ],
+        }
+
+    def _require_bounded_requests(self, row: ExperimentRow) -> None:
+        database = self.servers.stand_ins.database
+        limit = self.calls_per_second
+        peak = database.peak_count()
+        row.require(peak <= MAX_PEAK_RATIO * limit, f"{peak} calls a second of {limit:g}")
+        row.require(not database.overload_count, "the store fell")
+        list_peak = self.servers.stand_ins.endpoint_list.peak_count()
+        max_list_peak = max(MIN_LIST_PEAK_COUNT, MAX_PEAK_RATIO * LIST_REQUESTS_PER_SECOND)
+        row.require(list_peak <= max_list_peak, f"the list was asked {list_peak} times")
+
+    def close(self) -> None:
+        """Ends all servers."""
+        self.servers.close()
--- a/landingshift/testbed/experiments/ledger_real.py
+++ b/landingshift/testbed/experiments/ledger_real.py
@@ -17,7 +17,7 @@
 from landingshift.ledger.number_ranges import decode_ranges
 from landingshift.ledger.store import UsageStore
 from landingshift.testbed.experiments.rows import ExperimentRow
-from landingshift.testbed.processes.single_server import METHOD, TENANT, Gateway, Stage
+from landingshift.testbed.processes.single_server import METHOD, TENANT, ClosedLoopGateway, SingleServer
 
 LEDGER_TOML = '[ledger]\nfolder = "{directory}/ledger"\ninstance = "lab"\nlock_wait_ms = 20000\n'
 SLOW_COMMITS = {"LANDINGSHIFT_SLOW": "ledger.commit:200"}  # ms a commit
@@ -104,52 +104,53 @@
 def _run_one(rng: Random, disturbance: Disturbance, ignores_disputes: bool) -> KillResult:
     row = ExperimentRow(disturbance.value)
     with tempfile.TemporaryDirectory() as directory:
-        stage = Stage(directory, LEDGER_TOML.format(directory=directory))
+        server = SingleServer(directory, LEDGER_TOML.format(directory=directory))
         try:
-            stage.env = SLOW_COMMITS if disturbance is Disturbance.SLOW_COMMITS else {}
-            stage.start()
+            server.environment = SLOW_COMMITS if disturbance is Disturbance.SLOW_COMMITS else {}
+            server.start()
             gateways = [
-                Gateway(stage, f"{index}", OPEN_RPCS_PER_GATEWAY_COUNT) for index in range(GATEWAY_COUNT)
+                ClosedLoopGateway(server, f"{index}", OPEN_RPCS_PER_GATEWAY_COUNT)
+                for index in range(GATEWAY_COUNT)
             ]
             time.sleep(rng.uniform(*KILL_DELAY_SECONDS))
-            _disturb(stage, disturbance)
+            _disturb(server, disturbance)
             _end_load(gateways)
             if disturbance.kills_server:
-                stage.start()
-            stage.leave()
+                server.start()
+            server.shut_down()
             outcome = _read_outcome(directory)
             _check(row, disturbance, gateways, outcome, set() if ignores_disputes else outcome.disputed)
             disputed_count = 0 if ignores_disputes else len(outcome.disputed)
             return KillResult(row.violations, len(_received(gateways)), disputed_count)
         finally:
-            stage.close()
+            server.close()
 
 
-def _disturb(stage: Stage, disturbance: Disturbance) -> None:
-    children = stage.children()
+def _disturb(server: SingleServer, disturbance: Disturbance) -> None:
+    children = server.child_process_ids()
     if disturbance.kills_store:
         for child in children:
             with contextlib.suppress(ProcessLookupError):
                 os.kill(child, signal.SIGKILL)
     if disturbance.kills_server:
-        stage.kill()
+        server.kill()
     elif disturbance is not Disturbance.NONE:
         time.sleep(RECOVERY_SECONDS)
 
 
-def _end_load(gateways: list[Gateway]) -> None:
+def _end_load(gateways: list[ClosedLoopGateway]) -> None:
     for gateway in gateways:
-        gateway.stopping = True
+        gateway.is_stopping = True
     for gateway in gateways:
         gateway.thread.join(GATEWAY_END_TIMEOUT_SECONDS)
 
 
-def _received(gateways: list[Gateway]) -> set[bytes]:
+def _received(gateways: list[ClosedLoopGateway]) -> set[bytes]:
     """Identities of the attempts whose answers arrived."""
     return {
         attempt_identity(TENANT.encode(), METHOD.encode(), has_attempt_id=False, content=body)
         for gateway in gateways
-        for body in gateway.ok
+        for body in gateway.answered_bodies
     }
 
 
@@ -173,7 +174,7 @@
 def _check(
     row: ExperimentRow,
     disturbance: Disturbance,
-    gateways: list[Gateway],
+    gateways: list[ClosedLoopGateway],
     outcome: LedgerOutcome,
     disputed: set[bytes],
 ) -> None:
@@ -188,5 +189,5 @@
     if not disturbance.kills_server:
         is_equal = billed == received and not disputed
         row.require(is_equal, f"{name}: billed {len(billed)} of {len(received)}")
-    slowest_ms = max((took_ms for gateway in gateways for took_ms in gateway.took), default=0.0)
+    slowest_ms = max((took_ms for gateway in gateways for took_ms in gateway.latencies_ms), default=0.0)
     row.require(slowest_ms < MAX_ANSWER_MS, f"{name}: an answer came after {slowest_ms:.0f} ms")
--- a/landingshift/testbed/experiments/maintenance_harness.py
+++ b/landingshift/testbed/experiments/maintenance_harness.py
@@ -9,10 +9,10 @@
 
 from landingshift.maintenance.requests import RequestState
 from landingshift.membership.operator_rpc import OperatorRpcError, call_operator_rpc
-from landingshift.testbed.experiments.policies_real import CORES, WORK, Council
+from landingshift.testbed.experiments.policies_harness import SERVER_RPCS_PER_SECOND, PolicyHarness
 from landingshift.testbed.experiments.rows import ExperimentRow
 
-CAPACITY_RPCS_PER_SECOND = CORES * 1000.0 / WORK
+CAPACITY_RPCS_PER_SECOND = SERVER_RPCS_PER_SECOND
 OUTAGE_SECONDS = 0.5
 """From the end of a process until its supervisor starts it again."""
 PERMIT_VALID_MS = 1500.0
@@ -39,7 +39,7 @@
 )
 
 
-class MaintenanceHarness(Council):
+class MaintenanceHarness(PolicyHarness):
     """Servers that answer RPCs all the while, and operators that request maintenance.
 
     Attributes:
@@ -57,7 +57,7 @@
         headroom_ratio: float = HEADROOM_RATIO,
         other_settings: str = "",
     ) -> None:
-        super().__init__(folder, count, seed, load=load, cold=WARM_UP_MS, voters=VOTERS_COUNT)
+        super().__init__(folder, count, seed, load=load, warm_up_ms=WARM_UP_MS, voters=VOTERS_COUNT)
         self.headroom_ratio = headroom_ratio
         self.other_settings = other_settings
         self.not_restarted: set[int] = set()
@@ -68,17 +68,17 @@
     @property
     def names(self) -> list[str]:
         """All servers."""
-        return [self.rig.name(index) for index in range(self.count)]
+        return [self.servers.name(index) for index in range(self.server_count)]
 
-    def more(self, i: int) -> str:
+    def extra_tables(self, index: int) -> str:
         """Returns the tables of our settings beside those of membership and policies."""
         return f"""[upkeep]
 capacity = {CAPACITY_RPCS_PER_SECOND}
-model = "m{i % 2}"
+model = "m{index % 2}"
 spare = {self.headroom_ratio}
 zone_share = 0.0
 model_share = 0.0
-mark = "{self.rig.folder}/n{i}.left"
+mark = "{self.servers.folder}/n{index}.left"
 lasts_ms = {PERMIT_VALID_MS}
 spare_ms = 300
 back_minutes = 0.01
@@ -91,8 +91,8 @@
         super().start_all(but)
         self._supervisor.start()
         leader = self.leader()
-        started = self.count - len(but)
-        self.rig.until(15.0, lambda: self.maintenance_status(leader).get("machines") == started)
+        started = self.server_count - len(but)
+        self.servers.wait_until(15.0, lambda: self.maintenance_status(leader).get("machines") == started)
 
     def stop_supervisor(self) -> None:
         """Lets servers that end stay down."""
@@ -101,7 +101,7 @@
     def close(self) -> None:
         """Ends all servers."""
         self.stop_supervisor()
-        self.rig.close()
+        super().close()
 
     # Operators
 
@@ -109,7 +109,7 @@
         """Returns what a server answers to `upkeep_status`; empty where it does not answer."""
         try:
             status: dict[str, Any] = call_operator_rpc(
-                self.rig.talks[index], "upkeep_status", [], CALL_TIMEOUT_MS
+                self.servers.membership_addresses[index], "upkeep_status", [], CALL_TIMEOUT_MS
             )
         except OperatorRpcError:
             return {}
@@ -149,7 +149,7 @@
                 return False
             return wanted.isdisjoint(request["name"] for request in status["wishes"])
 
-        return self.rig.until(wait_seconds, have_ended)
+        return self.servers.wait_until(wait_seconds, have_ended)
 
     def final_states(self) -> dict[str, str]:
         """Returns how the latest request of each server ended."""
@@ -172,21 +172,21 @@
         wanted = dict.fromkeys(names, RequestState.COMPLETED.value)
         row.require(found == wanted, f"they ended as {found}")
 
-    def check(self, row: ExperimentRow, finish: bool = True) -> None:
+    def check(self, row: ExperimentRow) -> None:
         """Checks what must hold afterwards, permits among it."""
         self.stop_supervisor()
         if self._supervisor.is_alive():
             self._supervisor.join(5.0)
-        departures = [entry for entry in self.rig.history() if entry[1] == "left"]
+        departures = [entry for entry in self.servers.history() if entry[1] == "left"]
         permits = [entry[3] for entry in departures]
         row.require(len(permits) == len(set(permits)), f"a permission was used twice: {departures}")
         row.figures |= {"left": len(departures), "started_again": self.restart_count}
-        super().check(row, finish)
+        super().check(row)
 
     def _supervise(self) -> None:
         ended_at: dict[int, float] = {}
         while self.is_supervising:
-            for index, process in list(self.rig.processes.items()):
+            for index, process in list(self.servers.processes.items()):
                 if process.poll() is None or index in self.not_restarted:
                     ended_at.pop(index, None)
                     continue
--- a/landingshift/testbed/experiments/maintenance_real.py
+++ b/landingshift/testbed/experiments/maintenance_real.py
@@ -18,7 +18,7 @@
     PERMIT_VALID_MS,
     MaintenanceHarness,
 )
-from landingshift.testbed.experiments.policies_real import across, up_or_dead
+from landingshift.testbed.experiments.policies_harness import crosses_partition
 from landingshift.testbed.experiments.rows import ExperimentRow
 
 NIGHT_LOAD_FRACTION = 0.3
@@ -75,10 +75,10 @@
     began = time.monotonic()
     harness.request_maintenance(harness.names)
     harness.request_maintenance(reversed(harness.names))
-    max_unavailable = _watch_until_ended(harness, 20.0 + 12.0 * harness.count)
+    max_unavailable = _watch_until_ended(harness, 20.0 + 12.0 * harness.server_count)
     row.figures |= {"took_s": round(time.monotonic() - began, 1), "most_out": max_unavailable}
     harness.must_be_completed(row, harness.names)
-    allowed = int(harness.count * (1.0 - MODERATE_LOAD_FRACTION * (1.0 + HEADROOM_RATIO)))
+    allowed = int(harness.server_count * (1.0 - MODERATE_LOAD_FRACTION * (1.0 + HEADROOM_RATIO)))
     within = max_unavailable <= max(1, allowed)
     row.require(within, f"{max_unavailable} were out at once, {allowed} may be")
 
@@ -103,7 +103,7 @@
     harness.start_all()
     began = time.monotonic()
     harness.request_maintenance(harness.names)
-    harness.must_end(row, harness.names, 30.0 + 15.0 * harness.count)
+    harness.must_end(row, harness.names, 30.0 + 15.0 * harness.server_count)
     row.figures["took_s"] = round(time.monotonic() - began, 1)
     harness.must_be_completed(row, harness.names)
 
@@ -112,14 +112,14 @@
     """The share of RPCs answered ok while all are replaced, beside the same time without maintenance."""
     harness.start_all()
     time.sleep(3.0)
-    at_start = Counter(harness.rig.ends)
+    at_start = Counter(harness.servers.load.outcomes)
     harness.request_maintenance(harness.names)
     began = time.monotonic()
-    harness.must_end(row, harness.names, 30.0 + 15.0 * harness.count)
+    harness.must_end(row, harness.names, 30.0 + 15.0 * harness.server_count)
     took_seconds = time.monotonic() - began
-    at_end = Counter(harness.rig.ends)
+    at_end = Counter(harness.servers.load.outcomes)
     time.sleep(took_seconds)
-    afterwards = Counter(harness.rig.ends)
+    afterwards = Counter(harness.servers.load.outcomes)
     with_work = _ok_percent(at_end - at_start)
     without_work = _ok_percent(afterwards - at_end)
     row.figures |= {
@@ -139,29 +139,31 @@
     """While two are out of service a zone gets a notice from outside to end."""
 
     def notify(index: int) -> None:
-        harness.rig.processes[index].send_signal(signal.SIGTERM)
+        harness.servers.processes[index].send_signal(signal.SIGTERM)
 
     _zone_ends(harness, row, notify)
 
 
 def zone_loses_power(harness: MaintenanceHarness, row: ExperimentRow) -> None:
     """While two are out of service a zone loses its power, and then starts cold."""
-    _zone_ends(harness, row, harness.rig.kill)
+    _zone_ends(harness, row, harness.servers.kill)
 
 
 def _zone_ends(harness: MaintenanceHarness, row: ExperimentRow, end_server: Callable[[int], None]) -> None:
     """Ends a zone for a while: it counts against the budget, and what was requested ends all the same."""
     harness.start_all()
-    zone = [index for index in range(harness.count) if index % 3 == 0]
-    requested = [harness.rig.name(index) for index in range(harness.count) if index not in zone]
+    zone = [index for index in range(harness.server_count) if index % 3 == 0]
+    requested = [harness.servers.name(index) for index in range(harness.server_count) if index not in zone]
     harness.request_maintenance(requested)
-    harness.rig.until(10.0, lambda: harness.unavailable_count() >= 1)
+    harness.servers.wait_until(10.0, lambda: harness.unavailable_count() >= 1)
     failed_at_ms = time.monotonic() * 1000.0
     harness.not_restarted.update(zone)  # until the zone has power again
     for index in zone:
         end_server(index)
-    processes = harness.rig.processes
-    has_ended = harness.rig.until(8.0, lambda: all(processes[index].poll() is not None for index in zone))
+    processes = harness.servers.processes
+    has_ended = harness.servers.wait_until(
+        8.0, lambda: all(processes[index].poll() is not None for index in zone)
+    )
     row.require(has_ended, "the zone did not go")
     time.sleep(5.0)
     restored_at_ms = time.monotonic() * 1000.0
@@ -170,19 +172,19 @@
     harness.must_be_completed(row, requested)
     # What was permitted before may still leave; after that the lost voters leave none to spare.
     last_ms = failed_at_ms + PERMIT_VALID_MS + 1000.0
-    late = [e for e in harness.rig.history() if e[1] == "left" and last_ms < e[0] < restored_at_ms]
+    late = [e for e in harness.servers.history() if e[1] == "left" and last_ms < e[0] < restored_at_ms]
     row.require(not late, f"let go while a zone was out: {late}")
 
 
 def crash_meanwhile(harness: MaintenanceHarness, row: ExperimentRow) -> None:
     """A server without a request crashes for good just after a permit: it counts against the budget."""
     harness.start_all()
-    last = harness.count - 1
+    last = harness.server_count - 1
     requested = harness.names[last - 2 : last]
     harness.not_restarted.add(last)
     harness.request_maintenance(requested)
-    harness.rig.until(10.0, lambda: harness.has_permitted(harness.leader()))
-    harness.rig.kill(last)
+    harness.servers.wait_until(10.0, lambda: harness.has_permitted(harness.leader()))
+    harness.servers.kill(last)
     harness.must_end(row, requested, 60.0)
 
 
@@ -193,8 +195,8 @@
     harness.request_maintenance(requested)
     for _ in range(2):
         leader = harness.leader()
-        harness.rig.until(8.0, partial(harness.has_permitted, leader))
-        harness.rig.kill(leader)
+        harness.servers.wait_until(8.0, partial(harness.has_permitted, leader))
+        harness.servers.kill(leader)
         time.sleep(2.0)
     row.require(harness.wait_until_ended(requested, 90.0), "not over")
     harness.must_be_completed(row, requested)
@@ -202,21 +204,21 @@
 
 def stopped_past_the_expiry(harness: MaintenanceHarness, row: ExperimentRow) -> None:
     """Stopped as it gets a permit, and resumed after its expiry: it must not leave on that one."""
-    rig = harness.rig
-    last = harness.count - 1
+    servers = harness.servers
+    last = harness.server_count - 1
     harness.start_all(but=(last,))
     harness.not_restarted.add(last)
     stall = f"upkeep.permitted:{PERMIT_VALID_MS + 1500.0:.0f}"
-    rig.start(last, LANDINGSHIFT_SLOW=stall, LANDINGSHIFT_CLOCK="0")
-    rig.until(10.0, partial(up_or_dead, harness, last))
-    rig.still[rig.name(last)] = 1e18
+    servers.start(last, LANDINGSHIFT_SLOW=stall, LANDINGSHIFT_CLOCK="0")
+    harness.wait_until_ready_or_exited(last)
+    servers.faults.paused_until_ms[servers.name(last)] = 1e18
     time.sleep(3.0)
-    harness.request_maintenance([rig.name(last)])
+    harness.request_maintenance([servers.name(last)])
 
     def has_logged(event: str) -> bool:
-        return any(line["event"] == event for line in rig.logged(last))
+        return any(line["event"] == event for line in servers.log_entries(last))
 
-    has_noticed = rig.until(25.0, partial(has_logged, "maintenance_permit_expired"))
+    has_noticed = servers.wait_until(25.0, partial(has_logged, "maintenance_permit_expired"))
     row.require(has_noticed, "it did not notice that it was late")
     row.require(not has_logged("maintenance_draining"), "it left on a void permission")
     harness.call(harness.leader(), "upkeep_hold", "the trial is over")
@@ -228,11 +230,11 @@
     last = harness.names[-1]
     harness.request_maintenance([last])
     time.sleep(0.3)
-    harness.cut(partial(across, {last}))
+    harness.partition(partial(crosses_partition, {last}))
     time.sleep(4.0)
     harness.request_maintenance(harness.names[FIRST_REQUESTED_INDEX:-1])
     time.sleep(4.0)
-    harness.whole()
+    harness.heal()
     harness.must_end(row, harness.names[FIRST_REQUESTED_INDEX:], 60.0)
 
 
@@ -244,20 +246,20 @@
 
 
 def _kill_at(harness: MaintenanceHarness, row: ExperimentRow, step: str) -> None:
-    rig = harness.rig
-    last = harness.count - 1
-    name = rig.name(last)
+    servers = harness.servers
+    last = harness.server_count - 1
+    name = servers.name(last)
     harness.not_restarted.add(last)
-    rig.doomed.add(name)
-    rig.kill(last)
-    died_path = f"{rig.folder}/{step}.died"
+    servers.faults.expected_to_die.add(name)
+    servers.kill(last)
+    died_path = f"{servers.folder}/{step}.died"
     harness.start(last, LANDINGSHIFT_CRASH=step, LANDINGSHIFT_CRASH_ONCE=died_path)
-    rig.until(10.0, partial(up_or_dead, harness, last))
+    harness.wait_until_ready_or_exited(last)
     time.sleep(1.0)
     harness.request_maintenance([name])
-    has_died = rig.until(20.0, lambda: rig.processes[last].poll() is not None)
+    has_died = harness.wait_for_exit(last, 20.0)
     row.require(has_died, f"{step}: it did not die")
-    rig.killed.add(name)
+    servers.faults.killed.add(name)
     time.sleep(0.5)
     harness.start(last)
     harness.not_restarted.discard(last)
@@ -267,11 +269,11 @@
 def never_restarted(harness: MaintenanceHarness, row: ExperimentRow) -> None:
     """One never comes back: it stays counted as out, and the others go on as the constraints let them."""
     harness.start_all()
-    last = harness.count - 1
-    name = harness.rig.name(last)
+    last = harness.server_count - 1
+    name = harness.servers.name(last)
     harness.not_restarted.add(last)
     harness.request_maintenance([name], urgency=9.0)
-    harness.rig.until(20.0, lambda: harness.rig.processes[last].poll() is not None)
+    harness.wait_for_exit(last, 20.0)
     others = harness.names[FIRST_REQUESTED_INDEX:last]
     harness.request_maintenance(others)
     harness.must_end(row, others, 60.0)
@@ -289,7 +291,7 @@
     time.sleep(6.0)
     status = harness.maintenance_status(harness.leader())
     demand = status["demand"] * (1.0 + HEADROOM_RATIO)
-    is_loaded = demand > CAPACITY_RPCS_PER_SECOND * (harness.count - 1)
+    is_loaded = demand > CAPACITY_RPCS_PER_SECOND * (harness.server_count - 1)
     row.require(is_loaded, f"the load was not brought: {status['demand']:.0f} a second")
     states = [request["stage"] for request in status["wishes"]]
     row.require(states == [RequestState.REQUESTED.value], f"{status['wishes']}")
@@ -304,11 +306,11 @@
     harness.start_all()
     requested = harness.names[FIRST_REQUESTED_INDEX:]
     harness.request_maintenance(requested)
-    harness.rig.until(10.0, lambda: harness.has_permitted(harness.leader()))
+    harness.servers.wait_until(10.0, lambda: harness.has_permitted(harness.leader()))
     change = harness.propose(0, 1)
-    harness.taken(row, 1, change, 30.0)
+    harness.require_committed(row, 1, change, 30.0)
     row.require(harness.wait_until_ended(requested, 60.0), "not over")
-    harness.version(row, 1, 15.0)
+    harness.require_version(row, 1, 15.0)
 
 
 LONG: dict[str, RealRow] = {"real_service": real_row(service)}
--- /dev/null
+++ b/landingshift/testbed/experiments/policies_network_cases.py
@@ -0,0 +1,147 @@
+"""Cases of a policy change through partitions, random faults and load."""
+
+from __future__ import annotations
+
+import threading
+import time
+from collections import Counter
+from functools import partial
+from random import Random
+
+from landingshift.testbed.experiments.policies_harness import (
+    FINAL_OUTCOMES,
+    PolicyHarness,
+    crosses_partition,
+    is_from,
+)
+from landingshift.testbed.experiments.rows import ExperimentRow
+from landingshift.testbed.processes.fault_proxy import LinkRule
+
+FLAP_SECONDS = 0.3
+CONCURRENT_CHANGES_COUNT = 10
+RANDOM_STEPS_COUNT = 10
+PROPOSE_PROBABILITY = 0.7
+PAUSE_SECONDS = (0.3, 1.5, 3.0)
+LOSS_FRACTIONS = (0.0, 0.1)
+STEP_SECONDS = (0.1, 0.5, 1.2)
+SERVICE_CHANGES_COUNT = 12
+SERVICE_INTERVAL_SECONDS = 2.5
+MAX_SERVICE_DIFFERENCE_PERCENT = 2.0
+
+
+def partitions(harness: PolicyHarness, row: ExperimentRow) -> None:
+    """Halves, then one heard by nobody, then a partition that flaps; a change in each, on either side."""
+    harness.start_all()
+    servers = harness.servers
+    half = {servers.name(index) for index in range(harness.server_count) if index % 2}
+    muted = servers.name(harness.server_count - 1)
+    began = time.monotonic()
+
+    def flaps(sender: str, receiver: str) -> bool:
+        is_cut = int((time.monotonic() - began) / FLAP_SECONDS) % 2 == 0
+        return is_cut and crosses_partition(half, sender, receiver)
+
+    rules: tuple[LinkRule, ...] = (partial(crosses_partition, half), partial(is_from, muted), flaps)
+    for number, rule in enumerate(rules, 1):
+        harness.partition(rule)
+        harness.propose(0, number)
+        harness.propose(1, number + 10)  # on the other side
+        time.sleep(3.0)
+        harness.heal()
+        time.sleep(2.0)
+        for change_id in harness.change_ids:
+            has_ended = harness.wait_for_outcome(2, change_id, 15.0)["end"] in FINAL_OUTCOMES
+            row.require(has_ended, f"{change_id} does not end")
+    versions = {status.get("version") for status in harness.statuses()}
+    harness.require_version(row, max(version for version in versions if version is not None), 15.0)
+
+
+def concurrent_changes(harness: PolicyHarness, row: ExperimentRow) -> None:
+    """Ten changes proposed at once at all servers: each ends, and in one order."""
+    harness.start_all()
+    count = harness.server_count
+    change_ids = [f"at-once-{number}" for number in range(CONCURRENT_CHANGES_COUNT)]
+    harness.change_ids += change_ids
+    threads = [
+        threading.Thread(target=harness.propose, args=(number % count, number, change_id))
+        for number, change_id in enumerate(change_ids)
+    ]
+    for thread in threads:
+        thread.start()
+    for thread in threads:
+        thread.join()
+    outcomes = [
+        harness.wait_for_outcome(number % count, change_id)["end"]
+        for number, change_id in enumerate(change_ids)
+    ]
+    row.require("taken" in outcomes, f"none was taken: {outcomes}")
+    harness.require_version(row, outcomes.count("taken"), 10.0)
+
+
+def random_faults(harness: PolicyHarness, row: ExperimentRow) -> None:
+    """Faults drawn from the seed for some seconds, changes all the while; then all is well and must agree."""
+    harness.start_all()
+    rng = Random(f"{harness.seed} chance")
+    for number in range(RANDOM_STEPS_COUNT):
+        running = harness.running()
+        if rng.random() < PROPOSE_PROBABILITY and running:
+            harness.propose(rng.choice(running), number)
+        _inject_random_fault(harness, rng, running)
+        time.sleep(rng.choice(STEP_SECONDS))
+    harness.heal()
+    harness.set_loss(0.0)
+    for index in range(harness.server_count):
+        if index not in harness.running():
+            harness.start(index)
+    row.require(harness.servers.wait_until(25.0, harness.all_decide), "not all decide again")
+    for change_id in harness.change_ids:
+        harness.wait_for_outcome(0, change_id, 2.0)
+    harness.require_agreement(row, 20.0)
+    harness.forget_unknown_changes()
+
+
+def _inject_random_fault(harness: PolicyHarness, rng: Random, running: list[int]) -> None:
+    servers = harness.servers
+    count = harness.server_count
+    index = rng.randrange(count)
+    match rng.randrange(8):
+        case 0 | 1 if index in running and len(running) > 1:
+            servers.kill(index)
+        case 2 | 3 | 4 if len(running) < count:
+            harness.start(next(other for other in range(count) if other not in running))
+        case 5 if index in running:
+            servers.pause(index, rng.choice(PAUSE_SECONDS))
+        case 6:
+            half = {servers.name(other) for other in rng.sample(range(count), count // 2)}
+            harness.partition(partial(crosses_partition, half))
+        case 7:
+            harness.partition(partial(is_from, servers.name(index)))
+        case _:
+            harness.heal()
+            harness.set_loss(rng.choice(LOSS_FRACTIONS))
+
+
+def service(harness: PolicyHarness, row: ExperimentRow) -> None:
+    """Half a minute without a change and half a minute with one each few seconds, at the same load."""
+    harness.start_all()
+    time.sleep(3.0)
+    ok_percent_without = _measure_ok_percent(harness, has_changes=False)
+    ok_percent_with = _measure_ok_percent(harness, has_changes=True)
+    row.figures |= {
+        "ok_without": round(ok_percent_without, 2),
+        "ok_with_changes": round(ok_percent_with, 2),
+    }
+    row.require(
+        abs(ok_percent_without - ok_percent_with) <= MAX_SERVICE_DIFFERENCE_PERCENT,
+        f"{ok_percent_without:.1f} % ok without changes, {ok_percent_with:.1f} % with",
+    )
+
+
+def _measure_ok_percent(harness: PolicyHarness, has_changes: bool) -> float:
+    before = Counter(harness.servers.load.outcomes)
+    for number in range(SERVICE_CHANGES_COUNT):
+        if has_changes:
+            harness.propose(number % harness.server_count, number)
+        time.sleep(SERVICE_INTERVAL_SECONDS)
+    outcomes = harness.servers.load.outcomes - before
+    return 100.0 * outcomes["ok"] / max(1, sum(outcomes.values()))
--- a/landingshift/testbed/processes/fault_proxy.py
+++ b/landingshift/testbed/processes/fault_proxy.py
@@ -1,8 +1,8 @@
-"""Forwarders on loopback between real processes: datagrams cut, delayed, lost, doubled and put out of order;
-connections cut and delayed.
+"""A proxy on loopback between real processes, which injects faults into what it forwards.
 
-Each server has an address of its own at the switch, for UDP and TCP, which the others know it by; who sent a
-datagram or connects is told by the address that it comes from.
+Datagrams are lost, delayed, reordered, duplicated and cut; connections are delayed and cut. Each server has
+an address of its own at the proxy, for UDP and TCP, which the others know it by. Who sent a datagram or
+connects is known by the address that it comes from.
 """
 
 from __future__ import annotations
@@ -15,141 +15,214 @@
 from landingshift.net.transport.listener import Listener
 from landingshift.net.transport.loop import Loop
 from landingshift.net.transport.stream import Address, Stream, connect
+from landingshift.testbed.errors import NoFreeAddressError
 
-HERE = "127.0.0.1"
-PIPES = 64  # connections at a time through one port
-BOUND = 8 << 20  # bytes that wait in one
+LOOPBACK = "127.0.0.1"
+MAX_CONNECTIONS_PER_ENDPOINT = 64
+MAX_UNSENT_BYTES = 8 << 20
+"""Of one connection."""
+RECEIVE_BUFFER_BYTES = 1 << 20
+MAX_DATAGRAM_BYTES = 65536
+MAX_DATAGRAMS_PER_PASS = 256
+MAX_BIND_ATTEMPTS = 50
 
+LinkRule = Callable[[str, str], bool]
+"""Whether what the first server sends to the second is cut."""
 
-class Port:
-    """One server's address at the switch."""
 
-    def __init__(self, switch: Switch, name: str, to: Address) -> None:
-        self.switch, self.name, self.to = switch, name, to
-        self.pipes: set[Pipe] = set()
-        self.sock, self.door = self.both()
-        self.sock.setblocking(False)
-        self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
-        self.address: Address = self.sock.getsockname()
-        switch.loop.watch(self.sock.fileno(), EVENT_READ, self)
+def no_cut(_sender: str, _receiver: str) -> bool:
+    """The rule of a network without partitions."""
+    return False
 
-    def both(self) -> tuple[socket.socket, Listener]:
-        """One port for datagrams and for connections, which no other process has."""
-        for _ in range(50):
-            sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-            sock.bind((HERE, 0))
+
+class FaultProxy:
+    """Forwards between servers.
+
+    Attributes:
+        loop: On which it runs.
+        is_cut: The rule of what is cut just now.
+        loss_fraction: Of datagrams.
+        duplicate_fraction: Of datagrams.
+        delay_ms: Of bytes of a connection; the mean of datagrams.
+        endpoints: Where servers are reached, by name.
+        forwarded_count: Datagrams that came in.
+        lost_count: Datagrams that were not passed on.
+    """
+
+    def __init__(self, loop: Loop, seed: int) -> None:
+        self.loop = loop
+        self.is_cut: LinkRule = no_cut
+        self.loss_fraction = 0.0
+        self.duplicate_fraction = 0.0
+        self.delay_ms = 0.0
+        self.endpoints: dict[str, ProxyEndpoint] = {}
+        self.forwarded_count = 0
+        self.lost_count = 0
+        self._rng = Random(f"{seed} wires")
+        self._names_by_address: dict[Address, str] = {}
+        self._names_by_host: dict[str, str] = {}
+
+    def add_server(self, name: str, address: Address) -> Address:
+        """Returns where others reach a server that listens and sends at `address`."""
+        endpoint = self.endpoints.get(name)
+        if endpoint is None:
+            endpoint = ProxyEndpoint(self, name, address)
+            self.endpoints[name] = endpoint
+        self._names_by_address[address] = name
+        self._names_by_host[address[0]] = name
+        return endpoint.address
+
+    def name_of_host(self, host: str) -> str:
+        """Returns the server that connects from a host; "" for none."""
+        return self._names_by_host.get(host, "")
+
+    def forward_datagram(self, sender: Address, receiver: ProxyEndpoint, data: bytes) -> None:
+        """Passes a datagram on, or loses, delays or duplicates it."""
+        self.forwarded_count += 1
+        is_cut = self.is_cut(self._names_by_address.get(sender, ""), receiver.name)
+        if is_cut or self._rng.random() < self.loss_fraction:
+            self.lost_count += 1
+            return
+        copies = 2 if self._rng.random() < self.duplicate_fraction else 1
+        for _ in range(copies):
+            if self.delay_ms:
+                delay_ms = self._rng.uniform(0.0, 2.0 * self.delay_ms)  # so that later ones may overtake it
+                self.loop.after(delay_ms, lambda: self._send(receiver, data))
+            else:
+                self._send(receiver, data)
+
+    def _send(self, receiver: ProxyEndpoint, data: bytes) -> None:
+        try:
+            receiver.send(data)
+        except OSError:
+            self.lost_count += 1
+
+    def close(self) -> None:
+        """Closes all endpoints."""
+        for endpoint in self.endpoints.values():
+            endpoint.close()
+
+
+class ProxyEndpoint:
+    """One server's address at the proxy.
+
+    Attributes:
+        proxy: Whose endpoint it is.
+        name: Of the server.
+        server_address: Where the server itself listens.
+        address: Where others reach it.
+        connections: Those that are open.
+    """
+
+    def __init__(self, proxy: FaultProxy, name: str, server_address: Address) -> None:
+        self.proxy = proxy
+        self.name = name
+        self.server_address = server_address
+        self.connections: set[ProxiedConnection] = set()
+        self._socket, self._listener = self._bind()
+        self._socket.setblocking(False)
+        self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
+        self.address: Address = self._socket.getsockname()
+        proxy.loop.watch(self._socket.fileno(), EVENT_READ, self)
+
+    def _bind(self) -> tuple[socket.socket, Listener]:
+        """Binds one port for datagrams and for connections, which no other process has."""
+        for _ in range(MAX_BIND_ATTEMPTS):
+            datagram_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+            datagram_socket.bind((LOOPBACK, 0))
+            address = datagram_socket.getsockname()
             try:
-                room = lambda _: len(self.pipes) < PIPES  # noqa: E731
-                return sock, Listener(self.switch.loop, sock.getsockname(), room, self.take)
+                return datagram_socket, Listener(self.proxy.loop, address, self._has_room, self._on_accepted)
             except OSError:
-                sock.close()
-        raise RuntimeError("no free port")
+                datagram_socket.close()
+        raise NoFreeAddressError("port")
 
-    def take(self, sock: socket.socket) -> None:
-        Pipe(self, sock)
+    def _has_room(self, _count: int) -> bool:
+        return len(self.connections) < MAX_CONNECTIONS_PER_ENDPOINT
+
+    def _on_accepted(self, sock: socket.socket) -> None:
+        ProxiedConnection(self, sock)
 
     def on_ready(self, _mask: int) -> None:
-        for _ in range(256):
+        """Reads the datagrams that have come."""
+        for _ in range(MAX_DATAGRAMS_PER_PASS):
             try:
-                data, sender = self.sock.recvfrom(65536)
+                data, sender = self._socket.recvfrom(MAX_DATAGRAM_BYTES)
             except OSError:
                 return
-            self.switch.carry(sender, self, data)
-
-
-class Pipe:
-    """One connection through the switch; a cut in either direction breaks it at the next byte."""
-
-    def __init__(self, port: Port, sock: socket.socket) -> None:
-        self.port, switch = port, port.switch
-        self.name = switch.hosts.get(sock.getpeername()[0], "")
-        port.pipes.add(self)
-        self.near = End(self, self.name)
-        self.far = End(self, port.name)
-        self.near.stream = Stream(switch.loop, sock, self.near, BOUND)
-        there = connect(switch.loop, port.to, self.far, BOUND)
-        if isinstance(there, Stream):
-            self.far.stream = there
+            self.proxy.forward_datagram(sender, self, data)
+
+    def send(self, data: bytes) -> None:
+        """Sends a datagram to the server."""
+        self._socket.sendto(data, self.server_address)
+
+    def close(self) -> None:
+        """Closes it with all connections through it."""
+        self.proxy.loop.watch(self._socket.fileno(), 0, self)
+        self._listener.close()
+        for connection in list(self.connections):
+            connection.close()
+        self._socket.close()
+
+
+class ProxiedConnection:
+    """One connection through the proxy; a cut in either direction breaks it at the next byte."""
+
+    def __init__(self, endpoint: ProxyEndpoint, sock: socket.socket) -> None:
+        proxy = endpoint.proxy
+        self._endpoint = endpoint
+        endpoint.connections.add(self)
+        self._client = ConnectionEnd(self, proxy.name_of_host(sock.getpeername()[0]))
+        self._server = ConnectionEnd(self, endpoint.name)
+        self._client.stream = Stream(proxy.loop, sock, self._client, MAX_UNSENT_BYTES)
+        server_stream = connect(proxy.loop, endpoint.server_address, self._server, MAX_UNSENT_BYTES)
+        if isinstance(server_stream, Stream):
+            self._server.stream = server_stream
         else:
             self.close()
 
-    def carry(self, end: End, data: bytes) -> None:
-        switch, other = self.port.switch, self.far if end is self.near else self.near
-        if switch.cut(end.name, other.name):
+    def forward(self, sender: ConnectionEnd, data: bytes) -> None:
+        """Passes on what one end sent."""
+        proxy = self._endpoint.proxy
+        receiver = self._server if sender is self._client else self._client
+        if proxy.is_cut(sender.name, receiver.name):
             self.close()
-        elif other.stream is not None:
-            stream = other.stream
-            switch.loop.after(switch.late, lambda: stream.write(data))
+        elif receiver.stream is not None:
+            stream = receiver.stream
+            proxy.loop.after(proxy.delay_ms, lambda: stream.write(data))
 
     def close(self) -> None:
-        self.port.pipes.discard(self)
-        for end in (self.near, self.far):
-            stream, end.stream = end.stream, None
+        """Closes both ends."""
+        self._endpoint.connections.discard(self)
+        for end in (self._client, self._server):
+            stream = end.stream
+            end.stream = None
             if stream is not None:
                 stream.close("cut")
 
 
-class End:
-    """What one side of a pipe sends."""
+class ConnectionEnd:
+    """One end of a proxied connection.
+
+    Attributes:
+        name: Of the server at this end; "" where none is known.
+        stream: None once it is closed.
+    """
 
-    def __init__(self, pipe: Pipe, name: str) -> None:
-        self.pipe, self.name = pipe, name
+    def __init__(self, connection: ProxiedConnection, name: str) -> None:
+        self.name = name
         self.stream: Stream | None = None
+        self._connection = connection
 
     def on_data(self, data: bytes) -> None:
-        self.pipe.carry(self, data)
+        """Passes on what came in."""
+        self._connection.forward(self, data)
 
     def on_eof(self) -> None:
-        self.pipe.close()
+        """Closes both ends."""
+        self._connection.close()
 
     def on_closed(self, _reason: str) -> None:
+        """Closes the other end, too."""
         self.stream = None
-        self.pipe.close()
-
-
-class Switch:
-    """`cut(a, b)`: whether what `a` sends to `b` is lost just now; `loss`, `double` shares, `late` ms."""
-
-    def __init__(self, loop: Loop, seed: int) -> None:
-        self.loop, self.chance = loop, Random(f"{seed} wires")
-        self.cut: Callable[[str, str], bool] = lambda a, b: False
-        self.loss = self.double = self.late = 0.0
-        self.names: dict[Address, str] = {}  # of those who send
-        self.hosts: dict[str, str] = {}  # the same by host alone
-        self.ports: dict[str, Port] = {}
-        self.carried = self.lost = 0
-
-    def port(self, name: str, real: Address) -> Address:
-        """Where others reach `name`, which listens and sends at `real`."""
-        port = self.ports.get(name)
-        if port is None:
-            port = self.ports[name] = Port(self, name, real)
-        self.names[real], self.hosts[real[0]] = name, name
-        return port.address
-
-    def carry(self, sender: Address, port: Port, data: bytes) -> None:
-        self.carried += 1
-        chance = self.chance
-        if self.cut(self.names.get(sender, ""), port.name) or chance.random() < self.loss:
-            self.lost += 1
-            return
-        for _ in range(2 if chance.random() < self.double else 1):
-            if self.late:
-                delay = chance.uniform(0.0, 2.0 * self.late)  # those behind may come before
-                self.loop.after(delay, lambda: self.send(port, data))
-            else:
-                self.send(port, data)
-
-    def send(self, port: Port, data: bytes) -> None:
-        try:
-            port.sock.sendto(data, port.to)
-        except OSError:
-            self.lost += 1
-
-    def close(self) -> None:
-        for port in self.ports.values():
-            self.loop.watch(port.sock.fileno(), 0, port)
-            port.door.close()
-            for pipe in list(port.pipes):
-                pipe.close()
-            port.sock.close()
+        self._connection.close()
--- a/landingshift/testbed/processes/harness.py
+++ b/landingshift/testbed/processes/harness.py
@@ -1,8 +1,11 @@
-"""A fleet of real processes with stand-ins, gateways and faults between them, and the history of a run."""
+"""A fleet of real server processes with stand-ins, load and injected faults between them.
+
+Stand-ins, proxy and gateways run on one loop in a thread of its own; whoever changes them from outside does
+so by `run_on_loop`.
+"""
 
 from __future__ import annotations
 
-import ast
 import os
 import signal
 import socket
@@ -12,338 +15,369 @@
 import time
 from collections import Counter, deque
 from collections.abc import Callable
+from dataclasses import dataclass
 from pathlib import Path
 from random import Random
 from typing import Any
 
-import msgpack
 import orjson
 
-from landingshift.net.protocol import gateway
 from landingshift.net.transport.loop import Loop
-from landingshift.net.transport.stream import Address, Stream, connect
-from landingshift.testbed.processes.fault_proxy import Switch
-from landingshift.testbed.processes.single_server import METHOD, TENANT, settings
-from landingshift.testbed.processes.stand_ins import Yard
-
-SEND = 20.0  # ms between two looks of the gateways
-STILL = 200.0  # ms of load at most that one look makes up for
-WAIT = 3000.0  # ms that an RPC's caller waits
-# Below the ports that the system gives to sockets which nobody bound: one of those, of any process, must not
-# stand in the way of a server that starts.
-LISTEN, TALK = 20100, 20101
-SLACK = 250.0  # ms more until an answer counts as late: gateways here share their cores with all else
-
-
-Stop = tuple[str, float, float]  # who was stopped, from when to when
-
-
-def in_time(line: tuple[Any, ...], stops: list[Stop]) -> tuple[Any, ...]:
-    """A decision as the promises read it. It is noted as it is acted on, and names when its server looked
-    whether it may decide; where that was stopped in between, the time that it stood still is taken off. No
-    server can look once more and act in one step, so that such a pass ends late by as much (policies.md)."""
-    if line[1] != "decided":
-        return line
-    at, what, who, version, text, looked = line
-    for name, since, until in stops:
-        if name == who and looked <= since and until <= at:
-            at -= until - since
-    return at, what, who, version, text
-
-
-class Caller:
-    """One connection to one server: RPCs out, answers back."""
-
-    def __init__(self, rig: Rig, name: str, address: Address) -> None:
-        self.rig, self.name = rig, name
-        self.open: dict[int, float] = {}
-        self.number = 0
-        self.leaving = False  # it was asked to send no more
-        self.reader = gateway.MessageDecoder()
-        self.unread = b""
-        stream = connect(rig.loop, address, self, 1 << 20)
-        self.stream = stream if isinstance(stream, Stream) else None
-        self.unpacker = msgpack.Unpacker(max_buffer_size=1 << 20)
-
-    def rpc(self) -> None:
-        rig = self.rig
-        self.number += 1
-        told = {
-            "id": f"{rig.chance.getrandbits(64):016x}", "from": "1", "tenant": TENANT, "kb": "10",
-            "rank": "0.5", "at": str(int(time.time() * 1000)), "wait": str(int(WAIT)),
-        }  # fmt: skip
-        if self.stream is not None:
-            self.open[self.number] = rig.loop.now_ms
-            self.stream.write(gateway.pack([0, self.number, METHOD, [told, b"work"]]))
-
-    def on_data(self, data: bytes) -> None:
-        self.unpacker.feed(data)
-        for message in self.unpacker:
-            self.leaving |= message[0] == 2
-            if message[0] == 1:
-                begun = self.open.pop(message[1], None)
-                if begun is None:
-                    self.rig.ends["twice"] += 1
-                    continue
-                end = message[2][0] if message[2] else "ok"
-                if self.rig.loop.now_ms - begun > WAIT + SLACK:
-                    # Who stands still can't answer: such time does not count against it.
-                    end = "late" if begun > self.rig.still.get(self.name, -1e9) else "late at a stopped one"
-                self.rig.ends[end] += 1
-
-    def on_eof(self) -> None:
-        if self.stream is not None:
-            self.stream.close("closed")
-
-    def on_closed(self, _reason: str) -> None:
-        self.stream = None
-        # A killed server answers nobody, and one that was stopped may be left by its callers.
-        dead = self.name in self.rig.killed | self.rig.doomed
-        self.rig.ends["with a killed one" if dead else "lost"] += len(self.open)
-        self.open.clear()
-
-
-class Rig:
-    """`toml(i, rig)`: the settings of server i, "" for the plain program. `rate`: RPCs a second in all."""
+from landingshift.net.transport.stream import Address
+from landingshift.testbed.errors import HarnessUnresponsiveError, NoFreeAddressError
+from landingshift.testbed.processes.fault_proxy import FaultProxy
+from landingshift.testbed.processes.gateway_load import GatewayLoad, InjectedFaults
+from landingshift.testbed.processes.history import HistoryEntry, PausePeriod, read_history
+from landingshift.testbed.processes.single_server import users_settings
+from landingshift.testbed.processes.stand_ins import DEFAULT_CORE_COUNT, DEFAULT_RUN_MS, StandIns
+
+TICK_INTERVAL_MS = 20.0
+RPC_PORT = 20100
+"""Below the ports that the system gives to sockets which nobody bound: one of those, of any process, must not
+stand in the way of a server that starts."""
+MEMBERSHIP_PORT = 20101
+SERVERS_PER_SUBNET = 250
+SUBNETS = range(16, 250)
+MAX_SUBNET_ATTEMPTS = 200
+WARM_FRACTION = 0.95
+"""Of all servers: as soon as so many are warm the fleet is."""
+WARM_SERIES_INTERVAL_MS = 500.0
+EXIT_TIMEOUT_SECONDS = 20
+LOOP_TIMEOUT_SECONDS = 20.0
+THREAD_TIMEOUT_SECONDS = 5.0
+POLL_INTERVAL_SECONDS = 0.05
+LAST_ANSWERS_SECONDS = 8.0
+"""That RPCs still have to be answered once no more are sent."""
+SERVER_SEED_BITS = 48
+NOT_YET_MS = -1.0
+
+
+@dataclass(frozen=True, slots=True)
+class StandInCapacity:
+    """How much the stand-ins of a harness do.
+
+    Attributes:
+        calls_per_second: That the database serves.
+        list_requests_per_second: That the endpoint list serves.
+        cache_fill_calls: Database calls that fill the cache of an engine.
+        warm_up_ms: From an engine's start until its cores are warm.
+        run_ms: For which a run takes a core.
+        core_count: Of each engine.
+    """
+
+    calls_per_second: float
+    list_requests_per_second: float
+    cache_fill_calls: int = 20
+    warm_up_ms: float = 2000.0
+    run_ms: float = DEFAULT_RUN_MS
+    core_count: int = DEFAULT_CORE_COUNT
+
+
+@dataclass(frozen=True, slots=True)
+class WarmSample:
+    """How far the fleet has come with its start.
+
+    Attributes:
+        elapsed_ms: Since the harness started.
+        warm_count: Servers that are warm.
+        call_count: Database calls so far.
+    """
+
+    elapsed_ms: float
+    warm_count: int
+    call_count: int
+
+
+class ProcessHarness:
+    """Starts, pauses and kills real servers.
+
+    Attributes:
+        folder: Of settings, logs and histories.
+        server_count: How many servers there are at the most.
+        loop: Of stand-ins, proxy and load.
+        stand_ins: What servers talk to.
+        proxy: Between servers.
+        faults: What was done to servers.
+        load: The gateways.
+        processes: By the server's number.
+        rpc_addresses: Where servers take RPCs, by number.
+        membership_addresses: Where they talk to each other, by number.
+        environment: Further variables of a server's process, by number.
+        warm_after_ms: From the start until the fleet was warm; negative before that.
+        warm_series: How many servers were warm over time.
+        started_at_ms: When the start began, in the loop's time.
+    """
 
     def __init__(
         self,
         folder: str,
-        count: int,
+        server_count: int,
         seed: int,
-        toml: Callable[[int, Rig], str],
-        rate: float,
-        bears: float,
-        asks: float,
-        fill: int = 20,
-        cold_ms: float = 2000.0,
-        work: float = 4.0,
-        cores: int = 8,
+        make_toml: Callable[[int], str],
+        rpcs_per_second: float,
+        capacity: StandInCapacity,
     ) -> None:
-        self.folder, self.count, self.seed, self.toml, self.rate = folder, count, seed, toml, rate
-        self.chance = Random(f"{seed} rig")
-        self.net, self.claim = unused_net()
-        self.loop = Loop(self.fault)
-        self.faults = 0
-        self.yard = Yard(self.loop, seed, bears, asks, fill, cold_ms, work, cores)
-        self.switch = Switch(self.loop, seed)
+        """Starts stand-ins, proxy and gateways, and no server yet.
+
+        Args:
+            folder: For files.
+            server_count: How many servers there are at the most.
+            seed: Of all that is drawn.
+            make_toml: Returns our own settings of a server; "" for a server without packages.
+            rpcs_per_second: To all servers together.
+            capacity: Of the stand-ins.
+        """
+        self.folder = folder
+        self.server_count = server_count
+        self.loop = Loop(self._on_unhandled_error)
+        self.stand_ins = StandIns(
+            self.loop,
+            seed,
+            capacity.calls_per_second,
+            capacity.list_requests_per_second,
+            capacity.cache_fill_calls,
+            capacity.warm_up_ms,
+            capacity.run_ms,
+            capacity.core_count,
+        )
+        self.proxy = FaultProxy(self.loop, seed)
+        self.faults = InjectedFaults()
+        self._rng = Random(f"{seed} rig")
+        self.load = GatewayLoad(self.loop, self._rng, self.faults, rpcs_per_second)
         self.processes: dict[int, subprocess.Popen[bytes]] = {}
-        self.listens: dict[int, Address] = {}
-        self.talks: dict[int, Address] = {}
-        self.callers: dict[str, Caller] = {}
-        self.killed: set[str] = set()
-        self.doomed: set[str] = set()  # those that will die by themselves
-        self.still: dict[str, float] = {}  # until when each stopped one stands still, loop time in ms
-        self.stops: list[Stop] = []
-        self.ends: Counter[str] = Counter()
-        self.runs: Counter[int] = Counter()
-        self.owed, self.looked_at = 0.0, self.loop.now_ms
-        self.warm_at = -1.0
-        self.warm: list[tuple[float, int, int]] = []  # ms, how many are warm, calls so far
-        self.begun = self.loop.now_ms
-        self.env: dict[int, dict[str, str]] = {}
-        for i in range(count):
-            host = f"127.{self.net}.{i // 250}.{i % 250 + 1}"
-            self.listens[i], self.talks[i] = (host, LISTEN), (host, TALK)
-            self.switch.port(self.name(i), self.talks[i])
-        self.orders: deque[tuple[Callable[[], Any], threading.Event]] = deque()
-        self.loop.after(SEND, self.look)
-        self.thread = threading.Thread(target=self.loop.run, daemon=True)
-        self.thread.start()
+        self.rpc_addresses: dict[int, Address] = {}
+        self.membership_addresses: dict[int, Address] = {}
+        self.environment: dict[int, dict[str, str]] = {}
+        self.warm_after_ms = NOT_YET_MS
+        self.warm_series: list[WarmSample] = []
+        self.started_at_ms = self.loop.now_ms
+        self._make_toml = make_toml
+        self._unhandled_error_count = 0
+        self._start_counts: Counter[int] = Counter()
+        self._actions: deque[tuple[Callable[[], Any], threading.Event]] = deque()
+        subnet, self._subnet_claim = reserve_subnet()
+        for index in range(server_count):
+            self._assign_addresses(subnet, index)
+        self.loop.after(TICK_INTERVAL_MS, self._tick)
+        self._thread = threading.Thread(target=self.loop.run, daemon=True)
+        self._thread.start()
+
+    def _assign_addresses(self, subnet: int, index: int) -> None:
+        host = f"127.{subnet}.{index // SERVERS_PER_SUBNET}.{index % SERVERS_PER_SUBNET + 1}"
+        self.rpc_addresses[index] = (host, RPC_PORT)
+        self.membership_addresses[index] = (host, MEMBERSHIP_PORT)
+        self.proxy.add_server(self.name(index), self.membership_addresses[index])
 
     @staticmethod
-    def name(i: int) -> str:
-        return f"n{i}"
+    def name(index: int) -> str:
+        """Returns the name of a server."""
+        return f"n{index}"
 
-    def fault(self) -> None:
-        self.faults += 1
+    def _on_unhandled_error(self) -> None:
+        self._unhandled_error_count += 1
 
     # Processes
 
-    def start(self, i: int, **env: str) -> None:
-        self.runs[i] += 1
-        name = self.name(i)
-        self.killed.discard(name)
-        engine = self.do(lambda: self.yard.engine(name))
-        place = "{}:{}"
-        mine = settings() | {"peers-total": self.count}
-        mine["classes"][0] |= {"late-share": 1.0, "repeat-window": 5000.0}
-        mine["extra"] |= {
-            "depends-on": "shared", "class-calls": [True], "class-skip-worth": [0.5], "calls-out": 50.0,
-            "calls-over": 5000.0, "linger": 100.0, "n-cores": self.yard.cores,
-        }  # fmt: skip
-        mine["rules"] |= {"cold": self.yard.cold_ms}
-        config = {
-            "name": name, "listen": place.format(*self.listens[i]), "engine": place.format(*engine),
-            "db": place.format(*self.yard.store_door.address),
-            "roster": place.format(*self.yard.roster.getsockname()),
-            "seed": f"{self.chance.getrandbits(48):x}", "stop_ms": 1000,
-            "limits": {"memory_mb": 64, "sockets": 256}, "settings": mine,
-        }  # fmt: skip
-        path = Path(self.folder, f"{name}.json")
-        path.write_bytes(orjson.dumps(config))
-        more = {"GW_CONFIG": str(path), "LANDINGSHIFT_HISTORY": str(Path(self.folder, f"{name}.history"))}
-        text = self.toml(i, self)
-        if text:
-            ours = Path(self.folder, f"{name}.toml")
-            ours.write_text(text)
-            more["LANDINGSHIFT_TOML"] = str(ours)
-        with open(Path(self.folder, f"{name}.log"), "ab") as log:
-            self.processes[i] = subprocess.Popen(
+    def start(self, index: int, **variables: str) -> None:
+        """Starts a server with a new engine, whose cache is cold.
+
+        Args:
+            index: The server's number.
+            **variables: Of its environment.
+        """
+        self._start_counts[index] += 1
+        name = self.name(index)
+        self.faults.killed.discard(name)
+        engine_address = self.run_on_loop(lambda: self.stand_ins.start_engine(name))
+        config_path = Path(self.folder, f"{name}.json")
+        config_path.write_bytes(orjson.dumps(self._config(index, engine_address)))
+        history_path = Path(self.folder, f"{name}.history")
+        settings = {"GW_CONFIG": str(config_path), "LANDINGSHIFT_HISTORY": str(history_path)}
+        toml = self._make_toml(index)
+        if toml:
+            toml_path = Path(self.folder, f"{name}.toml")
+            toml_path.write_text(toml)
+            settings["LANDINGSHIFT_TOML"] = str(toml_path)
+        with self._log_path(index).open("ab") as log:
+            self.processes[index] = subprocess.Popen(
                 [sys.executable, "-m", "landingshift"],
-                env=os.environ | more | self.env.get(i, {}) | env,
+                env=os.environ | settings | self.environment.get(index, {}) | variables,
                 stdout=log,
                 stderr=subprocess.STDOUT,
             )
 
-    def kill(self, i: int) -> None:
-        self.killed.add(self.name(i))
-        self.doomed.add(self.name(i))  # its callers may find out only once it is back
-        self.processes[i].kill()
-        self.processes[i].wait()
-
-    def stop(self, i: int, seconds: float) -> None:
-        """SIGSTOP now, SIGCONT so much later."""
-        process, name = self.processes[i], self.name(i)
-        self.still[name] = self.loop.clock_ms() + seconds * 1000.0
+    def _config(self, index: int, engine_address: Address) -> dict[str, Any]:
+        """Returns what `GW_CONFIG` names, with the users' settings."""
+        stand_ins = self.stand_ins
+        settings = users_settings() | {"peers-total": self.server_count}
+        settings["classes"][0] |= {"late-share": 1.0, "repeat-window": 5000.0}
+        settings["extra"] |= {
+            "depends-on": "shared", "class-calls": [True], "class-skip-worth": [0.5], "calls-out": 50.0,
+            "calls-over": 5000.0, "linger": 100.0, "n-cores": stand_ins.core_count,
+        }  # fmt: skip
+        settings["rules"] |= {"cold": stand_ins.warm_up_ms}
+        return {
+            "name": self.name(index),
+            "listen": format_address(self.rpc_addresses[index]),
+            "engine": format_address(engine_address),
+            "db": format_address(stand_ins.database_listener.address),
+            "roster": format_address(stand_ins.roster_socket.getsockname()),
+            "seed": f"{self._rng.getrandbits(SERVER_SEED_BITS):x}",
+            "stop_ms": 1000,
+            "limits": {"memory_mb": 64, "sockets": 256},
+            "settings": settings,
+        }
+
+    def kill(self, index: int) -> None:
+        """Kills a server and waits until it is no more."""
+        name = self.name(index)
+        self.faults.killed.add(name)
+        self.faults.expected_to_die.add(name)  # its callers may find out only once it is back
+        self.processes[index].kill()
+        self.processes[index].wait()
+
+    def pause(self, index: int, seconds: float) -> None:
+        """Stops a server by SIGSTOP, and resumes it by SIGCONT so much later."""
+        process = self.processes[index]
+        name = self.name(index)
+        self.faults.paused_until_ms[name] = self.loop.clock_ms() + seconds * 1000.0
         process.send_signal(signal.SIGSTOP)
-        since = self.loop.clock_ms()  # a look that it made before it stood still is no later
+        start_ms = self.loop.clock_ms()  # a check that it made before it stood still is no later
 
-        def go_on() -> None:
-            self.stops.append((name, since, self.loop.clock_ms()))
+        def resume() -> None:
+            self.faults.pauses.append(PausePeriod(name, start_ms, self.loop.clock_ms()))
             process.send_signal(signal.SIGCONT)
 
-        timer = threading.Timer(seconds, go_on)
+        timer = threading.Timer(seconds, resume)
         timer.daemon = True
         timer.start()
 
-    def drain_all(self) -> list[int]:
-        """Exit status of each; those that still run are told to leave."""
+    def shut_down_all(self) -> list[int]:
+        """Has all servers that run shut down gracefully; returns the exit status of each."""
         for process in self.processes.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGTERM)
-        return [process.wait(20) for process in self.processes.values()]
+        return [process.wait(EXIT_TIMEOUT_SECONDS) for process in self.processes.values()]
 
     def close(self) -> None:
+        """Kills all servers and closes all sockets."""
         for process in self.processes.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
                 process.kill()
                 process.wait()
         self.loop.stop()
-        self.thread.join(5.0)
-        self.switch.close()
-        self.yard.close()
-        self.claim.close()
+        self._thread.join(THREAD_TIMEOUT_SECONDS)
+        self.proxy.close()
+        self.stand_ins.close()
+        self._subnet_claim.close()
 
-    # On the loop
+    # Load and stand-ins
 
-    def do(self, action: Callable[[], Any]) -> Any:
-        """Has the loop's thread do it, and waits."""
+    def run_on_loop(self, action: Callable[[], Any]) -> Any:
+        """Has the loop's thread do something; returns its result.
+
+        Raises:
+            HarnessUnresponsiveError: The thread does not get to it.
+        """
         result: list[Any] = []
-        done = threading.Event()
-        self.orders.append((lambda: result.append(action()), done))
-        if not done.wait(20.0):
-            raise RuntimeError("the rig's loop hangs")
+        is_done = threading.Event()
+        self._actions.append((lambda: result.append(action()), is_done))
+        if not is_done.wait(LOOP_TIMEOUT_SECONDS):
+            raise HarnessUnresponsiveError
         return result[0] if result else None
 
-    def look(self) -> None:
-        self.loop.after(SEND, self.look)
-        while self.orders:
-            action, done = self.orders.popleft()
+    def _tick(self) -> None:
+        self.loop.after(TICK_INTERVAL_MS, self._tick)
+        self._run_actions()
+        listed = [index for index in self.processes if self._is_available(self.name(index))]
+        self.load.tick([(self.name(index), self.rpc_addresses[index]) for index in listed])
+        self._sample_warm(sum(self.stand_ins.is_warm(self.name(index)) for index in listed))
+
+    def _run_actions(self) -> None:
+        while self._actions:
+            action, is_done = self._actions.popleft()
             try:
                 action()
             finally:
-                done.set()
-        yard = self.yard
-        up = [i for i in self.processes if yard.on(self.name(i)) and self.name(i) not in self.killed]
-        # By the time that went by, not by the number of looks: on a machine whose cores are full these come
-        # late, and a load paid by the look was half of what the row says that its servers have to bear.
-        went, self.looked_at = self.loop.now_ms - self.looked_at, self.loop.now_ms
-        self.owed += self.rate * min(went, STILL) / 1000.0
-        while up and self.owed >= 1.0:
-            self.owed -= 1.0
-            self.send(self.chance.choice(up))
-        warm = sum(yard.warm(self.name(i)) for i in up)
-        if self.warm_at < 0.0 and warm >= 0.95 * self.count:
-            self.warm_at = self.loop.now_ms - self.begun
-        if not self.warm or self.loop.now_ms - self.begun - self.warm[-1][0] >= 500.0:
-            self.warm.append((self.loop.now_ms - self.begun, warm, len(yard.store.times)))
-
-    def send(self, i: int) -> None:
-        name = self.name(i)
-        caller = self.callers.get(name)
-        if caller is None or caller.stream is None:
-            caller = self.callers[name] = Caller(self, name, self.listens[i])
-        if caller.leaving:
-            return
-        if len(caller.open) < 30:
-            caller.rpc()
-
-    def quiet(self, wait: float = 8.0) -> int:
-        """Sends no more and waits for what is out; how many RPCs never got an answer."""
-        self.rate = 0.0
-        end = time.monotonic() + wait
-        while time.monotonic() < end and self.do(lambda: any(c.open for c in self.callers.values())):
-            time.sleep(0.05)
-        return int(self.do(lambda: sum(len(c.open) for c in self.callers.values())))
-
-    def until(self, seconds: float, holds: Callable[[], bool]) -> bool:
-        end = time.monotonic() + seconds
+                is_done.set()
+
+    def _is_available(self, name: str) -> bool:
+        return self.stand_ins.is_listed(name) and name not in self.faults.killed
+
+    def _sample_warm(self, warm_count: int) -> None:
+        elapsed_ms = self.loop.now_ms - self.started_at_ms
+        if self.warm_after_ms < 0.0 and warm_count >= WARM_FRACTION * self.server_count:
+            self.warm_after_ms = elapsed_ms
+        if not self.warm_series or elapsed_ms - self.warm_series[-1].elapsed_ms >= WARM_SERIES_INTERVAL_MS:
+            call_count = len(self.stand_ins.database.arrival_times_ms)
+            self.warm_series.append(WarmSample(elapsed_ms, warm_count, call_count))
+
+    def restart_warm_measurement(self) -> None:
+        """Measures the time until the fleet is warm from now on."""
+        self.warm_after_ms = NOT_YET_MS
+        self.started_at_ms = self.loop.now_ms
+
+    def end_load(self, timeout_seconds: float = LAST_ANSWERS_SECONDS) -> int:
+        """Sends no more and waits for answers; returns how many RPCs never got one."""
+        self.load.rpcs_per_second = 0.0
+        self.wait_until(timeout_seconds, lambda: not self._unanswered_count())
+        return self._unanswered_count()
+
+    def _unanswered_count(self) -> int:
+        return int(self.run_on_loop(self.load.unanswered_count))
+
+    def wait_until(self, timeout_seconds: float, holds: Callable[[], bool]) -> bool:
+        """Waits until a condition holds; returns whether it did in time."""
+        deadline = time.monotonic() + timeout_seconds
         while not holds():
-            if time.monotonic() > end:
+            if time.monotonic() > deadline:
                 return False
-            time.sleep(0.05)
+            time.sleep(POLL_INTERVAL_SECONDS)
         return True
 
-    # The history
-
-    def history(self) -> list[tuple[Any, ...]]:
-        """All that all processes noted, in order of time."""
-        lines: list[tuple[Any, ...]] = []
-        for path in Path(self.folder).glob("*.history"):
-            for text in path.read_text().splitlines():
-                try:
-                    lines.append(ast.literal_eval(text))
-                except (SyntaxError, ValueError):
-                    continue  # the last line of a killed one
-        return sorted((in_time(line, self.stops) for line in lines), key=lambda entry: entry[0])
-
-    def logged(self, i: int) -> list[dict[str, Any]]:
-        lines = []
-        for text in Path(self.folder, f"{self.name(i)}.log").read_bytes().splitlines():
+    # What processes wrote
+
+    def history(self) -> list[HistoryEntry]:
+        """Returns all that all processes noted, by time."""
+        return read_history(self.folder, self.faults.pauses)
+
+    def log_entries(self, index: int) -> list[dict[str, Any]]:
+        """Returns what a server has logged."""
+        entries = []
+        for line in self._log_path(index).read_bytes().splitlines():
             try:
-                lines.append(orjson.loads(text))
+                entries.append(orjson.loads(line))
             except orjson.JSONDecodeError:
                 continue
-        return lines
+        return entries
 
+    def last_output(self, index: int) -> str:
+        """Returns the last line that a server wrote."""
+        return self._log_path(index).read_bytes().splitlines()[-1].decode()
 
-def unused_net() -> tuple[int, socket.socket]:
-    """Second part of addresses that no rig beside this one uses, and what keeps it so until it is closed.
+    def _log_path(self, index: int) -> Path:
+        return Path(self.folder, f"{self.name(index)}.log")
 
-    Two that begin in the same moment must not have the same: their servers would take each other for theirs.
-    """
-    for net in Random(os.urandom(8)).sample(range(16, 250), 200):
-        try:
-            return net, socket.create_server((f"127.{net}.255.254", LISTEN))
-        except OSError:
-            continue
-    raise RuntimeError("no free addresses")
+
+def format_address(address: Address) -> str:
+    """Returns an address as settings have it."""
+    host, port = address
+    return f"{host}:{port}"
 
 
-def believed(history: list[tuple[Any, ...]], at: int) -> float:
-    """The most that all holders together believed in at one instant; `at`: 0 for shares, 2 for places.
+def reserve_subnet() -> tuple[int, socket.socket]:
+    """Returns the second part of addresses that no other harness uses, and the socket that keeps it so.
 
-    Each holds from each lender what it noted last, until the end that it noted; who is killed believes on in
-    what he had, which only makes the figure larger.
+    Two harnesses that start at the same moment must not have the same: their servers would take each other
+    for members of one fleet.
+
+    Raises:
+        NoFreeAddressError: All are taken.
     """
-    held: dict[tuple[str, str], tuple[float, float]] = {}
-    most = 0.0
-    for entry in history:
-        if entry[1] != "loan":
+    for subnet in Random(os.urandom(8)).sample(SUBNETS, MAX_SUBNET_ATTEMPTS):
+        try:
+            return subnet, socket.create_server((f"127.{subnet}.255.254", RPC_PORT))
+        except OSError:
             continue
-        now, _, name, lender, *values = entry
-        held[name, lender] = values[at], values[at + 1]
-        most = max(most, sum(amount for amount, end in held.values() if end > now))
-    return most
+    raise NoFreeAddressError("addresses")
--- a/landingshift/testbed/processes/single_server.py
+++ b/landingshift/testbed/processes/single_server.py
@@ -1,4 +1,4 @@
-"""A server process with stand-ins on loopback for its engine and roster, and busy gateways."""
+"""One server process with stand-ins on loopback for its engine and roster, and gateways that keep it busy."""
 
 from __future__ import annotations
 
@@ -11,16 +11,29 @@
 import threading
 import time
 from pathlib import Path
+from types import TracebackType
 from typing import Any
 
 import msgpack
 import orjson
 
-RESULT = b"r" * 200
-METHOD, TENANT = "m", "t"
+from landingshift.testbed.errors import ServerNotStartedError
 
+ENGINE_RESULT = b"r" * 200
+METHOD = "m"
+TENANT = "t"
+DEFAULT_STOP_MS = 400.0
+EXIT_TIMEOUT_SECONDS = 20.0
+ANSWER_TIMEOUT_SECONDS = 10.0
+RPC_WAIT_MS = 3000
+RECEIVE_BYTES = 65536
+ANSWER_MESSAGE_TYPE = 1
+REQUEST_MESSAGE_TYPE = 0
+MAX_RPC_ID = (1 << 64) - 1
 
-def settings() -> dict[str, Any]:
+
+def users_settings() -> dict[str, Any]:
+    """Returns the users' settings of a server of the testbed."""
     return {
         "classes": [
             {"name": METHOD, "effect": "retryable", "give-up": 3000.0, "slo": 2000.0, "value": 1.0}
@@ -36,166 +49,241 @@
     }  # fmt: skip
 
 
-class Stage:
-    """`toml`: our own settings. The engine answers each run at once."""
+class SingleServer:
+    """A server process, whose engine answers each run at once.
+
+    Attributes:
+        process: None before the first start.
+        environment: Further variables of the process.
+        log_entries: What it has logged.
+        address: Where it takes RPCs.
+    """
 
-    def __init__(self, folder: str, toml: str, stop_ms: float = 400.0, module: str = "landingshift") -> None:
-        self.folder, self.toml, self.stop_ms, self.module = folder, toml, stop_ms, module
-        self.engine_door = socket.create_server(("127.0.0.1", 0))
-        self.roster = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        self.roster.bind(("127.0.0.1", 0))
+    def __init__(
+        self, folder: str, toml: str, stop_ms: float = DEFAULT_STOP_MS, module: str = "landingshift"
+    ) -> None:
+        """Starts the stand-ins.
+
+        Args:
+            folder: For files.
+            toml: Our own settings.
+            stop_ms: That a shutdown may take.
+            module: Which one the process runs.
+        """
         self.process: subprocess.Popen[bytes] | None = None
-        self.env: dict[str, str] = {}
-        self.lines: list[dict[str, Any]] = []
+        self.environment: dict[str, str] = {}
+        self.log_entries: list[dict[str, Any]] = []
         self.address: tuple[str, int] = ("", 0)
-        self.open = True
-        threading.Thread(target=self.be_engine, daemon=True).start()
+        self._folder = folder
+        self._toml = toml
+        self._stop_ms = stop_ms
+        self._module = module
+        self._engine_listener = socket.create_server(("127.0.0.1", 0))
+        self._roster = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        self._roster.bind(("127.0.0.1", 0))
+        self._is_open = True
+        threading.Thread(target=self._run_engine, daemon=True).start()
+
+    def __enter__(self) -> SingleServer:
+        """Leaves the process to be started."""
+        return self
+
+    def __exit__(
+        self, _type: type[BaseException] | None, _error: BaseException | None, _trace: TracebackType | None
+    ) -> None:
+        """Ends all."""
+        self.close()
 
     def start(self) -> None:
-        """Returns once it takes RPCs. Raises RuntimeError with its words where it does not start."""
-        host = "127.0.0.1:{}"
-        config = {
-            "name": "lab", "listen": host.format(0), "engine": host.format(self.engine_door.getsockname()[1]),
-            "roster": host.format(self.roster.getsockname()[1]), "seed": "1f", "stop_ms": self.stop_ms,
-            "limits": {"memory_mb": 128, "sockets": 512}, "settings": settings(),
-        }  # fmt: skip
-        path, toml = Path(self.folder, "config.json"), Path(self.folder, "ours.toml")
-        path.write_bytes(orjson.dumps(config))
-        toml.write_text(self.toml)
+        """Starts the process; returns once it takes RPCs.
+
+        Raises:
+            ServerNotStartedError: It ended before that.
+        """
+        config_path = Path(self._folder, "config.json")
+        toml_path = Path(self._folder, "ours.toml")
+        config_path.write_bytes(orjson.dumps(self._config()))
+        toml_path.write_text(self._toml)
+        settings = {"GW_CONFIG": str(config_path), "LANDINGSHIFT_TOML": str(toml_path)}
         self.process = subprocess.Popen(
-            [sys.executable, "-m", self.module],
-            env=os.environ | {"GW_CONFIG": str(path), "LANDINGSHIFT_TOML": str(toml)} | self.env,
+            [sys.executable, "-m", self._module],
+            env=os.environ | settings | self.environment,
             stdout=subprocess.PIPE,
             stderr=subprocess.PIPE,
         )
-        self.address = tuple(self.until("started")["listen"])
-        self.until("engine_ready")
-        threading.Thread(target=self.drink, args=(self.process,), daemon=True).start()
+        self.address = tuple(self._wait_for_event("started")["listen"])
+        self._wait_for_event("engine_ready")
+        threading.Thread(target=self._read_log, args=(self.process,), daemon=True).start()
+
+    def _config(self) -> dict[str, Any]:
+        engine_port = self._engine_listener.getsockname()[1]
+        roster_port = self._roster.getsockname()[1]
+        return {
+            "name": "lab",
+            "listen": "127.0.0.1:0",
+            "engine": f"127.0.0.1:{engine_port}",
+            "roster": f"127.0.0.1:{roster_port}",
+            "seed": "1f",
+            "stop_ms": self._stop_ms,
+            "limits": {"memory_mb": 128, "sockets": 512},
+            "settings": users_settings(),
+        }
 
-    def until(self, event: str) -> dict[str, Any]:
-        assert self.process and self.process.stdout and self.process.stderr
+    def _wait_for_event(self, event: str) -> dict[str, Any]:
+        assert self.process
+        assert self.process.stdout
+        assert self.process.stderr
         for line in self.process.stdout:
             entry: dict[str, Any] = orjson.loads(line)
-            self.lines.append(entry)
+            self.log_entries.append(entry)
             if entry["event"] == event:
                 return entry
-        raise RuntimeError(self.process.stderr.read().decode())
+        raise ServerNotStartedError(self.process.stderr.read().decode())
 
-    def drink(self, process: subprocess.Popen[bytes]) -> None:
+    def _read_log(self, process: subprocess.Popen[bytes]) -> None:
         assert process.stdout
         for line in process.stdout:
-            self.lines.append(orjson.loads(line))
+            self.log_entries.append(orjson.loads(line))
 
-    def leave(self, wait: float = 20.0) -> int:
+    def shut_down(self, timeout_seconds: float = EXIT_TIMEOUT_SECONDS) -> int:
+        """Has the process shut down gracefully; returns its exit status."""
         assert self.process
         self.process.send_signal(signal.SIGTERM)
-        return self.process.wait(wait)
+        return self.process.wait(timeout_seconds)
 
     def kill(self) -> None:
+        """Kills the process, where it runs."""
         if self.process and self.process.poll() is None:
             self.process.kill()
             self.process.wait()
 
-    def children(self) -> list[int]:
+    def child_process_ids(self) -> list[int]:
+        """Returns the processes that the server has started."""
         assert self.process
-        pid = self.process.pid
+        process_id = self.process.pid
         try:
-            return [int(w) for w in Path(f"/proc/{pid}/task/{pid}/children").read_text().split()]
+            words = Path(f"/proc/{process_id}/task/{process_id}/children").read_text().split()
         except OSError:
             return []
+        return [int(word) for word in words]
 
     def close(self) -> None:
-        self.open = False
+        """Ends all."""
+        self._is_open = False
         self.kill()
         for pipe in (self.process.stdout, self.process.stderr) if self.process else ():
             if pipe is not None:
                 pipe.close()
-        self.engine_door.close()
-        self.roster.close()
+        self._engine_listener.close()
+        self._roster.close()
 
-    def be_engine(self) -> None:
-        while self.open:
+    def _run_engine(self) -> None:
+        while self._is_open:
             try:
-                link = self.engine_door.accept()[0]
+                connection = self._engine_listener.accept()[0]
             except OSError:
                 return
-            link.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             with contextlib.suppress(OSError, ValueError):
-                self.work(link)
-            link.close()
-
-    def work(self, link: socket.socket) -> None:
-        number, file = 0, link.makefile("rb")
-        for line in file:
-            words = line.split()
-            match words[:1]:
-                case [b"ATTACH"]:
-                    link.sendall(b"HELLO old 60000\r\n")
-                case [b"STAT"]:
-                    link.sendall(b"STATS %b 0.2 1 0.1 3\r\n" % words[1])
-                case [b"RUN"]:
-                    file.read(int(words[-1]) + 2)
-                    number += 1
-                    link.sendall(
-                        b"DONE %d %b good 3.5 %d\r\n%b\r\n" % (number, words[1], len(RESULT), RESULT)
-                    )
-
-
-class Gateway:
-    """Keeps `window` RPCs open on one connection, each with a body of its own, until told to stop.
-
-    With `pace` the next RPC waits until so many ms after the one before began.
+                _serve_engine(connection)
+            connection.close()
+
+
+def _serve_engine(connection: socket.socket) -> None:
+    """Answers the lines of a server to its engine until the connection ends."""
+    last_number = 0
+    lines = connection.makefile("rb")
+    for line in lines:
+        words = line.split()
+        match words[:1]:
+            case [b"ATTACH"]:
+                connection.sendall(b"HELLO old 60000\r\n")
+            case [b"STAT"]:
+                connection.sendall(b"STATS %b 0.2 1 0.1 3\r\n" % words[1])
+            case [b"RUN"]:
+                lines.read(int(words[-1]) + 2)
+                last_number += 1
+                header = b"DONE %d %b good 3.5 %d\r\n" % (last_number, words[1], len(ENGINE_RESULT))
+                connection.sendall(header + ENGINE_RESULT + b"\r\n")
+
+
+class ClosedLoopGateway:
+    """Keeps so many RPCs open on one connection, each with a body of its own, until it is stopped.
+
+    Attributes:
+        is_stopping: Whether no further RPC is sent; answers are read on.
+        answered_bodies: Of RPCs that were answered ok.
+        failed_count: RPCs with another answer.
+        latencies_ms: Of all answers.
+        thread: Ends once all is answered.
     """
 
-    def __init__(self, stage: Stage, name: str, window: int, pace: float = 0.0) -> None:
-        self.pace, self.next = pace / 1000.0, time.perf_counter()
-        self.name, self.window = name, window
-        self.sock = socket.create_connection(stage.address)
-        self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.sock.settimeout(10.0)
-        self.open: dict[int, tuple[bytes, float]] = {}
-        self.ok: set[bytes] = set()
-        self.others = self.sent = 0
-        self.took: list[float] = []  # ms
-        self.stopping = False
-        self.thread = threading.Thread(target=self.run, daemon=True)
+    def __init__(self, server: SingleServer, name: str, open_rpcs: int, rpc_interval_ms: float = 0.0) -> None:
+        """Connects and starts sending.
+
+        Args:
+            server: To which.
+            name: In the bodies of the RPCs.
+            open_rpcs: How many are open at a time.
+            rpc_interval_ms: The least from one RPC to the next.
+        """
+        self.is_stopping = False
+        self.answered_bodies: set[bytes] = set()
+        self.failed_count = 0
+        self.latencies_ms: list[float] = []
+        self._name = name
+        self._open_rpcs = open_rpcs
+        self._rpc_interval_seconds = rpc_interval_ms / 1000.0
+        self._next_rpc_at_seconds = time.perf_counter()
+        self._sent_count = 0
+        self._unanswered: dict[int, tuple[bytes, float]] = {}
+        """Body and time of sending, by the message's id."""
+        self._socket = socket.create_connection(server.address)
+        self._socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        self._socket.settimeout(ANSWER_TIMEOUT_SECONDS)
+        self.thread = threading.Thread(target=self._run, daemon=True)
         self.thread.start()
 
-    def rpc(self) -> None:
-        self.sent += 1
-        body = f"{self.name} {self.sent}".encode()
-        told = {
-            "id": f"{abs(hash((self.name, self.sent))) & (1 << 64) - 1:016x}", "from": "1", "tenant": TENANT,
-            "at": str(int(time.time() * 1000)), "wait": "3000", "kb": "10", "rank": "0.5",
+    def _send_rpc(self) -> None:
+        self._sent_count += 1
+        body = f"{self._name} {self._sent_count}".encode()
+        rpc_id = abs(hash((self._name, self._sent_count))) & MAX_RPC_ID
+        header = {
+            "id": f"{rpc_id:016x}", "from": "1", "tenant": TENANT, "at": str(int(time.time() * 1000)),
+            "wait": str(RPC_WAIT_MS), "kb": "10", "rank": "0.5",
         }  # fmt: skip
-        self.open[self.sent] = body, time.perf_counter()
+        message = [REQUEST_MESSAGE_TYPE, self._sent_count, METHOD, [header, body]]
+        self._unanswered[self._sent_count] = body, time.perf_counter()
         try:
-            self.sock.sendall(msgpack.packb([0, self.sent, METHOD, [told, body]]))
+            self._socket.sendall(msgpack.packb(message))
         except OSError:
-            self.stopping = True  # what has come is read to its end all the same
+            self.is_stopping = True  # what has come is read to its end all the same
 
-    def run(self) -> None:
+    def _run(self) -> None:
         unpacker = msgpack.Unpacker()
         with contextlib.suppress(OSError):
-            for _ in range(self.window):
-                self.rpc()
-            while self.open:
-                data = self.sock.recv(65536)
+            for _ in range(self._open_rpcs):
+                self._send_rpc()
+            while self._unanswered:
+                data = self._socket.recv(RECEIVE_BYTES)
                 if not data:
                     break
                 unpacker.feed(data)
                 for message in unpacker:
-                    if message[0] != 1:
-                        continue  # goaway
-                    body, begun = self.open.pop(message[1])
-                    self.took.append((time.perf_counter() - begun) * 1000.0)
-                    if message[2] is None:
-                        self.ok.add(body)
-                    else:
-                        self.others += 1
-                    if self.pace:
-                        self.next = max(self.next + self.pace, time.perf_counter())
-                        time.sleep(max(0.0, self.next - time.perf_counter()))
-                    if not self.stopping:
-                        self.rpc()
-        self.sock.close()
+                    if message[0] == ANSWER_MESSAGE_TYPE:
+                        self._on_answer(message[1], is_ok=message[2] is None)
+        self._socket.close()
+
+    def _on_answer(self, message_id: int, is_ok: bool) -> None:
+        body, sent_at_seconds = self._unanswered.pop(message_id)
+        self.latencies_ms.append((time.perf_counter() - sent_at_seconds) * 1000.0)
+        if is_ok:
+            self.answered_bodies.add(body)
+        else:
+            self.failed_count += 1
+        if self._rpc_interval_seconds:
+            next_at_seconds = self._next_rpc_at_seconds + self._rpc_interval_seconds
+            self._next_rpc_at_seconds = max(next_at_seconds, time.perf_counter())
+            time.sleep(max(0.0, self._next_rpc_at_seconds - time.perf_counter()))
+        if not self.is_stopping:
+            self._send_rpc()
--- a/landingshift/testbed/processes/stand_ins.py
+++ b/landingshift/testbed/processes/stand_ins.py
@@ -1,17 +1,19 @@
-"""Stand-ins for what servers talk to, all on one loop of the transport's own: engines, store, roster, list.
+"""Stand-ins for what servers talk to: engines, database, roster, endpoint list.
 
-Store and list bear so much a second; crowded past that they fall to a third and come back only once the crowd
-is gone. What came, when, is kept as the history that is checked afterwards.
+They run on one loop of the program's own. The database and the endpoint list serve so many requests a second.
+Overloaded, they fall to a third of that and recover only once their queue is short again. When requests came is
+kept for the checks afterwards.
 """
 
 from __future__ import annotations
 
 import socket
 from collections.abc import Callable
+from enum import Enum
 from functools import partial
 from random import Random
 from selectors import EVENT_READ
-from typing import Any
+from typing import Protocol
 
 from landingshift.net.protocol import gateway
 from landingshift.net.protocol.lines import LineDecoder, encode_line
@@ -19,248 +21,385 @@
 from landingshift.net.transport.loop import Loop
 from landingshift.net.transport.stream import Address, Stream
 
-HERE = "127.0.0.1"
-BOUND = 1 << 22
-RESULT = b"r" * 100
+LOOPBACK = "127.0.0.1"
+MAX_UNSENT_BYTES = 1 << 22
+ENGINE_RESULT = b"r" * 100
+WARM_RUNS_PER_CALL = 10
+"""Runs of which one needs a call to the database once the cache is filled."""
+OVERLOAD_SLOWDOWN_FACTOR = 3.0
+OVERLOAD_QUEUE_SECONDS = 2.0
+"""Requests of so long a time wait when a service becomes overloaded."""
+RECOVERED_QUEUE_FRACTION = 0.1
+"""Of the queue at which a service becomes overloaded; below that it has recovered."""
+SERVICE_LATENCY_MS = 5.0
+MAX_LISTED_ENDPOINTS = 16
+SLOW_LIST_DELAY_MS = 2000.0
+UNUSED_PORT = 9
+MAX_REPORT_BYTES = 256
+MAX_REPORTS_PER_PASS = 256
+REPORT_VALID_MS = 3000.0
+"""For which a server counts as listed after it has reported itself."""
+NEVER_MS = -1e9
+DEFAULT_RUN_MS = 4.0
+DEFAULT_CORE_COUNT = 8
+
+
+class EndpointListMode(Enum):
+    """What the endpoint list answers."""
+
+    UP = "up"
+    SLOW = "slow"
+    INCOMPLETE = "half"
+    OUTDATED = "old"
+    """Mostly addresses where nobody listens."""
+
+
+class ServerConnection:
+    """A stand-in's end of a connection."""
 
+    stream: Stream
 
-class Door:
-    """Takes connections and hands each to `make(stream owner)`; `up` False refuses them."""
+    def on_data(self, data: bytes) -> None:
+        """Takes bytes of the server."""
+        raise NotImplementedError
 
-    def __init__(self, loop: Loop, make: Callable[[], Any]) -> None:
-        self.loop, self.make = loop, make
-        self.links: list[Any] = []
-        self.listener = Listener(loop, (HERE, 0), lambda _: True, self.take)
-        self.address: Address = self.listener.address
+    def on_eof(self) -> None:
+        """Closes this end, too."""
+        self.stream.close("closed")
 
-    def take(self, sock: socket.socket) -> None:
-        owner = self.make()
-        owner.stream = Stream(self.loop, sock, owner, BOUND)
-        self.links = [one for one in self.links if one.stream.is_open]
-        self.links.append(owner)
+    def on_closed(self, reason: str) -> None:
+        """Nothing is left to do."""
 
-    def close(self) -> None:
-        self.listener.close()
-        for one in self.links:
-            one.stream.close("down")
 
-    def open(self) -> None:
-        if not self.listener.is_open:
-            self.listener = Listener(self.loop, self.address, lambda _: True, self.take)
+class ConnectionFactory(Protocol):
+    """Makes the end of a new connection."""
 
+    def __call__(self) -> ServerConnection:
+        """Returns an end without a stream yet."""
 
-class Link:
-    """What an end of a stand-in's connection has in common."""
 
-    stream: Stream
+class StandInListener:
+    """Accepts connections for a stand-in.
+
+    Attributes:
+        address: Where it listens, also after it was closed and opened again.
+    """
+
+    def __init__(self, loop: Loop, make_connection: ConnectionFactory) -> None:
+        self._loop = loop
+        self._make_connection = make_connection
+        self._connections: list[ServerConnection] = []
+        self._listener = Listener(loop, (LOOPBACK, 0), _always_room, self._on_accepted)
+        self.address: Address = self._listener.address
+
+    def _on_accepted(self, sock: socket.socket) -> None:
+        connection = self._make_connection()
+        connection.stream = Stream(self._loop, sock, connection, MAX_UNSENT_BYTES)
+        self._connections = [other for other in self._connections if other.stream.is_open]
+        self._connections.append(connection)
+
+    def close(self) -> None:
+        """Refuses connections and closes those that are open."""
+        self._listener.close()
+        for connection in self._connections:
+            connection.stream.close("down")
+
+    def open(self) -> None:
+        """Accepts connections again."""
+        if not self._listener.is_open:
+            self._listener = Listener(self._loop, self.address, _always_room, self._on_accepted)
 
-    def on_eof(self) -> None:
-        self.stream.close("closed")
 
-    def on_closed(self, reason: str) -> None: ...
+def _always_room(_count: int) -> bool:
+    return True
 
 
-class Engine(Link):
-    """Work takes `work` ms of a core; while its cache is cold each run needs a call, later one in ten."""
+class EngineConnection(ServerConnection):
+    """An engine: a run takes a core for a while; while its cache is cold each run needs a database call."""
 
-    def __init__(self, yard: Yard, name: str, born: float) -> None:
-        self.yard, self.name, self.born = yard, name, born
-        self.free = [0.0] * yard.cores  # when each core is
-        self.lines = LineDecoder(lambda words: words[0] in (b"RUN", b"FEED"))
-        self.number = self.runs = 0
-        self.bodies: dict[bytes, bytes] = {}
+    def __init__(self, stand_ins: StandIns, server: str, started_at_ms: float) -> None:
+        self._stand_ins = stand_ins
+        self._server = server
+        self._started_at_ms = started_at_ms
+        self._core_free_at_ms = [0.0] * stand_ins.core_count
+        self._decoder = LineDecoder(lambda words: words[0] in (b"RUN", b"FEED"))
+        self._last_number = 0
+        self._run_count = 0
 
     def on_data(self, data: bytes) -> None:
-        yard = self.yard
-        for words, _ in self.lines.feed(data):
+        """Answers the lines of the server."""
+        for words, _ in self._decoder.feed(data):
             match words:
                 case [b"ATTACH", *_]:
-                    age = yard.loop.now_ms - self.born
-                    self.say(b"HELLO", b"new" if age < yard.cold_ms else b"old", b"%d" % age)
+                    self._on_attach()
                 case [b"STAT", tag]:
-                    busy = sum(at > yard.loop.now_ms for at in self.free)
-                    self.say(b"STATS", tag, b"%.2f" % (busy / yard.cores), b"%d" % busy, b"0.1", b"3")
-                case [b"RUN", rid, *_]:
-                    self.runs += 1
-                    filled = yard.filled.get(self.name, 0)
-                    if filled < yard.fill or self.runs % 10 == 0:
-                        self.number += 1
-                        self.say(b"NEED", b"%d" % self.number, rid, body=b"q")
-                    else:
-                        self.end(rid)
-                case [b"FEED", rid, _]:
-                    yard.filled[self.name] = yard.filled.get(self.name, 0) + 1
-                    self.end(rid)
-                case [b"SKIP", rid, _]:
-                    self.end(rid)
+                    self._on_stat(tag)
+                case [b"RUN", run_id, *_]:
+                    self._on_run(run_id)
+                case [b"FEED", run_id, _]:
+                    self._stand_ins.count_cache_fill(self._server)
+                    self._execute(run_id)
+                case [b"SKIP", run_id, _]:
+                    self._execute(run_id)
                 case [b"TEST", tag]:
-                    self.say(b"TESTED", tag, b"good")
-
-    def end(self, rid: bytes) -> None:
-        def done() -> None:
-            self.number += 1
-            self.say(b"DONE", b"%d" % self.number, rid, b"good", b"%d" % self.yard.work, body=RESULT)
-
-        now = self.yard.loop.now_ms
-        core = min(range(len(self.free)), key=self.free.__getitem__)
-        self.free[core] = max(now, self.free[core]) + self.yard.work
-        self.yard.loop.after(self.free[core] - now, done)
-
-    def say(self, *words: bytes, body: bytes | None = None) -> None:
+                    self._send(b"TESTED", tag, b"good")
+
+    def _on_attach(self) -> None:
+        age_ms = self._stand_ins.loop.now_ms - self._started_at_ms
+        temperature = b"new" if age_ms < self._stand_ins.warm_up_ms else b"old"
+        self._send(b"HELLO", temperature, b"%d" % age_ms)
+
+    def _on_stat(self, tag: bytes) -> None:
+        busy = sum(free_at_ms > self._stand_ins.loop.now_ms for free_at_ms in self._core_free_at_ms)
+        core_use = b"%.2f" % (busy / self._stand_ins.core_count)
+        self._send(b"STATS", tag, core_use, b"%d" % busy, b"0.1", b"3")
+
+    def _on_run(self, run_id: bytes) -> None:
+        self._run_count += 1
+        is_cold = not self._stand_ins.is_cache_filled(self._server)
+        if is_cold or self._run_count % WARM_RUNS_PER_CALL == 0:
+            self._last_number += 1
+            self._send(b"NEED", b"%d" % self._last_number, run_id, body=b"q")
+        else:
+            self._execute(run_id)
+
+    def _execute(self, run_id: bytes) -> None:
+        """Answers once the core that is free first has done the run."""
+        loop = self._stand_ins.loop
+        core = min(range(len(self._core_free_at_ms)), key=self._core_free_at_ms.__getitem__)
+        done_at_ms = max(loop.now_ms, self._core_free_at_ms[core]) + self._stand_ins.run_ms
+        self._core_free_at_ms[core] = done_at_ms
+        loop.after(done_at_ms - loop.now_ms, partial(self._on_executed, run_id))
+
+    def _on_executed(self, run_id: bytes) -> None:
+        self._last_number += 1
+        run_ms = b"%d" % self._stand_ins.run_ms
+        self._send(b"DONE", b"%d" % self._last_number, run_id, b"good", run_ms, body=ENGINE_RESULT)
+
+    def _send(self, *words: bytes, body: bytes | None = None) -> None:
         self.stream.write(encode_line(*words, body=body))
 
 
-class Crowd:
-    """So many a second; what waits is worked off in turn, at a third of the rate once `crowd` wait."""
+class CapacityLimitedService:
+    """A queue that is worked off in turn, more slowly while the service is overloaded.
+
+    Attributes:
+        overload_queue_length: Above which the service becomes overloaded.
+        is_overloaded: Whether it is, until its queue is short again.
+        overload_count: How often it became so.
+        arrival_times_ms: Of the servers' requests.
+    """
 
-    def __init__(self, loop: Loop, bears: float, base: float, crowd: float) -> None:
-        self.loop, self.bears, self.base, self.crowd = loop, bears, base, crowd
-        self.free = loop.now_ms  # when the last one that waits is done
-        self.waiting = 0
-        self.fell = False
-        self.falls = 0
-        self.times: list[float] = []
+    def __init__(self, loop: Loop, requests_per_second: float) -> None:
+        self._loop = loop
+        self._requests_per_second = requests_per_second
+        self.overload_queue_length = OVERLOAD_QUEUE_SECONDS * requests_per_second
+        self._last_done_at_ms = loop.now_ms
+        self._queue_length = 0
+        self.is_overloaded = False
+        self.overload_count = 0
+        self.arrival_times_ms: list[float] = []
 
     def flood(self, count: int) -> None:
-        """A crowd from elsewhere, which is none of the servers' doing."""
+        """Adds requests from elsewhere, which are none of the servers' doing."""
         for _ in range(count):
-            self.enter(lambda: None)
-
-    def come(self, done: Callable[[], None]) -> None:
-        self.times.append(self.loop.now_ms)
-        self.enter(done)
-
-    def enter(self, done: Callable[[], None]) -> None:
-        self.waiting += 1
-        if self.waiting > self.crowd and not self.fell:
-            self.fell, self.falls = True, self.falls + 1
-        each = 1000.0 / self.bears * (3.0 if self.fell else 1.0)
-        self.free = max(self.free, self.loop.now_ms) + each
-        self.loop.after(self.free - self.loop.now_ms + self.base, lambda: self.gone(done))
-
-    def gone(self, done: Callable[[], None]) -> None:
-        self.waiting -= 1
-        if self.waiting < 0.1 * self.crowd:
-            self.fell = False
-        done()
-
-    def peak(self, width: float = 1000.0) -> int:
-        """Most that came within `width` ms."""
-        most = first = 0
-        for last, time in enumerate(self.times):
-            while self.times[first] <= time - width:
+            self._enqueue(_do_nothing)
+
+    def request(self, on_done: Callable[[], None]) -> None:
+        """Adds a server's request."""
+        self.arrival_times_ms.append(self._loop.now_ms)
+        self._enqueue(on_done)
+
+    def _enqueue(self, on_done: Callable[[], None]) -> None:
+        self._queue_length += 1
+        if self._queue_length > self.overload_queue_length and not self.is_overloaded:
+            self.is_overloaded = True
+            self.overload_count += 1
+        slowdown = OVERLOAD_SLOWDOWN_FACTOR if self.is_overloaded else 1.0
+        service_ms = 1000.0 / self._requests_per_second * slowdown
+        self._last_done_at_ms = max(self._last_done_at_ms, self._loop.now_ms) + service_ms
+        delay_ms = self._last_done_at_ms - self._loop.now_ms + SERVICE_LATENCY_MS
+        self._loop.after(delay_ms, lambda: self._on_done(on_done))
+
+    def _on_done(self, on_done: Callable[[], None]) -> None:
+        self._queue_length -= 1
+        if self._queue_length < RECOVERED_QUEUE_FRACTION * self.overload_queue_length:
+            self.is_overloaded = False
+        on_done()
+
+    def peak_count(self, window_ms: float = 1000.0) -> int:
+        """Returns the most requests of servers that came within the window."""
+        peak = 0
+        first = 0
+        for last, arrival_ms in enumerate(self.arrival_times_ms):
+            while self.arrival_times_ms[first] <= arrival_ms - window_ms:
                 first += 1
-            most = max(most, last - first + 1)
-        return most
+            peak = max(peak, last - first + 1)
+        return peak
+
 
+def _do_nothing() -> None:
+    """What follows on a request from elsewhere."""
 
-class Store(Link):
-    def __init__(self, yard: Yard) -> None:
-        self.yard = yard
-        self.lines = LineDecoder(lambda words: words[0] == b"Q")
+
+class DatabaseConnection(ServerConnection):
+    """The database, whose rows are all the same."""
+
+    def __init__(self, service: CapacityLimitedService) -> None:
+        self._service = service
+        self._decoder = LineDecoder(lambda words: words[0] == b"Q")
 
     def on_data(self, data: bytes) -> None:
-        for words, _ in self.lines.feed(data):
+        """Queues the queries."""
+        for words, _ in self._decoder.feed(data):
             if words[0] == b"Q":
-                self.yard.store.come(partial(self.answer, words[1]))
+                self._service.request(partial(self._answer, words[1]))
 
-    def answer(self, rid: bytes) -> None:
+    def _answer(self, query_id: bytes) -> None:
         if self.stream.is_open:
-            self.stream.write(encode_line(rid, b"ROWS", body=b"rows"))
+            self.stream.write(encode_line(query_id, b"ROWS", body=b"rows"))
 
 
-class Members(Link):
-    """The list service, as `mode` says: up, slow, half, old (addresses where nobody is any more)."""
+class EndpointListConnection(ServerConnection):
+    """The endpoint list, which answers according to its mode."""
 
-    def __init__(self, yard: Yard) -> None:
-        self.yard, self.reader = yard, gateway.MessageDecoder()
+    def __init__(self, stand_ins: StandIns) -> None:
+        self._stand_ins = stand_ins
+        self._decoder = gateway.MessageDecoder()
 
     def on_data(self, data: bytes) -> None:
-        for message in self.reader.feed(data):
+        """Queues the requests."""
+        for message in self._decoder.feed(data):
             if isinstance(message, gateway.Request):
-                self.yard.list.come(partial(self.answer, message.message_id))
-
-    def answer(self, number: int) -> None:
-        yard, chance = self.yard, self.yard.chance
-        entries = [list(a) for a in yard.listed]
-        if yard.mode == "half":
-            entries = entries[::2]
-        if yard.mode == "old":
-            entries = [[HERE, 9] for _ in entries] + entries[:2]
-        chosen = chance.sample(entries, min(16, len(entries)))
-        delay = 2000.0 if yard.mode == "slow" else 0.0
-        self.yard.loop.after(delay, lambda: self.stream.write(gateway.pack([1, number, None, chosen])))
-
-
-class Yard:
-    """All stand-ins of one rig. `bears` calls a second, `asks` at the list; `cold_ms` of an engine."""
+                self._stand_ins.endpoint_list.request(partial(self._answer, message.message_id))
+
+    def _answer(self, message_id: int) -> None:
+        stand_ins = self._stand_ins
+        answer = gateway.pack([1, message_id, None, stand_ins.sample_endpoints()])
+        delay_ms = SLOW_LIST_DELAY_MS if stand_ins.list_mode is EndpointListMode.SLOW else 0.0
+        stand_ins.loop.after(delay_ms, lambda: self.stream.write(answer))
+
+
+class StandIns:
+    """All stand-ins of one harness.
+
+    Attributes:
+        loop: On which they run.
+        warm_up_ms: From an engine's start until its cores are warm.
+        run_ms: For which a run takes a core.
+        core_count: Of each engine.
+        database: Its capacity and what it had to serve.
+        endpoint_list: The same of the endpoint list.
+        list_mode: What the endpoint list answers.
+        listed_addresses: What the endpoint list knows.
+        roster_socket: Where servers report themselves.
+    """
 
     def __init__(
         self,
         loop: Loop,
         seed: int,
-        bears: float,
-        asks: float,
-        fill: int,
-        cold_ms: float,
-        work: float = 4.0,
-        cores: int = 8,
+        calls_per_second: float,
+        list_requests_per_second: float,
+        cache_fill_calls: int,
+        warm_up_ms: float,
+        run_ms: float = DEFAULT_RUN_MS,
+        core_count: int = DEFAULT_CORE_COUNT,
     ) -> None:
-        self.loop, self.chance = loop, Random(f"{seed} yard")
-        self.fill, self.cold_ms, self.work, self.cores = fill, cold_ms, work, cores
-        self.store = Crowd(loop, bears, 5.0, 2.0 * bears)
-        self.list = Crowd(loop, asks, 5.0, 2.0 * asks)
-        self.filled: dict[str, int] = {}  # calls that filled a server's cache
-        self.mode = "up"
-        self.listed: list[Address] = []
-        self.heard: dict[str, float] = {}  # when each server last reported itself, by name
-        self.first: dict[str, float] = {}  # and when first, since its start
-        self.reports: list[float] = []
-        self.roster = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        self.roster.bind((HERE, 0))
-        self.roster.setblocking(False)
-        loop.watch(self.roster.fileno(), EVENT_READ, self)
-        self.store_door = Door(loop, lambda: Store(self))
-        self.list_door = Door(loop, lambda: Members(self))
-        self.engines: dict[str, Door] = {}
-
-    def engine(self, name: str) -> Address:
-        """A new engine, cold, for a server that starts."""
-        self.filled[name] = 0
-        self.first.pop(name, None)
-        self.heard.pop(name, None)
-        born = self.loop.now_ms
-        had = self.engines.pop(name, None)
-        if had is not None:
-            had.close()
-        door = self.engines[name] = Door(self.loop, lambda: Engine(self, name, born))
-        return door.address
+        """Starts the stand-ins.
+
+        Args:
+            loop: On which they run.
+            seed: Of what is drawn.
+            calls_per_second: That the database serves.
+            list_requests_per_second: That the endpoint list serves.
+            cache_fill_calls: Database calls that fill the cache of an engine.
+            warm_up_ms: From an engine's start until its cores are warm.
+            run_ms: For which a run takes a core.
+            core_count: Of each engine.
+        """
+        self.loop = loop
+        self.warm_up_ms = warm_up_ms
+        self.run_ms = run_ms
+        self.core_count = core_count
+        self.database = CapacityLimitedService(loop, calls_per_second)
+        self.endpoint_list = CapacityLimitedService(loop, list_requests_per_second)
+        self.list_mode = EndpointListMode.UP
+        self.listed_addresses: list[Address] = []
+        self.roster_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        self.roster_socket.bind((LOOPBACK, 0))
+        self.roster_socket.setblocking(False)
+        loop.watch(self.roster_socket.fileno(), EVENT_READ, self)
+        self.database_listener = StandInListener(loop, lambda: DatabaseConnection(self.database))
+        self.list_listener = StandInListener(loop, lambda: EndpointListConnection(self))
+        self._rng = Random(f"{seed} yard")
+        self._cache_fill_calls = cache_fill_calls
+        self._cache_fill_counts: dict[str, int] = {}
+        self._first_reported_at_ms: dict[str, float] = {}
+        self._last_reported_at_ms: dict[str, float] = {}
+        self._engines: dict[str, StandInListener] = {}
+
+    def start_engine(self, server: str) -> Address:
+        """Starts an engine with a cold cache for a server that starts; returns its address."""
+        self._cache_fill_counts[server] = 0
+        self._first_reported_at_ms.pop(server, None)
+        self._last_reported_at_ms.pop(server, None)
+        started_at_ms = self.loop.now_ms
+        previous = self._engines.pop(server, None)
+        if previous is not None:
+            previous.close()
+        listener = StandInListener(self.loop, lambda: EngineConnection(self, server, started_at_ms))
+        self._engines[server] = listener
+        return listener.address
+
+    def count_cache_fill(self, server: str) -> None:
+        """Notes a database call of an engine."""
+        self._cache_fill_counts[server] = self._cache_fill_counts.get(server, 0) + 1
+
+    def is_cache_filled(self, server: str) -> bool:
+        """Whether the engine of a server has made the calls that fill its cache."""
+        return self._cache_fill_counts.get(server, 0) >= self._cache_fill_calls
+
+    def sample_endpoints(self) -> list[list[str | int]]:
+        """Returns an answer of the endpoint list."""
+        entries: list[list[str | int]] = [list(address) for address in self.listed_addresses]
+        if self.list_mode is EndpointListMode.INCOMPLETE:
+            entries = entries[::2]
+        if self.list_mode is EndpointListMode.OUTDATED:
+            unused: list[list[str | int]] = [[LOOPBACK, UNUSED_PORT] for _ in entries]
+            entries = unused + entries[:2]
+        return self._rng.sample(entries, min(MAX_LISTED_ENDPOINTS, len(entries)))
 
     def on_ready(self, _mask: int) -> None:
-        for _ in range(256):
+        """Reads what servers report to the roster."""
+        for _ in range(MAX_REPORTS_PER_PASS):
             try:
-                words = self.roster.recv(256).split()
+                words = self.roster_socket.recv(MAX_REPORT_BYTES).split()
             except OSError:
                 return
-            self.reports.append(self.loop.now_ms)
-            if len(words) == 3 and words[2] == b"on":
-                name = words[1].decode()
-                self.heard[name] = self.loop.now_ms
-                self.first.setdefault(name, self.loop.now_ms)
-            elif len(words) == 3:
-                self.heard.pop(words[1].decode(), None)  # it says that it is not to be counted on
-
-    def on(self, name: str) -> bool:
-        return self.loop.now_ms - self.heard.get(name, -1e9) < 3000.0
-
-    def warm(self, name: str) -> bool:
-        """Listed, its cores warm and its cache filled."""
-        first = self.first.get(name)
-        return (
-            first is not None and self.loop.now_ms - first >= self.cold_ms and self.filled[name] >= self.fill
-        )
+            if len(words) == 3:
+                self._on_report(words[1].decode(), is_on=words[2] == b"on")
+
+    def _on_report(self, server: str, is_on: bool) -> None:
+        if is_on:
+            self._last_reported_at_ms[server] = self.loop.now_ms
+            self._first_reported_at_ms.setdefault(server, self.loop.now_ms)
+        else:
+            self._last_reported_at_ms.pop(server, None)
+
+    def is_listed(self, server: str) -> bool:
+        """Whether a server reported itself a short while ago."""
+        return self.loop.now_ms - self._last_reported_at_ms.get(server, NEVER_MS) < REPORT_VALID_MS
+
+    def is_warm(self, server: str) -> bool:
+        """Whether a server is listed, its cores are warm and its cache is filled."""
+        reported_at_ms = self._first_reported_at_ms.get(server)
+        if reported_at_ms is None or self.loop.now_ms - reported_at_ms < self.warm_up_ms:
+            return False
+        return self._cache_fill_counts[server] >= self._cache_fill_calls
 
     def close(self) -> None:
-        self.roster.close()
-        for door in (self.store_door, self.list_door, *self.engines.values()):
-            door.close()
+        """Closes all stand-ins."""
+        self.roster_socket.close()
+        for listener in (self.database_listener, self.list_listener, *self._engines.values()):
+            listener.close()
--- a/tests/test_chance.py
+++ b/tests/test_chance.py
@@ -14,7 +14,6 @@
 
 from landingshift.testbed import MEMORY
 from landingshift.testbed.experiments.chance_faults import check_scenario, invariant_names, shrink_failure
-from landingshift.testbed.experiments.chance_faults_real import recovery_figures
 from landingshift.testbed.experiments.scenarios import (
     FAULT_KINDS,
     Coverage,
@@ -25,6 +24,7 @@
     draw_scenario,
     encode_scenario,
 )
+from landingshift.testbed.experiments.service_samples import AnswerSample, recovery_figures
 from landingshift.testbed.simulation.cluster import BREAKS, OVERLAP, Town
 from landingshift.testbed.verification.invariants import FLEET, broken
 from landingshift.testbed.verification.shrinking import Reduced
@@ -207,7 +207,7 @@
         answers, ok = [], 0
         for i in range(100):
             ok += 5 if not 40 <= i < 52 else 2
-            answers.append((i / 2.0, ok, 5 * (i + 1)))
+            answers.append(AnswerSample(i / 2.0, ok, 5 * (i + 1)))
         found = recovery_figures(answers, [Fault(20_000.0, "kill", (1,), 3000.0)])
         self.assertEqual(found["alone"], 1)
         self.assertTrue(2.0 <= found["back_s"] <= 4.0, found)
--- a/tests/test_coldstart_service.py
+++ b/tests/test_coldstart_service.py
@@ -13,7 +13,8 @@
 
 from landingshift.membership.operator_rpc import OperatorRpcError, call_operator_rpc
 from landingshift.testbed import MEMORY
-from landingshift.testbed.experiments.cold_start_real import REAL, Fleet
+from landingshift.testbed.experiments.cold_start_harness import ColdStartHarness
+from landingshift.testbed.experiments.cold_start_real import REAL
 from landingshift.testbed.experiments.rows import ExperimentRow
 from tests.helpers import RealRows
 from tests.test_membership_service import refused
@@ -73,10 +74,10 @@
     def test_operators_see_quotas_and_granted_leases(self) -> None:
         command = [sys.executable, "-c", "from landingshift.cli import start; start()", "fleet"]
         with tempfile.TemporaryDirectory(dir=MEMORY) as folder:
-            fleet = Fleet(folder, 4, 1)
+            harness = ColdStartHarness(folder, 4, 1)
             try:
-                fleet.start_all()
-                address = fleet.rig.talks[0]
+                harness.start_all()
+                address = harness.servers.membership_addresses[0]
                 ends_at = time.monotonic() + 20.0
                 found: dict[str, Any] = {}
                 while found.get("stage") not in ("starting", "warm") and time.monotonic() < ends_at:
@@ -92,10 +93,10 @@
                 text = subprocess.check_output([*command, "lent", *at], text=True)
                 self.assertIn("calls_booked", text)
                 with self.assertRaises(OperatorRpcError) as caught:
-                    call_operator_rpc(fleet.rig.talks[3], "lent", [])
+                    call_operator_rpc(harness.servers.membership_addresses[3], "lent", [])
                 self.assertIn("lends nothing", str(caught.exception))
             finally:
-                fleet.rig.close()
+                harness.close()
 
     def test_names_the_setting_that_cannot_be_used(self) -> None:
         membership = '[fleet]\nfleet = "lab"\nlisten = "127.0.0.1:0"\n'
--- a/tests/test_maintenance_service.py
+++ b/tests/test_maintenance_service.py
@@ -77,7 +77,7 @@
             harness = MaintenanceHarness(folder, 6, 1)
             try:
                 harness.start_all()
-                at = ["--at", "{}:{}".format(*harness.rig.talks[0])]  # not one that leaves
+                at = ["--at", "{}:{}".format(*harness.servers.membership_addresses[0])]  # not one that leaves
                 self.assertIn("nobody is wanted", self.command("status", *at))
                 self.command("hold", "--why", "a trial", *at)
                 self.assertIn("2 are asked for", self.command("ask", "n4", "n5", "--minutes", "0.05", *at))
--- a/tests/test_membership_service.py
+++ b/tests/test_membership_service.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from landingshift.membership.operator_rpc import OperatorRpcError, call_operator_rpc
-from landingshift.testbed.processes.harness import TALK, unused_net
+from landingshift.testbed.processes.harness import MEMBERSHIP_PORT, reserve_subnet
 from tests.helpers import CONFIG, GatewayClient, ProgramUnderTest, launch_program
 
 SETTINGS_TEMPLATE = '[fleet]\nfleet = "lab"\nlisten = "{address}"\nzone = "z{zone}"\npeers = [{peers}]\n'
@@ -26,9 +26,9 @@
     def setUp(self) -> None:
         # Ports that were free a moment ago may be a neighbour's by the time a server binds them: these
         # addresses are nobody else's while the claim is held.
-        net, claim = unused_net()
+        net, claim = reserve_subnet()
         self.addCleanup(claim.close)
-        self.addresses = [(f"127.{net}.0.{index + 1}", TALK) for index in range(SERVER_COUNT)]
+        self.addresses = [(f"127.{net}.0.{index + 1}", MEMBERSHIP_PORT) for index in range(SERVER_COUNT)]
         self.worlds: list[ProgramUnderTest] = [self.start(index) for index in range(SERVER_COUNT)]
 
     def start(self, index: int) -> ProgramUnderTest:
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -65,7 +65,7 @@
 )
 from landingshift.policies.wire import decode_message, encode_message
 from landingshift.testbed.experiments.policies import VIRTUAL, histories, searched, virtual
-from landingshift.testbed.processes.harness import in_time
+from landingshift.testbed.processes.history import without_pauses
 from landingshift.testbed.verification.invariants import broken
 from tests.helpers import CONFIG
 
@@ -518,9 +518,9 @@
             (999.0, 6001.0, "c", 6001.0),  # nobody stopped it
         ]:
             with self.subTest(looked_at_ms=looked_at_ms, decided_at_ms=decided_at_ms, server=server):
-                event = in_time((decided_at_ms, "decided", server, 0, b"", looked_at_ms), stops)
+                event = without_pauses((decided_at_ms, "decided", server, 0, b"", looked_at_ms), stops)
                 self.assertEqual(event, (counted_at_ms, "decided", server, 0, b""))
-        self.assertEqual(in_time((5.0, "left", "a", 1), stops), (5.0, "left", "a", 1))
+        self.assertEqual(without_pauses((5.0, "left", "a", 1), stops), (5.0, "left", "a", 1))
 
     def test_each_broken_invariant_is_seen_and_a_sound_history_passes(self) -> None:
         for history, invariant in [
--- a/tests/test_policies_service.py
+++ b/tests/test_policies_service.py
@@ -10,7 +10,8 @@
 from pathlib import Path
 
 from landingshift.testbed import MEMORY
-from landingshift.testbed.experiments.policies_real import REAL, Council
+from landingshift.testbed.experiments.policies_harness import PolicyHarness
+from landingshift.testbed.experiments.policies_real import REAL
 from landingshift.testbed.experiments.rows import ExperimentRow, play_real_row
 from tests.helpers import RealRows
 from tests.test_membership_service import refused
@@ -86,13 +87,13 @@
 
     def test_operators_commands_and_their_answers(self) -> None:
         with tempfile.TemporaryDirectory(dir=MEMORY) as folder:
-            council = Council(folder, 4, 1)
+            harness = PolicyHarness(folder, 4, 1)
             try:
-                council.start_all()
-                host, port = council.rig.talks[3]
+                harness.start_all()
+                host, port = harness.servers.membership_addresses[3]
                 self.check_commands(folder, f"{host}:{port}")
             finally:
-                council.rig.close()
+                harness.close()
 
     def check_commands(self, folder: str, server: str) -> None:
         at = ["--at", server]
