--- a/landingshift/testbed/processes/stand_ins.py
+++ b/landingshift/testbed/processes/stand_ins.py
@@ -1,8 +1,8 @@
 """Stand-ins for what servers talk to: engines, database, roster, endpoint list.
 
-They run on one loop of the program's own. The database and the endpoint list serve so many requests a second.
-Overloaded, they fall to a third of that and recover only once their queue is short again. When requests came is
-kept for the checks afterwards.
+They run on one loop of the program's own. Database and endpoint list serve so many requests a second.
+Overloaded, they fall to a third of that and recover only once their queue is short again. When requests came
+is kept for the checks afterwards.
 """
 
 from __future__ import annotations
