--- a/landingshift/testbed/experiments/chance_faults.py
+++ b/landingshift/testbed/experiments/chance_faults.py
@@ -16,7 +16,8 @@
 
 from landingshift.testbed.experiments.rows import ExperimentRow
 from landingshift.testbed.experiments.scenarios import Coverage, Scenario, describe_scenario, draw_scenario
-from landingshift.testbed.simulation.cluster import INVARIANT_BY_REMOVED_DEFENCE, OVERLAP_MS, SimulatedCluster
+from landingshift.testbed.simulation.cluster import OVERLAP_MS, SimulatedCluster
+from landingshift.testbed.simulation.removed_defences import INVARIANT_BY_REMOVED_DEFENCE
 from landingshift.testbed.verification.invariants import CLUSTER_INVARIANTS, find_violations
 from landingshift.testbed.verification.shrinking import Shrinker
 
--- /dev/null
+++ b/landingshift/testbed/simulation/engine.py
@@ -0,0 +1,129 @@
+"""The engine of a simulated server: cores that run RPCs, a cache that fills, downstream calls.
+
+What it reports to the server's process are `EngineEvent`s, which arrive late while the engine hangs.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from functools import partial
+
+from landingshift.admission.managed_rpc import ManagedRpc
+from landingshift.testbed.simulation.downstream_store import SimulatedStore
+from landingshift.testbed.simulation.virtual_time import SimulatedHost
+from landingshift.testbed.simulation.workload import (
+    CACHE_FILL_CALLS,
+    CORE_COUNT,
+    CORE_TIME_MS,
+    MAX_CALL_WAIT_MS,
+    SimulatedRpc,
+)
+
+ENGINE_DELAY_MS = 1.0
+"""From the end of a call, or of its wait, to the end of the run."""
+
+
+@dataclass(frozen=True, slots=True)
+class RunFinished:
+    """A run has ended; `core_ms` is what the engine reports as its duration."""
+
+    managed: ManagedRpc
+    core_ms: float
+
+
+@dataclass(frozen=True, slots=True)
+class CallNeeded:
+    """A run waits for a downstream call."""
+
+    managed: ManagedRpc
+
+
+@dataclass(frozen=True, slots=True)
+class CallFinished:
+    """A downstream call has ended, or was given up."""
+
+    managed: ManagedRpc
+    succeeded: bool
+    duration_ms: float
+
+
+EngineEvent = RunFinished | CallNeeded | CallFinished
+
+
+def rpc_number(managed: ManagedRpc) -> int:
+    """Returns the number of a simulated RPC."""
+    assert isinstance(managed.rpc, SimulatedRpc)
+    return managed.rpc.number
+
+
+class SimulatedEngine:
+    """Cores and the runs on them.
+
+    Attributes:
+        runs: RPCs on a core or at a call by their numbers, whether or not a caller still waits for them.
+        core_free_at_ms: When each recent run ends on its core, virtual time; kept until the next start.
+        run_count: Runs started.
+        cache_fill_count: Downstream calls that have succeeded: each fills a part of the cache.
+        hung_until_ms: Virtual time until which the engine reports nothing.
+    """
+
+    def __init__(self, host: SimulatedHost, store: SimulatedStore) -> None:
+        self._host = host
+        self._network = host.network
+        self._store = store
+        self.runs: dict[int, ManagedRpc] = {}
+        self.core_free_at_ms: list[float] = []
+        self.run_count = 0
+        self.cache_fill_count = 0
+        self.hung_until_ms = 0.0
+
+    @property
+    def cache_fill_fraction(self) -> float:
+        """How far the cache is filled; above 1 for a warm one."""
+        return self.cache_fill_count / CACHE_FILL_CALLS
+
+    def start_run(self, managed: ManagedRpc) -> None:
+        """Queues an RPC for the core that is free first."""
+        self.runs[rpc_number(managed)] = managed
+        now_ms = self._network.now_ms
+        self.core_free_at_ms = [end_ms for end_ms in self.core_free_at_ms if end_ms > now_ms]
+        start_ms = now_ms
+        if len(self.core_free_at_ms) >= CORE_COUNT:
+            start_ms = max(now_ms, sorted(self.core_free_at_ms)[-CORE_COUNT])
+        end_ms = start_ms + CORE_TIME_MS
+        self.core_free_at_ms.append(end_ms)
+        self.run_count += 1
+        is_cache_cold = self.cache_fill_count < CACHE_FILL_CALLS
+        needs_call = managed.rpc.method.calls_downstream and (
+            is_cache_cold or self.run_count % CACHE_FILL_CALLS == 0
+        )
+        self._network.schedule_at(end_ms, partial(self._leave_core, managed, needs_call, now_ms))
+
+    def _leave_core(self, managed: ManagedRpc, needs_call: bool, queued_at_ms: float) -> None:
+        if needs_call:
+            self._report(CallNeeded(managed))
+        else:
+            self._report(RunFinished(managed, self._network.now_ms - queued_at_ms))
+
+    def start_call(self, managed: ManagedRpc, timeout_ms: float) -> None:
+        """Calls the store for a run, which ends with the call where that succeeds."""
+        succeeded, duration_ms = self._store.call(self._network.now_ms)
+        wait_ms = min(duration_ms, timeout_ms, MAX_CALL_WAIT_MS)
+        succeeded = succeeded and duration_ms <= wait_ms
+        finished = CallFinished(managed, succeeded, wait_ms)
+        self._network.schedule_after(wait_ms, partial(self._report, finished))
+        if succeeded:
+            self._finish_after(wait_ms + ENGINE_DELAY_MS, managed, CORE_TIME_MS + wait_ms)
+
+    def finish_without_call(self, managed: ManagedRpc) -> None:
+        """Ends a run at the point where it would call the store."""
+        self._finish_after(ENGINE_DELAY_MS, managed, CORE_TIME_MS)
+
+    def _finish_after(self, delay_ms: float, managed: ManagedRpc, core_ms: float) -> None:
+        self._network.schedule_after(delay_ms, partial(self._report, RunFinished(managed, core_ms)))
+
+    def _report(self, event: EngineEvent) -> None:
+        if self._network.now_ms < self.hung_until_ms:
+            self._network.schedule_at(self.hung_until_ms, partial(self._report, event))
+        elif self._host.is_up:
+            self._host.receive(event)
--- a/landingshift/testbed/simulation/policy_change.py
+++ b/landingshift/testbed/simulation/policy_change.py
@@ -135,7 +135,7 @@
     def start(self, name: str) -> PolicyServer:
         offset, pace = self.rng.uniform(-1e6, 1e6), self.rng.uniform(0.99, 1.01)
         self.down_servers.discard(name)
-        host = self.hosts[name] = SimulatedHost(self.network, address(name), None, offset, pace)  # type: ignore[arg-type]
+        host = self.hosts[name] = SimulatedHost(self.network, address(name), offset, pace)
         host.process = self.servers[name] = PolicyServer(self, name, host.clock_ms())
         self.network.hosts[address(name)] = host
         host.run_once()
--- /dev/null
+++ b/landingshift/testbed/simulation/rpc_service.py
@@ -0,0 +1,251 @@
+"""RPCs on a simulated server: the admission controller, and what its program does for it."""
+
+from __future__ import annotations
+
+from random import Random
+
+from landingshift.admission.controller import AdmissionController
+from landingshift.admission.interface import Gauges, Outcome, Rpc, Tenant
+from landingshift.admission.managed_rpc import ManagedRpc
+from landingshift.coldstart.downstream_saturation import DownstreamSaturation
+from landingshift.policies.participant import ChangeParticipant
+from landingshift.testbed.simulation.cluster_context import ClusterContext
+from landingshift.testbed.simulation.engine import (
+    CallFinished,
+    CallNeeded,
+    EngineEvent,
+    RunFinished,
+    SimulatedEngine,
+    rpc_number,
+)
+from landingshift.testbed.simulation.removed_defences import (
+    DRAIN_GRACE,
+    RPC_DEADLINE,
+    may_decide,
+    remove_drain_grace,
+    remove_rpc_deadline,
+)
+from landingshift.testbed.simulation.virtual_time import SimulatedHost
+from landingshift.testbed.simulation.workload import (
+    CALLER_TIMEOUT_MS,
+    CORE_COUNT,
+    GATEWAY_DELAY_MS,
+    SimulatedRpc,
+    admission_settings,
+)
+from landingshift.testbed.verification.history import PolicyUsed, RpcAnswered, RpcRead, RunStarted
+
+LOOP_LAG_MS = 3.0
+"""What the gauges report as the event loop's lag."""
+TENANT_QUOTA = 100_000.0
+OK = "ok"
+REJECTED = "pushed_back"
+ABORTED = "aborted"
+
+
+class RpcService:
+    """Reads RPCs, has admission decide about them, and runs them; implements `admission.interface.Actions`.
+
+    Attributes:
+        tenant: The tenant of all RPCs.
+        admission: Decides.
+        engine: Runs.
+        open_rpcs: RPCs without an answer, by their numbers.
+        saturation: What the downstream calls tell of the store.
+        may_decide: Whether the policy lets this server decide about RPCs.
+        applied_version: Of the policy that admission knows; -1 for none.
+        is_healthy: The answer to health checks.
+        read_count: RPCs read since `take_read_count`.
+        ok_count: RPCs answered with a result.
+        answered_count: RPCs answered.
+    """
+
+    def __init__(
+        self,
+        name: str,
+        cluster: ClusterContext,
+        host: SimulatedHost,
+        participant: ChangeParticipant,
+        rng: Random,
+    ) -> None:
+        self._name = name
+        self._cluster = cluster
+        self._participant = participant
+        self._removed_defence = cluster.config.removed_defence
+        self.tenant = Tenant(TENANT_QUOTA)
+        self.is_healthy = False
+        self.admission = AdmissionController(
+            admission_settings(cluster.config.server_count, self.tenant),
+            rng.getrandbits(32),
+            self,
+            host.clock_ms(),
+        )
+        if self._removed_defence == RPC_DEADLINE:
+            remove_rpc_deadline(self.admission)
+        self.engine = SimulatedEngine(host, cluster.store)
+        self.open_rpcs: dict[int, ManagedRpc] = {}
+        self.saturation = DownstreamSaturation()
+        self.may_decide = False
+        self.applied_version = -1
+        self.read_count = 0
+        self.ok_count = 0.0
+        self.answered_count = 0.0
+        self.admission.set_standby(True)
+
+    # Events
+
+    def on_rpc(self, rpc: SimulatedRpc, queued_ms: float, now_ms: float) -> None:
+        """Reads an RPC that was queued in the socket for a while."""
+        self.read_count += 1
+        rpc.waited_ms = queued_ms + GATEWAY_DELAY_MS
+        rpc.remaining_ms = CALLER_TIMEOUT_MS - rpc.waited_ms
+        due_ms = self._cluster.network.now_ms + rpc.remaining_ms
+        self._cluster.record(RpcRead.KIND, self._name, rpc.number, due_ms)
+        self.admission.now_ms = now_ms
+        managed = self.admission.on_rpc_read(rpc)
+        # Where the answer came within that call, the RPC is not managed any more.
+        if managed.state is not None:
+            self.open_rpcs[rpc.number] = managed
+
+    def on_engine_event(self, event: EngineEvent, now_ms: float) -> None:
+        """Handles what the engine reports."""
+        self.admission.now_ms = now_ms
+        match event:
+            case RunFinished(managed, core_ms):
+                self._on_run_finished(managed, core_ms)
+            case CallNeeded(managed):
+                self.saturation.on_call_wanted(now_ms)
+                self.admission.on_call_needed(managed)
+                self._end_run_if_answered(managed)
+            case CallFinished():
+                self._on_call_finished(event, now_ms)
+
+    def _on_run_finished(self, managed: ManagedRpc, core_ms: float) -> None:
+        self.admission.on_run_finished(managed, Outcome.OK, core_ms)
+        number = rpc_number(managed)
+        self.engine.runs.pop(number, None)
+        if self.open_rpcs.pop(number, None) is not None:
+            self._answer(managed.rpc, OK)
+
+    def _on_call_finished(self, event: CallFinished, now_ms: float) -> None:
+        self.saturation.on_call_finished(now_ms, event.succeeded, event.duration_ms)
+        self.engine.cache_fill_count += event.succeeded
+        outcome = Outcome.OK if event.succeeded else Outcome.NO_RESPONSE
+        self.admission.on_call_finished(event.managed, outcome, event.duration_ms)
+        if not event.succeeded:
+            self._end_run_if_answered(event.managed)
+
+    def _end_run_if_answered(self, managed: ManagedRpc) -> None:
+        """Ends a run at its call once its RPC has been answered."""
+        if rpc_number(managed) not in self.open_rpcs:
+            self.engine.finish_without_call(managed)
+
+    def on_timer(self, now_ms: float) -> None:
+        """Runs admission's periodic check."""
+        self.admission.now_ms = now_ms
+        busy_count = len(self.engine.core_free_at_ms)
+        self.admission.on_timer(Gauges(min(1.0, busy_count / CORE_COUNT), float(busy_count), LOOP_LAG_MS))
+
+    def settle(self, now_ms: float) -> None:
+        """Ends a pass: takes a new policy, stands by where the policy's lease has ended, and decides."""
+        is_allowed = may_decide(self._participant, now_ms, self._removed_defence)
+        self.admission.now_ms = now_ms
+        if self._participant.version > self.applied_version:
+            self.applied_version = self._participant.version
+            self.admission.on_settings_changed()
+        if is_allowed != self.may_decide:
+            self.may_decide = is_allowed
+            if self.admission.stop_at_ms is None or not is_allowed:
+                self.admission.set_standby(not is_allowed)
+        self.admission.settle()
+
+    def set_call_quota(self, calls_per_second: float, now_ms: float) -> None:
+        """Tells admission how many downstream calls it may make."""
+        self.admission.now_ms = now_ms
+        self.admission.set_call_quota(calls_per_second)
+
+    def start_draining(self, duration_ms: float, now_ms: float) -> None:
+        """Has admission drain, to be done in `duration_ms`."""
+        self.admission.now_ms = now_ms
+        self.admission.start_draining(duration_ms)
+        if self._removed_defence == DRAIN_GRACE:
+            remove_drain_grace(self.admission)
+
+    def take_read_count(self) -> int:
+        """Returns the number of RPCs read since the last call."""
+        count = self.read_count
+        self.read_count = 0
+        return count
+
+    # Answers
+
+    def _answer(self, rpc: Rpc, answer: str) -> None:
+        assert isinstance(rpc, SimulatedRpc)
+        self.answered_count += 1.0
+        self.ok_count += answer == OK
+        self.open_rpcs.pop(rpc.number, None)
+        self._cluster.record(RpcAnswered.KIND, self._name, rpc.number, answer)
+        if answer == REJECTED and self.may_decide:
+            self._record_policy_use()
+
+    def _record_policy_use(self) -> None:
+        version = max(0, self._participant.version)
+        self._cluster.record(PolicyUsed.KIND, self._name, version, self._participant.policy)
+
+    # What admission asks for
+
+    def start_run(self, rpc: Rpc) -> None:
+        """Starts the RPC on the engine."""
+        assert isinstance(rpc, SimulatedRpc)
+        self._cluster.record(RunStarted.KIND, self._name, rpc.number)
+        self._record_policy_use()
+        self.engine.start_run(self.open_rpcs[rpc.number])
+
+    def start_call(self, rpc: Rpc, timeout_ms: float) -> None:
+        """Makes the downstream call of a run."""
+        assert isinstance(rpc, SimulatedRpc)
+        self.engine.start_call(self.engine.runs[rpc.number], timeout_ms)
+
+    def skip_call(self, rpc: Rpc) -> None:
+        """Lets a run go on without its downstream call."""
+        assert isinstance(rpc, SimulatedRpc)
+        self.engine.finish_without_call(self.engine.runs[rpc.number])
+
+    def reject(self, rpc: Rpc, retry_after_ms: float, is_final: bool) -> None:
+        """Answers that the RPC was not run."""
+        self._answer(rpc, REJECTED)
+
+    def abort(self, rpc: Rpc) -> None:
+        """Answers that the RPC failed."""
+        self._answer(rpc, ABORTED)
+
+    def set_health(self, is_healthy: bool, is_shallow: bool) -> None:
+        """Sets the answer to health checks."""
+        self.is_healthy = is_healthy
+
+    def cancel_run(self, rpc: Rpc) -> None:
+        """Does nothing: this engine cancels no run."""
+
+    def retain_dedup_entry(self, rpc: Rpc, duration_ms: float) -> None:
+        """Does nothing: no RPC is repeated here."""
+
+    def drop_dedup_entry(self, rpc: Rpc) -> None:
+        """Does nothing: no RPC is repeated here."""
+
+    def await_original(self, rpc: Rpc) -> None:
+        """Does nothing: no RPC is repeated here."""
+
+    def release(self, rpc: Rpc) -> None:
+        """Does nothing: RPCs are forgotten as they are answered."""
+
+    def advertise_load(self, amount: float) -> None:
+        """Does nothing: gateways hear of health alone."""
+
+    def close_idle_connections(self, idle_timeout_ms: float) -> None:
+        """Does nothing: there are no connections."""
+
+    def schedule_check(self, delay_ms: float) -> None:
+        """Does nothing: the server asks admission for its next check."""
+
+    def log(self, text: str) -> None:
+        """Does nothing."""
--- /dev/null
+++ b/landingshift/testbed/simulation/server_cold_start.py
@@ -0,0 +1,107 @@
+"""The cold start of a simulated server: its coordinator, its leases and the endpoint list."""
+
+from __future__ import annotations
+
+from random import Random
+
+from landingshift.coldstart.coordinator import ColdStartCoordinator, LoadObservation
+from landingshift.coldstart.service_discovery import ServiceDiscoveryPoller
+from landingshift.membership.node import SwimNode
+from landingshift.testbed.simulation.cluster_context import ClusterContext
+from landingshift.testbed.simulation.removed_defences import (
+    BOOKED_AMOUNT,
+    RECOVERY_GRACE,
+    remove_booked_amount,
+    remove_recovery_grace,
+)
+from landingshift.testbed.simulation.rpc_service import RpcService
+from landingshift.testbed.simulation.virtual_time import SimulatedHost
+from landingshift.testbed.simulation.workload import WARM_UP_MS
+from landingshift.testbed.verification.history import LeaseHeld
+
+LIST_POLLS_PER_SECOND = 20.0
+LIST_TIMEOUT_MS = 3000.0
+DEMAND_MARGIN_FACTOR = 1.25
+"""A server asks for so many times the calls that its RPCs want."""
+MIN_DEMAND_CALLS_PER_SECOND = 1.0
+
+
+class ServerColdStart:
+    """What a server does until it is warm.
+
+    Attributes:
+        coordinator: Takes and, on a grantor, grants leases.
+        poller: Asks the endpoint list for other servers.
+        is_open: The server has begun to take RPCs.
+        call_quota: What admission was told last; -1 for nothing yet.
+    """
+
+    def __init__(
+        self, name: str, index: int, cluster: ClusterContext, host: SimulatedHost, node: SwimNode, rng: Random
+    ) -> None:
+        self._name = name
+        self._index = index
+        self._cluster = cluster
+        self._host = host
+        self._node = node
+        now_ms = host.clock_ms()
+        self.coordinator = ColdStartCoordinator(node, cluster.config.cold_start, rng, now_ms)
+        if cluster.config.removed_defence == RECOVERY_GRACE:
+            remove_recovery_grace(self.coordinator, now_ms)
+        if cluster.config.removed_defence == BOOKED_AMOUNT:
+            remove_booked_amount(self.coordinator)
+        self.poller = ServiceDiscoveryPoller(
+            cluster.config.server_count, LIST_POLLS_PER_SECOND, True, LIST_TIMEOUT_MS, rng, now_ms
+        )
+        self.is_open = False
+        self.call_quota = -1.0
+        self._recorded_leases: dict[str, tuple[float, ...]] = {}
+
+    def warm_fraction(self, rpcs: RpcService) -> float:
+        """Returns the share of its capacity that the server has reached."""
+        if not self.is_open:
+            return 0.0
+        age_fraction = (self._host.clock_ms() - rpcs.admission.started_at_ms) / WARM_UP_MS
+        return min(1.0, age_fraction, rpcs.engine.cache_fill_fraction)
+
+    def step(self, rpcs: RpcService, now_ms: float) -> None:
+        """Reports the server's state to the coordinator, and does what that decides."""
+        self._node.now_ms = now_ms
+        start_sequence = self.coordinator.start_sequence
+        if self.coordinator.on_timer(now_ms, self._observe(rpcs, now_ms)):
+            self.is_open = start_sequence.is_open
+        call_quota = self.coordinator.call_quota(now_ms)
+        if call_quota != self.call_quota:
+            self.call_quota = call_quota
+            rpcs.set_call_quota(call_quota, now_ms)
+        is_list_up = self._cluster.is_endpoint_list_up
+        if is_list_up and self.poller.start_poll_if_due(now_ms, self._node.has_joined):
+            self.poller.on_poll_finished(now_ms, True)
+            self._node.add_contact_addresses(self._cluster.contact_addresses(self._index))
+        self._record_leases()
+
+    def _observe(self, rpcs: RpcService, now_ms: float) -> LoadObservation:
+        saturation = rpcs.saturation
+        needed_calls = 0.0
+        if self.coordinator.start_sequence.is_open:
+            wanted_calls = DEMAND_MARGIN_FACTOR * saturation.wanted_calls_per_second(now_ms)
+            needed_calls = max(MIN_DEMAND_CALLS_PER_SECOND, wanted_calls)
+        return LoadObservation(
+            warm_fraction=self.warm_fraction(rpcs),
+            needed_calls_per_second=needed_calls,
+            waiting_rpcs_per_second=rpcs.admission.arrivals_per_second(now_ms),
+            saturation=saturation.saturation(now_ms, self.coordinator.reported_baseline_ms),
+            baseline_latency_ms=saturation.baseline_latency_ms,
+        )
+
+    def _record_leases(self) -> None:
+        for grantor, leases in self.coordinator.held_leases.items():
+            values = (
+                leases.call_quota.held_amount,
+                self._host.network_time_ms(leases.call_quota.expires_at_ms),
+                leases.start_permit.held_amount,
+                self._host.network_time_ms(leases.start_permit.expires_at_ms),
+            )
+            if self._recorded_leases.get(grantor) != values:
+                self._recorded_leases[grantor] = values
+                self._cluster.record(LeaseHeld.KIND, self._name, grantor, *values)
--- a/landingshift/testbed/simulation/virtual_time.py
+++ b/landingshift/testbed/simulation/virtual_time.py
@@ -59,7 +59,7 @@
     Attributes:
         network: Where it stands.
         address: Its address.
-        process: What runs on it.
+        process: What runs on it; unset before `start`.
         clock_offset_ms: What its clock shows at virtual time 0.
         clock_rate: How far its clock goes in one virtual ms: 1.01 is a clock that drifts by 1 %.
         is_up: False once it was killed.
@@ -71,17 +71,17 @@
         sent_count: Messages that the process sent.
     """
 
+    process: SimulatedProcess
+
     def __init__(
         self,
         network: SimulatedNetwork,
         address: Address,
-        process: SimulatedProcess,
-        clock_offset_ms: float,
+        clock_offset_ms: float = 0.0,
         clock_rate: float = 1.0,
     ) -> None:
         self.network = network
         self.address = address
-        self.process = process
         self.clock_offset_ms = clock_offset_ms
         self.clock_rate = clock_rate
         self.is_up = True
@@ -92,6 +92,12 @@
         self.received_count = 0
         self.sent_count = 0
 
+    def start(self, process: SimulatedProcess) -> None:
+        """Starts the process, which takes the address from whatever had it."""
+        self.process = process
+        self.network.hosts[self.address] = self
+        self.run_once()
+
     @property
     def is_paused(self) -> bool:
         """Whether the process is stopped just now."""
@@ -215,9 +221,8 @@
         clock_rate: float = 1.0,
     ) -> SimulatedHost:
         """Starts a process behind an address, in place of whatever had that address."""
-        host = SimulatedHost(self, address, process, clock_offset_ms, clock_rate)
-        self.hosts[address] = host
-        host.run_once()
+        host = SimulatedHost(self, address, clock_offset_ms, clock_rate)
+        host.start(process)
         return host
 
     def kill(self, address: Address) -> None:
--- a/landingshift/testbed/verification/invariants.py
+++ b/landingshift/testbed/verification/invariants.py
@@ -169,7 +169,7 @@
     broken = []
     for at, what, *rest in history:
         if what == "drains":
-            grace[rest[0]] = at + GRACE
+            grace[rest[0]] = at + DRAIN_GRACE_MS
         elif what == "starts":
             grace.pop(rest[0], None)
         elif what == "read":
@@ -185,7 +185,7 @@
     return broken
 
 
-GRACE = 300.0  # ms of a drain: what comes after it is not run
+DRAIN_GRACE_MS = 300.0  # ms of a drain: what comes after it is not run
 
 
 def max_leased(history: History, which: int) -> float:
--- a/landingshift/testbed/verification/search_policy_change.py
+++ b/landingshift/testbed/verification/search_policy_change.py
@@ -18,7 +18,7 @@
 from landingshift.policies.node import PolicyNode
 from landingshift.policies.participant import ParticipantState
 from landingshift.policies.policy_settings import PolicySettings
-from landingshift.testbed.simulation.policy_change import policy_document
+from landingshift.testbed.simulation.policy_documents import policy_document
 
 NAMES = ("n0", "n1", "n2")
 PASS = 500.0  # ms
--- a/tests/test_chance.py
+++ b/tests/test_chance.py
@@ -25,7 +25,8 @@
     draw_scenario,
     encode_scenario,
 )
-from landingshift.testbed.simulation.cluster import INVARIANT_BY_REMOVED_DEFENCE, OVERLAP_MS, SimulatedCluster
+from landingshift.testbed.simulation.cluster import OVERLAP_MS, SimulatedCluster
+from landingshift.testbed.simulation.removed_defences import INVARIANT_BY_REMOVED_DEFENCE
 from landingshift.testbed.verification.invariants import CLUSTER_INVARIANTS, find_violations
 from landingshift.testbed.verification.shrinking import Shrinker
 
