--- a/landingshift/testbed/experiments/policies_harness.py
+++ b/landingshift/testbed/experiments/policies_harness.py
@@ -18,7 +18,7 @@
 from landingshift.testbed.processes.harness import ProcessHarness, StandInCapacity, format_address
 from landingshift.testbed.processes.history import HistoryEntry
 from landingshift.testbed.processes.single_server import METHOD, TENANT
-from landingshift.testbed.verification.invariants import broken
+from landingshift.testbed.verification.invariants import find_violations
 
 OVERLAP_MS = 1000.0
 """For which two versions of the policy may be in use at once."""
@@ -346,7 +346,7 @@
         statuses = self.servers.shut_down_all()
         history = sorted([*self.servers.history(), *self.outcome_events], key=lambda entry: entry[0])
         decisions = [entry for entry in history if entry[1] == "decided"]
-        row.violations += broken(history, OVERLAP_MS)
+        row.violations += find_violations(history, OVERLAP_MS)
         outcomes = self.servers.load.outcomes
         row.figures |= {
             "decided": len(decisions),
--- a/tests/test_chance.py
+++ b/tests/test_chance.py
@@ -25,9 +25,10 @@
     encode_scenario,
 )
 from landingshift.testbed.experiments.service_samples import AnswerSample, recovery_figures
-from landingshift.testbed.simulation.cluster import BREAKS, OVERLAP, Town
-from landingshift.testbed.verification.invariants import FLEET, broken
-from landingshift.testbed.verification.shrinking import Reduced
+from landingshift.testbed.simulation.cluster import OVERLAP_MS, SimulatedCluster
+from landingshift.testbed.simulation.removed_defences import INVARIANT_BY_REMOVED_DEFENCE
+from landingshift.testbed.verification.invariants import CLUSTER_INVARIANTS, find_violations
+from landingshift.testbed.verification.shrinking import Shrinker
 
 DAYS = Path(__file__).parent / "days"
 COMMAND = [sys.executable, "-c", "from landingshift.cli import start; start()", "lab"]
@@ -56,12 +57,12 @@
             found = pool.map(check_scenario, days, [path.stem for path in WITHOUT])
             for path, wrong in zip(WITHOUT, found, strict=True):
                 with self.subTest(away=path.stem):
-                    self.assertIn(BREAKS[path.stem], invariant_names(wrong))
+                    self.assertIn(INVARIANT_BY_REMOVED_DEFENCE[path.stem], invariant_names(wrong))
         self.assertGreater(len(WITHOUT), 6)
 
     def test_a_day_is_the_same_each_time_and_is_more_than_nothing(self) -> None:
         day = draw_scenario(3)
-        one, two = Town(day).play(), Town(day).play()
+        one, two = SimulatedCluster(day).play(), SimulatedCluster(day).play()
         self.assertEqual(one, two)
         self.assertEqual(draw_scenario(3), day)
         for what in ("read", "run", "answer", "loan", "decided", "sees", "begins"):
@@ -70,7 +71,7 @@
     def test_what_met_is_counted_and_sought(self) -> None:
         seen = Coverage()
         acts = (Fault(0.0, "cut_off", (1,), 900.0), Fault(300.0, "kill", (2,), 500.0))
-        Town(Scenario(1, 4, 3, 3000.0, False, 0.3, acts), seen=seen).play()
+        SimulatedCluster(Scenario(1, 4, 3, 3000.0, False, 0.3, acts), seen=seen).play()
         self.assertEqual(seen.pair_count("kill", "cut_off"), 1)
         self.assertEqual(seen.pair_count("kill", "loss"), 0)
         self.assertIn(("kill", "loss"), seen.unmet_pairs())
@@ -95,7 +96,7 @@
         day = Scenario(
             7, 9, 3, 20_000.0, False, 1.1, tuple(sorted([*noise, late, kill], key=lambda a: a.start_ms))
         )
-        least = Reduced(day, fails).run()
+        least = Shrinker(day, fails).run()
         self.assertEqual([a.kind for a in least.faults], ["late", "kill"])
         self.assertEqual((least.server_count, least.load_ratio, len(least.faults[1].servers)), (3, 0.3, 1))
         self.assertLess(least.faults[1].duration_ms, 500.0)
@@ -195,9 +196,13 @@
             ("rests", [(1.0, "rests", 5.0)], [(1.0, "restless", "nobody leads")]),
         ]:  # fmt: skip
             with self.subTest(promise=name, bad=bad):
-                self.assertEqual(broken(list(good), OVERLAP, {name: FLEET[name]}), [])
+                self.assertEqual(
+                    find_violations(list(good), OVERLAP_MS, {name: CLUSTER_INVARIANTS[name]}), []
+                )
                 if bad:
-                    self.assertNotEqual(broken(list(bad), OVERLAP, {name: FLEET[name]}), [])
+                    self.assertNotEqual(
+                        find_violations(list(bad), OVERLAP_MS, {name: CLUSTER_INVARIANTS[name]}), []
+                    )
 
     def test_a_quiet_day_holds(self) -> None:
         self.assertEqual(check_scenario(QUIET, ""), [])
--- a/tests/test_policies_histories.py
+++ b/tests/test_policies_histories.py
@@ -6,7 +6,7 @@
 
 from landingshift.testbed.experiments.policies import VIRTUAL, histories, searched, virtual
 from landingshift.testbed.processes.history import without_pauses
-from landingshift.testbed.verification.invariants import broken
+from landingshift.testbed.verification.invariants import find_violations
 
 
 class Histories(unittest.TestCase):
@@ -67,7 +67,7 @@
             ([(0, "end", "a", "c", "taken", 1), (9, "end", "b", "c", "withdrawn", 0)], "one_answer"),
         ]:
             with self.subTest(history=history):
-                self.assertTrue(any(invariant in text for text in broken(history, 1000.0)))
+                self.assertTrue(any(invariant in text for text in find_violations(history, 1000.0)))
         sound = [
             (0, "decided", "a", 0, b""),
             (5, "decided", "a", 1, b"x"),
@@ -75,4 +75,4 @@
             (950, "decided", "b", 1, b"x"),
             (960, "end", "b", "c", "taken", 1),
         ]
-        self.assertEqual(broken(sound, 1000.0), [])
+        self.assertEqual(find_violations(sound, 1000.0), [])
