--- a/landingshift/testbed/errors.py
+++ b/landingshift/testbed/errors.py
@@ -25,6 +25,20 @@
         self.problem = problem
 
 
+class UndecodableScenarioError(InvalidScenarioError):
+    """The file has no scenario's form."""
+
+    def __init__(self, problem: str) -> None:
+        super().__init__("not a day", problem)
+
+
+class VoterCountError(InvalidScenarioError):
+    """More voters than servers, or none."""
+
+    def __init__(self, max_servers: int) -> None:
+        super().__init__("servers, voters", f"1 <= voters <= servers <= {max_servers} is expected")
+
+
 class RealCaseError(TestbedError, RuntimeError):
     """Real processes did not get as far as a case needs them to."""
 
--- a/landingshift/testbed/experiments/cold_start.py
+++ b/landingshift/testbed/experiments/cold_start.py
@@ -1,311 +1,386 @@
-"""A common start under what it is meant for, in virtual time and with real processes; a row a case.
+"""Rows of the cold start experiment in virtual time: fleets that start together, and leases by themselves.
 
-`without(what)` takes one defence away: the rows that rest on it must then be broken.
+Each row may run without one defence; the rows that rest on it must then find a violation. Rows of real
+processes are in `cold_start_real`.
 """
 
 from __future__ import annotations
 
 import tempfile
 from collections.abc import Callable, Iterator
+from dataclasses import dataclass
+from functools import partial
 from random import Random
 from typing import Any
 
 from landingshift.testbed import MEMORY
+from landingshift.testbed.experiments.partitions import crosses_partition, no_cut
 from landingshift.testbed.experiments.rows import ExperimentRow
 from landingshift.testbed.simulation.cold_start import ColdStartCase, ColdStartSimulation, address
 from landingshift.testbed.simulation.leases import LeaseSimulation
 from landingshift.testbed.verification.search_leases import LeaseSearch
 
-SMALL: dict[str, Any] = {
+SMALL_FLEET: dict[str, Any] = {
     "server_count": 60,
     "grantor_count": 3,
     "downstream_calls_per_second": 120.0,
     "discovery": "snapshot",
     "warm_up_ms": 2000.0,
 }
-SCARCE = (32.0, 128.0)  # places, so that some wait for one
-LATEST = 200_000.0  # virtual ms after which a fleet counts as stuck
-DEPTH, STATES = 14, 40_000
-PEAK = 1.1  # times what they bear that list service and store may see in a second
-
-
-class Tried:
-    """What a case is given: its chance, its size, and which defence is away."""
-
-    def __init__(self, seed: str, scale: dict[str, Any], away: str) -> None:
-        self.chance, self.scale, self.away = Random(seed), scale, away
-
-    def rise(self, world: dict[str, Any] | None = None, **change: Any) -> ColdStartSimulation:
-        case = ColdStartCase(**SMALL | change | self.scale)
-        if self.away == "shares":
+FEW_PERMITS = (32.0, 128.0)
+"""At the beginning and at the most, so that some wait for one."""
+MAX_START_MS = 200_000.0
+"""Of virtual time, after which a fleet counts as stuck."""
+START_SPREAD_SLACK_MS = 1000.0
+"""For those that start last."""
+SEARCH_DEPTH = 14
+MAX_SEARCHED_STATES = 40_000
+MAX_PEAK_RATIO = 1.1
+"""Of what a service bears, that may come within a second."""
+MIN_LIST_PEAK_COUNT = 3.0
+LEASE_STEPS_COUNT = 5000
+GRANTED_TOLERANCE = 1e-9
+ZONES_COUNT = 3
+LOST_HOLDERS_COUNT = 9
+"""A third each is killed, paused and cut off."""
+CRASH_PROBABILITY = 0.3
+OVERLOAD_STEPS_COUNT = 1800
+MAX_DEATH_KNOWN_MS = 15_000.0
+DEATH_TIMEOUT_MS = 60_000.0
+NEVER_MS = 1e12
+
+
+@dataclass(frozen=True, slots=True)
+class Trial:
+    """One run of a case.
+
+    Attributes:
+        rng: Of all that is drawn.
+        removed_defence: Without which it is played; "" for none.
+    """
+
+    rng: Random
+    removed_defence: str
+
+    def simulation(self, network: dict[str, Any] | None = None, **change: Any) -> ColdStartSimulation:
+        """Returns a small fleet that has not started yet.
+
+        Args:
+            network: Options of the network.
+            **change: Of `SMALL_FLEET`.
+        """
+        case = ColdStartCase(**SMALL_FLEET | change)
+        if self.removed_defence == "shares":
             case.is_uncoordinated = True
-        rise = ColdStartSimulation(case, self.chance.randrange(1 << 30), **world or {})
-        rise.has_recovery_grace = self.away != "quiet"
-        return rise
-
-
-def check(row: ExperimentRow, rise: ColdStartSimulation, within: float) -> None:
-    """Warm within so many times the least (and a second for those who came last), all bounds kept."""
-    while rise.warm_at_ms < 0.0 and rise.network.now_ms < LATEST:
-        rise.run(1000.0)
-    bounds(row, rise)
-    row.require(rise.warm_at_ms >= 0.0, f"not warm after {rise.network.now_ms / 1000.0:.0f} s")
-    row.require(
-        rise.warm_at_ms <= within * rise.min_warm_up_ms() + 1000.0,
-        f"warm after {rise.warm_at_ms:.0f} ms, least {rise.min_warm_up_ms():.0f}",
-    )
-    top(row, "warm_over_least", rise.warm_at_ms / rise.min_warm_up_ms())
-
-
-def bounds(row: ExperimentRow, rise: ColdStartSimulation) -> None:
-    case = rise.case
-    row.violations += rise.violations[:2]
-    calls, asks = rise.peak_calls_per_second(), rise.peak_per_second(rise.list_poll_times_ms)
-    row.require(not rise.store.is_overloaded, "the store fell")
-    row.require(
-        calls <= PEAK * case.downstream_calls_per_second,
-        f"{calls} calls in a second at a store that bears {case.downstream_calls_per_second:g}",
-    )
-    row.require(
-        asks <= max(3.0, PEAK * case.list_polls_per_second), f"the list was asked {asks} times in a second"
-    )
-    top(row, "calls_over_bears", calls / case.downstream_calls_per_second)
-    top(row, "asks_over_bears", asks / case.list_polls_per_second)
-    top(
-        row,
-        "messages_a_server_s",
-        rise.network.message_count / case.server_count / rise.network.now_ms * 1000.0,
+        simulation = ColdStartSimulation(case, self.rng.randrange(1 << 30), **network or {})
+        simulation.has_recovery_grace = self.removed_defence != "quiet"
+        return simulation
+
+
+VirtualCase = Callable[[Trial, ExperimentRow], None]
+
+
+def require_warm(row: ExperimentRow, simulation: ColdStartSimulation, max_ratio: float) -> None:
+    """Requires that a fleet is warm within a multiple of the least time, with all bounds kept."""
+    while simulation.warm_at_ms < 0.0 and simulation.network.now_ms < MAX_START_MS:
+        simulation.run(1000.0)
+    require_bounds(row, simulation)
+    least_ms = simulation.min_warm_up_ms()
+    warm_at_ms = simulation.warm_at_ms
+    row.require(warm_at_ms >= 0.0, f"not warm after {simulation.network.now_ms / 1000.0:.0f} s")
+    is_in_time = warm_at_ms <= max_ratio * least_ms + START_SPREAD_SLACK_MS
+    row.require(is_in_time, f"warm after {warm_at_ms:.0f} ms, least {least_ms:.0f}")
+    row.record_max("warm_over_least", warm_at_ms / least_ms)
+
+
+def require_bounds(row: ExperimentRow, simulation: ColdStartSimulation) -> None:
+    """Requires that database and endpoint list saw no more than they bear."""
+    case = simulation.case
+    row.violations += simulation.violations[:2]
+    calls = simulation.peak_calls_per_second()
+    max_calls = case.downstream_calls_per_second
+    list_polls = simulation.peak_per_second(simulation.list_poll_times_ms)
+    max_list_polls = max(MIN_LIST_PEAK_COUNT, MAX_PEAK_RATIO * case.list_polls_per_second)
+    row.require(not simulation.store.is_overloaded, "the store fell")
+    is_bounded = calls <= MAX_PEAK_RATIO * max_calls
+    row.require(is_bounded, f"{calls} calls in a second at a store that bears {max_calls:g}")
+    row.require(list_polls <= max_list_polls, f"the list was asked {list_polls} times in a second")
+    row.record_max("calls_over_bears", calls / max_calls)
+    row.record_max("asks_over_bears", list_polls / case.list_polls_per_second)
+    messages = simulation.network.message_count / case.server_count
+    row.record_max("messages_a_server_s", messages / simulation.network.now_ms * 1000.0)
+
+
+def leases(trial: Trial, row: ExperimentRow) -> None:
+    """What holders believe in, through loss, duplicates, delays, pauses, restarts and uneven clocks."""
+    simulation = LeaseSimulation(
+        trial.rng.randrange(1 << 30),
+        has_recovery_grace=trial.removed_defence != "quiet",
+        books_old_grants=trial.removed_defence != "booking",
     )
-
-
-def top(row: ExperimentRow, name: str, value: float) -> None:
-    row.figures[name] = max(row.figures.get(name, 0.0), round(value, 2))
-
-
-# In virtual time
-
-
-def lent(tried: Tried, row: ExperimentRow) -> None:
-    """What eight holders believe in, through loss, doubles, delays, stops, restarts and uneven clocks."""
-    lent = LeaseSimulation(
-        tried.chance.randrange(1 << 30),
-        has_recovery_grace=tried.away != "quiet",
-        books_old_grants=tried.away != "booking",
-    )
-    for _ in range(5000):
-        lent.step()
-    row.require(
-        lent.max_believed <= lent.capacity + 1e-9, f"{lent.max_believed:.2f} believed in of {lent.capacity:g}"
-    )
-    top(row, "most_of_10", lent.max_believed)
-
-
-def search(tried: Tried, row: ExperimentRow) -> None:
-    """Every order of one lender and two holders, to a depth, until so many states were seen."""
-    found = LeaseSearch(tried.away != "quiet", tried.away != "booking").run(DEPTH, STATES)
-    row.require(not found.violation, found.violation)
-    row.figures |= {"states": found.state_count, "most_of_4": found.max_believed}
-
-
-def all_at_once(tried: Tried, row: ExperimentRow) -> None:
-    rise = tried.rise()
-    rise.start_all()
-    check(row, rise, 1.5)
-
-
-def power_cut(tried: Tried, row: ExperimentRow) -> None:
-    """The machines were off: lenders know that nothing they granted before can still be believed."""
-    rise = tried.rise(is_after_power_cut=True)
-    rise.start_all()
-    check(row, rise, 1.3)
-
-
-def lenders_killed(tried: Tried, row: ExperimentRow) -> None:
-    """One killed and started anew, which knows nothing of what it lent, and one killed for good."""
-    rise = tried.rise()
-    rise.start_all()
-    rise.run(6000.0)
-    rise.kill(0)
-    rise.run(200.0)  # well within the leases of what it lent
-    rise.start(0)
-    rise.run(3000.0)
-    rise.kill(1)
-    check(row, rise, 5.0)  # a third of what is lent is out of use
-
-
-def holders_lost(tried: Tried, row: ExperimentRow) -> None:
-    """Of those who hold places some are killed, some stopped for 5 s, some cut off."""
-    rise = tried.rise(permits=SCARCE)
-    rise.start_all()
-    rise.run(6000.0)
-    lenders = rise.case.grantor_count
-    up = [
-        i
-        for i, m in rise.servers.items()
-        if m.agent.has_start_permit(rise.hosts[i].clock_ms()) and i >= lenders
-    ][:9]
-    for i in up[:3]:
-        rise.kill(i)
-    for i in up[3:6]:
-        rise.hosts[i].pause(5000.0)
-    gone = {address(i) for i in up[6:]}
-    rise.network.is_cut = lambda a, b: (a in gone) != (b in gone)
-    rise.run(8000.0)
-    for i in up[:3]:
-        rise.start(i)
-    rise.network.is_cut = lambda a, b: False
-    check(row, rise, 4.0)
-
-
-def zone_cut(tried: Tried, row: ExperimentRow) -> None:
-    """A zone cut off goes on by itself; the halves meet again with other beliefs."""
-    rise = tried.rise()
-    rise.start_all()
-    zone = {address(i) for i in range(rise.case.server_count) if i % 3 == 0}
-    rise.network.schedule_at(
-        3000.0, lambda: setattr(rise.network, "is_cut", lambda a, b: (a in zone) != (b in zone))
-    )
-    rise.network.schedule_at(20_000.0, lambda: setattr(rise.network, "is_cut", lambda a, b: False))
-    rise.run(19_000.0)
-    begun = sum(m.opened_at_ms > 0.0 for i, m in rise.servers.items() if i % 3 == 0)
-    row.require(begun > rise.case.server_count // 12, f"only {begun} began in the zone that was cut off")
-    check(row, rise, 4.0)
-
-
-def bad_network(tried: Tried, row: ExperimentRow) -> None:
-    """10 % lost, 10 % doubled, one link cut one way; in one second, or in waves."""
-    for spread in (1000.0, 15_000.0):
-        rise = tried.rise({"loss_probability": 0.1})
-        rise.network.duplicate_probability = 0.1
-        rise.network.is_cut = lambda a, b: a == address(3) and b == address(1)
-        rise.start_all(spread)
-        check(row, rise, 4.0)
-
-
-def store_collapses(tried: Tried, row: ExperimentRow) -> None:
-    """A crowd from elsewhere brings the store down when half are up: it must come back without a hand."""
-    rise = tried.rise()
-    rise.start_all()
-    while rise.warm_fractions[-1:] < [0.5] and rise.network.now_ms < LATEST:
-        rise.run(500.0)
-    rise.store.queued_calls += 4.0 * rise.case.downstream_calls_per_second
-    rise.run(1000.0)
-    row.require(rise.store.is_overloaded, "the store did not fall")
-    began = rise.network.now_ms
-    while rise.store.is_overloaded and rise.network.now_ms < LATEST:
-        rise.run(500.0)
-    top(row, "down_s", (rise.network.now_ms - began) / 1000.0)
-    check(row, rise, 12.0)
-
-
-def list_service(tried: Tried, row: ExperimentRow) -> None:
+    for _ in range(LEASE_STEPS_COUNT):
+        simulation.step()
+    believed = simulation.max_believed
+    is_bounded = believed <= simulation.capacity + GRANTED_TOLERANCE
+    row.require(is_bounded, f"{believed:.2f} believed in of {simulation.capacity:g}")
+    row.record_max("most_of_10", believed)
+
+
+def lease_search(trial: Trial, row: ExperimentRow) -> None:
+    """Every order of one grantor and two holders, to a depth, until so many states were seen."""
+    has_recovery_grace = trial.removed_defence != "quiet"
+    books_old_grants = trial.removed_defence != "booking"
+    search = LeaseSearch(has_recovery_grace, books_old_grants).run(SEARCH_DEPTH, MAX_SEARCHED_STATES)
+    row.require(not search.violation, search.violation)
+    row.figures |= {"states": search.state_count, "most_of_4": search.max_believed}
+
+
+def simultaneous_start(trial: Trial, row: ExperimentRow) -> None:
+    """All start within a second."""
+    simulation = trial.simulation()
+    simulation.start_all()
+    require_warm(row, simulation, 1.5)
+
+
+def power_cut(trial: Trial, row: ExperimentRow) -> None:
+    """The machines were off: grantors know that nothing they granted before can still be believed."""
+    simulation = trial.simulation(is_after_power_cut=True)
+    simulation.start_all()
+    require_warm(row, simulation, 1.3)
+
+
+def grantors_killed(trial: Trial, row: ExperimentRow) -> None:
+    """One is killed and restarted without its memory, and one killed for good."""
+    simulation = trial.simulation()
+    simulation.start_all()
+    simulation.run(6000.0)
+    simulation.kill(0)
+    simulation.run(200.0)  # well within the leases that it granted
+    simulation.start(0)
+    simulation.run(3000.0)
+    simulation.kill(1)
+    require_warm(row, simulation, 5.0)  # a third of what is granted is out of use
+
+
+def holders_lost(trial: Trial, row: ExperimentRow) -> None:
+    """Of those that hold start permits some are killed, some paused for 5 s, some cut off."""
+    simulation = trial.simulation(permits=FEW_PERMITS)
+    simulation.start_all()
+    simulation.run(6000.0)
+    holders = [
+        index
+        for index, server in simulation.servers.items()
+        if server.agent.has_start_permit(simulation.hosts[index].clock_ms())
+        and index >= simulation.case.grantor_count
+    ][:LOST_HOLDERS_COUNT]
+    killed, paused, cut_off = holders[:3], holders[3:6], holders[6:]
+    for index in killed:
+        simulation.kill(index)
+    for index in paused:
+        simulation.hosts[index].pause(5000.0)
+    simulation.network.is_cut = partial(crosses_partition, {address(index) for index in cut_off})
+    simulation.run(8000.0)
+    for index in killed:
+        simulation.start(index)
+    simulation.network.is_cut = no_cut
+    require_warm(row, simulation, 4.0)
+
+
+def zone_cut_off(trial: Trial, row: ExperimentRow) -> None:
+    """A zone that is cut off goes on by itself; then the sides meet again with other beliefs."""
+    simulation = trial.simulation()
+    network = simulation.network
+    server_count = simulation.case.server_count
+    simulation.start_all()
+    zone = {address(index) for index in range(server_count) if index % ZONES_COUNT == 0}
+    rule = partial(crosses_partition, zone)
+    network.schedule_at(3000.0, lambda: setattr(network, "is_cut", rule))
+    network.schedule_at(20_000.0, lambda: setattr(network, "is_cut", no_cut))
+    simulation.run(19_000.0)
+    servers = simulation.servers.items()
+    opened = sum(server.opened_at_ms > 0.0 for index, server in servers if index % ZONES_COUNT == 0)
+    row.require(opened > server_count // 12, f"only {opened} began in the zone that was cut off")
+    require_warm(row, simulation, 4.0)
+
+
+def bad_network(trial: Trial, row: ExperimentRow) -> None:
+    """10 % lost, 10 % duplicated, one link cut one way; in one second, or spread over some."""
+    for spread_ms in (1000.0, 15_000.0):
+        simulation = trial.simulation({"loss_probability": 0.1})
+        simulation.network.duplicate_probability = 0.1
+        simulation.network.is_cut = _is_one_link
+        simulation.start_all(spread_ms)
+        require_warm(row, simulation, 4.0)
+
+
+def _is_one_link(sender: object, receiver: object) -> bool:
+    return sender == address(3) and receiver == address(1)
+
+
+def database_overloaded(trial: Trial, row: ExperimentRow) -> None:
+    """Calls from elsewhere overload the database when half are up: it must recover by itself."""
+    simulation = trial.simulation()
+    network = simulation.network
+    store = simulation.store
+    simulation.start_all()
+    while simulation.warm_fractions[-1:] < [0.5] and network.now_ms < MAX_START_MS:
+        simulation.run(500.0)
+    store.queued_calls += 4.0 * simulation.case.downstream_calls_per_second
+    simulation.run(1000.0)
+    row.require(store.is_overloaded, "the store did not fall")
+    began_ms = network.now_ms
+    while store.is_overloaded and network.now_ms < MAX_START_MS:
+        simulation.run(500.0)
+    row.record_max("down_s", (network.now_ms - began_ms) / 1000.0)
+    require_warm(row, simulation, 12.0)
+
+
+def endpoint_list_down(trial: Trial, row: ExperimentRow) -> None:
     """Down throughout, back when all wait for it, gone in the middle; nobody knows anybody else."""
-    for up in ((1e9, 1e12), (8000.0, 1e12), (0.0, 2000.0)):
-        rise = tried.rise(discovery="list", list_up_ms=up, list_polls_per_second=10.0)
-        rise.start_all()
-        rise.run(60_000.0)
-        bounds(row, rise)
-        begun = sum(m.opened_at_ms > 0.0 for m in rise.servers.values())
-        row.require(begun > rise.case.server_count // 4, f"only {begun} began")
-
-
-def crash_loop(tried: Tried, row: ExperimentRow) -> None:
-    """Half of them crash again and again for 20 s."""
-    rise = tried.rise()
-    rise.start_all()
-    servers = rise.case.server_count
+    for up_ms in ((1e9, NEVER_MS), (8000.0, NEVER_MS), (0.0, 2000.0)):
+        simulation = trial.simulation(discovery="list", list_up_ms=up_ms, list_polls_per_second=10.0)
+        simulation.start_all()
+        simulation.run(60_000.0)
+        require_bounds(row, simulation)
+        opened = sum(server.opened_at_ms > 0.0 for server in simulation.servers.values())
+        row.require(opened > simulation.case.server_count // 4, f"only {opened} began")
+
+
+def crash_loop(trial: Trial, row: ExperimentRow) -> None:
+    """Half of the fleet crashes again and again for 20 s."""
+    simulation = trial.simulation()
+    simulation.start_all()
+    server_count = simulation.case.server_count
     for _ in range(20):
-        rise.run(1000.0)
-        for i in [
-            i for i in range(servers // 2, servers) if i in rise.servers and tried.chance.random() < 0.3
-        ]:
-            rise.kill(i)
-            rise.network.schedule_after(700.0, lambda i=i: rise.start(i))  # type: ignore[misc]
-    check(row, rise, 8.0)
-
-
-def hour_of_load(tried: Tried, row: ExperimentRow) -> None:
-    """An hour of full cores: all hear late, by 40 ms on average, and one is stopped for 300 ms each 2 s."""
-    rise = tried.rise(server_count=30, grantor_count=3, downstream_calls_per_second=60.0)
-    rise.start_all()
-    rise.run(20_000.0)
-    for host in rise.hosts.values():
+        simulation.run(1000.0)
+        crashed = [
+            index
+            for index in range(server_count // 2, server_count)
+            if index in simulation.servers and trial.rng.random() < CRASH_PROBABILITY
+        ]
+        for index in crashed:
+            simulation.kill(index)
+            simulation.network.schedule_after(700.0, partial(simulation.start, index))
+    require_warm(row, simulation, 8.0)
+
+
+def hour_of_overload(trial: Trial, row: ExperimentRow) -> None:
+    """An hour of busy cores: messages are read late, and one server is paused for 300 ms each 2 s."""
+    server_count = 30
+    simulation = trial.simulation(
+        server_count=server_count, grantor_count=3, downstream_calls_per_second=60.0
+    )
+    network = simulation.network
+    simulation.start_all()
+    simulation.run(20_000.0)
+    for host in simulation.hosts.values():
         host.mean_delay_ms = 40.0
-    for _ in range(1800):
-        rise.hosts[tried.chance.randrange(30)].pause(300.0)
-        rise.run(2000.0)
-    dead = sum(event == "fleet_dead" for _, _, event in rise.log_lines)
-    row.require(dead == 0, f"{dead} buried of whom none was dead")
-    row.figures["false_deaths"] = dead
-    rise.kill(7)
-    began = rise.network.now_ms
-    while (
-        any("n7" in m.node.member_table.present_index for m in rise.servers.values())
-        and rise.network.now_ms < began + 60e3
-    ):
-        rise.run(50.0)
-    row.figures["death_known_s"] = round((rise.network.now_ms - began) / 1000.0, 1)
-    row.require(rise.network.now_ms - began < 15_000.0, "a death under load was not known after 15 s")
-
-
-def large(servers: int) -> Callable[[Tried, ExperimentRow], None]:
-    def case(tried: Tried, row: ExperimentRow) -> None:
-        few = tried.scale.get("server_count")
-        count = few or servers
-        rise = tried.rise(
-            server_count=count, downstream_calls_per_second=2.0 * count, grantor_count=max(3, count // 60),
-            warm_up_ms=4000.0, is_after_power_cut=True,
-        )  # fmt: skip
-        rise.start_all()
-        check(row, rise, 2.0)
-
-    return case
-
-
-VIRTUAL: dict[str, Callable[[Tried, ExperimentRow], None]] = {
-    "lent": lent,
-    "search": search,
-    "all_at_once": all_at_once,
+    for _ in range(OVERLOAD_STEPS_COUNT):
+        simulation.hosts[trial.rng.randrange(server_count)].pause(300.0)
+        simulation.run(2000.0)
+    false_deaths = sum(event == "fleet_dead" for _, _, event in simulation.log_lines)
+    row.require(false_deaths == 0, f"{false_deaths} buried of whom none was dead")
+    row.figures["false_deaths"] = false_deaths
+    simulation.kill(7)
+    began_ms = network.now_ms
+    while _is_listed(simulation, "n7") and network.now_ms < began_ms + DEATH_TIMEOUT_MS:
+        simulation.run(50.0)
+    known_after_ms = network.now_ms - began_ms
+    row.figures["death_known_s"] = round(known_after_ms / 1000.0, 1)
+    is_known = known_after_ms < MAX_DEATH_KNOWN_MS
+    row.require(is_known, "a death under load was not known after 15 s")
+
+
+def _is_listed(simulation: ColdStartSimulation, name: str) -> bool:
+    """Whether any server still takes a member for present."""
+    return any(name in server.node.member_table.present_index for server in simulation.servers.values())
+
+
+def large_fleet(server_count: int) -> VirtualCase:
+    """Returns the case of a large fleet after a power cut."""
+
+    def run(trial: Trial, row: ExperimentRow) -> None:
+        simulation = trial.simulation(
+            server_count=server_count,
+            downstream_calls_per_second=2.0 * server_count,
+            grantor_count=max(3, server_count // 60),
+            warm_up_ms=4000.0,
+            is_after_power_cut=True,
+        )
+        simulation.start_all()
+        require_warm(row, simulation, 2.0)
+
+    return run
+
+
+VIRTUAL_ROWS: dict[str, VirtualCase] = {
+    "lent": leases,
+    "search": lease_search,
+    "all_at_once": simultaneous_start,
     "power_cut": power_cut,
-    "lenders_killed": lenders_killed,
+    "lenders_killed": grantors_killed,
     "holders_lost": holders_lost,
-    "zone_cut": zone_cut,
+    "zone_cut": zone_cut_off,
     "bad_network": bad_network,
-    "list_service": list_service,
+    "list_service": endpoint_list_down,
     "crash_loop": crash_loop,
-    "store_collapses": store_collapses,
-    "hour_of_load": hour_of_load,
-    "servers_1000": large(1000),
-    "servers_5000": large(5000),
+    "store_collapses": database_overloaded,
+    "hour_of_load": hour_of_overload,
+    "servers_1000": large_fleet(1000),
+    "servers_5000": large_fleet(5000),
 }
-RARE = ("search", "hour_of_load", "servers_1000", "servers_5000")  # once, whatever is repeated
+"""Rows by the names that the command line knows."""
+LONG_ROWS = ("hour_of_load", "servers_1000", "servers_5000")
+"""Played only with real processes, or where one asks for them."""
+UNREPEATED_ROWS = ("search", *LONG_ROWS)
+"""Played once, whatever the number of repeats."""
+
+
+def play_virtual_row(name: str, repeats: int, seed: int, removed_defence: str) -> ExperimentRow:
+    """Plays a row in virtual time; a run that raises violates."""
+    row = ExperimentRow(name)
+    for run in range(1 if name in UNREPEATED_ROWS else repeats):
+        trial = Trial(Random(f"{seed} {name} {run}"), removed_defence)
+        try:
+            VIRTUAL_ROWS[name](trial, row)
+        except Exception as err:
+            row.violations.append(f"run {run}: {type(err).__name__}: {err}")
+        row.runs += 1
+    return row
 
 
 def experiment(
-    repeats: int, seed: int, servers: int, take_away: str | None = None, only: str | None = None
+    repeats: int, seed: int, servers: int, removed_defence: str | None = None, only: str | None = None
 ) -> Iterator[ExperimentRow]:
-    """Rows as they are done; `servers` real processes in the real ones, 0 for none of them."""
-    for name, case in VIRTUAL.items():
-        if (only and only != name) or (not only and name in RARE[1:] and not servers):
-            continue
-        row = ExperimentRow(name)
-        for run in range(1 if name in RARE else repeats):
-            try:
-                case(Tried(f"{seed} {name} {run}", {}, take_away or ""), row)
-            except Exception as err:
-                row.violations.append(f"run {run}: {type(err).__name__}: {err}")
-            row.runs += 1
-        yield row
+    """Plays all rows, or one; yields each as it is done.
+
+    Args:
+        repeats: Runs of each row in virtual time.
+        seed: The same one gives the same runs in virtual time.
+        servers: Of rows of real processes; 0 leaves these out.
+        removed_defence: Without which all rows are played.
+        only: The name of the row to play; None for all.
+    """
+    defence = removed_defence or ""
+    for name in VIRTUAL_ROWS:
+        is_default = servers or name not in LONG_ROWS
+        if only == name or (not only and is_default):
+            yield play_virtual_row(name, repeats, seed, defence)
     if servers:
-        from landingshift.testbed.experiments.cold_start_real import LONG, REAL
+        yield from _play_real_rows(seed, servers, defence, only)
+
+
+def _play_real_rows(
+    seed: int, servers: int, removed_defence: str, only: str | None
+) -> Iterator[ExperimentRow]:
+    from landingshift.testbed.experiments.cold_start_real import LONG, REAL
 
-        for name, real in (REAL | LONG).items():
-            if (only and only != name) or (not only and name in LONG):
-                continue
+    for name, play in (REAL | LONG).items():
+        if only == name or (not only and name in REAL):
             row = ExperimentRow(name)
             with tempfile.TemporaryDirectory(dir=MEMORY) as folder:
                 try:
-                    real(folder, servers, seed, take_away or "", row)
+                    play(folder, servers, seed, removed_defence, row)
                 except Exception as err:
                     row.violations.append(f"{type(err).__name__}: {err}")
             row.runs += 1
--- a/landingshift/testbed/experiments/cold_start_real.py
+++ b/landingshift/testbed/experiments/cold_start_real.py
@@ -11,8 +11,8 @@
 from typing import Any
 
 from landingshift.testbed.experiments.cold_start_harness import ColdStartHarness, KnownServers
+from landingshift.testbed.experiments.partitions import no_cut
 from landingshift.testbed.experiments.rows import ExperimentRow
-from landingshift.testbed.processes.fault_proxy import no_cut
 from landingshift.testbed.processes.stand_ins import EndpointListMode
 
 STAGES = ("waiting", "starting", "warm")
--- a/landingshift/testbed/experiments/maintenance_real.py
+++ b/landingshift/testbed/experiments/maintenance_real.py
@@ -18,7 +18,7 @@
     PERMIT_VALID_MS,
     MaintenanceHarness,
 )
-from landingshift.testbed.experiments.policies_harness import crosses_partition
+from landingshift.testbed.experiments.partitions import crosses_partition
 from landingshift.testbed.experiments.rows import ExperimentRow
 
 NIGHT_LOAD_FRACTION = 0.3
--- a/landingshift/testbed/experiments/policies_crash_cases.py
+++ b/landingshift/testbed/experiments/policies_crash_cases.py
@@ -7,12 +7,12 @@
 from functools import partial
 
 from landingshift.policies.document import parse_policy
+from landingshift.testbed.experiments.partitions import crosses_partition
 from landingshift.testbed.experiments.policies_harness import (
     CHANGE_TIMEOUT_MS,
     FINAL_OUTCOMES,
     LEASE_MS,
     PolicyHarness,
-    crosses_partition,
 )
 from landingshift.testbed.experiments.rows import ExperimentRow
 from landingshift.testbed.processes.single_server import METHOD
--- a/landingshift/testbed/experiments/policies_harness.py
+++ b/landingshift/testbed/experiments/policies_harness.py
@@ -12,8 +12,9 @@
 from landingshift.membership.operator_rpc import OperatorRpcError, call_operator_rpc
 from landingshift.policies.document import parse_policy
 from landingshift.testbed.errors import MemberNotGoneError, NoLeaderError, NotAllDecideError
+from landingshift.testbed.experiments.partitions import no_cut
 from landingshift.testbed.experiments.rows import ExperimentRow, RealCase
-from landingshift.testbed.processes.fault_proxy import LinkRule, no_cut
+from landingshift.testbed.processes.fault_proxy import LinkRule
 from landingshift.testbed.processes.gateway_load import FAILED_OUTCOMES
 from landingshift.testbed.processes.harness import ProcessHarness, StandInCapacity, format_address
 from landingshift.testbed.processes.history import HistoryEntry
@@ -386,16 +387,6 @@
     )
 
 
-def crosses_partition(side: set[str], sender: str, receiver: str) -> bool:
-    """Whether a message goes from one side to the other."""
-    return (sender in side) != (receiver in side)
-
-
-def is_from(muted: str, sender: str, _receiver: str) -> bool:
-    """Whether a message comes from the one that nobody hears."""
-    return sender == muted
-
-
 def policy_case(play: Callable[[PolicyHarness, ExperimentRow], None], when_cut_off: str = SERVE) -> RealCase:
     """Returns a case that plays one scenario and checks what must hold afterwards."""
 
--- a/landingshift/testbed/experiments/policies_network_cases.py
+++ b/landingshift/testbed/experiments/policies_network_cases.py
@@ -8,11 +8,10 @@
 from functools import partial
 from random import Random
 
+from landingshift.testbed.experiments.partitions import crosses_partition, is_from
 from landingshift.testbed.experiments.policies_harness import (
     FINAL_OUTCOMES,
     PolicyHarness,
-    crosses_partition,
-    is_from,
 )
 from landingshift.testbed.experiments.rows import ExperimentRow
 from landingshift.testbed.processes.fault_proxy import LinkRule
--- a/landingshift/testbed/experiments/report.py
+++ b/landingshift/testbed/experiments/report.py
@@ -9,6 +9,8 @@
 from landingshift.testbed.experiments.scenarios import FAULT_KINDS, Coverage
 from landingshift.testbed.verification.invariants import CLUSTER_INVARIANTS, PAGE_BY_INVARIANT
 
+HISTOGRAM_SIZE_INCHES = (8, 2.6)
+HISTOGRAM_BINS_COUNT = 40
 STYLE = """body{font:15px/1.45 system-ui,sans-serif;max-width:70rem;margin:2rem auto;color:#1c2733}
 table{border-collapse:collapse;margin:1rem 0}
 td,th{border:1px solid #d5dbe1;padding:.15rem .45rem;text-align:left}
@@ -17,104 +19,125 @@
 .holds{color:#176b3a}.broken{color:#a3201d;font-weight:600}figure{margin:1rem 0}"""
 
 
-def render_page(figures: dict[str, Any], broken: list[str], smallest: list[dict[str, Any]], seen: Coverage,
-         rested: list[float]) -> str:  # fmt: skip
+def render_page(
+    figures: dict[str, Any],
+    violations: list[str],
+    failures: list[dict[str, Any]],
+    coverage: Coverage,
+    recovery_ms: list[float],
+) -> str:
+    """Returns the page.
+
+    Args:
+        figures: Of the run, by name.
+        violations: Of all scenarios, each with seed and invariant.
+        failures: Failing scenarios that were shrunk.
+        coverage: Which faults overlapped.
+        recovery_ms: From the last fault of each scenario until all was well.
+    """
+    figure_rows = [(name, value) for name, value in sorted(figures.items())]
     parts = [
         "<!doctype html><html lang=en><meta charset=utf-8><title>The fleet under chance faults</title>",
         f"<style>{STYLE}</style><h1>The fleet under chance faults</h1>",
-        promises(broken),
-        "<h2>Figures</h2>", table([[name, value] for name, value in sorted(figures.items())]),
-        "<h2>Until all was well again</h2>", histogram(rested),
-        "<h2>Failing days, made smaller</h2>", incidents(smallest),
+        _render_invariants(violations),
+        "<h2>Figures</h2>",
+        _render_figures(figure_rows),
+        "<h2>Until all was well again</h2>",
+        _render_histogram(recovery_ms),
+        "<h2>Failing days, made smaller</h2>",
+        _render_failures(failures),
         "<h2>Which faults have met</h2><p>How often the one began while the other was under way.</p>",
-        pairs(seen),
-        "<h2>At which stage</h2><p>Of which plan each began.</p>", stages(seen),
-    ]  # fmt: skip
+        _render_pairs(coverage),
+        "<h2>At which stage</h2><p>Of which plan each began.</p>",
+        _render_stages(coverage),
+    ]
     return "\n".join(parts)
 
 
-def promises(broken: list[str]) -> str:
+def _render_invariants(violations: list[str]) -> str:
     rows = []
     for name, check in CLUSTER_INVARIANTS.items():
-        wrong = [text for text in broken if f" {name}:" in f" {text}"]
-        how = (
-            f"<span class=broken>broken {len(wrong)} times</span>"
-            if wrong
-            else "<span class=holds>held</span>"
-        )
-        said = escape(" ".join((check.__doc__ or "").split()))
-        rows.append(f"<tr><td>{name}<td>{how}<td>{said}<td>{escape(PAGE_BY_INVARIANT[name])}")
-    crashes = [text for text in broken if " crash:" in text]
+        violation_count = sum(f" {name}:" in f" {text}" for text in violations)
+        result = "<span class=holds>held</span>"
+        if violation_count:
+            result = f"<span class=broken>broken {violation_count} times</span>"
+        description = escape(" ".join((check.__doc__ or "").split()))
+        rows.append(f"<tr><td>{name}<td>{result}<td>{description}<td>{escape(PAGE_BY_INVARIANT[name])}")
+    crashes = [text for text in violations if " crash:" in text]
     if crashes:
-        rows.append(
-            f"<tr><td>no crash<td><span class=broken>{len(crashes)} times</span><td>{escape(crashes[0])}<td>"
-        )
+        result = f"<span class=broken>{len(crashes)} times</span>"
+        rows.append(f"<tr><td>no crash<td>{result}<td>{escape(crashes[0])}<td>")
     return f"<h2>Promises</h2><table>{''.join(rows)}</table>"
 
 
-def table(rows: list[list[Any]]) -> str:
-    found = "".join(f"<tr><td>{escape(str(a))}<td class=n>{escape(str(b))}" for a, b in rows)
-    return f"<table>{found}</table>"
+def _render_figures(rows: list[tuple[str, Any]]) -> str:
+    cells = "".join(f"<tr><td>{escape(name)}<td class=n>{escape(str(value))}" for name, value in rows)
+    return f"<table>{cells}</table>"
 
 
-def incidents(smallest: list[dict[str, Any]]) -> str:
-    if not smallest:
+def _render_failures(failures: list[dict[str, Any]]) -> str:
+    if not failures:
         return "<p>None failed.</p>"
     return "".join(
-        f"<h3>Seed {one['seed']}: {escape(one['promise'])}</h3><p>Found by {one['plays']} plays.</p>"
-        f"<pre>{escape(chr(10).join(one['told']))}</pre>"
-        for one in smallest
+        f"<h3>Seed {failure['seed']}: {escape(failure['promise'])}</h3>"
+        f"<p>Found by {failure['plays']} plays.</p>"
+        f"<pre>{escape(chr(10).join(failure['told']))}</pre>"
+        for failure in failures
     )
 
 
-def shade(count: int, most: int) -> str:
+def _shade(count: int, max_count: int) -> str:
+    """Returns the style of a cell: darker for more, red for none."""
     if not count:
         return " style='background:#f7d9d8'"
-    return f" style='background:rgba(40,110,170,{0.08 + 0.5 * count / most:.2f})'"
+    return f" style='background:rgba(40,110,170,{0.08 + 0.5 * count / max_count:.2f})'"
 
 
-def pairs(seen: Coverage) -> str:
-    met, names = seen.pair_counts(), sorted(FAULT_KINDS)
-    most = max(met.values(), default=1)
-    head = "".join(f"<th class=v>{n}" for n in names)
+def _render_pairs(coverage: Coverage) -> str:
+    counts = coverage.pair_counts()
+    kinds = sorted(FAULT_KINDS)
+    max_count = max(counts.values(), default=1)
+    head = "".join(f"<th class=v>{kind}" for kind in kinds)
     rows = []
-    for i, a in enumerate(names):
-        cells = ["<td>" if j < i else "" for j in range(i)]
-        for b in names[i:]:
-            count = met.get((a, b), 0)
-            cells.append(f"<td class=n{shade(count, most)}>{count}")
-        rows.append(f"<tr><th>{a}{''.join(cells)}")
-    return f"<table><tr><th>{head}{''.join(rows)}</table><p>{len(seen.unmet_pairs())} pairs have not met.</p>"
-
-
-def stages(seen: Coverage) -> str:
-    met = seen.stage_counts()
-    names, found = sorted(FAULT_KINDS), sorted({stage for _, stage in met})
-    most = max(met.values(), default=1)
-    head = "".join(f"<th class=v>{s}" for s in found)
-    rows = [
-        f"<tr><th>{a}"
-        + "".join(f"<td class=n{shade(met.get((a, s), 0), most)}>{met.get((a, s), 0)}" for s in found)
-        for a in names
-    ]
+    for index, kind in enumerate(kinds):
+        cells = ["<td>"] * index
+        for other in kinds[index:]:
+            count = counts.get((kind, other), 0)
+            cells.append(f"<td class=n{_shade(count, max_count)}>{count}")
+        rows.append(f"<tr><th>{kind}{''.join(cells)}")
+    unmet_count = len(coverage.unmet_pairs())
+    return f"<table><tr><th>{head}{''.join(rows)}</table><p>{unmet_count} pairs have not met.</p>"
+
+
+def _render_stages(coverage: Coverage) -> str:
+    counts = coverage.stage_counts()
+    stages = sorted({stage for _, stage in counts})
+    max_count = max(counts.values(), default=1)
+    head = "".join(f"<th class=v>{stage}" for stage in stages)
+    rows = []
+    for kind in sorted(FAULT_KINDS):
+        stage_counts = [counts.get((kind, stage), 0) for stage in stages]
+        cells = [f"<td class=n{_shade(count, max_count)}>{count}" for count in stage_counts]
+        rows.append(f"<tr><th>{kind}{''.join(cells)}")
     return f"<table><tr><th>{head}{''.join(rows)}</table>"
 
 
-def histogram(rested: list[float]) -> str:
-    """As a picture within the page; matplotlib is loaded here and nowhere else."""
-    if not rested:
+def _render_histogram(recovery_ms: list[float]) -> str:
+    """Returns a picture within the page; matplotlib is loaded here and nowhere else."""
+    if not recovery_ms:
         return ""
     import matplotlib
 
     matplotlib.use("svg")
     from matplotlib import pyplot
 
-    figure, axes = pyplot.subplots(figsize=(8, 2.6))
-    axes.hist([ms / 1000.0 for ms in rested], bins=40, color="#2a6ea6")
+    figure, axes = pyplot.subplots(figsize=HISTOGRAM_SIZE_INCHES)
+    axes.hist([ms / 1000.0 for ms in recovery_ms], bins=HISTOGRAM_BINS_COUNT, color="#2a6ea6")
     axes.set_xlabel("s from the last fault's end until all is well")
     axes.set_ylabel("days")
     figure.tight_layout()
     out = io.StringIO()
     figure.savefig(out, format="svg")
     pyplot.close(figure)
-    return f"<figure>{out.getvalue()[out.getvalue().index('<svg') :]}</figure>"
+    svg = out.getvalue()
+    return f"<figure>{svg[svg.index('<svg') :]}</figure>"
--- a/landingshift/testbed/experiments/rows.py
+++ b/landingshift/testbed/experiments/rows.py
@@ -41,6 +41,10 @@
         if not holds:
             self.violations.append(violation)
 
+    def record_max(self, name: str, value: float) -> None:
+        """Notes a figure, of which the largest of all runs counts."""
+        self.figures[name] = max(self.figures.get(name, 0.0), round(value, 2))
+
     def to_json(self) -> dict[str, Any]:
         """Returns the row under the keys of `--json`."""
         return {
--- a/landingshift/testbed/experiments/scenarios.py
+++ b/landingshift/testbed/experiments/scenarios.py
@@ -15,7 +15,7 @@
 import msgspec
 from msgspec import Struct
 
-from landingshift.testbed.errors import InvalidScenarioError
+from landingshift.testbed.errors import InvalidScenarioError, UndecodableScenarioError, VoterCountError
 
 MAX_FAULTS = 24
 """Of one drawn scenario."""
@@ -298,11 +298,11 @@
     try:
         scenario = msgspec.json.decode(data, type=Scenario)
     except msgspec.DecodeError as err:
-        raise InvalidScenarioError("not a day", str(err)) from err
+        raise UndecodableScenarioError(str(err)) from err
     for index, fault in enumerate(scenario.faults):
         _validate_fault(scenario, index, fault)
     if not 1 <= scenario.voter_count <= scenario.server_count <= MAX_SERVERS_COUNT:
-        raise InvalidScenarioError("servers, voters", "1 <= voters <= servers <= 1000 is expected")
+        raise VoterCountError(MAX_SERVERS_COUNT)
     return scenario
 
 
--- a/tests/test_policies_histories.py
+++ b/tests/test_policies_histories.py
@@ -4,27 +4,28 @@
 
 import unittest
 
-from landingshift.testbed.experiments.policies import VIRTUAL, histories, searched, virtual
+from landingshift.testbed.experiments.policies import play_histories, play_search, play_virtual_row
+from landingshift.testbed.experiments.policies_virtual_cases import VIRTUAL_ROWS
 from landingshift.testbed.processes.history import without_pauses
 from landingshift.testbed.verification.invariants import find_violations
 
 
 class Histories(unittest.TestCase):
     def test_invariants_hold_under_random_faults(self) -> None:
-        row = histories(0, 40, "")
+        row = play_histories(0, 40, "")
         self.assertEqual(row.violations, [])
         self.assertGreater(row.figures["taken"], 40)
 
     def test_invariants_hold_in_each_scenario(self) -> None:
-        for name in VIRTUAL:
+        for name in VIRTUAL_ROWS:
             with self.subTest(name=name):
-                row = virtual(name, 4, 1, "")
+                row = play_virtual_row(name, 4, 1, "")
                 self.assertEqual(row.violations, [], row.figures)
 
     def test_invariants_hold_in_every_order_of_a_small_model(self) -> None:
-        self.assertEqual(searched(5, 4000, "").violations, [])
+        self.assertEqual(play_search(5, 4000, "").violations, [])
         for defence in ("lease", "ask"):
-            self.assertIn("all_or_none", str(searched(6, 12_000, defence).violations))
+            self.assertIn("all_or_none", str(play_search(6, 12_000, defence).violations))
 
     def test_each_defence_taken_away_breaks_an_invariant(self) -> None:
         """The same histories without one part of the rules: an invariant must be seen to break."""
@@ -36,7 +37,9 @@
             ("disk", "forgets", "one_"),
         ]:
             with self.subTest(defence=defence):
-                row = virtual(scenario, 20, 1, defence) if scenario else histories(0, 30, defence)
+                row = (
+                    play_virtual_row(scenario, 20, 1, defence) if scenario else play_histories(0, 30, defence)
+                )
                 self.assertTrue(any(invariant in text for text in row.violations), row.violations[:5])
 
 
