--- a/landingshift/testbed/experiments/cold_start.py
+++ b/landingshift/testbed/experiments/cold_start.py
@@ -12,7 +12,12 @@
 
 from landingshift.testbed import MEMORY
 from landingshift.testbed.experiments.rows import ExperimentRow
-from landingshift.testbed.simulation.cold_start import ColdStartCase, ColdStartSimulation, address
+from landingshift.testbed.simulation.cold_start import (
+    ColdStartCase,
+    ColdStartSimulation,
+    address,
+    peak_per_second,
+)
 from landingshift.testbed.simulation.leases import LeaseSimulation
 from landingshift.testbed.verification.search_leases import LeaseSearch
 
@@ -60,7 +65,7 @@
 def bounds(row: ExperimentRow, rise: ColdStartSimulation) -> None:
     case = rise.case
     row.violations += rise.violations[:2]
-    calls, asks = rise.peak_calls_per_second(), rise.peak_per_second(rise.list_poll_times_ms)
+    calls, asks = rise.peak_calls_per_second(), peak_per_second(rise.list_poll_times_ms)
     row.require(not rise.store.is_overloaded, "the store fell")
     row.require(
         calls <= PEAK * case.downstream_calls_per_second,
--- a/landingshift/testbed/simulation/cold_start.py
+++ b/landingshift/testbed/simulation/cold_start.py
@@ -1,13 +1,13 @@
-"""A fleet that comes up, in virtual time: the decisions of `fleet` and `coldstart` over a store and a list.
+"""The cold start of a whole cluster in virtual time: the decisions of `membership` and `coldstart`.
 
-The store bears so many calls a second; crowded past that it works at a third, and comes back only once the
-crowd is gone. A server is warm once its cache is filled, which takes `fill` calls, and `cold_ms` have passed.
-What is checked is read off the history: the sum of all shares at any look, places, the store's crowd.
+Servers fill their caches from a store that bears so many calls a second and breaks down when it is crowded; a
+service lists the servers that have asked it before. A server is warm once its cache is filled and its warm-up
+time has passed. Checked at each sample: the sum of all call quotas, and of all start permits.
 """
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from functools import partial
 from math import inf, log
 from random import Random
@@ -21,19 +21,55 @@
 from landingshift.membership.messages import MemberRecord, MemberState, Message
 from landingshift.membership.node import SwimNode
 from landingshift.membership.timings import SwimTimings
+from landingshift.testbed.simulation.downstream_store import SimulatedStore
 from landingshift.testbed.simulation.virtual_time import Address, SimulatedHost, SimulatedNetwork
 
-LOOK = 100.0  # ms between two steps of a server, and of the world
-PORT = 7101
-
-
-def address(i: int) -> Address:
-    return f"10.{i // 62500}.{i // 250 % 250}.{i % 250 + 1}", PORT
+STEP_MS = 100.0
+"""Between two steps of a server, and between two samples of the cluster."""
+SERVER_PORT = 7101
+MAX_MEMBER_COUNT = 10_000
+SNAPSHOT_ADDRESS_COUNT = 16
+"""Addresses of other servers that a server has from a snapshot, or gets from the list."""
+LIST_TIMEOUT_MS = 3000.0
+LIST_LATENCY_MS = 20.0
+COLD_CALLS_PER_SECOND = 10.0
+"""What the cores of a server can ask of the store while its cache is cold."""
+WARM_CALLS_PER_SECOND = 1.0
+CLOCK_OFFSETS_MS = (-1e6, 1e6)
+WARM_CLUSTER_FRACTION = 0.95
+"""Of its servers, by which a cluster counts as warm."""
+ROUNDING_FACTOR = 1.0001
+"""By which a sum of quotas may be off."""
+MAX_VIOLATION_COUNT = 20
+DISCOVERY_BY_LIST = "list"
+DISCOVERY_BY_SNAPSHOT = "snapshot"
+NO_DISCOVERY = "nobody"
+
+
+def address(index: int) -> Address:
+    """Returns the address of a server."""
+    return f"10.{index // 62500}.{index // 250 % 250}.{index % 250 + 1}", SERVER_PORT
 
 
 @dataclass(slots=True)
 class ColdStartCase:
-    """What is to come up, and over what. `calls` a second that the store bears, `asks` that the list does."""
+    """What is to start, and over what.
+
+    Attributes:
+        server_count: Servers of the cluster.
+        grantor_count: The first of them grant leases.
+        zone_count: Zones that the servers are spread over.
+        downstream_calls_per_second: What the store bears.
+        list_polls_per_second: What the endpoint list bears.
+        cache_fill_calls: Calls that fill a server's cache.
+        warm_up_ms: That a server's cores need.
+        permits: Start permits at the beginning and at the most; 0 for the settings' defaults.
+        discovery: How servers find each other: DISCOVERY_BY_LIST, DISCOVERY_BY_SNAPSHOT (all know some
+            addresses) or NO_DISCOVERY.
+        list_up_ms: From when until when the list service answers.
+        is_after_power_cut: All machines have just started, so that no grantor needs a recovery grace.
+        is_uncoordinated: The baseline: each server calls as it likes and asks the list at once.
+    """
 
     server_count: int = 200
     grantor_count: int = 4
@@ -42,265 +78,293 @@
     list_polls_per_second: float = 20.0
     cache_fill_calls: float = 20.0
     warm_up_ms: float = 4_000.0
-    permits: tuple[float, float] = (0.0, 0.0)  # at the beginning, at most; 0: as the settings' default
-    discovery: str = "list"  # "snapshot": all know some addresses; "list": the list service does; "nobody"
-    list_up_ms: tuple[float, float] = (0.0, 1e12)  # from, until, ms
-    is_after_power_cut: bool = False  # all machines were started just before: no lender has to keep quiet
-    is_uncoordinated: bool = False  # no talk: each calls as it likes and asks the list at once
+    permits: tuple[float, float] = (0.0, 0.0)
+    discovery: str = DISCOVERY_BY_LIST
+    list_up_ms: tuple[float, float] = (0.0, 1e12)
+    is_after_power_cut: bool = False
+    is_uncoordinated: bool = False
 
     def plan(self) -> ColdStartPlan:
-        names = [f"n{i}" for i in range(self.grantor_count)]
-        first, most = self.permits
-        found = Settings(
+        """Returns what the servers are configured with."""
+        initial_permits, max_permits = self.permits
+        settings = Settings(
             max_servers=self.server_count,
-            grantor_names=names,
+            grantor_names=[f"n{index}" for index in range(self.grantor_count)],
             downstream_calls_per_second=self.downstream_calls_per_second,
-            initial_permits=first,
-            max_permits=most,
+            initial_permits=initial_permits,
+            max_permits=max_permits,
         )
-        return cold_start_plan(found)
+        return cold_start_plan(settings)
 
 
 class ColdStartServer:
-    """A server: its node, its agent, and the calls that it makes."""
-
-    def __init__(self, rise: ColdStartSimulation, i: int, run: int, now: float) -> None:
-        case = rise.case
-        self.rise, self.i, self.born = rise, i, now
-        chance = Random(f"{rise.seed} {i} {run}")
-        host, port = address(i)
-        me = MemberRecord(
-            f"n{i}",
-            host,
-            port,
-            f"z{i % case.zone_count}",
-            chance.getrandbits(48),
-            0,
-            0,
-            MemberState.ALIVE,
-            "",
-            {},
+    """One process of a server: membership, the cold start, and the calls that fill its cache.
+
+    Attributes:
+        index: Number of the server.
+        started_at_ms: By its clock.
+        node: Membership.
+        agent: The cold start's coordinator.
+        poller: Asks the endpoint list.
+        saturation: What the calls tell of the store.
+        cache_fill_count: Calls that have succeeded.
+        opened_at_ms: When it began to take RPCs, by its clock; 0 before.
+    """
+
+    def __init__(self, simulation: ColdStartSimulation, index: int, run_number: int, now_ms: float) -> None:
+        case = simulation.case
+        self._simulation = simulation
+        self._case = case
+        self.index = index
+        self.started_at_ms = now_ms
+        # All parts draw from one generator: the order of their making belongs to the history.
+        rng = Random(f"{simulation.seed} {index} {run_number}")
+        host, port = address(index)
+        record = MemberRecord(
+            name=f"n{index}",
+            host=host,
+            port=port,
+            zone=f"z{index % case.zone_count}",
+            run_id=rng.getrandbits(48),
+            incarnation=0,
+            metadata_version=0,
+            state=MemberState.ALIVE,
+            reported_by="",
+            metadata={},
         )
-        known = [address(chance.randrange(case.server_count)) for _ in range(16)]
-        peers = known if case.discovery == "snapshot" else []
-        self.node = SwimNode(me, peers, SwimTimings(), 10_000, chance, now, rise.log(i))
-        self.agent = ColdStartCoordinator(
-            self.node, rise.plan, chance, now, 0.0 if case.is_after_power_cut else None
+        snapshot = [address(rng.randrange(case.server_count)) for _ in range(SNAPSHOT_ADDRESS_COUNT)]
+        contacts = snapshot if case.discovery == DISCOVERY_BY_SNAPSHOT else []
+        self.node = SwimNode(
+            record, contacts, SwimTimings(), MAX_MEMBER_COUNT, rng, now_ms, partial(self._on_log, index)
         )
-        self.seek = ServiceDiscoveryPoller(
-            case.server_count, case.list_polls_per_second, bool(peers), 3_000.0, chance, now
+        uptime_ms = 0.0 if case.is_after_power_cut else None
+        self.agent = ColdStartCoordinator(self.node, simulation.plan, rng, now_ms, uptime_ms)
+        self.poller = ServiceDiscoveryPoller(
+            case.server_count, case.list_polls_per_second, bool(contacts), LIST_TIMEOUT_MS, rng, now_ms
         )
         if case.is_uncoordinated:
-            self.seek.next_poll_ms = now
-        self.look_at = now + LOOK * chance.random()
-        self.strain = DownstreamSaturation()
-        self.filled = self.owed = 0.0
-        self.opened_at_ms = 0.0  # when it began to take RPCs
+            self.poller.next_poll_ms = now_ms
+        self.saturation = DownstreamSaturation()
+        self.cache_fill_count = 0.0
+        self.opened_at_ms = 0.0
+        self._owed_calls = 0.0
+        self._next_step_ms = now_ms + STEP_MS * rng.random()
+
+    def _on_log(self, index: int, event: str, **_fields: Any) -> None:
+        self._simulation.log_lines.append((self._simulation.network.now_ms, index, event))
 
-    # For the world of virtual time
+    # For its host
 
-    def on_message(self, message: Message, now: float) -> None:
-        self.node.on_message(message, now)
+    def on_message(self, message: Message, now_ms: float) -> None:
+        """Handles a datagram."""
+        self.node.on_message(message, now_ms)
 
     def next_deadline_ms(self) -> float:
-        return min(self.node.next_deadline_ms(), self.look_at)
+        """Returns when `on_timer` is to be called next."""
+        return min(self.node.next_deadline_ms(), self._next_step_ms)
 
     def take_outgoing(self) -> list[tuple[Address, Any]]:
+        """Returns the datagrams to send."""
         return self.node.take_outgoing()
 
-    def on_timer(self, now: float) -> None:
-        if self.node.next_deadline_ms() <= now:
-            self.node.on_timer(now)
-        if now >= self.look_at:
-            dt, self.look_at = LOOK, now + LOOK
-            self.node.now_ms = now
-            self.step(now, dt)
-
-    def step(self, now: float, dt: float) -> None:
-        case, agent = self.rise.case, self.agent
-        seen = LoadObservation(
-            warm_fraction=self.warmth(now),
-            needed_calls_per_second=self.need(now),
-            waiting_rpcs_per_second=float(self.i % 7),
-            saturation=self.strain.saturation(now, agent.reported_baseline_ms),
-            baseline_latency_ms=self.strain.baseline_latency_ms,
+    def on_timer(self, now_ms: float) -> None:
+        """Does what membership has to do, and a step of the cold start where one is due."""
+        if self.node.next_deadline_ms() <= now_ms:
+            self.node.on_timer(now_ms)
+        if now_ms >= self._next_step_ms:
+            self._next_step_ms = now_ms + STEP_MS
+            self.node.now_ms = now_ms
+            self._step(now_ms)
+
+    def _step(self, now_ms: float) -> None:
+        observation = LoadObservation(
+            warm_fraction=self.warm_fraction(now_ms),
+            needed_calls_per_second=self._needed_calls_per_second(),
+            waiting_rpcs_per_second=float(self.index % 7),
+            saturation=self.saturation.saturation(now_ms, self.agent.reported_baseline_ms),
+            baseline_latency_ms=self.saturation.baseline_latency_ms,
         )
-        agent.on_timer(now, seen)
-        if agent.start_sequence.is_open or case.is_uncoordinated:
-            self.opened_at_ms = self.opened_at_ms or now
-            self.call(now, dt)
-        if case.discovery != "nobody" and self.seek.start_poll_if_due(now, self.node.has_joined):
-            self.rise.asked(self, now)
-
-    def need(self, now: float) -> float:
-        """Calls a second: as many as the cores can ask for while the cache is cold, few once it is warm."""
-        if not (self.agent.start_sequence.is_open or self.rise.case.is_uncoordinated):
+        self.agent.on_timer(now_ms, observation)
+        if self._is_open:
+            self.opened_at_ms = self.opened_at_ms or now_ms
+            self._call_store(now_ms)
+        has_list = self._case.discovery != NO_DISCOVERY
+        if has_list and self.poller.start_poll_if_due(now_ms, self.node.has_joined):
+            self._simulation.poll_list(self, now_ms)
+
+    @property
+    def _is_open(self) -> bool:
+        return self.agent.start_sequence.is_open or self._case.is_uncoordinated
+
+    def _needed_calls_per_second(self) -> float:
+        """As many as the cores can ask for while the cache is cold, few once it is warm."""
+        if not self._is_open:
             return 0.0
-        return 1.0 if self.filled >= self.rise.case.cache_fill_calls else 10.0
+        is_cache_warm = self.cache_fill_count >= self._case.cache_fill_calls
+        return WARM_CALLS_PER_SECOND if is_cache_warm else COLD_CALLS_PER_SECOND
 
-    def warmth(self, now: float) -> float:
+    def warm_fraction(self, now_ms: float) -> float:
+        """Returns the share of its capacity that the server has reached."""
         if not self.opened_at_ms:
             return 0.0
-        age = (now - self.opened_at_ms) / self.rise.case.warm_up_ms
-        return min(1.0, age, self.filled / self.rise.case.cache_fill_calls)
-
-    def call(self, now: float, dt: float) -> None:
-        most = (
-            self.need(now)
-            if self.rise.case.is_uncoordinated
-            else min(self.need(now), self.agent.call_quota(now))
-        )
-        self.owed = min(1.0 + most * dt / 1000.0, self.owed + most * dt / 1000.0)
-        while self.owed >= 1.0:
-            self.owed -= 1.0
-            good, took = self.rise.store.call(self.rise.network.now_ms)
-            self.strain.on_call_finished(now, good, took)
-            self.filled += good
-
-
-@dataclass(slots=True)
-class SimulatedStore:
-    """`bears` calls a second; what waits there is worked off at that rate, at a third once it is crowded."""
-
-    calls_per_second: float
-    base: float = 20.0  # ms of a call
-    queued_calls: float = 0.0
-    at: float = 0.0  # when that was so, ms
-    is_overloaded: bool = False
-    in_look: int = 0
-    made: list[int] = field(default_factory=list)  # calls by look
-
-    def call(self, now: float) -> tuple[bool, float]:
-        self.work(now)
-        self.in_look += 1
-        self.queued_calls += 1.0
-        took = self.base + self.queued_calls * 1000.0 / self.rate()
-        return took < 2_000.0 and not self.is_overloaded, min(took, 2_000.0)
-
-    def rate(self) -> float:
-        return self.calls_per_second / 3.0 if self.is_overloaded else self.calls_per_second
-
-    def work(self, now: float) -> None:
-        """All the time, not look by look: else calls that come evenly would seem to crowd each other."""
-        self.queued_calls = max(0.0, self.queued_calls - self.rate() * (now - self.at) / 1000.0)
-        self.at = now
-
-    def look(self, now: float) -> None:
-        self.work(now)
-        if self.queued_calls > 2.0 * self.calls_per_second:
-            self.is_overloaded = True
-        elif self.queued_calls < 0.05 * self.calls_per_second:
-            self.is_overloaded = False
-        self.made.append(self.in_look)
-        self.in_look = 0
+        age_fraction = (now_ms - self.opened_at_ms) / self._case.warm_up_ms
+        return min(1.0, age_fraction, self.cache_fill_count / self._case.cache_fill_calls)
+
+    def _call_store(self, now_ms: float) -> None:
+        """Makes the calls of one step, as many as the server needs and may make."""
+        calls_per_second = self._needed_calls_per_second()
+        if not self._case.is_uncoordinated:
+            calls_per_second = min(calls_per_second, self.agent.call_quota(now_ms))
+        step_calls = calls_per_second * STEP_MS / 1000.0
+        self._owed_calls = min(1.0 + step_calls, self._owed_calls + step_calls)
+        while self._owed_calls >= 1.0:
+            self._owed_calls -= 1.0
+            succeeded, duration_ms = self._simulation.store.call(self._simulation.network.now_ms)
+            self.saturation.on_call_finished(now_ms, succeeded, duration_ms)
+            self.cache_fill_count += succeeded
 
 
 class ColdStartSimulation:
-    """One run; `run(ms)` goes on, `broken` names what did not hold."""
-
-    def __init__(self, case: ColdStartCase, seed: int, **world: Any) -> None:
-        self.case, self.seed, self.plan = case, seed, case.plan()
-        self.network = SimulatedNetwork(seed, **world)
+    """One run of a case.
+
+    Attributes:
+        case: What starts.
+        seed: Of all that is drawn.
+        plan: What the servers are configured with.
+        network: The network and the virtual time.
+        store: What the servers call.
+        servers: Those that run, by their numbers.
+        hosts: Of each server's latest process.
+        log_lines: What membership logged: time, number of the server, event.
+        violations: What did not hold.
+        list_poll_times_ms: When the list service was asked.
+        has_recovery_grace: False takes the defence that a grantor which starts grants nothing for a lease.
+        max_quota_sum: The largest sum of call quotas in any sample.
+        max_permits_held: The most start permits held in any sample.
+        warm_at_ms: When the cluster was warm; -1 before.
+        warm_fractions: The share of its servers that were warm, by sample.
+    """
+
+    def __init__(self, case: ColdStartCase, seed: int, **network_options: Any) -> None:
+        self.case = case
+        self.seed = seed
+        self.plan = case.plan()
+        self.network = SimulatedNetwork(seed, **network_options)
         self.store = SimulatedStore(case.downstream_calls_per_second)
         self.servers: dict[int, ColdStartServer] = {}
         self.hosts: dict[int, SimulatedHost] = {}
         self.log_lines: list[tuple[float, int, str]] = []
         self.violations: list[str] = []
-        self.list_poll_times_ms: list[float] = []  # times at which the list service was asked
-        self.listed: list[Address] = []
-        self.runs = 0
-        self.has_recovery_grace = True  # whether a lender that starts keeps quiet for a lease
-        self.most_shares = self.most_places = 0.0
-        self.warm_at_ms = -1.0  # when 95 % of the capacity was warm
-        self.warm_fractions: list[float] = []  # share that is warm, by look
-        self.offsets = Random(f"{seed} clocks")
-        self.network.schedule_after(LOOK, self.look)
-
-    def log(self, i: int) -> Any:
-        return lambda event, **fields: self.log_lines.append((self.network.now_ms, i, event))
-
-    def start(self, i: int) -> ColdStartServer:
-        """Clocks are anything; only their pace is alike."""
-        self.runs += 1
-        offset = self.offsets.uniform(-1e6, 1e6)
-        mind = self.servers[i] = ColdStartServer(self, i, self.runs, self.network.now_ms + offset)
-        if mind.agent.grantor is not None and not self.has_recovery_grace:
-            mind.agent.grantor.set_recovery_grace_until(mind.born)
-        self.hosts[i] = self.network.start_host(address(i), mind, offset)
-        return mind
-
-    def start_all(self, spread: float = 1_000.0) -> None:
-        for i in range(self.case.server_count):
-            self.network.schedule_at(self.network.rng.uniform(0.0, spread), partial(self.start, i))
-
-    def kill(self, i: int) -> None:
-        self.network.kill(address(i))
-        del self.servers[i]
-
-    def asked(self, mind: ColdStartServer, now: float) -> None:
-        """The list service: answers with who has asked before, if it is up."""
+        self.list_poll_times_ms: list[float] = []
+        self.has_recovery_grace = True
+        self.max_quota_sum = 0.0
+        self.max_permits_held = 0.0
+        self.warm_at_ms = -1.0
+        self.warm_fractions: list[float] = []
+        self._listed_addresses: list[Address] = []
+        self._run_count = 0
+        self._clock_rng = Random(f"{seed} clocks")
+        self.network.schedule_after(STEP_MS, self._sample)
+
+    def start(self, index: int) -> None:
+        """Starts a new process of a server; its clock shows anything."""
+        self._run_count += 1
+        clock_offset_ms = self._clock_rng.uniform(*CLOCK_OFFSETS_MS)
+        server = ColdStartServer(self, index, self._run_count, self.network.now_ms + clock_offset_ms)
+        self.servers[index] = server
+        if server.agent.grantor is not None and not self.has_recovery_grace:
+            server.agent.grantor.set_recovery_grace_until(server.started_at_ms)
+        self.hosts[index] = self.network.start_host(address(index), server, clock_offset_ms)
+
+    def start_all(self, spread_ms: float = 1_000.0) -> None:
+        """Has all servers started within a time."""
+        for index in range(self.case.server_count):
+            self.network.schedule_at(self.network.rng.uniform(0.0, spread_ms), partial(self.start, index))
+
+    def kill(self, index: int) -> None:
+        """Kills a server's process."""
+        self.network.kill(address(index))
+        del self.servers[index]
+
+    def run(self, duration_ms: float) -> None:
+        """Lets time pass."""
+        self.network.run_until(self.network.now_ms + duration_ms)
+
+    def poll_list(self, server: ColdStartServer, server_now_ms: float) -> None:
+        """Asks the list service, which answers, if it is up, with some of those that have asked before."""
         self.list_poll_times_ms.append(self.network.now_ms)
-        up, down = self.case.list_up_ms
-        good = up <= self.network.now_ms < down
-        entries = self.network.rng.sample(self.listed, min(16, len(self.listed))) if good else []
-        if good:
-            self.listed.append(address(mind.i))
+        up_from_ms, up_until_ms = self.case.list_up_ms
+        is_up = up_from_ms <= self.network.now_ms < up_until_ms
+        addresses: list[Address] = []
+        if is_up:
+            count = min(SNAPSHOT_ADDRESS_COUNT, len(self._listed_addresses))
+            addresses = self.network.rng.sample(self._listed_addresses, count)
+            self._listed_addresses.append(address(server.index))
 
         def answer() -> None:
-            mind.seek.on_poll_finished(now, good)
-            mind.node.add_contact_addresses(entries)
-
-        self.network.schedule_after(20.0, answer)
-
-    def look(self) -> None:
-        self.store.look(self.network.now_ms)
-        shares = places = warm = 0.0
-        for i, mind in self.servers.items():
-            now = self.hosts[i].clock_ms()
-            shares += mind.agent.call_quota(now)
-            places += mind.agent.has_start_permit(now)
-            warm += mind.warmth(now) >= 1.0
-        self.most_shares, self.most_places = max(self.most_shares, shares), max(self.most_places, places)
-        if shares > self.case.downstream_calls_per_second * 1.0001 and not self.case.is_uncoordinated:
-            self.must(
-                False,
-                f"shares of {shares:.1f} where the store bears {self.case.downstream_calls_per_second:g}",
-            )
-        self.must(places <= self.plan.max_permits, f"{places:g} places of {self.plan.max_permits:g}")
-        self.warm_fractions.append(warm / self.case.server_count)
-        if self.warm_at_ms < 0.0 and warm >= 0.95 * self.case.server_count:
+            server.poller.on_poll_finished(server_now_ms, is_up)
+            server.node.add_contact_addresses(addresses)
+
+        self.network.schedule_after(LIST_LATENCY_MS, answer)
+
+    def _sample(self) -> None:
+        self.store.sample(self.network.now_ms)
+        quota_sum = 0.0
+        permits_held = 0.0
+        warm_count = 0.0
+        for index, server in self.servers.items():
+            now_ms = self.hosts[index].clock_ms()
+            quota_sum += server.agent.call_quota(now_ms)
+            permits_held += server.agent.has_start_permit(now_ms)
+            warm_count += server.warm_fraction(now_ms) >= 1.0
+        self.max_quota_sum = max(self.max_quota_sum, quota_sum)
+        self.max_permits_held = max(self.max_permits_held, permits_held)
+        self._check_bounds(quota_sum, permits_held)
+        self.warm_fractions.append(warm_count / self.case.server_count)
+        if self.warm_at_ms < 0.0 and warm_count >= WARM_CLUSTER_FRACTION * self.case.server_count:
             self.warm_at_ms = self.network.now_ms
-        self.network.schedule_after(LOOK, self.look)
+        self.network.schedule_after(STEP_MS, self._sample)
 
-    def must(self, holds: bool, what: str) -> None:
-        if not holds and len(self.violations) < 20:
-            self.violations.append(f"{self.network.now_ms:.0f} ms: {what}")
+    def _check_bounds(self, quota_sum: float, permits_held: float) -> None:
+        """Checks that no more is leased than there is."""
+        max_quota_sum = self.case.downstream_calls_per_second
+        if quota_sum > max_quota_sum * ROUNDING_FACTOR and not self.case.is_uncoordinated:
+            self._add_violation(f"shares of {quota_sum:.1f} where the store bears {max_quota_sum:g}")
+        if permits_held > self.plan.max_permits:
+            self._add_violation(f"{permits_held:g} places of {self.plan.max_permits:g}")
 
-    def run(self, ms: float) -> None:
-        self.network.run_until(self.network.now_ms + ms)
+    def _add_violation(self, text: str) -> None:
+        if len(self.violations) < MAX_VIOLATION_COUNT:
+            self.violations.append(f"{self.network.now_ms:.0f} ms: {text}")
 
     # Figures
 
     def min_warm_up_ms(self) -> float:
-        """ms that 95 % need at the least: of the calls that the store bears those that are warm take one each
-        a second and the rest fills caches; and none is warm before its cores are."""
+        """Returns the least time in which the cluster can be warm.
+
+        Of the calls that the store bears, warm servers take one each a second, and the rest fills caches; and
+        none is warm before its cores are.
+        """
         case = self.case
-        left = 1.0 - 0.95 * case.server_count / case.downstream_calls_per_second
-        by_store = -case.cache_fill_calls * log(left) * 1000.0 if left > 0.0 else inf
-        return max(by_store, case.warm_up_ms)
-
-    def peak_per_second(self, times: list[float]) -> int:
-        """Most within any second."""
-        times = sorted(times)
-        most = first = 0
-        for last, time in enumerate(times):
-            while times[first] < time - 1000.0:
-                first += 1
-            most = max(most, last - first + 1)
-        return most
+        warm_calls_per_second = WARM_CLUSTER_FRACTION * case.server_count
+        spare_fraction = 1.0 - warm_calls_per_second / case.downstream_calls_per_second
+        cache_fill_ms = -case.cache_fill_calls * log(spare_fraction) * 1000.0 if spare_fraction > 0.0 else inf
+        return max(cache_fill_ms, case.warm_up_ms)
 
     def peak_calls_per_second(self) -> int:
-        made, most = self.store.made, 0
-        for i in range(len(made)):
-            most = max(most, sum(made[i : i + int(1000.0 / LOOK)]))
-        return most
+        """Returns the most calls that the store saw within a second."""
+        counts = self.store.calls_by_interval
+        window = int(1000.0 / STEP_MS)
+        return max((sum(counts[start : start + window]) for start in range(len(counts))), default=0)
+
+
+def peak_per_second(times_ms: list[float]) -> int:
+    """Returns the most events within any second."""
+    ordered_ms = sorted(times_ms)
+    peak = 0
+    first = 0
+    for last, time_ms in enumerate(ordered_ms):
+        while ordered_ms[first] < time_ms - 1000.0:
+            first += 1
+        peak = max(peak, last - first + 1)
+    return peak
--- a/landingshift/testbed/simulation/policy_change.py
+++ b/landingshift/testbed/simulation/policy_change.py
@@ -1,301 +1,396 @@
-"""Changes of policy in virtual time: the decisions of `policies` over a network and disks with faults.
+"""Policy changes in virtual time: the decisions of `policies` over a network and disks with faults.
 
-The same objects as on a server's loop; what they decide by is written into a history for `promises`.
-`away` takes one defence: "lease" (armed servers go on without one), "ask" (a server decides before it has
-asked), "sure" (a leader speaks without knowing that it leads), "arm" (a change is taken without waiting for
-all), "disk" (what a voter answers for is not on its disk).
+The objects are those of a server's event loop; what they decide by is written into a history for the
+invariants. A run may lack one defence (`REMOVABLE_DEFENCES`), so that a violation must be found.
 """
 
 from __future__ import annotations
 
 import copy
+from collections.abc import Callable
 from random import Random
 from typing import Any
 
-import msgspec
-
 from landingshift.consensus.persistent_state import PersistentState
 from landingshift.consensus.timeouts import RaftTimeouts
 from landingshift.policies.commands import FINAL_OUTCOMES
 from landingshift.policies.messages import ChangeVoters, DeclareDeparted, FindChange, ProposeChange
 from landingshift.policies.node import PolicyNode
 from landingshift.policies.policy_settings import PolicySettings
+from landingshift.testbed.simulation.policy_documents import AUTHOR, COMMENT, policy_document
+from landingshift.testbed.simulation.removed_defences import (
+    DURABLE_WRITE,
+    LEADER_LEASE,
+    PARTICIPANT_LEASE,
+    STATUS_REQUEST,
+    WAIT_FOR_ALL,
+    remove_from_policies,
+)
 from landingshift.testbed.simulation.virtual_time import Address, SimulatedHost, SimulatedNetwork
-from landingshift.testbed.verification.invariants import History
+from landingshift.testbed.verification.history import ChangeEnded, History, PolicyUsed
 
-LOOK = 25.0  # ms between two decisions of one server, about
-TIMES = RaftTimeouts(heartbeat_interval_ms=100.0, election_timeout_ms=500.0)
-AWAY = ("lease", "ask", "sure", "arm", "disk")
+REMOVABLE_DEFENCES = (PARTICIPANT_LEASE, STATUS_REQUEST, LEADER_LEASE, WAIT_FOR_ALL, DURABLE_WRITE)
+MEAN_DECISION_INTERVAL_MS = 25.0
+"""Between two RPCs that a server decides."""
+RAFT_TIMEOUTS = RaftTimeouts(heartbeat_interval_ms=100.0, election_timeout_ms=500.0)
+DEFAULT_SETTINGS = {"lease_ms": 900.0, "clock_margin_ms": 100.0, "change_timeout_ms": 6000.0}
+CLOCK_OFFSETS_MS = (-1e6, 1e6)
+CLOCK_RATES = (0.99, 1.01)
+SETTLING_MS = 12_000.0
+ANSWER_MS = 1500.0
+"""In which a server finds out how a change ended."""
 
 
 def address(name: str) -> Address:
+    """Returns the address of a server."""
     return name, 0
 
 
-def policy_document(number: int) -> bytes:
-    return msgspec.msgpack.encode({"methods": {"m": {"criticality": float(number + 2)}}})
-
-
 class PolicyServer:
-    """One server: its part, its disk, and RPCs that it decides."""
-
-    def __init__(self, hall: PolicyChangeSimulation, name: str, now: float) -> None:
-        self.hall, self.name = hall, name
-        self.run = hall.rng.getrandbits(32)
-        stored = copy.deepcopy(hall.disks[name]) if name in hall.disks else None
-        check = hall.policy_checks.get(name, lambda policy: "")
+    """One process of a server: its policies, and RPCs that it decides by them.
+
+    Attributes:
+        name: Of the server.
+        run_id: Of the process.
+        policy_node: Its policies, and on a voter consensus.
+        participant: The part of `policy_node` that decides by which version it may work.
+    """
+
+    def __init__(self, simulation: PolicyChangeSimulation, name: str, now_ms: float) -> None:
+        self._simulation = simulation
+        self.name = name
+        self.run_id = simulation.rng.getrandbits(32)
         self.policy_node = PolicyNode(
-            name, self.run, hall.settings, check, stored, hall.rng, now, lambda: hall.network.now_ms, TIMES
+            name,
+            self.run_id,
+            simulation.settings,
+            simulation.policy_checks.get(name, lambda _policy: ""),
+            copy.deepcopy(simulation.disks.get(name)),
+            simulation.rng,
+            now_ms,
+            lambda: simulation.network.now_ms,
+            RAFT_TIMEOUTS,
         )
         self.participant = self.policy_node.participant
         self.participant.discovery.list_alive_peers = lambda: [
-            n for n in hall.server_names if n != name and n not in hall.down_servers
+            other for other in simulation.running_names() if other != name
         ]
-        self.decide_at = now + LOOK * hall.rng.random()
-        hall.without(self)
+        self._next_decision_ms = now_ms + MEAN_DECISION_INTERVAL_MS * simulation.rng.random()
+        remove_from_policies(self.policy_node, simulation.removed_defence)
 
-    def clock_ms(self) -> float:
-        return self.hall.hosts[self.name].clock_ms()
+    @property
+    def host(self) -> SimulatedHost:
+        """The host that runs the latest process of this server."""
+        return self._simulation.hosts[self.name]
 
-    # For the world
+    def clock_ms(self) -> float:
+        """Returns what the host's clock shows."""
+        return self.host.clock_ms()
 
-    def on_message(self, message: Any, now: float) -> None:
-        who, body = message
-        self.policy_node.on_message(who, body, now)
+    def on_message(self, message: tuple[str, list[Any]], now_ms: float) -> None:
+        """Handles another server's message, which goes with the name of its sender."""
+        sender, body = message
+        self.policy_node.on_message(sender, body, now_ms)
 
     def next_deadline_ms(self) -> float:
-        return min(self.policy_node.next_deadline_ms(), self.decide_at)
-
-    def on_timer(self, now: float) -> None:
-        if self.policy_node.next_deadline_ms() <= now:
-            self.policy_node.tick(now)
-        if now >= self.decide_at:
-            self.decide_at = now + LOOK * self.hall.rng.uniform(0.5, 1.5)
-            self.decide(now)
+        """Returns when `on_timer` is to be called next."""
+        return min(self.policy_node.next_deadline_ms(), self._next_decision_ms)
+
+    def on_timer(self, now_ms: float) -> None:
+        """Does what the policies have to do, and decides an RPC where one is due."""
+        if self.policy_node.next_deadline_ms() <= now_ms:
+            self.policy_node.tick(now_ms)
+        if now_ms >= self._next_decision_ms:
+            interval_ms = MEAN_DECISION_INTERVAL_MS * self._simulation.rng.uniform(0.5, 1.5)
+            self._next_decision_ms = now_ms + interval_ms
+            self._decide(now_ms)
 
     def take_outgoing(self) -> list[tuple[Address, Any]]:
-        stored = self.policy_node.unsaved_state()
-        if stored is not None:
-            self.hall.save(self.name, stored)
-            if not self.hall.hosts[self.name].is_up:
+        """Writes what must be on disk first, then returns the messages that may go."""
+        unsaved = self.policy_node.unsaved_state()
+        if unsaved is not None:
+            self._simulation.save(self.name, unsaved)
+            if not self.host.is_up:
                 return []  # killed between write and sync
-            self.policy_node.on_state_saved(self.clock_ms())
-            self.policy_node.deliver_messages(self.clock_ms())
-        out = self.policy_node.take_outgoing()
-        while self.policy_node.unsaved_state() is not None:
-            self.hall.save(self.name, self.policy_node.unsaved_state())
-            self.policy_node.on_state_saved(self.clock_ms())
-            self.policy_node.deliver_messages(self.clock_ms())
-            out += self.policy_node.take_outgoing()
-        return [(address(to), (self.name, body)) for to, body in out]
-
-    def decide(self, now: float) -> None:
-        hall, f = self.hall, self.participant
-        free = (hall.removed_defence == "lease" and f.is_member) or (
-            hall.removed_defence == "ask" and not f.is_member
-        )
-        if free or f.may_decide(now):
-            hall.history.append((hall.network.now_ms, "decided", self.name, max(0, f.version), f.policy))
+            self._on_saved()
+        messages = self.policy_node.take_outgoing()
+        unsaved = self.policy_node.unsaved_state()
+        while unsaved is not None:
+            self._simulation.save(self.name, unsaved)
+            self._on_saved()
+            messages += self.policy_node.take_outgoing()
+            unsaved = self.policy_node.unsaved_state()
+        return [(address(receiver), (self.name, body)) for receiver, body in messages]
+
+    def _on_saved(self) -> None:
+        self.policy_node.on_state_saved(self.clock_ms())
+        self.policy_node.deliver_messages(self.clock_ms())
+
+    def _decide(self, now_ms: float) -> None:
+        """Decides an RPC by the version that this server may work by, if it may."""
+        removed_defence, participant = self._simulation.removed_defence, self.participant
+        needs_no_lease = removed_defence == PARTICIPANT_LEASE and participant.is_member
+        needs_no_answer = removed_defence == STATUS_REQUEST and not participant.is_member
+        if needs_no_lease or needs_no_answer or participant.may_decide(now_ms):
+            version = max(0, participant.version)
+            self._simulation.record(PolicyUsed.KIND, self.name, version, participant.policy)
 
 
 class PolicyChangeSimulation:
-    """`voters` of `servers` agree. Changes are proposed at random; `step(ms)` goes on."""
+    """Servers of which the first ones vote, and faults between them.
+
+    Attributes:
+        rng: Draws all that is left to chance.
+        removed_defence: The defence that all servers lack; "" for none.
+        network: The network and the virtual time.
+        server_names: Of all servers.
+        settings: Of all servers.
+        disks: Raft states by the names of the servers that are or could be voters.
+        policy_checks: By name, for servers that refuse policies: returns why, "" for none.
+        hosts: Of each server's latest process.
+        servers: The latest process of each server.
+        history: What has happened.
+        proposed_change_ids: Of all changes proposed.
+        crash_on_write_probability: Of a kill between write and sync.
+        down_servers: Names of those that do not run.
+    """
 
     def __init__(
         self,
         seed: int | str,
-        servers: int = 5,
-        voters: int = 3,
-        aside: bool = False,
+        server_count: int = 5,
+        voter_count: int = 3,
+        stands_aside: bool = False,
         removed_defence: str = "",
-        **plan: Any,
+        **settings: float,
     ) -> None:
-        self.rng, self.removed_defence = Random(f"{seed} hall"), removed_defence
+        """Starts all servers.
+
+        Args:
+            seed: Of all that is drawn.
+            server_count: How many servers there are.
+            voter_count: The first of them vote.
+            stands_aside: Whether servers that are cut off stop serving.
+            removed_defence: One of `REMOVABLE_DEFENCES`; "" for none.
+            settings: Fields of `PolicySettings` in place of the defaults.
+        """
+        self.rng = Random(f"{seed} hall")
+        self.removed_defence = removed_defence
         self.network = SimulatedNetwork(self.rng.getrandbits(48))
-        self.server_names = [f"n{i}" for i in range(servers)]
-        self.settings = PolicySettings(
-            tuple(self.server_names[:voters]),
-            aside,
-            **{"lease_ms": 900.0, "clock_margin_ms": 100.0, "change_timeout_ms": 6000.0} | plan,
-        )
-        self.disks = {
-            name: PersistentState() for name in self.server_names[: voters + 1]
-        }  # one more could be a voter
-        self.policy_checks: dict[str, Any] = {}
+        self.server_names = [f"n{index}" for index in range(server_count)]
+        voters = tuple(self.server_names[:voter_count])
+        self.settings = PolicySettings(voters, stands_aside, **(DEFAULT_SETTINGS | settings))
+        # One more than there are voters has a Raft log and could be one.
+        self.disks = {name: PersistentState() for name in self.server_names[: voter_count + 1]}
+        self.policy_checks: dict[str, Callable[[bytes], str]] = {}
         self.hosts: dict[str, SimulatedHost] = {}
         self.servers: dict[str, PolicyServer] = {}
         self.history: History = []
-        self.proposed: list[str] = []
-        self.crash = 0.0  # chance of a kill between write and sync
+        self.proposed_change_ids: list[str] = []
+        self.crash_on_write_probability = 0.0
         self.down_servers: set[str] = set()
-        self.told: set[tuple[str, str]] = set()
+        self._recorded_outcomes: set[tuple[str, str]] = set()
         for name in self.server_names:
             self.start(name)
 
-    def start(self, name: str) -> PolicyServer:
-        offset, pace = self.rng.uniform(-1e6, 1e6), self.rng.uniform(0.99, 1.01)
+    def running_names(self) -> list[str]:
+        """Returns the names of the servers that run."""
+        return [name for name in self.server_names if name not in self.down_servers]
+
+    def record(self, kind: str, *values: Any) -> None:
+        """Appends an event to the history."""
+        self.history.append((self.network.now_ms, kind, *values))
+
+    # Processes and disks
+
+    def start(self, name: str) -> None:
+        """Starts a new process of a server, whose clock shows anything and drifts."""
+        clock_offset_ms = self.rng.uniform(*CLOCK_OFFSETS_MS)
+        clock_rate = self.rng.uniform(*CLOCK_RATES)
         self.down_servers.discard(name)
-        host = self.hosts[name] = SimulatedHost(self.network, address(name), offset, pace)
-        host.process = self.servers[name] = PolicyServer(self, name, host.clock_ms())
-        self.network.hosts[address(name)] = host
-        host.run_once()
-        return self.servers[name]
-
-    def without(self, mind: PolicyServer) -> None:
-        """Takes the defence that is away from one server."""
-        part = mind.policy_node
-        if part.coordinator is None or part.raft is None:
-            return
-        desk, voter = part.coordinator, part.raft
-        if self.removed_defence == "sure":
-            voter.has_leader_lease = lambda now_ms: voter.role.value == "leader"  # type: ignore[method-assign]
-        if self.removed_defence == "arm":
-            real = desk.unprepared_members
-            desk.unprepared_members = lambda now_ms: [w for w in real(now_ms) if w.state != "away"]  # type: ignore[method-assign]
-
-    def save(self, name: str, stored: PersistentState | None) -> None:
-        if self.rng.random() < self.crash:
-            self.kill(name)
-            return
-        assert stored is not None
-        had = self.disks[name]
-        self.disks[name] = copy.deepcopy(stored)
-        if self.removed_defence == "disk":
-            self.disks[name] = had
+        host = SimulatedHost(self.network, address(name), clock_offset_ms, clock_rate)
+        self.hosts[name] = host
+        self.servers[name] = PolicyServer(self, name, host.clock_ms())
+        host.start(self.servers[name])
 
     def kill(self, name: str) -> None:
+        """Kills a server's process."""
         self.network.kill(address(name))
         self.down_servers.add(name)
 
-    def propose(self, name: str, number: int) -> str:
-        id = f"c{len(self.proposed)}"
-        self.proposed.append(id)
-        self.servers[name].policy_node.submit_command(
-            id, ProposeChange(policy_document(number), "lab", "a trial"), self.hosts[name].clock_ms()
-        )
-        self.hosts[name].run_once()
-        return id
+    def save(self, name: str, state: PersistentState) -> None:
+        """Writes a Raft state to a disk, or kills the server before that is synced."""
+        if self.rng.random() < self.crash_on_write_probability:
+            self.kill(name)
+        elif self.removed_defence != DURABLE_WRITE:
+            self.disks[name] = copy.deepcopy(state)
 
-    def declare_departed(self, name: str, who: str) -> None:
-        """An operator's word to `name` that the run of `who` that was there last has ended."""
-        self.servers[name].policy_node.submit_command(
-            f"gone {who}", DeclareDeparted(who, self.servers[who].run), self.hosts[name].clock_ms()
-        )
-        self.hosts[name].run_once()
+    # Operators' commands
 
-    def change_voter(self, name: str, how: str, who: str) -> None:
-        """Has a voter added or removed; asked of `name`."""
-        self.servers[name].policy_node.submit_command(
-            f"{how} {who}", ChangeVoters(how == "add", who), self.hosts[name].clock_ms()
-        )
-        self.hosts[name].run_once()
-
-    def ask(self, name: str, id: str) -> None:
-        part = self.servers[name].policy_node
-        part.submit_command(id, FindChange(), self.hosts[name].clock_ms())
+    def propose(self, name: str, number: int) -> str:
+        """Proposes a policy to a server; returns the id of the change."""
+        change_id = f"c{len(self.proposed_change_ids)}"
+        self.proposed_change_ids.append(change_id)
+        self._submit(name, change_id, ProposeChange(policy_document(number), AUTHOR, COMMENT))
+        return change_id
+
+    def declare_departed(self, name: str, departed: str) -> None:
+        """Tells a server that the latest process of another one has ended for good."""
+        self._submit(name, f"gone {departed}", DeclareDeparted(departed, self.servers[departed].run_id))
+
+    def change_voter(self, name: str, verb: str, voter: str) -> None:
+        """Asks a server to "add" or "remove" a voter."""
+        self._submit(name, f"{verb} {voter}", ChangeVoters(verb == "add", voter))
+
+    def find_change(self, name: str, change_id: str) -> None:
+        """Asks a server to find out how a change ended."""
+        self._submit(name, change_id, FindChange())
+
+    def _submit(
+        self, name: str, command_id: str, command: ProposeChange | DeclareDeparted | ChangeVoters | FindChange
+    ) -> None:
+        self.servers[name].policy_node.submit_command(command_id, command, self.hosts[name].clock_ms())
         self.hosts[name].run_once()
 
-    def change_outcome(self, name: str, id: str) -> str:
-        """What this server says became of it; an end goes into the history."""
-        known = self.servers[name].policy_node.change_status(id)
-        if known.outcome in FINAL_OUTCOMES and (name, id) not in self.told:
-            self.told.add((name, id))
-            self.history.append((self.network.now_ms, "end", name, id, known.outcome, known.version))
-        return str(known.outcome)
-
-    def run(self, ms: float) -> None:
-        self.network.run_until(self.network.now_ms + ms)
-        for name in self.server_names:
-            if name not in self.down_servers:
-                for id in self.proposed:
-                    self.change_outcome(name, id)
-
-    def settle(self, ms: float = 12_000.0) -> None:
-        """All faults are over: everybody is there, and whoever is asked answers."""
-        (
-            self.network.is_cut,
-            self.network.loss_probability,
-            self.network.duplicate_probability,
-            self.network.extra_delay_ms,
-        ) = (
-            (lambda a, b: False),
-            0.0,
-            0.0,
-            0.0,
-        )
-        self.crash = 0.0
+    def change_outcome(self, name: str, change_id: str) -> str:
+        """Returns what a server says became of a change; the first final outcome is recorded."""
+        status = self.servers[name].policy_node.change_status(change_id)
+        if status.outcome in FINAL_OUTCOMES and (name, change_id) not in self._recorded_outcomes:
+            self._recorded_outcomes.add((name, change_id))
+            self.record(ChangeEnded.KIND, name, change_id, status.outcome, status.version)
+        return str(status.outcome)
+
+    # Time
+
+    def run(self, duration_ms: float) -> None:
+        """Lets time pass, and records the outcomes that servers know by then."""
+        self.network.run_until(self.network.now_ms + duration_ms)
+        for name in self.running_names():
+            for change_id in self.proposed_change_ids:
+                self.change_outcome(name, change_id)
+
+    def settle(self, duration_ms: float = SETTLING_MS) -> None:
+        """Ends all faults, lets all come to rest, and asks each server how each change ended."""
+        self.network.is_cut = lambda _sender, _receiver: False
+        self.network.loss_probability = 0.0
+        self.network.duplicate_probability = 0.0
+        self.network.extra_delay_ms = 0.0
+        self.crash_on_write_probability = 0.0
         for name in sorted(self.down_servers):
             self.start(name)
-        self.run(ms)
-        self.told.clear()
+        self.run(duration_ms)
+        self._recorded_outcomes.clear()
         for name in self.server_names:
-            for id in self.proposed:
-                if self.servers[name].policy_node.change_status(id).outcome not in FINAL_OUTCOMES:
-                    self.ask(name, id)
-        self.run(1500.0)
-
-
-def fault(hall: PolicyChangeSimulation) -> str:
-    """One drawn fault; its name."""
-    chance, world = hall.rng, hall.network
-    name = chance.choice(hall.server_names)
-    up = [n for n in hall.server_names if n not in hall.down_servers]
-    match chance.randrange(12):
-        case 0 | 1 if len(up) > 1 and name in up:
-            hall.kill(name)
-            return "kill"
-        case 2 | 3 | 4 if hall.down_servers:
-            hall.start(chance.choice(sorted(hall.down_servers)))
-            return "start"
-        case 5 if name in up:
-            hall.hosts[name].pause(chance.choice((200.0, 900.0, 3000.0)))
-            return "stop"
-        case 6:
-            half = {address(n) for n in chance.sample(hall.server_names, len(hall.server_names) // 2)}
-            world.is_cut = lambda a, b: (a in half) != (b in half)
-            return "halves"
-        case 7:
-            one, to = address(name), address(chance.choice(hall.server_names))
-            world.is_cut = lambda a, b: a == one and (b == to or to == one)
-            return "one way"
-        case 8:
-            world.is_cut = lambda a, b: False
-            return "whole"
-        case 9:
-            world.loss_probability, world.duplicate_probability = (
-                chance.choice((0.0, 0.1, 0.3)),
-                chance.choice((0.0, 0.3)),
-            )
-            world.extra_delay_ms = chance.choice((0.0, 0.0, 20.0, 300.0))
-            return "loss"
-        case 10:
-            hall.crash = chance.choice((0.0, 0.01, 0.05))
-            return "disk"
-        case 11 if up:
-            voter = chance.choice(sorted(hall.disks))
-            hall.change_voter(chance.choice(up), chance.choice(("add", "remove")), voter)
-            return "voters"
-    return ""
+            for change_id in self.proposed_change_ids:
+                status = self.servers[name].policy_node.change_status(change_id)
+                if status.outcome not in FINAL_OUTCOMES:
+                    self.find_change(name, change_id)
+        self.run(ANSWER_MS)
+
+
+# Random histories
+
+
+def _kill(simulation: PolicyChangeSimulation, name: str, running: list[str]) -> None:
+    if len(running) > 1 and name in running:
+        simulation.kill(name)
+
+
+def _start(simulation: PolicyChangeSimulation, _name: str, _running: list[str]) -> None:
+    if simulation.down_servers:
+        simulation.start(simulation.rng.choice(sorted(simulation.down_servers)))
+
+
+def _pause(simulation: PolicyChangeSimulation, name: str, running: list[str]) -> None:
+    if name in running:
+        simulation.hosts[name].pause(simulation.rng.choice((200.0, 900.0, 3000.0)))
+
+
+def _partition(simulation: PolicyChangeSimulation, _name: str, _running: list[str]) -> None:
+    names = simulation.server_names
+    half = {address(name) for name in simulation.rng.sample(names, len(names) // 2)}
+    simulation.network.is_cut = lambda sender, receiver: (sender in half) != (receiver in half)
+
+
+def _cut_link(simulation: PolicyChangeSimulation, name: str, _running: list[str]) -> None:
+    cut_sender, other = address(name), address(simulation.rng.choice(simulation.server_names))
+    # Of a server and itself, all that it sends is lost; else what it sends to the other one.
+    simulation.network.is_cut = lambda sender, receiver: (
+        sender == cut_sender and (receiver == other or other == cut_sender)
+    )
+
+
+def _heal(simulation: PolicyChangeSimulation, _name: str, _running: list[str]) -> None:
+    simulation.network.is_cut = lambda _sender, _receiver: False
+
+
+def _disturb_messages(simulation: PolicyChangeSimulation, _name: str, _running: list[str]) -> None:
+    rng, network = simulation.rng, simulation.network
+    network.loss_probability = rng.choice((0.0, 0.1, 0.3))
+    network.duplicate_probability = rng.choice((0.0, 0.3))
+    network.extra_delay_ms = rng.choice((0.0, 0.0, 20.0, 300.0))
+
+
+def _disturb_writes(simulation: PolicyChangeSimulation, _name: str, _running: list[str]) -> None:
+    simulation.crash_on_write_probability = simulation.rng.choice((0.0, 0.01, 0.05))
+
+
+def _change_voter(simulation: PolicyChangeSimulation, _name: str, running: list[str]) -> None:
+    if running:
+        voter = simulation.rng.choice(sorted(simulation.disks))
+        asked_name = simulation.rng.choice(running)
+        simulation.change_voter(asked_name, simulation.rng.choice(("add", "remove")), voter)
+
+
+_RANDOM_FAULTS: tuple[Callable[[PolicyChangeSimulation, str, list[str]], None], ...] = (
+    _kill,
+    _kill,
+    _start,
+    _start,
+    _start,
+    _pause,
+    _partition,
+    _cut_link,
+    _heal,
+    _disturb_messages,
+    _disturb_writes,
+    _change_voter,
+)
+"""All equally likely; servers are started more often than killed."""
+
+
+def inject_random_fault(simulation: PolicyChangeSimulation) -> None:
+    """Injects a fault drawn at random; does nothing where that one is not possible now."""
+    name = simulation.rng.choice(simulation.server_names)
+    inject = _RANDOM_FAULTS[simulation.rng.randrange(len(_RANDOM_FAULTS))]
+    inject(simulation, name, simulation.running_names())
 
 
 def run_random_history(
-    seed: int | str, aside: bool | None = None, removed_defence: str = "", steps: int = 14, **hall: Any
+    seed: int | str, stands_aside: bool | None = None, removed_defence: str = "", step_count: int = 14
 ) -> PolicyChangeSimulation:
-    """A history with faults drawn from the seed; changes are proposed all the while."""
-    draw = Random(f"{seed} play")
-    servers = draw.choice((4, 5, 7))
-    voters = 3 if servers < 7 else draw.choice((3, 5))
-    played = PolicyChangeSimulation(
-        seed, servers, voters, draw.random() < 0.5 if aside is None else aside, removed_defence, **hall
-    )
-    played.run(draw.choice((0.0, 2500.0, 2500.0)))
-    for number in range(steps):
-        if draw.random() < 0.5:
-            name = draw.choice(played.server_names)
-            if name not in played.down_servers:
-                played.propose(name, number)
-        if draw.random() < 0.75:
-            fault(played)
-        played.run(draw.choice((100.0, 400.0, 1200.0)))
-    played.settle()
-    return played
+    """Runs a history with faults drawn from the seed, in which changes are proposed all the while.
+
+    Args:
+        seed: Of all that is drawn.
+        stands_aside: Whether servers that are cut off stop serving; None to draw that.
+        removed_defence: One of `REMOVABLE_DEFENCES`; "" for none.
+        step_count: Steps, with a fault at most ones.
+    """
+    rng = Random(f"{seed} play")
+    server_count = rng.choice((4, 5, 7))
+    voter_count = 3 if server_count < 7 else rng.choice((3, 5))
+    if stands_aside is None:
+        stands_aside = rng.random() < 0.5
+    simulation = PolicyChangeSimulation(seed, server_count, voter_count, stands_aside, removed_defence)
+    simulation.run(rng.choice((0.0, 2500.0, 2500.0)))
+    for number in range(step_count):
+        if rng.random() < 0.5:
+            name = rng.choice(simulation.server_names)
+            if name not in simulation.down_servers:
+                simulation.propose(name, number)
+        if rng.random() < 0.75:
+            inject_random_fault(simulation)
+        simulation.run(rng.choice((100.0, 400.0, 1200.0)))
+    simulation.settle()
+    return simulation
--- a/landingshift/testbed/simulation/removed_defences.py
+++ b/landingshift/testbed/simulation/removed_defences.py
@@ -102,7 +102,7 @@
     if raft is None or coordinator is None:
         return
     if removed_defence == LEADER_LEASE:
-        raft.has_leader_lease = lambda now_ms: raft.role is Role.LEADER  # type: ignore[method-assign]
+        raft.has_leader_lease = lambda _now_ms: raft.role is Role.LEADER  # type: ignore[method-assign, assignment]
     if removed_defence == WAIT_FOR_ALL:
         unprepared_members = coordinator.unprepared_members
         coordinator.unprepared_members = lambda now_ms: [  # type: ignore[method-assign]
@@ -134,7 +134,7 @@
 
 def remove_rpc_deadline(admission: AdmissionController) -> None:
     """Lets RPCs wait and run past their deadlines."""
-    admission.enforce_deadline = lambda managed: inf  # type: ignore[method-assign]
+    admission.enforce_deadline = lambda _managed: inf  # type: ignore[method-assign, assignment]
 
 
 def remove_drain_grace(admission: AdmissionController) -> None:
--- a/landingshift/testbed/simulation/rpc_service.py
+++ b/landingshift/testbed/simulation/rpc_service.py
@@ -211,7 +211,12 @@
         assert isinstance(rpc, SimulatedRpc)
         self.engine.finish_without_call(self.engine.runs[rpc.number])
 
-    def reject(self, rpc: Rpc, retry_after_ms: float, is_final: bool) -> None:
+    def reject(
+        self,
+        rpc: Rpc,
+        retry_after_ms: float,
+        is_final: bool,
+    ) -> None:
         """Answers that the RPC was not run."""
         self._answer(rpc, REJECTED)
 
@@ -219,7 +224,11 @@
         """Answers that the RPC failed."""
         self._answer(rpc, ABORTED)
 
-    def set_health(self, is_healthy: bool, is_shallow: bool) -> None:
+    def set_health(
+        self,
+        is_healthy: bool,
+        is_shallow: bool,
+    ) -> None:
         """Sets the answer to health checks."""
         self.is_healthy = is_healthy
 
--- a/landingshift/testbed/simulation/server.py
+++ b/landingshift/testbed/simulation/server.py
@@ -1,5 +1,7 @@
-"""A server in virtual time, with all that decides in it and nothing of its own: the packages' objects, wired
-as the services wire them on a real event loop, over a simulated engine, disk and network.
+"""A server in virtual time, with all that decides in it.
+
+It decides nothing of its own: it wires the packages' objects as the services wire them on a real event loop,
+over a simulated engine, disk and network.
 """
 
 from __future__ import annotations
--- a/tests/test_chance.py
+++ b/tests/test_chance.py
@@ -71,7 +71,7 @@
     def test_what_met_is_counted_and_sought(self) -> None:
         seen = Coverage()
         acts = (Fault(0.0, "cut_off", (1,), 900.0), Fault(300.0, "kill", (2,), 500.0))
-        SimulatedCluster(Scenario(1, 4, 3, 3000.0, False, 0.3, acts), seen=seen).play()
+        SimulatedCluster(Scenario(1, 4, 3, 3000.0, False, 0.3, acts), coverage=seen).play()
         self.assertEqual(seen.pair_count("kill", "cut_off"), 1)
         self.assertEqual(seen.pair_count("kill", "loss"), 0)
         self.assertIn(("kill", "loss"), seen.unmet_pairs())
--- a/tests/test_golden_histories.py
+++ b/tests/test_golden_histories.py
@@ -90,7 +90,7 @@
         for seed in range(1, 7):
             recorder = Recorder()
             with recorder.recorded():
-                hall = assent.run_random_history(seed, aside=bool(seed % 2))
+                hall = assent.run_random_history(seed, stands_aside=bool(seed % 2))
             found[f"history {seed}"] = {
                 "messages": recorder.found,
                 "history": [len(hall.history), digest(hall.history)],
