--- a/landingshift/testbed/simulation/leases.py
+++ b/landingshift/testbed/simulation/leases.py
@@ -95,8 +95,8 @@
         """Draws a fault, and returns whether there was one."""
         draw = self.rng.random()
         if draw < PAUSE_PROBABILITY:
-            paused = self.rng.choice([*HOLDER_NAMES, GRANTOR])
-            self._paused_until_ms[paused] = self.now_ms + self.rng.uniform(*PAUSES_MS)
+            paused_until_ms = self.now_ms + self.rng.uniform(*PAUSES_MS)
+            self._paused_until_ms[self.rng.choice([*HOLDER_NAMES, GRANTOR])] = paused_until_ms
         elif draw < PAUSE_PROBABILITY + GRANTOR_RESTART_PROBABILITY:
             self.grantor = self._start_grantor()
         elif draw < PAUSE_PROBABILITY + GRANTOR_RESTART_PROBABILITY + HOLDER_RESTART_PROBABILITY:
