--- a/landingshift/testbed/experiments/cold_start.py
+++ b/landingshift/testbed/experiments/cold_start.py
@@ -16,7 +16,12 @@
 from landingshift.testbed import MEMORY
 from landingshift.testbed.experiments.partitions import crosses_partition, no_cut
 from landingshift.testbed.experiments.rows import ExperimentRow
-from landingshift.testbed.simulation.cold_start import ColdStartCase, ColdStartSimulation, address
+from landingshift.testbed.simulation.cold_start import (
+    ColdStartCase,
+    ColdStartSimulation,
+    address,
+    peak_per_second,
+)
 from landingshift.testbed.simulation.leases import LeaseSimulation
 from landingshift.testbed.verification.search_leases import LeaseSearch
 
@@ -99,7 +104,7 @@
     row.violations += simulation.violations[:2]
     calls = simulation.peak_calls_per_second()
     max_calls = case.downstream_calls_per_second
-    list_polls = simulation.peak_per_second(simulation.list_poll_times_ms)
+    list_polls = peak_per_second(simulation.list_poll_times_ms)
     max_list_polls = max(MIN_LIST_PEAK_COUNT, MAX_PEAK_RATIO * case.list_polls_per_second)
     row.require(not simulation.store.is_overloaded, "the store fell")
     is_bounded = calls <= MAX_PEAK_RATIO * max_calls
