--- a/landingshift/cli/lab.py
+++ b/landingshift/cli/lab.py
@@ -192,10 +192,10 @@
 
     for row, run in chance_faults.experiment(days, options.seed, minutes=minutes):
         if options.json_path:
-            corpus.save(options.json_path, row, run)
+            corpus.save_report(options.json_path, row, run)
         smallest_failures = row.series["smallest"]
         if corpus_path:
-            for path in corpus.keep(corpus_path, [failure["day"] for failure in smallest_failures]):
+            for path in corpus.add_scenarios(corpus_path, [failure["day"] for failure in smallest_failures]):
                 click.echo(f"kept   {path}")
         for failure in smallest_failures:
             click.echo("\n".join(["", f"{failure['promise']}:", *failure["told"]]))
@@ -260,10 +260,10 @@
     from landingshift.testbed.verification import corpus
 
     try:
-        run = corpus.load(found)
+        run = corpus.load_report(found)
     except ValueError as err:
         raise click.UsageError(str(err)) from err
-    html = html_report.render_page(run.figures, run.broken, run.smallest, run.seen(), run.rested)
+    html = html_report.render_page(run.figures, run.violations, run.smallest, run.coverage(), run.recovery_ms)
     Path(page).write_text(html)
     click.echo(page)
 
--- a/landingshift/testbed/experiments/chance_faults_real.py
+++ b/landingshift/testbed/experiments/chance_faults_real.py
@@ -35,7 +35,8 @@
     sample_processes,
 )
 from landingshift.testbed.processes.gateway_load import OK, WITH_KILLED_SERVER
-from landingshift.testbed.verification.invariants import max_leased, permissions
+from landingshift.testbed.verification.lease_invariants import max_leased_calls
+from landingshift.testbed.verification.maintenance_invariants import permissions
 
 REAL_FAULT_KINDS = (
     "kill", "crash_loop", "zone", "notice", "stop", "cut_off", "halves", "mute", "deaf", "flaps", "loss",
@@ -302,7 +303,7 @@
         """Ends all servers, and checks what must hold whatever was done to them."""
         self.harness.check(row)
         history = self.harness.servers.history()
-        granted = max_leased(history, 0)
+        granted = max_leased_calls(history)
         limit = self._calls_per_second
         is_bounded = granted <= limit * GRANTED_TOLERANCE_RATIO
         row.require(is_bounded, f"shares: {granted:.0f} believed in of {limit:.0f}")
--- a/landingshift/testbed/experiments/cold_start.py
+++ b/landingshift/testbed/experiments/cold_start.py
@@ -107,9 +107,10 @@
 
 def search(tried: Tried, row: ExperimentRow) -> None:
     """Every order of one lender and two holders, to a depth, until so many states were seen."""
-    found = LeaseSearch(tried.away != "quiet", tried.away != "booking").run(DEPTH, STATES)
+    search = LeaseSearch(tried.away != "quiet", tried.away != "booking")
+    found = search.run(DEPTH, STATES)
     row.require(not found.violation, found.violation)
-    row.figures |= {"states": found.state_count, "most_of_4": found.max_believed}
+    row.figures |= {"states": found.state_count, "most_of_4": search.max_believed}
 
 
 def all_at_once(tried: Tried, row: ExperimentRow) -> None:
--- a/landingshift/testbed/simulation/rpc_service.py
+++ b/landingshift/testbed/simulation/rpc_service.py
@@ -218,6 +218,7 @@
         is_final: bool,
     ) -> None:
         """Answers that the RPC was not run."""
+        del retry_after_ms, is_final  # gateways here do not listen to advice
         self._answer(rpc, REJECTED)
 
     def abort(self, rpc: Rpc) -> None:
@@ -230,6 +231,7 @@
         is_shallow: bool,
     ) -> None:
         """Sets the answer to health checks."""
+        del is_shallow  # nothing checks in any other way here
         self.is_healthy = is_healthy
 
     def cancel_run(self, rpc: Rpc) -> None:
--- a/landingshift/testbed/simulation/workload.py
+++ b/landingshift/testbed/simulation/workload.py
@@ -14,7 +14,7 @@
     Settings,
     Tenant,
 )
-from landingshift.testbed.verification.invariants import DRAIN_GRACE_MS
+from landingshift.testbed.verification.rpc_invariants import DRAIN_GRACE_MS
 
 CORE_COUNT = 2
 CORE_TIME_MS = 250.0
--- a/landingshift/testbed/verification/search_leases.py
+++ b/landingshift/testbed/verification/search_leases.py
@@ -1,172 +1,235 @@
-"""Every order of a small model of what is lent: a lender, two holders, any message next, lost or twice; time
-passes, lender and holders die and come back. Checked at each state: what all believe in is never more than
-there is. It starts where one holder has all.
+"""Every order of a small model of leases: a grantor, two holders, and any message next, lost or twice.
 
-Whoever died believes on in what he had until its end: he may only have been stopped.
+Time passes, and grantor and holders restart. Checked in each state: all holders together never believe in
+more than there is. The model begins where one holder has everything. What a holder believed in that has
+restarted counts until its end: the old process may only have been paused.
 """
 
 from __future__ import annotations
 
 import copy
+from collections.abc import Hashable
 from dataclasses import dataclass, field, replace
 from typing import Any
 
 from landingshift.coldstart.fair_division import max_min_fair_shares
 from landingshift.coldstart.leases import HeldLease, LeaseGrantor, LeaseRequest
+from landingshift.testbed.verification.state_space import Action, Exploration, Step, explore
 
-LEASE_MS, CLOCK_MARGIN_MS = 300.0, 40.0
-STEP = 100.0  # ms
+LEASE_MS = 300.0
+CLOCK_MARGIN_MS = 40.0
+TIME_STEP_MS = 100.0
+START_MS = 10_000.0
 CAPACITY = 4.0
-WANTS = {"a": 4.0, "b": 3.0}
-FLIGHT = 3  # messages under way at a time
+ROUNDING = 1e-9
+WANTED_AMOUNTS = {"a": 4.0, "b": 3.0}
+RESTARTED_HOLDER = "a"
+MAX_MESSAGES_COUNT = 3
+"""Under way at a time."""
+
+
+@dataclass(frozen=True, slots=True)
+class LeaseGrant:
+    """What the grantor answers."""
+
+    holder_name: str
+    run_id: int
+    request_number: int
+    amount: float
+
+
+LeaseMessage = LeaseRequest | LeaseGrant
 
 
 @dataclass
-class Spent:
+class RemainingSteps:
     """How often each may still come."""
 
     asks: int = 4
     losses: int = 1
-    doubles: int = 1
-    passes: int = 5
+    duplicates: int = 1
+    time_steps: int = 5
     restarts: int = 2
 
 
 @dataclass
-class State:
-    lender: LeaseGrantor
-    loans: dict[str, HeldLease]
-    runs: dict[str, int]
-    now: float = 10_000.0
-    way: list[tuple[Any, ...]] = field(default_factory=list)
-    ghosts: list[tuple[float, float]] = field(default_factory=list)  # amounts and ends of who died
-    spent: Spent = field(default_factory=Spent)
-
-    def believed(self) -> float:
-        living = sum(loan.usable_amount(self.now) for loan in self.loans.values())
-        return living + sum(amount for amount, end in self.ghosts if end > self.now)
-
-    def key(self) -> Any:
-        now, lender = self.now, self.lender
-        grants = [
-            (n, g.run_id, g.request_number, g.amount, g.booked_amount, g.expires_at_ms - now, g.wanted_amount)
-            for n, g in sorted(lender.grants.items())
-        ]
-        loans = [
-            (
-                n,
-                self.runs[n],
-                o.request_number,
-                o.is_answered,
-                o.held_amount,
-                max(0.0, o.expires_at_ms - now),
-                now - o.requested_at_ms,
-            )
-            for n, o in self.loans.items()
-        ]
-        ghosts = sorted((a, e - now) for a, e in self.ghosts if e > now)
-        way = sorted(map(repr, self.way))
-        return repr((grants, max(0.0, lender.recovery_grace_until_ms - now), loans, ghosts, way, self.spent))
+class LeaseState:
+    """One state of the model.
+
+    Attributes:
+        grantor: The latest process of the grantor.
+        leases: What the latest process of each holder believes in.
+        run_ids: Of those processes.
+        now_ms: The time of all.
+        messages: Under way.
+        orphaned_leases: Amounts and expiries of what earlier processes believed in.
+        remaining: What may still happen.
+    """
+
+    grantor: LeaseGrantor
+    leases: dict[str, HeldLease]
+    run_ids: dict[str, int]
+    now_ms: float = START_MS
+    messages: list[LeaseMessage] = field(default_factory=list)
+    orphaned_leases: list[tuple[float, float]] = field(default_factory=list)
+    remaining: RemainingSteps = field(default_factory=RemainingSteps)
+
+    def believed_amount(self) -> float:
+        """Returns what all holders together believe in."""
+        held = sum(lease.usable_amount(self.now_ms) for lease in self.leases.values())
+        return held + sum(
+            amount for amount, expires_at_ms in self.orphaned_leases if expires_at_ms > self.now_ms
+        )
+
+    def copy(self) -> LeaseState:
+        """Returns a copy that shares nothing that changes."""
+        return replace(
+            self,
+            grantor=copy.deepcopy(self.grantor),
+            leases=copy.deepcopy(self.leases),
+            run_ids=dict(self.run_ids),
+            messages=list(self.messages),
+            orphaned_leases=list(self.orphaned_leases),
+            remaining=replace(self.remaining),
+        )
 
 
 class LeaseSearch:
-    """`quiet`, `books`: whether the lender keeps to those parts of the rule."""
+    """Explores the model.
 
-    def __init__(self, has_recovery_grace: bool = True, books_old_grants: bool = True) -> None:
-        self.has_recovery_grace, self.books_old_grants_old_grants = has_recovery_grace, books_old_grants
-        self.state_count, self.violation, self.max_believed = 0, "", 0.0
+    Attributes:
+        has_recovery_grace: Whether a grantor that restarts grants nothing for a lease.
+        books_old_grants: Whether a larger grant counts until its holder can't believe in it any more.
+        max_believed: The most that all holders together believed in, in any state.
+    """
 
-    def lender(self, now: float) -> LeaseGrantor:
-        lender = LeaseGrantor(CAPACITY, LEASE_MS, CLOCK_MARGIN_MS, now, max_min_fair_shares)
-        if not self.has_recovery_grace:
-            lender.recovery_grace_until_ms = now
-        return lender
-
-    def begin(self) -> State:
-        lender = self.lender(0.0)
-        state = State(lender, {n: HeldLease(LEASE_MS) for n in WANTS}, dict.fromkeys(WANTS, 1))
-        for step in (("ask", "a"), ("deliver", 0), ("deliver", 0)):
-            state = self.take(state, step)
-        state.spent = Spent()
+    def __init__(self, has_recovery_grace: bool = True, books_old_grants: bool = True) -> None:
+        self.has_recovery_grace = has_recovery_grace
+        self.books_old_grants = books_old_grants
+        self.max_believed = 0.0
+
+    def run(self, max_depth: int, max_state_count: int) -> Exploration:
+        """Explores to a depth, or until so many states were seen."""
+        return explore(self, max_depth, max_state_count)
+
+    def initial_state(self) -> LeaseState:
+        """Returns a state in which one holder has everything."""
+        state = LeaseState(
+            self._new_grantor(0.0),
+            {name: HeldLease(LEASE_MS) for name in WANTED_AMOUNTS},
+            dict.fromkeys(WANTED_AMOUNTS, 1),
+        )
+        for step in (Step(Action.ASK, "a"), Step(Action.DELIVER, 0), Step(Action.DELIVER, 0)):
+            state = self.apply(state, step)
+        state.remaining = RemainingSteps()
         return state
 
-    def steps(self, state: State) -> list[tuple[Any, ...]]:
-        spent, room = state.spent, len(state.way) < FLIGHT
-        found: list[tuple[Any, ...]] = [("deliver", i) for i in range(len(state.way))]
-        if spent.asks and room:
-            found += [("ask", n) for n in WANTS]
-        if spent.losses:
-            found += [("lose", i) for i in range(len(state.way))]
-        if spent.doubles and room:
-            found += [("double", i) for i in range(len(state.way))]
-        if spent.passes:
-            found.append(("pass",))
-        if spent.restarts:
-            found += [("lender",), ("holder", "a")]
-        return found
-
-    def take(self, old: State, step: tuple[Any, ...]) -> State:
-        state = replace(
-            old, lender=copy.deepcopy(old.lender), loans=copy.deepcopy(old.loans), runs=dict(old.runs),
-            way=list(old.way), ghosts=list(old.ghosts), spent=replace(old.spent),
-        )  # fmt: skip
-        spent = state.spent
+    def _new_grantor(self, now_ms: float) -> LeaseGrantor:
+        grantor = LeaseGrantor(CAPACITY, LEASE_MS, CLOCK_MARGIN_MS, now_ms, max_min_fair_shares)
+        if not self.has_recovery_grace:
+            grantor.recovery_grace_until_ms = now_ms
+        return grantor
+
+    def steps(self, state: LeaseState) -> list[Step]:
+        """Returns all that may happen next."""
+        remaining = state.remaining
+        has_room = len(state.messages) < MAX_MESSAGES_COUNT
+        indexes = range(len(state.messages))
+        steps = [Step(Action.DELIVER, index) for index in indexes]
+        if remaining.asks and has_room:
+            steps += [Step(Action.ASK, name) for name in WANTED_AMOUNTS]
+        if remaining.losses:
+            steps += [Step(Action.LOSE, index) for index in indexes]
+        if remaining.duplicates and has_room:
+            steps += [Step(Action.DUPLICATE, index) for index in indexes]
+        if remaining.time_steps:
+            steps.append(Step(Action.PASS_TIME))
+        if remaining.restarts:
+            steps += [Step(Action.RESTART_GRANTOR), Step(Action.RESTART_HOLDER, RESTARTED_HOLDER)]
+        return steps
+
+    def apply(self, state: LeaseState, step: Step) -> LeaseState:
+        """Returns the state after a step."""
+        after = state.copy()
+        remaining = after.remaining
         match step:
-            case "deliver", int(i):
-                self.deliver(state, state.way.pop(i))
-            case "ask", str(name):
-                spent.asks -= 1
-                number, claims = state.loans[name].next_request(state.now)
-                state.way.append(("ask", name, state.runs[name], number, claims))
-            case "lose", int(i):
-                spent.losses -= 1
-                state.way.pop(i)
-            case "double", int(i):
-                spent.doubles -= 1
-                state.way.append(state.way[i])
-            case ("pass",):
-                spent.passes -= 1
-                state.now += STEP
-            case ("lender",):
-                spent.restarts -= 1
-                state.lender = self.lender(state.now)
-            case "holder", str(name):
-                spent.restarts -= 1
-                loan = state.loans[name]
-                state.ghosts.append((loan.held_amount, loan.expires_at_ms))
-                state.loans[name], state.runs[name] = HeldLease(LEASE_MS), state.runs[name] + 1
-        return state
-
-    def deliver(self, state: State, message: tuple[Any, ...]) -> None:
+            case Step(Action.DELIVER, int(index)):
+                self._deliver(after, after.messages.pop(index))
+            case Step(Action.ASK, str(name)):
+                remaining.asks -= 1
+                number, claimed_amount = after.leases[name].next_request(after.now_ms)
+                wanted_amount = WANTED_AMOUNTS[name]
+                after.messages.append(
+                    LeaseRequest(name, after.run_ids[name], number, claimed_amount, wanted_amount)
+                )
+            case Step(Action.LOSE, int(index)):
+                remaining.losses -= 1
+                after.messages.pop(index)
+            case Step(Action.DUPLICATE, int(index)):
+                remaining.duplicates -= 1
+                after.messages.append(after.messages[index])
+            case Step(Action.PASS_TIME):
+                remaining.time_steps -= 1
+                after.now_ms += TIME_STEP_MS
+            case Step(Action.RESTART_GRANTOR):
+                remaining.restarts -= 1
+                after.grantor = self._new_grantor(after.now_ms)
+            case Step(Action.RESTART_HOLDER, str(name)):
+                remaining.restarts -= 1
+                lease = after.leases[name]
+                after.orphaned_leases.append((lease.held_amount, lease.expires_at_ms))
+                after.leases[name] = HeldLease(LEASE_MS)
+                after.run_ids[name] += 1
+        return after
+
+    def _deliver(self, state: LeaseState, message: LeaseMessage) -> None:
         match message:
-            case "ask", str(name), int(run), int(number), float(claims):
-                amount = state.lender.renew(LeaseRequest(name, run, number, claims, WANTS[name]), state.now)
-                if amount is not None:
-                    if not self.books_old_grants_old_grants:
-                        state.lender.grants[name].booked_amount = amount
-                    state.way.append(("give", name, run, number, amount))
-            case "give", str(name), int(run), int(number), float(amount) if run == state.runs[name]:
-                state.loans[name].on_grant(number, amount, state.now)
-
-    def run(self, depth: int, most: int) -> LeaseSearch:
-        """All states up to `depth` steps, each once; ends at the first in which too much is believed in."""
-        begin = self.begin()
-        seen, edge = {begin.key()}, [(begin, ())]
-        for _ in range(depth):
-            new: list[tuple[State, Any]] = []
-            for state, way in edge:
-                for step in self.steps(state):
-                    after = self.take(state, step)
-                    key = after.key()
-                    if key in seen:
-                        continue
-                    seen.add(key)
-                    self.state_count, self.max_believed = len(seen), max(self.max_believed, after.believed())
-                    if after.believed() > CAPACITY + 1e-9:
-                        self.violation = f"{after.believed():g} of {CAPACITY:g}, by {[*way, step]}"
-                        return self
-                    if self.state_count >= most:
-                        return self
-                    new.append((after, (*way, step)))
-            edge = new
-        return self
+            case LeaseRequest(name, run_id, number):
+                amount = state.grantor.renew(message, state.now_ms)
+                if amount is None:
+                    return
+                if not self.books_old_grants:
+                    state.grantor.grants[name].booked_amount = amount
+                state.messages.append(LeaseGrant(name, run_id, number, amount))
+            case LeaseGrant(name, run_id, number, amount) if run_id == state.run_ids[name]:
+                state.leases[name].on_grant(number, amount, state.now_ms)
+
+    def check(self, state: LeaseState) -> str:
+        """Returns a text where the holders believe in more than there is."""
+        believed = state.believed_amount()
+        self.max_believed = max(self.max_believed, believed)
+        return f"{believed:g} of {CAPACITY:g}" if believed > CAPACITY + ROUNDING else ""
+
+    def key(self, state: LeaseState) -> Hashable:
+        """Returns what tells a state from others; times count from now."""
+        now_ms = state.now_ms
+        grants: list[Any] = [
+            (
+                name,
+                grant.run_id,
+                grant.request_number,
+                grant.amount,
+                grant.booked_amount,
+                grant.expires_at_ms - now_ms,
+                grant.wanted_amount,
+            )
+            for name, grant in sorted(state.grantor.grants.items())
+        ]
+        leases: list[Any] = [
+            (
+                name,
+                state.run_ids[name],
+                lease.request_number,
+                lease.is_answered,
+                lease.held_amount,
+                max(0.0, lease.expires_at_ms - now_ms),
+                now_ms - lease.requested_at_ms,
+            )
+            for name, lease in state.leases.items()
+        ]
+        orphaned = sorted(
+            (amount, end_ms - now_ms) for amount, end_ms in state.orphaned_leases if end_ms > now_ms
+        )
+        messages = sorted(map(repr, state.messages))
+        grace_ms = max(0.0, state.grantor.recovery_grace_until_ms - now_ms)
+        return repr((grants, grace_ms, leases, orphaned, messages, state.remaining))
--- a/landingshift/testbed/verification/search_policy_change.py
+++ b/landingshift/testbed/verification/search_policy_change.py
@@ -1,13 +1,15 @@
-"""Every order of a small model: three servers, one change; each message may come next, be lost or come twice,
-time may pass, a member or the leader may die and come back. The decisions are those of the server itself.
+"""Every order of a small model of a policy change: three servers, one voter, one change.
 
-It starts where all are armed but for one, and goes to a stated depth. What is checked is stronger than any
-history: that nobody *could* decide by an old version too late.
+Each message may come next, be lost or come twice; time may pass; any server may be killed and start again.
+The decisions are those of the servers themselves. The model begins where all but one are known to be
+prepared, and goes to a stated depth. What is checked is stronger than a history: that nobody *could* decide
+by an old version too late.
 """
 
 from __future__ import annotations
 
 import copy
+from collections.abc import Hashable
 from dataclasses import dataclass, field, replace
 from random import Random
 from typing import Any
@@ -16,240 +18,339 @@
 from landingshift.consensus.timeouts import RaftTimeouts
 from landingshift.policies.messages import ChangePhase, ProposeChange
 from landingshift.policies.node import PolicyNode
-from landingshift.policies.participant import ParticipantState
+from landingshift.policies.participant import ChangeParticipant, ParticipantState
 from landingshift.policies.policy_settings import PolicySettings
-from landingshift.testbed.simulation.policy_documents import policy_document
+from landingshift.testbed.simulation.policy_documents import AUTHOR, COMMENT, policy_document
+from landingshift.testbed.simulation.removed_defences import PARTICIPANT_LEASE, STATUS_REQUEST
+from landingshift.testbed.verification.state_space import Action, Exploration, Step, explore
 
-NAMES = ("n0", "n1", "n2")
-PASS = 500.0  # ms
-FLIGHT = 4  # messages under way at a time
-TIMES = RaftTimeouts(heartbeat_interval_ms=1e9, election_timeout_ms=1e9)  # one voter: nobody else can lead
+VOTER = "n0"
+LAST_SERVER = "n2"
+NAMES = (VOTER, "n1", LAST_SERVER)
+CHANGE_ID = "c"
+START_MS = 10_000.0
+TIME_STEP_MS = 500.0
+MAX_MESSAGES_COUNT = 4
+"""Under way at a time."""
+MAX_DELIVERY_COUNT = 4
+"""Times in a row that a server's messages to itself may bring about others."""
+DEFAULT_MAX_STATE_COUNT = 10_000_000
+RESTARTED_RUN_ID = 9
+RAFT_TIMEOUTS = RaftTimeouts(heartbeat_interval_ms=1e9, election_timeout_ms=1e9)
+"""One voter: nobody else can lead."""
+ANNOUNCEMENT = "look"
+"""Wire word of messages that only make others ask, which all may do anyway."""
 
 
-class Even(Random):
-    """No chance at all, so that equal states are seen to be equal."""
+class ConstantRandom(Random):
+    """Draws the same value always, so that equal states are seen to be equal."""
 
     def uniform(self, a: float, b: float) -> float:
+        """Returns the lower bound."""
+        del b
         return a
 
     def random(self) -> float:
+        """Returns 0."""
         return 0.0
 
-    def __deepcopy__(self, _memo: Any) -> Even:
+    def __deepcopy__(self, _memo: Any) -> ConstantRandom:
+        """Returns itself: it has no state."""
         return self
 
 
 @dataclass
-class Spent:
-    """How often each fault may still come."""
+class RemainingSteps:
+    """How often each may still come."""
 
     losses: int = 1
-    doubles: int = 1
-    passes: int = 3
+    duplicates: int = 1
+    time_steps: int = 3
     kills: int = 1
     asks: int = 2
 
 
+@dataclass(frozen=True, slots=True)
+class Envelope:
+    """A message under way; `body` is as on the wire."""
+
+    sender: str
+    receiver: str
+    body: list[Any]
+
+
 @dataclass
-class State:
-    parts: dict[str, PolicyNode]
+class PolicyState:
+    """One state of the model.
+
+    Attributes:
+        nodes: The latest process of each server.
+        disk: The voter's.
+        now_ms: The time of all.
+        messages: Under way.
+        remaining: What may still happen.
+        first_possible_ms: When each version could first be decided by.
+    """
+
+    nodes: dict[str, PolicyNode]
     disk: PersistentState
-    now: float = 10_000.0
-    way: list[tuple[str, str, list[Any]]] = field(default_factory=list)
-    spent: Spent = field(default_factory=Spent)
-    first: dict[int, float] = field(default_factory=dict)  # when a version could first be decided by
-
-    def key(self) -> Any:
-        now = self.now
-        seen: list[Any] = []
-        for part in self.parts.values():
-            f, desk = part.participant, part.coordinator
-            seen.append((
-                part.run, f.is_member, f.version, f.latest_version, f.change_id, f.state,
-                max(0.0, f.lease_expiry_ms - now), f.last_answered_number, f.last_request_number,
-                tuple(now - at for at in f.request_sent_at_ms.values()),
-            ))  # fmt: skip
-            if desk is not None:
-                told = [(name, report.request) for name, report in sorted(desk.reports.by_member.items())]
-                acks = [(name, r.run, r.change_id, r.state, r.version) for name, r in told]
-                seen.append(
-                    (
-                        tuple(acks),
-                        desk.phase,
-                        desk.switching_change_id,
-                        part.state_machine.version,
-                        part.state_machine.pending_change_id,
-                    )
-                )
-        way = tuple(sorted(repr(m) for m in self.way))
-        since = tuple(sorted((v, now - at) for v, at in self.first.items()))
-        return (tuple(seen), way, since, repr(self.spent))
+    now_ms: float = START_MS
+    messages: list[Envelope] = field(default_factory=list)
+    remaining: RemainingSteps = field(default_factory=RemainingSteps)
+    first_possible_ms: dict[int, float] = field(default_factory=dict)
+
+    def copy(self) -> PolicyState:
+        """Returns a copy; nodes are shared, and copied by who changes them."""
+        return replace(
+            self,
+            nodes=dict(self.nodes),
+            messages=list(self.messages),
+            remaining=replace(self.remaining),
+            first_possible_ms=dict(self.first_possible_ms),
+        )
 
 
 class PolicyChangeSearch:
-    """`away`: "lease" or "ask", as in `assent`."""
+    """Explores the model.
 
-    def __init__(self, aside: bool = False, removed_defence: str = "") -> None:
+    Attributes:
+        settings: Of all servers.
+        removed_defence: PARTICIPANT_LEASE or STATUS_REQUEST, which all lack; "" for none.
+    """
+
+    def __init__(self, stands_aside: bool = False, removed_defence: str = "") -> None:
         self.settings = PolicySettings(
-            ("n0",), aside, overlap_ms=1000.0, lease_ms=900.0, clock_margin_ms=100.0, change_timeout_ms=1e9
+            (VOTER,),
+            stands_aside,
+            overlap_ms=1000.0,
+            lease_ms=900.0,
+            clock_margin_ms=100.0,
+            change_timeout_ms=1e9,
         )
-        self.removed_defence, self.rng = removed_defence, Even()
-        self.state_count = self.depth_reached = 0
-        self.violation = ""
-
-    def part(self, name: str, run: int, stored: PersistentState | None, now: float) -> PolicyNode:
-        return PolicyNode(name, run, self.settings, lambda _: "", stored, self.rng, now, lambda: 0.0, TIMES)
-
-    def begin(self) -> State:
-        state = State({}, PersistentState())
-        state.spent = Spent(0, 0, 0, 0, 0)
-        for i, name in enumerate(NAMES):
-            state.parts[name] = self.part(name, i, PersistentState() if i == 0 else None, state.now)
-        lead = state.parts["n0"]
-        assert lead.raft is not None and lead.coordinator is not None
-        lead.raft.start_election()
+        self.removed_defence = removed_defence
+        self._rng = ConstantRandom()
+
+    def run(self, max_depth: int, max_state_count: int = DEFAULT_MAX_STATE_COUNT) -> Exploration:
+        """Explores to a depth, or until so many states were seen."""
+        return explore(self, max_depth, max_state_count)
+
+    def _new_node(self, name: str, run_id: int, stored: PersistentState | None, now_ms: float) -> PolicyNode:
+        return PolicyNode(
+            name,
+            run_id,
+            self.settings,
+            lambda _policy: "",
+            stored,
+            self._rng,
+            now_ms,
+            lambda: 0.0,
+            RAFT_TIMEOUTS,
+        )
+
+    # The initial state
+
+    def initial_state(self) -> PolicyState:
+        """Returns a state in which the last word that the leader waits for is under way."""
+        state = PolicyState({}, PersistentState())
+        state.remaining = RemainingSteps(0, 0, 0, 0, 0)
+        for index, name in enumerate(NAMES):
+            stored = PersistentState() if name == VOTER else None
+            state.nodes[name] = self._new_node(name, index, stored, state.now_ms)
+        self._elect(state)
         for _ in range(4):
-            self.round(state, NAMES)
-        state.parts["n0"].submit_command("c", ProposeChange(policy_document(1), "lab", "a trial"), state.now)
-        state.parts["n0"].forward_command("c", state.now)
-        self.out(state, "n0")
-        while state.parts["n0"].coordinator.phase is not ChangePhase.PREPARE:  # type: ignore[union-attr]
-            self.round(state, NAMES)
-        self.round(state, ("n0", "n1"))
-        self.round(state, ("n0", "n1"))
-        self.round(state, ("n2",))
-        assert all(part.participant.state is ParticipantState.PREPARED for part in state.parts.values())
-        state.parts["n2"].participant.send_status_request(state.now)
-        self.out(state, "n2")  # the last word that the leader waits for is under way
-        for part in state.parts.values():
-            part.participant.request_sent_at_ms = {
-                n: at
-                for n, at in part.participant.request_sent_at_ms.items()
-                if n > part.participant.last_answered_number
-            }
-        state.spent = Spent()
+            self._ask_all(state, NAMES)
+        self._propose(state)
+        self._ask_all(state, (VOTER, "n1"))
+        self._ask_all(state, (VOTER, "n1"))
+        self._ask_all(state, (LAST_SERVER,))
+        assert all(node.participant.state is ParticipantState.PREPARED for node in state.nodes.values())
+        state.nodes[LAST_SERVER].participant.send_status_request(state.now_ms)
+        self._send(state, LAST_SERVER)
+        for node in state.nodes.values():
+            _forget_answered_requests(node.participant)
+        state.remaining = RemainingSteps()
         return state
 
-    def round(self, state: State, names: tuple[str, ...]) -> None:
-        for name in names:
-            state.parts[name].participant.send_status_request(state.now)
-            self.out(state, name)
-        self.drain(state)
+    def _elect(self, state: PolicyState) -> None:
+        raft = state.nodes[VOTER].raft
+        assert raft is not None
+        raft.start_election()
+
+    def _propose(self, state: PolicyState) -> None:
+        """Proposes the change, and brings it to the phase in which servers prepare."""
+        leader = state.nodes[VOTER]
+        proposal = ProposeChange(policy_document(1), AUTHOR, COMMENT)
+        leader.submit_command(CHANGE_ID, proposal, state.now_ms)
+        leader.forward_command(CHANGE_ID, state.now_ms)
+        self._send(state, VOTER)
+        while _phase(state) is not ChangePhase.PREPARE:
+            self._ask_all(state, NAMES)
 
-    def drain(self, state: State) -> None:
-        while state.way:
-            self.deliver(state, 0)
+    def _ask_all(self, state: PolicyState, names: tuple[str, ...]) -> None:
+        """Has servers ask the leader, and delivers all messages."""
+        for name in names:
+            state.nodes[name].participant.send_status_request(state.now_ms)
+            self._send(state, name)
+        while state.messages:
+            self._deliver(state, 0)
 
     # Steps
 
-    def out(self, state: State, name: str) -> None:
-        part = state.parts[name]
-        for _ in range(4):
-            stored = part.unsaved_state()
-            if stored is not None:
-                state.disk = copy.deepcopy(stored)
-                part.on_state_saved(state.now)
-            if part.coordinator is not None:
-                part.coordinator.tick(state.now)
-            part.deliver_messages(state.now)
-            for to, body in part.take_outgoing():
-                if (
-                    body[0] != "look" and len(state.way) < FLIGHT
-                ):  # looks only make others ask, which all may do
-                    state.way.append((name, to, body))
-            if part.unsaved_state() is None:
+    def steps(self, state: PolicyState) -> list[Step]:
+        """Returns all that may happen next."""
+        remaining = state.remaining
+        has_room = len(state.messages) < MAX_MESSAGES_COUNT
+        indexes = range(len(state.messages))
+        steps = [Step(Action.DELIVER, index) for index in indexes]
+        if remaining.losses:
+            steps += [Step(Action.LOSE, index) for index in indexes]
+        if remaining.duplicates and has_room:
+            steps += [Step(Action.DUPLICATE, index) for index in indexes]
+        if remaining.time_steps:
+            steps.append(Step(Action.PASS_TIME, 0))
+        if remaining.asks and has_room:
+            steps += [Step(Action.ASK, name) for name in NAMES]
+        if remaining.kills:
+            steps += [Step(Action.KILL, name) for name in NAMES]
+        return steps
+
+    def apply(self, state: PolicyState, step: Step) -> PolicyState:
+        """Returns the state after a step."""
+        after = state.copy()
+        remaining = after.remaining
+        match step:
+            case Step(Action.DELIVER, int(index)):
+                self._deliver(after, index)
+            case Step(Action.LOSE, int(index)):
+                remaining.losses -= 1
+                after.messages.pop(index)
+            case Step(Action.DUPLICATE, int(index)):
+                remaining.duplicates -= 1
+                after.messages.append(after.messages[index])
+            case Step(Action.PASS_TIME):
+                remaining.time_steps -= 1
+                after.now_ms += TIME_STEP_MS
+            case Step(Action.ASK, str(name)):
+                remaining.asks -= 1
+                after.nodes[name] = copy.deepcopy(after.nodes[name])
+                after.nodes[name].participant.send_status_request(after.now_ms)
+                self._send(after, name)
+            case Step(Action.KILL, str(name)):
+                remaining.kills -= 1
+                self._restart(after, name)
+        return after
+
+    def _restart(self, state: PolicyState, name: str) -> None:
+        stored = copy.deepcopy(state.disk) if name == VOTER else None
+        state.nodes[name] = self._new_node(name, RESTARTED_RUN_ID, stored, state.now_ms)
+        if name == VOTER:
+            self._elect(state)
+            self._send(state, name)
+
+    def _deliver(self, state: PolicyState, index: int) -> None:
+        message = state.messages.pop(index)
+        node = copy.deepcopy(state.nodes[message.receiver])
+        state.nodes[message.receiver] = node
+        node.on_message(message.sender, message.body, state.now_ms)
+        self._send(state, message.receiver)
+
+    def _send(self, state: PolicyState, name: str) -> None:
+        """Ends a pass of a server: saves what must be on disk, and puts its messages under way."""
+        node = state.nodes[name]
+        for _ in range(MAX_DELIVERY_COUNT):
+            unsaved = node.unsaved_state()
+            if unsaved is not None:
+                state.disk = copy.deepcopy(unsaved)
+                node.on_state_saved(state.now_ms)
+            if node.coordinator is not None:
+                node.coordinator.tick(state.now_ms)
+            node.deliver_messages(state.now_ms)
+            for receiver, body in node.take_outgoing():
+                if body[0] != ANNOUNCEMENT and len(state.messages) < MAX_MESSAGES_COUNT:
+                    state.messages.append(Envelope(name, receiver, body))
+            if node.unsaved_state() is None:
                 break
 
-    def deliver(self, state: State, at: int) -> None:
-        sender, to, body = state.way.pop(at)
-        state.parts[to] = copy.deepcopy(state.parts[to])
-        state.parts[to].on_message(sender, body, state.now)
-        self.out(state, to)
-
-    def steps(self, state: State) -> list[tuple[str, Any]]:
-        found: list[tuple[str, Any]] = [("deliver", i) for i in range(len(state.way))]
-        spent = state.spent
-        if spent.losses:
-            found += [("lose", i) for i in range(len(state.way))]
-        if spent.doubles and len(state.way) < FLIGHT:
-            found += [("double", i) for i in range(len(state.way))]
-        if spent.passes:
-            found.append(("pass", 0))
-        if spent.asks and len(state.way) < FLIGHT:
-            found += [("ask", name) for name in NAMES]
-        if spent.kills:
-            found += [("kill", name) for name in NAMES]
-        return found
-
-    def take(self, old: State, step: tuple[str, Any]) -> State:
-        """The state after a step; the old one stays as it is."""
-        state = State(dict(old.parts), old.disk, old.now, list(old.way), replace(old.spent), dict(old.first))
-        what, arg = step
-        spent = state.spent
-        match what:
-            case "deliver":
-                self.deliver(state, arg)
-            case "lose":
-                spent.losses -= 1
-                state.way.pop(arg)
-            case "double":
-                spent.doubles -= 1
-                state.way.append(state.way[arg])
-            case "pass":
-                spent.passes -= 1
-                state.now += PASS
-            case "ask":
-                spent.asks -= 1
-                state.parts[arg] = copy.deepcopy(state.parts[arg])
-                state.parts[arg].participant.send_status_request(state.now)
-                self.out(state, arg)
-            case "kill":
-                spent.kills -= 1
-                stored = copy.deepcopy(state.disk) if arg == "n0" else None
-                part = state.parts[arg] = self.part(arg, 9, stored, state.now)
-                if part.raft is not None:
-                    part.raft.start_election()
-                    self.out(state, arg)
-        return state
+    # What must hold
 
-    def check(self, state: State) -> str:
-        now = state.now
-        for part in state.parts.values():
-            f = part.participant
-            may = f.may_decide(now)
-            if self.removed_defence == "lease":
-                may = f.is_member and f.latest_version <= f.version
-            elif self.removed_defence == "ask":
-                may = may or not f.is_member
-            if not may:
+    def check(self, state: PolicyState) -> str:
+        """Returns a text where a server may decide by an old version too late."""
+        now_ms = state.now_ms
+        for node in state.nodes.values():
+            if not self._may_decide(node.participant, now_ms):
                 continue
-            version = max(0, f.version)
-            state.first.setdefault(version, now)
-            newer = [at for v, at in state.first.items() if v > version]
-            if newer and now - min(newer) > self.settings.overlap_ms:
-                return f"{part.name} may decide by {version} {now - min(newer):.0f} ms after a newer one"
+            version = max(0, node.participant.version)
+            state.first_possible_ms.setdefault(version, now_ms)
+            newer_ms = [at_ms for newer, at_ms in state.first_possible_ms.items() if newer > version]
+            if newer_ms and now_ms - min(newer_ms) > self.settings.overlap_ms:
+                elapsed_ms = now_ms - min(newer_ms)
+                return f"{node.name} may decide by {version} {elapsed_ms:.0f} ms after a newer one"
         return ""
 
-    def run(self, depth: int, most: int = 10_000_000) -> PolicyChangeSearch:
-        """All states up to `depth` steps from the start, each once; ends at the first broken promise."""
-        begin = self.begin()
-        seen, edge = {begin.key()}, [(begin, ())]
-        for self.depth_reached in range(1, depth + 1):
-            new: list[tuple[State, Any]] = []
-            for state, way in edge:
-                for step in self.steps(state):
-                    state_after = self.take(state, step)
-                    why = self.check(state_after)
-                    key = state_after.key()
-                    if key in seen:
-                        continue
-                    seen.add(key)
-                    self.state_count = len(seen)
-                    if why:
-                        self.violation = f"{why}, by {[*way, step]}"
-                        return self
-                    new.append((state_after, (*way, step)))
-                    if self.state_count >= most:
-                        return self
-            edge = new
-        return self
+    def _may_decide(self, participant: ChangeParticipant, now_ms: float) -> bool:
+        may_decide = participant.may_decide(now_ms)
+        if self.removed_defence == PARTICIPANT_LEASE:
+            return participant.is_member and participant.latest_version <= participant.version
+        if self.removed_defence == STATUS_REQUEST:
+            return may_decide or not participant.is_member
+        return may_decide
+
+    def key(self, state: PolicyState) -> Hashable:
+        """Returns what tells a state from others; times count from now."""
+        nodes: list[Any] = []
+        for node in state.nodes.values():
+            nodes.append(_participant_key(node, state.now_ms))
+            if node.coordinator is not None:
+                nodes.append(_coordinator_key(node))
+        messages = tuple(sorted(repr(message) for message in state.messages))
+        since_ms = tuple(
+            sorted((version, state.now_ms - at_ms) for version, at_ms in state.first_possible_ms.items())
+        )
+        return (tuple(nodes), messages, since_ms, repr(state.remaining))
+
+
+def _phase(state: PolicyState) -> ChangePhase:
+    coordinator = state.nodes[VOTER].coordinator
+    assert coordinator is not None
+    return coordinator.phase
+
+
+def _forget_answered_requests(participant: ChangeParticipant) -> None:
+    """Drops what would tell states apart in which nothing else differs."""
+    participant.request_sent_at_ms = {
+        number: at_ms
+        for number, at_ms in participant.request_sent_at_ms.items()
+        if number > participant.last_answered_number
+    }
+
+
+def _participant_key(node: PolicyNode, now_ms: float) -> Hashable:
+    participant = node.participant
+    return (
+        node.run,
+        participant.is_member,
+        participant.version,
+        participant.latest_version,
+        participant.change_id,
+        participant.state,
+        max(0.0, participant.lease_expiry_ms - now_ms),
+        participant.last_answered_number,
+        participant.last_request_number,
+        tuple(now_ms - at_ms for at_ms in participant.request_sent_at_ms.values()),
+    )
+
+
+def _coordinator_key(node: PolicyNode) -> Hashable:
+    coordinator = node.coordinator
+    assert coordinator is not None
+    requests = [(name, report.request) for name, report in sorted(coordinator.reports.by_member.items())]
+    return (
+        tuple(
+            (name, request.run, request.change_id, request.state, request.version)
+            for name, request in requests
+        ),
+        coordinator.phase,
+        coordinator.switching_change_id,
+        node.state_machine.version,
+        node.state_machine.pending_change_id,
+    )
--- a/landingshift/testbed/verification/shrinking.py
+++ b/landingshift/testbed/verification/shrinking.py
@@ -1,7 +1,8 @@
-"""Makes a failing day small enough to read: fewer acts, shorter ones, fewer servers, a shorter day.
+"""Shrinks a failing scenario until it is small enough to read (delta debugging).
 
-`fails(day)` says whether the same promise is still broken. What is tried costs a play each, so that their
-number is bounded; the smallest day so far counts whenever that runs out.
+Faults are left out, shortened and done to fewer servers; then come fewer servers and a shorter scenario.
+Each trial plays a scenario, so that their number is bounded; when it runs out, the smallest one that still
+fails counts.
 """
 
 from __future__ import annotations
@@ -10,106 +11,148 @@
 
 from msgspec.structs import replace
 
-from landingshift.testbed.experiments.scenarios import Fault, Scenario
+from landingshift.testbed.experiments.scenarios import Fault, Scenario, fault_order
 
-PLAYS = 400
-FEWEST = 2  # servers
-ROUND = 100.0  # ms that times are rounded to, where that makes no difference
+DEFAULT_MAX_PLAYS = 400
+MIN_SERVER_COUNT = 2
+MIN_VOTER_COUNT = 3
+TIME_GRID_MS = 100.0
+"""Beginnings are rounded to it where that makes no difference."""
+REMAINDERS_MS = (100.0, 2000.0)
+"""After the last fault, that a shorter scenario may have."""
+MIN_SHORTENING_MS = 500.0
+MIN_HALVED_DURATION_MS = 400.0
+MIN_LOAD_RATIO = 0.3
 
 
 class Shrinker:
-    def __init__(self, day: Scenario, fails: Callable[[Scenario], bool], plays: int = PLAYS) -> None:
-        self.day, self.fails, self.left = day, fails, plays
+    """Shrinks one scenario.
+
+    Attributes:
+        scenario: The smallest one found that fails.
+        remaining_plays: How many more may be tried.
+        play_count: How many were tried.
+    """
+
+    def __init__(
+        self,
+        scenario: Scenario,
+        fails: Callable[[Scenario], bool],
+        max_plays: int = DEFAULT_MAX_PLAYS,
+    ) -> None:
+        """Starts from a scenario that fails.
+
+        Args:
+            scenario: The scenario.
+            fails: Plays a scenario and says whether the same invariant is still violated.
+            max_plays: How many scenarios may be tried.
+        """
+        self.scenario = scenario
+        self._fails = fails
+        self.remaining_plays = max_plays
         self.play_count = 0
 
-    def smaller(self, day: Scenario) -> bool:
-        """Keeps it where it still fails."""
-        if not self.left:
+    def run(self) -> Scenario:
+        """Shrinks until nothing can be left out; returns the smallest scenario."""
+        previous_size = -1
+        while self.remaining_plays and previous_size != description_size(self.scenario):
+            previous_size = description_size(self.scenario)
+            self._leave_out_faults()
+            for candidates in (fewer_servers, shorter_scenarios, simpler_faults):
+                self._take_while_failing(candidates)
+        return self.scenario
+
+    def _try(self, scenario: Scenario) -> bool:
+        """Plays a scenario, and keeps it where it still fails."""
+        if not self.remaining_plays:
             return False
-        self.left -= 1
+        self.remaining_plays -= 1
         self.play_count += 1
-        if not self.fails(day):
+        if not self._fails(scenario):
             return False
-        self.day = day
+        self.scenario = scenario
         return True
 
-    def run(self) -> Scenario:
-        size = -1
-        while self.left and size != weight(self.day):
-            size = weight(self.day)
-            self.acts()
-            for step in (servers, shorter, simpler):
-                self.each(step)
-        return self.day
-
-    def acts(self) -> None:
-        """Halves, then quarters, then single ones are left out (delta debugging)."""
-        parts = 2
-        while self.left and len(self.day.faults) > 0:
-            acts = self.day.faults
-            size = -(-len(acts) // parts)
-            cut = False
-            for first in range(0, len(acts), size):
-                if self.smaller(replace(self.day, faults=acts[:first] + acts[first + size :])):
-                    cut = True
-                    break
-            if not cut and size == 1:
+    def _leave_out_faults(self) -> None:
+        """Leaves out halves, then quarters, then single faults."""
+        part_count = 2
+        while self.remaining_plays and self.scenario.faults:
+            fault_count = len(self.scenario.faults)
+            part_size = -(-fault_count // part_count)
+            if self._leave_out_one_part(part_size):
+                part_count = max(2, part_count - 1)
+            elif part_size == 1:
                 return
-            parts = max(2, parts - 1) if cut else min(len(acts), parts * 2)
-
-    def each(self, step: Callable[[Scenario], Iterator[Scenario]]) -> None:
-        """Goes on from each that still fails, until none of them does."""
-        again = True
-        while again and self.left:
-            again = any(self.smaller(day) for day in step(self.day))
-
-
-def weight(day: Scenario) -> int:
-    return len(written_short(day))
-
-
-def written_short(day: Scenario) -> str:
-    faults = [(a.kind, a.start_ms, a.servers, a.duration_ms) for a in day.faults]
-    return f"{day.server_count} {day.voter_count} {day.duration_ms:.0f} {faults}"
-
-
-def servers(day: Scenario) -> Iterator[Scenario]:
-    """The last one less, where nothing is done to it."""
-    used = max((i for a in day.faults for i in a.servers), default=-1)
-    if day.server_count > max(FEWEST, used + 1, day.voter_count):
-        yield replace(day, server_count=day.server_count - 1)
-    if day.voter_count > 3:
-        yield replace(day, voter_count=3)
-
-
-def shorter(day: Scenario) -> Iterator[Scenario]:
-    last = max((a.start_ms + a.duration_ms for a in day.faults), default=0.0)
-    for ms in (last + 100.0, last + 2000.0):
-        if ms < day.duration_ms - 500.0:
-            yield replace(day, duration_ms=ms)
-    for i, a in enumerate(day.faults):
-        if a.duration_ms > 400.0:
-            yield replace(day, faults=with_act(day, i, replace(a, duration_ms=round(a.duration_ms / 2.0))))
-
-
-def simpler(day: Scenario) -> Iterator[Scenario]:
-    """One server in place of several, less load, round times, an earlier beginning."""
-    for i, a in enumerate(day.faults):
-        for who in a.servers if len(a.servers) > 1 else ():
-            yield replace(
-                day, faults=with_act(day, i, replace(a, servers=tuple(w for w in a.servers if w != who)))
-            )
-        if a.start_ms % ROUND:
-            yield replace(day, faults=with_act(day, i, replace(a, start_ms=a.start_ms // ROUND * ROUND)))
-    first = min((a.start_ms for a in day.faults), default=0.0)
-    if first >= ROUND:
-        early = tuple(replace(a, start_ms=a.start_ms - first // ROUND * ROUND) for a in day.faults)
-        yield replace(day, faults=early)
-    if day.load_ratio > 0.3:
-        yield replace(day, load_ratio=0.3)
-
-
-def with_act(day: Scenario, i: int, act: Fault) -> tuple[Fault, ...]:
-    return tuple(
-        sorted([*day.faults[:i], act, *day.faults[i + 1 :]], key=lambda a: (a.start_ms, a.kind, a.servers))
-    )
+            else:
+                part_count = min(fault_count, part_count * 2)
+
+    def _leave_out_one_part(self, part_size: int) -> bool:
+        """Leaves out the first part without which the scenario still fails."""
+        faults = self.scenario.faults
+        return any(
+            self._try(replace(self.scenario, faults=faults[:first] + faults[first + part_size :]))
+            for first in range(0, len(faults), part_size)
+        )
+
+    def _take_while_failing(self, candidates: Callable[[Scenario], Iterator[Scenario]]) -> None:
+        """Goes on from a candidate that still fails, until none of them does."""
+        is_smaller = True
+        while is_smaller and self.remaining_plays:
+            is_smaller = any(self._try(scenario) for scenario in candidates(self.scenario))
+
+
+def description_size(scenario: Scenario) -> int:
+    """Returns the length of a short description, which shrinks with the scenario."""
+    faults = [(fault.kind, fault.start_ms, fault.servers, fault.duration_ms) for fault in scenario.faults]
+    counts = f"{scenario.server_count} {scenario.voter_count} {scenario.duration_ms:.0f}"
+    return len(f"{counts} {faults}")
+
+
+def fewer_servers(scenario: Scenario) -> Iterator[Scenario]:
+    """Yields the scenario without its last server, where nothing is done to it, and with fewer voters."""
+    last_affected = max((index for fault in scenario.faults for index in fault.servers), default=-1)
+    if scenario.server_count > max(MIN_SERVER_COUNT, last_affected + 1, scenario.voter_count):
+        yield replace(scenario, server_count=scenario.server_count - 1)
+    if scenario.voter_count > MIN_VOTER_COUNT:
+        yield replace(scenario, voter_count=MIN_VOTER_COUNT)
+
+
+def shorter_scenarios(scenario: Scenario) -> Iterator[Scenario]:
+    """Yields the scenario with an earlier end, and with each fault lasting half as long."""
+    last_end_ms = max((fault.start_ms + fault.duration_ms for fault in scenario.faults), default=0.0)
+    for remainder_ms in REMAINDERS_MS:
+        if last_end_ms + remainder_ms < scenario.duration_ms - MIN_SHORTENING_MS:
+            yield replace(scenario, duration_ms=last_end_ms + remainder_ms)
+    for place, fault in enumerate(scenario.faults):
+        if fault.duration_ms > MIN_HALVED_DURATION_MS:
+            shorter = replace(fault, duration_ms=round(fault.duration_ms / 2.0))
+            yield with_fault(scenario, place, shorter)
+
+
+def simpler_faults(scenario: Scenario) -> Iterator[Scenario]:
+    """Yields the scenario with a server less in a fault, rounded times, an earlier start or less load."""
+    for place, fault in enumerate(scenario.faults):
+        if len(fault.servers) > 1:
+            for left_out in fault.servers:
+                servers = tuple(index for index in fault.servers if index != left_out)
+                yield with_fault(scenario, place, replace(fault, servers=servers))
+        if fault.start_ms % TIME_GRID_MS:
+            rounded = replace(fault, start_ms=_on_grid(fault.start_ms))
+            yield with_fault(scenario, place, rounded)
+    first_start_ms = min((fault.start_ms for fault in scenario.faults), default=0.0)
+    if first_start_ms >= TIME_GRID_MS:
+        earlier_ms = _on_grid(first_start_ms)
+        faults = tuple(replace(fault, start_ms=fault.start_ms - earlier_ms) for fault in scenario.faults)
+        yield replace(scenario, faults=faults)
+    if scenario.load_ratio > MIN_LOAD_RATIO:
+        yield replace(scenario, load_ratio=MIN_LOAD_RATIO)
+
+
+def _on_grid(time_ms: float) -> float:
+    return time_ms // TIME_GRID_MS * TIME_GRID_MS
+
+
+def with_fault(scenario: Scenario, place: int, fault: Fault) -> Scenario:
+    """Returns the scenario with another fault in a place."""
+    faults = [*scenario.faults[:place], fault, *scenario.faults[place + 1 :]]
+    return replace(scenario, faults=tuple(sorted(faults, key=fault_order)))
--- a/tests/test_coldstart.py
+++ b/tests/test_coldstart.py
@@ -110,9 +110,10 @@
 
 class LeaseSearchTest(unittest.TestCase):
     def test_no_order_of_messages_breaks_the_bound(self) -> None:
-        search = LeaseSearch().run(7, 6000)
-        self.assertEqual(search.violation, "")
-        self.assertGreater(search.state_count, 3000)
+        search = LeaseSearch()
+        exploration = search.run(7, 6000)
+        self.assertEqual(exploration.violation, "")
+        self.assertGreater(exploration.state_count, 3000)
         self.assertEqual(search.max_believed, 4.0)  # all is leased: the bound is reached, and not passed
 
     def test_each_part_of_the_rule_is_needed(self) -> None:
