--- a/landingshift/testbed/experiments/chance_faults.py
+++ b/landingshift/testbed/experiments/chance_faults.py
@@ -13,6 +13,7 @@
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import dataclass, field
 from functools import partial
+from typing import Any
 
 from landingshift.testbed.experiments.rows import ExperimentRow
 from landingshift.testbed.experiments.scenarios import Coverage, Scenario, describe_scenario, draw_scenario
@@ -127,7 +128,10 @@
     with ProcessPoolExecutor() as pool:
         for first in range(seed, seed + scenario_count, ROUND_SCENARIO_COUNT):
             seeds = list(range(first, min(seed + scenario_count, first + ROUND_SCENARIO_COUNT)))
-            chunks = [seeds[i : i + CHUNK_SCENARIO_COUNT] for i in range(0, len(seeds), CHUNK_SCENARIO_COUNT)]
+            chunks = [
+                seeds[start : start + CHUNK_SCENARIO_COUNT]
+                for start in range(0, len(seeds), CHUNK_SCENARIO_COUNT)
+            ]
             play_chunk = partial(_play_chunk, removed_defence=removed_defence, pair_counts=pair_counts)
             for result in pool.map(play_chunk, chunks):
                 total.merge(result)
@@ -197,22 +201,27 @@
         if time.monotonic() - began > minutes * 60.0 or (removed_defence and total.violations):
             break
     row.violations = [f"seed {seed}: {texts[0]}" for seed, texts in sorted(total.violations.items())]
-    shrunk_count = 1 if removed_defence else MAX_SHRUNK_COUNT
-    seeds = sorted(total.violations)[:shrunk_count]
+    failure_count = 1 if removed_defence else MAX_SHRUNK_COUNT
+    failing = [total.failing[seed] for seed in sorted(total.violations)[:failure_count]]
+    row.series["smallest"] = _shrink_failures(failing, removed_defence, plays)
+    yield row, total
+
+
+def _shrink_failures(failing: list[Scenario], removed_defence: str, plays: int) -> list[dict[str, Any]]:
+    """Shrinks scenarios in parallel; returns what `--json` and the report have of each."""
     with ProcessPoolExecutor() as pool:
         shrink = partial(shrink_failure, removed_defence=removed_defence, plays=plays)
-        shrunk = pool.map(shrink, [total.failing[seed] for seed in seeds])
-        row.series["smallest"] = [
+        shrunk = pool.map(shrink, failing)
+        return [
             {
-                "seed": seed,
+                "seed": original.seed,
                 "promise": invariant,
                 "plays": play_count,
                 "told": describe_scenario(scenario),
                 "day": scenario,
             }
-            for seed, (scenario, invariant, play_count) in zip(seeds, shrunk, strict=True)
+            for original, (scenario, invariant, play_count) in zip(failing, shrunk, strict=True)
         ]
-    yield row, total
 
 
 def _add_figures(row: ExperimentRow, total: SearchResult, began: float) -> None:
--- a/landingshift/testbed/experiments/cold_start_harness.py
+++ b/landingshift/testbed/experiments/cold_start_harness.py
@@ -7,9 +7,9 @@
 
 from landingshift.testbed.experiments.rows import ExperimentRow
 from landingshift.testbed.processes.gateway_load import FAILED_OUTCOMES
-from landingshift.testbed.processes.harness import ProcessHarness, StandInCapacity, format_address
+from landingshift.testbed.processes.harness import ProcessHarness, format_address
 from landingshift.testbed.processes.history import PERMIT_FIELD, QUOTA_FIELD, max_total_granted
-from landingshift.testbed.processes.stand_ins import DEFAULT_CORE_COUNT, DEFAULT_RUN_MS
+from landingshift.testbed.processes.stand_ins import DEFAULT_CORE_COUNT, DEFAULT_RUN_MS, StandInCapacity
 
 CALLS_PER_SECOND_EACH = 4.0
 """That the database serves, for each server."""
@@ -29,7 +29,6 @@
 MIN_GRANTORS_COUNT = 2
 MAX_GRANTORS_COUNT = 8
 SERVERS_PER_GRANTOR = 12
-MIN_SERVERS_FOR_MORE_GRANTORS_COUNT = 6
 START_BASE_SECONDS = 20.0
 START_RATIO = 6.0
 """Of the least time that a start takes, on a machine that has other work too."""
@@ -82,10 +81,8 @@
             run_ms: For which a run takes a core.
         """
         self.server_count = count
-        self.grantor_count = MIN_GRANTORS_COUNT
-        if count >= MIN_SERVERS_FOR_MORE_GRANTORS_COUNT:
-            grantor_count = min(MAX_GRANTORS_COUNT, count // SERVERS_PER_GRANTOR)
-            self.grantor_count = max(MIN_GRANTORS_COUNT, grantor_count)
+        grantor_count = min(MAX_GRANTORS_COUNT, count // SERVERS_PER_GRANTOR)
+        self.grantor_count = max(MIN_GRANTORS_COUNT, grantor_count)
         self._has_packages = has_packages and removed_defence != "shares"
         self._known_servers = known_servers
         self._has_few_permits = has_few_permits
--- a/landingshift/testbed/experiments/policies_harness.py
+++ b/landingshift/testbed/experiments/policies_harness.py
@@ -4,7 +4,6 @@
 
 import time
 from collections import Counter
-from collections.abc import Callable
 from contextlib import suppress
 from pathlib import Path
 from typing import Any
@@ -13,12 +12,13 @@
 from landingshift.policies.document import parse_policy
 from landingshift.testbed.errors import MemberNotGoneError, NoLeaderError, NotAllDecideError
 from landingshift.testbed.experiments.partitions import no_cut
-from landingshift.testbed.experiments.rows import ExperimentRow, RealCase
+from landingshift.testbed.experiments.rows import ExperimentRow
 from landingshift.testbed.processes.fault_proxy import LinkRule
 from landingshift.testbed.processes.gateway_load import FAILED_OUTCOMES
-from landingshift.testbed.processes.harness import ProcessHarness, StandInCapacity, format_address
+from landingshift.testbed.processes.harness import ProcessHarness, format_address
 from landingshift.testbed.processes.history import HistoryEntry
 from landingshift.testbed.processes.single_server import METHOD, TENANT
+from landingshift.testbed.processes.stand_ins import StandInCapacity
 from landingshift.testbed.verification.invariants import find_violations
 
 OVERLAP_MS = 1000.0
@@ -31,9 +31,6 @@
 SERVER_RPCS_PER_SECOND = CORE_COUNT * 1000.0 / RUN_MS
 OVERLOAD_RATIO = 1.2
 """Of what all engines together can do."""
-MAX_OVERLOADED_COUNT = 20
-"""With more servers the cores of the one machine must not be what is measured."""
-CROWDED_LOAD_RATIO = OVERLOAD_RATIO / 20.0
 CALLS_PER_SECOND_EACH = 1000.0
 LIST_REQUESTS_PER_SECOND = 20.0
 VOTERS_COUNT = 3
@@ -385,20 +382,3 @@
         (last_ms[version] - first_ms[version + 1] for version in last_ms if version + 1 in first_ms),
         default=0.0,
     )
-
-
-def policy_case(play: Callable[[PolicyHarness, ExperimentRow], None], when_cut_off: str = SERVE) -> RealCase:
-    """Returns a case that plays one scenario and checks what must hold afterwards."""
-
-    def run(folder: str, count: int, seed: int, row: ExperimentRow) -> None:
-        load = OVERLOAD_RATIO if count <= MAX_OVERLOADED_COUNT else CROWDED_LOAD_RATIO
-        harness = PolicyHarness(folder, count, seed, when_cut_off, load)
-        try:
-            play(harness, row)
-            harness.check(row)
-        except (RuntimeError, OperatorRpcError) as err:
-            row.require(False, str(err))
-        finally:
-            harness.close()
-
-    return run
--- a/landingshift/testbed/experiments/policies_real.py
+++ b/landingshift/testbed/experiments/policies_real.py
@@ -2,11 +2,41 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
+
+from landingshift.membership.operator_rpc import OperatorRpcError
 from landingshift.testbed.experiments import policies_crash_cases as crash_cases
 from landingshift.testbed.experiments import policies_network_cases as network_cases
 from landingshift.testbed.experiments import policies_voter_cases as voter_cases
-from landingshift.testbed.experiments.policies_harness import STAND_ASIDE, policy_case
-from landingshift.testbed.experiments.rows import RealCase
+from landingshift.testbed.experiments.policies_harness import (
+    OVERLOAD_RATIO,
+    SERVE,
+    STAND_ASIDE,
+    PolicyHarness,
+)
+from landingshift.testbed.experiments.rows import ExperimentRow, RealCase
+
+MAX_OVERLOADED_COUNT = 20
+"""With more servers the cores of the one machine must not be what is measured."""
+CROWDED_LOAD_RATIO = OVERLOAD_RATIO / 20.0
+
+
+def policy_case(play: Callable[[PolicyHarness, ExperimentRow], None], when_cut_off: str = SERVE) -> RealCase:
+    """Returns a case that plays one scenario and checks what must hold afterwards."""
+
+    def run(folder: str, count: int, seed: int, row: ExperimentRow) -> None:
+        load = OVERLOAD_RATIO if count <= MAX_OVERLOADED_COUNT else CROWDED_LOAD_RATIO
+        harness = PolicyHarness(folder, count, seed, when_cut_off, load)
+        try:
+            play(harness, row)
+            harness.check(row)
+        except (RuntimeError, OperatorRpcError) as err:
+            row.require(False, str(err))
+        finally:
+            harness.close()
+
+    return run
+
 
 LONG: dict[str, RealCase] = {"real_service": policy_case(network_cases.service)}
 """Rows that are played only where one asks for them."""
--- a/landingshift/testbed/processes/harness.py
+++ b/landingshift/testbed/processes/harness.py
@@ -29,7 +29,7 @@
 from landingshift.testbed.processes.gateway_load import GatewayLoad, InjectedFaults
 from landingshift.testbed.processes.history import HistoryEntry, PausePeriod, read_history
 from landingshift.testbed.processes.single_server import users_settings
-from landingshift.testbed.processes.stand_ins import DEFAULT_CORE_COUNT, DEFAULT_RUN_MS, StandIns
+from landingshift.testbed.processes.stand_ins import StandInCapacity, StandIns
 
 TICK_INTERVAL_MS = 20.0
 RPC_PORT = 20100
@@ -52,27 +52,6 @@
 NOT_YET_MS = -1.0
 
 
-@dataclass(frozen=True, slots=True)
-class StandInCapacity:
-    """How much the stand-ins of a harness do.
-
-    Attributes:
-        calls_per_second: That the database serves.
-        list_requests_per_second: That the endpoint list serves.
-        cache_fill_calls: Database calls that fill the cache of an engine.
-        warm_up_ms: From an engine's start until its cores are warm.
-        run_ms: For which a run takes a core.
-        core_count: Of each engine.
-    """
-
-    calls_per_second: float
-    list_requests_per_second: float
-    cache_fill_calls: int = 20
-    warm_up_ms: float = 2000.0
-    run_ms: float = DEFAULT_RUN_MS
-    core_count: int = DEFAULT_CORE_COUNT
-
-
 @dataclass(frozen=True, slots=True)
 class WarmSample:
     """How far the fleet has come with its start.
@@ -130,16 +109,7 @@
         self.folder = folder
         self.server_count = server_count
         self.loop = Loop(self._on_unhandled_error)
-        self.stand_ins = StandIns(
-            self.loop,
-            seed,
-            capacity.calls_per_second,
-            capacity.list_requests_per_second,
-            capacity.cache_fill_calls,
-            capacity.warm_up_ms,
-            capacity.run_ms,
-            capacity.core_count,
-        )
+        self.stand_ins = StandIns(self.loop, seed, capacity)
         self.proxy = FaultProxy(self.loop, seed)
         self.faults = InjectedFaults()
         self._rng = Random(f"{seed} rig")
--- a/landingshift/testbed/processes/stand_ins.py
+++ b/landingshift/testbed/processes/stand_ins.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 import socket
-from collections.abc import Callable
+from dataclasses import dataclass
 from enum import Enum
 from functools import partial
 from random import Random
@@ -20,18 +20,13 @@
 from landingshift.net.transport.listener import Listener
 from landingshift.net.transport.loop import Loop
 from landingshift.net.transport.stream import Address, Stream
+from landingshift.testbed.processes.capacity_limited_service import CapacityLimitedService
 
 LOOPBACK = "127.0.0.1"
 MAX_UNSENT_BYTES = 1 << 22
 ENGINE_RESULT = b"r" * 100
 WARM_RUNS_PER_CALL = 10
 """Runs of which one needs a call to the database once the cache is filled."""
-OVERLOAD_SLOWDOWN_FACTOR = 3.0
-OVERLOAD_QUEUE_SECONDS = 2.0
-"""Requests of so long a time wait when a service becomes overloaded."""
-RECOVERED_QUEUE_FRACTION = 0.1
-"""Of the queue at which a service becomes overloaded; below that it has recovered."""
-SERVICE_LATENCY_MS = 5.0
 MAX_LISTED_ENDPOINTS = 16
 SLOW_LIST_DELAY_MS = 2000.0
 UNUSED_PORT = 9
@@ -180,68 +175,6 @@
         self.stream.write(encode_line(*words, body=body))
 
 
-class CapacityLimitedService:
-    """A queue that is worked off in turn, more slowly while the service is overloaded.
-
-    Attributes:
-        overload_queue_length: Above which the service becomes overloaded.
-        is_overloaded: Whether it is, until its queue is short again.
-        overload_count: How often it became so.
-        arrival_times_ms: Of the servers' requests.
-    """
-
-    def __init__(self, loop: Loop, requests_per_second: float) -> None:
-        self._loop = loop
-        self._requests_per_second = requests_per_second
-        self.overload_queue_length = OVERLOAD_QUEUE_SECONDS * requests_per_second
-        self._last_done_at_ms = loop.now_ms
-        self._queue_length = 0
-        self.is_overloaded = False
-        self.overload_count = 0
-        self.arrival_times_ms: list[float] = []
-
-    def flood(self, count: int) -> None:
-        """Adds requests from elsewhere, which are none of the servers' doing."""
-        for _ in range(count):
-            self._enqueue(_do_nothing)
-
-    def request(self, on_done: Callable[[], None]) -> None:
-        """Adds a server's request."""
-        self.arrival_times_ms.append(self._loop.now_ms)
-        self._enqueue(on_done)
-
-    def _enqueue(self, on_done: Callable[[], None]) -> None:
-        self._queue_length += 1
-        if self._queue_length > self.overload_queue_length and not self.is_overloaded:
-            self.is_overloaded = True
-            self.overload_count += 1
-        slowdown = OVERLOAD_SLOWDOWN_FACTOR if self.is_overloaded else 1.0
-        service_ms = 1000.0 / self._requests_per_second * slowdown
-        self._last_done_at_ms = max(self._last_done_at_ms, self._loop.now_ms) + service_ms
-        delay_ms = self._last_done_at_ms - self._loop.now_ms + SERVICE_LATENCY_MS
-        self._loop.after(delay_ms, lambda: self._on_done(on_done))
-
-    def _on_done(self, on_done: Callable[[], None]) -> None:
-        self._queue_length -= 1
-        if self._queue_length < RECOVERED_QUEUE_FRACTION * self.overload_queue_length:
-            self.is_overloaded = False
-        on_done()
-
-    def peak_count(self, window_ms: float = 1000.0) -> int:
-        """Returns the most requests of servers that came within the window."""
-        peak = 0
-        first = 0
-        for last, arrival_ms in enumerate(self.arrival_times_ms):
-            while self.arrival_times_ms[first] <= arrival_ms - window_ms:
-                first += 1
-            peak = max(peak, last - first + 1)
-        return peak
-
-
-def _do_nothing() -> None:
-    """What follows on a request from elsewhere."""
-
-
 class DatabaseConnection(ServerConnection):
     """The database, whose rows are all the same."""
 
@@ -280,6 +213,27 @@
         stand_ins.loop.after(delay_ms, lambda: self.stream.write(answer))
 
 
+@dataclass(frozen=True, slots=True)
+class StandInCapacity:
+    """How much the stand-ins do.
+
+    Attributes:
+        calls_per_second: That the database serves.
+        list_requests_per_second: That the endpoint list serves.
+        cache_fill_calls: Database calls that fill the cache of an engine.
+        warm_up_ms: From an engine's start until its cores are warm.
+        run_ms: For which a run takes a core.
+        core_count: Of each engine.
+    """
+
+    calls_per_second: float
+    list_requests_per_second: float
+    cache_fill_calls: int = 20
+    warm_up_ms: float = 2000.0
+    run_ms: float = DEFAULT_RUN_MS
+    core_count: int = DEFAULT_CORE_COUNT
+
+
 class StandIns:
     """All stand-ins of one harness.
 
@@ -295,35 +249,20 @@
         roster_socket: Where servers report themselves.
     """
 
-    def __init__(
-        self,
-        loop: Loop,
-        seed: int,
-        calls_per_second: float,
-        list_requests_per_second: float,
-        cache_fill_calls: int,
-        warm_up_ms: float,
-        run_ms: float = DEFAULT_RUN_MS,
-        core_count: int = DEFAULT_CORE_COUNT,
-    ) -> None:
+    def __init__(self, loop: Loop, seed: int, capacity: StandInCapacity) -> None:
         """Starts the stand-ins.
 
         Args:
             loop: On which they run.
             seed: Of what is drawn.
-            calls_per_second: That the database serves.
-            list_requests_per_second: That the endpoint list serves.
-            cache_fill_calls: Database calls that fill the cache of an engine.
-            warm_up_ms: From an engine's start until its cores are warm.
-            run_ms: For which a run takes a core.
-            core_count: Of each engine.
+            capacity: How much they do.
         """
         self.loop = loop
-        self.warm_up_ms = warm_up_ms
-        self.run_ms = run_ms
-        self.core_count = core_count
-        self.database = CapacityLimitedService(loop, calls_per_second)
-        self.endpoint_list = CapacityLimitedService(loop, list_requests_per_second)
+        self.warm_up_ms = capacity.warm_up_ms
+        self.run_ms = capacity.run_ms
+        self.core_count = capacity.core_count
+        self.database = CapacityLimitedService(loop, capacity.calls_per_second)
+        self.endpoint_list = CapacityLimitedService(loop, capacity.list_requests_per_second)
         self.list_mode = EndpointListMode.UP
         self.listed_addresses: list[Address] = []
         self.roster_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -333,7 +272,7 @@
         self.database_listener = StandInListener(loop, lambda: DatabaseConnection(self.database))
         self.list_listener = StandInListener(loop, lambda: EndpointListConnection(self))
         self._rng = Random(f"{seed} yard")
-        self._cache_fill_calls = cache_fill_calls
+        self._cache_fill_calls = capacity.cache_fill_calls
         self._cache_fill_counts: dict[str, int] = {}
         self._first_reported_at_ms: dict[str, float] = {}
         self._last_reported_at_ms: dict[str, float] = {}
