--- a/landingshift/testbed/experiments/cold_start.py
+++ b/landingshift/testbed/experiments/cold_start.py
@@ -135,9 +135,10 @@
     """Every order of one grantor and two holders, to a depth, until so many states were seen."""
     has_recovery_grace = trial.removed_defence != "quiet"
     books_old_grants = trial.removed_defence != "booking"
-    search = LeaseSearch(has_recovery_grace, books_old_grants).run(SEARCH_DEPTH, MAX_SEARCHED_STATES)
-    row.require(not search.violation, search.violation)
-    row.figures |= {"states": search.state_count, "most_of_4": search.max_believed}
+    search = LeaseSearch(has_recovery_grace, books_old_grants)
+    exploration = search.run(SEARCH_DEPTH, MAX_SEARCHED_STATES)
+    row.require(not exploration.violation, exploration.violation)
+    row.figures |= {"states": exploration.state_count, "most_of_4": search.max_believed}
 
 
 def simultaneous_start(trial: Trial, row: ExperimentRow) -> None:
