--- /dev/null
+++ b/landingshift/coldstart/endpoint_list_client.py
@@ -0,0 +1,89 @@
+"""One poll of the list service: MessagePack-RPC `list(fleet)`, answered by `[[host, port], ...]`."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Annotated
+
+import msgspec
+from msgspec import Meta
+
+from landingshift.membership.messages import Address
+from landingshift.net.protocol.gateway import pack
+from landingshift.net.transport.loop import Loop
+from landingshift.net.transport.stream import Stream, connect
+
+METHOD = "list"
+RPC_REQUEST_TYPE = 0  # MessagePack-RPC type of a call
+RPC_RESPONSE_TYPE = 1  # MessagePack-RPC type of its answer
+REQUEST_NUMBER = 1
+MAX_UNSENT_BYTES = 1 << 16
+MAX_RESPONSE_BYTES = 1 << 17
+MAX_ENDPOINT_COUNT = 1024
+
+Endpoint = tuple[
+    Annotated[str, Meta(pattern=r"^[0-9]{1,3}(\.[0-9]{1,3}){3}$")], Annotated[int, Meta(ge=1, le=65535)]
+]
+_decoder = msgspec.msgpack.Decoder(
+    tuple[int, int, object, Annotated[list[Endpoint], Meta(max_length=MAX_ENDPOINT_COUNT)] | None]
+)
+
+ResultHandler = Callable[[list[Address], str], None]
+"""Called with the endpoints and an empty reason, or with none and why the poll failed."""
+
+
+class EndpointListRequest:
+    """A poll under way; `on_result` is called once, unless the poll is cancelled."""
+
+    def __init__(self, loop: Loop, address: Address, cluster_name: str, on_result: ResultHandler) -> None:
+        self._on_result: ResultHandler | None = on_result
+        self._received = bytearray()
+        stream = connect(loop, address, self, MAX_UNSENT_BYTES)
+        self._stream = stream if isinstance(stream, Stream) else None
+        if isinstance(stream, Stream):
+            stream.write(pack([RPC_REQUEST_TYPE, REQUEST_NUMBER, METHOD, [cluster_name]]))
+        else:
+            loop.after(0.0, lambda: self._finish([], stream))
+
+    def on_data(self, data: bytes) -> None:
+        """Bytes of the response came."""
+        self._received += data
+        try:
+            rpc_type, number, error, endpoints = _decoder.decode(bytes(self._received))
+        except msgspec.ValidationError:
+            self._close("bad_answer")
+            return
+        except msgspec.DecodeError:  # incomplete as yet
+            if len(self._received) > MAX_RESPONSE_BYTES:
+                self._close("oversized")
+            return
+        is_expected = (rpc_type, number) == (RPC_RESPONSE_TYPE, REQUEST_NUMBER)
+        if not is_expected or error is not None or endpoints is None:
+            self._close("error")
+            return
+        self._finish(list(endpoints), "")
+        self._close("answered")
+
+    def on_eof(self) -> None:
+        """The service writes no more."""
+        self._close("closed")
+
+    def on_closed(self, reason: str) -> None:
+        """The connection is closed: without a result before, the poll has failed."""
+        self._stream = None
+        self._finish([], reason)
+
+    def cancel(self) -> None:
+        """Ends the poll without a result."""
+        self._on_result = None
+        self._close("cancelled")
+
+    def _close(self, reason: str) -> None:
+        if self._stream is not None:
+            self._stream.close(reason)
+
+    def _finish(self, endpoints: list[Address], reason: str) -> None:
+        on_result = self._on_result
+        self._on_result = None
+        if on_result is not None:
+            on_result(endpoints, reason)
--- /dev/null
+++ b/landingshift/policies/coordinator.py
@@ -0,0 +1,397 @@
+"""The leader's side of policy changes: who has answered, when all are prepared, when a change is over.
+
+Guarantee: a commit is proposed only once every member is prepared or certainly stands aside, and no lease is
+granted from then on until it is applied or void. Failure mode: all that is here may be lost with its leader;
+the next one asks anew, and what must not be lost is in the replicated state machine.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from landingshift.consensus.raft import RaftNode
+from landingshift.policies.commands import (
+    UNKNOWN_OUTCOME,
+    ChangeOutcome,
+    Command,
+    CommitChange,
+    EndChange,
+    JoinMembers,
+    OpenChange,
+    RemoveMember,
+    encode_command,
+)
+from landingshift.policies.member_reports import NEVER_MS, MemberReport, MemberReports
+from landingshift.policies.messages import (
+    ChangePhase,
+    ChangeStatus,
+    ChangeVoters,
+    DeclareDeparted,
+    EndedChange,
+    FindChange,
+    MembershipRefusal,
+    Message,
+    OperatorRequest,
+    PolicyRequest,
+    PolicyText,
+    ProposeChange,
+    Redirect,
+    StatusPoll,
+    StatusReply,
+    StatusRequest,
+    WaitingMember,
+    WithdrawChange,
+)
+from landingshift.policies.participant import ParticipantState
+from landingshift.policies.policy_settings import PolicySettings
+from landingshift.policies.state_machine import Change, PolicyStateMachine
+from landingshift.policies.voter_changes import plan_voter_change
+
+POLL_INTERVAL_MS = 150.0  # between two polls of members that are behind
+POLL_AFTER_COMMIT_MS = 5000.0  # for how long members are polled after a commit
+BUSY_TICK_INTERVAL_MS = 50.0  # while a change is under way or members join
+IDLE_TICK_INTERVAL_MS = 500.0
+MAX_NAMED_MEMBER_COUNT = 5  # of those that a change waited for, in its reason
+MAX_REPORTED_MEMBER_COUNT = 64  # of those that a change waits for, in an answer
+MAX_JOIN_COUNT = 256  # members that one entry takes
+MAX_REASON_CHARS = 200
+
+WANTED_STATES = {
+    ChangePhase.NONE: (),
+    ChangePhase.VALIDATE: (ParticipantState.VALIDATED, ParticipantState.PREPARED),
+    ChangePhase.PREPARE: (ParticipantState.PREPARED,),
+}
+
+
+class ChangeCoordinator:
+    """Drives changes while its voter leads; answers members and operators.
+
+    Attributes:
+        reports: What members told in this term.
+        phase: What is wanted of members for the change under way.
+        switching_change_id: The change whose commit was proposed; empty for none.
+        next_deadline_ms: When `tick` is due.
+        outbox: Receivers and messages that wait to be sent.
+    """
+
+    def __init__(
+        self,
+        raft: RaftNode,
+        state: PolicyStateMachine,
+        settings: PolicySettings,
+        wall_clock_ms: Callable[[], float],
+    ) -> None:
+        """Starts without a term.
+
+        Args:
+            raft: This server's node, which leads or not.
+            state: What is replicated.
+            settings: Alike on all servers.
+            wall_clock_ms: Unix time, for what people read; nothing is decided by it.
+        """
+        self._raft = raft
+        self._state = state
+        self._settings = settings
+        self._wall_clock_ms = wall_clock_ms
+        self.outbox: list[tuple[str, Message]] = []
+        self._term = 0
+        self._begin_term(0.0)
+
+    def _begin_term(self, now_ms: float) -> None:
+        self.reports = MemberReports(self._settings, now_ms)
+        self._joining: dict[str, int] = {}  # servers that asked and are no members yet, and their runs
+        self._join_entry_index = 0
+        self._change_id = ""  # the change that `phase` is about
+        self._change_began_at_ms = now_ms
+        self.phase = ChangePhase.NONE
+        self.switching_change_id = ""
+        self._commit_entry_index = 0
+        self._ending_change_id = ""  # the change whose end was proposed
+        self._proposed_entry_index: dict[str, int] = {}  # by a key of what was proposed
+        self._version = self._state.version
+        self._committed_at_ms = NEVER_MS
+        self._last_poll_at_ms = NEVER_MS
+        self.next_deadline_ms = now_ms
+
+    def _is_leading(self, now_ms: float) -> bool:
+        """Whether this voter may speak as the leader; begins anew in each term that it leads."""
+        if not self._raft.has_leader_lease(now_ms):
+            return False
+        if self._raft.current_term != self._term:
+            self._term = self._raft.current_term
+            self._begin_term(now_ms)
+        return True
+
+    def _send(self, receiver: str, message: Message) -> None:
+        self.outbox.append((receiver, message))
+
+    # What members ask
+
+    def on_status_request(
+        self, sender: str, request: StatusRequest, now_ms: float, known_leader: str = ""
+    ) -> None:
+        """Answers a member.
+
+        Args:
+            sender: Who asks.
+            request: What it tells of itself.
+            now_ms: Monotonic clock, read after the request came.
+            known_leader: The leader that answers this server's own requests. A replaced voter hears of none
+                any more, and whoever knows only the voters of its settings asks nobody else.
+        """
+        if not self._is_leading(now_ms):
+            leader = self._raft.leader or known_leader
+            self._send(sender, Redirect(request.number, "" if leader == self._raft.name else leader))
+            return
+        refusal_reason = self._refusal_reason(sender, request)
+        if refusal_reason:
+            self._send(sender, MembershipRefusal(request.number, refusal_reason[:MAX_REASON_CHARS]))
+            return
+        is_member = self._state.has_member(sender, request.run)
+        if not is_member and len(self._joining) < MAX_JOIN_COUNT:
+            self._joining[sender] = request.run
+            self.next_deadline_ms = now_ms
+        # Nobody gets a lease for the old version once the commit may be replicated.
+        is_leased = is_member and not self.switching_change_id
+        if self.reports.record(sender, request, is_leased, now_ms):
+            self.next_deadline_ms = now_ms
+        reply = StatusReply(
+            request.number,
+            is_member,
+            self._state.version,
+            self._state.pending_change_id,
+            self._wanted_phase(),
+            self._ended_change(request.change_id),
+            is_leased,
+            self._raft.voters,
+        )
+        self._send(sender, reply)
+
+    def _refusal_reason(self, sender: str, request: StatusRequest) -> str:
+        """Why the sender can't be a member; empty where it can."""
+        own_fingerprint = self._settings.fingerprint
+        if request.fingerprint != own_fingerprint:
+            leader = self._raft.name
+            return f"its [policies] is another than {leader}'s: {request.fingerprint}, not {own_fingerprint}"
+        state = self._state
+        has_capacity = sender in state.members or len(state.members) < state.max_member_count
+        return "" if has_capacity else f"{state.max_member_count} members are counted, which is the most"
+
+    def _wanted_phase(self) -> ChangePhase:
+        if self._change_id == self._state.pending_change_id:
+            return self.phase
+        return ChangePhase.VALIDATE if self._state.pending_change_id else ChangePhase.NONE
+
+    def _ended_change(self, change_id: str) -> EndedChange | None:
+        """What became of a change that a member still has; None while it is under way or unknown."""
+        if not change_id or change_id == self._state.pending_change_id:
+            return None
+        change = self._state.find_change(change_id)
+        if change is None:
+            return None
+        reason = change.outcome_reason[:MAX_REASON_CHARS]
+        return EndedChange(change_id, change.outcome.value, change.version, reason)
+
+    def on_policy_request(self, sender: str, request: PolicyRequest) -> None:
+        """Sends the policy of the change under way, or of the version in force."""
+        state = self._state
+        if request.change_id and request.change_id == state.pending_change_id:
+            policy = state.changes[request.change_id].policy
+            self._send(sender, PolicyText(request.change_id, 0, policy))
+        elif not request.change_id and request.version == state.version:
+            self._send(sender, PolicyText("", request.version, state.policies[request.version]))
+
+    # What operators ask
+
+    def on_operator_request(self, sender: str, request: OperatorRequest, now_ms: float) -> None:
+        """Does what an operator wants, if this voter leads; answers once there is something to tell."""
+        if not self._is_leading(now_ms):
+            return
+        change_id = request.change_id
+        change = self._state.find_change(change_id)
+        match request.command:
+            case ChangeVoters() as command:
+                self._change_voters(sender, change_id, command, now_ms)
+                return
+            case DeclareDeparted(name, run):
+                self._remove_member(sender, change_id, name, run)
+                return
+            case ProposeChange(policy, author, reason) if change is None:
+                opened_at_ms = self._wall_clock_ms()
+                self._propose_once(change_id, OpenChange(change_id, policy, author, reason, opened_at_ms))
+            case WithdrawChange(author, reason) if _is_open(change):
+                outcome_reason = f"withdrawn by {author}: {reason}"
+                end = EndChange(change_id, ChangeOutcome.WITHDRAWN, outcome_reason, self._wall_clock_ms())
+                self._propose_once(f"{change_id} withdrawn", end)
+        if change is not None:
+            self._send(sender, self._change_status(change, now_ms))
+        elif self._state.is_full:
+            self._send(sender, ChangeStatus(change_id, UNKNOWN_OUTCOME, 0, "the book is full"))
+        elif isinstance(request.command, FindChange):
+            reason = "nobody has proposed it here"
+            self._send(sender, ChangeStatus(change_id, UNKNOWN_OUTCOME, 0, reason))
+
+    def _change_status(self, change: Change, now_ms: float) -> ChangeStatus:
+        waiting: list[WaitingMember] = []
+        if change.id == self._state.pending_change_id:
+            waiting = self.unprepared_members(now_ms)[:MAX_REPORTED_MEMBER_COUNT]
+        outcome = change.outcome.value
+        return ChangeStatus(change.id, outcome, change.version, change.outcome_reason, tuple(waiting))
+
+    def _change_voters(self, sender: str, change_id: str, command: ChangeVoters, now_ms: float) -> None:
+        run = self._state.members.get(command.name)
+        can_become_voter = self.reports.can_become_voter(command.name, run)
+        plan = plan_voter_change(self._raft, command, can_become_voter, now_ms)
+        if plan.new_voters:
+            self._raft.change_voters(plan.new_voters, now_ms)
+        outcome = ChangeOutcome.COMMITTED.value if plan.is_done else UNKNOWN_OUTCOME
+        reason = plan.reason or f"voters are {', '.join(self._raft.voters)}"
+        self._send(sender, ChangeStatus(change_id, outcome, 0, reason))
+
+    def _remove_member(self, sender: str, change_id: str, name: str, run: int) -> None:
+        """That run and no other: the word may come late, and the machine be back by then."""
+        if self._state.has_member(name, run):
+            self._propose_once(f"{name} {run} gone", RemoveMember(name, run))
+            return
+        reason = f"that run of {name} is not counted"
+        self._send(sender, ChangeStatus(change_id, ChangeOutcome.COMMITTED.value, 0, reason))
+
+    def on_departure(self, sender: str, run: int, now_ms: float) -> None:
+        """A member tells that its process ends."""
+        if self._state.has_member(sender, run) and self._is_leading(now_ms):
+            self._propose_once(f"{sender} {run} gone", RemoveMember(sender, run))
+
+    def _propose(self, command: Command) -> int | None:
+        """Index of the command's entry; None where it can't be proposed just now."""
+        return self._raft.propose(encode_command(command))
+
+    def _propose_once(self, key: str, command: Command) -> None:
+        """Once for each key until its entry is applied: doubles do no harm, this keeps them few."""
+        if self._proposed_entry_index.get(key, 0) <= self._raft.commit_index:
+            index = self._propose(command)
+            if index is not None:
+                self._proposed_entry_index[key] = index
+
+    # How far a change is
+
+    def unprepared_members(self, now_ms: float) -> list[WaitingMember]:
+        """Members that a commit must wait for: neither prepared nor certainly standing aside."""
+        waiting = []
+        for name, run in self._state.members.items():
+            state = self.reports.state_of(name, run, self._state.pending_change_id)
+            if state != ParticipantState.PREPARED and not self.reports.is_on_standby(name, now_ms):
+                waiting.append(WaitingMember(name, state))
+        return waiting
+
+    def tick(self, now_ms: float) -> None:
+        """Does what is due: joins, the next phase of a change, polls."""
+        if not self._is_leading(now_ms):
+            self.next_deadline_ms = now_ms + IDLE_TICK_INTERVAL_MS
+            return
+        is_busy = bool(self._state.pending_change_id or self._joining)
+        self.next_deadline_ms = now_ms + (BUSY_TICK_INTERVAL_MS if is_busy else IDLE_TICK_INTERVAL_MS)
+        self._forget_applied_proposals()
+        self._propose_joins()
+        self._notice_applied(now_ms)
+        if self._state.pending_change_id:
+            self._drive_change(now_ms)
+        self._poll_members_behind(now_ms)
+
+    def _forget_applied_proposals(self) -> None:
+        commit_index = self._raft.commit_index
+        self._proposed_entry_index = {
+            key: index for key, index in self._proposed_entry_index.items() if index > commit_index
+        }
+
+    def _propose_joins(self) -> None:
+        joining = [item for item in self._joining.items() if not self._state.has_member(*item)]
+        if not joining:
+            self._joining.clear()
+            return
+        is_earlier_join_applied = self._join_entry_index <= self._raft.commit_index
+        if is_earlier_join_applied and not self.switching_change_id:  # a join would make the commit void
+            index = self._propose(JoinMembers(tuple(joining)))
+            if index is not None:
+                self._join_entry_index = index
+
+    def _notice_applied(self, now_ms: float) -> None:
+        """Takes note of what the state machine has applied since the last look."""
+        state = self._state
+        if self._version != state.version:
+            self._version = state.version
+            self._committed_at_ms = now_ms
+            self._last_poll_at_ms = NEVER_MS
+        is_another_pending = state.pending_change_id != self.switching_change_id
+        is_commit_applied = self._raft.commit_index >= self._commit_entry_index
+        if self.switching_change_id and (is_another_pending or is_commit_applied):
+            self.switching_change_id = ""  # committed, or void since a member joined
+        if state.pending_change_id != self._change_id:
+            self._change_id = state.pending_change_id
+            self.phase = ChangePhase.VALIDATE
+            self._change_began_at_ms = now_ms
+            self._last_poll_at_ms = NEVER_MS
+
+    def _drive_change(self, now_ms: float) -> None:
+        """The next step of the change: end it, commit it, or have all prepare."""
+        change_id = self._state.pending_change_id
+        if self.switching_change_id or self._ending_change_id == change_id:
+            return
+        waiting = self.unprepared_members(now_ms)
+        rejecting = next((each for each in waiting if each.state == ParticipantState.REJECTED), None)
+        if rejecting is not None:
+            reason = self.reports.by_member[rejecting.name].request.rejection_reason
+            self._end_change(change_id, ChangeOutcome.REJECTED, f"{rejecting.name}: {reason}")
+        elif now_ms - self._change_began_at_ms > self._settings.change_timeout_ms:
+            reason = f"not in time; it waited for {_describe_waiting(waiting)}"
+            self._end_change(change_id, ChangeOutcome.WITHDRAWN, reason)
+        elif not waiting and self._state.members and not self._joining:
+            index = self._propose(CommitChange(change_id, self._state.join_count))
+            if index is not None:
+                self.switching_change_id = change_id
+                self._commit_entry_index = index
+        elif self.phase is ChangePhase.VALIDATE and _are_all_validated(waiting):
+            self.phase = ChangePhase.PREPARE
+            self._last_poll_at_ms = NEVER_MS
+
+    def _end_change(self, change_id: str, outcome: ChangeOutcome, reason: str) -> None:
+        end = EndChange(change_id, outcome, reason, self._wall_clock_ms())
+        if self._propose(end) is not None:
+            self._ending_change_id = change_id
+
+    def _poll_members_behind(self, now_ms: float) -> None:
+        """Asks those for a status request that are behind what is wanted of them."""
+        if now_ms - self._last_poll_at_ms < POLL_INTERVAL_MS:
+            return
+        is_after_commit = now_ms - self._committed_at_ms < POLL_AFTER_COMMIT_MS
+        if not self._state.pending_change_id and not is_after_commit:
+            return
+        self._last_poll_at_ms = now_ms
+        for name, run in self._state.members.items():
+            if self._is_behind(self.reports.by_member.get(name), run):
+                self._send(name, StatusPoll())
+
+    def _is_behind(self, report: MemberReport | None, run: int) -> bool:
+        if report is None or report.request.run != run or report.request.version < self._state.version:
+            return True
+        change_id = self._state.pending_change_id
+        if not change_id:
+            return bool(report.request.change_id)  # prepared for what is over
+        has_wanted_state = report.request.state in WANTED_STATES[self.phase]
+        return report.request.change_id != change_id or not has_wanted_state
+
+
+def _is_open(change: Change | None) -> bool:
+    """Whether a change may still be withdrawn; also one that nobody has proposed yet."""
+    return change is None or change.outcome is ChangeOutcome.PENDING
+
+
+def _are_all_validated(waiting: list[WaitingMember]) -> bool:
+    return all(member.state == ParticipantState.VALIDATED for member in waiting)
+
+
+def _describe_waiting(waiting: list[WaitingMember]) -> str:
+    """Names and states for a change's reason, the first few of them."""
+    named = [f"{member.name} ({member.state or 'no text yet'})" for member in waiting]
+    unnamed_count = len(named) - MAX_NAMED_MEMBER_COUNT
+    more = f" and {unnamed_count} more" if unnamed_count > 0 else ""
+    return ", ".join(named[:MAX_NAMED_MEMBER_COUNT]) + more
--- /dev/null
+++ b/landingshift/policies/node.py
@@ -0,0 +1,313 @@
+"""One server's whole part in policies: a participant, and on a voter also the Raft node and the coordinator.
+
+Pure: messages, time and chance come in; messages go out, and what must be on disk before they may. `now_ms`
+must be read after the message was, and not before: what a leader promises rests on it.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from random import Random
+from typing import Any
+
+from landingshift.consensus.errors import InvalidMessageError
+from landingshift.consensus.messages import decode_message as decode_raft_message
+from landingshift.consensus.messages import encode_message as encode_raft_message
+from landingshift.consensus.persistent_state import PersistentState
+from landingshift.consensus.raft import RaftNode
+from landingshift.consensus.state_machines import StateMachineRegistry
+from landingshift.consensus.timeouts import RaftTimeouts
+from landingshift.consensus.voters import is_voters_entry
+from landingshift.policies.commands import ChangeOutcome
+from landingshift.policies.coordinator import ChangeCoordinator
+from landingshift.policies.errors import UnreadableMessageError
+from landingshift.policies.messages import (
+    ChangeStatus,
+    Departure,
+    Message,
+    OperatorCommand,
+    OperatorRequest,
+    PolicyRequest,
+    PolicyText,
+    RaftPacket,
+    Redirect,
+    StatusRequest,
+    UnreadableStatusRequest,
+)
+from landingshift.policies.operator_commands import OperatorCommands
+from landingshift.policies.participant import ChangeParticipant
+from landingshift.policies.policy_settings import PolicySettings
+from landingshift.policies.state_machine import DEFAULT_MAX_MEMBER_COUNT, Change, PolicyStateMachine
+from landingshift.policies.wire import decode_message, encode_message
+
+STATE_MACHINE_NAME = "policies"
+COMPACTION_ENTRY_COUNT = 200  # entries after which a snapshot takes their place
+DEFAULT_TIMEOUTS = RaftTimeouts()
+MAX_LOCAL_DELIVERY_COUNT = 8  # times in a row that messages to itself may bring about others
+
+
+class PolicyNode:
+    """Everything that a server does about policies but for I/O.
+
+    Attributes:
+        name: This server's name.
+        run: One life of this process.
+        participant: Decides by which version this server may work.
+        raft: The Raft node; None on a server without a log file.
+        coordinator: Leads changes while `raft` leads; None where `raft` is.
+        state_machine: The replicated state of policies, as far as it is applied here.
+        state_machines: All state machines on the replicated log.
+        commit_listeners: Called with the time when entries were applied.
+        operator_commands: What operators asked this server for.
+    """
+
+    def __init__(
+        self,
+        name: str,
+        run: int,
+        settings: PolicySettings,
+        find_conflict: Callable[[bytes], str],
+        persistent_state: PersistentState | None,
+        rng: Random,
+        now_ms: float,
+        wall_clock_ms: Callable[[], float],
+        timeouts: RaftTimeouts = DEFAULT_TIMEOUTS,
+        max_member_count: int = DEFAULT_MAX_MEMBER_COUNT,
+    ) -> None:
+        """Starts with what is on disk.
+
+        Args:
+            name: This server's name.
+            run: One life of this process.
+            settings: Alike on all servers.
+            find_conflict: Key and reason where this server could not decide by a policy, else empty.
+            persistent_state: Of the log file; None on a server without one.
+            rng: Spreads requests and elections.
+            now_ms: Monotonic clock.
+            wall_clock_ms: Unix time, for what people read.
+            timeouts: Raft's intervals.
+            max_member_count: Servers that can be members.
+        """
+        self.name = name
+        self.run = run
+        self.participant = ChangeParticipant(run, settings, find_conflict, rng, now_ms)
+        self.raft: RaftNode | None = None
+        self.coordinator: ChangeCoordinator | None = None
+        self.state_machine = PolicyStateMachine(max_member_count)
+        self.state_machines = StateMachineRegistry()
+        self.state_machines.register(STATE_MACHINE_NAME, self.state_machine)
+        self.commit_listeners: list[Callable[[float], None]] = []
+        self.operator_commands = OperatorCommands()
+        self._initial_voters = settings.voters
+        self._applied_index = 0
+        self._outbox: list[tuple[str, Message]] = []
+        if persistent_state is not None:
+            self._restore_applied(persistent_state)
+            self.raft = RaftNode(name, settings.voters, persistent_state, timeouts, rng, now_ms)
+            self.coordinator = ChangeCoordinator(self.raft, self.state_machine, settings, wall_clock_ms)
+            self.participant.can_become_voter = True
+
+    # The driver's part
+
+    def unsaved_state(self) -> PersistentState | None:
+        """What must be on disk before any message that rests on it goes out."""
+        return self.raft.unsaved_state() if self.raft is not None else None
+
+    def on_state_saved(self, now_ms: float) -> None:
+        """What `unsaved_state` gave is on disk."""
+        assert self.raft is not None, "only a voter has unsaved state"
+        self.raft.on_state_saved()
+        self._apply_committed(now_ms)
+
+    def next_deadline_ms(self) -> float:
+        """When `tick` is due."""
+        deadlines_ms = [self.participant.next_deadline_ms]
+        deadlines_ms += [pending.due_at_ms for pending in self.operator_commands.pending.values()]
+        if self.raft is not None and self.coordinator is not None:
+            deadlines_ms += [self.raft.next_deadline_ms, self.coordinator.next_deadline_ms]
+        return min(deadlines_ms)
+
+    def tick(self, now_ms: float) -> None:
+        """Does what is due."""
+        if self.raft is not None and self.coordinator is not None:
+            self.raft.tick(now_ms)
+            self._apply_committed(now_ms)
+            self._tick_coordinator_if_due(self.coordinator, now_ms)
+            self.participant.discovery.own_log_voters = self.raft.voters
+        self.participant.tick(now_ms)
+        for change_id in self.operator_commands.due(now_ms):
+            self.forward_command(change_id, now_ms)
+        self.deliver_messages(now_ms)
+
+    def on_message(self, sender: str, body: list[Any], now_ms: float) -> None:
+        """Takes a message of a peer; what can't be read is dropped."""
+        try:
+            message = decode_message(body)
+        except UnreadableMessageError:
+            pass
+        else:
+            self._dispatch(sender, message, now_ms)
+        self.deliver_messages(now_ms)
+
+    def take_outgoing(self) -> list[tuple[str, list[Any]]]:
+        """Receivers and bodies; of Raft none while they rest on what is not saved."""
+        messages = self._outbox
+        self._outbox = []
+        if self.raft is not None:
+            packets = self.raft.take_outgoing()
+            messages += [(to, RaftPacket(encode_raft_message(packet))) for to, packet in packets]
+        return [(receiver, encode_message(message)) for receiver, message in messages]
+
+    def deliver_messages(self, now_ms: float) -> None:
+        """Collects what is to be sent, and takes at once what this server has to tell itself."""
+        for _ in range(MAX_LOCAL_DELIVERY_COUNT):
+            local_messages = self._collect_outgoing()
+            for message in local_messages:
+                self._dispatch(self.name, message, now_ms)
+            if not local_messages:
+                return
+
+    def _collect_outgoing(self) -> list[Message]:
+        """Moves messages to others into the outbox; returns those to this server."""
+        local_messages: list[Message] = []
+        outboxes = [self.participant.outbox]
+        if self.coordinator is not None:
+            outboxes.append(self.coordinator.outbox)
+        for outbox in outboxes:
+            for receiver, message in outbox:
+                if receiver == self.name:
+                    local_messages.append(message)
+                else:
+                    self._outbox.append((receiver, message))
+            outbox.clear()
+        return local_messages
+
+    # Messages
+
+    def _dispatch(self, sender: str, message: Message, now_ms: float) -> None:
+        match message:
+            case RaftPacket(data):
+                self._on_raft_packet(sender, data, now_ms)
+            case StatusRequest() | UnreadableStatusRequest():
+                self._on_status_request(sender, message, now_ms)
+            case PolicyRequest():
+                self._on_policy_request(sender, message)
+            case OperatorRequest():
+                if self.coordinator is not None:
+                    self.coordinator.on_operator_request(sender, message, now_ms)
+            case Departure(run):
+                if self.coordinator is not None:
+                    self.coordinator.on_departure(sender, run, now_ms)
+            case ChangeStatus():
+                self.operator_commands.on_status(message)
+            case _:
+                self.participant.on_message(sender, message, now_ms)
+
+    def _on_raft_packet(self, sender: str, data: bytes, now_ms: float) -> None:
+        if self.raft is None:
+            return
+        try:
+            packet = decode_raft_message(data)
+        except InvalidMessageError:
+            return
+        # Voters that this node's log does not name yet are known from the settings and from the leader.
+        self.raft.additional_senders = {*self._initial_voters, *self.participant.discovery.voters}
+        self.raft.on_message(sender, packet, now_ms)
+        self._apply_committed(now_ms)
+
+    def _on_status_request(
+        self, sender: str, request: StatusRequest | UnreadableStatusRequest, now_ms: float
+    ) -> None:
+        known_leader = self.participant.discovery.leader if self.participant.is_member else ""
+        if self.coordinator is None:
+            self._outbox.append((sender, Redirect(request.number, known_leader)))
+            return
+        if isinstance(request, StatusRequest):
+            self.coordinator.on_status_request(sender, request, now_ms, known_leader)
+        self._tick_coordinator_if_due(self.coordinator, now_ms)
+
+    def _on_policy_request(self, sender: str, request: PolicyRequest) -> None:
+        """A server that is no voter helps out with the version that it has."""
+        if self.coordinator is not None:
+            self.coordinator.on_policy_request(sender, request)
+        elif not request.change_id and request.version == self.participant.version:
+            self._outbox.append((sender, PolicyText("", request.version, self.participant.policy)))
+
+    # The replicated log
+
+    @staticmethod
+    def _tick_coordinator_if_due(coordinator: ChangeCoordinator, now_ms: float) -> None:
+        if coordinator.next_deadline_ms <= now_ms:
+            coordinator.tick(now_ms)
+
+    def _restore_applied(self, persistent_state: PersistentState) -> None:
+        """Takes the snapshot, at the start or of a leader, where it covers more than is applied."""
+        if persistent_state.last_included_index > self._applied_index:
+            self.state_machines.restore(persistent_state.snapshot)
+            self._applied_index = persistent_state.last_included_index
+
+    def _apply_committed(self, now_ms: float) -> None:
+        """Applies what has been committed; after some entries a snapshot takes their place."""
+        raft, coordinator = self.raft, self.coordinator
+        assert raft is not None, "only a voter applies entries"
+        assert coordinator is not None, "a voter has a coordinator"
+        self._restore_applied(raft.persistent_state)
+        if self._applied_index >= raft.commit_index:
+            return
+        for entry in raft.entries_between(self._applied_index, raft.commit_index):
+            if not is_voters_entry(entry.data):
+                self.state_machines.apply(entry.data)
+        self._applied_index = raft.commit_index
+        for on_committed in self.commit_listeners:
+            on_committed(now_ms)
+        coordinator.next_deadline_ms = now_ms
+        coordinator.tick(now_ms)
+        if raft.commit_index - raft.persistent_state.last_included_index > COMPACTION_ENTRY_COUNT:
+            raft.compact(self._applied_index, self.state_machines.snapshot())
+
+    # Operators
+
+    def submit_command(self, change_id: str, command: OperatorCommand, now_ms: float) -> bool:
+        """Brings a command to the leader until it is answered; False where too many are pending."""
+        return self.operator_commands.submit(change_id, command, now_ms)
+
+    def forward_command(self, change_id: str, now_ms: float) -> None:
+        """Brings a pending command to the leader, from the second attempt on to all voters.
+
+        Between changes it is found out late that a leader is gone.
+        """
+        pending = self.operator_commands.next_attempt(change_id, now_ms)
+        if pending is None:
+            return
+        discovery = self.participant.discovery
+        is_first_attempt = pending.attempt_count == 1
+        receivers = [discovery.leader] if discovery.leader and is_first_attempt else discovery.voters
+        request = OperatorRequest(change_id, pending.command)
+        for receiver in receivers:
+            if receiver == self.name:
+                self._dispatch(receiver, request, now_ms)
+            else:
+                self._outbox.append((receiver, request))
+
+    def change_status(self, change_id: str) -> ChangeStatus:
+        """What is known of a change here; a final outcome is the same for ever."""
+        change = self.state_machine.find_change(change_id) if self.raft is not None else None
+        if change is not None and change.outcome is not ChangeOutcome.PENDING:
+            return ChangeStatus(change_id, change.outcome.value, change.version, change.outcome_reason)
+        final_status = self.operator_commands.final_status(change_id)
+        if final_status is not None:
+            return final_status
+        ended = self.participant.ended_changes.get(change_id)
+        if ended is not None:
+            return ChangeStatus(change_id, ended.outcome, ended.version, ended.reason)
+        return self.operator_commands.last_status(change_id)
+
+    def announce_departure(self) -> None:
+        """The last message: this run decides nothing more."""
+        for voter in self.participant.discovery.voters:
+            if voter != self.name:
+                self._outbox.append((voter, Departure(self.run)))
+
+    def list_changes(self) -> list[Change]:
+        """All changes that are kept with details, the newest last."""
+        return list(self.state_machine.changes.values())
--- a/landingshift/testbed/simulation/server.py
+++ b/landingshift/testbed/simulation/server.py
@@ -1,514 +1,329 @@
-"""One server in virtual time with all that decides in it: the fleet's node, the common start, the policies'
-part, work on machines, and the module behind its `Actions`. Holds no rule of theirs: only what the services
-that carry them do on a real loop, and an engine, a disk and gateways' RPCs to decide about.
+"""A server in virtual time, with all that decides in it.
 
-`town.away` names one defence that is taken from all servers; a promise must then be found broken.
+It decides nothing of its own: it wires the packages' objects as the services wire them on a real event loop,
+over a simulated engine, disk and network.
 """
 
 from __future__ import annotations
 
-from dataclasses import dataclass, replace
-from functools import partial
+from dataclasses import dataclass
 from math import inf
-from typing import TYPE_CHECKING, Any
-
-import msgspec
-
-from landingshift.admission.controller import Job, Server
-from landingshift.admission.interface import (
-    Advert,
-    Below,
-    Effect,
-    Gauges,
-    Method,
-    Outcome,
-    Rpc,
-    Settings,
-    Stopping,
-    Tenant,
-)
-from landingshift.coldstart.agent import Agent, Seen
-from landingshift.coldstart.seek import Seek
-from landingshift.coldstart.strain import Strain
-from landingshift.consensus.raft import Stored
-from landingshift.maintenance.agent import MaintenanceAgent, answer_report
-from landingshift.maintenance.coordinator import MaintenanceCoordinator
-from landingshift.maintenance.replicated_state import NAME, MaintenanceState
-from landingshift.membership.members import Member
-from landingshift.membership.messages import GONE, Message, Record, State
-from landingshift.membership.node import Node, Times
-from landingshift.policies.part import Part
-from landingshift.testbed.simulation.virtual_time import Address, Host
-from landingshift.testbed.verification.invariants import GRACE
-
-if TYPE_CHECKING:
-    from landingshift.testbed.simulation.cluster import Town
-
-PORT = 7101
-LOOK = 200.0  # ms between two steps of the common start
-BUSY, REST = 500.0, 2000.0  # between two reports to the leader of work
-STOP = 3000.0  # from a notice to the end of the process
-CORES, WORK = 2, 250.0  # ms of a core that one RPC takes
-CAPACITY = CORES * 1000.0 / WORK  # RPCs a second
-FILL = 8  # calls that fill a server's cache; one RPC in FILL calls once it is filled
-COLD = 2000.0
-WAIT = 3000.0  # ms that a caller waits
-STORE = 300.0  # longest that a call is waited for
-
-
-def address(i: int) -> Address:
-    return f"10.0.{i // 250}.{i % 250 + 1}", PORT
-
-
-def method(criticality: float, calls: bool) -> Method:
-    return Method(Effect.IDEMPOTENT, 1500.0, 0.0, WAIT, criticality, 0.5, 5000.0, calls, 0.5)
-
-
-METHODS = (method(1.0, True), method(5.0, False))
-
-
-def settings(servers: int, tenant: Tenant) -> Settings:
-    return Settings(
-        methods=list(METHODS), tenants=[tenant], over_share_worth=0.1, by_work=False, servers=servers,
-        callers=0, cores=CORES, cold=True, cold_from=0.3, cold_time=COLD, memory_kb=100_000.0, run_factor=4.0,
-        key_kb=1.0,
-        share_for=0.0, stopping=Stopping.NONE, below=Below.SHARED, calls_out=50.0, calls_over=5000.0,
-        linger=100.0, advert=Advert.NONE, deadline_told=True, marks_retry=True, hold_off_max=1000.0,
-        link_idle=30_000.0, drain_grace=GRACE, crowd=8.0,
-    )  # fmt: skip
-
-
-@dataclass(slots=True, eq=False)
-class Sent(Rpc):
-    """One that was read; `number` is its own, whoever reads it."""
-
-    number: int = 0
-
-
-@dataclass(slots=True)
-class Disk:
-    """What lasts when its server does not. `full`: it takes nothing; `dies`: at the next write, unwritten."""
-
-    journal: Stored | None
-    mark: int = 0
-    full: bool = False
-    dies: float = 0.0  # ms that the server is then away; 0: it does not
-
-
-class Home:
-    def __init__(self, town: Town, i: int, run: int, host: Host) -> None:
-        self.town, self.i, self.name, self.host, self.away = town, i, f"n{i}", host, town.away
-        now, chance = host.clock(), town.chance_of(i, run)
-        self.disk = town.disks[i]
-        me = Record(self.name, *address(i), f"z{i % 2}", chance.getrandbits(40), 0, 0, State.ALIVE, "", {})
-        times = Times(probe=20.0, suspect=20.0) if self.away == "suspect" else Times()
-        self.node = Node(me, town.peers(i), times, 1000, chance, now, self.heard_of)
-        self.node.watchers.append(self.sees)
-        self.node.handlers |= {"policies": self.hear_policies, NAME: self.hear_work}
-        self.agent = Agent(self.node, town.plan, chance, now)
-        if self.away == "quiet" and self.agent.lending is not None:
-            lending = self.agent.lending
-            lending.shares.quiet_until = lending.places.lender.quiet_until = now
-        self.seek = Seek(town.day.servers, 20.0, True, 3000.0, chance, now)
-        self.strain = Strain()
-        journal = copied(self.disk.journal) if self.disk.journal is not None else None
-        self.part = Part(
-            self.name, me.run, town.rules, lambda policy: "", journal, chance, now, self.wall, town.times
+from typing import Any
+
+from landingshift.admission.interface import Tenant
+from landingshift.maintenance.messages import ServerStatus
+from landingshift.maintenance.wire import PACKAGE as MAINTENANCE_PACKAGE
+from landingshift.membership.member_table import Member
+from landingshift.membership.messages import DEPARTED_STATES, MemberRecord, MemberState, Message
+from landingshift.membership.node import SwimNode
+from landingshift.policies.node import PolicyNode
+from landingshift.testbed.simulation.cluster_context import ClusterContext, server_address, server_name
+from landingshift.testbed.simulation.disk import copy_raft_state
+from landingshift.testbed.simulation.engine import CallFinished, CallNeeded, RunFinished
+from landingshift.testbed.simulation.maintenance import ServerMaintenance, SimulatedEnvironment
+from landingshift.testbed.simulation.removed_defences import remove_from_policies, swim_timings
+from landingshift.testbed.simulation.rpc_service import RpcService
+from landingshift.testbed.simulation.server_cold_start import ServerColdStart
+from landingshift.testbed.simulation.virtual_time import Address, SimulatedHost
+from landingshift.testbed.simulation.workload import SERVER_CAPACITY_RPCS_PER_SECOND, SimulatedRpc
+from landingshift.testbed.verification.history import DeclaredDead, DrainStarted, MemberSeen, ServerEnded
+
+POLICIES_PACKAGE = "policies"
+DECLARED_DEAD_LOG_EVENT = "fleet_dead"
+COLD_START_STEP_MS = 200.0
+ACTIVE_REPORT_INTERVAL_MS = 500.0
+"""Between two reports to the leader of maintenance while there is maintenance."""
+IDLE_REPORT_INTERVAL_MS = 2000.0
+LOAD_WINDOW_MS = 1000.0
+"""RPCs a second are measured over at least so long."""
+DRAIN_MS = 3000.0
+"""From the beginning of a drain to the end of the process, at the most."""
+MAX_DELIVERY_COUNT = 8
+"""Times in a row that messages of the policies to itself may bring about others."""
+MAX_MEMBER_COUNT = 1000
+ZONE_COUNT = 2
+MODEL_COUNT = 2
+
+
+@dataclass(frozen=True, slots=True)
+class RpcArrival:
+    """A gateway's RPC, which waited in the socket of a paused server for `queued_ms`."""
+
+    rpc: SimulatedRpc
+    queued_ms: float
+
+
+@dataclass(frozen=True, slots=True)
+class DrainNotice:
+    """An outside notice to drain; the server starts again `down_ms` after its end."""
+
+    down_ms: float
+
+
+class SimulatedServer:
+    """One process of a server; implements `SimulatedProcess`.
+
+    Attributes:
+        cluster: What is around it.
+        index: Number of the server.
+        name: Its name.
+        host: The machine that it runs on.
+        disk: What lasts when it does not.
+        node: Membership.
+        policy_node: Policies, and on a voter consensus.
+        cold_start: The cold start.
+        rpcs: RPCs, admission and the engine.
+        maintenance: Maintenance.
+        ends_at_ms: When it ends by a drain, by its clock; infinite while it does not drain.
+        down_ms: After a drain, until the next process starts.
+    """
+
+    def __init__(self, cluster: ClusterContext, index: int, run_number: int, host: SimulatedHost) -> None:
+        self.cluster = cluster
+        self.index = index
+        self.name = server_name(index)
+        self.host = host
+        self.disk = cluster.disk(index)
+        self.ends_at_ms = inf
+        self.down_ms = 0.0
+        # All parts draw from one generator: the order of their making belongs to the history.
+        rng = cluster.server_rng(index, run_number)
+        now_ms = host.clock_ms()
+        self._rng = rng
+        self.node = self._create_member_node()
+        self.cold_start = ServerColdStart(self.name, index, cluster, host, self.node, rng)
+        self.policy_node = self._create_policy_node()
+        environment = SimulatedEnvironment(host, self.node, self.policy_node, self.wall_clock_ms)
+        self.maintenance = ServerMaintenance(
+            self.name, cluster, self.disk, environment, self.start_draining, self._status
         )
-        self.part.follower.others = lambda: self.node.members.present
-        self.maintenance_agent = MaintenanceAgent(self.disk.mark)
-        self.maintenance = MaintenanceState()
-        self.coordinator: MaintenanceCoordinator | None = None
-        if self.part.voter is not None:
-            self.part.shelf.add(NAME, self.maintenance)
-            self.part.hearers.append(self.taken)
-            self.coordinator = MaintenanceCoordinator(
-                self.maintenance, town.work, self.propose, self.leads, self.gone,
-                self.node.members.names, self.wall,
-                lambda *_, **__: None,
-            )  # fmt: skip
-        self.without()
-        self.tenant = Tenant(100_000.0)
-        self.server = Server(settings(town.day.servers, self.tenant), chance.getrandbits(32), self, now)
-        if self.away == "due":
-            self.server.sweep = lambda job: inf  # type: ignore[method-assign]
-        self.jobs: dict[int, Job] = {}  # without an answer, by their numbers
-        self.engine: dict[int, Job] = {}  # on the cores or at a call, whether or not anybody waits for them
-        self.busy: list[float] = []  # when each run on the cores ends
-        self.filled = self.runs = 0
-        self.laid, self.may, self.good = -1, False, False
-        self.server.stand_aside(True)
-        self.share = -1.0
-        self.reads, self.reads_at, self.load = 0, now, 0.0
-        self.ok = self.all = 0.0
-        self.look_at, self.work_at = now + LOOK * chance.random(), now + REST * chance.random()
-        self.ends_at = inf  # when it is stopped after a notice
-        self.held: dict[str, tuple[float, ...]] = {}  # loans as the history has them
-        self.opened = False
-        self.hangs = 0.0  # until when its engine says nothing, ms of the world
-        self.pace = chance
-
-    def without(self) -> None:
-        """Takes the defence that is away, where it lies in one of the packages' objects."""
-        voter, desk, lending = self.part.voter, self.part.desk, self.agent.lending
-        if self.away == "sure" and voter is not None:
-            voter.sure = lambda now: voter.role.value == "leader"  # type: ignore[method-assign]
-        if self.away == "arm" and desk is not None:
-            real = desk.waits
-            desk.waits = lambda now: [w for w in real(now) if w[1] != "away"]  # type: ignore[method-assign]
-        if self.away == "end":
-            self.maintenance_agent.goes = self.goes_anyhow  # type: ignore[method-assign]
-        if self.away == "booking" and lending is not None:
-            asked = lending.shares.asked
-
-            def forgets(name: str, *rest: Any) -> float | None:
-                amount = asked(name, *rest)
-                if amount is not None and name in lending.shares.grants:
-                    lending.shares.grants[name].booked = amount
-                return amount
-
-            lending.shares.asked = forgets  # type: ignore[method-assign,assignment]
-
-    def goes_anyhow(self, now: float) -> bool:
-        self.maintenance_agent.going = self.maintenance_agent.leave.number
-        self.maintenance_agent.leave.used()
-        return True
-
-    # What it notes
-
-    def clock(self) -> float:
-        return self.host.clock()
-
-    def wall(self) -> float:
-        return self.town.world.now + self.town.walls[self.i]
-
-    def note(self, what: str, *values: Any) -> None:
-        self.town.note(what, self.name, *values)
+        self.node.message_handlers[POLICIES_PACKAGE] = self._on_policy_message
+        self.node.message_handlers[MAINTENANCE_PACKAGE] = self.maintenance.on_message
+        self.rpcs = RpcService(self.name, cluster, host, self.policy_node.participant, rng)
+        self._load_measured_at_ms = now_ms
+        self._rpcs_per_second = 0.0
+        self._next_cold_start_step_ms = now_ms + COLD_START_STEP_MS * rng.random()
+        self._next_report_ms = now_ms + IDLE_REPORT_INTERVAL_MS * rng.random()
+
+    def _create_member_node(self) -> SwimNode:
+        host, port = server_address(self.index)
+        record = MemberRecord(
+            name=self.name,
+            host=host,
+            port=port,
+            zone=f"z{self.index % ZONE_COUNT}",
+            run_id=self._rng.getrandbits(40),
+            incarnation=0,
+            metadata_version=0,
+            state=MemberState.ALIVE,
+            reported_by="",
+            metadata={},
+        )
+        node = SwimNode(
+            record,
+            self.cluster.contact_addresses(self.index),
+            swim_timings(self.cluster.config.removed_defence),
+            MAX_MEMBER_COUNT,
+            self._rng,
+            self.host.clock_ms(),
+            self._on_member_log,
+        )
+        node.state_observers.append(self._on_member_state)
+        return node
+
+    def _create_policy_node(self) -> PolicyNode:
+        config = self.cluster.config
+        node = PolicyNode(
+            self.name,
+            self.node.local_record.run_id,
+            config.policies,
+            lambda _policy: "",
+            self.disk.load(),
+            self._rng,
+            self.host.clock_ms(),
+            self.wall_clock_ms,
+            config.raft_timeouts,
+        )
+        node.participant.discovery.list_alive_peers = lambda: self.node.member_table.present_names
+        remove_from_policies(node, config.removed_defence)
+        return node
 
-    def heard_of(self, event: str, **fields: Any) -> None:
-        if event == "fleet_dead":
-            self.note("buried", fields["name"])
+    # What it reads and tells
 
-    def sees(self, member: Member, was: State | None) -> None:
-        gone = member.record.state in GONE
-        if gone != (was is None or was in GONE):
-            self.note("sees", member.record.name, not gone)
+    @property
+    def tenant(self) -> Tenant:
+        """The tenant of its RPCs."""
+        return self.rpcs.tenant
 
-    # For the world
+    @property
+    def is_draining(self) -> bool:
+        """Whether it is about to end."""
+        return self.ends_at_ms < inf
 
-    def next(self) -> float:
+    @property
+    def is_listed(self) -> bool:
+        """Whether gateways may hear of it: as services hold its health back on a real server."""
+        is_open = self.cold_start.coordinator.start_sequence.is_open
+        return self.rpcs.is_healthy and is_open and self.rpcs.may_decide and not self.is_draining
+
+    def wall_clock_ms(self) -> float:
+        """Returns Unix ms of its wall clock."""
+        return self.cluster.wall_clock_ms(self.index)
+
+    def warm_fraction(self) -> float:
+        """Returns the share of its capacity that it has reached."""
+        return self.cold_start.warm_fraction(self.rpcs)
+
+    def table_sizes(self) -> dict[str, int]:
+        """Returns the sizes of all that could grow, by the names that the invariant's bounds have."""
+        operator_commands = self.policy_node.operator_commands
+        sizes = {
+            "out": len(self.node.outbox.pending),
+            "errands": len(self.node.failure_detector.indirect_probes),
+            "book": len(self.node.contacts),
+            "table": len(self.node.member_table.members),
+            "words": len(operator_commands.pending),
+            "answers": len(operator_commands.statuses),
+            "sent": len(self.policy_node.participant.request_sent_at_ms),
+            "reports": self.maintenance.agent.unanswered_count,
+            "jobs": len(self.rpcs.open_rpcs),
+        }
+        raft = self.policy_node.raft
+        if raft is not None:
+            sizes["log"] = len(raft.persistent_state.entries)
+            sizes["votes"] = raft.outgoing_count
+        return sizes
+
+    def _on_member_log(self, event: str, **fields: Any) -> None:
+        if event == DECLARED_DEAD_LOG_EVENT:
+            self.cluster.record(DeclaredDead.KIND, self.name, fields["name"])
+
+    def _on_member_state(self, member: Member, previous_state: MemberState | None) -> None:
+        is_gone = member.record.state in DEPARTED_STATES
+        was_gone = previous_state is None or previous_state in DEPARTED_STATES
+        if is_gone != was_gone:
+            self.cluster.record(MemberSeen.KIND, self.name, member.record.name, not is_gone)
+
+    # For its host
+
+    def next_deadline_ms(self) -> float:
+        """Returns when `on_timer` is to be called next."""
         return min(
-            self.node.next(), self.part.next(), self.server.alarm, self.look_at, self.work_at, self.ends_at
+            self.node.next_deadline_ms(),
+            self.policy_node.next_deadline_ms(),
+            self.rpcs.admission.next_check_ms,
+            self._next_cold_start_step_ms,
+            self._next_report_ms,
+            self.ends_at_ms,
         )
 
-    def hear(self, message: Any, now: float) -> None:
+    def on_message(self, message: Any, now_ms: float) -> None:
+        """Handles a datagram, an RPC, a notice or an event of the engine."""
         match message:
             case Message():
-                self.node.hear(message, now)
-            case "read", Sent() as rpc, waited:
-                self.read(rpc, waited, now)
-            case "notice", float(away):
-                self.drain(away)
-            case "done", Job() as job, float(ms):
-                self.server.now = now
-                self.server.ended(job, Outcome.OK, ms)
-                self.engine.pop(job.rpc.number, None)  # type: ignore[attr-defined]
-                if self.jobs.pop(job.rpc.number, None) is not None:  # type: ignore[attr-defined]
-                    self.answer(job.rpc, "ok")
-            case "needs", Job() as job:
-                self.server.now = now
-                self.strain.needed(now)
-                self.server.wants_call(job)
-                self.cut(job)
-            case "called", Job() as job, bool(good), float(ms):
-                self.server.now = now
-                self.strain.called(now, good, ms)
-                self.filled += good
-                self.server.call_done(job, Outcome.OK if good else Outcome.NO_ANSWER, ms)
-                if not good:
-                    self.cut(job)
-
-    def tick(self, now: float) -> None:
-        if self.node.next() <= now:
-            self.node.tick(now)
-        if self.part.next() <= now:
-            self.part.tick(now)
-        if now >= self.look_at:
-            self.look_at = now + LOOK
-            self.look(now)
-        if now >= self.work_at:
-            self.work(now)
-        if now >= self.server.alarm:
-            self.server.now = now
-            busy = len(self.busy)
-            self.server.woken(Gauges(min(1.0, busy / CORES), float(busy), 3.0))
-
-    def take_out(self) -> list[tuple[Address, Any]]:
-        """The end of a pass: the module settles, what must be on disk is written, then messages go."""
-        now = self.clock()
-        self.decide(now)
-        if now >= self.ends_at or (self.ends_at < inf and not self.jobs):
-            self.town.ended(self)  # all that this pass had to say to callers is said
+                self.node.on_message(message, now_ms)
+            case RpcArrival(rpc, queued_ms):
+                self.rpcs.on_rpc(rpc, queued_ms, now_ms)
+            case DrainNotice(down_ms):
+                self.start_draining(down_ms)
+            case RunFinished() | CallNeeded() | CallFinished():
+                self.rpcs.on_engine_event(message, now_ms)
+
+    def on_timer(self, now_ms: float) -> None:
+        """Does what is due in all parts."""
+        if self.node.next_deadline_ms() <= now_ms:
+            self.node.on_timer(now_ms)
+        if self.policy_node.next_deadline_ms() <= now_ms:
+            self.policy_node.tick(now_ms)
+        if now_ms >= self._next_cold_start_step_ms:
+            self._next_cold_start_step_ms = now_ms + COLD_START_STEP_MS
+            self.cold_start.step(self.rpcs, now_ms)
+        if now_ms >= self._next_report_ms:
+            self._report(now_ms)
+        if now_ms >= self.rpcs.admission.next_check_ms:
+            self.rpcs.on_timer(now_ms)
+
+    def take_outgoing(self) -> list[tuple[Address, Any]]:
+        """Ends a pass: admission decides, what must be on disk is written, then messages go."""
+        now_ms = self.host.clock_ms()
+        self.rpcs.settle(now_ms)
+        is_drained = self.is_draining and not self.rpcs.open_rpcs
+        if now_ms >= self.ends_at_ms or is_drained:
+            self._end()
             return []
-        for _ in range(8):
-            if not self.save():
+        for _ in range(MAX_DELIVERY_COUNT):
+            if not self._save() or not self._send_policy_messages():
                 break
-            out = self.part.take_out()
-            for to, body in out:
-                self.node.say(to, "policies", body)
-            if not out:
-                break
-        return self.node.take_out() if self.host.up else []
+        return self.node.take_outgoing() if self.host.is_up else []
+
+    # Policies and the disk
+
+    def _on_policy_message(self, sender: MemberRecord, body: list[Any]) -> None:
+        self.policy_node.on_message(sender.name, body, self.host.clock_ms())
 
-    # Disk, policies, and by what the module decides
+    def _send_policy_messages(self) -> bool:
+        """Sends what the policies have to say; returns whether that was anything."""
+        messages = self.policy_node.take_outgoing()
+        for receiver, body in messages:
+            self.node.send_to_member(receiver, POLICIES_PACKAGE, body)
+        return bool(messages)
 
-    def save(self) -> bool:
-        stored = self.part.unsaved()
-        if stored is None:
+    def _save(self) -> bool:
+        """Writes the Raft state where it has changed; returns whether messages that rest on it may go."""
+        unsaved = self.policy_node.unsaved_state()
+        if unsaved is None:
             return True
-        if self.disk.full:
+        if self.disk.is_full:
             return False
-        if self.disk.dies:
-            away, self.disk.dies = self.disk.dies, 0.0
-            self.town.kill(self.i, away)
+        if self.disk.torn_write_down_ms:
+            down_ms = self.disk.torn_write_down_ms
+            self.disk.torn_write_down_ms = 0.0
+            self.cluster.kill(self.index, down_ms)
             return False
-        self.disk.journal = copied(stored)
-        self.part.saved(self.clock())
-        self.part.deliver(self.clock())
+        self.disk.raft_state = copy_raft_state(unsaved)
+        self.policy_node.on_state_saved(self.host.clock_ms())
+        self.policy_node.deliver_messages(self.host.clock_ms())
         return True
 
-    def decide(self, now: float) -> None:
-        f, server = self.part.follower, self.server
-        may = f.may(now) or (f.joined and self.away == "lease") or self.away == "ask"
-        server.now = now
-        if f.version > self.laid:
-            self.laid = f.version
-            server.adopted()
-        if may != self.may:
-            self.may = may
-            if server.leave_at is None or not may:
-                server.stand_aside(not may)
-        server.settle()
-
-    def hear_policies(self, sender: Record, body: list[Any]) -> None:
-        self.part.hear(sender.name, body, self.clock())
-
-    def propose(self, data: bytes) -> bool:
-        voter = self.part.voter
-        return voter is not None and voter.propose(data) is not None
-
-    def leads(self, _now: float = 0.0) -> bool:
-        return self.part.voter is not None and self.part.voter.sure(self.clock())
-
-    # The common start
-
-    def warmth(self) -> float:
-        if not self.opened:
-            return 0.0
-        return min(1.0, (self.clock() - self.server.born) / COLD, self.filled / FILL)
-
-    def look(self, now: float) -> None:
-        self.node.now = now
-        started = self.agent.start
-        seen = Seen(
-            warmth=self.warmth(), need=max(1.0, 1.25 * self.strain.need(now)) if started.open else 0.0,
-            work=self.server.values.size(now) / 2.0,
-            strain=self.strain.value(now, self.agent.told_base), base=self.strain.base,
-        )  # fmt: skip
-        if self.agent.step(now, seen):
-            self.opened = started.open
-        share = self.agent.share(now)
-        if share != self.share:
-            self.share = share
-            self.server.now = now
-            self.server.use_below(share)
-        if self.town.list_up and self.seek.step(now, self.node.joined):
-            self.seek.over(now, True)
-            self.node.add_peers(self.town.peers(self.i))
-        for lender, loans in self.agent.loans.items():
-            had = (
-                loans.share.held, self.host.world_time(loans.share.end), loans.place.held,
-                self.host.world_time(loans.place.end),
-            )  # fmt: skip
-            if self.held.get(lender) != had:
-                self.held[lender] = had
-                self.note("loan", lender, *had)
-
-    # Work on machines
-
-    def work(self, now: float) -> None:
-        if now - self.reads_at >= 1000.0:
-            self.load, self.reads, self.reads_at = self.reads * 1000.0 / (now - self.reads_at), 0, now
-        self.node.now = now
-        self.report(now)
-        if self.coordinator is not None:
-            self.coordinator.step(now)
-        busy = self.maintenance_agent.stage or (self.coordinator is not None and self.maintenance.requests)
-        self.work_at = now + (BUSY if busy else REST) * self.pace.uniform(0.9, 1.1)
-
-    def report(self, now: float) -> None:
-        warmth = self.warmth() if self.ends_at == inf else 0.0
-        body = self.maintenance_agent.report(
-            now, CAPACITY, f"m{self.i % 2}", False, warmth, self.load, self.ok, self.all
+    # Maintenance and the end
+
+    def _report(self, now_ms: float) -> None:
+        elapsed_ms = now_ms - self._load_measured_at_ms
+        if elapsed_ms >= LOAD_WINDOW_MS:
+            self._rpcs_per_second = self.rpcs.take_read_count() * 1000.0 / elapsed_ms
+            self._load_measured_at_ms = now_ms
+        self.maintenance.step(now_ms)
+        interval_ms = ACTIVE_REPORT_INTERVAL_MS if self.maintenance.is_active else IDLE_REPORT_INTERVAL_MS
+        self._next_report_ms = now_ms + interval_ms * self._rng.uniform(0.9, 1.1)
+
+    def _status(self) -> ServerStatus:
+        return ServerStatus(
+            capacity=SERVER_CAPACITY_RPCS_PER_SECOND,
+            model=f"m{self.index % MODEL_COUNT}",
+            serves_critical_methods=False,
+            warm_fraction=0.0 if self.is_draining else self.warm_fraction(),
+            rpcs_per_second=self._rpcs_per_second,
+            ok_count=self.rpcs.ok_count,
+            answered_count=self.rpcs.answered_count,
         )
-        leader = self.part.follower.leader
-        if leader == self.name:
-            self.hear_work(self.node.me, body)
-        elif leader:
-            self.node.say(leader, NAME, body)
-
-    def hear_work(self, sender: Record, body: list[Any]) -> None:
-        match body:
-            case ["at", *_]:
-                answer = answer_report(
-                    self.coordinator, sender, self.part.follower.voters, body, self.clock()
-                )
-                if answer is not None and sender.name == self.name:
-                    self.hear_work(sender, answer)
-                elif answer is not None:
-                    self.node.say(sender.name, NAME, answer)
-            case ["told", int(number), str(stage), int(permission), float(lasts)]:
-                if self.maintenance_agent.told(
-                    number, stage, permission, lasts
-                ) and self.maintenance_agent.goes(self.clock()):
-                    self.disk.mark = self.maintenance_agent.going
-                    wish = self.town.permitted(self.name)
-                    self.note("left", self.maintenance_agent.going, wish)
-                    self.report(self.clock())
-                    self.drain(self.town.work_ms(self.name))
-
-    def gone(self, name: str) -> bool:
-        record = self.node.members.get(name)
-        return record is None or record.state in GONE
-
-    def taken(self, now: float) -> None:
-        if self.coordinator is not None:
-            self.coordinator.look_at = min(self.coordinator.look_at, now)
-
-    def drain(self, away: float) -> None:
-        """A notice, from outside or by a permission; `away` ms after its end it is started again."""
-        if self.ends_at < inf:
-            return
-        now = self.clock()
-        self.note("drains")
-        self.node.leave(now)
-        self.server.now = now
-        self.server.quiesce(STOP)
-        if self.away == "grace":
-            self.server.run_until = inf
-        self.ends_at = now + STOP
-        self.town.back_after[self.i] = away
-
-    # RPCs and the engine
-
-    def read(self, rpc: Sent, waited: float, now: float) -> None:
-        self.reads += 1
-        rpc.waited = waited + 1.0
-        rpc.remaining = WAIT - rpc.waited
-        self.note("read", rpc.number, self.town.world.now + rpc.remaining)
-        self.server.now = now
-        # An answer may come within the call that reads it.
-        job = self.server.read(rpc)
-        if job.at is not None:
-            self.jobs[rpc.number] = job
-
-    def answer(self, rpc: Rpc, how: str) -> None:
-        assert isinstance(rpc, Sent)
-        self.all += 1.0
-        self.ok += how == "ok"
-        self.jobs.pop(rpc.number, None)
-        self.note("answer", rpc.number, how)
-        if how == "pushed_back" and self.may:
-            self.decided()
-
-    def decided(self) -> None:
-        f = self.part.follower
-        self.note("decided", max(0, f.version), f.policy)
-
-    def run(self, rpc: Rpc) -> None:
-        assert isinstance(rpc, Sent)
-        self.note("run", rpc.number)
-        self.decided()
-        job = self.engine[rpc.number] = self.jobs[rpc.number]
-        now, world = self.town.world.now, self.town.world
-        self.busy = [end for end in self.busy if end > now]
-        free = sorted(self.busy)[-CORES] if len(self.busy) >= CORES else now
-        end = max(now, free) + WORK
-        self.busy.append(end)
-        self.runs += 1
-        calls = rpc.method.calls and (self.filled < FILL or self.runs % FILL == 0)
-
-        world.at(end, lambda: self.arrive(("needs", job) if calls else ("done", job, world.now - now)))
-
-    def call(self, rpc: Rpc, allow: float) -> None:
-        assert isinstance(rpc, Sent)
-        job, world = self.engine[rpc.number], self.town.world
-        good, took = self.town.store.call(world.now)
-        wait = min(took, allow, STORE)
-        good = good and took <= wait
-        world.after(wait, partial(self.arrive, ("called", job, good, wait)))
-        if good:
-            world.after(wait + 1.0, partial(self.arrive, ("done", job, WORK + wait)))
-
-    def cut(self, job: Job) -> None:
-        """The engine ends a run at its call once its RPC has been answered."""
-        assert isinstance(job.rpc, Sent)
-        if job.rpc.number not in self.jobs:
-            self.town.world.after(1.0, partial(self.arrive, ("done", job, WORK)))
-
-    def skip(self, rpc: Rpc) -> None:
-        assert isinstance(rpc, Sent)
-        job = self.engine[rpc.number]
-        self.town.world.after(1.0, partial(self.arrive, ("done", job, WORK)))
-
-    def arrive(self, message: Any) -> None:
-        """Of its engine, which may hang."""
-        if self.town.world.now < self.hangs:
-            self.town.world.at(self.hangs, partial(self.arrive, message))
-        elif self.host.up:
-            self.host.arrive(message)
-
-    def push_back(self, rpc: Rpc, hold_off: float, final: bool) -> None:
-        self.answer(rpc, "pushed_back")
-
-    def abort(self, rpc: Rpc) -> None:
-        self.answer(rpc, "aborted")
-
-    def health(self, good: bool, cheap: bool) -> None:
-        self.good = good
-
-    def stop(self, rpc: Rpc) -> None: ...
-    def keep(self, rpc: Rpc, time: float) -> None: ...
-    def forget(self, rpc: Rpc) -> None: ...
-    def join(self, rpc: Rpc) -> None: ...
-    def closed(self, rpc: Rpc) -> None: ...
-    def advertise(self, amount: float) -> None: ...
-    def reap(self, idle: float) -> None: ...
-    def wake(self, delay: float) -> None: ...
-    def log(self, text: str) -> None: ...
-
-    @property
-    def listed(self) -> bool:
-        """Whether gateways may hear of it: as services hold its health back on a real server."""
-        return self.good and self.agent.start.open and self.may and self.ends_at == inf
-
-    def sizes(self) -> dict[str, int]:
-        """Of all that could grow, against the bounds that `promises` has."""
-        node, part, follower = self.node, self.part, self.part.follower
-        found = {
-            "out": len(node.out), "errands": len(node.errands), "book": len(node.book),
-            "table": len(node.members.table), "words": len(part.errands), "answers": len(part.answers),
-            "sent": len(follower.sent), "reports": len(self.maintenance_agent.sent), "jobs": len(self.jobs),
-        }  # fmt: skip
-        if part.voter is not None:
-            found |= {"log": len(part.voter.stored.entries), "votes": len(part.voter.out)}
-        return found
-
 
-def copied(stored: Stored) -> Stored:
-    """Entries never change, so that their list alone is copied."""
-    return replace(stored, entries=list(stored.entries))
-
-
-def text(number: int) -> bytes:
-    return msgspec.msgpack.encode({"methods": {"m": {"criticality": float(number + 2)}}})
+    def start_draining(self, down_ms: float) -> None:
+        """Begins to drain, by a notice or by a permit; the next process starts `down_ms` after the end."""
+        if self.is_draining:
+            return
+        now_ms = self.host.clock_ms()
+        self.cluster.record(DrainStarted.KIND, self.name)
+        self.node.leave(now_ms)
+        self.rpcs.start_draining(DRAIN_MS, now_ms)
+        self.ends_at_ms = now_ms + DRAIN_MS
+        self.down_ms = down_ms
+
+    def _end(self) -> None:
+        """Ends the process: all answers are out, and the others hear that it leaves."""
+        self.policy_node.announce_departure()
+        self._send_policy_messages()
+        for receiver, message in self.node.take_outgoing():
+            self.cluster.network.transmit(self.host.address, receiver, message)
+        self.host.is_up = False
+        self.cluster.record(ServerEnded.KIND, self.name)
+        self.cluster.on_server_ended(self.index, self.down_ms)
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -9,38 +9,39 @@
 
 import msgpack
 
-from landingshift.admission.interface import Effect
-from landingshift.net.program.main import Signals
+from landingshift.admission.interface import Idempotency
+from landingshift.net.program.signals import SignalWatcher
 from landingshift.net.transport.loop import Loop
-from tests.helpers import METHOD, Bench, Engine, Gateway, World, until
-from tests.test_connections import Door
+from tests.helpers import METHOD, AdmissionBench, EngineStandIn, GatewayClient, ProgramUnderTest, wait_until
+from tests.test_connections import GatewaysUnderTest
 
 
-def waiting(w: World, count: int) -> list[Gateway]:
+def waiting(program: ProgramUnderTest, count: int) -> list[GatewayClient]:
     """Gateways whose connections wait to be accepted, each with an RPC written."""
-    crowd = [Gateway(w) for _ in range(count)]
-    for one in crowd:
-        one.rpc()
-    return crowd
+    waiting_gateways = [GatewayClient(program) for _ in range(count)]
+    for one in waiting_gateways:
+        one.send_rpc()
+    return waiting_gateways
 
 
-class Backlog(unittest.TestCase):
-    def test_a_full_table_keeps_nobody_out_who_has_come(self) -> None:
+class BacklogTest(unittest.TestCase):
+    def test_drain_accepts_what_waits_though_the_table_is_full(self) -> None:
         # Closing the listener over them would reset what was written before the notice.
-        w = World(self, limits={"sockets": 80}, settings__classes__0__late_share=0.0)  # 16 connections
-        crowd = [Gateway(w) for _ in range(16)]
-        for one in crowd:
-            one.rpc(wait="9000")
-        with w.paused():
-            late = waiting(w, 5)
-            w.process.send_signal(signal.SIGTERM)
-        answers = [one.final()[1] for one in crowd + late]
+        # 16 connections.
+        program = ProgramUnderTest(self, limits={"sockets": 80}, settings__classes__0__late_share=0.0)
+        waiting_gateways = [GatewayClient(program) for _ in range(16)]
+        for one in waiting_gateways:
+            one.send_rpc(wait="9000")
+        with program.paused():
+            late = waiting(program, 5)
+            program.process.send_signal(signal.SIGTERM)
+        answers = [one.read_final_answer()[1] for one in waiting_gateways + late]
         self.assertLessEqual(set(answers), {"Busy", "Failed"})
-        for one in crowd + late:
+        for one in waiting_gateways + late:
             one.sock.close()
-        self.assertEqual(w.ends(), 0)
+        self.assertEqual(program.wait_for_exit(), 0)
 
-    def test_without_descriptors_the_door_stays_open_until_some_are_free(self) -> None:
+    def test_listener_stays_open_until_descriptors_are_free(self) -> None:
         class Short:
             """The listening socket of a process that has no descriptors left."""
 
@@ -56,220 +57,223 @@
             def __getattr__(self, name: str) -> Any:
                 return getattr(self.sock, name)
 
-        door = Door(self)
-        waits = socket.create_connection(door.gateways.listener.address)
+        harness = GatewaysUnderTest(self)
+        waits = socket.create_connection(harness.gateways.listener.address)
         self.addCleanup(waits.close)
         waits.sendall(msgpack.packb([0, 1, "m", [{}, b"work"]]))
-        short = Short(door.gateways.listener.sock)
-        door.gateways.listener.sock = short  # type: ignore[assignment]
-        door.gateways.leave()
-        door.turn_until(lambda: short.asked > 2)
-        self.assertFalse(door.gateways.gone())
+        short = Short(harness.gateways.listener.sock)
+        harness.gateways.listener.sock = short  # type: ignore[assignment]
+        harness.gateways.start_draining()
+        harness.run_passes_until(lambda: short.asked > 2)
+        self.assertFalse(harness.gateways.is_drained())
         short.short = False
-        door.turn_until(lambda: door.news.reads == [1])
-        self.assertFalse(door.gateways.listener.open)
-        for connection in door.gateways.table:
+        harness.run_passes_until(lambda: harness.events.request_ids == [1])
+        self.assertFalse(harness.gateways.listener.is_open)
+        for connection in harness.gateways.connections:
             connection.stream.close("test")
-        self.assertTrue(door.gateways.gone())
+        self.assertTrue(harness.gateways.is_drained())
 
-    def test_who_comes_again_at_once_is_refused(self) -> None:
+    def test_reconnect_during_a_drain_is_refused(self) -> None:
         # Neither taken, nor left waiting until after the stop.
-        w = World(self)
-        g = Gateway(w)
-        self.assertTrue(g.probe()[0])
-        w.process.send_signal(signal.SIGTERM)
-        self.assertEqual(g.message(), [2, "goaway", []])
+        program = ProgramUnderTest(self)
+        gateway = GatewayClient(program)
+        self.assertTrue(gateway.check_health()[0])
+        program.process.send_signal(signal.SIGTERM)
+        self.assertEqual(gateway.read_message(), [2, "goaway", []])
         with self.assertRaises(ConnectionRefusedError):
-            socket.create_connection(w.address, timeout=0.5)
-        g.sock.close()
-        self.assertEqual(w.ends(), 0)
+            socket.create_connection(program.address, timeout=0.5)
+        gateway.sock.close()
+        self.assertEqual(program.wait_for_exit(), 0)
 
 
-class NoEngine(unittest.TestCase):
-    def test_what_was_written_is_told_that_it_never_ran(self) -> None:
-        w = World(self, engine=False)
-        known = Gateway(w)
-        self.assertTrue(known.probe()[0])
-        with w.paused():
-            n = known.rpc()
-            late = waiting(w, 1)[0]
-            w.process.send_signal(signal.SIGTERM)
-        self.assertEqual(known.final(), (n, "Busy"))
-        self.assertEqual(late.final(), (1, "Busy"))
-        self.assertEqual([one.ends() for one in (known, late)], ["closed", "closed"])
+class DrainWithoutEngineTest(unittest.TestCase):
+    def test_drain_without_engine_rejects_what_waits_unread(self) -> None:
+        program = ProgramUnderTest(self, engine=False)
+        known = GatewayClient(program)
+        self.assertTrue(known.check_health()[0])
+        with program.paused():
+            message_id = known.send_rpc()
+            late = waiting(program, 1)[0]
+            program.process.send_signal(signal.SIGTERM)
+        self.assertEqual(known.read_final_answer(), (message_id, "Busy"))
+        self.assertEqual(late.read_final_answer(), (1, "Busy"))
+        self.assertEqual([one.read_until_end() for one in (known, late)], ["closed", "closed"])
         for one in (known, late):
             one.sock.close()
-        self.assertEqual(w.ends(), 0)
-        self.assertEqual(w.lines[-1]["event"], "stopped")
+        self.assertEqual(program.wait_for_exit(), 0)
+        self.assertEqual(program.log_entries[-1]["event"], "stopped")
 
-    def test_an_engine_that_comes_up_after_the_notice_lists_nobody(self) -> None:
-        w = World(self, engine=False)
-        link = Engine(w, hello="")
-        g = Gateway(w)
-        self.assertTrue(g.probe()[0])
-        w.process.send_signal(signal.SIGTERM)
-        self.assertEqual(g.message(), [2, "goaway", []])
-        link.say("HELLO old 60000")
-        w.logged("engine_link")
-        g.sock.close()
-        self.assertEqual(w.ends(), 0)
-        w.roster.setblocking(False)
+    def test_engine_up_after_the_notice_starts_no_reports(self) -> None:
+        program = ProgramUnderTest(self, engine=False)
+        link = EngineStandIn(program, hello="")
+        gateway = GatewayClient(program)
+        self.assertTrue(gateway.check_health()[0])
+        program.process.send_signal(signal.SIGTERM)
+        self.assertEqual(gateway.read_message(), [2, "goaway", []])
+        link.send_notice("HELLO old 60000")
+        program.wait_for_log("engine_link")
+        gateway.sock.close()
+        self.assertEqual(program.wait_for_exit(), 0)
+        program.roster.setblocking(False)
         with self.assertRaises(BlockingIOError):  # gateways would send to what is gone
-            w.roster.recv(100)
+            program.roster.recv(100)
 
 
-class Notice(unittest.TestCase):
-    def test_signals_while_it_runs_and_again(self) -> None:
-        w = World(self)
-        g = Gateway(w)
-        n = g.rpc()
-        w.engine.expect("RUN", g.id)
-        with w.paused():
-            half = Gateway(w)
+class DrainNoticeTest(unittest.TestCase):
+    def test_repeated_signals_are_one_notice(self) -> None:
+        program = ProgramUnderTest(self)
+        gateway = GatewayClient(program)
+        message_id = gateway.send_rpc()
+        program.engine.expect_command("RUN", gateway.last_rpc_id)
+        with program.paused():
+            half = GatewayClient(program)
             half.send(b"\x94\x00\x01\xa1m")  # an RPC that never becomes whole
-            w.engine.say("DONE 1", g.id, "good 5", body=b"r")
+            program.engine.send_notice("DONE 1", gateway.last_rpc_id, "good 5", body=b"r")
             for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM, signal.SIGINT):
-                w.process.send_signal(number)
-        self.assertEqual(g.final(), (n, b"r"))
-        w.logged("mode")
-        w.process.send_signal(signal.SIGTERM)
-        w.process.send_signal(signal.SIGHUP)
-        self.assertFalse(g.probe()[0])
-        g.sock.close()
+                program.process.send_signal(number)
+        self.assertEqual(gateway.read_final_answer(), (message_id, b"r"))
+        program.wait_for_log("mode")
+        program.process.send_signal(signal.SIGTERM)
+        program.process.send_signal(signal.SIGHUP)
+        self.assertFalse(gateway.check_health()[0])
+        gateway.sock.close()
         half.sock.close()
-        self.assertEqual(w.ends(), 0)
+        self.assertEqual(program.wait_for_exit(), 0)
 
-    def test_a_probe_in_the_same_moment(self) -> None:
+    def test_health_check_at_the_moment_of_the_notice_is_answered(self) -> None:
         for deep in ("", "1"):
             with self.subTest(deep=deep):
-                w = World(self)
-                g = Gateway(w)
-                with w.paused():
-                    g.send_probe(deep=deep)
-                    w.process.send_signal(signal.SIGTERM)
-                self.assertEqual(g.message()[0], 1)
-                self.assertFalse(g.probe()[0])
-                g.sock.close()
-                self.assertEqual(w.ends(), 0)
+                program = ProgramUnderTest(self)
+                gateway = GatewayClient(program)
+                with program.paused():
+                    gateway.send_health_check(deep=deep)
+                    program.process.send_signal(signal.SIGTERM)
+                self.assertEqual(gateway.read_message()[0], 1)
+                self.assertFalse(gateway.check_health()[0])
+                gateway.sock.close()
+                self.assertEqual(program.wait_for_exit(), 0)
 
-    def test_a_call_and_an_answer_in_the_same_moment(self) -> None:
-        w = World(self)
-        g = Gateway(w)
-        n = g.rpc()
-        rid = g.id
-        w.engine.expect("RUN", rid)
-        w.engine.say("NEED 1", rid, body=b"q")
-        db = w.database()
-        db.line()
-        with w.paused():
+    def test_call_and_answer_at_the_moment_of_the_notice(self) -> None:
+        program = ProgramUnderTest(self)
+        gateway = GatewayClient(program)
+        message_id = gateway.send_rpc()
+        rid = gateway.last_rpc_id
+        program.engine.expect_command("RUN", rid)
+        program.engine.send_notice("NEED 1", rid, body=b"q")
+        db = program.accept_database_link()
+        db.read_line()
+        with program.paused():
             db.send(f"{rid} ROWS 2\r\nok\r\n".encode())
-            w.process.send_signal(signal.SIGTERM)
-        self.assertEqual(w.engine.expect("FEED", rid), b"ok")
-        w.engine.say("DONE 2", rid, "good 9", body=b"r")
-        self.assertEqual(g.final(), (n, b"r"))
-        g.sock.close()
-        self.assertEqual(w.ends(), 0)
+            program.process.send_signal(signal.SIGTERM)
+        self.assertEqual(program.engine.expect_command("FEED", rid), b"ok")
+        program.engine.send_notice("DONE 2", rid, "good 9", body=b"r")
+        self.assertEqual(gateway.read_final_answer(), (message_id, b"r"))
+        gateway.sock.close()
+        self.assertEqual(program.wait_for_exit(), 0)
 
-    def test_the_link_to_the_engine_lost_in_the_same_moment(self) -> None:
-        w = World(self)
-        g = Gateway(w)
-        n = g.rpc("once")
-        w.engine.expect("RUN", g.id)
-        with w.paused():
-            w.engine.sock.close()
-            w.process.send_signal(signal.SIGTERM)
-        link = Engine(w)
-        link.say("DONE 1", g.id, "good 9", body=b"r")
-        self.assertEqual(g.final(), (n, b"r"))
-        g.sock.close()
-        self.assertEqual(w.ends(), 0)
+    def test_engine_link_lost_at_the_moment_of_the_notice(self) -> None:
+        program = ProgramUnderTest(self)
+        gateway = GatewayClient(program)
+        message_id = gateway.send_rpc("once")
+        program.engine.expect_command("RUN", gateway.last_rpc_id)
+        with program.paused():
+            program.engine.sock.close()
+            program.process.send_signal(signal.SIGTERM)
+        link = EngineStandIn(program)
+        link.send_notice("DONE 1", gateway.last_rpc_id, "good 9", body=b"r")
+        self.assertEqual(gateway.read_final_answer(), (message_id, b"r"))
+        gateway.sock.close()
+        self.assertEqual(program.wait_for_exit(), 0)
 
-    def test_it_does_not_end_over_open_connections(self) -> None:
+    def test_process_does_not_end_while_connections_are_open(self) -> None:
         # What lies unread in one of them would make its close a reset, which takes the answer along.
-        w = World(self, stop_ms=400)
-        g = Gateway(w)
-        n = g.rpc(wait="9000")
-        w.engine.expect("RUN", g.id)
-        w.process.send_signal(signal.SIGTERM)
-        self.assertEqual(g.final(), (n, "Failed"))
-        self.assertEqual(g.ends(), "closed")  # its half
-        self.assertIsNone(w.process.poll())
-        g.send(b"\x94\x00")  # half a line
-        self.assertIsNone(w.process.poll())
-        g.sock.close()
-        self.assertEqual(w.ends(), 0)
-        self.assertEqual((w.lines[-1]["event"], w.lines[-1]["connections"]), ("stopped", 0))
+        program = ProgramUnderTest(self, stop_ms=400)
+        gateway = GatewayClient(program)
+        message_id = gateway.send_rpc(wait="9000")
+        program.engine.expect_command("RUN", gateway.last_rpc_id)
+        program.process.send_signal(signal.SIGTERM)
+        self.assertEqual(gateway.read_final_answer(), (message_id, "Failed"))
+        self.assertEqual(gateway.read_until_end(), "closed")  # its half
+        self.assertIsNone(program.process.poll())
+        gateway.send(b"\x94\x00")  # half a line
+        self.assertIsNone(program.process.poll())
+        gateway.sock.close()
+        self.assertEqual(program.wait_for_exit(), 0)
+        self.assertEqual(
+            (program.log_entries[-1]["event"], program.log_entries[-1]["connections"]), ("stopped", 0)
+        )
 
-    def test_the_last_answer_is_followed_by_the_close(self) -> None:
-        door = Door(self)
-        peer, connection = door.come(proven=True)
+    def test_connection_closes_right_after_its_last_answer(self) -> None:
+        harness = GatewaysUnderTest(self)
+        peer, connection = harness.connect(proven=True)
         peer.sendall(msgpack.packb([0, 1, "m", [{}, b"work"]]))
-        door.turn_until(lambda: door.news.reads)
-        door.gateways.leave()
-        door.turn_until(lambda: not connection.stream.out)
-        connection.away = door.loop.now  # the time that it had is over
+        harness.run_passes_until(lambda: harness.events.request_ids)
+        harness.gateways.start_draining()
+        harness.run_passes_until(lambda: not connection.stream.output)
+        connection.goaway_deadline_ms = harness.loop.now_ms  # the time that it had is over
         connection.answer(1, msgpack.packb([1, 1, None, [b"r", {}]]))
         passes = 0
-        while not connection.stream.reason and passes < 3:
-            door.loop.after(0.0, lambda: None)
-            door.loop.turn()
+        while not connection.stream.close_reason and passes < 3:
+            harness.loop.after(0.0, lambda: None)
+            harness.loop.run_pass()
             passes += 1
-        self.assertEqual(connection.stream.reason, "goaway")
+        self.assertEqual(connection.stream.close_reason, "goaway")
 
-    def test_short_and_long_notices(self) -> None:
+    def test_rpcs_are_answered_within_short_and_long_notices(self) -> None:
         for stop_ms in (60, 200, 9e6):
             with self.subTest(stop_ms=stop_ms):
-                w = World(self, stop_ms=stop_ms)
-                g = Gateway(w)
-                n = g.rpc(wait="700")
-                w.engine.expect("RUN", g.id)
-                w.process.send_signal(signal.SIGTERM)
-                self.assertEqual(g.final(), (n, "Failed"))
+                program = ProgramUnderTest(self, stop_ms=stop_ms)
+                gateway = GatewayClient(program)
+                message_id = gateway.send_rpc(wait="700")
+                program.engine.expect_command("RUN", gateway.last_rpc_id)
+                program.process.send_signal(signal.SIGTERM)
+                self.assertEqual(gateway.read_final_answer(), (message_id, "Failed"))
                 if stop_ms < 1e6:
-                    self.assertEqual(w.ends(), 0)
+                    self.assertEqual(program.wait_for_exit(), 0)
                 else:
-                    self.assertFalse(g.probe()[0])  # it leaves, but has all the time that it was given
+                    # It leaves, but has all the time that it was given.
+                    self.assertFalse(gateway.check_health()[0])
 
-    def test_a_short_notice_is_looked_at_at_once(self) -> None:
-        b = Bench()
-        job = b.read()
-        b.server.settle()
-        b.did.clear()
-        b.server.quiesce(60.0)
-        self.assertEqual([d for d in b.did if d[0] == "wake"], [("wake", 1.0)])
-        b.tick(1.0)
-        self.assertEqual(b.fates(job), ["abort"])
+    def test_short_notice_is_checked_at_once(self) -> None:
+        bench = AdmissionBench()
+        job = bench.read()
+        bench.controller.settle()
+        bench.actions.clear()
+        bench.controller.start_draining(60.0)
+        self.assertEqual([d for d in bench.actions if d[0] == "schedule_check"], [("schedule_check", 1.0)])
+        bench.run_check(1.0)
+        self.assertEqual(bench.action_names_of(job), ["abort"])
 
-    def test_its_time_counts_from_the_signal_on(self) -> None:
+    def test_notice_counts_from_the_signal_not_from_the_pass(self) -> None:
         # A pass of the loop may take long; what comes after the grace must not run for that.
-        loop, heard = Loop(lambda: None), []
-        kept = {n: signal.getsignal(n) for n in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)}
-        signals = Signals(loop)
-        for number, handler in kept.items():
+        loop, signals_heard = Loop(lambda: None), []
+        previous_handlers = {n: signal.getsignal(n) for n in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)}
+        signals = SignalWatcher(loop)
+        for number, handler in previous_handlers.items():
             self.addCleanup(signal.signal, number, handler)
         self.addCleanup(signal.set_wakeup_fd, -1)
-        self.addCleanup(signals.seen.close)
-        self.addCleanup(signals.wakes.close)
-        signals.heard = lambda number, at: heard.append((number, at))
+        self.addCleanup(signals.reader.close)
+        self.addCleanup(signals.writer.close)
+        signals.on_signal = lambda number, at: signals_heard.append((number, at))
         os.kill(os.getpid(), signal.SIGTERM)
-        until(lambda: signal.SIGTERM in signals.came)
-        after = loop.clock()
-        until(lambda: loop.clock() > after + 20.0)  # the rest of a long pass
-        loop.turn()
-        self.assertEqual([number for number, _ in heard], [signal.SIGTERM])
-        self.assertLessEqual(heard[0][1], after)
+        wait_until(lambda: signal.SIGTERM in signals.came_ms)
+        after = loop.clock_ms()
+        wait_until(lambda: loop.clock_ms() > after + 20.0)  # the rest of a long pass
+        loop.run_pass()
+        self.assertEqual([number for number, _ in signals_heard], [signal.SIGTERM])
+        self.assertLessEqual(signals_heard[0][1], after)
 
-        b = Bench(cores=1)
-        b.at(400.0)
-        b.server.quiesce(2000.0, 300.0)  # the grace is 1,000 ms
+        bench = AdmissionBench(core_count=1)
+        bench.set_time(400.0)
+        bench.controller.start_draining(2000.0, 300.0)  # the grace is 1,000 ms
         runs: dict[float, list[Any]] = {}
         for arrived in (1099.0, 1101.0):
-            b.at(1200.0)
-            job = b.read(method=METHOD, waited=1200.0 - arrived, remaining=700.0)
-            b.server.settle()
-            runs[arrived] = b.fates(job)
-        self.assertEqual(runs, {1099.0: ["run"], 1101.0: ["push_back"]})
-        self.assertIs(METHOD.effect, Effect.IDEMPOTENT)
+            bench.set_time(1200.0)
+            job = bench.read(method=METHOD, waited_ms=1200.0 - arrived, remaining_ms=700.0)
+            bench.controller.settle()
+            runs[arrived] = bench.action_names_of(job)
+        self.assertEqual(runs, {1099.0: ["start_run"], 1101.0: ["reject"]})
+        self.assertIs(METHOD.idempotency, Idempotency.IDEMPOTENT)
 
 
 if __name__ == "__main__":
--- a/tests/test_golden_storage.py
+++ b/tests/test_golden_storage.py
@@ -7,25 +7,38 @@
 import tempfile
 import unittest
 from pathlib import Path
-from types import SimpleNamespace
 from typing import Any
 
 from msgspec import msgpack
 
-from landingshift.coldstart import snapshot
-from landingshift.consensus.raft import Append, Appended, Ask, Entry, Install, Message, Stored, Vote
-from landingshift.consensus.raft_log import Journal
-from landingshift.consensus.state_machines import Shelf, entry
-from landingshift.hot_restart import journal as moved
-from landingshift.ledger.compact import compact
-from landingshift.ledger.entries import Batch, Gap, Raw, decode
-from landingshift.ledger.records import Exporting
-from landingshift.ledger.store import FILE, Store
-from landingshift.maintenance.replicated_state import NAME, MaintenanceState, command
-from landingshift.maintenance.service import MaintenanceService
-from landingshift.policies.book import Book as PolicyBook
-from tests import test_hot_restart
+from landingshift.coldstart import endpoint_cache
+from landingshift.coldstart.last_boot import read_last_boot_id, write_last_boot_id
+from landingshift.consensus.messages import (
+    AppendEntries,
+    AppendEntriesResponse,
+    InstallSnapshot,
+    LogEntry,
+    Message,
+    RequestVote,
+    VoteResponse,
+)
+from landingshift.consensus.persistent_state import PersistentState
+from landingshift.consensus.raft_log import RaftLogFile
+from landingshift.consensus.state_machines import StateMachineRegistry, encode_entry
+from landingshift.hot_restart.request_journal import RecordKind, RequestJournal
+from landingshift.hot_restart.state_export import StateExporter
+from landingshift.ledger.compaction import compact_store
+from landingshift.ledger.entries import UsageGap, decode
+from landingshift.ledger.export_records import ExportReader
+from landingshift.ledger.store import STORE_FILE, UsageStore
+from landingshift.ledger.store_messages import ReportedUsage, UsageBatch
+from landingshift.ledger.usage_ledger import CorrectionRequest
+from landingshift.maintenance.permit_file import read_used_permit, write_used_permit
+from landingshift.maintenance.replicated_state import MaintenanceState
+from landingshift.maintenance.storage import STATE_MACHINE_NAME
+from landingshift.policies.state_machine import PolicyStateMachine
 from tests.golden_files import FOLDER, assert_golden_bytes, assert_golden_json, golden_bytes, golden_json
+from tests.hot_restart_fixtures import RouterHarness
 
 DAY = 86_400_000
 
@@ -37,34 +50,34 @@
 
 class Raft(Folder):
     def test_messages(self) -> None:
-        entries = (Entry(3, b"\x91\xa1x"), Entry(3, b""))
+        entries = (LogEntry(3, b"\x91\xa1x"), LogEntry(3, b""))
         messages = [
-            Ask(4, 10, 3, True),
-            Vote(4, True, False),
-            Append(4, 10, 3, entries, 9, 77),
-            Appended(4, False, 8, 77),
-            Install(4, 200, 3, b"state", 78, ("n1", "n2")),
-            Install(4, 200, 3, b"state", 78),
+            RequestVote(4, 10, 3, True),
+            VoteResponse(4, True, False),
+            AppendEntries(4, 10, 3, entries, 9, 77),
+            AppendEntriesResponse(4, False, 8, 77),
+            InstallSnapshot(4, 200, 3, b"state", 78, ("n1", "n2")),
+            InstallSnapshot(4, 200, 3, b"state", 78),
         ]
         found = {f"{i}": msgpack.encode(message) for i, message in enumerate(messages)}
         assert_golden_json(self, "raft_messages.json", found)
         for i, data in enumerate(golden_json("raft_messages.json").values()):
             self.assertEqual(msgpack.decode(data, type=Message), messages[i])
 
-    def stored(self) -> list[Stored]:
+    def stored(self) -> list[PersistentState]:
         """States as a voter saves them one after the other: an append, a cut, a new term, a snapshot."""
-        a, b, c = Entry(1, b"\x91\xa1a"), Entry(1, b"\x91\xa1b"), Entry(2, b"\xc1\x92\xa2n1\xa2n2")
+        a, b, c = LogEntry(1, b"\x91\xa1a"), LogEntry(1, b"\x91\xa1b"), LogEntry(2, b"\xc1\x92\xa2n1\xa2n2")
         return [
-            Stored(1, "n1", entries=[a, b]),
-            Stored(2, "", entries=[a]),
-            Stored(2, "n2", entries=[a, c]),
-            Stored(2, "n2", 2, 2, b"snapshot", [], ("n1", "n2")),
-            Stored(3, "", 2, 2, b"snapshot", [c], ("n1", "n2")),
+            PersistentState(1, "n1", entries=[a, b]),
+            PersistentState(2, "", entries=[a]),
+            PersistentState(2, "n2", entries=[a, c]),
+            PersistentState(2, "n2", 2, 2, b"snapshot", [], ("n1", "n2")),
+            PersistentState(3, "", 2, 2, b"snapshot", [c], ("n1", "n2")),
         ]
 
     def test_log(self) -> None:
         path = str(self.folder / "journal")
-        journal = Journal(path, "golden", "n1")
+        journal = RaftLogFile(path, "golden", "n1")
         for stored in self.stored():
             journal.save(stored)
         journal.close()
@@ -73,9 +86,9 @@
         again = str(self.folder / "again")
         for ending in ("", ".seal"):
             shutil.copy(FOLDER / f"raft_log{ending}", again + ending)
-        journal = Journal(again, "golden", "n1")
-        self.assertEqual(journal.stored, self.stored()[-1])
-        journal.write_anew(journal.stored)
+        journal = RaftLogFile(again, "golden", "n1")
+        self.assertEqual(journal.persistent_state, self.stored()[-1])
+        journal.rewrite(journal.persistent_state)
         journal.close()
         assert_golden_bytes(self, "raft_log_rewritten", Path(again).read_bytes())
 
@@ -95,77 +108,70 @@
         ["gone", "n2", 12],
     )
     WORK = (
-        command("machine", "n1", 100.0, "z0", "a", True),
-        command("machine", "n2", 50.0, "z1", "b", False),
-        command(
+        encode_entry(STATE_MACHINE_NAME, "machine", "n1", 100.0, "z0", "a", True),
+        encode_entry(STATE_MACHINE_NAME, "machine", "n2", 50.0, "z1", "b", False),
+        encode_entry(
+            STATE_MACHINE_NAME,
             "wish",
             [
                 ["n1", 10.0, 5.0, 1.0, 0.0, float("inf"), False, "g"],
                 ["n2", 5.0, 6.0, 2.0, 0.0, 1e12, True, ""],
             ],
         ),
-        command("seen", 3, 70.5),
-        command("permit", "n1", 11, 7.0),
-        command("move", "n1", 1, "draining", "", 8.0),
-        command("hold", "why"),
-        command("hold", ""),
-        command("move", "n2", 0, "cancelled", "not now", 9.0),
-        command("without", "n2"),
+        encode_entry(STATE_MACHINE_NAME, "seen", 3, 70.5),
+        encode_entry(STATE_MACHINE_NAME, "permit", "n1", 11, 7.0),
+        encode_entry(STATE_MACHINE_NAME, "move", "n1", 1, "draining", "", 8.0),
+        encode_entry(STATE_MACHINE_NAME, "hold", "why"),
+        encode_entry(STATE_MACHINE_NAME, "hold", ""),
+        encode_entry(STATE_MACHINE_NAME, "move", "n2", 0, "cancelled", "not now", 9.0),
+        encode_entry(STATE_MACHINE_NAME, "without", "n2"),
     )
 
     def test_entries_and_snapshots(self) -> None:
-        policies, work, shelf = PolicyBook(), MaintenanceState(), Shelf()
-        shelf.add("policies", policies)
-        shelf.add(NAME, work)
+        policies, work, shelf = PolicyStateMachine(), MaintenanceState(), StateMachineRegistry()
+        shelf.register("policies", policies)
+        shelf.register(STATE_MACHINE_NAME, work)
         for words in self.POLICIES:
             shelf.apply(msgpack.encode(words))
         for data in self.WORK:
             shelf.apply(data)
-        shelf.apply(entry("unknown", "x", 1))
+        shelf.apply(encode_entry("unknown", "x", 1))
         found = {
             "work entries": list(self.WORK),
-            "other": entry("unknown", "x", 1),
-            "policies": policies.dump(),
-            "work": work.dump(),
-            "all": shelf.dump(),
+            "other": encode_entry("unknown", "x", 1),
+            "policies": policies.snapshot(),
+            "work": work.snapshot(),
+            "all": shelf.snapshot(),
         }
         assert_golden_json(self, "replicated_states.json", found)
-        policies, work, shelf = PolicyBook(), MaintenanceState(), Shelf()
-        shelf.add("policies", policies)
-        shelf.add(NAME, work)
-        shelf.load(golden_json("replicated_states.json")["all"])
-        self.assertEqual((policies.dump(), work.dump()), (found["policies"], found["work"]))
-        self.assertEqual(shelf.dump(), found["all"])
+        policies, work, shelf = PolicyStateMachine(), MaintenanceState(), StateMachineRegistry()
+        shelf.register("policies", policies)
+        shelf.register(STATE_MACHINE_NAME, work)
+        shelf.restore(golden_json("replicated_states.json")["all"])
+        self.assertEqual((policies.snapshot(), work.snapshot()), (found["policies"], found["work"]))
+        self.assertEqual(shelf.snapshot(), found["all"])
 
 
 class Disks(Folder):
     def test_endpoint_cache(self) -> None:
         path = str(self.folder / "list")
-        snapshot.save(path, "golden", [("10.0.0.1", 7101), ("10.0.0.2", 7102)], 1_796_287_000_000.0)
+        endpoint_cache.save(path, "golden", [("10.0.0.1", 7101), ("10.0.0.2", 7102)], 1_796_287_000_000.0)
         assert_golden_bytes(self, "endpoint_cache", Path(path).read_bytes())
-        found = snapshot.load(str(FOLDER / "endpoint_cache"), "golden", 1_796_287_001_000.0)
-        self.assertEqual(found.entries, [("10.0.0.1", 7101), ("10.0.0.2", 7102)])
-        self.assertEqual((found.age, found.why), (1000.0, ""))
+        found = endpoint_cache.load(str(FOLDER / "endpoint_cache"), "golden", 1_796_287_001_000.0)
+        self.assertEqual(found.endpoints, [("10.0.0.1", 7101), ("10.0.0.2", 7102)])
+        self.assertEqual(found.age_ms, 1000.0)
 
     def test_mark_of_a_boot(self) -> None:
         path = str(self.folder / "list.boot")
-        snapshot.mark(path, "0f0f-boot")
+        write_last_boot_id(path, "0f0f-boot")
         assert_golden_bytes(self, "boot_mark", Path(path).read_bytes())
-        self.assertEqual(snapshot.marked(str(FOLDER / "boot_mark")), "0f0f-boot")
+        self.assertEqual(read_last_boot_id(str(FOLDER / "boot_mark")), "0f0f-boot")
 
     def test_mark_of_work(self) -> None:
         path = str(self.folder / "mark")
-        service: Any = SimpleNamespace(
-            settings=SimpleNamespace(mark=path),
-            node=SimpleNamespace(me=SimpleNamespace(name="n3")),
-            hand=SimpleNamespace(going=17),
-            log=self.fail,
-            router=SimpleNamespace(site=SimpleNamespace(name="n3")),
-        )
-        MaintenanceService.write_mark(service)
+        write_used_permit(path, "n3", 17)
         assert_golden_bytes(self, "work_mark", Path(path).read_bytes())
-        service.settings.mark = str(FOLDER / "work_mark")
-        self.assertEqual(MaintenanceService.marked(service), 17)
+        self.assertEqual(read_used_permit(str(FOLDER / "work_mark"), "n3"), 17)
 
 
 def shape(value: Any) -> Any:
@@ -185,22 +191,21 @@
 class HotRestart(unittest.TestCase):
     def test_names_in_the_state(self) -> None:
         """A router with an RPC at each layer: the state that another build reads has the same names."""
-        moving = test_hot_restart.Moving("test_everything_in_hand_goes_on")
-        moving.setUp()
-        self.addCleanup(moving.doCleanups)
-        gateway = moving.gateway()
+        harness = RouterHarness(self)
+        gateway = harness.connect_gateway()
         gateway.sendall(
-            moving.rpc("m", b"runs") + moving.rpc("m", b"calls") + moving.rpc("token", b"kept", once="k")
+            harness.request("m", b"runs")
+            + harness.request("m", b"calls")
+            + harness.request("token", b"kept", once="k")
         )
         for _ in range(3):
-            moving.command()
-        moving.engine.send(b"NEED 1 %016x 4\r\nbody\r\n" % 2)
-        moving.wait_for(moving.doors[1])
-        database = moving.peer(moving.doors[1].accept()[0])
-        moving.wait_for(database)
-        gateway.sendall(moving.rpc("token", b"kept", once="k"))
-        moving.pump(30.0)
-        data, _ = test_hot_restart.Giver(moving.router).give()
+            harness.next_command()
+        harness.engine.send(b"NEED 1 %016x 4\r\nbody\r\n" % 2)
+        database = harness.accept_database_link()
+        harness.run_until_readable(database)
+        gateway.sendall(harness.request("token", b"kept", once="k"))
+        harness.run(30.0)
+        data, _ = StateExporter(harness.router).export()
         state = msgpack.decode(data)
         state["module"] = {part: sorted(state["module"][part]) for part in ("plain", "rings")}
         for rpc in state["rpcs"]:
@@ -211,46 +216,51 @@
         assert_golden_json(self, "hot_restart_state.json", shape(state))
 
     def test_journal(self) -> None:
-        journal = moved.Journal.make(4096)
+        journal = RequestJournal.create(4096)
         self.addCleanup(journal.close)
-        for i, kind in enumerate(moved.Kind):
+        for i, kind in enumerate(RecordKind):
             journal.write(kind, i, b"data" * i)
-        assert_golden_bytes(self, "hot_restart_journal", journal.map[:256])
+        assert_golden_bytes(self, "hot_restart_journal", journal.memory[:256])
         fd = os.memfd_create("golden")
         os.write(fd, golden_bytes("hot_restart_journal").ljust(4096, b"\0"))
-        again = moved.Journal(fd, 4096, False)
+        again = RequestJournal.open(fd, 4096)
         self.addCleanup(again.close)
         rows = [(int(kind), whom, data) for _, kind, whom, data in again.read()]
-        self.assertEqual(rows, [(i + 1, i, b"data" * i) for i in range(len(moved.Kind))])
+        self.assertEqual(rows, [(i + 1, i, b"data" * i) for i in range(len(RecordKind))])
 
 
 class Ledger(Folder):
     """A ledger with every kind of entry; the chained hashes make any changed byte show."""
 
-    def make(self) -> Store:
-        store = Store(str(self.folder), "n1", "UTC", "day", 1000, 1000)
+    def make(self) -> UsageStore:
+        store = UsageStore(str(self.folder), "n1", "UTC", "day", 1000, 1000)
         self.addCleanup(store.close)
-        raws = [Raw(i, 100 + i, b"t%d" % (i % 2), b"m", 5000 + i, 10, 20, b"%016d" % i) for i in range(1, 7)]
+        raws = [
+            ReportedUsage(i, 100 + i, b"t%d" % (i % 2), b"m", 5000 + i, 10, 20, b"%016d" % i)
+            for i in range(1, 7)
+        ]
         raws[3].identity = raws[2].identity  # a retry within the window
-        store.open_run(b"run-1", 50)
-        with store.changing() as book:
-            book.take(Batch(1, raws[:4], [1, 2, 3], [], [], 2), 110)
-            book.take(Batch(2, raws[4:], [4], [5], []), 120)
-        store.open_run(b"run-2", 200)
-        with store.changing() as book:
-            book.append(Gap(210, 3))
-            book.correct(b"t1", b"m", "1970-01-01", 2, 10, "1.5", "a reason", "me", 220)
-        with store.changing() as book:
+        store.start_run(b"run-1", 50)
+        with store.changing() as ledger:
+            ledger.apply_batch(UsageBatch(1, raws[:4], [1, 2, 3], [], [], 2), 110)
+            ledger.apply_batch(UsageBatch(2, raws[4:], [4], [5], []), 120)
+        store.start_run(b"run-2", 200)
+        with store.changing() as ledger:
+            ledger.append(UsageGap(210, 3))
+            ledger.correct(CorrectionRequest(b"t1", b"m", "1970-01-01", 2, 10, "1.5", "a reason", "me"), 220)
+        with store.changing() as ledger:
             uses = dict(store.disputed())
-            book.resolve(uses, [], store.counted_about(uses), "checked", "me", 230)
-        with store.changing() as book:
-            late = Raw(1, DAY + 500, b"t1", b"m", 4000, 1, 2, b"z" * 16)
-            book.take(Batch(1, [late], [1], [], []), DAY + 500)
-        with store.changing() as book:
-            book.close("1970-01-01", 2 * DAY, store.first_open(), store.raw_totals("1970-01-01"))
+            ledger.resolve_disputes(uses, [], store.counted_near(uses.values()), "checked", "me", 230)
+        with store.changing() as ledger:
+            late = ReportedUsage(1, DAY + 500, b"t1", b"m", 4000, 1, 2, b"z" * 16)
+            ledger.apply_batch(UsageBatch(1, [late], [1], [], []), DAY + 500)
+        with store.changing() as ledger:
+            ledger.close_period(
+                "1970-01-01", 2 * DAY, store.first_open_period(), store.period_totals("1970-01-01")
+            )
         return store
 
-    def content(self, store: Store) -> dict[str, Any]:
+    def content(self, store: UsageStore) -> dict[str, Any]:
         tables = ("entries", "names", "totals", "sums", "baseline", "disputed", "corrections", "closed")
         found: dict[str, Any] = {
             table: sorted(store.db.execute(f"SELECT * FROM {table}").fetchall()) for table in tables
@@ -261,31 +271,31 @@
 
     def test_every_kind_of_entry_and_the_export(self) -> None:
         store = self.make()
-        batch = Exporting(store).batch(0)
+        batch = ExportReader(store).next_batch(0)
         assert batch is not None
         found = self.content(store) | {"export": batch.SerializeToString(deterministic=True)}
         kinds = {kind for _, kind, _, _ in found["entries"]}
-        compact(store, "1970-01-01", 3 * DAY, store.book.last)
+        compact_store(store, "1970-01-01", 3 * DAY, store.ledger.last_number)
         found["after compaction"] = self.content(store)
         kinds |= {kind for _, kind, _, _ in found["after compaction"]["entries"]}
         self.assertEqual(kinds, set(range(1, 10)))
         assert_golden_json(self, "ledger.json", found)
 
     def test_an_earlier_file_is_read(self) -> None:
-        path = self.folder / FILE
+        path = self.folder / STORE_FILE
         if not (FOLDER / "ledger.sqlite").exists() and os.environ.get("LANDINGSHIFT_WRITE_GOLDEN") == "1":
             made = self.make()
             made.backup(str(FOLDER / "ledger.sqlite"))
             made.close()
             path.unlink()
         shutil.copy(FOLDER / "ledger.sqlite", path)
-        store = Store(str(self.folder), "n1", "UTC", "day", 1000, 1000)
+        store = UsageStore(str(self.folder), "n1", "UTC", "day", 1000, 1000)
         self.addCleanup(store.close)
         wanted = golden_json("ledger.json")
         rows = [list(row) for row in store.rows()]
         self.assertEqual(rows, wanted["entries"])
         self.assertEqual(type(decode(*rows[0][1:3])).__name__, "Opened")
-        batch = Exporting(store).batch(0)
+        batch = ExportReader(store).next_batch(0)
         assert batch is not None
         self.assertEqual(batch.SerializeToString(deterministic=True), wanted["export"])
-        self.assertEqual([name for name, _, _ in store.periods()], ["1970-01-01", "1970-01-02"])
+        self.assertEqual([period.name for period in store.periods()], ["1970-01-01", "1970-01-02"])
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -9,29 +9,34 @@
 from typing import Any
 from unittest import mock
 
-from landingshift.admission.interface import Effect, Outcome
+from landingshift.admission.interface import Idempotency, Outcome
 from landingshift.net.program import config
-from landingshift.net.program.log import Log
+from landingshift.net.program.log import EventLog
 from landingshift.net.protocol import engine, gateway
-from landingshift.net.protocol.lines import Broken
-from landingshift.net.routing.database import Database
-from landingshift.net.routing.dedup import ENTRY, DedupTable
-from landingshift.net.routing.engine import Engine
-from landingshift.net.routing.health import Health
-from landingshift.net.routing.records import Routed
+from landingshift.net.protocol.lines import ProtocolError
+from landingshift.net.routing.database_pool import DatabasePool
+from landingshift.net.routing.dedup import ENTRY_BYTES, DedupTable
+from landingshift.net.routing.engine_link import EngineLink
+from landingshift.net.routing.health import HealthReporter
+from landingshift.net.routing.rpc_record import RoutedRpc
 from landingshift.net.transport.loop import Loop
 from landingshift.net.transport.slots import Slots
 from tests.helpers import BLANK, METHOD
 
 
-def routed(rid: int, effect: Effect = Effect.IDEMPOTENT, dedup_key: str = "s") -> Routed:
-    return Routed(
-        **{**BLANK, "method": replace(METHOD, effect=effect)},
-        rid=b"%016x" % rid, name=b"m", body=b"", connection=0, number=rid, dedup_key=(b"m", dedup_key),
-    )  # fmt: skip
+def routed(rid: int, effect: Idempotency = Idempotency.IDEMPOTENT, dedup_key: str = "s") -> RoutedRpc:
+    return RoutedRpc(
+        **{**BLANK, "method": replace(METHOD, idempotency=effect)},
+        rpc_id=b"%016x" % rid,
+        method_name=b"m",
+        body=b"",
+        connection=0,
+        message_id=rid,
+        dedup_key=(b"m", dedup_key),
+    )
 
 
-class Table(unittest.TestCase):
+class SlotsTest(unittest.TestCase):
     def test_a_slot_used_again_has_another_number(self) -> None:
         slots: Slots[str] = Slots()
         first = slots.put("a")
@@ -43,8 +48,8 @@
         )
 
 
-class Time(unittest.TestCase):
-    def test_order_cancel_and_bound(self) -> None:
+class LoopTimersTest(unittest.TestCase):
+    def test_timers_fire_in_order_whatever_others_raise_and_cancelled_ones_take_no_memory(self) -> None:
         faults: list[int] = []
         loop, fired = Loop(lambda: faults.append(1)), []
         for delay in (3.0, 1.0, 2.0):
@@ -55,135 +60,138 @@
             loop.cancel(timer)
         self.assertLess(len(loop.timers), 200)
         while len(fired) < 3:
-            loop.turn()
+            loop.run_pass()
         self.assertEqual((fired, faults), ([1.0, 2.0, 3.0], [1]))
         loop.selector.close()
 
 
-class Bytes(unittest.TestCase):
-    def test_engine_lines(self) -> None:
-        good = engine.Done(7, b"aa", Outcome.OK, 1.5, b"a\r\nb")
+class DecodersTest(unittest.TestCase):
+    def test_engine_lines_decode_alike_in_one_piece_and_byte_by_byte(self) -> None:
+        good = engine.RunEnded(7, b"aa", Outcome.OK, 1.5, b"a\r\nb")
         for data, messages in [
             (b"DONE 7 aa good 1.5 4\r\na\r\nb\r\n", [good]),
             (b"DONE 7 aa bad 1.5 0\r\n\r\nNOTE 8 x y 99\r\n",
-             [engine.Done(7, b"aa", Outcome.ABORTED, 1.5, b""), engine.Note(8)]),
+             [engine.RunEnded(7, b"aa", Outcome.ABORTED, 1.5, b""), engine.OtherNotice(8)]),
             (b"DONE 7 aa gone 0\r\nNO RUN aa\r\n",
-             [engine.Done(7, b"aa", Outcome.NOT_SENT, 0.0, b""), engine.No(b"RUN", b"aa")]),
+             [engine.RunEnded(7, b"aa", Outcome.NOT_SENT, 0.0, b""), engine.CommandRefused(b"RUN", b"aa")]),
             (b"STATS t 1 2.5 3 4\r\nTESTED t bad\r\n",
-             [engine.Stats(b"t", [1, 2.5, 3, 4]), engine.Tested(b"t", False)]),
+             [engine.GaugeReport(b"t", [1, 2.5, 3, 4]), engine.SelfTestResult(b"t", False)]),
         ]:  # fmt: skip
             with self.subTest(data=data):
-                whole, split = engine.Reader(), engine.Reader()
-                self.assertEqual(list(whole.feed(data)), messages)
-                self.assertEqual([m for b in data for m in split.feed(bytes([b]))], messages)
+                at_once, piecewise = engine.NoticeDecoder(), engine.NoticeDecoder()
+                self.assertEqual(list(at_once.feed(data)), messages)
+                self.assertEqual([m for b in data for m in piecewise.feed(bytes([b]))], messages)
         for data in (
             b"DONE 7 aa good 1 3\r\nabcd\r\n",
             b"HELLO new\r\n",
             b"DONE -1 aa good 1 0\r\n",
             b"x" * 600,
         ):
-            with self.subTest(data=data[:20]), self.assertRaises(Broken):
-                list(engine.Reader().feed(data))
+            with self.subTest(data=data[:20]), self.assertRaises(ProtocolError):
+                list(engine.NoticeDecoder().feed(data))
 
     def test_a_gateway_message_in_pieces_stays_bounded(self) -> None:
-        reader = gateway.Reader()
+        reader = gateway.MessageDecoder()
         messages = reader.feed(b"\x94\x00\x01\xa1m\xc6\x7f\xff\xff\xff")
-        while not messages and len(reader.rest) < 1 << 20:
+        while not messages and len(reader.buffer) < 1 << 20:
             messages = reader.feed(bytes(1000))
-        self.assertEqual(messages, [gateway.Failed("oversized")])
-        self.assertLess(len(reader.rest), 20000)
+        self.assertEqual(messages, [gateway.ProtocolFailure("oversized")])
+        self.assertLess(len(reader.buffer), 20000)
 
 
-class Results(unittest.TestCase):
-    def test_bound(self) -> None:
+class DedupTableTest(unittest.TestCase):
+    def test_full_table_forgets_results_but_not_that_an_effect_happened(self) -> None:
         # What goes when the memory is short: results of reads whole, of others all but that they happened.
-        for effect, known in [(Effect.IDEMPOTENT, False), (Effect.TOKENED, True)]:
+        for effect, known in [(Idempotency.IDEMPOTENT, False), (Idempotency.KEYED, True)]:
             with self.subTest(effect=effect):
-                kept = DedupTable(20 * (ENTRY + 1000), share_for=60000.0)
+                table = DedupTable(20 * (ENTRY_BYTES + 1000), response_cache_ttl_ms=60000.0)
                 for i in range(100):
                     rpc = routed(i, effect, str(i))
-                    kept.keep(rpc, 60000.0)
-                    entry = kept.owned(rpc)
+                    table.reserve(rpc, 60000.0)
+                    entry = table.owned_by(rpc)
                     assert entry is not None
-                    kept.end(entry, Outcome.OK, bytes(1000), float(i))
-                self.assertLess(sum(len(e.result or b"") for e in kept.entries.values()), 20 * (ENTRY + 1000))
-                self.assertEqual(kept.find(routed(200, effect, "0"), 200.0, 200.0) is not None, known)
-                self.assertIsNotNone(kept.find(routed(200, effect, "99"), 200.0, 200.0))
-
-    def test_how_long(self) -> None:
+                    table.complete(entry, Outcome.OK, bytes(1000), float(i))
+                self.assertLess(
+                    sum(len(e.result or b"") for e in table.entries.values()), 20 * (ENTRY_BYTES + 1000)
+                )
+                self.assertEqual(table.find(routed(200, effect, "0"), 200.0, 200.0) is not None, known)
+                self.assertIsNotNone(table.find(routed(200, effect, "99"), 200.0, 200.0))
+
+    def test_entry_lasts_as_long_as_its_outcome_and_idempotency_allow(self) -> None:
         for effect, outcome, at, known in [
-            (Effect.IDEMPOTENT, Outcome.OK, 600.0, True), (Effect.IDEMPOTENT, Outcome.OK, 800.0, False),
-            (Effect.IDEMPOTENT, Outcome.ABORTED, 200.0, False),
-            (Effect.TOKENED, Outcome.ABORTED, 4000.0, True),
-            (Effect.TOKENED, Outcome.OK, 4000.0, True), (Effect.TOKENED, Outcome.OK, 5001.0, False),
-        ]:  # fmt: skip
+            (Idempotency.IDEMPOTENT, Outcome.OK, 600.0, True),
+            (Idempotency.IDEMPOTENT, Outcome.OK, 800.0, False),
+            (Idempotency.IDEMPOTENT, Outcome.ABORTED, 200.0, False),
+            (Idempotency.KEYED, Outcome.ABORTED, 4000.0, True),
+            (Idempotency.KEYED, Outcome.OK, 4000.0, True),
+            (Idempotency.KEYED, Outcome.OK, 5001.0, False),
+        ]:
             with self.subTest(effect=effect, outcome=outcome, at=at):
-                kept = DedupTable(10000, share_for=500.0)
+                table = DedupTable(10000, response_cache_ttl_ms=500.0)
                 owner = routed(1, effect)
-                kept.keep(owner, 5000.0)
-                self.assertIsNotNone(kept.find(routed(2, effect), 100.0, 100.0))
-                entry = kept.owned(owner)
+                table.reserve(owner, 5000.0)
+                self.assertIsNotNone(table.find(routed(2, effect), 100.0, 100.0))
+                entry = table.owned_by(owner)
                 assert entry is not None
-                kept.end(entry, outcome, b"r", 200.0)
-                self.assertEqual(kept.find(routed(3, effect), at, at) is not None, known)
+                table.complete(entry, outcome, b"r", 200.0)
+                self.assertEqual(table.find(routed(3, effect), at, at) is not None, known)
 
 
-class Calls(unittest.TestCase):
+class DatabasePoolTest(unittest.TestCase):
     def test_an_idle_link_is_closed_before_the_database_does(self) -> None:
         # Half a call that crosses the other side's close could not be told from one that ran.
-        door = socket.create_server(("127.0.0.1", 0))
+        listener = socket.create_server(("127.0.0.1", 0))
         faults: list[str] = []
         loop = Loop(lambda: faults.append(traceback.format_exc()))
         told: list[Any] = []
         lines: list[Any] = []
-        database = Database(
-            loop, door.getsockname(), lambda *a: told.append(a), lambda *a, **_: lines.append(a)
-        )
+        database = DatabasePool(loop, listener.getsockname(), lambda *a, **_: lines.append(a))
+        database.start(mock.Mock(on_call_finished=lambda *facts: told.append(facts)))
         rpc = routed(1)
-        with mock.patch("landingshift.net.routing.database.IDLE", 40.0):
+        with mock.patch("landingshift.net.routing.database_pool.MAX_IDLE_MS", 40.0):
             self.assertTrue(database.call(rpc, 1000.0))
-            loop.turn()
-            peer = door.accept()[0]
+            loop.run_pass()
+            peer = listener.accept()[0]
             peer.settimeout(5.0)
-            peer.sendall(b"%b ROWS 2\r\nok\r\n" % rpc.rid)
+            peer.sendall(b"%b ROWS 2\r\nok\r\n" % rpc.rpc_id)
             while not told or database.links:
-                loop.turn()
+                loop.run_pass()
             self.assertEqual((told[0][0], told[0][1], told[0][3]), (rpc, Outcome.OK, b"ok"))
-            self.assertTrue(peer.recv(100).startswith(b"Q " + rpc.rid))
+            self.assertTrue(peer.recv(100).startswith(b"Q " + rpc.rpc_id))
             self.assertEqual(peer.recv(100), b"")
             peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             peer.close()  # with a reset, which is no loss
             while loop.selector.get_map():
-                loop.turn()
+                loop.run_pass()
             self.assertTrue(database.call(rpc, 1000.0))  # on a new link
         self.assertEqual((lines, faults), ([("database_link_ended",)], []))
         for link in database.links:
             assert link.stream
             link.stream.close("test")
         loop.selector.close()
-        door.close()
+        listener.close()
 
 
-class Checks(unittest.TestCase):
-    def test_a_deep_check_does_work_unless_the_module_answers_it(self) -> None:
+class HealthReporterTest(unittest.TestCase):
+    def test_deep_check_runs_a_self_test_unless_the_controller_answers_it(self) -> None:
         for working, good, cheap, deep, answer in [
             (True, True, False, True, "tested"), (True, True, True, True, True),
             (True, True, False, False, True), (True, False, False, True, False),
             (False, True, True, True, False), (False, True, True, False, True),
         ]:  # fmt: skip
             with self.subTest(working=working, good=good, cheap=cheap, deep=deep):
-                link: Any = mock.Mock(spec=Engine, working=working)
-                link.test.side_effect = lambda told: told("tested")
-                health = Health(mock.Mock(spec=Loop), "n", mock.Mock(), link, True)
-                health.set(good, cheap)
+                link: Any = mock.Mock(spec=EngineLink, is_working=working)
+                link.run_self_test.side_effect = lambda told: told("tested")
+                health = HealthReporter(mock.Mock(spec=Loop), "n", mock.Mock(), link, True)
+                health.set_health(good, cheap)
                 told: list[Any] = []
                 health.check(deep, told.append)
                 self.assertEqual(told, [answer])
 
 
-class Configuration(unittest.TestCase):
-    def test_the_least_and_what_the_environment_adds(self) -> None:
-        least = {
+class DecodeConfigTest(unittest.TestCase):
+    def test_minimal_config_takes_defaults_and_name_from_environment(self) -> None:
+        minimal = {
             "engine": "127.0.0.1:1", "roster": "127.0.0.1:2", "seed": "ff",
             "settings": {
                 "classes": [{"name": "m", "effect": "fragile", "slo": 800, "give-up": 3000, "value": 1}],
@@ -192,21 +200,21 @@
             },
         }  # fmt: skip
         env = {"GW_NAME": "n3", "GW_LISTEN": "127.0.0.1:7001"}
-        site = config.site(least, env)
+        site = config.decode_config(minimal, env)
         self.assertEqual((site.name, site.listen, site.seed), ("n3", ("127.0.0.1", 7001), 255))
-        self.assertEqual((site.stop_ms, site.memory_mb, site.sockets), (3000.0, 192.0, 1024))
+        self.assertEqual((site.stop_ms, site.memory_mb, site.max_sockets), (3000.0, 192.0, 1024))
         self.assertEqual(
-            (site.database, site.gauges, site.tenants, list(site.methods)), (None, [], {}, ["m"])
+            (site.database, site.gauge_names, site.tenants, list(site.methods)), (None, [], {}, ["m"])
         )
-        self.assertEqual(config.site({**least, "name": "n4"}, env).name, "n4")
-        with self.assertRaisesRegex(config.BadConfig, "^listen: missing"):
-            config.site(least, {"GW_NAME": "n3"})
+        self.assertEqual(config.decode_config({**minimal, "name": "n4"}, env).name, "n4")
+        with self.assertRaisesRegex(config.ServerConfigError, "^listen: missing"):
+            config.decode_config(minimal, {"GW_NAME": "n3"})
 
 
-class Lines(unittest.TestCase):
-    def test_a_log_that_nobody_reads_holds_nothing_up(self) -> None:
+class EventLogTest(unittest.TestCase):
+    def test_log_that_nobody_reads_counts_lost_events_and_never_blocks(self) -> None:
         reads, writes = os.pipe()
-        log = Log(writes)
+        log = EventLog(writes)
         for i in range(3000):
             log("mode", text="x" * 100, i=i)
         self.assertGreater(log.lost, 0)
