--- a/landingshift/testbed/experiments/cold_start_harness.py
+++ b/landingshift/testbed/experiments/cold_start_harness.py
@@ -81,12 +81,18 @@
             run_ms: For which a run takes a core.
         """
         self.server_count = count
-        grantor_count = min(MAX_GRANTORS_COUNT, count // SERVERS_PER_GRANTOR)
-        self.grantor_count = max(MIN_GRANTORS_COUNT, grantor_count)
+        self.grantor_count = max(MIN_GRANTORS_COUNT, min(MAX_GRANTORS_COUNT, count // SERVERS_PER_GRANTOR))
         self._has_packages = has_packages and removed_defence != "shares"
         self._known_servers = known_servers
         self._has_few_permits = has_few_permits
-        capacity = StandInCapacity(
+        capacity = self._stand_in_capacity(run_ms, core_count)
+        rpcs_per_second = rpcs_per_second_each * count
+        self.servers = ProcessHarness(folder, count, seed, self._toml, rpcs_per_second, capacity)
+        endpoints = self.servers.proxy.endpoints.values()
+        self.servers.stand_ins.listed_addresses = [endpoint.address for endpoint in endpoints]
+
+    def _stand_in_capacity(self, run_ms: float, core_count: int) -> StandInCapacity:
+        return StandInCapacity(
             calls_per_second=self.calls_per_second,
             list_requests_per_second=LIST_REQUESTS_PER_SECOND,
             cache_fill_calls=CACHE_FILL_CALLS,
@@ -94,10 +100,6 @@
             run_ms=run_ms,
             core_count=core_count,
         )
-        rpcs_per_second = rpcs_per_second_each * count
-        self.servers = ProcessHarness(folder, count, seed, self._toml, rpcs_per_second, capacity)
-        endpoints = self.servers.proxy.endpoints.values()
-        self.servers.stand_ins.listed_addresses = [endpoint.address for endpoint in endpoints]
 
     @property
     def calls_per_second(self) -> float:
--- a/landingshift/testbed/processes/harness.py
+++ b/landingshift/testbed/processes/harness.py
@@ -125,18 +125,20 @@
         self._unhandled_error_count = 0
         self._start_counts: Counter[int] = Counter()
         self._actions: deque[tuple[Callable[[], Any], threading.Event]] = deque()
-        subnet, self._subnet_claim = reserve_subnet()
-        for index in range(server_count):
-            self._assign_addresses(subnet, index)
+        self._subnet_claim = self._assign_addresses()
         self.loop.after(TICK_INTERVAL_MS, self._tick)
         self._thread = threading.Thread(target=self.loop.run, daemon=True)
         self._thread.start()
 
-    def _assign_addresses(self, subnet: int, index: int) -> None:
-        host = f"127.{subnet}.{index // SERVERS_PER_SUBNET}.{index % SERVERS_PER_SUBNET + 1}"
-        self.rpc_addresses[index] = (host, RPC_PORT)
-        self.membership_addresses[index] = (host, MEMBERSHIP_PORT)
-        self.proxy.add_server(self.name(index), self.membership_addresses[index])
+    def _assign_addresses(self) -> socket.socket:
+        """Gives each server addresses; returns the socket that keeps others from taking them."""
+        subnet, claim = reserve_subnet()
+        for index in range(self.server_count):
+            host = f"127.{subnet}.{index // SERVERS_PER_SUBNET}.{index % SERVERS_PER_SUBNET + 1}"
+            self.rpc_addresses[index] = (host, RPC_PORT)
+            self.membership_addresses[index] = (host, MEMBERSHIP_PORT)
+            self.proxy.add_server(self.name(index), self.membership_addresses[index])
+        return claim
 
     @staticmethod
     def name(index: int) -> str:
--- a/tests/test_chance.py
+++ b/tests/test_chance.py
@@ -1,4 +1,4 @@
-"""The whole fleet under chance faults: drawn days, failing ones made smaller, kept ones, real processes."""
+"""The whole fleet under chance faults: drawn scenarios, shrunk ones, saved ones, real processes."""
 
 from __future__ import annotations
 
@@ -23,6 +23,7 @@
     describe_scenario,
     draw_scenario,
     encode_scenario,
+    pair_of,
 )
 from landingshift.testbed.experiments.service_samples import AnswerSample, recovery_figures
 from landingshift.testbed.simulation.cluster import OVERLAP_MS, SimulatedCluster
@@ -38,84 +39,91 @@
 QUIET = Scenario(5, 4, 3, 3000.0, False, 0.3, ())
 
 
-class Drawn(unittest.TestCase):
-    def test_all_promises_hold_on_drawn_days_and_on_kept_ones(self) -> None:
-        days = {str(seed): draw_scenario(seed) for seed in range(1, 17)}
-        days |= {
+class DrawnScenarios(unittest.TestCase):
+    def test_invariants_hold_on_drawn_scenarios_and_on_saved_ones(self) -> None:
+        scenarios = {str(seed): draw_scenario(seed) for seed in range(1, 17)}
+        scenarios |= {
             path.name: decode_scenario(path.read_bytes()) for path in [*sorted(DAYS.glob("*.json")), *WITHOUT]
         }
         with ProcessPoolExecutor() as pool:
-            for name, wrong in zip(
-                days, pool.map(check_scenario, days.values(), [""] * len(days)), strict=True
+            for name, violations in zip(
+                scenarios, pool.map(check_scenario, scenarios.values(), [""] * len(scenarios)), strict=True
             ):
-                with self.subTest(day=name):
-                    self.assertEqual(wrong, [])
+                with self.subTest(scenario=name):
+                    self.assertEqual(violations, [])
 
-    def test_each_defence_is_missed(self) -> None:
+    def test_each_removed_defence_violates_its_invariant(self) -> None:
         with ProcessPoolExecutor() as pool:
-            days = [decode_scenario(path.read_bytes()) for path in WITHOUT]
-            found = pool.map(check_scenario, days, [path.stem for path in WITHOUT])
-            for path, wrong in zip(WITHOUT, found, strict=True):
-                with self.subTest(away=path.stem):
-                    self.assertIn(INVARIANT_BY_REMOVED_DEFENCE[path.stem], invariant_names(wrong))
+            scenarios = [decode_scenario(path.read_bytes()) for path in WITHOUT]
+            found = pool.map(check_scenario, scenarios, [path.stem for path in WITHOUT])
+            for path, violations in zip(WITHOUT, found, strict=True):
+                with self.subTest(defence=path.stem):
+                    self.assertIn(INVARIANT_BY_REMOVED_DEFENCE[path.stem], invariant_names(violations))
         self.assertGreater(len(WITHOUT), 6)
 
-    def test_a_day_is_the_same_each_time_and_is_more_than_nothing(self) -> None:
-        day = draw_scenario(3)
-        one, two = SimulatedCluster(day).play(), SimulatedCluster(day).play()
-        self.assertEqual(one, two)
-        self.assertEqual(draw_scenario(3), day)
-        for what in ("read", "run", "answer", "loan", "decided", "sees", "begins"):
-            self.assertGreater(sum(e[1] == what for e in one), 5, what)
-
-    def test_what_met_is_counted_and_sought(self) -> None:
-        seen = Coverage()
-        acts = (Fault(0.0, "cut_off", (1,), 900.0), Fault(300.0, "kill", (2,), 500.0))
-        SimulatedCluster(Scenario(1, 4, 3, 3000.0, False, 0.3, acts), coverage=seen).play()
-        self.assertEqual(seen.pair_count("kill", "cut_off"), 1)
-        self.assertEqual(seen.pair_count("kill", "loss"), 0)
-        self.assertIn(("kill", "loss"), seen.unmet_pairs())
-        often = {(min(a, b), max(a, b)): 99 for a in FAULT_KINDS for b in FAULT_KINDS if "full" not in (a, b)}
-        drawn = [a.kind for seed in range(40) for a in draw_scenario(seed, often).faults]
-        plain = [a.kind for seed in range(40) for a in draw_scenario(seed).faults]
-        self.assertGreater(drawn.count("full"), 3 * plain.count("full"))
-
-
-class Smaller(unittest.TestCase):
-    def test_what_does_not_matter_is_left_out(self) -> None:
-        day = draw_scenario(7)
-        plays = []
-
-        def fails(tried: Scenario) -> bool:
-            plays.append(tried)
-            kinds = [a.kind for a in tried.faults]
-            return tried.server_count >= 3 and "late" in kinds and "kill" in kinds[kinds.index("late") :]
-
-        noise = [a for a in day.faults if a.kind != "kill"]
+    def test_scenario_gives_the_same_history_each_time_with_enough_events(self) -> None:
+        scenario = draw_scenario(3)
+        history = SimulatedCluster(scenario).play()
+        repeated = SimulatedCluster(scenario).play()
+        self.assertEqual(history, repeated)
+        self.assertEqual(draw_scenario(3), scenario)
+        for event in ("read", "run", "answer", "loan", "decided", "sees", "begins"):
+            self.assertGreater(sum(entry[1] == event for entry in history), 5, event)
+
+    def test_overlapping_faults_are_counted_and_rare_overlaps_preferred(self) -> None:
+        coverage = Coverage()
+        faults = (Fault(0.0, "cut_off", (1,), 900.0), Fault(300.0, "kill", (2,), 500.0))
+        SimulatedCluster(Scenario(1, 4, 3, 3000.0, False, 0.3, faults), coverage=coverage).play()
+        self.assertEqual(coverage.pair_count("kill", "cut_off"), 1)
+        self.assertEqual(coverage.pair_count("kill", "loss"), 0)
+        self.assertIn(("kill", "loss"), coverage.unmet_pairs())
+        pair_counts = {
+            pair_of(kind, other): 99
+            for kind in FAULT_KINDS
+            for other in FAULT_KINDS
+            if "full" not in (kind, other)
+        }
+        steered = [fault.kind for seed in range(40) for fault in draw_scenario(seed, pair_counts).faults]
+        plain = [fault.kind for seed in range(40) for fault in draw_scenario(seed).faults]
+        self.assertGreater(steered.count("full"), 3 * plain.count("full"))
+
+
+class Shrinking(unittest.TestCase):
+    def test_shrinking_leaves_out_what_does_not_matter(self) -> None:
+        scenario = draw_scenario(7)
+        played = []
+
+        def fails(candidate: Scenario) -> bool:
+            played.append(candidate)
+            kinds = [fault.kind for fault in candidate.faults]
+            return candidate.server_count >= 3 and "late" in kinds and "kill" in kinds[kinds.index("late") :]
+
+        irrelevant = [fault for fault in scenario.faults if fault.kind != "kill"]
         late, kill = Fault(2110.0, "late", (0,)), Fault(5000.0, "kill", (1, 2), 4000.0)
-        day = Scenario(
-            7, 9, 3, 20_000.0, False, 1.1, tuple(sorted([*noise, late, kill], key=lambda a: a.start_ms))
+        faults = tuple(sorted([*irrelevant, late, kill], key=lambda fault: fault.start_ms))
+        scenario = Scenario(7, 9, 3, 20_000.0, False, 1.1, faults)
+        shrunk = Shrinker(scenario, fails).run()
+        self.assertEqual([fault.kind for fault in shrunk.faults], ["late", "kill"])
+        self.assertEqual((shrunk.server_count, shrunk.load_ratio, len(shrunk.faults[1].servers)), (3, 0.3, 1))
+        self.assertLess(shrunk.faults[1].duration_ms, 500.0)
+        self.assertLess(len(played), 400)
+
+    def test_shrunk_scenario_still_violates_the_invariant_and_is_described(self) -> None:
+        saved = decode_scenario((DAYS / "without" / "arm.json").read_bytes())
+        irrelevant = (Fault(900.0, "delay", (), 400.0, 20.0), Fault(2900.0, "load", (), 1000.0, 1.5))
+        scenario = replace(
+            saved, faults=tuple(sorted([*saved.faults, *irrelevant], key=lambda fault: fault.start_ms))
         )
-        least = Shrinker(day, fails).run()
-        self.assertEqual([a.kind for a in least.faults], ["late", "kill"])
-        self.assertEqual((least.server_count, least.load_ratio, len(least.faults[1].servers)), (3, 0.3, 1))
-        self.assertLess(least.faults[1].duration_ms, 500.0)
-        self.assertLess(len(plays), 400)
-
-    def test_a_day_without_a_defence_ends_as_an_incident_that_still_fails(self) -> None:
-        small = decode_scenario((DAYS / "without" / "arm.json").read_bytes())
-        noise = (Fault(900.0, "delay", (), 400.0, 20.0), Fault(2900.0, "load", (), 1000.0, 1.5))
-        day = replace(small, faults=tuple(sorted([*small.faults, *noise], key=lambda a: a.start_ms)))
-        least, promise, played = shrink_failure(day, "arm", 30)
-        self.assertEqual(promise, "all_or_none")
-        self.assertIn("all_or_none", invariant_names(check_scenario(least, "arm")))
-        self.assertLess(len(least.faults), len(day.faults))
-        self.assertLessEqual(played, 30)
-        self.assertIn("a change of policy is proposed", "\n".join(describe_scenario(least)))
-
-
-class Files(unittest.TestCase):
-    def test_there_and_back_and_what_is_wrong_is_named(self) -> None:
+        shrunk, invariant, play_count = shrink_failure(scenario, "arm", 30)
+        self.assertEqual(invariant, "all_or_none")
+        self.assertIn("all_or_none", invariant_names(check_scenario(shrunk, "arm")))
+        self.assertLess(len(shrunk.faults), len(scenario.faults))
+        self.assertLessEqual(play_count, 30)
+        self.assertIn("a change of policy is proposed", "\n".join(describe_scenario(shrunk)))
+
+
+class ScenarioFiles(unittest.TestCase):
+    def test_scenario_files_round_trip_and_invalid_ones_name_the_field(self) -> None:
         day = draw_scenario(11)
         self.assertEqual(decode_scenario(encode_scenario(day)), day)
         good = json.loads(encode_scenario(day))
@@ -130,7 +138,7 @@
                 decode_scenario(json.dumps(good | change).encode())
             self.assertIn(said, str(caught.exception))
 
-    def test_what_operators_see(self) -> None:
+    def test_operators_commands_and_their_outputs(self) -> None:
         with tempfile.TemporaryDirectory(dir=MEMORY) as folder:
             day, run, page = (str(Path(folder, n)) for n in ("day.json", "run.json", "page.html"))
             Path(day).write_bytes((DAYS / "without" / "arm.json").read_bytes())
@@ -220,8 +228,8 @@
         self.assertEqual(recovery_figures(answers, both), {"alone": 0})
 
 
-class Real(unittest.TestCase):
-    def test_half_a_minute_of_six_processes_with_all_rooms_on(self) -> None:
+class RealProcesses(unittest.TestCase):
+    def test_invariants_hold_for_half_a_minute_of_six_processes_with_all_packages_on(self) -> None:
         from landingshift.testbed.experiments.chance_faults_real import play_real_scenarios
 
         (row,) = play_real_scenarios(6, 3, 0.4, 1)
