--- a/landingshift/admission/backpressure.py
+++ b/landingshift/admission/backpressure.py
@@ -75,10 +75,10 @@
         """
         self._check.record_rejection(managed)
         is_final = self._retries.is_final_rejection(managed)
-        is_accepting = self._draining.is_accepting
-        retry_after_fraction = 1.0 - self.read_responsiveness if is_accepting else 1.0
+        is_in_service = self._draining.is_in_service
+        retry_after_fraction = 1.0 - self.read_responsiveness if is_in_service else 1.0
         retry_after_ms = self._server.settings.max_retry_after_ms * retry_after_fraction
-        self._actions.reject(managed.rpc, retry_after_ms, is_final and is_accepting)
+        self._actions.reject(managed.rpc, retry_after_ms, is_final and is_in_service)
 
     def update(self) -> None:
         """Moves the signals and advertises what has changed."""
@@ -115,12 +115,12 @@
         self._modes.set(SHEDDING_MODE, self.queue_weight < SHEDDING_THRESHOLD, reason)
 
     def _amount(self, advertisement: LoadAdvertisement) -> float:
-        is_accepting = self._draining.is_accepting
+        is_in_service = self._draining.is_in_service
         if advertisement is LoadAdvertisement.LEVEL:
-            return 1.0 - self.queue_weight * is_accepting
+            return 1.0 - self.queue_weight * is_in_service
         if advertisement is LoadAdvertisement.CREDIT:
-            return self._credit() * self.read_responsiveness * is_accepting
-        return self.queue_weight * self.read_responsiveness * is_accepting
+            return self._credit() * self.read_responsiveness * is_in_service
+        return self.queue_weight * self.read_responsiveness * is_in_service
 
     def _credit(self) -> float:
         """What the busiest caller may have in flight: its share of what runs, calls and may be queued.
--- a/landingshift/admission/concurrency_limit.py
+++ b/landingshift/admission/concurrency_limit.py
@@ -17,7 +17,8 @@
 """Core utilization from which the cores count as busy."""
 CUT_INTERVAL_MS = 500.0
 """Between two cuts, so that the effect of one is measured before the next."""
-MAX_CUT_FACTOR = 0.5
+MIN_CUT_FACTOR = 0.5
+"""One cut takes no more than half of the limit."""
 MIN_SLOWDOWN = 0.01
 MIN_RUNS_FOR_SLOWDOWN = 5
 """Fewer runs in 2 s say nothing; small servers end two a second."""
@@ -114,5 +115,5 @@
             slowdown = self.slowdown.mean(now_ms, 1.0)
         else:
             slowdown = self.busy_cores / self._server.settings.core_count
-        self.limit *= max(MAX_CUT_FACTOR, min(1.0, 1.0 / max(MIN_SLOWDOWN, slowdown)))
+        self.limit *= max(MIN_CUT_FACTOR, min(1.0, 1.0 / max(MIN_SLOWDOWN, slowdown)))
         self.last_cut_ms = now_ms
--- a/landingshift/admission/controller.py
+++ b/landingshift/admission/controller.py
@@ -13,7 +13,8 @@
     queue_scheduler     applies these three to the queue, and the limit of memory
     service_times       what the check and the order know of runs
     tenant_quotas       what a tenant beyond its quota counts for
-    downstream_calls    who calls the layer below, for how long; call_rate and call_quota bound it
+    downstream_calls    who calls the layer below, for how long; call_rate and
+                        downstream_time_budget bound it
     retry_policy        what may be attempted again
     dedup_entries       which RPCs enter the deduplication table
     backpressure        what callers hear; recent_callers and idle_connections with it
@@ -30,13 +31,13 @@
 from typing import Any
 
 from landingshift.admission.backpressure import Backpressure
-from landingshift.admission.call_quota import CallQuota
 from landingshift.admission.call_rate import CallRate
 from landingshift.admission.check_timer import MIN_CHECK_INTERVAL_MS, CheckTimer
 from landingshift.admission.concurrency_limit import ConcurrencyLimit
 from landingshift.admission.deadline_check import DeadlineCheck
 from landingshift.admission.dedup_entries import DedupEntries
 from landingshift.admission.downstream_calls import DownstreamCalls
+from landingshift.admission.downstream_time_budget import DownstreamTimeBudget
 from landingshift.admission.draining import CHECK_INTERVAL_MS, Draining
 from landingshift.admission.idle_connections import IdleConnections
 from landingshift.admission.interface import (
@@ -89,7 +90,7 @@
         self.check = DeadlineCheck(self.state, self.draining, self.order)
         self.limit = ConcurrencyLimit(self.state)
         self.call_rate = CallRate(self.state, self.modes)
-        self.calls = DownstreamCalls(self.state, self.call_rate, CallQuota(self.state))
+        self.calls = DownstreamCalls(self.state, self.call_rate, DownstreamTimeBudget(self.state))
         self.retries = RetryPolicy(self.state, self.calls)
         self.dedup = DedupEntries(self.state, actions)
         self.callers = RecentCallers(self.state)
@@ -224,7 +225,7 @@
                 return inf
             self._actions.cancel_run(managed.rpc)  # lost on cores that stand still: said again
         elif managed.state is not RpcState.QUEUED:
-            end_ms = managed.worthwhile_until_ms(0.0) if can_cancel else managed.deadline_at_ms
+            end_ms = managed.worthless_at_ms if can_cancel else managed.deadline_at_ms
             if now_ms + DEADLINE_LEAD_MS >= end_ms:
                 self.lifecycle.resume(managed, RpcEvent.DEADLINE_REACHED)
             elif managed.state is not RpcState.AWAITING_CALL_SLOT:
@@ -251,8 +252,8 @@
         self.check.recheck_all()
         self.draining.set_standby(is_standby)
 
-    def set_call_quota(self, calls_per_second: float) -> None:
-        """Sets the downstream calls a second that the fleet leaves to this server."""
+    def set_call_rate_quota(self, calls_per_second: float) -> None:
+        """Sets how many downstream calls a second the fleet leaves to this server; bounds the call rate."""
         self.call_rate.set_quota(calls_per_second)
 
     def on_settings_changed(self) -> None:
@@ -339,7 +340,7 @@
             limit=self.limit,
             calls=self.calls,
             call_rate=self.call_rate,
-            call_quota=self.calls.quota,
+            time_budget=self.calls.time_budget,
             retries=self.retries,
             callers=self.callers,
             connections=self.connections,
--- a/landingshift/admission/downstream_calls.py
+++ b/landingshift/admission/downstream_calls.py
@@ -1,17 +1,18 @@
 """Who calls the layer below, and how long each call may take.
 
 A run that needs a call waits for a slot. Slots go to those whose value gains most by the call, while three
-bounds allow: the rate (`call_rate`), the quota of the shared store (`call_quota`), and calls in flight by
-Little's law, so that a layer that turns slow is not filled with calls that all run out of time. One whose
-turn comes too late skips the call, or fails where it cannot do without.
+bounds allow: the rate (`call_rate`), this server's time in the shared store (`downstream_time_budget`), and
+calls in flight by Little's law, so that a layer that turns slow is not filled with calls that all run out of
+time. Where no slot is free, a run that has waited too long for one, or has too little time left, skips the
+call, or fails where it cannot do without. A free slot is given whatever the time left.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-from landingshift.admission.call_quota import CallQuota
 from landingshift.admission.call_rate import CallRate
+from landingshift.admission.downstream_time_budget import DownstreamTimeBudget
 from landingshift.admission.interface import Outcome
 from landingshift.admission.managed_rpc import ManagedRpc, RpcEvent
 from landingshift.admission.rolling_window import RollingWindow
@@ -29,7 +30,7 @@
 MAX_SLOT_WAIT_FRACTION = 0.1
 """Of its time budget that an RPC may wait for a call that it can skip."""
 MIN_TIMEOUT_LATENCY_RATIO = 2.0
-"""A call with less time than this many mean latencies is not worth making."""
+"""A call with less time left than this many mean latencies is not worth waiting for a slot."""
 
 
 class DownstreamCalls:
@@ -37,14 +38,14 @@
 
     Attributes:
         rate: Bounds how fast they start.
-        quota: Bounds how much of the shared store they take.
+        time_budget: Bounds how much of the shared store they take.
         latency_ms: Latencies of answered calls, of the last 30 s.
     """
 
-    def __init__(self, server: ServerState, rate: CallRate, quota: CallQuota) -> None:
+    def __init__(self, server: ServerState, rate: CallRate, time_budget: DownstreamTimeBudget) -> None:
         self._server = server
         self.rate = rate
-        self.quota = quota
+        self.time_budget = time_budget
         self.latency_ms = RollingWindow(LATENCY_BUCKET_COUNT, LATENCY_BUCKET_MS)
 
     def mean_latency_ms(self) -> float:
@@ -68,7 +69,7 @@
 
     def on_cancelled(self, managed: ManagedRpc) -> None:
         """Notes that nobody waits for the RPC's call any more; the layer below may go on with it."""
-        self.quota.record(managed, is_lost=True)
+        self.time_budget.record(managed, is_lost=True)
 
     def on_finished(self, managed: ManagedRpc, outcome: Outcome, latency_ms: float) -> None:
         """Learns from the end of a call.
@@ -82,14 +83,16 @@
         if outcome is Outcome.OK:
             self.latency_ms.add(self._server.now_ms, latency_ms)
         self.rate.record(outcome, latency_ms)
-        self.quota.record(managed, is_lost=outcome in (Outcome.NO_RESPONSE, Outcome.CONNECTION_LOST))
+        self.time_budget.record(managed, is_lost=outcome in (Outcome.NO_RESPONSE, Outcome.CONNECTION_LOST))
 
     def update(self) -> None:
         """Moves the rate."""
         self.rate.update(self.latency_ms.lowest_bucket_mean(self._server.now_ms, 0.0))
 
     def assign_slots(self, resume: Callable[[ManagedRpc, RpcEvent], None]) -> None:
-        """Permits the calls that may be made now, and denies those whose turn comes too late.
+        """Permits the calls that there are slots for; of the others denies those that are too late.
+
+        A call that has a slot is made even where little time is left for it.
 
         Args:
             resume: Tells an RPC's lifecycle the decision.
@@ -113,10 +116,10 @@
         return wait_ms > MAX_SLOT_WAIT_FRACTION * managed.time_budget_ms
 
     def _has_slot(self, managed: ManagedRpc) -> bool:
-        """Whether the RPC may call now, by rate, calls in flight and quota."""
+        """Whether the RPC may call now, by rate, calls in flight and time budget."""
         if not self.rate.has_token() or len(self._server.calling) >= self._max_in_flight():
             return False
-        return self.quota.fits(self.timeout_ms(managed))
+        return self.time_budget.fits(self.timeout_ms(managed))
 
     def _max_in_flight(self) -> float:
         """Calls that may be in flight, by Little's law: the rate of answers times a bearable latency.
--- a/landingshift/admission/call_quota.py
+++ b/landingshift/admission/downstream_time_budget.py
@@ -1,8 +1,9 @@
-"""This server's part of a store that all servers share.
+"""How much time this server's calls may take in a store that all servers share.
 
 The store dies where calls in its hands, those that were given up included, exceed what it bears in the mean
-over a window. Each server keeps its part in call time: what was in the store's hands within the window and
-what calls in flight may still take stay below the quota, however rarely that is looked at.
+over a window. Each server keeps to its part (`Settings.downstream_concurrency_quota`) as a budget of call
+time: what was in the store's hands within the window and what calls in flight may still take stay below
+quota times window, however rarely that is checked. `call_rate` bounds calls a second instead.
 """
 
 from __future__ import annotations
@@ -16,8 +17,8 @@
 MIN_BUCKET_MS = 1.0
 
 
-class CallQuota:
-    """Call time that this server has taken of the shared store.
+class DownstreamTimeBudget:
+    """The budget of call time in the shared store, and what is used of it.
 
     Attributes:
         call_time_ms: Time that ended calls were in the store's hands, lost ones with their linger, over the
@@ -44,7 +45,7 @@
         self.call_time_ms.add(now_ms, now_ms - managed.call_started_at_ms + linger_ms)
 
     def fits(self, timeout_ms: float) -> bool:
-        """Whether a call that may take so long stays within the quota; true where there is none."""
+        """Whether a call that may take so long stays within the budget; true where there is no quota."""
         settings = self._server.settings
         if settings.downstream is not DownstreamKind.SHARED_STORE:
             return True
@@ -53,6 +54,8 @@
         in_flight_ms = sum(
             calling.call_expires_at_ms - calling.call_started_at_ms for calling in self._server.calling
         )
-        quota_ms = settings.downstream_concurrency_quota * settings.downstream_quota_window_ms * SAFE_FRACTION
+        budget_ms = (
+            settings.downstream_concurrency_quota * settings.downstream_quota_window_ms * SAFE_FRACTION
+        )
         used_ms = self.call_time_ms.total(self._server.now_ms)
-        return used_ms + in_flight_ms + timeout_ms + settings.lost_call_linger_ms <= quota_ms
+        return used_ms + in_flight_ms + timeout_ms + settings.lost_call_linger_ms <= budget_ms
--- a/landingshift/admission/managed_rpc.py
+++ b/landingshift/admission/managed_rpc.py
@@ -8,8 +8,11 @@
 from landingshift.admission.interface import Outcome, Rpc
 from landingshift.admission.service_times import ServiceTimes
 
-MAX_LATE_LOSS_FRACTION = 0.5
-"""An answer that keeps no more than this once late is better rejected, for another server, than run late."""
+MIN_LATE_VALUE_FRACTION = 0.5
+"""Of its value that a late answer must keep, and more, to be worth running late.
+
+One that keeps no more is better rejected, so that another server can still answer in time.
+"""
 MIN_TIME_BUDGET_MS = 1.0
 
 
@@ -110,20 +113,25 @@
         self.objective_at_ms = min(objective_at_ms, self.deadline_at_ms)
         self.time_budget_ms = max(MIN_TIME_BUDGET_MS, self.check_deadline_ms - self.arrived_at_ms)
 
-    def worthwhile_until_ms(self, late_value_fraction: float) -> float:
-        """Until when an answer is worth its work.
+    @property
+    def check_deadline_ms(self) -> float:
+        """The deadline that the check goes by: later answers are not worth starting a run for."""
+        return self._latest_answer_ms(MIN_LATE_VALUE_FRACTION)
+
+    @property
+    def worthless_at_ms(self) -> float:
+        """When its answer has lost all its value."""
+        return self._latest_answer_ms(0.0)
+
+    def _latest_answer_ms(self, min_value_fraction: float) -> float:
+        """Until when an answer keeps enough of its value.
 
         Args:
-            late_value_fraction: What a late answer must keep of its value, and more, to be worth it.
+            min_value_fraction: Of its value, that a late answer must keep more than.
 
         Returns:
             The deadline, or the latency objective where a late answer keeps no more than that.
         """
-        if self.rpc.method.late_value_fraction > late_value_fraction:
+        if self.rpc.method.late_value_fraction > min_value_fraction:
             return self.deadline_at_ms
         return min(self.deadline_at_ms, self.objective_at_ms)
-
-    @property
-    def check_deadline_ms(self) -> float:
-        """The deadline that the check goes by."""
-        return self.worthwhile_until_ms(MAX_LATE_LOSS_FRACTION)
--- a/landingshift/admission/rpc_lifecycle.py
+++ b/landingshift/admission/rpc_lifecycle.py
@@ -123,7 +123,7 @@
             What comes next in the run. DEADLINE_REACHED where the call was due after the answer lost all
             value, or cannot be made nor skipped: the rest of the work is saved.
         """
-        if self._server.now_ms > managed.worthwhile_until_ms(0.0):
+        if self._server.now_ms > managed.worthless_at_ms:
             return RpcEvent.DEADLINE_REACHED
         while True:
             event = yield RpcState.AWAITING_CALL_SLOT
--- a/landingshift/admission/snapshot.py
+++ b/landingshift/admission/snapshot.py
@@ -11,13 +11,13 @@
 from typing import Any
 
 from landingshift.admission.backpressure import Backpressure
-from landingshift.admission.call_quota import CallQuota
 from landingshift.admission.call_rate import CallRate
 from landingshift.admission.check_timer import CheckTimer
 from landingshift.admission.concurrency_limit import ConcurrencyLimit
 from landingshift.admission.deadline_check import DeadlineCheck
 from landingshift.admission.dedup_entries import DedupEntries
 from landingshift.admission.downstream_calls import DownstreamCalls
+from landingshift.admission.downstream_time_budget import DownstreamTimeBudget
 from landingshift.admission.draining import Draining
 from landingshift.admission.idle_connections import IdleConnections
 from landingshift.admission.interface import Method, Rpc
@@ -56,7 +56,7 @@
     "weight": ("backpressure", "queue_weight"),
     "keeps_up": ("backpressure", "read_responsiveness"),
     "leave_at": ("draining", "stop_at_ms"),
-    "here": ("draining", "is_accepting"),
+    "here": ("draining", "is_in_service"),
     "run_until": ("draining", "accept_until_ms"),
     "fails": ("check", "next_failure_ms"),
     "alarm": ("timer", "next_check_ms"),
@@ -74,7 +74,7 @@
     "unread": ("backpressure", "unread_ms"),
     "call_times": ("calls", "latency_ms"),
     "call_recent": ("call_rate", "recent_ms"),
-    "call_load": ("call_quota", "call_time_ms"),
+    "call_load": ("time_budget", "call_time_ms"),
 }
 """Rolling windows, as above. Those of methods and tenants follow them, by their place in the settings."""
 
@@ -110,7 +110,7 @@
     limit: ConcurrencyLimit
     calls: DownstreamCalls
     call_rate: CallRate
-    call_quota: CallQuota
+    time_budget: DownstreamTimeBudget
     retries: RetryPolicy
     callers: RecentCallers
     connections: IdleConnections
--- a/landingshift/admission/start_order.py
+++ b/landingshift/admission/start_order.py
@@ -74,8 +74,8 @@
     @staticmethod
     def sort(rpcs: Iterable[ManagedRpc], newest_first: bool) -> list[ManagedRpc]:
         """The RPCs by falling priority; among equals the newest first, or the oldest."""
-        age_sign = 1.0 if newest_first else -1.0
-        return sorted(rpcs, key=lambda managed: (-managed.priority, -age_sign * managed.arrived_at_ms))
+        arrival_sign = -1.0 if newest_first else 1.0
+        return sorted(rpcs, key=lambda managed: (-managed.priority, arrival_sign * managed.arrived_at_ms))
 
     def update_floor(self, is_saturated: bool, failed_count: int) -> None:
         """Sets the floor so that as many start as did in the last 2 s, the best of what was read.
--- a/landingshift/coldstart/service.py
+++ b/landingshift/coldstart/service.py
@@ -168,7 +168,7 @@
         quota = self._coordinator.call_quota(self._loop.now_ms)
         if quota != self._handed_quota:
             self._handed_quota = quota
-            admission.set_call_quota(quota)
+            admission.set_call_rate_quota(quota)
 
     def finish(self) -> None:
         """Saves what the next start needs."""
--- a/landingshift/testbed/simulation/rpc_service.py
+++ b/landingshift/testbed/simulation/rpc_service.py
@@ -159,10 +159,10 @@
                 self.admission.set_standby(not is_allowed)
         self.admission.settle()
 
-    def set_call_quota(self, calls_per_second: float, now_ms: float) -> None:
+    def set_call_rate_quota(self, calls_per_second: float, now_ms: float) -> None:
         """Tells admission how many downstream calls it may make."""
         self.admission.now_ms = now_ms
-        self.admission.set_call_quota(calls_per_second)
+        self.admission.set_call_rate_quota(calls_per_second)
 
     def start_draining(self, duration_ms: float, now_ms: float) -> None:
         """Has admission drain, to be done in `duration_ms`."""
--- a/landingshift/testbed/simulation/server_cold_start.py
+++ b/landingshift/testbed/simulation/server_cold_start.py
@@ -73,7 +73,7 @@
         call_quota = self.coordinator.call_quota(now_ms)
         if call_quota != self.call_quota:
             self.call_quota = call_quota
-            rpcs.set_call_quota(call_quota, now_ms)
+            rpcs.set_call_rate_quota(call_quota, now_ms)
         is_list_up = self._cluster.is_endpoint_list_up
         if is_list_up and self.poller.start_poll_if_due(now_ms, self._node.has_joined):
             self.poller.on_poll_finished(now_ms, True)
--- a/tests/test_admission_calls.py
+++ b/tests/test_admission_calls.py
@@ -114,13 +114,13 @@
         # Paced up step by step from a floor, a fleet that starts leaves most of the store unused for seconds.
         bench = AdmissionBench(CALLING_METHOD, downstream=DownstreamKind.SHARED_STORE)
         call_rate = bench.controller.call_rate
-        bench.controller.set_call_quota(0.4)
-        bench.controller.set_call_quota(8.0)
+        bench.controller.set_call_rate_quota(0.4)
+        bench.controller.set_call_rate_quota(8.0)
         self.assertEqual(call_rate.calls_per_second, 8.0)
         call_rate.calls_per_second = 1.0  # as after two calls in a row without an answer
-        bench.controller.set_call_quota(16.0)
+        bench.controller.set_call_rate_quota(16.0)
         self.assertEqual(call_rate.calls_per_second, 1.0)
-        bench.controller.set_call_quota(0.5)
+        bench.controller.set_call_rate_quota(0.5)
         self.assertEqual(call_rate.calls_per_second, 0.5)
 
     def test_burst_after_idle_time_stays_within_the_quota(self) -> None:
@@ -128,7 +128,7 @@
         for quota_per_second in (12.0, 22.0, 60.0):
             with self.subTest(quota_per_second=quota_per_second):
                 bench = AdmissionBench(CALLING_METHOD, **SHARED_STORE | {"core_count": 400})
-                bench.controller.set_call_quota(quota_per_second)
+                bench.controller.set_call_rate_quota(quota_per_second)
                 for _ in range(40):  # nothing is asked for: calls may be saved up
                     bench.run_check()
                 started_at_ms = self.call_starts(bench, check_count=60, rpcs_per_check=8)
