--- a/landingshift/hot_restart/state_import.py
+++ b/landingshift/hot_restart/state_import.py
@@ -216,7 +216,7 @@
             if stored_rpc.original_index < 0:
                 continue
             original = entries[stored_rpc.original_index]
-            table.link_repeat(rpc, original)
+            table.link_duplicate(rpc, original)
             if stored_rpc.waits_for_original:
                 original.waiters[rpc] = None
 
@@ -275,7 +275,7 @@
         controller.now_ms = self._loop.now_ms
         managed_rpcs = controller.import_state(state.admission, list(self._rpcs[: state.managed_rpc_count]))
         for rpc, managed in zip(self._rpcs, managed_rpcs, strict=False):
-            rpc.job = None if rpc.is_closed else managed
+            rpc.managed = None if rpc.is_closed else managed
 
 
 def _command(rpc: RoutedRpc, stored: StoredCommand) -> EngineCommand:
--- a/landingshift/ledger/service.py
+++ b/landingshift/ledger/service.py
@@ -98,12 +98,12 @@
 
     def defer_answer(self, rpc: RoutedRpc, result: bytes, run_time_ms: float) -> bool:
         """Whether the answer waits here until its usage is durable."""
-        assert rpc.job is not None
+        assert rpc.managed is not None
         usage = self._measure(rpc, result, run_time_ms)
         if not self._queue.add(usage):
             return self._abort_unmetered(rpc)
         is_deferred = self._settings.durability == "before_answer"
-        due_ms = min(rpc.job.deadline_at_ms - DEADLINE_MARGIN_MS, self._flush_deadline_ms)
+        due_ms = min(rpc.managed.deadline_at_ms - DEADLINE_MARGIN_MS, self._flush_deadline_ms)
         answer = MeteredAnswer(rpc, result if is_deferred else b"", due_ms, usage, not is_deferred)
         self._not_durable[usage.sequence] = answer
         self._unanswered[rpc] = answer
--- a/landingshift/net/routing/actions.py
+++ b/landingshift/net/routing/actions.py
@@ -8,14 +8,14 @@
 from landingshift.net.protocol import engine as engine_wire
 from landingshift.net.protocol import gateway as gateway_wire
 from landingshift.net.routing.answers import AnswerWriter
+from landingshift.net.routing.check_runner import CheckRunner
 from landingshift.net.routing.database_pool import DatabasePool
 from landingshift.net.routing.dedup import DedupTable
+from landingshift.net.routing.duplicates import DuplicateResolver
 from landingshift.net.routing.engine_link import EngineLink
 from landingshift.net.routing.gateways import Gateways
-from landingshift.net.routing.gauge_poller import GaugePoller
 from landingshift.net.routing.health import HealthReporter
 from landingshift.net.routing.observers import RpcObservers
-from landingshift.net.routing.repeats import RepeatResolver
 from landingshift.net.routing.rpc_record import RoutedRpc
 from landingshift.net.routing.rpc_table import RpcTable
 from landingshift.net.transport.loop import Loop
@@ -36,8 +36,8 @@
         health_reporter: HealthReporter,
         observers: RpcObservers,
         answers: AnswerWriter,
-        repeats: RepeatResolver,
-        gauges: GaugePoller,
+        duplicates: DuplicateResolver,
+        check_runner: CheckRunner,
         log: Callable[..., None],
     ) -> None:
         self.loop = loop
@@ -50,8 +50,8 @@
         self.health_reporter = health_reporter
         self.observers = observers
         self.answers = answers
-        self.repeats = repeats
-        self.gauges = gauges
+        self.duplicates = duplicates
+        self.check_runner = check_runner
         self.report = log
 
     # Runs and calls
@@ -101,36 +101,36 @@
             self.answers.abort(rpc)  # nothing read may end without an answer
         rpc.is_closed = True
         entry = self.dedup.owned_by(rpc)
-        never_ran = rpc.job is None or not rpc.job.has_started
+        never_ran = rpc.managed is None or not rpc.managed.has_started
         if entry is not None and entry.outcome is None and never_ran:
-            # It outlived its entry unrun: no repeat may wait for what never comes.
-            self.repeats.drop_unrun(entry)
+            # It outlived its entry unrun: no duplicate may wait for what never comes.
+            self.duplicates.drop_unrun(entry)
         if rpc.is_duplicate:
-            self.dedup.unlink_repeat(rpc)
+            self.dedup.unlink_duplicate(rpc)
         self.engine.forget_command(rpc)
         self.database.forget_rpc(rpc)
-        rpc.job = None  # no cycle: memory must not wait for the collector
+        rpc.managed = None  # no cycle: memory must not wait for the collector
         self.table.remove(rpc)
         self.observers.notify("on_closed", rpc)
 
-    # Repeats
+    # Duplicates
 
     def retain_dedup_entry(self, rpc: Rpc, duration_ms: float) -> None:
-        """Repeats of the RPC are answered from it for so long."""
+        """Duplicates of the RPC are answered from it for so long."""
         assert isinstance(rpc, RoutedRpc)
         self.dedup.reserve(rpc, self.loop.now_ms + duration_ms)
 
     def drop_dedup_entry(self, rpc: Rpc) -> None:
-        """The RPC never ran: a repeat may."""
+        """The RPC never ran: a duplicate may."""
         assert isinstance(rpc, RoutedRpc)
         entry = self.dedup.owned_by(rpc)
         if entry is not None:
-            self.repeats.drop_unrun(entry)
+            self.duplicates.drop_unrun(entry)
 
     def await_original(self, rpc: Rpc) -> None:
-        """Answers the repeat once what it repeats is over."""
+        """Answers the duplicate once its original is over."""
         assert isinstance(rpc, RoutedRpc)
-        self.repeats.await_original(rpc)
+        self.duplicates.await_original(rpc)
 
     # What callers hear, and time
 
@@ -149,7 +149,7 @@
 
     def schedule_check(self, delay_ms: float) -> None:
         """Asks for a check after the delay, in place of any asked for before."""
-        self.gauges.schedule_check(delay_ms)
+        self.check_runner.schedule_check(delay_ms)
 
     def log(self, text: str) -> None:
         """Logs a change of mode."""
--- a/landingshift/net/routing/admission_driver.py
+++ b/landingshift/net/routing/admission_driver.py
@@ -28,7 +28,7 @@
         self.needs_settle = False
         self.deferred: deque[Callable[[], None]] = deque()
 
-    def event(self) -> AdmissionController:
+    def controller_for_event(self) -> AdmissionController:
         """The controller, ready to be told of an event that happens now."""
         assert self.controller is not None
         self.controller.now_ms = self.loop.now_ms
--- a/landingshift/net/routing/gauge_poller.py
+++ b/landingshift/net/routing/check_runner.py
@@ -1,4 +1,4 @@
-"""The admission controller's checks: each with the engine's gauges, where they come in time.
+"""Runs the admission controller's checks, each with the engine's gauges where they come in time.
 
 Guarantee: a check that was asked for happens, whatever the engine does: deadlines do not wait for it.
 """
@@ -15,7 +15,7 @@
 NO_GAUGES = Gauges(None, None, None)
 
 
-class GaugePoller:
+class CheckRunner:
     """Runs the controller's checks at the times that it asks for.
 
     Args:
@@ -64,7 +64,7 @@
         self.gauge_wait_timer = None
         is_fresh = self.loop.now_ms - self.gauges_at_ms < MAX_GAUGE_AGE_MS
         try:
-            self.driver.event().on_timer(self.gauges if is_fresh else NO_GAUGES)
+            self.driver.controller_for_event().on_timer(self.gauges if is_fresh else NO_GAUGES)
         except Exception:
             # A defect must not end the checks: nothing would be answered in time.
             self.schedule_check(MAX_GAUGE_WAIT_MS)
--- a/landingshift/net/routing/database_events.py
+++ b/landingshift/net/routing/database_events.py
@@ -26,8 +26,8 @@
 
     def _notify_controller(self, rpc: RoutedRpc, outcome: Outcome, elapsed_ms: float, reply: bytes) -> None:
         self.observers.notify("on_call_finished", rpc, outcome, elapsed_ms)
-        if rpc.is_closed or rpc.job is None or rpc.is_answered or rpc.is_abandoned:
+        if rpc.is_closed or rpc.managed is None or rpc.is_answered or rpc.is_abandoned:
             return
         if outcome is Outcome.OK:
             self.engine.send_command(rpc, engine_wire.encode_call_reply(rpc.rpc_id, reply))
-        self.driver.event().on_call_finished(rpc.job, outcome, elapsed_ms)
+        self.driver.controller_for_event().on_call_finished(rpc.managed, outcome, elapsed_ms)
--- a/landingshift/net/routing/dedup.py
+++ b/landingshift/net/routing/dedup.py
@@ -1,7 +1,7 @@
-"""The deduplication table: what a repeat of an RPC is answered from.
+"""The deduplication table: what duplicates of an RPC are answered from.
 
-Guarantee: within the repeat window an RPC whose effect must not happen twice is found again, whatever memory
-is short of: results are forgotten then, that the RPC ran is not. A repeat whose entry has lapsed runs anew.
+Guarantee: within the repeat window an RPC whose effect must not happen twice is found again, however short
+memory is: then results are forgotten, but not that the RPC ran. A duplicate whose entry has lapsed runs anew.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True, eq=False)
 class DedupEntry:
-    """An RPC that repeats are answered from: the first attempt, or the first of requests with one result."""
+    """An RPC that duplicates are answered from: a first attempt, or the first request with a cache key."""
 
     owner: RoutedRpc
     expires_ms: float
@@ -27,21 +27,21 @@
     ended_ms: float = 0.0
     run_time_ms: float = 0.0
     result: bytes | None = None  # None where the outcome is not OK or the result was forgotten
-    waiters: dict[RoutedRpc, None] = field(default_factory=dict)  # repeats that wait for the owner's end
+    waiters: dict[RoutedRpc, None] = field(default_factory=dict)  # duplicates that wait for the owner's end
 
     @property
     def has_result(self) -> bool:
-        """Whether a repeat can be answered with the owner's result."""
+        """Whether a duplicate can be answered with the owner's result."""
         return self.outcome is Outcome.OK and self.result is not None
 
 
 class DedupTable:
-    """Entries by what they have in common with their repeats; bounded in bytes.
+    """Entries by the key that they share with their duplicates; bounded in bytes.
 
     Args:
         max_bytes: That entries and their results may take.
         response_cache_ttl_ms: How long the result of an idempotent RPC answers others with the same key.
-        max_age_ms: Since a repeat arrived at the machine, at most.
+        max_age_ms: The longest time from a duplicate's arrival at the machine until it is read.
     """
 
     def __init__(self, max_bytes: int, response_cache_ttl_ms: float, max_age_ms: float = 0.0) -> None:
@@ -50,13 +50,14 @@
         self.max_age_ms = max_age_ms
         self.used_bytes = 0
         self.entries: dict[DedupKey, DedupEntry] = {}
-        self.originals: dict[RoutedRpc, DedupEntry] = {}  # what an open repeat repeats
+        self.originals: dict[RoutedRpc, DedupEntry] = {}  # of the open duplicates
 
     def find(self, rpc: RoutedRpc, now_ms: float, arrived_ms: float) -> DedupEntry | None:
-        """The entry that `rpc` repeats; drops one that has lapsed.
+        """The entry whose duplicate `rpc` is; drops one that has lapsed.
 
-        The window counts to the time at which a repeat arrived at the machine: it may be read long after,
-        past the end of its own wait, too. Taken for a new RPC it would be told that it never ran.
+        A duplicate counts as within the window if it arrived at the machine before the window's end, even
+        where it is read much later. Taken for a new RPC, it could be answered that it never ran, though its
+        original did.
         """
         entry = self.entries.get(rpc.dedup_key) if rpc.dedup_key else None
         if entry is None:
@@ -72,18 +73,18 @@
             return None
         return entry
 
-    def link_repeat(self, rpc: RoutedRpc, entry: DedupEntry) -> None:
-        """Remembers what an open RPC repeats."""
+    def link_duplicate(self, rpc: RoutedRpc, entry: DedupEntry) -> None:
+        """Remembers the original of an open duplicate."""
         self.originals[rpc] = entry
 
-    def unlink_repeat(self, rpc: RoutedRpc) -> None:
+    def unlink_duplicate(self, rpc: RoutedRpc) -> None:
         """The RPC is closed: it waits for nothing any more."""
         entry = self.originals.pop(rpc, None)
         if entry is not None:
             entry.waiters.pop(rpc, None)
 
     def reserve(self, rpc: RoutedRpc, expires_ms: float) -> None:
-        """Repeats of `rpc` are answered from it until then."""
+        """Duplicates of `rpc` are answered from it until `expires_ms`."""
         if rpc.dedup_key is None:
             return
         known = self.entries.get(rpc.dedup_key)
@@ -108,7 +109,7 @@
             self.used_bytes -= ENTRY_BYTES + len(entry.result or b"")
 
     def complete(self, entry: DedupEntry, outcome: Outcome, result: bytes, now_ms: float) -> list[RoutedRpc]:
-        """The owner's run is over; returns the repeats that waited for that."""
+        """The owner's run is over; returns the duplicates that waited for that."""
         entry.outcome = outcome
         entry.ended_ms = now_ms
         if outcome is Outcome.OK:
@@ -126,13 +127,13 @@
         """
         if self.used_bytes <= self.max_bytes:
             return
-        # A repeat that arrived within the window may still wait to be read, and what runs must be known by
-        # it.
-        no_repeat_after_ms = now_ms - self.max_age_ms
+        # A duplicate that arrived within the window may not be read yet. Entries of RPCs that still run
+        # stay, too.
+        no_duplicate_after_ms = now_ms - self.max_age_ms
         lapsed = [
             entry
             for entry in self.entries.values()
-            if entry.expires_ms <= no_repeat_after_ms and entry.outcome is not None
+            if entry.expires_ms <= no_duplicate_after_ms and entry.outcome is not None
         ]
         for entry in lapsed:
             self.remove(entry)
--- a/landingshift/net/routing/repeats.py
+++ b/landingshift/net/routing/duplicates.py
@@ -1,7 +1,8 @@
-"""Repeats of RPCs: answered from the deduplication table, and from nothing that was made for somebody else.
+"""Duplicates of RPCs, answered from the deduplication table.
 
-A repeat on a connection that is not verified may be a stranger's guess at a gateway's key. It gets the result
-only once the engine has known an RPC of that connection; where that can't be shown in time it is aborted.
+Guarantee: a result goes only to a caller that may have it. A duplicate on an unverified connection may be a
+stranger's guess at a gateway's key: it gets the result only once the engine has known an RPC of that
+connection. Where that can't be shown within `VERIFICATION_TIME_MS`, the duplicate is aborted.
 """
 
 from __future__ import annotations
@@ -19,8 +20,8 @@
 from landingshift.net.transport.slots import Slots
 
 
-class RepeatResolver:
-    """Answers repeats once what they repeat is over, and their connection is verified."""
+class DuplicateResolver:
+    """Answers duplicates once their original is over and their connection is verified."""
 
     def __init__(
         self,
@@ -39,7 +40,7 @@
         self.connections = connections
 
     def await_original(self, rpc: RoutedRpc) -> None:
-        """Answers the repeat once what it repeats is over."""
+        """Answers the duplicate once its original is over."""
         entry = self.dedup.originals[rpc]
         if entry.outcome is None:
             entry.waiters[rpc] = None
@@ -47,37 +48,37 @@
             self._defer_answer(rpc, entry)
 
     def complete(self, entry: DedupEntry, outcome: Outcome, result: bytes) -> None:
-        """The owner of the entry is over: so is what its repeats wait for."""
+        """The run of the entry's owner is over: answers the duplicates that wait for it."""
         for waiter in self.dedup.complete(entry, outcome, result, self.loop.now_ms):
             self._defer_answer(waiter, entry)
 
     def drop_unrun(self, entry: DedupEntry) -> None:
-        """The owner never ran: its repeats are aborted, and later ones may run."""
+        """The owner never ran: aborts its duplicates and forgets the entry, so that later ones may run."""
         self.complete(entry, Outcome.ABORTED, b"")
         self.dedup.remove(entry)
 
     def verify_connection(self, rpc: RoutedRpc) -> None:
-        """The engine knew the RPC: its connection is a gateway's, and its repeats can be answered."""
+        """The engine knew the RPC: its connection is a gateway's and gets its duplicates answered."""
         connection = self.connections.get(rpc.connection)
         if connection is None or connection.is_verified:
             return
         connection.is_verified = True
-        for repeat, entry in connection.unverified_repeats.items():
-            self._defer_answer(repeat, entry)
-        connection.unverified_repeats = {}
+        for duplicate, entry in connection.unverified_duplicates.items():
+            self._defer_answer(duplicate, entry)
+        connection.unverified_duplicates = {}
 
     def _defer_answer(self, rpc: RoutedRpc, entry: DedupEntry, is_last_chance: bool = False) -> None:
-        self.driver.defer(partial(self._answer_repeat, rpc, entry, is_last_chance))
+        self.driver.defer(partial(self._answer_duplicate, rpc, entry, is_last_chance))
 
-    def _answer_repeat(self, rpc: RoutedRpc, entry: DedupEntry, is_last_chance: bool) -> None:
-        """Answers a repeat whose original is over.
+    def _answer_duplicate(self, rpc: RoutedRpc, entry: DedupEntry, is_last_chance: bool) -> None:
+        """Answers a duplicate whose original is over.
 
         Args:
-            rpc: The repeat.
-            entry: What it repeats.
+            rpc: The duplicate.
+            entry: Of its original.
             is_last_chance: There is no more time for its connection to be verified.
         """
-        if rpc.is_closed or rpc.job is None:
+        if rpc.is_closed or rpc.managed is None:
             return
         has_result = entry.has_result
         connection = self.connections.get(rpc.connection)
@@ -94,20 +95,21 @@
         else:
             self.answers.abort(rpc)
         outcome = Outcome.OK if has_result else Outcome.ABORTED
-        self.driver.event().on_run_finished(rpc.job, outcome, 0.0)
+        self.driver.controller_for_event().on_run_finished(rpc.managed, outcome, 0.0)
 
     def _await_verification(self, connection: GatewayConnection, rpc: RoutedRpc, entry: DedupEntry) -> None:
-        """Waits until what else the connection brings verifies it.
+        """Answers the duplicate once another RPC has verified the connection, or aborts it after a time.
 
-        Where no call may be left out the engine refuses the question whether it knows the RPC, for those that
-        it knows too: no gateway may be cut off for that with all that it has open.
+        The engine is asked whether it knows an RPC by a command to skip a call. Where the method allows no
+        call to be skipped, the engine refuses that command for the RPCs that it knows, too. A refusal would
+        cut the connection off with all its open RPCs, so the question is not asked here.
         """
-        connection.unverified_repeats = {
-            repeat: original
-            for repeat, original in connection.unverified_repeats.items()
-            if not repeat.is_closed
+        connection.unverified_duplicates = {
+            duplicate: original
+            for duplicate, original in connection.unverified_duplicates.items()
+            if not duplicate.is_closed
         }
-        connection.unverified_repeats[rpc] = entry
+        connection.unverified_duplicates[rpc] = entry
         self.loop.after(VERIFICATION_TIME_MS, partial(self._defer_answer, rpc, entry, is_last_chance=True))
 
     def _on_known(self, rpc: RoutedRpc, entry: DedupEntry) -> None:
--- a/landingshift/net/routing/engine_events.py
+++ b/landingshift/net/routing/engine_events.py
@@ -8,13 +8,13 @@
 from landingshift.net.protocol import engine as wire
 from landingshift.net.routing.admission_driver import AdmissionDriver
 from landingshift.net.routing.answers import AnswerWriter
+from landingshift.net.routing.check_runner import CheckRunner
 from landingshift.net.routing.database_pool import DatabasePool
 from landingshift.net.routing.dedup import DedupTable
+from landingshift.net.routing.duplicates import DuplicateResolver
 from landingshift.net.routing.engine_link import EngineLink
 from landingshift.net.routing.gateways import Gateways
-from landingshift.net.routing.gauge_poller import GaugePoller
 from landingshift.net.routing.observers import RpcObservers
-from landingshift.net.routing.repeats import RepeatResolver
 from landingshift.net.routing.rpc_table import RpcTable
 
 NO_NOTICE = 0  # number of an end that this server concludes by itself
@@ -37,8 +37,8 @@
         engine: EngineLink,
         observers: RpcObservers,
         answers: AnswerWriter,
-        repeats: RepeatResolver,
-        gauges: GaugePoller,
+        duplicates: DuplicateResolver,
+        check_runner: CheckRunner,
         start_admission: Callable[[wire.Hello], None],
         log: Callable[..., None],
     ) -> None:
@@ -50,8 +50,8 @@
         self.engine = engine
         self.observers = observers
         self.answers = answers
-        self.repeats = repeats
-        self.gauges = gauges
+        self.duplicates = duplicates
+        self.check_runner = check_runner
         self.start_admission = start_admission
         self.log = log
 
@@ -60,35 +60,35 @@
         self.start_admission(hello)
 
     def on_run_ended(self, notice: wire.RunEnded) -> None:
-        """The run is over: answers the RPC, its repeats, and tells the controller."""
+        """The run is over: answers the RPC and its duplicates, and tells the controller."""
         rpc = self.table.find(notice.rpc_id)
-        if rpc is None or rpc.job is None:
+        if rpc is None or rpc.managed is None:
             return
         self.engine.forget_command(rpc)
         if notice.notice_number != NO_NOTICE:
-            self.repeats.verify_connection(rpc)
+            self.duplicates.verify_connection(rpc)
         self.database.cancel(rpc)
         entry = self.dedup.owned_by(rpc)
         if notice.outcome is Outcome.OK:
             self.answers.send_ok(rpc, notice.result, notice.elapsed_ms)
         else:
             self.answers.abort(rpc)
-        self.driver.event().on_run_finished(rpc.job, notice.outcome, notice.elapsed_ms)
+        self.driver.controller_for_event().on_run_finished(rpc.managed, notice.outcome, notice.elapsed_ms)
         if entry is not None:
             entry.run_time_ms = notice.elapsed_ms
-            self.repeats.complete(entry, notice.outcome, notice.result)
+            self.duplicates.complete(entry, notice.outcome, notice.result)
 
     def on_call_needed(self, notice: wire.CallNeeded) -> None:
         """The run waits for a call; the controller decides whether it is made."""
         rpc = self.table.find(notice.rpc_id)
-        if rpc is None or rpc.job is None:
+        if rpc is None or rpc.managed is None:
             return
         self.engine.forget_command(rpc)
         rpc.call_notice_number = notice.notice_number
         rpc.call_request = notice.request
-        self.repeats.verify_connection(rpc)
+        self.duplicates.verify_connection(rpc)
         self.observers.notify("on_call_needed", rpc)
-        self.driver.event().on_call_needed(rpc.job)
+        self.driver.controller_for_event().on_call_needed(rpc.managed)
 
     def on_command_refused(self, refusal: wire.CommandRefused) -> None:
         """The engine does not know the RPC: it is aborted, and an unverified connection is cut off."""
@@ -105,4 +105,4 @@
 
     def on_gauges(self, values: list[float]) -> None:
         """The gauges, in the order of the configuration."""
-        self.gauges.on_gauges(values)
+        self.check_runner.on_gauges(values)
--- a/landingshift/net/routing/gateway_connection.py
+++ b/landingshift/net/routing/gateway_connection.py
@@ -18,11 +18,11 @@
 from landingshift.net.transport.slots import Slots
 from landingshift.net.transport.stream import Stream
 
-MAX_OPEN_RPCS = 32  # that a connection may have
+MAX_OPEN_RPCS = 32  # on one connection
 MAX_ANSWER_BYTES = 5000
-MAX_UNSENT_BYTES = MAX_OPEN_RPCS * MAX_ANSWER_BYTES  # that a gateway which keeps to that can leave unread
+MAX_UNSENT_BYTES = MAX_OPEN_RPCS * MAX_ANSWER_BYTES  # answers to all open RPCs, all unread
 GOAWAY_GRACE_MS = 1500.0  # that a gateway has to close a connection after goaway
-VERIFICATION_TIME_MS = 1000.0  # that a connection may last which has brought nothing that the engine knew
+VERIFICATION_TIME_MS = 1000.0  # after which an unverified connection that brings nothing is closed
 MAX_MESSAGE_MS = 2000.0  # from a message's first byte to its last
 MIN_CHECK_INTERVAL_MS = 50.0
 RESET_TIME_MS = 30.0  # in which a gateway that has gone answers a write with a reset
@@ -70,7 +70,7 @@
         last_invalid_field: The field that the last one turned down had wrong.
         goaway_deadline_ms: After goaway: when it is closed if the gateway does not do that; 0 before.
         is_verified: The engine has known an RPC of it.
-        unverified_repeats: Repeats that are answered once it is verified, and what they repeat.
+        unverified_duplicates: Those to be answered once it is verified, with the entries of their originals.
         accepted_ms: Since when it is here.
         last_message_ms: When its last complete message came or its last answer was written.
         partial_since_ms: When the message began that is not complete yet; 0 where there is none.
@@ -91,7 +91,7 @@
         self.last_invalid_field = ""
         self.goaway_deadline_ms = 0.0
         self.is_verified = False
-        self.unverified_repeats: dict[RoutedRpc, DedupEntry] = {}
+        self.unverified_duplicates: dict[RoutedRpc, DedupEntry] = {}
         self.accepted_ms = self.loop.now_ms
         self.last_message_ms = self.loop.now_ms
         self.partial_since_ms = 0.0
--- a/landingshift/net/routing/gateways.py
+++ b/landingshift/net/routing/gateways.py
@@ -20,7 +20,7 @@
     UnsentBudget,
 )
 
-# Times the gateways' own limit on idle connections: who is quiet for longer keeps to none.
+# Times the gateways' own idle limit: a connection idle for longer belongs to a gateway that keeps no limit.
 IDLE_LIMIT_FACTOR = 1.25
 DRAIN_GOAWAY_GRACE_MS = 250.0  # that a gateway has to close a connection while the server drains
 EVICTION_FRACTION = 1 / 16  # of the connections that may be asked to go at a time
@@ -35,7 +35,7 @@
         max_connections: That may be open.
         max_unsent_bytes: Of answers that gateways have not read, all connections together.
         idle_limit_ms: After which the gateways themselves close an idle connection.
-        log: Hears of connections that ended, and of a full table.
+        log: Called with connections that ended, and of a full table.
         sock: A listening socket from another build.
     """
 
@@ -60,7 +60,7 @@
         self.listener = Listener(loop, address, self._has_capacity, self._accept, sock)
 
     def start(self, events: GatewayEvents) -> None:
-        """Names who hears what gateways ask for; called before the loop runs."""
+        """Sets the receiver of what gateways ask for; called before the loop runs."""
         self.context.events = events
 
     def _accept(self, sock: socket.socket) -> None:
--- a/landingshift/net/routing/router.py
+++ b/landingshift/net/routing/router.py
@@ -12,17 +12,17 @@
 from landingshift.net.routing.actions import RouterActions
 from landingshift.net.routing.admission_driver import AdmissionDriver
 from landingshift.net.routing.answers import AnswerWriter
+from landingshift.net.routing.check_runner import CheckRunner
 from landingshift.net.routing.database_events import DatabaseEventHandler
 from landingshift.net.routing.database_pool import DatabasePool
 from landingshift.net.routing.dedup import DedupTable
+from landingshift.net.routing.duplicates import DuplicateResolver
 from landingshift.net.routing.engine_events import EngineEventHandler
 from landingshift.net.routing.engine_link import EngineLink
 from landingshift.net.routing.gateways import Gateways
-from landingshift.net.routing.gauge_poller import GaugePoller
 from landingshift.net.routing.health import HealthReporter
 from landingshift.net.routing.observers import RpcObservers
 from landingshift.net.routing.reload import keys_requiring_restart, reloaded_config
-from landingshift.net.routing.repeats import RepeatResolver
 from landingshift.net.routing.rpc_intake import MAX_WAIT_FACTOR, RpcIntake
 from landingshift.net.routing.rpc_table import RpcTable
 from landingshift.net.routing.server_config import ServerConfig
@@ -32,7 +32,7 @@
 
 RESERVED_DESCRIPTOR_COUNT = 64  # not for gateways: links to the database, engine, roster, log
 MIN_CONNECTIONS = 8
-DEDUP_MEMORY_FRACTION = 0.25  # of the memory, for results that repeats are answered from
+DEDUP_MEMORY_FRACTION = 0.25  # of the memory, for results that duplicates are answered from
 UNSENT_MEMORY_FRACTION = 0.25  # of the memory, for answers that gateways do not read
 BYTES_PER_MB = 1048576.0
 
@@ -76,10 +76,10 @@
         )
         self.observers = RpcObservers(log)
         self.answers = AnswerWriter(self.gateways.connections, self.observers, log)
-        self.repeats = RepeatResolver(
+        self.duplicates = DuplicateResolver(
             loop, self.driver, self.dedup, self.engine, self.answers, self.gateways.connections
         )
-        self.gauges = GaugePoller(loop, self.driver, self.engine, config.gauge_names)
+        self.check_runner = CheckRunner(loop, self.driver, self.engine, config.gauge_names)
         self.shutdown = GracefulShutdown(loop, self.driver, self.gateways, self.answers, config.stop_ms)
         self.actions = self._make_actions()
         self.intake = self._make_intake()
@@ -100,8 +100,8 @@
             health_reporter=self.health_reporter,
             observers=self.observers,
             answers=self.answers,
-            repeats=self.repeats,
-            gauges=self.gauges,
+            duplicates=self.duplicates,
+            check_runner=self.check_runner,
             log=self.log,
         )
 
@@ -130,8 +130,8 @@
             engine=self.engine,
             observers=self.observers,
             answers=self.answers,
-            repeats=self.repeats,
-            gauges=self.gauges,
+            duplicates=self.duplicates,
+            check_runner=self.check_runner,
             start_admission=self._start_admission,
             log=self.log,
         )
--- a/landingshift/net/routing/rpc_intake.py
+++ b/landingshift/net/routing/rpc_intake.py
@@ -1,7 +1,7 @@
 """What gateways send: requests are checked, and RPCs handed to the admission controller.
 
-Guarantee: every request is answered. One that can't be taken is answered at once; nothing that repeats an RPC
-with an effect hears that it never ran.
+Guarantee: every request is answered. One that can't be taken is answered at once; a duplicate of an
+RPC with an effect is never answered that it did not run.
 """
 
 from __future__ import annotations
@@ -54,7 +54,7 @@
 
     Args:
         release: Closes an RPC that the controller could not take.
-        log: Hears of a bad field on a connection that has brought good RPCs.
+        log: Called with a bad field on a connection that has brought good RPCs.
 
     Attributes:
         attempt_id_field: The field that names a client's attempt, where there is one.
@@ -109,7 +109,7 @@
         original = self.dedup.find(rpc, now_ms, now_ms - checked.age_ms)
         if original is not None:
             rpc.is_duplicate = True
-            self.dedup.link_repeat(rpc, original)
+            self.dedup.link_duplicate(rpc, original)
         self.table.add(rpc)
         connection.rpcs[rpc.message_id] = rpc
         self.observers.notify("on_read", rpc)
@@ -131,18 +131,18 @@
 
     def _admit(self, rpc: RoutedRpc) -> None:
         try:
-            rpc.job = self.driver.event().on_rpc_read(rpc)
+            rpc.managed = self.driver.controller_for_event().on_rpc_read(rpc)
         except Exception:
             if not rpc.is_closed:
                 self.release(rpc)  # a defect must not keep this one from its answer
             raise
         if rpc.is_closed:
-            rpc.job = None
+            rpc.managed = None
 
     def _on_caller_gone(self, rpc: RoutedRpc) -> None:
-        if rpc.is_closed or rpc.job is None:
+        if rpc.is_closed or rpc.managed is None:
             return
-        self.driver.event().on_caller_gone(rpc.job)
+        self.driver.controller_for_event().on_caller_gone(rpc.managed)
         self.engine.send_withheld(rpc)
         self.database.cancel(rpc)
 
@@ -195,7 +195,7 @@
         if rpc_id not in self.table:
             return
         known = self.table.find(rpc_id)
-        has_started = known is not None and known.job is not None and known.job.has_started
+        has_started = known is not None and known.managed is not None and known.managed.has_started
         if has_started and method.idempotency is not Idempotency.IDEMPOTENT:
             raise RunUnderWayError
         raise wire.InvalidFieldError("id")
@@ -218,7 +218,7 @@
     ) -> None:
         """The engine is not up yet, or too much comes on connections that are not verified.
 
-        In a flood, too, what repeats an RPC with an effect must not hear that it never ran here.
+        In a flood, too, a duplicate of an RPC with an effect must not be answered that it never ran here.
         """
         has_run = method.idempotency is Idempotency.KEYED and dedup_key in self.dedup.entries
         encode = wire.encode_aborted if has_run else wire.encode_rejected
@@ -226,7 +226,7 @@
 
 
 def _dedup_key(method_name: str, checked: CheckedRequest) -> DedupKey | None:
-    """What a request has in common with its repeats."""
+    """The key that a request shares with its duplicates; None where it has none."""
     fields = checked.fields
     is_keyed = checked.method.idempotency is Idempotency.KEYED
     key = fields.idempotency_key if is_keyed else fields.cache_key
@@ -244,7 +244,9 @@
         method=checked.method,
         tenant=checked.tenant,
         remaining_ms=checked.remaining_ms,
-        waited_ms=min(checked.wait_ms, checked.age_ms),  # longer than it waits tells no more
+        waited_ms=min(
+            checked.wait_ms, checked.age_ms
+        ),  # a longer age than its caller's wait would add nothing
         memory_kb=fields.memory_kb,
         caller_id=fields.caller_id,
         work_hint_ms=fields.work_hint_ms,
--- a/landingshift/net/routing/rpc_record.py
+++ b/landingshift/net/routing/rpc_record.py
@@ -17,13 +17,12 @@
     body: bytes
     connection: int  # slot of the connection that it came on
     message_id: int  # of its request there
-    dedup_key: tuple[bytes, str] | None  # the same in a repeat of it
+    dedup_key: tuple[bytes, str] | None  # the same in its duplicates
     tenant_name: str = ""
     attempt_id: str | None = None  # of the client's attempt, where the installation names a field for it
     slot: int = -1  # in the table of RPCs in flight
-    job: ManagedRpc | None = (
-        None  # the admission controller's handle; None before it has seen it and once closed
-    )
+    # The admission controller's handle; None before the controller has seen the RPC and once it is closed.
+    managed: ManagedRpc | None = None
     is_answered: bool = False
     is_answer_deferred: bool = False  # its ok answer waits at the answer gate
     is_abandoned: bool = False  # nobody waits for its answer any more
--- a/landingshift/net/routing/shutdown.py
+++ b/landingshift/net/routing/shutdown.py
@@ -59,7 +59,7 @@
             # Nothing runs here, but what waits unread counts as received: it is told that it never ran.
             self._drain_connections()
             return
-        self.driver.event().start_draining(left_ms, elapsed_ms)
+        self.driver.controller_for_event().start_draining(left_ms, elapsed_ms)
         drain_after_ms = self.schedule_connection_drain()
         if self.answers.gate is not None:
             self.answers.gate.flush_by(self.loop.now_ms + drain_after_ms)
