--- a/landingshift/ledger/service.py
+++ b/landingshift/ledger/service.py
@@ -270,7 +270,7 @@
     """
     meter = UsageMeter(host, settings)
     meter.wait_for_start()
-    host.router.intake.attempt_id_field = settings.attempt_id_field
+    host.router.request_validator.attempt_id_field = settings.attempt_id_field
     host.router.answers.gate = meter
     host.router.observers.add(meter)
     return meter
--- a/landingshift/net/routing/actions.py
+++ b/landingshift/net/routing/actions.py
@@ -100,11 +100,11 @@
         if not rpc.is_answered and not rpc.is_abandoned and not rpc.is_answer_deferred:
             self.answers.abort(rpc)  # nothing read may end without an answer
         rpc.is_closed = True
-        entry = self.dedup.owned_by(rpc)
-        never_ran = rpc.managed is None or not rpc.managed.has_started
-        if entry is not None and entry.outcome is None and never_ran:
-            # It outlived its entry unrun: no duplicate may wait for what never comes.
-            self.duplicates.drop_unrun(entry)
+        if rpc.managed is None or not rpc.managed.has_started:
+            entry = self.dedup.owned_by(rpc)
+            if entry is not None and entry.outcome is None:
+                # It outlived its entry unrun: no duplicate may wait for what never comes.
+                self.duplicates.drop_unrun(entry)
         if rpc.is_duplicate:
             self.dedup.unlink_duplicate(rpc)
         self.engine.forget_command(rpc)
--- a/landingshift/net/routing/dedup.py
+++ b/landingshift/net/routing/dedup.py
@@ -117,16 +117,15 @@
             self.used_bytes += len(result)
         waiters = list(entry.waiters)
         entry.waiters = {}
-        self._evict(now_ms)
+        if self.used_bytes > self.max_bytes:
+            self._evict(now_ms)
         return waiters
 
     def _evict(self, now_ms: float) -> None:
-        """Keeps the table within its bound: entries past their window go, then the oldest results.
+        """Brings the table back within its bound: entries past their window go, then the oldest results.
 
         That an RPC whose effect must not happen twice has run is not forgotten for want of memory.
         """
-        if self.used_bytes <= self.max_bytes:
-            return
         # A duplicate that arrived within the window may not be read yet. Entries of RPCs that still run
         # stay, too.
         no_duplicate_after_ms = now_ms - self.max_age_ms
--- a/landingshift/net/routing/gateway_connection.py
+++ b/landingshift/net/routing/gateway_connection.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 from typing import Protocol
 
 from landingshift.net.protocol import gateway as wire
@@ -50,7 +50,7 @@
     log: Callable[..., None]
     connections: Slots[GatewayConnection]
     idle_limit_ms: float  # after which a quiet connection is asked to go
-    events: GatewayEvents | None = None  # set before the loop runs
+    events: GatewayEvents = field(init=False)  # set before the loop runs
     is_draining: bool = False
 
 
@@ -100,12 +100,6 @@
         self.accepted_pass = self.loop.passes_read
         self.timer = self.loop.after(VERIFICATION_TIME_MS, self.check_idle)
 
-    @property
-    def events(self) -> GatewayEvents:
-        """Who hears what the gateway asks for."""
-        assert self.context.events is not None
-        return self.context.events
-
     @property
     def _is_over(self) -> bool:
         return bool(self.stream.close_reason) or not self.stream.is_open
@@ -130,17 +124,17 @@
         if isinstance(message, wire.CancelNotification):
             rpc = self.rpcs.pop(message.message_id, None)
             if rpc is not None:
-                self.events.on_abandoned(rpc)
+                self.context.events.on_abandoned(rpc)
         elif isinstance(message, wire.ProtocolFailure):
             self.cut_off(message.reason)
         elif message.method == wire.HEALTH_CHECK_METHOD:
             self.health_check_count += 1
-            self.events.on_health_check(self, message)
+            self.context.events.on_health_check(self, message)
         elif message.message_id in self.rpcs:
             self.cut_off("number_twice")  # nobody could tell whose the answer is
         else:
             self.rpc_count += 1
-            self.events.on_request(self, message)
+            self.context.events.on_request(self, message)
 
     def on_eof(self) -> None:
         """The gateway writes no more.
@@ -198,7 +192,7 @@
         rpcs = self.rpcs
         self.rpcs = {}
         for rpc in rpcs.values():
-            self.events.on_abandoned(rpc)
+            self.context.events.on_abandoned(rpc)
 
     # Its end
 
--- a/landingshift/net/routing/router.py
+++ b/landingshift/net/routing/router.py
@@ -23,7 +23,8 @@
 from landingshift.net.routing.health import HealthReporter
 from landingshift.net.routing.observers import RpcObservers
 from landingshift.net.routing.reload import keys_requiring_restart, reloaded_config
-from landingshift.net.routing.rpc_intake import MAX_WAIT_FACTOR, RpcIntake
+from landingshift.net.routing.request_validation import MAX_WAIT_FACTOR, RequestValidator
+from landingshift.net.routing.rpc_intake import RpcIntake
 from landingshift.net.routing.rpc_table import RpcTable
 from landingshift.net.routing.server_config import ServerConfig
 from landingshift.net.routing.shutdown import GracefulShutdown
@@ -42,9 +43,10 @@
 
     Args:
         loop: Whose passes the controller is settled in.
-        config: What the server was told at its start.
+        config: Of the server at its start.
         log: Takes an event's name and its fields.
-        listener: A listening socket from another build, which also hands over the link to the engine.
+        listener: Set by hot restart alone: the listening socket of the old build, which hands over the link
+            to the engine, too.
 
     Raises:
         OSError: The server can't listen where it is told to.
@@ -67,6 +69,7 @@
         self.before_decisions: Callable[[], None] | None = None
         self.driver = AdmissionDriver(loop)
         self.table = RpcTable()
+        self.request_validator = RequestValidator(config, self.table)
         self.dedup = _dedup_table(config)
         self.gateways = _gateways(loop, config, log, listener)
         self.database = DatabasePool(loop, config.database, log)
@@ -107,7 +110,7 @@
 
     def _make_intake(self) -> RpcIntake:
         return RpcIntake(
-            config=self.config,
+            validator=self.request_validator,
             driver=self.driver,
             table=self.table,
             dedup=self.dedup,
@@ -171,7 +174,10 @@
         self.health_reporter.start()
 
     def reload(self, config: ServerConfig) -> None:
-        """Takes what a new configuration may change while RPCs are under way."""
+        """Takes what a new configuration may change while RPCs are under way.
+
+        The log names the keys that count from the next start only; changed `settings` are not among them.
+        """
         postponed = keys_requiring_restart(self.config, config)
         self.config = reloaded_config(self.config, config)
         self.log("reloaded", engine=config.engine, db=config.database, roster=config.roster, kept=postponed)
--- a/landingshift/net/routing/rpc_intake.py
+++ b/landingshift/net/routing/rpc_intake.py
@@ -1,4 +1,4 @@
-"""What gateways send: requests are checked, and RPCs handed to the admission controller.
+"""Takes what gateways send: hands RPCs to the admission controller, or answers at once why not.
 
 Guarantee: every request is answered. One that can't be taken is answered at once; a duplicate of an
 RPC with an effect is never answered that it did not run.
@@ -6,63 +6,38 @@
 
 from __future__ import annotations
 
-import time
 from collections.abc import Callable
-from dataclasses import dataclass
 from functools import partial
 
-from landingshift.admission.interface import Idempotency, Method, Tenant
-from landingshift.errors import LandingshiftError
+from landingshift.admission.interface import Idempotency, Method
 from landingshift.net.protocol import gateway as wire
 from landingshift.net.routing.admission_driver import AdmissionDriver
 from landingshift.net.routing.answers import AnswerWriter
 from landingshift.net.routing.database_pool import DatabasePool
 from landingshift.net.routing.dedup import DedupKey, DedupTable
 from landingshift.net.routing.engine_link import EngineLink
-from landingshift.net.routing.gateway_connection import MAX_OPEN_RPCS, GatewayConnection
+from landingshift.net.routing.gateway_connection import GatewayConnection
 from landingshift.net.routing.health import HealthReporter
 from landingshift.net.routing.observers import RpcObservers
+from landingshift.net.routing.request_validation import CheckedRequest, RequestValidator, RunUnderWayError
 from landingshift.net.routing.rpc_record import RoutedRpc
 from landingshift.net.routing.rpc_table import RpcTable
-from landingshift.net.routing.server_config import ServerConfig
 
-MAX_AGE_MS = 120_000.0  # since an RPC arrived at the machine
-MAX_CLOCK_LEAD_MS = 5_000.0  # by which the clock that stamped its arrival may be ahead
-MAX_WAIT_FACTOR = 4.0  # times the deadline of its method that an RPC may wait
 # RPCs in flight from which only verified connections bring more: memory must stay bounded.
 MAX_RPCS_WITH_UNVERIFIED = 1024
 
 
-class RunUnderWayError(LandingshiftError):
-    """An RPC with the same id runs here, and its effect must not happen twice."""
-
-
-@dataclass(slots=True)
-class CheckedRequest:
-    """A request that may be taken."""
-
-    method: Method
-    tenant: Tenant | None
-    fields: wire.RequestFields
-    age_ms: float  # since it arrived at the machine
-    wait_ms: float  # that its caller waits in all
-    remaining_ms: float | None  # that its caller still waits, where callers tell it
-
-
 class RpcIntake:
     """Serves as the gateways' `GatewayEvents`.
 
     Args:
         release: Closes an RPC that the controller could not take.
         log: Called with a bad field on a connection that has brought good RPCs.
-
-    Attributes:
-        attempt_id_field: The field that names a client's attempt, where there is one.
     """
 
     def __init__(
         self,
-        config: ServerConfig,
+        validator: RequestValidator,
         driver: AdmissionDriver,
         table: RpcTable,
         dedup: DedupTable,
@@ -74,7 +49,7 @@
         release: Callable[[RoutedRpc], None],
         log: Callable[..., None],
     ) -> None:
-        self.config = config
+        self.validator = validator
         self.driver = driver
         self.table = table
         self.dedup = dedup
@@ -85,12 +60,11 @@
         self.health_reporter = health_reporter
         self.release = release
         self.log = log
-        self.attempt_id_field = ""
 
     def on_request(self, connection: GatewayConnection, request: wire.Request) -> None:
         """Checks a request and hands the RPC to the controller, or answers at once why not."""
         try:
-            checked = self._check(connection, request)
+            checked = self.validator.check(connection, request)
         except wire.InvalidFieldError as err:
             self._answer_invalid(connection, request, err.field)
             return
@@ -146,60 +120,6 @@
         self.engine.send_withheld(rpc)
         self.database.cancel(rpc)
 
-    # Checks
-
-    def _check(self, connection: GatewayConnection, request: wire.Request) -> CheckedRequest:
-        """What is known of a request that may be taken.
-
-        Raises:
-            wire.InvalidFieldError: It can't be.
-            RunUnderWayError: An RPC with its id runs and must not run twice.
-        """
-        method = self.config.methods.get(request.method)
-        if method is None:
-            raise wire.InvalidFieldError("method")
-        fields = wire.decode_fields(request.params, self.attempt_id_field)
-        tenant = self.config.tenants.get(fields.tenant)
-        if tenant is None and self.config.tenants:
-            raise wire.InvalidFieldError("tenant")
-        checked = self._check_times(method, tenant, fields)
-        self._check_id(method, fields.rpc_id)
-        if len(connection.rpcs) >= MAX_OPEN_RPCS:
-            raise wire.InvalidFieldError("open")
-        return checked
-
-    def _check_times(
-        self, method: Method, tenant: Tenant | None, fields: wire.RequestFields
-    ) -> CheckedRequest:
-        """How old the RPC is and how long its caller waits.
-
-        Where callers do not tell how long they wait, the deadline of the method says it.
-        """
-        now_unix_ms = time.time() * 1000.0
-        if not now_unix_ms - MAX_AGE_MS < fields.arrived_unix_ms < now_unix_ms + MAX_CLOCK_LEAD_MS:
-            raise wire.InvalidFieldError("at")
-        callers_send_deadline = self.config.settings.callers_send_deadline
-        if fields.wait_ms is None and callers_send_deadline:
-            raise wire.InvalidFieldError("wait")
-        wait_ms = method.deadline_ms if fields.wait_ms is None else fields.wait_ms
-        if wait_ms > MAX_WAIT_FACTOR * method.deadline_ms:
-            raise wire.InvalidFieldError("wait")
-        remaining_ms = None
-        if callers_send_deadline:
-            remaining_ms = min(wait_ms, fields.arrived_unix_ms + wait_ms - now_unix_ms)
-        age_ms = max(0.0, now_unix_ms - fields.arrived_unix_ms)
-        return CheckedRequest(method, tenant, fields, age_ms, wait_ms, remaining_ms)
-
-    def _check_id(self, method: Method, rpc_id: bytes) -> None:
-        """The engine could not tell two RPCs with one id apart."""
-        if rpc_id not in self.table:
-            return
-        known = self.table.find(rpc_id)
-        has_started = known is not None and known.managed is not None and known.managed.has_started
-        if has_started and method.idempotency is not Idempotency.IDEMPOTENT:
-            raise RunUnderWayError
-        raise wire.InvalidFieldError("id")
-
     # Requests that are not taken
 
     def _answer_invalid(self, connection: GatewayConnection, request: wire.Request, field: str) -> None:
