--- a/landingshift/net/protocol/engine.py
+++ b/landingshift/net/protocol/engine.py
@@ -15,6 +15,7 @@
     b"gone": Outcome.NOT_SENT,
 }
 RUN_COMMAND = b"RUN"  # as a refusal names it
+NO_NOTICE_NUMBER = 0  # no notice of the engine has it
 
 
 @dataclass(slots=True)
@@ -29,7 +30,7 @@
 class RunEnded:
     """The run of an RPC is over."""
 
-    notice_number: int  # 0 for one that this server made itself
+    notice_number: int  # `NO_NOTICE_NUMBER` where this server concludes it by itself
     rpc_id: bytes
     outcome: Outcome
     elapsed_ms: float
--- a/landingshift/net/protocol/gateway.py
+++ b/landingshift/net/protocol/gateway.py
@@ -23,8 +23,6 @@
 
 HEALTH_CHECK_METHOD = "probe"
 
-# Message types of MessagePack-RPC.
-REQUEST, RESPONSE, NOTIFICATION = 0, 1, 2
 
 PARSER_LIMITS = {
     "max_str_len": 1024,
@@ -35,6 +33,14 @@
 }
 
 
+class MessageType:
+    """The message types of MessagePack-RPC; plain numbers, since every message is matched against them."""
+
+    REQUEST = 0
+    RESPONSE = 1
+    NOTIFICATION = 2
+
+
 class InvalidFieldError(LandingshiftError):
     """An RPC that can't be taken.
 
@@ -135,11 +141,13 @@
 def _decode(value: Any) -> Message | None:
     """The message that `value` is; None for a notification that this server has no use for."""
     match value:
-        case [0, int(message_id), str(method), list(params)] if not isinstance(message_id, bool):
+        case [MessageType.REQUEST, int(message_id), str(method), list(params)] if not isinstance(
+            message_id, bool
+        ):
             return Request(message_id, method, params)
-        case [2, "giveUp", [int(message_id)]]:
+        case [MessageType.NOTIFICATION, "giveUp", [int(message_id)]]:
             return CancelNotification(message_id)
-        case [2, str(), list()]:
+        case [MessageType.NOTIFICATION, str(), list()]:
             return None
     raise ProtocolError("bad_message")
 
@@ -207,12 +215,12 @@
 
 def encode_ok(message_id: int, result: bytes, headers: dict[str, str]) -> bytes:
     """The response with an RPC's result; `headers` is what the server tells callers of its load."""
-    return pack([RESPONSE, message_id, None, [result, headers]])
+    return pack([MessageType.RESPONSE, message_id, None, [result, headers]])
 
 
 def encode_rejected(message_id: int, headers: dict[str, str]) -> bytes:
     """The response that the RPC never ran here."""
-    return pack([RESPONSE, message_id, ["Busy", headers], None])
+    return pack([MessageType.RESPONSE, message_id, ["Busy", headers], None])
 
 
 def rejection_headers(headers: dict[str, str], retry_after_ms: float, is_final: bool) -> dict[str, str]:
@@ -240,14 +248,13 @@
 
 def encode_aborted(message_id: int, headers: dict[str, str]) -> bytes:
     """The response that the RPC may have run and brought no result."""
-    return pack([RESPONSE, message_id, ["Failed", headers], None])
+    return pack([MessageType.RESPONSE, message_id, ["Failed", headers], None])
 
 
 def encode_health(message_id: int, is_healthy: bool, headers: dict[str, str]) -> bytes:
     """The response to a health check."""
-    return pack([RESPONSE, message_id, None, [is_healthy, headers]])
+    return pack([MessageType.RESPONSE, message_id, None, [is_healthy, headers]])
 
 
-GOAWAY = pack(
-    [NOTIFICATION, "goaway", []]
-)  # asks the gateway to close the connection once it has its answers
+# Asks the gateway to close the connection once it has its answers.
+GOAWAY = pack([MessageType.NOTIFICATION, "goaway", []])
--- a/landingshift/net/routing/answers.py
+++ b/landingshift/net/routing/answers.py
@@ -20,8 +20,8 @@
 
     Args:
         connections: Of gateways.
-        observers: Hear of each answer that was written.
-        log: Hears of a gate that was cut off.
+        observers: Called with each answer that was written.
+        log: Called with a gate that was cut off.
 
     Attributes:
         headers: What each answer tells callers of the server's load.
@@ -55,7 +55,7 @@
         self._answer(rpc, wire.encode_ok(rpc.message_id, result, self.headers), AnswerKind.OK)
 
     def abort_deferred(self, rpc: RoutedRpc) -> None:
-        """The gate's word that an ok answer may not go."""
+        """The gate decided that an ok answer may not go: aborts the RPC instead."""
         rpc.is_answer_deferred = False
         self.abort(rpc)
 
--- a/landingshift/net/routing/database_pool.py
+++ b/landingshift/net/routing/database_pool.py
@@ -121,7 +121,7 @@
 
     Args:
         address: Of the database; None where there is none.
-        log: Hears of links that ended.
+        log: Called with links that ended.
 
     Attributes:
         links: Links that take new calls.
@@ -143,7 +143,7 @@
         self.cancelled: list[tuple[DatabaseLink, bytes]] = []
 
     def start(self, events: DatabaseEvents) -> None:
-        """Names who hears what becomes of calls; called before the first one."""
+        """Sets the receiver of the ends of calls; called before the first call."""
         self.events = events
 
     def call(self, rpc: RoutedRpc, timeout_ms: float) -> bool:
@@ -242,4 +242,5 @@
 
 def _preference(link: DatabaseLink) -> tuple[int, float]:
     """Sorts links: fewest calls first, then the one used last."""
-    return len(link.calls), -link.stream.last_activity_ms if link.stream is not None else 0.0
+    last_activity_ms = link.stream.last_activity_ms if link.stream is not None else 0.0
+    return len(link.calls), -last_activity_ms
--- a/landingshift/net/routing/engine_events.py
+++ b/landingshift/net/routing/engine_events.py
@@ -17,8 +17,6 @@
 from landingshift.net.routing.observers import RpcObservers
 from landingshift.net.routing.rpc_table import RpcTable
 
-NO_NOTICE = 0  # number of an end that this server concludes by itself
-
 
 class EngineEventHandler:
     """Serves as the engine link's `EngineEvents`.
@@ -65,7 +63,7 @@
         if rpc is None or rpc.managed is None:
             return
         self.engine.forget_command(rpc)
-        if notice.notice_number != NO_NOTICE:
+        if notice.notice_number != wire.NO_NOTICE_NUMBER:
             self.duplicates.verify_connection(rpc)
         self.database.cancel(rpc)
         entry = self.dedup.owned_by(rpc)
@@ -99,7 +97,7 @@
         if refusal.command != wire.RUN_COMMAND and not self.engine.is_asking_for(rpc):
             return
         connection = self.gateways.connections.get(rpc.connection)
-        self.on_run_ended(wire.RunEnded(NO_NOTICE, refusal.rpc_id, Outcome.NOT_SENT, 0.0, b""))
+        self.on_run_ended(wire.RunEnded(wire.NO_NOTICE_NUMBER, refusal.rpc_id, Outcome.NOT_SENT, 0.0, b""))
         if connection is not None and not connection.is_verified:
             connection.cut_off("unknown_rpc")  # what else it brings would take places for nothing
 
--- a/landingshift/net/routing/engine_link.py
+++ b/landingshift/net/routing/engine_link.py
@@ -74,7 +74,7 @@
 
     Args:
         address: Where the engine listens.
-        log: Hears of links made and lost.
+        log: Called with links made and lost.
 
     Attributes:
         last_notice_number: Of the last notice read.
@@ -110,7 +110,12 @@
         self.answered_at_ms = loop.now_ms  # when all that was asked had last been answered
 
     def start(self, events: EngineEvents, attach: bool = True) -> None:
-        """Begins to serve `events`; without `attach` the link comes from another build."""
+        """Begins to serve `events`.
+
+        Args:
+            events: Called with what the engine reports.
+            attach: Whether to connect now. False in a hot restart alone: the link comes from the old build.
+        """
         self.events = events
         if attach:
             self.attach()
@@ -290,7 +295,7 @@
         self.stream.write(wire.encode_gauge_query(tag))
 
     def run_self_test(self, answer: Callable[[bool], None]) -> None:
-        """Has the engine do a piece of work; `answer` hears whether it got done."""
+        """Has the engine do a piece of work; `answer` is called with whether it got done."""
         if not self.is_ready or self.stream is None or len(self.self_tests) >= MAX_SELF_TESTS:
             answer(self.is_working and len(self.self_tests) < MAX_SELF_TESTS)
             return
@@ -316,9 +321,10 @@
     def query_known(self, rpc: RoutedRpc, on_known: Callable[[], None]) -> None:
         """Asks whether the RPC came to this machine; one that did not is answered with a refusal.
 
-        No notice has the number 0, so that an RPC that the engine knows is not changed by this.
+        The question is a command to skip a call that no notice asked for: it changes nothing for an RPC that
+        the engine knows.
         """
-        command = self.send_command(rpc, wire.encode_skip_call(rpc.rpc_id, 0))
+        command = self.send_command(rpc, wire.encode_skip_call(rpc.rpc_id, wire.NO_NOTICE_NUMBER))
         command.on_known = on_known
         self.query_gauges()
 
--- a/landingshift/net/routing/gateways.py
+++ b/landingshift/net/routing/gateways.py
@@ -36,7 +36,7 @@
         max_unsent_bytes: Of answers that gateways have not read, all connections together.
         idle_limit_ms: After which the gateways themselves close an idle connection.
         log: Called with connections that ended, and of a full table.
-        sock: A listening socket from another build.
+        sock: Set by hot restart alone: the listening socket of the old build.
     """
 
     def __init__(
@@ -89,7 +89,7 @@
     # Room for new ones
 
     def _has_capacity(self, has_descriptors: bool) -> bool:
-        """Whether one more may come.
+        """Returns whether one more may come.
 
         Connections that are not verified make room for it; verified ones are asked to go and leave only in
         time.
--- a/landingshift/net/routing/health.py
+++ b/landingshift/net/routing/health.py
@@ -1,4 +1,4 @@
-"""What health checks and the roster of servers hear."""
+"""Answers health checks and reports the server's health to the roster of servers."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     """Answers health checks and reports to the roster once the server can serve.
 
     Args:
-        server_name: By which the roster knows the server.
+        server_name: The server's name in the roster.
         roster: Where the reports go.
         engine: Does a piece of work for a deep check.
         runs_deep_checks: Whether a deep check does that.
@@ -36,14 +36,17 @@
         self.roster = roster
         self.engine = engine
         self.runs_deep_checks = runs_deep_checks
-        self.is_healthy = True  # by the admission controller's word
-        self.is_shallow = True  # by its word, too: work would come at a bad time
+        self.is_healthy = True  # as the admission controller decides
+        self.is_shallow = True  # as it decides, too: deep checks do no work, which would come at a bad time
         self.is_reporting = False
         self.is_started = False
         self.readiness_gates: set[str] = set()  # services for which reports are held back
 
     def add_readiness_gate(self, service: str) -> None:
-        """Neither the roster nor a check hears that the server is healthy until all have released it."""
+        """Keeps the roster and checks from being told that the server is healthy.
+
+        It lasts until each service that added a gate has removed it.
+        """
         self.readiness_gates.add(service)
 
     def remove_readiness_gate(self, service: str) -> None:
@@ -54,7 +57,7 @@
                 self.start()
 
     def set_health(self, is_healthy: bool, is_shallow: bool) -> None:
-        """The admission controller's word; a change is reported at once."""
+        """Takes over what the admission controller decided; a change of health is reported at once."""
         has_changed = is_healthy != self.is_healthy
         self.is_healthy = is_healthy
         self.is_shallow = is_shallow
--- a/landingshift/net/routing/observers.py
+++ b/landingshift/net/routing/observers.py
@@ -32,7 +32,7 @@
 
 
 class RpcObserver(Protocol):
-    """Hears of the stages of an RPC that it has a method for; must neither block nor change the RPC.
+    """Called at the stages of an RPC that it has a method for; must neither block nor change the RPC.
 
     The methods, each optional:
 
@@ -41,7 +41,7 @@
     - `on_call_needed(rpc)`: its run asks for a call to the database.
     - `on_call_finished(rpc, outcome, elapsed_ms)`: that call is over.
     - `on_answered(rpc, kind)`: its answer was written; `kind` is an `AnswerKind`.
-    - `on_closed(rpc)`: nothing more will be heard of it.
+    - `on_closed(rpc)`: no event of it follows.
     """
 
     name: str
@@ -51,7 +51,7 @@
     """May let an ok answer go later than it is there, within the RPC's deadline."""
 
     def defer_answer(self, rpc: RoutedRpc, result: bytes, run_time_ms: float) -> bool:
-        """Whether the gate keeps the answer, and will send or abort it by itself."""
+        """Returns whether the gate keeps the answer, which it then sends or aborts by itself."""
 
     def flush_by(self, deadline_ms: float) -> None:
         """The server drains: whatever is held goes by then, in the loop's time."""
@@ -64,7 +64,7 @@
     """Those that watch RPCs, in the order in which they were added.
 
     Args:
-        log: Hears of an observer that was cut off.
+        log: Called with an observer that was cut off.
     """
 
     def __init__(self, log: Callable[..., None]) -> None:
@@ -73,7 +73,7 @@
         self.handlers: dict[str, tuple[tuple[RpcObserver, Handler], ...]] = dict.fromkeys(EVENT_HANDLERS, ())
 
     def add(self, observer: RpcObserver) -> None:
-        """From now on the observer hears of each event that it has a method for."""
+        """Calls the observer from now on at each event that it has a method for."""
         self._set_observers((*self.observers, observer))
 
     def notify(self, event: str, *facts: object) -> None:
--- a/landingshift/net/routing/reload.py
+++ b/landingshift/net/routing/reload.py
@@ -6,8 +6,9 @@
 
 from landingshift.net.routing.server_config import ServerConfig
 
-# Key of the configuration and the attribute that holds it; all others are taken at the start only, and
-# silently where they are the settings, which a policy changes by its own way.
+# Keys of the configuration that count from the next start only and are named in the log when they change,
+# with the attributes that hold them. `settings` count from the next start, too, and are not named: a policy
+# changes them while the server runs.
 FIXED_KEYS = {
     "name": "name",
     "listen": "listen",
@@ -19,12 +20,18 @@
 
 
 def reloaded_config(current: ServerConfig, new: ServerConfig) -> ServerConfig:
-    """The current configuration with what may change while RPCs are under way."""
+    """The current configuration with what may change while RPCs are under way.
+
+    Changed `settings` are not taken over.
+    """
     return replace(current, engine=new.engine, database=new.database, roster=new.roster, stop_ms=new.stop_ms)
 
 
 def keys_requiring_restart(current: ServerConfig, new: ServerConfig) -> list[str]:
-    """The keys that differ and count from the next start only."""
+    """The keys that differ and count from the next start only, without the path of their object.
+
+    A change of `settings` is not among them.
+    """
     return [
         key for key, attribute in FIXED_KEYS.items() if getattr(new, attribute) != getattr(current, attribute)
     ]
--- a/landingshift/net/routing/rpc_table.py
+++ b/landingshift/net/routing/rpc_table.py
@@ -9,7 +9,7 @@
 
 
 class RpcTable:
-    """RPCs from their read to the admission controller's last word on them, by their ids."""
+    """RPCs from their read until the admission controller releases them, by their ids."""
 
     def __init__(self) -> None:
         self.slots: Slots[RoutedRpc] = Slots()
--- a/landingshift/net/routing/shutdown.py
+++ b/landingshift/net/routing/shutdown.py
@@ -65,13 +65,13 @@
             self.answers.gate.flush_by(self.loop.now_ms + drain_after_ms)
 
     def resume(self, stop_at_ms: float) -> None:
-        """Goes on with a drain that another build began."""
+        """Goes on with a drain that the old build began; called by hot restart alone."""
         self.is_draining = True
         self.stop_at_ms = stop_at_ms
         self.schedule_connection_drain()
 
     def schedule_connection_drain(self) -> float:
-        """Sets the timer at which connections are asked to go; returns in how many ms that is."""
+        """Sets the timer at which connections are asked to go; returns its delay in ms."""
         left_ms = self.stop_at_ms - self.loop.now_ms
         drain_after_ms = max(left_ms - CONNECTION_DRAIN_MS, left_ms / 2.0)
         self.loop.after(drain_after_ms, self._drain_connections)
--- a/landingshift/net/transport/loop.py
+++ b/landingshift/net/transport/loop.py
@@ -18,7 +18,7 @@
 
 
 class Watcher(Protocol):
-    """Hears that a descriptor can be read or written."""
+    """Called when a descriptor can be read or written."""
 
     def on_ready(self, mask: int) -> None:
         """`mask`: events of the `selectors` module that have come."""
@@ -143,7 +143,7 @@
             self._guarded(action)
 
     def read(self, wait_ms: float) -> bool:
-        """Waits for sockets at most so long and calls their watchers; whether any was ready."""
+        """Waits for sockets at most so long and calls their watchers; returns whether any was ready."""
         events = self.selector.select(wait_ms / 1000.0)
         self.now_ms = self.clock_ms()
         self.passes_read += 1
--- a/landingshift/net/transport/stream.py
+++ b/landingshift/net/transport/stream.py
@@ -25,7 +25,7 @@
 
 
 class StreamOwner(Protocol):
-    """Hears what comes on a stream."""
+    """Called with what comes on a stream."""
 
     def on_data(self, data: bytes) -> None:
         """Bytes came."""
@@ -41,13 +41,13 @@
     """The owner of a closed stream."""
 
     def on_data(self, data: bytes) -> None:
-        """Nobody hears it."""
+        """Ignores it."""
 
     def on_eof(self) -> None:
-        """Nobody hears it."""
+        """Ignores it."""
 
     def on_closed(self, reason: str) -> None:
-        """Nobody hears it."""
+        """Ignores it."""
 
 
 NO_OWNER = NoOwner()
@@ -78,7 +78,7 @@
 
     Args:
         sock: Non-blocking.
-        owner: Hears what comes.
+        owner: Called with what comes.
         max_unsent_bytes: That may be queued before the stream is closed as stalled.
         is_connecting: The connection is not made yet.
         unsent_budget: Shared with other streams.
--- a/landingshift/net/transport/worker.py
+++ b/landingshift/net/transport/worker.py
@@ -69,7 +69,7 @@
 
 
 class WorkerOwner(Protocol):
-    """Hears what the process says."""
+    """Called with what the process says."""
 
     def on_message(self, message: bytes) -> None:
         """A message came."""
@@ -84,7 +84,7 @@
     Args:
         module: To run.
         args: Of its command line.
-        owner: Hears what it says.
+        owner: Called with what it says.
         max_queued_bytes: Of messages that the process has not taken.
 
     Raises:
