--- a/landingshift/policies/change_log.py
+++ b/landingshift/policies/change_log.py
@@ -9,7 +9,7 @@
 from landingshift.policies.node import PolicyNode
 from landingshift.policies.participant import ParticipantState
 
-SWITCHING_STEP = "switching"  # the commit is proposed
+COMMITTING_STEP = "switching"  # the commit is proposed
 NO_STEP = "none"  # stands in failpoints for an empty name
 
 
@@ -67,8 +67,8 @@
         is_leader = raft is not None and raft.has_leader_lease(now_ms)
         leader_step = ""
         if is_leader and coordinator is not None and pending_change_id:
-            is_switching = bool(coordinator.switching_change_id)
-            leader_step = SWITCHING_STEP if is_switching else coordinator.phase.value
+            is_committing = bool(coordinator.committing_change_id)
+            leader_step = COMMITTING_STEP if is_committing else coordinator.phase.value
         return ChangeProgress(
             participant.change_id, participant.state, pending_change_id, is_leader, leader_step
         )
--- a/landingshift/policies/commands.py
+++ b/landingshift/policies/commands.py
@@ -41,7 +41,7 @@
     """One run of a member has ended and decides nothing more."""
 
     name: str
-    run: int
+    run_id: int
 
 
 @dataclass(slots=True, frozen=True)
@@ -105,8 +105,8 @@
     match command:
         case JoinMembers(members):
             return ["join", [list(member) for member in members]]
-        case RemoveMember(name, run):
-            return ["gone", name, run]
+        case RemoveMember(name, run_id):
+            return ["gone", name, run_id]
         case OpenChange(change_id, policy, author, reason, opened_at_ms):
             return ["propose", change_id, policy, author, reason, opened_at_ms]
         case CommitChange(change_id, join_count):
@@ -119,9 +119,9 @@
     """Command of an entry; None for an entry that this build does not know."""
     match msgspec.msgpack.decode(data):
         case ["join", list(members)]:
-            return JoinMembers(tuple((name, run) for name, run in members))
-        case ["gone", str(name), int(run)]:
-            return RemoveMember(name, run)
+            return JoinMembers(tuple((name, run_id) for name, run_id in members))
+        case ["gone", str(name), int(run_id)]:
+            return RemoveMember(name, run_id)
         case ["propose", str(change_id), bytes(policy), str(author), str(reason), opened_at_ms]:
             return OpenChange(change_id, policy, author, reason, float(opened_at_ms))
         case ["switch", str(change_id), int(join_count)]:
--- a/landingshift/policies/coordinator.py
+++ b/landingshift/policies/coordinator.py
@@ -29,6 +29,8 @@
     DeclareDeparted,
     EndedChange,
     FindChange,
+    LeaseReply,
+    LeaseRequest,
     MembershipRefusal,
     Message,
     OperatorRequest,
@@ -37,8 +39,6 @@
     ProposeChange,
     Redirect,
     StatusPoll,
-    StatusReply,
-    StatusRequest,
     WaitingMember,
     WithdrawChange,
 )
@@ -69,7 +69,7 @@
     Attributes:
         reports: What members told in this term.
         phase: What is wanted of members for the change under way.
-        switching_change_id: The change whose commit was proposed; empty for none.
+        committing_change_id: The change whose commit was proposed; empty for none.
         next_deadline_ms: When `tick` is due.
         outbox: Receivers and messages that wait to be sent.
     """
@@ -104,7 +104,7 @@
         self._change_id = ""  # the change that `phase` is about
         self._change_began_at_ms = now_ms
         self.phase = ChangePhase.NONE
-        self.switching_change_id = ""
+        self.committing_change_id = ""
         self._commit_entry_index = 0
         self._ending_change_id = ""  # the change whose end was proposed
         self._proposed_entry_index: dict[str, int] = {}  # by a key of what was proposed
@@ -127,8 +127,8 @@
 
     # What members ask
 
-    def on_status_request(
-        self, sender: str, request: StatusRequest, now_ms: float, known_leader: str = ""
+    def on_lease_request(
+        self, sender: str, request: LeaseRequest, now_ms: float, known_leader: str = ""
     ) -> None:
         """Answers a member.
 
@@ -147,15 +147,15 @@
         if refusal_reason:
             self._send(sender, MembershipRefusal(request.number, refusal_reason[:MAX_REASON_CHARS]))
             return
-        is_member = self._state.has_member(sender, request.run)
+        is_member = self._state.has_member(sender, request.run_id)
         if not is_member and len(self._joining) < MAX_JOIN_COUNT:
-            self._joining[sender] = request.run
+            self._joining[sender] = request.run_id
             self.next_deadline_ms = now_ms
         # Nobody gets a lease for the old version once the commit may be replicated.
-        is_leased = is_member and not self.switching_change_id
+        is_leased = is_member and not self.committing_change_id
         if self.reports.record(sender, request, is_leased, now_ms):
             self.next_deadline_ms = now_ms
-        reply = StatusReply(
+        reply = LeaseReply(
             request.number,
             is_member,
             self._state.version,
@@ -167,7 +167,7 @@
         )
         self._send(sender, reply)
 
-    def _refusal_reason(self, sender: str, request: StatusRequest) -> str:
+    def _refusal_reason(self, sender: str, request: LeaseRequest) -> str:
         """Why the sender can't be a member; empty where it can."""
         own_fingerprint = self._settings.fingerprint
         if request.fingerprint != own_fingerprint:
@@ -213,8 +213,8 @@
             case ChangeVoters() as command:
                 self._change_voters(sender, change_id, command, now_ms)
                 return
-            case DeclareDeparted(name, run):
-                self._remove_member(sender, change_id, name, run)
+            case DeclareDeparted(name, run_id):
+                self._remove_member(sender, change_id, name, run_id)
                 return
             case ProposeChange(policy, author, reason) if change is None:
                 opened_at_ms = self._wall_clock_ms()
@@ -239,8 +239,8 @@
         return ChangeStatus(change.id, outcome, change.version, change.outcome_reason, tuple(waiting))
 
     def _change_voters(self, sender: str, change_id: str, command: ChangeVoters, now_ms: float) -> None:
-        run = self._state.members.get(command.name)
-        can_become_voter = self.reports.can_become_voter(command.name, run)
+        run_id = self._state.members.get(command.name)
+        can_become_voter = self.reports.can_become_voter(command.name, run_id)
         plan = plan_voter_change(self._raft, command, can_become_voter, now_ms)
         if plan.new_voters:
             self._raft.change_voters(plan.new_voters, now_ms)
@@ -248,18 +248,18 @@
         reason = plan.reason or f"voters are {', '.join(self._raft.voters)}"
         self._send(sender, ChangeStatus(change_id, outcome, 0, reason))
 
-    def _remove_member(self, sender: str, change_id: str, name: str, run: int) -> None:
+    def _remove_member(self, sender: str, change_id: str, name: str, run_id: int) -> None:
         """That run and no other: the word may come late, and the machine be back by then."""
-        if self._state.has_member(name, run):
-            self._propose_once(f"{name} {run} gone", RemoveMember(name, run))
+        if self._state.has_member(name, run_id):
+            self._propose_once(f"{name} {run_id} gone", RemoveMember(name, run_id))
             return
         reason = f"that run of {name} is not counted"
         self._send(sender, ChangeStatus(change_id, ChangeOutcome.COMMITTED.value, 0, reason))
 
-    def on_departure(self, sender: str, run: int, now_ms: float) -> None:
+    def on_departure(self, sender: str, run_id: int, now_ms: float) -> None:
         """A member tells that its process ends."""
-        if self._state.has_member(sender, run) and self._is_leading(now_ms):
-            self._propose_once(f"{sender} {run} gone", RemoveMember(sender, run))
+        if self._state.has_member(sender, run_id) and self._is_leading(now_ms):
+            self._propose_once(f"{sender} {run_id} gone", RemoveMember(sender, run_id))
 
     def _propose(self, command: Command) -> int | None:
         """Index of the command's entry; None where it can't be proposed just now."""
@@ -277,8 +277,8 @@
     def unprepared_members(self, now_ms: float) -> list[WaitingMember]:
         """Members that a commit must wait for: neither prepared nor certainly standing aside."""
         waiting = []
-        for name, run in self._state.members.items():
-            state = self.reports.state_of(name, run, self._state.pending_change_id)
+        for name, run_id in self._state.members.items():
+            state = self.reports.state_of(name, run_id, self._state.pending_change_id)
             if state != ParticipantState.PREPARED and not self.reports.is_on_standby(name, now_ms):
                 waiting.append(WaitingMember(name, state))
         return waiting
@@ -309,7 +309,7 @@
             self._joining.clear()
             return
         is_earlier_join_applied = self._join_entry_index <= self._raft.commit_index
-        if is_earlier_join_applied and not self.switching_change_id:  # a join would make the commit void
+        if is_earlier_join_applied and not self.committing_change_id:  # a join would make the commit void
             index = self._propose(JoinMembers(tuple(joining)))
             if index is not None:
                 self._join_entry_index = index
@@ -321,10 +321,10 @@
             self._version = state.version
             self._committed_at_ms = now_ms
             self._last_poll_at_ms = NEVER_MS
-        is_another_pending = state.pending_change_id != self.switching_change_id
+        is_another_pending = state.pending_change_id != self.committing_change_id
         is_commit_applied = self._raft.commit_index >= self._commit_entry_index
-        if self.switching_change_id and (is_another_pending or is_commit_applied):
-            self.switching_change_id = ""  # committed, or void since a member joined
+        if self.committing_change_id and (is_another_pending or is_commit_applied):
+            self.committing_change_id = ""  # committed, or void since a member joined
         if state.pending_change_id != self._change_id:
             self._change_id = state.pending_change_id
             self.phase = ChangePhase.VALIDATE
@@ -334,7 +334,7 @@
     def _drive_change(self, now_ms: float) -> None:
         """The next step of the change: end it, commit it, or have all prepare."""
         change_id = self._state.pending_change_id
-        if self.switching_change_id or self._ending_change_id == change_id:
+        if self.committing_change_id or self._ending_change_id == change_id:
             return
         waiting = self.unprepared_members(now_ms)
         rejecting = next((each for each in waiting if each.state == ParticipantState.REJECTED), None)
@@ -347,7 +347,7 @@
         elif not waiting and self._state.members and not self._joining:
             index = self._propose(CommitChange(change_id, self._state.join_count))
             if index is not None:
-                self.switching_change_id = change_id
+                self.committing_change_id = change_id
                 self._commit_entry_index = index
         elif self.phase is ChangePhase.VALIDATE and _are_all_validated(waiting):
             self.phase = ChangePhase.PREPARE
@@ -359,19 +359,19 @@
             self._ending_change_id = change_id
 
     def _poll_members_behind(self, now_ms: float) -> None:
-        """Asks those for a status request that are behind what is wanted of them."""
+        """Asks those for a lease request that are behind what is wanted of them."""
         if now_ms - self._last_poll_at_ms < POLL_INTERVAL_MS:
             return
         is_after_commit = now_ms - self._committed_at_ms < POLL_AFTER_COMMIT_MS
         if not self._state.pending_change_id and not is_after_commit:
             return
         self._last_poll_at_ms = now_ms
-        for name, run in self._state.members.items():
-            if self._is_behind(self.reports.by_member.get(name), run):
+        for name, run_id in self._state.members.items():
+            if self._is_behind(self.reports.by_member.get(name), run_id):
                 self._send(name, StatusPoll())
 
-    def _is_behind(self, report: MemberReport | None, run: int) -> bool:
-        if report is None or report.request.run != run or report.request.version < self._state.version:
+    def _is_behind(self, report: MemberReport | None, run_id: int) -> bool:
+        if report is None or report.request.run_id != run_id or report.request.version < self._state.version:
             return True
         change_id = self._state.pending_change_id
         if not change_id:
--- a/landingshift/policies/member_reports.py
+++ b/landingshift/policies/member_reports.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from math import inf
 
-from landingshift.policies.messages import StatusRequest
+from landingshift.policies.messages import LeaseRequest
 from landingshift.policies.policy_settings import PolicySettings
 
 NEVER_MS = -inf
@@ -20,9 +20,9 @@
 
 @dataclass(slots=True, frozen=True)
 class MemberReport:
-    """A member's last status request, and when it was last granted a lease."""
+    """A member's last lease request, and when it was last granted a lease."""
 
-    request: StatusRequest
+    request: LeaseRequest
     leased_at_ms: float
 
 
@@ -38,8 +38,8 @@
         self._settings = settings
         self._term_began_at_ms = term_began_at_ms  # leases of earlier leaders are older
 
-    def record(self, member: str, request: StatusRequest, is_leased: bool, now_ms: float) -> bool:
-        """Takes a status request.
+    def record(self, member: str, request: LeaseRequest, is_leased: bool, now_ms: float) -> bool:
+        """Takes a lease request.
 
         Returns:
             Whether the member came further since its last one.
@@ -52,10 +52,10 @@
         progress_before = (previous.request.change_id, previous.request.state)
         return progress_before != (request.change_id, request.state)
 
-    def state_of(self, member: str, run: int, change_id: str) -> str:
+    def state_of(self, member: str, run_id: int, change_id: str) -> str:
         """How far this run is with the change; "away" where it has said nothing of it."""
         report = self.by_member.get(member)
-        if report is None or report.request.run != run or report.request.change_id != change_id:
+        if report is None or report.request.run_id != run_id or report.request.change_id != change_id:
             return SILENT_STATE
         return report.request.state
 
@@ -69,7 +69,7 @@
         longest_lease_ms = self._settings.lease_ms * (1.0 + CLOCK_DRIFT_FRACTION)
         return silent_ms > longest_lease_ms + self._settings.clock_margin_ms
 
-    def can_become_voter(self, member: str, run: int | None) -> bool:
+    def can_become_voter(self, member: str, run_id: int | None) -> bool:
         """Whether this run has told that it has a log file."""
         report = self.by_member.get(member)
-        return report is not None and report.request.can_become_voter and report.request.run == run
+        return report is not None and report.request.can_become_voter and report.request.run_id == run_id
--- a/landingshift/policies/messages.py
+++ b/landingshift/policies/messages.py
@@ -47,7 +47,7 @@
     """An operator's word that this run of a member has ended."""
 
     name: str
-    run: int
+    run_id: int
 
 
 @dataclass(slots=True, frozen=True)
@@ -80,11 +80,11 @@
 
 
 @dataclass(slots=True, frozen=True)
-class StatusRequest:
+class LeaseRequest:
     """A member tells the leader how far it is, and asks for a lease.
 
     Attributes:
-        run: One life of the member's process.
+        run_id: Which process of that name: drawn anew at each start.
         number: Of the request; an answer names it.
         version: In force at the member; -1 for none yet.
         change_id: The change that it has the policy of; empty for none.
@@ -94,7 +94,7 @@
         can_become_voter: Whether it has a log file.
     """
 
-    run: int
+    run_id: int
     number: int
     version: int
     change_id: str
@@ -105,8 +105,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class UnreadableStatusRequest:
-    """A status request of which only the number can be read."""
+class UnreadableLeaseRequest:
+    """A lease request of which only the number can be read."""
 
     number: int
 
@@ -129,8 +129,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class StatusReply:
-    """The leader's answer to a status request.
+class LeaseReply:
+    """The leader's answer to a lease request.
 
     Attributes:
         number: Of the request.
@@ -171,7 +171,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StatusPoll:
-    """The leader asks for a status request soon: there is something new."""
+    """The leader asks for a lease request soon: there is something new."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -203,7 +203,7 @@
 class Departure:
     """The sender's process ends: this run decides nothing more."""
 
-    run: int
+    run_id: int
 
 
 @dataclass(slots=True, frozen=True)
@@ -234,9 +234,9 @@
 
 
 MemberMessage = (
-    StatusRequest
-    | UnreadableStatusRequest
-    | StatusReply
+    LeaseRequest
+    | UnreadableLeaseRequest
+    | LeaseReply
     | Redirect
     | MembershipRefusal
     | StatusPoll
--- a/landingshift/policies/node.py
+++ b/landingshift/policies/node.py
@@ -24,6 +24,7 @@
 from landingshift.policies.messages import (
     ChangeStatus,
     Departure,
+    LeaseRequest,
     Message,
     OperatorCommand,
     OperatorRequest,
@@ -31,8 +32,7 @@
     PolicyText,
     RaftPacket,
     Redirect,
-    StatusRequest,
-    UnreadableStatusRequest,
+    UnreadableLeaseRequest,
 )
 from landingshift.policies.operator_commands import OperatorCommands
 from landingshift.policies.participant import ChangeParticipant
@@ -51,7 +51,7 @@
 
     Attributes:
         name: This server's name.
-        run: One life of this process.
+        run_id: Which process of that name: drawn anew at each start.
         participant: Decides by which version this server may work.
         raft: The Raft node; None on a server without a log file.
         coordinator: Leads changes while `raft` leads; None where `raft` is.
@@ -64,7 +64,7 @@
     def __init__(
         self,
         name: str,
-        run: int,
+        run_id: int,
         settings: PolicySettings,
         find_conflict: Callable[[bytes], str],
         persistent_state: PersistentState | None,
@@ -78,7 +78,7 @@
 
         Args:
             name: This server's name.
-            run: One life of this process.
+            run_id: Which process of that name: drawn anew at each start.
             settings: Alike on all servers.
             find_conflict: Key and reason where this server could not decide by a policy, else empty.
             persistent_state: Of the log file; None on a server without one.
@@ -89,8 +89,8 @@
             max_member_count: Servers that can be members.
         """
         self.name = name
-        self.run = run
-        self.participant = ChangeParticipant(run, settings, find_conflict, rng, now_ms)
+        self.run_id = run_id
+        self.participant = ChangeParticipant(run_id, settings, find_conflict, rng, now_ms)
         self.raft: RaftNode | None = None
         self.coordinator: ChangeCoordinator | None = None
         self.state_machine = PolicyStateMachine(max_member_count)
@@ -188,16 +188,16 @@
         match message:
             case RaftPacket(data):
                 self._on_raft_packet(sender, data, now_ms)
-            case StatusRequest() | UnreadableStatusRequest():
-                self._on_status_request(sender, message, now_ms)
+            case LeaseRequest() | UnreadableLeaseRequest():
+                self._on_lease_request(sender, message, now_ms)
             case PolicyRequest():
                 self._on_policy_request(sender, message)
             case OperatorRequest():
                 if self.coordinator is not None:
                     self.coordinator.on_operator_request(sender, message, now_ms)
-            case Departure(run):
+            case Departure(run_id):
                 if self.coordinator is not None:
-                    self.coordinator.on_departure(sender, run, now_ms)
+                    self.coordinator.on_departure(sender, run_id, now_ms)
             case ChangeStatus():
                 self.operator_commands.on_status(message)
             case _:
@@ -215,15 +215,15 @@
         self.raft.on_message(sender, packet, now_ms)
         self._apply_committed(now_ms)
 
-    def _on_status_request(
-        self, sender: str, request: StatusRequest | UnreadableStatusRequest, now_ms: float
+    def _on_lease_request(
+        self, sender: str, request: LeaseRequest | UnreadableLeaseRequest, now_ms: float
     ) -> None:
         known_leader = self.participant.discovery.leader if self.participant.is_member else ""
         if self.coordinator is None:
             self._outbox.append((sender, Redirect(request.number, known_leader)))
             return
-        if isinstance(request, StatusRequest):
-            self.coordinator.on_status_request(sender, request, now_ms, known_leader)
+        if isinstance(request, LeaseRequest):
+            self.coordinator.on_lease_request(sender, request, now_ms, known_leader)
         self._tick_coordinator_if_due(self.coordinator, now_ms)
 
     def _on_policy_request(self, sender: str, request: PolicyRequest) -> None:
@@ -306,7 +306,7 @@
         """The last message: this run decides nothing more."""
         for voter in self.participant.discovery.voters:
             if voter != self.name:
-                self._outbox.append((voter, Departure(self.run)))
+                self._outbox.append((voter, Departure(self.run_id)))
 
     def list_changes(self) -> list[Change]:
         """All changes that are kept with details, the newest last."""
--- a/landingshift/policies/participant.py
+++ b/landingshift/policies/participant.py
@@ -26,14 +26,14 @@
 from landingshift.policies.messages import (
     ChangePhase,
     EndedChange,
+    LeaseReply,
+    LeaseRequest,
     MembershipRefusal,
     Message,
     PolicyRequest,
     PolicyText,
     Redirect,
     StatusPoll,
-    StatusReply,
-    StatusRequest,
 )
 from landingshift.policies.policy_settings import PolicySettings
 
@@ -73,7 +73,7 @@
         rejection_reason: Why it can't decide by that policy.
         lease_expiry_ms: When its lease ends, by its own monotonic clock.
         ended_changes: What became of changes that it took part in, newest last.
-        last_request_number: Number of the last status request.
+        last_request_number: Number of the last lease request.
         last_answered_number: Number of the last request whose answer it took.
         request_sent_at_ms: Sending times of the last requests by number.
         next_deadline_ms: When `tick` is due.
@@ -82,7 +82,7 @@
 
     def __init__(
         self,
-        run: int,
+        run_id: int,
         settings: PolicySettings,
         find_conflict: Callable[[bytes], str],
         rng: Random,
@@ -91,13 +91,13 @@
         """Starts without any version.
 
         Args:
-            run: One life of this process.
+            run_id: Which process of that name: drawn anew at each start.
             settings: Alike on all servers.
             find_conflict: Key and reason where this server could not decide by a policy, else empty.
             rng: Spreads requests.
             now_ms: Monotonic clock.
         """
-        self._run = run
+        self._run_id = run_id
         self._settings = settings
         self._find_conflict = find_conflict
         self._rng = rng
@@ -151,14 +151,14 @@
             self._adopt(version, policy)
         return conflict
 
-    # Status requests
+    # Lease requests
 
     def tick(self, now_ms: float) -> None:
-        """Sends a status request if one is due."""
+        """Sends a lease request if one is due."""
         if now_ms >= self.next_deadline_ms:
-            self.send_status_request(now_ms)
+            self.send_lease_request(now_ms)
 
-    def send_status_request(self, now_ms: float) -> None:
+    def send_lease_request(self, now_ms: float) -> None:
         """Tells the leader how far this server is, and asks for a lease."""
         leader = self.discovery.choose_target()
         self.last_request_number += 1
@@ -167,8 +167,8 @@
         self._last_request_at_ms = now_ms
         interval_ms = min(self.discovery.next_retry_ms(), self._request_interval_ms())
         self.next_deadline_ms = now_ms + interval_ms * self._jitter()
-        request = StatusRequest(
-            self._run,
+        request = LeaseRequest(
+            self._run_id,
             self.last_request_number,
             self.version,
             self.change_id,
@@ -217,9 +217,9 @@
                     self._request_at_once(now_ms)
             case MembershipRefusal(number, reason) if number in self.request_sent_at_ms:
                 self._on_refusal(reason, now_ms)
-            case StatusReply(number) if number in self.request_sent_at_ms:
+            case LeaseReply(number) if number in self.request_sent_at_ms:
                 if number > self.last_answered_number:
-                    self._on_status_reply(sender, message, now_ms)
+                    self._on_lease_reply(sender, message, now_ms)
             case PolicyText():
                 self._on_policy_text(message, now_ms)
 
@@ -229,7 +229,7 @@
         self.is_member = False
         self.next_deadline_ms = now_ms + IDLE_REQUEST_INTERVAL_MS
 
-    def _on_status_reply(self, leader: str, reply: StatusReply, now_ms: float) -> None:
+    def _on_lease_reply(self, leader: str, reply: LeaseReply, now_ms: float) -> None:
         self.last_answered_number = reply.number
         self.discovery.on_answered(leader)
         self.discovery.on_voters_received(reply.voters)
@@ -256,7 +256,7 @@
         self.state = ParticipantState.NONE
         self.rejection_reason = ""
 
-    def _request_missing_policies(self, reply: StatusReply, now_ms: float) -> None:
+    def _request_missing_policies(self, reply: LeaseReply, now_ms: float) -> None:
         leader = self.discovery.leader
         if self.latest_version > self.version:
             self.outbox.append((leader, PolicyRequest("", self.latest_version)))
@@ -265,7 +265,7 @@
             self.outbox.append((leader, PolicyRequest(reply.change_id, 0)))
             self._request_by(now_ms + self._prepared_request_interval_ms)
 
-    def _prepare_if_wanted(self, reply: StatusReply, now_ms: float) -> None:
+    def _prepare_if_wanted(self, reply: LeaseReply, now_ms: float) -> None:
         """Rule 2: prepared, it decides under short leases only; a longer one that it has is cut."""
         is_wanted = reply.change_id == self.change_id and reply.phase is ChangePhase.PREPARE
         if is_wanted and self.state is ParticipantState.VALIDATED:
@@ -274,7 +274,7 @@
             self.lease_expiry_ms = min(self.lease_expiry_ms, latest_expiry_ms)
             self._request_at_once(now_ms)
 
-    def _extend_lease(self, reply: StatusReply) -> None:
+    def _extend_lease(self, reply: LeaseReply) -> None:
         if not reply.is_lease_granted or not reply.is_member or reply.version != self.version:
             return
         is_prepared = self.state is ParticipantState.PREPARED
--- a/landingshift/policies/state_machine.py
+++ b/landingshift/policies/state_machine.py
@@ -97,9 +97,9 @@
         outcome = ChangeOutcome.COMMITTED if version else ChangeOutcome.WITHDRAWN
         return Change(change_id, b"", "", "", 0.0, outcome, version)
 
-    def has_member(self, name: str, run: int) -> bool:
+    def has_member(self, name: str, run_id: int) -> bool:
         """Whether this very run is a member."""
-        return self.members.get(name) == run
+        return self.members.get(name) == run_id
 
     @property
     def is_full(self) -> bool:
@@ -114,10 +114,10 @@
             return  # a leader's first entry
         match decode_command(data):
             case JoinMembers(members):
-                for name, run in members:
-                    self._join(name, run)
-            case RemoveMember(name, run):
-                if self.has_member(name, run):
+                for name, run_id in members:
+                    self._join(name, run_id)
+            case RemoveMember(name, run_id):
+                if self.has_member(name, run_id):
                     del self.members[name]
             case OpenChange() as command:
                 self._open(command)
@@ -127,10 +127,10 @@
             case EndChange() as command:
                 self._end(command)
 
-    def _join(self, name: str, run: int) -> None:
+    def _join(self, name: str, run_id: int) -> None:
         has_capacity = name in self.members or len(self.members) < self.max_member_count
-        if not self.has_member(name, run) and has_capacity:
-            self.members[name] = run  # its earlier run has ended: one name is one process at a time
+        if not self.has_member(name, run_id) and has_capacity:
+            self.members[name] = run_id  # its earlier run has ended: one name is one process at a time
             self.join_count += 1
 
     def _open(self, command: OpenChange) -> None:
--- a/landingshift/policies/wire.py
+++ b/landingshift/policies/wire.py
@@ -16,6 +16,8 @@
     Departure,
     EndedChange,
     FindChange,
+    LeaseReply,
+    LeaseRequest,
     MemberMessage,
     MembershipRefusal,
     Message,
@@ -27,10 +29,8 @@
     RaftPacket,
     Redirect,
     StatusPoll,
-    StatusReply,
-    StatusRequest,
     UnknownCommand,
-    UnreadableStatusRequest,
+    UnreadableLeaseRequest,
     WaitingMember,
     WithdrawChange,
 )
@@ -49,8 +49,8 @@
             return ["withdraw", author, reason]
         case ChangeVoters(is_addition, name):
             return ["voters", "add" if is_addition else "remove", name]
-        case DeclareDeparted(name, run):
-            return ["gone", name, run]
+        case DeclareDeparted(name, run_id):
+            return ["gone", name, run_id]
         case FindChange():
             return ["find"]
         case UnknownCommand():
@@ -66,8 +66,8 @@
             return WithdrawChange(author, reason)
         case ["voters", str(action), str(name)]:
             return ChangeVoters(action == "add", name)
-        case ["gone", str(name), int(run)]:
-            return DeclareDeparted(name, run)
+        case ["gone", str(name), int(run_id)]:
+            return DeclareDeparted(name, run_id)
         case ["find", *_]:
             return FindChange()
     return UnknownCommand()
@@ -80,8 +80,8 @@
             return ["vote", data]
         case OperatorRequest(change_id, command):
             return ["do", change_id, *encode_operator_command(command)]
-        case Departure(run):
-            return ["bye", run]
+        case Departure(run_id):
+            return ["bye", run_id]
         case ChangeStatus(change_id, outcome, version, reason, waiting_members):
             waiting = [[member.name, member.state] for member in waiting_members]
             return ["found", change_id, outcome, version, reason, waiting]
@@ -91,12 +91,12 @@
 def _encode_member_message(message: MemberMessage) -> list[Any]:
     """Body of a message between a member and the leader."""
     match message:
-        case StatusRequest():
-            return _encode_status_request(message)
-        case UnreadableStatusRequest(number):
+        case LeaseRequest():
+            return _encode_lease_request(message)
+        case UnreadableLeaseRequest(number):
             return ["here", 0, number]
-        case StatusReply():
-            return _encode_status_reply(message)
+        case LeaseReply():
+            return _encode_lease_reply(message)
         case Redirect(number, leader):
             return ["ask", number, leader]
         case MembershipRefusal(number, reason):
@@ -109,10 +109,10 @@
             return ["text", change_id, version, policy]
 
 
-def _encode_status_request(request: StatusRequest) -> list[Any]:
+def _encode_lease_request(request: LeaseRequest) -> list[Any]:
     return [
         "here",
-        request.run,
+        request.run_id,
         request.number,
         request.version,
         request.change_id,
@@ -123,7 +123,7 @@
     ]
 
 
-def _encode_status_reply(reply: StatusReply) -> list[Any]:
+def _encode_lease_reply(reply: LeaseReply) -> list[Any]:
     ended: list[Any] = []
     if reply.ended is not None:
         ended = [reply.ended.change_id, reply.ended.outcome, reply.ended.version, reply.ended.reason]
@@ -151,8 +151,8 @@
             return RaftPacket(data)
         case ["do", str(change_id), *fields]:
             return OperatorRequest(change_id, decode_operator_command(fields))
-        case ["bye", int(run)]:
-            return Departure(run)
+        case ["bye", int(run_id)]:
+            return Departure(run_id)
         case ["found", str(change_id), str(outcome), int(version), str(reason), list(waiting)]:
             return ChangeStatus(change_id, outcome, version, reason, _decode_waiting(waiting))
     return _decode_member_message(body)
@@ -161,9 +161,9 @@
 def _decode_member_message(body: list[Any]) -> MemberMessage:
     match body:
         case ["here", *fields]:
-            return _decode_status_request(fields)
+            return _decode_lease_request(fields)
         case ["told", *fields]:
-            return _decode_status_reply(fields)
+            return _decode_lease_reply(fields)
         case ["ask", int(number), str(leader)]:
             return Redirect(number, leader)
         case ["no", int(number), str(reason)]:
@@ -177,10 +177,10 @@
     raise UnreadableMessageError(body)
 
 
-def _decode_status_request(fields: list[Any]) -> StatusRequest | UnreadableStatusRequest:
+def _decode_lease_request(fields: list[Any]) -> LeaseRequest | UnreadableLeaseRequest:
     match fields:
         case [
-            int(run),
+            int(run_id),
             int(number),
             int(version),
             str(change_id),
@@ -189,15 +189,15 @@
             fingerprint,
             bool(can_become_voter),
         ]:
-            return StatusRequest(
-                run, number, version, change_id, state, reason, fingerprint, can_become_voter
+            return LeaseRequest(
+                run_id, number, version, change_id, state, reason, fingerprint, can_become_voter
             )
         case [_, int(number), *_]:
-            return UnreadableStatusRequest(number)
+            return UnreadableLeaseRequest(number)
     raise UnreadableMessageError(fields)
 
 
-def _decode_status_reply(fields: list[Any]) -> StatusReply:
+def _decode_lease_reply(fields: list[Any]) -> LeaseReply:
     match fields:
         case [
             int(number),
@@ -210,7 +210,7 @@
             [str(), *_] as voters,
         ]:
             names = tuple(str(name) for name in voters[:MAX_RECEIVED_VOTER_COUNT])
-            return StatusReply(
+            return LeaseReply(
                 number,
                 is_member,
                 version,
--- a/landingshift/testbed/simulation/faults.py
+++ b/landingshift/testbed/simulation/faults.py
@@ -160,7 +160,7 @@
     elif leader.policy_node.coordinator is not None:
         coordinator = leader.policy_node.coordinator
         if leader.policy_node.state_machine.pending_change_id:
-            phase = "switching" if coordinator.switching_change_id else coordinator.phase.value
+            phase = "switching" if coordinator.committing_change_id else coordinator.phase.value
             stages.add(f"change {phase}")
         for request in leader.maintenance.state.requests.values():
             stages.add(f"work {request.state.value}")
--- a/landingshift/testbed/simulation/policy_change.py
+++ b/landingshift/testbed/simulation/policy_change.py
@@ -21,15 +21,15 @@
 from landingshift.testbed.simulation.removed_defences import (
     DURABLE_WRITE,
     LEADER_LEASE,
+    LEASE_REQUEST,
     PARTICIPANT_LEASE,
-    STATUS_REQUEST,
     WAIT_FOR_ALL,
     remove_from_policies,
 )
 from landingshift.testbed.simulation.virtual_time import Address, SimulatedHost, SimulatedNetwork
 from landingshift.testbed.verification.history import ChangeEnded, History, PolicyUsed
 
-REMOVABLE_DEFENCES = (PARTICIPANT_LEASE, STATUS_REQUEST, LEADER_LEASE, WAIT_FOR_ALL, DURABLE_WRITE)
+REMOVABLE_DEFENCES = (PARTICIPANT_LEASE, LEASE_REQUEST, LEADER_LEASE, WAIT_FOR_ALL, DURABLE_WRITE)
 MEAN_DECISION_INTERVAL_MS = 25.0
 """Between two RPCs that a server decides."""
 RAFT_TIMEOUTS = RaftTimeouts(heartbeat_interval_ms=100.0, election_timeout_ms=500.0)
@@ -130,7 +130,7 @@
         """Decides an RPC by the version that this server may work by, if it may."""
         removed_defence, participant = self._simulation.removed_defence, self.participant
         needs_no_lease = removed_defence == PARTICIPANT_LEASE and participant.is_member
-        needs_no_answer = removed_defence == STATUS_REQUEST and not participant.is_member
+        needs_no_answer = removed_defence == LEASE_REQUEST and not participant.is_member
         if needs_no_lease or needs_no_answer or participant.may_decide(now_ms):
             version = max(0, participant.version)
             self._simulation.record(PolicyUsed.KIND, self.name, version, participant.policy)
--- a/landingshift/testbed/simulation/removed_defences.py
+++ b/landingshift/testbed/simulation/removed_defences.py
@@ -20,7 +20,7 @@
 
 PARTICIPANT_LEASE = "lease"
 """A prepared server goes on by the old policy without a lease."""
-STATUS_REQUEST = "ask"
+LEASE_REQUEST = "ask"
 """A server decides before it has asked for the current policy."""
 LEADER_LEASE = "sure"
 """A leader answers without knowing that it still leads."""
@@ -45,7 +45,7 @@
 
 INVARIANT_BY_REMOVED_DEFENCE = {
     PARTICIPANT_LEASE: "all_or_none",
-    STATUS_REQUEST: "all_or_none",
+    LEASE_REQUEST: "all_or_none",
     LEADER_LEASE: "all_or_none",
     WAIT_FOR_ALL: "all_or_none",
     RECOVERY_GRACE: "shares",
@@ -91,7 +91,7 @@
 
 def may_decide(participant: ChangeParticipant, now_ms: float, removed_defence: str) -> bool:
     """Returns whether a server may decide about RPCs by the policy that it has."""
-    if participant.may_decide(now_ms) or removed_defence == STATUS_REQUEST:
+    if participant.may_decide(now_ms) or removed_defence == LEASE_REQUEST:
         return True
     return participant.is_member and removed_defence == PARTICIPANT_LEASE
 
--- a/landingshift/testbed/verification/search_policy_change.py
+++ b/landingshift/testbed/verification/search_policy_change.py
@@ -21,7 +21,7 @@
 from landingshift.policies.participant import ChangeParticipant, ParticipantState
 from landingshift.policies.policy_settings import PolicySettings
 from landingshift.testbed.simulation.policy_documents import AUTHOR, COMMENT, policy_document
-from landingshift.testbed.simulation.removed_defences import PARTICIPANT_LEASE, STATUS_REQUEST
+from landingshift.testbed.simulation.removed_defences import LEASE_REQUEST, PARTICIPANT_LEASE
 from landingshift.testbed.verification.state_space import Action, Exploration, Step, explore
 
 VOTER = "n0"
@@ -115,7 +115,7 @@
 
     Attributes:
         settings: Of all servers.
-        removed_defence: PARTICIPANT_LEASE or STATUS_REQUEST, which all lack; "" for none.
+        removed_defence: PARTICIPANT_LEASE or LEASE_REQUEST, which all lack; "" for none.
     """
 
     def __init__(self, stands_aside: bool = False, removed_defence: str = "") -> None:
@@ -164,7 +164,7 @@
         self._ask_all(state, (VOTER, "n1"))
         self._ask_all(state, (LAST_SERVER,))
         assert all(node.participant.state is ParticipantState.PREPARED for node in state.nodes.values())
-        state.nodes[LAST_SERVER].participant.send_status_request(state.now_ms)
+        state.nodes[LAST_SERVER].participant.send_lease_request(state.now_ms)
         self._send(state, LAST_SERVER)
         for node in state.nodes.values():
             _forget_answered_requests(node.participant)
@@ -189,7 +189,7 @@
     def _ask_all(self, state: PolicyState, names: tuple[str, ...]) -> None:
         """Has servers ask the leader, and delivers all messages."""
         for name in names:
-            state.nodes[name].participant.send_status_request(state.now_ms)
+            state.nodes[name].participant.send_lease_request(state.now_ms)
             self._send(state, name)
         while state.messages:
             self._deliver(state, 0)
@@ -233,7 +233,7 @@
             case Step(Action.ASK, str(name)):
                 remaining.asks -= 1
                 after.nodes[name] = copy.deepcopy(after.nodes[name])
-                after.nodes[name].participant.send_status_request(after.now_ms)
+                after.nodes[name].participant.send_lease_request(after.now_ms)
                 self._send(after, name)
             case Step(Action.KILL, str(name)):
                 remaining.kills -= 1
@@ -291,7 +291,7 @@
         may_decide = participant.may_decide(now_ms)
         if self.removed_defence == PARTICIPANT_LEASE:
             return participant.is_member and participant.latest_version <= participant.version
-        if self.removed_defence == STATUS_REQUEST:
+        if self.removed_defence == LEASE_REQUEST:
             return may_decide or not participant.is_member
         return may_decide
 
@@ -327,7 +327,7 @@
 def _participant_key(node: PolicyNode, now_ms: float) -> Hashable:
     participant = node.participant
     return (
-        node.run,
+        node.run_id,
         participant.is_member,
         participant.version,
         participant.latest_version,
@@ -346,11 +346,11 @@
     requests = [(name, report.request) for name, report in sorted(coordinator.reports.by_member.items())]
     return (
         tuple(
-            (name, request.run, request.change_id, request.state, request.version)
+            (name, request.run_id, request.change_id, request.state, request.version)
             for name, request in requests
         ),
         coordinator.phase,
-        coordinator.switching_change_id,
+        coordinator.committing_change_id,
         node.state_machine.version,
         node.state_machine.pending_change_id,
     )
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -38,6 +38,8 @@
     Departure,
     EndedChange,
     FindChange,
+    LeaseReply,
+    LeaseRequest,
     MembershipRefusal,
     Message,
     OperatorRequest,
@@ -47,9 +49,7 @@
     RaftPacket,
     Redirect,
     StatusPoll,
-    StatusReply,
-    StatusRequest,
-    UnreadableStatusRequest,
+    UnreadableLeaseRequest,
     WaitingMember,
     WithdrawChange,
 )
@@ -267,9 +267,9 @@
 class Wire(unittest.TestCase):
     MESSAGES: tuple[Message, ...] = (
         RaftPacket(b"packet"),
-        StatusRequest(1, 2, -1, "c", "ready", "", "serve 1000 3000", True),
-        StatusReply(2, True, 3, "c", ChangePhase.PREPARE, None, True, ("v", "w")),
-        StatusReply(2, True, 3, "", ChangePhase.NONE, EndedChange("b", "taken", 3, ""), False, ("v",)),
+        LeaseRequest(1, 2, -1, "c", "ready", "", "serve 1000 3000", True),
+        LeaseReply(2, True, 3, "c", ChangePhase.PREPARE, None, True, ("v", "w")),
+        LeaseReply(2, True, 3, "", ChangePhase.NONE, EndedChange("b", "taken", 3, ""), False, ("v",)),
         Redirect(2, "v"),
         MembershipRefusal(2, "why"),
         StatusPoll(),
@@ -291,12 +291,12 @@
                 body = msgspec.msgpack.decode(msgspec.msgpack.encode(encode_message(message)))
                 self.assertEqual(decode_message(body), message)
 
-    def test_status_request_of_a_newer_build_is_read_up_to_its_number(self) -> None:
+    def test_lease_request_of_a_newer_build_is_read_up_to_its_number(self) -> None:
         body = [*encode_message(self.MESSAGES[1]), "new field"]
-        self.assertEqual(decode_message(body), UnreadableStatusRequest(2))
+        self.assertEqual(decode_message(body), UnreadableLeaseRequest(2))
 
     def test_phase_of_a_newer_build_wants_nothing(self) -> None:
         body = ["told", 2, True, 3, "c", "of a newer build", [], True, ["v"]]
         reply = decode_message(body)
-        assert isinstance(reply, StatusReply)
+        assert isinstance(reply, LeaseReply)
         self.assertIs(reply.phase, ChangePhase.NONE)
--- a/tests/test_policies_participant.py
+++ b/tests/test_policies_participant.py
@@ -11,10 +11,10 @@
 from landingshift.policies.messages import (
     ChangePhase,
     EndedChange,
+    LeaseReply,
+    LeaseRequest,
     PolicyText,
     Redirect,
-    StatusReply,
-    StatusRequest,
 )
 from landingshift.policies.participant import ChangeParticipant, ParticipantState
 from landingshift.policies.policy_settings import PolicySettings
@@ -40,9 +40,9 @@
         sent_at_ms: float | None = None,
     ) -> None:
         """The leader `v` answers a request that was sent at `sent_at_ms`, or just now."""
-        participant.send_status_request(now_ms if sent_at_ms is None else sent_at_ms)
+        participant.send_lease_request(now_ms if sent_at_ms is None else sent_at_ms)
         number = participant.last_request_number
-        reply = StatusReply(number, True, version, change_id, phase, ended, is_lease_granted, ("v",))
+        reply = LeaseReply(number, True, version, change_id, phase, ended, is_lease_granted, ("v",))
         participant.on_message("v", reply, now_ms)
         participant.outbox.clear()
 
@@ -99,10 +99,10 @@
 
     def test_answer_from_before_the_change_does_not_free_a_prepared_server(self) -> None:
         participant = self.started()
-        participant.send_status_request(990.0)
+        participant.send_lease_request(990.0)
         late_number = participant.last_request_number  # answered before the change was opened
         self.prepare(participant, 1000.0)
-        late_reply = StatusReply(late_number, True, 0, "", ChangePhase.NONE, None, True, ("v",))
+        late_reply = LeaseReply(late_number, True, 0, "", ChangePhase.NONE, None, True, ("v",))
         participant.on_message("v", late_reply, 1900.0)
         self.assertIs(participant.state, ParticipantState.PREPARED)
         # Nor one that does not say what became of this very change.
@@ -157,7 +157,7 @@
             now_ms = max(now_ms, participant.next_deadline_ms)
             participant.tick(now_ms)
             for receiver, request in participant.outbox:
-                assert isinstance(request, StatusRequest)
+                assert isinstance(request, LeaseRequest)
                 other = "w" if receiver == "v" else "v"
                 participant.on_message(receiver, Redirect(request.number, other), now_ms)
                 request_count += 1
