--- a/landingshift/coldstart/lease_history.py
+++ b/landingshift/coldstart/lease_history.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from landingshift import decision_history
-from landingshift.coldstart.coordinator import ColdStartCoordinator
+from landingshift.coldstart.participant import ColdStartParticipant
 
 HISTORY_EVENT = "loan"
 
@@ -14,12 +14,12 @@
     def __init__(self) -> None:
         self._noted: dict[str, tuple[float, ...]] = {}
 
-    def update(self, coordinator: ColdStartCoordinator) -> None:
+    def update(self, participant: ColdStartParticipant) -> None:
         """Notes what has changed."""
         if not decision_history.is_recording():
             return
-        holder_name = coordinator.node.local_record.name
-        for grantor_name, leases in coordinator.held_leases.items():
+        holder_name = participant.node.local_record.name
+        for grantor_name, leases in participant.held_leases.items():
             held = (
                 leases.call_quota.held_amount,
                 leases.call_quota.expires_at_ms,
--- a/landingshift/coldstart/operator_views.py
+++ b/landingshift/coldstart/operator_views.py
@@ -4,48 +4,48 @@
 
 from typing import Any
 
-from landingshift.coldstart.coordinator import ColdStartCoordinator
 from landingshift.coldstart.errors import NotAGrantorError
+from landingshift.coldstart.participant import ColdStartParticipant
 from landingshift.coldstart.start_sequence import StartStage
 
 STAGE_POSITIONS = {stage: float(position) for position, stage in enumerate(StartStage)}
 
 
-def published_metadata(coordinator: ColdStartCoordinator, now_ms: float) -> dict[str, float]:
+def published_metadata(participant: ColdStartParticipant, now_ms: float) -> dict[str, float]:
     """What a server publishes of its start to all members."""
     return {
-        "stage": STAGE_POSITIONS[coordinator.start_sequence.stage],
-        "share": round(coordinator.call_quota(now_ms), 1),
+        "stage": STAGE_POSITIONS[participant.start_sequence.stage],
+        "share": round(participant.call_quota(now_ms), 1),
     }
 
 
 def cold_start_status(
-    coordinator: ColdStartCoordinator, list_poll_count: int, now_ms: float
+    participant: ColdStartParticipant, list_poll_count: int, now_ms: float
 ) -> dict[str, Any]:
     """Answer to the call `coldstart`: how far this server is, and what it may use."""
-    observation = coordinator.observation
+    observation = participant.observation
     return {
-        "name": coordinator.node.local_record.name,
-        "stage": coordinator.start_sequence.stage.value,
-        "alone": coordinator.start_sequence.started_without_grantor,
-        "share": coordinator.call_quota(now_ms),
-        "floor": coordinator.floor_calls_per_second,
+        "name": participant.node.local_record.name,
+        "stage": participant.start_sequence.stage.value,
+        "alone": participant.start_sequence.started_without_grantor,
+        "share": participant.call_quota(now_ms),
+        "floor": participant.floor_calls_per_second,
         "strain": observation.saturation,
         "need": observation.needed_calls_per_second,
-        "lenders": coordinator.present_grantors(),
-        "asked": coordinator.request_count,
-        "answered": coordinator.response_count,
+        "lenders": participant.present_grantors(),
+        "asked": participant.request_count,
+        "answered": participant.response_count,
         "list_asks": list_poll_count,
     }
 
 
-def granted_leases(coordinator: ColdStartCoordinator) -> dict[str, Any]:
+def granted_leases(participant: ColdStartParticipant) -> dict[str, Any]:
     """Answer to the call `lent`: what this server has granted.
 
     Raises:
         NotAGrantorError: It grants nothing.
     """
-    grantor = coordinator.grantor
+    grantor = participant.grantor
     if grantor is None:
         raise NotAGrantorError
     quotas = grantor.call_quota_grantor
--- a/landingshift/coldstart/coordinator.py
+++ b/landingshift/coldstart/participant.py
@@ -69,7 +69,7 @@
         return max(self.call_quota.expires_at_ms, self.start_permit.expires_at_ms)
 
 
-class ColdStartCoordinator:
+class ColdStartParticipant:
     """Requests, grants and the start sequence of one server.
 
     Attributes:
--- a/landingshift/coldstart/service.py
+++ b/landingshift/coldstart/service.py
@@ -10,12 +10,12 @@
 from landingshift import failpoints, system_clock
 from landingshift.admission.interface import Outcome
 from landingshift.coldstart import wire
-from landingshift.coldstart.coordinator import ColdStartCoordinator, LoadObservation
 from landingshift.coldstart.downstream_saturation import DownstreamSaturation
 from landingshift.coldstart.endpoint_discovery import EndpointDiscovery
 from landingshift.coldstart.last_boot import read_last_boot_id, remove_last_boot_id, write_last_boot_id
 from landingshift.coldstart.lease_history import LeaseHistory
 from landingshift.coldstart.operator_views import cold_start_status, granted_leases, published_metadata
+from landingshift.coldstart.participant import ColdStartParticipant, LoadObservation
 from landingshift.coldstart.recovery_grace import recovery_grace_ms
 from landingshift.coldstart.settings import Settings, cold_start_plan
 from landingshift.membership.messages import MemberRecord
@@ -58,7 +58,7 @@
 
 
 class ColdStartService:
-    """Drives a `ColdStartCoordinator` and an `EndpointDiscovery`.
+    """Drives a `ColdStartParticipant` and an `EndpointDiscovery`.
 
     Attributes:
         name: Under which the server's health is held back.
@@ -74,7 +74,7 @@
         config = self._router.config
         rng = Random(f"{config.seed} coldstart {config.name}")
         grace_ms = grantor_recovery_grace_ms(settings, self._node.local_record.name, self._log)
-        self._coordinator = ColdStartCoordinator(
+        self._participant = ColdStartParticipant(
             self._node, cold_start_plan(settings), rng, self._loop.now_ms, grace_ms
         )
         self._saturation = DownstreamSaturation()
@@ -106,21 +106,21 @@
         age_ms = now_ms - admission.started_at_ms
         # Before it is open it calls for nobody: those that fill their caches need the calls more.
         needed = 0.0
-        if self._coordinator.start_sequence.is_open:
+        if self._participant.start_sequence.is_open:
             wanted = self._saturation.wanted_calls_per_second(now_ms)
             needed = max(MIN_NEEDED_CALLS_PER_SECOND, NEED_HEADROOM_RATIO * wanted)
         return LoadObservation(
             warm_fraction=min(1.0, age_ms / warm_up_ms) if warm_up_ms else 1.0,
             needed_calls_per_second=needed,
             waiting_rpcs_per_second=admission.arrivals_per_second(now_ms),
-            saturation=self._saturation.saturation(now_ms, self._coordinator.reported_baseline_ms),
+            saturation=self._saturation.saturation(now_ms, self._participant.reported_baseline_ms),
             baseline_latency_ms=self._saturation.baseline_latency_ms,
         )
 
     # Time and messages
 
     def _on_message(self, sender: MemberRecord, body: list[Any]) -> None:
-        self._coordinator.on_message(sender, body)
+        self._participant.on_message(sender, body)
         self._on_timer()  # what was granted is used at once
 
     def _on_timer(self) -> None:
@@ -129,32 +129,32 @@
         now_ms = self._loop.now_ms
         expiries = [
             expires_at_ms
-            for leases in self._coordinator.held_leases.values()
+            for leases in self._participant.held_leases.values()
             for expires_at_ms in (leases.call_quota.expires_at_ms, leases.start_permit.expires_at_ms)
             if expires_at_ms > now_ms
         ]
-        next_ms = min([now_ms + EVALUATION_INTERVAL_MS, self._coordinator.next_request_ms, *expiries])
+        next_ms = min([now_ms + EVALUATION_INTERVAL_MS, self._participant.next_request_ms, *expiries])
         self._loop.cancel(self._timer)
         self._timer = self._loop.after(max(MIN_TIMER_DELAY_MS, next_ms - now_ms), self._on_timer)
 
     def _advance(self) -> None:
-        now_ms, coordinator = self._loop.now_ms, self._coordinator
+        now_ms, participant = self._loop.now_ms, self._participant
         # Without its engine the server can't work: a permit would be taken for nothing.
-        if self._router.admission is not None and coordinator.on_timer(now_ms, self._observe()):
+        if self._router.admission is not None and participant.on_timer(now_ms, self._observe()):
             self._on_stage_changed()
-        self._lease_history.update(coordinator)
+        self._lease_history.update(participant)
         self._hand_out_quota()
         self._discovery.on_timer()
-        self._node.publish_metadata(now_ms, **published_metadata(coordinator, now_ms))
+        self._node.publish_metadata(now_ms, **published_metadata(participant, now_ms))
 
     def _on_stage_changed(self) -> None:
-        start = self._coordinator.start_sequence
+        start = self._participant.start_sequence
         failpoints.reach(f"coldstart.{start.stage.value}")
         self._log(
             "coldstart",
             stage=start.stage.value,
             alone=start.started_without_grantor,
-            share=round(self._coordinator.call_quota(self._loop.now_ms), 2),
+            share=round(self._participant.call_quota(self._loop.now_ms), 2),
             members=len(self._node.member_table.present_names) + 1,
         )
         if start.is_open:
@@ -165,7 +165,7 @@
         admission = self._router.admission
         if not self._settings.downstream_calls_per_second or admission is None:
             return
-        quota = self._coordinator.call_quota(self._loop.now_ms)
+        quota = self._participant.call_quota(self._loop.now_ms)
         if quota != self._handed_quota:
             self._handed_quota = quota
             admission.set_call_quota(quota)
@@ -177,10 +177,10 @@
     # Operators' calls
 
     def _on_status_call(self, _params: list[Any]) -> dict[str, Any]:
-        return cold_start_status(self._coordinator, self._discovery.poll_count, self._loop.now_ms)
+        return cold_start_status(self._participant, self._discovery.poll_count, self._loop.now_ms)
 
     def _on_lent_call(self, _params: list[Any]) -> dict[str, Any]:
-        return granted_leases(self._coordinator)
+        return granted_leases(self._participant)
 
 
 def attach(host: ServiceHost, settings: Settings) -> ColdStartService:
--- a/landingshift/testbed/simulation/cold_start.py
+++ b/landingshift/testbed/simulation/cold_start.py
@@ -13,8 +13,8 @@
 from random import Random
 from typing import Any
 
-from landingshift.coldstart.coordinator import ColdStartCoordinator, LoadObservation
 from landingshift.coldstart.downstream_saturation import DownstreamSaturation
+from landingshift.coldstart.participant import ColdStartParticipant, LoadObservation
 from landingshift.coldstart.plan import ColdStartPlan
 from landingshift.coldstart.service_discovery import ServiceDiscoveryPoller
 from landingshift.coldstart.settings import Settings, cold_start_plan
@@ -104,7 +104,7 @@
         index: Number of the server.
         started_at_ms: By its clock.
         node: Membership.
-        agent: The cold start's coordinator.
+        agent: The server's participant.
         poller: Asks the endpoint list.
         saturation: What the calls tell of the store.
         cache_fill_count: Calls that have succeeded.
@@ -138,7 +138,7 @@
             record, contacts, SwimTimings(), MAX_MEMBER_COUNT, rng, now_ms, partial(self._on_log, index)
         )
         uptime_ms = 0.0 if case.is_after_power_cut else None
-        self.agent = ColdStartCoordinator(self.node, simulation.plan, rng, now_ms, uptime_ms)
+        self.agent = ColdStartParticipant(self.node, simulation.plan, rng, now_ms, uptime_ms)
         self.poller = ServiceDiscoveryPoller(
             case.server_count, case.list_polls_per_second, bool(contacts), LIST_TIMEOUT_MS, rng, now_ms
         )
--- a/landingshift/testbed/simulation/faults.py
+++ b/landingshift/testbed/simulation/faults.py
@@ -165,7 +165,7 @@
         for request in leader.maintenance.state.requests.values():
             stages.add(f"work {request.state.value}")
     for server in state.running_servers():
-        start_stage = server.cold_start.coordinator.start_sequence.stage.value
+        start_stage = server.cold_start.participant.start_sequence.stage.value
         if start_stage != WARM_STAGE:
             stages.add(f"start {start_stage}")
     return sorted(stages)
--- a/landingshift/testbed/simulation/quiescence.py
+++ b/landingshift/testbed/simulation/quiescence.py
@@ -13,7 +13,7 @@
 MAX_SHOWN_PAIRS = 3
 
 _SERVER_CONDITIONS: list[tuple[str, Callable[[SimulatedServer], bool]]] = [
-    ("not warm", lambda server: server.cold_start.coordinator.start_sequence.stage.value == WARM_STAGE),
+    ("not warm", lambda server: server.cold_start.participant.start_sequence.stage.value == WARM_STAGE),
     ("not counted", lambda server: server.policy_node.participant.is_member),
     ("does not decide", lambda server: server.rpcs.may_decide),
     ("not listed", lambda server: server.is_listed),
--- a/landingshift/testbed/simulation/removed_defences.py
+++ b/landingshift/testbed/simulation/removed_defences.py
@@ -9,8 +9,8 @@
 from math import inf
 
 from landingshift.admission.controller import AdmissionController
-from landingshift.coldstart.coordinator import ColdStartCoordinator
 from landingshift.coldstart.leases import LeaseRequest
+from landingshift.coldstart.participant import ColdStartParticipant
 from landingshift.consensus.raft import Role
 from landingshift.maintenance.agent import MaintenanceAgent
 from landingshift.maintenance.capacity_constraints import DisruptionBudget
@@ -110,13 +110,13 @@
         ]
 
 
-def remove_recovery_grace(cold_start: ColdStartCoordinator, now_ms: float) -> None:
+def remove_recovery_grace(cold_start: ColdStartParticipant, now_ms: float) -> None:
     """Lets a grantor grant at once after its start."""
     if cold_start.grantor is not None:
         cold_start.grantor.set_recovery_grace_until(now_ms)
 
 
-def remove_booked_amount(cold_start: ColdStartCoordinator) -> None:
+def remove_booked_amount(cold_start: ColdStartParticipant) -> None:
     """Frees what a smaller grant leaves while its holder may still believe in the larger one."""
     if cold_start.grantor is None:
         return
--- a/landingshift/testbed/simulation/server.py
+++ b/landingshift/testbed/simulation/server.py
@@ -163,7 +163,7 @@
     @property
     def is_listed(self) -> bool:
         """Whether gateways may hear of it: as services hold its health back on a real server."""
-        is_open = self.cold_start.coordinator.start_sequence.is_open
+        is_open = self.cold_start.participant.start_sequence.is_open
         return self.rpcs.is_healthy and is_open and self.rpcs.may_decide and not self.is_draining
 
     def wall_clock_ms(self) -> float:
--- a/landingshift/testbed/simulation/server_cold_start.py
+++ b/landingshift/testbed/simulation/server_cold_start.py
@@ -1,10 +1,10 @@
-"""The cold start of a simulated server: its coordinator, its leases and the endpoint list."""
+"""The cold start of a simulated server: its participant, its leases and the endpoint list."""
 
 from __future__ import annotations
 
 from random import Random
 
-from landingshift.coldstart.coordinator import ColdStartCoordinator, LoadObservation
+from landingshift.coldstart.participant import ColdStartParticipant, LoadObservation
 from landingshift.coldstart.service_discovery import ServiceDiscoveryPoller
 from landingshift.membership.node import SwimNode
 from landingshift.testbed.simulation.cluster_context import ClusterContext
@@ -30,7 +30,7 @@
     """What a server does until it is warm.
 
     Attributes:
-        coordinator: Takes and, on a grantor, grants leases.
+        participant: Takes and, on a grantor, grants leases.
         poller: Asks the endpoint list for other servers.
         is_open: The server has begun to take RPCs.
         call_quota: What admission was told last; -1 for nothing yet.
@@ -45,11 +45,11 @@
         self._host = host
         self._node = node
         now_ms = host.clock_ms()
-        self.coordinator = ColdStartCoordinator(node, cluster.config.cold_start, rng, now_ms)
+        self.participant = ColdStartParticipant(node, cluster.config.cold_start, rng, now_ms)
         if cluster.config.removed_defence == RECOVERY_GRACE:
-            remove_recovery_grace(self.coordinator, now_ms)
+            remove_recovery_grace(self.participant, now_ms)
         if cluster.config.removed_defence == BOOKED_AMOUNT:
-            remove_booked_amount(self.coordinator)
+            remove_booked_amount(self.participant)
         self.poller = ServiceDiscoveryPoller(
             cluster.config.server_count, LIST_POLLS_PER_SECOND, True, LIST_TIMEOUT_MS, rng, now_ms
         )
@@ -65,12 +65,12 @@
         return min(1.0, age_fraction, rpcs.engine.cache_fill_fraction)
 
     def step(self, rpcs: RpcService, now_ms: float) -> None:
-        """Reports the server's state to the coordinator, and does what that decides."""
+        """Reports the server's state to the participant, and does what that decides."""
         self._node.now_ms = now_ms
-        start_sequence = self.coordinator.start_sequence
-        if self.coordinator.on_timer(now_ms, self._observe(rpcs, now_ms)):
+        start_sequence = self.participant.start_sequence
+        if self.participant.on_timer(now_ms, self._observe(rpcs, now_ms)):
             self.is_open = start_sequence.is_open
-        call_quota = self.coordinator.call_quota(now_ms)
+        call_quota = self.participant.call_quota(now_ms)
         if call_quota != self.call_quota:
             self.call_quota = call_quota
             rpcs.set_call_quota(call_quota, now_ms)
@@ -83,19 +83,19 @@
     def _observe(self, rpcs: RpcService, now_ms: float) -> LoadObservation:
         saturation = rpcs.saturation
         needed_calls = 0.0
-        if self.coordinator.start_sequence.is_open:
+        if self.participant.start_sequence.is_open:
             wanted_calls = DEMAND_MARGIN_FACTOR * saturation.wanted_calls_per_second(now_ms)
             needed_calls = max(MIN_DEMAND_CALLS_PER_SECOND, wanted_calls)
         return LoadObservation(
             warm_fraction=self.warm_fraction(rpcs),
             needed_calls_per_second=needed_calls,
             waiting_rpcs_per_second=rpcs.admission.arrivals_per_second(now_ms),
-            saturation=saturation.saturation(now_ms, self.coordinator.reported_baseline_ms),
+            saturation=saturation.saturation(now_ms, self.participant.reported_baseline_ms),
             baseline_latency_ms=saturation.baseline_latency_ms,
         )
 
     def _record_leases(self) -> None:
-        for grantor, leases in self.coordinator.held_leases.items():
+        for grantor, leases in self.participant.held_leases.items():
             values = (
                 leases.call_quota.held_amount,
                 self._host.network_time_ms(leases.call_quota.expires_at_ms),
