--- a/landingshift/membership/failure_detector.py
+++ b/landingshift/membership/failure_detector.py
@@ -126,7 +126,7 @@
                 self._start_probe(now_ms)
 
     def on_local_pause(self, pause_ms: float) -> None:
-        """This member stood still: what others sent meanwhile may be lost.
+        """This member was paused: what others sent meanwhile may be lost.
 
         All that runs against others is put off by as much, and this member doubts itself.
         """
@@ -278,6 +278,6 @@
         self._merge_local_observation(member.record, MemberState.DEAD, now_ms)
 
     def _merge_local_observation(self, record: MemberRecord, state: MemberState, now_ms: float) -> None:
-        """Enters into the table what this member itself holds of another one."""
+        """Enters into the table the state that this member itself believes another one to be in."""
         local_name = self._context.member_table.local_record.name
         self._context.member_table.merge(replace(record, state=state, reported_by=local_name), now_ms)
--- a/landingshift/membership/messages.py
+++ b/landingshift/membership/messages.py
@@ -23,7 +23,7 @@
 
 
 class MemberState(IntEnum):
-    """What is held of a member; of the same incarnation the higher state wins.
+    """The believed state of a member; of the same incarnation the higher state wins.
 
     Numbers are sent; `name.lower()` is what operators see.
     """
@@ -51,7 +51,7 @@
         run_id: Drawn at random at each start of the process.
         incarnation: Raised by the member itself to refute what others say of it.
         metadata_version: Raised by the member itself with each change of its metadata.
-        state: What the reporter holds of it.
+        state: The state that the reporter believes it to be in.
         reported_by: Name of the member that says so, empty where it is the member itself.
         metadata: Figures that the member publishes of itself.
     """
--- a/landingshift/membership/node.py
+++ b/landingshift/membership/node.py
@@ -45,7 +45,7 @@
 from landingshift.membership.timings import SwimTimings
 from landingshift.membership.token_bucket import TokenBucket
 
-LOCAL_PAUSE_THRESHOLD_MS = 100.0  # a timer that is later than this shows that the process stood still
+LOCAL_PAUSE_THRESHOLD_MS = 100.0  # a timer that is later than this shows that the process was paused
 REPLIES_PER_SECOND = 200.0  # to digests, ping requests and outdated records
 METADATA_INTERVAL_MS = 500.0  # between two versions of this member's own metadata, at least
 TABLE_CLEANUP_INTERVAL_MS = 1000.0
@@ -188,13 +188,10 @@
         if not self.has_joined:
             self.has_joined = True
             self.anti_entropy.on_first_contact(now_ms)
-        # A sender must receive first what is held against it, or it could never refute that.
         is_outdated = known.liveness_precedence > sender.liveness_precedence
-        overriding_record = known if is_outdated else None
-        self._dispatch(message, known, overriding_record)
-        must_be_corrected = overriding_record is not None and not isinstance(message.payload, Ping)
-        if overriding_record is not None and must_be_corrected and self._reply_limit.try_consume(now_ms):
-            self.outbox.send(sender.address, Gossip(), gossip=[overriding_record])
+        self._dispatch(message, known, known if is_outdated else None)
+        if is_outdated:
+            self._correct_outdated_sender(message, known)
 
     def _dispatch(
         self, message: Message, known: MemberRecord, overriding_record: MemberRecord | None
@@ -204,7 +201,7 @@
         Args:
             message: What came.
             known: The newest record of its sender.
-            overriding_record: What is held against the sender, if anything.
+            overriding_record: A record that overrides the sender's own, if there is one.
         """
         sender = message.sender
         match message.payload:
@@ -223,6 +220,14 @@
                 if handler is not None:
                     handler(sender, body)
 
+    def _correct_outdated_sender(self, message: Message, overriding_record: MemberRecord) -> None:
+        """Sends a member the record that overrides its own, as it could never refute that otherwise.
+
+        The ack to a ping carries it already.
+        """
+        if not isinstance(message.payload, Ping) and self._reply_limit.try_consume(self.now_ms):
+            self.outbox.send(message.sender.address, Gossip(), gossip=[overriding_record])
+
     def _on_ping(self, message: Message, target_name: str, overriding_record: MemberRecord | None) -> None:
         """Answers a probe, unless it is meant for another member that had this address."""
         if target_name in (ANY_MEMBER, self.local_record.name):
--- a/landingshift/membership/settings.py
+++ b/landingshift/membership/settings.py
@@ -30,7 +30,9 @@
 
 
 class Settings(Struct, forbid_unknown_fields=True, frozen=True, rename=TOML_KEYS):
-    """The settings of one server; members tell each other, and whoever reaches the address is believed.
+    """The settings of one server.
+
+    The protocol is unauthenticated: any sender that reaches the address is trusted.
 
     Attributes:
         cluster_name: Datagrams of other clusters are rejected.
