--- a/landingshift/coldstart/grantor.py
+++ b/landingshift/coldstart/grantor.py
@@ -61,12 +61,13 @@
     def on_request(
         self, sender: MemberRecord, request: ColdStartRequest, now_ms: float
     ) -> ColdStartGrant | None:
-        """Grants or renews what a server asks for; None for a late, doubled or invalid request."""
+        """Grants or renews what a server asks for; None for a late, duplicated or invalid request."""
         if not request.is_within_bounds:
             return None
         for name in self.call_quota_grantor.expire(now_ms):
             self._baselines_ms.pop(name, None)
         self._calls_limiter.record_saturation(request.saturation)
+        # This limit begins at its maximum, and after a decrease rises to it again however little is in use.
         if self._calls_limiter.evaluate(now_ms, is_exhausted=True):
             self.call_quota_grantor.capacity = self._calls_limiter.limit
         quota = self.call_quota_grantor.renew(_quota_request(sender, request), now_ms)
--- a/landingshift/coldstart/leases.py
+++ b/landingshift/coldstart/leases.py
@@ -1,7 +1,7 @@
 """Leased amounts: a grantor's and a holder's side.
 
 Guarantee: the sum of what all holders may use never passes what the grantor has, although messages are lost,
-late, doubled and reordered, processes are paused or replaced, and clocks differ. The rule, and why that
+late, duplicated and reordered, processes are paused or replaced, and clocks differ. The rule, and why that
 holds:
 
 1. A holder numbers its requests and takes only the answer to its last one. What an older answer offered is
@@ -27,7 +27,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-CLOCK_DRIFT_FRACTION = 0.02  # of a lease, by which two monotonic clocks may run apart in it
+# Of a lease, by which two monotonic clocks may run apart in it; policies and maintenance assume the same.
+CLOCK_DRIFT_FRACTION = 0.02
 MAX_HOLDER_COUNT = 10_000
 DIVISION_LIFETIME_MS = 100.0  # hundreds of holders ask in each second
 NEVER_MS = -1e9  # a time before all others
@@ -133,7 +134,7 @@
             now_ms: By the grantor's clock.
 
         Returns:
-            What is granted from now on; None for a request that is late or doubled, which has no answer.
+            What is granted from now on; None for a request that is late or duplicated, which has no answer.
         """
         self.expire(now_ms)
         grant = self.grants.get(request.holder_name)
--- a/landingshift/coldstart/service.py
+++ b/landingshift/coldstart/service.py
@@ -1,4 +1,4 @@
-"""The cold start on the server's loop: holds the server back, hands its quota to the admission."""
+"""The cold start on the server's loop: holds the server back, and applies its call quota to the admission."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 MIN_TIMER_DELAY_MS = 5.0
 NEED_HEADROOM_RATIO = 1.25  # of what is asked for to what is needed: room to grow into
 MIN_NEEDED_CALLS_PER_SECOND = 1.0
-NO_QUOTA = -1.0  # a quota that was never handed out
+NO_CALL_QUOTA = -1.0  # none was applied yet: differs from every quota
 
 
 def grantor_recovery_grace_ms(settings: Settings, name: str, log: Callable[..., None]) -> float | None:
@@ -80,10 +80,13 @@
         self._saturation = DownstreamSaturation()
         self._discovery = EndpointDiscovery(self._loop, membership, settings, rng, self._log)
         self._lease_history = LeaseHistory()
-        self._handed_quota = NO_QUOTA
+        self._applied_call_quota = NO_CALL_QUOTA
         self._router.health_reporter.add_readiness_gate(self.name)
         self._router.observers.add(self)
-        membership.operator_rpc.handlers |= {"coldstart": self._on_status_call, "lent": self._on_lent_call}
+        membership.operator_rpc.handlers |= {
+            "coldstart": self._on_status_call,
+            "lent": self._on_granted_leases_call,
+        }
         self._node.message_handlers[wire.PACKAGE] = self._on_message
         self._timer: Timer | None = self._loop.after(0.0, self._on_timer)
 
@@ -143,7 +146,7 @@
         if self._router.admission is not None and participant.on_timer(now_ms, self._observe()):
             self._on_stage_changed()
         self._lease_history.update(participant)
-        self._hand_out_quota()
+        self._apply_call_quota()
         self._discovery.on_timer()
         self._node.publish_metadata(now_ms, **published_metadata(participant, now_ms))
 
@@ -160,14 +163,14 @@
         if start.is_open:
             self._router.health_reporter.remove_readiness_gate(self.name)
 
-    def _hand_out_quota(self) -> None:
+    def _apply_call_quota(self) -> None:
         """Tells the admission how many calls a second it may make, where that has changed."""
         admission = self._router.admission
         if not self._settings.downstream_calls_per_second or admission is None:
             return
         quota = self._participant.call_quota(self._loop.now_ms)
-        if quota != self._handed_quota:
-            self._handed_quota = quota
+        if quota != self._applied_call_quota:
+            self._applied_call_quota = quota
             admission.set_call_quota(quota)
 
     def finish(self) -> None:
@@ -179,7 +182,7 @@
     def _on_status_call(self, _params: list[Any]) -> dict[str, Any]:
         return cold_start_status(self._participant, self._discovery.poll_count, self._loop.now_ms)
 
-    def _on_lent_call(self, _params: list[Any]) -> dict[str, Any]:
+    def _on_granted_leases_call(self, _params: list[Any]) -> dict[str, Any]:
         return granted_leases(self._participant)
 
 
--- a/landingshift/coldstart/service_discovery.py
+++ b/landingshift/coldstart/service_discovery.py
@@ -9,11 +9,8 @@
 
 from random import Random
 
-from landingshift.coldstart.backoff import (
-    DecorrelatedJitterBackoff,
-    mean_rate_below_cap,
-    random_start_delay_ms,
-)
+from landingshift.coldstart.backoff import DecorrelatedJitterBackoff
+from landingshift.coldstart.start_spreading import mean_rate_below_cap, random_start_delay_ms
 
 POLL_TIMEOUT_MS = 5_000.0
 MIN_POLL_PAUSE_MS = 1_000.0
--- a/landingshift/coldstart/start_permits.py
+++ b/landingshift/coldstart/start_permits.py
@@ -127,7 +127,7 @@
 
         Returns:
             1 where the server may start, 0 where it is to ask again, None for a request that is late or
-            doubled.
+            duplicated.
         """
         for name in self.lease_grantor.expire(now_ms):
             self.candidates.pop(name, None)
--- a/landingshift/coldstart/start_sequence.py
+++ b/landingshift/coldstart/start_sequence.py
@@ -10,7 +10,7 @@
 from enum import Enum
 from random import Random
 
-from landingshift.coldstart.backoff import random_start_delay_ms
+from landingshift.coldstart.start_spreading import random_start_delay_ms
 
 
 class StartStage(Enum):
--- a/tests/test_coldstart.py
+++ b/tests/test_coldstart.py
@@ -12,11 +12,7 @@
 from landingshift import failpoints
 from landingshift.coldstart import endpoint_cache, wire
 from landingshift.coldstart.adaptive_limit import HOLD_WINDOW_COUNT, AdaptiveLimit
-from landingshift.coldstart.backoff import (
-    DecorrelatedJitterBackoff,
-    mean_rate_below_cap,
-    random_start_delay_ms,
-)
+from landingshift.coldstart.backoff import DecorrelatedJitterBackoff
 from landingshift.coldstart.downstream_saturation import UNKNOWN_SATURATION, DownstreamSaturation
 from landingshift.coldstart.errors import EndpointCacheError, InvalidMessageError
 from landingshift.coldstart.fair_division import max_min_fair_shares
@@ -33,6 +29,7 @@
     assign_permits,
 )
 from landingshift.coldstart.start_sequence import StartSequence, StartStage
+from landingshift.coldstart.start_spreading import mean_rate_below_cap, random_start_delay_ms
 from landingshift.membership.messages import MemberRecord, MemberState
 from landingshift.system_clock import SystemBoot
 from landingshift.testbed.experiments.cold_start import experiment
