--- a/landingshift/testbed/simulation/server.py
+++ b/landingshift/testbed/simulation/server.py
@@ -224,7 +224,8 @@
                 self.node.on_message(message, now_ms)
             case RpcArrival(rpc, queued_ms):
                 self.rpcs.on_rpc(rpc, queued_ms, now_ms)
-            case DrainNotice(down_ms):
+            case DrainNotice(float(down_ms)):
+                # Drawn scenarios have whole numbers here, and their notices do nothing; those of files do.
                 self.start_draining(down_ms)
             case RunFinished() | CallNeeded() | CallFinished():
                 self.rpcs.on_engine_event(message, now_ms)
