--- a/landingshift/admission/check_timer.py
+++ b/landingshift/admission/check_timer.py
@@ -1,4 +1,4 @@
-"""When the controller looks at its gauges, deadlines and rates next.
+"""When the controller checks its gauges, deadlines and rates next.
 
 Often while RPCs are queued or wait for a call, seldom on an idle server: those of a large fleet must cost
 next to nothing. A check is brought forward for an RPC that would otherwise end before it, and never put off
@@ -7,11 +7,12 @@
 
 from __future__ import annotations
 
-from landingshift.admission.draining import CHECK_INTERVAL_MS
 from landingshift.admission.interface import Actions
 from landingshift.admission.managed_rpc import ManagedRpc
 from landingshift.admission.server_state import ServerState
 
+CHECK_INTERVAL_MS = 50.0
+"""Between two checks while RPCs are queued or wait for a call."""
 IDLE_CHECK_INTERVAL_MS = 200.0
 """Between two checks while nothing is queued."""
 MIN_CHECK_INTERVAL_MS = 10.0
@@ -44,7 +45,7 @@
         return self._server.now_ms >= self.next_check_ms - TIMER_TOLERANCE_MS
 
     def schedule_before_deadline(self, managed: ManagedRpc) -> None:
-        """Has an RPC that was read looked at before its deadline."""
+        """Has an RPC that was read checked before its deadline."""
         ends_before_check = managed.check_deadline_ms < self.next_check_ms + CHECK_INTERVAL_MS
         if ends_before_check and self.next_check_ms > self._server.now_ms + MIN_CHECK_INTERVAL_MS:
             self.schedule(MIN_CHECK_INTERVAL_MS)
@@ -60,7 +61,7 @@
         """Sets the timer after a check.
 
         Args:
-            next_checks_ms: When each RPC in hand needs to be looked at.
+            next_checks_ms: When each RPC in hand needs its next check.
         """
         now_ms = self._server.now_ms
         next_ms = min([now_ms + IDLE_CHECK_INTERVAL_MS, *next_checks_ms])
--- a/landingshift/admission/controller.py
+++ b/landingshift/admission/controller.py
@@ -17,10 +17,10 @@
                         downstream_time_budget bound it
     retry_policy        what may be attempted again
     dedup_entries       which RPCs enter the deduplication table
-    backpressure        what callers hear; recent_callers and idle_connections with it
+    backpressure        the load that callers are told; recent_callers and idle_connections with it
     draining            graceful shutdown and standby
     rpc_lifecycle       the states of an RPC and what the program does for each
-    check_timer         when the controller looks again by itself
+    check_timer         when the controller checks next by itself
     snapshot            export and import for a hot restart
 """
 
@@ -32,13 +32,13 @@
 
 from landingshift.admission.backpressure import Backpressure
 from landingshift.admission.call_rate import CallRate
-from landingshift.admission.check_timer import MIN_CHECK_INTERVAL_MS, CheckTimer
+from landingshift.admission.check_timer import CHECK_INTERVAL_MS, MIN_CHECK_INTERVAL_MS, CheckTimer
 from landingshift.admission.concurrency_limit import ConcurrencyLimit
 from landingshift.admission.deadline_check import DeadlineCheck
 from landingshift.admission.dedup_entries import DedupEntries
 from landingshift.admission.downstream_calls import DownstreamCalls
 from landingshift.admission.downstream_time_budget import DownstreamTimeBudget
-from landingshift.admission.draining import CHECK_INTERVAL_MS, Draining
+from landingshift.admission.draining import Draining
 from landingshift.admission.idle_connections import IdleConnections
 from landingshift.admission.interface import (
     Actions,
@@ -62,7 +62,8 @@
 from landingshift.admission.tenant_quotas import TenantQuotas
 
 DEADLINE_LEAD_MS = MIN_CHECK_INTERVAL_MS
-"""Before its deadline that a run is answered for: it may still end by itself until then."""
+"""Before the time in `enforce_deadline` that a run is aborted: no earlier, since it may still end by itself,
+and no later, since the next check may be as far away."""
 SLOW_UPDATE_INTERVAL_MS = 1000.0
 """Between two updates of what moves slowly: tenants' weights, the idle timeout of connections."""
 
@@ -75,7 +76,7 @@
 
         Args:
             settings: The server's settings. A policy may change figures in place; then `on_settings_changed`.
-            seed: Of the time of the first check, so that a fleet does not look at its gauges in step.
+            seed: Of the time of the first check, so that the servers of a fleet do not check in step.
             actions: What the program does.
             now_ms: The start of the server; its caches are cold from then on.
         """
@@ -152,7 +153,7 @@
         self.lifecycle.resume(managed, RpcEvent.RUN_FINISHED)
 
     def on_call_needed(self, managed: ManagedRpc) -> None:
-        """Takes a run's wish for a downstream call; it is off the cores until it is told more."""
+        """Handles a run that needs a downstream call; it is off the cores until that ends or is skipped."""
         managed.call_started_at_ms = self.state.now_ms
         if managed.state is RpcState.RUNNING:
             self.lifecycle.resume(managed, RpcEvent.CALL_NEEDED)
@@ -170,7 +171,7 @@
             self.lifecycle.resume(managed, outcome)
 
     def on_caller_gone(self, managed: ManagedRpc) -> None:
-        """Takes word that nobody waits for the RPC any more."""
+        """Handles a caller that has gone: nobody waits for the RPC any more."""
         if managed.state not in (RpcState.ABORTED, RpcState.ABANDONED):
             self.lifecycle.resume(managed, RpcEvent.CALLER_GONE)
 
@@ -185,7 +186,7 @@
     # Time
 
     def on_timer(self, gauges: Gauges) -> None:
-        """Looks at gauges, rates and deadlines; called when `Actions.schedule_check` asked for it."""
+        """Checks gauges, rates and deadlines; called when `Actions.schedule_check` asked for it."""
         if not self.timer.is_due():
             return
         self._update_rules(gauges)
@@ -211,19 +212,21 @@
             self.connections.update(gauges.open_connections or 0.0)
 
     def enforce_deadline(self, managed: ManagedRpc) -> float:
-        """Answers for an RPC that was started and whose time is up; cancels runs that nobody waits for.
+        """Aborts an RPC that has left the queue and whose time is up; cancels runs that nobody waits for.
 
-        A run that can be cancelled ends once its answer is worth nothing, another at its deadline.
+        A run that can be cancelled is aborted once its answer is worthless, another at its deadline. Queued
+        RPCs are the deadline check's.
 
         Returns:
-            When to look at the RPC again, in ms.
+            When the RPC needs its next check, in ms of the clock.
         """
         now_ms = self.state.now_ms
         can_cancel = self.state.settings.run_cancellation is not RunCancellation.NONE
         if managed.state in (RpcState.ABORTED, RpcState.ABANDONED):
             if not can_cancel:
                 return inf
-            self._actions.cancel_run(managed.rpc)  # lost on cores that stand still: said again
+            # Asked again at each check: it has no effect while the engine's cores stand still.
+            self._actions.cancel_run(managed.rpc)
         elif managed.state is not RpcState.QUEUED:
             end_ms = managed.worthless_at_ms if can_cancel else managed.deadline_at_ms
             if now_ms + DEADLINE_LEAD_MS >= end_ms:
@@ -298,7 +301,7 @@
 
     @property
     def advertised_load(self) -> float:
-        """What callers hear of the load, in the form that the settings name."""
+        """The load that answers and health checks carry, in the form that the settings name."""
         return self.backpressure.advertised_load
 
     def arrivals_per_second(self, now_ms: float) -> float:
--- a/landingshift/admission/draining.py
+++ b/landingshift/admission/draining.py
@@ -9,12 +9,11 @@
 
 from math import inf
 
+from landingshift.admission.check_timer import CHECK_INTERVAL_MS
 from landingshift.admission.interface import Actions
 from landingshift.admission.managed_rpc import ManagedRpc
 from landingshift.admission.server_state import ServerState
 
-CHECK_INTERVAL_MS = 50.0
-"""Between two checks while RPCs are queued or wait for a call."""
 STOP_MARGIN_MS = CHECK_INTERVAL_MS
 """Before the process stops that all is answered: one check may be late by its interval."""
 
--- a/landingshift/admission/interface.py
+++ b/landingshift/admission/interface.py
@@ -65,6 +65,7 @@
 
     OK = 1
     ABORTED = 2
+    """It failed."""
     REJECTED = 3
     """It was turned down before it ran."""
     NO_RESPONSE = 4
@@ -74,7 +75,9 @@
     CONNECTION_LOST = 6
     """It may have run."""
     CANCELLED = 7
+    """The engine stopped the run, or ended it at a call since the RPC was answered or its caller had gone."""
     NOT_SENT = 8
+    """No run was started: to the engine the RPC is over, or not known."""
 
 
 @dataclass(slots=True, eq=False)
@@ -86,7 +89,7 @@
     objective_work_factor: float
     """The latency objective grows by this multiple of an RPC's own work."""
     deadline_ms: float
-    """How long a caller waits that does not say how long it waits."""
+    """How long a caller waits whose RPC carries no deadline."""
     criticality: float
     """The value of one answer in time."""
     late_value_fraction: float
@@ -108,12 +111,12 @@
 
 @dataclass(slots=True, eq=False)
 class Settings:
-    """What a server is told at its start; a policy may change figures of it in place."""
+    """The settings that a server starts with; a policy may change their figures in place."""
 
     methods: list[Method]
     tenants: list[Tenant]
     over_quota_value_fraction: float
-    """What an RPC beyond its tenant's quota keeps of its value."""
+    """Of its value, that an RPC beyond its tenant's quota keeps."""
     criticality_is_per_work: bool
     """Criticality is the value of each unit of work, not of each answer."""
     server_count: int
@@ -174,6 +177,8 @@
     is_retry: bool
     """Its caller marked it as a further attempt or a hedged request."""
     is_write: bool
+    """It changes state: its result does not answer others. The simulator says so; in the server, whose
+    protocol has no such mark, it is always False."""
 
 
 @dataclass(slots=True)
@@ -224,7 +229,7 @@
         """Answers the duplicate with the result of the attempt that it repeats, once there is one."""
 
     def release(self, rpc: Rpc) -> None:
-        """Says that the controller will not mention the RPC again."""
+        """Lets go of the RPC: the controller will not name it again."""
 
     def set_health(self, is_healthy: bool, is_shallow: bool) -> None:
         """Sets the answer to health checks.
--- a/landingshift/admission/managed_rpc.py
+++ b/landingshift/admission/managed_rpc.py
@@ -44,7 +44,11 @@
 
     START = 1
     SHED = 2
-    """It fails the deadline check, or there is no memory for it."""
+    """It is rejected from the queue.
+
+    It fails the deadline check (a draining server's grace and standby are part of that), it has been queued
+    too long below the priority floor, or there is no memory for it or for its deduplication entry.
+    """
     DEADLINE_REACHED = 3
     CALLER_GONE = 4
     CALL_NEEDED = 5
@@ -75,7 +79,8 @@
         call_gain: What its value gains by a downstream call over skipping it.
         call_attempts: Downstream calls of it that failed.
         total_call_ms: Time that its downstream calls took.
-        call_started_at_ms: When it asked for the call in hand; from the start of that call on, when that was.
+        call_started_at_ms: While `AWAITING_CALL_SLOT`, when the run needed the call or, for one that is made
+            again, when the failed attempt started. From `CALLING` on, when the call started.
         call_expires_at_ms: When the call in hand can no longer occupy the layer below.
     """
 
--- a/landingshift/admission/rpc_lifecycle.py
+++ b/landingshift/admission/rpc_lifecycle.py
@@ -2,8 +2,23 @@
 
 An RPC is a generator that yields the state it goes to and is resumed with what happens to it:
 
-    QUEUED -> RUNNING <-> AWAITING_CALL_SLOT -> CALLING -> RUNNING
-    QUEUED -> REJECTED, AWAITING_ORIGINAL -> ABORTED, any state of a run -> ABORTED or ABANDONED
+    AWAITING_ORIGINAL  -> ABORTED             at its deadline
+    QUEUED             -> RUNNING             started
+                       -> REJECTED            shed
+    RUNNING            -> AWAITING_CALL_SLOT  needs a downstream call
+    AWAITING_CALL_SLOT -> CALLING             call permitted
+                       -> CALL_SKIPPED        call denied, can do without
+                       -> ABORTED             call denied, cannot do without
+    CALLING            -> RUNNING             call answered
+                       -> AWAITING_CALL_SLOT  call failed, is made again
+                       -> CALL_SKIPPED        call failed, can do without
+                       -> ABORTED             call failed, cannot do without
+    CALL_SKIPPED       -> RUNNING             at once; the call is over
+    any state of a run -> ABORTED             at its deadline, or needs a call once its answer is worthless
+                       -> ABANDONED           its caller has gone
+
+An RPC leaves when its run, or the one that it waits for, has ended, when it is rejected, and when it is
+aborted without a run of its own. One whose caller goes before a run was started leaves without an answer.
 
 Each RPC is answered once: with its result, as rejected (never ran) or as aborted. The memory of a run is
 counted until the engine says that it is over, whether or not anybody waits for it.
@@ -70,7 +85,7 @@
         self._enter(managed, next(managed.lifecycle))
 
     def resume(self, managed: ManagedRpc, event: RpcEvent | Outcome) -> None:
-        """Tells an RPC what happened; one that has left does not hear of it."""
+        """Resumes an RPC with an event; does nothing for one that has left."""
         if managed.state is None:
             return
         state: RpcState | None
@@ -81,12 +96,14 @@
         self._enter(managed, state)
 
     def restore(self, managed: ManagedRpc, state: RpcState) -> None:
-        """Makes the lifecycle of an RPC from another build up to its state; nothing is done for it.
+        """Brings the lifecycle of an RPC from another build to its state, without acting for it.
 
         Its memory is not counted: the figure comes with the server's state.
         """
         now_ms = self._server.now_ms
-        self._server.now_ms = -inf  # before any deadline: none must end it here
+        # The generator ends a run that needs a call too late. This one needed it in time, in the other build:
+        # at the clock of now it might end here instead of reaching its state.
+        self._server.now_ms = -inf
         managed.lifecycle = self._states(managed)
         reached = next(managed.lifecycle)
         for event in EVENTS_TO_STATE[state]:
@@ -104,7 +121,7 @@
                 yield RpcState.ABORTED
             return
         event = yield RpcState.QUEUED
-        if event in (RpcEvent.SHED, RpcEvent.DEADLINE_REACHED):
+        if event is RpcEvent.SHED:
             yield RpcState.REJECTED
         if event is not RpcEvent.START:
             return
@@ -143,12 +160,12 @@
             return RpcEvent.DEADLINE_REACHED
 
     def _enter(self, managed: ManagedRpc, state: RpcState | None) -> None:
-        """Moves an RPC to a state; None once its lifecycle is over."""
+        """Moves an RPC to a state and acts for it; None once its lifecycle is over."""
         previous = managed.state
         if previous is not None:
             self._server.remove(managed)
-        never_ran = previous in (RpcState.AWAITING_ORIGINAL, RpcState.QUEUED)
-        if state in (None, RpcState.REJECTED) or (state is RpcState.ABORTED and never_ran):
+        has_no_run = previous is RpcState.AWAITING_ORIGINAL
+        if state in (None, RpcState.REJECTED) or (state is RpcState.ABORTED and has_no_run):
             self._release(managed, state)
             return
         managed.state = RpcState.RUNNING if state is RpcState.CALL_SKIPPED else state
