--- a/landingshift/admission/backpressure.py
+++ b/landingshift/admission/backpressure.py
@@ -1,9 +1,11 @@
-"""What callers hear of this server's load: weight, level or credit, and the advice in a rejection.
+"""The load that this server advertises (weight, level or credit) and the Retry-After of its rejections.
 
-Two signals: the length of the queue moves a weight, and how long RPCs waited unread says that the server
-drowns in reads, before any run ends to show it. Advice acts only on callers that come back within its
-lifetime; it never falls to nothing while the server accepts, since a caller that hears nothing forgets and
-sends as if nothing had been said.
+Two signals, each from `MIN_SIGNAL` to 1, make the advertised load. `queue_weight` falls while the queue is
+long. `read_responsiveness` falls while RPCs wait long before they are read: it shows a server whose cores are
+full of reads, before any run ends to show it.
+
+An advertisement has an effect only on callers that come back before they forget it. So the signals never
+reach 0: a caller that stays away hears nothing, forgets, and sends as if nothing had been advertised.
 """
 
 from __future__ import annotations
@@ -21,8 +23,10 @@
 
 UNREAD_BUCKET_COUNT, UNREAD_BUCKET_MS = 2, 250.0
 MAX_UNREAD_FRACTION = 0.5
-"""Of the shortest latency objective: RPCs unread for so long say that the server drowns in reads."""
-MIN_ADVERTISED_WEIGHT = 0.2
+"""Of the shortest latency objective: where RPCs wait unread for so long, the responsiveness would be 0."""
+MIN_SIGNAL = 0.2
+"""Least value of each signal, so that callers come back and hear of the load."""
+# The modes are logged while their signal is below the threshold; nothing else goes by these.
 READ_OVERLOAD_MODE, READ_OVERLOAD_THRESHOLD = "drowning", 0.3
 SHEDDING_MODE, SHEDDING_THRESHOLD = "shedding", 0.7
 ADVERTISED_DIGIT_COUNT = 3
@@ -30,11 +34,11 @@
 
 
 class Backpressure:
-    """What this server tells its callers.
+    """What this server tells its callers about its load.
 
     Attributes:
-        queue_weight: From `MIN_ADVERTISED_WEIGHT` to 1, falling while more than one RPC a core is queued.
-        read_responsiveness: From `MIN_ADVERTISED_WEIGHT` to 1, lower the longer RPCs wait unread.
+        queue_weight: From `MIN_SIGNAL` to 1, falling while more than one RPC a core is queued.
+        read_responsiveness: From `MIN_SIGNAL` to 1, lower the longer RPCs wait unread.
         unread_ms: How long RPCs waited unread, of the last half second.
         advertised_load: What was last advertised, in the form of `Settings.load_advertisement`.
     """
@@ -68,10 +72,9 @@
         self.unread_ms.add(self._server.now_ms, waited_ms)
 
     def reject(self, managed: ManagedRpc) -> None:
-        """Rejects the RPC: with a Retry-After that grows with the time that RPCs wait unread.
+        """Rejects the RPC, with a Retry-After that grows with the time that RPCs wait unread.
 
-        A server that drains or is on standby sends callers away for the longest time, but lets them go
-        elsewhere.
+        Out of service the Retry-After is the longest, and callers may always try another server.
         """
         self._check.record_rejection(managed)
         is_final = self._retries.is_final_rejection(managed)
@@ -81,7 +84,7 @@
         self._actions.reject(managed.rpc, retry_after_ms, is_final and is_in_service)
 
     def update(self) -> None:
-        """Moves the signals and advertises what has changed."""
+        """Moves the signals, and advertises the load if it has changed."""
         self._update_queue_weight()
         self._update_read_responsiveness()
         self._log_shedding()
@@ -96,16 +99,13 @@
         capacity = self._server.settings.core_count
         queued = len(self._server.queued)
         step = self._server.seconds_since_check * max(-1.0, (capacity - queued) / capacity)
-        self.queue_weight = max(MIN_ADVERTISED_WEIGHT, min(1.0, self.queue_weight * (1.0 + step)))
+        self.queue_weight = max(MIN_SIGNAL, min(1.0, self.queue_weight * (1.0 + step)))
 
     def _update_read_responsiveness(self) -> None:
-        """Sets the responsiveness by how long RPCs waited unread.
-
-        That shows a slow server before any run ends.
-        """
+        """Sets the responsiveness by how long RPCs waited unread."""
         unread_ms = self.unread_ms.mean(self._server.now_ms, 0.0)
         max_unread_ms = MAX_UNREAD_FRACTION * self._server.shortest_objective_ms
-        self.read_responsiveness = max(MIN_ADVERTISED_WEIGHT, 1.0 - unread_ms / max_unread_ms)
+        self.read_responsiveness = max(MIN_SIGNAL, 1.0 - unread_ms / max_unread_ms)
         is_overloaded = self.read_responsiveness < READ_OVERLOAD_THRESHOLD
         self._modes.set(READ_OVERLOAD_MODE, is_overloaded, f"unread for {unread_ms:.0f} ms")
 
@@ -123,9 +123,10 @@
         return self.queue_weight * self.read_responsiveness * is_in_service
 
     def _credit(self) -> float:
-        """What the busiest caller may have in flight: its share of what runs, calls and may be queued.
+        """RPCs that one caller may have in flight: the busiest caller's part of what this server can hold.
 
-        Split evenly it would starve while others leave theirs.
+        It can hold what may run, is at a downstream call and may be queued. Every caller is told the same
+        credit: an even split would be too little for the busiest while others do not use theirs.
         """
         server = self._server
         running = max(self._limit.limit, len(server.running))
--- a/landingshift/admission/concurrency_limit.py
+++ b/landingshift/admission/concurrency_limit.py
@@ -9,9 +9,9 @@
 from __future__ import annotations
 
 from landingshift.admission.interface import Gauges
-from landingshift.admission.managed_rpc import ManagedRpc
 from landingshift.admission.rolling_window import RollingWindow
 from landingshift.admission.server_state import SAFE_FRACTION, ServerState
+from landingshift.admission.service_times import ServiceTimes
 
 BUSY_UTILIZATION_FRACTION = 0.95
 """Core utilization from which the cores count as busy."""
@@ -26,7 +26,6 @@
 """Of the cores that may read before the limit gives way."""
 SMOOTHING_OLD, SMOOTHING_NEW = 0.7, 0.3
 SLOWDOWN_BUCKET_COUNT, SLOWDOWN_BUCKET_MS = 2, 1000.0
-MIN_OWN_MS = 1.0
 MIN_WARM_UP_MS = 1.0
 
 
@@ -51,12 +50,15 @@
         self.busy_cores = 0.0
         self.reading_cores = 0.0
 
-    def record_run(self, managed: ManagedRpc, run_ms: float) -> None:
-        """Notes how much slower than its base a run was that ended well."""
-        base_ms = managed.service_times.base_own_ms
-        if base_ms:
-            own_ms = max(MIN_OWN_MS, run_ms - managed.total_call_ms)
-            self.slowdown.add(self._server.now_ms, own_ms / base_ms)
+    def record_run(self, service_times: ServiceTimes, own_ms: float) -> None:
+        """Notes how much slower than the base of its method a run was that ended well.
+
+        Args:
+            service_times: Of the method.
+            own_ms: What the run took without downstream calls.
+        """
+        if service_times.base_own_ms:
+            self.slowdown.add(self._server.now_ms, own_ms / service_times.base_own_ms)
 
     def survivable_runs(self) -> float:
         """RPCs on the cores that this server survives; fewer while it is cold, growing with its age."""
--- a/landingshift/admission/controller.py
+++ b/landingshift/admission/controller.py
@@ -148,8 +148,9 @@
         if managed.state is RpcState.CALLING:
             self.calls.on_cancelled(managed)
         if managed.state is not RpcState.AWAITING_ORIGINAL and outcome is Outcome.OK:
-            self.limit.record_run(managed, run_ms)
-            managed.service_times.record(self.state.now_ms, run_ms, managed.total_call_ms)
+            own_ms = managed.own_run_ms(run_ms)
+            self.limit.record_run(managed.service_times, own_ms)
+            managed.service_times.record(self.state.now_ms, run_ms, own_ms)
         self.lifecycle.resume(managed, RpcEvent.RUN_FINISHED)
 
     def on_call_needed(self, managed: ManagedRpc) -> None:
--- a/landingshift/admission/deadline_check.py
+++ b/landingshift/admission/deadline_check.py
@@ -13,13 +13,12 @@
 from landingshift.admission.managed_rpc import ManagedRpc
 from landingshift.admission.rolling_window import RollingWindow
 from landingshift.admission.server_state import ServerState
-from landingshift.admission.start_order import StartOrder
+from landingshift.admission.start_order import OVERLOAD_BUCKET_COUNT, OVERLOAD_BUCKET_MS, StartOrder
 
 MAX_MARGIN_FRACTION = 0.7
 """Of an RPC's time budget: under long-tailed service times one p99 would reject all."""
 MAX_QUEUE_FRACTION_BELOW_FLOOR = 0.12
 """Of its time budget that an RPC is queued which is not among the best that start."""
-BUCKET_COUNT, BUCKET_MS = 4, 500.0
 
 
 class DeadlineCheck:
@@ -28,14 +27,14 @@
     Attributes:
         failures: One for each RPC rejected for failing the check in the last 2 s.
         next_failure_ms: Before this no queued RPC fails: what the check goes by changes at timer checks only.
-            0 has all looked at again.
+            0 has all checked again.
     """
 
     def __init__(self, server: ServerState, draining: Draining, order: StartOrder) -> None:
         self._server = server
         self._draining = draining
         self._order = order
-        self.failures = RollingWindow(BUCKET_COUNT, BUCKET_MS)
+        self.failures = RollingWindow(OVERLOAD_BUCKET_COUNT, OVERLOAD_BUCKET_MS)
         self.next_failure_ms = 0.0
 
     def latest_start_ms(self, managed: ManagedRpc) -> float:
--- a/landingshift/admission/managed_rpc.py
+++ b/landingshift/admission/managed_rpc.py
@@ -14,6 +14,7 @@
 One that keeps no more is better rejected, so that another server can still answer in time.
 """
 MIN_TIME_BUDGET_MS = 1.0
+MIN_OWN_RUN_MS = 1.0
 
 
 class RpcState(IntEnum):
@@ -118,6 +119,14 @@
         self.objective_at_ms = min(objective_at_ms, self.deadline_at_ms)
         self.time_budget_ms = max(MIN_TIME_BUDGET_MS, self.check_deadline_ms - self.arrived_at_ms)
 
+    def own_run_ms(self, run_ms: float) -> float:
+        """The part of a run that was not spent in downstream calls.
+
+        Args:
+            run_ms: What the run took in all.
+        """
+        return max(MIN_OWN_RUN_MS, run_ms - self.total_call_ms)
+
     @property
     def check_deadline_ms(self) -> float:
         """The deadline that the check goes by: later answers are not worth starting a run for."""
--- a/landingshift/admission/recent_callers.py
+++ b/landingshift/admission/recent_callers.py
@@ -44,13 +44,16 @@
     def busiest_caller_fraction(self) -> float:
         """Fraction of the recent RPCs that came from the busiest caller; 1 before the first RPC.
 
-        A cold server counts each caller that the settings name as one that asked, less so as it learns who
-        calls: a first credit is taken by each of all callers, and one that knows none yet would get it
-        times their number.
+        A cold server has not met its callers yet. By what it has read, the first one would be all there is
+        and its credit the whole server, and each other caller would take as much. So each of the
+        `caller_count` callers counts as one RPC at the first RPC, and as less with time, down to none once
+        the window is full. With 10 callers, half a window after the first RPC and 3 RPCs of one caller and 1
+        of another read since, the busiest has (3 + 0.5) / (4 + 0.5 * 10) = 0.39 in place of 3 / 4.
         """
         now_ms, settings = self._server.now_ms, self._server.settings
         counts = Counter(self.caller_ids.values(now_ms))
-        known = min(1.0, max(0.0, now_ms - self.first_rpc_ms) / self.caller_ids.duration_ms)
-        assumed = (1.0 - known) * (settings.starts_cold and settings.caller_count > 0)
-        total = counts.total() + assumed * settings.caller_count
-        return (max(counts.values(), default=0) + assumed) / total if total else 1.0
+        known_fraction = min(1.0, max(0.0, now_ms - self.first_rpc_ms) / self.caller_ids.duration_ms)
+        assumes_callers = settings.starts_cold and settings.caller_count > 0
+        assumed_rpcs = (1.0 - known_fraction) * assumes_callers  # of each caller
+        total = counts.total() + assumed_rpcs * settings.caller_count
+        return (max(counts.values(), default=0) + assumed_rpcs) / total if total else 1.0
--- a/landingshift/admission/service_times.py
+++ b/landingshift/admission/service_times.py
@@ -1,7 +1,8 @@
 """What runs of one method take, learned from those that ended well.
 
-The p99 is the margin of the deadline check, the mean the expected work in the start order, and the base
-(the least mean of the last 40 s) the latency without load by which the concurrency limit is cut.
+The p99 is the margin of the deadline check, the mean the expected work in the start order. The base is what
+a run takes on a server without load: the least mean of a 5 s bucket in the last 40 s. The concurrency limit
+is cut by how much longer than that runs take.
 """
 
 from __future__ import annotations
@@ -10,9 +11,8 @@
 
 RUN_BUCKET_COUNT, RUN_BUCKET_MS = 8, 2000.0
 OWN_BUCKET_COUNT, OWN_BUCKET_MS = 8, 5000.0
-MIN_OWN_MS = 1.0
 REFRESH_CHANGE_FRACTION = 0.01
-"""Fewer changes cannot move a p99, and sorting is dear."""
+"""Of the values: fewer new ones hardly move the p99, and to compute it all are sorted."""
 
 
 class ServiceTimes:
@@ -35,16 +35,16 @@
         self.mean_own_ms = 0.0
         self.base_own_ms = 0.0
 
-    def record(self, now_ms: float, run_ms: float, call_ms: float) -> None:
+    def record(self, now_ms: float, run_ms: float, own_ms: float) -> None:
         """Notes a run that ended well.
 
         Args:
             now_ms: Time.
             run_ms: What it took in all.
-            call_ms: The part of that which went into downstream calls.
+            own_ms: The part of that which was not spent in downstream calls.
         """
         self.run_ms.add(now_ms, run_ms)
-        self.own_ms.add(now_ms, max(MIN_OWN_MS, run_ms - call_ms))
+        self.own_ms.add(now_ms, own_ms)
 
     def refresh(self, now_ms: float) -> None:
         """Computes the figures anew where enough has changed."""
--- a/landingshift/admission/start_order.py
+++ b/landingshift/admission/start_order.py
@@ -16,8 +16,10 @@
 from landingshift.admission.server_state import ServerState
 from landingshift.admission.tenant_quotas import TenantQuotas
 
-BUCKET_COUNT, BUCKET_MS = 4, 500.0
-WINDOW_SECONDS = BUCKET_COUNT * BUCKET_MS / 1000.0
+OVERLOAD_BUCKET_COUNT, OVERLOAD_BUCKET_MS = 4, 500.0
+"""The window of arrivals, starts and failures of the deadline check, which `update_floor` compares: all three
+must cover the same time."""
+WINDOW_SECONDS = OVERLOAD_BUCKET_COUNT * OVERLOAD_BUCKET_MS / 1000.0
 MIN_EXPECTED_WORK_MS = 1.0
 OVERLOAD_FAILURE_FRACTION = 0.1
 """Of what is read: as many must fail the deadline check for a queue to count as standing."""
@@ -37,8 +39,8 @@
         self._server = server
         self._tenants = tenants
         self._modes = modes
-        self.arrival_priorities = RollingWindow(BUCKET_COUNT, BUCKET_MS)
-        self.starts = RollingWindow(BUCKET_COUNT, BUCKET_MS)
+        self.arrival_priorities = RollingWindow(OVERLOAD_BUCKET_COUNT, OVERLOAD_BUCKET_MS)
+        self.starts = RollingWindow(OVERLOAD_BUCKET_COUNT, OVERLOAD_BUCKET_MS)
         self.priority_floor = 0.0
 
     def priority(self, managed: ManagedRpc) -> float:
--- a/landingshift/settings.py
+++ b/landingshift/settings.py
@@ -23,24 +23,26 @@
 REQUIRED = object()
 """In place of a default: the key must be there."""
 MAX_NUMBER = 1e15
+NONE_WORD = "silent"
+"""By which several settings say that there is none of what they name."""
 IDEMPOTENCY = {
     "retryable": Idempotency.IDEMPOTENT,
     "dedup": Idempotency.KEYED,
     "fragile": Idempotency.NON_IDEMPOTENT,
 }
 DOWNSTREAM = {
-    "silent": DownstreamKind.NONE,
+    NONE_WORD: DownstreamKind.NONE,
     "shared": DownstreamKind.SHARED_STORE,
     "tier": DownstreamKind.TIER,
 }
 LOAD_ADVERTISEMENT = {
-    "silent": LoadAdvertisement.NONE,
+    NONE_WORD: LoadAdvertisement.NONE,
     "level": LoadAdvertisement.LEVEL,
     "credit": LoadAdvertisement.CREDIT,
     "weight": LoadAdvertisement.WEIGHT,
 }
 RUN_CANCELLATION = {
-    "silent": RunCancellation.NONE,
+    NONE_WORD: RunCancellation.NONE,
     "drop": RunCancellation.DROP,
     "pause": RunCancellation.PAUSE,
 }
@@ -92,7 +94,7 @@
         return f"{self._path}.{key}" if self._path else key
 
     def value(self, key: str, default: Any) -> Any:
-        """Any value; null says as much as a key that is not there.
+        """Any value; null counts as a missing key.
 
         Raises:
             MissingSettingError: It is not there, and `default` is `REQUIRED`.
@@ -173,12 +175,12 @@
         running_memory_factor=extra.number("run-factor"),
         dedup_entry_kb=extra.number("key-kb", 0.0),
         response_cache_ttl_ms=extra.number("share-for", 0.0),
-        run_cancellation=extra.choice("halt", RUN_CANCELLATION, "silent"),
-        downstream=extra.choice("depends-on", DOWNSTREAM, "silent"),
+        run_cancellation=extra.choice("halt", RUN_CANCELLATION, NONE_WORD),
+        downstream=extra.choice("depends-on", DOWNSTREAM, NONE_WORD),
         downstream_concurrency_quota=extra.number("calls-out", 0.0),
         downstream_quota_window_ms=extra.number("calls-over", 0.0),
         lost_call_linger_ms=extra.number("linger", 0.0),
-        load_advertisement=extra.choice("say", LOAD_ADVERTISEMENT, "silent"),
+        load_advertisement=extra.choice("say", LOAD_ADVERTISEMENT, NONE_WORD),
         callers_send_deadline=bool(extra.value("passes-deadline", False)),
         callers_mark_retries=bool(top.table("clients", {}).value("marks-retry", False)),
         connection_idle_timeout_ms=extra.number("caller-idle", 0.0),
