--- a/landingshift/admission/managed_rpc.py
+++ b/landingshift/admission/managed_rpc.py
@@ -14,6 +14,7 @@
 One that keeps no more is better rejected, so that another server can still answer in time.
 """
 MIN_TIME_BUDGET_MS = 1.0
+MIN_OWN_RUN_MS = 1.0
 
 
 class RpcState(IntEnum):
@@ -44,7 +45,11 @@
 
     START = 1
     SHED = 2
-    """It fails the deadline check, or there is no memory for it."""
+    """It is rejected from the queue.
+
+    It fails the deadline check (a draining server's grace and standby are part of that), it has been queued
+    too long below the priority floor, or there is no memory for it or for its deduplication entry.
+    """
     DEADLINE_REACHED = 3
     CALLER_GONE = 4
     CALL_NEEDED = 5
@@ -75,7 +80,8 @@
         call_gain: What its value gains by a downstream call over skipping it.
         call_attempts: Downstream calls of it that failed.
         total_call_ms: Time that its downstream calls took.
-        call_started_at_ms: When it asked for the call in hand; from the start of that call on, when that was.
+        call_started_at_ms: While `AWAITING_CALL_SLOT`, when the run needed the call or, for one that is made
+            again, when the failed attempt started. From `CALLING` on, when the call started.
         call_expires_at_ms: When the call in hand can no longer occupy the layer below.
     """
 
@@ -113,6 +119,14 @@
         self.objective_at_ms = min(objective_at_ms, self.deadline_at_ms)
         self.time_budget_ms = max(MIN_TIME_BUDGET_MS, self.check_deadline_ms - self.arrived_at_ms)
 
+    def own_run_ms(self, run_ms: float) -> float:
+        """The part of a run that was not spent in downstream calls.
+
+        Args:
+            run_ms: What the run took in all.
+        """
+        return max(MIN_OWN_RUN_MS, run_ms - self.total_call_ms)
+
     @property
     def check_deadline_ms(self) -> float:
         """The deadline that the check goes by: later answers are not worth starting a run for."""
