--- a/landingshift/hot_restart/state_export.py
+++ b/landingshift/hot_restart/state_export.py
@@ -180,7 +180,7 @@
         )
 
     def _command(self, rpc: RoutedRpc) -> StoredCommand | None:
-        command = self._router.engine.commands.get(rpc)
+        command = self._router.engine.commands.latest.get(rpc)
         if command is None:
             return None
         return StoredCommand(
@@ -230,8 +230,8 @@
             gauge_query=gauge_query,
             unconfirmed_rpc_indexes=[
                 self._rpc_indexes[command.rpc]
-                for command in engine.unconfirmed
-                if engine.commands.get(command.rpc) is command
+                for command in engine.commands.queue
+                if engine.commands.latest.get(command.rpc) is command
             ],
         )
 
--- a/landingshift/hot_restart/state_import.py
+++ b/landingshift/hot_restart/state_import.py
@@ -36,8 +36,9 @@
 from landingshift.net.routing.database_pool import MAX_UNSENT_BYTES as DATABASE_MAX_UNSENT_BYTES
 from landingshift.net.routing.database_pool import DatabaseCall, DatabaseLink
 from landingshift.net.routing.dedup import ENTRY_BYTES, DedupEntry
+from landingshift.net.routing.engine_commands import EngineCommand
 from landingshift.net.routing.engine_link import MAX_UNSENT_BYTES as ENGINE_MAX_UNSENT_BYTES
-from landingshift.net.routing.engine_link import RECONNECT_DELAY_MS, EngineCommand, GaugeQuery
+from landingshift.net.routing.engine_link import RECONNECT_DELAY_MS, GaugeQuery
 from landingshift.net.routing.gateway_connection import MAX_UNSENT_BYTES as GATEWAY_MAX_UNSENT_BYTES
 from landingshift.net.routing.gateway_connection import RESET_TIME_MS, GatewayConnection
 from landingshift.net.routing.router import Router
@@ -166,7 +167,7 @@
             **record,
         )
         if stored.command is not None and not rpc.is_closed:
-            self._router.engine.commands[rpc] = _command(rpc, stored.command)
+            self._router.engine.commands.latest[rpc] = _command(rpc, stored.command)
         return rpc
 
     def _connection(self, stored: StoredConnection) -> GatewayConnection:
@@ -256,9 +257,9 @@
         if stored.gauge_query is not None:
             engine.gauge_query = GaugeQuery(stored.gauge_query.tag, stored.gauge_query.bytes_before)
         for index in stored.unconfirmed_rpc_indexes:
-            command = engine.commands.get(self._rpcs[index])
+            command = engine.commands.latest.get(self._rpcs[index])
             if command is not None:
-                engine.unconfirmed.append(command)
+                engine.commands.queue.append(command)
         if stored.stream is not None:
             engine.stream = self._stream(stored.stream, engine, ENGINE_MAX_UNSENT_BYTES)
         else:
--- a/landingshift/net/protocol/lines.py
+++ b/landingshift/net/protocol/lines.py
@@ -1,4 +1,4 @@
-"""Lines of words that end in CR LF, some of them followed by as many bytes as their last word says."""
+"""Lines of tokens that end in CR LF, some of them followed by as many bytes as their last token says."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
         self.reason = reason
 
 
-def decode_number(word: bytes) -> int:
-    """The non-negative whole number that `word` spells.
+def decode_number(token: bytes) -> int:
+    """The non-negative whole number that `token` spells.
 
     Raises:
-        ProtocolError: `word` is no such number.
+        ProtocolError: `token` is no such number.
     """
-    if not word.isdigit() or len(word) > MAX_NUMBER_DIGITS:
+    if not token.isdigit() or len(token) > MAX_NUMBER_DIGITS:
         raise ProtocolError("bad_number")
-    return int(word)
+    return int(token)
 
 
 class LineDecoder:
@@ -100,7 +100,7 @@
 
 
 def encode_line(*tokens: bytes, body: bytes | None = None) -> bytes:
-    """One line, with the length of `body` as its last word and the body behind it where there is one."""
+    """One line, with the length of `body` as its last token and the body behind it where there is one."""
     if body is None:
         return b" ".join(tokens) + LINE_END
     return b"%b %d\r\n%b\r\n" % (b" ".join(tokens), len(body), body)
--- a/landingshift/net/routing/actions.py
+++ b/landingshift/net/routing/actions.py
@@ -107,7 +107,7 @@
                 self.duplicates.drop_unrun(entry)
         if rpc.is_duplicate:
             self.dedup.unlink_duplicate(rpc)
-        self.engine.forget_command(rpc)
+        self.engine.commands.forget(rpc)
         self.database.forget_rpc(rpc)
         rpc.managed = None  # no cycle: memory must not wait for the collector
         self.table.remove(rpc)
@@ -132,7 +132,7 @@
         assert isinstance(rpc, RoutedRpc)
         self.duplicates.await_original(rpc)
 
-    # What callers hear, and time
+    # The server's state as others see it, and the time of checks
 
     def set_health(self, is_healthy: bool, is_shallow: bool) -> None:
         """Sets the answer to health checks and the report to the roster."""
--- a/landingshift/net/routing/engine_events.py
+++ b/landingshift/net/routing/engine_events.py
@@ -62,7 +62,7 @@
         rpc = self.table.find(notice.rpc_id)
         if rpc is None or rpc.managed is None:
             return
-        self.engine.forget_command(rpc)
+        self.engine.commands.forget(rpc)
         if notice.notice_number != wire.NO_NOTICE_NUMBER:
             self.duplicates.verify_connection(rpc)
         self.database.cancel(rpc)
@@ -81,7 +81,7 @@
         rpc = self.table.find(notice.rpc_id)
         if rpc is None or rpc.managed is None:
             return
-        self.engine.forget_command(rpc)
+        self.engine.commands.forget(rpc)
         rpc.call_notice_number = notice.notice_number
         rpc.call_request = notice.request
         self.duplicates.verify_connection(rpc)
@@ -94,7 +94,7 @@
         self.log("engine_no", command=refusal.command.decode("latin-1"), known=rpc is not None)
         if rpc is None:
             return
-        if refusal.command != wire.RUN_COMMAND and not self.engine.is_asking_for(rpc):
+        if refusal.command != wire.RUN_COMMAND and not self.engine.commands.is_query(rpc):
             return
         connection = self.gateways.connections.get(rpc.connection)
         self.on_run_ended(wire.RunEnded(wire.NO_NOTICE_NUMBER, refusal.rpc_id, Outcome.NOT_SENT, 0.0, b""))
--- a/landingshift/net/routing/engine_link.py
+++ b/landingshift/net/routing/engine_link.py
@@ -1,21 +1,18 @@
 """The link to the engine: kept open, made again after a loss, and no run given to the engine twice.
 
 Guarantee: a command counts as delivered once the engine has answered a query that was written behind it.
-After a loss, what may not have arrived is sent again, except for a run whose effect must not happen twice and
-which may have arrived: it is withheld until its RPC is answered. Such an RPC may end aborted though it never
-ran.
+After a loss, what may not have arrived is sent again, except for what `engine_commands` withholds.
 """
 
 from __future__ import annotations
 
-from collections import deque
 from collections.abc import Callable
 from dataclasses import dataclass
 from typing import Protocol
 
-from landingshift.admission.interface import Idempotency
 from landingshift.net.protocol import engine as wire
 from landingshift.net.protocol.lines import ProtocolError
+from landingshift.net.routing.engine_commands import EngineCommand, UnconfirmedCommands
 from landingshift.net.routing.rpc_record import RoutedRpc
 from landingshift.net.transport.loop import Loop, Timer
 from landingshift.net.transport.stream import Address, Stream, connect
@@ -48,19 +45,6 @@
         """The gauges, in the order of the configuration."""
 
 
-@dataclass(slots=True, eq=False)
-class EngineCommand:
-    """A command for an RPC that is not known to have arrived."""
-
-    rpc: RoutedRpc
-    data: bytes
-    starts_run: bool  # which must not happen twice
-    stream_end: int = -1  # where it ends in the link's stream; -1 before it is written
-    is_in_doubt: bool = False  # given to a link that broke: it may have arrived
-    is_withheld: bool = False
-    on_known: Callable[[], None] | None = None  # called once it has arrived and the engine knew the RPC
-
-
 @dataclass(slots=True)
 class GaugeQuery:
     """A query for the gauges that is not answered yet."""
@@ -82,8 +66,7 @@
         has_reached_engine: It has answered at least once since the start of the server.
         is_greeted: It has answered on this link.
         is_changing_address: The link is being left for another address.
-        unconfirmed: Commands that are not known to have arrived, in the order they were given.
-        commands: The latest unconfirmed command of each open RPC.
+        commands: Those that are not known to have arrived.
     """
 
     def __init__(self, loop: Loop, address: Address, log: Callable[..., None]) -> None:
@@ -103,8 +86,7 @@
         self.linked_at_ms = loop.now_ms
         self.lost_at_ms = loop.now_ms
         self.decoder = wire.NoticeDecoder()
-        self.unconfirmed: deque[EngineCommand] = deque()
-        self.commands: dict[RoutedRpc, EngineCommand] = {}
+        self.commands = UnconfirmedCommands()
         self.gauge_query: GaugeQuery | None = None
         self.self_tests: dict[bytes, Callable[[bool], None]] = {}
         self.answered_at_ms = loop.now_ms  # when all that was asked had last been answered
@@ -195,7 +177,7 @@
                 "engine_link_lost",
                 reason=reason,
                 notice=self.last_notice_number,
-                unsure=len(self.unconfirmed),
+                unsure=len(self.commands.queue),
             )
         reconnect_at_once = self.is_greeted and self.loop.now_ms - self.linked_at_ms > RECONNECT_DELAY_MS
         if self.is_greeted:
@@ -205,9 +187,7 @@
         self.is_ready = False
         self.is_greeted = False
         self.is_changing_address = False
-        for command in self.unconfirmed:
-            command.is_in_doubt = command.is_in_doubt or 0 <= command.stream_end <= sent_bytes
-            command.stream_end = -1
+        self.commands.on_link_lost(sent_bytes)
         self.abandon_self_tests()
         delay_ms = 0.0 if reconnect_at_once else RECONNECT_DELAY_MS
         self.reconnect_timer = self.loop.after(delay_ms, self.attach)
@@ -269,17 +249,16 @@
             return
         self.gauge_query = None
         self.answered_at_ms = self.loop.now_ms
-        while self.unconfirmed and 0 <= self.unconfirmed[0].stream_end <= query.bytes_before:
-            self._confirm(self.unconfirmed.popleft())
+        self.commands.confirm(query.bytes_before)
         self.events.on_gauges(report.values)
         if self.is_changing_address and self.stream is not None:
-            if any(command.stream_end >= 0 for command in self.unconfirmed):
+            if self.commands.has_written():
                 self.query_gauges()
             else:
                 self.stream.close("moved")
         elif not self.is_ready:
             self._resend()
-        if any(command.on_known is not None for command in self.unconfirmed):
+        if self.commands.has_query():
             self.query_gauges()  # a caller waits for it
 
     # To the engine
@@ -307,8 +286,7 @@
     def send_command(self, rpc: RoutedRpc, data: bytes, starts_run: bool = False) -> EngineCommand:
         """Gives the engine a command for an RPC, as soon as the link is ready."""
         command = EngineCommand(rpc, data, starts_run)
-        self.commands[rpc] = command
-        self.unconfirmed.append(command)
+        self.commands.add(command)
         if self.is_ready:
             self._write(command)
         return command
@@ -328,18 +306,9 @@
         command.on_known = on_known
         self.query_gauges()
 
-    def is_asking_for(self, rpc: RoutedRpc) -> bool:
-        """Whether the RPC's latest command asks if the engine knows it."""
-        command = self.commands.get(rpc)
-        return command is not None and command.on_known is not None
-
-    def forget_command(self, rpc: RoutedRpc) -> None:
-        """The RPC's latest command has arrived, or nobody needs to know any more whether it has."""
-        self.commands.pop(rpc, None)
-
     def send_withheld(self, rpc: RoutedRpc) -> None:
         """Sends the withheld command of an RPC that is over, to learn how its run ended."""
-        command = self.commands.get(rpc)
+        command = self.commands.latest.get(rpc)
         if command is not None and command.is_withheld:
             self.send_command(rpc, command.data, starts_run=True)
 
@@ -348,34 +317,15 @@
             self.stream.write(command.data)
             command.stream_end = self.stream.queued_bytes
 
-    def _confirm(self, command: EngineCommand) -> None:
-        if self.commands.get(command.rpc) is not command:
-            return
-        del self.commands[command.rpc]
-        if command.on_known is not None:
-            command.on_known()
-
     def _resend(self) -> None:
         """The link is ready: writes what is not known to have arrived and may be repeated."""
         self.is_ready = True
-        open_commands = [command for command in self.unconfirmed if self.commands.get(command.rpc) is command]
-        for command in open_commands:
-            command.is_withheld = self._may_have_run(command)
-        self.unconfirmed = deque(command for command in open_commands if not command.is_withheld)
-        for command in self.unconfirmed:
+        open_count = self.commands.withhold()
+        for command in self.commands.queue:
             self._write(command)
         self.log(
             "engine_ready",
             link=self.link_count,
-            said_again=len(self.unconfirmed),
-            of=len(open_commands),
+            said_again=len(self.commands.queue),
+            of=open_count,
         )
-
-    @staticmethod
-    def _may_have_run(command: EngineCommand) -> bool:
-        """Whether repeating the command could have an effect twice.
-
-        One that starts a run and was given to a lost link may have run to its end since.
-        """
-        may_run_again = command.rpc.method.idempotency is Idempotency.IDEMPOTENT or command.rpc.is_answered
-        return command.starts_run and command.is_in_doubt and not may_run_again
--- a/landingshift/net/routing/gateway_connection.py
+++ b/landingshift/net/routing/gateway_connection.py
@@ -100,10 +100,6 @@
         self.accepted_pass = self.loop.passes_read
         self.timer = self.loop.after(VERIFICATION_TIME_MS, self.check_idle)
 
-    @property
-    def _is_over(self) -> bool:
-        return bool(self.stream.close_reason) or not self.stream.is_open
-
     # What comes
 
     def on_data(self, data: bytes) -> None:
@@ -113,8 +109,8 @@
             self.last_message_ms = self.loop.now_ms
             self.partial_since_ms = 0.0
         for message in messages:
-            if self._is_over:
-                return
+            if self.stream.close_reason:
+                return  # cut off by the message before
             self._on_message(message)
         if self.decoder.buffer and not self.partial_since_ms and self.stream.is_open:
             self.partial_since_ms = self.loop.now_ms
@@ -237,12 +233,12 @@
 
     def check_idle(self) -> None:
         """An idle connection is asked to go, and closed if it does not; an unverified one is closed."""
-        if self._is_over:
+        if self.stream.close_reason:
             return
         if self._time_left_ms() <= DUE_TOLERANCE_MS:
             self.stream.flush()
             self._read_pending()  # may bring an RPC, or its end
-            if self._is_over:
+            if self.stream.close_reason:
                 return
         time_left_ms = self._time_left_ms()
         if time_left_ms > DUE_TOLERANCE_MS:
--- a/landingshift/net/routing/gateways.py
+++ b/landingshift/net/routing/gateways.py
@@ -154,7 +154,7 @@
     def start_draining(self) -> None:
         """All are asked to go; no more come once those that wait to be accepted are here."""
         self.context.is_draining = True
-        # Closed before anyone hears it: they come again at once, and a refusal proves that nothing ran.
+        # Closed before gateways are told: they come again at once, and a refusal proves that nothing ran.
         self._close_listener()
         for connection in self.connections:
             connection.send_goaway(DRAIN_GOAWAY_GRACE_MS)
--- a/landingshift/net/routing/rpc_intake.py
+++ b/landingshift/net/routing/rpc_intake.py
@@ -69,7 +69,7 @@
             self._answer_invalid(connection, request, err.field)
             return
         except RunUnderWayError:
-            # Not as never run: whoever hears that sends it elsewhere, where it runs too.
+            # Not rejected: the gateway would send it to another server, where it would run too.
             data = wire.encode_aborted(request.message_id, self.answers.headers)
             connection.answer(request.message_id, data)
             return
@@ -90,7 +90,7 @@
         self._admit(rpc)
 
     def on_abandoned(self, rpc: RoutedRpc) -> None:
-        """Nobody waits for the RPC any more; the controller hears of it later in the pass."""
+        """Nobody waits for the RPC any more; the controller is told later in the pass."""
         rpc.is_abandoned = True
         self.driver.defer(partial(self._on_caller_gone, rpc))
 
