--- a/landingshift/net/routing/gateway_connection.py
+++ b/landingshift/net/routing/gateway_connection.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 from typing import Protocol
 
 from landingshift.net.protocol import gateway as wire
@@ -18,11 +18,11 @@
 from landingshift.net.transport.slots import Slots
 from landingshift.net.transport.stream import Stream
 
-MAX_OPEN_RPCS = 32  # that a connection may have
+MAX_OPEN_RPCS = 32  # on one connection
 MAX_ANSWER_BYTES = 5000
-MAX_UNSENT_BYTES = MAX_OPEN_RPCS * MAX_ANSWER_BYTES  # that a gateway which keeps to that can leave unread
+MAX_UNSENT_BYTES = MAX_OPEN_RPCS * MAX_ANSWER_BYTES  # answers to all open RPCs, all unread
 GOAWAY_GRACE_MS = 1500.0  # that a gateway has to close a connection after goaway
-VERIFICATION_TIME_MS = 1000.0  # that a connection may last which has brought nothing that the engine knew
+VERIFICATION_TIME_MS = 1000.0  # after which an unverified connection that brings nothing is closed
 MAX_MESSAGE_MS = 2000.0  # from a message's first byte to its last
 MIN_CHECK_INTERVAL_MS = 50.0
 RESET_TIME_MS = 30.0  # in which a gateway that has gone answers a write with a reset
@@ -50,7 +50,7 @@
     log: Callable[..., None]
     connections: Slots[GatewayConnection]
     idle_limit_ms: float  # after which a quiet connection is asked to go
-    events: GatewayEvents | None = None  # set before the loop runs
+    events: GatewayEvents = field(init=False)  # set before the loop runs
     is_draining: bool = False
 
 
@@ -70,7 +70,7 @@
         last_invalid_field: The field that the last one turned down had wrong.
         goaway_deadline_ms: After goaway: when it is closed if the gateway does not do that; 0 before.
         is_verified: The engine has known an RPC of it.
-        unverified_repeats: Repeats that are answered once it is verified, and what they repeat.
+        unverified_duplicates: Those to be answered once it is verified, with the entries of their originals.
         accepted_ms: Since when it is here.
         last_message_ms: When its last complete message came or its last answer was written.
         partial_since_ms: When the message began that is not complete yet; 0 where there is none.
@@ -91,7 +91,7 @@
         self.last_invalid_field = ""
         self.goaway_deadline_ms = 0.0
         self.is_verified = False
-        self.unverified_repeats: dict[RoutedRpc, DedupEntry] = {}
+        self.unverified_duplicates: dict[RoutedRpc, DedupEntry] = {}
         self.accepted_ms = self.loop.now_ms
         self.last_message_ms = self.loop.now_ms
         self.partial_since_ms = 0.0
@@ -100,12 +100,6 @@
         self.accepted_pass = self.loop.passes_read
         self.timer = self.loop.after(VERIFICATION_TIME_MS, self.check_idle)
 
-    @property
-    def events(self) -> GatewayEvents:
-        """Who hears what the gateway asks for."""
-        assert self.context.events is not None
-        return self.context.events
-
     @property
     def _is_over(self) -> bool:
         return bool(self.stream.close_reason) or not self.stream.is_open
@@ -130,17 +124,17 @@
         if isinstance(message, wire.CancelNotification):
             rpc = self.rpcs.pop(message.message_id, None)
             if rpc is not None:
-                self.events.on_abandoned(rpc)
+                self.context.events.on_abandoned(rpc)
         elif isinstance(message, wire.ProtocolFailure):
             self.cut_off(message.reason)
         elif message.method == wire.HEALTH_CHECK_METHOD:
             self.health_check_count += 1
-            self.events.on_health_check(self, message)
+            self.context.events.on_health_check(self, message)
         elif message.message_id in self.rpcs:
             self.cut_off("number_twice")  # nobody could tell whose the answer is
         else:
             self.rpc_count += 1
-            self.events.on_request(self, message)
+            self.context.events.on_request(self, message)
 
     def on_eof(self) -> None:
         """The gateway writes no more.
@@ -198,7 +192,7 @@
         rpcs = self.rpcs
         self.rpcs = {}
         for rpc in rpcs.values():
-            self.events.on_abandoned(rpc)
+            self.context.events.on_abandoned(rpc)
 
     # Its end
 
