--- a/landingshift/net/program/config_errors.py
+++ b/landingshift/net/program/config_errors.py
@@ -11,7 +11,7 @@
     """The configuration can't be used.
 
     Attributes:
-        key: With the keys of the objects around it.
+        key: The key, after the keys of the objects around it.
         problem: What is wrong with its value.
     """
 
@@ -25,7 +25,7 @@
     """The file can't be read or is no JSON.
 
     Attributes:
-        path: Of the file.
+        path: The file's path.
     """
 
     def __init__(self, path: str, problem: str) -> None:
--- a/landingshift/net/program/config_reader.py
+++ b/landingshift/net/program/config_reader.py
@@ -44,10 +44,10 @@
         """The value of a key.
 
         Args:
-            key: In this object.
+            key: The key in this object.
             kinds: Types that it may have.
-            expected: What they are called in an error.
-            default: Where the key is not there; `REQUIRED` for an error.
+            expected: The name of these types in an error.
+            default: The value where the key is missing; `REQUIRED` makes that an error.
         """
         value = self.data.get(key)
         if value is None:
@@ -70,7 +70,7 @@
         return value
 
     def token(self, key: str, default: Any = REQUIRED) -> str:
-        """A text that may stand in lines of words."""
+        """A text that may be a token of a line."""
         value = self.text(key, default)
         if not value.isprintable() or " " in value:
             raise UnexpectedValueError(self.full_key(key), "a word", value)
--- a/landingshift/net/program/feature_errors.py
+++ b/landingshift/net/program/feature_errors.py
@@ -11,7 +11,7 @@
     """The settings can't be used.
 
     Attributes:
-        path: Of the file; empty where only the start of a package showed what is wrong.
+        path: The file's path; empty where only the start of a package showed what is wrong.
         problem: What is wrong.
     """
 
--- a/landingshift/net/program/features.py
+++ b/landingshift/net/program/features.py
@@ -64,7 +64,7 @@
     """A package that the file names.
 
     Attributes:
-        table: Of the file.
+        table: The package's table in the file.
         settings: The package's own struct.
     """
 
@@ -91,7 +91,7 @@
 
     Args:
         data: The decoded file.
-        path: Of the file, for errors and paths relative to it.
+        path: The file's path, for errors and paths relative to it.
         include_off: Not only those that are switched on.
 
     Raises:
@@ -143,7 +143,7 @@
     """The packages that the file of our own settings names; none where there is no file.
 
     Args:
-        path: Of the file.
+        path: The file's path.
         include_off: Not only those that are switched on.
 
     Raises:
--- a/landingshift/net/program/signals.py
+++ b/landingshift/net/program/signals.py
@@ -18,7 +18,7 @@
 
     Attributes:
         on_signal: Called with the signal's number and the loop's time at which it came.
-        came_ms: When the first of its kind came that was not passed on yet.
+        came_ms: By the signal's number, the time of the first one that was not passed on yet.
     """
 
     def __init__(self, loop: Loop) -> None:
@@ -45,5 +45,5 @@
                 self.on_signal(number, came_ms)
 
     def close(self) -> None:
-        """Watches no more."""
+        """Ends the watch."""
         self.reader.close()
--- a/landingshift/net/protocol/lines.py
+++ b/landingshift/net/protocol/lines.py
@@ -82,7 +82,7 @@
             del self.buffer[:start]
 
     def _body_end(self, tokens: list[bytes], body_start: int) -> int:
-        """Where the body ends with its line end; the end of the line itself where there is no body."""
+        """The index at which the body and its line end are over; `body_start` where there is no body."""
         size = decode_number(tokens[-1])
         if size > MAX_BODY_BYTES:
             raise ProtocolError("oversized")
--- a/landingshift/net/routing/actions.py
+++ b/landingshift/net/routing/actions.py
@@ -88,14 +88,14 @@
         self.answers.reject(rpc, retry_after_ms, is_final)
 
     def abort(self, rpc: Rpc) -> None:
-        """Answers that the RPC brought no result; its run, if there is one, is nobody's any more."""
+        """Answers that the RPC brought no result; one that its run may still bring is dropped."""
         assert isinstance(rpc, RoutedRpc)
         self.answers.abort(rpc)
         self.engine.send_withheld(rpc)
         self.database.cancel(rpc)
 
     def release(self, rpc: Rpc) -> None:
-        """The controller will not speak of the RPC again: it is answered at the latest now, and forgotten."""
+        """The controller is done with the RPC: answers it if nothing else has, and forgets it."""
         assert isinstance(rpc, RoutedRpc)
         if not rpc.is_answered and not rpc.is_abandoned and not rpc.is_answer_deferred:
             self.answers.abort(rpc)  # nothing read may end without an answer
--- a/landingshift/net/routing/answers.py
+++ b/landingshift/net/routing/answers.py
@@ -19,13 +19,13 @@
     """Writes answers to the connections on which the RPCs came.
 
     Args:
-        connections: Of gateways.
+        connections: The gateways' connections.
         observers: Called with each answer that was written.
         log: Called with a gate that was cut off.
 
     Attributes:
-        headers: What each answer tells callers of the server's load.
-        gate: Where ok answers pass before they go out, if there is one.
+        headers: The headers of each answer, which tell callers of the server's load.
+        gate: The gate that ok answers pass before they go out, if there is one.
     """
 
     def __init__(
--- a/landingshift/net/routing/check_runner.py
+++ b/landingshift/net/routing/check_runner.py
@@ -19,7 +19,7 @@
     """Runs the controller's checks at the times that it asks for.
 
     Args:
-        gauge_names: In the order in which the engine tells them.
+        gauge_names: The gauges' names, in the order in which the engine reports them.
     """
 
     def __init__(
@@ -43,7 +43,7 @@
             self.gauge_wait_timer = None
 
     def on_gauges(self, values: list[float]) -> None:
-        """The engine told its gauges."""
+        """The engine reported its gauges."""
         named = dict(zip(self.gauge_names, values, strict=False))
         self.gauges = Gauges(named.get("core_use"), named.get("on_cores"), named.get("links"))
         self.gauges_at_ms = self.loop.now_ms
--- a/landingshift/net/routing/database_pool.py
+++ b/landingshift/net/routing/database_pool.py
@@ -48,7 +48,7 @@
     """One connection to the database.
 
     Args:
-        pool: Whose link it is.
+        pool: The pool that the link belongs to.
         open_stream: Makes the link's stream; returns the reason where there is none.
     """
 
@@ -86,7 +86,7 @@
             self.start_partial_reply_timer()
 
     def start_partial_reply_timer(self) -> None:
-        """A length that does not fit or a line that does not end would hold up all calls on the link."""
+        """Bounds the time of a reply: a wrong length or an endless line would hold up all calls on the link."""
         self.partial_reply_timer = self.pool.loop.after(MAX_REPLY_MS, lambda: self.close("unfinished"))
 
     def _stop_partial_reply_timer(self) -> None:
@@ -120,7 +120,7 @@
     """The links to the database and the calls on them.
 
     Args:
-        address: Of the database; None where there is none.
+        address: The database's address; None where there is no database.
         log: Called with links that ended.
 
     Attributes:
--- a/landingshift/net/routing/dedup.py
+++ b/landingshift/net/routing/dedup.py
@@ -39,7 +39,7 @@
     """Entries by the key that they share with their duplicates; bounded in bytes.
 
     Args:
-        max_bytes: That entries and their results may take.
+        max_bytes: The bound on entries and their results together.
         response_cache_ttl_ms: How long the result of an idempotent RPC answers others with the same key.
         max_age_ms: The longest time from a duplicate's arrival at the machine until it is read.
     """
--- a/landingshift/net/routing/duplicates.py
+++ b/landingshift/net/routing/duplicates.py
@@ -75,7 +75,7 @@
 
         Args:
             rpc: The duplicate.
-            entry: Of its original.
+            entry: The entry of its original.
             is_last_chance: There is no more time for its connection to be verified.
         """
         if rpc.is_closed or rpc.managed is None:
--- a/landingshift/net/routing/engine_commands.py
+++ b/landingshift/net/routing/engine_commands.py
@@ -40,7 +40,7 @@
     """The commands of open RPCs until they are known to have arrived.
 
     Attributes:
-        queue: In the order in which they were given, without those withheld. Ones that a later command of the
+        queue: The commands in the order given, without those withheld. Ones that a later command of the
             same RPC has replaced stay until they are confirmed or the link is made again.
         latest: The latest command of each open RPC, withheld ones included.
     """
--- a/landingshift/net/routing/engine_link.py
+++ b/landingshift/net/routing/engine_link.py
@@ -57,11 +57,11 @@
     """The one link to the engine.
 
     Args:
-        address: Where the engine listens.
+        address: The address at which the engine listens.
         log: Called with links made and lost.
 
     Attributes:
-        last_notice_number: Of the last notice read.
+        last_notice_number: The number of the last notice read.
         is_ready: All that ended while there was no link is known, and commands may be written.
         has_reached_engine: It has answered at least once since the start of the server.
         is_greeted: It has answered on this link.
--- a/landingshift/net/routing/gateway_connection.py
+++ b/landingshift/net/routing/gateway_connection.py
@@ -68,12 +68,12 @@
         invalid_count: RPCs turned down for a field.
         cut_off_count: RPCs that were open when the connection was cut off.
         last_invalid_field: The field that the last one turned down had wrong.
-        goaway_deadline_ms: After goaway: when it is closed if the gateway does not do that; 0 before.
+        goaway_deadline_ms: The time at which it is closed if the gateway does not do that; 0 before goaway.
         is_verified: The engine has known an RPC of it.
         unverified_duplicates: Those to be answered once it is verified, with the entries of their originals.
         accepted_ms: Since when it is here.
-        last_message_ms: When its last complete message came or its last answer was written.
-        partial_since_ms: When the message began that is not complete yet; 0 where there is none.
+        last_message_ms: The time of its last complete message or last written answer.
+        partial_since_ms: The time at which an incomplete message began; 0 where there is none.
         accepted_pass: The loop's pass in which it was accepted.
     """
 
@@ -202,7 +202,7 @@
         self._check_after(grace_ms)
 
     def cut_off(self, reason: str) -> None:
-        """Whoever breaks the rules is owed no more than what is written, but that has to reach it.
+        """Closes the connection of a peer that breaks the rules, once the answers written have reached it.
 
         Bytes of it that are not read yet make a close a reset, which would take those answers along.
         """
@@ -223,7 +223,7 @@
         return not self.stream.is_open
 
     def _read_pending(self) -> None:
-        """What waits in the socket is taken in before a close: the close would reset it away unread."""
+        """Reads what waits in the socket: a close would discard it unread and reset the connection."""
         if self.stream.is_open and self.stream.is_reading:
             self.stream.read()
 
@@ -268,7 +268,7 @@
         return self.loop.now_ms < self.goaway_deadline_ms + GOAWAY_GRACE_MS
 
     def _time_left_ms(self) -> float:
-        """Until the next check; not over `DUE_TOLERANCE_MS` where the connection may be closed."""
+        """The time until the next check; at most `DUE_TOLERANCE_MS` where the connection may be closed."""
         now_ms = self.loop.now_ms
         if self.goaway_deadline_ms:
             ends_ms = self.goaway_deadline_ms
--- a/landingshift/net/routing/gateways.py
+++ b/landingshift/net/routing/gateways.py
@@ -31,10 +31,10 @@
     """The listener and the connections that it accepted.
 
     Args:
-        address: Where gateways connect.
-        max_connections: That may be open.
-        max_unsent_bytes: Of answers that gateways have not read, all connections together.
-        idle_limit_ms: After which the gateways themselves close an idle connection.
+        address: The address at which gateways connect.
+        max_connections: The number of connections that may be open.
+        max_unsent_bytes: The bound on answers that gateways have not read, all connections together.
+        idle_limit_ms: The time after which the gateways themselves close an idle connection.
         log: Called with connections that ended, and of a full table.
         sock: Set by hot restart alone: the listening socket of the old build.
     """
@@ -120,7 +120,7 @@
         ]
 
     def evict_idle(self) -> bool:
-        """Who is quiet and not verified goes at once; where all are verified, some are asked to.
+        """Closes idle connections that are not verified; where all are verified, asks some to go.
 
         Returns:
             Whether a connection was closed.
--- a/landingshift/net/routing/health.py
+++ b/landingshift/net/routing/health.py
@@ -18,7 +18,7 @@
 
     Args:
         server_name: The server's name in the roster.
-        roster: Where the reports go.
+        roster: The sender of reports to the roster.
         engine: Does a piece of work for a deep check.
         runs_deep_checks: Whether a deep check does that.
     """
--- a/landingshift/net/routing/observers.py
+++ b/landingshift/net/routing/observers.py
@@ -54,7 +54,7 @@
         """Returns whether the gate keeps the answer, which it then sends or aborts by itself."""
 
     def flush_by(self, deadline_ms: float) -> None:
-        """The server drains: whatever is held goes by then, in the loop's time."""
+        """The server drains: the gate releases all held answers by `deadline_ms` of the loop's time."""
 
 
 Handler = Callable[..., None]
--- a/landingshift/net/routing/router.py
+++ b/landingshift/net/routing/router.py
@@ -42,8 +42,8 @@
     """One server: its connections, its links and the admission controller between them.
 
     Args:
-        loop: Whose passes the controller is settled in.
-        config: Of the server at its start.
+        loop: The loop; the controller settles at the end of each pass.
+        config: The configuration at the start.
         log: Takes an event's name and its fields.
         listener: Set by hot restart alone: the listening socket of the old build, which hands over the link
             to the engine, too.
--- a/landingshift/net/routing/server_config.py
+++ b/landingshift/net/routing/server_config.py
@@ -13,17 +13,17 @@
     """The configuration as one value; a reload makes a new one.
 
     Attributes:
-        listen: Where gateways connect.
+        listen: The address at which gateways connect.
         database: None where the settings name nothing that RPCs call.
-        roster: Where the server says that it is present.
-        seed: Of all that is random.
-        stop_ms: From the notice to leave until the process is killed.
-        memory_mb: That the process may take.
-        max_sockets: That it may have open.
-        settings: Of the admission controller; a policy may change figures in it in place.
-        methods: By their names on the wire.
-        tenants: By their names on the wire; empty where RPCs name none.
-        gauge_names: Of the engine's gauges, in the order in which it tells them.
+        roster: The address of the roster that the server reports to.
+        seed: The seed of all random decisions.
+        stop_ms: The time from the notice to leave until the process is killed.
+        memory_mb: The memory that the process may take.
+        max_sockets: The number of sockets that it may have open.
+        settings: The admission controller's settings; a policy may change figures in it in place.
+        methods: The methods, by their names on the wire.
+        tenants: The tenants, by their names on the wire; empty where RPCs name none.
+        gauge_names: The names of the engine's gauges, in the order in which it reports them.
         runs_deep_checks: A deep health check has the engine do a piece of work.
     """
 
--- a/landingshift/net/routing/shutdown.py
+++ b/landingshift/net/routing/shutdown.py
@@ -21,10 +21,10 @@
     """The server's way from the notice to leave to its end.
 
     Args:
-        stop_ms: From the notice to leave until the process is killed.
+        stop_ms: The time from the notice to leave until the process is killed.
 
     Attributes:
-        stop_at_ms: When the process is killed, in the loop's time; 0 before the notice.
+        stop_at_ms: The loop's time at which the process is killed; 0 before the notice.
     """
 
     def __init__(
@@ -47,7 +47,8 @@
         """The notice to leave.
 
         Args:
-            notice_ms: When it came. What it allows counts from then, however late the loop gets to it.
+            notice_ms: The loop's time at which it came. The time that it allows counts from then, however late
+                the loop gets to it.
         """
         if self.is_draining:
             return
--- a/landingshift/net/transport/listener.py
+++ b/landingshift/net/transport/listener.py
@@ -18,7 +18,7 @@
     """Accepts connections while there is room.
 
     Args:
-        address: To listen at.
+        address: The address to listen at.
         has_capacity: Whether one more may come; where not, it makes some. Its argument is whether descriptors
             are left.
         on_accept: Gets each connection that came.
@@ -28,7 +28,7 @@
         OSError: It can't listen there.
 
     Attributes:
-        address: Where it listens, with the port that the system chose.
+        address: The address at which it listens, with the port that the system chose.
         is_draining: It takes what waits to be accepted and nothing after that.
     """
 
--- a/landingshift/net/transport/loop.py
+++ b/landingshift/net/transport/loop.py
@@ -49,7 +49,7 @@
 
     Attributes:
         now_ms: The monotonic time at which the sockets were last read; the same for all handlers of a pass.
-        passes_read: Times that the sockets were read.
+        passes_read: How often the sockets were read.
         pending_writers: Those that have something to write at the end of the pass.
         settle: Ends each pass, before what is to be written is written.
     """
--- a/landingshift/net/transport/stream.py
+++ b/landingshift/net/transport/stream.py
@@ -57,7 +57,7 @@
     """What many streams together have not got rid of.
 
     Args:
-        max_bytes: Past which some of it must go.
+        max_bytes: The bound past which some of it must go.
         on_exceeded: Lets some of it go.
     """
 
@@ -77,12 +77,12 @@
     """A connection that is read by its owner and written at the end of each pass of the loop.
 
     Args:
-        sock: Non-blocking.
+        sock: The socket, non-blocking.
         owner: Called with what comes.
-        max_unsent_bytes: That may be queued before the stream is closed as stalled.
+        max_unsent_bytes: The bound on queued bytes, past which the stream is closed as stalled.
         is_connecting: The connection is not made yet.
         unsent_budget: Shared with other streams.
-        reads_per_pass: Times that it is read before others have their turn.
+        reads_per_pass: How often it is read before others have their turn.
 
     Attributes:
         is_open: Not closed yet.
@@ -91,7 +91,7 @@
         output: Queued and not sent.
         queued_bytes: Since the start.
         sent_bytes: Since the start; only what is sent may have arrived.
-        last_activity_ms: When bytes last went either way.
+        last_activity_ms: The time at which bytes last went either way.
     """
 
     def __init__(
@@ -259,7 +259,7 @@
             self.close(self.close_reason)
 
     def check_error(self) -> None:
-        """Where the other side writes no more, this finds out whether it still reads."""
+        """Closes the stream if the socket shows that a peer which writes no more reads no more either."""
         if self.is_open and self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
             self.close("reset")
 
@@ -285,10 +285,10 @@
     """A stream on its way, or the reason why there is none.
 
     Args:
-        loop: Of the stream.
-        address: To connect to.
-        owner: Of the stream.
-        max_unsent_bytes: Of the stream.
+        loop: The stream's loop.
+        address: The address to connect to.
+        owner: The stream's owner.
+        max_unsent_bytes: The stream's bound on queued bytes.
         source_host: The address that the connection comes from; the system's choice where it is empty.
     """
     try:
--- a/landingshift/net/transport/worker.py
+++ b/landingshift/net/transport/worker.py
@@ -82,10 +82,10 @@
     """A process that runs `module` with this interpreter; it takes its end with `inherited_socket`.
 
     Args:
-        module: To run.
-        args: Of its command line.
+        module: The module to run.
+        args: The arguments of its command line.
         owner: Called with what it says.
-        max_queued_bytes: Of messages that the process has not taken.
+        max_queued_bytes: The bound on messages that the process has not taken.
 
     Raises:
         OSError: The process could not be started.
