--- a/landingshift/testbed/simulation/faults.py
+++ b/landingshift/testbed/simulation/faults.py
@@ -160,12 +160,12 @@
     elif leader.policy_node.coordinator is not None:
         coordinator = leader.policy_node.coordinator
         if leader.policy_node.state_machine.pending_change_id:
-            phase = "switching" if coordinator.switching_change_id else coordinator.phase.value
+            phase = "switching" if coordinator.committing_change_id else coordinator.phase.value
             stages.add(f"change {phase}")
         for request in leader.maintenance.state.requests.values():
             stages.add(f"work {request.state.value}")
     for server in state.running_servers():
-        start_stage = server.cold_start.coordinator.start_sequence.stage.value
+        start_stage = server.cold_start.participant.start_sequence.stage.value
         if start_stage != WARM_STAGE:
             stages.add(f"start {start_stage}")
     return sorted(stages)
