--- a/landingshift/coldstart/endpoint_discovery.py
+++ b/landingshift/coldstart/endpoint_discovery.py
@@ -82,7 +82,7 @@
         self._membership.node.add_contact_addresses(endpoints)
 
     def _load_cache(self) -> bool:
-        """Reads the last list; True where it has an address to try."""
+        """Reads the last list; returns whether it has an address to try."""
         path = self._settings.endpoint_cache_path
         if not path:
             return False
--- a/landingshift/coldstart/last_boot.py
+++ b/landingshift/coldstart/last_boot.py
@@ -31,7 +31,7 @@
 
 
 def remove_last_boot_id(path: str) -> bool:
-    """False where the file can't be removed."""
+    """Removes the file; returns whether it is gone."""
     try:
         os.unlink(path)
     except FileNotFoundError:
--- a/landingshift/coldstart/service_discovery.py
+++ b/landingshift/coldstart/service_discovery.py
@@ -64,7 +64,7 @@
         return self.next_poll_ms if self._polled_at_ms is None else self._polled_at_ms + POLL_TIMEOUT_MS
 
     def start_poll_if_due(self, now_ms: float, has_joined: bool) -> bool:
-        """True where the caller is to poll now; a poll without an answer in time has failed."""
+        """Returns whether the caller is to poll now; a poll without an answer in time has failed."""
         if self._polled_at_ms is not None and now_ms >= self._polled_at_ms + POLL_TIMEOUT_MS:
             self.on_poll_finished(now_ms, is_successful=False)
         if has_joined or self._polled_at_ms is not None or now_ms < self.next_poll_ms:
--- a/landingshift/maintenance/agent.py
+++ b/landingshift/maintenance/agent.py
@@ -57,7 +57,7 @@
         return self.permit.offer(answer.permit_number, reported_at_ms, answer.valid_ms)
 
     def begin_draining(self, now_ms: float) -> bool:
-        """Uses the permit, just before the drain; False where it has expired meanwhile."""
+        """Uses the permit, just before the drain; returns whether it was still valid."""
         if not self.permit.is_valid(now_ms):
             return False
         self.draining_permit = self.permit.number
--- a/landingshift/maintenance/capacity_constraints.py
+++ b/landingshift/maintenance/capacity_constraints.py
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DisruptionBudget:
-    """What must stay in service. `headroom_ratio`: by which share capacity must exceed the demand."""
+    """What must stay in service. `headroom_ratio`: part of the demand by which capacity must exceed it."""
 
     headroom_ratio: float = 0.1
     min_zone_fraction: float = 0.5
@@ -108,7 +108,7 @@
         self.min_voters = min_voters_in_service(len(self.voters))
 
     def capacity(self, unavailable: Mapping[str, float], members: Iterable[str]) -> float:
-        """Returns the capacity of `members` that serves; `unavailable`: by name the share that does not."""
+        """Returns the capacity of `members` that serves; `unavailable`: fraction by name that does not."""
         return sum(self.machines[name].capacity * (1.0 - unavailable.get(name, 0.0)) for name in members)
 
     def violation(self, unavailable: Mapping[str, float]) -> str:
--- a/landingshift/maintenance/coordinator.py
+++ b/landingshift/maintenance/coordinator.py
@@ -2,7 +2,7 @@
 
 Guarantee: a permit is issued only while all capacity constraints hold with its machine out of service, and a
 machine that may have left counts as out of service until it reports. Reports may be lost with the leader that
-had them: the next one issues and offers nothing before it has heard of the fleet for `SETTLE_MS`. Failure
+had them: the next one issues and offers nothing before it has taken reports for `SETTLE_MS`. Failure
 mode: without a leader nobody leaves; machines that left come back all the same.
 """
 
@@ -52,16 +52,16 @@
 
 
 @dataclass(slots=True, frozen=True)
-class FleetSnapshot:
-    """What one evaluation goes by."""
+class EvaluationInput:
+    """What one evaluation decides by, taken once at its beginning."""
 
     constraints: CapacityConstraints
     lost: dict[str, float]
-    """By name the share that is out of service without a plan."""
+    """The fraction of each machine that is out of service without a plan, by name."""
 
 
 class MaintenanceCoordinator:
-    """Decisions of one voter while it leads. Times without a word are ms of its monotonic clock.
+    """Decisions of one voter while it leads. Unless stated otherwise, times are ms of its monotonic clock.
 
     Attributes:
         state: The replicated state.
@@ -145,10 +145,7 @@
         if request is None:
             return ReportAnswer(report.sequence, "", 0, 0.0)
         self._follow_report(request, recorded, now_ms)
-        is_offered = self._may_offer_permit(request, run_id)
-        if is_offered and not recorded.draining_permit:
-            recorded.offered_at_ms = now_ms
-        valid_ms = self.settings.permit_valid_ms if is_offered else 0.0
+        valid_ms = self._offer_permit(request, recorded, now_ms)
         return ReportAnswer(report.sequence, request.state.value, request.permit_number, valid_ms)
 
     def _count_answers(self, previous: MachineReport | None, report: MachineReport) -> None:
@@ -175,6 +172,14 @@
         if transition.new_state is RequestState.COMPLETED:
             self._rollout.completed_names.add(request.name)
 
+    def _offer_permit(self, request: MaintenanceRequest, report: MachineReport, now_ms: float) -> float:
+        """Offers a permit with the answer to a report; returns for how many ms, 0 without an offer."""
+        if not self._may_offer_permit(request, report.run_id):
+            return 0.0
+        if not report.draining_permit:
+            report.offered_at_ms = now_ms
+        return self.settings.permit_valid_ms
+
     def _may_offer_permit(self, request: MaintenanceRequest, run_id: int) -> bool:
         """Returns whether a machine may be told now that it may leave.
 
@@ -238,14 +243,14 @@
         self._record_demand(now_ms)
         for request in list(self.state.requests.values()):
             self._follow_silence(request, now_ms)
-        if not self._is_ready_to_permit(now_ms):
+        if not self._check_readiness(now_ms):
             return
-        snapshot = FleetSnapshot(self.constraints(), self.fleet.lost_fractions(now_ms))
-        if not self._do_constraints_hold(snapshot) or self._pause_on_regression(now_ms):
+        inputs = EvaluationInput(self.constraints(), self.fleet.lost_fractions(now_ms))
+        if not self._apply_constraints(inputs) or self._pause_on_regression(now_ms):
             return
-        self._clean_up(snapshot, now_ms)
+        self._clean_up(inputs, now_ms)
         if self.state.requests:
-            self._issue_permits(snapshot, now_ms)
+            self._issue_permits(inputs, now_ms)
 
     def _follow_leadership(self, now_ms: float) -> bool:
         """Starts a term where one begins; returns whether this server leads."""
@@ -264,7 +269,7 @@
         self._proposals.clear()
 
     def _follow_silence(self, request: MaintenanceRequest, now_ms: float) -> None:
-        """Moves a request on without a word from its machine."""
+        """Moves a request on where its machine does not report."""
         report = self.fleet.reports.get(request.name)
         if request.state is RequestState.PERMITTED:
             self._revoke_lapsed_permit(request, report, now_ms)
@@ -297,7 +302,8 @@
             transition = Transition(RequestState.REQUESTED, "its permission ran out unused")
             self._propose_transition(request, transition, now_ms)
 
-    def _is_ready_to_permit(self, now_ms: float) -> bool:
+    def _check_readiness(self, now_ms: float) -> bool:
+        """Returns whether constraints are to be evaluated; sets the reason to wait if they are not."""
         if not self.state.requests:
             self.waiting_reason = ""
             return False
@@ -306,22 +312,22 @@
             return False
         return True
 
-    def _do_constraints_hold(self, snapshot: FleetSnapshot) -> bool:
-        """Returns whether permits may be issued; withholds the youngest ones if they may not."""
+    def _apply_constraints(self, inputs: EvaluationInput) -> bool:
+        """Releases withheld permits, or withholds the youngest ones; returns whether more may be issued."""
         requests = self.state.requests
-        unavailable = unavailable_fractions(requests.values(), snapshot.lost)
-        self.waiting_reason = self.state.pause_reason or snapshot.constraints.violation(unavailable)
+        unavailable = unavailable_fractions(requests.values(), inputs.lost)
+        self.waiting_reason = self.state.pause_reason or inputs.constraints.violation(unavailable)
         self._has_evaluated_constraints = True
         if not self.waiting_reason:
             self._proposals.release_permits()
             return True
         if not self.state.pause_reason:
-            for name in permits_to_withhold(requests, snapshot.constraints, snapshot.lost):
+            for name in permits_to_withhold(requests, inputs.constraints, inputs.lost):
                 self._proposals.withhold_permit(name, requests[name].permit_number)
         return False
 
     def _pause_on_regression(self, now_ms: float) -> bool:
-        """Pauses everything where machines that came back do worse than the others."""
+        """Pauses all work where machines that came back do worse; returns whether it did."""
         regression = self._rollout.regression() if self.settings.is_staged else ""
         if not regression:
             return False
@@ -329,7 +335,7 @@
         self._proposals.propose(SetPause(f"stopped by itself: {regression}"), now_ms)
         return True
 
-    def _clean_up(self, snapshot: FleetSnapshot, now_ms: float) -> None:
+    def _clean_up(self, inputs: EvaluationInput, now_ms: float) -> None:
         """Forgets machines that membership forgot and rejects what can never be met, now and then."""
         if now_ms - self._rejections_checked_at_ms < REJECTION_INTERVAL_MS:
             return
@@ -337,20 +343,20 @@
         known = self._environment.known_machines()
         for name in [name for name in self.state.machines if name not in known]:
             self._proposals.propose(ForgetMachine(name), now_ms)
-        is_fleet_complete = not snapshot.lost and known <= self.fleet.reports.keys()
+        is_fleet_complete = not inputs.lost and known <= self.fleet.reports.keys()
         wall_ms = self._environment.wall_clock_ms()
         requests = self.state.requests.values()
         for request in [request for request in requests if request.state is RequestState.REQUESTED]:
             is_known = request.name in known
-            reason = rejection_reason(request, snapshot.constraints, wall_ms, is_known, is_fleet_complete)
+            reason = rejection_reason(request, inputs.constraints, wall_ms, is_known, is_fleet_complete)
             if reason:
                 self._propose_transition(request, Transition(RequestState.REJECTED, reason), now_ms)
 
-    def _issue_permits(self, snapshot: FleetSnapshot, now_ms: float) -> None:
+    def _issue_permits(self, inputs: EvaluationInput, now_ms: float) -> None:
         chosen = select_next(
             self.state.requests,
-            snapshot.constraints,
-            snapshot.lost,
+            inputs.constraints,
+            inputs.lost,
             self._environment.wall_clock_ms(),
             self.settings.warm_up_minutes,
         )
--- a/landingshift/maintenance/coordinator_settings.py
+++ b/landingshift/maintenance/coordinator_settings.py
@@ -17,7 +17,7 @@
     permit_grace_ms: float = 500.0
     """How long after that a permit is taken back."""
     warm_up_minutes: float = 1.0
-    """From a start until a machine is warm, about."""
+    """About how long a machine takes from its start until it is warm."""
     is_staged: bool = True
     """Whether work begins with one machine, then a few."""
     peak_decay_ms: float = 400_000.0
--- a/landingshift/maintenance/environment.py
+++ b/landingshift/maintenance/environment.py
@@ -11,7 +11,7 @@
     """The consensus group, membership and the wall clock, as the coordinator sees them."""
 
     def propose(self, command: Command) -> bool:
-        """Puts a command to the consensus group; False where it takes none just now."""
+        """Proposes a command to the consensus group; returns whether it was accepted."""
         ...
 
     def is_leader(self, now_ms: float) -> bool:
@@ -23,7 +23,7 @@
         ...
 
     def known_machines(self) -> set[str]:
-        """Returns the names of all machines that membership has heard of."""
+        """Returns the names of all machines that membership knows."""
         ...
 
     def wall_clock_ms(self) -> float:
--- a/landingshift/maintenance/fleet_view.py
+++ b/landingshift/maintenance/fleet_view.py
@@ -14,7 +14,7 @@
 from landingshift.maintenance.replicated_state import MaintenanceState
 
 MAX_SILENCE_MS = 6000.0
-"""After it a machine that does not report counts as lost."""
+"""How long a machine may not report before it counts as lost."""
 MAX_REPORTS_COUNT = 10_000
 NEVER_MS = -1e9
 
@@ -107,7 +107,7 @@
         ]
 
     def lost_fractions(self, now_ms: float) -> dict[str, float]:
-        """Returns by name the share that is out of service without a plan: silent, gone or cold."""
+        """Returns by name the fraction that is out of service without a plan: silent, gone or cold."""
         lost = {}
         for name, report in self.reports.items():
             if self._is_planned(name):
--- a/landingshift/maintenance/messages.py
+++ b/landingshift/maintenance/messages.py
@@ -12,10 +12,10 @@
     capacity: float
     """RPCs a second that it serves when warm."""
     model: str
-    """Of its machine."""
+    """Model of its machine."""
     serves_critical_methods: bool
     warm_fraction: float
-    """Share of its capacity that it serves now."""
+    """Fraction of its capacity that it serves now."""
     rpcs_per_second: float
     """RPCs that it received of late."""
     ok_count: float
--- a/landingshift/maintenance/planner.py
+++ b/landingshift/maintenance/planner.py
@@ -47,7 +47,7 @@
     Args:
         requests: All requests by name of the machine.
         constraints: What must stay in service.
-        lost: By name the share that is out of service without a plan.
+        lost: By name the fraction that is out of service without a plan.
         now_ms: Unix ms.
         warm_up_minutes: From a restart until a machine is warm.
     """
@@ -195,7 +195,7 @@
         request: The request, which no permit was issued for.
         constraints: What must stay in service.
         now_ms: Unix ms.
-        is_known: Membership has heard of the machine, though it may report nothing just now.
+        is_known: Membership knows the machine, though it may report nothing just now.
         is_fleet_complete: No machine is missing. While a zone is down its machines, and those that depend on
             it, are not beyond hope.
     """
--- a/landingshift/maintenance/replicated_state.py
+++ b/landingshift/maintenance/replicated_state.py
@@ -48,7 +48,7 @@
         permitted_run_ids: By machine the process that its permit was issued to.
         history: Requests that ended, the latest last.
         demand_profile: Demand of the last day.
-        machines: Facts of all machines, so that a new leader counts those that it has not heard of yet.
+        machines: Facts of all machines, so that a new leader counts those that have not reported to it yet.
     """
 
     def __init__(self) -> None:
--- a/landingshift/maintenance/request_progress.py
+++ b/landingshift/maintenance/request_progress.py
@@ -1,8 +1,8 @@
 """Rules by which the leader moves a request on: by a report of its machine, or by its silence.
 
-Guarantee: a permit is taken back only after its machine said, past the latest time at which it could have
-used it, that it stays. Failure mode: a machine that falls silent with a permit counts as out of service until
-it speaks again.
+Guarantee: a permit is revoked only after its machine has reported, past the latest time at which it could
+have used the permit, that it is not draining. Failure mode: a machine that falls silent with a permit counts
+as out of service until it reports again.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 from landingshift.maintenance.fleet_view import MachineReport
 from landingshift.maintenance.requests import MaintenanceRequest, RequestState
 
-CLOCK_RATE_ERROR_RATIO = 0.02
-"""By how much a machine's monotonic clock may run slower than the leader's."""
+CLOCK_DRIFT_FRACTION = 0.02
+"""By how much a machine's monotonic clock may run slower than the leader's; as in `coldstart.leases`."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,14 +54,14 @@
 def transition_on_silence(
     request: MaintenanceRequest, is_silent: bool, has_reported: bool, has_left: bool, is_leader_settled: bool
 ) -> Transition | None:
-    """Returns the transition of a machine that drains or warms up and is not heard of any more.
+    """Returns the transition of a machine that drains or warms up and does not report any more.
 
     Args:
         request: The machine's request.
         is_silent: It has not reported for `MAX_SILENCE_MS`.
         has_reported: It has reported to this leader.
         has_left: Membership sees it no more.
-        is_leader_settled: This leader has led long enough to have heard of all machines.
+        is_leader_settled: This leader has led long enough for all machines to have reported.
     """
     match request.state:
         case RequestState.DRAINING if has_left or is_silent:
@@ -93,5 +93,5 @@
     if report is None or report.is_silent(now_ms):
         return False  # it may have left: its disk says so once it is back
     offered_at_ms = max(leader_since_ms, report.offered_at_ms)
-    lapses_at_ms = offered_at_ms + permit_valid_ms * (1.0 + CLOCK_RATE_ERROR_RATIO) + permit_grace_ms
+    lapses_at_ms = offered_at_ms + permit_valid_ms * (1.0 + CLOCK_DRIFT_FRACTION) + permit_grace_ms
     return report.received_at_ms > lapses_at_ms and report.draining_permit != request.permit_number
--- a/landingshift/maintenance/requests.py
+++ b/landingshift/maintenance/requests.py
@@ -113,7 +113,7 @@
         self.state = new_state
 
     def unavailable_fraction(self) -> float:
-        """Returns the share of the machine's capacity that does not serve because of this request."""
+        """Returns the fraction of the machine's capacity that does not serve because of this request."""
         if self.state in UNAVAILABLE_STATES:
             return 1.0
         if self.state is RequestState.WARMING_UP:
@@ -122,7 +122,7 @@
 
     @property
     def accounts_for_unavailability(self) -> bool:
-        """Whether what the machine lacks is planned, so that it must not be counted as lost as well."""
+        """Returns whether the missing capacity is planned, so that it must not count as lost as well."""
         return self.state in UNAVAILABLE_STATES or self.state is RequestState.WARMING_UP
 
 
@@ -143,7 +143,7 @@
 def unavailable_fractions(
     requests: Iterable[MaintenanceRequest], lost: Mapping[str, float]
 ) -> dict[str, float]:
-    """Returns by name the share of each machine that does not serve, planned or `lost` without a plan."""
+    """Returns by name the fraction of each machine that does not serve, planned or `lost` without a plan."""
     planned = {}
     for request in requests:
         fraction = request.unavailable_fraction()
--- a/landingshift/maintenance/schedule_bounds.py
+++ b/landingshift/maintenance/schedule_bounds.py
@@ -1,6 +1,6 @@
 """How good a schedule can be: the exact fewest rounds of a small fleet, and lower bounds for a large one.
 
-Used by experiments to judge the greedy selection; nothing is decided by it.
+Serves experiments of the testbed alone, to judge the greedy selection: nothing in a server calls it.
 """
 
 from __future__ import annotations
--- a/landingshift/maintenance/service.py
+++ b/landingshift/maintenance/service.py
@@ -56,7 +56,7 @@
         ...
 
     def propose(self, data: bytes) -> bool:
-        """Puts an entry to the group; False where it takes none just now."""
+        """Proposes an entry to the group; returns whether it was accepted."""
         ...
 
     def is_leader(self) -> bool:
@@ -73,7 +73,7 @@
         self._loop = loop
 
     def propose(self, command: Command) -> bool:
-        """Puts a command to the consensus group; False where it takes none just now."""
+        """Proposes a command to the consensus group; returns whether it was accepted."""
         return self._replicated_log.propose(encode_command(command))
 
     def is_leader(self, _now_ms: float) -> bool:
@@ -90,7 +90,7 @@
         return record is None or record.state in DEPARTED_STATES
 
     def known_machines(self) -> set[str]:
-        """Returns the names of all machines that membership has heard of."""
+        """Returns the names of all machines that membership knows."""
         return self._node.member_table.known_names()
 
     def wall_clock_ms(self) -> float:
@@ -145,7 +145,7 @@
         return coordinator
 
     def warm_fraction(self) -> float:
-        """Returns the share of its capacity that this server serves now; 0 until it serves at all."""
+        """Returns the fraction of its capacity that this server serves now; 0 until it serves at all."""
         server = self.router.admission
         if server is None or not self.router.health_reporter.is_reporting:
             return 0.0
@@ -224,7 +224,10 @@
     # Leaving
 
     def drain(self) -> None:
-        """Begins to drain, if the permit still holds by this server's own clock just now."""
+        """Begins to drain, if the permit is still valid by this server's own clock.
+
+        Where the server already drains nothing is done, and `maintenance_permit_expired` is logged as well.
+        """
         if self.router.is_draining or not self.agent.begin_draining(self.loop.clock_ms()):
             self.log("maintenance_permit_expired", number=self.agent.permit.number)
             return
--- a/landingshift/maintenance/settings.py
+++ b/landingshift/maintenance/settings.py
@@ -19,36 +19,38 @@
 
 
 class Settings(Struct, forbid_unknown_fields=True, frozen=True):
-    """Alike on all servers but for the first five keys."""
+    """The same on all servers of a cluster, except for the keys that are marked as this server's own."""
 
     needs: ClassVar[tuple[str, ...]] = ("fleet", "policies")
     """Tables without which this one can't be on."""
 
     capacity_rpcs_per_second: Annotated[float, Meta(gt=0.0, le=1e9)] = field(name="capacity")
-    """RPCs a second that this server serves when warm."""
+    """This server's own: RPCs a second that it serves when warm."""
     model: ZoneName = ""
-    """Of the machine."""
+    """This server's own: the model of its machine."""
     serves_critical_methods: bool = field(default=False, name="best")
-    """Whether it serves the methods of the highest criticality."""
+    """This server's own: whether it serves the methods of the highest criticality."""
     command: Annotated[list[str], Meta(max_length=32)] = field(default=[], name="work")
-    """Command that is run once the server has drained; begins with an absolute path."""
+    """This server's own: command that is run once it has drained; begins with an absolute path."""
     permit_file_path: str = field(default="", name="mark")
-    """File that keeps the permit by which the server left; without it work may be done twice."""
+    """This server's own: file that keeps the permit by which it left; without it work may be done twice."""
     on: bool = True
     command_timeout_seconds: Annotated[float, Meta(gt=0.0, le=86_400.0)] = field(default=600.0, name="work_s")
-    """After it the command is ended."""
+    """How long the command may run before it is ended."""
     headroom_ratio: Annotated[float, Meta(ge=0.0, le=10.0)] = field(default=0.1, name="spare")
-    """By which share capacity must exceed the demand."""
+    """Part of the demand by which capacity must exceed it."""
     min_zone_fraction: Fraction = field(default=0.5, name="zone_share")
-    """Share of each zone's capacity that stays in service."""
+    """Fraction of each zone's capacity that stays in service."""
     min_model_fraction: Fraction = field(default=0.5, name="model_share")
+    """The same of each machine model."""
     min_critical_fraction: Fraction = field(default=0.7, name="best_share")
+    """The same of the machines that serve critical methods."""
     permit_valid_ms: Annotated[float, Meta(ge=500.0, le=600_000.0)] = field(default=3_000.0, name="lasts_ms")
     """For how long a permit may be used."""
     permit_grace_ms: Annotated[float, Meta(ge=0.0, le=60_000.0)] = field(default=500.0, name="spare_ms")
     """How long after that an unused permit is taken back."""
     warm_up_minutes: Annotated[float, Meta(ge=0.0, le=1_440.0)] = field(default=1.0, name="back_minutes")
-    """From a start until warm, about."""
+    """About how long a machine takes from its start until it is warm."""
     is_staged: bool = field(default=True, name="rings")
     """Whether work begins with one machine, then a few, each stage watched."""
 
@@ -68,7 +70,7 @@
 
 
 def coordinator_settings(settings: Settings) -> CoordinatorSettings:
-    """Returns what the leader goes by."""
+    """Returns the settings of the leader's decisions."""
     return CoordinatorSettings(
         budget=DisruptionBudget(
             headroom_ratio=settings.headroom_ratio,
--- a/landingshift/membership/member_table.py
+++ b/landingshift/membership/member_table.py
@@ -110,7 +110,7 @@
         return True
 
     def _add(self, record: MemberRecord, now_ms: float) -> bool:
-        """Takes the first record of a name; False where there is no room."""
+        """Takes the first record of a name; returns whether there was room."""
         if len(self.members) >= self.max_members and not self._evict_departed():
             self.refused_record_count += 1
             return False
@@ -167,7 +167,7 @@
     # What is forgotten
 
     def _evict_departed(self) -> bool:
-        """Makes room at the cost of the one that departed longest ago; False where none has."""
+        """Makes room at the cost of the one that departed longest ago; returns whether one had departed."""
         departed = [member for member in self.members.values() if member.record.state in DEPARTED_STATES]
         if not departed:
             return False
--- a/landingshift/membership/node.py
+++ b/landingshift/membership/node.py
@@ -235,7 +235,7 @@
             self.outbox.send(message.sender.address, Ack(), message.sequence_number, gossip)
 
     def _merge(self, record: MemberRecord) -> bool:
-        """Takes what is said of a member, itself included; True where it was new."""
+        """Takes what is said of a member, itself included; returns whether it was new."""
         local_record = self.local_record
         if record.name == local_record.name:
             if record.run_id != local_record.run_id or record.state is not MemberState.ALIVE:
--- a/landingshift/membership/token_bucket.py
+++ b/landingshift/membership/token_bucket.py
@@ -12,7 +12,7 @@
         self._refilled_at_ms = 0.0
 
     def try_consume(self, now_ms: float) -> bool:
-        """Takes one token; False where none is left."""
+        """Takes one token; returns whether one was left."""
         elapsed_ms = max(0.0, now_ms - self._refilled_at_ms)
         refilled = self._available_tokens + elapsed_ms * self._tokens_per_second / 1000.0
         self._available_tokens = min(self._tokens_per_second, refilled)
