--- a/landingshift/admission/concurrency_limit.py
+++ b/landingshift/admission/concurrency_limit.py
@@ -9,15 +9,16 @@
 from __future__ import annotations
 
 from landingshift.admission.interface import Gauges
-from landingshift.admission.managed_rpc import ManagedRpc
 from landingshift.admission.rolling_window import RollingWindow
 from landingshift.admission.server_state import SAFE_FRACTION, ServerState
+from landingshift.admission.service_times import ServiceTimes
 
 BUSY_UTILIZATION_FRACTION = 0.95
 """Core utilization from which the cores count as busy."""
 CUT_INTERVAL_MS = 500.0
 """Between two cuts, so that the effect of one is measured before the next."""
-MAX_CUT_FACTOR = 0.5
+MIN_CUT_FACTOR = 0.5
+"""One cut takes no more than half of the limit."""
 MIN_SLOWDOWN = 0.01
 MIN_RUNS_FOR_SLOWDOWN = 5
 """Fewer runs in 2 s say nothing; small servers end two a second."""
@@ -25,7 +26,6 @@
 """Of the cores that may read before the limit gives way."""
 SMOOTHING_OLD, SMOOTHING_NEW = 0.7, 0.3
 SLOWDOWN_BUCKET_COUNT, SLOWDOWN_BUCKET_MS = 2, 1000.0
-MIN_OWN_MS = 1.0
 MIN_WARM_UP_MS = 1.0
 
 
@@ -50,12 +50,15 @@
         self.busy_cores = 0.0
         self.reading_cores = 0.0
 
-    def record_run(self, managed: ManagedRpc, run_ms: float) -> None:
-        """Notes how much slower than its base a run was that ended well."""
-        base_ms = managed.service_times.base_own_ms
-        if base_ms:
-            own_ms = max(MIN_OWN_MS, run_ms - managed.total_call_ms)
-            self.slowdown.add(self._server.now_ms, own_ms / base_ms)
+    def record_run(self, service_times: ServiceTimes, own_ms: float) -> None:
+        """Notes how much slower than the base of its method a run was that ended well.
+
+        Args:
+            service_times: Of the method.
+            own_ms: What the run took without downstream calls.
+        """
+        if service_times.base_own_ms:
+            self.slowdown.add(self._server.now_ms, own_ms / service_times.base_own_ms)
 
     def survivable_runs(self) -> float:
         """RPCs on the cores that this server survives; fewer while it is cold, growing with its age."""
@@ -114,5 +117,5 @@
             slowdown = self.slowdown.mean(now_ms, 1.0)
         else:
             slowdown = self.busy_cores / self._server.settings.core_count
-        self.limit *= max(MAX_CUT_FACTOR, min(1.0, 1.0 / max(MIN_SLOWDOWN, slowdown)))
+        self.limit *= max(MIN_CUT_FACTOR, min(1.0, 1.0 / max(MIN_SLOWDOWN, slowdown)))
         self.last_cut_ms = now_ms
--- a/landingshift/admission/managed_rpc.py
+++ b/landingshift/admission/managed_rpc.py
@@ -8,9 +8,13 @@
 from landingshift.admission.interface import Outcome, Rpc
 from landingshift.admission.service_times import ServiceTimes
 
-MAX_LATE_LOSS_FRACTION = 0.5
-"""An answer that keeps no more than this once late is better rejected, for another server, than run late."""
+MIN_LATE_VALUE_FRACTION = 0.5
+"""Of its value that a late answer must keep, and more, to be worth running late.
+
+One that keeps no more is better rejected, so that another server can still answer in time.
+"""
 MIN_TIME_BUDGET_MS = 1.0
+MIN_OWN_RUN_MS = 1.0
 
 
 class RpcState(IntEnum):
@@ -41,7 +45,11 @@
 
     START = 1
     SHED = 2
-    """It fails the deadline check, or there is no memory for it."""
+    """It is rejected from the queue.
+
+    It fails the deadline check (a draining server's grace and standby are part of that), it has been queued
+    too long below the priority floor, or there is no memory for it or for its deduplication entry.
+    """
     DEADLINE_REACHED = 3
     CALLER_GONE = 4
     CALL_NEEDED = 5
@@ -72,7 +80,8 @@
         call_gain: What its value gains by a downstream call over skipping it.
         call_attempts: Downstream calls of it that failed.
         total_call_ms: Time that its downstream calls took.
-        call_started_at_ms: When it asked for the call in hand; from the start of that call on, when that was.
+        call_started_at_ms: While `AWAITING_CALL_SLOT`, when the run needed the call or, for one that is made
+            again, when the failed attempt started. From `CALLING` on, when the call started.
         call_expires_at_ms: When the call in hand can no longer occupy the layer below.
     """
 
@@ -110,20 +119,33 @@
         self.objective_at_ms = min(objective_at_ms, self.deadline_at_ms)
         self.time_budget_ms = max(MIN_TIME_BUDGET_MS, self.check_deadline_ms - self.arrived_at_ms)
 
-    def worthwhile_until_ms(self, late_value_fraction: float) -> float:
-        """Until when an answer is worth its work.
+    def own_run_ms(self, run_ms: float) -> float:
+        """The part of a run that was not spent in downstream calls.
 
         Args:
-            late_value_fraction: What a late answer must keep of its value, and more, to be worth it.
+            run_ms: What the run took in all.
+        """
+        return max(MIN_OWN_RUN_MS, run_ms - self.total_call_ms)
+
+    @property
+    def check_deadline_ms(self) -> float:
+        """The deadline that the check goes by: later answers are not worth starting a run for."""
+        return self._latest_answer_ms(MIN_LATE_VALUE_FRACTION)
+
+    @property
+    def worthless_at_ms(self) -> float:
+        """When its answer has lost all its value."""
+        return self._latest_answer_ms(0.0)
+
+    def _latest_answer_ms(self, min_value_fraction: float) -> float:
+        """Until when an answer keeps enough of its value.
+
+        Args:
+            min_value_fraction: Of its value, that a late answer must keep more than.
 
         Returns:
             The deadline, or the latency objective where a late answer keeps no more than that.
         """
-        if self.rpc.method.late_value_fraction > late_value_fraction:
+        if self.rpc.method.late_value_fraction > min_value_fraction:
             return self.deadline_at_ms
         return min(self.deadline_at_ms, self.objective_at_ms)
-
-    @property
-    def check_deadline_ms(self) -> float:
-        """The deadline that the check goes by."""
-        return self.worthwhile_until_ms(MAX_LATE_LOSS_FRACTION)
--- a/landingshift/coldstart/service.py
+++ b/landingshift/coldstart/service.py
@@ -171,7 +171,7 @@
         quota = self._participant.call_quota(self._loop.now_ms)
         if quota != self._applied_call_quota:
             self._applied_call_quota = quota
-            admission.set_call_quota(quota)
+            admission.set_call_rate_quota(quota)
 
     def finish(self) -> None:
         """Saves what the next start needs."""
