--- a/landingshift/net/routing/database_pool.py
+++ b/landingshift/net/routing/database_pool.py
@@ -86,7 +86,7 @@
             self.start_partial_reply_timer()
 
     def start_partial_reply_timer(self) -> None:
-        """Bounds the time of a reply: a wrong length or an endless line would hold up all calls on the link."""
+        """Bounds the time of a reply: a wrong length or an endless line would hold up all calls on it."""
         self.partial_reply_timer = self.pool.loop.after(MAX_REPLY_MS, lambda: self.close("unfinished"))
 
     def _stop_partial_reply_timer(self) -> None:
--- a/landingshift/net/routing/shutdown.py
+++ b/landingshift/net/routing/shutdown.py
@@ -47,8 +47,8 @@
         """The notice to leave.
 
         Args:
-            notice_ms: The loop's time at which it came. The time that it allows counts from then, however late
-                the loop gets to it.
+            notice_ms: The loop's time at which it came. The time that it allows counts from then, however
+                late the loop gets to it.
         """
         if self.is_draining:
             return
