--- a/landingshift/consensus/election.py
+++ b/landingshift/consensus/election.py
@@ -18,7 +18,7 @@
 
 
 def answer_pre_vote(state: DurableState, request: RequestVote, has_recent_leader: bool) -> VoteResponse:
-    """Whether the candidate would get a vote. A voter that hears a leader wants no other one."""
+    """Whether the candidate would get a vote; not from a voter that is in contact with a leader."""
     is_newer_term = request.term > state.term
     is_granted = is_log_up_to_date(state, request) and not has_recent_leader and is_newer_term
     return VoteResponse(request.term, is_granted, True)
--- a/landingshift/consensus/errors.py
+++ b/landingshift/consensus/errors.py
@@ -10,7 +10,7 @@
 
 
 class InvalidMessageError(ConsensusError):
-    """Bytes of a peer that are no Raft message."""
+    """A peer sent bytes that are no Raft message."""
 
     def __init__(self, reason: str) -> None:
         self.reason = reason
@@ -18,11 +18,11 @@
 
 
 class RaftLogError(ConsensusError):
-    """A log file that must not be used; the text names the file and what is wrong with it."""
+    """The log file must not be used; the text names the file and the problem."""
 
 
 class ForeignLogError(RaftLogError):
-    """The file belongs to another fleet or server, or is no log file at all."""
+    """The log file belongs to another fleet or server, or is no log file at all."""
 
     def __init__(self, path: str, found: bytes, expected_header: bytes) -> None:
         self.path, self.found, self.expected_header = path, found, expected_header
@@ -39,7 +39,7 @@
 
 
 class LostFrameError(RaftLogError):
-    """A frame that was synced is not in the file any more."""
+    """The log file lacks a frame that was synced to it."""
 
     def __init__(self, path: str, frame_count: int) -> None:
         self.path, self.frame_count = path, frame_count
--- a/landingshift/consensus/leader_lease.py
+++ b/landingshift/consensus/leader_lease.py
@@ -20,8 +20,8 @@
 class LeaderLease:
     """Sending times of heartbeat rounds, and which of them each peer answered last.
 
-    A response counts from when its round was sent, not from when it came: the leader may have stood still
-    in between.
+    A response counts from when its round was sent, not from when it came: the leader may have been
+    paused in between.
 
     Attributes:
         round: Number of the last heartbeat round.
--- a/landingshift/consensus/raft.py
+++ b/landingshift/consensus/raft.py
@@ -1,8 +1,8 @@
 """One Raft node: roles, terms and what is committed, after Raft's paper with pre-votes and check quorum.
 
 Guarantee: all nodes commit the same entries in the same order, through crashes, pauses and cut networks.
-Failure mode: without a majority nothing is committed and no leader is elected; a leader that hears of no
-majority for an election timeout steps down.
+Failure mode: without a majority nothing is committed and no leader is elected; a leader that lacks contact
+with a majority for an election timeout steps down.
 
 Pure: time, chance and messages come in; messages go out. The driver's part: what `unsaved_state` gives is
 written and synced, then `on_state_saved` is called, then `take_outgoing` gives the messages that rest on it.
@@ -49,7 +49,7 @@
         role: What it is in its term.
         leader: The leader that it knows of; empty where it knows none.
         commit_index: Highest index that is known to be committed.
-        additional_senders: Names that are heard although the log does not name them as voters (yet).
+        additional_senders: Names whose messages are taken although the log does not name them as voters.
         next_deadline_ms: When `tick` is due.
     """
 
@@ -149,7 +149,8 @@
     def has_leader_lease(self, now_ms: float) -> bool:
         """Whether this node leads, knows all that was committed before, and nobody else can lead just now.
 
-        What it says while this holds is older than anything that a later leader does.
+        While the lease holds, no later leader can have committed anything, so a read from this node's
+        committed state is linearizable.
         """
         if self.role is not Role.LEADER or self._state.term_at(self.commit_index) != self._state.term:
             return False
@@ -240,7 +241,7 @@
         return index
 
     def compact(self, index: int, snapshot: bytes) -> None:
-        """Lets the state machines' state up to `index`, which is committed, stand for the entries."""
+        """Replaces the log up to `index`, which is committed, by a snapshot of the state machines."""
         if self._state.last_included_index < index <= self.commit_index:
             self._state.compact(index, snapshot, self._configuration.voters_as_of(index))
 
@@ -323,12 +324,12 @@
 
     @property
     def _has_recent_leader(self) -> bool:
-        """Whether it leads or heard a leader lately, which may then count on no other being elected."""
+        """Whether it leads or received from a leader lately, which may then rely on its lease."""
         silence_ms = self._now_ms - self._leader_contact_at_ms
         return self.role is Role.LEADER or silence_ms < self.timeouts.election_timeout_ms
 
     def _would_unseat_leader(self, sender: str, message: Message) -> bool:
-        """Whether not even the term of a request may be heard: the leader relies on its lease."""
+        """Whether to drop a vote request without looking at its term: the leader relies on its lease."""
         is_vote_request = isinstance(message, RequestVote) and not message.is_pre_vote
         return is_vote_request and self._has_recent_leader and sender != self.leader
 
--- a/landingshift/consensus/timeouts.py
+++ b/landingshift/consensus/timeouts.py
@@ -1,4 +1,4 @@
-"""The intervals that elections and heartbeats go by."""
+"""The intervals of elections and heartbeats."""
 
 from __future__ import annotations
 
