--- a/landingshift/cli/policy.py
+++ b/landingshift/cli/policy.py
@@ -16,6 +16,7 @@
 from landingshift.membership.operator_rpc import OperatorRpcError, call_operator_rpc
 from landingshift.policies.document import describe_differences, flatten_policy, parse_policy
 from landingshift.policies.errors import InvalidPolicyError
+from landingshift.policies.state_machine import MAX_REASON_CHARS
 
 # As the operators' call `policy_known` tells them.
 END_COMMITTED = "taken"
@@ -27,7 +28,6 @@
 FIND_TIMEOUT_SECONDS = 2.0  # that a server may take to find a change that it does not know
 MAX_SHOWN_WAITS = 5
 MAX_USER_LENGTH = 64
-MAX_REASON_LENGTH = 300
 MAX_ID_STEM_LENGTH = 24
 ID_RANDOM_BYTES = 4
 HISTORY_COLUMNS = ("at", "id", "end", "version", "who", "why", "said")
@@ -120,7 +120,7 @@
 def _propose(
     client: OperatorClient, change_id: str, policy: bytes, why: str, wait_seconds: float, as_json: bool
 ) -> None:
-    command = ["propose", policy, _user(), why[:MAX_REASON_LENGTH]]
+    command = ["propose", policy, _user(), why[:MAX_REASON_CHARS]]
     submit(client, change_id, command, wait_seconds, as_json)
 
 
@@ -206,7 +206,7 @@
 @wait_option
 def withdraw(id_: str, client: OperatorClient, as_json: bool, why: str, wait: float) -> None:
     """Ends a change that has not been taken yet; one that nobody proposed can't be proposed any more."""
-    submit(client, id_, ["withdraw", _user(), why[:MAX_REASON_LENGTH]], wait, as_json)
+    submit(client, id_, ["withdraw", _user(), why[:MAX_REASON_CHARS]], wait, as_json)
 
 
 @group.command()
--- a/landingshift/policies/coordinator.py
+++ b/landingshift/policies/coordinator.py
@@ -23,6 +23,7 @@
 )
 from landingshift.policies.member_reports import NEVER_MS, MemberReport, MemberReports
 from landingshift.policies.messages import (
+    MAX_SENT_REASON_CHARS,
     ChangePhase,
     ChangeStatus,
     ChangeVoters,
@@ -54,7 +55,6 @@
 MAX_NAMED_MEMBER_COUNT = 5  # of those that a change waited for, in its reason
 MAX_REPORTED_MEMBER_COUNT = 64  # of those that a change waits for, in an answer
 MAX_JOIN_COUNT = 256  # members that one entry takes
-MAX_REASON_CHARS = 200
 
 WANTED_STATES = {
     ChangePhase.NONE: (),
@@ -136,7 +136,7 @@
             sender: Who asks.
             request: What it tells of itself.
             now_ms: Monotonic clock, read after the request came.
-            known_leader: The leader that answers this server's own requests. A replaced voter hears of none
+            known_leader: The leader that answers this server's own requests. A replaced voter learns of none
                 any more, and whoever knows only the voters of its settings asks nobody else.
         """
         if not self._is_leading(now_ms):
@@ -145,7 +145,7 @@
             return
         refusal_reason = self._refusal_reason(sender, request)
         if refusal_reason:
-            self._send(sender, MembershipRefusal(request.number, refusal_reason[:MAX_REASON_CHARS]))
+            self._send(sender, MembershipRefusal(request.number, refusal_reason[:MAX_SENT_REASON_CHARS]))
             return
         is_member = self._state.has_member(sender, request.run_id)
         if not is_member and len(self._joining) < MAX_JOIN_COUNT:
@@ -174,8 +174,9 @@
             leader = self._raft.name
             return f"its [policies] is another than {leader}'s: {request.fingerprint}, not {own_fingerprint}"
         state = self._state
-        has_capacity = sender in state.members or len(state.members) < state.max_member_count
-        return "" if has_capacity else f"{state.max_member_count} members are counted, which is the most"
+        if state.has_capacity_for(sender):
+            return ""
+        return f"{state.max_member_count} members are counted, which is the most"
 
     def _wanted_phase(self) -> ChangePhase:
         if self._change_id == self._state.pending_change_id:
@@ -189,7 +190,7 @@
         change = self._state.find_change(change_id)
         if change is None:
             return None
-        reason = change.outcome_reason[:MAX_REASON_CHARS]
+        reason = change.outcome_reason[:MAX_SENT_REASON_CHARS]
         return EndedChange(change_id, change.outcome.value, change.version, reason)
 
     def on_policy_request(self, sender: str, request: PolicyRequest) -> None:
--- a/landingshift/policies/enforcement.py
+++ b/landingshift/policies/enforcement.py
@@ -1,8 +1,8 @@
-"""By which version the admission module decides, and whether it may decide at all just now.
+"""Tells the admission controller which policy version is in force, and whether it may decide at all.
 
-Guarantee: looked at in the end of each pass of the loop, before the module starts or rejects anything;
-without the right to decide the server stands aside. Failure mode: a process that is stopped between this
-look and the act within one pass acts on the look when it goes on.
+Guarantee: both are checked at the end of each pass of the event loop, before the controller starts or rejects
+an RPC; without a valid lease the server is on standby. Failure mode: a process that is paused after the check
+resumes within the same pass, and acts on a check that may be out of date.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 
 
 class PolicyEnforcement:
-    """Carries the participant's state into the admission module.
+    """Applies the participant's state to the admission controller.
 
     Attributes:
-        name: Of the observer, and of what holds back the server's health.
-        applied_version: The version that the module decides by.
+        name: Name of the observer and of the readiness gate.
+        applied_version: The version that the controller decides by.
     """
 
     name = "policies"
@@ -33,7 +33,7 @@
     def __init__(
         self, host: ServiceHost, server_name: str, overlay: PolicyOverlay, participant: ChangeParticipant
     ) -> None:
-        """Begins at once: no gateway needs to hear of a server that can't decide yet."""
+        """Registers the check, and a readiness gate that stays until this server may decide."""
         self.applied_version = 0
         self._router = host.router
         self._loop = host.router.loop
@@ -50,7 +50,7 @@
             self._router.observers.add(self)
 
     def before_decisions(self) -> None:
-        """Puts a new version in force, and tells the module whether it may decide."""
+        """Applies a new version, and tells the controller whether it may decide."""
         controller, participant = self._router.admission, self._participant
         if controller is None:
             return
--- a/landingshift/policies/messages.py
+++ b/landingshift/policies/messages.py
@@ -5,6 +5,8 @@
 from dataclasses import dataclass
 from enum import Enum
 
+MAX_SENT_REASON_CHARS = 200  # of a reason that a member is told
+
 
 class ChangePhase(Enum):
     """What the leader wants of members for the change under way."""
--- a/landingshift/policies/participant.py
+++ b/landingshift/policies/participant.py
@@ -24,6 +24,7 @@
 
 from landingshift.policies.leader_discovery import FIRST_RETRY_MS, LeaderDiscovery
 from landingshift.policies.messages import (
+    MAX_SENT_REASON_CHARS,
     ChangePhase,
     EndedChange,
     LeaseReply,
@@ -45,11 +46,10 @@
 MIN_REQUEST_INTERVAL_MS = 10.0
 REQUESTS_PER_LEASE = 4.0  # so that a lease outlives lost requests
 MIN_JITTER, MAX_JITTER = 0.8, 1.2  # of an interval, so that servers do not ask in step
-MAX_REASON_CHARS = 200
 
 
 class ParticipantState(StrEnum):
-    """Of the change under way, at one server. Each is left only for a later one, or for NONE at its end."""
+    """How far one server is with a change; left only for a later state, or for NONE at its end."""
 
     NONE = ""
     VALIDATED = "ready"  # it has the policy and could decide by it
@@ -225,7 +225,7 @@
 
     def _on_refusal(self, reason: str, now_ms: float) -> None:
         self.discovery.on_refused()
-        self.refusal_reason = reason[:MAX_REASON_CHARS]
+        self.refusal_reason = reason[:MAX_SENT_REASON_CHARS]
         self.is_member = False
         self.next_deadline_ms = now_ms + IDLE_REQUEST_INTERVAL_MS
 
--- a/landingshift/policies/policy_settings.py
+++ b/landingshift/policies/policy_settings.py
@@ -1,4 +1,4 @@
-"""The settings that the protocol of policy changes goes by, alike on all servers."""
+"""The settings of the protocol of policy changes, alike on all servers."""
 
 from __future__ import annotations
 
--- a/landingshift/policies/settings.py
+++ b/landingshift/policies/settings.py
@@ -19,7 +19,7 @@
         voters: Voters at first: 1, 3, 5 or 7.
         journal: Log file of a voter, or of a server that may become one: on a disk that lasts.
         on: Whether the package is used.
-        when_cut_off: What a server does that hears of no leader for a lease.
+        when_cut_off: What a server does once no leader has renewed its lease.
         overlap_ms: For how long two versions may be in use at once, at most.
         lease_ms: Length of a lease with "stand_aside".
         spare_ms: Added until the leader takes a lease for expired.
--- a/landingshift/policies/state_machine.py
+++ b/landingshift/policies/state_machine.py
@@ -101,6 +101,10 @@
         """Whether this very run is a member."""
         return self.members.get(name) == run_id
 
+    def has_capacity_for(self, name: str) -> bool:
+        """Whether the server is a member already, in whichever run, or one more fits."""
+        return name in self.members or len(self.members) < self.max_member_count
+
     @property
     def is_full(self) -> bool:
         """Whether no new change can be begun."""
@@ -128,8 +132,7 @@
                 self._end(command)
 
     def _join(self, name: str, run_id: int) -> None:
-        has_capacity = name in self.members or len(self.members) < self.max_member_count
-        if not self.has_member(name, run_id) and has_capacity:
+        if not self.has_member(name, run_id) and self.has_capacity_for(name):
             self.members[name] = run_id  # its earlier run has ended: one name is one process at a time
             self.join_count += 1
 
