--- a/landingshift/hot_restart/channel.py
+++ b/landingshift/hot_restart/channel.py
@@ -1,8 +1,8 @@
 """The channel between two builds: frames and file descriptors over a Unix stream socket.
 
 A frame is a version, a kind, the number of descriptors that come with it and the length of its body.
-Descriptors go by SCM_RIGHTS with the first byte of the frame, at most `MAX_FRAME_DESCRIPTORS` in one; more
-are sent in several frames.
+Descriptors are passed by SCM_RIGHTS with the first byte of the frame, at most `MAX_FRAME_DESCRIPTORS` in one;
+more are sent in several frames.
 
 Guarantee: a frame is delivered whole and with all its descriptors, or not at all. Received descriptors belong
 to the channel until a frame that has them is returned; `close` closes the rest, so that a peer that can't be
--- a/landingshift/hot_restart/state_machine.py
+++ b/landingshift/hot_restart/state_machine.py
@@ -76,7 +76,7 @@
     """The new process may act."""
     WATCH_JOURNAL = "watch_journal"
     EXIT_SILENTLY = "exit_silently"
-    """Close the own descriptors without a word to the peers, tell the supervisor, end."""
+    """Close its descriptors without sending the peers anything, tell the supervisor, end."""
     KILL_NEW_PROCESS = "kill_new_process"
     """Kill it and wait until it is gone."""
     RESUME = "resume"
@@ -88,7 +88,7 @@
     FORWARD_SHUTDOWN = "forward_shutdown"
     """The new process is told to shut down, with the time that is left."""
     REFUSE = "refuse"
-    """Whoever asked is told why not."""
+    """Reject the operator's request, with the reason."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -108,6 +108,7 @@
     return Transition(next_state, actions)
 
 
+# For the table alone, whose rows would not fit into a line with the full names.
 State = RestartState
 Event = RestartEvent
 Action = RestartAction
@@ -165,8 +166,10 @@
     (State.ROLLED_BACK, Event.ROLLBACK_REQUESTED): _to(State.ROLLED_BACK, Action.REFUSE),
 }
 
-OLD_PROCESS_SERVES = frozenset({State.IDLE, State.STARTING, State.REHEARSING, State.ROLLED_BACK})
-NEW_PROCESS_SERVES = frozenset({State.PROBATION, State.COMPLETED})
+OLD_PROCESS_SERVES = frozenset(
+    {RestartState.IDLE, RestartState.STARTING, RestartState.REHEARSING, RestartState.ROLLED_BACK}
+)
+NEW_PROCESS_SERVES = frozenset({RestartState.PROBATION, RestartState.COMPLETED})
 
 
 @dataclass(slots=True, frozen=True)
@@ -202,7 +205,7 @@
     Attributes:
         state: Where it is.
         state_since_ms: Since when.
-        last_heartbeat_ms: When the new process, or whatever led to the state, was last heard.
+        last_heartbeat_ms: When the new process last sent a heartbeat, or when the last transition was.
         answered_count: RPCs that the new process has answered on probation.
         is_shutting_down: Whether the notice to leave has come; no hot restart begins after it.
         reason: Why the last one was rolled back or refused.
