--- a/landingshift/cli/fleet.py
+++ b/landingshift/cli/fleet.py
@@ -6,8 +6,9 @@
 
 from landingshift.cli.operator_client import OperatorClient, server_options
 from landingshift.cli.output import print_fields, print_json, print_table
+from landingshift.membership.messages import DEPARTED_STATES
 
-DEPARTED_STATES = ("dead", "left")
+DEPARTED_STATE_NAMES = tuple(state.name.lower() for state in DEPARTED_STATES)
 MEMBER_COLUMNS = ("name", "address", "zone", "state", "for_ms")
 HIDDEN_MEMBER_KEYS = {"run", "incarnation"}
 LEASE_COLUMNS = ("name", "calls_s")
@@ -30,7 +31,7 @@
 @click.option("--gone", is_flag=True, help="Those that are dead or left, too.")
 def members(client: OperatorClient, as_json: bool, gone: bool) -> None:
     """One line a server."""
-    rows = [row for row in client.call("members") if gone or row["state"] not in DEPARTED_STATES]
+    rows = [row for row in client.call("members") if gone or row["state"] not in DEPARTED_STATE_NAMES]
     if as_json:
         print_json(rows)
         return
--- a/landingshift/cli/lab.py
+++ b/landingshift/cli/lab.py
@@ -28,7 +28,7 @@
     """What all experiments can be told.
 
     Attributes:
-        seed: Of all that is drawn.
+        seed: Seed of all random draws.
         json_path: The file that gets all figures.
         removed_defence: The defence that is taken away, to see that the experiment notices; None for none.
         only_case: The one case to run; None for all.
@@ -44,23 +44,33 @@
     """Adds the options of all experiments; the command gets `options`.
 
     Args:
-        defences: Those that one can take away.
+        defences: Names that `--break` takes.
     """
 
-    def add(command: Command) -> Command:
+    def decorate(command: Command) -> Command:
+        """Adds the options to one command."""
+
         @wraps(command)
-        def run(seed: int, file: str | None, broken: str | None, only: str | None, **others: Any) -> None:
-            command(options=ExperimentOptions(seed, file, broken, only), **others)
+        def run(
+            seed: int,
+            json_path: str | None,
+            removed_defence: str | None,
+            only_case: str | None,
+            **others: Any,
+        ) -> None:
+            """Calls the command with the four options as one value."""
+            options = ExperimentOptions(seed, json_path, removed_defence, only_case)
+            command(options=options, **others)
 
         seed_option = click.option("--seed", type=int, default=1, show_default=True)
         json_option = click.option(
-            "--json", "file", type=click.Path(dir_okay=False), help="All figures, to this file."
+            "--json", "json_path", type=click.Path(dir_okay=False), help="All figures, to this file."
         )
-        break_option = click.option("--break", "broken", type=click.Choice(defences))
-        only_option = click.option("--only", help="One case by its name.")
+        break_option = click.option("--break", "removed_defence", type=click.Choice(defences))
+        only_option = click.option("--only", "only_case", help="One case by its name.")
         return seed_option(json_option(break_option(only_option(run))))
 
-    return add
+    return decorate
 
 
 def server_count_option(max_count: int) -> Callable[[Command], Command]:
@@ -79,7 +89,7 @@
     """A file that holds no day, or none that can be made smaller.
 
     Attributes:
-        path: Of the file.
+        path: The file.
     """
 
     def __init__(self, path: str, reason: str) -> None:
@@ -161,13 +171,23 @@
 @click.option("--days", type=click.IntRange(1, 10_000_000), default=400, show_default=True)
 @click.option("--minutes", type=click.FloatRange(0.05, 10_000.0), default=10_000.0, help="At most so long.")
 @click.option("--repeats", type=click.IntRange(1, 1000), default=1, help="Real runs.")
-@click.option("--keep", type=click.Path(file_okay=False), help="Failing days, made smaller, to this folder.")
+@click.option(
+    "--keep",
+    "corpus_path",
+    type=click.Path(file_okay=False),
+    help="Failing days, made smaller, to this folder.",
+)
 @server_count_option(200)
 @experiment_options(
     ["lease", "ask", "sure", "arm", "quiet", "booking", "end", "floor", "due", "grace", "suspect"]
 )
 def fleet(
-    days: int, minutes: float, repeats: int, keep: str | None, server_count: int, options: ExperimentOptions
+    days: int,
+    minutes: float,
+    repeats: int,
+    corpus_path: str | None,
+    server_count: int,
+    options: ExperimentOptions,
 ) -> None:
     """All packages at once under faults drawn from the seed: virtual days, or real processes for minutes."""
     from landingshift.testbed.experiments import chance_faults
@@ -182,7 +202,7 @@
         rows = chance_faults_real.play_real_scenarios(server_count, options.seed, real_minutes, repeats)
         print_rows(rows, options.json_path)
     else:
-        _run_virtual_days(days, minutes, options, keep)
+        _run_virtual_days(days, minutes, options, corpus_path)
 
 
 def _run_virtual_days(days: int, minutes: float, options: ExperimentOptions, corpus_path: str | None) -> None:
@@ -281,8 +301,8 @@
     finished: list[ExperimentRow] = []
     for row in rows:
         finished.append(row)
-        verdict = "holds " if row.holds else "BROKEN"
-        click.echo(f"{verdict}  {row.name:28} {row.runs:6} runs  {row.figures}")
+        outcome = "holds " if row.holds else "BROKEN"
+        click.echo(f"{outcome}  {row.name:28} {row.runs:6} runs  {row.figures}")
         for violation in row.violations[:MAX_SHOWN_VIOLATIONS]:
             click.echo(f"        {violation}")
     if json_path:
--- a/landingshift/cli/ledger_options.py
+++ b/landingshift/cli/ledger_options.py
@@ -116,10 +116,11 @@
 
 
 def reports_errors(command: Callable[..., None]) -> Callable[..., None]:
-    """What can't be done is told in one line, and nothing has changed."""
+    """Wraps a command, so that an error is one line on standard error."""
 
     @wraps(command)
     def run(*args: Any, **options: Any) -> None:
+        """Calls the command, and turns its errors into those that click reports."""
         try:
             command(*args, **options)
         except (CommandRejectedError, StoreUnavailableError, ValueError) as err:
--- a/landingshift/cli/operator_client.py
+++ b/landingshift/cli/operator_client.py
@@ -102,6 +102,7 @@
 
     @wraps(command)
     def run(at: str | None, toml: str | None, **options: Any) -> None:
+        """Calls the command with a client in place of the two options."""
         command(client=OperatorClient(at, toml), **options)
 
     at_option = click.option("--at", help="IPv4 address:port of a server's [fleet] listen.")
--- a/landingshift/cli/upkeep.py
+++ b/landingshift/cli/upkeep.py
@@ -11,9 +11,9 @@
 from landingshift.cli.errors import EXIT_FAILED, CommandError
 from landingshift.cli.operator_client import OperatorClient, server_options
 from landingshift.cli.output import ProgressLine, format_unix_ms, print_json, print_table
+from landingshift.maintenance.planner import MS_PER_MINUTE
 from landingshift.maintenance.requests import RequestState
 
-MS_PER_MINUTE = 60_000.0
 POLL_INTERVAL_SECONDS = 0.5
 MAX_CLOCK_OFFSET_MS = 5000.0
 """By which the wall clock of the leader may be behind this one."""
