--- a/landingshift/ledger/service.py
+++ b/landingshift/ledger/service.py
@@ -28,7 +28,7 @@
 
 DEADLINE_MARGIN_MS = 15.0  # before its deadline an ok answer goes out whatever the store does
 MAX_RESULTS_RATIO = 4  # of the queue's bound, that results may take which wait for their commit
-NEVER_MS = float("inf")
+NO_DEADLINE_MS = float("inf")
 
 
 @dataclass(slots=True, eq=False)
@@ -49,7 +49,7 @@
     """The answer gate and the observer of answers.
 
     Attributes:
-        name: Of the observer, in the log.
+        name: Name of the observer, in the log.
     """
 
     name = "ledger"
@@ -64,8 +64,8 @@
         self._not_durable: dict[int, MeteredAnswer] = {}  # by sequence of the usage
         self._unanswered: dict[RoutedRpc, MeteredAnswer] = {}
         self._deferred_result_bytes = 0
-        self._next_due_ms = NEVER_MS  # no deferred answer is due before this
-        self._flush_deadline_ms = NEVER_MS  # when all answers must go, once the server drains
+        self._next_due_ms = NO_DEADLINE_MS  # no deferred answer is due before this
+        self._flush_deadline_ms = NO_DEADLINE_MS  # when all answers must go, once the server drains
         self._tick_timer: Timer | None = None
         self._is_behind = False
         self._early_answer_count = 0
@@ -97,7 +97,12 @@
     # The answer gate
 
     def defer_answer(self, rpc: RoutedRpc, result: bytes, run_time_ms: float) -> bool:
-        """Whether the answer waits here until its usage is durable."""
+        """Queues the usage of an ok answer, and defers the answer where durability comes first.
+
+        Returns:
+            True where the answer is deferred here, or was aborted for want of room in the queue; False where
+            the caller is to send it now.
+        """
         assert rpc.job is not None
         usage = self._measure(rpc, result, run_time_ms)
         if not self._queue.add(usage):
@@ -105,25 +110,32 @@
         is_deferred = self._settings.durability == "before_answer"
         due_ms = min(rpc.job.deadline_at_ms - DEADLINE_MARGIN_MS, self._flush_deadline_ms)
         answer = MeteredAnswer(rpc, result if is_deferred else b"", due_ms, usage, not is_deferred)
-        self._not_durable[usage.sequence] = answer
-        self._unanswered[rpc] = answer
-        self._tick_within(self._settings.commit_ms)
-        if not is_deferred:
-            return False
-        self._deferred_result_bytes += len(result)
-        if self._deferred_result_bytes > MAX_RESULTS_RATIO * self._queue.limit_bytes:
-            answer.due_ms = self._loop.now_ms  # memory is bounded: it goes at the next tick, durable or not
-        self._next_due_ms = min(self._next_due_ms, answer.due_ms)
-        return True
+        self._remember(answer)
+        if is_deferred:
+            self._defer(answer)
+        return is_deferred
 
     def flush_by(self, deadline_ms: float) -> None:
-        """The server drains: whatever is deferred goes by then; loop time."""
+        """The server drains: deferred answers are sent by that time; loop time."""
         self._flush_deadline_ms = deadline_ms
         for answer in self._not_durable.values():
             answer.due_ms = min(answer.due_ms, deadline_ms)
         if self._not_durable:
             self._next_due_ms = min(self._next_due_ms, deadline_ms)
 
+    def _remember(self, answer: MeteredAnswer) -> None:
+        """Keeps an answer until its usage is durable and the answer was written."""
+        self._not_durable[answer.usage.sequence] = answer
+        self._unanswered[answer.rpc] = answer
+        self._tick_within(self._settings.commit_ms)
+
+    def _defer(self, answer: MeteredAnswer) -> None:
+        """Counts a deferred result; past the bound of memory it goes at the next tick, durable or not."""
+        self._deferred_result_bytes += len(answer.result)
+        if self._deferred_result_bytes > MAX_RESULTS_RATIO * self._queue.limit_bytes:
+            answer.due_ms = self._loop.now_ms
+        self._next_due_ms = min(self._next_due_ms, answer.due_ms)
+
     def _measure(self, rpc: RoutedRpc, result: bytes, run_time_ms: float) -> ReportedUsage:
         tenant = rpc.tenant_name.encode(errors="surrogatepass")
         attempt_id = self._attempt_id(rpc)
@@ -151,7 +163,11 @@
         return rpc.dedup_key[1]
 
     def _abort_unmetered(self, rpc: RoutedRpc) -> bool:
-        """No room for its usage: as the settings say, the answer is aborted, or goes unbilled and counted."""
+        """No room for its usage: as the settings say, the answer is aborted, or goes unbilled and counted.
+
+        Returns:
+            Whether the answer was aborted.
+        """
         self._dropped_count += 1
         self._set_behind(True)
         if self._settings.overdue_action == "abort":
@@ -172,7 +188,7 @@
             self._set_behind(False)
 
     def waiting_count(self) -> int:
-        """How many uses are not durable yet."""
+        """Returns the number of usage records that no commit has made durable yet."""
         return len(self._not_durable)
 
     # Answers
@@ -238,7 +254,7 @@
     def _release_due(self) -> None:
         """Sends or aborts answers that are due: the deadline does not wait for a disk."""
         now_ms = self._loop.now_ms
-        next_due_ms = NEVER_MS
+        next_due_ms = NO_DEADLINE_MS
         for answer in [answer for answer in self._not_durable.values() if not answer.is_released]:
             if now_ms < answer.due_ms:
                 next_due_ms = min(next_due_ms, answer.due_ms)
--- a/landingshift/ledger/store.py
+++ b/landingshift/ledger/store.py
@@ -43,14 +43,27 @@
 _UNKNOWN_DATA_VERSION = -1
 
 
+@contextmanager
+def _closing_on_error(db: sqlite3.Connection, path: str) -> Iterator[None]:
+    """Closes the file where it can't be used; SQLite's errors become `StoreUnavailableError`."""
+    try:
+        yield
+    except sqlite3.Error as err:
+        db.close()
+        raise StoreUnavailableError(path, err) from err
+    except Exception:
+        db.close()
+        raise
+
+
 class UsageStore(StoreReader):
     """A store that is open for reading and writing.
 
     Attributes:
         path: The file.
         instance: Names this ledger among others.
-        time_zone: Of the billing periods.
-        period_unit: Of the billing periods.
+        time_zone: Time zone of the billing periods.
+        period_unit: Length of the billing periods.
         index: Writes the index over the entries.
         ledger: The accounting state as of the last commit that was seen.
     """
@@ -69,8 +82,8 @@
         Args:
             directory: Holds the file.
             instance: Names this ledger among others.
-            time_zone: Of the billing periods.
-            period_unit: Of the billing periods.
+            time_zone: Time zone of the billing periods.
+            period_unit: Length of the billing periods.
             dedup_window_ms: Within which a like RPC is a retry.
             max_identity_count: Identities that are remembered for that.
 
@@ -84,18 +97,12 @@
         self.period_unit = period_unit
         self.max_identity_count = max_identity_count
         db = connect(self.path)
-        try:
+        with _closing_on_error(db, self.path):
             self._prepare(db)
             super().__init__(db, BillingCalendar(time_zone, period_unit), dedup_window_ms)
             self.index = IndexWriter(db)
             self._data_version = _UNKNOWN_DATA_VERSION  # the state of the file that `ledger` stands for
             self.ledger = recover_ledger(self, max_identity_count)
-        except sqlite3.Error as err:
-            db.close()
-            raise StoreUnavailableError(self.path, err) from err
-        except Exception:
-            db.close()
-            raise
 
     @classmethod
     def from_settings(cls, settings: Settings) -> UsageStore:
--- a/landingshift/ledger/store_process.py
+++ b/landingshift/ledger/store_process.py
@@ -42,7 +42,7 @@
         """All batches up to this one are committed."""
 
     def waiting_count(self) -> int:
-        """How many uses are not durable yet, for the log."""
+        """Returns the number of usage records that are not durable yet, for the log."""
 
 
 class StoreProcess:
