--- a/landingshift/cli/lab.py
+++ b/landingshift/cli/lab.py
@@ -294,7 +294,7 @@
     Ends with `EXIT_FAILED` where a promise did not hold.
 
     Args:
-        rows: Of the experiment.
+        rows: Rows of the experiment.
         json_path: The file that gets all figures.
         plot_path: The picture that gets the series of all rows.
     """
--- a/landingshift/cli/operator_client.py
+++ b/landingshift/cli/operator_client.py
@@ -31,7 +31,7 @@
     """The settings lack the table that names the server's address.
 
     Attributes:
-        path: Of the settings.
+        path: The settings file.
     """
 
     def __init__(self, path: str) -> None:
--- a/landingshift/cli/policy.py
+++ b/landingshift/cli/policy.py
@@ -45,7 +45,7 @@
     """A file holds no policy.
 
     Attributes:
-        path: Of the file.
+        path: The file.
     """
 
     def __init__(self, path: str, reason: Exception) -> None:
@@ -103,7 +103,7 @@
         client: The server that is to bring it.
         change_id: Names the change; asked twice with one, it is done once.
         command: The words of the change.
-        wait_seconds: For its end; 0 for not at all.
+        wait_seconds: How long to wait for its end; 0 for not at all.
         as_json: For pipes.
     """
     if not client.call("policy_do", [change_id, *command]):
--- a/landingshift/consensus/log_replication.py
+++ b/landingshift/consensus/log_replication.py
@@ -157,7 +157,7 @@
 
     Attributes:
         is_success: Whether the log matched before the entries.
-        match_index: For the response: up to where the logs are equal, or after which index to try.
+        match_index: Last index up to which the logs are equal, or after which the leader is to try.
         changes_voters: Whether an entry that may name voters came or went.
     """
 
--- a/landingshift/hot_restart/channel.py
+++ b/landingshift/hot_restart/channel.py
@@ -62,7 +62,7 @@
 
     Args:
         sock: A Unix stream socket, blocking or not.
-        version: Of the frames that this side writes and reads.
+        version: Version of the frames that this side writes and reads.
     """
 
     def __init__(self, sock: socket.socket, version: int = FRAME_VERSION) -> None:
--- a/landingshift/hot_restart/errors.py
+++ b/landingshift/hot_restart/errors.py
@@ -17,7 +17,7 @@
     """A frame of another version of the format.
 
     Attributes:
-        version: Of the frame.
+        version: Version of the frame.
         own_version: The one that this side reads.
     """
 
@@ -66,7 +66,7 @@
     """A frame that is to be sent is larger than the format allows.
 
     Attributes:
-        size: Of the frame, in the unit of the text.
+        size: Size of the frame, in the unit of the text.
         limit: The most that is allowed, in the same unit.
     """
 
--- a/landingshift/hot_restart/request_journal.py
+++ b/landingshift/hot_restart/request_journal.py
@@ -59,7 +59,7 @@
     """The journal, for the process that writes it and for the one that reads it.
 
     Args:
-        descriptor: Of the memory; the journal owns it from now on.
+        descriptor: Descriptor of the shared memory; the journal owns it from now on.
         capacity_bytes: Size of the memory, with the header.
         is_new: Whether the memory is to be made a journal, not read as one.
 
--- a/landingshift/hot_restart/stored_state.py
+++ b/landingshift/hot_restart/stored_state.py
@@ -122,11 +122,11 @@
     """An RPC in hand, or the owner of a deduplication entry.
 
     Attributes:
-        method_index: In the order of the settings.
+        method_index: Index in the order of the settings.
         tenant_name: None for a tenant without settings of its own.
         record: By `RPC_RECORD_NAMES`.
         facts: By `RPC_FACT_NAMES`.
-        connection_index: In the order of the connections; `NO_INDEX` where it is gone.
+        connection_index: Index in the order of the connections; `NO_INDEX` where it is gone.
         command: None once it is known to have arrived.
         original_index: The deduplication entry that it repeats, or `NO_INDEX`.
         waits_for_original: It is answered once that one ends.
@@ -216,8 +216,8 @@
     """A query for the engine's gauges that is not answered yet; an array in this order.
 
     Attributes:
-        tag: Of the answer.
-        bytes_before: Of the link's stream when it was written.
+        tag: Tag of the answer.
+        bytes_before: Bytes that were written to the link's stream before it.
     """
 
     tag: bytes
@@ -262,7 +262,7 @@
     Attributes:
         connections: Of gateways.
         rpcs: The admission controller's first, then owners of deduplication entries.
-        dedup_entries: In the order of the table.
+        dedup_entries: Entries in the order of the table.
         database_links: Open ones.
         engine_link: The one link to the engine.
         admission: As `AdmissionController.export_state` gives it; None before it decides.
--- a/landingshift/ledger/delivery_tracker.py
+++ b/landingshift/ledger/delivery_tracker.py
@@ -26,7 +26,7 @@
     """An answer that was given to its connection."""
 
     sequence: int
-    """Of its usage."""
+    """Sequence of its usage."""
     stream: Stream
     end_offset_bytes: int
     """Where the answer ends in the stream."""
--- a/landingshift/ledger/entries.py
+++ b/landingshift/ledger/entries.py
@@ -67,7 +67,7 @@
     bytes_in: int
     bytes_out: int
     identity: bytes
-    """Of the client's attempt, as `attempt_identity` gives it."""
+    """Names the client's attempt, as `attempt_identity` gives it."""
 
 
 class Settlement(Struct, array_like=True):
@@ -139,9 +139,9 @@
     """The last entry of the compacted part."""
     last_hash: bytes
     retained_digest: bytes
-    """Of the entries up to `last_number` that stayed."""
+    """Digest of the entries up to `last_number` that stayed."""
     baseline_digest: bytes
-    """Of the totals as they were at `last_number`."""
+    """Digest of the totals as they were at `last_number`."""
     closed_end_ms: int
     """End of the last period that was closed by then."""
 
--- a/landingshift/ledger/merge_rules.py
+++ b/landingshift/ledger/merge_rules.py
@@ -36,8 +36,8 @@
     """How an entry stands to a branch.
 
     Args:
-        number: Of the entry.
-        entry_hash: Of the entry.
+        number: Number of the entry.
+        entry_hash: Hash of the entry.
         follows_chain: Whether the hash is the chain's over the entry before it.
         head_number: The branch's newest entry.
         known_hash: Hash of the branch's entry of this number, if any.
--- a/landingshift/ledger/store_messages.py
+++ b/landingshift/ledger/store_messages.py
@@ -17,7 +17,7 @@
     bytes_in: int
     bytes_out: int
     identity: bytes
-    """Of the client's attempt."""
+    """Names the client's attempt."""
 
 
 class UsageBatch(Struct, array_like=True):
--- a/landingshift/ledger/totals.py
+++ b/landingshift/ledger/totals.py
@@ -32,7 +32,7 @@
         return UsageTotals(-self.uses, -self.work_us, -self.bytes_in, -self.bytes_out)
 
     def as_row(self) -> tuple[int, int, int, int]:
-        """In the order of the stored columns."""
+        """Returns the values in the order of the stored columns."""
         return self.uses, self.work_us, self.bytes_in, self.bytes_out
 
 
@@ -50,7 +50,7 @@
     method_number: int
 
     def as_row(self) -> tuple[str, str, int, int]:
-        """In the order of the stored columns."""
+        """Returns the values in the order of the stored columns."""
         return self.period, self.service_period, self.tenant_number, self.method_number
 
 
--- a/landingshift/policies/change_log.py
+++ b/landingshift/policies/change_log.py
@@ -22,7 +22,7 @@
         state: How far it is.
         pending_change_id: The change under way, as far as entries are applied here.
         is_leader: Whether this server leads.
-        leader_step: Of the change, where this server leads it.
+        leader_step: Step of the change, where this server leads it.
     """
 
     change_id: str = ""
--- a/landingshift/policies/messages.py
+++ b/landingshift/policies/messages.py
@@ -87,7 +87,7 @@
 
     Attributes:
         run_id: Which process of that name: drawn anew at each start.
-        number: Of the request; an answer names it.
+        number: Number of the request; a reply carries it.
         version: In force at the member; -1 for none yet.
         change_id: The change that it has the policy of; empty for none.
         state: How far it is with that change (`ParticipantState`).
@@ -135,7 +135,7 @@
     """The leader's answer to a lease request.
 
     Attributes:
-        number: Of the request.
+        number: Number of the request.
         is_member: Whether the member is one that changes wait for.
         version: In force.
         change_id: The change under way; empty for none.
--- a/landingshift/policies/node.py
+++ b/landingshift/policies/node.py
@@ -81,7 +81,7 @@
             run_id: Which process of that name: drawn anew at each start.
             settings: Alike on all servers.
             find_conflict: Key and reason where this server could not decide by a policy, else empty.
-            persistent_state: Of the log file; None on a server without one.
+            persistent_state: State from the log file; None on a server without one.
             rng: Spreads requests and elections.
             now_ms: Monotonic clock.
             wall_clock_ms: Unix time, for what people read.
