--- a/landingshift/net/routing/router.py
+++ b/landingshift/net/routing/router.py
@@ -12,18 +12,19 @@
 from landingshift.net.routing.actions import RouterActions
 from landingshift.net.routing.admission_driver import AdmissionDriver
 from landingshift.net.routing.answers import AnswerWriter
+from landingshift.net.routing.check_runner import CheckRunner
 from landingshift.net.routing.database_events import DatabaseEventHandler
 from landingshift.net.routing.database_pool import DatabasePool
 from landingshift.net.routing.dedup import DedupTable
+from landingshift.net.routing.duplicates import DuplicateResolver
 from landingshift.net.routing.engine_events import EngineEventHandler
 from landingshift.net.routing.engine_link import EngineLink
 from landingshift.net.routing.gateways import Gateways
-from landingshift.net.routing.gauge_poller import GaugePoller
 from landingshift.net.routing.health import HealthReporter
 from landingshift.net.routing.observers import RpcObservers
 from landingshift.net.routing.reload import keys_requiring_restart, reloaded_config
-from landingshift.net.routing.repeats import RepeatResolver
-from landingshift.net.routing.rpc_intake import MAX_WAIT_FACTOR, RpcIntake
+from landingshift.net.routing.request_validation import MAX_WAIT_FACTOR, RequestValidator
+from landingshift.net.routing.rpc_intake import RpcIntake
 from landingshift.net.routing.rpc_table import RpcTable
 from landingshift.net.routing.server_config import ServerConfig
 from landingshift.net.routing.shutdown import GracefulShutdown
@@ -32,7 +33,7 @@
 
 RESERVED_DESCRIPTOR_COUNT = 64  # not for gateways: links to the database, engine, roster, log
 MIN_CONNECTIONS = 8
-DEDUP_MEMORY_FRACTION = 0.25  # of the memory, for results that repeats are answered from
+DEDUP_MEMORY_FRACTION = 0.25  # of the memory, for results that duplicates are answered from
 UNSENT_MEMORY_FRACTION = 0.25  # of the memory, for answers that gateways do not read
 BYTES_PER_MB = 1048576.0
 
@@ -42,9 +43,10 @@
 
     Args:
         loop: Whose passes the controller is settled in.
-        config: What the server was told at its start.
+        config: Of the server at its start.
         log: Takes an event's name and its fields.
-        listener: A listening socket from another build, which also hands over the link to the engine.
+        listener: Set by hot restart alone: the listening socket of the old build, which hands over the link
+            to the engine, too.
 
     Raises:
         OSError: The server can't listen where it is told to.
@@ -67,6 +69,7 @@
         self.before_decisions: Callable[[], None] | None = None
         self.driver = AdmissionDriver(loop)
         self.table = RpcTable()
+        self.request_validator = RequestValidator(config, self.table)
         self.dedup = _dedup_table(config)
         self.gateways = _gateways(loop, config, log, listener)
         self.database = DatabasePool(loop, config.database, log)
@@ -76,10 +79,10 @@
         )
         self.observers = RpcObservers(log)
         self.answers = AnswerWriter(self.gateways.connections, self.observers, log)
-        self.repeats = RepeatResolver(
+        self.duplicates = DuplicateResolver(
             loop, self.driver, self.dedup, self.engine, self.answers, self.gateways.connections
         )
-        self.gauges = GaugePoller(loop, self.driver, self.engine, config.gauge_names)
+        self.check_runner = CheckRunner(loop, self.driver, self.engine, config.gauge_names)
         self.shutdown = GracefulShutdown(loop, self.driver, self.gateways, self.answers, config.stop_ms)
         self.actions = self._make_actions()
         self.intake = self._make_intake()
@@ -100,14 +103,14 @@
             health_reporter=self.health_reporter,
             observers=self.observers,
             answers=self.answers,
-            repeats=self.repeats,
-            gauges=self.gauges,
+            duplicates=self.duplicates,
+            check_runner=self.check_runner,
             log=self.log,
         )
 
     def _make_intake(self) -> RpcIntake:
         return RpcIntake(
-            config=self.config,
+            validator=self.request_validator,
             driver=self.driver,
             table=self.table,
             dedup=self.dedup,
@@ -130,8 +133,8 @@
             engine=self.engine,
             observers=self.observers,
             answers=self.answers,
-            repeats=self.repeats,
-            gauges=self.gauges,
+            duplicates=self.duplicates,
+            check_runner=self.check_runner,
             start_admission=self._start_admission,
             log=self.log,
         )
@@ -171,7 +174,10 @@
         self.health_reporter.start()
 
     def reload(self, config: ServerConfig) -> None:
-        """Takes what a new configuration may change while RPCs are under way."""
+        """Takes what a new configuration may change while RPCs are under way.
+
+        The log names the keys that count from the next start only; changed `settings` are not among them.
+        """
         postponed = keys_requiring_restart(self.config, config)
         self.config = reloaded_config(self.config, config)
         self.log("reloaded", engine=config.engine, db=config.database, roster=config.roster, kept=postponed)
