--- a/landingshift/coldstart/service_discovery.py
+++ b/landingshift/coldstart/service_discovery.py
@@ -9,11 +9,8 @@
 
 from random import Random
 
-from landingshift.coldstart.backoff import (
-    DecorrelatedJitterBackoff,
-    mean_rate_below_cap,
-    random_start_delay_ms,
-)
+from landingshift.coldstart.backoff import DecorrelatedJitterBackoff
+from landingshift.coldstart.start_spreading import mean_rate_below_cap, random_start_delay_ms
 
 POLL_TIMEOUT_MS = 5_000.0
 MIN_POLL_PAUSE_MS = 1_000.0
@@ -67,7 +64,7 @@
         return self.next_poll_ms if self._polled_at_ms is None else self._polled_at_ms + POLL_TIMEOUT_MS
 
     def start_poll_if_due(self, now_ms: float, has_joined: bool) -> bool:
-        """True where the caller is to poll now; a poll without an answer in time has failed."""
+        """Returns whether the caller is to poll now; a poll without an answer in time has failed."""
         if self._polled_at_ms is not None and now_ms >= self._polled_at_ms + POLL_TIMEOUT_MS:
             self.on_poll_finished(now_ms, is_successful=False)
         if has_joined or self._polled_at_ms is not None or now_ms < self.next_poll_ms:
--- a/landingshift/net/routing/answers.py
+++ b/landingshift/net/routing/answers.py
@@ -19,13 +19,13 @@
     """Writes answers to the connections on which the RPCs came.
 
     Args:
-        connections: Of gateways.
-        observers: Hear of each answer that was written.
-        log: Hears of a gate that was cut off.
+        connections: The gateways' connections.
+        observers: Called with each answer that was written.
+        log: Called with a gate that was cut off.
 
     Attributes:
-        headers: What each answer tells callers of the server's load.
-        gate: Where ok answers pass before they go out, if there is one.
+        headers: The headers of each answer, which tell callers of the server's load.
+        gate: The gate that ok answers pass before they go out, if there is one.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
         self._answer(rpc, wire.encode_ok(rpc.message_id, result, self.headers), AnswerKind.OK)
 
     def abort_deferred(self, rpc: RoutedRpc) -> None:
-        """The gate's word that an ok answer may not go."""
+        """The gate decided that an ok answer may not go: aborts the RPC instead."""
         rpc.is_answer_deferred = False
         self.abort(rpc)
 
--- a/landingshift/net/routing/database_pool.py
+++ b/landingshift/net/routing/database_pool.py
@@ -48,7 +48,7 @@
     """One connection to the database.
 
     Args:
-        pool: Whose link it is.
+        pool: The pool that the link belongs to.
         open_stream: Makes the link's stream; returns the reason where there is none.
     """
 
@@ -86,7 +86,7 @@
             self.start_partial_reply_timer()
 
     def start_partial_reply_timer(self) -> None:
-        """A length that does not fit or a line that does not end would hold up all calls on the link."""
+        """Bounds the time of a reply: a wrong length or an endless line would hold up all calls on it."""
         self.partial_reply_timer = self.pool.loop.after(MAX_REPLY_MS, lambda: self.close("unfinished"))
 
     def _stop_partial_reply_timer(self) -> None:
@@ -120,8 +120,8 @@
     """The links to the database and the calls on them.
 
     Args:
-        address: Of the database; None where there is none.
-        log: Hears of links that ended.
+        address: The database's address; None where there is no database.
+        log: Called with links that ended.
 
     Attributes:
         links: Links that take new calls.
@@ -143,7 +143,7 @@
         self.cancelled: list[tuple[DatabaseLink, bytes]] = []
 
     def start(self, events: DatabaseEvents) -> None:
-        """Names who hears what becomes of calls; called before the first one."""
+        """Sets the receiver of the ends of calls; called before the first call."""
         self.events = events
 
     def call(self, rpc: RoutedRpc, timeout_ms: float) -> bool:
@@ -242,4 +242,5 @@
 
 def _preference(link: DatabaseLink) -> tuple[int, float]:
     """Sorts links: fewest calls first, then the one used last."""
-    return len(link.calls), -link.stream.last_activity_ms if link.stream is not None else 0.0
+    last_activity_ms = link.stream.last_activity_ms if link.stream is not None else 0.0
+    return len(link.calls), -last_activity_ms
--- a/landingshift/net/routing/shutdown.py
+++ b/landingshift/net/routing/shutdown.py
@@ -21,10 +21,10 @@
     """The server's way from the notice to leave to its end.
 
     Args:
-        stop_ms: From the notice to leave until the process is killed.
+        stop_ms: The time from the notice to leave until the process is killed.
 
     Attributes:
-        stop_at_ms: When the process is killed, in the loop's time; 0 before the notice.
+        stop_at_ms: The loop's time at which the process is killed; 0 before the notice.
     """
 
     def __init__(
@@ -47,7 +47,8 @@
         """The notice to leave.
 
         Args:
-            notice_ms: When it came. What it allows counts from then, however late the loop gets to it.
+            notice_ms: The loop's time at which it came. The time that it allows counts from then, however
+                late the loop gets to it.
         """
         if self.is_draining:
             return
@@ -59,19 +60,19 @@
             # Nothing runs here, but what waits unread counts as received: it is told that it never ran.
             self._drain_connections()
             return
-        self.driver.event().start_draining(left_ms, elapsed_ms)
+        self.driver.controller_for_event().start_draining(left_ms, elapsed_ms)
         drain_after_ms = self.schedule_connection_drain()
         if self.answers.gate is not None:
             self.answers.gate.flush_by(self.loop.now_ms + drain_after_ms)
 
     def resume(self, stop_at_ms: float) -> None:
-        """Goes on with a drain that another build began."""
+        """Goes on with a drain that the old build began; called by hot restart alone."""
         self.is_draining = True
         self.stop_at_ms = stop_at_ms
         self.schedule_connection_drain()
 
     def schedule_connection_drain(self) -> float:
-        """Sets the timer at which connections are asked to go; returns in how many ms that is."""
+        """Sets the timer at which connections are asked to go; returns its delay in ms."""
         left_ms = self.stop_at_ms - self.loop.now_ms
         drain_after_ms = max(left_ms - CONNECTION_DRAIN_MS, left_ms / 2.0)
         self.loop.after(drain_after_ms, self._drain_connections)
--- a/landingshift/net/transport/loop.py
+++ b/landingshift/net/transport/loop.py
@@ -18,7 +18,7 @@
 
 
 class Watcher(Protocol):
-    """Hears that a descriptor can be read or written."""
+    """Called when a descriptor can be read or written."""
 
     def on_ready(self, mask: int) -> None:
         """`mask`: events of the `selectors` module that have come."""
@@ -49,7 +49,7 @@
 
     Attributes:
         now_ms: The monotonic time at which the sockets were last read; the same for all handlers of a pass.
-        passes_read: Times that the sockets were read.
+        passes_read: How often the sockets were read.
         pending_writers: Those that have something to write at the end of the pass.
         settle: Ends each pass, before what is to be written is written.
     """
@@ -143,7 +143,7 @@
             self._guarded(action)
 
     def read(self, wait_ms: float) -> bool:
-        """Waits for sockets at most so long and calls their watchers; whether any was ready."""
+        """Waits for sockets at most so long and calls their watchers; returns whether any was ready."""
         events = self.selector.select(wait_ms / 1000.0)
         self.now_ms = self.clock_ms()
         self.passes_read += 1
--- a/landingshift/net/transport/worker.py
+++ b/landingshift/net/transport/worker.py
@@ -69,7 +69,7 @@
 
 
 class WorkerOwner(Protocol):
-    """Hears what the process says."""
+    """Called with what the process says."""
 
     def on_message(self, message: bytes) -> None:
         """A message came."""
@@ -82,10 +82,10 @@
     """A process that runs `module` with this interpreter; it takes its end with `inherited_socket`.
 
     Args:
-        module: To run.
-        args: Of its command line.
-        owner: Hears what it says.
-        max_queued_bytes: Of messages that the process has not taken.
+        module: The module to run.
+        args: The arguments of its command line.
+        owner: Called with what it says.
+        max_queued_bytes: The bound on messages that the process has not taken.
 
     Raises:
         OSError: The process could not be started.
--- a/landingshift/testbed/simulation/removed_defences.py
+++ b/landingshift/testbed/simulation/removed_defences.py
@@ -9,8 +9,8 @@
 from math import inf
 
 from landingshift.admission.controller import AdmissionController
-from landingshift.coldstart.coordinator import ColdStartCoordinator
 from landingshift.coldstart.leases import LeaseRequest
+from landingshift.coldstart.participant import ColdStartParticipant
 from landingshift.consensus.raft import Role
 from landingshift.maintenance.agent import MaintenanceAgent
 from landingshift.maintenance.capacity_constraints import DisruptionBudget
@@ -20,7 +20,7 @@
 
 PARTICIPANT_LEASE = "lease"
 """A prepared server goes on by the old policy without a lease."""
-STATUS_REQUEST = "ask"
+LEASE_REQUEST = "ask"
 """A server decides before it has asked for the current policy."""
 LEADER_LEASE = "sure"
 """A leader answers without knowing that it still leads."""
@@ -45,7 +45,7 @@
 
 INVARIANT_BY_REMOVED_DEFENCE = {
     PARTICIPANT_LEASE: "all_or_none",
-    STATUS_REQUEST: "all_or_none",
+    LEASE_REQUEST: "all_or_none",
     LEADER_LEASE: "all_or_none",
     WAIT_FOR_ALL: "all_or_none",
     RECOVERY_GRACE: "shares",
@@ -91,7 +91,7 @@
 
 def may_decide(participant: ChangeParticipant, now_ms: float, removed_defence: str) -> bool:
     """Returns whether a server may decide about RPCs by the policy that it has."""
-    if participant.may_decide(now_ms) or removed_defence == STATUS_REQUEST:
+    if participant.may_decide(now_ms) or removed_defence == LEASE_REQUEST:
         return True
     return participant.is_member and removed_defence == PARTICIPANT_LEASE
 
@@ -110,13 +110,13 @@
         ]
 
 
-def remove_recovery_grace(cold_start: ColdStartCoordinator, now_ms: float) -> None:
+def remove_recovery_grace(cold_start: ColdStartParticipant, now_ms: float) -> None:
     """Lets a grantor grant at once after its start."""
     if cold_start.grantor is not None:
         cold_start.grantor.set_recovery_grace_until(now_ms)
 
 
-def remove_booked_amount(cold_start: ColdStartCoordinator) -> None:
+def remove_booked_amount(cold_start: ColdStartParticipant) -> None:
     """Frees what a smaller grant leaves while its holder may still believe in the larger one."""
     if cold_start.grantor is None:
         return
