--- a/landingshift/admission/__init__.py
+++ b/landingshift/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Every decision about an RPC: whether it is taken, when it runs, what its caller hears."""
+"""Admission control of one server: accepting, queueing, running and rejecting RPCs, and reporting load."""
--- a/landingshift/admission/backpressure.py
+++ b/landingshift/admission/backpressure.py
@@ -1,11 +1,12 @@
-"""The load that this server advertises (weight, level or credit) and the Retry-After of its rejections.
+"""Load that this server advertises to callers (weight, level or credit) and Retry-After of its rejections.
 
-Two signals, each from `MIN_SIGNAL` to 1, make the advertised load. `queue_weight` falls while the queue is
-long. `read_responsiveness` falls while RPCs wait long before they are read: it shows a server whose cores are
-full of reads, before any run ends to show it.
+The advertised load combines two signals between `MIN_SIGNAL` and 1. `queue_weight` falls while the queue is
+long. `read_responsiveness` falls while RPCs wait long before they are read, which reveals a server whose
+cores are busy reading before any run has ended.
 
-An advertisement has an effect only on callers that come back before they forget it. So the signals never
-reach 0: a caller that stays away hears nothing, forgets, and sends as if nothing had been advertised.
+An advertisement only affects callers that return before it expires on their side. The signals therefore never
+reach 0: a caller that sends nothing receives no update, discards the advertisement and then sends at full
+rate.
 """
 
 from __future__ import annotations
@@ -23,10 +24,11 @@
 
 UNREAD_BUCKET_COUNT, UNREAD_BUCKET_MS = 2, 250.0
 MAX_UNREAD_FRACTION = 0.5
-"""Of the shortest latency objective: where RPCs wait unread for so long, the responsiveness would be 0."""
+"""Wait before the read, as a fraction of the shortest latency objective, at which the responsiveness would be
+0 without its minimum."""
 MIN_SIGNAL = 0.2
-"""Least value of each signal, so that callers come back and hear of the load."""
-# The modes are logged while their signal is below the threshold; nothing else goes by these.
+"""Minimum of each signal, so that callers keep returning and receive load updates."""
+# Each mode is logged as on while its signal is below the threshold; the thresholds affect only the log.
 READ_OVERLOAD_MODE, READ_OVERLOAD_THRESHOLD = "drowning", 0.3
 SHEDDING_MODE, SHEDDING_THRESHOLD = "shedding", 0.7
 ADVERTISED_DIGIT_COUNT = 3
@@ -34,13 +36,13 @@
 
 
 class Backpressure:
-    """What this server tells its callers about its load.
+    """Advertises the load of this server to its callers and rejects RPCs.
 
     Attributes:
-        queue_weight: From `MIN_SIGNAL` to 1, falling while more than one RPC a core is queued.
-        read_responsiveness: From `MIN_SIGNAL` to 1, lower the longer RPCs wait unread.
-        unread_ms: How long RPCs waited unread, of the last half second.
-        advertised_load: What was last advertised, in the form of `Settings.load_advertisement`.
+        queue_weight: Signal from `MIN_SIGNAL` to 1 that falls while more than one RPC per core is queued.
+        read_responsiveness: Signal from `MIN_SIGNAL` to 1 that is lower the longer RPCs wait to be read.
+        unread_ms: Time that each RPC of the last half second waited before it was read.
+        advertised_load: Load that was last advertised, in the form of `Settings.load_advertisement`.
     """
 
     def __init__(
@@ -68,13 +70,14 @@
         self.advertised_load = NEVER_ADVERTISED
 
     def record_read(self, waited_ms: float) -> None:
-        """Notes how long an RPC waited unread."""
+        """Records how long an RPC waited before it was read."""
         self.unread_ms.add(self._server.now_ms, waited_ms)
 
     def reject(self, managed: ManagedRpc) -> None:
-        """Rejects the RPC, with a Retry-After that grows with the time that RPCs wait unread.
+        """Rejects the RPC, with a Retry-After that grows with the time that RPCs wait to be read.
 
-        Out of service the Retry-After is the longest, and callers may always try another server.
+        While the server is draining or on standby, the Retry-After is the maximum and callers may always try
+        another server.
         """
         self._check.record_rejection(managed)
         is_final = self._retries.is_final_rejection(managed)
@@ -84,25 +87,28 @@
         self._actions.reject(managed.rpc, retry_after_ms, is_final and is_in_service)
 
     def update(self) -> None:
-        """Moves the signals, and advertises the load if it has changed."""
+        """Updates the signals and advertises the load if it has changed."""
         self._update_queue_weight()
         self._update_read_responsiveness()
         self._log_shedding()
         advertisement = self._server.settings.load_advertisement
-        amount = round(self._amount(advertisement), ADVERTISED_DIGIT_COUNT)
-        if amount != self.advertised_load and advertisement is not LoadAdvertisement.NONE:
-            self.advertised_load = amount
-            self._actions.advertise_load(amount)
+        load = round(self._load(advertisement), ADVERTISED_DIGIT_COUNT)
+        if load != self.advertised_load and advertisement is not LoadAdvertisement.NONE:
+            self.advertised_load = load
+            self._actions.advertise_load(load)
 
     def _update_queue_weight(self) -> None:
-        """Moves the weight by one a second at the most, down while more than one RPC a core is queued."""
+        """Lowers the weight while more than one RPC per core is queued, and raises it while fewer are.
+
+        The weight changes by at most 100 % per second.
+        """
         capacity = self._server.settings.core_count
         queued = len(self._server.queued)
         step = self._server.seconds_since_check * max(-1.0, (capacity - queued) / capacity)
         self.queue_weight = max(MIN_SIGNAL, min(1.0, self.queue_weight * (1.0 + step)))
 
     def _update_read_responsiveness(self) -> None:
-        """Sets the responsiveness by how long RPCs waited unread."""
+        """Computes the responsiveness from the time that RPCs waited to be read."""
         unread_ms = self.unread_ms.mean(self._server.now_ms, 0.0)
         max_unread_ms = MAX_UNREAD_FRACTION * self._server.shortest_objective_ms
         self.read_responsiveness = max(MIN_SIGNAL, 1.0 - unread_ms / max_unread_ms)
@@ -114,7 +120,7 @@
         reason = f"held {queued} cap {limit.limit:.0f} use {limit.core_utilization:.2f}"
         self._modes.set(SHEDDING_MODE, self.queue_weight < SHEDDING_THRESHOLD, reason)
 
-    def _amount(self, advertisement: LoadAdvertisement) -> float:
+    def _load(self, advertisement: LoadAdvertisement) -> float:
         is_in_service = self._draining.is_in_service
         if advertisement is LoadAdvertisement.LEVEL:
             return 1.0 - self.queue_weight * is_in_service
@@ -123,10 +129,11 @@
         return self.queue_weight * self.read_responsiveness * is_in_service
 
     def _credit(self) -> float:
-        """RPCs that one caller may have in flight: the busiest caller's part of what this server can hold.
+        """Returns how many RPCs one caller may have in flight.
 
-        It can hold what may run, is at a downstream call and may be queued. Every caller is told the same
-        credit: an even split would be too little for the busiest while others do not use theirs.
+        This is the server's capacity (RPCs that may run, are at a downstream call or may be queued) times the
+        busiest caller's fraction of the recent RPCs. All callers get the same credit: an even split would
+        give the busiest caller too little while others leave theirs unused.
         """
         server = self._server
         running = max(self._limit.limit, len(server.running))
--- a/landingshift/admission/call_rate.py
+++ b/landingshift/admission/call_rate.py
@@ -1,11 +1,11 @@
-"""How fast this server calls the layer below: a token bucket whose rate follows the answers.
+"""Rate limit of downstream calls: a token bucket whose rate adapts to the outcomes of recent calls.
 
-The rate falls while calls are lost or slow, and grows again while they are answered. Where two calls in a
-row go without an answer it falls to the least at once: a layer that hangs does so for all servers, and each
-call lost until then is a part of a small quota. A fleet may leave this server a quota of calls a second,
-which bounds the rate.
+The rate falls while calls are lost or slow and grows while they are answered. After two consecutive calls
+without a response it drops to the minimum at once: a downstream service that hangs does so for all servers,
+and each call lost until then uses up part of a small quota. The fleet may also assign this server a quota of
+calls per second, which is an upper bound of the rate.
 
-A layer that is slow but answers well within the latency objectives is still worth its calls.
+Slow calls alone do not reduce the rate as long as they end well within the latency objectives.
 """
 
 from __future__ import annotations
@@ -19,38 +19,39 @@
 
 RECENT_BUCKET_COUNT, RECENT_BUCKET_MS = 4, 250.0
 UNANSWERED = -1.0
-"""Stands in the recent calls for one that was not answered well."""
+"""Value recorded in place of a latency for a call that did not succeed."""
 MIN_CALLS_FOR_CUT_COUNT = 6
 MIN_ANSWERED_FRACTION = 0.75
-"""Of the recent calls: with fewer answers the rate falls."""
+"""Fraction of successful recent calls below which the rate is cut."""
 SLOW_LATENCY_RATIO = 3.0
-"""Times the base latency from which calls count as slow."""
+"""Ratio of mean to base latency above which calls count as slow."""
 TOLERATED_LATENCY_FRACTION = 0.4
-"""Of the shortest latency objective: calls that take less are no reason to skip others."""
+"""Fraction of the shortest latency objective that calls may take without a cut of the rate."""
 RATE_CUT_FRACTION_PER_SECOND = 0.5
 MIN_CALLS_PER_SECOND = 1.0
 MIN_QUOTA_PER_SECOND = 0.01
 UNLIMITED_RATE_RATIO, UNLIMITED_EXTRA_CALLS_PER_SECOND = 2.0, 10.0
-"""Times the recent calls, and more than that, from which a rate bounds nothing."""
+"""A rate above this multiple of the calls in the last second plus this many limits nothing, and the limit is
+lifted."""
 CONSECUTIVE_LOSSES_FOR_PAUSE_COUNT = 2
 MIN_BURST_CALLS = 1.0
 BURST_SECONDS = 0.2
 QUOTA_BURST_MS = 50.0
-"""What may be saved up of a quota: that of the time between two checks, in which no token is added."""
+"""Time over which unused quota accumulates: the interval between checks, during which no token is added."""
 PACING_MODE = "paced calls"
 
 
 class CallRate:
-    """The rate of downstream calls.
+    """Token bucket that limits the rate of downstream calls.
 
     Attributes:
-        recent_ms: Latencies of the last second's calls, `UNANSWERED` for those that were not answered well.
-        recent_mean_ms: Mean latency of those that were, at the last check.
-        tokens: Calls that may start now.
-        calls_per_second: By which tokens are added; infinite while the layer below keeps up.
-        quota_per_second: What the fleet leaves to this server; infinite where it sets no quota.
-        consecutive_losses: Calls without an answer since the last one with.
-        last_pause_ms: When the rate was last cut to the least for them.
+        recent_ms: Latencies of the calls that ended in the last second, `UNANSWERED` for those that failed.
+        recent_mean_ms: Mean latency of the successful ones, as of the last check.
+        tokens: Number of calls that may start now.
+        calls_per_second: Rate at which tokens are added; infinite while the downstream service keeps up.
+        quota_per_second: Upper bound assigned by the fleet; infinite without a quota.
+        consecutive_losses: Number of calls without a response since the last successful one.
+        last_pause_ms: Time at which consecutive losses last cut the rate to the minimum.
     """
 
     def __init__(self, server: ServerState, modes: ModeLog) -> None:
@@ -66,27 +67,27 @@
 
     @property
     def tolerated_latency_ms(self) -> float:
-        """Latency up to which a call is worth waiting for, by the shortest latency objective."""
+        """Mean call latency up to which slow calls do not reduce the rate."""
         return TOLERATED_LATENCY_FRACTION * self._server.shortest_objective_ms
 
     def has_token(self) -> bool:
-        """Whether a call may start now."""
+        """Returns whether a call may start now."""
         return self.tokens >= 1.0
 
     def take_token(self) -> None:
-        """Notes that a call starts."""
+        """Uses one token for a call that starts."""
         self.tokens -= 1.0
 
     def recent_count(self) -> int:
-        """Calls that ended in the last second."""
+        """Returns the number of calls that ended in the last second."""
         return self.recent_ms.count(self._server.now_ms)
 
     def record(self, outcome: Outcome, latency_ms: float) -> None:
-        """Learns from the end of a call.
+        """Records the outcome of a call.
 
         Args:
-            outcome: How it ended. A broken connection says nothing of the load below.
-            latency_ms: What it took.
+            outcome: How the call ended. A lost connection is ignored: it says nothing about downstream load.
+            latency_ms: Duration of the call.
         """
         if outcome is Outcome.OK:
             self.consecutive_losses = 0
@@ -97,10 +98,11 @@
             self.recent_ms.add(self._server.now_ms, recent_ms)
 
     def set_quota(self, calls_per_second: float) -> None:
-        """Sets what the fleet leaves to this server, at once.
+        """Applies a new quota to the rate and the tokens at once.
 
-        What was saved up under a larger quota must not be spent under a smaller one. A server that was
-        bounded by its quota alone follows it up at once too; one that was cut for losses does not.
+        Tokens accumulated under a larger quota are discarded, so that they are not spent under a smaller one.
+        A rate that only the quota limited rises to a larger quota at once; a rate that was cut for losses
+        does not.
         """
         is_bounded_by_quota = self.calls_per_second >= self.quota_per_second
         self.quota_per_second = max(MIN_QUOTA_PER_SECOND, calls_per_second)
@@ -111,27 +113,28 @@
         self.tokens = min(self.tokens, MIN_BURST_CALLS)
 
     def update(self, base_ms: float) -> None:
-        """Moves the rate by the calls of the last second, and fills the bucket.
+        """Adapts the rate to the calls of the last second and adds tokens.
 
         Args:
-            base_ms: Latency of calls without load; 0 where it is not known.
+            base_ms: Call latency without load; 0 if unknown.
         """
         recent = self.recent_ms.values(self._server.now_ms)
         answered = [latency_ms for latency_ms in recent if latency_ms >= 0.0]
         mean_ms = sum(answered) / len(answered) if answered else 0.0
         self.recent_mean_ms = mean_ms
         is_slow = base_ms > 0.0 and mean_ms > SLOW_LATENCY_RATIO * base_ms
-        self._move(len(recent), len(answered), is_slow)
-        self._fill_bucket()
+        self._adapt_rate(len(recent), len(answered), is_slow)
+        self._add_tokens()
         is_paced = self.calls_per_second < self.quota_per_second
         self._modes.set(PACING_MODE, is_paced, f"mean {mean_ms:.0f} base {base_ms:.0f} ms")
 
-    def _move(self, recent_count: int, answered_count: int, is_slow: bool) -> None:
-        """Cuts or grows the rate.
+    def _adapt_rate(self, recent_count: int, answered_count: int, is_slow: bool) -> None:
+        """Cuts or raises the rate.
 
-        It is cut while more than a quarter of the calls go without a good answer, or while they are slow
-        and take too much of the shortest latency objective. It grows while calls are answered, but not
-        while some wait and none is; it becomes infinite well above what is called, unless calls are slow.
+        The rate is cut while more than a quarter of the recent calls failed, or while calls are slow and
+        exceed the tolerated latency. Otherwise it grows, unless RPCs wait for a call slot and no recent call
+        succeeded. Once it is well above the number of recent calls and calls are not slow, the limit is
+        lifted.
         """
         seconds = self._server.seconds_since_check
         is_intolerable = is_slow and self.recent_mean_ms > self.tolerated_latency_ms
@@ -148,10 +151,11 @@
                 self.calls_per_second = inf
         self.calls_per_second = min(self.calls_per_second, self.quota_per_second)
 
-    def _fill_bucket(self) -> None:
-        """Adds tokens for the time since the last check, up to the burst that is allowed.
+    def _add_tokens(self) -> None:
+        """Adds tokens for the time since the last check, up to the allowed burst.
 
-        A quota is what the store bears of this server in a second: what is saved up is beyond it.
+        The burst is smaller while the quota limits the rate: the store bears no more than the quota in any
+        second, so accumulated tokens would exceed it.
         """
         seconds = self._server.seconds_since_check
         burst = max(MIN_BURST_CALLS, BURST_SECONDS * self.calls_per_second)
@@ -161,9 +165,12 @@
             self.tokens = min(self.tokens + self.calls_per_second * seconds, burst)
 
     def _pause_after_losses(self, waited_ms: float) -> None:
-        """Cuts the rate to the least once several calls in a row go without an answer.
+        """Cuts the rate to the minimum after several consecutive calls without a response.
 
-        Calls that were in flight at the last such cut do not count again.
+        Calls that were already in flight at the previous such cut do not trigger another one.
+
+        Args:
+            waited_ms: Time that the latest of these calls took before it was given up.
         """
         self.consecutive_losses += 1
         is_repeated = self.consecutive_losses >= CONSECUTIVE_LOSSES_FOR_PAUSE_COUNT
--- a/landingshift/admission/check_timer.py
+++ b/landingshift/admission/check_timer.py
@@ -1,8 +1,8 @@
-"""When the controller checks its gauges, deadlines and rates next.
+"""Schedules the controller's periodic check of gauges, deadlines and rates.
 
-Often while RPCs are queued or wait for a call, seldom on an idle server: those of a large fleet must cost
-next to nothing. A check is brought forward for an RPC that would otherwise end before it, and never put off
-by one.
+Checks are frequent while RPCs are queued or wait for a call slot, and rare on an idle server, so that the
+idle servers of a large fleet cost next to nothing. A new RPC may bring the next check forward but never
+delays it.
 """
 
 from __future__ import annotations
@@ -12,18 +12,18 @@
 from landingshift.admission.server_state import ServerState
 
 CHECK_INTERVAL_MS = 50.0
-"""Between two checks while RPCs are queued or wait for a call."""
+"""Interval between checks while RPCs are queued or wait for a call slot."""
 IDLE_CHECK_INTERVAL_MS = 200.0
-"""Between two checks while nothing is queued."""
+"""Maximum interval between checks."""
 MIN_CHECK_INTERVAL_MS = 10.0
 TIMER_TOLERANCE_MS = 1.0
 
 
 class CheckTimer:
-    """The one timer of the controller.
+    """The controller's only timer.
 
     Attributes:
-        next_check_ms: When the next check is due.
+        next_check_ms: Time at which the next check is due.
     """
 
     def __init__(self, server: ServerState, actions: Actions) -> None:
@@ -32,26 +32,26 @@
         self.next_check_ms = server.now_ms
 
     def schedule(self, delay_ms: float) -> None:
-        """Sets the timer, in place of what it was set to."""
+        """Sets the timer, replacing any earlier setting."""
         self.next_check_ms = self._server.now_ms + delay_ms
         self._actions.schedule_check(delay_ms)
 
     def rearm(self) -> None:
-        """Asks for the check that is due anew: of a program that did not ask for it."""
+        """Requests the pending check again after a hot restart, in which the new program has no timer set."""
         self._actions.schedule_check(max(0.0, self.next_check_ms - self._server.now_ms))
 
     def is_due(self) -> bool:
-        """False for a timer whose place an earlier check has taken."""
+        """Returns whether the check is due; False for a timer that was superseded by a later setting."""
         return self._server.now_ms >= self.next_check_ms - TIMER_TOLERANCE_MS
 
     def schedule_before_deadline(self, managed: ManagedRpc) -> None:
-        """Has an RPC that was read checked before its deadline."""
+        """Brings the next check forward if it might come too late for the deadline of a new RPC."""
         ends_before_check = managed.check_deadline_ms < self.next_check_ms + CHECK_INTERVAL_MS
         if ends_before_check and self.next_check_ms > self._server.now_ms + MIN_CHECK_INTERVAL_MS:
             self.schedule(MIN_CHECK_INTERVAL_MS)
 
     def schedule_while_busy(self) -> None:
-        """Ends an idle server's rest where RPCs are queued or wait for a call."""
+        """Brings the next check forward if RPCs are queued or wait for a call slot."""
         server = self._server
         is_busy = server.queued or server.awaiting_call_slot
         if is_busy and self.next_check_ms > server.now_ms + CHECK_INTERVAL_MS:
@@ -61,13 +61,13 @@
         """Sets the timer after a check.
 
         Args:
-            next_checks_ms: When each RPC in hand needs its next check.
+            next_checks_ms: Times at which the RPCs need their next check.
         """
         now_ms = self._server.now_ms
         next_ms = min([now_ms + IDLE_CHECK_INTERVAL_MS, *next_checks_ms])
         self.schedule(max(MIN_CHECK_INTERVAL_MS, next_ms - now_ms))
 
     def schedule_for_drain(self, remaining_ms: float) -> None:
-        """Sets the timer after a notice: a short one leaves no time for a whole interval."""
+        """Sets the timer after a shutdown notice, before the process stops even if little time remains."""
         before_stop_ms = remaining_ms - 2.0 * CHECK_INTERVAL_MS
         self.schedule(max(1.0, min(CHECK_INTERVAL_MS, before_stop_ms)))
--- a/landingshift/admission/concurrency_limit.py
+++ b/landingshift/admission/concurrency_limit.py
@@ -1,9 +1,10 @@
-"""How many RPCs run at once, led by the latency of runs over what they take without load.
+"""Adaptive limit on concurrent runs, driven by the ratio of run times to run times without load.
 
-The limit starts and is floored at the number of cores. It grows at once by the idle cores while RPCs are
-queued, is cut by base over measured latency while the cores are busy, and stays below what the server
-survives, which is less while it is cold. Reads cannot be stopped: where they fill the cores, the limit
-gives way to them, below its floor too, or runs and reads crowd each other.
+The limit starts at the number of cores and never falls below it. While RPCs are queued, it grows at once by
+the number of idle cores. While the cores are busy, it is multiplied by the ratio of base to measured run
+time. It stays below the number of runs that the server survives, which is smaller while the server is cold.
+Reads cannot be stopped: while they occupy many cores, fewer runs start, even fewer than the minimum of the
+limit, because runs and reads would otherwise slow each other down.
 """
 
 from __future__ import annotations
@@ -14,31 +15,31 @@
 from landingshift.admission.service_times import ServiceTimes
 
 BUSY_UTILIZATION_FRACTION = 0.95
-"""Core utilization from which the cores count as busy."""
+"""Core utilization at and above which the cores count as busy."""
 CUT_INTERVAL_MS = 500.0
-"""Between two cuts, so that the effect of one is measured before the next."""
+"""Minimum interval between cuts, so that the effect of one is measured before the next."""
 MIN_CUT_FACTOR = 0.5
-"""One cut takes no more than half of the limit."""
+"""A single cut removes at most half of the limit."""
 MIN_SLOWDOWN = 0.01
 MIN_RUNS_FOR_SLOWDOWN = 5
-"""Fewer runs in 2 s say nothing; small servers end two a second."""
+"""Minimum number of runs in 2 s for a meaningful mean; small servers finish two runs per second."""
 UNTHROTTLED_READING_FRACTION = 0.5
-"""Of the cores that may read before the limit gives way."""
+"""Fraction of the cores that may be busy reading before fewer runs start."""
 SMOOTHING_OLD, SMOOTHING_NEW = 0.7, 0.3
 SLOWDOWN_BUCKET_COUNT, SLOWDOWN_BUCKET_MS = 2, 1000.0
 MIN_WARM_UP_MS = 1.0
 
 
 class ConcurrencyLimit:
-    """The limit on runs.
+    """Adaptive limit on concurrent runs.
 
     Attributes:
-        limit: RPCs that may run at once, before reads are considered.
-        core_utilization: From 0 to 1, at the last check.
-        last_cut_ms: When the limit was last cut.
-        slowdown: Run times without calls over the method's base, of the last 2 s.
-        busy_cores: All that needs a core, smoothed.
-        reading_cores: What of that is no run, smoothed: reads above all.
+        limit: Number of RPCs that may run at once, before cores busy with reads are subtracted.
+        core_utilization: Core utilization from 0 to 1 at the last check.
+        last_cut_ms: Time of the last cut.
+        slowdown: Ratios of run time without calls to the method's base run time, over the last 2 s.
+        busy_cores: Smoothed number of tasks that need a core.
+        reading_cores: Smoothed number of those tasks that are not runs, which are mostly reads.
     """
 
     def __init__(self, server: ServerState) -> None:
@@ -51,17 +52,17 @@
         self.reading_cores = 0.0
 
     def record_run(self, service_times: ServiceTimes, own_ms: float) -> None:
-        """Notes how much slower than the base of its method a run was that ended well.
+        """Records the slowdown of a successful run relative to the base run time of its method.
 
         Args:
-            service_times: Of the method.
-            own_ms: What the run took without downstream calls.
+            service_times: Service times of the method.
+            own_ms: Duration of the run without downstream calls.
         """
         if service_times.base_own_ms:
             self.slowdown.add(self._server.now_ms, own_ms / service_times.base_own_ms)
 
     def survivable_runs(self) -> float:
-        """RPCs on the cores that this server survives; fewer while it is cold, growing with its age."""
+        """Returns how many RPCs on the cores the server survives, which grows while it warms up."""
         settings = self._server.settings
         warmth = 1.0
         if settings.starts_cold:
@@ -72,9 +73,10 @@
         return (1.0 + (settings.max_runs_per_core - 1.0) * speed) * settings.core_count * SAFE_FRACTION
 
     def free_slots(self) -> float:
-        """How many more RPCs may start; less than 1 for none.
+        """Returns how many more RPCs may start; a value below 1 means none.
 
-        Those at a downstream call come back unasked: all together stay below what the server survives.
+        RPCs at a downstream call return to the cores without a further check, so they count towards the
+        number of runs that the server survives.
         """
         server = self._server
         running = server.running_count()
@@ -84,10 +86,10 @@
         return min(limit - running, self.survivable_runs() - running - calling)
 
     def update(self, gauges: Gauges) -> bool:
-        """Moves the limit by the engine's gauges, or by what runs where there are none.
+        """Adapts the limit to the engine's gauges, or to the number of runs if a gauge is missing.
 
         Returns:
-            Whether the cores are busy and none of them is idle.
+            Whether the server is saturated: utilization is high and no core is idle.
         """
         core_count, running = self._server.settings.core_count, self._server.running_count()
         if gauges.core_utilization is not None:
@@ -108,9 +110,10 @@
         return idle_cores <= 0 and is_busy
 
     def _cut(self) -> None:
-        """Cuts the limit by the slowdown of runs.
+        """Divides the limit by the mean slowdown of runs.
 
-        Where few runs end, by what is on the cores: the limit must not stay up.
+        If too few runs have ended to measure it, the number of tasks per core is used instead, so that the
+        limit does not stay high on a server on which hardly any run ends.
         """
         now_ms = self._server.now_ms
         if self.slowdown.count(now_ms) >= MIN_RUNS_FOR_SLOWDOWN:
--- a/landingshift/admission/controller.py
+++ b/landingshift/admission/controller.py
@@ -1,27 +1,29 @@
-"""The admission controller of one server: every decision about an RPC, from read to answer.
+"""Admission controller of one server, which makes every decision about an RPC from read to answer.
 
-A program sets `now_ms`, calls a method for each event, then `settle`, and carries out the `Actions` that it
-is asked for. It guarantees that each RPC that was read is answered once, that no work begins which cannot
-end in time by what is known, and that memory, cores and the layer below stay within what they survive.
-Under overload it rejects rather than queues. It decides alone, without asking a peer.
+The host program sets `now_ms`, calls one method for each event, then calls `settle`, and carries out the
+`Actions` that the controller requests. The controller guarantees that each RPC whose caller waits is answered
+once, that no run starts that is expected to miss its deadline, and that memory, cores and the downstream
+service stay within their limits. Under overload it rejects RPCs instead of queueing them. It decides locally,
+without asking other servers.
 
-Each rule has its module:
+Each rule has its own module:
 
     deadline_check      whether a queued RPC may still start
-    start_order         which starts first, and which not at all under overload
-    concurrency_limit   how many run at once
-    queue_scheduler     applies these three to the queue, and the limit of memory
-    service_times       what the check and the order know of runs
-    tenant_quotas       what a tenant beyond its quota counts for
-    downstream_calls    who calls the layer below, for how long; call_rate and
-                        downstream_time_budget bound it
-    retry_policy        what may be attempted again
-    dedup_entries       which RPCs enter the deduplication table
-    backpressure        the load that callers are told; recent_callers and idle_connections with it
+    start_order         which queued RPC starts first, and which must not start under overload
+    concurrency_limit   how many RPCs run at once
+    queue_scheduler     applies these three rules and the memory limit to the queue
+    service_times       run time statistics that the rules use
+    tenant_quotas       lower weights for tenants that exceed their quota
+    downstream_calls    which RPCs may make a downstream call, and its timeout, within the limits of
+                        call_rate and downstream_time_budget
+    retry_policy        which calls and RPCs may be retried
+    dedup_entries       which RPCs get an entry in the deduplication table
+    backpressure        load advertised to callers; recent_callers supplies its caller statistics
+    idle_connections    idle timeout of callers' connections
     draining            graceful shutdown and standby
-    rpc_lifecycle       the states of an RPC and what the program does for each
-    check_timer         when the controller checks next by itself
-    snapshot            export and import for a hot restart
+    rpc_lifecycle       the states of an RPC and the actions on each transition
+    check_timer         the time of the next periodic check
+    snapshot            state export and import for a hot restart
 """
 
 from __future__ import annotations
@@ -62,23 +64,25 @@
 from landingshift.admission.tenant_quotas import TenantQuotas
 
 DEADLINE_LEAD_MS = MIN_CHECK_INTERVAL_MS
-"""Before the time in `enforce_deadline` that a run is aborted: no earlier, since it may still end by itself,
-and no later, since the next check may be as far away."""
+"""How long before its end time `enforce_deadline` aborts an RPC. A longer lead would abort runs that still
+end by themselves; with a shorter one, the next check may come too late."""
 SLOW_UPDATE_INTERVAL_MS = 1000.0
-"""Between two updates of what moves slowly: tenants' weights, the idle timeout of connections."""
+"""Interval between updates of slowly changing inputs: tenant weights and the connection idle timeout."""
 
 
 class AdmissionController:
-    """Takes events, decides, and asks its program for actions."""
+    """Decides about RPCs on each event and requests the resulting actions from the host program."""
 
     def __init__(self, settings: Settings, seed: int, actions: Actions, now_ms: float) -> None:
-        """Wires the rules of a server.
+        """Creates the rules of a server and schedules the first check.
 
         Args:
-            settings: The server's settings. A policy may change figures in place; then `on_settings_changed`.
-            seed: Of the time of the first check, so that the servers of a fleet do not check in step.
-            actions: What the program does.
-            now_ms: The start of the server; its caches are cold from then on.
+            settings: The server's settings. After a policy has changed figures in place, the program calls
+                `on_settings_changed`.
+            seed: Random seed for the delay of the first check, so that the servers of a fleet do not check in
+                lockstep.
+            actions: Carries out the controller's decisions.
+            now_ms: Start time of the server, at which its caches are cold.
         """
         self._actions = actions
         self.state = ServerState(settings, now_ms)
@@ -113,12 +117,12 @@
         actions.set_health(True, True)
         self.timer.schedule(CHECK_INTERVAL_MS * Random(seed).random())
 
-    # Events of RPCs
+    # RPC events
 
     def on_rpc_read(self, rpc: Rpc) -> ManagedRpc:
-        """Takes an RPC that was read; returns the handle for its later events.
+        """Admits or rejects an RPC that has been read, and returns the handle for its later events.
 
-        It may be answered before this returns; the handle's state is then None.
+        The RPC may be answered before this method returns; the handle's state is then None.
         """
         now_ms = self.state.now_ms
         managed = ManagedRpc(rpc, self.service_times[rpc.method], now_ms)
@@ -131,17 +135,17 @@
         self.lifecycle.begin(managed)
         if managed.state is RpcState.QUEUED and not self.dedup.retain(managed):
             self.lifecycle.resume(managed, RpcEvent.SHED)
-        self.check.note_queued(managed)
+        self.check.record_queued(managed)
         self.timer.schedule_before_deadline(managed)
         return managed
 
     def on_run_finished(self, managed: ManagedRpc, outcome: Outcome, run_ms: float) -> None:
-        """Takes the end of a run, or of the attempt that a duplicate waits for.
+        """Handles the end of a run, or of the original attempt that a duplicate waits for.
 
         Args:
-            managed: Whose run it was.
-            outcome: How it ended.
-            run_ms: What it took in all, calls included.
+            managed: The RPC that ran or waited.
+            outcome: How the run ended.
+            run_ms: Duration of the run, including downstream calls.
         """
         if managed.state is None:
             return
@@ -154,40 +158,43 @@
         self.lifecycle.resume(managed, RpcEvent.RUN_FINISHED)
 
     def on_call_needed(self, managed: ManagedRpc) -> None:
-        """Handles a run that needs a downstream call; it is off the cores until that ends or is skipped."""
+        """Handles a run that needs a downstream call; it uses no core until the call ends or is skipped."""
         managed.call_started_at_ms = self.state.now_ms
         if managed.state is RpcState.RUNNING:
             self.lifecycle.resume(managed, RpcEvent.CALL_NEEDED)
 
     def on_call_finished(self, managed: ManagedRpc, outcome: Outcome, latency_ms: float) -> None:
-        """Takes the end of a downstream call.
+        """Handles the end of a downstream call.
 
         Args:
-            managed: Whose call it was.
-            outcome: How it ended.
-            latency_ms: What it took.
+            managed: The RPC that made the call.
+            outcome: How the call ended.
+            latency_ms: Duration of the call.
         """
         if managed.state is RpcState.CALLING:
             self.calls.on_finished(managed, outcome, latency_ms)
             self.lifecycle.resume(managed, outcome)
 
     def on_caller_gone(self, managed: ManagedRpc) -> None:
-        """Handles a caller that has gone: nobody waits for the RPC any more."""
+        """Handles a caller that has disconnected or given up waiting for the RPC."""
         if managed.state not in (RpcState.ABORTED, RpcState.ABANDONED):
             self.lifecycle.resume(managed, RpcEvent.CALLER_GONE)
 
     def settle(self) -> None:
-        """Decides once all events of a moment are in: rejects what fails the check, starts the best."""
+        """Updates the queue and the call slots after all simultaneous events have been reported.
+
+        Rejects RPCs that fail the deadline check, starts the best of the others, and assigns call slots.
+        """
         self.scheduler.reject_failed()
         self.scheduler.start_best()
         if self.state.awaiting_call_slot:
             self.calls.assign_slots(self.lifecycle.resume)
         self.timer.schedule_while_busy()
 
-    # Time
+    # Periodic check
 
     def on_timer(self, gauges: Gauges) -> None:
-        """Checks gauges, rates and deadlines; called when `Actions.schedule_check` asked for it."""
+        """Runs the periodic check of gauges, rates and deadlines that `Actions.schedule_check` requested."""
         if not self.timer.is_due():
             return
         self._update_rules(gauges)
@@ -198,7 +205,7 @@
         self.timer.schedule_next(next_checks_ms)
 
     def _update_rules(self, gauges: Gauges) -> None:
-        """Moves what the rules go by."""
+        """Updates the inputs of the admission rules."""
         now_ms = self.state.now_ms
         for service_times in self.service_times.values():
             service_times.refresh(now_ms)
@@ -213,20 +220,21 @@
             self.connections.update(gauges.open_connections or 0.0)
 
     def enforce_deadline(self, managed: ManagedRpc) -> float:
-        """Aborts an RPC that has left the queue and whose time is up; cancels runs that nobody waits for.
+        """Aborts an RPC that has left the queue and run out of time; cancels runs without a waiting caller.
 
-        A run that can be cancelled is aborted once its answer is worthless, another at its deadline. Queued
-        RPCs are the deadline check's.
+        An RPC whose run can be cancelled is aborted once its answer has no value, any other at its deadline.
+        Queued RPCs are left to the deadline check.
 
         Returns:
-            When the RPC needs its next check, in ms of the clock.
+            Clock time in ms at which the RPC needs its next check.
         """
         now_ms = self.state.now_ms
         can_cancel = self.state.settings.run_cancellation is not RunCancellation.NONE
         if managed.state in (RpcState.ABORTED, RpcState.ABANDONED):
             if not can_cancel:
                 return inf
-            # Asked again at each check: it has no effect while the engine's cores stand still.
+            # Repeated at each check, because a cancellation has no effect while the engine's cores are
+            # stalled.
             self._actions.cancel_run(managed.rpc)
         elif managed.state is not RpcState.QUEUED:
             end_ms = managed.worthless_at_ms if can_cancel else managed.deadline_at_ms
@@ -236,14 +244,14 @@
                 return end_ms - DEADLINE_LEAD_MS
         return now_ms + CHECK_INTERVAL_MS
 
-    # What the operator, the policy and the fleet decide
+    # Changes requested by operators, policies and the fleet
 
     def start_draining(self, remaining_ms: float, notified_ago_ms: float = 0.0) -> None:
-        """Begins a graceful shutdown.
+        """Starts a graceful shutdown.
 
         Args:
-            remaining_ms: Until the process is stopped.
-            notified_ago_ms: How long ago the notice came.
+            remaining_ms: Time until the process is stopped.
+            notified_ago_ms: Time since the shutdown notice arrived.
         """
         self.draining.start(remaining_ms, notified_ago_ms)
         self.check.recheck_all()
@@ -252,16 +260,16 @@
         self._actions.log(f"draining: {remaining_ms:.0f} ms left, {queued} held")
 
     def set_standby(self, is_standby: bool) -> None:
-        """Runs nothing new while on standby: the server does not know by which policy to decide."""
+        """Enters or leaves standby, in which no new run starts because the server has no valid policy."""
         self.check.recheck_all()
         self.draining.set_standby(is_standby)
 
     def set_call_rate_quota(self, calls_per_second: float) -> None:
-        """Sets how many downstream calls a second the fleet leaves to this server; bounds the call rate."""
+        """Sets this server's share of the fleet's downstream calls per second, which limits the call rate."""
         self.call_rate.set_quota(calls_per_second)
 
     def on_settings_changed(self) -> None:
-        """Judges what is queued by figures of methods and tenants that have changed in place."""
+        """Re-evaluates the queued RPCs after figures of methods or tenants have changed in place."""
         self.state.refresh_objectives()
         queue = self.state.queued
         for managed in queue:
@@ -269,7 +277,7 @@
         self.order.refresh(queue)
         self.check.recheck_all()
 
-    # What others see
+    # Observable state
 
     @property
     def settings(self) -> Settings:
@@ -278,7 +286,7 @@
 
     @property
     def now_ms(self) -> float:
-        """The controller's time, which the program sets before each event."""
+        """The controller's clock, which the program sets before each event."""
         return self.state.now_ms
 
     @now_ms.setter
@@ -287,43 +295,43 @@
 
     @property
     def started_at_ms(self) -> float:
-        """When the server started."""
+        """Start time of the server."""
         return self.state.started_at_ms
 
     @property
     def stop_at_ms(self) -> float | None:
-        """When the process is stopped; None unless the server drains."""
+        """Time at which the process is stopped; None unless the server is draining."""
         return self.draining.stop_at_ms
 
     @property
     def next_check_ms(self) -> float:
-        """When `on_timer` is due."""
+        """Time at which `on_timer` is due."""
         return self.timer.next_check_ms
 
     @property
     def advertised_load(self) -> float:
-        """The load that answers and health checks carry, in the form that the settings name."""
+        """Load reported in answers and health checks, in the form of `Settings.load_advertisement`."""
         return self.backpressure.advertised_load
 
     def arrivals_per_second(self, now_ms: float) -> float:
-        """RPCs read in a second, over the last 2 s."""
+        """Returns the mean number of RPCs read per second over the last 2 s."""
         return self.order.arrivals_per_second(now_ms)
 
     # Hot restart
 
     def export_state(self) -> tuple[dict[str, Any], list[ManagedRpc]]:
-        """All that is learned and in hand, as plain values, and the RPCs in the order of its places."""
+        """Returns the controller's state as plain values, and the RPCs in the order of their index in it."""
         return export_state(self._snapshot_parts())
 
     def import_state(self, state: dict[str, Any], rpcs: list[Rpc]) -> list[ManagedRpc]:
-        """Goes on where another build was.
+        """Restores the state that another build exported.
 
         Args:
-            state: What that build exported.
-            rpcs: Its RPCs, in the order of the export.
+            state: The exported state.
+            rpcs: The RPCs of that build, in the order of the export.
 
         Returns:
-            The handles of the RPCs in the same order.
+            The handles of the RPCs, in the same order.
         """
         managed_rpcs = import_state(self._snapshot_parts(), state, rpcs)
         self.timer.rearm()
--- a/landingshift/admission/deadline_check.py
+++ b/landingshift/admission/deadline_check.py
@@ -1,8 +1,9 @@
-"""The check before each start: now plus a margin against the RPC's deadline.
+"""Deadline check of queued RPCs: an RPC fails when the current time plus a margin reaches its deadline.
 
-Guards against work for callers that have left or will have: under overload throughput looks healthy while
-no answer is in time. A queued RPC is rejected when it fails, not when a slot becomes free, so that its
-caller can still go elsewhere. Until runs have ended the margin is 0: only expired RPCs fail.
+The check prevents work for callers that have stopped waiting or will have when it ends: under overload,
+throughput can look healthy while no answer is in time. An RPC is rejected as soon as it fails, not when a
+slot becomes free, so that its caller can still try another server. Until the first runs have ended, the
+margin is 0 and only expired RPCs fail.
 """
 
 from __future__ import annotations
@@ -16,18 +17,19 @@
 from landingshift.admission.start_order import OVERLOAD_BUCKET_COUNT, OVERLOAD_BUCKET_MS, StartOrder
 
 MAX_MARGIN_FRACTION = 0.7
-"""Of an RPC's time budget: under long-tailed service times one p99 would reject all."""
+"""Maximum margin as a fraction of an RPC's time budget: with long-tailed service times, an uncapped p99 would
+reject every RPC."""
 MAX_QUEUE_FRACTION_BELOW_FLOOR = 0.12
-"""Of its time budget that an RPC is queued which is not among the best that start."""
+"""Fraction of its time budget for which an RPC below the priority floor stays queued."""
 
 
 class DeadlineCheck:
     """Decides until when each queued RPC may start.
 
     Attributes:
-        failures: One for each RPC rejected for failing the check in the last 2 s.
-        next_failure_ms: Before this no queued RPC fails: what the check goes by changes at timer checks only.
-            0 has all checked again.
+        failures: One value for each RPC that was rejected for failing the check in the last 2 s.
+        next_failure_ms: Time before which no queued RPC fails; 0 forces a check of all. The time stays valid
+            between timer checks, because the inputs of the check do not change in between.
     """
 
     def __init__(self, server: ServerState, draining: Draining, order: StartOrder) -> None:
@@ -38,10 +40,10 @@
         self.next_failure_ms = 0.0
 
     def latest_start_ms(self, managed: ManagedRpc) -> float:
-        """When the RPC fails the check: its deadline less the margin.
+        """Returns the time at which the RPC fails the check: its deadline minus the margin.
 
-        The margin is the p99 of whole runs of its method, capped at a fraction of the RPC's time budget. An
-        RPC that arrived after a draining server's grace fails at once.
+        The margin is the p99 run time of its method, including calls, capped at a fraction of the RPC's time
+        budget. An RPC that arrived after a draining server's grace period fails at once.
         """
         if managed.arrived_at_ms > self._draining.accept_until_ms:
             return 0.0
@@ -49,9 +51,10 @@
         return managed.check_deadline_ms - margin_ms
 
     def queued_until_ms(self, managed: ManagedRpc) -> float:
-        """When a queued RPC is rejected: as it fails the check, or earlier where it is not among the best.
+        """Returns the time at which a queued RPC is rejected.
 
-        Under overload it would not start here; it is told while another server can still run it.
+        This is when it fails the check, or earlier if it is below the priority floor: it would hardly start
+        on this server, and an early rejection leaves time to run it on another one.
         """
         latest_start_ms = self.latest_start_ms(managed)
         if self._order.may_start(managed):
@@ -60,34 +63,35 @@
         return min(latest_start_ms, managed.arrived_at_ms + max_queue_ms)
 
     def record_rejection(self, managed: ManagedRpc) -> None:
-        """Counts a rejected RPC where it failed the check.
+        """Counts a rejected RPC if it failed the check.
 
-        One given up early does not count: it would keep the queue standing.
+        An RPC that was rejected early is not counted: counting it would prolong the overload state that
+        caused its rejection.
         """
         if self._server.now_ms >= self.latest_start_ms(managed):
             self.failures.add(self._server.now_ms, 1.0)
 
     def failure_count(self) -> int:
-        """RPCs that failed the check in the last 2 s; any means that a queue stands."""
+        """Returns how many RPCs failed the check in the last 2 s; any failure shows a persistent queue."""
         return self.failures.count(self._server.now_ms)
 
     def recheck_all(self) -> None:
-        """Has all queued RPCs checked at the next settling: what the check goes by has changed."""
+        """Makes the next `settle` check all queued RPCs, because the inputs of the check have changed."""
         self.next_failure_ms = 0.0
 
-    def note_queued(self, managed: ManagedRpc) -> None:
-        """Takes an RPC that was read into account."""
+    def record_queued(self, managed: ManagedRpc) -> None:
+        """Includes a new RPC in the time of the next failure."""
         self.next_failure_ms = min(self.next_failure_ms, self.queued_until_ms(managed))
 
     def is_due(self) -> bool:
-        """Whether a queued RPC may have failed."""
+        """Returns whether a queued RPC may have failed."""
         return self._server.now_ms >= self.next_failure_ms
 
-    def failed(self) -> list[ManagedRpc]:
-        """The queued RPCs that are to be rejected by now."""
+    def failed_rpcs(self) -> list[ManagedRpc]:
+        """Returns the queued RPCs that must be rejected now."""
         now_ms = self._server.now_ms
         return [managed for managed in self._server.queued if now_ms >= self.queued_until_ms(managed)]
 
-    def plan_next(self) -> None:
-        """Finds out when the next queued RPC fails."""
+    def update_next_failure(self) -> None:
+        """Computes when the next queued RPC fails."""
         self.next_failure_ms = min(map(self.queued_until_ms, self._server.queued), default=inf)
--- a/landingshift/admission/dedup_entries.py
+++ b/landingshift/admission/dedup_entries.py
@@ -1,9 +1,9 @@
-"""Which RPCs enter the program's deduplication table, and until when their entries take memory.
+"""Selects the RPCs that get an entry in the host program's deduplication table, and accounts for its memory.
 
-The table is the program's; this module decides. An RPC with an idempotency key is entered from its first
-moment: a duplicate of one that is queued and not entered would not be recognised, and would run too. Where
-there is no memory for its entry it is rejected. A cacheable read is entered where memory allows. An entry
-of an RPC that never ran is dropped: a later attempt may run.
+The table belongs to the program. An RPC with an idempotency key gets its entry as soon as it is queued:
+otherwise a duplicate that arrives while it is queued would not be recognised and would run as well. If there
+is no memory for the entry, the RPC is rejected. A cacheable read gets an entry if memory allows. The entry of
+an RPC that never ran is dropped, so that a later attempt can run.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 
 
 class DedupEntries:
-    """The entries that RPCs of this server have in the table.
+    """Entries of this server's RPCs in the deduplication table.
 
     Attributes:
-        expires_at_ms: Live entries by their RPC.
+        expires_at_ms: Expiry time of each live entry, by its RPC.
     """
 
     def __init__(self, server: ServerState, actions: Actions) -> None:
@@ -28,15 +28,15 @@
         self.expires_at_ms: dict[ManagedRpc, float] = {}
 
     def answers_duplicate(self, rpc: Rpc) -> bool:
-        """Whether the RPC is a duplicate that is answered from the entry of its first attempt."""
+        """Returns whether the RPC is a duplicate that is answered from the entry of an earlier RPC."""
         is_keyed = rpc.method.idempotency is Idempotency.KEYED
         return rpc.is_duplicate and (is_keyed or self._server.settings.response_cache_ttl_ms > 0)
 
     def retain(self, managed: ManagedRpc) -> bool:
-        """Enters an RPC that was queued, if it needs an entry.
+        """Adds an entry for a queued RPC if it is keyed or cacheable.
 
         Returns:
-            False where it needs one and there is no memory for it: it must not run.
+            False if a keyed RPC gets no entry for lack of memory and therefore must not run, else True.
         """
         server, settings, rpc = self._server, self._server.settings, managed.rpc
         is_cacheable = self._is_cacheable(rpc)
@@ -54,13 +54,13 @@
         return True
 
     def drop_unless_started(self, managed: ManagedRpc) -> None:
-        """Drops the entry of an RPC that leaves without having run."""
+        """Drops the entry of an RPC that is released without having run."""
         if not managed.has_started and self.expires_at_ms.pop(managed, 0.0):
             self._actions.drop_dedup_entry(managed.rpc)
             self._server.memory_in_use_kb -= self._server.settings.dedup_entry_kb
 
     def expire(self) -> None:
-        """Gives back the memory of entries that have ended; the program drops them by itself."""
+        """Frees the accounted memory of expired entries; the program removes the entries itself."""
         expired = [
             managed
             for managed, expires_at_ms in self.expires_at_ms.items()
--- a/landingshift/admission/downstream_calls.py
+++ b/landingshift/admission/downstream_calls.py
@@ -1,10 +1,11 @@
-"""Who calls the layer below, and how long each call may take.
-
-A run that needs a call waits for a slot. Slots go to those whose value gains most by the call, while three
-bounds allow: the rate (`call_rate`), this server's time in the shared store (`downstream_time_budget`), and
-calls in flight by Little's law, so that a layer that turns slow is not filled with calls that all run out of
-time. Where no slot is free, a run that has waited too long for one, or has too little time left, skips the
-call, or fails where it cannot do without. A free slot is given whatever the time left.
+"""Admission and timeouts of downstream calls.
+
+A run that needs a call waits for a call slot. Slots go to the runs that gain most value from the call, within
+three limits: the rate (`call_rate`), this server's time budget in the shared store
+(`downstream_time_budget`), and the number of calls in flight by Little's law, so that a service that becomes
+slow is not filled with calls that all time out. If no slot is free, a run that has waited too long or has too
+little time left skips the call, or fails if the call is required. A free slot is assigned regardless of the
+time left.
 """
 
 from __future__ import annotations
@@ -20,26 +21,28 @@
 
 LATENCY_BUCKET_COUNT, LATENCY_BUCKET_MS = 10, 3000.0
 MAX_TIMEOUT_FRACTION = 0.8
-"""Of the time left: what is lost below must leave time to call again, or to do without."""
+"""Maximum timeout as a fraction of the time left, so that after a lost call there is time to retry or to
+finish without it."""
 MIN_TIMEOUT_CAP_MS, TIMEOUT_LATENCY_RATIO = 300.0, 6.0
-"""A call may take this long, or this many mean latencies where that is more."""
+"""The maximum timeout is the larger of this time and this multiple of the mean latency."""
 DEFAULT_LATENCY_MS = 100.0
 MIN_CALLS_IN_FLIGHT_COUNT, DEFAULT_CALLS_IN_FLIGHT_COUNT = 2.0, 6.0
 IN_FLIGHT_LATENCY_RATIO = 6.0
-"""Recent mean latencies that a call in flight may take, as long as one is waited for."""
+"""Latency that the limit of calls in flight allows for, as a multiple of the recent mean. It equals the
+timeout ratio, so that the limit allows for calls as long as they are waited for."""
 MAX_SLOT_WAIT_FRACTION = 0.1
-"""Of its time budget that an RPC may wait for a call that it can skip."""
+"""Fraction of its time budget for which an RPC may wait for a call that it can skip."""
 MIN_TIMEOUT_LATENCY_RATIO = 2.0
-"""A call with less time left than this many mean latencies is not worth waiting for a slot."""
+"""A run whose call timeout would be less than this multiple of the mean latency does not wait for a slot."""
 
 
 class DownstreamCalls:
-    """The downstream calls of this server.
+    """Assigns call slots and timeouts to the downstream calls of this server.
 
     Attributes:
-        rate: Bounds how fast they start.
-        time_budget: Bounds how much of the shared store they take.
-        latency_ms: Latencies of answered calls, of the last 30 s.
+        rate: Limit on calls per second.
+        time_budget: Limit on the time that calls occupy the shared store.
+        latency_ms: Latencies of the calls that succeeded in the last 30 s.
     """
 
     def __init__(self, server: ServerState, rate: CallRate, time_budget: DownstreamTimeBudget) -> None:
@@ -49,18 +52,18 @@
         self.latency_ms = RollingWindow(LATENCY_BUCKET_COUNT, LATENCY_BUCKET_MS)
 
     def mean_latency_ms(self) -> float:
-        """Mean of the calls answered in the last 30 s; 0 where there is none."""
+        """Returns the mean latency of the calls that succeeded in the last 30 s; 0 if there are none."""
         return self.latency_ms.mean(self._server.now_ms, 0.0)
 
     def timeout_ms(self, managed: ManagedRpc) -> float:
-        """How long a call for this RPC may take from now on."""
+        """Returns the timeout of a call of this RPC that starts now."""
         latency_ms = self.latency_ms.mean(self._server.now_ms, DEFAULT_LATENCY_MS)
         time_left_ms = managed.check_deadline_ms - self._server.now_ms
         max_timeout_ms = max(MIN_TIMEOUT_CAP_MS, TIMEOUT_LATENCY_RATIO * latency_ms)
         return min(MAX_TIMEOUT_FRACTION * time_left_ms, max_timeout_ms)
 
     def on_started(self, managed: ManagedRpc) -> float:
-        """Notes that the RPC's call starts now; returns its timeout in ms."""
+        """Records the start of the RPC's call and returns its timeout in ms."""
         now_ms = self._server.now_ms
         timeout_ms = self.timeout_ms(managed)
         managed.call_started_at_ms = now_ms
@@ -68,16 +71,16 @@
         return timeout_ms
 
     def on_cancelled(self, managed: ManagedRpc) -> None:
-        """Notes that nobody waits for the RPC's call any more; the layer below may go on with it."""
+        """Records that the RPC's call was given up; the downstream service may still work on it."""
         self.time_budget.record(managed, is_lost=True)
 
     def on_finished(self, managed: ManagedRpc, outcome: Outcome, latency_ms: float) -> None:
-        """Learns from the end of a call.
+        """Records the outcome of a call.
 
         Args:
-            managed: Whose call it is.
-            outcome: How it ended.
-            latency_ms: What it took.
+            managed: The RPC that made the call.
+            outcome: How the call ended.
+            latency_ms: Duration of the call.
         """
         managed.total_call_ms += latency_ms
         if outcome is Outcome.OK:
@@ -86,48 +89,55 @@
         self.time_budget.record(managed, is_lost=outcome in (Outcome.NO_RESPONSE, Outcome.CONNECTION_LOST))
 
     def update(self) -> None:
-        """Moves the rate."""
+        """Adapts the call rate to the recent calls."""
         self.rate.update(self.latency_ms.lowest_bucket_mean(self._server.now_ms, 0.0))
 
     def assign_slots(self, resume: Callable[[ManagedRpc, RpcEvent], None]) -> None:
-        """Permits the calls that there are slots for; of the others denies those that are too late.
+        """Permits calls while slots are free and denies those that can no longer wait for one.
 
-        A call that has a slot is made even where little time is left for it.
+        A call with a slot is made even if little time is left for it.
 
         Args:
-            resume: Tells an RPC's lifecycle the decision.
+            resume: Resumes an RPC's lifecycle with the decision.
         """
         mean_ms = self.mean_latency_ms()
         waiting = sorted(self._server.awaiting_call_slot, key=lambda managed: -managed.call_gain)
-        for place, managed in enumerate(waiting, 1):
-            is_too_late = self._waits_too_long(managed, place)
+        for position, managed in enumerate(waiting, 1):
+            waits_too_long = self._waits_too_long(managed, position)
             if self._has_slot(managed):
                 self.rate.take_token()
                 resume(managed, RpcEvent.CALL_PERMITTED)
-            elif is_too_late or self.timeout_ms(managed) < MIN_TIMEOUT_LATENCY_RATIO * mean_ms:
+            elif waits_too_long or self.timeout_ms(managed) < MIN_TIMEOUT_LATENCY_RATIO * mean_ms:
                 resume(managed, RpcEvent.CALL_DENIED)
 
-    def _waits_too_long(self, managed: ManagedRpc, place: int) -> bool:
-        """Whether an RPC that can skip its call has waited, or would wait, too much of its time for it."""
+    def _waits_too_long(self, managed: ManagedRpc, position: int) -> bool:
+        """Returns whether an RPC that can skip its call has waited, or is expected to wait, too long for it.
+
+        Args:
+            managed: The RPC that waits for a call slot.
+            position: Its position in the order in which slots are assigned, from 1.
+        """
         if managed.rpc.method.degraded_value_fraction <= 0:
             return False
         waited_ms = self._server.now_ms - managed.call_started_at_ms
-        wait_ms = max(waited_ms, place * 1000.0 / self.rate.calls_per_second)
+        wait_ms = max(waited_ms, position * 1000.0 / self.rate.calls_per_second)
         return wait_ms > MAX_SLOT_WAIT_FRACTION * managed.time_budget_ms
 
     def _has_slot(self, managed: ManagedRpc) -> bool:
-        """Whether the RPC may call now, by rate, calls in flight and time budget."""
+        """Returns whether rate, calls in flight and time budget allow a call of the RPC now."""
         if not self.rate.has_token() or len(self._server.calling) >= self._max_in_flight():
             return False
         return self.time_budget.fits(self.timeout_ms(managed))
 
     def _max_in_flight(self) -> float:
-        """Calls that may be in flight, by Little's law: the rate of answers times a bearable latency.
+        """Returns the limit of calls in flight by Little's law: completion rate times acceptable latency.
 
-        More than come back at a bearable time only wait below until they are given up. The minimum is less
-        where the quota is small: several times a small quota is a crowd for the store.
+        Calls beyond it would only wait downstream until they time out. The minimum of the limit is lower for
+        a small quota, because several times a small quota from every server would overload the store.
         """
         quota = self._server.settings.downstream_concurrency_quota or DEFAULT_CALLS_IN_FLIGHT_COUNT
         minimum = max(MIN_CALLS_IN_FLIGHT_COUNT, min(DEFAULT_CALLS_IN_FLIGHT_COUNT, quota))
-        bearable_ms = min(self.rate.tolerated_latency_ms, IN_FLIGHT_LATENCY_RATIO * self.rate.recent_mean_ms)
-        return max(minimum, self.rate.recent_count() * bearable_ms / 1000.0)
+        acceptable_ms = min(
+            self.rate.tolerated_latency_ms, IN_FLIGHT_LATENCY_RATIO * self.rate.recent_mean_ms
+        )
+        return max(minimum, self.rate.recent_count() * acceptable_ms / 1000.0)
--- a/landingshift/admission/downstream_time_budget.py
+++ b/landingshift/admission/downstream_time_budget.py
@@ -1,9 +1,9 @@
-"""How much time this server's calls may take in a store that all servers share.
+"""Limit on the time that this server's calls occupy a store shared by all servers.
 
-The store dies where calls in its hands, those that were given up included, exceed what it bears in the mean
-over a window. Each server keeps to its part (`Settings.downstream_concurrency_quota`) as a budget of call
-time: what was in the store's hands within the window and what calls in flight may still take stay below
-quota times window, however rarely that is checked. `call_rate` bounds calls a second instead.
+The store fails if its mean concurrency over a window, including calls that were given up, exceeds what it
+bears. Each server limits its share (`Settings.downstream_concurrency_quota`) as a budget of call time: the
+time of calls that ended within the window plus the maximum time of calls in flight stays below quota times
+window, however rarely this is checked. `call_rate` limits the calls per second instead.
 """
 
 from __future__ import annotations
@@ -18,34 +18,34 @@
 
 
 class DownstreamTimeBudget:
-    """The budget of call time in the shared store, and what is used of it.
+    """Budget of call time in the shared store.
 
     Attributes:
-        call_time_ms: Time that ended calls were in the store's hands, lost ones with their linger, over the
-        window.
+        call_time_ms: Time that each call that ended within the window occupied the store, including the
+            linger time of lost calls.
     """
 
     def __init__(self, server: ServerState) -> None:
         self._server = server
         window_ms = server.settings.downstream_quota_window_ms
-        # One bucket more than the window has: the first is only partly in it.
+        # One bucket more than the window needs, because the oldest bucket lies only partly in the window.
         self.call_time_ms = RollingWindow(
             BUCKETS_PER_WINDOW_COUNT + 1, max(MIN_BUCKET_MS, window_ms / BUCKETS_PER_WINDOW_COUNT)
         )
 
     def record(self, managed: ManagedRpc, is_lost: bool) -> None:
-        """Counts the RPC's call, which is over for this server.
+        """Records the call time of a call that has ended or been given up.
 
         Args:
-            managed: Whose call it was.
-            is_lost: Whether the store may go on with it.
+            managed: The RPC that made the call.
+            is_lost: Whether the store may still work on the call.
         """
         now_ms = self._server.now_ms
         linger_ms = self._server.settings.lost_call_linger_ms * is_lost
         self.call_time_ms.add(now_ms, now_ms - managed.call_started_at_ms + linger_ms)
 
     def fits(self, timeout_ms: float) -> bool:
-        """Whether a call that may take so long stays within the budget; true where there is no quota."""
+        """Returns whether a call with this timeout fits in the budget; True if there is no quota."""
         settings = self._server.settings
         if settings.downstream is not DownstreamKind.SHARED_STORE:
             return True
--- a/landingshift/admission/draining.py
+++ b/landingshift/admission/draining.py
@@ -1,8 +1,9 @@
-"""Graceful shutdown and standby, the two ways in which a server is out of service.
+"""Graceful shutdown and standby, the two modes in which a server is out of service.
 
-A server that drains runs what arrives within the grace, answers all that it has read before the process
-stops, and is unhealthy to balancers from the notice on. A server on standby (it does not know by which
-policy to decide) runs nothing new, without a grace, but may come back. Draining never ends.
+A draining server still runs RPCs that arrive within the grace period, answers everything that it has read
+before the process stops, and reports itself unhealthy to balancers from the shutdown notice on. Draining is
+final. A server on standby, which has no valid policy to decide by, starts no new run and has no grace period,
+but may return to service.
 """
 
 from __future__ import annotations
@@ -15,17 +16,17 @@
 from landingshift.admission.server_state import ServerState
 
 STOP_MARGIN_MS = CHECK_INTERVAL_MS
-"""Before the process stops that all is answered: one check may be late by its interval."""
+"""How long before the process stops all RPCs are answered: a check may be late by one interval."""
 
 
 class Draining:
     """Whether this server is in service, and until when it accepts RPCs if it is not.
 
     Attributes:
-        stop_at_ms: When the process is stopped; None unless it drains.
-        is_in_service: Neither draining nor on standby. False during the grace too, in which a draining server
-            still accepts RPCs.
-        accept_until_ms: RPCs that arrived later are not run.
+        stop_at_ms: Time at which the process is stopped; None unless the server is draining.
+        is_in_service: Whether the server is neither draining nor on standby. False also during the grace
+            period, in which a draining server still accepts RPCs.
+        accept_until_ms: Arrival time after which RPCs are not run.
     """
 
     def __init__(self, server: ServerState, actions: Actions) -> None:
@@ -36,11 +37,11 @@
         self.accept_until_ms = inf
 
     def start(self, remaining_ms: float, notified_ago_ms: float) -> None:
-        """Begins to drain.
+        """Starts draining.
 
         Args:
-            remaining_ms: Until the process is stopped.
-            notified_ago_ms: How long ago the notice came; the grace counts from then.
+            remaining_ms: Time until the process is stopped.
+            notified_ago_ms: Time since the shutdown notice, from which the grace period counts.
         """
         server = self._server
         grace_end_ms = server.now_ms - notified_ago_ms + server.settings.drain_grace_ms
@@ -52,10 +53,9 @@
         self._actions.set_health(False, True)
 
     def set_standby(self, is_standby: bool) -> None:
-        """Goes to standby or back.
+        """Enters or leaves standby.
 
-        A draining server never returns to service. Its grace ends with standby, and going back does not
-        restore it.
+        A draining server never returns to service. Standby ends its grace period for good.
         """
         self.is_in_service = not is_standby and self.stop_at_ms is None
         if self.is_in_service:
@@ -65,7 +65,7 @@
         self._actions.set_health(self.is_in_service, True)
 
     def shorten_deadline(self, managed: ManagedRpc) -> None:
-        """Has an RPC read while draining answered before the process stops."""
+        """Moves the deadline of an RPC that was read while draining to before the process stops."""
         if self.stop_at_ms is not None:
             latest_ms = min(managed.deadline_at_ms, self.stop_at_ms - STOP_MARGIN_MS)
             managed.deadline_at_ms = max(self._server.now_ms, latest_ms)
--- a/landingshift/admission/idle_connections.py
+++ b/landingshift/admission/idle_connections.py
@@ -1,8 +1,8 @@
-"""How long connections may be idle before they are closed from this side.
+"""Idle timeout after which this server closes callers' connections.
 
-Many callers that each come seldom fill the connection table: it taxes the cores, and once full it keeps
-callers out. Where callers come back within seconds, connections stay: closing them would only cost
-handshakes.
+Many callers that each send rarely fill the connection table, which loads the cores and, once full, shuts
+other callers out. If callers return within seconds, their connections stay open, because closing them would
+only cost handshakes.
 """
 
 from __future__ import annotations
@@ -13,16 +13,17 @@
 
 MAX_CONNECTIONS_PER_CORE = 3.0
 MIN_RETURN_FRACTION = 0.5
-"""Of RPCs whose caller was here within seconds; with fewer, connections are closed sooner."""
+"""Fraction of returning callers (`RecentCallers.return_fraction`) below which the idle timeout is adapted to
+the number of open connections."""
 MIN_STEP_FACTOR, MAX_STEP_FACTOR = 0.5, 2.0
 MIN_IDLE_TIMEOUT_MS = 10.0
 
 
 class IdleConnections:
-    """The idle timeout of this server's connections.
+    """Idle timeout of this server's connections.
 
     Attributes:
-        idle_timeout_ms: Now in force; that of the callers at the most.
+        idle_timeout_ms: Current timeout, at most the callers' own idle timeout.
     """
 
     def __init__(self, server: ServerState, actions: Actions, callers: RecentCallers) -> None:
@@ -32,10 +33,10 @@
         self.idle_timeout_ms = server.settings.connection_idle_timeout_ms
 
     def update(self, open_connections: float) -> None:
-        """Moves the timeout so that no more connections are open than the cores bear.
+        """Adapts the timeout so that no more connections stay open than the cores can serve.
 
         Args:
-            open_connections: Those open now.
+            open_connections: Number of connections that are open now.
         """
         settings = self._server.settings
         factor = MAX_STEP_FACTOR
--- a/landingshift/admission/interface.py
+++ b/landingshift/admission/interface.py
@@ -1,11 +1,11 @@
-"""The types through which a program and the admission controller talk: facts in, actions out.
+"""Types of the interface between a host program and the admission controller.
 
-A program makes one `admission.controller.AdmissionController` per instance, hands it `Settings` and an
-`Actions`, and calls it for each event. It gets a handle (`ManagedRpc`) for each RPC that it reads and passes
-that handle back with later events.
+A program creates one `admission.controller.AdmissionController` per instance with its `Settings` and an
+implementation of `Actions`, and calls it for each event. It receives a handle (`ManagedRpc`) for each RPC
+that it reads and passes that handle with later events.
 
-Times are milliseconds of one monotonic clock, sizes are kilobytes. "Value" is what a correct answer in time
-is worth to the installation; fractions are of that value.
+Times are milliseconds of one monotonic clock; sizes are kilobytes. The value of an RPC is what a correct
+answer in time is worth to the installation; value fractions are relative to it.
 """
 
 from __future__ import annotations
@@ -16,237 +16,240 @@
 
 
 class Idempotency(Enum):
-    """Whether a second run of an RPC changes anything."""
+    """Whether an RPC may run more than once."""
 
     IDEMPOTENT = 1
-    """It may run any number of times."""
+    """May run any number of times."""
     KEYED = 2
-    """It carries an idempotency key: a duplicate is answered from the deduplication table."""
+    """Carries an idempotency key; a duplicate is answered from the deduplication table."""
     NON_IDEMPOTENT = 3
-    """It may run at most once, and nothing recognises a duplicate."""
+    """May run at most once, and duplicates cannot be recognised."""
 
 
 class DownstreamKind(Enum):
-    """What the calls of a running RPC go to."""
+    """Kind of service that running RPCs call."""
 
     NONE = 1
-    """There is nothing below."""
+    """RPCs make no downstream calls."""
     SHARED_STORE = 2
-    """One store that all servers share, of which each has a quota."""
+    """One store that all servers share and of which each server has a quota."""
     TIER = 3
     """Another tier of servers, which shed load themselves."""
 
 
 class LoadAdvertisement(Enum):
-    """The form in which callers hear of this server's load with each answer and health check."""
+    """Form in which each answer and health check reports this server's load to callers."""
 
     NONE = 1
     LEVEL = 2
-    """From 0 (idle) to 1 (full)."""
+    """Load level from 0 (idle) to 1 (full)."""
     CREDIT = 3
-    """How many RPCs one caller may have in flight here."""
+    """Number of RPCs that one caller may have in flight on this server."""
     WEIGHT = 4
-    """From 1 (idle) to 0 (full), for weighted balancing."""
+    """Weight from 1 (idle) to 0 (full) for weighted load balancing."""
 
 
 class RunCancellation(Enum):
-    """What the engine does with a run that is to be cancelled."""
+    """Effect of cancelling a run on the engine."""
 
     NONE = 1
-    """It cannot be cancelled and occupies a core until it ends."""
+    """Not supported; the run occupies a core until it ends."""
     DROP = 2
-    """It ends."""
+    """Ends the run."""
     PAUSE = 3
-    """It leaves the cores, and its memory stays taken."""
+    """Takes the run off the cores; its memory stays in use."""
 
 
 class Outcome(Enum):
-    """How a run or a downstream call ended. The values are stored."""
+    """How a run or a downstream call ended. The numeric values are stored."""
 
     OK = 1
     ABORTED = 2
-    """It failed."""
+    """Failed."""
     REJECTED = 3
-    """It was turned down before it ran."""
+    """Rejected before it ran."""
     NO_RESPONSE = 4
-    """It timed out; it may have run."""
+    """Timed out; may have run."""
     NO_CONNECTION = 5
-    """It was never sent."""
+    """Never sent."""
     CONNECTION_LOST = 6
-    """It may have run."""
+    """Connection lost after sending; may have run."""
     CANCELLED = 7
-    """The engine stopped the run, or ended it at a call since the RPC was answered or its caller had gone."""
+    """Stopped by the engine, or ended when it needed a downstream call after the RPC had been answered or its
+    caller had disconnected."""
     NOT_SENT = 8
-    """No run was started: to the engine the RPC is over, or not known."""
+    """No run was started, because the engine had already finished the RPC or did not know it."""
 
 
 @dataclass(slots=True, eq=False)
 class Method:
-    """What the settings say of one method. A policy may change the figures in place."""
+    """Settings of one method. A policy may change the figures in place."""
 
     idempotency: Idempotency
     latency_objective_ms: float
     objective_work_factor: float
-    """The latency objective grows by this multiple of an RPC's own work."""
+    """Multiple of an RPC's work hint that is added to the latency objective."""
     deadline_ms: float
-    """How long a caller waits whose RPC carries no deadline."""
+    """Deadline of an RPC that carries none, counted from its arrival."""
     criticality: float
-    """The value of one answer in time."""
+    """Value of one answer in time, or of one unit of work (`Settings.criticality_is_per_work`)."""
     late_value_fraction: float
-    """What an answer keeps of its value between latency objective and deadline."""
+    """Fraction of its value that an answer keeps between latency objective and deadline."""
     dedup_window_ms: float
-    """How long a duplicate may come after the first attempt; for KEYED methods."""
+    """Time after the first attempt in which duplicates may arrive; for KEYED methods."""
     calls_downstream: bool
     degraded_value_fraction: float
-    """What an answer keeps of its value without its downstream call; 0: the call cannot be skipped."""
+    """Fraction of its value that an answer keeps without its downstream call; 0 if the call is required."""
 
 
 @dataclass(slots=True, eq=False)
 class Tenant:
-    """One customer. A policy may change its quota in place."""
+    """One tenant. A policy may change its quota in place."""
 
     quota_per_second: float
-    """RPCs over the whole fleet; 0: without a quota."""
+    """RPCs per second over the whole fleet; 0 if unlimited."""
 
 
 @dataclass(slots=True, eq=False)
 class Settings:
-    """The settings that a server starts with; a policy may change their figures in place."""
+    """Settings of a server. A policy may change the figures in place."""
 
     methods: list[Method]
     tenants: list[Tenant]
     over_quota_value_fraction: float
-    """Of its value, that an RPC beyond its tenant's quota keeps."""
+    """Fraction of its value that an RPC beyond its tenant's quota keeps."""
     criticality_is_per_work: bool
-    """Criticality is the value of each unit of work, not of each answer."""
+    """Whether criticality is the value of each unit of work instead of each answer."""
     server_count: int
     caller_count: int
-    """Callers at this start; 0 where that is not known."""
+    """Number of callers when the server starts; 0 if unknown."""
     core_count: int
     starts_cold: bool
     cold_speed_fraction: float
-    """Speed of a cold server, as a fraction of a warm one's."""
+    """Speed of a cold server as a fraction of a warm one's."""
     warm_up_ms: float
     memory_kb: float
-    """From which the server dies."""
+    """Memory use at which the server fails."""
     running_memory_factor: float
-    """A run takes this multiple of what its RPC takes while it is queued."""
+    """Ratio of an RPC's memory while running to its memory while queued."""
     dedup_entry_kb: float
     response_cache_ttl_ms: float
-    """How long the result of an idempotent read may answer others with its cache key; 0: not at all."""
+    """Time for which the result of an idempotent read may answer RPCs with the same cache key; 0 for
+    never."""
     run_cancellation: RunCancellation
     downstream: DownstreamKind
     downstream_concurrency_quota: float
-    """This server's part of the calls that the shared store survives in the mean; 0: without a quota."""
+    """This server's share of the mean concurrency that the shared store survives; 0 if unlimited."""
     downstream_quota_window_ms: float
-    """The time over which the store's mean is taken."""
+    """Window over which the store's mean concurrency is taken."""
     lost_call_linger_ms: float
-    """How long the store may go on with a call that was given up."""
+    """Maximum time for which the store goes on working on a call that was given up."""
     load_advertisement: LoadAdvertisement
     callers_send_deadline: bool
     callers_mark_retries: bool
     max_retry_after_ms: float
-    """0 where a rejection may carry no Retry-After."""
+    """Maximum Retry-After of a rejection; 0 if rejections may carry none."""
     connection_idle_timeout_ms: float
-    """After which callers close an idle connection."""
+    """Idle time after which callers close a connection."""
     drain_grace_ms: float
-    """RPCs that arrive within this time of the notice to leave are still run."""
+    """Time after the shutdown notice in which arriving RPCs are still run."""
     max_runs_per_core: float
-    """RPCs on the cores for each core that a warm server survives."""
+    """Number of RPCs on the cores, per core, that a warm server survives."""
 
 
 @dataclass(slots=True, eq=False)
 class Rpc:
-    """What is known of an RPC when it has been read. Programs add their own fields in a subclass."""
+    """Properties of an RPC that are known when it is read. Programs add their own fields in a subclass."""
 
     method: Method
     tenant: Tenant | None
     remaining_ms: float | None
-    """How long its caller still waits, where callers say so."""
+    """Time for which the caller still waits; None if the caller does not send it."""
     waited_ms: float
-    """Since it reached the machine."""
+    """Time since the RPC reached the machine."""
     memory_kb: float
-    """What it takes while it is queued."""
+    """Memory in use while the RPC is queued."""
     caller_id: int
     work_hint_ms: float | None
-    """Its caller's estimate of the work, where there is one."""
+    """The caller's estimate of the work; None if there is none."""
     has_cache_key: bool
-    """Its result may answer others with the same key."""
+    """Whether its result may answer other RPCs with the same cache key."""
     is_duplicate: bool
-    """The deduplication table has an earlier attempt or a like read."""
+    """Whether the deduplication table has an earlier attempt of it, or a read with the same cache key."""
     is_retry: bool
-    """Its caller marked it as a further attempt or a hedged request."""
+    """Whether its caller marked it as a retry or a hedged request."""
     is_write: bool
-    """It changes state: its result does not answer others. The simulator says so; in the server, whose
-    protocol has no such mark, it is always False."""
+    """Whether it changes state, so that its result must not answer other RPCs. Only the simulator sets this;
+    the server's protocol has no such flag, so it is always False there."""
 
 
 @dataclass(slots=True)
 class Gauges:
-    """What the engine measures; None where it does not say."""
+    """Measurements of the engine; None if it does not report one."""
 
     core_utilization: float | None
-    """From 0 to 1."""
+    """Utilization from 0 to 1."""
     on_cores: float | None
-    """All that needs a core now: runs, reads, checks, new connections."""
+    """Number of tasks that need a core now: runs, reads, checks and new connections."""
     open_connections: float | None
 
 
 class Actions(Protocol):
-    """What the controller asks of its program. None of these may call back into the controller."""
+    """Actions that the controller requests from its host program. None may call back into the controller."""
 
     def start_run(self, rpc: Rpc) -> None:
         """Starts the RPC on the engine."""
 
     def cancel_run(self, rpc: Rpc) -> None:
-        """Asks the engine to cancel a run; repeated while it has no effect."""
+        """Asks the engine to cancel a run; requested repeatedly until the run has ended."""
 
     def reject(self, rpc: Rpc, retry_after_ms: float, is_final: bool) -> None:
-        """Answers that the RPC was not run.
+        """Answers that the RPC was rejected and has not run.
 
         Args:
             rpc: The rejected RPC.
-            retry_after_ms: For how long its caller should stay away from this server; 0 for no advice.
+            retry_after_ms: Time for which its caller should send nothing to this server; 0 for no
+                Retry-After.
             is_final: Whether its caller should not try another server either.
         """
 
     def abort(self, rpc: Rpc) -> None:
-        """Answers that the RPC failed; it may have run."""
+        """Answers that the RPC failed and may have run."""
 
     def start_call(self, rpc: Rpc, timeout_ms: float) -> None:
         """Makes the downstream call that the run waits for."""
 
     def skip_call(self, rpc: Rpc) -> None:
-        """Lets the run go on without its downstream call."""
+        """Continues the run without its downstream call."""
 
     def retain_dedup_entry(self, rpc: Rpc, duration_ms: float) -> None:
-        """Enters the RPC in the deduplication table, or prolongs its entry."""
+        """Adds the RPC to the deduplication table, or extends its entry."""
 
     def drop_dedup_entry(self, rpc: Rpc) -> None:
-        """Removes the RPC's entry: it never ran, and a duplicate may."""
+        """Removes the RPC's entry, because it never ran and a duplicate may still run."""
 
     def await_original(self, rpc: Rpc) -> None:
-        """Answers the duplicate with the result of the attempt that it repeats, once there is one."""
+        """Answers the duplicate with the result of its original attempt once that is available."""
 
     def release(self, rpc: Rpc) -> None:
-        """Lets go of the RPC: the controller will not name it again."""
+        """Releases the RPC; the controller does not refer to it again."""
 
     def set_health(self, is_healthy: bool, is_shallow: bool) -> None:
         """Sets the answer to health checks.
 
         Args:
-            is_healthy: Whether balancers should send RPCs here.
-            is_shallow: Whether a check is answered from this alone, without doing real work.
+            is_healthy: Whether balancers should send RPCs to this server.
+            is_shallow: Whether a health check is answered from this flag alone, without doing real work.
         """
 
     def advertise_load(self, amount: float) -> None:
-        """Sets what callers hear of this server's load, in the form of `Settings.load_advertisement`."""
+        """Sets the load reported to callers, in the form of `Settings.load_advertisement`."""
 
     def close_idle_connections(self, idle_timeout_ms: float) -> None:
-        """Closes connections that have been idle for so long, from now on."""
+        """Sets the idle time after which the server closes connections."""
 
     def schedule_check(self, delay_ms: float) -> None:
-        """Asks for one call of `on_timer` after the delay, in place of any asked for before."""
+        """Requests one call of `on_timer` after the delay, replacing any earlier request."""
 
     def log(self, text: str) -> None:
         """Logs a change of mode for operators."""
--- a/landingshift/admission/managed_rpc.py
+++ b/landingshift/admission/managed_rpc.py
@@ -1,4 +1,4 @@
-"""One RPC in this server's hands: its state, its deadlines, its downstream calls."""
+"""Admission state of one RPC: its lifecycle state, deadlines and downstream calls."""
 
 from __future__ import annotations
 
@@ -9,80 +9,82 @@
 from landingshift.admission.service_times import ServiceTimes
 
 MIN_LATE_VALUE_FRACTION = 0.5
-"""Of its value that a late answer must keep, and more, to be worth running late.
+"""An RPC is run past its latency objective only if a late answer keeps more than this fraction of its value.
 
-One that keeps no more is better rejected, so that another server can still answer in time.
+Otherwise it is better rejected, so that another server can still answer in time.
 """
 MIN_TIME_BUDGET_MS = 1.0
 MIN_OWN_RUN_MS = 1.0
 
 
 class RpcState(IntEnum):
-    """Where an RPC is. The values are stored in a hot restart's state."""
+    """State of an RPC. The numeric values are stored in a hot restart's state."""
 
     QUEUED = 1
-    """Read, not started."""
+    """Read but not started."""
     AWAITING_ORIGINAL = 2
-    """A duplicate, answered with the result of the attempt that it repeats."""
+    """A duplicate that waits for the result of its original attempt."""
     RUNNING = 3
-    """On the cores."""
+    """Running on a core."""
     AWAITING_CALL_SLOT = 4
     """Its run waits for permission to make a downstream call."""
     CALLING = 5
-    """Its run waits for a downstream call."""
+    """Its run waits for the result of a downstream call."""
     CALL_SKIPPED = 6
-    """Runs on without the call; from then on RUNNING."""
+    """Its run continues without the downstream call; the RPC is RUNNING from then on."""
     REJECTED = 7
-    """Answered as never run; leaves the server."""
+    """Answered as never run, and released."""
     ABORTED = 8
-    """Answered as failed; its run may still be on the cores."""
+    """Answered as failed; its run may still occupy a core."""
     ABANDONED = 9
-    """Nobody waits any more; its run may still be on the cores."""
+    """No caller waits for it any more; its run may still occupy a core."""
 
 
 class RpcEvent(Enum):
-    """What an RPC's lifecycle is resumed with; the end of a downstream call is told by its `Outcome`."""
+    """Event that resumes an RPC's lifecycle. The end of a downstream call resumes it with an `Outcome`."""
 
     START = 1
     SHED = 2
-    """It is rejected from the queue.
+    """The queued RPC is rejected.
 
-    It fails the deadline check (a draining server's grace and standby are part of that), it has been queued
-    too long below the priority floor, or there is no memory for it or for its deduplication entry.
+    Either it fails the deadline check (which includes the grace period of a draining server, and standby), or
+    it was queued too long below the priority floor, or there is no memory for it or its deduplication entry.
     """
     DEADLINE_REACHED = 3
     CALLER_GONE = 4
     CALL_NEEDED = 5
     CALL_PERMITTED = 6
     CALL_DENIED = 7
-    """The call would come too late."""
+    """The RPC cannot wait any longer for a call slot."""
     RUN_FINISHED = 8
 
 
 Lifecycle = Generator[RpcState, RpcEvent | Outcome, None]
-"""Yields the state that the RPC goes to; ends once its run is over or it has been answered without one."""
+"""Generator that yields the next state of an RPC, and ends once its run is over or it was answered without
+one."""
 
 
 class ManagedRpc:
-    """An RPC from read to its end; the program's handle for it.
+    """An RPC from read to release, and the host program's handle for it.
 
     Attributes:
-        rpc: What was known when it was read.
-        service_times: Of its method.
-        state: None before the first state and once the RPC has left.
+        rpc: Properties of the RPC that were known when it was read.
+        service_times: Service times of its method.
+        state: Current state; None before the first state and after release.
         lifecycle: Generator of its states.
-        arrived_at_ms: When it reached the machine.
-        deadline_at_ms: When its caller stops waiting, or the process stops.
-        objective_at_ms: When its answer is late; at the deadline at the latest.
-        time_budget_ms: From arrival to the deadline of the check.
-        priority: What the start order goes by: value over expected work.
-        has_started: Whether a run was started; stays true.
-        call_gain: What its value gains by a downstream call over skipping it.
-        call_attempts: Downstream calls of it that failed.
-        total_call_ms: Time that its downstream calls took.
-        call_started_at_ms: While `AWAITING_CALL_SLOT`, when the run needed the call or, for one that is made
-            again, when the failed attempt started. From `CALLING` on, when the call started.
-        call_expires_at_ms: When the call in hand can no longer occupy the layer below.
+        arrived_at_ms: Time at which it reached the machine.
+        deadline_at_ms: Time at which its caller stops waiting; while draining, at most shortly before the
+            stop.
+        objective_at_ms: Time after which its answer is late; at most the deadline.
+        time_budget_ms: Time from arrival to the deadline of the deadline check.
+        priority: Value per expected work, by which the start order sorts.
+        has_started: Whether a run was ever started.
+        call_gain: Value that a downstream call adds over skipping it.
+        call_attempts: Number of its downstream calls that failed.
+        total_call_ms: Total duration of its downstream calls.
+        call_started_at_ms: From `CALLING` on, start time of the call. While `AWAITING_CALL_SLOT`, time at
+            which the run needed the call or, for a retry, start time of the failed attempt.
+        call_expires_at_ms: Time after which the current call cannot occupy the downstream service any more.
     """
 
     lifecycle: Lifecycle
@@ -110,7 +112,7 @@
         self.call_expires_at_ms = 0.0
 
     def refresh_objective(self) -> None:
-        """Sets the latency objective by the method's present figures."""
+        """Computes latency objective and time budget from the current figures of the method."""
         method = self.rpc.method
         work_ms = self.rpc.work_hint_ms or 0.0
         objective_at_ms = (
@@ -120,31 +122,31 @@
         self.time_budget_ms = max(MIN_TIME_BUDGET_MS, self.check_deadline_ms - self.arrived_at_ms)
 
     def own_run_ms(self, run_ms: float) -> float:
-        """The part of a run that was not spent in downstream calls.
+        """Returns the part of a run that was not spent in downstream calls.
 
         Args:
-            run_ms: What the run took in all.
+            run_ms: Duration of the run, including downstream calls.
         """
         return max(MIN_OWN_RUN_MS, run_ms - self.total_call_ms)
 
     @property
     def check_deadline_ms(self) -> float:
-        """The deadline that the check goes by: later answers are not worth starting a run for."""
+        """Deadline used by the deadline check; a later answer is not worth starting a run."""
         return self._latest_answer_ms(MIN_LATE_VALUE_FRACTION)
 
     @property
     def worthless_at_ms(self) -> float:
-        """When its answer has lost all its value."""
+        """Time at which its answer has lost all its value."""
         return self._latest_answer_ms(0.0)
 
     def _latest_answer_ms(self, min_value_fraction: float) -> float:
-        """Until when an answer keeps enough of its value.
+        """Returns the time until which an answer keeps enough of its value.
 
         Args:
-            min_value_fraction: Of its value, that a late answer must keep more than.
+            min_value_fraction: Fraction of its value that a late answer must exceed to be worthwhile.
 
         Returns:
-            The deadline, or the latency objective where a late answer keeps no more than that.
+            The deadline, or the latency objective if a late answer does not exceed the fraction.
         """
         if self.rpc.method.late_value_fraction > min_value_fraction:
             return self.deadline_at_ms
--- a/landingshift/admission/mode_log.py
+++ b/landingshift/admission/mode_log.py
@@ -1,4 +1,4 @@
-"""Tells operators when a rule begins or ceases to act, with the figures that caused it: one line a change."""
+"""Logs one line for operators whenever a rule becomes active or inactive, with the figures that caused it."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class ModeLog:
-    """Modes that are on, by name. The names are part of the log's format; `docs/oncall.md` explains each.
+    """Log of mode changes. The mode names are part of the log format; `docs/oncall.md` explains each of them.
 
     Attributes:
-        is_on: Whether each mode is on; one that never was is missing.
+        is_on: Whether each mode is on, by its name; a mode that was never on is missing.
     """
 
     def __init__(self, actions: Actions) -> None:
@@ -17,12 +17,12 @@
         self.is_on: dict[str, bool] = {}
 
     def set(self, name: str, is_on: bool, reason: str) -> None:
-        """Logs the mode where it changes.
+        """Sets a mode and logs it if it has changed.
 
         Args:
-            name: Of the mode.
-            is_on: Whether it is on now.
-            reason: The figures that decide it.
+            name: Name of the mode.
+            is_on: Whether the mode is on now.
+            reason: Figures that explain the change.
         """
         if self.is_on.get(name, False) != is_on:
             self.is_on[name] = is_on
--- a/landingshift/admission/queue_scheduler.py
+++ b/landingshift/admission/queue_scheduler.py
@@ -1,7 +1,8 @@
-"""Takes RPCs from the queue: rejects those that fail the check, starts the best where there is a slot.
+"""Queue scheduler, which rejects RPCs that fail the deadline check and starts the best while slots are free.
 
-Memory is a hard limit: beyond it the server dies. The RPC with the least priority makes room, before its
-check fails, and one that fits nowhere does not hold up those that fit.
+Memory is a hard limit beyond which the server fails. If memory is short, the RPC with the lowest priority is
+rejected before it fails the deadline check. If the best RPC does not fit in memory, those of lowest priority
+are rejected until it does or no other is queued.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 
 class QueueScheduler:
-    """The queue of RPCs that were read and not started."""
+    """Scheduler of the RPCs that were read but not started."""
 
     def __init__(
         self,
@@ -32,15 +33,15 @@
         self._lifecycle = lifecycle
 
     def reject_failed(self) -> None:
-        """Rejects all that fail the deadline check by now."""
+        """Rejects all queued RPCs that fail the deadline check."""
         if not self._check.is_due():
             return
-        for managed in self._check.failed():
+        for managed in self._check.failed_rpcs():
             self._lifecycle.resume(managed, RpcEvent.SHED)
-        self._check.plan_next()
+        self._check.update_next_failure()
 
     def start_best(self) -> None:
-        """Makes room in memory and starts RPCs in their order while slots are free."""
+        """Frees memory if it is short, and starts RPCs in priority order while slots are free."""
         queue = self._server.queued
         if not queue or not (self._lacks_memory() or self._limit.free_slots() >= 1.0):
             return
@@ -61,6 +62,6 @@
         return self._server.memory_in_use_kb > self._server.max_memory_kb
 
     def _fits(self, managed: ManagedRpc) -> bool:
-        """Whether there is memory for what the RPC takes beyond its place in the queue once it runs."""
+        """Returns whether there is memory for what the RPC needs in addition once it runs."""
         growth_kb = managed.rpc.memory_kb * (self._server.settings.running_memory_factor - 1.0)
         return self._server.memory_in_use_kb + growth_kb <= self._server.max_memory_kb
--- a/landingshift/admission/recent_callers.py
+++ b/landingshift/admission/recent_callers.py
@@ -1,4 +1,4 @@
-"""Who has called in the last seconds, and how many of the callers come back within them."""
+"""Statistics of recent callers: how many RPCs each has sent, and how many callers return within seconds."""
 
 from __future__ import annotations
 
@@ -14,12 +14,13 @@
 
 
 class RecentCallers:
-    """The callers of the last 4 s.
+    """Statistics of recent callers.
 
     Attributes:
-        caller_ids: One for each RPC of the last 4 s.
-        returns: 1 for each RPC of the last 10 s whose caller was here within those 4 s, else 0.
-        first_rpc_ms: When this server read its first RPC; infinite before.
+        caller_ids: Caller of each RPC of the last 4 s.
+        returns: Value for each RPC of the last 10 s: 1 if its caller had sent another in the 4 s before, else
+            0.
+        first_rpc_ms: Time at which this server read its first RPC; infinite before that.
     """
 
     def __init__(self, server: ServerState) -> None:
@@ -29,7 +30,7 @@
         self.first_rpc_ms = inf
 
     def record(self, rpc: Rpc) -> None:
-        """Notes the caller of an RPC that was read."""
+        """Records the caller of an RPC that was read."""
         now_ms = self._server.now_ms
         self.first_rpc_ms = min(self.first_rpc_ms, now_ms)
         self.caller_ids.advance(now_ms)
@@ -38,22 +39,23 @@
         self.caller_ids.add(now_ms, rpc.caller_id)
 
     def return_fraction(self) -> float:
-        """Fraction of RPCs whose caller had been here; 1 before the first RPC."""
+        """Returns the fraction of recent RPCs that came from a returning caller; 1 before the first RPC."""
         return self.returns.mean(self._server.now_ms, 1.0)
 
     def busiest_caller_fraction(self) -> float:
-        """Fraction of the recent RPCs that came from the busiest caller; 1 before the first RPC.
-
-        A cold server has not met its callers yet. By what it has read, the first one would be all there is
-        and its credit the whole server, and each other caller would take as much. So each of the
-        `caller_count` callers counts as one RPC at the first RPC, and as less with time, down to none once
-        the window is full. With 10 callers, half a window after the first RPC and 3 RPCs of one caller and 1
-        of another read since, the busiest has (3 + 0.5) / (4 + 0.5 * 10) = 0.39 in place of 3 / 4.
+        """Returns the fraction of the recent RPCs that came from the busiest caller; 1 before the first RPC.
+
+        A cold server has not heard from most of its callers yet. If only the RPCs read so far counted, the
+        first caller would get the whole server as its credit, and each further caller nearly as much. Each of
+        the `caller_count` callers is therefore counted with one assumed RPC when the first RPC is read. The
+        assumed RPCs decay linearly to none once a whole window has passed. For example, with 10 callers, half
+        a window after the first RPC, and 3 RPCs of one caller and 1 of another read since, the busiest has
+        (3 + 0.5) / (4 + 0.5 * 10) = 0.39 instead of 3 / 4.
         """
         now_ms, settings = self._server.now_ms, self._server.settings
         counts = Counter(self.caller_ids.values(now_ms))
-        known_fraction = min(1.0, max(0.0, now_ms - self.first_rpc_ms) / self.caller_ids.duration_ms)
+        observed_fraction = min(1.0, max(0.0, now_ms - self.first_rpc_ms) / self.caller_ids.duration_ms)
         assumes_callers = settings.starts_cold and settings.caller_count > 0
-        assumed_rpcs = (1.0 - known_fraction) * assumes_callers  # of each caller
-        total = counts.total() + assumed_rpcs * settings.caller_count
-        return (max(counts.values(), default=0) + assumed_rpcs) / total if total else 1.0
+        assumed_rpcs_per_caller = (1.0 - observed_fraction) * assumes_callers
+        total = counts.total() + assumed_rpcs_per_caller * settings.caller_count
+        return (max(counts.values(), default=0) + assumed_rpcs_per_caller) / total if total else 1.0
--- a/landingshift/admission/retry_policy.py
+++ b/landingshift/admission/retry_policy.py
@@ -1,8 +1,8 @@
-"""What may be attempted again, here or elsewhere, and how often.
+"""Retry rules for downstream calls and for rejected RPCs.
 
-A call or RPC that may have had an effect is never attempted again: only idempotent ones, or those that
-cannot have run. A rejected caller is sent to another server only while marked retries are rare: each
-further attempt costs a read elsewhere, and many of them say that others reject too (retry amplification).
+Only calls and RPCs that are idempotent or cannot have run are retried, so that no effect occurs twice. A
+rejected caller is sent to another server only while marked retries are rare: each further attempt costs a
+read on another server, and many retries show that other servers reject too (retry amplification).
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 OUTCOMES_WITHOUT_RUN = (Outcome.REJECTED, Outcome.NO_CONNECTION)
 MAX_CALL_ATTEMPTS = 3
 MAX_RETRY_FRACTION = 0.1
-"""Of what is read: from as many retries on the fleet counts as rejecting too."""
+"""Fraction of marked retries among the RPCs read from which the other servers are taken to reject too."""
 BUCKET_COUNT, BUCKET_MS = 4, 500.0
 
 
 class RetryPolicy:
-    """Decides about further attempts.
+    """Decides which calls and RPCs may be retried.
 
     Attributes:
-        retry_marks: 1 for each marked retry that was read in the last 2 s, 0 for each other RPC.
+        retry_marks: Value for each RPC that was read in the last 2 s: 1 for a marked retry, else 0.
     """
 
     def __init__(self, server: ServerState, calls: DownstreamCalls) -> None:
@@ -33,18 +33,18 @@
         self.retry_marks = RollingWindow(BUCKET_COUNT, BUCKET_MS)
 
     def record(self, rpc: Rpc) -> None:
-        """Notes whether an RPC that was read is a marked retry."""
+        """Records whether an RPC that was read is a marked retry."""
         self.retry_marks.add(self._server.now_ms, 1.0 if rpc.is_retry else 0.0)
 
     def may_repeat_call(self, managed: ManagedRpc, outcome: Outcome) -> bool:
-        """Whether a downstream call that failed is made again.
+        """Returns whether a failed downstream call may be retried.
 
         Args:
-            managed: Whose call it is; `call_attempts` counts the failed one.
-            outcome: How it ended.
+            managed: The RPC that made the call; its `call_attempts` already includes the failed call.
+            outcome: How the call ended.
 
         Returns:
-            True where a second run can do no harm, attempts are left, and the timeout exceeds a mean call.
+            True if a second call is safe, attempts are left, and the timeout would exceed the mean latency.
         """
         is_idempotent = managed.rpc.method.idempotency is Idempotency.IDEMPOTENT
         is_safe = is_idempotent or outcome in OUTCOMES_WITHOUT_RUN
@@ -53,10 +53,10 @@
         return self._calls.timeout_ms(managed) > self._calls.mean_latency_ms()
 
     def is_final_rejection(self, managed: ManagedRpc) -> bool:
-        """Whether a rejected RPC's caller is told not to try another server.
+        """Returns whether the caller of a rejected RPC is told not to try another server.
 
-        It is where the fleet rejects too, where the caller did so already, and where another server could
-        hardly end it in time.
+        This is the case if other servers are expected to reject it too, if the RPC is already a retry, or if
+        another server could hardly answer it in time.
         """
         now_ms = self._server.now_ms
         others_accept = (
--- a/landingshift/admission/rolling_window.py
+++ b/landingshift/admission/rolling_window.py
@@ -1,24 +1,26 @@
-"""Values of the recent past, in time buckets that are used again: bounded in time, cheap to add to."""
+"""Rolling window of recent values in a ring of time buckets, with cheap insertion and expiry."""
 
 from __future__ import annotations
 
 MIN_VALUES_FOR_BUCKET_MEAN = 8
-"""A bucket with fewer values does not count as the lowest: one lucky run would set it."""
+"""Number of values a bucket needs to count in `lowest_bucket_mean`: a single fast run must not set the
+minimum."""
 
 
 class RollingWindow:
-    """Values of the last `bucket_count` x `bucket_ms`, in the order they came within each bucket.
+    """Values of the last `bucket_count` x `bucket_ms`, in insertion order within each bucket.
 
-    The bucket in hand counts as a whole one, so that the window covers between `bucket_count - 1` and
-    `bucket_count` buckets.
+    The current bucket is only partly filled, so the window covers between `bucket_count - 1` and
+    `bucket_count` bucket lengths.
 
     Attributes:
         bucket_count: Number of buckets.
-        bucket_ms: Length of each.
-        current_bucket: Number of the bucket in hand, counted from time 0; -1 before the first value.
-        change_count: Values added or dropped so far; says whether it is worth looking again.
-        buckets: Values by bucket number modulo `bucket_count`.
-        bucket_sums: Sum of each bucket, so that a mean need not go through all values.
+        bucket_ms: Length of a bucket in ms.
+        current_bucket: Number of the current bucket, counted from time 0; -1 before the first value.
+        change_count: Number of values added or dropped so far, from which users see whether the window
+            changed.
+        buckets: Values of each bucket, indexed by bucket number modulo `bucket_count`.
+        bucket_sums: Sum of each bucket, so that a mean does not need to visit all values.
     """
 
     def __init__(self, bucket_count: int, bucket_ms: float) -> None:
@@ -31,11 +33,11 @@
 
     @property
     def duration_ms(self) -> float:
-        """Time that the window covers."""
+        """Nominal length of the window in ms."""
         return self.bucket_count * self.bucket_ms
 
     def advance(self, now_ms: float) -> None:
-        """Drops what is older than the window."""
+        """Drops values that are older than the window."""
         bucket = int(now_ms // self.bucket_ms)
         if bucket == self.current_bucket:
             return
@@ -48,7 +50,7 @@
         self.current_bucket = bucket
 
     def add(self, now_ms: float, value: float) -> None:
-        """Adds a value at this time."""
+        """Adds a value at the given time."""
         self.advance(now_ms)
         index = self.current_bucket % self.bucket_count
         self.buckets[index].append(value)
@@ -56,27 +58,30 @@
         self.change_count += 1
 
     def values(self, now_ms: float) -> list[float]:
-        """All values, bucket by bucket as they are stored."""
+        """Returns all values in the storage order of the buckets."""
         self.advance(now_ms)
         return [value for bucket in self.buckets for value in bucket]
 
     def count(self, now_ms: float) -> int:
-        """How many values there are."""
+        """Returns the number of values."""
         self.advance(now_ms)
         return sum(map(len, self.buckets))
 
     def total(self, now_ms: float) -> float:
-        """Sum of all values."""
+        """Returns the sum of all values."""
         self.advance(now_ms)
         return sum(self.bucket_sums)
 
     def mean(self, now_ms: float, default: float) -> float:
-        """Mean of all values, or `default` where there are none."""
+        """Returns the mean of all values, or `default` if there are none."""
         count = self.count(now_ms)
         return sum(self.bucket_sums) / count if count else default
 
     def lowest_bucket_mean(self, now_ms: float, default: float) -> float:
-        """The least mean of a bucket with enough values, or `default`: what is possible without a load."""
+        """Returns the lowest mean of a bucket with enough values, or `default`.
+
+        It estimates the mean without load.
+        """
         self.advance(now_ms)
         means = (
             bucket_sum / len(bucket)
--- a/landingshift/admission/rpc_lifecycle.py
+++ b/landingshift/admission/rpc_lifecycle.py
@@ -1,27 +1,28 @@
-"""The way of an RPC through its states, from read to answer.
+"""Lifecycle of an RPC: its states from read to release, and the actions on each transition.
 
-An RPC is a generator that yields the state it goes to and is resumed with what happens to it:
+The lifecycle of each RPC is a generator that yields the next state and is resumed with the next event:
 
     AWAITING_ORIGINAL  -> ABORTED             at its deadline
     QUEUED             -> RUNNING             started
                        -> REJECTED            shed
     RUNNING            -> AWAITING_CALL_SLOT  needs a downstream call
     AWAITING_CALL_SLOT -> CALLING             call permitted
-                       -> CALL_SKIPPED        call denied, can do without
-                       -> ABORTED             call denied, cannot do without
-    CALLING            -> RUNNING             call answered
-                       -> AWAITING_CALL_SLOT  call failed, is made again
-                       -> CALL_SKIPPED        call failed, can do without
-                       -> ABORTED             call failed, cannot do without
-    CALL_SKIPPED       -> RUNNING             at once; the call is over
+                       -> CALL_SKIPPED        call denied, optional
+                       -> ABORTED             call denied, required
+    CALLING            -> RUNNING             call succeeded
+                       -> AWAITING_CALL_SLOT  call failed, is retried
+                       -> CALL_SKIPPED        call failed, optional
+                       -> ABORTED             call failed, required
+    CALL_SKIPPED       -> RUNNING             at once
     any state of a run -> ABORTED             at its deadline, or needs a call once its answer is worthless
-                       -> ABANDONED           its caller has gone
+                       -> ABANDONED           its caller has disconnected
 
-An RPC leaves when its run, or the one that it waits for, has ended, when it is rejected, and when it is
-aborted without a run of its own. One whose caller goes before a run was started leaves without an answer.
+An RPC is released when its run or the original attempt that it waits for has ended, when it is rejected, and
+when it is aborted without a run of its own. If its caller disconnects before a run was started, it is
+released without an answer.
 
-Each RPC is answered once: with its result, as rejected (never ran) or as aborted. The memory of a run is
-counted until the engine says that it is over, whether or not anybody waits for it.
+Each RPC is answered at most once: with its result, as rejected (never ran) or as aborted. The memory of a run
+is counted until the engine reports its end, whether or not a caller still waits for it.
 """
 
 from __future__ import annotations
@@ -36,7 +37,7 @@
 from landingshift.admission.retry_policy import RetryPolicy
 from landingshift.admission.server_state import ServerState
 
-EVENTS_TO_STATE: dict[RpcState, tuple[RpcEvent, ...]] = {
+EVENTS_LEADING_TO_STATE: dict[RpcState, tuple[RpcEvent, ...]] = {
     RpcState.QUEUED: (),
     RpcState.AWAITING_ORIGINAL: (),
     RpcState.RUNNING: (RpcEvent.START,),
@@ -45,13 +46,13 @@
     RpcState.ABORTED: (RpcEvent.START, RpcEvent.DEADLINE_REACHED),
     RpcState.ABANDONED: (RpcEvent.START, RpcEvent.CALLER_GONE),
 }
-"""What brings a lifecycle to each state in which an RPC can be carried to another build."""
+"""Events that bring a lifecycle to each state in which an RPC can be transferred to another build."""
 
 CallStates = Generator[RpcState, RpcEvent | Outcome, RpcEvent | Outcome]
 
 
 class RpcLifecycle:
-    """Moves RPCs between states and has the program act for each move."""
+    """Moves RPCs between states and requests the actions of each transition."""
 
     def __init__(
         self,
@@ -62,15 +63,15 @@
         retries: RetryPolicy,
         reject: Callable[[ManagedRpc], None],
     ) -> None:
-        """Wires the lifecycle.
+        """Creates the lifecycle rules.
 
         Args:
-            server: The RPCs in hand.
-            actions: What the program does.
+            server: State of the server, with its current RPCs.
+            actions: Actions of the host program.
             dedup: Entries in the deduplication table.
             calls: Downstream calls.
-            retries: Which of them are made again.
-            reject: Answers an RPC as never run.
+            retries: Decides which downstream calls are retried.
+            reject: Answers an RPC as rejected.
         """
         self._server = server
         self._actions = actions
@@ -80,12 +81,12 @@
         self._reject = reject
 
     def begin(self, managed: ManagedRpc) -> None:
-        """Takes an RPC that was read to its first state."""
+        """Moves an RPC that was read to its first state."""
         managed.lifecycle = self._states(managed)
-        self._enter(managed, next(managed.lifecycle))
+        self._enter_state(managed, next(managed.lifecycle))
 
     def resume(self, managed: ManagedRpc, event: RpcEvent | Outcome) -> None:
-        """Resumes an RPC with an event; does nothing for one that has left."""
+        """Resumes an RPC with an event; has no effect after its release."""
         if managed.state is None:
             return
         state: RpcState | None
@@ -93,28 +94,28 @@
             state = managed.lifecycle.send(event)
         except StopIteration:
             state = None
-        self._enter(managed, state)
+        self._enter_state(managed, state)
 
     def restore(self, managed: ManagedRpc, state: RpcState) -> None:
-        """Brings the lifecycle of an RPC from another build to its state, without acting for it.
+        """Brings the lifecycle of an RPC from another build to its state, without any action.
 
-        Its memory is not counted: the figure comes with the server's state.
+        The RPC's memory is not added, because the imported state of the server already includes it.
         """
         now_ms = self._server.now_ms
-        # The generator ends a run that needs a call too late. This one needed it in time, in the other build:
-        # at the clock of now it might end here instead of reaching its state.
+        # The generator aborts a run that needs a call too late. This run needed its call in time, in the
+        # other build; replayed at the current time, the lifecycle might end instead of reaching its state.
         self._server.now_ms = -inf
         managed.lifecycle = self._states(managed)
         reached = next(managed.lifecycle)
-        for event in EVENTS_TO_STATE[state]:
+        for event in EVENTS_LEADING_TO_STATE[state]:
             reached = managed.lifecycle.send(event)
-        assert reached is state, f"{reached} in place of {state}"
+        assert reached is state, f"the restored RPC reached {reached} instead of {state}"
         self._server.now_ms = now_ms
         managed.state = state
         self._server.rpcs_by_state[state][managed] = None
 
     def _states(self, managed: ManagedRpc) -> Lifecycle:
-        """The states of an RPC."""
+        """Yields the states of an RPC."""
         if self._dedup.answers_duplicate(managed.rpc):
             event = yield RpcState.AWAITING_ORIGINAL
             if event is RpcEvent.DEADLINE_REACHED:
@@ -134,11 +135,11 @@
             yield RpcState.ABANDONED
 
     def _call_states(self, managed: ManagedRpc) -> CallStates:
-        """The states of a downstream call: made, made again where that is safe, or skipped.
+        """Yields the states of a downstream call, which is made, retried if that is safe, or skipped.
 
         Returns:
-            What comes next in the run. DEADLINE_REACHED where the call was due after the answer lost all
-            value, or cannot be made nor skipped: the rest of the work is saved.
+            The next event of the run. DEADLINE_REACHED aborts the run to save the rest of its work: either
+            its answer had lost all value before the call, or the call is required and failed or was denied.
         """
         if self._server.now_ms > managed.worthless_at_ms:
             return RpcEvent.DEADLINE_REACHED
@@ -159,8 +160,8 @@
                 return (yield RpcState.CALL_SKIPPED)
             return RpcEvent.DEADLINE_REACHED
 
-    def _enter(self, managed: ManagedRpc, state: RpcState | None) -> None:
-        """Moves an RPC to a state and acts for it; None once its lifecycle is over."""
+    def _enter_state(self, managed: ManagedRpc, state: RpcState | None) -> None:
+        """Moves an RPC to a state and requests the resulting actions; releases it if the state is None."""
         previous = managed.state
         if previous is not None:
             self._server.remove(managed)
@@ -171,12 +172,12 @@
         managed.state = RpcState.RUNNING if state is RpcState.CALL_SKIPPED else state
         self._server.add(managed)
         if state in (RpcState.ABORTED, RpcState.ABANDONED):
-            self._stop_waiting_for_run(managed, previous)
+            self._give_up_run(managed, previous)
         else:
-            self._proceed(managed, state)
+            self._request_action(managed, state)
 
     def _release(self, managed: ManagedRpc, state: RpcState | None) -> None:
-        """Answers an RPC where that is left to do, and lets go of it."""
+        """Releases an RPC, after answering it if it was rejected or aborted without a run."""
         managed.state = None
         if state is RpcState.REJECTED:
             self._reject(managed)
@@ -186,8 +187,8 @@
         managed.lifecycle.close()
         self._actions.release(managed.rpc)
 
-    def _stop_waiting_for_run(self, managed: ManagedRpc, previous: RpcState | None) -> None:
-        """Answers a run that is not over, unless nobody waits, and cancels it where the engine can."""
+    def _give_up_run(self, managed: ManagedRpc, previous: RpcState | None) -> None:
+        """Answers an RPC as aborted if its caller still waits, and cancels its run if the engine can."""
         if previous is RpcState.CALLING:
             self._calls.on_cancelled(managed)
         if managed.state is RpcState.ABORTED:
@@ -195,8 +196,8 @@
         if self._server.settings.run_cancellation is not RunCancellation.NONE:
             self._actions.cancel_run(managed.rpc)
 
-    def _proceed(self, managed: ManagedRpc, state: RpcState | None) -> None:
-        """Has the program do what the new state needs."""
+    def _request_action(self, managed: ManagedRpc, state: RpcState | None) -> None:
+        """Requests the action that the new state requires."""
         if state is RpcState.AWAITING_ORIGINAL:
             self._actions.await_original(managed.rpc)
         elif state is RpcState.CALL_SKIPPED:
--- a/landingshift/admission/server_state.py
+++ b/landingshift/admission/server_state.py
@@ -1,4 +1,4 @@
-"""What all rules of a server share: clock, settings, the RPCs in hand, and the memory that they take."""
+"""State shared by all admission rules of a server: clock, settings, current RPCs and their memory."""
 
 from __future__ import annotations
 
@@ -6,25 +6,27 @@
 from landingshift.admission.managed_rpc import ManagedRpc, RpcState
 
 SAFE_FRACTION = 0.85
-"""Of each limit beyond which a server or the shared store dies."""
+"""Fraction that is used of each limit beyond which a server or the shared store fails."""
 
 
 class ServerState:
-    """The state that the rules read; only `RpcLifecycle` moves RPCs in it.
+    """State that the admission rules read. Only `RpcLifecycle` moves RPCs between states.
 
     Attributes:
         settings: The server's settings; a policy may change figures in them.
-        now_ms: The time that all rules go by.
-        started_at_ms: When the server started; its caches are cold then.
-        last_check_ms: When `on_timer` last ran.
-        rpcs_by_state: All RPCs in hand. Each inner dict has the order in which RPCs came to the state.
-        queued: The RPCs of `RpcState.QUEUED`, the same dict; so do the next three.
-        running: Those of `RUNNING`.
-        awaiting_call_slot: Those of `AWAITING_CALL_SLOT`.
-        calling: Those of `CALLING`.
-        max_memory_kb: Memory that may be in use.
-        memory_in_use_kb: What RPCs in hand and deduplication entries take.
-        shortest_objective_ms: The least latency objective of a method.
+        now_ms: Current time for all rules.
+        started_at_ms: Time at which the server started with cold caches.
+        last_check_ms: Time at which `on_timer` last ran.
+        rpcs_by_state: Current RPCs by state, each inner dict in the order in which the RPCs entered the
+            state.
+        queued: The RPCs in `RpcState.QUEUED`; the same dict object as in `rpcs_by_state`, like the next
+            three.
+        running: The RPCs in `RUNNING`.
+        awaiting_call_slot: The RPCs in `AWAITING_CALL_SLOT`.
+        calling: The RPCs in `CALLING`.
+        max_memory_kb: Limit of memory in use.
+        memory_in_use_kb: Memory of the current RPCs and the deduplication entries.
+        shortest_objective_ms: Shortest latency objective of all methods.
     """
 
     def __init__(self, settings: Settings, now_ms: float) -> None:
@@ -45,34 +47,34 @@
         self.refresh_objectives()
 
     def refresh_objectives(self) -> None:
-        """Takes over latency objectives that have changed in the settings."""
+        """Recomputes `shortest_objective_ms` after latency objectives have changed in the settings."""
         self.shortest_objective_ms = min(method.latency_objective_ms for method in self.settings.methods)
 
     @property
     def seconds_since_check(self) -> float:
-        """Time since the last run of `on_timer`, by which rates move."""
+        """Time since the last run of `on_timer`, by which rates are adapted."""
         return (self.now_ms - self.last_check_ms) / 1000.0
 
     def all_rpcs(self) -> list[ManagedRpc]:
-        """All RPCs in hand, by state."""
+        """Returns all current RPCs, ordered by state."""
         return [managed for rpcs in self.rpcs_by_state.values() for managed in rpcs]
 
     def running_count(self) -> int:
-        """Runs on the cores. Those that nobody waits for any more are there too."""
+        """Returns the number of runs on the cores, including aborted and abandoned ones."""
         return len(self.running) + len(self._aborted) + len(self._abandoned)
 
     def calling_count(self) -> int:
-        """Runs off the cores, at a downstream call or waiting for one."""
+        """Returns the number of runs off the cores, in a downstream call or waiting for a call slot."""
         return len(self.calling) + len(self.awaiting_call_slot)
 
     def add(self, managed: ManagedRpc) -> None:
-        """Enters an RPC under its state."""
+        """Adds an RPC to its current state and counts its memory."""
         assert managed.state is not None
         self.rpcs_by_state[managed.state][managed] = None
         self.memory_in_use_kb += self._memory_kb(managed)
 
     def remove(self, managed: ManagedRpc) -> None:
-        """Takes an RPC from its state."""
+        """Removes an RPC from its current state and frees its memory."""
         assert managed.state is not None
         del self.rpcs_by_state[managed.state][managed]
         self.memory_in_use_kb -= self._memory_kb(managed)
--- a/landingshift/admission/service_times.py
+++ b/landingshift/admission/service_times.py
@@ -1,8 +1,8 @@
-"""What runs of one method take, learned from those that ended well.
+"""Service times of one method, measured on successful runs.
 
-The p99 is the margin of the deadline check, the mean the expected work in the start order. The base is what
-a run takes on a server without load: the least mean of a 5 s bucket in the last 40 s. The concurrency limit
-is cut by how much longer than that runs take.
+The p99 is the margin of the deadline check, and the mean is the expected work in the start order. The base
+time estimates a run on a server without load by the lowest mean of a 5 s bucket in the last 40 s. The
+concurrency limit is cut by the ratio of run times to the base time.
 """
 
 from __future__ import annotations
@@ -12,19 +12,20 @@
 RUN_BUCKET_COUNT, RUN_BUCKET_MS = 8, 2000.0
 OWN_BUCKET_COUNT, OWN_BUCKET_MS = 8, 5000.0
 REFRESH_CHANGE_FRACTION = 0.01
-"""Of the values: fewer new ones hardly move the p99, and to compute it all are sorted."""
+"""Fraction of the values that must have changed before the figures are recomputed: fewer changes hardly
+affect the p99, and computing it sorts all values."""
 
 
 class ServiceTimes:
     """Service times of one method. All figures are 0 until a run has ended.
 
     Attributes:
-        run_ms: Run times, calls included.
-        own_ms: Run times without calls.
-        changes_seen: Changes of `run_ms` that the figures include.
-        p99_ms: 99th percentile of whole runs.
-        mean_own_ms: Mean of runs without their calls.
-        base_own_ms: Least mean of a bucket of runs without their calls.
+        run_ms: Run times including downstream calls.
+        own_ms: Run times without downstream calls.
+        changes_seen: Value of `run_ms.change_count` when the figures were last computed.
+        p99_ms: 99th percentile of `run_ms`.
+        mean_own_ms: Mean of `own_ms`.
+        base_own_ms: Lowest bucket mean of `own_ms`, or their overall mean while no bucket has enough values.
     """
 
     def __init__(self) -> None:
@@ -36,18 +37,18 @@
         self.base_own_ms = 0.0
 
     def record(self, now_ms: float, run_ms: float, own_ms: float) -> None:
-        """Notes a run that ended well.
+        """Records a successful run.
 
         Args:
-            now_ms: Time.
-            run_ms: What it took in all.
-            own_ms: The part of that which was not spent in downstream calls.
+            now_ms: Current time.
+            run_ms: Duration of the run, including downstream calls.
+            own_ms: Duration of the run without downstream calls.
         """
         self.run_ms.add(now_ms, run_ms)
         self.own_ms.add(now_ms, own_ms)
 
     def refresh(self, now_ms: float) -> None:
-        """Computes the figures anew where enough has changed."""
+        """Recomputes the figures if enough values have changed."""
         count = self.run_ms.count(now_ms)
         if self.run_ms.change_count - self.changes_seen <= REFRESH_CHANGE_FRACTION * count:
             return
--- a/landingshift/admission/snapshot.py
+++ b/landingshift/admission/snapshot.py
@@ -1,8 +1,8 @@
-"""Export and import of all that a controller has learned and has in hand, for a hot restart.
+"""Export and import of a controller's complete state for a hot restart.
 
-The other side may be an older or a newer build. The tables here are the format: stored name, and where the
-value lives now. A value that this build does not know is left out; one that the other build did not store
-stays as it is.
+The other process may run an older or a newer build. The tables in this module define the stored format: each
+maps a stored name to the attribute that now holds the value. Stored values that this build does not know are
+ignored; values that the other build did not store keep their initial value.
 """
 
 from __future__ import annotations
@@ -61,7 +61,8 @@
     "fails": ("check", "next_failure_ms"),
     "alarm": ("timer", "next_check_ms"),
 }
-"""Single figures, in the order in which they are stored: stored name, part, attribute."""
+"""Stored name of each single figure, with the part of the controller and the attribute that hold it, in
+stored order."""
 
 STORED_WINDOWS = {
     "stretch": ("limit", "slowdown"),
@@ -76,7 +77,8 @@
     "call_recent": ("call_rate", "recent_ms"),
     "call_load": ("time_budget", "call_time_ms"),
 }
-"""Rolling windows, as above. Those of methods and tenants follow them, by their place in the settings."""
+"""Rolling windows, in the same form. Those of methods and tenants follow them in the order of the
+settings."""
 
 STORED_RPC_ATTRIBUTES = (
     "arrived_at_ms",
@@ -90,12 +92,12 @@
     "call_attempts",
     "has_started",
 )
-"""Of each RPC, stored without names in this order, behind its state."""
+"""Attributes of each RPC, stored without names in this order after its state."""
 
 
 @dataclass(frozen=True)
 class SnapshotParts:
-    """The parts of a controller whose state is stored; the tables name them as these fields."""
+    """Parts of a controller whose state is stored. The tables refer to them by these field names."""
 
     server: ServerState
     service_times: dict[Method, ServiceTimes]
@@ -118,78 +120,85 @@
 
 
 def export_state(parts: SnapshotParts) -> tuple[dict[str, Any], list[ManagedRpc]]:
-    """All that is learned and in hand.
+    """Exports the state of a controller.
 
     Returns:
-        The state as plain values, and the RPCs in the order in which it names them.
+        The state as plain values, and the RPCs in the order of their index in it.
     """
     entries = parts.dedup.expires_at_ms
     rpcs = parts.server.all_rpcs() + [managed for managed in entries if managed.state is None]
-    places = {managed: place for place, managed in enumerate(rpcs)}
+    indices = {managed: index for index, managed in enumerate(rpcs)}
     state = {
         "plain": {
-            stored: getattr(getattr(parts, part), name) for stored, (part, name) in STORED_FIGURES.items()
+            stored_name: getattr(getattr(parts, part), attribute)
+            for stored_name, (part, attribute) in STORED_FIGURES.items()
         },
         "modes": dict(parts.modes.is_on),
         "worth": list(parts.tenants.weights.values()),
-        "rings": {stored: _export_window(window) for stored, window in _windows(parts).items()},
+        "rings": {stored_name: _export_window(window) for stored_name, window in _windows(parts).items()},
         "learned": [
             [times.changes_seen, times.p99_ms, times.mean_own_ms, times.base_own_ms]
             for times in parts.service_times.values()
         ],
         "jobs": [
-            [managed.state, *(getattr(managed, name) for name in STORED_RPC_ATTRIBUTES)] for managed in rpcs
+            [managed.state, *(getattr(managed, attribute) for attribute in STORED_RPC_ATTRIBUTES)]
+            for managed in rpcs
         ],
-        "kept": [[places[managed], expires_at_ms] for managed, expires_at_ms in entries.items()],
+        "kept": [[indices[managed], expires_at_ms] for managed, expires_at_ms in entries.items()],
     }
     return state, rpcs
 
 
 def import_state(parts: SnapshotParts, state: dict[str, Any], rpcs: list[Rpc]) -> list[ManagedRpc]:
-    """Goes on where another build was.
+    """Restores the state that another build exported.
 
     Args:
-        parts: Of a controller that has just been made.
-        state: What that build exported.
-        rpcs: Its RPCs, in the order of the export.
+        parts: Parts of a newly created controller.
+        state: The exported state.
+        rpcs: The RPCs of the other build, in the order of the export.
 
     Returns:
-        The handles of the RPCs in the same order.
+        The handles of the RPCs, in the same order.
     """
-    for stored, value in state["plain"].items():
-        if stored in STORED_FIGURES:
-            part, name = STORED_FIGURES[stored]
-            setattr(getattr(parts, part), name, value)
+    for stored_name, value in state["plain"].items():
+        if stored_name in STORED_FIGURES:
+            part, attribute = STORED_FIGURES[stored_name]
+            setattr(getattr(parts, part), attribute, value)
     parts.modes.is_on |= state["modes"]
     for tenant, weight in zip(parts.tenants.weights, state["worth"], strict=True):
         parts.tenants.weights[tenant] = weight
-    for stored, window in _windows(parts).items():
-        if stored in state["rings"]:
-            _import_window(window, state["rings"][stored])
+    for stored_name, window in _windows(parts).items():
+        if stored_name in state["rings"]:
+            _import_window(window, state["rings"][stored_name])
     for times, values in zip(parts.service_times.values(), state["learned"], strict=True):
         times.changes_seen, times.p99_ms, times.mean_own_ms, times.base_own_ms = values
-    managed_rpcs = [_import_rpc(parts, rpc, stored) for rpc, stored in zip(rpcs, state["jobs"], strict=True)]
-    parts.dedup.expires_at_ms = {managed_rpcs[place]: end_ms for place, end_ms in state["kept"]}
+    managed_rpcs = [
+        _import_rpc(parts, rpc, stored_rpc) for rpc, stored_rpc in zip(rpcs, state["jobs"], strict=True)
+    ]
+    parts.dedup.expires_at_ms = {managed_rpcs[index]: expires_at_ms for index, expires_at_ms in state["kept"]}
     return managed_rpcs
 
 
-def _import_rpc(parts: SnapshotParts, rpc: Rpc, stored: list[Any]) -> ManagedRpc:
-    state, *values = stored
+def _import_rpc(parts: SnapshotParts, rpc: Rpc, stored_rpc: list[Any]) -> ManagedRpc:
+    state, *values = stored_rpc
     managed = ManagedRpc(rpc, parts.service_times[rpc.method], parts.server.now_ms)
-    for name, value in zip(STORED_RPC_ATTRIBUTES, values, strict=True):
-        setattr(managed, name, value)
+    for attribute, value in zip(STORED_RPC_ATTRIBUTES, values, strict=True):
+        setattr(managed, attribute, value)
     if state is not None:
         parts.lifecycle.restore(managed, RpcState(state))
     return managed
 
 
 def _windows(parts: SnapshotParts) -> dict[str, RollingWindow]:
-    """All rolling windows by their stored names, in the order in which they are stored."""
-    windows = {stored: getattr(getattr(parts, part), name) for stored, (part, name) in STORED_WINDOWS.items()}
-    for place, times in enumerate(parts.service_times.values()):
-        windows |= {f"whole {place}": times.run_ms, f"own {place}": times.own_ms}
-    for place, window in enumerate(parts.tenants.arrivals.values()):
-        windows[f"tenant {place}"] = window
+    """Returns all rolling windows by their stored names, in stored order."""
+    windows = {
+        stored_name: getattr(getattr(parts, part), attribute)
+        for stored_name, (part, attribute) in STORED_WINDOWS.items()
+    }
+    for index, times in enumerate(parts.service_times.values()):
+        windows |= {f"whole {index}": times.run_ms, f"own {index}": times.own_ms}
+    for index, window in enumerate(parts.tenants.arrivals.values()):
+        windows[f"tenant {index}"] = window
     return windows
 
 
@@ -197,9 +206,9 @@
     return [window.current_bucket, window.change_count, window.buckets, window.bucket_sums]
 
 
-def _import_window(window: RollingWindow, stored: list[Any]) -> None:
-    """Takes over a window; one of another length in the other build starts empty."""
-    current_bucket, change_count, buckets, bucket_sums = stored
+def _import_window(window: RollingWindow, stored_window: list[Any]) -> None:
+    """Restores a window, or leaves it empty if the other build stored another number of buckets."""
+    current_bucket, change_count, buckets, bucket_sums = stored_window
     if len(buckets) != window.bucket_count:
         return
     window.current_bucket = current_bucket
--- a/landingshift/admission/start_order.py
+++ b/landingshift/admission/start_order.py
@@ -1,9 +1,9 @@
-"""Which queued RPC starts first, and below which priority none starts while the server is overloaded.
+"""Start order of queued RPCs, and the priority floor below which none starts under overload.
 
-Priority is value over expected work: the most value for each ms of the cores. While a queue stands, RPCs of
-equal priority start newest first (adaptive LIFO): the oldest are the likeliest to run out of time. Under
-overload a floor keeps slots for the best of what arrives; the rest is rejected early, while it can still go
-elsewhere.
+The priority of an RPC is its value per expected work, so that each ms of core time yields the most value.
+While queued RPCs fail the deadline check, RPCs of equal priority start newest first (adaptive LIFO), because
+the oldest are the most likely to fail next. Under overload, a priority floor reserves the slots for the best
+of the arriving RPCs; the others are rejected early, while another server can still run them.
 """
 
 from __future__ import annotations
@@ -17,22 +17,22 @@
 from landingshift.admission.tenant_quotas import TenantQuotas
 
 OVERLOAD_BUCKET_COUNT, OVERLOAD_BUCKET_MS = 4, 500.0
-"""The window of arrivals, starts and failures of the deadline check, which `update_floor` compares: all three
+"""Window of arrivals, starts and failures of the deadline check. `update_floor` compares all three, so they
 must cover the same time."""
 WINDOW_SECONDS = OVERLOAD_BUCKET_COUNT * OVERLOAD_BUCKET_MS / 1000.0
 MIN_EXPECTED_WORK_MS = 1.0
 OVERLOAD_FAILURE_FRACTION = 0.1
-"""Of what is read: as many must fail the deadline check for a queue to count as standing."""
+"""Fraction of the RPCs read that must fail the deadline check for the server to count as overloaded."""
 SELECTION_MODE = "choosing"
 
 
 class StartOrder:
-    """Priorities of RPCs and the floor below which none starts.
+    """Computes priorities of RPCs and the floor below which none starts.
 
     Attributes:
         arrival_priorities: Priorities of all RPCs read in the last 2 s.
-        starts: One for each start in the last 2 s.
-        priority_floor: Least priority of an RPC that may start; 0 without an overload.
+        starts: One value for each start in the last 2 s.
+        priority_floor: Minimum priority of RPCs that may start; 0 without overload.
     """
 
     def __init__(self, server: ServerState, tenants: TenantQuotas, modes: ModeLog) -> None:
@@ -44,7 +44,7 @@
         self.priority_floor = 0.0
 
     def priority(self, managed: ManagedRpc) -> float:
-        """Value over expected work in ms; the value alone where the settings have it per unit of work."""
+        """Returns the value per ms of expected work; the value alone if criticality is per unit of work."""
         rpc = managed.rpc
         value = rpc.method.criticality * self._tenants.weight(rpc.tenant)
         if self._server.settings.criticality_is_per_work:
@@ -52,41 +52,42 @@
         return value / max(MIN_EXPECTED_WORK_MS, managed.service_times.mean_own_ms)
 
     def record_arrival(self, managed: ManagedRpc) -> None:
-        """Sets the priority of an RPC that was read, and notes it."""
+        """Sets and records the priority of an RPC that was read."""
         managed.priority = self.priority(managed)
         self.arrival_priorities.add(self._server.now_ms, managed.priority)
 
     def record_start(self) -> None:
-        """Notes that an RPC starts."""
+        """Records the start of an RPC."""
         self.starts.add(self._server.now_ms, 1.0)
 
     def refresh(self, rpcs: Iterable[ManagedRpc]) -> None:
-        """Sets priorities anew: expected work and tenants' weights have moved."""
+        """Recomputes priorities after expected work, tenant weights or settings may have changed."""
         for managed in rpcs:
             managed.priority = self.priority(managed)
 
     def arrivals_per_second(self, now_ms: float) -> float:
-        """RPCs read in a second, over the last 2 s."""
+        """Returns the mean number of RPCs read per second over the last 2 s."""
         return self.arrival_priorities.count(now_ms) / WINDOW_SECONDS
 
     def may_start(self, managed: ManagedRpc) -> bool:
-        """Whether the RPC is among the best that arrive, or there is no overload."""
+        """Returns whether the RPC's priority reaches the floor; always True without overload."""
         return managed.priority >= self.priority_floor
 
     @staticmethod
     def sort(rpcs: Iterable[ManagedRpc], newest_first: bool) -> list[ManagedRpc]:
-        """The RPCs by falling priority; among equals the newest first, or the oldest."""
+        """Returns the RPCs by descending priority, and among equal priorities newest or oldest first."""
         arrival_sign = -1.0 if newest_first else 1.0
         return sorted(rpcs, key=lambda managed: (-managed.priority, arrival_sign * managed.arrived_at_ms))
 
     def update_floor(self, is_saturated: bool, failed_count: int) -> None:
-        """Sets the floor so that as many start as did in the last 2 s, the best of what was read.
+        """Sets the floor to the priority above which as many RPCs were read as started in the last 2 s.
 
-        Guards against better work that grows too old while lesser work fills the slots.
+        Without a floor under overload, RPCs of high priority would expire while ones of low priority occupy
+        the slots.
 
         Args:
-            is_saturated: Whether the cores are busy and none is idle.
-            failed_count: RPCs that failed the deadline check in the last 2 s.
+            is_saturated: Whether utilization is high and no core is idle.
+            failed_count: Number of RPCs that failed the deadline check in the last 2 s.
         """
         now_ms = self._server.now_ms
         start_count = self.starts.count(now_ms)
--- a/landingshift/admission/tenant_quotas.py
+++ b/landingshift/admission/tenant_quotas.py
@@ -1,8 +1,8 @@
-"""What a tenant beyond its quota counts for, so that one that floods does not take the others' part.
+"""Weights of tenants, reduced beyond their quota so that one tenant's flood does not displace the others.
 
-The quota is for the whole fleet and servers do not talk to each other: each takes what it reads times the
-number of servers for the whole, with some tolerance for an uneven spread. The rule fails towards the tenant
-where its RPCs go to few servers.
+A quota applies to the whole fleet, but servers do not exchange counts. Each server estimates a tenant's total
+rate as its own rate times the number of servers, with a tolerance for uneven distribution. If a tenant's RPCs
+go to only a few servers, the estimate is too high and the rule is too strict for that tenant.
 """
 
 from __future__ import annotations
@@ -14,15 +14,16 @@
 WINDOW_SECONDS = 5
 BUCKET_MS = 1000.0
 TOLERATED_QUOTA_FACTOR = 1.3
-"""Times its quota that a tenant may seem to send: callers spread unevenly."""
+"""Multiple of its quota up to which a tenant's estimated rate is tolerated, because callers are distributed
+unevenly."""
 
 
 class TenantQuotas:
-    """Counts RPCs by tenant and weighs those of a tenant beyond its quota.
+    """Counts RPCs by tenant and computes the tenants' weights.
 
     Attributes:
-        arrivals: RPCs of each tenant, in the order of the settings.
-        weights: What an RPC of each tenant counts for, from `over_quota_value_fraction` to 1.
+        arrivals: Recent RPCs of each tenant, in the order of the settings.
+        weights: Weight of an RPC of each tenant, from `over_quota_value_fraction` to 1.
     """
 
     def __init__(self, server: ServerState) -> None:
@@ -39,14 +40,14 @@
             self.arrivals[tenant].add(self._server.now_ms, 1.0)
 
     def weight(self, tenant: Tenant | None) -> float:
-        """What an RPC of this tenant counts for."""
+        """Returns the weight of an RPC of this tenant."""
         return self.weights[tenant] if tenant else 1.0
 
     def update(self) -> None:
-        """Weighs each tenant by its rate over the last seconds.
+        """Recomputes the weight of each tenant from its rate over the last 5 s.
 
-        The part of its RPCs within the quota counts in full, the rest as the settings say: an RPC counts as
-        what the tenant's RPCs are worth in the mean.
+        RPCs within the quota have weight 1 and the others `over_quota_value_fraction`. As they are not told
+        apart, each RPC gets the mean of both over the tenant's RPCs.
         """
         settings = self._server.settings
         for tenant, window in self.arrivals.items():
@@ -54,5 +55,6 @@
                 continue
             rate = window.count(self._server.now_ms) / float(WINDOW_SECONDS) * settings.server_count
             excess = max(1.0, rate / (tenant.quota_per_second * TOLERATED_QUOTA_FACTOR))
-            within = 1.0 / excess
-            self.weights[tenant] = within + settings.over_quota_value_fraction * (1.0 - within)
+            within_fraction = 1.0 / excess
+            over_fraction = 1.0 - within_fraction
+            self.weights[tenant] = within_fraction + settings.over_quota_value_fraction * over_fraction
--- a/landingshift/drill/__init__.py
+++ b/landingshift/drill/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's adapter: its wire in, calls of the controller, and the controller's actions out."""
+"""Adapter that connects admission controllers to the simulator's wire protocol."""
--- a/landingshift/drill/__main__.py
+++ b/landingshift/drill/__main__.py
@@ -1,4 +1,4 @@
-"""Serves the simulator on the standard streams: `python -m landingshift.drill`."""
+"""Entry point of `python -m landingshift.drill`, which serves the simulator on the standard streams."""
 
 import sys
 
--- a/landingshift/drill/adapter.py
+++ b/landingshift/drill/adapter.py
@@ -1,6 +1,7 @@
-"""Reads batches from the simulator, hands their events to the instances and writes their messages.
+"""Reads batches of events from the simulator, passes them to the instances and writes their messages.
 
-A defect in an instance ends that one alone, with its trace; a malformed line ends the process.
+An exception in one instance is reported to the simulator with its traceback and does not affect the others. A
+malformed line ends the process.
 """
 
 from __future__ import annotations
@@ -15,6 +16,8 @@
 from landingshift.admission.interface import Settings
 from landingshift.drill import wire
 from landingshift.drill.errors import (
+    InvalidFieldsError,
+    InvalidSettingsError,
     MalformedMessageError,
     NestedBatchError,
     NoInstanceError,
@@ -22,8 +25,6 @@
     OutsideBatchError,
     UnknownEventError,
     UnknownInstanceError,
-    WrongFieldsError,
-    WrongSettingsError,
 )
 from landingshift.drill.instance import SimulatedInstance
 from landingshift.settings import decode_settings
@@ -35,34 +36,35 @@
 
 @dataclass(frozen=True, slots=True)
 class Batch:
-    """A moment of the simulation, in which all events of the batch happen."""
+    """Simulated time and number of a batch, all events of which happen at the same time."""
 
     now_ms: float
     number: int
 
 
 class Adapter:
-    """All instances of this process, and the batch in hand."""
+    """Passes the messages of the simulator to the instances of this process."""
 
     def __init__(self) -> None:
         self._instances: dict[int, SimulatedInstance] = {}
         self._outbox: list[list[Any]] = []
         self._batch: Batch | None = None
-        self._touched: dict[int, SimulatedInstance] = {}  # with an event in this batch, in that order
+        # Instances with an event in the current batch, in the order of their first event.
+        self._instances_to_settle: dict[int, SimulatedInstance] = {}
 
     @property
     def is_in_batch(self) -> bool:
-        """Whether a batch was begun and not ended."""
+        """Whether a batch has begun and not ended."""
         return self._batch is not None
 
     def handle_message(self, message: Any) -> bool:
-        """Takes one message.
+        """Handles one message.
 
         Returns:
-            Whether it closes a batch, whose reply is ready.
+            Whether the message ends a batch, so that the reply must be taken from `close_batch`.
 
         Raises:
-            MalformedMessageError: It is no message, or may not come here.
+            MalformedMessageError: The value is not a valid message, or is not allowed at this point.
         """
         if not isinstance(message, list) or not message or not isinstance(message[0], str):
             raise NotAMessageError
@@ -76,18 +78,18 @@
             return True
         if len(message) < 2 or not isinstance(message[1], int):
             raise NoInstanceError(name)
-        self._handle_for_instance(self._batch.now_ms, name, message[1], message[2:])
+        self._handle_instance_message(self._batch.now_ms, name, message[1], message[2:])
         return False
 
     def close_batch(self) -> list[list[Any]]:
-        """Settles the instances that had events, closes the batch and returns all messages of it."""
+        """Settles the instances that had events, ends the batch and returns its reply messages."""
         assert self._batch is not None
-        for instance_id, instance in self._touched.items():
-            self._guard(instance_id, instance.controller.settle)
-        self._touched.clear()
+        for instance_id, instance in self._instances_to_settle.items():
+            self._run_guarded(instance_id, instance.controller.settle)
+        self._instances_to_settle.clear()
         self._outbox.append([wire.YIELD, self._batch.number])
         reply = self._outbox[:]
-        self._outbox.clear()  # the instances hold this list
+        self._outbox.clear()  # cleared in place, because the instances append to the same list
         self._batch = None
         return reply
 
@@ -95,16 +97,16 @@
         if self._batch is not None:
             raise NestedBatchError
         if len(message) < 3 or not all(isinstance(value, int | float) for value in message[1:3]):
-            raise WrongFieldsError(wire.BATCH, "a clock and a number")
+            raise InvalidFieldsError(wire.BATCH, "a clock and a number")
         self._batch = Batch(float(message[1]), message[2])
 
-    def _handle_for_instance(self, now_ms: float, name: str, instance_id: int, fields: list[Any]) -> None:
+    def _handle_instance_message(self, now_ms: float, name: str, instance_id: int, fields: list[Any]) -> None:
         if name == wire.CONFIGURE:
             self._configure(now_ms, instance_id, fields)
             return
         if name == wire.DESTROY:
             self._instances.pop(instance_id, None)
-            self._touched.pop(instance_id, None)
+            self._instances_to_settle.pop(instance_id, None)
             return
         if name not in wire.FIELD_COUNTS:
             raise UnknownEventError(name)
@@ -112,31 +114,33 @@
         if instance is None:
             raise UnknownInstanceError(name, instance_id)
         fields = wire.padded_fields(name, fields)
-        wire.check_event(name, fields, instance.settings)
-        self._guard(instance_id, lambda: self._deliver(now_ms, instance_id, instance, name, fields))
+        wire.validate_event(name, fields, instance.settings)
+        self._run_guarded(
+            instance_id, lambda: self._deliver_event(now_ms, instance_id, instance, name, fields)
+        )
 
     def _configure(self, now_ms: float, instance_id: int, fields: list[Any]) -> None:
         if len(fields) < 2 or not isinstance(fields[1], dict):
-            raise WrongFieldsError(wire.CONFIGURE, "a seed and settings")
+            raise InvalidFieldsError(wire.CONFIGURE, "a seed and settings")
         seed = fields[0]
         try:
             settings = decode_settings(fields[1])
         except (KeyError, IndexError, TypeError, ValueError, AttributeError) as err:
-            raise WrongSettingsError(err) from err
-        self._guard(instance_id, lambda: self._start_instance(instance_id, settings, seed, now_ms))
+            raise InvalidSettingsError(err) from err
+        self._run_guarded(instance_id, lambda: self._start_instance(instance_id, settings, seed, now_ms))
 
     def _start_instance(self, instance_id: int, settings: Settings, seed: int, now_ms: float) -> None:
         self._instances[instance_id] = SimulatedInstance(instance_id, settings, seed, now_ms, self._outbox)
 
-    def _deliver(
+    def _deliver_event(
         self, now_ms: float, instance_id: int, instance: SimulatedInstance, name: str, fields: list[Any]
     ) -> None:
         instance.controller.now_ms = now_ms
         instance.handle(wire.decode_event(name, fields, instance.settings))
-        self._touched[instance_id] = instance
+        self._instances_to_settle[instance_id] = instance
 
-    def _guard(self, instance_id: int, step: Callable[[], None]) -> None:
-        """Runs a step of an instance; a defect in it is reported and others go on."""
+    def _run_guarded(self, instance_id: int, step: Callable[[], None]) -> None:
+        """Runs a step of an instance; an exception is reported to the simulator and stops no other one."""
         try:
             step()
         except Exception:
@@ -147,12 +151,12 @@
     """Serves the simulator until its input ends.
 
     Args:
-        source: Lines of messages.
-        sink: Where replies go.
-        errors: Where a malformed line is told.
+        source: Input stream with one message per line.
+        sink: Output stream for replies.
+        errors: Output stream for the description of a malformed line.
 
     Returns:
-        The exit status.
+        The exit status of the process.
     """
     adapter = Adapter()
     decoder, encoder = msgspec.json.Decoder(), msgspec.json.Encoder()
--- a/landingshift/drill/errors.py
+++ b/landingshift/drill/errors.py
@@ -1,4 +1,4 @@
-"""What can be wrong with a line of the simulator. The texts are written to the standard error stream."""
+"""Errors in the input from the simulator. Their messages are written to the standard error stream."""
 
 from __future__ import annotations
 
@@ -8,78 +8,78 @@
 from landingshift.settings import SettingsError
 
 SETTINGS_ERROR_NAME = "BadSetting"
-"""By which the text names any error of the settings."""
+"""Name that the message shows for any `SettingsError`."""
 
 
 class MalformedMessageError(LandingshiftError):
-    """A line that is no message of this wire, or comes where it may not."""
+    """A line is not a valid message, or is not allowed at this point."""
 
 
 class NotAMessageError(MalformedMessageError):
-    """A line that is no array with a word."""
+    """A line is not an array that begins with a message name."""
 
     def __init__(self) -> None:
         super().__init__("a message is an array that begins with its name")
 
 
 class NestedBatchError(MalformedMessageError):
-    """A batch in a batch."""
+    """A batch begins inside another batch."""
 
     def __init__(self) -> None:
         super().__init__("a batch begins before the last one ended")
 
 
 class OutsideBatchError(MalformedMessageError):
-    """A message that may only come in a batch."""
+    """A message that is only allowed inside a batch comes outside of one."""
 
     def __init__(self, name: str) -> None:
         super().__init__(f"{name} outside a batch")
 
 
 class UnknownEventError(MalformedMessageError):
-    """A word that this build does not know."""
+    """The name of an event is unknown."""
 
     def __init__(self, name: str) -> None:
         super().__init__(f"unknown event {name}")
 
 
 class NoInstanceError(MalformedMessageError):
-    """An event without the number of an instance."""
+    """An event does not carry the number of an instance."""
 
     def __init__(self, name: str) -> None:
         super().__init__(f"{name} names no instance")
 
 
 class UnknownInstanceError(MalformedMessageError):
-    """An event for an instance that was not configured, or was destroyed."""
+    """An event is for an instance that was not configured or has been destroyed."""
 
     def __init__(self, name: str, instance_id: int) -> None:
         super().__init__(f"{name} for instance {instance_id}, which was not configured")
 
 
-class WrongFieldsError(MalformedMessageError):
-    """Fields that a message does not take."""
+class InvalidFieldsError(MalformedMessageError):
+    """A message has missing or invalid fields."""
 
-    def __init__(self, name: str, takes: str) -> None:
-        super().__init__(f"{name} takes {takes}")
+    def __init__(self, name: str, expected: str) -> None:
+        super().__init__(f"{name} takes {expected}")
 
 
 class UnknownReferenceError(MalformedMessageError):
-    """An RPC of a method or tenant that the settings do not have."""
+    """An RPC refers to a method or tenant that the settings do not contain."""
 
     def __init__(self, name: str, kind: str, value: Any) -> None:
         super().__init__(f"{name} of unknown {kind} {value!r}")
 
 
 class NotANumberError(MalformedMessageError):
-    """An RPC with a field that is to be a number and is not."""
+    """A numeric field of an RPC has a value that is not a number."""
 
     def __init__(self, name: str) -> None:
         super().__init__(f"{name} with a value that is not a number")
 
 
-class WrongSettingsError(MalformedMessageError):
-    """Settings by which no instance can start."""
+class InvalidSettingsError(MalformedMessageError):
+    """The settings of an instance are invalid."""
 
     def __init__(self, error: Exception) -> None:
         kind = SETTINGS_ERROR_NAME if isinstance(error, SettingsError) else type(error).__name__
--- a/landingshift/drill/instance.py
+++ b/landingshift/drill/instance.py
@@ -1,4 +1,4 @@
-"""One simulated server: a controller, its RPCs by the simulator's ids, and its actions as messages."""
+"""One simulated server, which connects an admission controller to the simulator's events and messages."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 class SimulatedInstance:
-    """Turns events into calls of the controller, and its `Actions` into messages. Ids exist only here.
+    """Translates events to calls of the controller, and the controller's `Actions` to messages.
 
     Attributes:
-        settings: Of this instance.
-        controller: Decides.
+        settings: Settings of this instance.
+        controller: Admission controller of this instance.
     """
 
     def __init__(
@@ -24,11 +24,11 @@
         """Starts the instance.
 
         Args:
-            instance_id: Its number on the wire.
-            settings: What it is told at its start.
-            seed: Of its random choices.
-            now_ms: The simulator's time.
-            outbox: Where its messages go.
+            instance_id: Number of the instance on the wire.
+            settings: Settings of the instance.
+            seed: Seed of its random choices.
+            now_ms: Simulated time.
+            outbox: List to which its messages are appended.
         """
         self._instance_id = instance_id
         self._outbox = outbox
@@ -38,7 +38,7 @@
         self.controller = AdmissionController(settings, seed, self, now_ms)
 
     def handle(self, event: wire.Event) -> None:
-        """Tells the controller of an event; one for an RPC that it has let go of is passed over."""
+        """Passes an event to the controller; ignores events for RPCs that have been released."""
         match event:
             case wire.RpcRead():
                 self._rpcs[event.rpc.rpc_id] = self.controller.on_rpc_read(event.rpc)
@@ -69,7 +69,7 @@
     def _send_for_instance(self, name: str, *values: Any) -> None:
         self._outbox.append([name, self._instance_id, *values])
 
-    # Actions of the controller
+    # Implementation of `Actions`
 
     def start_run(self, rpc: Rpc) -> None:
         """See `Actions`."""
--- a/landingshift/drill/wire.py
+++ b/landingshift/drill/wire.py
@@ -1,8 +1,8 @@
-"""The simulator's wire: its words, the events that it sends and the checks of their fields.
+"""Wire protocol of the simulator: message names, event types, and decoding and validation of fields.
 
-A message is a JSON array that begins with its word. `Batch` opens a moment, `End` closes it; between them
-stand events, each with the number of the instance that it is for. Only this module knows the words; the
-controller's terms are given out.
+A message is a JSON array that begins with its name. `Batch` begins a batch and `End` ends it. The events
+between them happen at the same simulated time, and each carries the number of its instance. Only this module
+knows the keywords of the protocol; it translates them to the terms of the admission controller.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 
 from landingshift.admission.interface import Gauges, Outcome, Rpc, Settings
 from landingshift.drill.errors import (
+    InvalidFieldsError,
     NotANumberError,
     UnknownEventError,
     UnknownReferenceError,
-    WrongFieldsError,
 )
 
-# Messages to the adapter.
+# Messages from the simulator.
 BATCH, END, CONFIGURE, DESTROY = "Batch", "End", "Configure", "Destroy"
 INGRESS, RESULT, WANTS_CALL, CALL_DONE = "Ingress", "Result", "WantsCall", "CallDone"
 HANGUP, QUIESCE, ELAPSED = "Hangup", "Quiesce", "Elapsed"
@@ -41,18 +41,19 @@
     "not_sent": Outcome.NOT_SENT,
 }
 FIELD_COUNTS = {INGRESS: 12, RESULT: 3, WANTS_CALL: 1, CALL_DONE: 3, HANGUP: 1, QUIESCE: 1, ELAPSED: 2}
-"""Fields of each event behind the number of its instance; those that are missing are null."""
+"""Number of fields of each event after the number of its instance; missing trailing fields count as null."""
 
 HINT_BIT, RETRY_BIT, WRITE_BIT = 1, 2, 4
-"""Of the marks of an RPC: its work hint is valid, it is a further attempt, it writes."""
+"""Bits in the flags of an RPC: its work hint is valid, it is a retry, it writes."""
 METHOD_FIELD, TENANT_FIELD = 6, 8
+"""Indices of fields of `Ingress`."""
 NUMBER_FIELDS = (2, 3, 4, 7, 11)
-"""Fields of `Ingress` that are numbers or null."""
+"""Indices of the fields of `Ingress` that are numbers or null."""
 
 
 @dataclass(slots=True, eq=False)
 class SimulatedRpc(Rpc):
-    """An RPC with the id by which the simulator knows it."""
+    """An RPC with its id in the simulator."""
 
     rpc_id: str
 
@@ -66,7 +67,7 @@
 
 @dataclass(slots=True)
 class RunFinished:
-    """A run is over, or the attempt that a duplicate waited for."""
+    """A run has ended, or the original attempt that a duplicate waited for."""
 
     rpc_id: str
     outcome: Outcome
@@ -82,7 +83,7 @@
 
 @dataclass(slots=True)
 class CallFinished:
-    """A downstream call is over."""
+    """A downstream call has ended."""
 
     rpc_id: str
     outcome: Outcome
@@ -91,21 +92,21 @@
 
 @dataclass(slots=True)
 class CallerGone:
-    """Nobody waits for the RPC any more."""
+    """The caller of an RPC has disconnected."""
 
     rpc_id: str
 
 
 @dataclass(slots=True)
 class DrainNotice:
-    """The instance is to leave."""
+    """The instance is notified that its process will be stopped."""
 
     remaining_ms: float
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A check that was asked for is due."""
+    """A check that the controller has scheduled is due."""
 
     gauges: Gauges
 
@@ -114,55 +115,55 @@
 
 
 def padded_fields(name: str, fields: list[Any]) -> list[Any]:
-    """The fields of an event in full number; trailing ones that are null may be left out."""
+    """Returns all fields of an event, with null for trailing fields that were omitted."""
     count = FIELD_COUNTS[name]
     return [*fields, *[None] * (count - len(fields))][:count]
 
 
-def check_event(name: str, fields: list[Any], settings: Settings) -> None:
-    """Checks the fields of an event.
+def validate_event(name: str, fields: list[Any], settings: Settings) -> None:
+    """Validates the fields of an event.
 
     Args:
-        name: Its word.
-        fields: Its fields, padded.
-        settings: Of the instance that it is for.
+        name: Name of the event.
+        fields: Fields of the event, as returned by `padded_fields`.
+        settings: Settings of the instance that receives the event.
 
     Raises:
-        MalformedMessageError: A field is of the wrong kind, or names what the settings do not have.
+        MalformedMessageError: A field has the wrong type, or refers to something that the settings lack.
     """
     if name == ELAPSED:
         return
     if name == QUIESCE:
         if not isinstance(fields[0], int | float):
-            raise WrongFieldsError(name, "a time")
+            raise InvalidFieldsError(name, "a time")
         return
     if not isinstance(fields[0], str):
-        raise WrongFieldsError(name, "the id of an RPC")
+        raise InvalidFieldsError(name, "the id of an RPC")
     if name in (RESULT, CALL_DONE):
-        _check_end(name, fields)
+        _validate_outcome(name, fields)
     elif name == INGRESS:
-        _check_rpc(fields, settings)
+        _validate_rpc(fields, settings)
 
 
-def _check_end(name: str, fields: list[Any]) -> None:
+def _validate_outcome(name: str, fields: list[Any]) -> None:
     outcome, elapsed_ms = fields[1], fields[2]
     if outcome not in OUTCOMES or not isinstance(elapsed_ms, int | float):
-        raise WrongFieldsError(name, f"an outcome and a time, not {outcome!r} and {elapsed_ms!r}")
+        raise InvalidFieldsError(name, f"an outcome and a time, not {outcome!r} and {elapsed_ms!r}")
 
 
-def _check_rpc(fields: list[Any], settings: Settings) -> None:
+def _validate_rpc(fields: list[Any], settings: Settings) -> None:
     method, tenant = fields[METHOD_FIELD], fields[TENANT_FIELD]
     if not isinstance(method, int) or not 0 <= method < len(settings.methods):
         raise UnknownReferenceError(INGRESS, "type", method)
     if settings.tenants and not 0 <= (tenant or 0) < len(settings.tenants):
         raise UnknownReferenceError(INGRESS, "client-group", tenant)
-    numbers = [fields[place] for place in NUMBER_FIELDS]
+    numbers = [fields[index] for index in NUMBER_FIELDS]
     if not all(number is None or isinstance(number, int | float) for number in numbers):
         raise NotANumberError(INGRESS)
 
 
 def decode_event(name: str, fields: list[Any], settings: Settings) -> Event:
-    """The event of fields that `check_event` took."""
+    """Decodes an event whose fields `validate_event` has accepted."""
     match name:
         case "Ingress":
             return RpcRead(_decode_rpc(fields, settings))
@@ -183,9 +184,9 @@
 
 
 def _decode_rpc(fields: list[Any], settings: Settings) -> SimulatedRpc:
-    rpc_id, key, ttl_ms, waited_ms, memory_kb, caller_id, method, hint_ms, tenant, _, original, marks = fields
-    bits = marks or 0
-    # A remaining time of 0 stands for one that is not told, unless the callers tell it.
+    rpc_id, key, ttl_ms, waited_ms, memory_kb, caller_id, method, hint_ms, tenant, _, original, flags = fields
+    bits = flags or 0
+    # Unless the callers send deadlines, a remaining time of 0 means that it is unknown.
     has_remaining = ttl_ms is not None and (ttl_ms > 0 or settings.callers_send_deadline)
     return SimulatedRpc(
         method=settings.methods[method],
--- a/landingshift/settings.py
+++ b/landingshift/settings.py
@@ -1,7 +1,7 @@
-"""Decodes and checks the settings of a server's start, on the simulator's wire and in the configuration.
+"""Decodes and validates the settings of a server, from the simulator's wire or the configuration file.
 
-The keys are the users' and stand in this module alone; `Settings` has our names for them. Key, problem and
-value of a bad setting are told in the text that operators see.
+The keys are part of the external interface and appear only in this module; `Settings` uses internal names. An
+error message shows operators the key, the problem and the invalid value.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 
 T = TypeVar("T")
 REQUIRED = object()
-"""In place of a default: the key must be there."""
+"""Marker passed as a default for a key that must be present."""
 MAX_NUMBER = 1e15
 NONE_WORD = "silent"
-"""By which several settings say that there is none of what they name."""
+"""Value of several settings for a feature that is not available."""
 IDEMPOTENCY = {
     "retryable": Idempotency.IDEMPOTENT,
     "dedup": Idempotency.KEYED,
@@ -49,7 +49,7 @@
 
 
 class SettingsError(LandingshiftError, ValueError):
-    """A setting by which no server can start. The text begins with its key."""
+    """A setting is missing or invalid, so the server cannot start. The message begins with the key."""
 
     def __init__(self, key: str, problem: str) -> None:
         super().__init__(f"{key}: {problem}")
@@ -57,14 +57,14 @@
 
 
 class MissingSettingError(SettingsError):
-    """A required key is not there, or null."""
+    """A required key is missing or null."""
 
     def __init__(self, key: str) -> None:
         super().__init__(key, "missing")
 
 
-class WrongSettingError(SettingsError):
-    """A key has a value of the wrong kind or out of range."""
+class InvalidSettingError(SettingsError):
+    """A key has a value of the wrong type or out of range."""
 
     def __init__(self, key: str, expected: str, value: Any) -> None:
         super().__init__(key, f"{expected} is expected, not {value!r}")
@@ -72,32 +72,32 @@
 
 
 class SettingsTable:
-    """An object of the settings, which knows its path to say by name what is wrong in it."""
+    """An object in the settings, with its path from the top for error messages."""
 
     def __init__(self, data: Any, path: str) -> None:
-        """Takes an object of the settings.
+        """Wraps a decoded object of the settings.
 
         Args:
-            data: Its content.
-            path: Its key from the top of the configuration; empty at the top.
+            data: Decoded object.
+            path: Path of the object from the top of the configuration; empty at the top.
 
         Raises:
-            WrongSettingError: It is no object.
+            InvalidSettingError: `data` is not an object.
         """
         if not isinstance(data, dict):
-            raise WrongSettingError(path, "an object", data)
+            raise InvalidSettingError(path, "an object", data)
         self._data = data
         self._path = path
 
     def path_of(self, key: str) -> str:
-        """The key from the top of the configuration."""
+        """Returns the path of a key from the top of the configuration."""
         return f"{self._path}.{key}" if self._path else key
 
     def value(self, key: str, default: Any) -> Any:
-        """Any value; null counts as a missing key.
+        """Returns the value of a key, or `default` if the key is missing or null.
 
         Raises:
-            MissingSettingError: It is not there, and `default` is `REQUIRED`.
+            MissingSettingError: The key is missing or null, and `default` is `REQUIRED`.
         """
         value = self._data.get(key)
         if value is not None:
@@ -107,54 +107,58 @@
         return default
 
     def number(self, key: str, default: Any = REQUIRED) -> float:
-        """A number of 0 or more."""
-        return checked_number(self.path_of(key), self.value(key, default))
+        """Returns a number of 0 or more."""
+        return validated_number(self.path_of(key), self.value(key, default))
 
     def choice(self, key: str, values: dict[str, T], default: Any = REQUIRED) -> T:
-        """What one of some words stands for."""
+        """Returns the meaning of a keyword, which must be a key of `values`."""
         word = self.value(key, default)
         if not isinstance(word, str) or word not in values:
-            raise WrongSettingError(self.path_of(key), f"one of {', '.join(values)}", word)
+            raise InvalidSettingError(self.path_of(key), f"one of {', '.join(values)}", word)
         return values[word]
 
     def entries(self, key: str) -> list[Any]:
-        """A list; empty where the key is not there."""
+        """Returns a list; empty if the key is missing."""
         values = self.value(key, [])
         if not isinstance(values, list):
-            raise WrongSettingError(self.path_of(key), "a list", values)
+            raise InvalidSettingError(self.path_of(key), "a list", values)
         return values
 
     def entry(self, key: str, index: int) -> Any:
-        """An entry of a list; None beyond its end."""
+        """Returns an entry of a list; None beyond its end."""
         values = self.entries(key)
         return values[index] if index < len(values) else None
 
     def tables(self, key: str) -> list[SettingsTable]:
-        """A list of objects."""
+        """Returns a list of objects; empty if the key is missing."""
         path = self.path_of(key)
         return [SettingsTable(value, f"{path}[{index}]") for index, value in enumerate(self.entries(key))]
 
     def table(self, key: str, default: Any = REQUIRED) -> SettingsTable:
-        """An object."""
+        """Returns an object."""
         return SettingsTable(self.value(key, default), self.path_of(key))
 
 
-def checked_number(key: str, value: Any) -> float:
-    """The value, where it is a number of 0 or more.
+def validated_number(key: str, value: Any) -> float:
+    """Returns the value if it is a number of 0 or more.
 
     Raises:
-        WrongSettingError: It is not.
+        InvalidSettingError: The value is not such a number.
     """
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value < MAX_NUMBER:
-        raise WrongSettingError(key, "a number of 0 or more", value)
+        raise InvalidSettingError(key, "a number of 0 or more", value)
     return value
 
 
 def decode_settings(data: Any, path: str = "") -> Settings:
-    """The settings of decoded JSON, whose key in the configuration is `path`.
+    """Decodes the settings of a server.
+
+    Args:
+        data: Decoded JSON value.
+        path: Path of the value from the top of the configuration; empty at the top.
 
     Raises:
-        SettingsError: A key is missing or wrong; the text begins with it.
+        SettingsError: A setting is missing or invalid.
     """
     top = SettingsTable(data, path)
     extra, rules, permissions = top.table("extra"), top.table("rules"), top.table("permissions", {})
@@ -202,18 +206,18 @@
 def _decode_core_count(extra: SettingsTable) -> int:
     core_count = extra.number("n-cores")
     if core_count < 1:
-        raise WrongSettingError(extra.path_of("n-cores"), "1 or more", core_count)
+        raise InvalidSettingError(extra.path_of("n-cores"), "1 or more", core_count)
     return int(core_count)
 
 
 def _decode_method(method: SettingsTable, extra: SettingsTable, skip_key: str, index: int) -> Method:
-    """A method, of which two figures stand in lists beside it.
+    """Decodes one method, two figures of which are in separate lists in `extra`.
 
     Args:
-        method: Its object.
-        extra: Where the lists are.
-        skip_key: Path of the second of them, for errors.
-        index: Its place in them.
+        method: Object of the method.
+        extra: Object that contains the lists `class-calls` and `class-skip-worth`.
+        skip_key: Path of the list `class-skip-worth`, for error messages.
+        index: Index of the method, also in these lists.
     """
     return Method(
         idempotency=method.choice("effect", IDEMPOTENCY),
@@ -224,7 +228,7 @@
         late_value_fraction=method.number("late-share", 0.0),
         dedup_window_ms=method.number("repeat-window", 0.0),
         calls_downstream=bool(extra.entry("class-calls", index)),
-        degraded_value_fraction=checked_number(skip_key, extra.entry("class-skip-worth", index) or 0.0),
+        degraded_value_fraction=validated_number(skip_key, extra.entry("class-skip-worth", index) or 0.0),
     )
 
 
