--- a/landingshift/admission/controller.py
+++ b/landingshift/admission/controller.py
@@ -233,8 +233,7 @@
         if managed.state in (RpcState.ABORTED, RpcState.ABANDONED):
             if not can_cancel:
                 return inf
-            # Repeated at each check, because a cancellation has no effect while the engine's cores are
-            # stalled.
+            # Repeated at each check: a cancellation has no effect while the engine's cores are stalled.
             self._actions.cancel_run(managed.rpc)
         elif managed.state is not RpcState.QUEUED:
             end_ms = managed.worthless_at_ms if can_cancel else managed.deadline_at_ms
--- a/landingshift/admission/recent_callers.py
+++ b/landingshift/admission/recent_callers.py
@@ -18,8 +18,7 @@
 
     Attributes:
         caller_ids: Caller of each RPC of the last 4 s.
-        returns: Value for each RPC of the last 10 s: 1 if its caller had sent another in the 4 s before, else
-            0.
+        returns: Value for each RPC of the last 10 s: 1 if its caller had sent another within 4 s, else 0.
         first_rpc_ms: Time at which this server read its first RPC; infinite before that.
     """
 
--- a/landingshift/admission/retry_policy.py
+++ b/landingshift/admission/retry_policy.py
@@ -16,7 +16,7 @@
 OUTCOMES_WITHOUT_RUN = (Outcome.REJECTED, Outcome.NO_CONNECTION)
 MAX_CALL_ATTEMPTS = 3
 MAX_RETRY_FRACTION = 0.1
-"""Fraction of marked retries among the RPCs read from which the other servers are taken to reject too."""
+"""Fraction of marked retries among all RPCs read at which other servers are assumed to reject too."""
 BUCKET_COUNT, BUCKET_MS = 4, 500.0
 
 
@@ -36,7 +36,7 @@
         """Records whether an RPC that was read is a marked retry."""
         self.retry_marks.add(self._server.now_ms, 1.0 if rpc.is_retry else 0.0)
 
-    def may_repeat_call(self, managed: ManagedRpc, outcome: Outcome) -> bool:
+    def may_retry_call(self, managed: ManagedRpc, outcome: Outcome) -> bool:
         """Returns whether a failed downstream call may be retried.
 
         Args:
--- a/landingshift/admission/rpc_lifecycle.py
+++ b/landingshift/admission/rpc_lifecycle.py
@@ -151,7 +151,7 @@
                     return (yield RpcState.RUNNING)
                 if isinstance(event, Outcome):
                     managed.call_attempts += 1
-                    if self._retries.may_repeat_call(managed, event):
+                    if self._retries.may_retry_call(managed, event):
                         continue
                     event = RpcEvent.CALL_DENIED
             if event is not RpcEvent.CALL_DENIED:
--- a/landingshift/admission/server_state.py
+++ b/landingshift/admission/server_state.py
@@ -17,10 +17,8 @@
         now_ms: Current time for all rules.
         started_at_ms: Time at which the server started with cold caches.
         last_check_ms: Time at which `on_timer` last ran.
-        rpcs_by_state: Current RPCs by state, each inner dict in the order in which the RPCs entered the
-            state.
-        queued: The RPCs in `RpcState.QUEUED`; the same dict object as in `rpcs_by_state`, like the next
-            three.
+        rpcs_by_state: Current RPCs by state, in the order in which they entered it.
+        queued: The RPCs in `RpcState.QUEUED`. This and the next three are the dicts in `rpcs_by_state`.
         running: The RPCs in `RUNNING`.
         awaiting_call_slot: The RPCs in `AWAITING_CALL_SLOT`.
         calling: The RPCs in `CALLING`.
@@ -52,7 +50,7 @@
 
     @property
     def seconds_since_check(self) -> float:
-        """Time since the last run of `on_timer`, by which rates are adapted."""
+        """Seconds since the last run of `on_timer`, by which rate changes are scaled."""
         return (self.now_ms - self.last_check_ms) / 1000.0
 
     def all_rpcs(self) -> list[ManagedRpc]:
--- a/landingshift/admission/start_order.py
+++ b/landingshift/admission/start_order.py
@@ -80,7 +80,7 @@
         return sorted(rpcs, key=lambda managed: (-managed.priority, arrival_sign * managed.arrived_at_ms))
 
     def update_floor(self, is_saturated: bool, failed_count: int) -> None:
-        """Sets the floor to the priority above which as many RPCs were read as started in the last 2 s.
+        """Sets the floor so that only the best RPCs start, as many as started in the last 2 s.
 
         Without a floor under overload, RPCs of high priority would expire while ones of low priority occupy
         the slots.
--- a/landingshift/admission/tenant_quotas.py
+++ b/landingshift/admission/tenant_quotas.py
@@ -46,8 +46,8 @@
     def update(self) -> None:
         """Recomputes the weight of each tenant from its rate over the last 5 s.
 
-        RPCs within the quota have weight 1 and the others `over_quota_value_fraction`. As they are not told
-        apart, each RPC gets the mean of both over the tenant's RPCs.
+        RPCs within the quota count with weight 1 and those beyond it with `over_quota_value_fraction`. Single
+        RPCs are not assigned to either group, so all RPCs of the tenant get the mean weight.
         """
         settings = self._server.settings
         for tenant, window in self.arrivals.items():
