--- a/landingshift/consensus/__init__.py
+++ b/landingshift/consensus/__init__.py
@@ -1,6 +1,6 @@
-"""Consensus after Raft: a replicated log among a few voters, its file, and the state machines on it.
+"""Raft consensus: a log replicated among a few voters, its file on disk, and the replicated state machines.
 
-Guarantee: every voter applies the same entries in the same order, and an entry that was committed is never
-lost while a majority of the voters keep their disks. Failure mode: without a majority nothing is committed;
-state that is already applied stays readable.
+Guarantee: every voter applies the same entries in the same order, and a committed entry is never lost while a
+majority of the voters keep their disks. Failure mode: without a majority nothing is committed; the state
+applied so far stays readable.
 """
--- a/landingshift/consensus/leader_lease.py
+++ b/landingshift/consensus/leader_lease.py
@@ -1,9 +1,9 @@
-"""The leader's lease: for how long a leader may act on its own knowledge that it leads.
+"""The leader lease: the period for which a leader knows that no other node has been elected.
 
-Guarantee: a voter that answered a heartbeat gives no vote for an election timeout afterwards, and any
-majority shares a voter with those that answered. So within a fraction of that timeout after a round that a
-majority answered, nobody else leads. Failure mode: clocks that drift apart by more than the margin of
-`LEASE_FRACTION` within one election timeout.
+Guarantee: a voter that answered a heartbeat grants no vote to another node for one election timeout, and any
+two majorities share a voter. Therefore no other leader exists within `LEASE_FRACTION` of that timeout after
+the start of a round that a majority answered. Failure mode: clocks whose rates differ by more than the
+remaining fraction within one election timeout.
 """
 
 from __future__ import annotations
@@ -12,16 +12,16 @@
 
 from landingshift.consensus.voters import VoterConfiguration
 
-LEASE_FRACTION = 0.9  # of the election timeout; the rest is margin for clocks that run apart
-REMEMBERED_ROUND_COUNT = 64  # heartbeat rounds whose sending times are kept for late responses
+LEASE_FRACTION = 0.9  # of the election timeout; the rest is margin for clock drift between servers
+REMEMBERED_ROUND_COUNT = 64  # recent rounds whose send times are kept, to match late responses
 NEVER_MS = -inf
 
 
 class LeaderLease:
-    """Sending times of heartbeat rounds, and which of them each peer answered last.
+    """Send times of heartbeat rounds, and the latest round that each peer answered.
 
-    A response counts from when its round was sent, not from when it came: the leader may have been
-    paused in between.
+    The lease runs from the time a round was sent, not from the arrival of its responses: the leader may have
+    been paused in between.
 
     Attributes:
         round: Number of the last heartbeat round.
@@ -33,26 +33,28 @@
         self._answered_round_sent_at_ms: dict[str, float] = {}
 
     def reset(self) -> None:
-        """Forgets all responses: they were for an earlier term."""
+        """Discards all responses, which belong to an earlier term."""
         self._answered_round_sent_at_ms.clear()
 
     def start_round(self, now_ms: float) -> None:
-        """Begins the next heartbeat round."""
+        """Starts the next heartbeat round."""
         self.round += 1
         self._round_sent_at_ms[self.round] = now_ms
         self._round_sent_at_ms.pop(self.round - REMEMBERED_ROUND_COUNT, None)
 
     def record_response(self, peer: str, response_round: int) -> None:
-        """Notes that `peer` answered a round; a late response to an older round changes nothing."""
+        """Records that `peer` answered a round; a late response to an older round has no effect."""
         sent_at_ms = self._round_sent_at_ms.get(response_round)
         if sent_at_ms is not None:
-            before_ms = self._answered_round_sent_at_ms.get(peer, NEVER_MS)
-            self._answered_round_sent_at_ms[peer] = max(before_ms, sent_at_ms)
+            previous_sent_at_ms = self._answered_round_sent_at_ms.get(peer, NEVER_MS)
+            self._answered_round_sent_at_ms[peer] = max(previous_sent_at_ms, sent_at_ms)
 
     def is_valid(self, configuration: VoterConfiguration, election_timeout_ms: float, now_ms: float) -> bool:
-        """Whether a majority answered a round that was sent recently enough."""
-        own_ms = now_ms if configuration.is_voter else NEVER_MS
-        answered_ms = [self._answered_round_sent_at_ms.get(peer, NEVER_MS) for peer in configuration.peers]
-        newest_first = sorted([own_ms, *answered_ms], reverse=True)
-        majority_answered_ms = newest_first[len(configuration.voters) // 2]
-        return now_ms < majority_answered_ms + election_timeout_ms * LEASE_FRACTION
+        """Returns whether a majority answered a round that was sent recently enough."""
+        own_sent_at_ms = now_ms if configuration.is_voter else NEVER_MS
+        peer_sent_at_ms = [
+            self._answered_round_sent_at_ms.get(peer, NEVER_MS) for peer in configuration.peers
+        ]
+        newest_first = sorted([own_sent_at_ms, *peer_sent_at_ms], reverse=True)
+        majority_sent_at_ms = newest_first[len(configuration.voters) // 2]
+        return now_ms < majority_sent_at_ms + election_timeout_ms * LEASE_FRACTION
--- a/landingshift/consensus/log_records.py
+++ b/landingshift/consensus/log_records.py
@@ -1,8 +1,8 @@
-"""Records of the log file: what a change of the persistent state is on disk, and back.
+"""Encoding and decoding of the log file's records, which describe changes of the persistent state.
 
-The only module that knows the records and frames. A frame is four bytes of length, four of a checksum, and a
-MessagePack list of records; the checksum is chained from frame to frame, so that a frame of another place or
-time does not fit.
+This is the only module that knows the format of records and frames. A frame consists of a four-byte length, a
+four-byte checksum and a MessagePack list of records. The checksum also covers all earlier frames, so that a
+frame from another position or an older file is detected.
 """
 
 from __future__ import annotations
@@ -26,17 +26,20 @@
 
 
 class RecordKind(IntEnum):
-    """First element of a record, as it is on disk; the others follow."""
+    """First element of a record on disk. The comments list the fields that follow it."""
 
     TERM_AND_VOTE = 0  # term, voted_for
     APPEND = 1  # index, term, data
-    TRUNCATE = 2  # the last index that stays
-    SNAPSHOT = 3  # last included index and term, snapshot, voters (not in files of older builds)
+    TRUNCATE = 2  # last index that is kept
+    SNAPSHOT = 3  # last included index, its term, snapshot, voters (absent in files of older versions)
 
 
 @dataclass(slots=True, frozen=True)
-class SavedImage:
-    """What is on disk. Entries never change, so that a copy of the list will do."""
+class SavedState:
+    """The parts of the state on disk that determine what the next save must write.
+
+    A shallow copy of the entries suffices because entries are immutable.
+    """
 
     term: int
     voted_for: str
@@ -44,13 +47,13 @@
     entries: list[LogEntry]
 
     @classmethod
-    def of(cls, state: PersistentState) -> SavedImage:
-        """Image of a state that has just been saved or read."""
+    def of(cls, state: PersistentState) -> SavedState:
+        """Copies a state that has just been saved or read."""
         return cls(state.term, state.voted_for, state.last_included_index, list(state.entries))
 
 
-def records_of_change(saved: SavedImage, state: PersistentState) -> list[Record]:
-    """Records that bring what is on disk to `state`; empty where nothing differs."""
+def change_records(saved: SavedState, state: PersistentState) -> list[Record]:
+    """Returns the records that turn the saved state into `state`; empty if they are equal."""
     records: list[Record] = []
     saved_entries = saved.entries
     if (state.term, state.voted_for) != (saved.term, saved.voted_for):
@@ -65,8 +68,8 @@
     return records + _append_records(state, common_count)
 
 
-def full_records(state: PersistentState) -> list[Record]:
-    """Records that make up `state` from nothing."""
+def full_state_records(state: PersistentState) -> list[Record]:
+    """Returns the records that build `state` from an empty state."""
     return [_term_record(state), _snapshot_record(state), *_append_records(state, 0)]
 
 
@@ -79,11 +82,11 @@
     return [RecordKind.SNAPSHOT, index, term, state.snapshot, list(state.voters)]
 
 
-def _append_records(state: PersistentState, from_position: int) -> list[Record]:
-    first_index = state.last_included_index + from_position + 1
+def _append_records(state: PersistentState, start: int) -> list[Record]:
+    first_index = state.last_included_index + start + 1
     return [
         [RecordKind.APPEND, index, entry.term, entry.data]
-        for index, entry in enumerate(state.entries[from_position:], first_index)
+        for index, entry in enumerate(state.entries[start:], first_index)
     ]
 
 
@@ -95,11 +98,11 @@
 
 
 def apply_record(state: PersistentState, record: Record) -> None:
-    """Makes the change of one record.
+    """Applies the change that one record describes.
 
     Raises:
-        EntryOrderError: The record appends an entry that does not follow the last one.
-        UnknownRecordError: A record of no known kind.
+        EntryOrderError: The record appends an entry whose index does not follow the last one.
+        UnknownRecordError: The record's kind or fields are unknown.
     """
     match record:
         case [RecordKind.TERM_AND_VOTE, int(term), str(voted_for)]:
@@ -114,7 +117,7 @@
             del state.entries[max(0, index - state.last_included_index) :]
         case [RecordKind.SNAPSHOT, int(index), int(term), bytes(snapshot), *voters]:
             covered_count = index - state.last_included_index
-            state.voters = _voters_of(voters)
+            state.voters = _decode_voters(voters)
             state.entries = state.entries[covered_count:] if covered_count > 0 else []
             state.last_included_index = index
             state.last_included_term = term
@@ -123,8 +126,8 @@
             raise UnknownRecordError(record[:1])
 
 
-def _voters_of(optional_field: list[object]) -> tuple[str, ...]:
-    """Voters of a snapshot record; empty where an older build left the field out."""
+def _decode_voters(optional_field: list[object]) -> tuple[str, ...]:
+    """Returns the voters of a snapshot record; empty if an older version wrote it without them."""
     if not optional_field:
         return ()
     return tuple(msgspec.convert(optional_field[0], list[str]))
@@ -132,11 +135,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Frame:
-    """One save on disk.
+    """The bytes that one save adds to the log file.
 
     Attributes:
-        data: Bytes for the file, header included.
-        checksum: Chained checksum up to and with this frame.
+        data: Bytes of the frame, including its header.
+        checksum: Checksum of all frames up to and including this one.
     """
 
     data: bytes
@@ -144,7 +147,7 @@
 
 
 def encode_frame(records: list[Record], previous_checksum: int) -> Frame:
-    """Frame of the records, to stand after a frame with `previous_checksum`."""
+    """Encodes records as a frame that follows a frame with `previous_checksum`."""
     body = msgspec.msgpack.encode(records)
     checksum = zlib.crc32(body, previous_checksum)
     header = len(body).to_bytes(LENGTH_BYTES, "big") + checksum.to_bytes(CHECKSUM_BYTES, "big")
@@ -152,5 +155,5 @@
 
 
 def decode_records(body: bytes) -> list[Record]:
-    """Records of a frame whose checksum is right."""
+    """Decodes the body of a frame whose checksum has been verified."""
     return msgspec.msgpack.decode(body, type=list[list[object]])
--- a/landingshift/consensus/log_recovery.py
+++ b/landingshift/consensus/log_recovery.py
@@ -1,8 +1,8 @@
-"""Opening a log file is recovery: reads its frames and tells a torn end from damage.
+"""Recovery of the persistent state from a log file, which distinguishes an unfinished write from damage.
 
-Guarantee: a last frame that is not complete was never synced, so that nothing rests on it, and is dropped;
-damage before it is an error that names the place. Failure mode: a file and its seal restored together from an
-old backup look sound.
+Guarantee: an incomplete last frame is dropped; it was never synced, so no message depends on it. Damage
+before it raises an error with its position. Failure mode: a log file that is restored from an old backup
+together with its seal is not detected.
 """
 
 from __future__ import annotations
@@ -20,19 +20,19 @@
 )
 from landingshift.consensus.persistent_state import PersistentState
 
-MAX_FRAME_BYTES = 16 << 20  # a larger length is a torn header, not a frame
-SHOWN_FILE_START_BYTES = 80  # of a file that is no log, in the error
+MAX_FRAME_BYTES = 16 << 20  # a larger length means an incompletely written frame header
+MAX_SHOWN_BYTES = 80  # from the start of the file, in the error for a foreign file
 
 
 @dataclass(slots=True)
 class RecoveredLog:
-    """What a log file holds.
+    """Contents of a log file.
 
     Attributes:
         state: Persistent state after the last complete frame.
-        end_offset: Where that frame ends; 0 for a file without a complete header.
-        checksum: Chained checksum up to and with that frame.
-        frame_count: Complete frames.
+        end_offset: Byte offset at which that frame ends; 0 if the file header is incomplete.
+        checksum: Checksum of all frames up to and including that frame.
+        frame_count: Number of complete frames.
     """
 
     state: PersistentState = field(default_factory=PersistentState)
@@ -42,22 +42,22 @@
 
 
 def recover_log(data: bytes, header: bytes, path: str) -> RecoveredLog:
-    """Reads the bytes of a log file.
+    """Recovers the state from the contents of a log file.
 
     Args:
-        data: The whole file.
-        header: What it must begin with.
-        path: For error texts only.
+        data: Contents of the file.
+        header: Header that the file must start with.
+        path: Path of the file, for error messages.
 
     Raises:
-        RaftLogError: The file is another's, or is damaged before its last frame.
+        RaftLogError: The file belongs to another fleet or server, or is damaged before its last frame.
     """
     log = RecoveredLog()
     if not data.startswith(header):
-        was_killed_at_creation = len(data) < len(header) and header.startswith(data)
-        if was_killed_at_creation:
+        is_header_incomplete = len(data) < len(header) and header.startswith(data)
+        if is_header_incomplete:
             return log
-        raise ForeignLogError(path, data[:SHOWN_FILE_START_BYTES], header)
+        raise ForeignLogError(path, data[:MAX_SHOWN_BYTES], header)
     log.end_offset = len(header)
     while log.end_offset < len(data) and _read_frame(data, log, path):
         pass
@@ -65,15 +65,15 @@
 
 
 def _read_frame(data: bytes, log: RecoveredLog, path: str) -> bool:
-    """Applies the frame at the log's end; False where it is the torn last one."""
+    """Applies the frame at `log.end_offset`; returns False if it is an incomplete last frame."""
     offset = log.end_offset
     body_offset = offset + FRAME_HEADER_BYTES
     body_bytes = int.from_bytes(data[offset : offset + LENGTH_BYTES], "big")
-    stated_checksum = int.from_bytes(data[offset + LENGTH_BYTES : body_offset], "big")
+    stored_checksum = int.from_bytes(data[offset + LENGTH_BYTES : body_offset], "big")
     body = data[body_offset : body_offset + body_bytes]
     checksum = zlib.crc32(body, log.checksum)
     is_complete = len(data) >= body_offset and len(body) == body_bytes
-    if not is_complete or checksum != stated_checksum:
+    if not is_complete or checksum != stored_checksum:
         is_last = body_offset + body_bytes >= len(data)
         if not is_last and body_bytes <= MAX_FRAME_BYTES:
             raise DamagedLogError(path, offset, log.frame_count)
--- a/landingshift/consensus/log_replication.py
+++ b/landingshift/consensus/log_replication.py
@@ -1,8 +1,8 @@
-"""Replication of the log: the leader's progress with each peer, and how a follower takes entries.
+"""Log replication: the leader's record of each peer's progress, and the follower's handling of entries.
 
-Guarantee: a follower's log equals the leader's up to the acknowledged index, and an entry is committed once a
-majority has it on disk and an entry of the leader's own term is among those. Failure mode: a peer that
-answers nothing falls behind and gets a snapshot once the log does not reach back far enough.
+Guarantee: a follower's log equals the leader's up to the acknowledged index. An entry is committed once a
+majority has it on disk together with an entry of the leader's own term. Failure mode: a peer that does not
+answer falls behind, and receives a snapshot once the leader has compacted the entries that it needs.
 """
 
 from __future__ import annotations
@@ -20,39 +20,39 @@
 from landingshift.consensus.persistent_state import DurableState
 from landingshift.consensus.voters import VoterConfiguration, is_voters_entry
 
-MAX_OUTGOING_MESSAGE_COUNT = 1024  # messages that wait for the driver; Raft repeats what is dropped
+MAX_OUTGOING_MESSAGE_COUNT = 1024  # messages beyond it are dropped; Raft retransmits them
 
 
 class Outbox:
-    """Messages that wait until what they rest on is on disk.
+    """Queue of messages that wait until the state they depend on is on disk.
 
     Attributes:
-        messages: Receiver and message, in the order of sending.
+        messages: Pairs of receiver and message, in sending order.
     """
 
     def __init__(self) -> None:
         self.messages: list[tuple[str, Message]] = []
 
     def send(self, receiver: str, message: Message) -> None:
-        """Queues a message; drops it where too many wait."""
+        """Queues a message; drops it if the queue is full."""
         if len(self.messages) < MAX_OUTGOING_MESSAGE_COUNT:
             self.messages.append((receiver, message))
 
     def drain(self) -> list[tuple[str, Message]]:
-        """All queued messages, which leave the outbox."""
-        taken = self.messages
+        """Removes and returns all queued messages."""
+        messages = self.messages
         self.messages = []
-        return taken
+        return messages
 
 
 @dataclass(slots=True)
 class PeerProgress:
-    """How far one peer is, as its leader knows it.
+    """Replication progress of one peer, as known to the leader.
 
     Attributes:
         next_index: Index of the next entry to send.
-        match_index: Highest index that the peer is known to have.
-        last_response_ms: When it last answered.
+        match_index: Highest index up to which the peer's log is known to equal the leader's.
+        last_response_ms: Monotonic time of the peer's last response.
     """
 
     next_index: int
@@ -61,10 +61,10 @@
 
 
 class LeaderReplication:
-    """The leader's side: sends entries and counts what a majority has.
+    """The leader's side of replication: sends entries and finds the index that a majority has reached.
 
     Attributes:
-        lease: Heartbeat rounds and who answered them.
+        lease: Leader lease, which numbers the heartbeat rounds.
     """
 
     def __init__(self, state: DurableState, configuration: VoterConfiguration, outbox: Outbox) -> None:
@@ -75,24 +75,24 @@
         self._progress: dict[str, PeerProgress] = {}
 
     def begin_term(self, now_ms: float) -> None:
-        """Starts anew as the leader of a term: nothing is known of any peer."""
+        """Resets the progress of all peers at the start of this leader's term."""
         self._progress.clear()
         self.track_new_peers(now_ms)
         self.lease.reset()
 
     def track_new_peers(self, now_ms: float) -> None:
-        """Begins to replicate to peers that have become voters."""
+        """Starts replication to peers that have become voters."""
         for peer in self._configuration.peers:
             if peer not in self._progress:
                 self._progress[peer] = PeerProgress(self._state.last_index + 1, 0, now_ms)
 
     def last_response_ms(self, peer: str) -> float:
-        """When `peer` last answered this leader; minus infinity for a peer that is not replicated to."""
+        """Returns when `peer` last answered this leader; minus infinity for a peer that is not tracked."""
         progress = self._progress.get(peer)
         return progress.last_response_ms if progress is not None else NEVER_MS
 
     def has_quorum_contact(self, election_timeout_ms: float, now_ms: float) -> bool:
-        """Check quorum: whether a majority answered within the last election timeout."""
+        """Returns whether a majority answered within the last election timeout (check quorum)."""
         peers = self._configuration.peers
         answering = sum(
             now_ms - self._progress[peer].last_response_ms < election_timeout_ms for peer in peers
@@ -100,13 +100,13 @@
         return self._configuration.is_majority(answering + self._configuration.is_voter)
 
     def broadcast(self, commit_index: int, now_ms: float) -> None:
-        """One heartbeat round: to each peer the entries that it misses."""
+        """Starts a heartbeat round and sends each peer the next entries that it lacks."""
         self.lease.start_round(now_ms)
         for peer in self._configuration.peers:
-            self.send_to(peer, commit_index)
+            self.replicate_to(peer, commit_index)
 
-    def send_to(self, peer: str, commit_index: int) -> None:
-        """Sends the next entries, or the snapshot where the log does not reach back far enough."""
+    def replicate_to(self, peer: str, commit_index: int) -> None:
+        """Sends the next entries to a peer, or the snapshot if those entries are compacted."""
         state = self._state
         persistent = state.persistent
         prev_index = self._progress[peer].next_index - 1
@@ -127,7 +127,7 @@
         self._outbox.send(peer, request)
 
     def record_response(self, peer: str, response: AppendEntriesResponse, now_ms: float) -> None:
-        """Takes what a response says of the peer's log."""
+        """Updates the peer's progress and the lease from a response."""
         progress = self._progress[peer]
         progress.last_response_ms = now_ms
         self.lease.record_response(peer, response.round)
@@ -138,14 +138,17 @@
             earlier_index = min(progress.next_index - 1, response.match_index + 1)
             progress.next_index = max(progress.match_index + 1, earlier_index)
 
-    def needs_more(self, peer: str, response: AppendEntriesResponse) -> bool:
-        """Whether to send on at once: after a response to the newest round only, so that none is doubled."""
+    def should_send_more(self, peer: str, response: AppendEntriesResponse) -> bool:
+        """Returns whether to send the peer more entries now, without waiting for the next heartbeat.
+
+        Responses to earlier rounds don't trigger it, which avoids sending the same entries twice.
+        """
         if response.round != self.lease.round:
             return False
         return not response.is_success or self._progress[peer].next_index <= self._state.last_index
 
     def majority_index(self, synced_index: int) -> int:
-        """The highest index that a majority has on disk; `synced_index` is this leader's own."""
+        """Returns the highest index that a majority has on disk; `synced_index` is the leader's own."""
         own_index = synced_index if self._configuration.is_voter else 0
         matched = [self._progress[peer].match_index for peer in self._configuration.peers]
         return self._configuration.majority_value(sorted([own_index, *matched], reverse=True))
@@ -153,39 +156,40 @@
 
 @dataclass(slots=True, frozen=True)
 class AppendResult:
-    """What became of a leader's entries at a follower.
+    """Result of appending a leader's entries to a follower's log.
 
     Attributes:
-        is_success: Whether the log matched before the entries.
-        match_index: Last index up to which the logs are equal, or after which the leader is to try.
-        changes_voters: Whether an entry that may name voters came or went.
+        is_success: Whether the follower's log matched the leader's before the new entries.
+        match_index: On success, last index up to which both logs are equal; otherwise the index that the
+            leader should try as the previous index.
+        may_change_voters: Whether a configuration entry was added or may have been removed.
     """
 
     is_success: bool
     match_index: int
-    changes_voters: bool
+    may_change_voters: bool
 
 
 def append_from_leader(state: DurableState, request: AppendEntries, commit_index: int) -> AppendResult:
-    """Takes a leader's entries into a follower's log; entries that conflict give way."""
+    """Appends a leader's entries to a follower's log; they replace entries that conflict with them."""
     prev_index, entries = request.prev_log_index, request.entries
-    first_index = state.last_included_index
-    if prev_index < first_index:  # the snapshot has those already
-        entries = entries[first_index - prev_index :]
-        prev_index = first_index
+    snapshot_index = state.last_included_index
+    if prev_index < snapshot_index:  # the snapshot already covers these entries
+        entries = entries[snapshot_index - prev_index :]
+        prev_index = snapshot_index
     elif state.term_at(prev_index) != request.prev_log_term:
         return AppendResult(False, _index_before_conflict(state, prev_index, commit_index), False)
-    changes_voters = False
+    may_change_voters = False
     for index, entry in enumerate(entries, prev_index + 1):
         if state.term_at(index) != entry.term:
             is_conflict = state.last_index >= index
-            state.replace_from(index, entry)
-            changes_voters = changes_voters or is_conflict or is_voters_entry(entry.data)
-    return AppendResult(True, prev_index + len(entries), changes_voters)
+            state.truncate_and_append(index, entry)
+            may_change_voters = may_change_voters or is_conflict or is_voters_entry(entry.data)
+    return AppendResult(True, prev_index + len(entries), may_change_voters)
 
 
 def _index_before_conflict(state: DurableState, prev_index: int, commit_index: int) -> int:
-    """Where the leader shall try next: back by the whole conflicting term, not entry by entry."""
+    """Returns the index for the leader's next attempt; skips the whole conflicting term in one step."""
     index = min(prev_index - 1, state.last_index)
     conflicting_term = state.term_at(index)
     while index > max(state.last_included_index, commit_index) and state.term_at(index) == conflicting_term:
--- a/landingshift/consensus/messages.py
+++ b/landingshift/consensus/messages.py
@@ -1,7 +1,7 @@
-"""Raft's messages between voters: MessagePack arrays whose first element is a tag.
+"""Raft messages between voters, encoded as MessagePack arrays whose first element is a tag.
 
-The only module that knows their encoding. `round`, in requests of a leader and their responses, numbers the
-leader's heartbeat rounds; the paper has no such field.
+This is the only module that knows their encoding. The field `round`, which the Raft paper does not have,
+is the number of the leader's heartbeat round; responses repeat it.
 """
 
 from __future__ import annotations
@@ -13,19 +13,19 @@
 
 from landingshift.consensus.errors import InvalidMessageError
 
-MAX_BATCH_ENTRY_COUNT = 16  # entries in one AppendEntries
-MAX_VOTER_COUNT = 9  # seven of the settings, and room while one is replaced
-MAX_INDEX = 2**53  # what every MessagePack peer can represent exactly
+MAX_BATCH_ENTRY_COUNT = 16  # per AppendEntries request
+MAX_VOTER_COUNT = 9  # the settings allow seven; the rest is room for replacing voters
+MAX_INDEX = 2**53  # every MessagePack implementation represents integers up to this one exactly
 
 Index = Annotated[int, Meta(ge=0, le=MAX_INDEX)]
 
 
 class LogEntry(Struct, array_like=True, frozen=True):
-    """One entry of the log.
+    """One log entry.
 
     Attributes:
         term: Term of the leader that appended it.
-        data: Command for the state machines; empty for the first entry of a term.
+        data: Command for a state machine or voter configuration; empty for the first entry of a term.
     """
 
     term: Index
@@ -33,13 +33,13 @@
 
 
 class RequestVote(Struct, array_like=True, frozen=True, forbid_unknown_fields=True, tag="a"):
-    """Asks for a vote, or in a pre-vote whether there would be one.
+    """Requests a vote, or asks in a pre-vote whether the vote would be granted.
 
     Attributes:
-        term: The candidate's term; in a pre-vote the term that it would stand in.
+        term: The candidate's term; in a pre-vote, the term that it would enter.
         last_log_index: Index of the candidate's last entry.
         last_log_term: Term of that entry.
-        is_pre_vote: Whether nothing is promised by the answer.
+        is_pre_vote: Whether this is a pre-vote, whose response does not bind the voter.
     """
 
     term: Index
@@ -49,12 +49,12 @@
 
 
 class VoteResponse(Struct, array_like=True, frozen=True, forbid_unknown_fields=True, tag="v"):
-    """Answers RequestVote.
+    """Response to RequestVote.
 
     Attributes:
-        term: Term of the request, or the voter's own where that is newer.
-        is_granted: Whether the vote is given.
-        is_pre_vote: As in the request.
+        term: Term of the request, or the voter's own term if it rejects an older one.
+        is_granted: Whether the vote is granted.
+        is_pre_vote: Value of `is_pre_vote` in the request.
     """
 
     term: Index
@@ -63,15 +63,15 @@
 
 
 class AppendEntries(Struct, array_like=True, frozen=True, forbid_unknown_fields=True, tag="e"):
-    """Replicates entries; without any it is a heartbeat.
+    """Replicates log entries; serves as a heartbeat if it has none.
 
     Attributes:
         term: The leader's term.
         prev_log_index: Index of the entry before `entries`.
         prev_log_term: Term of that entry.
-        entries: Entries from `prev_log_index` + 1 on.
+        entries: Entries that follow `prev_log_index`.
         leader_commit: The leader's commit index.
-        round: Heartbeat round in which it was sent.
+        round: Heartbeat round in which the request was sent.
     """
 
     term: Index
@@ -83,13 +83,14 @@
 
 
 class AppendEntriesResponse(Struct, array_like=True, frozen=True, forbid_unknown_fields=True, tag="r"):
-    """Answers AppendEntries and InstallSnapshot.
+    """Response to AppendEntries and InstallSnapshot.
 
     Attributes:
         term: The follower's term.
-        is_success: Whether the follower's log matched.
-        match_index: Up to where the logs are equal; without success, after which index to try next.
-        round: Round of the request.
+        is_success: Whether the follower's log matched the leader's.
+        match_index: On success, last index up to which both logs are equal; otherwise the index that the
+            leader should try as `prev_log_index`.
+        round: Heartbeat round of the request.
     """
 
     term: Index
@@ -99,15 +100,15 @@
 
 
 class InstallSnapshot(Struct, array_like=True, frozen=True, forbid_unknown_fields=True, tag="i"):
-    """Replaces the log of a follower that is further behind than the leader's log reaches.
+    """Sends a snapshot to a follower that needs entries which the leader has compacted.
 
     Attributes:
         term: The leader's term.
-        last_included_index: Last entry that the snapshot covers.
+        last_included_index: Index of the last entry that the snapshot covers.
         last_included_term: Term of that entry.
         snapshot: State of the state machines after that entry.
-        round: Heartbeat round in which it was sent.
-        voters: Voters as of that entry; empty means those of the settings.
+        round: Heartbeat round in which the snapshot was sent.
+        voters: Voters as of that entry; empty for the voters in the settings.
     """
 
     term: Index
@@ -124,15 +125,15 @@
 
 
 def encode_message(message: Message) -> bytes:
-    """Bytes of a message for the wire."""
+    """Encodes a message."""
     return msgspec.msgpack.encode(message)
 
 
 def decode_message(data: bytes) -> Message:
-    """Message of a peer.
+    """Decodes a message from a peer.
 
     Raises:
-        InvalidMessageError: The bytes are no message of this protocol.
+        InvalidMessageError: The bytes are not a valid Raft message.
     """
     try:
         return _decoder.decode(data)
--- a/landingshift/consensus/persistent_state.py
+++ b/landingshift/consensus/persistent_state.py
@@ -1,4 +1,4 @@
-"""What a voter must have on disk before it answers anybody, and the changes that Raft makes to it."""
+"""The state that a voter must have on disk before it sends any message, and the changes Raft makes to it."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
     """Raft's persistent state of one voter.
 
     Attributes:
-        term: The latest term that the voter has seen.
-        voted_for: Whom it voted for in that term; empty for nobody.
-        last_included_index: Last index that `snapshot` covers.
+        term: Latest term that the voter has seen.
+        voted_for: Candidate that received its vote in that term; empty for none.
+        last_included_index: Index of the last entry that `snapshot` covers.
         last_included_term: Term of that entry.
         snapshot: State of the state machines after that entry.
-        entries: The log after the snapshot.
-        voters: Voters as of `last_included_index`; empty means those of the settings.
+        entries: Log entries after the snapshot.
+        voters: Voters as of `last_included_index`; empty for the voters in the settings.
     """
 
     term: int = 0
@@ -31,11 +31,11 @@
 
 
 class DurableState:
-    """The persistent state in memory. Every change goes through here and marks what is not on disk yet.
+    """The persistent state in memory. All changes go through this class, which tracks unsaved ones.
 
     Attributes:
-        persistent: Current values, saved or not.
-        is_dirty: Whether `persistent` differs from what is on disk.
+        persistent: Current state, including changes not yet on disk.
+        is_dirty: Whether `persistent` has changed since the last save.
     """
 
     def __init__(self, persistent: PersistentState) -> None:
@@ -46,22 +46,22 @@
 
     @property
     def term(self) -> int:
-        """The latest term that the voter has seen."""
+        """Returns the latest term that the voter has seen."""
         return self.persistent.term
 
     @property
     def voted_for(self) -> str:
-        """Whom it voted for in that term; empty for nobody."""
+        """Returns the candidate that received the vote in the current term; empty for none."""
         return self.persistent.voted_for
 
     def enter_term(self, term: int, voted_for: str = "") -> None:
-        """Begins a newer term, with or without a vote."""
+        """Enters a newer term, optionally with a vote already cast."""
         self.persistent.term = term
         self.persistent.voted_for = voted_for
         self.is_dirty = True
 
     def vote_for(self, candidate: str) -> None:
-        """Records the vote of the current term."""
+        """Records the vote for the current term."""
         if self.persistent.voted_for != candidate:
             self.persistent.voted_for = candidate
             self.is_dirty = True
@@ -70,52 +70,52 @@
 
     @property
     def last_included_index(self) -> int:
-        """Last index that the snapshot covers."""
+        """Returns the index of the last entry that the snapshot covers."""
         return self.persistent.last_included_index
 
     @property
     def last_index(self) -> int:
-        """Index of the last entry, or of the snapshot where none follows it."""
+        """Returns the index of the last entry, or of the snapshot if no entry follows it."""
         return self.persistent.last_included_index + len(self.persistent.entries)
 
     @property
     def last_term(self) -> int:
-        """Term of the last entry."""
+        """Returns the term of the entry at `last_index`."""
         entries = self.persistent.entries
         return entries[-1].term if entries else self.persistent.last_included_term
 
     def term_at(self, index: int) -> int | None:
-        """Term of the entry at `index`; None before the snapshot and past the end."""
-        first = self.persistent.last_included_index
-        if index == first:
+        """Returns the term of the entry at `index`; None if it is compacted or past the end of the log."""
+        snapshot_index = self.persistent.last_included_index
+        if index == snapshot_index:
             return self.persistent.last_included_term
-        if first < index <= self.last_index:
-            return self.persistent.entries[index - first - 1].term
+        if snapshot_index < index <= self.last_index:
+            return self.persistent.entries[index - snapshot_index - 1].term
         return None
 
     def entry_at(self, index: int) -> LogEntry:
-        """Entry at `index`, which must lie after the snapshot."""
+        """Returns the entry at `index`, which must follow the snapshot."""
         return self.persistent.entries[index - self.persistent.last_included_index - 1]
 
     def entries_between(self, after: int, through: int) -> list[LogEntry]:
-        """Entries past `after` up to `through`, as far as the log reaches back."""
-        first = self.persistent.last_included_index
-        return self.persistent.entries[max(0, after - first) : max(0, through - first)]
+        """Returns the entries with `after` < index <= `through`, without those that the snapshot replaced."""
+        snapshot_index = self.persistent.last_included_index
+        return self.persistent.entries[max(0, after - snapshot_index) : max(0, through - snapshot_index)]
 
     def append(self, entry: LogEntry) -> None:
-        """Adds one entry to the end of the log."""
+        """Appends one entry to the log."""
         self.persistent.entries.append(entry)
         self.is_dirty = True
 
-    def replace_from(self, index: int, entry: LogEntry) -> None:
-        """Drops the entry at `index` with all after it, and puts `entry` there."""
+    def truncate_and_append(self, index: int, entry: LogEntry) -> None:
+        """Removes the entry at `index` and all later ones, then appends `entry` at `index`."""
         del self.persistent.entries[index - self.persistent.last_included_index - 1 :]
         self.append(entry)
 
     def compact(self, index: int, snapshot: bytes, voters: tuple[str, ...]) -> None:
-        """Lets `snapshot` stand for all entries up to `index`; `voters` are those as of that index."""
+        """Replaces all entries up to `index` with a snapshot; `voters` are the voters as of that index."""
         term = self.term_at(index)
-        assert term is not None, "only what the log has can be compacted"
+        assert term is not None, f"can't compact up to entry {index}, which is not in the log"
         state = self.persistent
         state.voters = voters
         state.entries = state.entries[index - state.last_included_index :]
@@ -125,10 +125,10 @@
         self.is_dirty = True
 
     def install_snapshot(self, index: int, term: int, snapshot: bytes, voters: tuple[str, ...]) -> None:
-        """Takes a leader's snapshot; entries that follow it stay where the log agrees with it."""
+        """Installs a leader's snapshot; keeps later entries if the log has the snapshot's last entry."""
         state = self.persistent
-        agrees = self.term_at(index) == term
-        state.entries = state.entries[index - state.last_included_index :] if agrees else []
+        has_last_entry = self.term_at(index) == term
+        state.entries = state.entries[index - state.last_included_index :] if has_last_entry else []
         state.last_included_index = index
         state.last_included_term = term
         state.snapshot = snapshot
--- a/landingshift/consensus/raft.py
+++ b/landingshift/consensus/raft.py
@@ -1,12 +1,13 @@
-"""One Raft node: roles, terms and what is committed, after Raft's paper with pre-votes and check quorum.
+"""One Raft node: roles, terms, elections and commitment, with the pre-vote and check-quorum extensions.
 
-Guarantee: all nodes commit the same entries in the same order, through crashes, pauses and cut networks.
+Guarantee: all nodes commit the same entries in the same order, through crashes, pauses and partitions.
 Failure mode: without a majority nothing is committed and no leader is elected; a leader that lacks contact
 with a majority for an election timeout steps down.
 
-Pure: time, chance and messages come in; messages go out. The driver's part: what `unsaved_state` gives is
-written and synced, then `on_state_saved` is called, then `take_outgoing` gives the messages that rest on it.
-A node that lost what it had saved must not come back under its name.
+The node performs no I/O. Its caller passes in the time, a random generator and received messages. The caller
+writes and syncs what `unsaved_state` returns, calls `on_state_saved`, and only then sends what
+`take_outgoing` returns, so that no message depends on state that a crash could lose. A node that lost its
+saved state must not rejoin under its old name: it could vote twice in one term.
 """
 
 from __future__ import annotations
@@ -29,28 +30,29 @@
 from landingshift.consensus.timeouts import RaftTimeouts
 from landingshift.consensus.voters import VoterConfiguration, encode_voters_entry
 
-MAX_LOG_ENTRY_COUNT = 10_000  # after the last snapshot; a full log takes no proposals
+MAX_LOG_ENTRY_COUNT = 10_000  # since the last snapshot; a full log accepts no proposals
 
 
 class Role(Enum):
-    """What a node is in its term. The values stand in the operators' status."""
+    """The role of a node in its current term. The status command prints the values."""
 
     FOLLOWER = "follower"
-    PRE_CANDIDATE = "asking"  # asks whether it would be elected, before it raises its term
+    PRE_CANDIDATE = "asking"  # asks peers whether they would vote for it, before it increments its term
     CANDIDATE = "candidate"
     LEADER = "leader"
 
 
 class RaftNode:
-    """One server of the group. A server that is not among the voters only follows.
+    """One server of a Raft group. A server that is not a voter only replicates the log.
 
     Attributes:
         name: This server's name.
-        role: What it is in its term.
-        leader: The leader that it knows of; empty where it knows none.
-        commit_index: Highest index that is known to be committed.
-        additional_senders: Names whose messages are taken although the log does not name them as voters.
-        next_deadline_ms: When `tick` is due.
+        timeouts: Heartbeat interval and election timeout.
+        role: Role in the current term.
+        leader: Name of the current leader; empty if unknown.
+        commit_index: Highest log index known to be committed.
+        additional_senders: Servers whose messages are accepted besides those of the voters in the log.
+        next_deadline_ms: Monotonic time at which `tick` must be called.
     """
 
     def __init__(
@@ -62,15 +64,15 @@
         rng: Random,
         now_ms: float,
     ) -> None:
-        """Starts as a follower.
+        """Starts the node as a follower.
 
         Args:
             name: This server's name.
-            initial_voters: Voters until the log names others.
-            persistent_state: What is on disk.
-            timeouts: Alike on all servers.
-            rng: Draws the election timeouts.
-            now_ms: Monotonic clock.
+            initial_voters: Voters until a snapshot or a log entry sets others.
+            persistent_state: State read from disk.
+            timeouts: Heartbeat interval and election timeout, the same on all servers.
+            rng: Random generator for the election timeouts.
+            now_ms: Current time of the monotonic clock.
         """
         self.name = name
         self.timeouts = timeouts
@@ -84,98 +86,99 @@
         self._outbox = Outbox()
         self._replication = LeaderReplication(self._state, self._configuration, self._outbox)
         self._votes: set[str] = set()
-        self._synced_index = self._state.last_index  # up to where this node's own log is on disk
+        self._synced_index = self._state.last_index  # last index of this node's log that is on disk
         self._now_ms = now_ms
-        self._leader_contact_at_ms = now_ms
+        self._last_leader_contact_ms = now_ms
         self.next_deadline_ms = 0.0
         self._restart_election_timeout()
 
-    # What others may know
+    # Observable state
 
     @property
     def persistent_state(self) -> PersistentState:
-        """Term, vote and log, saved or not."""
+        """Returns the current term, vote, snapshot and log, including changes not yet on disk."""
         return self._state.persistent
 
     @property
     def current_term(self) -> int:
-        """The latest term that this node has seen."""
+        """Returns the latest term that this node has seen."""
         return self._state.term
 
     @property
     def last_log_index(self) -> int:
-        """Index of the last entry of the log."""
+        """Returns the index of the last log entry."""
         return self._state.last_index
 
     @property
     def voters(self) -> tuple[str, ...]:
-        """All voters, by the newest set in the log."""
+        """Returns the voters of the newest configuration in the log, committed or not."""
         return self._configuration.voters
 
     @property
     def peers(self) -> tuple[str, ...]:
-        """All voters but this node."""
+        """Returns all voters except this node."""
         return self._configuration.peers
 
     @property
     def is_voter(self) -> bool:
-        """Whether this node votes."""
+        """Returns whether this node is a voter."""
         return self._configuration.is_voter
 
     @property
     def is_voter_change_committed(self) -> bool:
-        """Whether the newest set of voters is committed."""
+        """Returns whether the newest voter configuration is committed."""
         return self._configuration.is_committed(self.commit_index)
 
     @property
     def heartbeat_round(self) -> int:
-        """Number of the last heartbeat round that this node sent."""
+        """Returns the number of the last heartbeat round that this node sent."""
         return self._replication.lease.round
 
     @property
     def outgoing_count(self) -> int:
-        """Messages that wait for the driver."""
+        """Returns how many messages are queued for sending."""
         return len(self._outbox.messages)
 
     def entries_between(self, after: int, through: int) -> list[LogEntry]:
-        """Entries past `after` up to `through`, as far as the log reaches back."""
+        """Returns the entries with `after` < index <= `through`, without those that the snapshot replaced."""
         return self._state.entries_between(after, through)
 
     def has_recent_response(self, peer: str, now_ms: float) -> bool:
-        """Whether `peer` answered this leader within the last election timeout."""
+        """Returns whether `peer` answered this leader within the last election timeout."""
         last_response_ms = self._replication.last_response_ms(peer)
         return now_ms - last_response_ms < self.timeouts.election_timeout_ms
 
     def has_leader_lease(self, now_ms: float) -> bool:
-        """Whether this node leads, knows all that was committed before, and nobody else can lead just now.
+        """Returns whether this node leads, has committed an entry of its term and holds a valid lease.
 
-        While the lease holds, no later leader can have committed anything, so a read from this node's
-        committed state is linearizable.
+        Until an entry of its own term is committed, a leader may not know all entries that earlier leaders
+        committed. While the lease is valid, no other leader can have committed anything, so a read of this
+        node's committed state is linearizable.
         """
         if self.role is not Role.LEADER or self._state.term_at(self.commit_index) != self._state.term:
             return False
         timeout_ms = self.timeouts.election_timeout_ms
         return self._replication.lease.is_valid(self._configuration, timeout_ms, now_ms)
 
-    # The driver's part
+    # Input, output and persistence
 
     def unsaved_state(self) -> PersistentState | None:
-        """What must be written and synced before any message goes out; None where nothing changed."""
+        """Returns the state to write and sync before messages are sent, or None if it is already on disk."""
         return self._state.persistent if self._state.is_dirty else None
 
     def on_state_saved(self) -> None:
-        """What `unsaved_state` gave is on disk."""
+        """Records that the state returned by `unsaved_state` is on disk."""
         self._state.is_dirty = False
         self._synced_index = self._state.last_index
         if self.role is Role.LEADER:
             self._advance_commit_index()
 
     def take_outgoing(self) -> list[tuple[str, Message]]:
-        """Receivers and messages; none while they rest on what a crash could still take back."""
+        """Takes the queued (receiver, message) pairs; returns none while there is unsaved state."""
         return [] if self._state.is_dirty else self._outbox.drain()
 
     def tick(self, now_ms: float) -> None:
-        """Does what is due: a leader's heartbeats and check quorum, or a follower's election."""
+        """Runs timed work that is due: a leader's heartbeat and quorum check, or a follower's election."""
         self._now_ms = now_ms
         if now_ms < self.next_deadline_ms:
             return
@@ -187,14 +190,14 @@
             self._restart_election_timeout()
 
     def on_message(self, sender: str, message: Message, now_ms: float) -> None:
-        """Takes a message of a voter; messages of anybody else are dropped."""
-        is_known = sender in self._configuration.peers or sender in self.additional_senders
-        if sender == self.name or not is_known:
+        """Handles a message; drops it unless the sender is a voter or one of `additional_senders`."""
+        is_accepted_sender = sender in self._configuration.peers or sender in self.additional_senders
+        if sender == self.name or not is_accepted_sender:
             return
         self._now_ms = now_ms
-        if self._would_unseat_leader(sender, message):
+        if self._must_ignore_vote_request(sender, message):
             return
-        # A pre-vote is about a term that nobody is in yet.
+        # A pre-vote names a term that its candidate has not entered, so that term is not adopted.
         is_pre_vote = isinstance(message, RequestVote | VoteResponse) and message.is_pre_vote
         if message.term > self._state.term and not is_pre_vote:
             self._become_follower(message.term, "")
@@ -213,11 +216,11 @@
     # The log
 
     def propose(self, data: bytes) -> int | None:
-        """Appends an entry.
+        """Appends an entry to the log and replicates it.
 
         Returns:
-            Its index, known to be committed once `commit_index` reaches it in this term; None on a node that
-            does not lead or whose log is full.
+            Index of the entry, which is committed once `commit_index` reaches it within the current term;
+            None if this node is not the leader or its log is full.
         """
         if self.role is not Role.LEADER or len(self._state.persistent.entries) >= MAX_LOG_ENTRY_COUNT:
             return None
@@ -226,13 +229,14 @@
         return self._state.last_index
 
     def change_voters(self, voters: tuple[str, ...], now_ms: float) -> int | None:
-        """Adds or removes one voter.
+        """Proposes a configuration that adds or removes one voter.
 
         Returns:
-            The entry's index; None where it can't be just now: changes go one after the other, each of one
-            name, by a leader with its lease.
+            Index of the configuration entry; None if `voters` differs from the current set by more or less
+            than one name, the previous change is not committed, this node lacks the leader lease, or its log
+            is full.
         """
-        if not self._configuration.is_single_change(voters) or not self.is_voter_change_committed:
+        if not self._configuration.is_single_server_change(voters) or not self.is_voter_change_committed:
             return None
         if not self.has_leader_lease(now_ms):
             return None
@@ -241,18 +245,18 @@
         return index
 
     def compact(self, index: int, snapshot: bytes) -> None:
-        """Replaces the log up to `index`, which is committed, by a snapshot of the state machines."""
+        """Replaces the log up to `index` with a snapshot, if `index` is committed and not yet compacted."""
         if self._state.last_included_index < index <= self.commit_index:
             self._state.compact(index, snapshot, self._configuration.voters_as_of(index))
 
     def _advance_commit_index(self) -> None:
-        """Commits what a majority has on disk, if its last entry is of this term."""
+        """Commits what a majority has on disk, provided that the last such entry is of the current term."""
         index = self._replication.majority_index(self._synced_index)
         if index <= self.commit_index or self._state.term_at(index) != self._state.term:
             return
         self.commit_index = index
         if not self.is_voter and self.is_voter_change_committed:
-            self._become_follower(self._state.term, "")  # it led its own removal to the end
+            self._become_follower(self._state.term, "")  # a removed leader leads until its removal commits
 
     def _refresh_voters(self) -> None:
         self._configuration.refresh()
@@ -262,7 +266,7 @@
     # Roles
 
     def start_election(self) -> None:
-        """Raises the term and asks for votes at once, without a pre-vote."""
+        """Increments the term and requests votes, without a pre-vote."""
         self._state.enter_term(self._state.term + 1, voted_for=self.name)
         self._request_votes(Role.CANDIDATE, self._state.term)
 
@@ -294,7 +298,8 @@
         self.leader = self.name
         self._replication.begin_term(self._now_ms)
         self.next_deadline_ms = self._now_ms + self.timeouts.heartbeat_interval_ms
-        # An entry of its own term commits all before it; without one they would wait for the next proposal.
+        # A leader commits earlier entries only through one of its own term. This empty entry commits them
+        # without waiting for the next proposal.
         self._state.append(LogEntry(self._state.term, b""))
         self._replication.broadcast(self.commit_index, self._now_ms)
 
@@ -307,10 +312,10 @@
 
     def _follow_leader(self, leader: str, term: int) -> None:
         self._become_follower(term, leader)
-        self._leader_contact_at_ms = self._now_ms
+        self._last_leader_contact_ms = self._now_ms
 
     def _tick_leader(self) -> None:
-        """Check quorum, then a heartbeat round: a leader that may be cut off must not be relied on."""
+        """Sends heartbeats, or steps down if no majority has answered within the election timeout."""
         if not self._replication.has_quorum_contact(self.timeouts.election_timeout_ms, self._now_ms):
             self._become_follower(self._state.term, "")
             return
@@ -318,28 +323,28 @@
         self._replication.broadcast(self.commit_index, self._now_ms)
 
     def _restart_election_timeout(self) -> None:
-        """Draws anew when to stand for election: apart from others, so that one wins."""
+        """Draws a random election timeout, so that nodes rarely start elections at the same time."""
         timeout_ms = self.timeouts.election_timeout_ms * self._rng.uniform(1.0, 2.0)
         self.next_deadline_ms = self._now_ms + timeout_ms
 
     @property
-    def _has_recent_leader(self) -> bool:
-        """Whether it leads or received from a leader lately, which may then rely on its lease."""
-        silence_ms = self._now_ms - self._leader_contact_at_ms
+    def _has_recent_leader_contact(self) -> bool:
+        """Returns whether this node leads, or may have answered a leader that still relies on its lease."""
+        silence_ms = self._now_ms - self._last_leader_contact_ms
         return self.role is Role.LEADER or silence_ms < self.timeouts.election_timeout_ms
 
-    def _would_unseat_leader(self, sender: str, message: Message) -> bool:
-        """Whether to drop a vote request without looking at its term: the leader relies on its lease."""
+    def _must_ignore_vote_request(self, sender: str, message: Message) -> bool:
+        """Returns whether to drop a vote request without adopting its term, as the leader lease requires."""
         is_vote_request = isinstance(message, RequestVote) and not message.is_pre_vote
-        return is_vote_request and self._has_recent_leader and sender != self.leader
+        return is_vote_request and self._has_recent_leader_contact and sender != self.leader
 
-    # Messages
+    # Message handlers
 
     def _on_request_vote(self, candidate: str, request: RequestVote) -> None:
         if request.is_pre_vote:
-            response = election.answer_pre_vote(self._state, request, self._has_recent_leader)
+            response = election.decide_pre_vote(self._state, request, self._has_recent_leader_contact)
         else:
-            response = election.answer_vote(self._state, candidate, request)
+            response = election.decide_vote(self._state, candidate, request)
             if response.is_granted:
                 self._state.vote_for(candidate)
                 self._restart_election_timeout()
@@ -349,10 +354,10 @@
         if not response.is_granted:
             return
         if response.is_pre_vote:
-            is_awaited = self.role is Role.PRE_CANDIDATE and response.term == self._state.term + 1
+            is_expected = self.role is Role.PRE_CANDIDATE and response.term == self._state.term + 1
         else:
-            is_awaited = self.role is Role.CANDIDATE and response.term == self._state.term
-        if is_awaited:
+            is_expected = self.role is Role.CANDIDATE and response.term == self._state.term
+        if is_expected:
             self._votes.add(voter)
             self._count_votes()
 
@@ -362,7 +367,7 @@
             return
         self._follow_leader(leader, request.term)
         result = append_from_leader(self._state, request, self.commit_index)
-        if result.changes_voters:
+        if result.may_change_voters:
             self._refresh_voters()
         if result.is_success:
             self.commit_index = max(self.commit_index, min(request.leader_commit, result.match_index))
@@ -388,8 +393,8 @@
         self._replication.record_response(peer, response, self._now_ms)
         if response.is_success:
             self._advance_commit_index()
-        if self._replication.needs_more(peer, response):
-            self._replication.send_to(peer, self.commit_index)
+        if self._replication.should_send_more(peer, response):
+            self._replication.replicate_to(peer, self.commit_index)
 
     def _respond(self, leader: str, is_success: bool, match_index: int, request_round: int) -> None:
         response = AppendEntriesResponse(self._state.term, is_success, match_index, request_round)
--- a/landingshift/consensus/raft_log.py
+++ b/landingshift/consensus/raft_log.py
@@ -1,8 +1,9 @@
-"""A voter's persistent state on disk: one file, a frame for each save.
+"""The log file that holds a voter's persistent state; each save appends one frame.
 
-Guarantee: after `save` returns, a crash of process or machine loses nothing; after `OSError` the file is as
-it was and the save may be tried again. Failure mode: a disk that lies about syncs, which the integrity seal
-notices at the next start; a voter that forgot a promise must not come back under its name.
+Guarantee: after `save` returns, a crash of the process or the machine loses nothing; after `OSError` the
+saved state is unchanged and the save may be retried. Failure mode: a disk that reports a sync as complete but
+loses the data. The integrity seal detects this at the next start; the voter must then not rejoin under its
+old name, because it may have lost its vote or acknowledged entries.
 """
 
 from __future__ import annotations
@@ -13,16 +14,16 @@
 from landingshift.consensus.integrity_seal import IntegritySeal
 from landingshift.consensus.log_records import (
     INITIAL_CHECKSUM,
-    SavedImage,
+    SavedState,
+    change_records,
     encode_frame,
-    full_records,
-    records_of_change,
+    full_state_records,
 )
 from landingshift.consensus.log_recovery import recover_log
 from landingshift.consensus.persistent_state import PersistentState
 
-HEADER_PREFIX = b"landingshift-agreement 1 "  # format and version; fleet and server follow
-MAX_LOG_FILE_BYTES = 8 << 20  # then the file is rewritten with what still counts
+HEADER_PREFIX = b"landingshift-agreement 1 "  # format name and version, followed by fleet and server
+MAX_LOG_FILE_BYTES = 8 << 20  # a save that would exceed it rewrites the file from the current state
 READ_CHUNK_BYTES = 1 << 20
 FILE_MODE = 0o644
 
@@ -31,23 +32,23 @@
     """The log file of one voter.
 
     Attributes:
-        path: Where it lies.
-        persistent_state: What it held when it was opened.
-        file_descriptor: Open for reading and writing.
-        end_offset: Where the last frame ends, in bytes.
+        path: Path of the file.
+        persistent_state: State recovered when the file was opened.
+        file_descriptor: Descriptor of the file, open for reading and writing.
+        end_offset: Byte offset at which the last frame ends.
     """
 
     def __init__(self, path: str, fleet: str, server: str) -> None:
-        """Opens or creates the file.
+        """Opens the file and recovers the state, or creates the file.
 
         Args:
-            path: Where it lies; the seal and temporary files lie beside it.
-            fleet: Whose it is, for the header.
-            server: Whose it is, for the header.
+            path: Path of the file; the seal and temporary files are created in the same directory.
+            fleet: Name of the fleet, checked against the header.
+            server: Name of this server, checked against the header.
 
         Raises:
-            RaftLogError: It must not be used.
-            OSError: It can't be opened.
+            RaftLogError: The file is damaged, lacks a synced frame or belongs to another server.
+            OSError: The file can't be opened, read or written.
         """
         self.path = path
         self._header = HEADER_PREFIX + f"{fleet} {server}\n".encode()
@@ -66,15 +67,15 @@
         except BaseException:
             os.close(self.file_descriptor)
             raise
-        self._saved = SavedImage.of(self.persistent_state)
+        self._saved_state = SavedState.of(self.persistent_state)
 
     def save(self, state: PersistentState) -> None:
-        """Writes what differs from the last save, and syncs it.
+        """Appends the changes since the last save as one frame and syncs the file.
 
         Raises:
-            OSError: The disk took nothing; the file is as it was.
+            OSError: The write or sync failed; the saved state is unchanged.
         """
-        records = records_of_change(self._saved, state)
+        records = change_records(self._saved_state, state)
         if not records:
             return
         frame = encode_frame(records, self._checksum)
@@ -87,30 +88,30 @@
             failpoints.reach("policies.written")
             os.fsync(self.file_descriptor)
         except OSError:
-            # A part of a frame must not stand before the next one.
+            # Remove a partially written frame, so that the next save does not follow it.
             os.ftruncate(self.file_descriptor, self.end_offset)
             raise
         failpoints.reach("policies.synced")
         self.end_offset += len(frame.data)
         self._checksum = frame.checksum
         self._frame_count += 1
-        self._saved = SavedImage.of(state)
+        self._saved_state = SavedState.of(state)
         self._seal.write(self._frame_count, self._checksum)
 
     def rewrite(self, state: PersistentState) -> None:
-        """One frame with all that still counts, beside the old file and then in its place.
+        """Writes the whole state as one frame to a new file, which then replaces the old one.
 
         Raises:
-            OSError: The disk took nothing; the old file is as it was.
+            OSError: The write or sync failed; the old file is unchanged.
         """
         temporary_path = self.path + ".new"
-        frame = encode_frame(full_records(state), INITIAL_CHECKSUM)
+        frame = encode_frame(full_state_records(state), INITIAL_CHECKSUM)
         new_descriptor = os.open(temporary_path, os.O_RDWR | os.O_CREAT | os.O_TRUNC, FILE_MODE)
         try:
             _write_all(new_descriptor, self._header + frame.data)
             os.fsync(new_descriptor)
             failpoints.reach("policies.rewritten")
-            self._seal.remove()  # it speaks of the old file's frames
+            self._seal.remove()  # the seal describes the old file
             os.replace(temporary_path, self.path)
         except OSError:
             os.close(new_descriptor)
@@ -120,11 +121,11 @@
         self.end_offset = len(self._header) + len(frame.data)
         self._checksum = frame.checksum
         self._frame_count = 1
-        self._saved = SavedImage.of(state)
+        self._saved_state = SavedState.of(state)
         self._seal.write(self._frame_count, self._checksum)
 
     def close(self) -> None:
-        """Closes the file; nothing is left to be written."""
+        """Closes the file."""
         os.close(self.file_descriptor)
 
     def _write_header(self) -> None:
--- a/landingshift/consensus/timeouts.py
+++ b/landingshift/consensus/timeouts.py
@@ -1,4 +1,4 @@
-"""The intervals of elections and heartbeats."""
+"""Timeouts of elections and heartbeats."""
 
 from __future__ import annotations
 
@@ -7,12 +7,13 @@
 
 @dataclass(slots=True, frozen=True)
 class RaftTimeouts:
-    """Raft's two intervals, in ms.
+    """Heartbeat interval and election timeout, in milliseconds.
 
     Attributes:
-        heartbeat_interval_ms: Between two heartbeat rounds of a leader.
-        election_timeout_ms: A follower stands for election after one to two of these without a leader's
-            message; a leader without a majority's answer steps down after one.
+        heartbeat_interval_ms: Time between two heartbeat rounds of a leader.
+        election_timeout_ms: Base of the election timeout. A follower starts an election after a random time
+            of one to two times this value without a message from a leader. A leader steps down after this
+            time without responses from a majority.
     """
 
     heartbeat_interval_ms: float = 150.0
--- a/landingshift/consensus/voters.py
+++ b/landingshift/consensus/voters.py
@@ -1,9 +1,9 @@
-"""Who votes: the newest set of voters in the log, changed one server at a time.
+"""The voter configuration: the newest set of voters in the log, changed by one server at a time.
 
-Guarantee: the newest set counts from the moment it is in the log, committed or not, and the next change waits
-until it is committed. Majorities of two sets that differ by one name always share a voter, so that no two
-leaders can be elected in one term. Failure mode: a change proposed by a leader that loses its term may be
-truncated; the set before it counts again.
+Guarantee: a configuration takes effect as soon as it is in the log, committed or not, and the next change
+waits until it is committed. Majorities of two sets that differ by one server always share a voter, so that no
+two leaders can be elected in one term. Failure mode: if a leader loses its leadership before its change is
+committed, the change may be truncated; the previous configuration then applies again.
 """
 
 from __future__ import annotations
@@ -13,34 +13,34 @@
 from landingshift.consensus.messages import MAX_VOTER_COUNT
 from landingshift.consensus.persistent_state import DurableState
 
-# An entry that begins so names the voters. No other entry does: the byte is unused in MessagePack.
+# Marks a configuration entry. No MessagePack value starts with this byte, so no other entry does.
 VOTERS_ENTRY_PREFIX = b"\xc1"
 
 
 def encode_voters_entry(voters: tuple[str, ...]) -> bytes:
-    """Data of an entry that names the voters."""
+    """Encodes the data of a configuration entry."""
     return VOTERS_ENTRY_PREFIX + msgspec.msgpack.encode(list(voters))
 
 
 def is_voters_entry(data: bytes) -> bool:
-    """Whether an entry names the voters; all others are for the state machines."""
+    """Returns whether an entry is a configuration entry; all others are for the state machines."""
     return data.startswith(VOTERS_ENTRY_PREFIX)
 
 
 def decode_voters_entry(data: bytes) -> tuple[str, ...]:
-    """Voters that an entry names; empty for an entry of a state machine."""
+    """Returns the voters of a configuration entry; empty for any other entry."""
     if not is_voters_entry(data):
         return ()
     return tuple(msgspec.msgpack.decode(data[len(VOTERS_ENTRY_PREFIX) :], type=list[str]))
 
 
 class VoterConfiguration:
-    """The voters as one node's log has them.
+    """The voter configuration according to one node's log.
 
     Attributes:
-        voters: Names that vote now, this node included where it is one.
-        previous_voters: The set that `voters` took the place of.
-        entry_index: Index of the entry that names `voters`; 0 where the snapshot or the settings do.
+        voters: Names of the current voters, including this node if it is a voter.
+        previous_voters: Voters of the preceding configuration; equal to `voters` if there is none.
+        entry_index: Index of the configuration entry; 0 if `voters` come from the snapshot or the settings.
         peers: `voters` without this node, in the same order.
     """
 
@@ -56,12 +56,12 @@
         self.refresh()
 
     def refresh(self) -> None:
-        """Reads the newest two sets off the log; called whenever an entry that names voters comes or goes."""
+        """Reads the newest two configurations; call it after configuration entries are added or removed."""
         newest_first: list[tuple[int, tuple[str, ...]]] = []
         for index in range(self._state.last_index, self._state.last_included_index, -1):
-            named = decode_voters_entry(self._state.entry_at(index).data)
-            if named:
-                newest_first.append((index, named))
+            entry_voters = decode_voters_entry(self._state.entry_at(index).data)
+            if entry_voters:
+                newest_first.append((index, entry_voters))
             if len(newest_first) == 2:
                 break
         newest_first.append((0, self._state.persistent.voters or self._initial_voters))
@@ -70,40 +70,40 @@
         self.peers = tuple(voter for voter in self.voters if voter != self._name)
 
     def voters_as_of(self, index: int) -> tuple[str, ...]:
-        """Voters that a snapshot up to `index` must carry; empty means those of the settings."""
+        """Returns the voters that a snapshot up to `index` must contain; empty for those in the settings."""
         entries = self._state.entries_between(self._state.last_included_index, index)
         for entry in reversed(entries):
-            named = decode_voters_entry(entry.data)
-            if named:
-                return named
+            entry_voters = decode_voters_entry(entry.data)
+            if entry_voters:
+                return entry_voters
         return self._state.persistent.voters
 
     @property
     def is_voter(self) -> bool:
-        """Whether this node votes."""
+        """Returns whether this node is a voter."""
         return self._name in self.voters
 
     def is_majority(self, count: int) -> bool:
-        """Whether `count` voters are more than half of all."""
+        """Returns whether `count` voters are a majority."""
         return 2 * count > len(self.voters)
 
     def majority_value(self, descending: list[int]) -> int:
-        """The highest value that a majority reaches, of one value a voter in descending order."""
+        """Returns the highest value that a majority reaches; `descending` has one value per voter."""
         return descending[len(self.voters) // 2]
 
     def is_committed(self, commit_index: int) -> bool:
-        """Whether the newest set is committed."""
+        """Returns whether the newest configuration is committed."""
         return self.entry_index <= commit_index
 
     def may_stand_for_election(self, commit_index: int) -> bool:
-        """Whether this node may be elected.
+        """Returns whether this node may start an election.
 
-        One that is being removed may, until its removal is committed: it may be the only one that has the
-        entry, and those who are left can't win over its longer log.
+        A node that is being removed may do so until the removal is committed. It may be the only one that
+        has the entry; the remaining voters may then need its vote, which its longer log denies them.
         """
         is_being_removed = not self.is_committed(commit_index) and self._name in self.previous_voters
         return self.is_voter or is_being_removed
 
-    def is_single_change(self, voters: tuple[str, ...]) -> bool:
-        """Whether `voters` differ from the set of now by exactly one name."""
+    def is_single_server_change(self, voters: tuple[str, ...]) -> bool:
+        """Returns whether `voters` add or remove exactly one name and stay within `MAX_VOTER_COUNT`."""
         return len(set(voters) ^ set(self.voters)) == 1 and 1 <= len(voters) <= MAX_VOTER_COUNT
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -1,4 +1,4 @@
-"""Raft among nodes that crash, stop and are cut off: whole histories in virtual time, and single rules."""
+"""Tests of Raft: simulated histories with crashes, pauses and partitions, and the rules of a single node."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
 
 
 @dataclass(frozen=True)
-class InFlight:
-    """A message on the simulated network."""
+class InFlightMessage:
+    """A message in transit on the simulated network."""
 
     arrives_at_ms: float
     sender: str
@@ -39,9 +39,10 @@
 
 
 class SimulatedGroup:
-    """Nodes over disks and a network with faults drawn from a seed; invariants are checked after each step.
+    """A Raft group with simulated disks and network; checks the invariants after each step.
 
-    `forgets_votes`: a vote is not on disk when it is answered, which must be seen to break the invariants.
+    All faults are drawn from the seed. With `forgets_votes`, nodes send vote responses without saving their
+    term and vote, which must violate an invariant.
     """
 
     def __init__(self, seed: int, node_count: int = 3, forgets_votes: bool = False) -> None:
@@ -51,11 +52,11 @@
         self.forgets_votes = forgets_votes
         self.disks = {name: PersistentState() for name in self.names}
         self.running: dict[str, RaftNode] = {}
-        self.stopped_until_ms = dict.fromkeys(self.names, 0.0)
-        self.network: list[InFlight] = []
-        self.cut_links: set[tuple[str, str]] = set()
+        self.paused_until_ms = dict.fromkeys(self.names, 0.0)
+        self.network: list[InFlightMessage] = []
+        self.blocked_links: set[tuple[str, str]] = set()
         self.leader_of_term: dict[int, str] = {}
-        self.committed: list[LogEntry] = []  # the one sequence, as first seen committed
+        self.committed: list[LogEntry] = []  # the first entry seen committed at each index
         self.proposal_count = 0
         self.fault_count = 0
         self.loss_probability = 0.05
@@ -71,11 +72,11 @@
         state = node.unsaved_state()
         if state is None:
             return
-        saved_before = self.disks[name]
+        previous = self.disks[name]
         self.disks[name] = copy.deepcopy(state)
         if self.forgets_votes:
-            self.disks[name].term = saved_before.term
-            self.disks[name].voted_for = saved_before.voted_for
+            self.disks[name].term = previous.term
+            self.disks[name].voted_for = previous.voted_for
         node.on_state_saved()
 
     def save_and_send(self, name: str) -> None:
@@ -85,7 +86,7 @@
                 if self.rng.random() >= self.loss_probability:
                     delay_ms = self.rng.choice((1.0, 2.0, 5.0, 5.0, 60.0))
                     arrives_at_ms = self.now_ms + self.rng.uniform(0.5, 1.0) * delay_ms
-                    self.network.append(InFlight(arrives_at_ms, name, receiver, message))
+                    self.network.append(InFlightMessage(arrives_at_ms, name, receiver, message))
 
     def step(self, with_faults: bool = True) -> None:
         self.now_ms += self.rng.uniform(0.5, 6.0)
@@ -93,7 +94,7 @@
             self.inject_fault()
         self.deliver_due()
         for name, node in list(self.running.items()):
-            if self.stopped_until_ms[name] <= self.now_ms:
+            if self.paused_until_ms[name] <= self.now_ms:
                 self.run_node(name, node)
         self.check_invariants()
 
@@ -102,11 +103,11 @@
         self.network = [item for item in self.network if item.arrives_at_ms > self.now_ms]
         for item in due:
             receiver = item.receiver
-            if receiver not in self.running or (item.sender, receiver) in self.cut_links:
+            if receiver not in self.running or (item.sender, receiver) in self.blocked_links:
                 continue
-            if self.stopped_until_ms[receiver] > self.now_ms:
-                waiting = InFlight(self.stopped_until_ms[receiver], item.sender, receiver, item.message)
-                self.network.append(waiting)
+            if self.paused_until_ms[receiver] > self.now_ms:
+                delayed = InFlightMessage(self.paused_until_ms[receiver], item.sender, receiver, item.message)
+                self.network.append(delayed)
             else:
                 self.running[receiver].on_message(item.sender, item.message, self.now_ms)
                 self.save_and_send(receiver)
@@ -128,29 +129,29 @@
             case 0 if name in self.running:
                 if rng.random() >= 0.5:
                     self.save(name)
-                del self.running[name]  # else between write and sync: what was not saved is gone
+                del self.running[name]  # without the save above, the node loses its unsaved state
             case 1 | 2 | 3 if name not in self.running:
                 self.start(name)
             case 4:
-                self.stopped_until_ms[name] = self.now_ms + rng.uniform(20.0, 500.0)
+                self.paused_until_ms[name] = self.now_ms + rng.uniform(20.0, 500.0)
             case 5:
-                self.cut_links.add((name, rng.choice(self.names)))
+                self.blocked_links.add((name, rng.choice(self.names)))
             case 6 | 7:
-                self.cut_links.clear()
+                self.blocked_links.clear()
             case 8:
-                half = set(rng.sample(self.names, len(self.names) // 2))
-                self.cut_links = {
-                    (one, other)
-                    for one in self.names
-                    for other in self.names
-                    if (one in half) != (other in half)
+                minority = set(rng.sample(self.names, len(self.names) // 2))
+                self.blocked_links = {
+                    (sender, receiver)
+                    for sender in self.names
+                    for receiver in self.names
+                    if (sender in minority) != (receiver in minority)
                 }
             case _:
                 return
         self.fault_count += 1
 
-    def end_faults(self) -> None:
-        self.cut_links.clear()
+    def stop_faults(self) -> None:
+        self.blocked_links.clear()
         self.loss_probability = 0.0
         for name in self.names:
             if name not in self.running:
@@ -158,71 +159,71 @@
 
     def check_invariants(self) -> None:
         for name, node in self.running.items():
-            self.check_one_leader(name, node)
-            self.check_one_sequence(name, node)
+            self.check_single_leader_per_term(name, node)
+            self.check_committed_entries(name, node)
 
-    def check_one_leader(self, name: str, node: RaftNode) -> None:
+    def check_single_leader_per_term(self, name: str, node: RaftNode) -> None:
         if node.role is Role.LEADER:
             first_seen = self.leader_of_term.setdefault(node.current_term, name)
             assert first_seen == name, f"two leaders in term {node.current_term}"
 
-    def check_one_sequence(self, name: str, node: RaftNode) -> None:
+    def check_committed_entries(self, name: str, node: RaftNode) -> None:
         snapshot_index = node.persistent_state.last_included_index
         for position, entry in enumerate(
             node.entries_between(snapshot_index, node.commit_index), snapshot_index
         ):
             if position < len(self.committed):
                 first_seen = self.committed[position]
-                assert first_seen == entry, f"entry {position} was {first_seen}, at {name} it is {entry}"
+                assert first_seen == entry, f"{name} committed {entry} at {position}, not {first_seen}"
             else:
-                assert position == len(self.committed), f"{name} committed {position} before those below it"
+                assert position == len(self.committed), f"{name} committed {position} before earlier entries"
                 self.committed.append(entry)
         if snapshot_index:
             expected = repr(self.committed[:snapshot_index]).encode()
-            assert node.persistent_state.snapshot == expected, "a snapshot of something else"
+            assert node.persistent_state.snapshot == expected, f"{name} has a wrong snapshot"
 
 
-def play(seed: int, step_count: int = 500, **group_options: Any) -> SimulatedGroup:
+def run_history(seed: int, step_count: int = 500, **group_options: Any) -> SimulatedGroup:
     group = SimulatedGroup(seed, **group_options)
     for _ in range(step_count):
         group.step()
     return group
 
 
-class Histories(unittest.TestCase):
-    def test_commits_one_sequence_through_crashes_stops_and_cuts(self) -> None:
+class SimulatedHistories(unittest.TestCase):
+    def test_all_nodes_commit_the_same_entries_despite_crashes_pauses_and_partitions(self) -> None:
         committed_count = fault_count = 0
         for seed in range(150):
-            group = play(seed, node_count=3 if seed % 3 else 5)
+            group = run_history(seed, node_count=3 if seed % 3 else 5)
             committed_count += len(group.committed)
             fault_count += group.fault_count
-            # With the faults gone it goes on, and all come to the same end.
-            group.end_faults()
-            committed_before = len(group.committed)
+            # Without faults, the group makes progress and all nodes catch up.
+            group.stop_faults()
+            committed_count_before = len(group.committed)
             for _ in range(600):
                 group.step(with_faults=False)
-            self.assertGreater(len(group.committed), committed_before, seed)
+            self.assertGreater(len(group.committed), committed_count_before, seed)
             leaders = [node for node in group.running.values() if node.role is Role.LEADER]
             self.assertEqual(len(leaders), 1)
             lowest_commit_index = min(node.commit_index for node in group.running.values())
-            self.assertGreaterEqual(lowest_commit_index, committed_before)
+            self.assertGreaterEqual(lowest_commit_index, committed_count_before)
         self.assertGreater(committed_count, 1000)
         self.assertGreater(fault_count, 1000)
 
-    def test_vote_that_is_not_on_disk_makes_two_leaders(self) -> None:
+    def test_unsaved_votes_violate_an_invariant(self) -> None:
         with self.assertRaises(AssertionError):
             for seed in range(400):
-                play(seed, forgets_votes=True)
+                run_history(seed, forgets_votes=True)
 
 
 class NodeTestCase(unittest.TestCase):
-    """One node `a` of three, driven message by message."""
+    """Base class with helpers that drive node `a` of three by single messages."""
 
     def node(self) -> RaftNode:
         return RaftNode("a", ("a", "b", "c"), PersistentState(), TIMEOUTS, Random(1), 0.0)
 
     def leader(self) -> RaftNode:
-        """Leader of term 1 by the vote of `b`; its first entry is on its disk only."""
+        """Returns a leader of term 1 elected by `b`; its first entry is on its own disk only."""
         node = self.node()
         node.tick(1000.0)
         node.on_message("b", VoteResponse(1, True, True), 1001.0)
@@ -239,22 +240,22 @@
 
     @staticmethod
     def acknowledge(node: RaftNode, peer: str, match_index: int, now_ms: float, term: int = 1) -> None:
-        """`peer` answers the newest heartbeat round."""
+        """Passes to `node` a response of `peer` to the newest heartbeat round."""
         node.on_message(peer, AppendEntriesResponse(term, True, match_index, node.heartbeat_round), now_ms)
 
 
 class Elections(NodeTestCase):
-    def test_sends_nothing_before_it_is_on_disk(self) -> None:
+    def test_sends_no_response_before_the_vote_is_on_disk(self) -> None:
         node = self.node()
         node.on_message("b", RequestVote(3, 0, 0, False), 200.0)
         self.assertEqual(node.take_outgoing(), [])
         assert node.unsaved_state() is not None
         node.on_state_saved()
         self.assertEqual(node.take_outgoing(), [("b", VoteResponse(3, True, False))])
-        node.on_message("c", RequestVote(3, 9, 2, False), 201.0)  # one vote a term
+        node.on_message("c", RequestVote(3, 9, 2, False), 201.0)  # only one vote per term
         self.assertEqual(node.take_outgoing(), [("c", VoteResponse(3, False, False))])
 
-    def test_node_that_hears_a_leader_grants_no_pre_vote(self) -> None:
+    def test_node_in_contact_with_a_leader_denies_pre_votes(self) -> None:
         for silence_ms, is_granted in [(50.0, False), (500.0, True)]:
             node = self.node()
             node.on_message("b", AppendEntries(1, 0, 0, (), 0, 1), 10.0)
@@ -262,10 +263,10 @@
             node.take_outgoing()
             node.on_message("c", RequestVote(2, 5, 1, True), 10.0 + silence_ms)
             self.assertEqual(node.take_outgoing(), [("c", VoteResponse(2, is_granted, True))])
-            self.assertEqual(node.current_term, 1)  # being asked disturbs nobody
+            self.assertEqual(node.current_term, 1)  # a pre-vote request does not change the term
 
-    def test_node_that_heard_a_leader_ignores_vote_requests_so_that_the_lease_holds(self) -> None:
-        # What a leader with its lease says rests on nobody else being elected meanwhile.
+    def test_node_in_contact_with_a_leader_ignores_vote_requests(self) -> None:
+        # The leader lease is valid only if no other node is elected meanwhile.
         for silence_ms, term in [(50.0, 1), (500.0, 2)]:
             node = self.node()
             node.on_message("b", AppendEntries(1, 0, 0, (), 0, 1), 10.0)
@@ -273,30 +274,30 @@
             node.on_message("c", RequestVote(2, 5, 1, False), 10.0 + silence_ms)
             self.assertEqual(node.current_term, term)
 
-    def test_ignores_senders_that_are_no_voters(self) -> None:
+    def test_ignores_messages_from_servers_that_are_not_voters(self) -> None:
         node = self.leader()
         node.on_message("z", AppendEntries(99, 0, 0, (), 0, 1), 1010.0)
         self.assertIs(node.role, Role.LEADER)
 
 
 class Leaders(NodeTestCase):
-    def test_holds_the_lease_as_long_as_a_majority_answered_lately(self) -> None:
+    def test_lease_is_valid_while_a_majority_answered_a_recent_round(self) -> None:
         node = self.leader()
-        self.assertFalse(node.has_leader_lease(1002.0))  # older entries may be committed and not known yet
+        self.assertFalse(node.has_leader_lease(1002.0))  # it may not know all committed entries yet
         self.acknowledge(node, "b", 1, 1010.0)
         self.assertTrue(node.has_leader_lease(1010.0))
-        # From when the round went out, not from when its answer came: it may have stood still between.
+        # The lease runs from the time the round was sent: the leader may be paused before the response.
         lease_ms = TIMEOUTS.election_timeout_ms * LEASE_FRACTION
         self.assertFalse(node.has_leader_lease(1002.0 + lease_ms))
         node.tick(1100.0)
         self.acknowledge(node, "b", 1, 1190.0)
         self.assertTrue(node.has_leader_lease(1200.0))
-        late = AppendEntriesResponse(1, True, 1, node.heartbeat_round - 1)
-        node.on_message("b", late, 1195.0)  # an older round proves less
+        late_response = AppendEntriesResponse(1, True, 1, node.heartbeat_round - 1)
+        node.on_message("b", late_response, 1195.0)  # a response to an older round does not shorten the lease
         self.assertTrue(node.has_leader_lease(1200.0))
         self.assertFalse(node.has_leader_lease(1100.0 + lease_ms))
 
-    def test_steps_down_without_a_majority(self) -> None:
+    def test_leader_steps_down_without_responses_from_a_majority(self) -> None:
         node = self.leader()
         now_ms = 1002.0
         while node.role is Role.LEADER and now_ms < 5000.0:
@@ -306,7 +307,7 @@
         self.assertLess(now_ms, 1002.0 + 2.0 * TIMEOUTS.election_timeout_ms)
         self.assertIsNone(node.propose(b"x"))
 
-    def test_counts_its_own_entry_only_once_it_is_on_disk(self) -> None:
+    def test_leader_counts_its_own_entry_only_after_it_is_on_disk(self) -> None:
         node = self.leader()
         index = node.propose(b"x")
         assert index is not None
@@ -315,7 +316,7 @@
         node.on_state_saved()
         self.assertEqual(node.commit_index, index)
 
-    def test_takes_no_proposals_once_the_log_is_full(self) -> None:
+    def test_leader_rejects_proposals_when_the_log_is_full(self) -> None:
         node = self.leader()
         while node.propose(b"x") is not None:
             node.take_outgoing()
@@ -323,53 +324,54 @@
 
 
 class VoterChanges(NodeTestCase):
-    def test_voters_change_one_at_a_time_by_a_leader_with_its_lease(self) -> None:
+    def test_leader_with_a_lease_changes_one_voter_at_a_time(self) -> None:
         node = self.leader()
-        self.assertIsNone(node.change_voters(("a", "b", "c", "d"), 1003.0))  # without the lease yet
+        self.assertIsNone(node.change_voters(("a", "b", "c", "d"), 1003.0))  # no lease yet
         self.acknowledge(node, "b", 1, 1010.0)
-        for names in [("a", "b", "c"), ("a", "b", "d"), ("a", "b", "c", "d", "e"), ("a",)]:
-            self.assertIsNone(node.change_voters(names, 1011.0))
+        for voters in [("a", "b", "c"), ("a", "b", "d"), ("a", "b", "c", "d", "e"), ("a",)]:
+            self.assertIsNone(node.change_voters(voters, 1011.0))
         index = node.change_voters(("a", "b", "c", "d"), 1011.0)
         assert index is not None
-        self.assertEqual(node.peers, ("b", "c", "d"))  # from the log on, before it is committed
-        self.assertIsNone(node.change_voters(("a", "b", "c"), 1012.0))  # one after the other
+        self.assertEqual(node.peers, ("b", "c", "d"))  # effective once it is in the log
+        self.assertIsNone(node.change_voters(("a", "b", "c"), 1012.0))  # the previous change is not committed
         node.on_state_saved()
         self.acknowledge(node, "b", index, 1013.0)
-        self.assertLess(node.commit_index, index)  # two of four are no majority
+        self.assertLess(node.commit_index, index)  # two of four are not a majority
         self.acknowledge(node, "d", index, 1014.0)
         self.assertEqual(node.commit_index, index)
 
-    def test_leader_that_removes_itself_leads_until_that_is_committed(self) -> None:
+    def test_leader_that_removes_itself_leads_until_the_removal_is_committed(self) -> None:
         node = self.leader_with_lease()
-        addition = node.change_voters(("a", "b", "c", "d"), 1011.0)
-        assert addition is not None
+        addition_index = node.change_voters(("a", "b", "c", "d"), 1011.0)
+        assert addition_index is not None
         node.on_state_saved()
         for peer in "bd":
-            self.acknowledge(node, peer, addition, 1014.0)
-        removal = node.change_voters(("b", "c", "d"), 1015.0)
-        assert removal is not None
+            self.acknowledge(node, peer, addition_index, 1014.0)
+        removal_index = node.change_voters(("b", "c", "d"), 1015.0)
+        assert removal_index is not None
         node.on_state_saved()
         for peer in "bc":
-            self.acknowledge(node, peer, removal, 1016.0)
-        self.assertEqual((node.commit_index, node.role), (removal, Role.FOLLOWER))
+            self.acknowledge(node, peer, removal_index, 1016.0)
+        self.assertEqual((node.commit_index, node.role), (removal_index, Role.FOLLOWER))
         node.tick(1e6)
-        self.assertIs(node.role, Role.FOLLOWER)  # and asks for no votes any more
+        self.assertIs(node.role, Role.FOLLOWER)  # a removed node starts no election
 
-    def test_leader_that_removes_itself_stands_again_until_that_is_committed(self) -> None:
-        # Alone with the entry by which it leaves, it won't be elected by itself and lets nobody else be: the
-        # two that are left of them would wait for each other for ever.
+    def test_leader_that_removes_itself_can_be_reelected_until_the_removal_is_committed(self) -> None:
+        # Guards against a deadlock while one of three servers is down: the removed leader alone has the
+        # removal entry and grants no vote to the other server, whose log is shorter. If it did not stand for
+        # election itself, the two would wait for each other forever.
         node = self.leader_with_lease()
-        removal = node.change_voters(("b", "c"), 1011.0)
-        assert removal is not None
+        removal_index = node.change_voters(("b", "c"), 1011.0)
+        assert removal_index is not None
         node.on_state_saved()
-        for now_ms in (1100.0, 1200.0, 1300.0, 1400.0):  # nobody answers any more
+        for now_ms in (1100.0, 1200.0, 1300.0, 1400.0):  # no peer answers
             node.tick(now_ms)
         node.take_outgoing()
         node.tick(2000.0)
         self.assertIs(node.role, Role.PRE_CANDIDATE)
         self.assertEqual({receiver for receiver, _ in node.take_outgoing()}, {"b", "c"})
         node.on_message("b", VoteResponse(2, True, True), 2001.0)
-        self.assertIs(node.role, Role.PRE_CANDIDATE)  # its own vote does not count among two
+        self.assertIs(node.role, Role.PRE_CANDIDATE)  # its own vote does not count: it is not a voter
         node.on_message("c", VoteResponse(2, True, True), 2002.0)
         for peer in "bc":
             node.on_state_saved()
@@ -382,7 +384,7 @@
         node.tick(1e6)
         self.assertIs(node.role, Role.FOLLOWER)
 
-    def test_voters_of_a_truncated_entry_do_not_count(self) -> None:
+    def test_truncating_a_configuration_entry_restores_the_previous_voters(self) -> None:
         node = self.node()
         voters_entry = LogEntry(1, encode_voters_entry(("a", "b", "c", "d")))
         node.on_message("b", AppendEntries(1, 0, 0, (voters_entry,), 0, 1), 10.0)
@@ -392,7 +394,7 @@
 
 
 class Messages(unittest.TestCase):
-    def test_bytes_that_are_no_message_raise_a_typed_error(self) -> None:
+    def test_decoding_invalid_bytes_raises_invalid_message_error(self) -> None:
         for data in [b"", b"\xc1", b"\x90", encode_message(RequestVote(1, 0, 0, False))[:-1]]:
             with self.subTest(data=data), self.assertRaises(InvalidMessageError):
                 decode_message(data)
--- a/tests/test_raft_log.py
+++ b/tests/test_raft_log.py
@@ -1,4 +1,4 @@
-"""A voter's log file: what it holds after kills, torn and damaged files, a full disk and a lost sync."""
+"""Tests of the Raft log file: recovery after kills, torn writes, damage, a full disk and lost syncs."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from landingshift.consensus.persistent_state import PersistentState
 from landingshift.consensus.raft_log import MAX_LOG_FILE_BYTES, RaftLogFile
 
-KEPT_ENTRY_COUNT = 20  # in the test of a bounded file
+KEPT_ENTRY_COUNT = 20  # log entries kept by the test of the file size
 
 
 def with_random_change(state: PersistentState, rng: Random) -> PersistentState:
-    """As Raft changes it: a new term, entries that come, go and are covered by a snapshot."""
+    """Returns `state` after random changes that Raft can make to term, vote, snapshot and entries."""
     changed = copy.deepcopy(state)
     match rng.randrange(5):
         case 0:
@@ -38,17 +38,17 @@
 
 
 def compact(state: PersistentState, covered_count: int) -> None:
-    """Lets the snapshot cover the first entries of the log."""
+    """Replaces the first entries of the log with a snapshot."""
     state.last_included_index += covered_count
     state.last_included_term = state.entries[covered_count - 1].term
     state.entries = state.entries[covered_count:]
 
 
-class RaftLogFiles(unittest.TestCase):
+class RaftLogFileTest(unittest.TestCase):
     def setUp(self) -> None:
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.path = os.path.join(folder.name, "agreement")
+        directory = tempfile.TemporaryDirectory()
+        self.addCleanup(directory.cleanup)
+        self.path = os.path.join(directory.name, "agreement")
         self.addCleanup(failpoints.arm, "")
 
     def open_log(self) -> RaftLogFile:
@@ -63,7 +63,7 @@
             log.file_descriptor = -1
 
     def saved_states(self, save_count: int, seed: int = 1) -> list[PersistentState]:
-        """What was on disk after each save of a new file."""
+        """Saves random changes to a new file; returns the state before the first and after each save."""
         rng = Random(seed)
         log = self.open_log()
         states = [copy.deepcopy(log.persistent_state)]
@@ -86,28 +86,28 @@
         with open(self.path, "wb") as file:
             file.write(data)
 
-    def test_recovers_the_last_save_after_many_changes(self) -> None:
+    def test_recovers_the_last_saved_state_after_many_changes(self) -> None:
         states = self.saved_states(200)
         self.assertEqual(self.recovered(), states[-1])
 
-    def test_kill_at_each_point_leaves_the_last_save_or_the_one_under_way(self) -> None:
+    def test_kill_during_a_save_leaves_the_old_or_the_new_state(self) -> None:
         rng = Random(2)
         state = self.saved_states(3)[-1]
-        for point in ("policies.written", "policies.synced", "policies.rewritten"):
-            max_file_bytes = 0 if point.endswith("rewritten") else MAX_LOG_FILE_BYTES
+        for failpoint in ("policies.written", "policies.synced", "policies.rewritten"):
+            max_file_bytes = 0 if failpoint.endswith("rewritten") else MAX_LOG_FILE_BYTES
             with mock.patch.object(raft_log, "MAX_LOG_FILE_BYTES", max_file_bytes):
                 log = self.open_log()
-                state_after = with_random_change(state, rng)
-                failpoints.arm(point)
+                new_state = with_random_change(state, rng)
+                failpoints.arm(failpoint)
                 with self.assertRaises(failpoints.SimulatedCrashError):
-                    log.save(state_after)
+                    log.save(new_state)
                 failpoints.arm("")
                 self.close(log)
             recovered = self.recovered()
-            self.assertIn(recovered, (state, state_after))
+            self.assertIn(recovered, (state, new_state))
             state = recovered
 
-    def test_file_cut_anywhere_in_the_last_frame_is_as_before_that_save(self) -> None:
+    def test_incomplete_last_frame_is_ignored(self) -> None:
         states = self.saved_states(6)
         data_before = self.read_file()
         log = self.open_log()
@@ -116,22 +116,22 @@
         self.close(log)
         data_after = self.read_file()
         self.assertEqual(data_after[:last_frame_offset], data_before)
-        os.unlink(self.path + ".seal")  # the kill came before it
+        os.unlink(self.path + ".seal")  # the process was killed before it wrote the seal
         for cut_offset in range(last_frame_offset, len(data_after)):
             self.write_file(data_after[:cut_offset])
             self.assertEqual(self.recovered(), states[-1])
 
-    def test_damage_anywhere_is_an_error_that_names_the_file(self) -> None:
+    def test_damage_at_any_offset_raises_an_error_with_the_path(self) -> None:
         self.saved_states(6)
         data = self.read_file()
         for offset in range(0, len(data), 3):
             self.write_file(data[:offset] + bytes([data[offset] ^ 0x55]) + data[offset + 1 :])
-            # With its seal every change of what was synced is noticed, in the last frame too.
+            # The seal detects damage in the last frame too.
             with self.subTest(offset=offset), self.assertRaises(RaftLogError) as caught:
                 self.recovered()
             self.assertIn(self.path, str(caught.exception))
 
-    def test_damage_before_the_last_frame_names_offset_and_frame(self) -> None:
+    def test_damage_before_the_last_frame_raises_an_error_with_offset_and_frame_number(self) -> None:
         self.saved_states(6)
         data = self.read_file()
         first_frame_offset = data.index(b"\n") + 1
@@ -141,7 +141,7 @@
             self.recovered()
         self.assertEqual((caught.exception.offset, caught.exception.frame_number), (first_frame_offset, 0))
 
-    def test_disk_that_lost_its_last_sync_is_noticed(self) -> None:
+    def test_lost_last_sync_is_detected(self) -> None:
         self.saved_states(4)
         earlier_data = self.read_file()
         log = self.open_log()
@@ -158,10 +158,10 @@
             with self.assertRaises(ForeignLogError):
                 RaftLogFile(self.path, fleet, server)
 
-    def test_full_disk_changes_nothing_and_the_save_may_be_retried(self) -> None:
+    def test_failed_save_on_a_full_disk_keeps_the_old_state_and_can_be_retried(self) -> None:
         states = self.saved_states(3)
         log = self.open_log()
-        state_after = with_random_change(states[-1], Random(4))
+        new_state = with_random_change(states[-1], Random(4))
         write = os.write
 
         def write_half_then_fail(file_descriptor: int, data: bytes) -> int:
@@ -169,13 +169,13 @@
             raise OSError(28, "No space left on device")
 
         with mock.patch.object(os, "write", write_half_then_fail), self.assertRaises(OSError):
-            log.save(state_after)
+            log.save(new_state)
         self.assertEqual(self.recovered(), states[-1])
-        log.save(state_after)
+        log.save(new_state)
         self.close(log)
-        self.assertEqual(self.recovered(), state_after)
+        self.assertEqual(self.recovered(), new_state)
 
-    def test_file_stays_bounded(self) -> None:
+    def test_file_size_stays_bounded(self) -> None:
         with mock.patch.object(raft_log, "MAX_LOG_FILE_BYTES", 20_000):
             rng = Random(7)
             log = self.open_log()
