--- a/landingshift/maintenance/__init__.py
+++ b/landingshift/maintenance/__init__.py
@@ -1,5 +1,5 @@
-"""Planned maintenance: servers leave one after the other within a disruption budget.
+"""Planned maintenance: takes servers out of service in turn, within a disruption budget.
 
-The leader of the consensus group issues permits (`coordinator`), each server leaves by its own permit only
-(`agent`), and the requests outlive every leader in a replicated state machine (`replicated_state`).
+The leader of the consensus group issues permits (`coordinator`). A server drains only under a permit issued
+to it (`agent`). A replicated state machine (`replicated_state`) keeps the requests across leader changes.
 """
--- a/landingshift/maintenance/capacity_constraints.py
+++ b/landingshift/maintenance/capacity_constraints.py
@@ -1,8 +1,8 @@
-"""Capacity constraints: how much may be out of service at once, in all and by group.
+"""Capacity constraints: limits on the capacity out of service at once, for the whole fleet and by group.
 
-Whatever does not serve counts against one budget: machines under maintenance, the cold part of those that
-warm up, and those lost without a plan. Failure mode: a constraint that does not hold stops new permits; a
-machine that already left is not called back.
+All unavailable capacity counts against one budget: machines under maintenance, the cold part of machines that
+are warming up, and machines lost without a plan. A violated constraint stops new permits; a machine that has
+already drained is not recalled.
 """
 
 from __future__ import annotations
@@ -13,11 +13,14 @@
 from msgspec import Struct
 
 CAPACITY_TOLERANCE = 1e-9
-"""Rounding that a sum of capacities may be off by."""
+"""Tolerance for rounding errors in sums of capacities."""
 
 
 class MachineFacts(Struct, array_like=True, frozen=True):
-    """What a new leader must know of a machine that it never heard. Stored as an array in this order."""
+    """Facts of a machine that the replicated state keeps for a leader without a report of it.
+
+    Stored as an array, so the order of the fields is fixed.
+    """
 
     capacity: float
     zone: str
@@ -27,7 +30,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Machine:
-    """A server as the constraints see it. `capacity` has the unit of the demand: RPCs a second."""
+    """A server as the constraints see it. `capacity` is in RPCs per second, like the demand."""
 
     name: str
     capacity: float
@@ -38,13 +41,20 @@
 
     @property
     def facts(self) -> MachineFacts:
-        """What is kept of it in the replicated state."""
+        """The facts of this machine that the replicated state keeps."""
         return MachineFacts(self.capacity, self.zone, self.model, self.serves_critical_methods)
 
 
 @dataclass(slots=True, frozen=True)
 class DisruptionBudget:
-    """What must stay in service. `headroom_ratio`: part of the demand by which capacity must exceed it."""
+    """Minimum capacity that must stay in service.
+
+    Attributes:
+        headroom_ratio: Required excess of the fleet's capacity over the demand, as a fraction of the demand.
+        min_zone_fraction: Minimum fraction of each zone's capacity.
+        min_model_fraction: Minimum fraction of each machine model's capacity.
+        min_critical_fraction: Minimum fraction of the capacity that serves critical methods.
+    """
 
     headroom_ratio: float = 0.1
     min_zone_fraction: float = 0.5
@@ -54,7 +64,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CapacityLimit:
-    """One constraint: machines, and the capacity of them that must stay in service."""
+    """One constraint: a set of machines and the minimum capacity of the set that must stay in service."""
 
     name: str
     members: frozenset[str]
@@ -62,9 +72,9 @@
 
 
 def min_voters_in_service(voter_count: int) -> int:
-    """Returns how many voters must stay: a majority and one to spare, so that a crash costs no quorum.
+    """Returns how many voters must stay in service: a majority plus one, so that one crash keeps the quorum.
 
-    With two or three voters none can be spared; a single voter is not protected.
+    Of two or three voters none may drain; a single voter is not protected.
     """
     if voter_count > 3:
         return voter_count // 2 + 2
@@ -72,23 +82,24 @@
 
 
 class CapacityConstraints:
-    """All limits that hold at one demand.
+    """All capacity limits at a given demand.
 
     Attributes:
         machines: All machines by name.
-        fleet_limit: The limit of all machines, which follows the demand.
-        group_limits: Limits of zones, models and critical methods, which do not.
+        fleet_limit: Limit on all machines, which depends on the demand.
+        group_limits: Limits on zones, models and critical methods, which do not depend on the demand.
+        limits: `fleet_limit`, then `group_limits`.
         voters: Names of the voters of the consensus group.
-        min_voters: How many of them must stay in service.
+        min_voters: Number of voters that must stay in service.
     """
 
     def __init__(self, machines: Iterable[Machine], budget: DisruptionBudget, demand: float) -> None:
         """Builds the limits.
 
         Args:
-            machines: The whole fleet.
-            budget: What must stay in service.
-            demand: RPCs a second that the fleet must be able to serve.
+            machines: All machines of the fleet.
+            budget: Minimum capacity that must stay in service.
+            demand: Load that the fleet must be able to serve, in RPCs per second.
         """
         self.machines = {machine.name: machine for machine in machines}
         fleet = list(self.machines.values())
@@ -108,33 +119,38 @@
         self.min_voters = min_voters_in_service(len(self.voters))
 
     def capacity(self, unavailable: Mapping[str, float], members: Iterable[str]) -> float:
-        """Returns the capacity of `members` that serves; `unavailable`: fraction by name that does not."""
+        """Returns the capacity of `members` in service, in RPCs per second.
+
+        Args:
+            unavailable: Unavailable fraction of each machine, by name; 0 for machines not listed.
+            members: Names of the machines to sum over.
+        """
         return sum(self.machines[name].capacity * (1.0 - unavailable.get(name, 0.0)) for name in members)
 
     def violation(self, unavailable: Mapping[str, float]) -> str:
-        """Returns which constraint does not hold, for operators; empty where all hold."""
+        """Returns a description of the first violated constraint, for operators; empty if all hold."""
         return self._first_violation(self.limits, unavailable)
 
     def permanent_violation(self, name: str) -> str:
-        """Returns why this machine could not leave even with all others in service; empty where it could.
+        """Returns which constraint forbids this machine to drain even with all others in service, or "".
 
-        The limit of the whole fleet is left out: it follows the demand, which may fall.
+        The limit of the whole fleet is left out because it depends on the demand, which may fall.
         """
         return self._first_violation(self.group_limits, {name: 1.0})
 
     def margins(self, unavailable: Mapping[str, float]) -> list[float]:
-        """Returns for each limit the capacity above its minimum."""
+        """Returns the capacity above the minimum for each limit, in the order of `limits`."""
         return [self.capacity(unavailable, limit.members) - limit.min_capacity for limit in self.limits]
 
     def margins_without(
         self, margins: Sequence[float], unavailable: Mapping[str, float], names: Sequence[str]
     ) -> list[float] | None:
-        """Returns the margins once `names` leave too; None where a constraint would be violated.
+        """Returns the margins once `names` have drained too; None if a constraint would be violated.
 
         Args:
-            margins: The margins before, as `margins(unavailable)` gives them.
-            unavailable: What is out of service before.
-            names: Machines that are to leave.
+            margins: Margins before, as `margins(unavailable)` returns them.
+            unavailable: Unavailable fraction of each machine before, by name.
+            names: Names of the machines to drain.
         """
         remaining = list(margins)
         for name in names:
@@ -151,7 +167,7 @@
         return remaining if voters >= self.min_voters else None
 
     def fleet_margin(self, unavailable: Mapping[str, float]) -> float:
-        """Returns the capacity that could leave now as far as the demand is concerned."""
+        """Returns the capacity that could drain now under the limit of the whole fleet, in RPCs a second."""
         return self.margins(unavailable)[0]
 
     def _first_violation(self, limits: Iterable[CapacityLimit], unavailable: Mapping[str, float]) -> str:
@@ -169,7 +185,7 @@
 
 
 def _limits_by(fleet: list[Machine], attribute: str, min_fraction: float) -> list[CapacityLimit]:
-    """Returns a limit for each value of `attribute` ("zone" or "model"), in the order of the values."""
+    """Returns a limit for each non-empty value of `attribute` ("zone" or "model"), sorted by value."""
     values = {getattr(machine, attribute) for machine in fleet} - {""}
     return [
         _group_limit(
--- a/landingshift/maintenance/commands.py
+++ b/landingshift/maintenance/commands.py
@@ -1,4 +1,4 @@
-"""Commands of the replicated state machine, as types; `storage` has their stored form."""
+"""Commands of the replicated state machine; `storage` encodes them for the replicated log."""
 
 from __future__ import annotations
 
@@ -10,45 +10,45 @@
 
 @dataclass(frozen=True, slots=True)
 class AddRequests:
-    """Operators request maintenance of machines."""
+    """Adds requests made by an operator."""
 
     requests: tuple[MaintenanceRequest, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class IssuePermit:
-    """The leader lets a machine leave."""
+    """Issues a permit to drain to a machine."""
 
     name: str
     run_id: int
-    """Number of the process that the permit is meant for."""
+    """Run ID of the process that the permit is issued to."""
     issued_at_ms: float
-    """Monotonic ms of the leader."""
+    """Time of the proposal, in monotonic ms of the leader."""
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeState:
-    """A request enters another state."""
+    """Changes the state of a request."""
 
     name: str
     permit_number: int
-    """The permit that the request had when this was proposed."""
+    """Number of the permit in force when the command was proposed; 0 without one."""
     new_state: RequestState
     reason: str
     changed_at_ms: float
-    """Unix ms of the leader."""
+    """Time of the proposal, in Unix ms of the leader."""
 
 
 @dataclass(frozen=True, slots=True)
 class SetPause:
-    """No permits are issued or offered from now on; an empty reason resumes."""
+    """Pauses the issue and offer of permits; an empty reason resumes it."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class RegisterMachine:
-    """A machine reported for the first time, or its facts changed."""
+    """Records the facts of a machine after its first report or a change."""
 
     name: str
     facts: MachineFacts
@@ -56,14 +56,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ForgetMachine:
-    """Membership has forgotten a machine."""
+    """Removes a machine that membership no longer knows."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class RecordDemand:
-    """The largest demand of a quarter of an hour of the day that is over."""
+    """Records the peak demand of a quarter-hour of the day that has ended.
+
+    Attributes:
+        quarter: Index of the quarter-hour, counted from midnight UTC.
+        rpcs_per_second: Peak demand.
+    """
 
     quarter: int
     rpcs_per_second: float
--- a/landingshift/maintenance/coordinator.py
+++ b/landingshift/maintenance/coordinator.py
@@ -1,9 +1,9 @@
-"""The leader's side of maintenance: issues permits, follows machines that left, rejects what can't be met.
+"""Leader side of maintenance: issues permits, tracks machines under maintenance, rejects impossible requests.
 
-Guarantee: a permit is issued only while all capacity constraints hold with its machine out of service, and a
-machine that may have left counts as out of service until it reports. Reports may be lost with the leader that
-had them: the next one issues and offers nothing before it has taken reports for `SETTLE_MS`. Failure
-mode: without a leader nobody leaves; machines that left come back all the same.
+Guarantee: a permit is issued only if all capacity constraints hold with its machine out of service, and a
+machine that may have begun to drain counts as out of service until it reports. Reports are lost with the
+leader that received them, so a new leader issues and offers no permit before it has collected reports for
+`SETTLE_MS`. Without a leader no machine starts to drain; machines out of service still return.
 """
 
 from __future__ import annotations
@@ -43,32 +43,34 @@
 
 EVALUATION_INTERVAL_MS = 400.0
 REJECTION_INTERVAL_MS = 5000.0
-"""Between two searches for requests that can never be met."""
+"""Time between two checks for requests that can never be granted."""
 SETTLE_MS = 3000.0
-"""For how long a new leader only listens."""
+"""Time for which a new leader collects reports before it issues or offers permits."""
 MAX_CAPACITY = 1e9
-"""RPCs a second that a machine may report; more is taken for a fault."""
+"""Upper bound on a reported capacity, in RPCs per second; a larger one is treated as a fault."""
 MAX_MODEL_LENGTH = 16
 
 
 @dataclass(slots=True, frozen=True)
 class EvaluationInput:
-    """What one evaluation decides by, taken once at its beginning."""
+    """Inputs of one evaluation, computed once at its start."""
 
     constraints: CapacityConstraints
     lost: dict[str, float]
-    """The fraction of each machine that is out of service without a plan, by name."""
+    """Fraction of each machine that is unavailable without a plan, by name."""
 
 
 class MaintenanceCoordinator:
-    """Decisions of one voter while it leads. Unless stated otherwise, times are ms of its monotonic clock.
+    """Makes the maintenance decisions on a voter while it leads.
+
+    Times are ms of its monotonic clock unless stated otherwise.
 
     Attributes:
-        state: The replicated state.
-        settings: Alike on all servers.
-        fleet: Reports of this term.
-        waiting_reason: Why no permit is issued just now, for operators; empty where one may be.
-        leader_since_ms: When this term began.
+        state: Replicated state.
+        settings: Settings, the same on all servers.
+        fleet: Reports received during this term.
+        waiting_reason: Why no permit is issued at present, for operators; empty if permits may be issued.
+        leader_since_ms: Start of this server's current or latest term as leader.
     """
 
     def __init__(
@@ -89,21 +91,19 @@
         self._evaluated_at_ms = 0.0
         self._rejections_checked_at_ms = NEVER_MS
 
-    # Reports
-
     def on_server_report(
         self, sender: MemberRecord, voters: list[str], report: LoadReport, now_ms: float
     ) -> ReportAnswer | None:
-        """Takes a report as it came from a server.
+        """Handles a report received from a server.
 
         Args:
-            sender: The server, as membership knows it.
-            voters: Names of the present voters of the consensus group.
-            report: What it reports.
-            now_ms: Monotonic ms.
+            sender: Membership record of the server.
+            voters: Names of the current voters of the consensus group.
+            report: Report of the server.
+            now_ms: Current monotonic time in ms.
 
         Returns:
-            The answer; None as for `on_report`, and for a capacity or model out of its range.
+            The answer; None in the cases of `on_report`, and if the capacity or the model is out of range.
         """
         status = report.status
         if not 0.0 < status.capacity < MAX_CAPACITY or len(status.model) > MAX_MODEL_LENGTH:
@@ -122,16 +122,16 @@
     def on_report(
         self, machine: Machine, run_id: int, report: LoadReport, now_ms: float
     ) -> ReportAnswer | None:
-        """Takes a machine's report.
+        """Handles a machine's report.
 
         Args:
-            machine: The machine that reports.
-            run_id: Number of its process.
-            report: What it reports.
-            now_ms: Monotonic ms.
+            machine: Machine that sent the report.
+            run_id: Run ID of its process.
+            report: Report of the machine.
+            now_ms: Current monotonic time in ms.
 
         Returns:
-            The answer; None where this server does not lead or has no place for another machine.
+            The answer; None if this server does not lead or tracks too many machines to add this one.
         """
         if not self._environment.is_leader(now_ms):
             return None
@@ -144,7 +144,7 @@
         request = self.state.requests.get(machine.name)
         if request is None:
             return ReportAnswer(report.sequence, "", 0, 0.0)
-        self._follow_report(request, recorded, now_ms)
+        self._advance_on_report(request, recorded, now_ms)
         valid_ms = self._offer_permit(request, recorded, now_ms)
         return ReportAnswer(report.sequence, request.state.value, request.permit_number, valid_ms)
 
@@ -156,12 +156,12 @@
         self._rollout.record(report.machine.name, ok, total)
 
     def _register_machine(self, machine: Machine, now_ms: float) -> None:
-        """Keeps what a later leader must count with although the machine may be gone by then."""
+        """Replicates the machine's facts, which a later leader needs even if the machine is gone by then."""
         facts = machine.facts
         if self.state.machines.get(machine.name) != facts:
             self._proposals.propose(RegisterMachine(machine.name, facts), now_ms)
 
-    def _follow_report(self, request: MaintenanceRequest, report: MachineReport, now_ms: float) -> None:
+    def _advance_on_report(self, request: MaintenanceRequest, report: MachineReport, now_ms: float) -> None:
         if request.state is RequestState.WARMING_UP:
             request.warm_fraction = report.warm_fraction
         permitted_run_id = self.state.permitted_run_ids.get(request.name)
@@ -173,7 +173,7 @@
             self._rollout.completed_names.add(request.name)
 
     def _offer_permit(self, request: MaintenanceRequest, report: MachineReport, now_ms: float) -> float:
-        """Offers a permit with the answer to a report; returns for how many ms, 0 without an offer."""
+        """Offers the permit in the answer to a report; returns its validity in ms, 0 without an offer."""
         if not self._may_offer_permit(request, report.run_id):
             return 0.0
         if not report.draining_permit:
@@ -181,10 +181,10 @@
         return self.settings.permit_valid_ms
 
     def _may_offer_permit(self, request: MaintenanceRequest, run_id: int) -> bool:
-        """Returns whether a machine may be told now that it may leave.
+        """Returns whether the permit of a request may be offered to its machine now.
 
-        A new leader does not offer again what the one before it issued until it has evaluated
-        the constraints: the permit may be older than the loss of a zone.
+        A new leader does not offer a permit of its predecessor again before it has evaluated the constraints:
+        a zone may have been lost after the permit was issued.
         """
         return (
             request.state is RequestState.PERMITTED
@@ -194,20 +194,18 @@
             and not self._proposals.is_withheld(request.name, request.permit_number)
         )
 
-    # Demand
-
     def expected_demand(self) -> float:
-        """Returns the RPCs a second to be reckoned with until a machine that leaves now is back."""
+        """Returns the demand to provision for until a machine that drains now is back, in RPCs per second."""
         current = self.fleet.current_demand(self._evaluated_at_ms)
         wall_ms = self._environment.wall_clock_ms()
         return self._demand.expected(self.state.demand_profile, current, wall_ms, self._outage_ms())
 
     def constraints(self) -> CapacityConstraints:
-        """Returns the constraints at the expected demand."""
+        """Returns the capacity constraints at the expected demand."""
         return self.fleet.constraints(self.settings.budget, self.expected_demand())
 
     def _outage_ms(self) -> float:
-        """Returns ms until the longest work that might begin now is done and its machine warm."""
+        """Returns the time, in ms, until the longest waiting work would be done and its machine warm."""
         durations = [
             request.duration_minutes
             for request in self.state.requests.values()
@@ -221,39 +219,37 @@
         current = self.fleet.current_demand(now_ms)
         self._demand.update_peak(now_ms, current)
         if now_ms - self.leader_since_ms < SETTLE_MS:
-            return  # not all machines have reported to this leader yet
+            return  # machines that have not reported to this leader yet would be missing from the sample
         ended_quarter = self._demand.record(now_ms, self._environment.wall_clock_ms(), current)
         if ended_quarter is not None:
             self._proposals.propose(ended_quarter, now_ms)
 
-    # Evaluation
-
     def evaluate_soon(self, now_ms: float) -> None:
-        """Lets the next `step` evaluate, as after a change of the replicated state."""
+        """Makes the next `step` evaluate the requests, because the replicated state has changed."""
         self._next_evaluation_ms = min(self._next_evaluation_ms, now_ms)
 
     def step(self, now_ms: float) -> None:
-        """Evaluates the requests, if this server leads and an evaluation is due."""
+        """Evaluates the requests if this server leads and an evaluation is due."""
         if now_ms < self._next_evaluation_ms:
             return
         self._evaluated_at_ms = now_ms
         self._next_evaluation_ms = now_ms + EVALUATION_INTERVAL_MS
-        if not self._follow_leadership(now_ms):
+        if not self._update_leadership(now_ms):
             return
         self._record_demand(now_ms)
         for request in list(self.state.requests.values()):
-            self._follow_silence(request, now_ms)
+            self._advance_on_silence(request, now_ms)
         if not self._check_readiness(now_ms):
             return
         inputs = EvaluationInput(self.constraints(), self.fleet.lost_fractions(now_ms))
         if not self._apply_constraints(inputs) or self._pause_on_regression(now_ms):
             return
-        self._clean_up(inputs, now_ms)
+        self._forget_and_reject(inputs, now_ms)
         if self.state.requests:
             self._issue_permits(inputs, now_ms)
 
-    def _follow_leadership(self, now_ms: float) -> bool:
-        """Starts a term where one begins; returns whether this server leads."""
+    def _update_leadership(self, now_ms: float) -> bool:
+        """Starts a term if this server has just become the leader; returns whether it leads."""
         is_leader = self._environment.is_leader(now_ms)
         if is_leader and not self._was_leader:
             self._begin_term(now_ms)
@@ -268,8 +264,8 @@
         self._rollout.reset_counts()
         self._proposals.clear()
 
-    def _follow_silence(self, request: MaintenanceRequest, now_ms: float) -> None:
-        """Moves a request on where its machine does not report."""
+    def _advance_on_silence(self, request: MaintenanceRequest, now_ms: float) -> None:
+        """Advances a request whose machine has stopped reporting or whose permit has expired."""
         report = self.fleet.reports.get(request.name)
         if request.state is RequestState.PERMITTED:
             self._revoke_lapsed_permit(request, report, now_ms)
@@ -303,17 +299,21 @@
             self._propose_transition(request, transition, now_ms)
 
     def _check_readiness(self, now_ms: float) -> bool:
-        """Returns whether constraints are to be evaluated; sets the reason to wait if they are not."""
+        """Returns whether to evaluate the constraints; sets `waiting_reason` if not."""
         if not self.state.requests:
             self.waiting_reason = ""
             return False
         if now_ms - self.leader_since_ms < SETTLE_MS:
-            self.waiting_reason = "the leader is new: it listens first"
+            self.waiting_reason = "the leader is new and collects reports first"
             return False
         return True
 
     def _apply_constraints(self, inputs: EvaluationInput) -> bool:
-        """Releases withheld permits, or withholds the youngest ones; returns whether more may be issued."""
+        """Releases the withheld permits if all constraints hold, otherwise withholds the newest ones.
+
+        Returns:
+            Whether further permits may be issued.
+        """
         requests = self.state.requests
         unavailable = unavailable_fractions(requests.values(), inputs.lost)
         self.waiting_reason = self.state.pause_reason or inputs.constraints.violation(unavailable)
@@ -327,7 +327,7 @@
         return False
 
     def _pause_on_regression(self, now_ms: float) -> bool:
-        """Pauses all work where machines that came back do worse; returns whether it did."""
+        """Pauses all work if the machines that came back answer worse; returns whether it did."""
         regression = self._rollout.regression() if self.settings.is_staged else ""
         if not regression:
             return False
@@ -335,8 +335,8 @@
         self._proposals.propose(SetPause(f"stopped by itself: {regression}"), now_ms)
         return True
 
-    def _clean_up(self, inputs: EvaluationInput, now_ms: float) -> None:
-        """Forgets machines that membership forgot and rejects what can never be met, now and then."""
+    def _forget_and_reject(self, inputs: EvaluationInput, now_ms: float) -> None:
+        """Forgets machines unknown to membership and rejects impossible requests, at a fixed interval."""
         if now_ms - self._rejections_checked_at_ms < REJECTION_INTERVAL_MS:
             return
         self._rejections_checked_at_ms = now_ms
@@ -353,14 +353,14 @@
                 self._propose_transition(request, Transition(RequestState.REJECTED, reason), now_ms)
 
     def _issue_permits(self, inputs: EvaluationInput, now_ms: float) -> None:
-        chosen = select_next(
+        selected = select_next(
             self.state.requests,
             inputs.constraints,
             inputs.lost,
             self._environment.wall_clock_ms(),
             self.settings.warm_up_minutes,
         )
-        for name in chosen[: self._remaining_in_stage()]:
+        for name in selected[: self._remaining_in_stage()]:
             report = self.fleet.reports.get(name)
             if report is not None:
                 self._proposals.propose(IssuePermit(name, report.run_id, now_ms), now_ms)
--- a/landingshift/maintenance/demand_forecast.py
+++ b/landingshift/maintenance/demand_forecast.py
@@ -1,9 +1,9 @@
-"""Forecast of the demand while a machine is away: by the last minutes, and by the day before.
+"""Forecasts the demand during an outage from the trend of the last minutes and the profile of the last day.
 
-Neither is enough alone. A trend of the last minutes follows a load that rises now and knows nothing of the
-morning; the profile of the day before knows the morning, but not that today differs. The larger one counts:
-an overestimate costs a wait, an underestimate the disruption budget. A new leader has no trend, but the
-profile is part of the replicated state.
+Neither suffices alone: the trend follows a current rise but can't foresee the morning peak; the profile
+contains the morning peak but not how today differs. The larger forecast is used, because an overestimate only
+delays maintenance while an underestimate violates the disruption budget. A new leader has no trend yet, but
+the profile is part of the replicated state.
 """
 
 from __future__ import annotations
@@ -12,21 +12,21 @@
 
 BUCKET_MS = 30_000.0
 BUCKET_COUNT = 40
-MIN_POINTS_COUNT = 4
-"""Buckets without which there is no trend."""
+MIN_TREND_POINTS = 4
+"""Minimum number of buckets with samples for a trend."""
 CONFIDENCE_STANDARD_ERRORS = 2.0
-"""By how many standard errors a rising trend is taken higher."""
+"""Number of standard errors added to the forecast of a rising trend."""
 DAY_MS = 86_400_000.0
 QUARTERS_COUNT = 96
-"""Quarters of an hour in a day."""
+"""Number of quarter-hours in a day."""
 QUARTER_MS = DAY_MS / QUARTERS_COUNT
 MIN_DAY_RATIO = 0.5
 MAX_DAY_RATIO = 2.0
-"""What today may be of the day before, at the least and at the most."""
+"""Bounds on the ratio of today's demand to that of the day before."""
 
 
 class DemandTrend:
-    """Mean demand of each bucket of the last `BUCKET_COUNT * BUCKET_MS`, with a regression line."""
+    """Linear trend of the demand over the last `BUCKET_COUNT * BUCKET_MS`, from the mean of each bucket."""
 
     def __init__(self) -> None:
         self._sums = [0.0] * BUCKET_COUNT
@@ -34,7 +34,7 @@
         self._newest_bucket = -1
 
     def record(self, now_ms: float, demand: float) -> None:
-        """Adds a sample. `now_ms`: of a monotonic clock; `demand`: RPCs a second."""
+        """Adds a sample of the demand, in RPCs per second, at the monotonic time `now_ms`."""
         bucket = int(now_ms // BUCKET_MS)
         if self._newest_bucket < 0 or bucket - self._newest_bucket >= BUCKET_COUNT:
             self._sums = [0.0] * BUCKET_COUNT
@@ -48,22 +48,25 @@
         self._counts[bucket % BUCKET_COUNT] += 1
 
     def points(self) -> list[tuple[float, float]]:
-        """Returns (ms relative to the newest bucket, 0 or less; mean demand), the oldest first."""
-        found = []
+        """Returns the buckets with samples, oldest first, as (time, mean demand).
+
+        Times are ms relative to the newest bucket, 0 or less.
+        """
+        points = []
         for age in range(BUCKET_COUNT - 1, -1, -1):
             index = (self._newest_bucket - age) % BUCKET_COUNT
             if self._newest_bucket >= age and self._counts[index]:
-                found.append((-age * BUCKET_MS, self._sums[index] / self._counts[index]))
-        return found
+                points.append((-age * BUCKET_MS, self._sums[index] / self._counts[index]))
+        return points
 
     def forecast(self, horizon_ms: float) -> float:
-        """Returns the largest demand that the trend expects within `horizon_ms`; 0 where there is none.
+        """Returns the largest demand that the trend predicts within `horizon_ms`; 0 without a trend.
 
-        It is extrapolated no further ahead than it looks back: the rise of a minute says nothing of an hour.
-        A fall is not extrapolated at all.
+        A rising trend is extrapolated no further ahead than its samples reach back, since a rise over one
+        minute does not predict the next hour. A falling trend is not extrapolated.
         """
         points = self.points()
-        if len(points) < MIN_POINTS_COUNT:
+        if len(points) < MIN_TREND_POINTS:
             return 0.0
         count = len(points)
         mean_time = sum(time for time, _ in points) / count
@@ -82,10 +85,10 @@
 
 
 class DailyDemandProfile:
-    """The largest demand of each quarter of an hour of the last day.
+    """Peak demand of each quarter-hour of the last day.
 
     Attributes:
-        peaks: RPCs a second by quarter of the day; 0 where nothing was recorded.
+        peaks: Peak demand in RPCs per second by quarter-hour of the day; 0 if none was recorded.
     """
 
     def __init__(self) -> None:
@@ -93,29 +96,29 @@
 
     @staticmethod
     def quarter_of_day(wall_ms: float) -> int:
-        """Returns the quarter of an hour of `wall_ms`, Unix ms, counted from midnight UTC."""
+        """Returns the index of the quarter-hour of `wall_ms` (Unix ms), counted from midnight UTC."""
         return int(wall_ms % DAY_MS // QUARTER_MS)
 
     def record(self, quarter: int, demand: float) -> None:
-        """Notes the largest demand of a quarter that is over, in place of the day before's."""
+        """Records the peak demand of a quarter-hour that has ended, replacing the value of the day before."""
         self.peaks[quarter % QUARTERS_COUNT] = max(0.0, demand)
 
     def forecast(self, wall_ms: float, horizon_ms: float, current_demand: float) -> float:
-        """Returns the largest demand of the day before within the horizon, scaled as today is to it now.
+        """Returns the day-before peak within the horizon, scaled by today's ratio to the day before.
 
         Args:
-            wall_ms: Unix ms now.
-            horizon_ms: How far to look ahead.
-            current_demand: RPCs a second now.
+            wall_ms: Current Unix time in ms.
+            horizon_ms: Time to look ahead.
+            current_demand: Current demand in RPCs per second.
 
         Returns:
-            RPCs a second; 0 where nothing was recorded for the present quarter.
+            Forecast in RPCs per second; 0 if no peak was recorded for the current quarter-hour.
         """
         first = self.quarter_of_day(wall_ms)
-        same_time_before = self.peaks[first]
-        if not same_time_before or horizon_ms <= 0.0:
+        peak_day_before = self.peaks[first]
+        if not peak_day_before or horizon_ms <= 0.0:
             return 0.0
-        ratio = min(MAX_DAY_RATIO, max(MIN_DAY_RATIO, current_demand / same_time_before))
+        ratio = min(MAX_DAY_RATIO, max(MIN_DAY_RATIO, current_demand / peak_day_before))
         span = min(QUARTERS_COUNT - 1, int((wall_ms % QUARTER_MS + horizon_ms) // QUARTER_MS))
         return ratio * max(self.peaks[(first + offset) % QUARTERS_COUNT] for offset in range(span + 1))
 
@@ -127,7 +130,7 @@
     wall_ms: float,
     horizon_ms: float,
 ) -> float:
-    """Returns the RPCs a second to be reckoned with for the next `horizon_ms`."""
+    """Returns the demand to expect within the next `horizon_ms`, in RPCs per second."""
     return max(
         current_demand,
         trend.forecast(horizon_ms),
--- a/landingshift/maintenance/demand_tracker.py
+++ b/landingshift/maintenance/demand_tracker.py
@@ -1,7 +1,7 @@
-"""Demand as one leader observes it: its recent peak, its trend, and the profile that it adds to.
+"""Tracks the demand that one leader observes: its recent peak, its trend, and the peak of each quarter-hour.
 
-The peak fades slowly, since load may come back as it went; both the peak and the forecast err to the side of
-waiting.
+The peak decays slowly because a load that has dropped may return. Both the peak and the forecast tend to
+overestimate, which only delays maintenance.
 """
 
 from __future__ import annotations
@@ -12,43 +12,48 @@
 from landingshift.maintenance.demand_forecast import DailyDemandProfile, DemandTrend, forecast_demand
 
 PEAK_RATIO = 0.9
-"""Share of the recent peak that the demand is taken for at the least."""
-NO_QUARTER = -1
+"""Fraction of the recent peak used as a lower bound of the expected demand."""
+UNKNOWN_QUARTER = -1
 
 
 class DemandTracker:
-    """Samples of one term.
+    """Demand samples of one term of a leader.
 
     Attributes:
-        peak: The largest RPCs a second of late, which fades.
+        peak: Recent peak demand in RPCs per second, decaying over time.
     """
 
     def __init__(self, peak_decay_ms: float) -> None:
-        """Starts without samples. `peak_decay_ms`: time in which the peak fades to 1/e."""
+        """Starts without samples; `peak_decay_ms` is the time in which the peak decays to 1/e."""
         self._peak_decay_ms = peak_decay_ms
         self.reset(0.0)
 
     def reset(self, now_ms: float) -> None:
-        """Forgets all samples, at the beginning of a term."""
+        """Discards all samples at the start of a term."""
         self.peak = 0.0
         self._sampled_at_ms = now_ms
         self._trend = DemandTrend()
-        self._quarter = NO_QUARTER
+        self._quarter = UNKNOWN_QUARTER
         self._quarter_peak = 0.0
 
     def update_peak(self, now_ms: float, demand: float) -> None:
-        """Lets the peak fade and rise. `now_ms`: monotonic; `demand`: RPCs a second."""
+        """Decays the peak, then raises it to `demand` (RPCs per second) if that is larger."""
         decay = exp((self._sampled_at_ms - now_ms) / self._peak_decay_ms)
         self.peak = max(self.peak * decay, demand)
         self._sampled_at_ms = now_ms
 
     def record(self, now_ms: float, wall_ms: float, demand: float) -> RecordDemand | None:
-        """Adds a sample to the trend; returns the peak of a quarter of an hour that has just ended."""
+        """Adds a sample to the trend and the current quarter-hour.
+
+        Returns:
+            A command that records the peak of the previous quarter-hour if this is the first sample of a new
+            one; None otherwise.
+        """
         self._trend.record(now_ms, demand)
         quarter = DailyDemandProfile.quarter_of_day(wall_ms)
         ended = None
         if quarter != self._quarter:
-            if self._quarter != NO_QUARTER:
+            if self._quarter != UNKNOWN_QUARTER:
                 ended = RecordDemand(self._quarter, self._quarter_peak)
             self._quarter = quarter
             self._quarter_peak = 0.0
@@ -58,6 +63,6 @@
     def expected(
         self, profile: DailyDemandProfile, current_demand: float, wall_ms: float, horizon_ms: float
     ) -> float:
-        """Returns the RPCs a second that must be served within the horizon: forecast or recent peak."""
+        """Returns the larger of the forecast and `PEAK_RATIO` of the recent peak, in RPCs per second."""
         forecast = forecast_demand(self._trend, profile, current_demand, wall_ms, horizon_ms)
         return max(forecast, PEAK_RATIO * self.peak)
--- a/landingshift/maintenance/environment.py
+++ b/landingshift/maintenance/environment.py
@@ -1,4 +1,4 @@
-"""What the leader's decisions need of the server that they run on."""
+"""Interface through which the coordinator uses the server on which it runs."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 
 class CoordinatorEnvironment(Protocol):
-    """The consensus group, membership and the wall clock, as the coordinator sees them."""
+    """Access to the consensus group, membership and the wall clock."""
 
     def propose(self, command: Command) -> bool:
         """Proposes a command to the consensus group; returns whether it was accepted."""
         ...
 
     def is_leader(self, now_ms: float) -> bool:
-        """Returns whether this server surely leads the consensus group. `now_ms`: its monotonic clock."""
+        """Returns whether this server is certain to lead the consensus group at monotonic time `now_ms`."""
         ...
 
     def has_left(self, name: str) -> bool:
-        """Returns whether membership sees a machine no more."""
+        """Returns whether a machine has left the membership or is unknown to it."""
         ...
 
     def known_machines(self) -> set[str]:
@@ -27,5 +27,5 @@
         ...
 
     def wall_clock_ms(self) -> float:
-        """Returns Unix ms."""
+        """Returns the current Unix time in ms."""
         ...
--- a/landingshift/maintenance/errors.py
+++ b/landingshift/maintenance/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the maintenance package. Their texts are shown to operators and peers."""
+"""Errors of the maintenance package; their texts are shown to operators and sent to peers."""
 
 from __future__ import annotations
 
@@ -10,58 +10,58 @@
 
 
 class InvalidTransitionError(MaintenanceError, ValueError):
-    """A request was to change to a state that its present state does not lead to.
+    """A request can't change from its current state to the requested one.
 
     Attributes:
         machine: Name of the machine.
-        current: Stored value of the state it is in.
-        requested: Stored value of the state it was to get.
+        current: Stored value of the current state.
+        requested: Stored value of the requested state.
     """
 
     def __init__(self, machine: str, current: str, requested: str) -> None:
         self.machine = machine
         self.current = current
         self.requested = requested
-        super().__init__(f"{machine}: {current}, so that it can't be {requested}")
+        super().__init__(f"{machine}: no transition from {current} to {requested}")
 
 
 class StalePermitError(MaintenanceError, ValueError):
-    """A machine acted by a permit that is not the one in force.
+    """A machine acted under a permit that is not the one in force.
 
     Attributes:
         machine: Name of the machine.
-        permit_number: The permit that it named.
-        permit_in_force: The permit that its request has.
+        permit_number: Permit under which the machine acted.
+        permit_in_force: Current permit of its request.
     """
 
     def __init__(self, machine: str, permit_number: int, permit_in_force: int) -> None:
         self.machine = machine
         self.permit_number = permit_number
         self.permit_in_force = permit_in_force
-        super().__init__(f"{machine}: permission {permit_number} is not the one in force, {permit_in_force}")
+        super().__init__(f"{machine}: permit {permit_number} is not the permit in force, {permit_in_force}")
 
 
 class InvalidMessageError(MaintenanceError, ValueError):
-    """A message between servers does not have the form of a report or of its answer."""
+    """A message between servers is neither a report nor an answer to one."""
 
     def __init__(self) -> None:
-        super().__init__("not a report of a machine nor the answer to one")
+        super().__init__("neither a report of a machine nor an answer to one")
 
 
 class TooManyMachinesError(MaintenanceError, ValueError):
-    """An exact search was asked for more machines than it can go through.
+    """There are too many machines for an exhaustive search.
 
     Attributes:
-        count: Machines that were given.
+        count: Number of machines.
     """
 
     def __init__(self, count: int) -> None:
         self.count = count
-        super().__init__(f"{count} machines are too many to go through all orders")
+        super().__init__(f"{count} machines are too many for an exhaustive search")
 
 
 class InvalidSettingError(MaintenanceError, ValueError):
-    """A key of the table `[upkeep]` has a value that can't be used.
+    """A key of the table `[upkeep]` has an invalid value.
 
     Attributes:
         key: Name of the key.
@@ -73,33 +73,33 @@
 
 
 class NotLeaderError(MaintenanceError, ValueError):
-    """An operator's call that only the leader can answer reached another server.
+    """An operator call that only the leader can answer reached another server.
 
     Attributes:
-        leader: Name of the leader, empty where none is known.
+        leader: Name of the leader; empty if none is known.
     """
 
     def __init__(self, leader: str) -> None:
         self.leader = leader
-        super().__init__(f"it does not lead: ask {leader or 'a voter'}")
+        super().__init__(f"this server is not the leader: call {leader or 'another voter'}")
 
 
 class ProposalRejectedError(MaintenanceError, ValueError):
-    """The consensus group takes no entry just now."""
+    """The consensus group did not accept a proposal."""
 
     def __init__(self) -> None:
-        super().__init__("the agreement takes nothing just now")
+        super().__init__("the consensus group accepts no proposals at present")
 
 
 class InvalidCallError(MaintenanceError, ValueError):
-    """An operator's call has parameters that can't be used; the text says which are expected."""
+    """An operator call has invalid parameters; the text says which are expected."""
 
 
 class MachineCountError(InvalidCallError):
-    """A call names no machine, or too many.
+    """A call names no machine or too many.
 
     Attributes:
-        max_count: Machines that one call may name.
+        max_count: Maximum number of machines in one call.
     """
 
     def __init__(self, max_count: int) -> None:
@@ -108,26 +108,29 @@
 
 
 class RequestLimitsError(InvalidCallError):
-    """A request has a name, a duration or an urgency out of its range.
+    """A request has a name, a duration or an urgency out of range.
 
     Attributes:
-        machine: The name as it was given, cut off where it is too long.
+        machine: Name as given, truncated to the maximum length.
     """
 
     def __init__(self, machine: str) -> None:
         self.machine = machine
-        super().__init__(f"{machine}: minutes to 100000 and an urgency to 100 are expected")
+        super().__init__(
+            f"{machine}: a name of 1 to 32 characters, minutes above 0 and up to 100000, "
+            "and an urgency above 0 and up to 100 are expected"
+        )
 
 
 class RequestFormError(InvalidCallError):
-    """A request is not a row of the values that are expected."""
+    """A request is not a row of the expected values."""
 
     def __init__(self) -> None:
         super().__init__("a row is name, minutes, urgency, not_before, not_after, alone, group")
 
 
 class PauseReasonError(InvalidCallError):
-    """A pause was requested with something else than one text."""
+    """The parameters of a pause are not exactly one text."""
 
     def __init__(self) -> None:
         super().__init__("a reason is expected, or nothing to go on")
--- a/landingshift/maintenance/fleet_view.py
+++ b/landingshift/maintenance/fleet_view.py
@@ -1,7 +1,7 @@
-"""The fleet as the leader sees it: latest reports, and what is lost without a plan.
+"""The leader's view of the fleet: the latest reports, and the capacity lost without a plan.
 
-Reports are kept by the leader alone and end with its term; the facts of a machine are in the replicated
-state. A machine of that state which has not reported to this leader counts as lost.
+Reports are kept by the leader only, for its term; the facts of the machines are in the replicated state. A
+machine of the replicated state that has not reported to this leader counts as lost.
 """
 
 from __future__ import annotations
@@ -14,42 +14,42 @@
 from landingshift.maintenance.replicated_state import MaintenanceState
 
 MAX_SILENCE_MS = 6000.0
-"""How long a machine may not report before it counts as lost."""
+"""Time without a report after which a machine counts as lost."""
 MAX_REPORTS_COUNT = 10_000
 NEVER_MS = -1e9
 
 
 @dataclass(slots=True, eq=False)
 class MachineReport:
-    """The latest report of a machine. Times are monotonic ms of the leader."""
+    """Latest report of a machine. Times are monotonic ms of the leader."""
 
     machine: Machine
     run_id: int
-    """Number of the process that reported."""
+    """Run ID of the process that reported."""
     warm_fraction: float
     rpcs_per_second: float
     received_at_ms: float
     draining_permit: int
-    """The permit by which it is leaving; 0 where it stays."""
+    """Permit under which the process drains; 0 if it does not."""
     used_permit: int
-    """The permit by which its earlier process left, as its disk has it; 0 without one."""
+    """Permit under which the previous process drained, read from disk; 0 if none is recorded."""
     ok_count: float
-    """Answers that were ok since its start."""
+    """RPCs answered ok since the start of the process."""
     answered_count: float
-    """All answers since its start."""
+    """RPCs answered since the start of the process."""
     offered_at_ms: float = NEVER_MS
-    """When it was last offered its permit."""
+    """Time at which the permit was last offered to the process."""
 
     def is_silent(self, now_ms: float) -> bool:
-        """Returns whether it is so old that the machine may be lost."""
+        """Returns whether the report is so old that the machine counts as lost."""
         return now_ms - self.received_at_ms > MAX_SILENCE_MS
 
 
 class FleetView:
-    """Reports of one term.
+    """Reports received during one term.
 
     Attributes:
-        reports: The latest report of each machine, in the order of their first ones.
+        reports: Latest report of each machine by name, in the order of the first reports.
         voters: Names of the voters of the consensus group.
     """
 
@@ -60,13 +60,13 @@
         self.voters: list[str] = []
 
     def clear(self) -> None:
-        """Forgets all reports, at the beginning of a term."""
+        """Discards all reports at the start of a term."""
         self.reports = {}
 
     def record(
         self, machine: Machine, run_id: int, report: LoadReport, now_ms: float
     ) -> MachineReport | None:
-        """Keeps a report; None where there are too many machines to keep another."""
+        """Records and returns a report; None if it is from a new machine and there are too many already."""
         if machine.name not in self.reports and len(self.reports) >= MAX_REPORTS_COUNT:
             return None
         status = report.status
@@ -88,11 +88,11 @@
         return recorded
 
     def has_left(self, name: str) -> bool:
-        """Returns whether membership sees a machine no more."""
+        """Returns whether a machine has left the membership or is unknown to it."""
         return self._environment.has_left(name)
 
     def missing_machines(self) -> list[Machine]:
-        """Returns machines of the replicated state that have not reported to this leader."""
+        """Returns the machines of the replicated state that have not reported to this leader."""
         return [
             Machine(
                 name=name,
@@ -107,7 +107,10 @@
         ]
 
     def lost_fractions(self, now_ms: float) -> dict[str, float]:
-        """Returns by name the fraction that is out of service without a plan: silent, gone or cold."""
+        """Returns the fraction of each machine that is unavailable without a plan, by name.
+
+        A machine that is silent or has left the membership is fully unavailable, a cold one in part.
+        """
         lost = {}
         for name, report in self.reports.items():
             if self._is_planned(name):
@@ -122,14 +125,15 @@
         return lost
 
     def current_demand(self, now_ms: float) -> float:
-        """Returns the RPCs a second that machines reported of late.
+        """Returns the sum of the recently reported loads, in RPCs per second.
 
-        One that has just left counts too: others report what they took over only with their next reports.
+        A machine that has just left counts too, because the machines that took over its load show it only in
+        their next reports.
         """
         return sum(report.rpcs_per_second for report in self.reports.values() if not report.is_silent(now_ms))
 
     def constraints(self, budget: DisruptionBudget, demand: float) -> CapacityConstraints:
-        """Returns the constraints of the whole fleet at a demand of so many RPCs a second."""
+        """Returns the capacity constraints of all known machines at a demand in RPCs per second."""
         machines = [report.machine for report in self.reports.values()]
         return CapacityConstraints([*machines, *self.missing_machines()], budget, demand)
 
--- a/landingshift/maintenance/messages.py
+++ b/landingshift/maintenance/messages.py
@@ -1,4 +1,4 @@
-"""Messages between a server and the leader, as types; `wire` has the form in which they are sent."""
+"""Messages between a server and the leader; `wire` encodes them."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerStatus:
-    """What a server says of itself."""
+    """Status of a server."""
 
     capacity: float
-    """RPCs a second that it serves when warm."""
+    """Capacity of the server when warm, in RPCs per second."""
     model: str
-    """Model of its machine."""
+    """Hardware model of the machine."""
     serves_critical_methods: bool
     warm_fraction: float
-    """Fraction of its capacity that it serves now."""
+    """Fraction of the capacity that is in service now."""
     rpcs_per_second: float
-    """RPCs that it received of late."""
+    """Rate of RPCs received in the last window of the traffic meter."""
     ok_count: float
-    """Answers that were ok since its start."""
+    """RPCs answered ok since the start of the process."""
     answered_count: float
-    """All answers since its start."""
+    """RPCs answered since the start of the process."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,12 +29,12 @@
     """A server's report to the leader."""
 
     sequence: int
-    """Number of the report, which the answer names."""
+    """Sequence number of the report, repeated in the answer."""
     status: ServerStatus
     draining_permit: int
-    """The permit by which it is leaving; 0 where it stays."""
+    """Permit under which the process drains; 0 if it does not."""
     used_permit: int
-    """The permit by which its earlier process left; 0 where its disk has none."""
+    """Permit under which the previous process drained, read from disk; 0 if none is recorded."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +43,7 @@
 
     sequence: int
     request_state: str
-    """Stored value of the state of the server's request; empty where it has none."""
+    """Stored value of the state of the server's request; empty without a request."""
     permit_number: int
     valid_ms: float
-    """For how long after the report was sent the server may leave; 0 where it may not."""
+    """Time after the report was sent within which the server may start to drain; 0 if it may not."""
--- a/landingshift/maintenance/operator_calls.py
+++ b/landingshift/maintenance/operator_calls.py
@@ -1,6 +1,7 @@
-"""Operators' calls: their parameters, answers and errors, by names that the commands know.
+"""Operator calls: their handlers, parameters, answers and errors.
 
-Every voter answers; what changes something, or needs reports, is for the leader alone.
+Every voter answers `status` and `history`; the other calls propose commands or need the reports of the
+machines, so only the leader answers them.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 from landingshift.maintenance.requests import MaintenanceRequest, RequestState, unavailable_fractions
 
 MAX_MACHINES_COUNT = 500
-"""Machines in one call."""
+"""Maximum number of machines in one call."""
 MAX_NAME_LENGTH = 32
 MAX_GROUP_LENGTH = 32
 MAX_REASON_LENGTH = 300
@@ -32,19 +33,19 @@
 
 
 class OperatorEnvironment(CoordinatorEnvironment, Protocol):
-    """What the calls need beside the coordinator's own environment."""
+    """Environment of the coordinator, extended by what the operator calls need."""
 
     def leader_name(self) -> str:
-        """Returns the name of the leader, empty where none is known."""
+        """Returns the name of the leader; empty if none is known."""
         ...
 
     def monotonic_ms(self) -> float:
-        """Returns ms of this server's monotonic clock."""
+        """Returns the current monotonic time of this server in ms."""
         ...
 
 
 class OperatorCalls:
-    """The calls that a voter answers."""
+    """Handlers of the operator calls on a voter."""
 
     def __init__(self, coordinator: MaintenanceCoordinator, environment: OperatorEnvironment) -> None:
         self._coordinator = coordinator
@@ -52,7 +53,7 @@
         self._environment = environment
 
     def handlers(self) -> dict[str, Callable[[list[Any]], Any]]:
-        """Returns the calls by the names that operators' commands use."""
+        """Returns the handlers by the call names that the command line uses."""
         return {
             "upkeep_ask": self.request_maintenance,
             "upkeep_cancel": self.cancel,
@@ -69,12 +70,12 @@
             params: Rows of name, minutes, urgency, not_before, not_after, alone and group.
 
         Returns:
-            How many machines were requested.
+            Number of machines requested.
 
         Raises:
             NotLeaderError: This server does not lead.
-            InvalidCallError: A row has another form, or a value out of its range.
-            ProposalRejectedError: The consensus group takes nothing just now.
+            InvalidCallError: The number of rows, the form of a row or a value is invalid.
+            ProposalRejectedError: The consensus group did not accept the proposal.
         """
         self._require_leader()
         now_ms = self._environment.wall_clock_ms()
@@ -86,13 +87,13 @@
         return len(requests)
 
     def cancel(self, params: list[Any]) -> int:
-        """Cancels requests that no permit was issued for.
+        """Cancels requests without a permit.
 
         Args:
-            params: The reason, then names of machines.
+            params: The reason, then the names of the machines.
 
         Returns:
-            How many requests could still be cancelled.
+            Number of requests whose cancellation was proposed.
 
         Raises:
             NotLeaderError: This server does not lead.
@@ -115,10 +116,13 @@
         return cancelled
 
     def pause(self, params: list[Any]) -> bool:
-        """Pauses the issue of permits for a reason, or resumes it where the reason is empty.
+        """Pauses the issue of permits with a reason, or resumes it if the reason is empty.
+
+        Args:
+            params: The reason.
 
         Returns:
-            Whether the consensus group took it.
+            Whether the consensus group accepted the proposal.
 
         Raises:
             NotLeaderError: This server does not lead.
@@ -131,7 +135,7 @@
         raise PauseReasonError
 
     def status(self, _params: list[Any]) -> dict[str, Any]:
-        """Returns all requests, and on the leader what it waits for."""
+        """Returns all open requests and, on the leader, the fleet's state and why no permit is issued."""
         now_ms = self._environment.monotonic_ms()
         requests = self._state.requests.values()
         is_leader = self._environment.is_leader(now_ms)
@@ -145,7 +149,7 @@
         return answer
 
     def plan(self, _params: list[Any]) -> dict[str, Any]:
-        """Returns which machine would leave when, at the present demand.
+        """Returns when each requested machine would drain at the expected demand, and the lowest capacity.
 
         Raises:
             NotLeaderError: This server does not lead.
@@ -163,7 +167,7 @@
         }
 
     def history(self, _params: list[Any]) -> list[dict[str, Any]]:
-        """Returns the requests that ended."""
+        """Returns the ended requests, the latest last."""
         return [
             {
                 "name": ended.name,
--- a/landingshift/maintenance/permit.py
+++ b/landingshift/maintenance/permit.py
@@ -1,8 +1,8 @@
-"""A permit to leave, as the machine that holds it sees it.
+"""A permit to drain, on the machine that holds it.
 
-Guarantee: a machine leaves at most once by each permit, and never after the time at which the leader takes
-the permit for expired. The machine counts from when it asked, by its own monotonic clock, so that neither
-slow messages nor a process that was stopped can extend it.
+Guarantee: a machine starts to drain at most once under each permit, and never after the time at which the
+leader considers the permit expired. The validity counts from the time at which the machine sent its report,
+by the machine's monotonic clock, so neither a delayed message nor a stopped process can extend it.
 """
 
 from __future__ import annotations
@@ -12,23 +12,23 @@
 
 @dataclass(slots=True)
 class DrainPermit:
-    """The latest permit that a machine was offered. Times are ms of its monotonic clock."""
+    """Latest permit offered to a machine. Times are ms of the machine's monotonic clock."""
 
     number: int = 0
-    """Number of the permit, which only grows; 0 where it was never offered one."""
+    """Number of the permit, which never decreases; 0 before the first offer."""
     expires_at_ms: float = 0.0
     is_used: bool = False
 
     def offer(self, number: int, reported_at_ms: float, valid_ms: float) -> bool:
-        """Takes a permit, or the same one once more with a later expiry.
+        """Accepts a permit, or extends the current one when it is offered again.
 
         Args:
-            number: The permit's number.
-            reported_at_ms: When the machine sent the report that this answers.
-            valid_ms: For how long after that it may be used.
+            number: Number of the permit.
+            reported_at_ms: Time at which the machine sent the report that the offer answers.
+            valid_ms: Time after the report within which the permit may be used.
 
         Returns:
-            False for a permit that is older than the present one or was used already.
+            Whether the offer was accepted: False for a permit older than the current one or already used.
         """
         if number < self.number:
             return False
@@ -44,10 +44,10 @@
         return True
 
     def is_valid(self, now_ms: float) -> bool:
-        """Returns whether the machine may leave now; to be asked once, just before it drains."""
+        """Returns whether the machine may drain now; to be checked immediately before the drain."""
         return self.number > 0 and now_ms < self.expires_at_ms
 
     def consume(self) -> None:
-        """Makes sure that no later offer of the same permit is taken."""
+        """Marks the permit as used, so that later offers of it are rejected."""
         self.expires_at_ms = 0.0
         self.is_used = True
--- a/landingshift/maintenance/permit_file.py
+++ b/landingshift/maintenance/permit_file.py
@@ -1,4 +1,7 @@
-"""The file in which a server keeps by which permit it left, for its next process: `name number`."""
+"""File in which a server records the permit under which it drained, for its next process.
+
+The content is the server's name and the number of the permit: `name number`.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,10 @@
 
 
 def read_used_permit(path: str, name: str) -> int:
-    """Returns the permit by which the earlier process of the server `name` left; 0 where nothing says so."""
+    """Returns the permit under which the previous process of the server `name` drained.
+
+    Returns 0 if the file is missing, is invalid or belongs to another server.
+    """
     try:
         with open(path) as file:
             recorded_name, number = file.read(MAX_BYTES).split()
@@ -18,7 +24,7 @@
 
 
 def write_used_permit(path: str, name: str, permit_number: int) -> None:
-    """Writes the file so that it is either the old or the new one, whenever the process ends.
+    """Replaces the file atomically, so that a crash leaves either the old or the new content.
 
     Raises:
         OSError: The file could not be written.
--- a/landingshift/maintenance/planner.py
+++ b/landingshift/maintenance/planner.py
@@ -1,8 +1,8 @@
-"""Who leaves next: a greedy selection within the capacity constraints.
+"""Selects the next machines to drain: a greedy selection within the capacity constraints.
 
-Guarantee: nobody is selected that would violate a constraint, and a request that waits long enough comes
-first. Failure mode: greedy selection takes machines whole, so that the last ones may take more rounds than
-the best order would (`schedule_bounds` compares them).
+Guarantee: no selected machine violates a constraint, and the priority of a request grows while it waits, so
+that it eventually comes first. Limitation: since machines are indivisible, a greedy selection may need more
+rounds for the last machines than the best order does (`schedule_bounds` compares the two).
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 MS_PER_MINUTE = 60_000.0
 MAX_SELECTED_COUNT = 1000
 EQUAL_PRIORITY_RATIO = 0.999
-"""Requests whose priority is at least this share of the highest one count as equal."""
+"""Requests whose priority is at least this fraction of the highest priority count as equal to it."""
 
 
 def priority(request: MaintenanceRequest, now_ms: float, warm_up_minutes: float) -> float:
-    """Returns the weight of a request: urgent and long-waiting ones first, of those alike the shortest.
+    """Returns the priority of a request; it grows with urgency and waiting time and falls with the duration.
 
     Args:
         request: The request.
-        now_ms: Unix ms; may be before the request was made, where a wall clock was set back.
-        warm_up_minutes: From a restart until the machine is warm.
+        now_ms: Current Unix time in ms; earlier than the request if the wall clock was set back.
+        warm_up_minutes: Time from a restart until the machine is warm.
     """
     waited_minutes = max(0.0, now_ms - request.requested_at_ms) / MS_PER_MINUTE + 1.0
     return request.urgency * waited_minutes / (request.duration_minutes + warm_up_minutes)
@@ -39,17 +39,17 @@
     now_ms: float,
     warm_up_minutes: float = 1.0,
 ) -> list[str]:
-    """Returns the machines that may leave now, the first first; none while a constraint is violated.
+    """Returns the machines that may drain now, in order; none while a constraint is violated.
 
-    A group leaves as a whole or waits. An exclusive request is served only where nobody is out of service,
-    and holds the others back once it has the highest priority.
+    The machines of a group drain together or not at all. An exclusive request is selected only while no
+    machine is out of service; once it has the highest priority, no other request is selected before it.
 
     Args:
-        requests: All requests by name of the machine.
-        constraints: What must stay in service.
-        lost: By name the fraction that is out of service without a plan.
-        now_ms: Unix ms.
-        warm_up_minutes: From a restart until a machine is warm.
+        requests: All requests by machine name.
+        constraints: Capacity that must stay in service.
+        lost: Fraction of each machine that is unavailable without a plan, by name.
+        now_ms: Current Unix time in ms.
+        warm_up_minutes: Time from a restart until a machine is warm.
     """
     unavailable = unavailable_fractions(requests.values(), lost)
     if constraints.violation(unavailable):
@@ -76,10 +76,10 @@
     """One run of the greedy selection.
 
     Attributes:
-        queue: Requests not looked at yet, by priority.
-        chosen: Names selected so far.
-        unavailable: What is out of service once the chosen ones are.
-        margins: What each limit has left then.
+        queue: Requests not considered yet, highest priority first.
+        selected: Names of the machines selected so far.
+        unavailable: Unavailable fraction of each machine, by name, once the selected machines have drained.
+        margins: Capacity above each limit's minimum at that point.
     """
 
     def __init__(
@@ -92,38 +92,38 @@
         self.constraints = constraints
         self.priorities = priorities
         self.queue = sorted(eligible, key=lambda request: (-priorities[request.name], request.name))
-        self.chosen: list[str] = []
+        self.selected: list[str] = []
         self.unavailable = unavailable
         self.margins = constraints.margins(unavailable)
         self.rounds = rounds_needed([request.name for request in eligible], constraints)
         self.zone_counts: dict[str, int] = {}
-        """Machines out of service by zone."""
+        """Number of machines out of service, by zone."""
         self._count_zones(name for name in unavailable if name in constraints.machines)
 
     def run(self) -> list[str]:
-        """Selects until nothing more fits."""
-        while self.queue and len(self.chosen) < MAX_SELECTED_COUNT:
+        """Selects machines until no other one fits, and returns their names."""
+        while self.queue and len(self.selected) < MAX_SELECTED_COUNT:
             if not self._fits_smallest():
                 break
             first = self._next_candidate()
             group = self._pop_group(first)
-            if first.is_exclusive and (self.unavailable or self.chosen):
+            if first.is_exclusive and (self.unavailable or self.selected):
                 if self._has_highest_priority(first):
-                    break  # the others wait, so that it is not passed over for ever
+                    break  # the other requests wait, so that the exclusive one is not starved
                 continue
             if self._admit([request.name for request in group]) and first.is_exclusive:
                 break
-        return self.chosen
+        return self.selected
 
     def _fits_smallest(self) -> bool:
         smallest = min(self.constraints.machines[request.name].capacity for request in self.queue)
         return self.margins[0] >= smallest - CAPACITY_TOLERANCE
 
     def _next_candidate(self) -> MaintenanceRequest:
-        """Returns the next one of the highest priority.
+        """Returns the next request among those of the highest priority.
 
-        Among equals the one whose limit needs most rounds, as the last of those ends everything; then the
-        zone with fewest machines out of service.
+        Ties go to the machine whose tightest limit needs the most rounds, since that limit determines when
+        all work ends, then to the zone with the fewest machines out of service.
         """
         min_priority = EQUAL_PRIORITY_RATIO * self.priorities[self.queue[0].name]
         equals = [request for request in self.queue if self.priorities[request.name] >= min_priority]
@@ -151,7 +151,7 @@
             return False
         self.margins = margins
         self.unavailable = self.unavailable | dict.fromkeys(names, 1.0)
-        self.chosen += names
+        self.selected += names
         self._count_zones(names)
         return True
 
@@ -162,18 +162,18 @@
 
 
 def rounds_needed(names: list[str], constraints: CapacityConstraints) -> dict[str, float]:
-    """Returns for each machine the rounds that its tightest limit needs for all of `names`.
+    """Returns, for each machine, how many rounds its tightest limit needs for all of `names`.
 
-    The limit of the whole fleet is left out: its slack moves with the demand.
+    The limit of the whole fleet is left out because its slack varies with the demand.
     """
     rounds = dict.fromkeys(names, 0.0)
     for limit in constraints.group_limits:
         members = [name for name in names if name in limit.members]
         slack = constraints.capacity({}, limit.members) - limit.min_capacity
         if members and slack > 0.0:
-            exact = sum(constraints.machines[name].capacity for name in members) / slack
+            rounds_exact = sum(constraints.machines[name].capacity for name in members) / slack
             for name in members:
-                rounds[name] = max(rounds[name], float(ceil(exact - CAPACITY_TOLERANCE)))
+                rounds[name] = max(rounds[name], float(ceil(rounds_exact - CAPACITY_TOLERANCE)))
     max_voters_out = len(constraints.voters) - constraints.min_voters
     if max_voters_out:
         voters = [name for name in names if name in constraints.voters]
@@ -189,15 +189,15 @@
     is_known: bool = False,
     is_fleet_complete: bool = True,
 ) -> str:
-    """Returns why a request can never be met, so that it is rejected; empty where it may be met later.
+    """Returns why a request can never be granted, for its rejection; empty if it may be granted later.
 
     Args:
-        request: The request, which no permit was issued for.
-        constraints: What must stay in service.
-        now_ms: Unix ms.
-        is_known: Membership knows the machine, though it may report nothing just now.
-        is_fleet_complete: No machine is missing. While a zone is down its machines, and those that depend on
-            it, are not beyond hope.
+        request: A request without a permit.
+        constraints: Capacity that must stay in service.
+        now_ms: Current Unix time in ms.
+        is_known: Whether membership knows the machine, even if it does not report at present.
+        is_fleet_complete: Whether no machine is missing. While a zone is down, the group limits are not
+            evidence that a request can never be granted.
     """
     if now_ms >= request.not_after_ms:
         return "its time is over"
@@ -211,9 +211,9 @@
     constraints: CapacityConstraints,
     lost: Mapping[str, float],
 ) -> list[str]:
-    """Returns whose unused permits are to be withheld until all constraints hold, the youngest first.
+    """Returns the machines whose unused permits must be withheld for all constraints to hold, newest first.
 
-    A machine that drains already goes on.
+    A machine that is already draining is not stopped.
     """
     unavailable = unavailable_fractions(requests.values(), lost)
     withheld: list[str] = []
@@ -232,11 +232,11 @@
     lost: Mapping[str, float],
     warm_up_minutes: float,
 ) -> tuple[list[tuple[str, float, float]], float]:
-    """Plays the selection through at the present demand.
+    """Simulates the selection of all waiting requests at the demand of `constraints`.
 
     Returns:
-        (name, minute in which it leaves, minute in which it is warm again) of each request, and the least
-        capacity in service at any time.
+        A tuple (name, minute at which it drains, minute at which it is warm again) for each request, and the
+        lowest capacity in service at any time.
     """
     waiting = {
         name: replace(request, not_before_ms=0.0)
--- a/landingshift/maintenance/replicated_state.py
+++ b/landingshift/maintenance/replicated_state.py
@@ -1,7 +1,7 @@
-"""Replicated state machine of maintenance: requests, permits, the pause, machines and the demand by day.
+"""Replicated state machine of maintenance: requests, permits, the pause, machines and the daily demand.
 
-Guarantee: permit numbers only grow and a machine has one permit at a time, whoever leads. A command that no
-longer fits when its turn comes changes nothing, so that leaders may propose it again.
+Guarantee: permit numbers only grow, and a machine holds at most one permit at a time, across leader changes.
+A command that is no longer valid when it is applied changes nothing, so leaders may propose it repeatedly.
 """
 
 from __future__ import annotations
@@ -34,21 +34,22 @@
 )
 
 MAX_REQUESTS_COUNT = 2000
-"""Requests, and machines, that are kept at once; further ones are dropped."""
+"""Maximum number of open requests, and of machines; further ones are dropped."""
 MAX_HISTORY_COUNT = 500
 
 
 class MaintenanceState:
-    """What all voters agree on.
+    """State on which all voters agree.
 
     Attributes:
         last_permit_number: Number of the latest permit; 0 before the first.
-        pause_reason: Why no permits are issued; empty where they are.
-        requests: Requests that have not ended, by machine, in the order in which they were made.
-        permitted_run_ids: By machine the process that its permit was issued to.
-        history: Requests that ended, the latest last.
-        demand_profile: Demand of the last day.
-        machines: Facts of all machines, so that a new leader counts those that have not reported to it yet.
+        pause_reason: Why the issue of permits is paused; empty if it is not.
+        requests: Open requests by machine name, in the order in which they were first made.
+        permitted_run_ids: Run ID of the process that the permit was issued to, by machine name.
+        history: Ended requests, the latest last.
+        demand_profile: Demand of the last 24 hours.
+        machines: Facts of all machines by name, so that a new leader counts machines that have not reported
+            to it yet.
     """
 
     def __init__(self) -> None:
@@ -61,7 +62,7 @@
         self.machines: dict[str, MachineFacts] = {}
 
     def apply(self, data: bytes) -> None:
-        """Applies an entry of the replicated log."""
+        """Applies an entry of the replicated log; ignores commands that this build does not know."""
         match decode_command(data):
             case AddRequests(requests):
                 for request in requests:
@@ -81,7 +82,7 @@
                 self.demand_profile.record(quarter, rpcs_per_second)
 
     def snapshot(self) -> bytes:
-        """Returns a snapshot."""
+        """Returns a snapshot of the whole state."""
         requests = [
             stored_request(request, self.permitted_run_ids.get(request.name, 0))
             for request in self.requests.values()
@@ -97,7 +98,7 @@
         return encode_snapshot(stored)
 
     def restore(self, state: bytes) -> None:
-        """Takes the place of everything by a snapshot."""
+        """Replaces the whole state by a snapshot."""
         stored = decode_snapshot(state)
         self.last_permit_number = stored.last_permit_number
         self.pause_reason = stored.pause_reason
@@ -114,9 +115,9 @@
                 self.permitted_run_ids[row.name] = row.permitted_run_id
 
     def _add_request(self, request: MaintenanceRequest) -> None:
-        """Adds or replaces a request; one that has a permit stays as it is.
+        """Adds a request or replaces an existing one that has no permit yet.
 
-        A repeated request keeps the time of the first one, so that asking again costs no priority.
+        A repeated request keeps the time of the first one, so that repeating it costs no priority.
         """
         existing = self.requests.get(request.name)
         if existing is None:
@@ -145,7 +146,7 @@
         try:
             request.transition(change.new_state, change.permit_number)
         except (InvalidTransitionError, StalePermitError):
-            return  # proposed twice, or too late
+            return  # a duplicate, or no longer valid
         request.reason = change.reason
         if change.new_state is RequestState.REQUESTED:
             request.permit_number = 0
--- a/landingshift/maintenance/request_progress.py
+++ b/landingshift/maintenance/request_progress.py
@@ -1,8 +1,8 @@
-"""Rules by which the leader moves a request on: by a report of its machine, or by its silence.
+"""Rules by which the leader advances a request: on a report of its machine, or when reports are missing.
 
-Guarantee: a permit is revoked only after its machine has reported, past the latest time at which it could
-have used the permit, that it is not draining. Failure mode: a machine that falls silent with a permit counts
-as out of service until it reports again.
+Guarantee: a permit is revoked only after its machine has reported that it is not draining, in a report
+received after the latest time at which the machine could have used the permit. A machine that stops
+reporting while it holds a permit counts as out of service until it reports again.
 """
 
 from __future__ import annotations
@@ -13,12 +13,15 @@
 from landingshift.maintenance.requests import MaintenanceRequest, RequestState
 
 CLOCK_DRIFT_FRACTION = 0.02
-"""By how much a machine's monotonic clock may run slower than the leader's; as in `coldstart.leases`."""
+"""Largest fraction by which a machine's clock may run slower than the leader's; as in `coldstart.leases`."""
 
 
 @dataclass(frozen=True, slots=True)
 class Transition:
-    """A state that a request is to enter, and why."""
+    """State that a request must enter, and the reason.
+
+    The reason is stored in the replicated log and shown to operators, so its texts are fixed.
+    """
 
     new_state: RequestState
     reason: str = ""
@@ -27,12 +30,12 @@
 def transition_on_report(
     request: MaintenanceRequest, report: MachineReport, permitted_run_id: int | None
 ) -> Transition | None:
-    """Returns the transition that a report proves.
+    """Returns the transition that a report calls for, if any.
 
     Args:
-        request: The machine's request.
-        report: Its latest report.
-        permitted_run_id: The process that the permit was issued to.
+        request: Request of the machine.
+        report: Latest report of the machine.
+        permitted_run_id: Run ID of the process that the permit was issued to.
     """
     is_same_process = permitted_run_id == report.run_id
     match request.state:
@@ -54,14 +57,14 @@
 def transition_on_silence(
     request: MaintenanceRequest, is_silent: bool, has_reported: bool, has_left: bool, is_leader_settled: bool
 ) -> Transition | None:
-    """Returns the transition of a machine that drains or warms up and does not report any more.
+    """Returns the transition of a machine that stopped reporting while it drained or warmed up, if any.
 
     Args:
-        request: The machine's request.
-        is_silent: It has not reported for `MAX_SILENCE_MS`.
-        has_reported: It has reported to this leader.
-        has_left: Membership sees it no more.
-        is_leader_settled: This leader has led long enough for all machines to have reported.
+        request: Request of the machine.
+        is_silent: Whether the machine has not reported for `MAX_SILENCE_MS`.
+        has_reported: Whether the machine has reported to this leader.
+        has_left: Whether the machine has left the membership.
+        is_leader_settled: Whether this leader has led long enough for all machines to have reported.
     """
     match request.state:
         case RequestState.DRAINING if has_left or is_silent:
@@ -79,19 +82,19 @@
     permit_grace_ms: float,
     now_ms: float,
 ) -> bool:
-    """Returns whether a permit can't be used any more, by its machine's clock either.
+    """Returns whether a permit has expired unused, even by the clock of its machine.
 
     Args:
-        request: A request whose permit was issued.
-        report: The machine's latest report.
-        leader_since_ms: When this leader's term began; a leader before it may have offered the permit until
-            then.
-        permit_valid_ms: For how long an offer may be used.
-        permit_grace_ms: How long to wait after that.
-        now_ms: Monotonic ms of the leader.
+        request: Request in state `PERMITTED`.
+        report: Latest report of the machine.
+        leader_since_ms: Start of this leader's term, until which the previous leader may have offered the
+            permit.
+        permit_valid_ms: Time after an offer within which the permit may be used.
+        permit_grace_ms: Further time to wait.
+        now_ms: Current monotonic time of the leader in ms.
     """
     if report is None or report.is_silent(now_ms):
-        return False  # it may have left: its disk says so once it is back
+        return False  # it may have drained; the permit file on its disk shows it once the machine is back
     offered_at_ms = max(leader_since_ms, report.offered_at_ms)
     lapses_at_ms = offered_at_ms + permit_valid_ms * (1.0 + CLOCK_DRIFT_FRACTION) + permit_grace_ms
     return report.received_at_ms > lapses_at_ms and report.draining_permit != request.permit_number
--- a/landingshift/maintenance/requests.py
+++ b/landingshift/maintenance/requests.py
@@ -1,7 +1,7 @@
-"""A machine's request for maintenance and its states, with one table of the legal transitions.
+"""Maintenance requests, their states, and the table of legal transitions.
 
-A request moves only along `TRANSITIONS`; a transition that its machine brings about must name the permit in
-force. A stale or repeated command therefore fails with a typed error and never moves a request twice.
+A request changes state only along `TRANSITIONS`, and a transition initiated by its machine must carry the
+permit in force. A stale or repeated command therefore fails with a typed error and is never applied twice.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 
 
 class RequestState(Enum):
-    """How far a request is. The values are stored and sent."""
+    """State of a request. The values are stored, and sent to servers and operators."""
 
     REQUESTED = "wished"
     PERMITTED = "permitted"
-    """The machine may leave, if it does so before its permit expires."""
+    """The machine may start to drain until its permit expires."""
     DRAINING = "draining"
     OUT_OF_SERVICE = "out"
     RETURNING = "returning"
-    """Its process is back, but gateways do not know it yet."""
+    """The process has restarted, but gateways may not route to it yet."""
     WARMING_UP = "warming"
     COMPLETED = "done"
     CANCELLED = "cancelled"
@@ -32,7 +32,7 @@
 
 
 class Initiator(Enum):
-    """Who brings a transition about."""
+    """Party that initiates a transition."""
 
     LEADER = "leader"
     OPERATOR = "operator"
@@ -44,15 +44,15 @@
     (RequestState.REQUESTED, RequestState.CANCELLED): Initiator.OPERATOR,
     (RequestState.REQUESTED, RequestState.REJECTED): Initiator.LEADER,
     (RequestState.PERMITTED, RequestState.DRAINING): Initiator.MACHINE,
-    # The permit expired unused, or its process was restarted.
+    # The permit expired unused, or the process restarted before it drained.
     (RequestState.PERMITTED, RequestState.REQUESTED): Initiator.LEADER,
     (RequestState.PERMITTED, RequestState.CANCELLED): Initiator.OPERATOR,
     (RequestState.DRAINING, RequestState.OUT_OF_SERVICE): Initiator.MACHINE,
-    # Killed while it drained, and started again.
+    # The process was killed while it drained, and restarted.
     (RequestState.DRAINING, RequestState.RETURNING): Initiator.MACHINE,
     (RequestState.OUT_OF_SERVICE, RequestState.RETURNING): Initiator.MACHINE,
     (RequestState.RETURNING, RequestState.WARMING_UP): Initiator.MACHINE,
-    # It crashed on its way back.
+    # The machine crashed after its restart.
     (RequestState.RETURNING, RequestState.OUT_OF_SERVICE): Initiator.MACHINE,
     (RequestState.WARMING_UP, RequestState.COMPLETED): Initiator.MACHINE,
     (RequestState.WARMING_UP, RequestState.OUT_OF_SERVICE): Initiator.MACHINE,
@@ -60,50 +60,50 @@
 
 FINAL_STATES = (RequestState.COMPLETED, RequestState.CANCELLED, RequestState.REJECTED)
 UNAVAILABLE_STATES = (
-    RequestState.PERMITTED,  # it may leave at any moment
+    RequestState.PERMITTED,  # the machine may start to drain at any moment
     RequestState.DRAINING,
     RequestState.OUT_OF_SERVICE,
     RequestState.RETURNING,
 )
-"""States in which a machine counts as out of service with all its capacity."""
+"""States in which the whole capacity of a machine counts as unavailable."""
 
 
 @dataclass(slots=True)
 class MaintenanceRequest:
-    """One machine that operators want to take out of service. Times are Unix ms of the leader's clock."""
+    """A request to take one machine out of service. Times are Unix ms unless stated otherwise."""
 
     name: str
     duration_minutes: float
-    """How long the work is expected to take."""
+    """Expected duration of the work."""
     requested_at_ms: float
     urgency: float = 1.0
-    """Weight of the time waited: 2 goes before 1 that has waited as long."""
+    """Weight of the waiting time: of two requests with equal waiting times, urgency 2 precedes 1."""
     not_before_ms: float = 0.0
     not_after_ms: float = float("inf")
     is_exclusive: bool = False
-    """No other machine may be out of service meanwhile."""
+    """Whether no other machine may be out of service at the same time."""
     group: str = ""
-    """Machines of one group leave together or not at all; empty where it is in none."""
+    """Name of the group whose machines drain together or not at all; empty without a group."""
     state: RequestState = RequestState.REQUESTED
     permit_number: int = 0
-    """Number of the permit in force; 0 before the first one."""
+    """Number of the permit in force; 0 without one."""
     permitted_at_ms: float = 0.0
-    """When the permit was issued, by the leader's monotonic clock."""
+    """Time at which the permit was issued, in monotonic ms of the leader."""
     warm_fraction: float = 0.0
-    """Share of its capacity that serves while it warms up."""
+    """Fraction of the capacity that is in service while the machine warms up."""
     reason: str = ""
-    """Why it entered its present state, for operators."""
+    """Reason given by the latest `ChangeState` command, for operators; may be empty."""
 
     def transition(self, new_state: RequestState, permit_number: int = 0) -> None:
-        """Enters `new_state`.
+        """Changes the state to `new_state`.
 
         Args:
-            new_state: The state to enter.
-            permit_number: The permit that the machine acts by; looked at only where the machine initiates it.
+            new_state: State to enter.
+            permit_number: Permit under which the machine acts; checked only if the machine is the initiator.
 
         Raises:
-            InvalidTransitionError: The table has no such transition.
-            StalePermitError: The machine acts by another permit than the one in force.
+            InvalidTransitionError: `TRANSITIONS` has no such transition.
+            StalePermitError: The machine acts under a permit other than the one in force.
         """
         initiator = TRANSITIONS.get((self.state, new_state))
         if initiator is None:
@@ -113,7 +113,7 @@
         self.state = new_state
 
     def unavailable_fraction(self) -> float:
-        """Returns the fraction of the machine's capacity that does not serve because of this request."""
+        """Returns the fraction of the machine's capacity that is unavailable because of this request."""
         if self.state in UNAVAILABLE_STATES:
             return 1.0
         if self.state is RequestState.WARMING_UP:
@@ -122,12 +122,12 @@
 
     @property
     def accounts_for_unavailability(self) -> bool:
-        """Returns whether the missing capacity is planned, so that it must not count as lost as well."""
+        """Whether missing capacity of the machine is planned, so that it must not also count as lost."""
         return self.state in UNAVAILABLE_STATES or self.state is RequestState.WARMING_UP
 
 
 class CompletedRequest(Struct, array_like=True):
-    """A request that has ended, as kept in the history. Stored as an array: the order of fields is fixed."""
+    """Ended request in the history. Stored as an array, so the order of the fields is fixed."""
 
     name: str
     final_state: str
@@ -143,7 +143,12 @@
 def unavailable_fractions(
     requests: Iterable[MaintenanceRequest], lost: Mapping[str, float]
 ) -> dict[str, float]:
-    """Returns by name the fraction of each machine that does not serve, planned or `lost` without a plan."""
+    """Returns the unavailable fraction of each machine, by name.
+
+    Args:
+        requests: All requests; those under way make their machines unavailable as planned.
+        lost: Fraction of each machine that is unavailable without a plan, by name; overrides `requests`.
+    """
     planned = {}
     for request in requests:
         fraction = request.unavailable_fraction()
--- a/landingshift/maintenance/schedule_bounds.py
+++ b/landingshift/maintenance/schedule_bounds.py
@@ -1,6 +1,6 @@
-"""How good a schedule can be: the exact fewest rounds of a small fleet, and lower bounds for a large one.
+"""Bounds on a maintenance schedule: the exact number of rounds for a small fleet, lower bounds for any.
 
-Serves experiments of the testbed alone, to judge the greedy selection: nothing in a server calls it.
+Only the testbed's experiments use this module, to evaluate the greedy selection; no server code calls it.
 """
 
 from __future__ import annotations
@@ -15,22 +15,24 @@
 from landingshift.maintenance.requests import MaintenanceRequest
 
 MAX_EXACT_COUNT = 8
-"""Machines up to which all orders are gone through."""
+"""Largest number of machines for the exhaustive search."""
 MAX_HORIZON_MS = 1e9
-"""How far ahead a bound is looked for."""
+"""Time after the start at which the computation of a bound stops."""
 IMPOSSIBLE = -1
-"""Rounds of a fleet of which some machines can never leave."""
+"""Number of rounds returned for a fleet in which some machines can never drain."""
 
 
 def exact_rounds(names: list[str], constraints: CapacityConstraints) -> int:
-    """Returns the fewest rounds of equal length in which all can leave, by exhaustive search.
+    """Returns the fewest rounds of equal length in which all machines can drain, by exhaustive search.
+
+    Returns `IMPOSSIBLE` if some machines can never drain.
 
     Raises:
-        TooManyMachinesError: More than `MAX_EXACT_COUNT` machines.
+        TooManyMachinesError: There are more than `MAX_EXACT_COUNT` machines.
     """
     if len(names) > MAX_EXACT_COUNT:
         raise TooManyMachinesError(len(names))
-    everybody = (1 << len(names)) - 1
+    all_machines = (1 << len(names)) - 1
     allowed_sets = [
         sum(1 << index for index in indices)
         for size in range(1, len(names) + 1)
@@ -39,7 +41,7 @@
     ]
     reached = {0}
     rounds = 0
-    while everybody not in reached:
+    while all_machines not in reached:
         added = {before | allowed for before in reached for allowed in allowed_sets} - reached
         if not added:
             return IMPOSSIBLE
@@ -49,15 +51,15 @@
 
 
 def greedy_rounds(names: list[str], constraints: CapacityConstraints) -> int:
-    """Returns the rounds that the greedy selection takes; `IMPOSSIBLE` where some can never leave."""
+    """Returns the number of rounds of the greedy selection; `IMPOSSIBLE` if some machines can never drain."""
     remaining = dict.fromkeys(names)
     rounds = 0
     while remaining:
         requests = {name: MaintenanceRequest(name, 1.0, 0.0) for name in remaining}
-        chosen = select_next(requests, constraints, {}, 0.0)
-        if not chosen:
+        selected = select_next(requests, constraints, {}, 0.0)
+        if not selected:
             return IMPOSSIBLE
-        for name in chosen:
+        for name in selected:
             del remaining[name]
         rounds += 1
     return rounds
@@ -69,16 +71,17 @@
     warm_up_ms: float,
     step_ms: float = MS_PER_MINUTE,
 ) -> float:
-    """Returns ms before which no order can have all machines done and warm again.
+    """Returns a lower bound, in ms, on the time until all machines are done and warm again, in any order.
 
-    Two bounds, of which the larger counts. For each limit the slack adds up to what its machines need, taken
-    for divisible and warming evenly; and taken whole, all need so many rounds, the last of which warms up.
+    The result is the larger of two bounds. The first treats capacity as divisible: the slack of each limit,
+    integrated over time, must cover the outages of its machines, with half of each warm-up counted as outage.
+    The second takes machines as indivisible: `rounds_lower_bound` rounds of outage, then one warm-up.
 
     Args:
-        constraints_at: The constraints after so many ms.
-        outage_ms: For how long each machine is out of service.
-        warm_up_ms: From then until it is warm.
-        step_ms: Step by which the slack is added up.
+        constraints_at: Function from the elapsed ms to the constraints at that time.
+        outage_ms: Time that each machine is out of service.
+        warm_up_ms: Time after the outage until a machine is warm.
+        step_ms: Integration step.
     """
     at_start = constraints_at(0.0)
     mean_outage_ms = outage_ms + warm_up_ms / 2.0
@@ -94,10 +97,10 @@
 
 
 def rounds_lower_bound(constraints: CapacityConstraints) -> int:
-    """Returns the rounds that no order can do without, machines being out of service whole.
+    """Returns a lower bound on the rounds of any order in which machines are fully out of service.
 
-    Of each limit but the demand's: all its machines over as many as its slack holds of the smallest; and of
-    the voters, who keep a majority and one to spare.
+    For each group limit, this is the number of its machines divided by how many of the smallest its slack
+    allows out at once; likewise for the voters, of which `min_voters` stay. The largest quotient counts.
     """
     rounds = 0
     for limit in constraints.group_limits:
--- a/landingshift/maintenance/service.py
+++ b/landingshift/maintenance/service.py
@@ -1,4 +1,4 @@
-"""Maintenance on the server's event loop: reports, leaving by a permit, the leader's own work."""
+"""Maintenance service on the event loop: sends reports, drains under a permit, runs the coordinator."""
 
 from __future__ import annotations
 
@@ -30,19 +30,20 @@
     from landingshift.net.transport.loop import Loop
 
 IDLE_REPORT_INTERVAL_MS = 2000.0
-"""Between two reports of a server without a request, on a voter without any."""
+"""Time between reports without a request of this server or, on a voter, without any open request."""
 ACTIVE_REPORT_INTERVAL_MS = 500.0
+"""Time between reports otherwise."""
 MIN_JITTER_RATIO = 0.9
 MAX_JITTER_RATIO = 1.1
 
 
 class ReplicatedLog(Protocol):
-    """The consensus group as this package needs it; the service of `[policies]` provides it.
+    """Interface of the consensus group that this package needs; the service of `[policies]` implements it.
 
     Attributes:
-        is_voter: Whether this server is a voter, and keeps the replicated state.
-        leader: Name of the leader, empty where none is known.
-        voters: Names of the present voters.
+        is_voter: Whether this server is a voter and therefore keeps the replicated state.
+        leader: Name of the leader; empty if none is known.
+        voters: Names of the current voters.
     """
 
     is_voter: bool
@@ -52,20 +53,26 @@
     def register_state_machine(
         self, name: str, state_machine: StateMachine, on_committed: Callable[[float], None]
     ) -> None:
-        """Lets a state machine apply its entries; `on_committed` is called with monotonic ms after some."""
+        """Registers a state machine that applies the entries under its name.
+
+        Args:
+            name: Name of the state machine.
+            state_machine: State machine to register.
+            on_committed: Function called with the monotonic ms after entries have been applied.
+        """
         ...
 
     def propose(self, data: bytes) -> bool:
-        """Proposes an entry to the group; returns whether it was accepted."""
+        """Proposes an entry to the consensus group; returns whether it was accepted."""
         ...
 
     def is_leader(self) -> bool:
-        """Returns whether this server surely leads."""
+        """Returns whether this server is certain to lead the consensus group."""
         ...
 
 
 class ServerEnvironment:
-    """The coordinator's environment on a real server."""
+    """Environment of the coordinator and the operator calls on a real server."""
 
     def __init__(self, replicated_log: ReplicatedLog, membership: MembershipService, loop: Loop) -> None:
         self._replicated_log = replicated_log
@@ -77,15 +84,15 @@
         return self._replicated_log.propose(encode_command(command))
 
     def is_leader(self, _now_ms: float) -> bool:
-        """Returns whether this server surely leads."""
+        """Returns whether this server is certain to lead the consensus group."""
         return self._replicated_log.is_leader()
 
     def leader_name(self) -> str:
-        """Returns the name of the leader, empty where none is known."""
+        """Returns the name of the leader; empty if none is known."""
         return self._replicated_log.leader
 
     def has_left(self, name: str) -> bool:
-        """Returns whether membership sees a machine no more."""
+        """Returns whether a machine has left the membership or is unknown to it."""
         record = self._node.member_table.record(name)
         return record is None or record.state in DEPARTED_STATES
 
@@ -94,22 +101,22 @@
         return self._node.member_table.known_names()
 
     def wall_clock_ms(self) -> float:
-        """Returns Unix ms."""
+        """Returns the current Unix time in ms."""
         return system_clock.wall_clock_ms()
 
     def monotonic_ms(self) -> float:
-        """Returns ms of the loop's clock, read anew."""
+        """Returns the current monotonic time in ms, not the cached time of the loop's iteration."""
         return self._loop.clock_ms()
 
 
 class MaintenanceService:
-    """One server's part in maintenance.
+    """Maintenance on one server.
 
     Attributes:
-        agent: Its own agent.
-        state: The replicated state; empty on a server that is no voter.
-        coordinator: The leader's side, on voters.
-        traffic: RPCs that this server received and answered.
+        agent: Agent of this server.
+        state: Replicated state; empty unless this server is a voter.
+        coordinator: Coordinator, active while this server leads; None unless it is a voter.
+        traffic: Counts of the RPCs that this server received and answered.
     """
 
     name = "upkeep"
@@ -145,7 +152,7 @@
         return coordinator
 
     def warm_fraction(self) -> float:
-        """Returns the fraction of its capacity that this server serves now; 0 until it serves at all."""
+        """Returns the fraction of this server's capacity in service; 0 before its first health report."""
         server = self.router.admission
         if server is None or not self.router.health_reporter.is_reporting:
             return 0.0
@@ -154,10 +161,8 @@
             return 1.0
         return min(1.0, (self.loop.now_ms - server.started_at_ms) / warm_up_ms)
 
-    # Reports
-
     def tick(self) -> None:
-        """Reports, lets the coordinator work, and sets the timer for the next report."""
+        """Sends a report, runs a step of the coordinator, and schedules the next tick."""
         self.traffic.roll_window(self.loop.now_ms)
         self.send_report()
         if self.coordinator is not None:
@@ -170,7 +175,7 @@
         self.membership.flush_outgoing()
 
     def send_report(self) -> None:
-        """Reports to the leader, which may be this server itself."""
+        """Sends a report to the leader, which may be this server itself."""
         status = ServerStatus(
             capacity=self.settings.capacity_rpcs_per_second,
             model=self.settings.model,
@@ -188,7 +193,7 @@
             self.node.send_to_member(leader, PACKAGE, encode_report(report))
 
     def on_message(self, sender: MemberRecord, body: list[Any]) -> None:
-        """Takes a message of another server; what is no such message is ignored."""
+        """Handles a maintenance message of another server; ignores an invalid one."""
         try:
             message = decode_message(body)
         except InvalidMessageError:
@@ -217,16 +222,14 @@
             self.drain()
 
     def on_entries_applied(self, now_ms: float) -> None:
-        """Takes note that the replicated state has changed: what follows from it need not wait."""
+        """Makes the coordinator evaluate the requests soon, because the replicated state has changed."""
         if self.coordinator is not None:
             self.coordinator.evaluate_soon(now_ms)
 
-    # Leaving
-
     def drain(self) -> None:
-        """Begins to drain, if the permit is still valid by this server's own clock.
+        """Starts to drain if the permit is still valid by this server's monotonic clock.
 
-        Where the server already drains nothing is done, and `maintenance_permit_expired` is logged as well.
+        If it is not, or if the server is already draining, only logs `maintenance_permit_expired`.
         """
         if self.router.is_draining or not self.agent.begin_draining(self.loop.clock_ms()):
             self.log("maintenance_permit_expired", number=self.agent.permit.number)
@@ -245,23 +248,23 @@
             return
         try:
             write_used_permit(self.settings.permit_file_path, self.node.local_record.name, permit_number)
-        except OSError as err:  # at worst the work is requested once more
+        except OSError as err:  # without the file, the work may be done twice
             self.log("maintenance_mark_failed", error=str(err))
 
     def finish(self) -> None:
-        """Runs the operator's command once the server has drained by a permit, in a process of its own."""
+        """Runs the configured command in a child process once the server has drained under a permit."""
         permit_number = self.agent.draining_permit
         if not permit_number or not self.settings.command:
             return
         timeout_seconds = self.settings.command_timeout_seconds
         try:
-            done = subprocess.run(self.settings.command, timeout=timeout_seconds, stdin=subprocess.DEVNULL)
-            self.log("maintenance_command_finished", number=permit_number, status=done.returncode)
+            process = subprocess.run(self.settings.command, timeout=timeout_seconds, stdin=subprocess.DEVNULL)
+            self.log("maintenance_command_finished", number=permit_number, status=process.returncode)
         except (OSError, subprocess.TimeoutExpired) as err:
             self.log("maintenance_command_failed", number=permit_number, error=str(err))
 
     def local_status(self, _params: list[Any]) -> dict[str, Any]:
-        """Answers an operator's call: what this server knows of its own part."""
+        """Answers the operator call `upkeep_here` with the maintenance status of this server."""
         return {
             "name": self.node.local_record.name,
             "stage": self.agent.request_state,
@@ -273,5 +276,5 @@
 
 
 def attach(host: ServiceHost, settings: Settings) -> MaintenanceService:
-    """Returns the service, wired to the server."""
+    """Creates the maintenance service of a server."""
     return MaintenanceService(host, settings)
--- a/landingshift/maintenance/settings.py
+++ b/landingshift/maintenance/settings.py
@@ -1,6 +1,6 @@
-"""The table `[upkeep]`; it needs `[fleet]` and `[policies]`, whose voters keep the replicated state.
+"""Settings table `[upkeep]`; it requires `[fleet]` and `[policies]`, whose voters keep the replicated state.
 
-The names of its keys are the users'; the fields have the names of this package.
+The names of the keys are fixed by existing configurations and differ from the names of the fields.
 """
 
 from __future__ import annotations
@@ -19,47 +19,50 @@
 
 
 class Settings(Struct, forbid_unknown_fields=True, frozen=True):
-    """The same on all servers of a cluster, except for the keys that are marked as this server's own."""
+    """Maintenance settings, the same on all servers of a cluster except for the keys marked "per server"."""
 
     needs: ClassVar[tuple[str, ...]] = ("fleet", "policies")
-    """Tables without which this one can't be on."""
+    """Tables that this one requires."""
 
     capacity_rpcs_per_second: Annotated[float, Meta(gt=0.0, le=1e9)] = field(name="capacity")
-    """This server's own: RPCs a second that it serves when warm."""
+    """Per server: capacity when warm, in RPCs per second."""
     model: ZoneName = ""
-    """This server's own: the model of its machine."""
+    """Per server: hardware model of the machine."""
     serves_critical_methods: bool = field(default=False, name="best")
-    """This server's own: whether it serves the methods of the highest criticality."""
+    """Per server: whether it serves the methods of the highest criticality."""
     command: Annotated[list[str], Meta(max_length=32)] = field(default=[], name="work")
-    """This server's own: command that is run once it has drained; begins with an absolute path."""
+    """Per server: command to run after the drain; its first word is an absolute path."""
     permit_file_path: str = field(default="", name="mark")
-    """This server's own: file that keeps the permit by which it left; without it work may be done twice."""
+    """Per server: file that records the permit under which the server drained.
+
+    Without it, the work may be done twice.
+    """
     on: bool = True
     command_timeout_seconds: Annotated[float, Meta(gt=0.0, le=86_400.0)] = field(default=600.0, name="work_s")
-    """How long the command may run before it is ended."""
+    """Time after which the command is killed."""
     headroom_ratio: Annotated[float, Meta(ge=0.0, le=10.0)] = field(default=0.1, name="spare")
-    """Part of the demand by which capacity must exceed it."""
+    """Required excess of the fleet's capacity over the demand, as a fraction of the demand."""
     min_zone_fraction: Fraction = field(default=0.5, name="zone_share")
-    """Fraction of each zone's capacity that stays in service."""
+    """Minimum fraction of each zone's capacity that stays in service."""
     min_model_fraction: Fraction = field(default=0.5, name="model_share")
-    """The same of each machine model."""
+    """Minimum fraction of each machine model's capacity that stays in service."""
     min_critical_fraction: Fraction = field(default=0.7, name="best_share")
-    """The same of the machines that serve critical methods."""
+    """Minimum fraction of the capacity serving critical methods that stays in service."""
     permit_valid_ms: Annotated[float, Meta(ge=500.0, le=600_000.0)] = field(default=3_000.0, name="lasts_ms")
-    """For how long a permit may be used."""
+    """Time after an offer within which a permit may be used."""
     permit_grace_ms: Annotated[float, Meta(ge=0.0, le=60_000.0)] = field(default=500.0, name="spare_ms")
-    """How long after that an unused permit is taken back."""
+    """Further time after which an unused permit is revoked."""
     warm_up_minutes: Annotated[float, Meta(ge=0.0, le=1_440.0)] = field(default=1.0, name="back_minutes")
-    """About how long a machine takes from its start until it is warm."""
+    """Approximate time from the start of a machine until it is warm."""
     is_staged: bool = field(default=True, name="rings")
-    """Whether work begins with one machine, then a few, each stage watched."""
+    """Whether a rollout proceeds in stages, and pauses if the machines that came back answer worse."""
 
 
 def check(settings: Settings, _folder: str) -> None:
-    """Checks what the types can't say.
+    """Checks constraints that the field types do not express.
 
     Raises:
-        InvalidSettingError: A key has a value that can't be used.
+        InvalidSettingError: A key has an invalid value.
     """
     permit_file_path = settings.permit_file_path
     if permit_file_path and not os.path.isabs(permit_file_path):
@@ -70,7 +73,7 @@
 
 
 def coordinator_settings(settings: Settings) -> CoordinatorSettings:
-    """Returns the settings of the leader's decisions."""
+    """Returns the settings of the coordinator."""
     return CoordinatorSettings(
         budget=DisruptionBudget(
             headroom_ratio=settings.headroom_ratio,
--- a/landingshift/maintenance/staged_rollout.py
+++ b/landingshift/maintenance/staged_rollout.py
@@ -1,8 +1,8 @@
-"""Staged rollout: one canary, then a few machines, then many; a stage that does worse pauses the rest.
+"""Staged rollout: one canary, then a few machines, then many; a regression pauses the rollout.
 
-The test: of the machines that came back, the share of RPCs answered ok is compared with that of the machines
-not yet touched, as two proportions, one-sided. Failure mode: a fault that shows in no answer passes, and with
-few RPCs nothing is concluded.
+A one-sided two-proportion test compares the fraction of RPCs answered ok by the machines that came back with
+that of the untouched machines. Limitations: a fault that does not affect answers goes undetected, and few
+RPCs allow no conclusion.
 """
 
 from __future__ import annotations
@@ -14,37 +14,38 @@
 from landingshift.maintenance.requests import CompletedRequest, MaintenanceRequest, RequestState
 
 STAGE_SIZES = (1, 5, 25)
-"""Machines that must have come back before the next stage may begin."""
+"""Number of machines that must have completed maintenance before the next stage may begin."""
 MIN_STANDARD_ERRORS = 3.0
+"""Gap between the ok fractions, in standard errors, above which it counts as significant."""
 MIN_OK_FRACTION_GAP = 0.005
-"""A smaller difference is not worth a pause, however certain it is."""
+"""Gap between the ok fractions up to which a significant difference does not justify a pause."""
 MIN_ANSWERED_COUNT = 200
-"""RPCs of either side below which nothing is concluded."""
+"""Minimum number of RPCs answered by each side for a conclusion."""
 UNLIMITED_COUNT = 1 << 30
 SAME_CALL_MS = 1000.0
-"""Requests whose times differ by less are of one call of an operator."""
+"""Requests made up to this long before the oldest open request belong to the same rollout."""
 
 
 @dataclass(slots=True)
 class AnswerCounts:
-    """RPCs answered since the leader began to count, and how many of them were ok."""
+    """Number of RPCs answered since the start of the term, and how many of them were ok."""
 
     ok: float = 0.0
     total: float = 0.0
 
     def add(self, ok: float, total: float) -> None:
-        """Adds further answers."""
+        """Adds a number of answers."""
         self.ok += ok
         self.total += total
 
     @property
     def ok_fraction(self) -> float:
-        """Share of the answers that were ok; 0 without any."""
+        """Fraction of the answers that were ok; 0 without answers."""
         return self.ok / self.total if self.total else 0.0
 
 
 def rollout_limit(completed_count: int, stage_sizes: Sequence[int] = STAGE_SIZES) -> int:
-    """Returns how many machines may have left in all, where `completed_count` have come back warm."""
+    """Returns how many machines in total may have started to drain once `completed_count` have completed."""
     for size in stage_sizes:
         if completed_count < size:
             return size
@@ -52,14 +53,14 @@
 
 
 def remaining_in_stage(requests: Collection[MaintenanceRequest], history: Iterable[CompletedRequest]) -> int:
-    """Returns how many further machines the present stage lets leave.
+    """Returns how many further machines may drain in the current stage.
 
-    A rollout is what was requested since the oldest open request; those of one call of an operator belong
-    together.
+    The rollout comprises the requests made since the oldest open one. `SAME_CALL_MS` before it are included,
+    so that all requests of one operator call belong to the same rollout.
 
     Args:
         requests: Open requests, at least one.
-        history: Requests that ended.
+        history: Ended requests.
     """
     rollout_began_ms = min(request.requested_at_ms for request in requests) - SAME_CALL_MS
     completed_count = sum(
@@ -72,37 +73,44 @@
 
 
 def regression(completed: AnswerCounts, untouched: AnswerCounts) -> str:
-    """Returns by how much machines that came back do worse, for operators; empty where they do not."""
+    """Returns a description of a significant regression, for operators; empty without one.
+
+    Args:
+        completed: Answers of the machines that completed maintenance.
+        untouched: Answers of the other machines.
+    """
     if completed.total < MIN_ANSWERED_COUNT or untouched.total < MIN_ANSWERED_COUNT:
         return ""
     pooled = (completed.ok + untouched.ok) / (completed.total + untouched.total)
     standard_error = sqrt(pooled * (1.0 - pooled) * (1.0 / completed.total + 1.0 / untouched.total))
     gap = untouched.ok_fraction - completed.ok_fraction
     if gap > MIN_OK_FRACTION_GAP and gap > MIN_STANDARD_ERRORS * standard_error:
-        came_back, others = completed.ok_fraction, untouched.ok_fraction
-        return f"{came_back:.4f} ok of those that came back, {others:.4f} of the others"
+        completed_ok, untouched_ok = completed.ok_fraction, untouched.ok_fraction
+        return f"{completed_ok:.4f} ok of those that came back, {untouched_ok:.4f} of the others"
     return ""
 
 
 @dataclass(slots=True)
 class RolloutMonitor:
-    """Compares machines that came back with the others, as one leader sees their answers."""
+    """Compares the answers of machines that completed maintenance with those of the others, on one leader."""
 
     completed_names: set[str] = field(default_factory=set)
-    """Machines that completed under any term of this leader."""
+    """Names of machines that completed maintenance during any term of this leader."""
     completed: AnswerCounts = field(default_factory=AnswerCounts)
+    """Answers of these machines during this term."""
     untouched: AnswerCounts = field(default_factory=AnswerCounts)
+    """Answers of all other machines during this term."""
 
     def reset_counts(self) -> None:
-        """Starts to count anew, at the beginning of a term."""
+        """Resets the counts at the start of a term."""
         self.completed = AnswerCounts()
         self.untouched = AnswerCounts()
 
     def record(self, name: str, ok: float, total: float) -> None:
-        """Adds the answers that a machine gave since its last report."""
+        """Adds the answers that a machine sent since its previous report."""
         counts = self.completed if name in self.completed_names else self.untouched
         counts.add(ok, total)
 
     def regression(self) -> str:
-        """Returns by how much machines that came back do worse; empty where they do not."""
+        """Returns a description of a significant regression; empty without one."""
         return regression(self.completed, self.untouched)
--- a/landingshift/maintenance/storage.py
+++ b/landingshift/maintenance/storage.py
@@ -1,7 +1,7 @@
-"""Stored form of commands and snapshots: entries of the replicated log and states of the state machine.
+"""Encoding of commands as entries of the replicated log, and of snapshots of the state machine.
 
-An entry is a MessagePack array of the package's name, a word for the command and its values. A voter of
-another build may have written it, so that unknown words are skipped.
+An entry is a MessagePack array of the state machine's name, the command's name and its values. A voter of
+another build may have written it, so unknown commands are skipped.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 from landingshift.maintenance.requests import CompletedRequest, MaintenanceRequest, RequestState
 
 STATE_MACHINE_NAME = "upkeep"
-"""Name under which entries and snapshots are kept among those of other packages."""
+"""Name that tells this package's entries and snapshots from those of other state machines."""
 
 
 class StoredRequest(Struct, array_like=True, frozen=True):
-    """A request in a snapshot; the order of fields is fixed. See `MaintenanceRequest` for units."""
+    """Request in a snapshot, stored as an array in this order. See `MaintenanceRequest` for the units."""
 
     name: str
     duration_minutes: float
@@ -45,11 +45,11 @@
     permitted_at_ms: float
     reason: str
     permitted_run_id: int
-    """The process that the permit was issued to; 0 without a permit."""
+    """Run ID of the process that the permit was issued to; 0 without a permit."""
 
 
 class StoredState(Struct, array_like=True, frozen=True):
-    """A snapshot; the order of fields is fixed. One of an earlier build ends with the history."""
+    """Snapshot, stored as an array in this order. Snapshots of earlier builds end after `history`."""
 
     last_permit_number: int
     pause_reason: str
@@ -60,18 +60,18 @@
 
 
 def encode_command(command: Command) -> bytes:
-    """Returns the entry for the replicated log."""
+    """Returns the replicated log entry of a command."""
     match command:
         case AddRequests(requests):
-            words: tuple[Any, ...] = ("wish", [_request_row(request) for request in requests])
+            values: tuple[Any, ...] = ("wish", [_request_row(request) for request in requests])
         case IssuePermit(name, run_id, issued_at_ms):
-            words = ("permit", name, run_id, issued_at_ms)
+            values = ("permit", name, run_id, issued_at_ms)
         case ChangeState(name, permit_number, new_state, reason, changed_at_ms):
-            words = ("move", name, permit_number, new_state.value, reason, changed_at_ms)
+            values = ("move", name, permit_number, new_state.value, reason, changed_at_ms)
         case SetPause(reason):
-            words = ("hold", reason)
+            values = ("hold", reason)
         case RegisterMachine(name, facts):
-            words = (
+            values = (
                 "machine",
                 name,
                 facts.capacity,
@@ -80,14 +80,14 @@
                 facts.serves_critical_methods,
             )
         case ForgetMachine(name):
-            words = ("without", name)
+            values = ("without", name)
         case RecordDemand(quarter, rpcs_per_second):
-            words = ("seen", quarter, rpcs_per_second)
-    return encode_entry(STATE_MACHINE_NAME, *words)
+            values = ("seen", quarter, rpcs_per_second)
+    return encode_entry(STATE_MACHINE_NAME, *values)
 
 
 def decode_command(data: bytes) -> Command | None:
-    """Returns the command of an entry; None for one that this build does not know."""
+    """Returns the command of an entry; None if this build does not know it."""
     match msgspec.msgpack.decode(data)[1:]:
         case ["wish", list(rows)]:
             return AddRequests(tuple(_request_from_row(row) for row in rows))
@@ -107,17 +107,17 @@
 
 
 def encode_snapshot(state: StoredState) -> bytes:
-    """Returns the stored form of a snapshot."""
+    """Returns the encoded snapshot."""
     return msgspec.msgpack.encode(state)
 
 
 def decode_snapshot(data: bytes) -> StoredState:
-    """Reads a snapshot of this build or an earlier one."""
+    """Decodes a snapshot written by this build or an earlier one."""
     return msgspec.msgpack.decode(data, type=StoredState)
 
 
 def stored_request(request: MaintenanceRequest, permitted_run_id: int) -> StoredRequest:
-    """Returns the stored form of a request and of the process that its permit was issued to."""
+    """Returns a request as stored in a snapshot, with the run ID that its permit was issued to."""
     return StoredRequest(
         name=request.name,
         duration_minutes=request.duration_minutes,
@@ -136,7 +136,7 @@
 
 
 def restored_request(stored: StoredRequest) -> MaintenanceRequest:
-    """Returns the request of a snapshot."""
+    """Returns a request restored from a snapshot."""
     return MaintenanceRequest(
         name=stored.name,
         duration_minutes=stored.duration_minutes,
--- a/landingshift/maintenance/traffic_meter.py
+++ b/landingshift/maintenance/traffic_meter.py
@@ -10,17 +10,17 @@
     from landingshift.net.routing.rpc_record import RoutedRpc
 
 WINDOW_MS = 1000.0
-"""Time over which RPCs are counted at the least."""
+"""Minimum duration of a counting window."""
 
 
 class TrafficMeter:
-    """Observes the router's RPCs.
+    """Router observer that counts RPCs.
 
     Attributes:
-        name: Names the observer in the router's log.
-        rpcs_per_second: RPCs received during the last complete window.
-        ok_count: Answers that were ok since the start.
-        answered_count: All answers since the start.
+        name: Name of the observer in the router's log.
+        rpcs_per_second: Rate of RPCs received during the last complete window.
+        ok_count: RPCs answered ok since the start.
+        answered_count: RPCs answered since the start.
     """
 
     name = "upkeep"
@@ -33,16 +33,16 @@
         self._window_began_ms = now_ms
 
     def on_read(self, _rpc: RoutedRpc) -> None:
-        """Takes the router's event that an RPC was received."""
+        """Handles the router's event that an RPC was received."""
         self._received_count += 1
 
     def on_answered(self, _rpc: RoutedRpc, kind: AnswerKind) -> None:
-        """Takes the router's event that an RPC was answered."""
+        """Handles the router's event that an RPC was answered."""
         self.answered_count += 1.0
         self.ok_count += kind is AnswerKind.OK
 
     def roll_window(self, now_ms: float) -> None:
-        """Computes the rate, if a window is complete."""
+        """Computes the rate and starts a new window if the current one is complete."""
         window_ms = now_ms - self._window_began_ms
         if window_ms < WINDOW_MS:
             return
--- a/landingshift/maintenance/wire.py
+++ b/landingshift/maintenance/wire.py
@@ -1,4 +1,4 @@
-"""Form in which reports and their answers are sent between servers: lists that begin with a word."""
+"""Encoding of reports and their answers as lists whose first element names the kind of the message."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from landingshift.maintenance.messages import LoadReport, ReportAnswer, ServerStatus
 
 PACKAGE = "upkeep"
-"""Name of this package in messages of membership."""
+"""Name of this package in the membership protocol, which carries its messages."""
 
 
 def encode_report(report: LoadReport) -> list[Any]:
-    """Returns the body of a report."""
+    """Returns the message body of a report."""
     status = report.status
     return [
         "at",
@@ -30,15 +30,15 @@
 
 
 def encode_answer(answer: ReportAnswer) -> list[Any]:
-    """Returns the body of an answer."""
+    """Returns the message body of an answer."""
     return ["told", answer.sequence, answer.request_state, answer.permit_number, answer.valid_ms]
 
 
 def decode_message(body: list[Any]) -> LoadReport | ReportAnswer:
-    """Returns the message of a body.
+    """Returns the report or the answer in a message body.
 
     Raises:
-        InvalidMessageError: The body has another form.
+        InvalidMessageError: The body is neither.
     """
     match body:
         case [
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -1,4 +1,4 @@
-"""Maintenance: permits, the replicated state, stored and sent forms, new leaders, simulated days."""
+"""Tests of maintenance: permits, the replicated state, encodings, leader changes and simulated days."""
 
 from __future__ import annotations
 
@@ -78,7 +78,7 @@
 
 
 class TransitionsTest(unittest.TestCase):
-    def test_only_the_transitions_of_the_table_are_legal(self) -> None:
+    def test_transitions_outside_the_table_raise_an_error(self) -> None:
         for current in RequestState:
             for new in RequestState:
                 request = MaintenanceRequest("n0", 1.0, 0.0, state=current, permit_number=3)
@@ -89,28 +89,28 @@
                     with self.assertRaises(InvalidTransitionError):
                         request.transition(new, 3)
 
-    def test_a_machine_moves_by_the_permit_in_force_only(self) -> None:
+    def test_a_machine_can_drain_only_under_the_permit_in_force(self) -> None:
         request = MaintenanceRequest("n0", 1.0, 0.0, state=RequestState.PERMITTED, permit_number=4)
         with self.assertRaises(StalePermitError):
             request.transition(RequestState.DRAINING, 3)
         request.transition(RequestState.DRAINING, 4)
 
-    def test_a_permit_expires_by_the_machines_own_clock(self) -> None:
+    def test_a_permit_expires_by_the_clock_of_the_machine(self) -> None:
         permit = DrainPermit()
         self.assertFalse(permit.is_valid(0.0))
         self.assertTrue(permit.offer(5, 100.0, 1000.0))
         self.assertTrue(permit.is_valid(1099.0))
-        self.assertFalse(permit.is_valid(1100.0))  # it stalled past the expiry
-        self.assertTrue(permit.offer(5, 2000.0, 1000.0))  # offered again
+        self.assertFalse(permit.is_valid(1100.0))  # the process was stopped until the expiry
+        self.assertTrue(permit.offer(5, 2000.0, 1000.0))  # the offer is renewed
         self.assertTrue(permit.is_valid(2500.0))
-        self.assertFalse(permit.offer(4, 2600.0, 1000.0))  # delivered late
+        self.assertFalse(permit.offer(4, 2600.0, 1000.0))  # a delayed offer of an older permit
         permit.consume()
-        self.assertFalse(permit.offer(5, 2700.0, 1000.0))  # delivered twice
+        self.assertFalse(permit.offer(5, 2700.0, 1000.0))  # a duplicate offer of the used permit
         self.assertFalse(permit.is_valid(2750.0))
 
 
 class ReplicatedStateTest(unittest.TestCase):
-    def test_one_permit_has_one_holder_and_numbers_only_grow(self) -> None:
+    def test_each_permit_has_one_holder_and_numbers_only_grow(self) -> None:
         state = MaintenanceState()
         requests = tuple(MaintenanceRequest(name, 1.0, 0.0, not_after_ms=1e300) for name in "ab")
         commands: list[Command] = [
@@ -134,7 +134,7 @@
         self.assertEqual((state.last_permit_number, state.pause_reason), (3, "stop"))
         self.assertEqual(reloaded(state).snapshot(), state.snapshot())
 
-    def test_a_registry_keeps_entries_of_state_machines_that_are_not_registered(self) -> None:
+    def test_the_registry_keeps_entries_of_unregistered_state_machines(self) -> None:
         class RecordingStateMachine:
             def __init__(self) -> None:
                 self.entries: list[bytes] = []
@@ -148,24 +148,24 @@
             def restore(self, state: bytes) -> None:
                 self.entries = state.split(b"|") if state else []
 
-        full, half = StateMachineRegistry(), StateMachineRegistry()
-        for registry in (full, half):
+        complete, incomplete = StateMachineRegistry(), StateMachineRegistry()
+        for registry in (complete, incomplete):
             registry.register("first", RecordingStateMachine())
-        full.register("other", RecordingStateMachine())
-        for word in range(3):
-            for registry in (full, half):
-                registry.apply(encode_entry("other", word))
+        complete.register("other", RecordingStateMachine())
+        for value in range(3):
+            for registry in (complete, incomplete):
+                registry.apply(encode_entry("other", value))
                 registry.apply(b"")
-        late = StateMachineRegistry()
-        late.register("first", RecordingStateMachine())
-        late.restore(half.snapshot())
+        restored = StateMachineRegistry()
+        restored.register("first", RecordingStateMachine())
+        restored.restore(incomplete.snapshot())
         other = RecordingStateMachine()
-        late.register("other", other)
-        self.assertEqual(other.entries, [encode_entry("other", word) for word in range(3)])
+        restored.register("other", other)
+        self.assertEqual(other.entries, [encode_entry("other", value) for value in range(3)])
 
 
 class StateInvariantsTest(unittest.TestCase):
-    def test_each_broken_invariant_is_named(self) -> None:
+    def test_each_violated_invariant_is_reported(self) -> None:
         for attributes, violation in [
             ({"permit_number": 1}, "a is wished with permit 1"),
             ({"state": RequestState.DRAINING}, "a is draining with permit 0"),
@@ -180,7 +180,7 @@
                 state.requests["a"] = MaintenanceRequest("a", 1.0, 0.0, **attributes)
                 self.assertIn(violation, state_violations(state))
 
-    def test_a_state_that_commands_made_holds(self) -> None:
+    def test_a_state_built_by_commands_violates_no_invariant(self) -> None:
         state = MaintenanceState()
         state.apply(encode_command(AddRequests((MaintenanceRequest("a", 1.0, 0.0),))))
         self.assertEqual(state_violations(state), [])
@@ -188,8 +188,8 @@
         self.assertEqual(state_violations(state), [])
 
 
-class StoredAndSentFormsTest(unittest.TestCase):
-    def test_each_command_is_encoded_as_it_was_decoded(self) -> None:
+class EncodingTest(unittest.TestCase):
+    def test_decoded_commands_encode_to_the_same_entries(self) -> None:
         entries = golden_json("replicated_states.json")["work entries"]
         commands = [decode_command(data) for data in entries]
         kinds = {type(command) for command in commands}
@@ -199,14 +199,14 @@
         )
         self.assertEqual([encode_command(command) for command in commands if command], entries)
 
-    def test_commands_of_another_build_are_skipped(self) -> None:
+    def test_unknown_and_malformed_commands_are_skipped(self) -> None:
         state = MaintenanceState()
         before = state.snapshot()
-        for words in (["unknown", 1], ["hold", 5], ["permit", "a"]):
-            state.apply(encode_entry("upkeep", *words))
+        for values in (["unknown", 1], ["hold", 5], ["permit", "a"]):
+            state.apply(encode_entry("upkeep", *values))
         self.assertEqual(state.snapshot(), before)
 
-    def test_messages_are_lists_of_words(self) -> None:
+    def test_messages_are_encoded_as_lists_and_malformed_ones_are_rejected(self) -> None:
         report = LoadReport(4, STATUS, 2, 1)
         body = ["at", 4, 100.0, "a", False, 1.0, 0.0, 2, 1, 0.0, 0.0]
         self.assertEqual(encode_report(report), body)
@@ -220,7 +220,7 @@
 
 
 class LeaderWithoutConsensus:
-    """An environment that always leads and proposes nothing."""
+    """Coordinator environment that always leads and accepts no proposals."""
 
     def propose(self, _command: Command) -> bool:
         return False
@@ -239,12 +239,12 @@
 
 
 class ProposalsTest(unittest.TestCase):
-    def test_one_subject_is_proposed_once_within_the_interval(self) -> None:
+    def test_a_repeated_command_is_proposed_once_per_retry_interval(self) -> None:
         environment = mock.Mock()
         proposals = Proposals(environment)
         commands: list[tuple[Command, float]] = [
             (IssuePermit("a", 7, 0.0), 0.0),
-            (IssuePermit("a", 8, 1.0), 999.0),  # of the same subject
+            (IssuePermit("a", 8, 1.0), 999.0),  # repeats the first command
             (IssuePermit("b", 7, 1.0), 999.0),
             (ChangeState("a", 1, RequestState.DRAINING, "", 0.0), 999.0),
             (ChangeState("a", 2, RequestState.DRAINING, "", 0.0), 999.0),
@@ -257,7 +257,7 @@
             proposed, [command for command, _ in commands if command != IssuePermit("a", 8, 1.0)]
         )
 
-    def test_a_withheld_permit_is_offered_again_once_released(self) -> None:
+    def test_only_the_given_permit_is_withheld_until_the_release(self) -> None:
         proposals = Proposals(mock.Mock())
         proposals.withhold_permit("a", 3)
         self.assertTrue(proposals.is_withheld("a", 3))
@@ -267,14 +267,14 @@
 
 
 class LapsedPermitTest(unittest.TestCase):
-    def test_a_permit_lapses_only_after_a_report_that_the_machine_stays(self) -> None:
+    def test_a_permit_lapses_only_after_a_report_that_the_machine_is_not_draining(self) -> None:
         request = MaintenanceRequest("a", 1.0, 0.0, state=RequestState.PERMITTED, permit_number=3)
         lapses_at_ms = 1000.0 + 3000.0 * 1.02 + 500.0
         for received_at_ms, draining_permit, now_ms, has_lapsed in [
             (lapses_at_ms, 0, lapses_at_ms, False),
             (lapses_at_ms + 1.0, 0, lapses_at_ms + 1.0, True),
-            (lapses_at_ms + 1.0, 3, lapses_at_ms + 1.0, False),  # it drains by this permit
-            (lapses_at_ms + 1.0, 0, lapses_at_ms + 6002.0, False),  # silent: it may have left
+            (lapses_at_ms + 1.0, 3, lapses_at_ms + 1.0, False),  # it drains under this permit
+            (lapses_at_ms + 1.0, 0, lapses_at_ms + 6002.0, False),  # silent: it may have drained
         ]:
             with self.subTest(received_at_ms=received_at_ms, draining_permit=draining_permit):
                 report = MachineReport(
@@ -295,7 +295,7 @@
 
 
 class PermitFileTest(unittest.TestCase):
-    def test_only_the_permit_of_this_server_is_read_back(self) -> None:
+    def test_reads_only_a_valid_file_written_for_the_same_server(self) -> None:
         folder = self.enterContext(tempfile.TemporaryDirectory())
         path = f"{folder}/permit"
         self.assertEqual(read_used_permit(path, "n1"), 0)
@@ -307,7 +307,7 @@
 
 
 class TrafficMeterTest(unittest.TestCase):
-    def test_the_rate_is_that_of_the_last_complete_window(self) -> None:
+    def test_counts_answers_and_computes_the_rate_of_the_last_complete_window(self) -> None:
         rpc: Any = None
         meter = TrafficMeter(500.0)
         for _ in range(30):
@@ -321,9 +321,10 @@
         self.assertEqual((meter.ok_count, meter.answered_count), (2.0, 4.0))
 
 
-class NewLeadersTest(unittest.TestCase):
-    def test_a_leader_that_never_heard_of_the_lost_counts_them_all_the_same(self) -> None:
-        # Two of five voters and a zone are down when it is elected: those that report lack nothing.
+class NewLeaderTest(unittest.TestCase):
+    def test_a_new_leader_counts_machines_that_never_reported_to_it_as_lost(self) -> None:
+        # Two of five voters are down when the leader is elected. The machines that do report violate no
+        # constraint by themselves.
         fleet = started_fleet(12, outage_minutes=0.5, peak_load=0.3)
         self.assertEqual(set(fleet.state.machines), set(fleet.machines))
         for name in ("n1", "n3"):
@@ -338,7 +339,7 @@
         self.assertEqual(fleet.state.requests, {})
 
     def test_a_new_leader_offers_no_permit_before_it_has_evaluated_the_constraints(self) -> None:
-        # Issued by a leader that died with its zone: the next one must not offer it at the first report.
+        # The previous leader issued the permit and was lost with its zone, which may violate the constraints.
         state = MaintenanceState()
         request = MaintenanceRequest("n9", 0.5, 0.0, not_after_ms=1e18)
         state.apply(encode_command(AddRequests((request,))))
@@ -351,7 +352,7 @@
                 answer = coordinator.on_report(Machine("n9", 100.0), 7, LoadReport(4, STATUS, 0, 0), now_ms)
                 self.assertEqual(answer, ReportAnswer(4, "permitted", 1, valid_ms))
 
-    def test_the_state_keeps_machines_and_forgets_those_that_membership_forgot(self) -> None:
+    def test_the_state_keeps_machine_facts_until_membership_forgets_the_machine(self) -> None:
         fleet = started_fleet(12, outage_minutes=10.0, peak_load=0.75)
         self.assertEqual(reloaded(fleet.state).machines["n4"], MachineFacts(100.0, "z0", "b", True))
         del fleet.machines["n11"], fleet.coordinator.fleet.reports["n11"]
@@ -360,9 +361,9 @@
         self.assertNotIn("n11", fleet.state.machines)
 
 
-class DemandAheadTest(unittest.TestCase):
-    def test_nobody_leaves_into_a_morning_that_the_profile_knows(self) -> None:
-        fleet = started_fleet(10, outage_minutes=10.0, peak_load=0.4, steps=12)  # a third of it now
+class ExpectedDemandTest(unittest.TestCase):
+    def test_no_machine_drains_if_the_daily_profile_predicts_a_peak_during_the_outage(self) -> None:
+        fleet = started_fleet(10, outage_minutes=10.0, peak_load=0.4, steps=12)  # now about a third of it
         quarter = DailyDemandProfile.quarter_of_day(fleet.now_ms)
         current = fleet.coordinator.fleet.current_demand(fleet.now_ms)
         for other in range(96):
@@ -379,13 +380,13 @@
 
 
 class SimulatedDaysTest(unittest.TestCase):
-    def test_no_row_finds_a_violation(self) -> None:
+    def test_no_simulated_row_finds_a_violation(self) -> None:
         for name in VIRTUAL_ROWS:
             with self.subTest(name=name):
                 row = play_virtual_row(name, 15, 1, "")
                 self.assertEqual(row.violations, [], row.figures)
 
-    def test_a_removed_defence_is_found(self) -> None:
+    def test_a_violation_is_found_when_a_defence_is_removed(self) -> None:
         for without, name in [("floor", "floor_kept"), ("end", "late_word")]:
             with self.subTest(without=without):
                 self.assertNotEqual(play_virtual_row(name, 15, 1, without).violations, [])
--- a/tests/test_maintenance_service.py
+++ b/tests/test_maintenance_service.py
@@ -1,4 +1,4 @@
-"""Maintenance among several real processes, with faults between them; rows of the experiment."""
+"""Tests of maintenance with several real server processes and injected faults."""
 
 from __future__ import annotations
 
@@ -15,69 +15,70 @@
 from tests.helpers import RealRows
 from tests.test_membership_service import refused
 
-SERVERS = 6
-ABREAST = 4
+SERVER_COUNT = 6
+MAX_CONCURRENT_ROWS = 4
 COMMAND = [sys.executable, "-c", "from landingshift.cli import start; start()", "upkeep"]
 
 
 def run_row(name: str) -> ExperimentRow:
-    return play_real_row(name, REAL[name], SERVERS, 1, 1)
+    return play_real_row(name, REAL[name], SERVER_COUNT, 1, 1)
 
 
 class RealRowsTest(RealRows):
-    """Each brings its failure about; what must hold afterwards is read off the history alone."""
+    """Runs each real row of the maintenance experiment, which injects a failure and checks the history."""
 
-    real, play, abreast = REAL, staticmethod(run_row), ABREAST
+    real, play, abreast = REAL, staticmethod(run_row), MAX_CONCURRENT_ROWS
 
-    def test_two_operators_request_all_and_no_rpc_is_lost(self) -> None:
+    def test_all_servers_requested_by_two_operators_are_replaced_without_losing_an_rpc(self) -> None:
         self.holds("real_all_replaced")
 
-    def test_a_server_without_a_request_crashes(self) -> None:
+    def test_maintenance_completes_when_a_server_without_a_request_crashes(self) -> None:
         self.holds("real_crash_meanwhile")
 
-    def test_the_leader_dies_twice(self) -> None:
+    def test_maintenance_completes_when_the_leader_is_killed_twice(self) -> None:
         self.holds("real_leader_killed")
 
-    def test_a_server_stopped_past_the_expiry_does_not_leave_by_that_permit(self) -> None:
+    def test_a_server_stopped_past_the_expiry_of_its_permit_does_not_drain_under_it(self) -> None:
         self.holds("real_stopped_past_the_end")
 
-    def test_a_leaving_server_is_partitioned(self) -> None:
+    def test_maintenance_completes_when_a_requested_server_is_partitioned(self) -> None:
         self.holds("real_cut_off")
 
-    def test_the_permitted_server_dies_at_each_step(self) -> None:
+    def test_a_request_ends_when_its_server_is_killed_at_any_step(self) -> None:
         self.holds("real_killed_at_each_step")
 
-    def test_a_server_never_comes_back(self) -> None:
+    def test_maintenance_of_the_others_completes_when_a_server_never_comes_back(self) -> None:
         self.holds("real_never_back")
 
-    def test_load_leaves_no_room(self) -> None:
+    def test_no_server_drains_when_the_load_needs_all_capacity(self) -> None:
         self.holds("real_overloaded")
 
-    def test_all_are_replaced_at_full_load(self) -> None:
+    def test_all_servers_are_replaced_at_full_load(self) -> None:
         self.holds("real_at_full_load")
 
-    def test_a_zone_gets_a_notice_while_two_are_out_of_service(self) -> None:
+    def test_maintenance_completes_when_a_zone_is_shut_down_meanwhile(self) -> None:
         self.holds("real_notice_to_a_zone")
 
-    def test_a_zone_starts_cold_while_two_are_out_of_service(self) -> None:
+    def test_maintenance_completes_when_a_zone_loses_power_and_starts_cold(self) -> None:
         self.holds("real_cold_zone")
 
-    def test_the_policy_changes_meanwhile(self) -> None:
+    def test_a_policy_change_is_committed_during_maintenance(self) -> None:
         self.holds("real_with_a_change")
 
 
 class OperatorCommandsTest(unittest.TestCase):
-    def command(self, *words: str, code: int = 0) -> str:
-        done = subprocess.run([*COMMAND, *words], capture_output=True, text=True, timeout=90)
-        self.assertEqual(done.returncode, code, done.stdout + done.stderr)
-        return done.stdout + done.stderr
+    def command(self, *args: str, code: int = 0) -> str:
+        process = subprocess.run([*COMMAND, *args], capture_output=True, text=True, timeout=90)
+        self.assertEqual(process.returncode, code, process.stdout + process.stderr)
+        return process.stdout + process.stderr
 
-    def test_what_operators_do(self) -> None:
+    def test_operators_pause_request_cancel_and_resume_maintenance(self) -> None:
         with tempfile.TemporaryDirectory(dir=MEMORY) as folder:
             harness = MaintenanceHarness(folder, 6, 1)
             try:
                 harness.start_all()
-                at = ["--at", "{}:{}".format(*harness.servers.membership_addresses[0])]  # not one that leaves
+                # The commands go to a server that stays in service.
+                at = ["--at", "{}:{}".format(*harness.servers.membership_addresses[0])]
                 self.assertIn("nobody is wanted", self.command("status", *at))
                 self.command("hold", "--why", "a trial", *at)
                 self.assertIn("2 are asked for", self.command("ask", "n4", "n5", "--minutes", "0.05", *at))
@@ -93,7 +94,7 @@
             finally:
                 harness.close()
 
-    def test_settings_that_cannot_be_used_are_named(self) -> None:
+    def test_invalid_settings_are_reported_with_their_key(self) -> None:
         fleet = '[fleet]\nfleet = "lab"\nlisten = "127.0.0.1:0"\n'
         policies = fleet + '[policies]\nvoters = ["a"]\n'
         for text, message in [
