--- a/landingshift/net/routing/__init__.py
+++ b/landingshift/net/routing/__init__.py
@@ -1,5 +1,5 @@
-"""RPCs on their way through the server: from gateways to the admission controller, engine and database.
+"""Routing of RPCs between gateways, the admission controller, the engine and the database.
 
-Nothing here decides about an RPC. Events are handed to the admission controller, and what it asks for is
-done. Every RPC that was read gets exactly one answer, whatever fails below.
+This package makes no admission decisions: it passes events to the admission controller and carries out the
+controller's actions. Every RPC that was read gets exactly one answer, whatever fails behind this server.
 """
--- a/landingshift/net/routing/actions.py
+++ b/landingshift/net/routing/actions.py
@@ -1,4 +1,4 @@
-"""What the admission controller asks for, done to engine, database, gateways and the deduplication table."""
+"""Carries out the admission controller's actions on engine, database, gateways and deduplication table."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class RouterActions:
-    """Serves as the admission controller's `Actions`."""
+    """Implements the admission controller's `Actions`."""
 
     def __init__(
         self,
@@ -57,7 +57,7 @@
     # Runs and calls
 
     def start_run(self, rpc: Rpc) -> None:
-        """Gives the engine the RPC to run."""
+        """Sends the RPC to the engine to run."""
         assert isinstance(rpc, RoutedRpc)
         self.observers.notify("on_started", rpc)
         command = engine_wire.encode_run(rpc.rpc_id, rpc.method_name, rpc.body)
@@ -69,13 +69,13 @@
         self.engine.halt(rpc)
 
     def start_call(self, rpc: Rpc, timeout_ms: float) -> None:
-        """Makes the call that the run waits for."""
+        """Starts the database call that the run waits for."""
         assert isinstance(rpc, RoutedRpc)
         if not self.database.call(rpc, timeout_ms):
             self.database.events.on_call_finished(rpc, Outcome.NO_CONNECTION, 0.0, b"")
 
     def skip_call(self, rpc: Rpc) -> None:
-        """Lets the run go on without its call."""
+        """Tells the engine to continue the run without its database call."""
         assert isinstance(rpc, RoutedRpc)
         command = engine_wire.encode_skip_call(rpc.rpc_id, rpc.call_notice_number)
         self.engine.send_command(rpc, command)
@@ -83,72 +83,72 @@
     # Answers
 
     def reject(self, rpc: Rpc, retry_after_ms: float, is_final: bool) -> None:
-        """Answers that the RPC never ran here."""
+        """Answers the RPC as rejected: it never ran on this server."""
         assert isinstance(rpc, RoutedRpc)
         self.answers.reject(rpc, retry_after_ms, is_final)
 
     def abort(self, rpc: Rpc) -> None:
-        """Answers that the RPC brought no result; one that its run may still bring is dropped."""
+        """Answers the RPC as aborted; a result that its run still produces is dropped."""
         assert isinstance(rpc, RoutedRpc)
         self.answers.abort(rpc)
         self.engine.send_withheld(rpc)
         self.database.cancel(rpc)
 
     def release(self, rpc: Rpc) -> None:
-        """The controller is done with the RPC: answers it if nothing else has, and forgets it."""
+        """Closes an RPC that the controller has finished with, and aborts it if it has no answer yet."""
         assert isinstance(rpc, RoutedRpc)
         if not rpc.is_answered and not rpc.is_abandoned and not rpc.is_answer_deferred:
-            self.answers.abort(rpc)  # nothing read may end without an answer
+            self.answers.abort(rpc)  # every RPC that was read must get an answer
         rpc.is_closed = True
         if rpc.managed is None or not rpc.managed.has_started:
             entry = self.dedup.owned_by(rpc)
             if entry is not None and entry.outcome is None:
-                # It outlived its entry unrun: no duplicate may wait for what never comes.
+                # The RPC never ran, so its waiting duplicates would never get an outcome.
                 self.duplicates.drop_unrun(entry)
         if rpc.is_duplicate:
             self.dedup.unlink_duplicate(rpc)
         self.engine.commands.forget(rpc)
         self.database.forget_rpc(rpc)
-        rpc.managed = None  # no cycle: memory must not wait for the collector
+        rpc.managed = None  # breaks a reference cycle, so that memory is freed at once
         self.table.remove(rpc)
         self.observers.notify("on_closed", rpc)
 
     # Duplicates
 
     def retain_dedup_entry(self, rpc: Rpc, duration_ms: float) -> None:
-        """Duplicates of the RPC are answered from it for so long."""
+        """Keeps an entry for `duration_ms` from which duplicates of the RPC are answered."""
         assert isinstance(rpc, RoutedRpc)
         self.dedup.reserve(rpc, self.loop.now_ms + duration_ms)
 
     def drop_dedup_entry(self, rpc: Rpc) -> None:
-        """The RPC never ran: a duplicate may."""
+        """Removes the deduplication entry of an RPC that never ran, so that a later duplicate may run."""
         assert isinstance(rpc, RoutedRpc)
         entry = self.dedup.owned_by(rpc)
         if entry is not None:
             self.duplicates.drop_unrun(entry)
 
     def await_original(self, rpc: Rpc) -> None:
-        """Answers the duplicate once its original is over."""
+        """Answers the duplicate once its original has ended."""
         assert isinstance(rpc, RoutedRpc)
         self.duplicates.await_original(rpc)
 
-    # The server's state as others see it, and the time of checks
+    # Health, advertised load and check times
 
     def set_health(self, is_healthy: bool, is_shallow: bool) -> None:
-        """Sets the answer to health checks and the report to the roster."""
+        """Sets the health that is reported to health checks and to the roster."""
         self.health_reporter.set_health(is_healthy, is_shallow)
 
     def advertise_load(self, amount: float) -> None:
-        """Sets what each answer tells callers of the load."""
+        """Sets the load that each answer advertises to callers."""
         if self.settings.load_advertisement is not LoadAdvertisement.NONE:
             self.answers.headers = gateway_wire.load_headers(amount)
 
     def close_idle_connections(self, idle_timeout_ms: float) -> None:
-        """Closes connections that are idle for so long."""
+        """Closes connections that have been idle for `idle_timeout_ms`."""
         self.gateways.set_idle_limit(idle_timeout_ms)
 
     def schedule_check(self, delay_ms: float) -> None:
-        """Asks for a check after the delay, in place of any asked for before."""
+        """Schedules the next check after `delay_ms` and cancels any check scheduled before."""
         self.check_runner.schedule_check(delay_ms)
 
     def log(self, text: str) -> None:
--- a/landingshift/net/routing/admission_driver.py
+++ b/landingshift/net/routing/admission_driver.py
@@ -1,7 +1,7 @@
-"""Brings events to the admission controller, in their order and never while it acts.
+"""Delivers events to the admission controller in order, and never while it is acting.
 
-Invariant: the controller sees all events of one pass of the loop before it settles; what its actions cause is
-deferred, comes to it next, and is settled in the same pass.
+Invariant: the controller receives all events of one loop pass before it settles. Events caused by its own
+actions are deferred until it has acted, then delivered and settled in the same pass.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 
 
 class AdmissionDriver:
-    """The controller's clock and the events that wait for it.
+    """Sets the controller's clock, queues events for the controller and makes it settle.
 
     Attributes:
-        controller: None until the engine is up.
-        needs_settle: The controller has seen events since it settled.
-        deferred: Events that must not reach the controller while it acts.
+        controller: The admission controller; None until the engine is up.
+        needs_settle: Whether the controller has received events since it last settled.
+        deferred: Callbacks that deliver events once the controller has stopped acting.
     """
 
     def __init__(self, loop: Loop) -> None:
@@ -29,18 +29,18 @@
         self.deferred: deque[Callable[[], None]] = deque()
 
     def controller_for_event(self) -> AdmissionController:
-        """The controller, ready to be told of an event that happens now."""
+        """Return the controller with its clock set to now, marked as needing to settle."""
         assert self.controller is not None
         self.controller.now_ms = self.loop.now_ms
         self.needs_settle = True
         return self.controller
 
     def defer(self, action: Callable[[], None]) -> None:
-        """Has `action` done before the controller settles next."""
+        """Calls `action` later in this pass, before the controller settles next."""
         self.deferred.append(action)
 
     def settle(self) -> None:
-        """Ends the pass: does what was deferred and lets the controller act, until nothing is left."""
+        """Ends the pass: runs deferred callbacks and settles the controller until neither is left to do."""
         while self.deferred or self.needs_settle:
             while self.deferred:
                 self.deferred.popleft()()
--- a/landingshift/net/routing/answers.py
+++ b/landingshift/net/routing/answers.py
@@ -1,6 +1,6 @@
-"""The answers to RPCs.
+"""Writes the answers to RPCs.
 
-Guarantee: one final answer an RPC, whatever is said later; none where nobody waits for it any more.
+Guarantee: an RPC gets at most one answer; later ones are dropped. An abandoned RPC gets none.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 
 
 class AnswerWriter:
-    """Writes answers to the connections on which the RPCs came.
+    """Writes answers to the connections on which the RPCs arrived.
 
     Args:
         connections: The gateways' connections.
-        observers: Called with each answer that was written.
-        log: Called with a gate that was cut off.
+        observers: Notified of each answer that was written.
+        log: Receives an event when an answer gate fails and is removed.
 
     Attributes:
-        headers: The headers of each answer, which tell callers of the server's load.
-        gate: The gate that ok answers pass before they go out, if there is one.
+        headers: The headers of each answer, which advertise the server's load to callers.
+        gate: The gate that may delay ok answers; None where there is none.
     """
 
     def __init__(
@@ -38,11 +38,11 @@
         self.gate: AnswerGate | None = None
 
     def send_ok(self, rpc: RoutedRpc, result: bytes, run_time_ms: float) -> None:
-        """Answers with a result; the gate, where there is one, may let it go later."""
+        """Answers the RPC with its result, unless the answer gate takes the answer to send it later."""
         if self.gate is not None and not rpc.is_answered and not rpc.is_abandoned:
             try:
                 rpc.is_answer_deferred = self.gate.defer_answer(rpc, result, run_time_ms)
-            except Exception:  # a gate that breaks must not keep answers
+            except Exception:  # a failing gate must not hold back answers
                 self.log("gate_cut_off", trace=traceback.format_exc(limit=-MAX_TRACE_FRAMES))
                 self.gate = None
                 rpc.is_answer_deferred = False
@@ -50,21 +50,27 @@
             self.send_deferred(rpc, result)
 
     def send_deferred(self, rpc: RoutedRpc, result: bytes) -> None:
-        """An ok answer passed the gate."""
+        """Sends an ok answer that the gate has released."""
         rpc.is_answer_deferred = False
         self._answer(rpc, wire.encode_ok(rpc.message_id, result, self.headers), AnswerKind.OK)
 
     def abort_deferred(self, rpc: RoutedRpc) -> None:
-        """The gate decided that an ok answer may not go: aborts the RPC instead."""
+        """Aborts an RPC whose ok answer the gate decided not to send."""
         rpc.is_answer_deferred = False
         self.abort(rpc)
 
     def abort(self, rpc: RoutedRpc) -> None:
-        """Answers that the RPC brought no result and may have run."""
+        """Answers the RPC as aborted: it has no result and may have run."""
         self._answer(rpc, wire.encode_aborted(rpc.message_id, self.headers), AnswerKind.ABORTED)
 
     def reject(self, rpc: RoutedRpc, retry_after_ms: float, is_final: bool) -> None:
-        """Answers that the RPC never ran here; `is_final`: its caller should not try elsewhere either."""
+        """Answers the RPC as rejected: it never ran on this server.
+
+        Args:
+            rpc: The RPC to answer.
+            retry_after_ms: The time after which the caller may retry.
+            is_final: Whether the caller should not retry on another server either.
+        """
         headers = wire.rejection_headers(self.headers, retry_after_ms, is_final)
         self._answer(rpc, wire.encode_rejected(rpc.message_id, headers), AnswerKind.REJECTED)
 
--- a/landingshift/net/routing/check_runner.py
+++ b/landingshift/net/routing/check_runner.py
@@ -1,6 +1,6 @@
-"""Runs the admission controller's checks, each with the engine's gauges where they come in time.
+"""Runs the admission controller's checks, with the engine's gauges where they arrive in time.
 
-Guarantee: a check that was asked for happens, whatever the engine does: deadlines do not wait for it.
+Guarantee: a scheduled check runs even if the engine does not respond, since deadlines must not wait for it.
 """
 
 from __future__ import annotations
@@ -10,16 +10,16 @@
 from landingshift.net.routing.engine_link import EngineLink
 from landingshift.net.transport.loop import Loop, Timer
 
-MAX_GAUGE_WAIT_MS = 25.0  # that a check waits for the gauges
-MAX_GAUGE_AGE_MS = 500.0  # that gauges are taken for the state of the cores
+MAX_GAUGE_WAIT_MS = 25.0  # the longest that a check waits for the gauges
+MAX_GAUGE_AGE_MS = 500.0  # older gauges no longer describe the load on the cores
 NO_GAUGES = Gauges(None, None, None)
 
 
 class CheckRunner:
-    """Runs the controller's checks at the times that it asks for.
+    """Runs the controller's checks at the times that the controller sets.
 
     Args:
-        gauge_names: The gauges' names, in the order in which the engine reports them.
+        gauge_names: The names of the gauges, in the order in which the engine reports them.
     """
 
     def __init__(
@@ -30,12 +30,12 @@
         self.engine = engine
         self.gauge_names = gauge_names
         self.gauges = NO_GAUGES
-        self.gauges_at_ms = 0.0  # when they came
+        self.gauges_at_ms = 0.0  # when they were last reported
         self.check_timer: Timer | None = None
         self.gauge_wait_timer: Timer | None = None  # set while a check waits for the gauges
 
     def schedule_check(self, delay_ms: float) -> None:
-        """The next check happens after the delay, in place of any that was asked for or is under way."""
+        """Schedules the next check; cancels a scheduled one and one that still waits for the gauges."""
         self.loop.cancel(self.check_timer)
         self.check_timer = self.loop.after(delay_ms, self._begin_check)
         if self.gauge_wait_timer is not None:
@@ -43,7 +43,7 @@
             self.gauge_wait_timer = None
 
     def on_gauges(self, values: list[float]) -> None:
-        """The engine reported its gauges."""
+        """Stores the gauges that the engine reported and runs the check that waits for them, if any."""
         named = dict(zip(self.gauge_names, values, strict=False))
         self.gauges = Gauges(named.get("core_use"), named.get("on_cores"), named.get("links"))
         self.gauges_at_ms = self.loop.now_ms
@@ -66,6 +66,6 @@
         try:
             self.driver.controller_for_event().on_timer(self.gauges if is_fresh else NO_GAUGES)
         except Exception:
-            # A defect must not end the checks: nothing would be answered in time.
+            # An exception must not end the series of checks, or RPCs would get no answer by their deadlines.
             self.schedule_check(MAX_GAUGE_WAIT_MS)
             raise
--- a/landingshift/net/routing/database_events.py
+++ b/landingshift/net/routing/database_events.py
@@ -1,4 +1,4 @@
-"""What becomes of calls to the database, brought to the engine and to the admission controller."""
+"""Reports finished database calls to the engine and to the admission controller."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class DatabaseEventHandler:
-    """Serves as the database pool's `DatabaseEvents`."""
+    """Implements the database pool's `DatabaseEvents`."""
 
     def __init__(self, driver: AdmissionDriver, engine: EngineLink, observers: RpcObservers) -> None:
         self.driver = driver
@@ -21,7 +21,7 @@
         self.observers = observers
 
     def on_call_finished(self, rpc: RoutedRpc, outcome: Outcome, elapsed_ms: float, reply: bytes) -> None:
-        """A call is over. May happen while the controller acts, so that it is told later in the pass."""
+        """Reports a finished call later in the pass, since the controller may be acting at this moment."""
         self.driver.defer(partial(self._notify_controller, rpc, outcome, elapsed_ms, reply))
 
     def _notify_controller(self, rpc: RoutedRpc, outcome: Outcome, elapsed_ms: float, reply: bytes) -> None:
--- a/landingshift/net/routing/database_pool.py
+++ b/landingshift/net/routing/database_pool.py
@@ -1,8 +1,8 @@
-"""Calls to the shared database, over a pool of links.
+"""Makes calls to the shared database over a pool of links.
 
-As few calls on one link as can be: a reply that is malformed, late or missing costs all calls that share the
-link. Guarantee: a call that is not known to have reached the database ends as `NO_CONNECTION`; one whose fate
-is unknown ends as `NO_RESPONSE` or `CONNECTION_LOST`.
+Calls are spread so that each link carries as few as possible: a malformed, late or missing reply fails all
+calls on its link. Guarantee: a call that cannot have reached the database ends as `NO_CONNECTION`; one that
+may have reached it without a reply ends as `NO_RESPONSE` or `CONNECTION_LOST`.
 """
 
 from __future__ import annotations
@@ -19,28 +19,28 @@
 from landingshift.net.transport.stream import Address, Stream, connect
 
 MAX_UNSENT_BYTES = 1 << 20
-# An idle link may be closed or forgotten on the other side, and the next call be lost with it.
+# The database may silently drop an idle link; the next call on it would be lost.
 MAX_IDLE_MS = 1000.0
-MAX_LINKS = 24  # that take new calls
-MAX_RETIRED_LINKS = 16  # that may be open besides until their last calls end
+MAX_LINKS = 24  # links that take new calls
+MAX_RETIRED_LINKS = 16  # further links that stay open only until their last calls end
 MAX_REPLY_MS = 100.0  # from a reply's first byte to its last
 
 
 class DatabaseEvents(Protocol):
-    """What becomes of calls."""
+    """Receives the outcomes of calls."""
 
     def on_call_finished(self, rpc: RoutedRpc, outcome: Outcome, elapsed_ms: float, reply: bytes) -> None:
-        """The RPC's call is over."""
+        """Handles the end of the RPC's call."""
 
 
 @dataclass(slots=True, eq=False)
 class DatabaseCall:
-    """A call under way."""
+    """A call in flight."""
 
     rpc: RoutedRpc
     link: DatabaseLink
     started_ms: float
-    stream_end: int  # where it ends in the link's stream
+    stream_end: int  # offset in the link's output stream at which the request ends
     timer: Timer | None = None
 
 
@@ -49,14 +49,14 @@
 
     Args:
         pool: The pool that the link belongs to.
-        open_stream: Makes the link's stream; returns the reason where there is none.
+        open_stream: Opens the link's stream, or returns the reason why it cannot.
     """
 
     def __init__(self, pool: DatabasePool, open_stream: Callable[[DatabaseLink], Stream | str]) -> None:
         self.pool = pool
         self.decoder = wire.ReplyDecoder()
-        self.calls: dict[bytes, DatabaseCall] = {}  # under way, by the RPC's id
-        self.partial_reply_timer: Timer | None = None  # set while a reply has begun and is not complete
+        self.calls: dict[bytes, DatabaseCall] = {}  # in flight, by RPC id
+        self.partial_reply_timer: Timer | None = None  # set while a reply is partly received
         stream = open_stream(self)
         self.stream = stream if isinstance(stream, Stream) else None
         if self.stream is not None:
@@ -73,7 +73,7 @@
             self.pool.loop.after(max(MAX_IDLE_MS / 4.0, MAX_IDLE_MS - idle_ms), self._check_idle)
 
     def on_data(self, data: bytes) -> None:
-        """Bytes came on the link."""
+        """Decodes received bytes and finishes the calls that they answer."""
         try:
             for reply in self.decoder.feed(data):
                 self._stop_partial_reply_timer()
@@ -86,7 +86,7 @@
             self.start_partial_reply_timer()
 
     def start_partial_reply_timer(self) -> None:
-        """Bounds the time of a reply: a wrong length or an endless line would hold up all calls on it."""
+        """Bounds the time of a partial reply: a wrong length or endless line would block all calls here."""
         self.partial_reply_timer = self.pool.loop.after(MAX_REPLY_MS, lambda: self.close("unfinished"))
 
     def _stop_partial_reply_timer(self) -> None:
@@ -99,11 +99,11 @@
             self.stream.close(reason)
 
     def on_eof(self) -> None:
-        """The database writes no more on the link."""
+        """Closes the link when the database ends its side."""
         self.close("closed")
 
     def on_closed(self, reason: str) -> None:
-        """The link ended: its calls are over."""
+        """Retires the closed link and fails its calls."""
         self._stop_partial_reply_timer()
         self.pool.log("database_link_ended", reason=reason, calls=len(self.calls))
         self.pool.retire(self)
@@ -111,7 +111,7 @@
         self.stream = None
         self.pool.open_count -= 1
         for call in list(self.calls.values()):
-            # Only what was not completely sent is known not to have run.
+            # Only a request that was not completely sent is known not to have run.
             never_ran = call.stream_end > sent_bytes
             self.pool.finish(call, Outcome.NO_CONNECTION if never_ran else Outcome.CONNECTION_LOST, b"")
 
@@ -121,14 +121,14 @@
 
     Args:
         address: The database's address; None where there is no database.
-        log: Called with links that ended.
+        log: Receives an event for each link that ends.
 
     Attributes:
         links: Links that take new calls.
-        open_count: Links that are open, those that take no new calls included.
-        calls: The call under way of each RPC that has one.
-        used_links: Links on which a late reply to an open RPC may still come.
-        cancelled: Calls given up since the last flush: their links and RPC ids.
+        open_count: The number of open links, including retired ones.
+        calls: The call in flight of each RPC that has one.
+        used_links: Per open RPC, the links on which a late reply to one of its calls may still arrive.
+        cancelled: Links and RPC ids of the calls cancelled since the last flush.
     """
 
     def __init__(self, loop: Loop, address: Address | None, log: Callable[..., None]) -> None:
@@ -143,11 +143,11 @@
         self.cancelled: list[tuple[DatabaseLink, bytes]] = []
 
     def start(self, events: DatabaseEvents) -> None:
-        """Sets the receiver of the ends of calls; called before the first call."""
+        """Sets the receiver of call outcomes; must precede the first call."""
         self.events = events
 
     def call(self, rpc: RoutedRpc, timeout_ms: float) -> bool:
-        """Makes the call that the RPC's run asks for; False where it is known at once that nothing ran."""
+        """Starts the call that the RPC's run asks for; returns False if there is no link to send it on."""
         link = self._choose_link(rpc)
         if link is None or link.stream is None:
             return False
@@ -160,13 +160,15 @@
         return True
 
     def _choose_link(self, rpc: RoutedRpc) -> DatabaseLink | None:
-        """The link used last among those with fewest calls, so that the others grow old and go.
+        """Return a link for the RPC's next call; None if there is none.
 
-        A reply may come twice: on one link, the next call of the same RPC could take the copy for its own.
+        Among the links with the fewest calls, the most recently used one is chosen, so that surplus links
+        become idle and close. Links that the RPC has used are skipped: a reply may arrive twice, and on the
+        same link the copy would be taken for the reply to the RPC's next call.
         """
         used = self.used_links.get(rpc, ())
-        fit = [link for link in self.links if link not in used]
-        best = min(fit, key=_preference, default=None)
+        candidates = [link for link in self.links if link not in used]
+        best = min(candidates, key=_preference, default=None)
         has_capacity = len(self.links) < MAX_LINKS and self.open_count < MAX_LINKS + MAX_RETIRED_LINKS
         if (best is None or best.calls) and has_capacity:
             best = DatabaseLink(self, self._connect)
@@ -181,45 +183,51 @@
         return connect(self.loop, self.address, link, MAX_UNSENT_BYTES)
 
     def change_address(self, address: Address | None) -> None:
-        """New calls go to another address; those under way end where they are."""
+        """Sends new calls to another address; calls in flight finish on their present links."""
         if address != self.address:
             self.address = address
             for link in list(self.links):
                 self.retire(link)
 
     def retire(self, link: DatabaseLink) -> None:
-        """Puts no new calls on the link; it is closed once it has none."""
+        """Stops using the link for new calls; it is closed once its last call has ended."""
         if link in self.links:
             self.links.remove(link)
         if not link.calls:
             link.close("retired")
 
     def on_timeout(self, call: DatabaseCall) -> None:
-        """The call has taken all the time that it had."""
+        """Ends a call that has reached its timeout, and retires its link."""
         stream = call.link.stream
         never_ran = stream is None or call.stream_end > stream.sent_bytes
         self._cancel(call)
-        self.retire(call.link)  # a link may hang while the database is well
+        self.retire(call.link)  # the link may hang although the database works
         outcome = Outcome.NO_CONNECTION if never_ran else Outcome.NO_RESPONSE
         self.events.on_call_finished(call.rpc, outcome, self._elapsed_ms(call), b"")
 
     def finish(self, call: DatabaseCall, outcome: Outcome, reply: bytes) -> None:
-        """The call is over by a reply or by the end of its link."""
+        """Ends a call after its reply or the loss of its link, and reports its outcome."""
         self._forget(call)
         self.events.on_call_finished(call.rpc, outcome, self._elapsed_ms(call), reply)
 
     def cancel(self, rpc: RoutedRpc) -> None:
-        """Nobody waits for the RPC's call any more, if it has one."""
+        """Cancels the RPC's call, if it has one."""
         call = self.calls.get(rpc)
         if call is not None:
             self._cancel(call)
 
     def forget_rpc(self, rpc: RoutedRpc) -> None:
-        """The RPC is closed: it makes no more calls."""
+        """Drops the record of links used by an RPC that is closed."""
         self.used_links.pop(rpc, None)
 
     def flush(self, is_calling: Callable[[bytes], bool]) -> None:
-        """Cancels the calls that were given up, but for RPCs whose next call replaces them."""
+        """Sends the pending cancellations to the database.
+
+        An RPC that has a new call in flight is skipped: the new call replaces the cancelled one.
+
+        Args:
+            is_calling: Whether the RPC with the given id has a call in flight.
+        """
         for link, rpc_id in self.cancelled:
             if link.stream is not None and not is_calling(rpc_id):
                 link.stream.write(wire.encode_cancel(rpc_id))
@@ -241,6 +249,6 @@
 
 
 def _preference(link: DatabaseLink) -> tuple[int, float]:
-    """Sorts links: fewest calls first, then the one used last."""
+    """Sort key for links: fewest calls first, then most recently used."""
     last_activity_ms = link.stream.last_activity_ms if link.stream is not None else 0.0
     return len(link.calls), -last_activity_ms
--- a/landingshift/net/routing/duplicates.py
+++ b/landingshift/net/routing/duplicates.py
@@ -1,8 +1,8 @@
-"""Duplicates of RPCs, answered from the deduplication table.
+"""Answers duplicates of RPCs from the deduplication table.
 
-Guarantee: a result goes only to a caller that may have it. A duplicate on an unverified connection may be a
-stranger's guess at a gateway's key: it gets the result only once the engine has known an RPC of that
-connection. Where that can't be shown within `VERIFICATION_TIME_MS`, the duplicate is aborted.
+Guarantee: a result goes only to a gateway. A duplicate on an unverified connection may come from an unknown
+client that guessed a gateway's key, so it gets the result only once the engine has recognized an RPC from
+that connection. If this does not happen within `VERIFICATION_TIME_MS`, the duplicate is aborted.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class DuplicateResolver:
-    """Answers duplicates once their original is over and their connection is verified."""
+    """Answers duplicates once their original has ended and their connection is verified."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         self.connections = connections
 
     def await_original(self, rpc: RoutedRpc) -> None:
-        """Answers the duplicate once its original is over."""
+        """Answers the duplicate once its original has ended."""
         entry = self.dedup.originals[rpc]
         if entry.outcome is None:
             entry.waiters[rpc] = None
@@ -48,17 +48,17 @@
             self._defer_answer(rpc, entry)
 
     def complete(self, entry: DedupEntry, outcome: Outcome, result: bytes) -> None:
-        """The run of the entry's owner is over: answers the duplicates that wait for it."""
+        """Stores the outcome of the entry's owner and answers the duplicates that wait for it."""
         for waiter in self.dedup.complete(entry, outcome, result, self.loop.now_ms):
             self._defer_answer(waiter, entry)
 
     def drop_unrun(self, entry: DedupEntry) -> None:
-        """The owner never ran: aborts its duplicates and forgets the entry, so that later ones may run."""
+        """Removes the entry of an owner that never ran: aborts its duplicates, and later ones may run."""
         self.complete(entry, Outcome.ABORTED, b"")
         self.dedup.remove(entry)
 
     def verify_connection(self, rpc: RoutedRpc) -> None:
-        """The engine knew the RPC: its connection is a gateway's and gets its duplicates answered."""
+        """Verifies the connection of an RPC that the engine recognized; answers its waiting duplicates."""
         connection = self.connections.get(rpc.connection)
         if connection is None or connection.is_verified:
             return
@@ -71,12 +71,12 @@
         self.driver.defer(partial(self._answer_duplicate, rpc, entry, is_last_chance))
 
     def _answer_duplicate(self, rpc: RoutedRpc, entry: DedupEntry, is_last_chance: bool) -> None:
-        """Answers a duplicate whose original is over.
+        """Answers a duplicate whose original has ended.
 
         Args:
             rpc: The duplicate.
             entry: The entry of its original.
-            is_last_chance: There is no more time for its connection to be verified.
+            is_last_chance: Whether the time for verifying its connection is over.
         """
         if rpc.is_closed or rpc.managed is None:
             return
@@ -98,11 +98,11 @@
         self.driver.controller_for_event().on_run_finished(rpc.managed, outcome, 0.0)
 
     def _await_verification(self, connection: GatewayConnection, rpc: RoutedRpc, entry: DedupEntry) -> None:
-        """Answers the duplicate once another RPC has verified the connection, or aborts it after a time.
+        """Answers the duplicate once another RPC has verified the connection, or aborts it on timeout.
 
-        The engine is asked whether it knows an RPC by a command to skip a call. Where the method allows no
-        call to be skipped, the engine refuses that command for the RPCs that it knows, too. A refusal would
-        cut the connection off with all its open RPCs, so the question is not asked here.
+        `EngineLink.query_known` uses a command to skip a call, which the engine refuses for every RPC whose
+        method allows no call to be skipped. A refusal closes an unverified connection together with its open
+        RPCs, so the engine is not queried for such methods.
         """
         connection.unverified_duplicates = {
             duplicate: original
--- a/landingshift/net/routing/engine_commands.py
+++ b/landingshift/net/routing/engine_commands.py
@@ -1,7 +1,7 @@
-"""Commands that are not known to have reached the engine, and which of them may be sent again.
+"""Tracks commands that are not known to have reached the engine, and which of them may be resent.
 
-Guarantee: a run whose effect must not happen twice is not sent again once it was given to a link that broke.
-It is withheld until its RPC is answered; such an RPC may end aborted though it never ran.
+Guarantee: a run whose effect must not happen twice is not resent after it was written to a link that broke.
+It is withheld until its RPC is answered or abandoned, so the RPC may end as aborted although it never ran.
 """
 
 from __future__ import annotations
@@ -16,33 +16,33 @@
 
 @dataclass(slots=True, eq=False)
 class EngineCommand:
-    """A command for an RPC that is not known to have arrived."""
+    """A command for an RPC, not known to have reached the engine."""
 
     rpc: RoutedRpc
     data: bytes
-    starts_run: bool  # which must not happen twice
-    stream_end: int = -1  # where it ends in the link's stream; -1 before it is written
-    is_in_doubt: bool = False  # given to a link that broke: it may have arrived
-    is_withheld: bool = False
-    on_known: Callable[[], None] | None = None  # called once it has arrived and the engine knew the RPC
+    starts_run: bool  # whether it starts the RPC's run
+    stream_end: int = -1  # offset in the link's output stream at which it ends; -1 before it is written
+    is_in_doubt: bool = False  # sent on a link that broke: it may have arrived
+    is_withheld: bool = False  # not resent until the RPC is answered or abandoned
+    on_known: Callable[[], None] | None = None  # called once the engine has accepted the command
 
     @property
-    def may_have_run(self) -> bool:
-        """Whether sending the command again could have an effect twice.
+    def is_unsafe_to_resend(self) -> bool:
+        """Return whether resending the command could repeat an effect.
 
-        One that starts a run and was given to a lost link may have run to its end since.
+        A command that starts a run and was sent on a lost link may have run to completion since.
         """
         may_run_again = self.rpc.method.idempotency is Idempotency.IDEMPOTENT or self.rpc.is_answered
         return self.starts_run and self.is_in_doubt and not may_run_again
 
 
 class UnconfirmedCommands:
-    """The commands of open RPCs until they are known to have arrived.
+    """Commands for open RPCs that are not known to have reached the engine.
 
     Attributes:
-        queue: The commands in the order given, without those withheld. Ones that a later command of the
-            same RPC has replaced stay until they are confirmed or the link is made again.
-        latest: The latest command of each open RPC, withheld ones included.
+        queue: The commands in the order in which they were added, without withheld ones. A command that a
+            later one for the same RPC has replaced stays until it is confirmed or the link is reconnected.
+        latest: The latest unconfirmed command of each open RPC, including withheld ones.
     """
 
     def __init__(self) -> None:
@@ -50,16 +50,16 @@
         self.latest: dict[RoutedRpc, EngineCommand] = {}
 
     def add(self, command: EngineCommand) -> None:
-        """Takes in a command, in place of an earlier one of its RPC."""
+        """Adds a command, which replaces an earlier one for the same RPC."""
         self.latest[command.rpc] = command
         self.queue.append(command)
 
     def forget(self, rpc: RoutedRpc) -> None:
-        """The RPC's latest command has arrived, or nobody needs to know any more whether it has."""
+        """Stops tracking the RPC's latest command: it has arrived, or its delivery no longer matters."""
         self.latest.pop(rpc, None)
 
     def confirm(self, confirmed_bytes: int) -> None:
-        """All commands that end within so many bytes of the link's stream have arrived."""
+        """Confirms all commands that end within the first `confirmed_bytes` of the link's output stream."""
         while self.queue and 0 <= self.queue[0].stream_end <= confirmed_bytes:
             command = self.queue.popleft()
             if self.latest.get(command.rpc) is not command:
@@ -69,28 +69,28 @@
                 command.on_known()
 
     def on_link_lost(self, sent_bytes: int) -> None:
-        """What was sent on the link that broke may have arrived."""
+        """Marks commands that were sent on the broken link as in doubt: they may have arrived."""
         for command in self.queue:
             command.is_in_doubt = command.is_in_doubt or 0 <= command.stream_end <= sent_bytes
             command.stream_end = -1
 
     def withhold(self) -> int:
-        """Leaves in the queue what is to be sent on a new link; returns how many commands were open."""
+        """Reduces the queue to the commands to resend on a new link; returns the number of open commands."""
         open_commands = [command for command in self.queue if self.latest.get(command.rpc) is command]
         for command in open_commands:
-            command.is_withheld = command.may_have_run
+            command.is_withheld = command.is_unsafe_to_resend
         self.queue = deque(command for command in open_commands if not command.is_withheld)
         return len(open_commands)
 
     def has_written(self) -> bool:
-        """Whether a command was written on the link that is open."""
+        """Return whether a queued command was written on the present link."""
         return any(command.stream_end >= 0 for command in self.queue)
 
     def has_query(self) -> bool:
-        """Whether a command asks if the engine knows its RPC."""
+        """Return whether a queued command asks if the engine knows its RPC."""
         return any(command.on_known is not None for command in self.queue)
 
     def is_query(self, rpc: RoutedRpc) -> bool:
-        """Whether the RPC's latest command asks if the engine knows it."""
+        """Return whether the RPC's latest command asks if the engine knows it."""
         command = self.latest.get(rpc)
         return command is not None and command.on_known is not None
--- a/landingshift/net/routing/engine_events.py
+++ b/landingshift/net/routing/engine_events.py
@@ -1,4 +1,4 @@
-"""What the engine tells, brought to the admission controller and to those who wait for it."""
+"""Handles the engine's messages: answers RPCs and informs the admission controller."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 class EngineEventHandler:
-    """Serves as the engine link's `EngineEvents`.
+    """Implements the engine link's `EngineEvents`.
 
     Args:
-        start_admission: Called when the engine is up for the first time.
+        start_admission: Called when the engine answers for the first time.
     """
 
     def __init__(
@@ -54,11 +54,11 @@
         self.log = log
 
     def on_engine_up(self, hello: wire.Hello) -> None:
-        """The engine answered for the first time."""
+        """Starts admission when the engine answers for the first time."""
         self.start_admission(hello)
 
     def on_run_ended(self, notice: wire.RunEnded) -> None:
-        """The run is over: answers the RPC and its duplicates, and tells the controller."""
+        """Answers the RPC and its duplicates after the end of the run, and informs the controller."""
         rpc = self.table.find(notice.rpc_id)
         if rpc is None or rpc.managed is None:
             return
@@ -77,7 +77,7 @@
             self.duplicates.complete(entry, notice.outcome, notice.result)
 
     def on_call_needed(self, notice: wire.CallNeeded) -> None:
-        """The run waits for a call; the controller decides whether it is made."""
+        """Stores the call that the run asks for; the controller decides whether it is made."""
         rpc = self.table.find(notice.rpc_id)
         if rpc is None or rpc.managed is None:
             return
@@ -89,7 +89,11 @@
         self.driver.controller_for_event().on_call_needed(rpc.managed)
 
     def on_command_refused(self, refusal: wire.CommandRefused) -> None:
-        """The engine does not know the RPC: it is aborted, and an unverified connection is cut off."""
+        """Handles a refused command; aborts the RPC if the refusal shows that the engine does not know it.
+
+        This is so for a refused run and for a query whether the engine knows the RPC. An unverified
+        connection that brought such an RPC is closed.
+        """
         rpc = self.table.find(refusal.rpc_id)
         self.log("engine_no", command=refusal.command.decode("latin-1"), known=rpc is not None)
         if rpc is None:
@@ -99,8 +103,8 @@
         connection = self.gateways.connections.get(rpc.connection)
         self.on_run_ended(wire.RunEnded(wire.NO_NOTICE_NUMBER, refusal.rpc_id, Outcome.NOT_SENT, 0.0, b""))
         if connection is not None and not connection.is_verified:
-            connection.cut_off("unknown_rpc")  # what else it brings would take places for nothing
+            connection.cut_off("unknown_rpc")  # further RPCs of an unknown client would only use up capacity
 
     def on_gauges(self, values: list[float]) -> None:
-        """The gauges, in the order of the configuration."""
+        """Passes on the gauges, in the order of the configuration."""
         self.check_runner.on_gauges(values)
--- a/landingshift/net/routing/engine_link.py
+++ b/landingshift/net/routing/engine_link.py
@@ -1,7 +1,7 @@
-"""The link to the engine: kept open, made again after a loss, and no run given to the engine twice.
+"""Maintains the link to the engine: reconnects after a loss and resends commands safely.
 
-Guarantee: a command counts as delivered once the engine has answered a query that was written behind it.
-After a loss, what may not have arrived is sent again, except for what `engine_commands` withholds.
+Guarantee: a command counts as delivered once the engine has answered a query that was written after it. After
+a reconnect, undelivered commands are resent except those that `engine_commands` withholds.
 """
 
 from __future__ import annotations
@@ -17,56 +17,57 @@
 from landingshift.net.transport.loop import Loop, Timer
 from landingshift.net.transport.stream import Address, Stream, connect
 
-MAX_UNSENT_BYTES = 8 << 20  # more than all RPCs that fit into a server's memory can ask for
+MAX_UNSENT_BYTES = 8 << 20  # more than the commands for all RPCs that fit into a server's memory
 RECONNECT_DELAY_MS = 50.0
-ADDRESS_CHANGE_GRACE_MS = 100.0  # that a link which is to be left has to confirm its commands
-MAX_OUTAGE_MS = 1500.0  # without a link before work counts as not getting done
-MAX_SILENCE_MS = 2500.0  # without the answer that is due after which the link is given up
-MAX_SELF_TESTS = 64  # deep checks that may be under way
+ADDRESS_CHANGE_GRACE_MS = 100.0  # time for the old link to confirm its commands before it is closed
+MAX_OUTAGE_MS = 1500.0  # time without a link after which the engine counts as not working
+MAX_SILENCE_MS = 2500.0  # wait for a due answer after which the link is closed
+MAX_SELF_TESTS = 64  # deep health checks in progress
 CONNECT_FAILURES = ("refused", "unreachable")
 
 
 class EngineEvents(Protocol):
-    """What the engine reports, in its order and each notice once."""
+    """Receives the engine's messages in order, and each notice once."""
 
     def on_engine_up(self, hello: wire.Hello) -> None:
-        """The engine answered for the first time."""
+        """Handles the engine's first answer since the start of this server."""
 
     def on_run_ended(self, notice: wire.RunEnded) -> None:
-        """The run of an RPC is over."""
+        """Handles the end of an RPC's run."""
 
     def on_call_needed(self, notice: wire.CallNeeded) -> None:
-        """A run asks for a call to the database."""
+        """Handles a run's request for a database call."""
 
     def on_command_refused(self, refusal: wire.CommandRefused) -> None:
-        """The engine did not take a command."""
+        """Handles the refusal of a command."""
 
     def on_gauges(self, values: list[float]) -> None:
-        """The gauges, in the order of the configuration."""
+        """Handles the values of the gauges, in the order of the configuration."""
 
 
 @dataclass(slots=True)
 class GaugeQuery:
-    """A query for the gauges that is not answered yet."""
+    """A gauge query without an answer yet."""
 
     tag: bytes
-    bytes_before: int  # of the stream when it was written: what the answer confirms
+    bytes_before: int  # length of the output stream before the query; the answer confirms these bytes
 
 
 class EngineLink:
-    """The one link to the engine.
+    """The single link to the engine.
 
     Args:
         address: The address at which the engine listens.
-        log: Called with links made and lost.
+        log: Receives events on links made and lost.
 
     Attributes:
         last_notice_number: The number of the last notice read.
-        is_ready: All that ended while there was no link is known, and commands may be written.
-        has_reached_engine: It has answered at least once since the start of the server.
-        is_greeted: It has answered on this link.
-        is_changing_address: The link is being left for another address.
-        commands: Those that are not known to have arrived.
+        is_ready: Whether all notices missed without a link have been read and commands may be written.
+        has_reached_engine: Whether the engine has answered at least once since the start of the server.
+        is_greeted: Whether the engine has answered on the present link.
+        is_changing_address: Whether the link is being closed in favour of another address.
+        commands: Commands that are not known to have arrived.
+        answered_at_ms: The start of the wait for a due answer; moves with the clock while none is due.
     """
 
     def __init__(self, loop: Loop, address: Address, log: Callable[..., None]) -> None:
@@ -89,24 +90,24 @@
         self.commands = UnconfirmedCommands()
         self.gauge_query: GaugeQuery | None = None
         self.self_tests: dict[bytes, Callable[[bool], None]] = {}
-        self.answered_at_ms = loop.now_ms  # when all that was asked had last been answered
+        self.answered_at_ms = loop.now_ms
 
     def start(self, events: EngineEvents, attach: bool = True) -> None:
-        """Begins to serve `events`.
+        """Connects to the engine and delivers its messages to `events`.
 
         Args:
-            events: Called with what the engine reports.
-            attach: Whether to connect now. False in a hot restart alone: the link comes from the old build.
+            events: The receiver of the engine's messages.
+            attach: Whether to connect now. False only in a hot restart, which takes over an open link.
         """
         self.events = events
         if attach:
             self.attach()
         self.loop.after(MAX_SILENCE_MS / 2.0, self._check_silence)
 
-    # The link
+    # Connecting
 
     def attach(self) -> None:
-        """Tries to reach the engine; where that fails at once, again later."""
+        """Connects to the engine; retries later if that fails at once."""
         self.reconnect_timer = None
         self.decoder = wire.NoticeDecoder()
         self.linked_at_ms = self.loop.now_ms
@@ -120,7 +121,7 @@
         stream.write(wire.encode_attach(self.last_notice_number))
 
     def change_address(self, address: Address) -> None:
-        """Goes to another address, where runs and numbers of notices go on."""
+        """Moves the link to another address of the same engine: runs and notice numbers continue there."""
         if address == self.address:
             return
         self.address = address
@@ -128,11 +129,11 @@
             self.loop.cancel(self.reconnect_timer)
             self.attach()
         elif self.is_changing_address:
-            pass  # the link is being left already, for whichever address is the last
+            pass  # the link is closing already; the next one goes to the latest address
         elif not self.is_ready:
             self.stream.close("moved")
         else:
-            # Left only once all commands are known to have arrived: what is in doubt may not run again.
+            # Closed only once all commands are confirmed: a run in doubt could not be resent.
             stream = self.stream
             self.is_ready = False
             self.is_changing_address = True
@@ -141,13 +142,16 @@
 
     @property
     def is_working(self) -> bool:
-        """Whether work gets done. A link that breaks and comes back is routine and says nothing of that."""
+        """Return whether the engine counts as working.
+
+        A short loss of the link is routine and does not change that.
+        """
         return self.is_ready or (
             self.has_reached_engine and self.loop.now_ms - self.lost_at_ms < MAX_OUTAGE_MS
         )
 
     def _check_silence(self) -> None:
-        """Gives up a link that hangs without an end. Before the engine is up it owes nothing."""
+        """Closes a link on which an answer is overdue. No answer is due before the engine is up."""
         self.loop.after(MAX_SILENCE_MS / 2.0, self._check_silence)
         owes_answer = self.has_reached_engine and (self.gauge_query is not None or not self.is_greeted)
         if self.stream is None or not owes_answer:
@@ -156,7 +160,7 @@
             self.stream.close("silent")
 
     def on_data(self, data: bytes) -> None:
-        """Bytes came on the link."""
+        """Decodes received bytes and handles the messages in them."""
         try:
             for message in self.decoder.feed(data):
                 self._on_message(message)
@@ -165,12 +169,12 @@
                 self.stream.close(err.reason)
 
     def on_eof(self) -> None:
-        """The engine writes no more on the link."""
+        """Closes the link when the engine ends its side."""
         if self.stream is not None:
             self.stream.close("closed")
 
     def on_closed(self, reason: str) -> None:
-        """The link ended: what was given to it is in doubt from now on."""
+        """Marks the commands sent on the closed link as in doubt and schedules a reconnect."""
         sent_bytes = self.stream.sent_bytes if self.stream is not None else 0
         if reason not in CONNECT_FAILURES:
             self.log(
@@ -193,13 +197,13 @@
         self.reconnect_timer = self.loop.after(delay_ms, self.attach)
 
     def abandon_self_tests(self) -> None:
-        """Answers the deep checks under way by whether work gets done at all."""
+        """Answers the deep health checks in progress by whether the engine counts as working."""
         answers = self.self_tests
         self.self_tests = {}
         for answer in answers.values():
             answer(self.is_working)
 
-    # From the engine
+    # Incoming messages
 
     def _on_message(self, message: wire.Message) -> None:
         match message:
@@ -218,7 +222,7 @@
 
     def _on_notice(self, notice: wire.NumberedNotice) -> None:
         if notice.notice_number <= self.last_notice_number:
-            return  # repeated on a new link: it must not count twice
+            return  # repeated after a reconnect
         if notice.notice_number > self.last_notice_number + 1:
             self.log("notices_missing", after=self.last_notice_number, before=notice.notice_number)
         self.last_notice_number = notice.notice_number
@@ -239,8 +243,8 @@
         if not self.has_reached_engine:
             self.has_reached_engine = True
             self.events.on_engine_up(hello)
-        # What ended while there was no link comes before the answer to this: only then is it known which
-        # commands are still to be sent.
+        # The engine sends the notices missed without a link before it answers this query. Only then is it
+        # known which commands must be resent.
         self.query_gauges()
 
     def _on_gauge_report(self, report: wire.GaugeReport) -> None:
@@ -259,12 +263,12 @@
         elif not self.is_ready:
             self._resend()
         if self.commands.has_query():
-            self.query_gauges()  # a caller waits for it
+            self.query_gauges()  # a duplicate waits for the confirmation
 
-    # To the engine
+    # Outgoing messages
 
     def query_gauges(self) -> None:
-        """Asks for the gauges; the answer also shows that all commands before have arrived."""
+        """Queries the gauges; the answer also confirms all commands written before the query."""
         if self.stream is None or not self.is_greeted or self.gauge_query is not None:
             return
         self.tag_count += 1
@@ -274,7 +278,7 @@
         self.stream.write(wire.encode_gauge_query(tag))
 
     def run_self_test(self, answer: Callable[[bool], None]) -> None:
-        """Has the engine do a piece of work; `answer` is called with whether it got done."""
+        """Asks the engine to run its self-test; `answer` is called with whether it passed."""
         if not self.is_ready or self.stream is None or len(self.self_tests) >= MAX_SELF_TESTS:
             answer(self.is_working and len(self.self_tests) < MAX_SELF_TESTS)
             return
@@ -284,7 +288,7 @@
         self.stream.write(wire.encode_self_test(tag))
 
     def send_command(self, rpc: RoutedRpc, data: bytes, starts_run: bool = False) -> EngineCommand:
-        """Gives the engine a command for an RPC, as soon as the link is ready."""
+        """Sends a command for an RPC as soon as the link is ready."""
         command = EngineCommand(rpc, data, starts_run)
         self.commands.add(command)
         if self.is_ready:
@@ -292,22 +296,26 @@
         return command
 
     def halt(self, rpc: RoutedRpc) -> None:
-        """Asks to stop a run. May be lost: the admission controller repeats it while it has no effect."""
+        """Asks the engine to stop a run. A lost request is repeated by the admission controller."""
         if self.is_ready and self.stream is not None:
             self.stream.write(wire.encode_halt(rpc.rpc_id))
 
     def query_known(self, rpc: RoutedRpc, on_known: Callable[[], None]) -> None:
-        """Asks whether the RPC came to this machine; one that did not is answered with a refusal.
+        """Asks whether the engine knows the RPC; the engine answers with a refusal if it does not.
 
-        The question is a command to skip a call that no notice asked for: it changes nothing for an RPC that
-        the engine knows.
+        The query is a command to skip a call that no notice asked for, which has no effect on an RPC that the
+        engine knows.
+
+        Args:
+            rpc: The RPC in question.
+            on_known: Called if the engine knows the RPC.
         """
         command = self.send_command(rpc, wire.encode_skip_call(rpc.rpc_id, wire.NO_NOTICE_NUMBER))
         command.on_known = on_known
         self.query_gauges()
 
     def send_withheld(self, rpc: RoutedRpc) -> None:
-        """Sends the withheld command of an RPC that is over, to learn how its run ended."""
+        """Sends the withheld command of an answered or abandoned RPC, to learn how its run ended."""
         command = self.commands.latest.get(rpc)
         if command is not None and command.is_withheld:
             self.send_command(rpc, command.data, starts_run=True)
@@ -318,7 +326,7 @@
             command.stream_end = self.stream.queued_bytes
 
     def _resend(self) -> None:
-        """The link is ready: writes what is not known to have arrived and may be repeated."""
+        """Marks the link as ready and resends the unconfirmed commands that are not withheld."""
         self.is_ready = True
         open_count = self.commands.withhold()
         for command in self.commands.queue:
--- a/landingshift/net/routing/gateway_connection.py
+++ b/landingshift/net/routing/gateway_connection.py
@@ -1,8 +1,8 @@
-"""One gateway's connection: what is read from it, what it is owed, and when it is asked to go or closed.
+"""One connection from a gateway: reads requests, writes answers and decides when to close.
 
-Guarantee: an RPC that was read gets its answer written before the connection is closed by this server, unless
-the gateway stops reading or breaks the protocol. A connection that brings nothing which the engine knows
-lasts for `VERIFICATION_TIME_MS`, so that strangers can't fill the table.
+Guarantee: this server writes the answer to every RPC that it read before it closes the connection, unless the
+gateway stops reading or violates the protocol. A connection without any RPC that the engine knows may be idle
+for at most `VERIFICATION_TIME_MS`, so that unknown clients cannot fill the connection table.
 """
 
 from __future__ import annotations
@@ -20,61 +20,61 @@
 
 MAX_OPEN_RPCS = 32  # on one connection
 MAX_ANSWER_BYTES = 5000
-MAX_UNSENT_BYTES = MAX_OPEN_RPCS * MAX_ANSWER_BYTES  # answers to all open RPCs, all unread
-GOAWAY_GRACE_MS = 1500.0  # that a gateway has to close a connection after goaway
-VERIFICATION_TIME_MS = 1000.0  # after which an unverified connection that brings nothing is closed
+MAX_UNSENT_BYTES = MAX_OPEN_RPCS * MAX_ANSWER_BYTES  # the answers to all open RPCs
+GOAWAY_GRACE_MS = 1500.0  # time for a gateway to close its connection after goaway
+VERIFICATION_TIME_MS = 1000.0  # idle time allowed to an unverified connection
 MAX_MESSAGE_MS = 2000.0  # from a message's first byte to its last
 MIN_CHECK_INTERVAL_MS = 50.0
-RESET_TIME_MS = 30.0  # in which a gateway that has gone answers a write with a reset
-DUE_TOLERANCE_MS = 1.0  # a time that is no further off counts as come
+RESET_TIME_MS = 30.0  # time for the reset that answers a write to a closed gateway socket
+DUE_TOLERANCE_MS = 1.0  # deadlines this close count as reached
 
 
 class GatewayEvents(Protocol):
-    """What gateways ask for."""
+    """Receives what gateways send."""
 
     def on_request(self, connection: GatewayConnection, request: wire.Request) -> None:
-        """An RPC was read."""
+        """Handles an RPC request."""
 
     def on_abandoned(self, rpc: RoutedRpc) -> None:
-        """Nobody waits for the RPC's answer any more."""
+        """Handles an RPC whose answer is no longer wanted."""
 
     def on_health_check(self, connection: GatewayConnection, request: wire.Request) -> None:
-        """A health check was read."""
+        """Handles a health check."""
 
 
 @dataclass(slots=True)
 class ConnectionContext:
-    """What all connections share."""
+    """State shared by all gateway connections."""
 
     loop: Loop
     log: Callable[..., None]
     connections: Slots[GatewayConnection]
-    idle_limit_ms: float  # after which a quiet connection is asked to go
+    idle_limit_ms: float  # after which a verified idle connection gets goaway
     events: GatewayEvents = field(init=False)  # set before the loop runs
     is_draining: bool = False
 
 
 class GatewayConnection:
-    """A connection from its accept to its end.
+    """A connection from a gateway.
 
     Args:
-        context: What all connections share.
-        open_stream: Makes the connection's stream.
+        context: State shared by all connections.
+        open_stream: Opens the connection's stream.
 
     Attributes:
         rpcs: Open RPCs, by the message id of their requests.
-        rpc_count: RPCs read.
-        health_check_count: Health checks read.
-        invalid_count: RPCs turned down for a field.
-        cut_off_count: RPCs that were open when the connection was cut off.
-        last_invalid_field: The field that the last one turned down had wrong.
-        goaway_deadline_ms: The time at which it is closed if the gateway does not do that; 0 before goaway.
-        is_verified: The engine has known an RPC of it.
-        unverified_duplicates: Those to be answered once it is verified, with the entries of their originals.
-        accepted_ms: Since when it is here.
-        last_message_ms: The time of its last complete message or last written answer.
-        partial_since_ms: The time at which an incomplete message began; 0 where there is none.
-        accepted_pass: The loop's pass in which it was accepted.
+        rpc_count: The number of RPCs read.
+        health_check_count: The number of health checks read.
+        invalid_count: The number of RPCs rejected for an invalid field.
+        cut_off_count: The number of RPCs that were open when this server cut the connection off.
+        last_invalid_field: The invalid field of the last RPC that was rejected for one.
+        goaway_deadline_ms: The time at which this server closes the connection; 0 before goaway.
+        is_verified: Whether the engine has recognized an RPC from this connection.
+        unverified_duplicates: Duplicates that wait for verification, with the entries of their originals.
+        accepted_ms: The time of the accept.
+        last_message_ms: The time of the last complete message or the last written answer.
+        partial_since_ms: The time at which a partly received message began; 0 where there is none.
+        accepted_pass: The loop pass of the accept.
     """
 
     def __init__(
@@ -100,17 +100,17 @@
         self.accepted_pass = self.loop.passes_read
         self.timer = self.loop.after(VERIFICATION_TIME_MS, self.check_idle)
 
-    # What comes
+    # Incoming messages
 
     def on_data(self, data: bytes) -> None:
-        """Bytes came on the connection."""
+        """Decodes received bytes and handles the messages in them."""
         messages = self.decoder.feed(data)
         if messages:
             self.last_message_ms = self.loop.now_ms
             self.partial_since_ms = 0.0
         for message in messages:
             if self.stream.close_reason:
-                return  # cut off by the message before
+                return  # the previous message led to a close
             self._on_message(message)
         if self.decoder.buffer and not self.partial_since_ms and self.stream.is_open:
             self.partial_since_ms = self.loop.now_ms
@@ -127,15 +127,15 @@
             self.health_check_count += 1
             self.context.events.on_health_check(self, message)
         elif message.message_id in self.rpcs:
-            self.cut_off("number_twice")  # nobody could tell whose the answer is
+            self.cut_off("number_twice")  # the gateway could not tell the two answers apart
         else:
             self.rpc_count += 1
             self.context.events.on_request(self, message)
 
     def on_eof(self) -> None:
-        """The gateway writes no more.
+        """Handles the end of the gateway's side: closes, or stays open for the owed answers.
 
-        It may still read; where it does not, a write makes it answer with a reset.
+        The gateway may still read. If it does not, the goaway written here provokes a reset.
         """
         if not self.rpcs:
             self.stream.close_gracefully("closed_by_gateway")
@@ -144,7 +144,7 @@
             self.loop.after(RESET_TIME_MS, self.stream.check_error)
 
     def on_closed(self, reason: str) -> None:
-        """The connection ended."""
+        """Logs the closed connection and abandons its open RPCs."""
         self.context.connections.drop(self.slot)
         self.loop.cancel(self.timer)
         self.context.log(
@@ -159,24 +159,24 @@
         )
         self._abandon_rpcs()
 
-    # What is owed
+    # Answers
 
     def answer(self, message_id: int, data: bytes) -> None:
-        """Writes the response to a request."""
+        """Writes the answer to a request."""
         self.rpcs.pop(message_id, None)
         self.last_message_ms = self.loop.now_ms
         self.stream.write(data)
         if not self.stream.is_reading and not self.rpcs:
             self.stream.close_gracefully("closed_by_gateway")
         elif self.context.is_draining and not self.rpcs:
-            # The last answers go out shortly before the stop: their connections' close can't wait for a
-            # check.
+            # The last answers are written shortly before the process is killed: the close of their
+            # connections cannot wait for the next scheduled check.
             self._check_after(0.0)
 
     def answer_invalid(self, message_id: int, field: str, data: bytes) -> None:
-        """Answers an RPC that never was one.
+        """Answers a request with an invalid field.
 
-        No gateway sends it, so it ends a connection that is not verified.
+        Gateways send no such requests, so an unverified connection is cut off.
         """
         self.invalid_count += 1
         self.last_invalid_field = field
@@ -190,10 +190,10 @@
         for rpc in rpcs.values():
             self.context.events.on_abandoned(rpc)
 
-    # Its end
+    # Closing
 
     def send_goaway(self, grace_ms: float = GOAWAY_GRACE_MS) -> None:
-        """Asks the gateway to close the connection once it has its answers; closes it if it does not."""
+        """Asks the gateway to close the connection; this server closes it after `grace_ms` otherwise."""
         if not self.stream.is_open:
             return
         if not self.goaway_deadline_ms:
@@ -202,28 +202,29 @@
         self._check_after(grace_ms)
 
     def cut_off(self, reason: str) -> None:
-        """Closes the connection of a peer that breaks the rules, once the answers written have reached it.
+        """Gracefully closes the connection of a peer that violates the protocol; abandons its open RPCs.
 
-        Bytes of it that are not read yet make a close a reset, which would take those answers along.
+        An immediate close with unread bytes in the socket would send a reset, which can discard answers that
+        the peer has not read.
         """
         self.cut_off_count += len(self.rpcs)
         self._abandon_rpcs()
         self.stream.close_gracefully(reason)
 
     def close_now(self, reason: str) -> None:
-        """Closes at once a connection that nobody needs and to which nothing is owed."""
+        """Closes at once a connection that is owed no answer."""
         self.stream.flush()
         self.stream.close(reason)
 
     def try_evict(self) -> bool:
-        """Closes an unverified connection, unless it has brought an RPC; returns whether it is closed."""
+        """Closes an unverified connection unless it has open RPCs; returns whether it is closed."""
         self._read_pending()
         if self.stream.close_reason or not self.rpcs:
             self.close_now("crowded")
         return not self.stream.is_open
 
     def _read_pending(self) -> None:
-        """Reads what waits in the socket: a close would discard it unread and reset the connection."""
+        """Reads what is waiting in the socket: a close would discard it and reset the connection."""
         if self.stream.is_open and self.stream.is_reading:
             self.stream.read()
 
@@ -232,12 +233,17 @@
         self.timer = self.loop.after(delay_ms, self.check_idle)
 
     def check_idle(self) -> None:
-        """An idle connection is asked to go, and closed if it does not; an unverified one is closed."""
+        """Acts on elapsed deadlines of the connection.
+
+        An idle connection gets goaway if it is verified or has brought only valid RPCs, and is closed if the
+        gateway does not close it in time. Any other idle connection is closed at once. A connection with an
+        overdue message is cut off.
+        """
         if self.stream.close_reason:
             return
         if self._time_left_ms() <= DUE_TOLERANCE_MS:
             self.stream.flush()
-            self._read_pending()  # may bring an RPC, or its end
+            self._read_pending()  # may yield an RPC or the end of the connection
             if self.stream.close_reason:
                 return
         time_left_ms = self._time_left_ms()
@@ -246,7 +252,7 @@
         elif self._is_message_overdue:
             self.cut_off("unfinished")
         elif self._is_goaway_unsent:
-            # The gateway does not know yet that it is to go, and what it sends until then counts.
+            # The gateway has not received goaway yet, so what it still sends must be handled.
             self._check_after(MIN_CHECK_INTERVAL_MS)
         elif self.goaway_deadline_ms:
             self.stream.close_gracefully("goaway")
@@ -262,13 +268,16 @@
 
     @property
     def _is_goaway_unsent(self) -> bool:
-        """Whether goaway still waits behind answers that a slow reader has not taken."""
+        """Return whether goaway may still be queued behind answers that a slow reader has not read.
+
+        This holds for at most `GOAWAY_GRACE_MS` after the deadline, so that the connection closes in the end.
+        """
         if not self.goaway_deadline_ms or not self.stream.output:
             return False
         return self.loop.now_ms < self.goaway_deadline_ms + GOAWAY_GRACE_MS
 
     def _time_left_ms(self) -> float:
-        """The time until the next check; at most `DUE_TOLERANCE_MS` where the connection may be closed."""
+        """Return the time until the next check; at most `DUE_TOLERANCE_MS` if a deadline has passed."""
         now_ms = self.loop.now_ms
         if self.goaway_deadline_ms:
             ends_ms = self.goaway_deadline_ms
@@ -280,5 +289,5 @@
         if self.partial_since_ms:
             message_left_ms = self.partial_since_ms + MAX_MESSAGE_MS - now_ms
         time_left_ms = min(ends_ms - now_ms, message_left_ms)
-        # However long half a message has stood: closing would lose the answers that are owed.
+        # With open RPCs nothing is due, even an overdue message: a close would lose the owed answers.
         return max(MIN_CHECK_INTERVAL_MS, time_left_ms) if self.rpcs else time_left_ms
--- a/landingshift/net/routing/gateways.py
+++ b/landingshift/net/routing/gateways.py
@@ -1,4 +1,4 @@
-"""All connections of gateways: who is accepted, who makes room for others, and how all of them leave."""
+"""Manages the gateways' connections: accepts new ones, evicts idle ones and drains all at shutdown."""
 
 from __future__ import annotations
 
@@ -20,23 +20,24 @@
     UnsentBudget,
 )
 
-# Times the gateways' own idle limit: a connection idle for longer belongs to a gateway that keeps no limit.
+# Times the gateways' own idle limit. A connection that is idle for longer belongs to a gateway that does not
+# enforce the limit.
 IDLE_LIMIT_FACTOR = 1.25
-DRAIN_GOAWAY_GRACE_MS = 250.0  # that a gateway has to close a connection while the server drains
-EVICTION_FRACTION = 1 / 16  # of the connections that may be asked to go at a time
-MIN_AGE_PASSES = 2  # of the loop, before a connection may be closed to make room
+DRAIN_GOAWAY_GRACE_MS = 250.0  # time for a gateway to close its connection while the server drains
+EVICTION_FRACTION = 1 / 16  # of the maximum number of connections, evicted at a time
+MIN_AGE_PASSES = 2  # loop passes before a connection may be evicted
 
 
 class Gateways:
-    """The listener and the connections that it accepted.
+    """The listener and the connections that it has accepted.
 
     Args:
         address: The address at which gateways connect.
-        max_connections: The number of connections that may be open.
-        max_unsent_bytes: The bound on answers that gateways have not read, all connections together.
-        idle_limit_ms: The time after which the gateways themselves close an idle connection.
-        log: Called with connections that ended, and of a full table.
-        sock: Set by hot restart alone: the listening socket of the old build.
+        max_connections: The maximum number of open connections.
+        max_unsent_bytes: The bound on unsent answers over all connections.
+        idle_limit_ms: The time after which gateways close idle connections themselves.
+        log: Receives events on closed connections and on a full connection table.
+        sock: The listening socket of the old process; set only by hot restart.
     """
 
     def __init__(
@@ -60,7 +61,7 @@
         self.listener = Listener(loop, address, self._has_capacity, self._accept, sock)
 
     def start(self, events: GatewayEvents) -> None:
-        """Sets the receiver of what gateways ask for; called before the loop runs."""
+        """Sets the receiver of requests; must be called before the loop runs."""
         self.context.events = events
 
     def _accept(self, sock: socket.socket) -> None:
@@ -83,21 +84,21 @@
             self.log("connections_room", connections=len(self.connections))
 
     def add(self, open_stream: Callable[[GatewayConnection], Stream]) -> GatewayConnection:
-        """A new connection on the stream that `open_stream` makes for it."""
+        """Add a connection on the stream that `open_stream` opens for it."""
         return GatewayConnection(self.context, open_stream)
 
-    # Room for new ones
+    # Capacity
 
     def _has_capacity(self, has_descriptors: bool) -> bool:
-        """Returns whether one more may come.
+        """Return whether one more connection can be accepted; start an eviction if not.
 
-        Connections that are not verified make room for it; verified ones are asked to go and leave only in
-        time.
+        Unverified connections can be closed at once for a new one. Verified ones only get goaway, so their
+        capacity becomes free later.
         """
         if has_descriptors and len(self.connections) < self.max_connections:
             return True
         if has_descriptors and any(not connection.is_verified for connection in self._idle_connections()):
-            return True  # it makes room once the new one is here
+            return True  # evicted after the accept
         if self.evict_idle():
             return True
         if not self.is_full:
@@ -106,9 +107,10 @@
         return False
 
     def _idle_connections(self) -> list[GatewayConnection]:
-        """Those without open RPCs that have not been asked to go.
+        """Return the connections without open RPCs to which no goaway was sent.
 
-        One that has just come may have brought an RPC that is not read yet: it would be lost.
+        A connection accepted in the last passes is not included: its socket may hold an RPC that was not read
+        yet and would be lost.
         """
         newest_pass = self.loop.passes_read - MIN_AGE_PASSES
         return [
@@ -120,7 +122,9 @@
         ]
 
     def evict_idle(self) -> bool:
-        """Closes idle connections that are not verified; where all are verified, asks some to go.
+        """Closes some idle unverified connections; sends goaway to idle verified ones if there are none.
+
+        Goaway is sent only if every connection is verified or has open RPCs.
 
         Returns:
             Whether a connection was closed.
@@ -134,14 +138,18 @@
         return any(closed)
 
     def _drop_slowest_reader(self) -> None:
-        """Many that read slowly fill the memory as well as one: the one with most to read goes."""
+        """Closes the connection with the most unsent output, to bound the memory that slow readers use."""
         slowest = max(self.connections, key=lambda connection: len(connection.stream.output))
         slowest.stream.flush()
         if slowest.stream.output:
             slowest.stream.close("stalled")
 
     def set_idle_limit(self, idle_limit_ms: float) -> None:
-        """The admission controller's limit; at its longest the gateways close idle connections themselves."""
+        """Sets the idle limit that the admission controller decides.
+
+        A limit no shorter than the gateways' own is extended by `IDLE_LIMIT_FACTOR`, so that the gateways
+        close their idle connections first.
+        """
         if idle_limit_ms < self.gateway_idle_limit_ms:
             self.context.idle_limit_ms = idle_limit_ms
         else:
@@ -149,23 +157,24 @@
         for connection in self.connections:
             connection.check_idle()
 
-    # Leaving
+    # Draining
 
     def start_draining(self) -> None:
-        """All are asked to go; no more come once those that wait to be accepted are here."""
+        """Closes the listener once its backlog is accepted, and sends goaway on all connections."""
         self.context.is_draining = True
-        # Closed before gateways are told: they come again at once, and a refusal proves that nothing ran.
+        # Closed before goaway is sent: gateways reconnect at once, and a refusal proves that nothing ran.
         self._close_listener()
         for connection in self.connections:
             connection.send_goaway(DRAIN_GOAWAY_GRACE_MS)
 
     def _close_listener(self) -> None:
-        # What waits there counts as received: a close over it would lose it, however full the table is.
+        # Requests in the backlog count as received: closing the listener earlier would lose them. They are
+        # accepted even if the connection table is full.
         if self.listener.drain():
             self.listener.close()
         else:
             self.loop.after(ACCEPT_PAUSE_MS, self._close_listener)
 
     def is_drained(self) -> bool:
-        """Whether the listener and all connections are closed."""
+        """Return whether the listener and all connections are closed."""
         return not self.listener.is_open and len(self.connections) == 0
--- a/landingshift/net/routing/health.py
+++ b/landingshift/net/routing/health.py
@@ -10,17 +10,17 @@
 from landingshift.net.transport.loop import Loop
 from landingshift.net.transport.stream import Address
 
-REPORT_INTERVAL_MS = 200.0  # well below the time after which the roster forgets a server
+REPORT_INTERVAL_MS = 200.0  # well below the time after which the roster drops a silent server
 
 
 class HealthReporter:
-    """Answers health checks and reports to the roster once the server can serve.
+    """Answers health checks, and reports to the roster once the server can serve.
 
     Args:
         server_name: The server's name in the roster.
         roster: The sender of reports to the roster.
-        engine: Does a piece of work for a deep check.
-        runs_deep_checks: Whether a deep check does that.
+        engine: The link to the engine, which runs a self-test for a deep check.
+        runs_deep_checks: Whether deep checks run that self-test.
     """
 
     def __init__(
@@ -36,28 +36,29 @@
         self.roster = roster
         self.engine = engine
         self.runs_deep_checks = runs_deep_checks
-        self.is_healthy = True  # as the admission controller decides
-        self.is_shallow = True  # as it decides, too: deep checks do no work, which would come at a bad time
+        self.is_healthy = True  # set by the admission controller
+        # Set by the admission controller, too: deep checks skip the self-test, whose load may be untimely.
+        self.is_shallow = True
         self.is_reporting = False
         self.is_started = False
-        self.readiness_gates: set[str] = set()  # services for which reports are held back
+        self.readiness_gates: set[str] = set()  # services that hold back reports
 
     def add_readiness_gate(self, service: str) -> None:
-        """Keeps the roster and checks from being told that the server is healthy.
+        """Makes the server count as not ready until each service that added a gate has removed it.
 
-        It lasts until each service that added a gate has removed it.
+        Until then the server does not start reporting to the roster, and health checks fail.
         """
         self.readiness_gates.add(service)
 
     def remove_readiness_gate(self, service: str) -> None:
-        """The service does not hold reports back any more."""
+        """Removes the service's gate; reports begin with the removal of the last one."""
         if service in self.readiness_gates:
             self.readiness_gates.remove(service)
             if self.is_started:
                 self.start()
 
     def set_health(self, is_healthy: bool, is_shallow: bool) -> None:
-        """Takes over what the admission controller decided; a change of health is reported at once."""
+        """Sets the state that the admission controller decided; a change of health is reported at once."""
         has_changed = is_healthy != self.is_healthy
         self.is_healthy = is_healthy
         self.is_shallow = is_shallow
@@ -65,22 +66,22 @@
             self._send_report()
 
     def start(self) -> None:
-        """The engine is up: reports begin, unless a service holds them back."""
+        """Starts reports once the engine is up, unless a readiness gate holds them back."""
         self.is_started = True
         if not self.is_reporting and not self.readiness_gates:
             self.is_reporting = True
             self._report()
 
     def change_address(self, roster: Address) -> None:
-        """Reports go to another address from now on."""
+        """Sends reports to another roster address."""
         self.roster.address = roster
         if self.is_reporting:
             self._send_report()
 
     def check(self, is_deep: bool, answer: Callable[[bool], None]) -> None:
-        """Answers a health check, at once or when the engine has done the work of a deep one."""
+        """Answers a health check, at once or after the engine's self-test for a deep one."""
         if self.readiness_gates or (is_deep and not self.engine.is_working):
-            answer(False)  # it is not to be counted on yet, or without its engine no work gets done here
+            answer(False)  # the server is not ready yet, or cannot work without its engine
         elif is_deep and self.runs_deep_checks and self.is_healthy and not self.is_shallow:
             self.engine.run_self_test(answer)
         else:
--- a/landingshift/net/routing/observers.py
+++ b/landingshift/net/routing/observers.py
@@ -1,6 +1,6 @@
-"""Parts of the program that watch RPCs, and the gate through which ok answers may have to pass.
+"""Interfaces for program parts that observe RPCs, and for the gate that may delay ok answers.
 
-Neither can harm an RPC: one that raises is cut off and logged, and the RPC goes on.
+Neither can harm an RPC: an observer or gate that raises is removed and logged, and the RPC continues.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from landingshift.net.routing.rpc_record import RoutedRpc
 
-MAX_TRACE_FRAMES = 6  # of a trace that go into the log
+MAX_TRACE_FRAMES = 6  # innermost frames of a traceback to log
 EVENT_HANDLERS = (
     "on_read",
     "on_started",
@@ -24,7 +24,7 @@
 
 
 class AnswerKind(Enum):
-    """What an RPC was answered."""
+    """The kind of answer that an RPC got."""
 
     OK = "ok"
     REJECTED = "rejected"
@@ -32,39 +32,39 @@
 
 
 class RpcObserver(Protocol):
-    """Called at the stages of an RPC that it has a method for; must neither block nor change the RPC.
+    """Observes the stages of RPCs. Its methods must neither block nor change the RPC.
 
     The methods, each optional:
 
-    - `on_read(rpc)`: it was read and is known to be well-formed.
-    - `on_started(rpc)`: its run was given to the engine.
-    - `on_call_needed(rpc)`: its run asks for a call to the database.
-    - `on_call_finished(rpc, outcome, elapsed_ms)`: that call is over.
+    - `on_read(rpc)`: a well-formed RPC was read.
+    - `on_started(rpc)`: its run was handed to the engine.
+    - `on_call_needed(rpc)`: its run asks for a database call.
+    - `on_call_finished(rpc, outcome, elapsed_ms)`: that call has ended.
     - `on_answered(rpc, kind)`: its answer was written; `kind` is an `AnswerKind`.
-    - `on_closed(rpc)`: no event of it follows.
+    - `on_closed(rpc)`: the RPC is closed; no further event follows.
     """
 
     name: str
 
 
 class AnswerGate(Protocol):
-    """May let an ok answer go later than it is there, within the RPC's deadline."""
+    """May delay ok answers within the deadlines of their RPCs."""
 
     def defer_answer(self, rpc: RoutedRpc, result: bytes, run_time_ms: float) -> bool:
-        """Returns whether the gate keeps the answer, which it then sends or aborts by itself."""
+        """Return whether the gate holds the answer; it must then send or abort the answer itself."""
 
     def flush_by(self, deadline_ms: float) -> None:
-        """The server drains: the gate releases all held answers by `deadline_ms` of the loop's time."""
+        """Requires the gate to release all held answers by `deadline_ms` on the loop's clock, for a drain."""
 
 
 Handler = Callable[..., None]
 
 
 class RpcObservers:
-    """Those that watch RPCs, in the order in which they were added.
+    """The observers of RPCs, notified in the order in which they were added.
 
     Args:
-        log: Called with an observer that was cut off.
+        log: Receives an event when an observer fails and is removed.
     """
 
     def __init__(self, log: Callable[..., None]) -> None:
@@ -73,15 +73,15 @@
         self.handlers: dict[str, tuple[tuple[RpcObserver, Handler], ...]] = dict.fromkeys(EVENT_HANDLERS, ())
 
     def add(self, observer: RpcObserver) -> None:
-        """Calls the observer from now on at each event that it has a method for."""
+        """Adds an observer, to be called on each event for which it has a method."""
         self._set_observers((*self.observers, observer))
 
-    def notify(self, event: str, *facts: object) -> None:
-        """Tells all that have a method `event`."""
+    def notify(self, event: str, *args: object) -> None:
+        """Calls the method named `event` of all observers that have it."""
         for observer, handler in self.handlers[event]:
             try:
-                handler(*facts)
-            except Exception:  # one that breaks is cut off: the RPC goes on
+                handler(*args)
+            except Exception:  # a failing observer is removed; the RPC continues
                 self._set_observers(tuple(other for other in self.observers if other is not observer))
                 trace = traceback.format_exc(limit=-MAX_TRACE_FRAMES)
                 self.log("observer_cut_off", name=observer.name, trace=trace)
--- a/landingshift/net/routing/reload.py
+++ b/landingshift/net/routing/reload.py
@@ -1,4 +1,4 @@
-"""Which part of a new configuration counts while RPCs are under way."""
+"""Decides which parts of a new configuration take effect while the server runs."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 from landingshift.net.routing.server_config import ServerConfig
 
-# Keys of the configuration that count from the next start only and are named in the log when they change,
-# with the attributes that hold them. `settings` count from the next start, too, and are not named: a policy
-# changes them while the server runs.
+# Configuration keys that take effect only at the next start, with the attributes that hold them. The log
+# names those that a reload changes. `settings` take effect only at the next start, too, but are not listed,
+# because policies change them while the server runs.
 FIXED_KEYS = {
     "name": "name",
     "listen": "listen",
@@ -20,17 +20,17 @@
 
 
 def reloaded_config(current: ServerConfig, new: ServerConfig) -> ServerConfig:
-    """The current configuration with what may change while RPCs are under way.
+    """Return the current configuration with the new values of what may change while the server runs.
 
-    Changed `settings` are not taken over.
+    Changed `settings` are not applied.
     """
     return replace(current, engine=new.engine, database=new.database, roster=new.roster, stop_ms=new.stop_ms)
 
 
 def keys_requiring_restart(current: ServerConfig, new: ServerConfig) -> list[str]:
-    """The keys that differ and count from the next start only, without the path of their object.
+    """Return the changed keys that take effect only at the next start, without the path of their object.
 
-    A change of `settings` is not among them.
+    `settings` is never among them.
     """
     return [
         key for key, attribute in FIXED_KEYS.items() if getattr(new, attribute) != getattr(current, attribute)
--- a/landingshift/net/routing/request_validation.py
+++ b/landingshift/net/routing/request_validation.py
@@ -1,7 +1,7 @@
-"""Which requests may be taken as RPCs.
+"""Decides which requests are accepted as RPCs.
 
-Guarantee: what is taken has a known method and tenant, fields in their ranges, and an id that no other RPC in
-flight has. The order of the checks is part of the log: the first field that fails is the one that is named.
+Guarantee: an accepted request has a known method and tenant, fields within their ranges, and an id that no
+RPC in flight has. The order of the checks shows in the log, which names the first invalid field.
 """
 
 from __future__ import annotations
@@ -17,32 +17,32 @@
 from landingshift.net.routing.rpc_table import RpcTable
 from landingshift.net.routing.server_config import ServerConfig
 
-MAX_AGE_MS = 120_000.0  # since an RPC arrived at the machine
-MAX_CLOCK_LEAD_MS = 5_000.0  # by which the clock that stamped its arrival may be ahead
-MAX_WAIT_FACTOR = 4.0  # times the deadline of its method that an RPC may wait
+MAX_AGE_MS = 120_000.0  # time since the RPC's arrival at the machine
+MAX_CLOCK_LEAD_MS = 5_000.0  # lead of the clock that stamped the arrival over this one
+MAX_WAIT_FACTOR = 4.0  # a caller may wait this many times the deadline of the method
 
 
-class RunUnderWayError(LandingshiftError):
-    """An RPC with the same id runs here, and its effect must not happen twice."""
+class RpcAlreadyRunningError(LandingshiftError):
+    """Raised for a request whose id belongs to a running RPC with an effect that must not happen twice."""
 
 
 @dataclass(slots=True)
 class CheckedRequest:
-    """A request that may be taken."""
+    """A valid request."""
 
     method: Method
     tenant: Tenant | None
     fields: wire.RequestFields
-    age_ms: float  # since it arrived at the machine
-    wait_ms: float  # that its caller waits in all
-    remaining_ms: float | None  # that its caller still waits, where callers tell it
+    age_ms: float  # time since its arrival at the machine
+    wait_ms: float  # total time that its caller waits
+    remaining_ms: float | None  # time that its caller still waits; None if callers do not send it
 
 
 class RequestValidator:
     """Checks requests against the configuration and the RPCs in flight.
 
     Attributes:
-        attempt_id_field: The field that names a client's attempt, where there is one.
+        attempt_id_field: The field with the id of the client's attempt; empty if there is none.
     """
 
     def __init__(self, config: ServerConfig, table: RpcTable) -> None:
@@ -51,11 +51,11 @@
         self.attempt_id_field = ""
 
     def check(self, connection: GatewayConnection, request: wire.Request) -> CheckedRequest:
-        """What is known of a request that may be taken.
+        """Return the checked contents of a valid request.
 
         Raises:
-            wire.InvalidFieldError: It can't be.
-            RunUnderWayError: An RPC with its id runs and must not run twice.
+            wire.InvalidFieldError: A field is invalid.
+            RpcAlreadyRunningError: An RPC with this id runs and must not run twice.
         """
         method = self.config.methods.get(request.method)
         if method is None:
@@ -75,9 +75,9 @@
     def _check_times(
         self, method: Method, tenant: Tenant | None, fields: wire.RequestFields
     ) -> CheckedRequest:
-        """How old the RPC is and how long its caller waits.
+        """Check the RPC's age and its caller's wait.
 
-        Where callers do not tell how long they wait, the deadline of the method says it.
+        The method's deadline stands in for a wait that callers do not send.
         """
         now_unix_ms = time.time() * 1000.0
         if not now_unix_ms - MAX_AGE_MS < fields.arrived_unix_ms < now_unix_ms + MAX_CLOCK_LEAD_MS:
@@ -95,9 +95,9 @@
         return CheckedRequest(method, tenant, fields, age_ms, wait_ms, remaining_ms)
 
 
-def _id_in_use_error(method: Method, known: RoutedRpc) -> LandingshiftError:
-    """Why an RPC with the id of `known` is not taken: the engine could not tell the two apart."""
-    has_started = known.managed is not None and known.managed.has_started
+def _id_in_use_error(method: Method, rpc_with_id: RoutedRpc) -> LandingshiftError:
+    """Return the error for a request with the id of an open RPC: the engine could not tell them apart."""
+    has_started = rpc_with_id.managed is not None and rpc_with_id.managed.has_started
     if has_started and method.idempotency is not Idempotency.IDEMPOTENT:
-        return RunUnderWayError()
+        return RpcAlreadyRunningError()
     return wire.InvalidFieldError("id")
--- a/landingshift/net/routing/router.py
+++ b/landingshift/net/routing/router.py
@@ -1,4 +1,4 @@
-"""The server's parts, wired together. Decides nothing and handles no event itself."""
+"""Wires the parts of the server together; makes no decisions and handles no RPC event itself."""
 
 from __future__ import annotations
 
@@ -31,29 +31,29 @@
 from landingshift.net.transport.datagram import DatagramSender
 from landingshift.net.transport.loop import Loop
 
-RESERVED_DESCRIPTOR_COUNT = 64  # not for gateways: links to the database, engine, roster, log
+RESERVED_DESCRIPTOR_COUNT = 64  # for the database, engine, roster and log instead of gateways
 MIN_CONNECTIONS = 8
-DEDUP_MEMORY_FRACTION = 0.25  # of the memory, for results that duplicates are answered from
-UNSENT_MEMORY_FRACTION = 0.25  # of the memory, for answers that gateways do not read
+DEDUP_MEMORY_FRACTION = 0.25  # of the memory, for results stored for duplicates
+UNSENT_MEMORY_FRACTION = 0.25  # of the memory, for answers that gateways have not read
 BYTES_PER_MB = 1048576.0
 
 
 class Router:
-    """One server: its connections, its links and the admission controller between them.
+    """One server: its gateway connections, its links, and the admission controller between them.
 
     Args:
-        loop: The loop; the controller settles at the end of each pass.
-        config: The configuration at the start.
-        log: Takes an event's name and its fields.
-        listener: Set by hot restart alone: the listening socket of the old build, which hands over the link
-            to the engine, too.
+        loop: The event loop; the controller settles at the end of each pass.
+        config: The configuration at startup.
+        log: Receives the name of an event and its fields.
+        listener: The listening socket of the old process; set only by hot restart, which also takes over the
+            link to the engine.
 
     Raises:
-        OSError: The server can't listen where it is told to.
+        OSError: The server cannot listen at the configured address.
 
     Attributes:
-        config: Changes with a reload.
-        before_decisions: Asked in each pass before the controller is told of what has come.
+        config: The configuration in effect; a reload replaces it.
+        before_decisions: Called in each pass before deferred events reach the controller and it settles.
     """
 
     def __init__(
@@ -141,20 +141,20 @@
 
     @property
     def admission(self) -> AdmissionController | None:
-        """The admission controller; None until the engine is up."""
+        """Return the admission controller; None until the engine is up."""
         return self.driver.controller
 
     @property
     def is_draining(self) -> bool:
-        """Whether the notice to leave has come."""
+        """Return whether the server has received the shutdown signal."""
         return self.shutdown.is_draining
 
     def request_settle(self) -> None:
-        """Has the controller settle in this pass: what it decides by has changed."""
+        """Makes the controller settle in this pass, after a change of its inputs."""
         self.driver.needs_settle = True
 
     def settle(self) -> None:
-        """Ends a pass of the loop: the controller acts on what has come."""
+        """Ends a loop pass: the controller acts on the events of the pass."""
         if self.before_decisions is not None:
             self.before_decisions()
         self.driver.settle()
@@ -165,18 +165,21 @@
         return rpc is not None and rpc in self.database.calls
 
     def _start_admission(self, hello: Hello) -> None:
-        """The engine is up. The controller's clock starts with the cores, which warm up from then on."""
+        """Creates the admission controller once the engine is up.
+
+        The controller's start time is that of the engine, whose cores warm up from then on.
+        """
         if self.is_draining:
-            return  # it leaves without having run anything: no list may name it now
+            return  # the server stops without running anything, so it must not report to the roster
         settings = replace(self.config.settings, starts_cold=hello.is_cold)
         started_ms = self.loop.now_ms - hello.age_ms
         self.driver.controller = AdmissionController(settings, self.config.seed, self.actions, started_ms)
         self.health_reporter.start()
 
     def reload(self, config: ServerConfig) -> None:
-        """Takes what a new configuration may change while RPCs are under way.
+        """Applies the parts of a new configuration that may change while the server runs.
 
-        The log names the keys that count from the next start only; changed `settings` are not among them.
+        The log names changed keys that take effect only at the next start, except for `settings`.
         """
         postponed = keys_requiring_restart(self.config, config)
         self.config = reloaded_config(self.config, config)
@@ -187,7 +190,7 @@
         self.health_reporter.change_address(config.roster)
 
     def drain(self, notice_ms: float | None = None) -> None:
-        """The notice to leave, which came at `notice_ms` of the loop's time."""
+        """Starts the shutdown for a signal received at `notice_ms` on the loop's clock; now by default."""
         self.shutdown.start(notice_ms)
 
 
--- a/landingshift/net/routing/rpc_intake.py
+++ b/landingshift/net/routing/rpc_intake.py
@@ -1,7 +1,7 @@
-"""Takes what gateways send: hands RPCs to the admission controller, or answers at once why not.
+"""Handles requests from gateways: passes RPCs to the admission controller and answers health checks.
 
-Guarantee: every request is answered. One that can't be taken is answered at once; a duplicate of an
-RPC with an effect is never answered that it did not run.
+Guarantee: every request is answered. One that is not accepted is answered at once. A duplicate of an RPC with
+an effect is never rejected as not having run.
 """
 
 from __future__ import annotations
@@ -19,20 +19,24 @@
 from landingshift.net.routing.gateway_connection import GatewayConnection
 from landingshift.net.routing.health import HealthReporter
 from landingshift.net.routing.observers import RpcObservers
-from landingshift.net.routing.request_validation import CheckedRequest, RequestValidator, RunUnderWayError
+from landingshift.net.routing.request_validation import (
+    CheckedRequest,
+    RequestValidator,
+    RpcAlreadyRunningError,
+)
 from landingshift.net.routing.rpc_record import RoutedRpc
 from landingshift.net.routing.rpc_table import RpcTable
 
-# RPCs in flight from which only verified connections bring more: memory must stay bounded.
+# With so many RPCs in flight, requests on unverified connections are refused, to bound the memory in use.
 MAX_RPCS_WITH_UNVERIFIED = 1024
 
 
 class RpcIntake:
-    """Serves as the gateways' `GatewayEvents`.
+    """Implements the gateways' `GatewayEvents`.
 
     Args:
-        release: Closes an RPC that the controller could not take.
-        log: Called with a bad field on a connection that has brought good RPCs.
+        release: Closes an RPC for which the controller raised an exception.
+        log: Receives an event for the first invalid field on a verified connection.
     """
 
     def __init__(
@@ -62,14 +66,14 @@
         self.log = log
 
     def on_request(self, connection: GatewayConnection, request: wire.Request) -> None:
-        """Checks a request and hands the RPC to the controller, or answers at once why not."""
+        """Validates a request and passes the RPC to the controller; answers at once if it is not accepted."""
         try:
             checked = self.validator.check(connection, request)
         except wire.InvalidFieldError as err:
             self._answer_invalid(connection, request, err.field)
             return
-        except RunUnderWayError:
-            # Not rejected: the gateway would send it to another server, where it would run too.
+        except RpcAlreadyRunningError:
+            # Not rejected: the gateway would retry it on another server, where it would run a second time.
             data = wire.encode_aborted(request.message_id, self.answers.headers)
             connection.answer(request.message_id, data)
             return
@@ -78,7 +82,7 @@
         if self.driver.controller is None or is_flood:
             self._answer_not_taken(connection, request, checked.method, dedup_key)
             return
-        rpc = _record(connection, request, checked, dedup_key)
+        rpc = _make_rpc(connection, request, checked, dedup_key)
         now_ms = self.driver.loop.now_ms
         original = self.dedup.find(rpc, now_ms, now_ms - checked.age_ms)
         if original is not None:
@@ -90,12 +94,12 @@
         self._admit(rpc)
 
     def on_abandoned(self, rpc: RoutedRpc) -> None:
-        """Nobody waits for the RPC any more; the controller is told later in the pass."""
+        """Marks the RPC as abandoned by its caller; the controller is informed later in the pass."""
         rpc.is_abandoned = True
         self.driver.defer(partial(self._on_caller_gone, rpc))
 
     def on_health_check(self, connection: GatewayConnection, request: wire.Request) -> None:
-        """Answers a health check, at once or when the engine has done the work of a deep one."""
+        """Answers a health check, at once or after the engine's self-test for a deep one."""
 
         def answer(is_healthy: bool) -> None:
             data = wire.encode_health(request.message_id, is_healthy, self.answers.headers)
@@ -108,7 +112,7 @@
             rpc.managed = self.driver.controller_for_event().on_rpc_read(rpc)
         except Exception:
             if not rpc.is_closed:
-                self.release(rpc)  # a defect must not keep this one from its answer
+                self.release(rpc)  # even after an exception the RPC must get its answer
             raise
         if rpc.is_closed:
             rpc.managed = None
@@ -120,11 +124,11 @@
         self.engine.send_withheld(rpc)
         self.database.cancel(rpc)
 
-    # Requests that are not taken
+    # Requests that are not accepted
 
     def _answer_invalid(self, connection: GatewayConnection, request: wire.Request, field: str) -> None:
         if connection.is_verified and not connection.invalid_count:
-            # The rest leave one line each as they end.
+            # Later ones are counted in the log line of the connection's end.
             self.log("bad_rpc", field=field, method=request.method)
         data = wire.encode_rejected(request.message_id, self.answers.headers)
         connection.answer_invalid(request.message_id, field, data)
@@ -136,9 +140,9 @@
         method: Method,
         dedup_key: DedupKey | None,
     ) -> None:
-        """The engine is not up yet, or too much comes on connections that are not verified.
+        """Answers a request that arrived before the engine was up, or in a flood of unverified requests.
 
-        In a flood, too, a duplicate of an RPC with an effect must not be answered that it never ran here.
+        In a flood, too, a duplicate of an RPC with an effect must not be rejected as never run.
         """
         has_run = method.idempotency is Idempotency.KEYED and dedup_key in self.dedup.entries
         encode = wire.encode_aborted if has_run else wire.encode_rejected
@@ -146,14 +150,14 @@
 
 
 def _dedup_key(method_name: str, checked: CheckedRequest) -> DedupKey | None:
-    """The key that a request shares with its duplicates; None where it has none."""
+    """Return the key that a request shares with its duplicates; None if it has none."""
     fields = checked.fields
     is_keyed = checked.method.idempotency is Idempotency.KEYED
     key = fields.idempotency_key if is_keyed else fields.cache_key
     return (method_name.encode(), key) if key else None
 
 
-def _record(
+def _make_rpc(
     connection: GatewayConnection,
     request: wire.Request,
     checked: CheckedRequest,
@@ -164,9 +168,8 @@
         method=checked.method,
         tenant=checked.tenant,
         remaining_ms=checked.remaining_ms,
-        waited_ms=min(
-            checked.wait_ms, checked.age_ms
-        ),  # a longer age than its caller's wait would add nothing
+        # Capped: an RPC older than its caller's wait is too late, whatever its exact age.
+        waited_ms=min(checked.wait_ms, checked.age_ms),
         memory_kb=fields.memory_kb,
         caller_id=fields.caller_id,
         work_hint_ms=fields.work_hint_ms,
--- a/landingshift/net/routing/rpc_record.py
+++ b/landingshift/net/routing/rpc_record.py
@@ -1,4 +1,4 @@
-"""The record of an RPC on its way through this server. Knows none of those who handle it."""
+"""The record of an RPC in this server; it does not refer to the components that handle it."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 @dataclass(slots=True, eq=False)
 class RoutedRpc(Rpc):
-    """What the admission controller knows of an RPC, and what its way through the server needs besides."""
+    """The admission controller's view of an RPC, extended by the state needed to route it."""
 
     rpc_id: bytes
-    method_name: bytes  # for the engine
+    method_name: bytes  # as sent to the engine
     body: bytes
-    connection: int  # slot of the connection that it came on
-    message_id: int  # of its request there
-    dedup_key: tuple[bytes, str] | None  # the same in its duplicates
+    connection: int  # slot of the connection on which it arrived
+    message_id: int  # message id of its request on that connection
+    dedup_key: tuple[bytes, str] | None  # shared with its duplicates
     tenant_name: str = ""
-    attempt_id: str | None = None  # of the client's attempt, where the installation names a field for it
-    slot: int = -1  # in the table of RPCs in flight
-    # The admission controller's handle; None before the controller has seen the RPC and once it is closed.
+    attempt_id: str | None = None  # id of the client's attempt, if a request field for it is configured
+    slot: int = -1  # index in the table of RPCs in flight
+    # The admission controller's handle; None until the controller has received the RPC and after its close.
     managed: ManagedRpc | None = None
     is_answered: bool = False
-    is_answer_deferred: bool = False  # its ok answer waits at the answer gate
-    is_abandoned: bool = False  # nobody waits for its answer any more
-    is_closed: bool = False  # the admission controller will not speak of it again
-    call_notice_number: int = 0  # of the engine's notice that asked for the call in hand
+    is_answer_deferred: bool = False  # the answer gate holds its ok answer
+    is_abandoned: bool = False  # its caller no longer waits for an answer
+    is_closed: bool = False  # the admission controller has released it
+    call_notice_number: int = 0  # number of the engine's notice that asked for the present call
     call_request: bytes = b""
--- a/landingshift/net/routing/server_config.py
+++ b/landingshift/net/routing/server_config.py
@@ -1,4 +1,4 @@
-"""What a server is told at its start."""
+"""The configuration of a server."""
 
 from __future__ import annotations
 
@@ -10,21 +10,23 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerConfig:
-    """The configuration as one value; a reload makes a new one.
+    """An immutable configuration; a reload creates a new one.
 
     Attributes:
+        name: The server's name in the roster.
         listen: The address at which gateways connect.
-        database: None where the settings name nothing that RPCs call.
-        roster: The address of the roster that the server reports to.
+        engine: The address at which the engine listens.
+        database: The address of the database; None if RPCs make no database calls.
+        roster: The address of the roster to which the server reports.
         seed: The seed of all random decisions.
-        stop_ms: The time from the notice to leave until the process is killed.
-        memory_mb: The memory that the process may take.
-        max_sockets: The number of sockets that it may have open.
-        settings: The admission controller's settings; a policy may change figures in it in place.
+        stop_ms: The time from the shutdown signal until the process is killed.
+        memory_mb: The memory limit of the process.
+        max_sockets: The maximum number of open sockets.
+        settings: The admission controller's settings; a policy may change values in it in place.
         methods: The methods, by their names on the wire.
-        tenants: The tenants, by their names on the wire; empty where RPCs name none.
-        gauge_names: The names of the engine's gauges, in the order in which it reports them.
-        runs_deep_checks: A deep health check has the engine do a piece of work.
+        tenants: The tenants, by their names on the wire; empty if RPCs name no tenant.
+        gauge_names: The names of the engine's gauges, in the order in which the engine reports them.
+        runs_deep_checks: Whether a deep health check runs the engine's self-test.
     """
 
     name: str
--- a/landingshift/net/routing/shutdown.py
+++ b/landingshift/net/routing/shutdown.py
@@ -1,8 +1,8 @@
-"""Graceful shutdown: answers all that was read, then lets the connections go, then ends the loop.
+"""Graceful shutdown: answers all RPCs, then closes the connections, then stops the loop.
 
-Guarantee: what waited to be accepted or read at the notice is answered. The loop ends when every connection
-is gone; a gateway that keeps its side open is left to the kill, since a close over it could reset away
-answers that it has not read.
+Guarantee: requests that waited to be accepted or read at the shutdown signal are answered. The loop stops
+when all connections are closed. A gateway that keeps its side open holds the process until it is killed: an
+earlier close could cause a reset that discards answers which the gateway has not read.
 """
 
 from __future__ import annotations
@@ -12,19 +12,19 @@
 from landingshift.net.routing.gateways import Gateways
 from landingshift.net.transport.loop import Loop
 
-CONNECTION_DRAIN_MS = 600.0  # before the stop, at which connections are asked to go
-CHECK_INTERVAL_MS = 20.0  # between two looks whether all have gone
+CONNECTION_DRAIN_MS = 600.0  # time before the kill at which goaway is sent
+CHECK_INTERVAL_MS = 20.0  # between checks whether all connections are closed
 MIN_TIME_LEFT_MS = 1.0
 
 
 class GracefulShutdown:
-    """The server's way from the notice to leave to its end.
+    """Drains the server between the shutdown signal and its end.
 
     Args:
-        stop_ms: The time from the notice to leave until the process is killed.
+        stop_ms: The time from the shutdown signal until the process is killed.
 
     Attributes:
-        stop_at_ms: The loop's time at which the process is killed; 0 before the notice.
+        stop_at_ms: The time on the loop's clock at which the process is killed; 0 before the signal.
     """
 
     def __init__(
@@ -44,11 +44,11 @@
         self.stop_at_ms = 0.0
 
     def start(self, notice_ms: float | None = None) -> None:
-        """The notice to leave.
+        """Starts the shutdown; a repeated call has no effect.
 
         Args:
-            notice_ms: The loop's time at which it came. The time that it allows counts from then, however
-                late the loop gets to it.
+            notice_ms: The time of the shutdown signal on the loop's clock; now by default. The time until the
+                kill counts from the signal, even if the loop handles it late.
         """
         if self.is_draining:
             return
@@ -57,7 +57,7 @@
         left_ms = max(MIN_TIME_LEFT_MS, self.stop_ms - elapsed_ms)
         self.stop_at_ms = self.loop.now_ms + left_ms
         if self.driver.controller is None:
-            # Nothing runs here, but what waits unread counts as received: it is told that it never ran.
+            # Nothing runs, but requests waiting unread count as received: they are read and rejected.
             self._drain_connections()
             return
         self.driver.controller_for_event().start_draining(left_ms, elapsed_ms)
@@ -66,13 +66,13 @@
             self.answers.gate.flush_by(self.loop.now_ms + drain_after_ms)
 
     def resume(self, stop_at_ms: float) -> None:
-        """Goes on with a drain that the old build began; called by hot restart alone."""
+        """Continues a drain that the old process began; called only by hot restart."""
         self.is_draining = True
         self.stop_at_ms = stop_at_ms
         self.schedule_connection_drain()
 
     def schedule_connection_drain(self) -> float:
-        """Sets the timer at which connections are asked to go; returns its delay in ms."""
+        """Schedules goaway for all connections; returns the delay in ms."""
         left_ms = self.stop_at_ms - self.loop.now_ms
         drain_after_ms = max(left_ms - CONNECTION_DRAIN_MS, left_ms / 2.0)
         self.loop.after(drain_after_ms, self._drain_connections)
@@ -80,10 +80,10 @@
 
     def _drain_connections(self) -> None:
         self.gateways.start_draining()
-        self._wait_for_last()
+        self._stop_when_drained()
 
-    def _wait_for_last(self) -> None:
+    def _stop_when_drained(self) -> None:
         if self.gateways.is_drained():
             self.loop.stop()
         else:
-            self.loop.after(CHECK_INTERVAL_MS, self._wait_for_last)
+            self.loop.after(CHECK_INTERVAL_MS, self._stop_when_drained)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A module with recorded actions, and the program with stand-ins for what it talks to."""
+"""Shared fixtures: an admission controller with recorded actions, and the server with stand-in peers."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 from landingshift.testbed import MEMORY
 from landingshift.testbed.experiments.rows import ExperimentRow
 
-READ_TIMEOUT_SECONDS = 10.0  # only ends a test that fails
+READ_TIMEOUT_SECONDS = 10.0  # reached only by failing tests
 
 METHOD = Method(
     idempotency=Idempotency.IDEMPOTENT,
@@ -81,7 +81,7 @@
 
 
 def assert_consistent(controller: AdmissionController) -> None:
-    """Invariants of a controller that hold after each settling."""
+    """Assert the invariants that hold each time the controller has settled."""
     state = controller.state
     for rpc_state, rpcs in state.rpcs_by_state.items():
         assert all(managed.state is rpc_state for managed in rpcs), f"an RPC is not {rpc_state.name}"
@@ -94,12 +94,12 @@
 
 
 class AdmissionBench:
-    """An admission controller whose actions are recorded and whose clock the test moves.
+    """An admission controller with recorded actions and a clock that the test sets.
 
     Attributes:
-        actions: Each as its name and arguments, in order.
-        method: Of RPCs for which the test names none.
-        controller: Under test.
+        actions: The name and arguments of each action, in order.
+        method: The default method of RPCs.
+        controller: The controller under test.
     """
 
     def __init__(self, method: Method = METHOD, *others: Method, **settings: Any) -> None:
@@ -109,17 +109,17 @@
         self.controller = AdmissionController(changed, seed=1, actions=self, now_ms=0.0)
 
     def __getattr__(self, name: str) -> Any:
-        """Records any action."""
+        """Return a function that records the action `name`."""
         return lambda *values: self.actions.append((name, *values))
 
-    def read(self, **facts: Any) -> ManagedRpc:
-        """Has an RPC read, of which `facts` says what differs from `BLANK`."""
-        facts.setdefault("method", self.method)
-        return self.controller.on_rpc_read(Rpc(**{**BLANK, **facts}))
+    def read(self, **rpc_fields: Any) -> ManagedRpc:
+        """Passes a new RPC to the controller; `rpc_fields` override the values of `BLANK`."""
+        rpc_fields.setdefault("method", self.method)
+        return self.controller.on_rpc_read(Rpc(**{**BLANK, **rpc_fields}))
 
-    def start(self, **facts: Any) -> ManagedRpc:
-        """Has an RPC read and everything settled."""
-        managed = self.read(**facts)
+    def start(self, **rpc_fields: Any) -> ManagedRpc:
+        """Passes a new RPC to the controller and settles it."""
+        managed = self.read(**rpc_fields)
         self.controller.settle()
         return managed
 
@@ -130,7 +130,14 @@
         on_cores: float | None = None,
         open_connections: float = 0.0,
     ) -> None:
-        """Moves the clock and fires the timer; without `on_cores`, all runs ever started are on the cores."""
+        """Advances the clock and runs a check, with gauges as given.
+
+        Args:
+            elapsed_ms: The time by which the clock advances.
+            core_utilization: The gauge of core utilization.
+            on_cores: The gauge of runs on the cores; by default all runs ever started.
+            open_connections: The gauge of open connections.
+        """
         self.controller.now_ms += elapsed_ms
         started = len(self.actions_named("start_run"))
         gauges = Gauges(core_utilization, started if on_cores is None else on_cores, open_connections)
@@ -143,11 +150,11 @@
         self.controller.now_ms = now_ms
 
     def actions_named(self, *names: str) -> list[tuple[Any, ...]]:
-        """The actions of these names."""
+        """Return the recorded actions with these names."""
         return [action for action in self.actions if action[0] in names]
 
     def action_names_of(self, managed: ManagedRpc) -> list[str]:
-        """Names of the actions for an RPC, but for its release."""
+        """Return the names of an RPC's actions except `release`."""
         actions = [action for action in self.actions if len(action) > 1 and action[1] is managed.rpc]
         return [action[0] for action in actions if action[0] != "release"]
 
@@ -164,19 +171,19 @@
     "is_retry": False,
     "is_write": False,
 }
-"""What is known of an RPC in tests that do not care."""
+"""Default RPC fields, without the method."""
 
 
-def wait_until(holds: Callable[[], bool], timeout_seconds: float = READ_TIMEOUT_SECONDS) -> None:
-    """Waits for a condition; the timeout only ends a test that fails."""
+def wait_until(condition: Callable[[], bool], timeout_seconds: float = READ_TIMEOUT_SECONDS) -> None:
+    """Waits for a condition; fails the test on timeout."""
     end = time.monotonic() + timeout_seconds
-    while not holds():
-        assert time.monotonic() < end, "waited in vain"
+    while not condition():
+        assert time.monotonic() < end, f"condition did not hold within {timeout_seconds} s"
         time.sleep(0.002)
 
 
 class Peer:
-    """One side of a connection to the program, read and written by the test itself."""
+    """The test's end of a connection to the server."""
 
     def __init__(self, program: ProgramUnderTest, sock: socket.socket) -> None:
         self.program = program
@@ -189,14 +196,14 @@
         self.sock.sendall(data)
 
     def receive_more(self) -> None:
-        """Reads once; raises EOFError at the end."""
+        """Reads once from the socket; raises `EOFError` at the end of the stream."""
         data = self.sock.recv(65536)
         if not data:
             raise EOFError
         self.buffer += data
 
     def read_line(self) -> tuple[list[str], bytes]:
-        """The next line and, where its kind has one, the body behind it."""
+        """Return the words of the next line and its body, empty for lines without one."""
         while b"\r\n" not in self.buffer:
             self.receive_more()
         head, _, self.buffer = self.buffer.partition(b"\r\n")
@@ -209,7 +216,7 @@
         return words, body
 
     def is_closed_by_program(self) -> bool:
-        """Whether the program closes the connection, whatever it writes before."""
+        """Discard all data and return whether the server closes the connection."""
         try:
             while True:
                 self.receive_more()
@@ -220,7 +227,7 @@
 
 
 class EngineStandIn(Peer):
-    """A stand-in for the engine; tells the gauges whenever they are asked for."""
+    """A stand-in for the engine that answers gauge queries while it waits for commands."""
 
     def __init__(self, program: ProgramUnderTest, hello: str = "HELLO old 60000") -> None:
         super().__init__(program, program.engine_listener.accept()[0])
@@ -239,16 +246,16 @@
             if words[0] != "STAT":
                 return words, body
             self.send_notice("STATS", words[1], 0.2, 1, 0.1, 3)
-        raise TimeoutError("no command but STAT")
+        raise TimeoutError("received no command other than STAT")
 
     @contextmanager
     def answering_gauge_queries(self) -> Iterator[None]:
-        """Tells the gauges in the background until it is left; what else comes meanwhile is lost."""
-        over = threading.Event()
+        """Answers gauge queries in a background thread; any other command is discarded."""
+        is_done = threading.Event()
         self.sock.settimeout(0.02)
 
         def serve() -> None:
-            while not over.is_set():
+            while not is_done.is_set():
                 with suppress(TimeoutError, OSError, EOFError):
                     words, _ = self.read_line()
                     if words[0] == "STAT":
@@ -259,27 +266,29 @@
         try:
             yield
         finally:
-            over.set()
+            is_done.set()
             thread.join()
             self.sock.settimeout(READ_TIMEOUT_SECONDS)
 
     def expect_command(self, *words: str) -> bytes:
-        got, body = self.next_command()
-        assert got[: len(words)] == list(words), f"{got} where {words} is due"
+        command, body = self.next_command()
+        assert command[: len(words)] == list(words), f"received command {command}, expected {words}"
         return body
 
 
 class GatewayClient(Peer):
+    """A gateway connection to the server."""
+
     def __init__(self, program: ProgramUnderTest) -> None:
         super().__init__(program, socket.create_connection(program.address))
         self.last_message_id = 0
         self.unpacker = msgpack.Unpacker()
 
     def send_rpc(self, method: str = "m", body: bytes = b"work", **fields: Any) -> int:
-        """Sends an RPC whose id is its place among all of the test; None leaves a field out."""
+        """Send an RPC with the next id of the test and return its message id; None omits a field."""
         self.last_message_id += 1
         self.program.rpc_count += 1
-        told = {
+        params = {
             "id": self.last_rpc_id,
             "at": str(int(time.time() * 1000)),
             "from": "4",
@@ -289,8 +298,8 @@
             "rank": "0.5",
             **fields,
         }
-        told = {k: v for k, v in told.items() if v is not None}
-        self.send(msgpack.packb([0, self.last_message_id, method, [told, body]]))
+        params = {k: v for k, v in params.items() if v is not None}
+        self.send(msgpack.packb([0, self.last_message_id, method, [params, body]]))
         return self.last_message_id
 
     @property
@@ -315,13 +324,13 @@
             self.unpacker.feed(data)
 
     def read_final_answer(self) -> tuple[int, Any]:
-        """The next answer; it may have been asked to go before."""
+        """Return the message id and outcome of the next answer, skipping `goaway`."""
         while (message := self.read_message())[0] != 1:
             assert message == [2, "goaway", []]
         return message[1], message[2][0] if message[2] else message[3][0]
 
     def read_until_end(self) -> str:
-        """How the connection ends, whatever comes before: `closed` or `reset`."""
+        """Discard all messages and return how the connection ends: `closed` or `reset`."""
         try:
             while True:
                 self.read_message()
@@ -331,14 +340,14 @@
             return "reset"
 
     def read_answer(self) -> tuple[int, Any]:
-        """Number and outcome: the bytes of a result, or the error's word."""
-        kind, number, error, result = self.read_message()
+        """Return the message id and outcome of the next answer: the result's bytes, or the error's name."""
+        kind, message_id, error, result = self.read_message()
         assert kind == 1
-        return number, error[0] if error else result[0]
+        return message_id, error[0] if error else result[0]
 
 
 class ProgramUnderTest:
-    """The program started with stand-ins for all it talks to."""
+    """The server process, connected to stand-ins for all its peers."""
 
     def __init__(
         self,
@@ -351,17 +360,17 @@
         max_descriptors: int = 0,
         **change: Any,
     ) -> None:
-        """Starts the program.
+        """Starts the server.
 
         Args:
-            test: Ends the program with its end.
-            limits: Changes of the configuration's `limits`.
-            engine: Whether the engine comes up with it.
-            toml: Our own settings, in which {folder} stands for a folder of the test.
-            env: Added to the environment.
-            command: Arguments of the program.
-            max_descriptors: The system's limit for the program; 0 for none.
-            change: Values of the configuration by path, with `__` between keys and `_` for `-`.
+            test: The test case; its cleanup kills the server.
+            limits: Overrides of the configuration's `limits`.
+            engine: Whether the engine stand-in accepts and answers the server's link.
+            toml: The text of landingshift's own settings file; `{folder}` is replaced by the test's folder.
+            env: Additional environment variables.
+            command: Command line arguments.
+            max_descriptors: The system's descriptor limit for the server; 0 for the default.
+            change: Overrides of the configuration by path, with `__` between keys and `_` for `-`.
         """
         self.test = test
         self.rpc_count = 0
@@ -375,7 +384,7 @@
         self.start(self.make_config(limits or {}, change), engine)
 
     def start(self, config: Any, engine: bool = True) -> None:
-        """Starts the program and waits until it listens, and until its engine is ready where it has one."""
+        """Starts the server and waits until it listens and, with `engine`, until its engine link is ready."""
         if self.toml:
             path = Path(self.folder.name) / "ours.toml"
             path.write_text(self.toml.replace("{folder}", self.folder.name))
@@ -391,7 +400,7 @@
             self.wait_for_log("engine_ready")
 
     def make_config(self, limits: dict[str, Any], change: dict[str, Any]) -> dict[str, Any]:
-        """The configuration with these changes, and with the stand-ins' addresses."""
+        """Return the test configuration with these overrides and the addresses of the stand-ins."""
 
         def address(sock: socket.socket) -> str:
             return "{}:{}".format(*sock.getsockname())
@@ -411,7 +420,7 @@
         return config
 
     def open_listeners(self) -> None:
-        """Where engine, database and roster are reached from now on."""
+        """Opens new listening sockets for engine, database and roster."""
         self.engine_listener = socket.create_server(("127.0.0.1", 0))
         self.database_listener = socket.create_server(("127.0.0.1", 0))
         self.roster = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -421,8 +430,8 @@
             self.test.addCleanup(sock.close)
 
     def reload(self, config: str = "", **change: Any) -> None:
-        """A new configuration, with SIGHUP."""
-        write(self.folder.name, config or self.make_config({}, change))
+        """Writes a new configuration and sends SIGHUP."""
+        write_config(self.folder.name, config or self.make_config({}, change))
         self.process.send_signal(signal.SIGHUP)
 
     def accept_database_link(self) -> Peer:
@@ -430,7 +439,7 @@
 
     @contextmanager
     def paused(self) -> Iterator[None]:
-        """What is done meanwhile reaches the program all at once, in one pass of its loop."""
+        """Stops the process, so that everything sent meanwhile arrives in one pass of its loop."""
         self.process.send_signal(signal.SIGSTOP)
         wait_until(lambda: self.process_state() == "T")
         try:
@@ -442,16 +451,16 @@
         return Path(f"/proc/{self.process.pid}/stat").read_text().rsplit(") ", 1)[1][0]
 
     def wait_for_exit(self) -> int:
-        """Its exit status; what it logged until then is in `lines`."""
+        """Wait for the process to exit and return its status; `log_entries` then has the complete log."""
         status = self.process.wait(10.0)
         assert self.process.stdout is not None
         self.log_entries += [json.loads(text) for text in self.process.stdout]
         return status
 
     def wait_for_log(self, event: str, **fields: Any) -> dict[str, Any]:
-        """The next log line of this kind."""
+        """Return the next log entry of this event with these field values."""
         assert self.process.stdout is not None
-        # A line that never comes must fail the test, not hold it up.
+        # If the entry never appears, killing the process ends the read and the test fails.
         watch = threading.Timer(10.0, self.process.kill)
         watch.start()
         self.test.addCleanup(watch.cancel)
@@ -461,14 +470,15 @@
             if entry["event"] == event and fields.items() <= entry.items():
                 watch.cancel()
                 return entry
-        raise AssertionError(f"no line {event} {fields} among {self.log_entries[-20:]}")
+        raise AssertionError(f"no log entry {event} {fields}; the last ones are {self.log_entries[-20:]}")
 
     def kill(self) -> None:
         self.process.kill()
         self.process.communicate()
 
 
-def write(folder: str, config: Any) -> Path:
+def write_config(folder: str, config: Any) -> Path:
+    """Write the configuration file, from a dict or verbatim text, and return its path."""
     path = Path(folder) / "config.json"
     path.write_text(config if isinstance(config, str) else json.dumps(config))
     return path
@@ -481,10 +491,11 @@
     command: list[str] | None = None,
     max_descriptors: int = 0,
 ) -> subprocess.Popen[str]:
-    path = write(folder, config)
-    within = ["sh", "-c", f'ulimit -n {max_descriptors}; exec "$0" "$@"'] if max_descriptors else []
+    """Start the server process, under a descriptor limit if `max_descriptors` is not 0."""
+    path = write_config(folder, config)
+    limit_command = ["sh", "-c", f'ulimit -n {max_descriptors}; exec "$0" "$@"'] if max_descriptors else []
     return subprocess.Popen(
-        [*within, sys.executable, "-m", "landingshift", *(command or [])],
+        [*limit_command, sys.executable, "-m", "landingshift", *(command or [])],
         text=True, stdout=subprocess.PIPE, stderr=subprocess.PIPE,
         env=os.environ | {"GW_CONFIG": str(path)} | (env or {}),
     )  # fmt: skip
@@ -517,10 +528,16 @@
 
 
 class RealRows(unittest.TestCase):
-    """Rows of an experiment with real processes, some at a time: they mostly wait.
+    """Runs the rows of an experiment with real processes in parallel, and checks each in a test.
+
+    Each row runs in an interpreter of its own: load generators that share one slow each other down and fall
+    short of the load that their rows require.
 
-    `play` is a function of a module, which has the row of that name. Each row has a process of its own: rigs
-    that share an interpreter stand in each other's way, and bring less load than their rows say.
+    Attributes:
+        real: The rows by name.
+        play: Runs the row with the given name; a module-level function, so that it can be pickled.
+        abreast: The number of rows to run in parallel; they mostly wait.
+        rows: The results of the rows.
     """
 
     real: ClassVar[dict[str, Any]] = {}
@@ -537,5 +554,6 @@
             cls.rows = {name: cls.pool.submit(cls.play, name) for name in cls.real}
 
     def holds(self, name: str) -> None:
+        """Assert that the row met all its requirements."""
         row = self.rows[name].result()
         self.assertEqual(row.violations, [], row.figures)
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -1,4 +1,4 @@
-"""Connections that end, by whichever side, against what comes on them in the same moment."""
+"""Tests closes of gateway connections by either side while messages arrive on them."""
 
 import contextlib
 import socket
@@ -24,31 +24,35 @@
 
 
 class RecordedGatewayEvents:
-    """Takes what gateways send: an RPC is open until the test answers it."""
+    """Records what gateways send; an RPC stays open until the test answers it."""
 
     def __init__(self) -> None:
         self.request_ids: list[int] = []
         self.health_check_ids: list[int] = []
         self.abandoned_ids: list[int] = []
 
-    def on_request(self, connection: GatewayConnection, call: wire.Request) -> None:
-        connection.rpcs[call.message_id] = call  # type: ignore[assignment]
-        self.request_ids.append(call.message_id)
+    def on_request(self, connection: GatewayConnection, request: wire.Request) -> None:
+        connection.rpcs[request.message_id] = request  # type: ignore[assignment]
+        self.request_ids.append(request.message_id)
 
     def on_abandoned(self, rpc: Any) -> None:
         self.abandoned_ids.append(rpc.message_id)
 
-    def on_health_check(self, connection: GatewayConnection, call: wire.Request) -> None:
-        self.health_check_ids.append(call.message_id)
+    def on_health_check(self, connection: GatewayConnection, request: wire.Request) -> None:
+        self.health_check_ids.append(request.message_id)
 
 
 class GatewaysUnderTest:
-    """The gateways' part of the program on a loop that is turned by hand, and peers that come."""
+    """The server's gateway connections on a loop whose passes the test runs."""
 
-    def __init__(self, case: unittest.TestCase, most: int = 64, idle: float = 30000.0) -> None:
+    def __init__(
+        self, case: unittest.TestCase, max_connections: int = 64, idle_limit_ms: float = 30000.0
+    ) -> None:
         self.test, self.events, self.close_reasons = case, RecordedGatewayEvents(), list[str]()
         self.loop = Loop(lambda: case.fail("a handler raised"))
-        self.gateways = Gateways(self.loop, ("127.0.0.1", 0), most, 1 << 26, idle, log=self.log)
+        self.gateways = Gateways(
+            self.loop, ("127.0.0.1", 0), max_connections, 1 << 26, idle_limit_ms, log=self.log
+        )
         self.gateways.start(self.events)
         case.addCleanup(self.gateways.listener.close)
 
@@ -56,7 +60,8 @@
         if event == "connection":
             self.close_reasons.append(reason)
 
-    def connect(self, proven: bool = False) -> tuple[socket.socket, GatewayConnection]:
+    def connect(self, is_verified: bool = False) -> tuple[socket.socket, GatewayConnection]:
+        """Connect a peer; return its socket and the accepted connection."""
         before = set(self.gateways.connections)
         peer = socket.create_connection(self.gateways.listener.address)
         self.test.addCleanup(peer.close)
@@ -65,28 +70,28 @@
         self.run_passes_until(lambda: set(self.gateways.connections) != before)
         (connection,) = set(self.gateways.connections) - before
         self.test.addCleanup(connection.stream.sock.close)
-        connection.is_verified = proven
+        connection.is_verified = is_verified
         return peer, connection
 
-    def run_passes_until(self, holds: Any) -> None:
-        def once() -> bool:
-            self.loop.after(0.0, lambda: None)  # so that the pass waits for nothing
+    def run_passes_until(self, condition: Any) -> None:
+        def run_pass() -> bool:
+            self.loop.after(0.0, lambda: None)  # keeps the pass from waiting for events
             self.loop.run_pass()
-            return bool(holds())
+            return bool(condition())
 
-        wait_until(once)
+        wait_until(run_pass)
 
     def advance_clock(self, ms: float) -> None:
-        """The loop's clock says so without a pass: what comes now has not been read."""
+        """Advances the loop's clock without a pass, so that received bytes stay unread."""
         self.loop.now_ms += ms
 
 
-def rpc(number: int = 1) -> bytes:
-    return msgpack.packb([0, number, "m", [{}, b"work"]])
+def rpc_request(message_id: int = 1) -> bytes:
+    return msgpack.packb([0, message_id, "m", [{}, b"work"]])
 
 
-def arrives(connection: GatewayConnection) -> None:
-    """Waits until bytes are there for it to read."""
+def wait_for_unread_bytes(connection: GatewayConnection) -> None:
+    """Waits until bytes are in the connection's socket."""
     wait_until(lambda: bool(peek(connection.stream.sock)))
 
 
@@ -98,22 +103,22 @@
 
 
 class ServerClosesTest(unittest.TestCase):
-    """An RPC that lies in the socket while its connection is about to be closed."""
+    """The server closes a connection while messages for it may be unread."""
 
     def test_socket_is_read_once_more_before_an_idle_connection_is_closed(self) -> None:
-        for why, proven, wait in [
-            ("proved nothing", False, VERIFICATION_TIME_MS),
-            ("asked to go", True, GOAWAY_GRACE_MS),
+        for reason, is_verified, wait_ms in [
+            ("unverified", False, VERIFICATION_TIME_MS),
+            ("after goaway", True, GOAWAY_GRACE_MS),
         ]:
-            with self.subTest(why=why):
+            with self.subTest(reason=reason):
                 harness = GatewaysUnderTest(self)
-                peer, connection = harness.connect(proven)
-                if proven:
+                peer, connection = harness.connect(is_verified)
+                if is_verified:
                     connection.send_goaway()
                     harness.run_passes_until(lambda c=connection: not c.stream.output)
-                peer.sendall(rpc())
-                arrives(connection)
-                harness.advance_clock(wait + 1.0)
+                peer.sendall(rpc_request())
+                wait_for_unread_bytes(connection)
+                harness.advance_clock(wait_ms + 1.0)
                 connection.check_idle()
                 self.assertEqual((harness.events.request_ids, connection.stream.close_reason), ([1], ""))
                 connection.answer(1, wire.encode_ok(1, b"r", {}))
@@ -121,24 +126,24 @@
                 self.assertIn(msgpack.packb([1, 1, None, [b"r", {}]]), peer.recv(4096))
 
     def test_eviction_spares_a_connection_that_has_just_sent(self) -> None:
-        harness = GatewaysUnderTest(self, most=2)
-        (first, one), (second, two) = harness.connect(), harness.connect()
+        harness = GatewaysUnderTest(self, max_connections=2)
+        (first_peer, first), (second_peer, second) = harness.connect(), harness.connect()
         for _ in range(3):
             harness.run_passes_until(lambda: True)
-        first.sendall(rpc())
-        arrives(one)
-        self.assertFalse(harness.gateways.evict_idle())  # the one that was quiet for longest has just sent
+        first_peer.sendall(rpc_request())
+        wait_for_unread_bytes(first)
+        self.assertFalse(harness.gateways.evict_idle())  # the connection idle for longest has just sent
         self.assertEqual(
-            (harness.events.request_ids, one.stream.is_open, two.stream.is_open), ([1], True, True)
+            (harness.events.request_ids, first.stream.is_open, second.stream.is_open), ([1], True, True)
         )
         self.assertTrue(harness.gateways.evict_idle())
-        self.assertEqual((one.stream.is_open, two.stream.is_open), (True, False))
-        self.assertEqual(second.recv(10), b"")
+        self.assertEqual((first.stream.is_open, second.stream.is_open), (True, False))
+        self.assertEqual(second_peer.recv(10), b"")
 
     def test_partial_message_closes_only_after_owed_answers(self) -> None:
         harness = GatewaysUnderTest(self)
-        peer, connection = harness.connect(proven=True)
-        peer.sendall(rpc() + rpc(2)[:9])
+        peer, connection = harness.connect(is_verified=True)
+        peer.sendall(rpc_request() + rpc_request(2)[:9])
         harness.run_passes_until(lambda: harness.events.request_ids)
         harness.advance_clock(MAX_MESSAGE_MS + 1.0)
         connection.check_idle()
@@ -146,13 +151,13 @@
         connection.answer(1, wire.encode_ok(1, b"r", {}))
         connection.check_idle()
         self.assertEqual(msgpack.unpackb(peer.recv(4096))[:3], [1, 1, None])
-        self.assertEqual(connection.stream.close_reason, "unfinished")  # now nothing is owed
+        self.assertEqual(connection.stream.close_reason, "unfinished")  # no answer is owed any more
 
     def test_connection_with_unsent_goaway_is_still_read(self) -> None:
-        # `goaway` lies behind answers that a slow reader has not taken: it goes on sending.
+        # `goaway` is queued behind answers that a slow reader has not read, so the gateway keeps sending.
         harness = GatewaysUnderTest(self)
-        peer, connection = harness.connect(proven=True)
-        peer.sendall(rpc())
+        peer, connection = harness.connect(is_verified=True)
+        peer.sendall(rpc_request())
         harness.run_passes_until(lambda: harness.events.request_ids)
         connection.stream.max_unsent_bytes = 1 << 24
         connection.answer(1, bytes(1 << 23))
@@ -161,19 +166,21 @@
         self.assertTrue(connection.stream.output)
         harness.advance_clock(GOAWAY_GRACE_MS + 1.0)
         connection.check_idle()
-        peer.sendall(rpc(2))
+        peer.sendall(rpc_request(2))
         harness.run_passes_until(lambda: len(harness.events.request_ids) > 1)
         self.assertEqual(connection.stream.close_reason, "")
         harness.advance_clock(2.0 * GOAWAY_GRACE_MS + 1.0)
         connection.answer(2, b"")
         connection.check_idle()
-        self.assertEqual(connection.stream.close_reason, "goaway")  # nobody holds a place for ever
+        self.assertEqual(
+            connection.stream.close_reason, "goaway"
+        )  # a slow reader cannot stay connected for ever
 
     def test_requests_after_the_half_close_are_ignored(self) -> None:
         harness = GatewaysUnderTest(self)
-        peer, connection = harness.connect(proven=True)
+        peer, connection = harness.connect(is_verified=True)
         connection.stream.close_gracefully("goaway")
-        peer.sendall(rpc())
+        peer.sendall(rpc_request())
         self.assertEqual(peer.recv(10), b"")
         peer.close()
         harness.run_passes_until(lambda: harness.close_reasons)
@@ -181,12 +188,12 @@
 
     def test_bytes_after_a_cut_off_are_discarded_up_to_a_bound(self) -> None:
         harness = GatewaysUnderTest(self)
-        peer, connection = harness.connect(proven=True)
+        peer, connection = harness.connect(is_verified=True)
         connection.stream.close_gracefully("goaway")
         peer.setblocking(False)
         data = bytes(MAX_DISCARDED_BYTES // 4)
 
-        def over() -> bool:
+        def is_closed() -> bool:
             try:
                 peer.send(data)
             except BlockingIOError:
@@ -195,11 +202,11 @@
                 return True
             return not connection.stream.is_open
 
-        harness.run_passes_until(over)
+        harness.run_passes_until(is_closed)
         self.assertLess(connection.stream.discarded_bytes, 3 * MAX_DISCARDED_BYTES)
 
     def test_answers_written_before_a_cut_off_arrive(self) -> None:
-        # More of its bytes are unread: a close would be a reset, which takes the answer along.
+        # With bytes unread, an immediate close would send a reset, which can discard the answer.
         program = ProgramUnderTest(self)
         for first, reason in [
             (msgpack.packb([0, 1, "unknown", [{}, b""]]), "bad_rpc"),
@@ -216,8 +223,8 @@
 
 
 class GatewayClosesTest(unittest.TestCase):
-    def owing(self) -> tuple[Stream, socket.socket]:
-        """A stream with much more to write than the other side has room for."""
+    def stream_with_unsent_output(self) -> tuple[Stream, socket.socket]:
+        """Return a stream with more output than the socket buffers hold, and its peer socket."""
         loop = Loop(lambda: self.fail("a handler raised"))
         ours, theirs = socket.socketpair()
         self.addCleanup(theirs.close)
@@ -228,28 +235,28 @@
         stream.write(bytes(1 << 25))
         return stream, theirs
 
-    def test_a_slow_reader_that_writes_no_more_gets_all_its_answers(self) -> None:
-        stream, theirs = self.owing()
+    def test_half_closed_slow_reader_gets_all_its_answers(self) -> None:
+        stream, theirs = self.stream_with_unsent_output()
         stream.is_reading = False
         stream.close_gracefully("closed_by_gateway")
-        for _ in range(3):  # spells in each of which it takes something
+        for _ in range(3):  # waits in each of which the peer reads something
             theirs.recv(65536)
             stream.flush()
             stream.linger()
             self.assertTrue(stream.is_open)
         stream.linger()
-        self.assertFalse(stream.is_open)  # nothing taken in a whole spell
+        self.assertFalse(stream.is_open)  # nothing read during one wait
 
     def test_lingering_ends_after_a_bounded_number_of_waits(self) -> None:
-        stream, theirs = self.owing()
+        stream, theirs = self.stream_with_unsent_output()
         stream.close_gracefully("goaway")
-        spells = 0
-        while stream.is_open and spells < 3 * MAX_LINGERS:
+        wait_count = 0
+        while stream.is_open and wait_count < 3 * MAX_LINGERS:
             theirs.recv(4096)
-            stream.sent_bytes += 1  # as if a byte had gone
+            stream.sent_bytes += 1  # simulates progress
             stream.linger()
-            spells += 1
-        self.assertLessEqual(spells, MAX_LINGERS + 1)
+            wait_count += 1
+        self.assertLessEqual(wait_count, MAX_LINGERS + 1)
         self.assertGreater(LINGER_MS, 0.0)
 
     def test_half_closed_connection_gets_answers_to_its_rpc_and_health_check(self) -> None:
@@ -259,8 +266,8 @@
         program.engine.expect_command("RUN", gateway.last_rpc_id)
         with program.paused():
             other_gateway.send_health_check(deep="1")
-            for one in (gateway, other_gateway):
-                one.sock.shutdown(socket.SHUT_WR)
+            for client in (gateway, other_gateway):
+                client.sock.shutdown(socket.SHUT_WR)
             program.engine.send_notice("DONE 1", gateway.last_rpc_id, "good 5", body=b"r")
         self.assertEqual(
             (gateway.read_final_answer(), gateway.read_until_end()), ((message_id, b"r"), "closed")
@@ -277,21 +284,21 @@
         for state in ("idle", "half", "running", "calling", "answered", "half closed"):
             with self.subTest(state=state):
                 gateway = GatewayClient(program)
-                rid = ""
+                rpc_id = ""
                 if state == "half":
-                    gateway.send(rpc()[:9])
+                    gateway.send(rpc_request()[:9])
                 elif state != "idle":
                     gateway.send_rpc("once")
-                    rid = gateway.last_rpc_id
-                    program.engine.expect_command("RUN", rid)
+                    rpc_id = gateway.last_rpc_id
+                    program.engine.expect_command("RUN", rpc_id)
                 if state == "calling":
                     notice += 1
-                    program.engine.send_notice("NEED", notice, rid, body=b"q")
+                    program.engine.send_notice("NEED", notice, rpc_id, body=b"q")
                     db = program.accept_database_link()
                     db.read_line()
                 if state == "answered":
                     notice += 1
-                    program.engine.send_notice("DONE", notice, rid, "good 5", body=b"r")
+                    program.engine.send_notice("DONE", notice, rpc_id, "good 5", body=b"r")
                     gateway.read_answer()
                 if state == "half closed":
                     gateway.sock.shutdown(socket.SHUT_WR)
@@ -300,10 +307,10 @@
                 gateway.sock.close()
                 self.assertIn(program.wait_for_log("connection")["reason"], ("reset", "closed_by_gateway"))
                 if state == "calling":
-                    self.assertEqual(db.read_line()[0], ["X", rid])
+                    self.assertEqual(db.read_line()[0], ["X", rpc_id])
                 if state in ("running", "calling", "half closed"):
                     notice += 1
-                    program.engine.send_notice("DONE", notice, rid, "good 5", body=b"for nobody")
+                    program.engine.send_notice("DONE", notice, rpc_id, "good 5", body=b"for nobody")
         message_id = other.send_rpc()
         program.engine.expect_command("RUN", other.last_rpc_id)
         program.engine.send_notice("DONE", notice + 1, other.last_rpc_id, "good 5", body=b"r")
@@ -311,8 +318,8 @@
 
 
 class MessageFormsTest(unittest.TestCase):
-    def test_requests_decode_in_every_form_of_messagepack_and_any_pieces(self) -> None:
-        # A gateway's library may choose longer forms than the shortest one.
+    def test_requests_decode_from_any_messagepack_encoding_and_fragmentation(self) -> None:
+        # A gateway's MessagePack library may use longer encodings than the shortest one.
         def text(value: str, form: str) -> bytes:
             raw = value.encode()
             head = {"8": b"\xd9%c" % len(raw), "16": b"\xda" + struct.pack(">H", len(raw)),
@@ -342,46 +349,47 @@
             for pieces in (1, 7, 10_000):
                 with self.subTest(form=form, pieces=pieces):
                     program.rpc_count += 1
-                    hex_digits = "ABCDEF" if pieces == 7 else "abcdef"  # of either case
-                    rid = f"{hex_digits}{program.rpc_count:010}"
-                    told = {"id": rid, "at": str(int(time.time() * 1000)), "from": "1",
+                    hex_digits = "ABCDEF" if pieces == 7 else "abcdef"  # ids in either case are valid
+                    rpc_id = f"{hex_digits}{program.rpc_count:010}"
+                    params = {"id": rpc_id, "at": str(int(time.time() * 1000)), "from": "1",
                             "tenant": "t", "wait": "2500", "kb": "2.5", "new": "x"}  # fmt: skip
-                    n = 10 * i + min(pieces, 9)
-                    data = array(4, form) + number(0, form) + number(n, form) + text("m", form)
-                    data += array(2, form) + table(len(told), form)
-                    data += b"".join(text(k, form) + text(v, form) for k, v in told.items())
+                    message_id = 10 * i + min(pieces, 9)
+                    data = array(4, form) + number(0, form) + number(message_id, form) + text("m", form)
+                    data += array(2, form) + table(len(params), form)
+                    data += b"".join(text(k, form) + text(v, form) for k, v in params.items())
                     data += blob(b"\x00work", form)
                     size = max(1, len(data) // pieces)
-                    for at in range(0, len(data), size):
-                        gateway.send(data[at : at + size])
-                    self.assertEqual(program.engine.expect_command("RUN", told["id"]), b"\x00work")
-                    program.engine.send_notice("DONE", program.rpc_count, told["id"], "good 5", body=b"r")
-                    self.assertEqual(gateway.read_answer(), (n, b"r"))
+                    for start in range(0, len(data), size):
+                        gateway.send(data[start : start + size])
+                    self.assertEqual(program.engine.expect_command("RUN", params["id"]), b"\x00work")
+                    program.engine.send_notice("DONE", program.rpc_count, params["id"], "good 5", body=b"r")
+                    self.assertEqual(gateway.read_answer(), (message_id, b"r"))
 
 
 class DescriptorLimitTest(unittest.TestCase):
-    def test_idle_clients_in_every_place_while_the_roster_is_silent(self) -> None:
+    def test_engine_link_reconnects_while_idle_clients_fill_the_connection_table(self) -> None:
         program = ProgramUnderTest(self, limits={"sockets": 96})
-        program.roster.close()
+        program.roster.close()  # reports to the roster go nowhere
         gateway = GatewayClient(program)
         prove(program, gateway)
-        strangers = [GatewayClient(program) for _ in range(60)]  # more than places; they only keep theirs
+        # With 96 sockets the connection table holds 32; these clients connect and send nothing.
+        idle_clients = [GatewayClient(program) for _ in range(60)]
         message_id = gateway.send_rpc()
         program.engine.expect_command("RUN", gateway.last_rpc_id)
-        program.engine.sock.close()  # and the link to the engine needs a descriptor again
+        program.engine.sock.close()  # the new engine link needs a descriptor
         link = EngineStandIn(program)
         link.send_notice("DONE 2", gateway.last_rpc_id, "good 5", body=b"r")
         self.assertEqual(gateway.read_answer(), (message_id, b"r"))
         self.assertTrue(GatewayClient(program).check_health()[0])
-        self.assertTrue(all(one.is_closed_by_program() for one in strangers))
+        self.assertTrue(all(client.is_closed_by_program() for client in idle_clients))
 
     def test_serves_with_fewer_descriptors_than_configured(self) -> None:
-        # What the system gives counts: the links to engine and database need theirs beside the gateways'.
+        # The system's limit counts: gateways must leave descriptors for the engine and database links.
         program = ProgramUnderTest(self, limits={"sockets": 1024}, max_descriptors=96)
-        with program.paused():  # each has its RPC there once it is accepted, so that none of them makes room
-            strangers = [GatewayClient(program) for _ in range(100)]
-            for one in strangers:
-                one.send_rpc(wait="9000")
+        with program.paused():  # so that each accepted connection has an RPC and none can be evicted
+            clients = [GatewayClient(program) for _ in range(100)]
+            for client in clients:
+                client.send_rpc(wait="9000")
         program.wait_for_log("connections_full")
         ids = [program.engine.next_command()[0][1] for _ in range(20)]
         program.engine.send_notice("NEED 1", ids[0], body=b"q")
@@ -389,22 +397,22 @@
         program.engine.sock.close()
         self.assertEqual(EngineStandIn(program).attach_command, ["ATTACH", "1"])
 
-    def test_gateway_is_served_during_a_flood_of_strangers(self) -> None:
+    def test_gateway_is_served_during_a_flood_of_unknown_clients(self) -> None:
         program = ProgramUnderTest(self, limits={"sockets": 128})
         gateway = GatewayClient(program)
         prove(program, gateway)
-        flood = [msgpack.packb([0, 1, "m", [{"id": "x"}, b""]]), b"\xc1" * 2000, rpc()[:9], b""]
-        strangers = []
+        flood = [msgpack.packb([0, 1, "m", [{"id": "x"}, b""]]), b"\xc1" * 2000, rpc_request()[:9], b""]
+        clients = []
         for i in range(200):
-            strangers.append(GatewayClient(program))
-            with contextlib.suppress(OSError):  # it has made room already
-                strangers[-1].send(flood[i % len(flood)])
+            clients.append(GatewayClient(program))
+            with contextlib.suppress(OSError):  # the server may have evicted it already
+                clients[-1].send(flood[i % len(flood)])
             if i % 20 == 0:
                 message_id = gateway.send_rpc()
                 program.engine.expect_command("RUN", gateway.last_rpc_id)
                 program.engine.send_notice("DONE", i // 20 + 2, gateway.last_rpc_id, "good 5", body=b"r")
                 self.assertEqual(gateway.read_answer(), (message_id, b"r"))
-        self.assertTrue(all(one.is_closed_by_program() for one in strangers))
+        self.assertTrue(all(client.is_closed_by_program() for client in clients))
         self.assertLess(resident(program.process.pid), 64.0)
 
 
--- a/tests/test_throng.py
+++ b/tests/test_throng.py
@@ -1,8 +1,9 @@
-"""Twenty to thirty cold servers at once behind as many gateways that heed what they hear, in virtual time.
+"""Tests in virtual time that cold servers stay within their limits if gateways honour advertised credits.
 
-From a page of the users: a cold server falls under the sum of what all send it, and beyond a budget of N only
-2 x root of N + 2 are chance. N is here what the settings let a server of that age have on its cores, and the
-time is the one over which they average that.
+Twenty to thirty cold servers start at once behind as many gateways. A cold server collapses under the sum of
+what all gateways send it. The users' requirement: with a budget of N, at most N + 2 * sqrt(N) + 2 RPCs may be
+open, the excess over N being random variation. N is the number of RPCs that the settings allow on the cores
+of a server of that age. The number of open RPCs is averaged over the window of the settings.
 """
 
 from __future__ import annotations
@@ -18,19 +19,19 @@
 from landingshift.admission.managed_rpc import ManagedRpc, RpcState
 from tests.helpers import METHOD, AdmissionBench
 
-STEP_MS = 10.0  # ms of virtual time
+STEP_MS = 10.0  # of virtual time
 CORE_COUNT = 2
 MAX_RUNS_PER_CORE = 8.0
 COLD_SPEED_FRACTION = 0.2
 WARM_UP_MS = 9000.0
 FALL_WINDOW_MS = 2000.0
-WORK_MS = 120.0  # of a warm core, for an RPC
-READ_MS = 5.0  # of a warm core, for reading one
-STORE_QUOTA = 0.9  # a server's part of what the store may hold in the mean
-STORE_WINDOW_MS = 5000.0  # over which that mean is taken
-CALL_MS = 25.0  # ms of a call while the store is well
-CALLER_WAIT_MS = 2400.0  # ms that a caller waits
-RPCS = replace(
+WORK_MS = 120.0  # mean time on a warm core per RPC
+READ_MS = 5.0  # time on a warm core to read an RPC
+STORE_QUOTA = 0.9  # mean concurrent calls that each server may have at the store
+STORE_WINDOW_MS = 5000.0  # window of that mean
+CALL_MS = 25.0  # duration of a call while the store is not overloaded
+CALLER_WAIT_MS = 2400.0
+SIMULATED_METHOD = replace(
     METHOD,
     calls_downstream=True,
     degraded_value_fraction=0.5,
@@ -40,10 +41,10 @@
 
 
 class WorstRollingMean:
-    """The most that the mean over `width` ms was, as a share of what it may be."""
+    """The highest mean over any window of `window_ms`, as a fraction of the budget."""
 
-    def __init__(self, width: float) -> None:
-        self.values, self.worst = deque([0.0] * int(width / STEP_MS)), 0.0
+    def __init__(self, window_ms: float) -> None:
+        self.values, self.worst = deque([0.0] * int(window_ms / STEP_MS)), 0.0
         self.sum = 0.0
 
     def add(self, value: float, budget: float) -> None:
@@ -53,12 +54,12 @@
 
 
 class SimulatedServer:
-    """A cold server: the module, its cores, what still waits to be read."""
+    """A cold server: an admission controller, its cores and its unread RPCs."""
 
-    def __init__(self, gateways: int) -> None:
+    def __init__(self, gateway_count: int) -> None:
         self.bench = AdmissionBench(
-            RPCS,
-            caller_count=gateways,
+            SIMULATED_METHOD,
+            caller_count=gateway_count,
             core_count=CORE_COUNT,
             max_runs_per_core=MAX_RUNS_PER_CORE,
             starts_cold=True,
@@ -70,11 +71,11 @@
             downstream_quota_window_ms=STORE_WINDOW_MS,
             lost_call_linger_ms=100.0,
         )
-        self.server = self.bench.controller
+        self.controller = self.bench.controller
         self.unread: deque[tuple[float, int]] = deque()
-        self.jobs: dict[Any, tuple[ManagedRpc, float]] = {}  # by RPC, with what is left of its work
-        self.read = 0.0  # ms of a core that went into the next RPC to be read
-        self.open_rpc_count = 0  # without an answer
+        self.jobs: dict[Any, tuple[ManagedRpc, float]] = {}  # by RPC, with its remaining work in ms
+        self.read_progress_ms = 0.0  # core time spent on reading the next RPC
+        self.open_rpc_count = 0  # RPCs without an answer
         self.on_cores = 0  # RPCs that run or are read
         self.seen_action_count = 0
         self.open_load = WorstRollingMean(FALL_WINDOW_MS)
@@ -87,24 +88,25 @@
         return (1.0 + (MAX_RUNS_PER_CORE - 1.0) * self.speed(now_ms)) * CORE_COUNT
 
     def work(self, now_ms: float, rng: Random) -> None:
-        """Each core reads one RPC at a time beside what runs, and all of that shares the cores."""
+        """Runs and reads RPCs for one step; each core reads one RPC at a time, and all share the cores."""
         running = [
             rpc for rpc, (job, _) in self.jobs.items() if job.state in (RpcState.RUNNING, RpcState.ABORTED)
         ]
-        reads = min(CORE_COUNT, len(self.unread))
-        self.on_cores = len(running) + reads
-        each = STEP_MS * self.speed(now_ms) * CORE_COUNT / max(CORE_COUNT, self.on_cores)
+        read_count = min(CORE_COUNT, len(self.unread))
+        self.on_cores = len(running) + read_count
+        core_time_ms = STEP_MS * self.speed(now_ms) * CORE_COUNT / max(CORE_COUNT, self.on_cores)
         for rpc in running:
-            job, left = self.jobs[rpc]
-            self.jobs[rpc] = job, left - each
-            if left <= each:
-                self.server.on_run_finished(job, Outcome.OK, now_ms - job.arrived_at_ms)
-        self.read += reads * each
-        while self.unread and self.read >= READ_MS:
-            self.read -= READ_MS
-            came, gateway = self.unread.popleft()
+            job, remaining_ms = self.jobs[rpc]
+            self.jobs[rpc] = job, remaining_ms - core_time_ms
+            if remaining_ms <= core_time_ms:
+                self.controller.on_run_finished(job, Outcome.OK, now_ms - job.arrived_at_ms)
+        self.read_progress_ms += read_count * core_time_ms
+        while self.unread and self.read_progress_ms >= READ_MS:
+            self.read_progress_ms -= READ_MS
+            arrived_ms, gateway = self.unread.popleft()
+            waited_ms = now_ms - arrived_ms
             job = self.bench.read(
-                remaining_ms=CALLER_WAIT_MS - (now_ms - came), waited_ms=now_ms - came, caller_id=gateway
+                remaining_ms=CALLER_WAIT_MS - waited_ms, waited_ms=waited_ms, caller_id=gateway
             )
             self.jobs[job.rpc] = job, rng.expovariate(1.0 / WORK_MS)
         budget = self.max_runs(now_ms)
@@ -112,93 +114,103 @@
         self.open_load.add(self.open_rpc_count, budget + 2.0 * sqrt(budget) + 2.0)
 
 
-class ServerThrong:
-    def __init__(self, servers: int, gateways: int, uneven: bool) -> None:
+class SimulatedFleet:
+    """Cold servers, the gateways that send to them, and the store that the servers call."""
+
+    def __init__(self, server_count: int, gateway_count: int, is_uneven: bool) -> None:
         self.rng = Random(1)
         self.now_ms = 0.0
-        self.machines = [SimulatedServer(gateways) for _ in range(servers)]
-        self.weights = [8.0 if uneven and gateway < 3 else 1.0 for gateway in range(gateways)]
-        self.credits: dict[tuple[int, SimulatedServer], float] = {}  # the credit that a gateway was told last
+        self.servers = [SimulatedServer(gateway_count) for _ in range(server_count)]
+        self.weights = [8.0 if is_uneven and gateway < 3 else 1.0 for gateway in range(gateway_count)]
+        self.credits: dict[tuple[int, SimulatedServer], float] = {}  # last received by each gateway
         self.in_flight: Counter[tuple[int, SimulatedServer]] = Counter()
         self.calls: list[tuple[float, SimulatedServer, ManagedRpc]] = []
         self.store_load = WorstRollingMean(STORE_WINDOW_MS)
         self.action_counts: Counter[str] = Counter()
 
     def send(self, rate: float) -> None:
+        """Sends `rate` RPCs on average, each to one of two random servers whose credit allows it."""
         for _ in range(int(rate) + (self.rng.random() < rate % 1.0)):
             gateway = self.rng.choices(range(len(self.weights)), self.weights)[0]
-            for machine in self.rng.sample(self.machines, 2):
-                # It is on no gateway's list before a check was answered; a part of a credit counts by chance.
-                credit = self.credits.get((gateway, machine), 0.0)
-                if self.in_flight[gateway, machine] < int(credit) + (self.rng.random() < credit % 1.0):
-                    self.in_flight[gateway, machine] += 1
-                    machine.open_rpc_count += 1
-                    machine.unread.append((self.now_ms, gateway))
+            for server in self.rng.sample(self.servers, 2):
+                # A gateway has no credit before its first health check. The fractional part of a credit is
+                # the probability of one more RPC.
+                credit = self.credits.get((gateway, server), 0.0)
+                if self.in_flight[gateway, server] < int(credit) + (self.rng.random() < credit % 1.0):
+                    self.in_flight[gateway, server] += 1
+                    server.open_rpc_count += 1
+                    server.unread.append((self.now_ms, gateway))
                     break
 
     def step(self, rate: float) -> None:
+        """Advances the simulation by `STEP_MS`, with `rate` new RPCs on average."""
         self.now_ms += STEP_MS
-        for machine in self.machines:
-            machine.bench.set_time(self.now_ms)
-            machine.work(self.now_ms, self.rng)
+        for server in self.servers:
+            server.bench.set_time(self.now_ms)
+            server.work(self.now_ms, self.rng)
         self.send(rate)
-        self.store()
-        for machine in self.machines:
-            if self.now_ms >= machine.server.next_check_ms:
-                machine.server.on_timer(
-                    Gauges(min(1.0, machine.on_cores / CORE_COUNT), machine.on_cores, 30.0)
+        self.finish_calls()
+        for server in self.servers:
+            if self.now_ms >= server.controller.next_check_ms:
+                server.controller.on_timer(
+                    Gauges(min(1.0, server.on_cores / CORE_COUNT), server.on_cores, 30.0)
                 )
-            machine.server.settle()
-            self.carry_out(machine)
-            if self.now_ms % 1000.0 < STEP_MS:  # checks of all gateways, which tell them the credit too
+            server.controller.settle()
+            self.apply_actions(server)
+            if self.now_ms % 1000.0 < STEP_MS:  # health checks also carry the credit
                 self.credits |= {
-                    (gateway, machine): machine.server.advertised_load for gateway in range(len(self.weights))
+                    (gateway, server): server.controller.advertised_load
+                    for gateway in range(len(self.weights))
                 }
 
-    def carry_out(self, machine: SimulatedServer) -> None:
-        while machine.seen_action_count < len(machine.bench.actions):
-            what, *values = machine.bench.actions[machine.seen_action_count]
-            machine.seen_action_count += 1
-            if what not in ("start_run", "start_call", "release", "reject", "abort"):
+    def apply_actions(self, server: SimulatedServer) -> None:
+        """Applies the server's actions recorded since the last call."""
+        while server.seen_action_count < len(server.bench.actions):
+            action, *values = server.bench.actions[server.seen_action_count]
+            server.seen_action_count += 1
+            if action not in ("start_run", "start_call", "release", "reject", "abort"):
                 continue
             rpc = values[0]
-            self.action_counts[what] += 1
-            if what == "start_run":
-                machine.server.on_call_needed(machine.jobs[rpc][0])  # its cache is cold
-                machine.server.settle()
-            elif what == "start_call":
-                crowded = max(1.0, len(self.calls) / (2.0 * STORE_QUOTA * len(self.machines)))
-                self.calls.append((self.now_ms + CALL_MS * crowded, machine, machine.jobs[rpc][0]))
-            elif what == "release":
-                machine.jobs.pop(rpc, None)
-                machine.open_rpc_count -= 1
-                self.in_flight[rpc.caller_id, machine] -= 1
-                self.credits[rpc.caller_id, machine] = machine.server.advertised_load
-
-    def store(self) -> None:
-        self.store_load.add(len(self.calls), STORE_QUOTA * len(self.machines))
-        for end, machine, job in [call for call in self.calls if call[0] <= self.now_ms]:
-            machine.server.on_call_finished(job, Outcome.OK, end - job.call_started_at_ms)
+            self.action_counts[action] += 1
+            if action == "start_run":
+                # The cache is cold, so each run needs a call.
+                server.controller.on_call_needed(server.jobs[rpc][0])
+                server.controller.settle()
+            elif action == "start_call":
+                slowdown = max(1.0, len(self.calls) / (2.0 * STORE_QUOTA * len(self.servers)))
+                self.calls.append((self.now_ms + CALL_MS * slowdown, server, server.jobs[rpc][0]))
+            elif action == "release":
+                server.jobs.pop(rpc, None)
+                server.open_rpc_count -= 1
+                self.in_flight[rpc.caller_id, server] -= 1
+                self.credits[rpc.caller_id, server] = server.controller.advertised_load
+
+    def finish_calls(self) -> None:
+        """Records the load on the store and ends the calls that are due."""
+        self.store_load.add(len(self.calls), STORE_QUOTA * len(self.servers))
+        for end, server, job in [call for call in self.calls if call[0] <= self.now_ms]:
+            server.controller.on_call_finished(job, Outcome.OK, end - job.call_started_at_ms)
         self.calls = [call for call in self.calls if call[0] > self.now_ms]
 
 
-class ThrongTest(unittest.TestCase):
+class ColdFleetTest(unittest.TestCase):
     def test_cold_servers_keep_themselves_and_the_store_within_their_limits(self) -> None:
-        for servers, gateways, uneven in [(20, 20, False), (30, 30, False), (30, 30, True)]:
-            with self.subTest(server_count=servers, gateways=gateways, uneven=uneven):
-                throng, steps = ServerThrong(servers, gateways, uneven), int(10_000 / STEP_MS)
-                warm = servers * CORE_COUNT * STEP_MS / WORK_MS  # RPCs in a step
-                for _ in range(steps):
-                    # Twice what all of them do once they are warm: ten times what they do at first.
-                    throng.step(2.0 * warm)
-                self.assertLessEqual(max(machine.open_load.worst for machine in throng.machines), 1.0)
-                self.assertLessEqual(max(machine.core_load.worst for machine in throng.machines), 1.0)
-                self.assertLessEqual(throng.store_load.worst, 1.0)
-                # They are not spared by being left idle: half of all that cold cores can do is done.
-                done = (
-                    throng.action_counts["release"]
-                    - throng.action_counts["reject"]
-                    - throng.action_counts["abort"]
+        for server_count, gateway_count, is_uneven in [(20, 20, False), (30, 30, False), (30, 30, True)]:
+            with self.subTest(server_count=server_count, gateway_count=gateway_count, is_uneven=is_uneven):
+                fleet = SimulatedFleet(server_count, gateway_count, is_uneven)
+                step_count = int(10_000 / STEP_MS)
+                warm_capacity = server_count * CORE_COUNT * STEP_MS / WORK_MS  # RPCs per step
+                for _ in range(step_count):
+                    # Twice the capacity of the warm fleet: ten times that of the cold one.
+                    fleet.step(2.0 * warm_capacity)
+                self.assertLessEqual(max(server.open_load.worst for server in fleet.servers), 1.0)
+                self.assertLessEqual(max(server.core_load.worst for server in fleet.servers), 1.0)
+                self.assertLessEqual(fleet.store_load.worst, 1.0)
+                # The limits must not be met by idling: at least half of the capacity is used.
+                completed = (
+                    fleet.action_counts["release"]
+                    - fleet.action_counts["reject"]
+                    - fleet.action_counts["abort"]
                 )
-                could = warm * sum(throng.machines[0].speed(t * STEP_MS) for t in range(steps))
-                self.assertGreaterEqual(done, 0.5 * could)
+                capacity = warm_capacity * sum(fleet.servers[0].speed(i * STEP_MS) for i in range(step_count))
+                self.assertGreaterEqual(completed, 0.5 * capacity)
