--- a/landingshift/net/routing/answers.py
+++ b/landingshift/net/routing/answers.py
@@ -43,7 +43,7 @@
             try:
                 rpc.is_answer_deferred = self.gate.defer_answer(rpc, result, run_time_ms)
             except Exception:  # a failing gate must not hold back answers
-                self.log("gate_cut_off", trace=traceback.format_exc(limit=-MAX_TRACE_FRAMES))
+                self.log("answer_gate_removed", trace=traceback.format_exc(limit=-MAX_TRACE_FRAMES))
                 self.gate = None
                 rpc.is_answer_deferred = False
         if not rpc.is_answer_deferred:
--- a/landingshift/net/routing/engine_events.py
+++ b/landingshift/net/routing/engine_events.py
@@ -95,7 +95,7 @@
         connection that brought such an RPC is closed.
         """
         rpc = self.table.find(refusal.rpc_id)
-        self.log("engine_no", command=refusal.command.decode("latin-1"), known=rpc is not None)
+        self.log("engine_command_refused", command=refusal.command.decode("latin-1"), known=rpc is not None)
         if rpc is None:
             return
         if refusal.command != wire.RUN_COMMAND and not self.engine.commands.is_query(rpc):
--- a/landingshift/net/routing/engine_link.py
+++ b/landingshift/net/routing/engine_link.py
@@ -224,7 +224,7 @@
         if notice.notice_number <= self.last_notice_number:
             return  # repeated after a reconnect
         if notice.notice_number > self.last_notice_number + 1:
-            self.log("notices_missing", after=self.last_notice_number, before=notice.notice_number)
+            self.log("engine_notices_lost", after=self.last_notice_number, before=notice.notice_number)
         self.last_notice_number = notice.notice_number
         if isinstance(notice, wire.RunEnded):
             self.events.on_run_ended(notice)
--- a/landingshift/net/routing/gateways.py
+++ b/landingshift/net/routing/gateways.py
@@ -81,7 +81,7 @@
             self.evict_idle()
         if self.is_full:
             self.is_full = False
-            self.log("connections_room", connections=len(self.connections))
+            self.log("connections_available", connections=len(self.connections))
 
     def add(self, open_stream: Callable[[GatewayConnection], Stream]) -> GatewayConnection:
         """Add a connection on the stream that `open_stream` opens for it."""
--- a/tests/hot_restart_fixtures.py
+++ b/tests/hot_restart_fixtures.py
@@ -43,7 +43,7 @@
 TENANT = Tenant(20.0)
 
 PEER_TIMEOUT_SECONDS = 5.0
-FAULT_EVENTS = ("fault", "engine_no", "notices_missing")
+FAULT_EVENTS = ("fault", "engine_command_refused", "engine_notices_lost")
 
 
 @dataclass(frozen=True)
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -438,7 +438,7 @@
                 )
                 for gateway in clients + more:
                     gateway.sock.close()
-                program.wait_for_log("connections_room")
+                program.wait_for_log("connections_available")
                 self.assertEqual(GatewayClient(program).check_health()[0], True)
                 self.assertLess(cpu(program.process.pid), 2.0)  # an accept that can't be done must not spin
 
