--- a/landingshift/admission/backpressure.py
+++ b/landingshift/admission/backpressure.py
@@ -1,12 +1,11 @@
-"""Load that this server advertises to callers (weight, level or credit) and Retry-After of its rejections.
+"""Computes the load that this server advertises to callers and the Retry-After of its rejections.
 
-The advertised load combines two signals between `MIN_SIGNAL` and 1. `queue_weight` falls while the queue is
-long. `read_responsiveness` falls while RPCs wait long before they are read, which reveals a server whose
-cores are busy reading before any run has ended.
+The advertised load depends on two signals between `MIN_SIGNAL` and 1. `queue_weight` falls while the queue is
+long. `read_responsiveness` falls while RPCs wait long before they are read; it detects that the cores are
+busy reading, even before any run has ended.
 
-An advertisement only affects callers that return before it expires on their side. The signals therefore never
-reach 0: a caller that sends nothing receives no update, discards the advertisement and then sends at full
-rate.
+The signals never reach 0, because callers discard an advertisement after some time. At 0, a caller would send
+nothing, receive no update, and return at full rate once the advertisement has expired.
 """
 
 from __future__ import annotations
@@ -24,11 +23,11 @@
 
 UNREAD_BUCKET_COUNT, UNREAD_BUCKET_MS = 2, 250.0
 MAX_UNREAD_FRACTION = 0.5
-"""Wait before the read, as a fraction of the shortest latency objective, at which the responsiveness would be
-0 without its minimum."""
+"""Mean wait before the read at which `read_responsiveness` would be 0 if it had no minimum, as a fraction of
+the shortest latency objective."""
 MIN_SIGNAL = 0.2
 """Minimum of each signal, so that callers keep returning and receive load updates."""
-# Each mode is logged as on while its signal is below the threshold; the thresholds affect only the log.
+# A mode is logged as on while its signal is below its threshold. The thresholds affect only the log.
 READ_OVERLOAD_MODE, READ_OVERLOAD_THRESHOLD = "drowning", 0.3
 SHEDDING_MODE, SHEDDING_THRESHOLD = "shedding", 0.7
 ADVERTISED_DIGIT_COUNT = 3
@@ -40,8 +39,9 @@
 
     Attributes:
         queue_weight: Signal from `MIN_SIGNAL` to 1 that falls while more than one RPC per core is queued.
-        read_responsiveness: Signal from `MIN_SIGNAL` to 1 that is lower the longer RPCs wait to be read.
-        unread_ms: Time that each RPC of the last half second waited before it was read.
+        read_responsiveness: Signal from `MIN_SIGNAL` to 1 that falls with the mean time that RPCs wait to be
+            read.
+        unread_ms: Time for which each RPC of the last half second waited before it was read.
         advertised_load: Load that was last advertised, in the form of `Settings.load_advertisement`.
     """
 
@@ -74,7 +74,7 @@
         self.unread_ms.add(self._server.now_ms, waited_ms)
 
     def reject(self, managed: ManagedRpc) -> None:
-        """Rejects the RPC, with a Retry-After that grows with the time that RPCs wait to be read.
+        """Rejects the RPC with a Retry-After that grows with the mean time that RPCs wait to be read.
 
         While the server is draining or on standby, the Retry-After is the maximum and callers may always try
         another server.
@@ -131,9 +131,10 @@
     def _credit(self) -> float:
         """Returns how many RPCs one caller may have in flight.
 
-        This is the server's capacity (RPCs that may run, are at a downstream call or may be queued) times the
-        busiest caller's fraction of the recent RPCs. All callers get the same credit: an even split would
-        give the busiest caller too little while others leave theirs unused.
+        This is the server's capacity times the busiest caller's fraction of the recent RPCs. The capacity
+        counts the RPCs that may run, those in or waiting for a downstream call, and one queued RPC per core.
+        All callers get the same credit: an even split would give the busiest caller too little while others
+        leave theirs unused.
         """
         server = self._server
         running = max(self._limit.limit, len(server.running))
--- a/landingshift/admission/call_rate.py
+++ b/landingshift/admission/call_rate.py
@@ -1,11 +1,11 @@
 """Rate limit of downstream calls: a token bucket whose rate adapts to the outcomes of recent calls.
 
-The rate falls while calls are lost or slow and grows while they are answered. After two consecutive calls
-without a response it drops to the minimum at once: a downstream service that hangs does so for all servers,
-and each call lost until then uses up part of a small quota. The fleet may also assign this server a quota of
-calls per second, which is an upper bound of the rate.
+The rate falls while calls fail or are slow and grows while they succeed. After two consecutive calls without
+a response, the rate drops to the minimum at once: a downstream service that hangs does so for all servers,
+and each further lost call would use up part of what may be a small quota. The fleet may also assign this
+server a quota of calls per second, which is an upper bound of the rate.
 
-Slow calls alone do not reduce the rate as long as they end well within the latency objectives.
+Slow calls do not reduce the rate as long as they end well within the latency objectives.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 RECENT_BUCKET_COUNT, RECENT_BUCKET_MS = 4, 250.0
 UNANSWERED = -1.0
-"""Value recorded in place of a latency for a call that did not succeed."""
+"""Value recorded in place of the latency of a call that failed."""
 MIN_CALLS_FOR_CUT_COUNT = 6
 MIN_ANSWERED_FRACTION = 0.75
 """Fraction of successful recent calls below which the rate is cut."""
@@ -31,13 +31,14 @@
 MIN_CALLS_PER_SECOND = 1.0
 MIN_QUOTA_PER_SECOND = 0.01
 UNLIMITED_RATE_RATIO, UNLIMITED_EXTRA_CALLS_PER_SECOND = 2.0, 10.0
-"""A rate above this multiple of the calls in the last second plus this many limits nothing, and the limit is
-lifted."""
+"""The limit is lifted once the rate exceeds the first value times the number of calls in the last second,
+plus the second value, because such a rate does not limit the calls."""
 CONSECUTIVE_LOSSES_FOR_PAUSE_COUNT = 2
 MIN_BURST_CALLS = 1.0
 BURST_SECONDS = 0.2
 QUOTA_BURST_MS = 50.0
-"""Time over which unused quota accumulates: the interval between checks, during which no token is added."""
+"""Maximum time for which unused quota accumulates as tokens. It equals the interval between checks, because
+tokens are only added at checks."""
 PACING_MODE = "paced calls"
 
 
@@ -46,12 +47,13 @@
 
     Attributes:
         recent_ms: Latencies of the calls that ended in the last second, `UNANSWERED` for those that failed.
-        recent_mean_ms: Mean latency of the successful ones, as of the last check.
+        recent_mean_ms: Mean latency of the successful calls in `recent_ms`, as of the last check.
         tokens: Number of calls that may start now.
         calls_per_second: Rate at which tokens are added; infinite while the downstream service keeps up.
-        quota_per_second: Upper bound assigned by the fleet; infinite without a quota.
+        quota_per_second: Upper bound of the rate, assigned by the fleet; infinite without a quota.
         consecutive_losses: Number of calls without a response since the last successful one.
-        last_pause_ms: Time at which consecutive losses last cut the rate to the minimum.
+        last_pause_ms: Time at which consecutive losses last cut the rate to the minimum; initially the time
+            of creation.
     """
 
     def __init__(self, server: ServerState, modes: ModeLog) -> None:
@@ -86,7 +88,8 @@
         """Records the outcome of a call.
 
         Args:
-            outcome: How the call ended. A lost connection is ignored: it says nothing about downstream load.
+            outcome: How the call ended. A lost connection is ignored, because it does not indicate the load
+                of the downstream service.
             latency_ms: Duration of the call.
         """
         if outcome is Outcome.OK:
@@ -98,11 +101,11 @@
             self.recent_ms.add(self._server.now_ms, recent_ms)
 
     def set_quota(self, calls_per_second: float) -> None:
-        """Applies a new quota to the rate and the tokens at once.
+        """Replaces the quota, which is the upper bound of the rate.
 
-        Tokens accumulated under a larger quota are discarded, so that they are not spent under a smaller one.
-        A rate that only the quota limited rises to a larger quota at once; a rate that was cut for losses
-        does not.
+        If the rate was equal to the old quota, it is set to the new one. Otherwise it is at most lowered, so
+        that a rate that was cut because of failed or slow calls is not raised. All accumulated tokens but one
+        are discarded, because they may stem from a larger quota.
         """
         is_bounded_by_quota = self.calls_per_second >= self.quota_per_second
         self.quota_per_second = max(MIN_QUOTA_PER_SECOND, calls_per_second)
@@ -116,7 +119,7 @@
         """Adapts the rate to the calls of the last second and adds tokens.
 
         Args:
-            base_ms: Call latency without load; 0 if unknown.
+            base_ms: Estimated call latency of the downstream service without load; 0 if unknown.
         """
         recent = self.recent_ms.values(self._server.now_ms)
         answered = [latency_ms for latency_ms in recent if latency_ms >= 0.0]
@@ -131,10 +134,10 @@
     def _adapt_rate(self, recent_count: int, answered_count: int, is_slow: bool) -> None:
         """Cuts or raises the rate.
 
-        The rate is cut while more than a quarter of the recent calls failed, or while calls are slow and
-        exceed the tolerated latency. Otherwise it grows, unless RPCs wait for a call slot and no recent call
-        succeeded. Once it is well above the number of recent calls and calls are not slow, the limit is
-        lifted.
+        After enough recent calls, the rate is cut if more than a quarter of them failed, or if they are slow
+        and their mean latency exceeds the tolerated latency. Otherwise the rate grows, unless RPCs wait for a
+        call slot and no recent call succeeded. The limit is lifted once the rate is well above the number of
+        recent calls and calls are not slow.
         """
         seconds = self._server.seconds_since_check
         is_intolerable = is_slow and self.recent_mean_ms > self.tolerated_latency_ms
@@ -154,8 +157,8 @@
     def _add_tokens(self) -> None:
         """Adds tokens for the time since the last check, up to the allowed burst.
 
-        The burst is smaller while the quota limits the rate: the store bears no more than the quota in any
-        second, so accumulated tokens would exceed it.
+        While the quota limits the rate, the burst is smaller, because a large burst would exceed the quota
+        within one second.
         """
         seconds = self._server.seconds_since_check
         burst = max(MIN_BURST_CALLS, BURST_SECONDS * self.calls_per_second)
@@ -170,7 +173,7 @@
         Calls that were already in flight at the previous such cut do not trigger another one.
 
         Args:
-            waited_ms: Time that the latest of these calls took before it was given up.
+            waited_ms: Time after which the latest of these calls was given up.
         """
         self.consecutive_losses += 1
         is_repeated = self.consecutive_losses >= CONSECUTIVE_LOSSES_FOR_PAUSE_COUNT
--- a/landingshift/admission/check_timer.py
+++ b/landingshift/admission/check_timer.py
@@ -1,8 +1,7 @@
 """Schedules the controller's periodic check of gauges, deadlines and rates.
 
-Checks are frequent while RPCs are queued or wait for a call slot, and rare on an idle server, so that the
-idle servers of a large fleet cost next to nothing. A new RPC may bring the next check forward but never
-delays it.
+Checks are frequent while RPCs are queued or wait for a call slot. They are rare on an idle server, so that
+idle servers use little CPU time. A new RPC may bring the next check forward but never delays it.
 """
 
 from __future__ import annotations
@@ -20,7 +19,7 @@
 
 
 class CheckTimer:
-    """The controller's only timer.
+    """Requests the controller's checks from the host program, one at a time.
 
     Attributes:
         next_check_ms: Time at which the next check is due.
@@ -32,16 +31,16 @@
         self.next_check_ms = server.now_ms
 
     def schedule(self, delay_ms: float) -> None:
-        """Sets the timer, replacing any earlier setting."""
+        """Requests the next check after the delay, replacing any earlier request."""
         self.next_check_ms = self._server.now_ms + delay_ms
         self._actions.schedule_check(delay_ms)
 
     def rearm(self) -> None:
-        """Requests the pending check again after a hot restart, in which the new program has no timer set."""
+        """Requests the pending check again after a hot restart, when the new process has no timer yet."""
         self._actions.schedule_check(max(0.0, self.next_check_ms - self._server.now_ms))
 
     def is_due(self) -> bool:
-        """Returns whether the check is due; False for a timer that was superseded by a later setting."""
+        """Returns whether the pending check is due; the timer of a replaced request may fire before that."""
         return self._server.now_ms >= self.next_check_ms - TIMER_TOLERANCE_MS
 
     def schedule_before_deadline(self, managed: ManagedRpc) -> None:
@@ -58,7 +57,7 @@
             self.schedule(CHECK_INTERVAL_MS / 2.0)
 
     def schedule_next(self, next_checks_ms: list[float]) -> None:
-        """Sets the timer after a check.
+        """Requests the next check at the end of a check.
 
         Args:
             next_checks_ms: Times at which the RPCs need their next check.
@@ -68,6 +67,10 @@
         self.schedule(max(MIN_CHECK_INTERVAL_MS, next_ms - now_ms))
 
     def schedule_for_drain(self, remaining_ms: float) -> None:
-        """Sets the timer after a shutdown notice, before the process stops even if little time remains."""
+        """Requests a check soon after a shutdown notice, if possible before the process stops.
+
+        Args:
+            remaining_ms: Time until the process is stopped.
+        """
         before_stop_ms = remaining_ms - 2.0 * CHECK_INTERVAL_MS
         self.schedule(max(1.0, min(CHECK_INTERVAL_MS, before_stop_ms)))
--- a/landingshift/admission/concurrency_limit.py
+++ b/landingshift/admission/concurrency_limit.py
@@ -1,10 +1,11 @@
-"""Adaptive limit on concurrent runs, driven by the ratio of run times to run times without load.
+"""Adaptive limit on concurrent runs, computed from the ratio of run times to run times without load.
 
 The limit starts at the number of cores and never falls below it. While RPCs are queued, it grows at once by
 the number of idle cores. While the cores are busy, it is multiplied by the ratio of base to measured run
-time. It stays below the number of runs that the server survives, which is smaller while the server is cold.
-Reads cannot be stopped: while they occupy many cores, fewer runs start, even fewer than the minimum of the
-limit, because runs and reads would otherwise slow each other down.
+time. It stays below the number of runs at which the server fails, which is smaller while the server is cold.
+
+Reading RPCs from the network also occupies cores and cannot be stopped. While reads occupy many cores, fewer
+runs start, even fewer than the number of cores, because runs and reads would otherwise slow each other down.
 """
 
 from __future__ import annotations
@@ -22,7 +23,8 @@
 """A single cut removes at most half of the limit."""
 MIN_SLOWDOWN = 0.01
 MIN_RUNS_FOR_SLOWDOWN = 5
-"""Minimum number of runs in 2 s for a meaningful mean; small servers finish two runs per second."""
+"""Minimum number of runs in the last 2 s for a meaningful mean. Small servers, which finish about two runs
+per second, do not reach it."""
 UNTHROTTLED_READING_FRACTION = 0.5
 """Fraction of the cores that may be busy reading before fewer runs start."""
 SMOOTHING_OLD, SMOOTHING_NEW = 0.7, 0.3
@@ -37,9 +39,10 @@
         limit: Number of RPCs that may run at once, before cores busy with reads are subtracted.
         core_utilization: Core utilization from 0 to 1 at the last check.
         last_cut_ms: Time of the last cut.
-        slowdown: Ratios of run time without calls to the method's base run time, over the last 2 s.
+        slowdown: Ratio of run time without downstream calls to the method's base run time, for each
+            successful run of the last 2 s.
         busy_cores: Smoothed number of tasks that need a core.
-        reading_cores: Smoothed number of those tasks that are not runs, which are mostly reads.
+        reading_cores: Smoothed number of tasks that need a core but are not runs; most of them read RPCs.
     """
 
     def __init__(self, server: ServerState) -> None:
@@ -62,7 +65,10 @@
             self.slowdown.add(self._server.now_ms, own_ms / service_times.base_own_ms)
 
     def survivable_runs(self) -> float:
-        """Returns how many RPCs on the cores the server survives, which grows while it warms up."""
+        """Returns how many RPCs may be on the cores without risk that the server fails.
+
+        The number grows while the server warms up.
+        """
         settings = self._server.settings
         warmth = 1.0
         if settings.starts_cold:
@@ -75,8 +81,8 @@
     def free_slots(self) -> float:
         """Returns how many more RPCs may start; a value below 1 means none.
 
-        RPCs at a downstream call return to the cores without a further check, so they count towards the
-        number of runs that the server survives.
+        RPCs in a downstream call, or waiting for one, return to the cores without a further check. They
+        therefore count towards `survivable_runs`, but not towards the limit.
         """
         server = self._server
         running = server.running_count()
@@ -86,7 +92,7 @@
         return min(limit - running, self.survivable_runs() - running - calling)
 
     def update(self, gauges: Gauges) -> bool:
-        """Adapts the limit to the engine's gauges, or to the number of runs if a gauge is missing.
+        """Adapts the limit to the engine's gauges; uses the number of runs in place of a missing gauge.
 
         Returns:
             Whether the server is saturated: utilization is high and no core is idle.
--- a/landingshift/admission/controller.py
+++ b/landingshift/admission/controller.py
@@ -1,10 +1,11 @@
 """Admission controller of one server, which makes every decision about an RPC from read to answer.
 
-The host program sets `now_ms`, calls one method for each event, then calls `settle`, and carries out the
-`Actions` that the controller requests. The controller guarantees that each RPC whose caller waits is answered
-once, that no run starts that is expected to miss its deadline, and that memory, cores and the downstream
-service stay within their limits. Under overload it rejects RPCs instead of queueing them. It decides locally,
-without asking other servers.
+For each event, the host program sets `now_ms` and calls one method of the controller. After all simultaneous
+events, it calls `settle`. The controller requests actions from the program through the `Actions` interface.
+
+The controller guarantees that each RPC whose caller still waits is answered once, that no run starts that is
+expected to miss its deadline, and that memory, cores and the downstream service stay within their limits.
+Under overload it rejects RPCs that would wait too long. It decides locally, without asking other servers.
 
 Each rule has its own module:
 
@@ -64,8 +65,8 @@
 from landingshift.admission.tenant_quotas import TenantQuotas
 
 DEADLINE_LEAD_MS = MIN_CHECK_INTERVAL_MS
-"""How long before its end time `enforce_deadline` aborts an RPC. A longer lead would abort runs that still
-end by themselves; with a shorter one, the next check may come too late."""
+"""Time before the end time of an RPC at which `enforce_deadline` aborts it. A longer lead would abort runs
+that still end in time; with a shorter lead, the next check may come too late."""
 SLOW_UPDATE_INTERVAL_MS = 1000.0
 """Interval between updates of slowly changing inputs: tenant weights and the connection idle timeout."""
 
@@ -77,12 +78,11 @@
         """Creates the rules of a server and schedules the first check.
 
         Args:
-            settings: The server's settings. After a policy has changed figures in place, the program calls
-                `on_settings_changed`.
+            settings: The server's settings. Call `on_settings_changed` after changing a field in place.
             seed: Random seed for the delay of the first check, so that the servers of a fleet do not check in
                 lockstep.
             actions: Carries out the controller's decisions.
-            now_ms: Start time of the server, at which its caches are cold.
+            now_ms: Current time, which becomes the start time of the server.
         """
         self._actions = actions
         self.state = ServerState(settings, now_ms)
@@ -122,7 +122,7 @@
     def on_rpc_read(self, rpc: Rpc) -> ManagedRpc:
         """Admits or rejects an RPC that has been read, and returns the handle for its later events.
 
-        The RPC may be answered before this method returns; the handle's state is then None.
+        The RPC may be rejected before this method returns; the handle's state is then None.
         """
         now_ms = self.state.now_ms
         managed = ManagedRpc(rpc, self.service_times[rpc.method], now_ms)
@@ -144,7 +144,7 @@
 
         Args:
             managed: The RPC that ran or waited.
-            outcome: How the run ended.
+            outcome: How the run or the original attempt ended.
             run_ms: Duration of the run, including downstream calls.
         """
         if managed.state is None:
@@ -158,7 +158,7 @@
         self.lifecycle.resume(managed, RpcEvent.RUN_FINISHED)
 
     def on_call_needed(self, managed: ManagedRpc) -> None:
-        """Handles a run that needs a downstream call; it uses no core until the call ends or is skipped."""
+        """Handles a run that needs a downstream call and uses no core until the call ends or is skipped."""
         managed.call_started_at_ms = self.state.now_ms
         if managed.state is RpcState.RUNNING:
             self.lifecycle.resume(managed, RpcEvent.CALL_NEEDED)
@@ -181,9 +181,9 @@
             self.lifecycle.resume(managed, RpcEvent.CALLER_GONE)
 
     def settle(self) -> None:
-        """Updates the queue and the call slots after all simultaneous events have been reported.
+        """Rejects queued RPCs that fail the deadline check, starts the best others, and assigns call slots.
 
-        Rejects RPCs that fail the deadline check, starts the best of the others, and assigns call slots.
+        Call this once after all simultaneous events have been reported.
         """
         self.scheduler.reject_failed()
         self.scheduler.start_best()
@@ -194,7 +194,10 @@
     # Periodic check
 
     def on_timer(self, gauges: Gauges) -> None:
-        """Runs the periodic check of gauges, rates and deadlines that `Actions.schedule_check` requested."""
+        """Runs the periodic check of gauges, rates and deadlines that `Actions.schedule_check` requested.
+
+        Has no effect before `next_check_ms`, so that timers of replaced requests need not be cancelled.
+        """
         if not self.timer.is_due():
             return
         self._update_rules(gauges)
@@ -220,10 +223,10 @@
             self.connections.update(gauges.open_connections or 0.0)
 
     def enforce_deadline(self, managed: ManagedRpc) -> float:
-        """Aborts an RPC that has left the queue and run out of time; cancels runs without a waiting caller.
+        """Aborts an RPC at its end time, or cancels the run of an aborted or abandoned RPC.
 
-        An RPC whose run can be cancelled is aborted once its answer has no value, any other at its deadline.
-        Queued RPCs are left to the deadline check.
+        If the engine can cancel runs, the end time is when the answer loses its value, otherwise the
+        deadline. Queued RPCs are not aborted here but rejected by the deadline check.
 
         Returns:
             Clock time in ms at which the RPC needs its next check.
@@ -268,7 +271,7 @@
         self.call_rate.set_quota(calls_per_second)
 
     def on_settings_changed(self) -> None:
-        """Re-evaluates the queued RPCs after figures of methods or tenants have changed in place."""
+        """Re-evaluates the queued RPCs. Call this after changing fields of methods or tenants in place."""
         self.state.refresh_objectives()
         queue = self.state.queued
         for managed in queue:
@@ -285,7 +288,7 @@
 
     @property
     def now_ms(self) -> float:
-        """The controller's clock, which the program sets before each event."""
+        """Current time in ms. Set it before reporting an event."""
         return self.state.now_ms
 
     @now_ms.setter
@@ -319,15 +322,15 @@
     # Hot restart
 
     def export_state(self) -> tuple[dict[str, Any], list[ManagedRpc]]:
-        """Returns the controller's state as plain values, and the RPCs in the order of their index in it."""
+        """Returns the controller's state as plain values, and the list of RPCs that its indices refer to."""
         return export_state(self._snapshot_parts())
 
     def import_state(self, state: dict[str, Any], rpcs: list[Rpc]) -> list[ManagedRpc]:
-        """Restores the state that another build exported.
+        """Restores the state that another process exported.
 
         Args:
             state: The exported state.
-            rpcs: The RPCs of that build, in the order of the export.
+            rpcs: The RPCs of that process, in the order in which `export_state` returned them.
 
         Returns:
             The handles of the RPCs, in the same order.
--- a/landingshift/admission/deadline_check.py
+++ b/landingshift/admission/deadline_check.py
@@ -1,9 +1,9 @@
 """Deadline check of queued RPCs: an RPC fails when the current time plus a margin reaches its deadline.
 
-The check prevents work for callers that have stopped waiting or will have when it ends: under overload,
-throughput can look healthy while no answer is in time. An RPC is rejected as soon as it fails, not when a
-slot becomes free, so that its caller can still try another server. Until the first runs have ended, the
-margin is 0 and only expired RPCs fail.
+The check prevents runs whose callers will have stopped waiting when the run ends. Without it, a server under
+overload can have a high throughput while no answer is in time. An RPC is rejected as soon as it fails the
+check, not when a slot becomes free, so that its caller can still try another server. Until the first runs
+have ended, the margin is 0 and only expired RPCs fail.
 """
 
 from __future__ import annotations
@@ -24,12 +24,13 @@
 
 
 class DeadlineCheck:
-    """Decides until when each queued RPC may start.
+    """Computes how long each queued RPC may wait before it is rejected.
 
     Attributes:
-        failures: One value for each RPC that was rejected for failing the check in the last 2 s.
-        next_failure_ms: Time before which no queued RPC fails; 0 forces a check of all. The time stays valid
-            between timer checks, because the inputs of the check do not change in between.
+        failures: One value for each RPC that was rejected in the last 2 s because it failed the check.
+        next_failure_ms: Earliest time at which a queued RPC must be rejected; 0 if this must be computed
+            again. The time stays valid between periodic checks, because the inputs of the deadline check do
+            not change in between.
     """
 
     def __init__(self, server: ServerState, draining: Draining, order: StartOrder) -> None:
@@ -53,8 +54,8 @@
     def queued_until_ms(self, managed: ManagedRpc) -> float:
         """Returns the time at which a queued RPC is rejected.
 
-        This is when it fails the check, or earlier if it is below the priority floor: it would hardly start
-        on this server, and an early rejection leaves time to run it on another one.
+        This is when it fails the check, or earlier if it is below the priority floor. Such an RPC is unlikely
+        to start on this server, and an early rejection leaves time to run it on another server.
         """
         latest_start_ms = self.latest_start_ms(managed)
         if self._order.may_start(managed):
@@ -72,19 +73,22 @@
             self.failures.add(self._server.now_ms, 1.0)
 
     def failure_count(self) -> int:
-        """Returns how many RPCs failed the check in the last 2 s; any failure shows a persistent queue."""
+        """Returns how many RPCs were rejected in the last 2 s because they failed the check.
+
+        A count above 0 means that the queue is too long for some RPCs to start in time.
+        """
         return self.failures.count(self._server.now_ms)
 
     def recheck_all(self) -> None:
-        """Makes the next `settle` check all queued RPCs, because the inputs of the check have changed."""
+        """Makes the next `settle` check all queued RPCs. Call this if the inputs of the check change."""
         self.next_failure_ms = 0.0
 
     def record_queued(self, managed: ManagedRpc) -> None:
-        """Includes a new RPC in the time of the next failure."""
+        """Updates `next_failure_ms` for a new RPC."""
         self.next_failure_ms = min(self.next_failure_ms, self.queued_until_ms(managed))
 
     def is_due(self) -> bool:
-        """Returns whether a queued RPC may have failed."""
+        """Returns whether a queued RPC may have to be rejected now."""
         return self._server.now_ms >= self.next_failure_ms
 
     def failed_rpcs(self) -> list[ManagedRpc]:
@@ -93,5 +97,5 @@
         return [managed for managed in self._server.queued if now_ms >= self.queued_until_ms(managed)]
 
     def update_next_failure(self) -> None:
-        """Computes when the next queued RPC fails."""
+        """Recomputes `next_failure_ms` from all queued RPCs."""
         self.next_failure_ms = min(map(self.queued_until_ms, self._server.queued), default=inf)
--- a/landingshift/admission/downstream_calls.py
+++ b/landingshift/admission/downstream_calls.py
@@ -1,11 +1,13 @@
-"""Admission and timeouts of downstream calls.
-
-A run that needs a call waits for a call slot. Slots go to the runs that gain most value from the call, within
-three limits: the rate (`call_rate`), this server's time budget in the shared store
-(`downstream_time_budget`), and the number of calls in flight by Little's law, so that a service that becomes
-slow is not filled with calls that all time out. If no slot is free, a run that has waited too long or has too
-little time left skips the call, or fails if the call is required. A free slot is assigned regardless of the
-time left.
+"""Decides which downstream calls start, and sets their timeouts.
+
+A run that needs a call waits for a call slot. Slots go first to the runs that gain most value from the call,
+within three limits: the rate (`call_rate`), this server's time budget in the shared store
+(`downstream_time_budget`), and a limit on calls in flight by Little's law. Without the limit on calls in
+flight, calls would accumulate in a slow service until all of them time out.
+
+If no slot is free, a run that has too little time left skips the call, or fails if the call is required. A
+run that can skip the call also does so if it has waited, or would wait, too long. A free slot is assigned
+regardless of the time left.
 """
 
 from __future__ import annotations
@@ -28,12 +30,12 @@
 DEFAULT_LATENCY_MS = 100.0
 MIN_CALLS_IN_FLIGHT_COUNT, DEFAULT_CALLS_IN_FLIGHT_COUNT = 2.0, 6.0
 IN_FLIGHT_LATENCY_RATIO = 6.0
-"""Latency that the limit of calls in flight allows for, as a multiple of the recent mean. It equals the
-timeout ratio, so that the limit allows for calls as long as they are waited for."""
+"""Latency assumed in the limit on calls in flight, as a multiple of the recent mean. It equals
+`TIMEOUT_LATENCY_RATIO`, so that the limit leaves room for calls that last until their timeout."""
 MAX_SLOT_WAIT_FRACTION = 0.1
-"""Fraction of its time budget for which an RPC may wait for a call that it can skip."""
+"""Fraction of its time budget for which an RPC may wait for the slot of a call that it can skip."""
 MIN_TIMEOUT_LATENCY_RATIO = 2.0
-"""A run whose call timeout would be less than this multiple of the mean latency does not wait for a slot."""
+"""A run stops waiting for a slot once its call timeout would be below this multiple of the mean latency."""
 
 
 class DownstreamCalls:
@@ -71,7 +73,7 @@
         return timeout_ms
 
     def on_cancelled(self, managed: ManagedRpc) -> None:
-        """Records that the RPC's call was given up; the downstream service may still work on it."""
+        """Records that the RPC's call was given up; the downstream service may still be processing it."""
         self.time_budget.record(managed, is_lost=True)
 
     def on_finished(self, managed: ManagedRpc, outcome: Outcome, latency_ms: float) -> None:
@@ -93,9 +95,9 @@
         self.rate.update(self.latency_ms.lowest_bucket_mean(self._server.now_ms, 0.0))
 
     def assign_slots(self, resume: Callable[[ManagedRpc, RpcEvent], None]) -> None:
-        """Permits calls while slots are free and denies those that can no longer wait for one.
+        """Permits waiting calls while slots are free, and denies those that can wait no longer.
 
-        A call with a slot is made even if little time is left for it.
+        A call for which a slot is free is permitted even if little time is left for it.
 
         Args:
             resume: Resumes an RPC's lifecycle with the decision.
@@ -130,10 +132,11 @@
         return self.time_budget.fits(self.timeout_ms(managed))
 
     def _max_in_flight(self) -> float:
-        """Returns the limit of calls in flight by Little's law: completion rate times acceptable latency.
+        """Returns the limit on calls in flight by Little's law: completion rate times acceptable latency.
 
-        Calls beyond it would only wait downstream until they time out. The minimum of the limit is lower for
-        a small quota, because several times a small quota from every server would overload the store.
+        Calls beyond it would only wait downstream until they time out. The limit has a minimum, which is
+        lowered for a small quota: if every server had several times its quota in flight, the store would be
+        overloaded.
         """
         quota = self._server.settings.downstream_concurrency_quota or DEFAULT_CALLS_IN_FLIGHT_COUNT
         minimum = max(MIN_CALLS_IN_FLIGHT_COUNT, min(DEFAULT_CALLS_IN_FLIGHT_COUNT, quota))
--- a/landingshift/admission/downstream_time_budget.py
+++ b/landingshift/admission/downstream_time_budget.py
@@ -1,9 +1,11 @@
-"""Limit on the time that this server's calls occupy a store shared by all servers.
-
-The store fails if its mean concurrency over a window, including calls that were given up, exceeds what it
-bears. Each server limits its share (`Settings.downstream_concurrency_quota`) as a budget of call time: the
-time of calls that ended within the window plus the maximum time of calls in flight stays below quota times
-window, however rarely this is checked. `call_rate` limits the calls per second instead.
+"""Limit on the time for which this server's calls occupy a store shared by all servers.
+
+The store fails if its mean concurrency over a time window is too high. Calls that were given up count until
+the store has finished them. Each server has a share of this concurrency
+(`Settings.downstream_concurrency_quota`) and enforces it as a budget of call time: the time of the calls that
+ended within the window, plus the maximum time of the calls in flight, stays below quota times window. The
+maximum time of a call is reserved before it starts, so the budget also holds between checks. `call_rate`
+limits the number of calls per second instead.
 """
 
 from __future__ import annotations
@@ -18,10 +20,10 @@
 
 
 class DownstreamTimeBudget:
-    """Budget of call time in the shared store.
+    """Limits the time for which this server's calls occupy the shared store.
 
     Attributes:
-        call_time_ms: Time that each call that ended within the window occupied the store, including the
+        call_time_ms: Time for which each call that ended within the window occupied the store, including the
             linger time of lost calls.
     """
 
@@ -38,7 +40,7 @@
 
         Args:
             managed: The RPC that made the call.
-            is_lost: Whether the store may still work on the call.
+            is_lost: Whether the store may still be processing the call.
         """
         now_ms = self._server.now_ms
         linger_ms = self._server.settings.lost_call_linger_ms * is_lost
--- a/landingshift/admission/draining.py
+++ b/landingshift/admission/draining.py
@@ -2,8 +2,8 @@
 
 A draining server still runs RPCs that arrive within the grace period, answers everything that it has read
 before the process stops, and reports itself unhealthy to balancers from the shutdown notice on. Draining is
-final. A server on standby, which has no valid policy to decide by, starts no new run and has no grace period,
-but may return to service.
+final. A server is on standby while it has no valid policy. It then starts no new run and has no grace period,
+but can return to service.
 """
 
 from __future__ import annotations
@@ -16,17 +16,18 @@
 from landingshift.admission.server_state import ServerState
 
 STOP_MARGIN_MS = CHECK_INTERVAL_MS
-"""How long before the process stops all RPCs are answered: a check may be late by one interval."""
+"""Time before the process stops by which all RPCs must be answered, because a check may be late by one
+interval."""
 
 
 class Draining:
-    """Whether this server is in service, and until when it accepts RPCs if it is not.
+    """Tracks whether this server is in service and, if it is not, until when it still accepts RPCs.
 
     Attributes:
         stop_at_ms: Time at which the process is stopped; None unless the server is draining.
         is_in_service: Whether the server is neither draining nor on standby. False also during the grace
             period, in which a draining server still accepts RPCs.
-        accept_until_ms: Arrival time after which RPCs are not run.
+        accept_until_ms: Latest arrival time of RPCs that are run; infinite while in service.
     """
 
     def __init__(self, server: ServerState, actions: Actions) -> None:
@@ -55,7 +56,7 @@
     def set_standby(self, is_standby: bool) -> None:
         """Enters or leaves standby.
 
-        A draining server never returns to service. Standby ends its grace period for good.
+        A draining server never returns to service, and entering standby permanently ends its grace period.
         """
         self.is_in_service = not is_standby and self.stop_at_ms is None
         if self.is_in_service:
@@ -65,7 +66,7 @@
         self._actions.set_health(self.is_in_service, True)
 
     def shorten_deadline(self, managed: ManagedRpc) -> None:
-        """Moves the deadline of an RPC that was read while draining to before the process stops."""
+        """Limits the deadline of an RPC that was read while draining to shortly before the process stops."""
         if self.stop_at_ms is not None:
             latest_ms = min(managed.deadline_at_ms, self.stop_at_ms - STOP_MARGIN_MS)
             managed.deadline_at_ms = max(self._server.now_ms, latest_ms)
--- a/landingshift/admission/idle_connections.py
+++ b/landingshift/admission/idle_connections.py
@@ -1,7 +1,7 @@
 """Idle timeout after which this server closes callers' connections.
 
-Many callers that each send rarely fill the connection table, which loads the cores and, once full, shuts
-other callers out. If callers return within seconds, their connections stay open, because closing them would
+The open connections of many callers that each send rarely load the cores, and a full connection table locks
+out other callers. If callers return within seconds, their connections stay open, because closing them would
 only cost handshakes.
 """
 
@@ -13,14 +13,14 @@
 
 MAX_CONNECTIONS_PER_CORE = 3.0
 MIN_RETURN_FRACTION = 0.5
-"""Fraction of returning callers (`RecentCallers.return_fraction`) below which the idle timeout is adapted to
-the number of open connections."""
+"""Fraction of RPCs from returning callers (`RecentCallers.return_fraction`) below which the idle timeout is
+adapted to the number of open connections."""
 MIN_STEP_FACTOR, MAX_STEP_FACTOR = 0.5, 2.0
 MIN_IDLE_TIMEOUT_MS = 10.0
 
 
 class IdleConnections:
-    """Idle timeout of this server's connections.
+    """Adapts the idle timeout of this server's connections.
 
     Attributes:
         idle_timeout_ms: Current timeout, at most the callers' own idle timeout.
@@ -33,7 +33,9 @@
         self.idle_timeout_ms = server.settings.connection_idle_timeout_ms
 
     def update(self, open_connections: float) -> None:
-        """Adapts the timeout so that no more connections stay open than the cores can serve.
+        """Adapts the timeout so that at most `MAX_CONNECTIONS_PER_CORE` connections per core stay open.
+
+        While most RPCs come from returning callers, the timeout is raised instead.
 
         Args:
             open_connections: Number of connections that are open now.
--- a/landingshift/admission/interface.py
+++ b/landingshift/admission/interface.py
@@ -1,11 +1,11 @@
 """Types of the interface between a host program and the admission controller.
 
 A program creates one `admission.controller.AdmissionController` per instance with its `Settings` and an
-implementation of `Actions`, and calls it for each event. It receives a handle (`ManagedRpc`) for each RPC
-that it reads and passes that handle with later events.
+implementation of `Actions`, and calls one of its methods for each event. The controller returns a handle
+(`ManagedRpc`) for each RPC that the program has read; the program passes this handle with later events.
 
 Times are milliseconds of one monotonic clock; sizes are kilobytes. The value of an RPC is what a correct
-answer in time is worth to the installation; value fractions are relative to it.
+answer in time is worth to the operator. A value fraction is a fraction of this value.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
     NONE = 1
     """RPCs make no downstream calls."""
     SHARED_STORE = 2
-    """One store that all servers share and of which each server has a quota."""
+    """A store that all servers share. Each server has a quota of the store's capacity."""
     TIER = 3
     """Another tier of servers, which shed load themselves."""
 
@@ -75,22 +75,22 @@
     CONNECTION_LOST = 6
     """Connection lost after sending; may have run."""
     CANCELLED = 7
-    """Stopped by the engine, or ended when it needed a downstream call after the RPC had been answered or its
-    caller had disconnected."""
+    """Cancelled by the engine, or ended before a downstream call because the RPC had already been answered or
+    its caller had disconnected."""
     NOT_SENT = 8
     """No run was started, because the engine had already finished the RPC or did not know it."""
 
 
 @dataclass(slots=True, eq=False)
 class Method:
-    """Settings of one method. A policy may change the figures in place."""
+    """Settings of one method. A policy may change its fields in place."""
 
     idempotency: Idempotency
     latency_objective_ms: float
     objective_work_factor: float
     """Multiple of an RPC's work hint that is added to the latency objective."""
     deadline_ms: float
-    """Deadline of an RPC that carries none, counted from its arrival."""
+    """Time from arrival to deadline for an RPC that carries no deadline."""
     criticality: float
     """Value of one answer in time, or of one unit of work (`Settings.criticality_is_per_work`)."""
     late_value_fraction: float
@@ -112,7 +112,7 @@
 
 @dataclass(slots=True, eq=False)
 class Settings:
-    """Settings of a server. A policy may change the figures in place."""
+    """Settings of a server. A policy may change its fields in place."""
 
     methods: list[Method]
     tenants: list[Tenant]
@@ -139,11 +139,11 @@
     run_cancellation: RunCancellation
     downstream: DownstreamKind
     downstream_concurrency_quota: float
-    """This server's share of the mean concurrency that the shared store survives; 0 if unlimited."""
+    """This server's share of the maximum mean concurrency of the shared store; 0 if unlimited."""
     downstream_quota_window_ms: float
-    """Window over which the store's mean concurrency is taken."""
+    """Time window over which the store's concurrency is averaged."""
     lost_call_linger_ms: float
-    """Maximum time for which the store goes on working on a call that was given up."""
+    """Maximum time for which the store continues to process a call that was given up."""
     load_advertisement: LoadAdvertisement
     callers_send_deadline: bool
     callers_mark_retries: bool
@@ -154,7 +154,7 @@
     drain_grace_ms: float
     """Time after the shutdown notice in which arriving RPCs are still run."""
     max_runs_per_core: float
-    """Number of RPCs on the cores, per core, that a warm server survives."""
+    """Number of RPCs on the cores, per core, that a warm server can run without failing."""
 
 
 @dataclass(slots=True, eq=False)
@@ -164,18 +164,18 @@
     method: Method
     tenant: Tenant | None
     remaining_ms: float | None
-    """Time for which the caller still waits; None if the caller does not send it."""
+    """Time for which the caller will still wait; None if the caller does not send it."""
     waited_ms: float
-    """Time since the RPC reached the machine."""
+    """Time from the RPC's arrival at the machine until it was read."""
     memory_kb: float
     """Memory in use while the RPC is queued."""
     caller_id: int
     work_hint_ms: float | None
-    """The caller's estimate of the work; None if there is none."""
+    """The caller's estimate of the RPC's work; None if the caller sends none."""
     has_cache_key: bool
     """Whether its result may answer other RPCs with the same cache key."""
     is_duplicate: bool
-    """Whether the deduplication table has an earlier attempt of it, or a read with the same cache key."""
+    """Whether the deduplication table has an earlier attempt, or a read with the same cache key."""
     is_retry: bool
     """Whether its caller marked it as a retry or a hedged request."""
     is_write: bool
@@ -185,7 +185,7 @@
 
 @dataclass(slots=True)
 class Gauges:
-    """Measurements of the engine; None if it does not report one."""
+    """Measurements of the engine; a field is None if the engine does not report it."""
 
     core_utilization: float | None
     """Utilization from 0 to 1."""
@@ -195,7 +195,7 @@
 
 
 class Actions(Protocol):
-    """Actions that the controller requests from its host program. None may call back into the controller."""
+    """Actions that the controller requests from its host program. They must not call the controller."""
 
     def start_run(self, rpc: Rpc) -> None:
         """Starts the RPC on the engine."""
@@ -226,13 +226,13 @@
         """Adds the RPC to the deduplication table, or extends its entry."""
 
     def drop_dedup_entry(self, rpc: Rpc) -> None:
-        """Removes the RPC's entry, because it never ran and a duplicate may still run."""
+        """Removes the entry of an RPC that never ran, so that a duplicate can run."""
 
     def await_original(self, rpc: Rpc) -> None:
         """Answers the duplicate with the result of its original attempt once that is available."""
 
     def release(self, rpc: Rpc) -> None:
-        """Releases the RPC; the controller does not refer to it again."""
+        """Reports that the controller has finished with the RPC and requests no more actions for it."""
 
     def set_health(self, is_healthy: bool, is_shallow: bool) -> None:
         """Sets the answer to health checks.
--- a/landingshift/admission/managed_rpc.py
+++ b/landingshift/admission/managed_rpc.py
@@ -11,7 +11,7 @@
 MIN_LATE_VALUE_FRACTION = 0.5
 """An RPC is run past its latency objective only if a late answer keeps more than this fraction of its value.
 
-Otherwise it is better rejected, so that another server can still answer in time.
+Otherwise it is rejected earlier, so that another server can still answer in time.
 """
 MIN_TIME_BUDGET_MS = 1.0
 MIN_OWN_RUN_MS = 1.0
@@ -31,7 +31,7 @@
     CALLING = 5
     """Its run waits for the result of a downstream call."""
     CALL_SKIPPED = 6
-    """Its run continues without the downstream call; the RPC is RUNNING from then on."""
+    """Its run continues without the downstream call. The RPC's recorded state is then RUNNING."""
     REJECTED = 7
     """Answered as never run, and released."""
     ABORTED = 8
@@ -47,8 +47,9 @@
     SHED = 2
     """The queued RPC is rejected.
 
-    Either it fails the deadline check (which includes the grace period of a draining server, and standby), or
-    it was queued too long below the priority floor, or there is no memory for it or its deduplication entry.
+    Possible reasons: it fails the deadline check (also because the server is on standby, or draining and past
+    the grace period); it was queued too long below the priority floor; or there is not enough memory for it
+    or its deduplication entry.
     """
     DEADLINE_REACHED = 3
     CALLER_GONE = 4
@@ -60,8 +61,8 @@
 
 
 Lifecycle = Generator[RpcState, RpcEvent | Outcome, None]
-"""Generator that yields the next state of an RPC, and ends once its run is over or it was answered without
-one."""
+"""Generator that yields the first state of an RPC and then, for each event sent to it, the next state. The
+RPC is released when the generator ends."""
 
 
 class ManagedRpc:
@@ -73,18 +74,19 @@
         state: Current state; None before the first state and after release.
         lifecycle: Generator of its states.
         arrived_at_ms: Time at which it reached the machine.
-        deadline_at_ms: Time at which its caller stops waiting; while draining, at most shortly before the
-            stop.
+        deadline_at_ms: Time at which its caller stops waiting. On a draining server, it is limited to shortly
+            before the process stops.
         objective_at_ms: Time after which its answer is late; at most the deadline.
-        time_budget_ms: Time from arrival to the deadline of the deadline check.
-        priority: Value per expected work, by which the start order sorts.
+        time_budget_ms: Time from arrival to `check_deadline_ms`.
+        priority: Result of `StartOrder.priority`; RPCs of higher priority start first.
         has_started: Whether a run was ever started.
-        call_gain: Value that a downstream call adds over skipping it.
+        call_gain: Value that is lost if its downstream call is skipped.
         call_attempts: Number of its downstream calls that failed.
         total_call_ms: Total duration of its downstream calls.
         call_started_at_ms: From `CALLING` on, start time of the call. While `AWAITING_CALL_SLOT`, time at
             which the run needed the call or, for a retry, start time of the failed attempt.
-        call_expires_at_ms: Time after which the current call cannot occupy the downstream service any more.
+        call_expires_at_ms: Time after which the current call no longer occupies the downstream service, even
+            if it was given up.
     """
 
     lifecycle: Lifecycle
@@ -112,7 +114,7 @@
         self.call_expires_at_ms = 0.0
 
     def refresh_objective(self) -> None:
-        """Computes latency objective and time budget from the current figures of the method."""
+        """Computes `objective_at_ms` and `time_budget_ms` from the current settings of the method."""
         method = self.rpc.method
         work_ms = self.rpc.work_hint_ms or 0.0
         objective_at_ms = (
@@ -131,7 +133,7 @@
 
     @property
     def check_deadline_ms(self) -> float:
-        """Deadline used by the deadline check; a later answer is not worth starting a run."""
+        """Deadline used by the deadline check: no run is started for an answer after this time."""
         return self._latest_answer_ms(MIN_LATE_VALUE_FRACTION)
 
     @property
@@ -140,13 +142,14 @@
         return self._latest_answer_ms(0.0)
 
     def _latest_answer_ms(self, min_value_fraction: float) -> float:
-        """Returns the time until which an answer keeps enough of its value.
+        """Returns the time until which an answer keeps more than a fraction of its value.
 
         Args:
-            min_value_fraction: Fraction of its value that a late answer must exceed to be worthwhile.
+            min_value_fraction: Fraction of its value that a late answer must exceed.
 
         Returns:
-            The deadline, or the latency objective if a late answer does not exceed the fraction.
+            The deadline if a late answer keeps more than the fraction, else the time of the latency
+            objective.
         """
         if self.rpc.method.late_value_fraction > min_value_fraction:
             return self.deadline_at_ms
--- a/landingshift/admission/mode_log.py
+++ b/landingshift/admission/mode_log.py
@@ -1,4 +1,4 @@
-"""Logs one line for operators whenever a rule becomes active or inactive, with the figures that caused it."""
+"""Logs each rule that becomes active or inactive, with the measurements that caused the change."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ModeLog:
-    """Log of mode changes. The mode names are part of the log format; `docs/oncall.md` explains each of them.
+    """Logs mode changes. The mode names are part of the log format; `docs/oncall.md` explains each of them.
 
     Attributes:
         is_on: Whether each mode is on, by its name; a mode that was never on is missing.
@@ -22,7 +22,7 @@
         Args:
             name: Name of the mode.
             is_on: Whether the mode is on now.
-            reason: Figures that explain the change.
+            reason: Measurements that explain the change.
         """
         if self.is_on.get(name, False) != is_on:
             self.is_on[name] = is_on
--- a/landingshift/admission/queue_scheduler.py
+++ b/landingshift/admission/queue_scheduler.py
@@ -1,8 +1,8 @@
 """Queue scheduler, which rejects RPCs that fail the deadline check and starts the best while slots are free.
 
-Memory is a hard limit beyond which the server fails. If memory is short, the RPC with the lowest priority is
-rejected before it fails the deadline check. If the best RPC does not fit in memory, those of lowest priority
-are rejected until it does or no other is queued.
+A server that runs out of memory fails. If memory is short, RPCs are rejected from the lowest priority up,
+even if they pass the deadline check. If there is not enough memory to run the best RPC, RPCs are rejected
+from the lowest priority up until there is enough, or until only the best RPC is queued.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class QueueScheduler:
-    """Scheduler of the RPCs that were read but not started."""
+    """Starts or rejects the queued RPCs."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         self._check.update_next_failure()
 
     def start_best(self) -> None:
-        """Frees memory if it is short, and starts RPCs in priority order while slots are free."""
+        """Rejects RPCs if memory is short, and starts RPCs in priority order while slots are free."""
         queue = self._server.queued
         if not queue or not (self._lacks_memory() or self._limit.free_slots() >= 1.0):
             return
@@ -62,6 +62,6 @@
         return self._server.memory_in_use_kb > self._server.max_memory_kb
 
     def _fits(self, managed: ManagedRpc) -> bool:
-        """Returns whether there is memory for what the RPC needs in addition once it runs."""
+        """Returns whether there is memory for what a run of the RPC needs in addition."""
         growth_kb = managed.rpc.memory_kb * (self._server.settings.running_memory_factor - 1.0)
         return self._server.memory_in_use_kb + growth_kb <= self._server.max_memory_kb
--- a/landingshift/admission/recent_callers.py
+++ b/landingshift/admission/recent_callers.py
@@ -1,4 +1,4 @@
-"""Statistics of recent callers: how many RPCs each has sent, and how many callers return within seconds."""
+"""Statistics of recent callers: the fraction of RPCs from the busiest caller and from returning callers."""
 
 from __future__ import annotations
 
@@ -14,11 +14,12 @@
 
 
 class RecentCallers:
-    """Statistics of recent callers.
+    """Records the callers of RPCs and computes statistics of them.
 
     Attributes:
         caller_ids: Caller of each RPC of the last 4 s.
-        returns: Value for each RPC of the last 10 s: 1 if its caller had sent another within 4 s, else 0.
+        returns: Value for each RPC of the last 10 s: 1 if its caller had sent another RPC in the 4 s before
+            it, else 0.
         first_rpc_ms: Time at which this server read its first RPC; infinite before that.
     """
 
@@ -44,12 +45,12 @@
     def busiest_caller_fraction(self) -> float:
         """Returns the fraction of the recent RPCs that came from the busiest caller; 1 before the first RPC.
 
-        A cold server has not heard from most of its callers yet. If only the RPCs read so far counted, the
-        first caller would get the whole server as its credit, and each further caller nearly as much. Each of
-        the `caller_count` callers is therefore counted with one assumed RPC when the first RPC is read. The
-        assumed RPCs decay linearly to none once a whole window has passed. For example, with 10 callers, half
-        a window after the first RPC, and 3 RPCs of one caller and 1 of another read since, the busiest has
-        (3 + 0.5) / (4 + 0.5 * 10) = 0.39 instead of 3 / 4.
+        A server that starts cold has read no RPC from most of its callers yet. If only the RPCs read so far
+        counted, the first caller would get the whole capacity as its credit, and each further caller nearly
+        as much. When the first RPC is read, each of the `caller_count` callers is therefore counted with one
+        assumed RPC. This number decreases linearly to 0 over one window. For example, assume 10 callers, of
+        which one has sent 3 RPCs and another 1. Half a window after the first RPC, the fraction of the
+        busiest caller is (3 + 0.5) / (4 + 0.5 * 10) = 0.39 instead of 3 / 4.
         """
         now_ms, settings = self._server.now_ms, self._server.settings
         counts = Counter(self.caller_ids.values(now_ms))
--- a/landingshift/admission/retry_policy.py
+++ b/landingshift/admission/retry_policy.py
@@ -1,8 +1,8 @@
 """Retry rules for downstream calls and for rejected RPCs.
 
-Only calls and RPCs that are idempotent or cannot have run are retried, so that no effect occurs twice. A
-rejected caller is sent to another server only while marked retries are rare: each further attempt costs a
-read on another server, and many retries show that other servers reject too (retry amplification).
+Only calls and RPCs that are idempotent or cannot have run are retried, so that no effect occurs twice. The
+caller of a rejected RPC may try another server only while marked retries are rare. Each further attempt costs
+a read on another server, and many retries show that other servers reject RPCs too (retry amplification).
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 OUTCOMES_WITHOUT_RUN = (Outcome.REJECTED, Outcome.NO_CONNECTION)
 MAX_CALL_ATTEMPTS = 3
 MAX_RETRY_FRACTION = 0.1
-"""Fraction of marked retries among all RPCs read at which other servers are assumed to reject too."""
+"""If this fraction of the RPCs read are marked retries, other servers are assumed to reject RPCs too."""
 BUCKET_COUNT, BUCKET_MS = 4, 500.0
 
 
@@ -44,7 +44,7 @@
             outcome: How the call ended.
 
         Returns:
-            True if a second call is safe, attempts are left, and the timeout would exceed the mean latency.
+            True if another call is safe, attempts are left, and its timeout would exceed the mean latency.
         """
         is_idempotent = managed.rpc.method.idempotency is Idempotency.IDEMPOTENT
         is_safe = is_idempotent or outcome in OUTCOMES_WITHOUT_RUN
@@ -53,10 +53,10 @@
         return self._calls.timeout_ms(managed) > self._calls.mean_latency_ms()
 
     def is_final_rejection(self, managed: ManagedRpc) -> bool:
-        """Returns whether the caller of a rejected RPC is told not to try another server.
+        """Returns whether the caller of a rejected RPC should not try another server.
 
-        This is the case if other servers are expected to reject it too, if the RPC is already a retry, or if
-        another server could hardly answer it in time.
+        This is the case if callers do not mark retries, if many of the RPCs read are retries, if this RPC is
+        itself a retry, or if its time left is shorter than the mean run time of its method.
         """
         now_ms = self._server.now_ms
         others_accept = (
--- a/landingshift/admission/rolling_window.py
+++ b/landingshift/admission/rolling_window.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 MIN_VALUES_FOR_BUCKET_MEAN = 8
-"""Number of values a bucket needs to count in `lowest_bucket_mean`: a single fast run must not set the
-minimum."""
+"""Number of values that a bucket must have to be considered in `lowest_bucket_mean`, so that a single fast
+run does not determine the minimum."""
 
 
 class RollingWindow:
@@ -17,8 +17,7 @@
         bucket_count: Number of buckets.
         bucket_ms: Length of a bucket in ms.
         current_bucket: Number of the current bucket, counted from time 0; -1 before the first value.
-        change_count: Number of values added or dropped so far, from which users see whether the window
-            changed.
+        change_count: Number of values added or dropped so far. It shows whether the window has changed.
         buckets: Values of each bucket, indexed by bucket number modulo `bucket_count`.
         bucket_sums: Sum of each bucket, so that a mean does not need to visit all values.
     """
@@ -37,7 +36,7 @@
         return self.bucket_count * self.bucket_ms
 
     def advance(self, now_ms: float) -> None:
-        """Drops values that are older than the window."""
+        """Drops values that are older than the window at the given time."""
         bucket = int(now_ms // self.bucket_ms)
         if bucket == self.current_bucket:
             return
@@ -58,7 +57,7 @@
         self.change_count += 1
 
     def values(self, now_ms: float) -> list[float]:
-        """Returns all values in the storage order of the buckets."""
+        """Returns all values in the order of `buckets`, which is not the order of time."""
         self.advance(now_ms)
         return [value for bucket in self.buckets for value in bucket]
 
@@ -78,9 +77,9 @@
         return sum(self.bucket_sums) / count if count else default
 
     def lowest_bucket_mean(self, now_ms: float, default: float) -> float:
-        """Returns the lowest mean of a bucket with enough values, or `default`.
+        """Returns the lowest mean among the buckets with enough values, or `default` if there are none.
 
-        It estimates the mean without load.
+        For latencies and run times, this estimates the mean without load.
         """
         self.advance(now_ms)
         means = (
--- a/landingshift/admission/rpc_lifecycle.py
+++ b/landingshift/admission/rpc_lifecycle.py
@@ -46,7 +46,7 @@
     RpcState.ABORTED: (RpcEvent.START, RpcEvent.DEADLINE_REACHED),
     RpcState.ABANDONED: (RpcEvent.START, RpcEvent.CALLER_GONE),
 }
-"""Events that bring a lifecycle to each state in which an RPC can be transferred to another build."""
+"""Events that bring a new lifecycle to each state that an RPC can have during a hot restart."""
 
 CallStates = Generator[RpcState, RpcEvent | Outcome, RpcEvent | Outcome]
 
@@ -97,13 +97,13 @@
         self._enter_state(managed, state)
 
     def restore(self, managed: ManagedRpc, state: RpcState) -> None:
-        """Brings the lifecycle of an RPC from another build to its state, without any action.
+        """Creates the lifecycle of an imported RPC and replays it to its state without any action.
 
         The RPC's memory is not added, because the imported state of the server already includes it.
         """
         now_ms = self._server.now_ms
-        # The generator aborts a run that needs a call too late. This run needed its call in time, in the
-        # other build; replayed at the current time, the lifecycle might end instead of reaching its state.
+        # On CALL_NEEDED, the generator aborts a run whose answer is already worthless. This run passed that
+        # check in the other process, so the replay must pass it as well, whatever the time is now.
         self._server.now_ms = -inf
         managed.lifecycle = self._states(managed)
         reached = next(managed.lifecycle)
@@ -138,8 +138,9 @@
         """Yields the states of a downstream call, which is made, retried if that is safe, or skipped.
 
         Returns:
-            The next event of the run. DEADLINE_REACHED aborts the run to save the rest of its work: either
-            its answer had lost all value before the call, or the call is required and failed or was denied.
+            The next event of the run. It is also DEADLINE_REACHED if the answer had lost all value before the
+            call, or if the call is required and failed or was denied. This aborts the run and saves the rest
+            of its work.
         """
         if self._server.now_ms > managed.worthless_at_ms:
             return RpcEvent.DEADLINE_REACHED
--- a/landingshift/admission/server_state.py
+++ b/landingshift/admission/server_state.py
@@ -6,19 +6,19 @@
 from landingshift.admission.managed_rpc import ManagedRpc, RpcState
 
 SAFE_FRACTION = 0.85
-"""Fraction that is used of each limit beyond which a server or the shared store fails."""
+"""Fraction that the rules use of the limits at which a server or the shared store fails."""
 
 
 class ServerState:
     """State that the admission rules read. Only `RpcLifecycle` moves RPCs between states.
 
     Attributes:
-        settings: The server's settings; a policy may change figures in them.
+        settings: The server's settings; a policy may change their fields in place.
         now_ms: Current time for all rules.
-        started_at_ms: Time at which the server started with cold caches.
+        started_at_ms: Time at which the server started.
         last_check_ms: Time at which `on_timer` last ran.
         rpcs_by_state: Current RPCs by state, in the order in which they entered it.
-        queued: The RPCs in `RpcState.QUEUED`. This and the next three are the dicts in `rpcs_by_state`.
+        queued: The RPCs in `RpcState.QUEUED`. This attribute and the next three are dicts in `rpcs_by_state`.
         running: The RPCs in `RUNNING`.
         awaiting_call_slot: The RPCs in `AWAITING_CALL_SLOT`.
         calling: The RPCs in `CALLING`.
@@ -58,11 +58,11 @@
         return [managed for rpcs in self.rpcs_by_state.values() for managed in rpcs]
 
     def running_count(self) -> int:
-        """Returns the number of runs on the cores, including aborted and abandoned ones."""
+        """Returns the number of runs on the cores, including those of aborted and abandoned RPCs."""
         return len(self.running) + len(self._aborted) + len(self._abandoned)
 
     def calling_count(self) -> int:
-        """Returns the number of runs off the cores, in a downstream call or waiting for a call slot."""
+        """Returns the number of runs that use no core: in a downstream call or waiting for a call slot."""
         return len(self.calling) + len(self.awaiting_call_slot)
 
     def add(self, managed: ManagedRpc) -> None:
--- a/landingshift/admission/service_times.py
+++ b/landingshift/admission/service_times.py
@@ -1,8 +1,8 @@
 """Service times of one method, measured on successful runs.
 
-The p99 is the margin of the deadline check, and the mean is the expected work in the start order. The base
-time estimates a run on a server without load by the lowest mean of a 5 s bucket in the last 40 s. The
-concurrency limit is cut by the ratio of run times to the base time.
+The deadline check uses the p99 as its margin, and the start order uses the mean as the expected work. The
+base time is the lowest mean of a 5 s bucket in the last 40 s, which estimates the run time without load. The
+concurrency limit is divided by the ratio of run times to the base time.
 """
 
 from __future__ import annotations
@@ -12,17 +12,17 @@
 RUN_BUCKET_COUNT, RUN_BUCKET_MS = 8, 2000.0
 OWN_BUCKET_COUNT, OWN_BUCKET_MS = 8, 5000.0
 REFRESH_CHANGE_FRACTION = 0.01
-"""Fraction of the values that must have changed before the figures are recomputed: fewer changes hardly
+"""Fraction of the values that must have changed before the statistics are recomputed. Fewer changes hardly
 affect the p99, and computing it sorts all values."""
 
 
 class ServiceTimes:
-    """Service times of one method. All figures are 0 until a run has ended.
+    """Service times of one method. All statistics are 0 until `refresh` is called after the first run.
 
     Attributes:
         run_ms: Run times including downstream calls.
         own_ms: Run times without downstream calls.
-        changes_seen: Value of `run_ms.change_count` when the figures were last computed.
+        changes_seen: Value of `run_ms.change_count` when the statistics were last computed.
         p99_ms: 99th percentile of `run_ms`.
         mean_own_ms: Mean of `own_ms`.
         base_own_ms: Lowest bucket mean of `own_ms`, or their overall mean while no bucket has enough values.
@@ -48,7 +48,7 @@
         self.own_ms.add(now_ms, own_ms)
 
     def refresh(self, now_ms: float) -> None:
-        """Recomputes the figures if enough values have changed."""
+        """Recomputes the statistics if enough values have changed."""
         count = self.run_ms.count(now_ms)
         if self.run_ms.change_count - self.changes_seen <= REFRESH_CHANGE_FRACTION * count:
             return
--- a/landingshift/admission/snapshot.py
+++ b/landingshift/admission/snapshot.py
@@ -1,8 +1,8 @@
 """Export and import of a controller's complete state for a hot restart.
 
-The other process may run an older or a newer build. The tables in this module define the stored format: each
-maps a stored name to the attribute that now holds the value. Stored values that this build does not know are
-ignored; values that the other build did not store keep their initial value.
+The other process may run an older or a newer build. The tables in this module define the stored format. They
+map stored names to the attributes that hold the values in this build. Stored values that this build does not
+know are ignored; values that the other build did not store keep their initial value.
 """
 
 from __future__ import annotations
@@ -61,8 +61,8 @@
     "fails": ("check", "next_failure_ms"),
     "alarm": ("timer", "next_check_ms"),
 }
-"""Stored name of each single figure, with the part of the controller and the attribute that hold it, in
-stored order."""
+"""Maps the stored name of each scalar value to the field of `SnapshotParts` and the attribute that hold it,
+in stored order."""
 
 STORED_WINDOWS = {
     "stretch": ("limit", "slowdown"),
@@ -77,8 +77,8 @@
     "call_recent": ("call_rate", "recent_ms"),
     "call_load": ("time_budget", "call_time_ms"),
 }
-"""Rolling windows, in the same form. Those of methods and tenants follow them in the order of the
-settings."""
+"""Maps the stored name of each rolling window in the same way. The windows of methods and tenants are stored
+after these, in the order of the settings."""
 
 STORED_RPC_ATTRIBUTES = (
     "arrived_at_ms",
@@ -92,12 +92,12 @@
     "call_attempts",
     "has_started",
 )
-"""Attributes of each RPC, stored without names in this order after its state."""
+"""Attributes of each RPC. Their values are stored in a list, in this order after the RPC's state."""
 
 
 @dataclass(frozen=True)
 class SnapshotParts:
-    """Parts of a controller whose state is stored. The tables refer to them by these field names."""
+    """Parts of a controller whose state is stored. The tables of this module use these field names."""
 
     server: ServerState
     service_times: dict[Method, ServiceTimes]
@@ -123,7 +123,7 @@
     """Exports the state of a controller.
 
     Returns:
-        The state as plain values, and the RPCs in the order of their index in it.
+        The state as plain values, and the list of RPCs that its indices refer to.
     """
     entries = parts.dedup.expires_at_ms
     rpcs = parts.server.all_rpcs() + [managed for managed in entries if managed.state is None]
@@ -150,12 +150,12 @@
 
 
 def import_state(parts: SnapshotParts, state: dict[str, Any], rpcs: list[Rpc]) -> list[ManagedRpc]:
-    """Restores the state that another build exported.
+    """Restores the state that another process exported.
 
     Args:
         parts: Parts of a newly created controller.
         state: The exported state.
-        rpcs: The RPCs of the other build, in the order of the export.
+        rpcs: The RPCs of the other process, in the order in which `export_state` returned them.
 
     Returns:
         The handles of the RPCs, in the same order.
@@ -207,7 +207,7 @@
 
 
 def _import_window(window: RollingWindow, stored_window: list[Any]) -> None:
-    """Restores a window, or leaves it empty if the other build stored another number of buckets."""
+    """Restores a window; leaves it unchanged if the stored window has a different number of buckets."""
     current_bucket, change_count, buckets, bucket_sums = stored_window
     if len(buckets) != window.bucket_count:
         return
--- a/landingshift/admission/start_order.py
+++ b/landingshift/admission/start_order.py
@@ -1,9 +1,9 @@
 """Start order of queued RPCs, and the priority floor below which none starts under overload.
 
-The priority of an RPC is its value per expected work, so that each ms of core time yields the most value.
-While queued RPCs fail the deadline check, RPCs of equal priority start newest first (adaptive LIFO), because
-the oldest are the most likely to fail next. Under overload, a priority floor reserves the slots for the best
-of the arriving RPCs; the others are rejected early, while another server can still run them.
+The priority of an RPC is its value per ms of expected work, so that each ms of core time yields the most
+value. While queued RPCs fail the deadline check, RPCs of equal priority start newest first (adaptive LIFO),
+because the oldest ones are the most likely to fail next. Under overload, a priority floor reserves the slots
+for the best of the arriving RPCs. The others are rejected early, while another server can still run them.
 """
 
 from __future__ import annotations
@@ -44,7 +44,10 @@
         self.priority_floor = 0.0
 
     def priority(self, managed: ManagedRpc) -> float:
-        """Returns the value per ms of expected work; the value alone if criticality is per unit of work."""
+        """Returns criticality times tenant weight, per ms of expected work.
+
+        If `Settings.criticality_is_per_work` is set, the criticality is not divided by the expected work.
+        """
         rpc = managed.rpc
         value = rpc.method.criticality * self._tenants.weight(rpc.tenant)
         if self._server.settings.criticality_is_per_work:
@@ -52,7 +55,7 @@
         return value / max(MIN_EXPECTED_WORK_MS, managed.service_times.mean_own_ms)
 
     def record_arrival(self, managed: ManagedRpc) -> None:
-        """Sets and records the priority of an RPC that was read."""
+        """Computes the priority of an RPC that was read, and records it."""
         managed.priority = self.priority(managed)
         self.arrival_priorities.add(self._server.now_ms, managed.priority)
 
@@ -61,7 +64,7 @@
         self.starts.add(self._server.now_ms, 1.0)
 
     def refresh(self, rpcs: Iterable[ManagedRpc]) -> None:
-        """Recomputes priorities after expected work, tenant weights or settings may have changed."""
+        """Recomputes the priorities of RPCs after a change of expected work, tenant weights or settings."""
         for managed in rpcs:
             managed.priority = self.priority(managed)
 
@@ -75,15 +78,19 @@
 
     @staticmethod
     def sort(rpcs: Iterable[ManagedRpc], newest_first: bool) -> list[ManagedRpc]:
-        """Returns the RPCs by descending priority, and among equal priorities newest or oldest first."""
+        """Returns the RPCs sorted by descending priority.
+
+        RPCs of equal priority are sorted by arrival time, the newest or the oldest first.
+        """
         arrival_sign = -1.0 if newest_first else 1.0
         return sorted(rpcs, key=lambda managed: (-managed.priority, arrival_sign * managed.arrived_at_ms))
 
     def update_floor(self, is_saturated: bool, failed_count: int) -> None:
-        """Sets the floor so that only the best RPCs start, as many as started in the last 2 s.
+        """Sets the priority floor under overload, and removes it otherwise.
 
-        Without a floor under overload, RPCs of high priority would expire while ones of low priority occupy
-        the slots.
+        If n RPCs were started in the last 2 s, the floor is the priority of the RPC after the n best of those
+        read in that time. Without a floor, RPCs of high priority would expire while RPCs of low priority
+        occupy the slots.
 
         Args:
             is_saturated: Whether utilization is high and no core is idle.
--- a/landingshift/admission/tenant_quotas.py
+++ b/landingshift/admission/tenant_quotas.py
@@ -1,4 +1,4 @@
-"""Weights of tenants, reduced beyond their quota so that one tenant's flood does not displace the others.
+"""Reduces the weight of tenants above their quota, so that one tenant's load does not displace the others.
 
 A quota applies to the whole fleet, but servers do not exchange counts. Each server estimates a tenant's total
 rate as its own rate times the number of servers, with a tolerance for uneven distribution. If a tenant's RPCs
@@ -22,8 +22,8 @@
     """Counts RPCs by tenant and computes the tenants' weights.
 
     Attributes:
-        arrivals: Recent RPCs of each tenant, in the order of the settings.
-        weights: Weight of an RPC of each tenant, from `over_quota_value_fraction` to 1.
+        arrivals: RPCs of each tenant in the last 5 s, with the tenants in the order of the settings.
+        weights: Factor of the priority of each tenant's RPCs, from `over_quota_value_fraction` to 1.
     """
 
     def __init__(self, server: ServerState) -> None:
@@ -40,14 +40,14 @@
             self.arrivals[tenant].add(self._server.now_ms, 1.0)
 
     def weight(self, tenant: Tenant | None) -> float:
-        """Returns the weight of an RPC of this tenant."""
+        """Returns the weight of an RPC of this tenant; 1 without a tenant."""
         return self.weights[tenant] if tenant else 1.0
 
     def update(self) -> None:
         """Recomputes the weight of each tenant from its rate over the last 5 s.
 
-        RPCs within the quota count with weight 1 and those beyond it with `over_quota_value_fraction`. Single
-        RPCs are not assigned to either group, so all RPCs of the tenant get the mean weight.
+        The part of the rate within the tolerated quota counts with weight 1, and the excess with
+        `over_quota_value_fraction`. All RPCs of the tenant get the mean of these weights.
         """
         settings = self._server.settings
         for tenant, window in self.arrivals.items():
--- a/landingshift/drill/adapter.py
+++ b/landingshift/drill/adapter.py
@@ -1,7 +1,7 @@
-"""Reads batches of events from the simulator, passes them to the instances and writes their messages.
+"""Reads batches of events from the simulator, passes them to the instances and writes their replies.
 
-An exception in one instance is reported to the simulator with its traceback and does not affect the others. A
-malformed line ends the process.
+An exception in one instance is reported to the simulator with its traceback and does not affect other
+instances. A malformed line ends the process.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Batch:
-    """Simulated time and number of a batch, all events of which happen at the same time."""
+    """Number of a batch, and the simulated time at which all its events happen."""
 
     now_ms: float
     number: int
@@ -61,7 +61,7 @@
         """Handles one message.
 
         Returns:
-            Whether the message ends a batch, so that the reply must be taken from `close_batch`.
+            Whether the message ends a batch. If so, call `close_batch` for the reply.
 
         Raises:
             MalformedMessageError: The value is not a valid message, or is not allowed at this point.
@@ -82,7 +82,7 @@
         return False
 
     def close_batch(self) -> list[list[Any]]:
-        """Settles the instances that had events, ends the batch and returns its reply messages."""
+        """Calls `settle` on each controller that had events, ends the batch and returns its reply."""
         assert self._batch is not None
         for instance_id, instance in self._instances_to_settle.items():
             self._run_guarded(instance_id, instance.controller.settle)
@@ -139,10 +139,13 @@
         instance.handle(wire.decode_event(name, fields, instance.settings))
         self._instances_to_settle[instance_id] = instance
 
-    def _run_guarded(self, instance_id: int, step: Callable[[], None]) -> None:
-        """Runs a step of an instance; an exception is reported to the simulator and stops no other one."""
+    def _run_guarded(self, instance_id: int, function: Callable[[], None]) -> None:
+        """Calls a function for an instance, and reports any exception it raises to the simulator.
+
+        The exception is not raised again, so that the other instances continue.
+        """
         try:
-            step()
+            function()
         except Exception:
             self._outbox.append([wire.GIVE_IN, instance_id, traceback.format_exc(limit=-TRACE_FRAME_COUNT)])
 
--- a/landingshift/drill/errors.py
+++ b/landingshift/drill/errors.py
@@ -8,11 +8,11 @@
 from landingshift.settings import SettingsError
 
 SETTINGS_ERROR_NAME = "BadSetting"
-"""Name that the message shows for any `SettingsError`."""
+"""Error name shown in the message of an `InvalidSettingsError` for any `SettingsError`."""
 
 
 class MalformedMessageError(LandingshiftError):
-    """A line is not a valid message, or is not allowed at this point."""
+    """Base class of errors for lines that are not a valid message or not allowed at this point."""
 
 
 class NotAMessageError(MalformedMessageError):
@@ -30,7 +30,7 @@
 
 
 class OutsideBatchError(MalformedMessageError):
-    """A message that is only allowed inside a batch comes outside of one."""
+    """A message that is only allowed inside a batch is received outside a batch."""
 
     def __init__(self, name: str) -> None:
         super().__init__(f"{name} outside a batch")
@@ -44,7 +44,7 @@
 
 
 class NoInstanceError(MalformedMessageError):
-    """An event does not carry the number of an instance."""
+    """A message lacks the number of its instance."""
 
     def __init__(self, name: str) -> None:
         super().__init__(f"{name} names no instance")
--- a/landingshift/drill/instance.py
+++ b/landingshift/drill/instance.py
@@ -1,4 +1,4 @@
-"""One simulated server, which connects an admission controller to the simulator's events and messages."""
+"""Simulated server that connects an admission controller to the simulator's events and messages."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class SimulatedInstance:
-    """Translates events to calls of the controller, and the controller's `Actions` to messages.
+    """Translates events to calls of the controller, and actions requested by the controller to messages.
 
     Attributes:
         settings: Settings of this instance.
@@ -26,9 +26,9 @@
         Args:
             instance_id: Number of the instance on the wire.
             settings: Settings of the instance.
-            seed: Seed of its random choices.
+            seed: Random seed of the controller.
             now_ms: Simulated time.
-            outbox: List to which its messages are appended.
+            outbox: List to which messages to the simulator are appended.
         """
         self._instance_id = instance_id
         self._outbox = outbox
--- a/landingshift/drill/wire.py
+++ b/landingshift/drill/wire.py
@@ -1,8 +1,8 @@
 """Wire protocol of the simulator: message names, event types, and decoding and validation of fields.
 
-A message is a JSON array that begins with its name. `Batch` begins a batch and `End` ends it. The events
-between them happen at the same simulated time, and each carries the number of its instance. Only this module
-knows the keywords of the protocol; it translates them to the terms of the admission controller.
+A message is a JSON array that begins with the message name. `Batch` begins a batch and `End` ends it. The
+events between them happen at the same simulated time, and each carries the number of its instance. Only this
+module uses the keywords of the protocol; it translates them to the types of the admission controller.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 """Number of fields of each event after the number of its instance; missing trailing fields count as null."""
 
 HINT_BIT, RETRY_BIT, WRITE_BIT = 1, 2, 4
-"""Bits in the flags of an RPC: its work hint is valid, it is a retry, it writes."""
+"""Bits in the flags of an RPC: the work hint is valid; the RPC is a retry; the RPC changes state."""
 METHOD_FIELD, TENANT_FIELD = 6, 8
 """Indices of fields of `Ingress`."""
 NUMBER_FIELDS = (2, 3, 4, 7, 11)
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True, eq=False)
 class SimulatedRpc(Rpc):
-    """An RPC with its id in the simulator."""
+    """An RPC with the id by which the simulator refers to it."""
 
     rpc_id: str
 
@@ -106,7 +106,7 @@
 
 @dataclass(slots=True)
 class TimerFired:
-    """A check that the controller has scheduled is due."""
+    """A timer that the controller has requested has expired."""
 
     gauges: Gauges
 
@@ -115,7 +115,7 @@
 
 
 def padded_fields(name: str, fields: list[Any]) -> list[Any]:
-    """Returns all fields of an event, with null for trailing fields that were omitted."""
+    """Returns exactly the fields of an event, with None for trailing fields that were omitted."""
     count = FIELD_COUNTS[name]
     return [*fields, *[None] * (count - len(fields))][:count]
 
@@ -129,7 +129,8 @@
         settings: Settings of the instance that receives the event.
 
     Raises:
-        MalformedMessageError: A field has the wrong type, or refers to something that the settings lack.
+        MalformedMessageError: A field has the wrong type, or refers to a method or tenant that is not in the
+            settings.
     """
     if name == ELAPSED:
         return
--- a/landingshift/settings.py
+++ b/landingshift/settings.py
@@ -1,7 +1,7 @@
-"""Decodes and validates the settings of a server, from the simulator's wire or the configuration file.
+"""Decodes and validates the settings of a server, from a simulator message or the configuration file.
 
-The keys are part of the external interface and appear only in this module; `Settings` uses internal names. An
-error message shows operators the key, the problem and the invalid value.
+The keys are part of the external interface and appear only in this module; `Settings` uses internal names.
+Each error message contains the key, the problem and the invalid value, if there is one.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 
 T = TypeVar("T")
 REQUIRED = object()
-"""Marker passed as a default for a key that must be present."""
+"""Default value that marks a key as required."""
 MAX_NUMBER = 1e15
 NONE_WORD = "silent"
-"""Value of several settings for a feature that is not available."""
+"""Keyword by which several settings state that a feature is not available."""
 IDEMPOTENCY = {
     "retryable": Idempotency.IDEMPOTENT,
     "dedup": Idempotency.KEYED,
@@ -72,13 +72,16 @@
 
 
 class SettingsTable:
-    """An object in the settings, with its path from the top for error messages."""
+    """Reads validated values from one JSON object of the settings.
+
+    Errors contain the path of the key from the top of the configuration.
+    """
 
     def __init__(self, data: Any, path: str) -> None:
-        """Wraps a decoded object of the settings.
+        """Wraps a decoded JSON object.
 
         Args:
-            data: Decoded object.
+            data: Decoded JSON value, which must be an object.
             path: Path of the object from the top of the configuration; empty at the top.
 
         Raises:
@@ -107,43 +110,75 @@
         return default
 
     def number(self, key: str, default: Any = REQUIRED) -> float:
-        """Returns a number of 0 or more."""
+        """Returns the number at `key`, or `default` if the key is missing or null.
+
+        Raises:
+            MissingSettingError: The key is missing or null, and `default` is `REQUIRED`.
+            InvalidSettingError: The value is not a number of 0 or more.
+        """
         return validated_number(self.path_of(key), self.value(key, default))
 
     def choice(self, key: str, values: dict[str, T], default: Any = REQUIRED) -> T:
-        """Returns the meaning of a keyword, which must be a key of `values`."""
+        """Returns the entry of `values` for the keyword at `key`.
+
+        Args:
+            key: Key of the setting.
+            values: Meaning of each valid keyword.
+            default: Keyword to use if the key is missing or null.
+
+        Raises:
+            MissingSettingError: The key is missing or null, and `default` is `REQUIRED`.
+            InvalidSettingError: The keyword is not in `values`.
+        """
         word = self.value(key, default)
         if not isinstance(word, str) or word not in values:
             raise InvalidSettingError(self.path_of(key), f"one of {', '.join(values)}", word)
         return values[word]
 
     def entries(self, key: str) -> list[Any]:
-        """Returns a list; empty if the key is missing."""
+        """Returns the JSON list at `key`, or an empty list if the key is missing or null.
+
+        Raises:
+            InvalidSettingError: The value is not a list.
+        """
         values = self.value(key, [])
         if not isinstance(values, list):
             raise InvalidSettingError(self.path_of(key), "a list", values)
         return values
 
     def entry(self, key: str, index: int) -> Any:
-        """Returns an entry of a list; None beyond its end."""
+        """Returns the entry at `index` of the JSON list at `key`; None if the list is shorter or missing."""
         values = self.entries(key)
         return values[index] if index < len(values) else None
 
     def tables(self, key: str) -> list[SettingsTable]:
-        """Returns a list of objects; empty if the key is missing."""
+        """Returns the JSON objects of the list at `key`; empty if the key is missing or null.
+
+        Raises:
+            InvalidSettingError: The value is not a list of objects.
+        """
         path = self.path_of(key)
         return [SettingsTable(value, f"{path}[{index}]") for index, value in enumerate(self.entries(key))]
 
     def table(self, key: str, default: Any = REQUIRED) -> SettingsTable:
-        """Returns an object."""
+        """Returns the nested JSON object at `key`, or `default` if the key is missing or null.
+
+        Raises:
+            MissingSettingError: The key is missing or null, and `default` is `REQUIRED`.
+            InvalidSettingError: The value is not an object.
+        """
         return SettingsTable(self.value(key, default), self.path_of(key))
 
 
 def validated_number(key: str, value: Any) -> float:
-    """Returns the value if it is a number of 0 or more.
+    """Returns the value unchanged if it is a number of 0 or more and below `MAX_NUMBER`.
+
+    Args:
+        key: Path of the value for the error message.
+        value: Decoded JSON value.
 
     Raises:
-        InvalidSettingError: The value is not such a number.
+        InvalidSettingError: The value is anything else.
     """
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value < MAX_NUMBER:
         raise InvalidSettingError(key, "a number of 0 or more", value)
@@ -211,13 +246,13 @@
 
 
 def _decode_method(method: SettingsTable, extra: SettingsTable, skip_key: str, index: int) -> Method:
-    """Decodes one method, two figures of which are in separate lists in `extra`.
+    """Decodes one method. Two of its settings are in separate lists in `extra`, at the index of the method.
 
     Args:
         method: Object of the method.
         extra: Object that contains the lists `class-calls` and `class-skip-worth`.
         skip_key: Path of the list `class-skip-worth`, for error messages.
-        index: Index of the method, also in these lists.
+        index: Index of the method.
     """
     return Method(
         idempotency=method.choice("effect", IDEMPOTENCY),
