--- a/landingshift/admission/backpressure.py
+++ b/landingshift/admission/backpressure.py
@@ -1,7 +1,7 @@
 """Computes the load that this server advertises to callers and the Retry-After of its rejections.
 
 The advertised load depends on two signals between `MIN_SIGNAL` and 1. `queue_weight` falls while the queue is
-long. `read_responsiveness` falls while RPCs wait long before they are read; it detects that the cores are
+long. `read_responsiveness` falls while RPCs wait long before they are read. It detects cores that are
 busy reading, even before any run has ended.
 
 The signals never reach 0, because callers discard an advertisement after some time. At 0, a caller would send
--- a/landingshift/admission/call_rate.py
+++ b/landingshift/admission/call_rate.py
@@ -1,8 +1,8 @@
 """Rate limit of downstream calls: a token bucket whose rate adapts to the outcomes of recent calls.
 
 The rate falls while calls fail or are slow and grows while they succeed. After two consecutive calls without
-a response, the rate drops to the minimum at once: a downstream service that hangs does so for all servers,
-and each further lost call would use up part of what may be a small quota. The fleet may also assign this
+a response, the rate drops to the minimum at once. A downstream service that hangs does so for all servers,
+and each further lost call would use up part of the quota, which may be small. The fleet may also assign this
 server a quota of calls per second, which is an upper bound of the rate.
 
 Slow calls do not reduce the rate as long as they end well within the latency objectives.
--- a/landingshift/admission/check_timer.py
+++ b/landingshift/admission/check_timer.py
@@ -57,7 +57,7 @@
             self.schedule(CHECK_INTERVAL_MS / 2.0)
 
     def schedule_next(self, next_checks_ms: list[float]) -> None:
-        """Requests the next check at the end of a check.
+        """Requests the next check after a check has run.
 
         Args:
             next_checks_ms: Times at which the RPCs need their next check.
--- a/landingshift/admission/concurrency_limit.py
+++ b/landingshift/admission/concurrency_limit.py
@@ -1,8 +1,9 @@
 """Adaptive limit on concurrent runs, computed from the ratio of run times to run times without load.
 
 The limit starts at the number of cores and never falls below it. While RPCs are queued, it grows at once by
-the number of idle cores. While the cores are busy, it is multiplied by the ratio of base to measured run
-time. It stays below the number of runs at which the server fails, which is smaller while the server is cold.
+the number of idle cores. While the cores are busy, it is divided by the ratio of measured run times to run
+times without load. It stays below the number of runs at which the server fails, which is smaller while the
+server is cold.
 
 Reading RPCs from the network also occupies cores and cannot be stopped. While reads occupy many cores, fewer
 runs start, even fewer than the number of cores, because runs and reads would otherwise slow each other down.
--- a/landingshift/admission/deadline_check.py
+++ b/landingshift/admission/deadline_check.py
@@ -44,7 +44,7 @@
         """Returns the time at which the RPC fails the check: its deadline minus the margin.
 
         The margin is the p99 run time of its method, including calls, capped at a fraction of the RPC's time
-        budget. An RPC that arrived after a draining server's grace period fails at once.
+        budget. An RPC that arrived after `Draining.accept_until_ms` fails at once.
         """
         if managed.arrived_at_ms > self._draining.accept_until_ms:
             return 0.0
@@ -66,8 +66,8 @@
     def record_rejection(self, managed: ManagedRpc) -> None:
         """Counts a rejected RPC if it failed the check.
 
-        An RPC that was rejected early is not counted: counting it would prolong the overload state that
-        caused its rejection.
+        An RPC that was rejected earlier, because of its priority or a lack of memory, is not counted. It
+        would prolong the overload state that caused its rejection.
         """
         if self._server.now_ms >= self.latest_start_ms(managed):
             self.failures.add(self._server.now_ms, 1.0)
--- a/landingshift/admission/downstream_calls.py
+++ b/landingshift/admission/downstream_calls.py
@@ -113,7 +113,7 @@
                 resume(managed, RpcEvent.CALL_DENIED)
 
     def _waits_too_long(self, managed: ManagedRpc, position: int) -> bool:
-        """Returns whether an RPC that can skip its call has waited, or is expected to wait, too long for it.
+        """Returns whether an RPC that can skip its call has waited, or is about to wait, too long for a slot.
 
         Args:
             managed: The RPC that waits for a call slot.
--- a/landingshift/admission/downstream_time_budget.py
+++ b/landingshift/admission/downstream_time_budget.py
@@ -4,8 +4,8 @@
 the store has finished them. Each server has a share of this concurrency
 (`Settings.downstream_concurrency_quota`) and enforces it as a budget of call time: the time of the calls that
 ended within the window, plus the maximum time of the calls in flight, stays below quota times window. The
-maximum time of a call is reserved before it starts, so the budget also holds between checks. `call_rate`
-limits the number of calls per second instead.
+maximum time of a call is reserved before it starts, so the budget also holds between checks. The number
+of calls per second is limited in `call_rate`.
 """
 
 from __future__ import annotations
--- a/landingshift/admission/rpc_lifecycle.py
+++ b/landingshift/admission/rpc_lifecycle.py
@@ -138,8 +138,8 @@
         """Yields the states of a downstream call, which is made, retried if that is safe, or skipped.
 
         Returns:
-            The next event of the run. It is also DEADLINE_REACHED if the answer had lost all value before the
-            call, or if the call is required and failed or was denied. This aborts the run and saves the rest
+            The next event of the run. If the answer had lost all value before the call, or if the call is
+            required and failed or was denied, this is DEADLINE_REACHED, which aborts the run to save the rest
             of its work.
         """
         if self._server.now_ms > managed.worthless_at_ms:
--- a/landingshift/admission/server_state.py
+++ b/landingshift/admission/server_state.py
@@ -6,7 +6,7 @@
 from landingshift.admission.managed_rpc import ManagedRpc, RpcState
 
 SAFE_FRACTION = 0.85
-"""Fraction that the rules use of the limits at which a server or the shared store fails."""
+"""Safety factor: the rules use this fraction of the limits at which a server or the shared store fails."""
 
 
 class ServerState:
@@ -16,7 +16,7 @@
         settings: The server's settings; a policy may change their fields in place.
         now_ms: Current time for all rules.
         started_at_ms: Time at which the server started.
-        last_check_ms: Time at which `on_timer` last ran.
+        last_check_ms: Time of the last periodic check.
         rpcs_by_state: Current RPCs by state, in the order in which they entered it.
         queued: The RPCs in `RpcState.QUEUED`. This attribute and the next three are dicts in `rpcs_by_state`.
         running: The RPCs in `RUNNING`.
@@ -50,7 +50,7 @@
 
     @property
     def seconds_since_check(self) -> float:
-        """Seconds since the last run of `on_timer`, by which rate changes are scaled."""
+        """Seconds since the last periodic check, by which rate changes are scaled."""
         return (self.now_ms - self.last_check_ms) / 1000.0
 
     def all_rpcs(self) -> list[ManagedRpc]:
