--- a/landingshift/net/routing/actions.py
+++ b/landingshift/net/routing/actions.py
@@ -1,4 +1,4 @@
-"""Carries out the admission controller's actions on engine, database, gateways and deduplication table."""
+"""Carries out the actions that the admission controller requests from its host program."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class RouterActions:
-    """Implements the admission controller's `Actions`."""
+    """Implements `Actions` with the engine, the database, the gateways and the deduplication table."""
 
     def __init__(
         self,
@@ -64,7 +64,7 @@
         self.engine.send_command(rpc, command, starts_run=True)
 
     def cancel_run(self, rpc: Rpc) -> None:
-        """Asks the engine to stop the run."""
+        """Asks the engine to cancel the run."""
         assert isinstance(rpc, RoutedRpc)
         self.engine.halt(rpc)
 
@@ -88,7 +88,7 @@
         self.answers.reject(rpc, retry_after_ms, is_final)
 
     def abort(self, rpc: Rpc) -> None:
-        """Answers the RPC as aborted; a result that its run still produces is dropped."""
+        """Answers the RPC as aborted and cancels its database call; a later result of its run is dropped."""
         assert isinstance(rpc, RoutedRpc)
         self.answers.abort(rpc)
         self.engine.send_withheld(rpc)
@@ -103,7 +103,7 @@
         if rpc.managed is None or not rpc.managed.has_started:
             entry = self.dedup.owned_by(rpc)
             if entry is not None and entry.outcome is None:
-                # The RPC never ran, so its waiting duplicates would never get an outcome.
+                # The RPC never ran, so duplicates that wait for its outcome would never be answered.
                 self.duplicates.drop_unrun(entry)
         if rpc.is_duplicate:
             self.dedup.unlink_duplicate(rpc)
@@ -116,7 +116,7 @@
     # Duplicates
 
     def retain_dedup_entry(self, rpc: Rpc, duration_ms: float) -> None:
-        """Keeps an entry for `duration_ms` from which duplicates of the RPC are answered."""
+        """Adds or extends the RPC's deduplication entry, which answers duplicates for `duration_ms`."""
         assert isinstance(rpc, RoutedRpc)
         self.dedup.reserve(rpc, self.loop.now_ms + duration_ms)
 
@@ -135,16 +135,16 @@
     # Health, advertised load and check times
 
     def set_health(self, is_healthy: bool, is_shallow: bool) -> None:
-        """Sets the health that is reported to health checks and to the roster."""
+        """Sets the health reported to health checks and to the roster; `is_shallow` disables self-tests."""
         self.health_reporter.set_health(is_healthy, is_shallow)
 
     def advertise_load(self, amount: float) -> None:
-        """Sets the load that each answer advertises to callers."""
+        """Sets the load that answers advertise to callers, unless the settings disable this."""
         if self.settings.load_advertisement is not LoadAdvertisement.NONE:
             self.answers.headers = gateway_wire.load_headers(amount)
 
     def close_idle_connections(self, idle_timeout_ms: float) -> None:
-        """Closes connections that have been idle for `idle_timeout_ms`."""
+        """Sets the time after which idle connections are closed."""
         self.gateways.set_idle_limit(idle_timeout_ms)
 
     def schedule_check(self, delay_ms: float) -> None:
--- a/landingshift/net/routing/admission_driver.py
+++ b/landingshift/net/routing/admission_driver.py
@@ -1,7 +1,8 @@
-"""Delivers events to the admission controller in order, and never while it is acting.
+"""Delivers events to the admission controller in order, and never while the controller is acting.
 
-Invariant: the controller receives all events of one loop pass before it settles. Events caused by its own
-actions are deferred until it has acted, then delivered and settled in the same pass.
+The controller settles when it decides on the events received so far and requests its actions. Invariant: it
+receives all events of one loop pass before it settles. Events that its own actions cause are deferred until
+it has settled; then they are delivered, and the controller settles again in the same pass.
 """
 
 from __future__ import annotations
@@ -14,12 +15,12 @@
 
 
 class AdmissionDriver:
-    """Sets the controller's clock, queues events for the controller and makes it settle.
+    """Sets the controller's clock, defers events while the controller acts, and makes it settle.
 
     Attributes:
         controller: The admission controller; None until the engine is up.
         needs_settle: Whether the controller has received events since it last settled.
-        deferred: Callbacks that deliver events once the controller has stopped acting.
+        deferred: Callbacks to run before the controller settles next; each may deliver an event.
     """
 
     def __init__(self, loop: Loop) -> None:
@@ -29,7 +30,7 @@
         self.deferred: deque[Callable[[], None]] = deque()
 
     def controller_for_event(self) -> AdmissionController:
-        """Return the controller with its clock set to now, marked as needing to settle."""
+        """Set the controller's clock, mark it as needing to settle, and return it to receive an event."""
         assert self.controller is not None
         self.controller.now_ms = self.loop.now_ms
         self.needs_settle = True
@@ -40,7 +41,7 @@
         self.deferred.append(action)
 
     def settle(self) -> None:
-        """Ends the pass: runs deferred callbacks and settles the controller until neither is left to do."""
+        """Runs deferred callbacks and settles the controller until no callback or unsettled event is left."""
         while self.deferred or self.needs_settle:
             while self.deferred:
                 self.deferred.popleft()()
--- a/landingshift/net/routing/answers.py
+++ b/landingshift/net/routing/answers.py
@@ -1,6 +1,6 @@
 """Writes the answers to RPCs.
 
-Guarantee: an RPC gets at most one answer; later ones are dropped. An abandoned RPC gets none.
+Guarantee: an RPC gets at most one answer; further answers are dropped. An abandoned RPC gets none.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
     Attributes:
         headers: The headers of each answer, which advertise the server's load to callers.
-        gate: The gate that may delay ok answers; None where there is none.
+        gate: The gate that may delay ok answers; None if there is none.
     """
 
     def __init__(
@@ -38,7 +38,7 @@
         self.gate: AnswerGate | None = None
 
     def send_ok(self, rpc: RoutedRpc, result: bytes, run_time_ms: float) -> None:
-        """Answers the RPC with its result, unless the answer gate takes the answer to send it later."""
+        """Answers the RPC with its result, now or when the answer gate releases the answer."""
         if self.gate is not None and not rpc.is_answered and not rpc.is_abandoned:
             try:
                 rpc.is_answer_deferred = self.gate.defer_answer(rpc, result, run_time_ms)
@@ -50,12 +50,12 @@
             self.send_deferred(rpc, result)
 
     def send_deferred(self, rpc: RoutedRpc, result: bytes) -> None:
-        """Sends an ok answer that the gate has released."""
+        """Sends an ok answer at once, without asking the gate; the gate calls this to release an answer."""
         rpc.is_answer_deferred = False
         self._answer(rpc, wire.encode_ok(rpc.message_id, result, self.headers), AnswerKind.OK)
 
     def abort_deferred(self, rpc: RoutedRpc) -> None:
-        """Aborts an RPC whose ok answer the gate decided not to send."""
+        """Answers the RPC as aborted; the gate calls this if it does not release the ok answer."""
         rpc.is_answer_deferred = False
         self.abort(rpc)
 
@@ -68,7 +68,7 @@
 
         Args:
             rpc: The RPC to answer.
-            retry_after_ms: The time after which the caller may retry.
+            retry_after_ms: The time after which the caller may retry on this server; 0 to state none.
             is_final: Whether the caller should not retry on another server either.
         """
         headers = wire.rejection_headers(self.headers, retry_after_ms, is_final)
--- a/landingshift/net/routing/check_runner.py
+++ b/landingshift/net/routing/check_runner.py
@@ -1,6 +1,7 @@
-"""Runs the admission controller's checks, with the engine's gauges where they arrive in time.
+"""Runs the admission controller's periodic checks with the engine's gauges, such as core utilization.
 
-Guarantee: a scheduled check runs even if the engine does not respond, since deadlines must not wait for it.
+Guarantee: a check runs without gauges if the engine does not report them in time, since the checks also
+enforce the deadlines of RPCs.
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 from landingshift.net.routing.engine_link import EngineLink
 from landingshift.net.transport.loop import Loop, Timer
 
-MAX_GAUGE_WAIT_MS = 25.0  # the longest that a check waits for the gauges
+MAX_GAUGE_WAIT_MS = 25.0  # longest time that a check waits for the gauges
 MAX_GAUGE_AGE_MS = 500.0  # older gauges no longer describe the load on the cores
 NO_GAUGES = Gauges(None, None, None)
 
@@ -30,12 +31,12 @@
         self.engine = engine
         self.gauge_names = gauge_names
         self.gauges = NO_GAUGES
-        self.gauges_at_ms = 0.0  # when they were last reported
+        self.gauges_at_ms = 0.0  # when the engine last reported the gauges
         self.check_timer: Timer | None = None
         self.gauge_wait_timer: Timer | None = None  # set while a check waits for the gauges
 
     def schedule_check(self, delay_ms: float) -> None:
-        """Schedules the next check; cancels a scheduled one and one that still waits for the gauges."""
+        """Schedules the next check; cancels any check that is scheduled or waits for the gauges."""
         self.loop.cancel(self.check_timer)
         self.check_timer = self.loop.after(delay_ms, self._begin_check)
         if self.gauge_wait_timer is not None:
--- a/landingshift/net/routing/database_events.py
+++ b/landingshift/net/routing/database_events.py
@@ -1,4 +1,4 @@
-"""Reports finished database calls to the engine and to the admission controller."""
+"""Passes the replies of database calls to the engine and their outcomes to the admission controller."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
         self.observers = observers
 
     def on_call_finished(self, rpc: RoutedRpc, outcome: Outcome, elapsed_ms: float, reply: bytes) -> None:
-        """Reports a finished call later in the pass, since the controller may be acting at this moment."""
+        """Reports a finished call later in the loop pass, since the controller may be acting now."""
         self.driver.defer(partial(self._notify_controller, rpc, outcome, elapsed_ms, reply))
 
     def _notify_controller(self, rpc: RoutedRpc, outcome: Outcome, elapsed_ms: float, reply: bytes) -> None:
--- a/landingshift/net/routing/database_pool.py
+++ b/landingshift/net/routing/database_pool.py
@@ -1,8 +1,9 @@
 """Makes calls to the shared database over a pool of links.
 
-Calls are spread so that each link carries as few as possible: a malformed, late or missing reply fails all
-calls on its link. Guarantee: a call that cannot have reached the database ends as `NO_CONNECTION`; one that
-may have reached it without a reply ends as `NO_RESPONSE` or `CONNECTION_LOST`.
+Calls are spread so that each link carries as few as possible, since a malformed or incomplete reply fails all
+calls on its link. Guarantee: a call that cannot have reached the database ends as `NO_CONNECTION`. If it may
+have reached the database but got no reply, it ends as `NO_RESPONSE` after its timeout or as `CONNECTION_LOST`
+if its link is lost.
 """
 
 from __future__ import annotations
@@ -23,14 +24,14 @@
 MAX_IDLE_MS = 1000.0
 MAX_LINKS = 24  # links that take new calls
 MAX_RETIRED_LINKS = 16  # further links that stay open only until their last calls end
-MAX_REPLY_MS = 100.0  # from a reply's first byte to its last
+MAX_REPLY_MS = 100.0  # maximum time from a reply's first byte to its last
 
 
 class DatabaseEvents(Protocol):
     """Receives the outcomes of calls."""
 
     def on_call_finished(self, rpc: RoutedRpc, outcome: Outcome, elapsed_ms: float, reply: bytes) -> None:
-        """Handles the end of the RPC's call."""
+        """Handles the end of the RPC's call, `elapsed_ms` after its start."""
 
 
 @dataclass(slots=True, eq=False)
@@ -55,7 +56,7 @@
     def __init__(self, pool: DatabasePool, open_stream: Callable[[DatabaseLink], Stream | str]) -> None:
         self.pool = pool
         self.decoder = wire.ReplyDecoder()
-        self.calls: dict[bytes, DatabaseCall] = {}  # in flight, by RPC id
+        self.calls: dict[bytes, DatabaseCall] = {}  # calls in flight on this link, by RPC id
         self.partial_reply_timer: Timer | None = None  # set while a reply is partly received
         stream = open_stream(self)
         self.stream = stream if isinstance(stream, Stream) else None
@@ -86,7 +87,10 @@
             self.start_partial_reply_timer()
 
     def start_partial_reply_timer(self) -> None:
-        """Bounds the time of a partial reply: a wrong length or endless line would block all calls here."""
+        """Closes the link if the reply is not complete within `MAX_REPLY_MS`.
+
+        A reply with a wrong length or an endless line would block all calls on the link.
+        """
         self.partial_reply_timer = self.pool.loop.after(MAX_REPLY_MS, lambda: self.close("unfinished"))
 
     def _stop_partial_reply_timer(self) -> None:
@@ -99,11 +103,11 @@
             self.stream.close(reason)
 
     def on_eof(self) -> None:
-        """Closes the link when the database ends its side."""
+        """Closes the link when the database has closed its side."""
         self.close("closed")
 
     def on_closed(self, reason: str) -> None:
-        """Retires the closed link and fails its calls."""
+        """Removes the closed link from the pool and fails its calls."""
         self._stop_partial_reply_timer()
         self.pool.log("database_link_ended", reason=reason, calls=len(self.calls))
         self.pool.retire(self)
@@ -125,9 +129,9 @@
 
     Attributes:
         links: Links that take new calls.
-        open_count: The number of open links, including retired ones.
+        open_count: The number of open links, including retired links, which take no new calls.
         calls: The call in flight of each RPC that has one.
-        used_links: Per open RPC, the links on which a late reply to one of its calls may still arrive.
+        used_links: The links that the calls of each open RPC have used; a late reply may still arrive there.
         cancelled: Links and RPC ids of the calls cancelled since the last flush.
     """
 
@@ -162,9 +166,10 @@
     def _choose_link(self, rpc: RoutedRpc) -> DatabaseLink | None:
         """Return a link for the RPC's next call; None if there is none.
 
-        Among the links with the fewest calls, the most recently used one is chosen, so that surplus links
-        become idle and close. Links that the RPC has used are skipped: a reply may arrive twice, and on the
-        same link the copy would be taken for the reply to the RPC's next call.
+        An idle link is preferred, then a new one within the limits, then the link with the fewest calls.
+        Among equals the most recently used link is chosen, so that surplus links become idle and close. Links
+        that the RPC has used are skipped: a reply may arrive twice, and on the same link the copy would be
+        taken for the reply to the RPC's next call.
         """
         used = self.used_links.get(rpc, ())
         candidates = [link for link in self.links if link not in used]
@@ -206,7 +211,7 @@
         self.events.on_call_finished(call.rpc, outcome, self._elapsed_ms(call), b"")
 
     def finish(self, call: DatabaseCall, outcome: Outcome, reply: bytes) -> None:
-        """Ends a call after its reply or the loss of its link, and reports its outcome."""
+        """Ends a call that got its reply or lost its link, and reports its outcome."""
         self._forget(call)
         self.events.on_call_finished(call.rpc, outcome, self._elapsed_ms(call), reply)
 
@@ -217,7 +222,7 @@
             self._cancel(call)
 
     def forget_rpc(self, rpc: RoutedRpc) -> None:
-        """Drops the record of links used by an RPC that is closed."""
+        """Drops the record of the links that a closed RPC has used."""
         self.used_links.pop(rpc, None)
 
     def flush(self, is_calling: Callable[[bytes], bool]) -> None:
@@ -249,6 +254,6 @@
 
 
 def _preference(link: DatabaseLink) -> tuple[int, float]:
-    """Sort key for links: fewest calls first, then most recently used."""
+    """Return the sort key of a link: fewest calls first, then most recently used."""
     last_activity_ms = link.stream.last_activity_ms if link.stream is not None else 0.0
     return len(link.calls), -last_activity_ms
--- a/landingshift/net/routing/dedup.py
+++ b/landingshift/net/routing/dedup.py
@@ -1,8 +1,11 @@
-"""The deduplication table: stores the outcomes from which duplicates of an RPC are answered.
+"""The deduplication table: stores the outcomes of RPCs, from which their duplicates are answered.
 
-Guarantee: within the deduplication window, an RPC whose effect must not happen twice stays in the table.
-Under memory pressure its result is dropped, but not the fact that it ran. A duplicate whose entry has expired
-runs as a new RPC.
+Two requests are duplicates if they have the same deduplication key: method and idempotency key, or method and
+cache key. The RPC that runs for them is the owner of their entry in the table.
+
+Guarantee: an RPC whose effect must not happen twice stays in the table until its deduplication window ends.
+Under memory pressure its result is dropped, but not the fact that it ran. Once the owner has ended, a
+duplicate that arrives after the window runs as a new RPC.
 """
 
 from __future__ import annotations
@@ -13,19 +16,22 @@
 from landingshift.net.routing.rpc_record import RoutedRpc
 
 ENTRY_BYTES = 400  # size of an entry without its result
-FULL_FRACTION = 0.9  # fraction of the bound down to which results are evicted once the bound is exceeded
+FULL_FRACTION = 0.9  # once `max_bytes` is exceeded, results are evicted down to this fraction of it
 
 DedupKey = tuple[bytes, str]
 
 
 @dataclass(slots=True, eq=False)
 class DedupEntry:
-    """An RPC from which duplicates are answered: a first attempt, or the first request with a cache key."""
+    """The outcome of one RPC, the owner, from which duplicates of the owner are answered.
+
+    The owner is the RPC that runs for all requests with the same deduplication key.
+    """
 
     owner: RoutedRpc
-    expires_ms: float
+    expires_ms: float  # end of the deduplication window
     outcome: Outcome | None = None  # None while the owner is queued or runs
-    ended_ms: float = 0.0
+    ended_ms: float = 0.0  # time at which the outcome was stored
     run_time_ms: float = 0.0
     result: bytes | None = None  # None if the outcome is not OK or the result was evicted
     waiters: dict[RoutedRpc, None] = field(default_factory=dict)  # duplicates that wait for the owner to end
@@ -37,12 +43,17 @@
 
 
 class DedupTable:
-    """Entries by the key that an RPC shares with its duplicates; bounded in bytes.
+    """The deduplication entries, by deduplication key. Their total size is bounded.
 
     Args:
-        max_bytes: The bound on the total size of entries and their results.
-        response_cache_ttl_ms: The time for which the result of an idempotent RPC answers others with its key.
-        max_age_ms: The longest time between a duplicate's arrival at the machine and its read.
+        max_bytes: The total size of entries and results above which results are evicted.
+        response_cache_ttl_ms: The time for which the result of an idempotent RPC is reused after its run.
+        max_age_ms: The longest time from a duplicate's arrival at the machine until this server reads it.
+
+    Attributes:
+        used_bytes: The total size of entries and results.
+        entries: The entries, by deduplication key.
+        originals: The entry that answers each open duplicate, by the duplicate.
     """
 
     def __init__(self, max_bytes: int, response_cache_ttl_ms: float, max_age_ms: float = 0.0) -> None:
@@ -51,14 +62,14 @@
         self.max_age_ms = max_age_ms
         self.used_bytes = 0
         self.entries: dict[DedupKey, DedupEntry] = {}
-        self.originals: dict[RoutedRpc, DedupEntry] = {}  # by open duplicate
+        self.originals: dict[RoutedRpc, DedupEntry] = {}
 
     def find(self, rpc: RoutedRpc, now_ms: float, arrived_ms: float) -> DedupEntry | None:
-        """Return the entry of which `rpc` is a duplicate, or remove the entry if it has expired.
+        """Return the entry that answers `rpc` as a duplicate; None if there is none.
 
-        A duplicate is within the window if it arrived at the machine before the window ended, even if it is
-        read much later. If it counted as a new RPC, it could be rejected as never run although its original
-        ran.
+        An entry that has expired or whose result may not be reused is removed. `rpc` is within the window of
+        an entry if it arrived at the machine (`arrived_ms`) before the window ended, even if it is read much
+        later. If it counted as a new RPC then, it could be rejected as never run although its original ran.
         """
         entry = self.entries.get(rpc.dedup_key) if rpc.dedup_key else None
         if entry is None:
@@ -75,17 +86,20 @@
         return entry
 
     def link_duplicate(self, rpc: RoutedRpc, entry: DedupEntry) -> None:
-        """Records the original of an open duplicate."""
+        """Records that the open duplicate `rpc` is answered from `entry`."""
         self.originals[rpc] = entry
 
     def unlink_duplicate(self, rpc: RoutedRpc) -> None:
-        """Removes a duplicate that is closed, also from its original's waiters."""
+        """Forgets a closed duplicate; it no longer waits for its original."""
         entry = self.originals.pop(rpc, None)
         if entry is not None:
             entry.waiters.pop(rpc, None)
 
     def reserve(self, rpc: RoutedRpc, expires_ms: float) -> None:
-        """Creates or extends the entry that answers duplicates of `rpc` until `expires_ms`."""
+        """Creates the entry of `rpc`, or moves the end of its window to `expires_ms`.
+
+        An entry of another RPC with the same key is replaced.
+        """
         if rpc.dedup_key is None:
             return
         existing = self.entries.get(rpc.dedup_key)
@@ -110,7 +124,7 @@
             self.used_bytes -= ENTRY_BYTES + len(entry.result or b"")
 
     def complete(self, entry: DedupEntry, outcome: Outcome, result: bytes, now_ms: float) -> list[RoutedRpc]:
-        """Stores the outcome of the owner's run; returns the duplicates that waited for it."""
+        """Stores the outcome and result of the entry's owner; returns the duplicates that waited for them."""
         entry.outcome = outcome
         entry.ended_ms = now_ms
         if outcome is Outcome.OK:
@@ -123,13 +137,13 @@
         return waiters
 
     def _evict(self, now_ms: float) -> None:
-        """Frees memory: removes expired entries, then evicts the oldest results.
+        """Frees memory: removes expired entries, then evicts results, those of the oldest entries first.
 
         The entry of an RPC whose effect must not happen twice loses only its result: the fact that the RPC
         ran is kept however little memory is left.
         """
-        # An entry is kept for max_age_ms after its window, since a duplicate that arrived within the window
-        # may not be read yet. Entries of RPCs that still run are kept, too.
+        # An entry is kept for max_age_ms after its window ends, since a duplicate that arrived within the
+        # window may not have been read yet. An entry whose owner has not ended is kept, too.
         latest_expired_ms = now_ms - self.max_age_ms
         expired = [
             entry
--- a/landingshift/net/routing/duplicates.py
+++ b/landingshift/net/routing/duplicates.py
@@ -1,8 +1,11 @@
 """Answers duplicates of RPCs from the deduplication table.
 
-Guarantee: a result goes only to a gateway. A duplicate on an unverified connection may come from an unknown
-client that guessed a gateway's key, so it gets the result only once the engine has recognized an RPC from
-that connection. If this does not happen within `VERIFICATION_TIME_MS`, the duplicate is aborted.
+The original of a duplicate is the earlier RPC with the same idempotency key or cache key.
+
+Guarantee: a result goes only to a gateway. A connection is verified once the engine has recognized an RPC
+that arrived on it. A duplicate on an unverified connection may come from an unknown client that guessed a
+gateway's key, so it gets the result only after verification. If the connection is not verified within
+`VERIFICATION_TIME_MS`, the duplicate is aborted.
 """
 
 from __future__ import annotations
@@ -21,7 +24,7 @@
 
 
 class DuplicateResolver:
-    """Answers duplicates once their original has ended and their connection is verified."""
+    """Answers a duplicate once its original has ended; sends a result only on a verified connection."""
 
     def __init__(
         self,
@@ -40,7 +43,7 @@
         self.connections = connections
 
     def await_original(self, rpc: RoutedRpc) -> None:
-        """Answers the duplicate once its original has ended."""
+        """Answers the duplicate `rpc` now if its original has ended, otherwise once the original ends."""
         entry = self.dedup.originals[rpc]
         if entry.outcome is None:
             entry.waiters[rpc] = None
@@ -48,17 +51,23 @@
             self._defer_answer(rpc, entry)
 
     def complete(self, entry: DedupEntry, outcome: Outcome, result: bytes) -> None:
-        """Stores the outcome of the entry's owner and answers the duplicates that wait for it."""
+        """Stores outcome and result of the entry's owner, and answers the duplicates that wait for them."""
         for waiter in self.dedup.complete(entry, outcome, result, self.loop.now_ms):
             self._defer_answer(waiter, entry)
 
     def drop_unrun(self, entry: DedupEntry) -> None:
-        """Removes the entry of an owner that never ran: aborts its duplicates, and later ones may run."""
+        """Removes an entry whose owner never ran, so that a later duplicate may run.
+
+        Duplicates that wait for the owner are aborted.
+        """
         self.complete(entry, Outcome.ABORTED, b"")
         self.dedup.remove(entry)
 
     def verify_connection(self, rpc: RoutedRpc) -> None:
-        """Verifies the connection of an RPC that the engine recognized; answers its waiting duplicates."""
+        """Marks the connection of `rpc` as verified, because the engine has recognized `rpc`.
+
+        The duplicates on that connection that wait for its verification are then answered.
+        """
         connection = self.connections.get(rpc.connection)
         if connection is None or connection.is_verified:
             return
@@ -71,12 +80,12 @@
         self.driver.defer(partial(self._answer_duplicate, rpc, entry, is_last_chance))
 
     def _answer_duplicate(self, rpc: RoutedRpc, entry: DedupEntry, is_last_chance: bool) -> None:
-        """Answers a duplicate whose original has ended.
+        """Answers a duplicate whose original has ended, or waits until its connection is verified.
 
         Args:
             rpc: The duplicate.
             entry: The entry of its original.
-            is_last_chance: Whether the time for verifying its connection is over.
+            is_last_chance: Whether the duplicate is aborted now if its connection is still unverified.
         """
         if rpc.is_closed or rpc.managed is None:
             return
@@ -98,11 +107,11 @@
         self.driver.controller_for_event().on_run_finished(rpc.managed, outcome, 0.0)
 
     def _await_verification(self, connection: GatewayConnection, rpc: RoutedRpc, entry: DedupEntry) -> None:
-        """Answers the duplicate once another RPC has verified the connection, or aborts it on timeout.
+        """Answers the duplicate once the connection is verified; aborts it after `VERIFICATION_TIME_MS`.
 
-        `EngineLink.query_known` uses a command to skip a call, which the engine refuses for every RPC whose
-        method allows no call to be skipped. A refusal closes an unverified connection together with its open
-        RPCs, so the engine is not queried for such methods.
+        Used for methods whose database call must not be skipped. For their duplicates the engine is not asked
+        whether it knows the RPC: `EngineLink.query_known` sends a skip-call command, which the engine refuses
+        for such methods even if it knows the RPC. The refusal would cut off the connection.
         """
         connection.unverified_duplicates = {
             duplicate: original
--- a/landingshift/net/routing/engine_events.py
+++ b/landingshift/net/routing/engine_events.py
@@ -19,10 +19,10 @@
 
 
 class EngineEventHandler:
-    """Implements the engine link's `EngineEvents`.
+    """Implements `EngineEvents`: handles the messages that arrive on the engine link.
 
     Args:
-        start_admission: Called when the engine answers for the first time.
+        start_admission: Called with the engine's first answer; creates the admission controller.
     """
 
     def __init__(
@@ -58,7 +58,7 @@
         self.start_admission(hello)
 
     def on_run_ended(self, notice: wire.RunEnded) -> None:
-        """Answers the RPC and its duplicates after the end of the run, and informs the controller."""
+        """Answers the RPC and its duplicates with the outcome of the run, and informs the controller."""
         rpc = self.table.find(notice.rpc_id)
         if rpc is None or rpc.managed is None:
             return
@@ -89,10 +89,10 @@
         self.driver.controller_for_event().on_call_needed(rpc.managed)
 
     def on_command_refused(self, refusal: wire.CommandRefused) -> None:
-        """Handles a refused command; aborts the RPC if the refusal shows that the engine does not know it.
+        """Logs a refused command, and ends the RPC if the refusal shows that the engine does not know it.
 
-        This is so for a refused run and for a query whether the engine knows the RPC. An unverified
-        connection that brought such an RPC is closed.
+        A refused run command and a refused `EngineLink.query_known` show this. The RPC is then aborted, and
+        its connection is cut off if it is unverified.
         """
         rpc = self.table.find(refusal.rpc_id)
         self.log("engine_command_refused", command=refusal.command.decode("latin-1"), known=rpc is not None)
@@ -106,5 +106,5 @@
             connection.cut_off("unknown_rpc")  # further RPCs of an unknown client would only use up capacity
 
     def on_gauges(self, values: list[float]) -> None:
-        """Passes on the gauges, in the order of the configuration."""
+        """Passes the gauge values to the check runner; their order is that of the configured gauge names."""
         self.check_runner.on_gauges(values)
--- a/landingshift/net/routing/engine_link.py
+++ b/landingshift/net/routing/engine_link.py
@@ -1,7 +1,8 @@
 """Maintains the link to the engine: reconnects after a loss and resends commands safely.
 
-Guarantee: a command counts as delivered once the engine has answered a query that was written after it. After
-a reconnect, undelivered commands are resent except those that `engine_commands` withholds.
+A notice is a numbered message of the engine about a run. Guarantee: a command counts as delivered once the
+engine has answered a gauge query that was written after the command. After a reconnect, undelivered commands
+are resent, except those that `engine_commands` withholds.
 """
 
 from __future__ import annotations
@@ -21,13 +22,13 @@
 RECONNECT_DELAY_MS = 50.0
 ADDRESS_CHANGE_GRACE_MS = 100.0  # time for the old link to confirm its commands before it is closed
 MAX_OUTAGE_MS = 1500.0  # time without a link after which the engine counts as not working
-MAX_SILENCE_MS = 2500.0  # wait for a due answer after which the link is closed
-MAX_SELF_TESTS = 64  # deep health checks in progress
+MAX_SILENCE_MS = 2500.0  # the link is closed if the engine takes longer than this to answer
+MAX_SELF_TESTS = 64  # maximum number of self-tests in progress, each for a deep health check
 CONNECT_FAILURES = ("refused", "unreachable")
 
 
 class EngineEvents(Protocol):
-    """Receives the engine's messages in order, and each notice once."""
+    """Receives the engine's messages in order; a notice repeated after a reconnect is delivered only once."""
 
     def on_engine_up(self, hello: wire.Hello) -> None:
         """Handles the engine's first answer since the start of this server."""
@@ -42,12 +43,12 @@
         """Handles the refusal of a command."""
 
     def on_gauges(self, values: list[float]) -> None:
-        """Handles the values of the gauges, in the order of the configuration."""
+        """Handles the gauge values, in the order of the configured gauge names."""
 
 
 @dataclass(slots=True)
 class GaugeQuery:
-    """A gauge query without an answer yet."""
+    """A gauge query that the engine has not answered yet."""
 
     tag: bytes
     bytes_before: int  # length of the output stream before the query; the answer confirms these bytes
@@ -58,16 +59,18 @@
 
     Args:
         address: The address at which the engine listens.
-        log: Receives events on links made and lost.
+        log: Receives an event when the link is made, ready or lost, and when notices are missing.
 
     Attributes:
         last_notice_number: The number of the last notice read.
-        is_ready: Whether all notices missed without a link have been read and commands may be written.
+        is_ready: Whether commands may be written. After a connect this is false until all notices that were
+            missed without a link have been read.
         has_reached_engine: Whether the engine has answered at least once since the start of the server.
         is_greeted: Whether the engine has answered on the present link.
-        is_changing_address: Whether the link is being closed in favour of another address.
-        commands: Commands that are not known to have arrived.
-        answered_at_ms: The start of the wait for a due answer; moves with the clock while none is due.
+        is_changing_address: Whether the link is about to close, to reconnect at another address.
+        commands: Commands that the engine has not confirmed.
+        answered_at_ms: The time at which the wait for the engine's answer began; updated regularly while no
+            answer is due.
     """
 
     def __init__(self, loop: Loop, address: Address, log: Callable[..., None]) -> None:
@@ -97,7 +100,7 @@
 
         Args:
             events: The receiver of the engine's messages.
-            attach: Whether to connect now. False only in a hot restart, which takes over an open link.
+            attach: Whether to connect now; False only in a hot restart, which takes over an open link.
         """
         self.events = events
         if attach:
@@ -107,7 +110,7 @@
     # Connecting
 
     def attach(self) -> None:
-        """Connects to the engine; retries later if that fails at once."""
+        """Connects to the engine; if that fails at once, retries after `RECONNECT_DELAY_MS`."""
         self.reconnect_timer = None
         self.decoder = wire.NoticeDecoder()
         self.linked_at_ms = self.loop.now_ms
@@ -133,7 +136,8 @@
         elif not self.is_ready:
             self.stream.close("moved")
         else:
-            # Closed only once all commands are confirmed: a run in doubt could not be resent.
+            # The link is closed once all commands are confirmed, so that no command is in doubt and withheld.
+            # The timer bounds the wait.
             stream = self.stream
             self.is_ready = False
             self.is_changing_address = True
@@ -142,16 +146,19 @@
 
     @property
     def is_working(self) -> bool:
-        """Return whether the engine counts as working.
+        """Return whether the engine counts as working: the link is ready, or was lost only a short time ago.
 
-        A short loss of the link is routine and does not change that.
+        Losing the link for less than `MAX_OUTAGE_MS` is routine.
         """
         return self.is_ready or (
             self.has_reached_engine and self.loop.now_ms - self.lost_at_ms < MAX_OUTAGE_MS
         )
 
     def _check_silence(self) -> None:
-        """Closes a link on which an answer is overdue. No answer is due before the engine is up."""
+        """Closes the link if the engine's answer is overdue; repeats every `MAX_SILENCE_MS / 2`.
+
+        No answer is due before the engine has answered for the first time.
+        """
         self.loop.after(MAX_SILENCE_MS / 2.0, self._check_silence)
         owes_answer = self.has_reached_engine and (self.gauge_query is not None or not self.is_greeted)
         if self.stream is None or not owes_answer:
@@ -169,7 +176,7 @@
                 self.stream.close(err.reason)
 
     def on_eof(self) -> None:
-        """Closes the link when the engine ends its side."""
+        """Closes the link when the engine has closed its side."""
         if self.stream is not None:
             self.stream.close("closed")
 
@@ -197,7 +204,7 @@
         self.reconnect_timer = self.loop.after(delay_ms, self.attach)
 
     def abandon_self_tests(self) -> None:
-        """Answers the deep health checks in progress by whether the engine counts as working."""
+        """Ends the self-tests in progress; they count as passed if the engine counts as working."""
         answers = self.self_tests
         self.self_tests = {}
         for answer in answers.values():
@@ -243,8 +250,8 @@
         if not self.has_reached_engine:
             self.has_reached_engine = True
             self.events.on_engine_up(hello)
-        # The engine sends the notices missed without a link before it answers this query. Only then is it
-        # known which commands must be resent.
+        # The engine sends the notices that were missed without a link before it answers this query. Until the
+        # answer it is not known which commands must be resent.
         self.query_gauges()
 
     def _on_gauge_report(self, report: wire.GaugeReport) -> None:
@@ -263,7 +270,7 @@
         elif not self.is_ready:
             self._resend()
         if self.commands.has_query():
-            self.query_gauges()  # a duplicate waits for the confirmation
+            self.query_gauges()  # a duplicate is not answered before its query is confirmed
 
     # Outgoing messages
 
@@ -278,7 +285,14 @@
         self.stream.write(wire.encode_gauge_query(tag))
 
     def run_self_test(self, answer: Callable[[bool], None]) -> None:
-        """Asks the engine to run its self-test; `answer` is called with whether it passed."""
+        """Asks the engine to run its self-test.
+
+        If the link is not ready, the test counts as passed if the engine counts as working. If too many tests
+        are in progress, it counts as failed.
+
+        Args:
+            answer: Called with whether the test passed.
+        """
         if not self.is_ready or self.stream is None or len(self.self_tests) >= MAX_SELF_TESTS:
             answer(self.is_working and len(self.self_tests) < MAX_SELF_TESTS)
             return
@@ -296,15 +310,15 @@
         return command
 
     def halt(self, rpc: RoutedRpc) -> None:
-        """Asks the engine to stop a run. A lost request is repeated by the admission controller."""
+        """Asks the engine to cancel a run. The admission controller repeats this until the run has ended."""
         if self.is_ready and self.stream is not None:
             self.stream.write(wire.encode_halt(rpc.rpc_id))
 
     def query_known(self, rpc: RoutedRpc, on_known: Callable[[], None]) -> None:
-        """Asks whether the engine knows the RPC; the engine answers with a refusal if it does not.
+        """Asks the engine whether it knows the RPC; an engine that does not know it refuses the query.
 
-        The query is a command to skip a call that no notice asked for, which has no effect on an RPC that the
-        engine knows.
+        The query is a skip-call command with the number `NO_NOTICE_NUMBER`, which no notice has. It
+        therefore has no effect on an RPC that the engine knows.
 
         Args:
             rpc: The RPC in question.
@@ -315,7 +329,7 @@
         self.query_gauges()
 
     def send_withheld(self, rpc: RoutedRpc) -> None:
-        """Sends the withheld command of an answered or abandoned RPC, to learn how its run ended."""
+        """Sends the withheld command, if any, of an answered or abandoned RPC, to learn how its run ended."""
         command = self.commands.latest.get(rpc)
         if command is not None and command.is_withheld:
             self.send_command(rpc, command.data, starts_run=True)
--- a/landingshift/net/routing/gateway_connection.py
+++ b/landingshift/net/routing/gateway_connection.py
@@ -1,7 +1,9 @@
 """One connection from a gateway: reads requests, writes answers and decides when to close.
 
-Guarantee: this server writes the answer to every RPC that it read before it closes the connection, unless the
-gateway stops reading or violates the protocol. A connection without any RPC that the engine knows may be idle
+Guarantee: this server closes a connection only after it has answered every RPC that it has read, unless the
+gateway stops reading or violates the protocol.
+
+A connection is verified once the engine has recognized an RPC that arrived on it. Until then it may be idle
 for at most `VERIFICATION_TIME_MS`, so that unknown clients cannot fill the connection table.
 """
 
@@ -23,20 +25,20 @@
 MAX_UNSENT_BYTES = MAX_OPEN_RPCS * MAX_ANSWER_BYTES  # the answers to all open RPCs
 GOAWAY_GRACE_MS = 1500.0  # time for a gateway to close its connection after goaway
 VERIFICATION_TIME_MS = 1000.0  # idle time allowed to an unverified connection
-MAX_MESSAGE_MS = 2000.0  # from a message's first byte to its last
+MAX_MESSAGE_MS = 2000.0  # maximum time from a message's first byte to its last
 MIN_CHECK_INTERVAL_MS = 50.0
-RESET_TIME_MS = 30.0  # time for the reset that answers a write to a closed gateway socket
+RESET_TIME_MS = 30.0  # time within which a write to a socket that the gateway has closed causes a reset
 DUE_TOLERANCE_MS = 1.0  # deadlines this close count as reached
 
 
 class GatewayEvents(Protocol):
-    """Receives what gateways send."""
+    """Receives the requests and cancellations of gateways."""
 
     def on_request(self, connection: GatewayConnection, request: wire.Request) -> None:
         """Handles an RPC request."""
 
     def on_abandoned(self, rpc: RoutedRpc) -> None:
-        """Handles an RPC whose answer is no longer wanted."""
+        """Handles an RPC whose answer the caller no longer wants or can no longer get."""
 
     def on_health_check(self, connection: GatewayConnection, request: wire.Request) -> None:
         """Handles a health check."""
@@ -49,7 +51,7 @@
     loop: Loop
     log: Callable[..., None]
     connections: Slots[GatewayConnection]
-    idle_limit_ms: float  # after which a verified idle connection gets goaway
+    idle_limit_ms: float  # time after which an idle verified connection gets goaway
     events: GatewayEvents = field(init=False)  # set before the loop runs
     is_draining: bool = False
 
@@ -67,14 +69,15 @@
         health_check_count: The number of health checks read.
         invalid_count: The number of RPCs rejected for an invalid field.
         cut_off_count: The number of RPCs that were open when this server cut the connection off.
-        last_invalid_field: The invalid field of the last RPC that was rejected for one.
-        goaway_deadline_ms: The time at which this server closes the connection; 0 before goaway.
+        last_invalid_field: The name of the last invalid field; empty if there was none.
+        goaway_deadline_ms: The time at which this server closes the connection after goaway; 0 before goaway.
         is_verified: Whether the engine has recognized an RPC from this connection.
-        unverified_duplicates: Duplicates that wait for verification, with the entries of their originals.
-        accepted_ms: The time of the accept.
+        unverified_duplicates: Duplicates that wait until the connection is verified, with the deduplication
+            entries that answer them.
+        accepted_ms: The time at which the connection was accepted.
         last_message_ms: The time of the last complete message or the last written answer.
-        partial_since_ms: The time at which a partly received message began; 0 where there is none.
-        accepted_pass: The loop pass of the accept.
+        partial_since_ms: The time at which a partly received message began; 0 if there is none.
+        accepted_pass: The number of the loop pass in which the connection was accepted.
     """
 
     def __init__(
@@ -110,7 +113,7 @@
             self.partial_since_ms = 0.0
         for message in messages:
             if self.stream.close_reason:
-                return  # the previous message led to a close
+                return  # the previous message made this server close the connection
             self._on_message(message)
         if self.decoder.buffer and not self.partial_since_ms and self.stream.is_open:
             self.partial_since_ms = self.loop.now_ms
@@ -133,9 +136,10 @@
             self.context.events.on_request(self, message)
 
     def on_eof(self) -> None:
-        """Handles the end of the gateway's side: closes, or stays open for the owed answers.
+        """Handles the end of the gateway's output: closes the connection once its RPCs are answered.
 
-        The gateway may still read. If it does not, the goaway written here provokes a reset.
+        The gateway may still read answers. If it does not, the goaway written here causes a reset, which is
+        checked for after `RESET_TIME_MS`.
         """
         if not self.rpcs:
             self.stream.close_gracefully("closed_by_gateway")
@@ -144,7 +148,7 @@
             self.loop.after(RESET_TIME_MS, self.stream.check_error)
 
     def on_closed(self, reason: str) -> None:
-        """Logs the closed connection and abandons its open RPCs."""
+        """Logs that the connection is closed, and abandons its open RPCs."""
         self.context.connections.drop(self.slot)
         self.loop.cancel(self.timer)
         self.context.log(
@@ -169,12 +173,12 @@
         if not self.stream.is_reading and not self.rpcs:
             self.stream.close_gracefully("closed_by_gateway")
         elif self.context.is_draining and not self.rpcs:
-            # The last answers are written shortly before the process is killed: the close of their
-            # connections cannot wait for the next scheduled check.
+            # The last answers are written shortly before the process is killed, so their connections are
+            # closed without waiting for the next scheduled check.
             self._check_after(0.0)
 
     def answer_invalid(self, message_id: int, field: str, data: bytes) -> None:
-        """Answers a request with an invalid field.
+        """Answers a request whose field `field` is invalid with `data`.
 
         Gateways send no such requests, so an unverified connection is cut off.
         """
@@ -212,19 +216,19 @@
         self.stream.close_gracefully(reason)
 
     def close_now(self, reason: str) -> None:
-        """Closes at once a connection that is owed no answer."""
+        """Closes the connection at once; called only if no answer is owed on it."""
         self.stream.flush()
         self.stream.close(reason)
 
     def try_evict(self) -> bool:
-        """Closes an unverified connection unless it has open RPCs; returns whether it is closed."""
+        """Reads waiting data; closes the connection if no RPC is open then. Returns whether it is closed."""
         self._read_pending()
         if self.stream.close_reason or not self.rpcs:
             self.close_now("crowded")
         return not self.stream.is_open
 
     def _read_pending(self) -> None:
-        """Reads what is waiting in the socket: a close would discard it and reset the connection."""
+        """Reads the data waiting in the socket: a close would discard the data and reset the connection."""
         if self.stream.is_open and self.stream.is_reading:
             self.stream.read()
 
@@ -233,11 +237,12 @@
         self.timer = self.loop.after(delay_ms, self.check_idle)
 
     def check_idle(self) -> None:
-        """Acts on elapsed deadlines of the connection.
+        """Closes the connection or sends goaway if a deadline has passed; otherwise schedules the next check.
 
-        An idle connection gets goaway if it is verified or has brought only valid RPCs, and is closed if the
-        gateway does not close it in time. Any other idle connection is closed at once. A connection with an
-        overdue message is cut off.
+        After its idle limit, a connection gets goaway if it is verified, or if it has carried RPCs and all of
+        them were valid. Any other connection is closed at once. After goaway, the connection is closed if the
+        gateway does not close it in time. A connection is cut off if a message is not complete after
+        `MAX_MESSAGE_MS`.
         """
         if self.stream.close_reason:
             return
@@ -268,7 +273,7 @@
 
     @property
     def _is_goaway_unsent(self) -> bool:
-        """Return whether goaway may still be queued behind answers that a slow reader has not read.
+        """Return whether goaway may still be queued behind answers because the gateway reads slowly.
 
         This holds for at most `GOAWAY_GRACE_MS` after the deadline, so that the connection closes in the end.
         """
@@ -289,5 +294,6 @@
         if self.partial_since_ms:
             message_left_ms = self.partial_since_ms + MAX_MESSAGE_MS - now_ms
         time_left_ms = min(ends_ms - now_ms, message_left_ms)
-        # With open RPCs nothing is due, even an overdue message: a close would lose the owed answers.
+        # While RPCs are open, no deadline counts as passed, not even that of a partial message: a close would
+        # lose the answers to the RPCs.
         return max(MIN_CHECK_INTERVAL_MS, time_left_ms) if self.rpcs else time_left_ms
--- a/landingshift/net/routing/gateways.py
+++ b/landingshift/net/routing/gateways.py
@@ -20,16 +20,16 @@
     UnsentBudget,
 )
 
-# Times the gateways' own idle limit. A connection that is idle for longer belongs to a gateway that does not
-# enforce the limit.
+# This server's idle limit is the gateways' own limit times this factor. A connection that exceeds it belongs
+# to a gateway that does not enforce its limit.
 IDLE_LIMIT_FACTOR = 1.25
 DRAIN_GOAWAY_GRACE_MS = 250.0  # time for a gateway to close its connection while the server drains
-EVICTION_FRACTION = 1 / 16  # of the maximum number of connections, evicted at a time
-MIN_AGE_PASSES = 2  # loop passes before a connection may be evicted
+EVICTION_FRACTION = 1 / 16  # about this fraction of the maximum number of connections is evicted at a time
+MIN_AGE_PASSES = 2  # loop passes for which a new connection cannot be evicted
 
 
 class Gateways:
-    """The listener and the connections that it has accepted.
+    """Accepts the gateways' connections, closes them and bounds their number.
 
     Args:
         address: The address at which gateways connect.
@@ -84,21 +84,24 @@
             self.log("connections_available", connections=len(self.connections))
 
     def add(self, open_stream: Callable[[GatewayConnection], Stream]) -> GatewayConnection:
-        """Add a connection on the stream that `open_stream` opens for it."""
+        """Add and return a connection on the stream that `open_stream` opens for it."""
         return GatewayConnection(self.context, open_stream)
 
     # Capacity
 
     def _has_capacity(self, has_descriptors: bool) -> bool:
-        """Return whether one more connection can be accepted; start an eviction if not.
+        """Return whether one more connection can be accepted; evict idle connections if necessary.
 
-        Unverified connections can be closed at once for a new one. Verified ones only get goaway, so their
-        capacity becomes free later.
+        An unverified connection can be closed at once to make room. A verified connection only gets goaway
+        and makes room later.
+
+        Args:
+            has_descriptors: Whether the process has file descriptors left.
         """
         if has_descriptors and len(self.connections) < self.max_connections:
             return True
         if has_descriptors and any(not connection.is_verified for connection in self._idle_connections()):
-            return True  # evicted after the accept
+            return True  # `_accept` evicts an unverified connection
         if self.evict_idle():
             return True
         if not self.is_full:
@@ -109,8 +112,8 @@
     def _idle_connections(self) -> list[GatewayConnection]:
         """Return the connections without open RPCs to which no goaway was sent.
 
-        A connection accepted in the last passes is not included: its socket may hold an RPC that was not read
-        yet and would be lost.
+        A connection accepted in the last passes is not included: its socket may hold an RPC that has not been
+        read yet and would be lost.
         """
         newest_pass = self.loop.passes_read - MIN_AGE_PASSES
         return [
@@ -145,10 +148,10 @@
             slowest.stream.close("stalled")
 
     def set_idle_limit(self, idle_limit_ms: float) -> None:
-        """Sets the idle limit that the admission controller decides.
+        """Sets the time after which an idle verified connection gets goaway.
 
-        A limit no shorter than the gateways' own is extended by `IDLE_LIMIT_FACTOR`, so that the gateways
-        close their idle connections first.
+        If `idle_limit_ms` is not shorter than the gateways' own limit, their limit times `IDLE_LIMIT_FACTOR`
+        is used instead, so that the gateways close their idle connections first.
         """
         if idle_limit_ms < self.gateway_idle_limit_ms:
             self.context.idle_limit_ms = idle_limit_ms
@@ -160,15 +163,16 @@
     # Draining
 
     def start_draining(self) -> None:
-        """Closes the listener once its backlog is accepted, and sends goaway on all connections."""
+        """Accepts the waiting connections, closes the listener and sends goaway on all connections."""
         self.context.is_draining = True
-        # Closed before goaway is sent: gateways reconnect at once, and a refusal proves that nothing ran.
+        # The listener is closed before goaway is sent: a gateway that gets goaway reconnects at once, and a
+        # refused connection proves to it that nothing ran.
         self._close_listener()
         for connection in self.connections:
             connection.send_goaway(DRAIN_GOAWAY_GRACE_MS)
 
     def _close_listener(self) -> None:
-        # Requests in the backlog count as received: closing the listener earlier would lose them. They are
+        # Connections in the backlog may hold requests, which a close of the listener would lose. They are
         # accepted even if the connection table is full.
         if self.listener.drain():
             self.listener.close()
--- a/landingshift/net/routing/health.py
+++ b/landingshift/net/routing/health.py
@@ -14,7 +14,7 @@
 
 
 class HealthReporter:
-    """Answers health checks, and reports to the roster once the server can serve.
+    """Answers health checks, and reports the server's health to the roster once the server is ready.
 
     Args:
         server_name: The server's name in the roster.
@@ -37,28 +37,29 @@
         self.engine = engine
         self.runs_deep_checks = runs_deep_checks
         self.is_healthy = True  # set by the admission controller
-        # Set by the admission controller, too: deep checks skip the self-test, whose load may be untimely.
+        # Whether deep checks skip the self-test, whose load may be untimely; set by the admission controller.
         self.is_shallow = True
         self.is_reporting = False
         self.is_started = False
-        self.readiness_gates: set[str] = set()  # services that hold back reports
+        self.readiness_gates: set[str] = set()  # names of the services that are not ready yet
 
     def add_readiness_gate(self, service: str) -> None:
-        """Makes the server count as not ready until each service that added a gate has removed it.
+        """Marks the named service as not ready, until `remove_readiness_gate` is called for it.
 
-        Until then the server does not start reporting to the roster, and health checks fail.
+        While any service is not ready, the server does not start reporting to the roster, and health checks
+        fail.
         """
         self.readiness_gates.add(service)
 
     def remove_readiness_gate(self, service: str) -> None:
-        """Removes the service's gate; reports begin with the removal of the last one."""
+        """Marks the service as ready. Reports begin once all services are ready and `start` was called."""
         if service in self.readiness_gates:
             self.readiness_gates.remove(service)
             if self.is_started:
                 self.start()
 
     def set_health(self, is_healthy: bool, is_shallow: bool) -> None:
-        """Sets the state that the admission controller decided; a change of health is reported at once."""
+        """Sets the health and whether deep checks skip the self-test; reports a change of health at once."""
         has_changed = is_healthy != self.is_healthy
         self.is_healthy = is_healthy
         self.is_shallow = is_shallow
@@ -66,7 +67,7 @@
             self._send_report()
 
     def start(self) -> None:
-        """Starts reports once the engine is up, unless a readiness gate holds them back."""
+        """Starts the periodic reports, or lets them start when the last readiness gate is removed."""
         self.is_started = True
         if not self.is_reporting and not self.readiness_gates:
             self.is_reporting = True
@@ -79,7 +80,12 @@
             self._send_report()
 
     def check(self, is_deep: bool, answer: Callable[[bool], None]) -> None:
-        """Answers a health check, at once or after the engine's self-test for a deep one."""
+        """Answers a health check; a deep check may first wait for the engine's self-test.
+
+        Args:
+            is_deep: Whether the check also covers the engine.
+            answer: Called with whether the server is healthy.
+        """
         if self.readiness_gates or (is_deep and not self.engine.is_working):
             answer(False)  # the server is not ready yet, or cannot work without its engine
         elif is_deep and self.runs_deep_checks and self.is_healthy and not self.is_shallow:
--- a/landingshift/net/routing/observers.py
+++ b/landingshift/net/routing/observers.py
@@ -1,6 +1,6 @@
-"""Interfaces for program parts that observe RPCs, and for the gate that may delay ok answers.
+"""Interfaces for components that observe RPCs, and for the gate that may delay ok answers.
 
-Neither can harm an RPC: an observer or gate that raises is removed and logged, and the RPC continues.
+An observer or gate that raises an exception is removed, and the RPC continues; the exception is logged.
 """
 
 from __future__ import annotations
@@ -36,10 +36,10 @@
 
     The methods, each optional:
 
-    - `on_read(rpc)`: a well-formed RPC was read.
+    - `on_read(rpc)`: the RPC was read and its request is valid.
     - `on_started(rpc)`: its run was handed to the engine.
     - `on_call_needed(rpc)`: its run asks for a database call.
-    - `on_call_finished(rpc, outcome, elapsed_ms)`: that call has ended.
+    - `on_call_finished(rpc, outcome, elapsed_ms)`: its database call has ended.
     - `on_answered(rpc, kind)`: its answer was written; `kind` is an `AnswerKind`.
     - `on_closed(rpc)`: the RPC is closed; no further event follows.
     """
@@ -48,13 +48,16 @@
 
 
 class AnswerGate(Protocol):
-    """May delay ok answers within the deadlines of their RPCs."""
+    """May delay ok answers, but not beyond the deadlines of their RPCs."""
 
     def defer_answer(self, rpc: RoutedRpc, result: bytes, run_time_ms: float) -> bool:
-        """Return whether the gate holds the answer; it must then send or abort the answer itself."""
+        """Return whether the gate takes over the ok answer of `rpc`.
+
+        If so, it must itself send or abort it with `AnswerWriter.send_deferred` or `abort_deferred`.
+        """
 
     def flush_by(self, deadline_ms: float) -> None:
-        """Requires the gate to release all held answers by `deadline_ms` on the loop's clock, for a drain."""
+        """Requires the gate to release all answers by `deadline_ms` on the loop's clock, for a shutdown."""
 
 
 Handler = Callable[..., None]
@@ -77,7 +80,7 @@
         self._set_observers((*self.observers, observer))
 
     def notify(self, event: str, *args: object) -> None:
-        """Calls the method named `event` of all observers that have it."""
+        """Calls the method named `event` of all observers that have it; removes an observer that raises."""
         for observer, handler in self.handlers[event]:
             try:
                 handler(*args)
--- a/landingshift/net/routing/reload.py
+++ b/landingshift/net/routing/reload.py
@@ -6,9 +6,9 @@
 
 from landingshift.net.routing.server_config import ServerConfig
 
-# Configuration keys that take effect only at the next start, with the attributes that hold them. The log
-# names those that a reload changes. `settings` take effect only at the next start, too, but are not listed,
-# because policies change them while the server runs.
+# Configuration keys that take effect only at the next start, with their attributes in `ServerConfig`. The log
+# names those that a reload would change. `settings` also takes effect only at the next start, but is not
+# listed, because policies change it while the server runs.
 FIXED_KEYS = {
     "name": "name",
     "listen": "listen",
@@ -20,15 +20,15 @@
 
 
 def reloaded_config(current: ServerConfig, new: ServerConfig) -> ServerConfig:
-    """Return the current configuration with the new values of what may change while the server runs.
+    """Return `current` with the values of `new` that may change while the server runs.
 
-    Changed `settings` are not applied.
+    Changes of `settings` are not applied.
     """
     return replace(current, engine=new.engine, database=new.database, roster=new.roster, stop_ms=new.stop_ms)
 
 
 def keys_requiring_restart(current: ServerConfig, new: ServerConfig) -> list[str]:
-    """Return the changed keys that take effect only at the next start, without the path of their object.
+    """Return the names of the changed configuration keys that take effect only at the next start.
 
     `settings` is never among them.
     """
--- a/landingshift/net/routing/request_validation.py
+++ b/landingshift/net/routing/request_validation.py
@@ -1,7 +1,7 @@
 """Decides which requests are accepted as RPCs.
 
 Guarantee: an accepted request has a known method and tenant, fields within their ranges, and an id that no
-RPC in flight has. The order of the checks shows in the log, which names the first invalid field.
+RPC in flight has. The log names the first invalid field, so the order of the checks is visible to operators.
 """
 
 from __future__ import annotations
@@ -17,23 +17,23 @@
 from landingshift.net.routing.rpc_table import RpcTable
 from landingshift.net.routing.server_config import ServerConfig
 
-MAX_AGE_MS = 120_000.0  # time since the RPC's arrival at the machine
-MAX_CLOCK_LEAD_MS = 5_000.0  # lead of the clock that stamped the arrival over this one
-MAX_WAIT_FACTOR = 4.0  # a caller may wait this many times the deadline of the method
+MAX_AGE_MS = 120_000.0  # longest time since the RPC's arrival at the machine
+MAX_CLOCK_LEAD_MS = 5_000.0  # longest time by which the stated arrival may be later than this server's clock
+MAX_WAIT_FACTOR = 4.0  # a caller may wait at most this many times the deadline of the method
 
 
 class RpcAlreadyRunningError(LandingshiftError):
-    """Raised for a request whose id belongs to a running RPC with an effect that must not happen twice."""
+    """Raised for a request whose id belongs to an RPC that has started and must not run twice."""
 
 
 @dataclass(slots=True)
 class CheckedRequest:
-    """A valid request."""
+    """A valid request with its decoded fields and its times."""
 
     method: Method
     tenant: Tenant | None
     fields: wire.RequestFields
-    age_ms: float  # time since its arrival at the machine
+    age_ms: float  # time since the request's arrival at the machine
     wait_ms: float  # total time that its caller waits
     remaining_ms: float | None  # time that its caller still waits; None if callers do not send it
 
@@ -42,7 +42,7 @@
     """Checks requests against the configuration and the RPCs in flight.
 
     Attributes:
-        attempt_id_field: The field with the id of the client's attempt; empty if there is none.
+        attempt_id_field: The name of the field with the id of the client's attempt; empty if there is none.
     """
 
     def __init__(self, config: ServerConfig, table: RpcTable) -> None:
@@ -55,7 +55,7 @@
 
         Raises:
             wire.InvalidFieldError: A field is invalid.
-            RpcAlreadyRunningError: An RPC with this id runs and must not run twice.
+            RpcAlreadyRunningError: An RPC with this id has started and must not run twice.
         """
         method = self.config.methods.get(request.method)
         if method is None:
@@ -75,9 +75,9 @@
     def _check_times(
         self, method: Method, tenant: Tenant | None, fields: wire.RequestFields
     ) -> CheckedRequest:
-        """Check the RPC's age and its caller's wait.
+        """Check the RPC's age and how long its caller waits; return the checked request.
 
-        The method's deadline stands in for a wait that callers do not send.
+        If the request does not state the caller's wait, the method's deadline is used for it.
         """
         now_unix_ms = time.time() * 1000.0
         if not now_unix_ms - MAX_AGE_MS < fields.arrived_unix_ms < now_unix_ms + MAX_CLOCK_LEAD_MS:
@@ -96,7 +96,10 @@
 
 
 def _id_in_use_error(method: Method, rpc_with_id: RoutedRpc) -> LandingshiftError:
-    """Return the error for a request with the id of an open RPC: the engine could not tell them apart."""
+    """Return the error for a request that has the id of an open RPC.
+
+    Such a request is never accepted, because the engine could not tell the two apart.
+    """
     has_started = rpc_with_id.managed is not None and rpc_with_id.managed.has_started
     if has_started and method.idempotency is not Idempotency.IDEMPOTENT:
         return RpcAlreadyRunningError()
--- a/landingshift/net/routing/router.py
+++ b/landingshift/net/routing/router.py
@@ -1,4 +1,4 @@
-"""Wires the parts of the server together; makes no decisions and handles no RPC event itself."""
+"""Creates and connects the components of a server; handles no RPC events itself."""
 
 from __future__ import annotations
 
@@ -31,20 +31,20 @@
 from landingshift.net.transport.datagram import DatagramSender
 from landingshift.net.transport.loop import Loop
 
-RESERVED_DESCRIPTOR_COUNT = 64  # for the database, engine, roster and log instead of gateways
+RESERVED_DESCRIPTOR_COUNT = 64  # file descriptors for the database, engine, roster and log
 MIN_CONNECTIONS = 8
-DEDUP_MEMORY_FRACTION = 0.25  # of the memory, for results stored for duplicates
-UNSENT_MEMORY_FRACTION = 0.25  # of the memory, for answers that gateways have not read
+DEDUP_MEMORY_FRACTION = 0.25  # fraction of the memory limit for the deduplication table
+UNSENT_MEMORY_FRACTION = 0.25  # fraction of the memory limit for answers that gateways have not read
 BYTES_PER_MB = 1048576.0
 
 
 class Router:
-    """One server: its gateway connections, its links, and the admission controller between them.
+    """One server: its gateway connections, its links to engine and database, and its admission controller.
 
     Args:
-        loop: The event loop; the controller settles at the end of each pass.
+        loop: The event loop; the controller settles (decides and acts) at the end of each pass.
         config: The configuration at startup.
-        log: Receives the name of an event and its fields.
+        log: The function that logs events; called with an event's name and its fields.
         listener: The listening socket of the old process; set only by hot restart, which also takes over the
             link to the engine.
 
@@ -53,7 +53,7 @@
 
     Attributes:
         config: The configuration in effect; a reload replaces it.
-        before_decisions: Called in each pass before deferred events reach the controller and it settles.
+        before_decisions: Called at the end of each pass, before the controller settles.
     """
 
     def __init__(
@@ -150,11 +150,11 @@
         return self.shutdown.is_draining
 
     def request_settle(self) -> None:
-        """Makes the controller settle in this pass, after a change of its inputs."""
+        """Makes the controller settle in this pass because its inputs have changed without an event."""
         self.driver.needs_settle = True
 
     def settle(self) -> None:
-        """Ends a loop pass: the controller acts on the events of the pass."""
+        """Ends a loop pass: the controller decides on the events of the pass and carries out its actions."""
         if self.before_decisions is not None:
             self.before_decisions()
         self.driver.settle()
@@ -165,12 +165,12 @@
         return rpc is not None and rpc in self.database.calls
 
     def _start_admission(self, hello: Hello) -> None:
-        """Creates the admission controller once the engine is up.
+        """Creates the admission controller when the engine answers for the first time.
 
-        The controller's start time is that of the engine, whose cores warm up from then on.
+        The controller's start time is the start of the engine, from which the engine's cores warm up.
         """
         if self.is_draining:
-            return  # the server stops without running anything, so it must not report to the roster
+            return  # the server stops without running any RPC, so it must not report to the roster
         settings = replace(self.config.settings, starts_cold=hello.is_cold)
         started_ms = self.loop.now_ms - hello.age_ms
         self.driver.controller = AdmissionController(settings, self.config.seed, self.actions, started_ms)
@@ -179,7 +179,7 @@
     def reload(self, config: ServerConfig) -> None:
         """Applies the parts of a new configuration that may change while the server runs.
 
-        The log names changed keys that take effect only at the next start, except for `settings`.
+        The log names the changed keys that take effect only at the next start, except `settings`.
         """
         postponed = keys_requiring_restart(self.config, config)
         self.config = reloaded_config(self.config, config)
--- a/landingshift/net/routing/rpc_intake.py
+++ b/landingshift/net/routing/rpc_intake.py
@@ -1,7 +1,7 @@
 """Handles requests from gateways: passes RPCs to the admission controller and answers health checks.
 
-Guarantee: every request is answered. One that is not accepted is answered at once. A duplicate of an RPC with
-an effect is never rejected as not having run.
+Guarantee: every request is answered; a request that is not accepted is answered at once. A rejection states
+that the RPC never ran, so a duplicate of an RPC that must not run twice is never rejected.
 """
 
 from __future__ import annotations
@@ -27,16 +27,16 @@
 from landingshift.net.routing.rpc_record import RoutedRpc
 from landingshift.net.routing.rpc_table import RpcTable
 
-# With so many RPCs in flight, requests on unverified connections are refused, to bound the memory in use.
+# Once this many RPCs are in flight, requests on unverified connections are not accepted, to bound memory.
 MAX_RPCS_WITH_UNVERIFIED = 1024
 
 
 class RpcIntake:
-    """Implements the gateways' `GatewayEvents`.
+    """Implements `GatewayEvents`: handles the requests and cancellations of gateways.
 
     Args:
         release: Closes an RPC for which the controller raised an exception.
-        log: Receives an event for the first invalid field on a verified connection.
+        log: Receives an event for the first invalid request on each verified connection.
     """
 
     def __init__(
@@ -73,14 +73,15 @@
             self._answer_invalid(connection, request, err.field)
             return
         except RpcAlreadyRunningError:
-            # Not rejected: the gateway would retry it on another server, where it would run a second time.
+            # Aborted, not rejected: after a rejection the gateway would retry the RPC on another server,
+            # where it would run a second time.
             data = wire.encode_aborted(request.message_id, self.answers.headers)
             connection.answer(request.message_id, data)
             return
         dedup_key = _dedup_key(request.method, checked)
         is_flood = not connection.is_verified and len(self.table) >= MAX_RPCS_WITH_UNVERIFIED
         if self.driver.controller is None or is_flood:
-            self._answer_not_taken(connection, request, checked.method, dedup_key)
+            self._answer_not_accepted(connection, request, checked.method, dedup_key)
             return
         rpc = _make_rpc(connection, request, checked, dedup_key)
         now_ms = self.driver.loop.now_ms
@@ -94,12 +95,12 @@
         self._admit(rpc)
 
     def on_abandoned(self, rpc: RoutedRpc) -> None:
-        """Marks the RPC as abandoned by its caller; the controller is informed later in the pass."""
+        """Marks the RPC as abandoned by its caller and informs the controller later in the loop pass."""
         rpc.is_abandoned = True
         self.driver.defer(partial(self._on_caller_gone, rpc))
 
     def on_health_check(self, connection: GatewayConnection, request: wire.Request) -> None:
-        """Answers a health check, at once or after the engine's self-test for a deep one."""
+        """Answers a health check; a deep check may first wait for the engine's self-test."""
 
         def answer(is_healthy: bool) -> None:
             data = wire.encode_health(request.message_id, is_healthy, self.answers.headers)
@@ -128,29 +129,29 @@
 
     def _answer_invalid(self, connection: GatewayConnection, request: wire.Request, field: str) -> None:
         if connection.is_verified and not connection.invalid_count:
-            # Later ones are counted in the log line of the connection's end.
+            # Further invalid requests are only counted, in the log event for the closed connection.
             self.log("bad_rpc", field=field, method=request.method)
         data = wire.encode_rejected(request.message_id, self.answers.headers)
         connection.answer_invalid(request.message_id, field, data)
 
-    def _answer_not_taken(
+    def _answer_not_accepted(
         self,
         connection: GatewayConnection,
         request: wire.Request,
         method: Method,
         dedup_key: DedupKey | None,
     ) -> None:
-        """Answers a request that arrived before the engine was up, or in a flood of unverified requests.
+        """Rejects a valid request that is not accepted, because no engine is up or too many RPCs are open.
 
-        In a flood, too, a duplicate of an RPC with an effect must not be rejected as never run.
+        A duplicate of an RPC that may have run and must not run twice is aborted instead.
         """
-        has_run = method.idempotency is Idempotency.KEYED and dedup_key in self.dedup.entries
-        encode = wire.encode_aborted if has_run else wire.encode_rejected
+        may_have_run = method.idempotency is Idempotency.KEYED and dedup_key in self.dedup.entries
+        encode = wire.encode_aborted if may_have_run else wire.encode_rejected
         connection.answer(request.message_id, encode(request.message_id, self.answers.headers))
 
 
 def _dedup_key(method_name: str, checked: CheckedRequest) -> DedupKey | None:
-    """Return the key that a request shares with its duplicates; None if it has none."""
+    """Return the deduplication key, which duplicates share; None if the request has none."""
     fields = checked.fields
     is_keyed = checked.method.idempotency is Idempotency.KEYED
     key = fields.idempotency_key if is_keyed else fields.cache_key
@@ -168,7 +169,7 @@
         method=checked.method,
         tenant=checked.tenant,
         remaining_ms=checked.remaining_ms,
-        # Capped: an RPC older than its caller's wait is too late, whatever its exact age.
+        # Capped: once the caller's wait is over, the RPC's exact age no longer matters.
         waited_ms=min(checked.wait_ms, checked.age_ms),
         memory_kb=fields.memory_kb,
         caller_id=fields.caller_id,
--- a/landingshift/net/routing/rpc_record.py
+++ b/landingshift/net/routing/rpc_record.py
@@ -1,4 +1,4 @@
-"""The record of an RPC in this server; it does not refer to the components that handle it."""
+"""The record of an RPC in this server. It holds no references to the components that handle the RPC."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
     rpc_id: bytes
     method_name: bytes  # as sent to the engine
     body: bytes
-    connection: int  # slot of the connection on which it arrived
+    connection: int  # slot number of the connection on which the RPC arrived
     message_id: int  # message id of its request on that connection
-    dedup_key: tuple[bytes, str] | None  # shared with its duplicates
+    dedup_key: tuple[bytes, str] | None  # deduplication key: method, and idempotency key or cache key
     tenant_name: str = ""
     attempt_id: str | None = None  # id of the client's attempt, if a request field for it is configured
-    slot: int = -1  # index in the table of RPCs in flight
-    # The admission controller's handle; None until the controller has received the RPC and after its close.
+    slot: int = -1  # slot number in the table of RPCs in flight
+    # The admission controller's handle; None before the controller receives the RPC and after its release.
     managed: ManagedRpc | None = None
     is_answered: bool = False
     is_answer_deferred: bool = False  # the answer gate holds its ok answer
     is_abandoned: bool = False  # its caller no longer waits for an answer
     is_closed: bool = False  # the admission controller has released it
-    call_notice_number: int = 0  # number of the engine's notice that asked for the present call
-    call_request: bytes = b""
+    call_notice_number: int = 0  # number of the engine's notice that asked for the latest database call
+    call_request: bytes = b""  # request of that call
--- a/landingshift/net/routing/rpc_table.py
+++ b/landingshift/net/routing/rpc_table.py
@@ -9,7 +9,7 @@
 
 
 class RpcTable:
-    """The RPCs between their read and their release by the admission controller, by id."""
+    """The RPCs that were read and that the admission controller has not released, indexed by RPC id."""
 
     def __init__(self) -> None:
         self.slots: Slots[RoutedRpc] = Slots()
--- a/landingshift/net/routing/server_config.py
+++ b/landingshift/net/routing/server_config.py
@@ -22,7 +22,7 @@
         stop_ms: The time from the shutdown signal until the process is killed.
         memory_mb: The memory limit of the process.
         max_sockets: The maximum number of open sockets.
-        settings: The admission controller's settings; a policy may change values in it in place.
+        settings: The admission controller's settings; a policy may change their fields in place.
         methods: The methods, by their names on the wire.
         tenants: The tenants, by their names on the wire; empty if RPCs name no tenant.
         gauge_names: The names of the engine's gauges, in the order in which the engine reports them.
--- a/landingshift/net/routing/shutdown.py
+++ b/landingshift/net/routing/shutdown.py
@@ -1,8 +1,9 @@
 """Graceful shutdown: answers all RPCs, then closes the connections, then stops the loop.
 
-Guarantee: requests that waited to be accepted or read at the shutdown signal are answered. The loop stops
-when all connections are closed. A gateway that keeps its side open holds the process until it is killed: an
-earlier close could cause a reset that discards answers which the gateway has not read.
+Guarantee: every request that had reached the server's sockets at the shutdown signal is answered, even if it
+had not been accepted or read yet. The loop stops when all connections are closed. If a gateway does not close
+its side, the process runs until it is killed, since closing earlier could cause a reset that discards answers
+which the gateway has not read.
 """
 
 from __future__ import annotations
@@ -12,13 +13,13 @@
 from landingshift.net.routing.gateways import Gateways
 from landingshift.net.transport.loop import Loop
 
-CONNECTION_DRAIN_MS = 600.0  # time before the kill at which goaway is sent
-CHECK_INTERVAL_MS = 20.0  # between checks whether all connections are closed
-MIN_TIME_LEFT_MS = 1.0
+CONNECTION_DRAIN_MS = 600.0  # time between goaway and the kill; at most half of the time left
+CHECK_INTERVAL_MS = 20.0  # time between checks whether all connections are closed
+MIN_TIME_LEFT_MS = 1.0  # assumed if the loop handles the signal after the kill is due
 
 
 class GracefulShutdown:
-    """Drains the server between the shutdown signal and its end.
+    """Drains the server after the shutdown signal and stops the loop.
 
     Args:
         stop_ms: The time from the shutdown signal until the process is killed.
@@ -57,7 +58,7 @@
         left_ms = max(MIN_TIME_LEFT_MS, self.stop_ms - elapsed_ms)
         self.stop_at_ms = self.loop.now_ms + left_ms
         if self.driver.controller is None:
-            # Nothing runs, but requests waiting unread count as received: they are read and rejected.
+            # No RPC runs yet, but requests that have not been read must be answered: they will be rejected.
             self._drain_connections()
             return
         self.driver.controller_for_event().start_draining(left_ms, elapsed_ms)
@@ -66,13 +67,13 @@
             self.answers.gate.flush_by(self.loop.now_ms + drain_after_ms)
 
     def resume(self, stop_at_ms: float) -> None:
-        """Continues a drain that the old process began; called only by hot restart."""
+        """Continues a drain that the old process began before a hot restart."""
         self.is_draining = True
         self.stop_at_ms = stop_at_ms
         self.schedule_connection_drain()
 
     def schedule_connection_drain(self) -> float:
-        """Schedules goaway for all connections; returns the delay in ms."""
+        """Schedules the closing of the listener and goaway on all connections; returns the delay in ms."""
         left_ms = self.stop_at_ms - self.loop.now_ms
         drain_after_ms = max(left_ms - CONNECTION_DRAIN_MS, left_ms / 2.0)
         self.loop.after(drain_after_ms, self._drain_connections)
