--- a/landingshift/net/routing/database_pool.py
+++ b/landingshift/net/routing/database_pool.py
@@ -20,7 +20,7 @@
 from landingshift.net.transport.stream import Address, Stream, connect
 
 MAX_UNSENT_BYTES = 1 << 20
-# The database may silently drop an idle link; the next call on it would be lost.
+# Idle links are closed after this time: the database may silently drop them, and the next call would be lost.
 MAX_IDLE_MS = 1000.0
 MAX_LINKS = 24  # links that take new calls
 MAX_RETIRED_LINKS = 16  # further links that stay open only until their last calls end
@@ -231,7 +231,7 @@
         An RPC that has a new call in flight is skipped: the new call replaces the cancelled one.
 
         Args:
-            is_calling: Whether the RPC with the given id has a call in flight.
+            is_calling: Returns whether the RPC with the given id has a call in flight.
         """
         for link, rpc_id in self.cancelled:
             if link.stream is not None and not is_calling(rpc_id):
--- a/landingshift/net/routing/dedup.py
+++ b/landingshift/net/routing/dedup.py
@@ -69,7 +69,7 @@
 
         An entry that has expired or whose result may not be reused is removed. `rpc` is within the window of
         an entry if it arrived at the machine (`arrived_ms`) before the window ended, even if it is read much
-        later. If it counted as a new RPC then, it could be rejected as never run although its original ran.
+        later. If it counted as a new RPC, it could be rejected as never run although its original ran.
         """
         entry = self.entries.get(rpc.dedup_key) if rpc.dedup_key else None
         if entry is None:
--- a/landingshift/net/routing/gateway_connection.py
+++ b/landingshift/net/routing/gateway_connection.py
@@ -178,7 +178,7 @@
             self._check_after(0.0)
 
     def answer_invalid(self, message_id: int, field: str, data: bytes) -> None:
-        """Answers a request whose field `field` is invalid with `data`.
+        """Writes the answer `data` to a request whose field `field` is invalid.
 
         Gateways send no such requests, so an unverified connection is cut off.
         """
@@ -197,7 +197,7 @@
     # Closing
 
     def send_goaway(self, grace_ms: float = GOAWAY_GRACE_MS) -> None:
-        """Asks the gateway to close the connection; this server closes it after `grace_ms` otherwise."""
+        """Asks the gateway to close the connection; this server closes it if it is open after `grace_ms`."""
         if not self.stream.is_open:
             return
         if not self.goaway_deadline_ms:
--- a/landingshift/net/routing/gateways.py
+++ b/landingshift/net/routing/gateways.py
@@ -125,7 +125,7 @@
         ]
 
     def evict_idle(self) -> bool:
-        """Closes some idle unverified connections; sends goaway to idle verified ones if there are none.
+        """Closes some idle unverified connections, or else sends goaway to some idle verified ones.
 
         Goaway is sent only if every connection is verified or has open RPCs.
 
--- a/landingshift/net/routing/observers.py
+++ b/landingshift/net/routing/observers.py
@@ -57,7 +57,7 @@
         """
 
     def flush_by(self, deadline_ms: float) -> None:
-        """Requires the gate to release all answers by `deadline_ms` on the loop's clock, for a shutdown."""
+        """Requires the gate to release all answers that it holds by `deadline_ms` on the loop's clock."""
 
 
 Handler = Callable[..., None]
