--- a/landingshift/policies/change_log.py
+++ b/landingshift/policies/change_log.py
@@ -1,4 +1,4 @@
-"""Log lines and failpoints for the steps of a change, as this server takes part in it or leads it."""
+"""Log lines and failpoints for the steps of a change on a participant or leader."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 from landingshift.policies.node import PolicyNode
 from landingshift.policies.participant import ParticipantState
 
-COMMITTING_STEP = "switching"  # the commit is proposed
-NO_STEP = "none"  # stands in failpoints for an empty name
+COMMITTING_STEP = "switching"  # step in which the commit is proposed
+NO_STEP = "none"  # replaces an empty step or state in the names of failpoints
 
 
 @dataclass(slots=True, frozen=True)
 class ChangeProgress:
-    """What log lines are about.
+    """Progress of a change as this server sees it.
 
     Attributes:
-        change_id: The change that this server takes part in.
-        state: How far it is.
-        pending_change_id: The change under way, as far as entries are applied here.
-        is_leader: Whether this server leads.
-        leader_step: Step of the change, where this server leads it.
+        change_id: Id of the change that this server takes part in; empty if there is none.
+        state: State of this server in that change.
+        pending_change_id: Id of the change in progress, according to the entries applied here.
+        is_leader: Whether this server is the leader.
+        leader_step: Step of the change in progress if this server is the leader, else empty.
     """
 
     change_id: str = ""
@@ -33,7 +33,7 @@
 
 
 class ChangeLog:
-    """Writes a line for each step, once."""
+    """Logs each step of a change once."""
 
     def __init__(self, node: PolicyNode, log: Callable[..., None]) -> None:
         self._node = node
@@ -41,7 +41,7 @@
         self._previous = ChangeProgress()
 
     def update(self, now_ms: float) -> None:
-        """Writes what has changed since the last call."""
+        """Logs the changes since the last call."""
         current = self._progress(now_ms)
         if current == self._previous:
             return
--- a/landingshift/policies/commands.py
+++ b/landingshift/policies/commands.py
@@ -1,6 +1,7 @@
-"""Commands of the replicated log: what the state machine of policies applies.
+"""Commands of the policies state machine, and their encoding in the replicated log.
 
-The only module that knows their encoding: a MessagePack array whose first word names the command.
+Each entry is a MessagePack array whose first element names the command. No other module depends on this
+encoding.
 """
 
 from __future__ import annotations
@@ -13,24 +14,24 @@
 
 
 class ChangeOutcome(Enum):
-    """What became of a change. The values are stored and sent."""
+    """Outcome of a change. The values are stored and sent to other servers."""
 
     PENDING = "open"
     COMMITTED = "taken"
-    REJECTED = "refused"  # by a member, or at once
-    WITHDRAWN = "withdrawn"  # by an operator, or after its time
+    REJECTED = "refused"  # by a member, or when it was proposed
+    WITHDRAWN = "withdrawn"  # by an operator, or by the leader after a timeout
 
 
 FINAL_OUTCOMES = tuple(outcome.value for outcome in ChangeOutcome if outcome is not ChangeOutcome.PENDING)
-UNKNOWN_OUTCOME = "unknown"  # reported, never stored
+UNKNOWN_OUTCOME = "unknown"  # reported to operators, never stored
 
 
 @dataclass(slots=True, frozen=True)
 class JoinMembers:
-    """Servers become members: from then on a change needs them.
+    """Adds members; from then on, every change must wait for them.
 
     Attributes:
-        members: Name and run of each; a run is one life of a process.
+        members: Name and run id of each server.
     """
 
     members: tuple[tuple[str, int], ...]
@@ -38,7 +39,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RemoveMember:
-    """One run of a member has ended and decides nothing more."""
+    """Removes one run of a member, which has ended and decides on no more RPCs."""
 
     name: str
     run_id: int
@@ -46,14 +47,14 @@
 
 @dataclass(slots=True, frozen=True)
 class OpenChange:
-    """A change begins.
+    """Opens a change.
 
     Attributes:
-        change_id: Chosen by whoever asks, so that asking twice is safe.
-        policy: The whole policy as it is stored.
-        author: Who asks for it.
-        reason: Why.
-        opened_at_ms: Unix time of the leader that took it in.
+        change_id: Id chosen by the operator, which makes a repeated proposal harmless.
+        policy: Complete policy, encoded.
+        author: Operator who proposes the change.
+        reason: The operator's reason for the change.
+        opened_at_ms: Unix time of the leader when it accepted the proposal.
     """
 
     change_id: str
@@ -65,11 +66,11 @@
 
 @dataclass(slots=True, frozen=True)
 class CommitChange:
-    """The next version is in force, unless a member joined after its leader had asked all.
+    """Puts a change in force as the next version, unless a member joined after all members were prepared.
 
     Attributes:
-        change_id: The change that it becomes of.
-        join_count: How often members had joined when the leader had asked all.
+        change_id: Id of the change.
+        join_count: `PolicyStateMachine.join_count` when the leader proposed the commit.
     """
 
     change_id: str
@@ -78,12 +79,12 @@
 
 @dataclass(slots=True, frozen=True)
 class EndChange:
-    """A change ends without a new version.
+    """Ends a change without a new version.
 
     Attributes:
-        change_id: The change.
-        outcome: How it ends.
-        reason: Why.
+        change_id: Id of the change.
+        outcome: Final outcome.
+        reason: Reason for the outcome.
         ended_at_ms: Unix time of the leader.
     """
 
@@ -97,7 +98,7 @@
 
 
 def encode_command(command: Command) -> bytes:
-    """Entry for the replicated log."""
+    """Returns the log entry of a command."""
     return msgspec.msgpack.encode(_to_array(command))
 
 
@@ -116,7 +117,7 @@
 
 
 def decode_command(data: bytes) -> Command | None:
-    """Command of an entry; None for an entry that this build does not know."""
+    """Returns the command of a log entry, or None if this build does not know it."""
     match msgspec.msgpack.decode(data):
         case ["join", list(members)]:
             return JoinMembers(tuple((name, run_id) for name, run_id in members))
--- a/landingshift/policies/coordinator.py
+++ b/landingshift/policies/coordinator.py
@@ -1,8 +1,9 @@
-"""The leader's side of policy changes: who has answered, when all are prepared, when a change is over.
+"""Coordinator of policy changes on the leader: tracks members' states, and commits or ends the change.
 
-Guarantee: a commit is proposed only once every member is prepared or certainly stands aside, and no lease is
-granted from then on until it is applied or void. Failure mode: all that is here may be lost with its leader;
-the next one asks anew, and what must not be lost is in the replicated state machine.
+Guarantee: a commit is proposed only once every member is prepared or certainly on standby, and no lease is
+granted from then on until the commit is applied or void. Failure mode: the state of the coordinator is lost
+with its leader. The next leader polls the members again; everything that must survive is in the replicated
+state machine.
 """
 
 from __future__ import annotations
@@ -48,15 +49,15 @@
 from landingshift.policies.state_machine import Change, PolicyStateMachine
 from landingshift.policies.voter_changes import plan_voter_change
 
-POLL_INTERVAL_MS = 150.0  # between two polls of members that are behind
-POLL_AFTER_COMMIT_MS = 5000.0  # for how long members are polled after a commit
+POLL_INTERVAL_MS = 150.0  # between polls of lagging members
+POLL_AFTER_COMMIT_MS = 5000.0  # duration of polling after a commit
 BUSY_TICK_INTERVAL_MS = 50.0  # while a change is under way or members join
 IDLE_TICK_INTERVAL_MS = 500.0
-MAX_NAMED_MEMBER_COUNT = 5  # of those that a change waited for, in its reason
-MAX_REPORTED_MEMBER_COUNT = 64  # of those that a change waits for, in an answer
-MAX_JOIN_COUNT = 256  # members that one entry takes
+MAX_NAMED_MEMBER_COUNT = 5  # unprepared members named in the reason of a timeout
+MAX_REPORTED_MEMBER_COUNT = 64  # unprepared members listed in a reply to an operator
+MAX_JOIN_COUNT = 256  # servers in one `JoinMembers` entry
 
-WANTED_STATES = {
+EXPECTED_STATES = {
     ChangePhase.NONE: (),
     ChangePhase.VALIDATE: (ParticipantState.VALIDATED, ParticipantState.PREPARED),
     ChangePhase.PREPARE: (ParticipantState.PREPARED,),
@@ -64,14 +65,14 @@
 
 
 class ChangeCoordinator:
-    """Drives changes while its voter leads; answers members and operators.
+    """Drives changes and answers members and operators while its voter is the leader.
 
     Attributes:
-        reports: What members told in this term.
-        phase: What is wanted of members for the change under way.
-        committing_change_id: The change whose commit was proposed; empty for none.
-        next_deadline_ms: When `tick` is due.
-        outbox: Receivers and messages that wait to be sent.
+        reports: Members' reports in this term.
+        phase: Phase that members are asked for in the change in progress.
+        committing_change_id: Id of the change whose commit is proposed and not yet applied; empty if none.
+        next_deadline_ms: Time at which `tick` is due.
+        outbox: Messages to send, each with its receiver.
     """
 
     def __init__(
@@ -81,13 +82,13 @@
         settings: PolicySettings,
         wall_clock_ms: Callable[[], float],
     ) -> None:
-        """Starts without a term.
+        """Starts outside any term.
 
         Args:
-            raft: This server's node, which leads or not.
-            state: What is replicated.
-            settings: Alike on all servers.
-            wall_clock_ms: Unix time, for what people read; nothing is decided by it.
+            raft: Raft node of this server, whether leader or not.
+            state: Replicated state machine.
+            settings: Protocol settings, the same on all servers.
+            wall_clock_ms: Returns Unix time for operators to read; no decision depends on it.
         """
         self._raft = raft
         self._state = state
@@ -99,22 +100,22 @@
 
     def _begin_term(self, now_ms: float) -> None:
         self.reports = MemberReports(self._settings, now_ms)
-        self._joining: dict[str, int] = {}  # servers that asked and are no members yet, and their runs
+        self._joining: dict[str, int] = {}  # run ids of servers whose join is not yet applied
         self._join_entry_index = 0
-        self._change_id = ""  # the change that `phase` is about
+        self._change_id = ""  # the change that `phase` belongs to
         self._change_began_at_ms = now_ms
         self.phase = ChangePhase.NONE
         self.committing_change_id = ""
         self._commit_entry_index = 0
-        self._ending_change_id = ""  # the change whose end was proposed
-        self._proposed_entry_index: dict[str, int] = {}  # by a key of what was proposed
+        self._ending_change_id = ""  # the change whose end is proposed
+        self._proposed_entry_index: dict[str, int] = {}  # log index by proposal key, see `_propose_once`
         self._version = self._state.version
         self._committed_at_ms = NEVER_MS
         self._last_poll_at_ms = NEVER_MS
         self.next_deadline_ms = now_ms
 
     def _is_leading(self, now_ms: float) -> bool:
-        """Whether this voter may speak as the leader; begins anew in each term that it leads."""
+        """Returns whether this voter holds the leader lease; resets the state at the start of a new term."""
         if not self._raft.has_leader_lease(now_ms):
             return False
         if self._raft.current_term != self._term:
@@ -125,19 +126,19 @@
     def _send(self, receiver: str, message: Message) -> None:
         self.outbox.append((receiver, message))
 
-    # What members ask
+    # Requests of members
 
     def on_lease_request(
         self, sender: str, request: LeaseRequest, now_ms: float, known_leader: str = ""
     ) -> None:
-        """Answers a member.
+        """Replies to a lease request with a lease reply, a redirect or a refusal.
 
         Args:
-            sender: Who asks.
-            request: What it tells of itself.
-            now_ms: Monotonic clock, read after the request came.
-            known_leader: The leader that answers this server's own requests. A replaced voter learns of none
-                any more, and whoever knows only the voters of its settings asks nobody else.
+            sender: Name of the requesting server.
+            request: The request.
+            now_ms: Monotonic clock, read after the request arrived.
+            known_leader: Leader that replies to this server's own requests. A replaced voter no longer learns
+                the leader from Raft, but servers that know only the initial voters may ask no other server.
         """
         if not self._is_leading(now_ms):
             leader = self._raft.leader or known_leader
@@ -151,7 +152,7 @@
         if not is_member and len(self._joining) < MAX_JOIN_COUNT:
             self._joining[sender] = request.run_id
             self.next_deadline_ms = now_ms
-        # Nobody gets a lease for the old version once the commit may be replicated.
+        # No lease for the old version is granted once the commit may be replicated.
         is_leased = is_member and not self.committing_change_id
         if self.reports.record(sender, request, is_leased, now_ms):
             self.next_deadline_ms = now_ms
@@ -160,7 +161,7 @@
             is_member,
             self._state.version,
             self._state.pending_change_id,
-            self._wanted_phase(),
+            self._requested_phase(),
             self._ended_change(request.change_id),
             is_leased,
             self._raft.voters,
@@ -168,23 +169,23 @@
         self._send(sender, reply)
 
     def _refusal_reason(self, sender: str, request: LeaseRequest) -> str:
-        """Why the sender can't be a member; empty where it can."""
+        """Returns why the sender can't be a member; empty if it can."""
         own_fingerprint = self._settings.fingerprint
         if request.fingerprint != own_fingerprint:
             leader = self._raft.name
-            return f"its [policies] is another than {leader}'s: {request.fingerprint}, not {own_fingerprint}"
+            return f"its [policies] differs from {leader}'s: {request.fingerprint}, not {own_fingerprint}"
         state = self._state
         if state.has_capacity_for(sender):
             return ""
-        return f"{state.max_member_count} members are counted, which is the most"
+        return f"the limit of {state.max_member_count} members is reached"
 
-    def _wanted_phase(self) -> ChangePhase:
+    def _requested_phase(self) -> ChangePhase:
         if self._change_id == self._state.pending_change_id:
             return self.phase
         return ChangePhase.VALIDATE if self._state.pending_change_id else ChangePhase.NONE
 
     def _ended_change(self, change_id: str) -> EndedChange | None:
-        """What became of a change that a member still has; None while it is under way or unknown."""
+        """Returns the outcome of the change that a member is in; None if it is in progress or unknown."""
         if not change_id or change_id == self._state.pending_change_id:
             return None
         change = self._state.find_change(change_id)
@@ -194,7 +195,7 @@
         return EndedChange(change_id, change.outcome.value, change.version, reason)
 
     def on_policy_request(self, sender: str, request: PolicyRequest) -> None:
-        """Sends the policy of the change under way, or of the version in force."""
+        """Sends the policy of the change in progress or of the version in force, as requested."""
         state = self._state
         if request.change_id and request.change_id == state.pending_change_id:
             policy = state.changes[request.change_id].policy
@@ -202,10 +203,13 @@
         elif not request.change_id and request.version == state.version:
             self._send(sender, PolicyText("", request.version, state.policies[request.version]))
 
-    # What operators ask
+    # Requests of operators
 
     def on_operator_request(self, sender: str, request: OperatorRequest, now_ms: float) -> None:
-        """Does what an operator wants, if this voter leads; answers once there is something to tell."""
+        """Executes an operator's command if this voter is the leader.
+
+        A proposal or withdrawal is answered only once it is applied; the sender repeats it until then.
+        """
         if not self._is_leading(now_ms):
             return
         change_id = request.change_id
@@ -220,16 +224,17 @@
             case ProposeChange(policy, author, reason) if change is None:
                 opened_at_ms = self._wall_clock_ms()
                 self._propose_once(change_id, OpenChange(change_id, policy, author, reason, opened_at_ms))
-            case WithdrawChange(author, reason) if _is_open(change):
+            case WithdrawChange(author, reason) if _can_be_withdrawn(change):
                 outcome_reason = f"withdrawn by {author}: {reason}"
                 end = EndChange(change_id, ChangeOutcome.WITHDRAWN, outcome_reason, self._wall_clock_ms())
                 self._propose_once(f"{change_id} withdrawn", end)
         if change is not None:
             self._send(sender, self._change_status(change, now_ms))
         elif self._state.is_full:
-            self._send(sender, ChangeStatus(change_id, UNKNOWN_OUTCOME, 0, "the book is full"))
+            reason = "the limit on recorded changes is reached"
+            self._send(sender, ChangeStatus(change_id, UNKNOWN_OUTCOME, 0, reason))
         elif isinstance(request.command, FindChange):
-            reason = "nobody has proposed it here"
+            reason = "nobody has proposed this change"
             self._send(sender, ChangeStatus(change_id, UNKNOWN_OUTCOME, 0, reason))
 
     def _change_status(self, change: Change, now_ms: float) -> ChangeStatus:
@@ -250,33 +255,33 @@
         self._send(sender, ChangeStatus(change_id, outcome, 0, reason))
 
     def _remove_member(self, sender: str, change_id: str, name: str, run_id: int) -> None:
-        """That run and no other: the word may come late, and the machine be back by then."""
+        """Removes only the given run of a member: by now, a new run may have joined under the same name."""
         if self._state.has_member(name, run_id):
             self._propose_once(f"{name} {run_id} gone", RemoveMember(name, run_id))
             return
-        reason = f"that run of {name} is not counted"
+        reason = f"that run of {name} is not a member"
         self._send(sender, ChangeStatus(change_id, ChangeOutcome.COMMITTED.value, 0, reason))
 
     def on_departure(self, sender: str, run_id: int, now_ms: float) -> None:
-        """A member tells that its process ends."""
+        """Removes a member that has announced the end of its process."""
         if self._state.has_member(sender, run_id) and self._is_leading(now_ms):
             self._propose_once(f"{sender} {run_id} gone", RemoveMember(sender, run_id))
 
     def _propose(self, command: Command) -> int | None:
-        """Index of the command's entry; None where it can't be proposed just now."""
+        """Appends a command to the log; returns its entry's index, or None if Raft does not accept it."""
         return self._raft.propose(encode_command(command))
 
     def _propose_once(self, key: str, command: Command) -> None:
-        """Once for each key until its entry is applied: doubles do no harm, this keeps them few."""
+        """Proposes a command unless its key has an uncommitted entry; duplicates would be harmless."""
         if self._proposed_entry_index.get(key, 0) <= self._raft.commit_index:
             index = self._propose(command)
             if index is not None:
                 self._proposed_entry_index[key] = index
 
-    # How far a change is
+    # Progress of a change
 
     def unprepared_members(self, now_ms: float) -> list[WaitingMember]:
-        """Members that a commit must wait for: neither prepared nor certainly standing aside."""
+        """Returns the members that a commit must wait for: neither prepared nor certainly on standby."""
         waiting = []
         for name, run_id in self._state.members.items():
             state = self.reports.state_of(name, run_id, self._state.pending_change_id)
@@ -285,20 +290,20 @@
         return waiting
 
     def tick(self, now_ms: float) -> None:
-        """Does what is due: joins, the next phase of a change, polls."""
+        """Proposes joins, advances the change in progress and polls lagging members."""
         if not self._is_leading(now_ms):
             self.next_deadline_ms = now_ms + IDLE_TICK_INTERVAL_MS
             return
         is_busy = bool(self._state.pending_change_id or self._joining)
         self.next_deadline_ms = now_ms + (BUSY_TICK_INTERVAL_MS if is_busy else IDLE_TICK_INTERVAL_MS)
-        self._forget_applied_proposals()
+        self._drop_committed_proposals()
         self._propose_joins()
-        self._notice_applied(now_ms)
+        self._observe_applied_entries(now_ms)
         if self._state.pending_change_id:
-            self._drive_change(now_ms)
-        self._poll_members_behind(now_ms)
+            self._advance_change(now_ms)
+        self._poll_lagging_members(now_ms)
 
-    def _forget_applied_proposals(self) -> None:
+    def _drop_committed_proposals(self) -> None:
         commit_index = self._raft.commit_index
         self._proposed_entry_index = {
             key: index for key, index in self._proposed_entry_index.items() if index > commit_index
@@ -310,13 +315,13 @@
             self._joining.clear()
             return
         is_earlier_join_applied = self._join_entry_index <= self._raft.commit_index
-        if is_earlier_join_applied and not self.committing_change_id:  # a join would make the commit void
+        if is_earlier_join_applied and not self.committing_change_id:  # a join would void the commit
             index = self._propose(JoinMembers(tuple(joining)))
             if index is not None:
                 self._join_entry_index = index
 
-    def _notice_applied(self, now_ms: float) -> None:
-        """Takes note of what the state machine has applied since the last look."""
+    def _observe_applied_entries(self, now_ms: float) -> None:
+        """Updates the coordinator from entries that the state machine has applied since the last call."""
         state = self._state
         if self._version != state.version:
             self._version = state.version
@@ -325,25 +330,25 @@
         is_another_pending = state.pending_change_id != self.committing_change_id
         is_commit_applied = self._raft.commit_index >= self._commit_entry_index
         if self.committing_change_id and (is_another_pending or is_commit_applied):
-            self.committing_change_id = ""  # committed, or void since a member joined
+            self.committing_change_id = ""  # committed, or void because a member joined
         if state.pending_change_id != self._change_id:
             self._change_id = state.pending_change_id
             self.phase = ChangePhase.VALIDATE
             self._change_began_at_ms = now_ms
             self._last_poll_at_ms = NEVER_MS
 
-    def _drive_change(self, now_ms: float) -> None:
-        """The next step of the change: end it, commit it, or have all prepare."""
+    def _advance_change(self, now_ms: float) -> None:
+        """Ends the change, commits it or moves it to the prepare phase, as the members' states allow."""
         change_id = self._state.pending_change_id
         if self.committing_change_id or self._ending_change_id == change_id:
             return
         waiting = self.unprepared_members(now_ms)
-        rejecting = next((each for each in waiting if each.state == ParticipantState.REJECTED), None)
+        rejecting = next((member for member in waiting if member.state == ParticipantState.REJECTED), None)
         if rejecting is not None:
             reason = self.reports.by_member[rejecting.name].request.rejection_reason
             self._end_change(change_id, ChangeOutcome.REJECTED, f"{rejecting.name}: {reason}")
         elif now_ms - self._change_began_at_ms > self._settings.change_timeout_ms:
-            reason = f"not in time; it waited for {_describe_waiting(waiting)}"
+            reason = f"timed out; it waited for {_describe_waiting(waiting)}"
             self._end_change(change_id, ChangeOutcome.WITHDRAWN, reason)
         elif not waiting and self._state.members and not self._joining:
             index = self._propose(CommitChange(change_id, self._state.join_count))
@@ -359,8 +364,8 @@
         if self._propose(end) is not None:
             self._ending_change_id = change_id
 
-    def _poll_members_behind(self, now_ms: float) -> None:
-        """Asks those for a lease request that are behind what is wanted of them."""
+    def _poll_lagging_members(self, now_ms: float) -> None:
+        """Polls the members whose last report lags behind the requested phase or the version in force."""
         if now_ms - self._last_poll_at_ms < POLL_INTERVAL_MS:
             return
         is_after_commit = now_ms - self._committed_at_ms < POLL_AFTER_COMMIT_MS
@@ -368,21 +373,21 @@
             return
         self._last_poll_at_ms = now_ms
         for name, run_id in self._state.members.items():
-            if self._is_behind(self.reports.by_member.get(name), run_id):
+            if self._is_lagging(self.reports.by_member.get(name), run_id):
                 self._send(name, StatusPoll())
 
-    def _is_behind(self, report: MemberReport | None, run_id: int) -> bool:
+    def _is_lagging(self, report: MemberReport | None, run_id: int) -> bool:
         if report is None or report.request.run_id != run_id or report.request.version < self._state.version:
             return True
         change_id = self._state.pending_change_id
         if not change_id:
-            return bool(report.request.change_id)  # prepared for what is over
-        has_wanted_state = report.request.state in WANTED_STATES[self.phase]
-        return report.request.change_id != change_id or not has_wanted_state
+            return bool(report.request.change_id)  # still in a change that has ended
+        has_expected_state = report.request.state in EXPECTED_STATES[self.phase]
+        return report.request.change_id != change_id or not has_expected_state
 
 
-def _is_open(change: Change | None) -> bool:
-    """Whether a change may still be withdrawn; also one that nobody has proposed yet."""
+def _can_be_withdrawn(change: Change | None) -> bool:
+    """Returns whether a change may still be withdrawn, which includes one not proposed yet."""
     return change is None or change.outcome is ChangeOutcome.PENDING
 
 
@@ -391,7 +396,7 @@
 
 
 def _describe_waiting(waiting: list[WaitingMember]) -> str:
-    """Names and states for a change's reason, the first few of them."""
+    """Returns the names and states of the first few members, for the reason of a timeout."""
     named = [f"{member.name} ({member.state or 'no text yet'})" for member in waiting]
     unnamed_count = len(named) - MAX_NAMED_MEMBER_COUNT
     more = f" and {unnamed_count} more" if unnamed_count > 0 else ""
--- a/landingshift/policies/document.py
+++ b/landingshift/policies/document.py
@@ -1,7 +1,7 @@
-"""What a policy says: figures for methods, tenants and rules by name.
+"""Format of policies: values for methods, tenants and admission rules.
 
-A policy is complete: what it does not name is as in the settings of the start. As a file it is TOML; it is
-sent and stored as MessagePack of the same tables.
+A policy is complete: a value that it does not set is that of the server's startup settings. A policy file is
+TOML; servers send and store the same tables as MessagePack.
 """
 
 from __future__ import annotations
@@ -15,23 +15,23 @@
 
 from landingshift.policies.errors import InvalidPolicyError
 
-MAX_POLICY_BYTES = 65_536  # as it is stored
-NEWEST_FORMAT = 2  # that this build reads
-MAX_FIGURE = 1e15  # well below where floats lose whole numbers
-POLICY_ROOT = "the whole"  # stands for the key in errors that are about no key
-NOT_TOML = "no TOML"  # as well
+MAX_POLICY_BYTES = 65_536  # size of an encoded policy
+NEWEST_FORMAT = 2  # newest policy format that this build reads
+MAX_VALUE = 1e15  # well below 2**53, above which floats can't represent every whole number
+POLICY_ROOT = "the whole policy"  # replaces the key in errors that concern no single key
+NOT_TOML = "not TOML"  # replaces the key if the file can't be parsed
 
-Figures = dict[str, dict[str, dict[str, float]]]  # by table, name and key; the rules have the name ""
+PolicyValues = dict[str, dict[str, dict[str, float]]]  # by table, name and key; for rules the name is ""
 
 
 @dataclass(slots=True, frozen=True)
-class KeyRule:
-    """One key of a table.
+class KeySpec:
+    """Specification of a key in a table.
 
     Attributes:
-        since_format: Format that the key came with.
-        attribute: Where the admission module keeps the figure.
-        is_fraction: Whether the figure is at most 1.
+        since_format: First format that has the key.
+        attribute: Attribute of the admission module's object that holds the value.
+        is_fraction: Whether the value may be at most 1.
     """
 
     since_format: int
@@ -40,72 +40,72 @@
 
 
 METHOD_KEYS = {
-    "criticality": KeyRule(1, "criticality"),
-    "target_ms": KeyRule(1, "latency_objective_ms"),
-    "late_share": KeyRule(2, "late_value_fraction", is_fraction=True),
+    "criticality": KeySpec(1, "criticality"),
+    "target_ms": KeySpec(1, "latency_objective_ms"),
+    "late_share": KeySpec(2, "late_value_fraction", is_fraction=True),
 }
-TENANT_KEYS = {"allowance_s": KeyRule(1, "quota_per_second")}
+TENANT_KEYS = {"allowance_s": KeySpec(1, "quota_per_second")}
 RULE_KEYS = {
-    "hold_off_max_ms": KeyRule(1, "max_retry_after_ms"),
-    "over_share_worth": KeyRule(1, "over_quota_value_fraction", is_fraction=True),
+    "hold_off_max_ms": KeySpec(1, "max_retry_after_ms"),
+    "over_share_worth": KeySpec(1, "over_quota_value_fraction", is_fraction=True),
 }
-NAMED_TABLES = {"methods": METHOD_KEYS, "tenants": TENANT_KEYS}  # one entry a name
+NAMED_TABLES = {"methods": METHOD_KEYS, "tenants": TENANT_KEYS}  # tables with one subtable per name
 ALL_TABLES = {**NAMED_TABLES, "rules": RULE_KEYS}
 
 
 def parse_policy(text: str) -> bytes:
-    """A policy file as it is sent and stored.
+    """Encodes the text of a policy file.
 
     Raises:
-        InvalidPolicyError: No build could read it.
+        InvalidPolicyError: The policy is invalid.
     """
     try:
         data = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
         raise InvalidPolicyError(NOT_TOML, str(error)) from error
     try:
-        packed = msgspec.msgpack.encode(data, order="deterministic")
-    except (OverflowError, TypeError) as error:  # TOML has larger numbers, and dates
+        encoded = msgspec.msgpack.encode(data, order="deterministic")
+    except (OverflowError, TypeError) as error:  # TOML allows larger integers, and dates
         raise InvalidPolicyError(POLICY_ROOT, str(error)) from error
-    decode_policy(packed, NEWEST_FORMAT)
-    if len(packed) > MAX_POLICY_BYTES:
-        raise InvalidPolicyError(POLICY_ROOT, f"{len(packed)} bytes, {MAX_POLICY_BYTES} at most")
-    return packed
+    decode_policy(encoded, NEWEST_FORMAT)
+    if len(encoded) > MAX_POLICY_BYTES:
+        raise InvalidPolicyError(POLICY_ROOT, f"{len(encoded)} bytes; the limit is {MAX_POLICY_BYTES} bytes")
+    return encoded
 
 
-def decode_policy(packed: bytes, newest_format: int) -> Figures:
-    """Figures of a stored policy.
+def decode_policy(encoded: bytes, newest_format: int) -> PolicyValues:
+    """Decodes and validates a policy.
 
     Args:
-        packed: As `parse_policy` gave it; empty for the settings of the start.
-        newest_format: Up to which format the reader understands policies.
+        encoded: Result of `parse_policy`; empty for the startup settings.
+        newest_format: Newest format that the reader accepts.
 
     Raises:
-        InvalidPolicyError: Such a reader can't read it.
+        InvalidPolicyError: The policy is invalid or has a newer format.
     """
-    figures: Figures = {"methods": {}, "tenants": {}, "rules": {}}
-    if not packed:
-        return figures
-    data = _decode_tables(packed)
+    tables: PolicyValues = {"methods": {}, "tenants": {}, "rules": {}}
+    if not encoded:
+        return tables
+    data = _decode_tables(encoded)
     policy_format = data.pop("format", 1)
     if not isinstance(policy_format, int) or not 1 <= policy_format <= newest_format:
         reason = f"this build reads up to {newest_format}, not {policy_format!r}"
         raise InvalidPolicyError("format", reason)
     for table, values in data.items():
         if table == "rules":
-            figures["rules"][""] = _decode_figures("rules", values, RULE_KEYS, policy_format)
+            tables["rules"][""] = _decode_values("rules", values, RULE_KEYS, policy_format)
         elif table in NAMED_TABLES:
             keys = NAMED_TABLES[table]
-            for name, entry in _as_table(table, values).items():
-                figures[table][name] = _decode_figures(f"{table}.{name}", entry, keys, policy_format)
+            for name, entry in _require_table(table, values).items():
+                tables[table][name] = _decode_values(f"{table}.{name}", entry, keys, policy_format)
         else:
-            raise InvalidPolicyError(table, "no such table; there is methods, tenants, rules")
-    return figures
+            raise InvalidPolicyError(table, "no such table; methods, tenants or rules is expected")
+    return tables
 
 
-def _decode_tables(packed: bytes) -> dict[Any, Any]:
+def _decode_tables(encoded: bytes) -> dict[Any, Any]:
     try:
-        data = msgspec.msgpack.decode(packed)
+        data = msgspec.msgpack.decode(encoded)
     except (msgspec.DecodeError, RecursionError) as error:
         raise InvalidPolicyError(POLICY_ROOT, str(error)) from error
     if not isinstance(data, dict):
@@ -113,46 +113,46 @@
     return data
 
 
-def _as_table(path: str, values: Any) -> dict[str, Any]:
+def _require_table(path: str, values: Any) -> dict[str, Any]:
     if not isinstance(values, dict):
         raise InvalidPolicyError(path, "a table is expected")
     return values
 
 
-def _decode_figures(path: str, values: Any, keys: dict[str, KeyRule], policy_format: int) -> dict[str, float]:
-    table = _as_table(path, values)
+def _decode_values(path: str, values: Any, keys: dict[str, KeySpec], policy_format: int) -> dict[str, float]:
+    table = _require_table(path, values)
     for key, value in table.items():
         if key not in keys:
-            raise InvalidPolicyError(f"{path}.{key}", f"no such key; there is {', '.join(keys)}")
-        rule = keys[key]
-        if rule.since_format > policy_format:
-            raise InvalidPolicyError(f"{path}.{key}", f"needs format = {rule.since_format}")
-        if not _is_figure(value, rule):
+            raise InvalidPolicyError(f"{path}.{key}", f"no such key; one of {', '.join(keys)} is expected")
+        spec = keys[key]
+        if spec.since_format > policy_format:
+            raise InvalidPolicyError(f"{path}.{key}", f"needs format = {spec.since_format}")
+        if not _is_valid_value(value, spec):
             raise InvalidPolicyError(f"{path}.{key}", f"a number of 0 or more is expected, not {value!r}")
     return {key: float(value) for key, value in table.items()}
 
 
-def _is_figure(value: Any, rule: KeyRule) -> bool:
+def _is_valid_value(value: Any, spec: KeySpec) -> bool:
     if isinstance(value, bool) or not isinstance(value, int | float):
         return False
-    return 0 <= value < MAX_FIGURE and not (rule.is_fraction and value > 1)
+    return 0 <= value < MAX_VALUE and not (spec.is_fraction and value > 1)
 
 
-def flatten_policy(packed: bytes) -> dict[str, float]:
-    """Figures of a stored policy by dotted key."""
+def flatten_policy(encoded: bytes) -> dict[str, float]:
+    """Returns the values of an encoded policy by dotted key."""
     return {
         ".".join(segment for segment in (table, name, key) if segment): value
-        for table, names in decode_policy(packed, NEWEST_FORMAT).items()
+        for table, names in decode_policy(encoded, NEWEST_FORMAT).items()
         for name, values in names.items()
         for key, value in values.items()
     }
 
 
 def describe_differences(old: bytes, new: bytes, show: Callable[[float | None], str]) -> list[str]:
-    """A line for each key that is not the same in both policies; `show` formats a figure or its absence."""
-    old_figures, new_figures = flatten_policy(old), flatten_policy(new)
+    """Returns a line for each key whose value differs; `show` formats a value, or None if it is not set."""
+    old_values, new_values = flatten_policy(old), flatten_policy(new)
     return [
-        f"{key}: {show(old_figures.get(key))} -> {show(new_figures.get(key))}"
-        for key in sorted(old_figures | new_figures)
-        if old_figures.get(key) != new_figures.get(key)
+        f"{key}: {show(old_values.get(key))} -> {show(new_values.get(key))}"
+        for key in sorted(old_values | new_values)
+        if old_values.get(key) != new_values.get(key)
     ]
--- a/landingshift/policies/enforcement.py
+++ b/landingshift/policies/enforcement.py
@@ -1,7 +1,7 @@
 """Tells the admission controller which policy version is in force, and whether it may decide at all.
 
 Guarantee: both are checked at the end of each pass of the event loop, before the controller starts or rejects
-an RPC; without a valid lease the server is on standby. Failure mode: a process that is paused after the check
+an RPC; a server that may not decide is on standby. Failure mode: a process that is paused after the check
 resumes within the same pass, and acts on a check that may be out of date.
 """
 
@@ -25,7 +25,7 @@
 
     Attributes:
         name: Name of the observer and of the readiness gate.
-        applied_version: The version that the controller decides by.
+        applied_version: Policy version that the controller decides by.
     """
 
     name = "policies"
@@ -33,7 +33,7 @@
     def __init__(
         self, host: ServiceHost, server_name: str, overlay: PolicyOverlay, participant: ChangeParticipant
     ) -> None:
-        """Registers the check, and a readiness gate that stays until this server may decide."""
+        """Registers the check, and a readiness gate that is removed once this server may decide."""
         self.applied_version = 0
         self._router = host.router
         self._loop = host.router.loop
@@ -41,7 +41,7 @@
         self._server_name = server_name
         self._overlay = overlay
         self._participant = participant
-        self._controller: AdmissionController | None = None  # that was last told whether it may decide
+        self._controller: AdmissionController | None = None  # the controller that was last updated
         self._may_decide = False
         self._checked_at_ms = self._loop.now_ms
         self._router.before_decisions = self.before_decisions
@@ -54,7 +54,7 @@
         controller, participant = self._router.admission, self._participant
         if controller is None:
             return
-        # A lease is judged by the clock of now: the pass may have begun before it ran out.
+        # The clock is read again for a lease, which may have expired since the start of the pass.
         now_ms = self._loop.clock_ms() if participant.needs_lease else self._loop.now_ms
         if participant.version > self.applied_version:
             self._apply_version(controller)
@@ -87,30 +87,30 @@
         self._log("policy_aside", on=not may_decide, version=self._participant.version, why=reason)
 
     def standby_reason(self) -> str:
-        """Why this server may not decide, for operators."""
+        """Returns why this server may not decide, for operators."""
         participant = self._participant
         if participant.refusal_reason:
             return participant.refusal_reason
         if not participant.is_member:
-            return "no leader has counted it yet"
+            return "no leader has accepted this server as a member yet"
         if participant.latest_version > participant.version:
-            return f"version {participant.latest_version} is in force, its text is not here yet"
+            return f"version {participant.latest_version} is in force, but its policy has not arrived yet"
         if participant.change_id:
-            return f"no word from the leader for too long, during {participant.change_id}"
-        return "no word for too long"
+            return f"no lease from the leader for too long, during change {participant.change_id}"
+        return "no lease from the leader for too long"
 
-    # An observer of RPCs, for a checked history
+    # Observer of RPCs, which records decisions for the history checker
 
     def on_started(self, _rpc: RoutedRpc) -> None:
-        """An RPC was started: a decision."""
-        self._note_decision()
+        """Records the start of an RPC as a decision."""
+        self._record_decision()
 
     def on_answered(self, _rpc: RoutedRpc, kind: AnswerKind) -> None:
-        """A rejection is a decision, too, of a server that may decide."""
+        """Records a rejection as a decision; a rejection on standby does not depend on the policy."""
         if kind is AnswerKind.REJECTED and self._may_decide:
-            self._note_decision()
+            self._record_decision()
 
-    def _note_decision(self) -> None:
+    def _record_decision(self) -> None:
         participant = self._participant
         policy = participant.policy if participant.version == self.applied_version else b""
         decision_history.record(
--- a/landingshift/policies/errors.py
+++ b/landingshift/policies/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the policies package. Their texts reach operators."""
+"""Errors of the policies package; their messages are shown to operators."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class InvalidPolicyError(PolicyError, ValueError):
-    """A policy that can't be read or that this server can't decide by; the text begins with the key.
+    """A policy can't be read, or this server can't apply it; the message begins with the key.
 
     Attributes:
-        key: Dotted path in the policy.
-        reason: What is wrong with it.
+        key: Dotted path in the policy, or a name for the whole policy.
+        reason: Description of the problem.
     """
 
     def __init__(self, key: str, reason: str) -> None:
@@ -24,7 +24,7 @@
 
 
 class InvalidSettingError(PolicyError, ValueError):
-    """A value of the table `[policies]` that can't be used; the text begins with the key."""
+    """A value in the table `[policies]` can't be used; the message begins with the key."""
 
     def __init__(self, key: str, reason: str) -> None:
         self.key = key
@@ -33,19 +33,19 @@
 
 
 class UnreadableMessageError(PolicyError):
-    """A message of a peer that is none of this protocol, or of a newer build."""
+    """A peer's message is not part of this protocol, or comes from a newer build."""
 
     def __init__(self, body: list[object]) -> None:
         self.body = body
-        super().__init__(f"no message of policies: {body[:1]!r}")
+        super().__init__(f"unreadable policy message that begins with {body[:1]!r}")
 
 
 class OperatorCallError(PolicyError, ValueError):
-    """An operator's call that can't be answered; the text says why."""
+    """An operator's call can't be answered; the message says why."""
 
 
 class InvalidParamsError(OperatorCallError):
-    """The call's parameters are not what is expected."""
+    """A call has invalid parameters."""
 
     def __init__(self, expectation: str) -> None:
         self.expectation = expectation
@@ -53,7 +53,7 @@
 
 
 class UnknownMemberError(OperatorCallError):
-    """Nobody of that name is known on this server."""
+    """This server knows no member of the given name."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -61,23 +61,23 @@
 
 
 class MemberAliveError(OperatorCallError):
-    """A member that is to be removed is alive as this server sees it."""
+    """A member that an operator declares departed is alive according to this server's membership."""
 
     def __init__(self, name: str) -> None:
         self.name = name
-        super().__init__(f"{name}: it is there, as this server sees it")
+        super().__init__(f"{name}: membership reports it as alive; only a stopped server can be removed")
 
 
 class NotAVoterError(OperatorCallError):
-    """Only voters can answer the call."""
+    """Only a voter can answer the call."""
 
     def __init__(self, voters: list[str]) -> None:
         self.voters = voters
-        super().__init__(f"it is no voter: ask one of {', '.join(voters)}")
+        super().__init__(f"this server is not a voter; ask one of {', '.join(voters)}")
 
 
 class PolicyNotStoredError(OperatorCallError):
-    """The text of a version is not on this server any more."""
+    """This server no longer stores the policy of a version, or never did."""
 
     def __init__(self, version: int) -> None:
         self.version = version
@@ -85,7 +85,7 @@
 
 
 class TrustRejectedError(OperatorCallError):
-    """An operator's word for the version in force can't be taken."""
+    """A version that an operator declares to be in force can't be adopted."""
 
     def __init__(self, reason: str) -> None:
         self.reason = reason
--- a/landingshift/policies/log_writer.py
+++ b/landingshift/policies/log_writer.py
@@ -1,7 +1,7 @@
-"""Saves a voter's state to its log file, and retries while the disk takes nothing.
+"""Saves a voter's state to its log file, and retries after write errors.
 
-Guarantee: nothing that rests on unsaved state goes out. Failure mode: with a full disk this voter answers no
-elections and takes no entries; the other voters go on without it.
+Guarantee: no message that depends on unsaved state is sent. Failure mode: with a full disk this voter answers
+no elections and accepts no entries; the other voters continue without it.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class LogWriter:
-    """The log file of a voter, with retries."""
+    """Writes the log file of a voter, with retries."""
 
     def __init__(self, log_file: RaftLogFile, log: Callable[..., None]) -> None:
         self._log_file = log_file
@@ -27,7 +27,7 @@
         """Writes and syncs the state.
 
         Returns:
-            False where the disk takes nothing just now.
+            False if the write failed, or if the interval since the last failure has not passed.
         """
         if now_ms < self._retry_at_ms:
             return False
@@ -45,5 +45,5 @@
         return True
 
     def close(self) -> None:
-        """Closes the file."""
+        """Closes the log file."""
         self._log_file.close()
--- a/landingshift/policies/member_reports.py
+++ b/landingshift/policies/member_reports.py
@@ -1,8 +1,8 @@
-"""What the leader knows of members: how far each is with a change, and whether its lease may still run.
+"""Members' reports to the leader: the state of each in a change, and whether its lease may still be valid.
 
-Guarantee: a member counts as standing aside only once any lease that it may have is over by its own clock,
-also one that an earlier leader granted. Failure mode: monotonic clocks that run apart by more than
-`CLOCK_DRIFT_FRACTION` over a lease.
+Guarantee: a member counts as being on standby only once any lease that it may hold has expired by its own
+clock, including a lease granted by an earlier leader. Failure mode: the guarantee is lost if two monotonic
+clocks drift apart by more than `CLOCK_DRIFT_FRACTION` of a lease.
 """
 
 from __future__ import annotations
@@ -14,35 +14,35 @@
 from landingshift.policies.policy_settings import PolicySettings
 
 NEVER_MS = -inf
-CLOCK_DRIFT_FRACTION = 0.02  # of a lease, by which two monotonic clocks may run apart in it
-SILENT_STATE = "away"  # of a member that says nothing
+CLOCK_DRIFT_FRACTION = 0.02  # tolerated drift between two monotonic clocks during a lease, relative to it
+SILENT_STATE = "away"  # reported for a member that has sent no report on the change
 
 
 @dataclass(slots=True, frozen=True)
 class MemberReport:
-    """A member's last lease request, and when it was last granted a lease."""
+    """Last lease request of a member, and the time when it was last granted a lease."""
 
     request: LeaseRequest
     leased_at_ms: float
 
 
 class MemberReports:
-    """Reports of one leader's term.
+    """Reports received during one term of the leader.
 
     Attributes:
-        by_member: The last report of each.
+        by_member: Last report of each member, by name.
     """
 
     def __init__(self, settings: PolicySettings, term_began_at_ms: float) -> None:
         self.by_member: dict[str, MemberReport] = {}
         self._settings = settings
-        self._term_began_at_ms = term_began_at_ms  # leases of earlier leaders are older
+        self._term_began_at_ms = term_began_at_ms  # any lease of an earlier leader was granted before
 
     def record(self, member: str, request: LeaseRequest, is_leased: bool, now_ms: float) -> bool:
-        """Takes a lease request.
+        """Stores a lease request.
 
         Returns:
-            Whether the member came further since its last one.
+            Whether the member's change or state differs from its previous request, or there was none.
         """
         previous = self.by_member.get(member)
         leased_at_ms = previous.leased_at_ms if previous is not None else NEVER_MS
@@ -53,14 +53,14 @@
         return progress_before != (request.change_id, request.state)
 
     def state_of(self, member: str, run_id: int, change_id: str) -> str:
-        """How far this run is with the change; "away" where it has said nothing of it."""
+        """Returns the state of this run in the change; "away" if it has not reported on the change."""
         report = self.by_member.get(member)
         if report is None or report.request.run_id != run_id or report.request.change_id != change_id:
             return SILENT_STATE
         return report.request.state
 
     def is_on_standby(self, member: str, now_ms: float) -> bool:
-        """Whether it decides nothing for certain: its last lease is over, by its own clock too."""
+        """Returns whether a member is certainly on standby, its last lease expired by its own clock, too."""
         if not self._settings.is_standby_when_cut_off:
             return False
         report = self.by_member.get(member)
@@ -70,6 +70,6 @@
         return silent_ms > longest_lease_ms + self._settings.clock_margin_ms
 
     def can_become_voter(self, member: str, run_id: int | None) -> bool:
-        """Whether this run has told that it has a log file."""
+        """Returns whether this run has reported that it has a log file."""
         report = self.by_member.get(member)
         return report is not None and report.request.can_become_voter and report.request.run_id == run_id
--- a/landingshift/policies/messages.py
+++ b/landingshift/policies/messages.py
@@ -1,27 +1,27 @@
-"""Messages of policies between servers, and operators' commands on their way to the leader."""
+"""Messages about policies between servers, and operators' commands forwarded to the leader."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from enum import Enum
 
-MAX_SENT_REASON_CHARS = 200  # of a reason that a member is told
+MAX_SENT_REASON_CHARS = 200  # length of a reason in a message to a member
 
 
 class ChangePhase(Enum):
-    """What the leader wants of members for the change under way."""
+    """Phase of the change in progress, which tells members what to do."""
 
-    NONE = ""  # no change is under way
-    VALIDATE = "check"  # fetch the policy and check it
-    PREPARE = "arm"  # decide by the old version under leases only
+    NONE = ""  # no change is in progress
+    VALIDATE = "check"  # fetch and validate the policy
+    PREPARE = "arm"  # decide by the old version, and only under leases
 
 
-# Operators' commands, carried to the leader
+# Operators' commands, forwarded to the leader
 
 
 @dataclass(slots=True, frozen=True)
 class ProposeChange:
-    """Begin a change of policy."""
+    """Proposes a change of policy."""
 
     policy: bytes
     author: str
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WithdrawChange:
-    """End a change that is not committed yet."""
+    """Withdraws a change that is not committed yet."""
 
     author: str
     reason: str
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ChangeVoters:
-    """Add a voter, or else remove one."""
+    """Adds a voter, or removes one."""
 
     is_addition: bool
     name: str
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DeclareDeparted:
-    """An operator's word that this run of a member has ended."""
+    """Declares that a run of a member has ended."""
 
     name: str
     run_id: int
@@ -54,12 +54,12 @@
 
 @dataclass(slots=True, frozen=True)
 class FindChange:
-    """Ask what became of a change."""
+    """Asks for the status of a change."""
 
 
 @dataclass(slots=True, frozen=True)
 class UnknownCommand:
-    """A command of a newer build."""
+    """Stands for a command that this build does not know."""
 
 
 OperatorCommand = (
@@ -72,10 +72,10 @@
 
 @dataclass(slots=True, frozen=True)
 class RaftPacket:
-    """A message of the consensus package.
+    """Carries a message of the consensus package.
 
     Attributes:
-        data: As that package encoded it.
+        data: Message, encoded by that package.
     """
 
     data: bytes
@@ -83,17 +83,17 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseRequest:
-    """A member tells the leader how far it is, and asks for a lease.
+    """Reports a server's state to the leader and asks for a lease.
 
     Attributes:
-        run_id: Which process of that name: drawn anew at each start.
-        number: Number of the request; a reply carries it.
-        version: In force at the member; -1 for none yet.
-        change_id: The change that it has the policy of; empty for none.
-        state: How far it is with that change (`ParticipantState`).
-        rejection_reason: Why it can't decide by that policy.
-        fingerprint: Its settings, which must be the leader's.
-        can_become_voter: Whether it has a log file.
+        run_id: Random id of the process, new at each start.
+        number: Number of the request, which the reply repeats.
+        version: Version that the server decides by; -1 if it has none yet.
+        change_id: Id of the change whose policy the server has; empty if there is none.
+        state: Value of the server's `ParticipantState` in that change.
+        rejection_reason: Reason why the server can't apply that policy.
+        fingerprint: `PolicySettings.fingerprint` of the server, which must equal the leader's.
+        can_become_voter: Whether the server has a log file.
     """
 
     run_id: int
@@ -108,20 +108,20 @@
 
 @dataclass(slots=True, frozen=True)
 class UnreadableLeaseRequest:
-    """A lease request of which only the number can be read."""
+    """Stands for a lease request of which only the number is readable."""
 
     number: int
 
 
 @dataclass(slots=True, frozen=True)
 class EndedChange:
-    """What became of a change that the member named.
+    """Outcome of the change that a lease request named.
 
     Attributes:
-        change_id: The change.
-        outcome: Value of `ChangeOutcome`.
-        version: The version that it became; 0 where it was not committed.
-        reason: Why it was not committed.
+        change_id: Id of the change.
+        outcome: Value of its `ChangeOutcome`.
+        version: Version that the change created; 0 if it was not committed.
+        reason: Reason why it was not committed.
     """
 
     change_id: str
@@ -132,17 +132,17 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseReply:
-    """The leader's answer to a lease request.
+    """Answers a lease request.
 
     Attributes:
         number: Number of the request.
-        is_member: Whether the member is one that changes wait for.
-        version: In force.
-        change_id: The change under way; empty for none.
-        phase: What the leader wants of members for it.
-        ended: What became of the change that the request named; None while it is under way.
-        is_lease_granted: Whether the member may decide by its version for a lease.
-        voters: All voters, as the leader's log has them.
+        is_member: Whether the sender is a member, so that changes wait for it.
+        version: Version in force.
+        change_id: Id of the change in progress; empty if there is none.
+        phase: Phase of that change.
+        ended: Outcome of the change that the request named; None while it is in progress.
+        is_lease_granted: Whether the member may decide by its version for the duration of a lease.
+        voters: Names of all voters, from the leader's log.
     """
 
     number: int
@@ -157,7 +157,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Redirect:
-    """Answer of a server that does not lead; `leader` is empty where it knows none."""
+    """Names the leader, in reply to a lease request to another server; `leader` is empty if unknown."""
 
     number: int
     leader: str
@@ -165,7 +165,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MembershipRefusal:
-    """The leader does not take the sender as a member."""
+    """Tells the sender of a lease request that the leader does not accept it as a member."""
 
     number: int
     reason: str
@@ -173,12 +173,12 @@
 
 @dataclass(slots=True, frozen=True)
 class StatusPoll:
-    """The leader asks for a lease request soon: there is something new."""
+    """Asks a member to send a lease request soon, because a change or a version is new to it."""
 
 
 @dataclass(slots=True, frozen=True)
 class PolicyRequest:
-    """Asks for the policy of the change under way, or where that is empty of the version in force."""
+    """Asks for the policy of the change in progress, or of the version in force if `change_id` is empty."""
 
     change_id: str
     version: int
@@ -186,7 +186,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PolicyText:
-    """A policy: of the change under way, or where that is empty of the version in force."""
+    """Carries the policy of the change in progress, or of a version if `change_id` is empty."""
 
     change_id: str
     version: int
@@ -195,7 +195,7 @@
 
 @dataclass(slots=True, frozen=True)
 class OperatorRequest:
-    """An operator's command, brought to the leader by the server that was asked."""
+    """Carries an operator's command to the leader, sent by the server that received it."""
 
     change_id: str
     command: OperatorCommand
@@ -203,14 +203,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Departure:
-    """The sender's process ends: this run decides nothing more."""
+    """Announces that the sender's process ends and that this run decides on no more RPCs."""
 
     run_id: int
 
 
 @dataclass(slots=True, frozen=True)
 class WaitingMember:
-    """A member that a change waits for, and how far it is; the state is "away" for one that says nothing."""
+    """A member that a change waits for, and its state; "away" if it has not reported on the change."""
 
     name: str
     state: str
@@ -218,14 +218,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ChangeStatus:
-    """What is known of a change.
+    """Status of a change or of another operator's command.
 
     Attributes:
-        change_id: The change, or the id of another operator's command.
-        outcome: Value of `ChangeOutcome`, or "unknown".
-        version: The version that it became; 0 where it was not committed.
-        reason: Why it was not committed, or what else there is to say.
-        waiting_members: Members that it waits for.
+        change_id: Id of the change or command.
+        outcome: Value of its `ChangeOutcome`, or "unknown".
+        version: Version that the change created; 0 if it was not committed.
+        reason: Reason why the change was not committed, or another note for the operator.
+        waiting_members: Members that the change waits for.
     """
 
     change_id: str
--- a/landingshift/policies/node.py
+++ b/landingshift/policies/node.py
@@ -1,7 +1,8 @@
-"""One server's whole part in policies: a participant, and on a voter also the Raft node and the coordinator.
+"""One server's node for policies: a participant, and on a voter also the Raft node and the coordinator.
 
-Pure: messages, time and chance come in; messages go out, and what must be on disk before they may. `now_ms`
-must be read after the message was, and not before: what a leader promises rests on it.
+The node does no I/O. Its driver passes in messages, the time and a random generator, and takes out the
+messages to send and the state to save before them. `now_ms` must be read after the message has arrived: a
+leader lease judged by an earlier time could already have expired.
 """
 
 from __future__ import annotations
@@ -41,24 +42,24 @@
 from landingshift.policies.wire import decode_message, encode_message
 
 STATE_MACHINE_NAME = "policies"
-COMPACTION_ENTRY_COUNT = 200  # entries after which a snapshot takes their place
+COMPACTION_ENTRY_COUNT = 200  # entries after which a snapshot replaces them
 DEFAULT_TIMEOUTS = RaftTimeouts()
-MAX_LOCAL_DELIVERY_COUNT = 8  # times in a row that messages to itself may bring about others
+MAX_LOCAL_DELIVERY_COUNT = 8  # rounds of messages to itself, each of which may cause the next
 
 
 class PolicyNode:
-    """Everything that a server does about policies but for I/O.
+    """All policy logic of a server, without I/O.
 
     Attributes:
-        name: This server's name.
-        run_id: Which process of that name: drawn anew at each start.
-        participant: Decides by which version this server may work.
-        raft: The Raft node; None on a server without a log file.
-        coordinator: Leads changes while `raft` leads; None where `raft` is.
-        state_machine: The replicated state of policies, as far as it is applied here.
+        name: Name of this server.
+        run_id: Random id of this process, new at each start.
+        participant: Participant that determines which version this server may decide by.
+        raft: Raft node; None on a server without a log file.
+        coordinator: Coordinator of changes, active while `raft` is the leader; None if `raft` is None.
+        state_machine: Replicated state of policies, as applied on this server.
         state_machines: All state machines on the replicated log.
-        commit_listeners: Called with the time when entries were applied.
-        operator_commands: What operators asked this server for.
+        commit_listeners: Callbacks that receive the current time after entries were applied.
+        operator_commands: Commands that operators submitted to this server.
     """
 
     def __init__(
@@ -74,19 +75,19 @@
         timeouts: RaftTimeouts = DEFAULT_TIMEOUTS,
         max_member_count: int = DEFAULT_MAX_MEMBER_COUNT,
     ) -> None:
-        """Starts with what is on disk.
+        """Starts from the state in the log file, if there is one.
 
         Args:
-            name: This server's name.
-            run_id: Which process of that name: drawn anew at each start.
-            settings: Alike on all servers.
-            find_conflict: Key and reason where this server could not decide by a policy, else empty.
+            name: Name of this server.
+            run_id: Random id of this process, new at each start.
+            settings: Protocol settings, the same on all servers.
+            find_conflict: Returns why this server can't apply an encoded policy; empty if it can.
             persistent_state: State from the log file; None on a server without one.
-            rng: Spreads requests and elections.
-            now_ms: Monotonic clock.
-            wall_clock_ms: Unix time, for what people read.
-            timeouts: Raft's intervals.
-            max_member_count: Servers that can be members.
+            rng: Source of the jitter of requests and elections.
+            now_ms: Current time of the monotonic clock.
+            wall_clock_ms: Returns Unix time for operators to read.
+            timeouts: Timeouts of Raft.
+            max_member_count: Maximum number of members.
         """
         self.name = name
         self.run_id = run_id
@@ -107,20 +108,20 @@
             self.coordinator = ChangeCoordinator(self.raft, self.state_machine, settings, wall_clock_ms)
             self.participant.can_become_voter = True
 
-    # The driver's part
+    # Interface for the driver
 
     def unsaved_state(self) -> PersistentState | None:
-        """What must be on disk before any message that rests on it goes out."""
+        """Returns the state to save before any message that depends on it is sent; None if it is saved."""
         return self.raft.unsaved_state() if self.raft is not None else None
 
     def on_state_saved(self, now_ms: float) -> None:
-        """What `unsaved_state` gave is on disk."""
+        """Continues after the result of `unsaved_state` is saved."""
         assert self.raft is not None, "only a voter has unsaved state"
         self.raft.on_state_saved()
         self._apply_committed(now_ms)
 
     def next_deadline_ms(self) -> float:
-        """When `tick` is due."""
+        """Returns the time at which `tick` is due."""
         deadlines_ms = [self.participant.next_deadline_ms]
         deadlines_ms += [pending.due_at_ms for pending in self.operator_commands.pending.values()]
         if self.raft is not None and self.coordinator is not None:
@@ -128,7 +129,7 @@
         return min(deadlines_ms)
 
     def tick(self, now_ms: float) -> None:
-        """Does what is due."""
+        """Runs all tasks that are due."""
         if self.raft is not None and self.coordinator is not None:
             self.raft.tick(now_ms)
             self._apply_committed(now_ms)
@@ -140,7 +141,7 @@
         self.deliver_messages(now_ms)
 
     def on_message(self, sender: str, body: list[Any], now_ms: float) -> None:
-        """Takes a message of a peer; what can't be read is dropped."""
+        """Processes a message of a peer; drops it if it is unreadable."""
         try:
             message = decode_message(body)
         except UnreadableMessageError:
@@ -150,7 +151,7 @@
         self.deliver_messages(now_ms)
 
     def take_outgoing(self) -> list[tuple[str, list[Any]]]:
-        """Receivers and bodies; of Raft none while they rest on what is not saved."""
+        """Returns receivers and bodies of messages to send; holds back Raft's until its state is saved."""
         messages = self._outbox
         self._outbox = []
         if self.raft is not None:
@@ -159,7 +160,7 @@
         return [(receiver, encode_message(message)) for receiver, message in messages]
 
     def deliver_messages(self, now_ms: float) -> None:
-        """Collects what is to be sent, and takes at once what this server has to tell itself."""
+        """Collects the messages to send, and processes those to this server itself."""
         for _ in range(MAX_LOCAL_DELIVERY_COUNT):
             local_messages = self._collect_outgoing()
             for message in local_messages:
@@ -168,7 +169,7 @@
                 return
 
     def _collect_outgoing(self) -> list[Message]:
-        """Moves messages to others into the outbox; returns those to this server."""
+        """Moves messages to other servers into the outbox; returns those to this server."""
         local_messages: list[Message] = []
         outboxes = [self.participant.outbox]
         if self.coordinator is not None:
@@ -210,7 +211,7 @@
             packet = decode_raft_message(data)
         except InvalidMessageError:
             return
-        # Voters that this node's log does not name yet are known from the settings and from the leader.
+        # A voter whose log is behind also accepts voters known only from the settings or the leader.
         self.raft.additional_senders = {*self._initial_voters, *self.participant.discovery.voters}
         self.raft.on_message(sender, packet, now_ms)
         self._apply_committed(now_ms)
@@ -227,7 +228,7 @@
         self._tick_coordinator_if_due(self.coordinator, now_ms)
 
     def _on_policy_request(self, sender: str, request: PolicyRequest) -> None:
-        """A server that is no voter helps out with the version that it has."""
+        """Sends the requested policy; a server without a log file has only the one that it decides by."""
         if self.coordinator is not None:
             self.coordinator.on_policy_request(sender, request)
         elif not request.change_id and request.version == self.participant.version:
@@ -241,13 +242,13 @@
             coordinator.tick(now_ms)
 
     def _restore_applied(self, persistent_state: PersistentState) -> None:
-        """Takes the snapshot, at the start or of a leader, where it covers more than is applied."""
+        """Restores the snapshot, from disk or from a leader, if it covers more entries than are applied."""
         if persistent_state.last_included_index > self._applied_index:
             self.state_machines.restore(persistent_state.snapshot)
             self._applied_index = persistent_state.last_included_index
 
     def _apply_committed(self, now_ms: float) -> None:
-        """Applies what has been committed; after some entries a snapshot takes their place."""
+        """Applies committed entries, and compacts the log once it has grown enough."""
         raft, coordinator = self.raft, self.coordinator
         assert raft is not None, "only a voter applies entries"
         assert coordinator is not None, "a voter has a coordinator"
@@ -268,13 +269,13 @@
     # Operators
 
     def submit_command(self, change_id: str, command: OperatorCommand, now_ms: float) -> bool:
-        """Brings a command to the leader until it is answered; False where too many are pending."""
+        """Queues a command to be forwarded to the leader until it replies; False if too many are pending."""
         return self.operator_commands.submit(change_id, command, now_ms)
 
     def forward_command(self, change_id: str, now_ms: float) -> None:
-        """Brings a pending command to the leader, from the second attempt on to all voters.
+        """Sends a pending command to the leader, and from the second attempt on to all voters.
 
-        Between changes it is found out late that a leader is gone.
+        Between changes lease requests are rare, so the known leader may have been gone for some time.
         """
         pending = self.operator_commands.next_attempt(change_id, now_ms)
         if pending is None:
@@ -290,7 +291,7 @@
                 self._outbox.append((receiver, request))
 
     def change_status(self, change_id: str) -> ChangeStatus:
-        """What is known of a change here; a final outcome is the same for ever."""
+        """Returns what this server knows of a change; a final outcome never changes."""
         change = self.state_machine.find_change(change_id) if self.raft is not None else None
         if change is not None and change.outcome is not ChangeOutcome.PENDING:
             return ChangeStatus(change_id, change.outcome.value, change.version, change.outcome_reason)
@@ -303,11 +304,11 @@
         return self.operator_commands.last_status(change_id)
 
     def announce_departure(self) -> None:
-        """The last message: this run decides nothing more."""
+        """Queues the last messages of this run, which tell the voters that it decides on no more RPCs."""
         for voter in self.participant.discovery.voters:
             if voter != self.name:
                 self._outbox.append((voter, Departure(self.run_id)))
 
     def list_changes(self) -> list[Change]:
-        """All changes that are kept with details, the newest last."""
+        """Returns all changes stored with details, newest last."""
         return list(self.state_machine.changes.values())
--- a/landingshift/policies/operator_calls.py
+++ b/landingshift/policies/operator_calls.py
@@ -1,7 +1,7 @@
-"""What operators call on a server: names, parameters and answers as the command line has them.
+"""Operators' calls to a server: names, parameters and results as the command line uses them.
 
-Each call takes a list of parameters and returns what MessagePack can hold; a call that can't be answered
-raises an `OperatorCallError`, whose text goes to the operator.
+Each call takes a list of parameters and returns a value that MessagePack can encode. A call that can't be
+answered raises an `OperatorCallError`, whose message is shown to the operator.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 
 class OperatorCalls:
-    """Answers the calls whose names begin with `policy_`."""
+    """Handlers of the calls whose names begin with `policy_`."""
 
     def __init__(self, service: PolicyService) -> None:
         self._service = service
@@ -46,7 +46,7 @@
         self._participant = service.policy_node.participant
 
     def handlers(self) -> dict[str, Callable[[list[Any]], Any]]:
-        """The calls by name."""
+        """Returns the handlers by name of the call."""
         return {
             "policy_do": self.submit,
             "policy_known": self.change_status,
@@ -57,7 +57,11 @@
         }
 
     def submit(self, params: list[Any]) -> bool:
-        """[id, command, ...]: brings a command to the leader; False where too many are under way."""
+        """Forwards a command to the leader; returns False if too many are pending.
+
+        Args:
+            params: [id, name of the command, fields of the command ...].
+        """
         match params:
             case [str(change_id), "gone", str(name)]:
                 return self._service.submit_command(change_id, self._declare_departed(name))
@@ -67,7 +71,7 @@
         raise InvalidParamsError(EXPECTED_COMMAND)
 
     def _declare_departed(self, name: str) -> OperatorCommand:
-        """The command for the run that this server saw last."""
+        """Returns the command that declares the last known run of a member departed."""
         record = self._service.member_record(name)
         if record is None:
             raise UnknownMemberError(name)
@@ -76,14 +80,14 @@
         return DeclareDeparted(name, record.run_id)
 
     def change_status(self, params: list[Any]) -> dict[str, Any]:
-        """[id]: what is known of a change here."""
+        """Returns what this server knows of a change; `params` is [id]."""
         match params:
             case [str(change_id)]:
                 return _status_to_map(self._node.change_status(change_id))
         raise InvalidParamsError(EXPECTED_ID)
 
     def server_status(self, _params: list[Any]) -> dict[str, Any]:
-        """[]: this server's part, and on voters that of the replicated log."""
+        """Returns the state of this server, on a voter with that of the log; takes no parameters."""
         participant = self._participant
         now_ms = self._service.clock_ms()
         may_decide = participant.may_decide(now_ms)
@@ -106,7 +110,7 @@
         return status | self._voter_status(now_ms)
 
     def _voter_status(self, now_ms: float) -> dict[str, Any]:
-        """What only a voter knows; empty on others."""
+        """Returns the entries that only a voter has; empty on other servers."""
         raft, coordinator, state = self._node.raft, self._node.coordinator, self._node.state_machine
         if raft is None or coordinator is None:
             return {}
@@ -125,13 +129,13 @@
         return status
 
     def history(self, _params: list[Any]) -> list[dict[str, Any]]:
-        """[]: all changes that the voters keep, the newest last."""
+        """Returns all changes that the voters store, newest last; takes no parameters."""
         if self._node.raft is None or not self._node.raft.is_voter:
             raise NotAVoterError(self._participant.discovery.voters)
         return [_change_to_map(change) for change in self._node.list_changes()]
 
     def policy_text(self, params: list[Any]) -> bytes:
-        """[version]: the policy of a version."""
+        """Returns the encoded policy of a version; `params` is [version]."""
         match params:
             case [int(version)]:
                 return self._find_policy(version)
@@ -146,24 +150,24 @@
         return policy
 
     def trust(self, params: list[Any]) -> bool:
-        """[version, policy]: an operator's word that no leader will ever tell what is in force."""
+        """Adopts a version on an operator's word, without a leader; `params` is [version, policy]."""
         match params:
             case [int(version), bytes(policy)] if version >= 0:
-                reason = self._participant.trust_operator(version, policy)
+                reason = self._participant.adopt_trusted_version(version, policy)
                 if reason:
                     raise TrustRejectedError(reason)
-                self._service.on_trusted(version)
+                self._service.on_version_trusted(version)
                 return True
         raise InvalidParamsError(EXPECTED_VERSION_AND_POLICY)
 
 
 def _is_valid_command(fields: list[Any]) -> bool:
-    """Whether an operator's fields are a command of the right size; "gone" needs the member table."""
+    """Returns whether the fields are a command within the size limits; `submit` itself handles "gone"."""
     match fields:
         case ["propose", bytes(policy), str(author), str(reason)]:
-            return len(policy) <= MAX_POLICY_BYTES and _is_signed(author, reason)
+            return len(policy) <= MAX_POLICY_BYTES and _are_within_limits(author, reason)
         case ["withdraw", str(author), str(reason)]:
-            return _is_signed(author, reason)
+            return _are_within_limits(author, reason)
         case ["voters", "add" | "remove", str(name)]:
             return 0 < len(name) <= MAX_SERVER_NAME_CHARS
         case ["find"]:
@@ -171,7 +175,7 @@
     return False
 
 
-def _is_signed(author: str, reason: str) -> bool:
+def _are_within_limits(author: str, reason: str) -> bool:
     return len(author) <= MAX_AUTHOR_CHARS and len(reason) <= MAX_REASON_CHARS
 
 
--- a/landingshift/policies/operator_commands.py
+++ b/landingshift/policies/operator_commands.py
@@ -1,7 +1,7 @@
-"""Operators' commands on their way to the leader, and what became of changes as far as this server knows.
+"""Operators' commands pending on this server, and the leader's replies to them.
 
-Guarantee: a command is brought to the leader again and again until it is answered or too old; an outcome that
-was told once is the same for ever. Failure mode: without a leader the answer is "unknown".
+Guarantee: a command is forwarded to the leader repeatedly until it is answered or times out; an outcome that
+was reported as final never changes. Failure mode: without a leader the outcome is "unknown".
 """
 
 from __future__ import annotations
@@ -11,21 +11,21 @@
 from landingshift.policies.commands import FINAL_OUTCOMES, UNKNOWN_OUTCOME
 from landingshift.policies.messages import ChangeStatus, FindChange, OperatorCommand, ProposeChange
 
-FORWARD_INTERVAL_MS = 300.0  # between two attempts to bring a command to the leader
-COMMAND_TIMEOUT_MS = 120_000.0  # then one that nobody answered is given up
+FORWARD_INTERVAL_MS = 300.0  # between attempts to forward a command
+COMMAND_TIMEOUT_MS = 120_000.0  # after which an unanswered command is dropped
 MAX_PENDING_COMMAND_COUNT = 32
 MAX_STORED_STATUS_COUNT = 256
 
 
 @dataclass(slots=True)
 class PendingOperatorCommand:
-    """What an operator wants, on its way to the leader.
+    """Operator's command that the leader has not answered yet.
 
     Attributes:
-        command: What is wanted.
-        submitted_at_ms: When it was last asked for.
-        due_at_ms: When to bring it to the leader next.
-        attempt_count: How often that was done.
+        command: The command.
+        submitted_at_ms: Time of the last submission by the operator.
+        due_at_ms: Time of the next attempt to forward it.
+        attempt_count: Number of attempts so far.
     """
 
     command: OperatorCommand
@@ -35,11 +35,11 @@
 
 
 class OperatorCommands:
-    """Commands that were submitted to this server, and the answers to them.
+    """Commands submitted to this server, and the replies to them.
 
     Attributes:
-        pending: Commands without an answer by the id of their change.
-        statuses: The last answers by the id of their change.
+        pending: Commands without a final reply, by change id.
+        statuses: Last reply for each change, by change id.
     """
 
     def __init__(self) -> None:
@@ -47,10 +47,12 @@
         self.statuses: dict[str, ChangeStatus] = {}
 
     def submit(self, change_id: str, command: OperatorCommand, now_ms: float) -> bool:
-        """Takes a command; one for the same change takes the place of another, but for a proposal's.
+        """Queues a command, which replaces a pending one for the same change.
+
+        A pending proposal is never replaced, and a `FindChange` replaces nothing.
 
         Returns:
-            False where too many are pending.
+            False if too many commands are pending.
         """
         pending = self.pending.get(change_id)
         if pending is None:
@@ -63,11 +65,11 @@
         return True
 
     def due(self, now_ms: float) -> list[str]:
-        """Ids whose command is to be brought to the leader now."""
+        """Returns the change ids whose command is due to be forwarded."""
         return [change_id for change_id, pending in self.pending.items() if pending.due_at_ms <= now_ms]
 
     def next_attempt(self, change_id: str, now_ms: float) -> PendingOperatorCommand | None:
-        """Counts one more attempt; None where the command is too old, which gives it up."""
+        """Counts an attempt and returns the command, or drops it and returns None if it has timed out."""
         pending = self.pending[change_id]
         pending.due_at_ms = now_ms + FORWARD_INTERVAL_MS
         if now_ms - pending.submitted_at_ms > COMMAND_TIMEOUT_MS:
@@ -77,7 +79,7 @@
         return pending
 
     def on_status(self, status: ChangeStatus) -> None:
-        """The leader's answer to a pending command."""
+        """Stores the leader's reply to a pending command, which ends if the reply is final."""
         change_id = status.change_id
         pending = self.pending.get(change_id)
         if pending is None:
@@ -89,11 +91,11 @@
             del self.pending[change_id]
 
     def final_status(self, change_id: str) -> ChangeStatus | None:
-        """How a change ended, where the leader has told it."""
+        """Returns the final status of a change, or None if the leader has not reported one."""
         status = self.statuses.get(change_id)
         return status if status is not None and status.outcome in FINAL_OUTCOMES else None
 
     def last_status(self, change_id: str) -> ChangeStatus:
-        """What the leader told last."""
-        unknown = ChangeStatus(change_id, UNKNOWN_OUTCOME, 0, "no leader has told yet")
+        """Returns the status that the leader reported last."""
+        unknown = ChangeStatus(change_id, UNKNOWN_OUTCOME, 0, "no leader has answered yet")
         return self.statuses.get(change_id, unknown)
--- a/landingshift/policies/overlay.py
+++ b/landingshift/policies/overlay.py
@@ -1,4 +1,4 @@
-"""A policy over the settings of this server's start: what it may say here, and putting it in force."""
+"""Overlay of the policy in force over the startup settings of this server."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 from landingshift.policies.document import ALL_TABLES, NEWEST_FORMAT, decode_policy
 from landingshift.policies.errors import InvalidPolicyError
 
-FORMAT_VARIABLE = "LANDINGSHIFT_FORMAT"  # for trials: this build reads as an older one would
+FORMAT_VARIABLE = "LANDINGSHIFT_FORMAT"  # in tests, makes this build read policies like an older one
 
 
 def newest_readable_format() -> int:
-    """Newest format of a policy that this server accepts."""
+    """Returns the newest policy format that this server accepts."""
     return int(os.environ.get(FORMAT_VARIABLE, "") or NEWEST_FORMAT)
 
 
 class PolicyOverlay:
-    """The settings of this server's start, and the policy in force over them.
+    """Checks policies against this server's settings, and applies them over the startup values.
 
     Attributes:
-        owners: Objects of the admission module that hold the figures, by table and name.
-        start_values: Figures of the start by table, name and attribute.
+        owners: Objects of the admission module that hold the values, by table and name.
+        startup_values: Values at the start of this server, by table, name and attribute.
     """
 
     def __init__(self, settings: Settings, methods: dict[str, Method], tenants: dict[str, Tenant]) -> None:
@@ -31,43 +31,44 @@
             "tenants": dict(tenants),
             "rules": {"": settings},
         }
-        self.start_values: dict[tuple[str, str, str], Any] = {
-            (table, name, rule.attribute): getattr(owner, rule.attribute)
+        self.startup_values: dict[tuple[str, str, str], Any] = {
+            (table, name, spec.attribute): getattr(owner, spec.attribute)
             for table, owners in self.owners.items()
             for name, owner in owners.items()
-            for rule in ALL_TABLES[table].values()
+            for spec in ALL_TABLES[table].values()
         }
 
-    def find_conflict(self, packed: bytes) -> str:
-        """Key and reason where this server could not decide by a policy; empty where it could."""
+    def find_conflict(self, encoded: bytes) -> str:
+        """Returns the key and the reason why this server can't apply a policy; empty if it can."""
         try:
-            figures = decode_policy(packed, newest_readable_format())
-            for table, names in figures.items():
+            tables = decode_policy(encoded, newest_readable_format())
+            for table, names in tables.items():
                 for name, values in names.items():
-                    self._check_figures(table, name, values)
+                    self._check_values(table, name, values)
         except InvalidPolicyError as error:
             return str(error)
         return ""
 
-    def apply(self, packed: bytes) -> None:
-        """Puts a policy in force; what it does not name is as at the start."""
-        figures = decode_policy(packed, NEWEST_FORMAT)
-        for (table, name, attribute), start_value in self.start_values.items():
-            named = figures[table].get(name, {})
-            key = next(key for key, rule in ALL_TABLES[table].items() if rule.attribute == attribute)
-            setattr(self.owners[table][name], attribute, named.get(key, start_value))
+    def apply(self, encoded: bytes) -> None:
+        """Puts a policy in force; a value that it does not set returns to its startup value."""
+        tables = decode_policy(encoded, NEWEST_FORMAT)
+        for (table, name, attribute), startup_value in self.startup_values.items():
+            values = tables[table].get(name, {})
+            key = next(key for key, spec in ALL_TABLES[table].items() if spec.attribute == attribute)
+            setattr(self.owners[table][name], attribute, values.get(key, startup_value))
 
-    def _check_figures(self, table: str, name: str, values: dict[str, float]) -> None:
+    def _check_values(self, table: str, name: str, values: dict[str, float]) -> None:
         owner = self.owners[table].get(name)
         if owner is None:
-            raise InvalidPolicyError(f"{table}.{name}", "this server has none of that name")
-        if values.get("hold_off_max_ms") and not self.start_values["rules", "", "max_retry_after_ms"]:
-            raise InvalidPolicyError("rules.hold_off_max_ms", "its settings permit no hold-off")
+            raise InvalidPolicyError(f"{table}.{name}", "not configured on this server")
+        if values.get("hold_off_max_ms") and not self.startup_values["rules", "", "max_retry_after_ms"]:
+            raise InvalidPolicyError("rules.hold_off_max_ms", "this server's settings disable hold-offs")
         objective_ms = values.get("target_ms")
         objective_key = f"{table}.{name}.target_ms"
         if objective_ms is None:
             return
         if isinstance(owner, Method) and objective_ms > owner.deadline_ms:
-            raise InvalidPolicyError(objective_key, f"more than its deadline, {owner.deadline_ms:g}")
+            reason = f"more than the method's deadline, {owner.deadline_ms:g} ms"
+            raise InvalidPolicyError(objective_key, reason)
         if objective_ms == 0.0:
-            raise InvalidPolicyError(objective_key, "0 would turn all away")
+            raise InvalidPolicyError(objective_key, "0 would reject every RPC")
--- a/landingshift/policies/participant.py
+++ b/landingshift/policies/participant.py
@@ -1,18 +1,18 @@
-"""A server as participant of policy changes: by which version it may decide, and how far it is with a change.
+"""Participant of policy changes: which policy version a server may decide by, and its state in a change.
 
-The rules that keep decisions by the old and the new version apart:
+These rules bound the time during which the old and the new version are both in use:
 
-1. It decides by nothing before the leader has told that it is a member, and which version is in force.
-2. Told to prepare, it has the change's policy, has checked it, and from then on decides by the old version
-   only for `prepared_lease_ms` after each request that the leader answered with a lease. The leader stops
-   granting leases before it has the commit replicated: nobody decides by the old version so long after any
-   decided by the new one.
-3. It gives that up only on the word of what became of this very change: a late answer from before the change
-   was opened must not free it.
-4. With `is_standby_when_cut_off` each decision needs a lease, of `lease_ms`, at all times.
+1. A server decides on no RPC until the leader has confirmed its membership and the version in force.
+2. A server prepares only after it has fetched and validated the policy of the change. Once prepared, it
+   decides by the old version only under leases of `prepared_lease_ms`. The leader stops granting leases
+   before it replicates the commit, so no server decides by the old version for longer than such a lease
+   after another has decided by the new one.
+3. A prepared server leaves that state only when it learns the outcome of this change. A late reply, sent
+   before the change was opened, must not release it.
+4. With `is_standby_when_cut_off` every decision needs a lease of `lease_ms`, also between changes.
 
-A lease counts from when its request was sent, by this server's monotonic clock. Failure mode: cut off while
-prepared, it stands aside until a leader tells what became of the change.
+A lease starts when its request was sent, by this server's monotonic clock. Failure mode: a prepared server
+that is cut off goes on standby until a leader reports the outcome of the change.
 """
 
 from __future__ import annotations
@@ -39,45 +39,45 @@
 from landingshift.policies.policy_settings import PolicySettings
 
 NEVER_MS = -inf
-MAX_ENDED_CHANGE_COUNT = 64  # of which it remembers what became of them
-REMEMBERED_REQUEST_COUNT = 16  # requests whose sending times are kept
-IDLE_REQUEST_INTERVAL_MS = 2000.0  # between changes, where nothing hangs on it
-POLL_SPREAD_MS = 20.0  # over which the answers to a poll are spread
+MAX_ENDED_CHANGE_COUNT = 64  # ended changes whose outcome is stored
+MAX_TRACKED_REQUEST_COUNT = 16  # requests whose sending time is stored
+IDLE_REQUEST_INTERVAL_MS = 2000.0  # between changes, when no lease is needed
+POLL_SPREAD_MS = 20.0  # replies to a poll are spread over this time, so that they do not all arrive at once
 MIN_REQUEST_INTERVAL_MS = 10.0
 REQUESTS_PER_LEASE = 4.0  # so that a lease outlives lost requests
-MIN_JITTER, MAX_JITTER = 0.8, 1.2  # of an interval, so that servers do not ask in step
+MIN_JITTER, MAX_JITTER = 0.8, 1.2  # factors of an interval, so that servers do not send in lockstep
 
 
 class ParticipantState(StrEnum):
-    """How far one server is with a change; left only for a later state, or for NONE at its end."""
+    """State of one server in a change. It only advances, until the end of the change resets it to NONE."""
 
     NONE = ""
-    VALIDATED = "ready"  # it has the policy and could decide by it
-    REJECTED = "refused"
-    PREPARED = "armed"  # it decides by the old version under leases only
+    VALIDATED = "ready"  # the server has the policy and can apply it
+    REJECTED = "refused"  # the server has the policy and can't apply it
+    PREPARED = "armed"  # the server decides by the old version, and only under leases
 
 
 class ChangeParticipant:
     """One server's side of a change.
 
     Attributes:
-        discovery: Finds the leader.
-        is_member: Whether the leader has told that it is one.
-        refusal_reason: Why the leader does not take it as a member; empty where it does.
-        can_become_voter: Whether it has a log file.
-        version: In force here; -1 before any was told.
-        policy: Of that version.
-        latest_version: The newest version that it knows to be in force.
-        change_id: The change that it has the policy of; empty for none.
-        state: How far it is with that change.
-        rejection_reason: Why it can't decide by that policy.
-        lease_expiry_ms: When its lease ends, by its own monotonic clock.
-        ended_changes: What became of changes that it took part in, newest last.
-        last_request_number: Number of the last lease request.
-        last_answered_number: Number of the last request whose answer it took.
-        request_sent_at_ms: Sending times of the last requests by number.
-        next_deadline_ms: When `tick` is due.
-        outbox: Receivers and messages that wait to be sent.
+        discovery: Discovery of the leader.
+        is_member: Whether the leader has confirmed this server as a member.
+        refusal_reason: Reason why the leader does not accept this server as a member; empty if it does.
+        can_become_voter: Whether this server has a log file.
+        version: Policy version that this server decides by; -1 until it has one.
+        policy: Encoded policy of that version.
+        latest_version: Newest version known to be in force; `policy` may still be missing for it.
+        change_id: Id of the change whose policy this server has; empty if there is none.
+        state: State of this server in that change.
+        rejection_reason: Reason why this server can't apply the policy of that change.
+        lease_expiry_ms: End of the lease, by the monotonic clock.
+        ended_changes: Outcomes of the changes that this server took part in, by id, newest last.
+        last_request_number: Number of the last lease request sent.
+        last_answered_number: Highest request number whose reply was processed.
+        request_sent_at_ms: Sending times of the last requests, by number.
+        next_deadline_ms: Time at which `tick` is due.
+        outbox: Messages to send, each with its receiver.
     """
 
     def __init__(
@@ -88,14 +88,14 @@
         rng: Random,
         now_ms: float,
     ) -> None:
-        """Starts without any version.
+        """Starts without a version.
 
         Args:
-            run_id: Which process of that name: drawn anew at each start.
-            settings: Alike on all servers.
-            find_conflict: Key and reason where this server could not decide by a policy, else empty.
-            rng: Spreads requests.
-            now_ms: Monotonic clock.
+            run_id: Random id of this process, new at each start.
+            settings: Protocol settings, the same on all servers.
+            find_conflict: Returns why this server can't apply an encoded policy; empty if it can.
+            rng: Source of the jitter of requests.
+            now_ms: Current time of the monotonic clock.
         """
         self._run_id = run_id
         self._settings = settings
@@ -121,49 +121,49 @@
         self.next_deadline_ms = now_ms + FIRST_RETRY_MS * rng.random()
         self._last_request_at_ms = NEVER_MS
 
-    # What it may do
+    # Permission to decide
 
     @property
     def needs_lease(self) -> bool:
-        """Whether decisions need a lease just now."""
+        """Whether decisions currently need a lease."""
         return self._settings.is_standby_when_cut_off or self.state is ParticipantState.PREPARED
 
     def may_decide(self, now_ms: float) -> bool:
-        """Whether an RPC may be decided now, by `version`."""
+        """Returns whether this server may decide on RPCs now, by `version`."""
         if not self.is_member or self.latest_version > self.version:
             return False
         return now_ms < self.lease_expiry_ms if self.needs_lease else True
 
-    def trust_operator(self, version: int, policy: bytes) -> str:
-        """Takes an operator's word for what is in force, where no leader will ever say it.
+    def adopt_trusted_version(self, version: int, policy: bytes) -> str:
+        """Adopts a version that an operator declares to be in force, for use when no leader will return.
 
         Returns:
-            Why not; empty where it was taken.
+            Reason why the version was not adopted; empty if it was.
         """
         if self._settings.is_standby_when_cut_off:
-            return "it stands aside without a leader: when_cut_off is stand_aside"
+            return "this server needs a leader: its when_cut_off is stand_aside"
         if self.is_member or version < self.version:
             return f"it has version {self.version} from a leader"
         conflict = self._find_conflict(policy) if policy else ""
         if not conflict:
             self.is_member = True
             self.latest_version = version
-            self._adopt(version, policy)
+            self._adopt_version(version, policy)
         return conflict
 
     # Lease requests
 
     def tick(self, now_ms: float) -> None:
-        """Sends a lease request if one is due."""
+        """Queues a lease request if one is due."""
         if now_ms >= self.next_deadline_ms:
             self.send_lease_request(now_ms)
 
     def send_lease_request(self, now_ms: float) -> None:
-        """Tells the leader how far this server is, and asks for a lease."""
+        """Queues a request that reports this server's state to the leader and asks for a lease."""
         leader = self.discovery.choose_target()
         self.last_request_number += 1
         self.request_sent_at_ms[self.last_request_number] = now_ms
-        self.request_sent_at_ms.pop(self.last_request_number - REMEMBERED_REQUEST_COUNT, None)
+        self.request_sent_at_ms.pop(self.last_request_number - MAX_TRACKED_REQUEST_COUNT, None)
         self._last_request_at_ms = now_ms
         interval_ms = min(self.discovery.next_retry_ms(), self._request_interval_ms())
         self.next_deadline_ms = now_ms + interval_ms * self._jitter()
@@ -180,9 +180,9 @@
         self.outbox.append((leader, request))
 
     def _request_interval_ms(self) -> float:
-        """How often to ask: often enough to keep a lease that is needed, else rarely."""
-        is_change_going_on = self.state is not ParticipantState.NONE
-        if is_change_going_on or self.latest_version > self.version >= 0:
+        """Returns the interval between requests, short enough to keep a lease that is needed."""
+        is_in_change = self.state is not ParticipantState.NONE
+        if is_in_change or self.latest_version > self.version >= 0:
             return self._prepared_request_interval_ms
         if not self.is_member:
             return FIRST_RETRY_MS
@@ -198,7 +198,7 @@
         return self._rng.uniform(MIN_JITTER, MAX_JITTER)
 
     def _request_by(self, at_ms: float) -> None:
-        """Brings the next request forward."""
+        """Moves the next request forward to `at_ms` if it is due later."""
         self.next_deadline_ms = min(self.next_deadline_ms, at_ms)
 
     def _request_at_once(self, now_ms: float) -> None:
@@ -207,7 +207,7 @@
     # Messages
 
     def on_message(self, sender: str, message: Message, now_ms: float) -> None:
-        """Takes a message for participants; others are ignored."""
+        """Processes a message for participants; ignores other messages and replies to untracked requests."""
         match message:
             case StatusPoll():
                 spread_ms = POLL_SPREAD_MS * self._rng.random()
@@ -240,17 +240,17 @@
         if reply.ended is not None and reply.ended.change_id == self.change_id:
             self._end_change(reply.ended, reply.version)
         self._request_missing_policies(reply, now_ms)
-        self._prepare_if_wanted(reply, now_ms)
+        self._prepare_if_requested(reply, now_ms)
         self._extend_lease(reply)
         self._request_by(now_ms + self._request_interval_ms() * self._jitter())
 
     def _end_change(self, ended: EndedChange, version_in_force: int) -> None:
-        """Rule 3: only the end of this very change frees a prepared server."""
+        """Leaves the current change. By rule 3, a prepared server does this only on its outcome."""
         self.ended_changes[ended.change_id] = ended
         if len(self.ended_changes) > MAX_ENDED_CHANGE_COUNT:
             del self.ended_changes[next(iter(self.ended_changes))]
         if ended.version and ended.version == version_in_force == self.version + 1:
-            self._adopt(ended.version, self._change_policy)
+            self._adopt_version(ended.version, self._change_policy)
         self.change_id = ""
         self._change_policy = b""
         self.state = ParticipantState.NONE
@@ -265,10 +265,10 @@
             self.outbox.append((leader, PolicyRequest(reply.change_id, 0)))
             self._request_by(now_ms + self._prepared_request_interval_ms)
 
-    def _prepare_if_wanted(self, reply: LeaseReply, now_ms: float) -> None:
-        """Rule 2: prepared, it decides under short leases only; a longer one that it has is cut."""
-        is_wanted = reply.change_id == self.change_id and reply.phase is ChangePhase.PREPARE
-        if is_wanted and self.state is ParticipantState.VALIDATED:
+    def _prepare_if_requested(self, reply: LeaseReply, now_ms: float) -> None:
+        """Prepares by rule 2: later leases are short, and a longer current lease is shortened."""
+        is_requested = reply.change_id == self.change_id and reply.phase is ChangePhase.PREPARE
+        if is_requested and self.state is ParticipantState.VALIDATED:
             self.state = ParticipantState.PREPARED
             latest_expiry_ms = now_ms + self._settings.prepared_lease_ms
             self.lease_expiry_ms = min(self.lease_expiry_ms, latest_expiry_ms)
@@ -291,9 +291,9 @@
             self.state = ParticipantState.REJECTED if is_rejected else ParticipantState.VALIDATED
             self._request_at_once(now_ms)
         elif not text.change_id and text.version == self.latest_version > self.version:
-            self._adopt(text.version, text.policy)
+            self._adopt_version(text.version, text.policy)
             self._request_at_once(now_ms)
 
-    def _adopt(self, version: int, policy: bytes) -> None:
+    def _adopt_version(self, version: int, policy: bytes) -> None:
         self.version = version
         self.policy = policy
--- a/landingshift/policies/policy_settings.py
+++ b/landingshift/policies/policy_settings.py
@@ -1,24 +1,24 @@
-"""The settings of the protocol of policy changes, alike on all servers."""
+"""Settings of the policy change protocol, the same on all servers."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-PREPARED_LEASE_FRACTION = 0.8  # of the overlap; the rest is margin
+PREPARED_LEASE_FRACTION = 0.8  # of `overlap_ms`; the rest is a safety margin
 
 
 @dataclass(slots=True, frozen=True)
 class PolicySettings:
-    """Alike on all servers of a fleet.
+    """Settings of the policy change protocol.
 
     Attributes:
-        voters: Voters until the log names others.
+        voters: Initial voters, used until the replicated log names others.
         is_standby_when_cut_off: Whether each decision needs a lease at all times, so that a change need not
             wait for a server that is cut off.
-        overlap_ms: For how long two versions may be in use at once, at most.
-        lease_ms: Length of a lease between changes, where such leases are needed.
-        clock_margin_ms: Added until the leader takes a lease for expired.
-        change_timeout_ms: After which a change that is not committed is withdrawn.
+        overlap_ms: Maximum time during which two versions may be in use at once.
+        lease_ms: Duration of a lease between changes, if `is_standby_when_cut_off`.
+        clock_margin_ms: Extra time after the end of a lease before the leader considers it expired.
+        change_timeout_ms: Time after which a change that is not committed is withdrawn.
     """
 
     voters: tuple[str, ...]
@@ -30,11 +30,11 @@
 
     @property
     def prepared_lease_ms(self) -> float:
-        """Length of a lease of a prepared server: for so long it decides by the old version at most."""
+        """Duration of a lease of a prepared server, which may use the old version until it expires."""
         return PREPARED_LEASE_FRACTION * self.overlap_ms
 
     @property
     def fingerprint(self) -> str:
-        """What must be alike at who asks and who answers; sent with each request."""
+        """Settings that must be equal on a member and its leader, as text; sent with each lease request."""
         when_cut_off = "stand_aside" if self.is_standby_when_cut_off else "serve"
         return f"{when_cut_off} {self.overlap_ms:g} {self.lease_ms:g}"
--- a/landingshift/policies/service.py
+++ b/landingshift/policies/service.py
@@ -1,4 +1,4 @@
-"""Policies on the server's loop: messages, timers, the log file, and the log for other packages."""
+"""Policy service on the event loop: messages, timers, the log file, and the log for other packages."""
 
 from __future__ import annotations
 
@@ -26,28 +26,28 @@
 if TYPE_CHECKING:
     from landingshift.net.program.features import ServiceHost
 
-PACKAGE = "policies"  # of messages in membership's datagrams
-MIN_TIMER_MS = 1.0  # no timer fires sooner
-MAX_SAVE_ROUND_COUNT = 8  # times in a row that what was saved may bring about more to save
+PACKAGE = "policies"  # names this package's messages in the datagrams of membership
+MIN_TIMER_MS = 1.0  # shortest timer
+MAX_SAVE_ROUND_COUNT = 8  # rounds of saving, each of which may produce more state to save
 
 
 class PolicyService:
-    """A server's part in policies.
+    """Runs a server's policy node on the event loop.
 
     Attributes:
-        name: The table that switches the service on.
-        settings: Of that table.
-        policy_node: All decisions.
-        enforcement: Carries them into the admission module.
+        name: Name of the settings table that enables the service.
+        settings: Settings from that table.
+        policy_node: Policy logic of this server.
+        enforcement: Enforcement of the policy in the admission controller.
     """
 
     name = "policies"
 
     def __init__(self, host: ServiceHost, settings: Settings) -> None:
-        """Opens the log file and wires the service to the loop.
+        """Opens the log file and registers the service with the loop and membership.
 
         Raises:
-            InvalidSettingError: The log file is missing or can't be used.
+            InvalidSettingError: The log file is required but not set, or can't be used.
         """
         membership = host.services["fleet"]
         assert isinstance(membership, MembershipService)
@@ -82,10 +82,11 @@
         membership.operator_rpc.handlers |= OperatorCalls(self).handlers()
         self._loop.after(0.0, self._on_timer)
 
-    # Time and messages: the clock is read anew, since what came may be younger than the pass
+    # Time and messages. The clock is read again for each message, because a message may have arrived after
+    # the loop read it at the start of the pass.
 
     def clock_ms(self) -> float:
-        """The monotonic clock of now."""
+        """Returns the current time of the monotonic clock."""
         return self._loop.clock_ms()
 
     def _on_message(self, sender: MemberRecord, body: list[Any]) -> None:
@@ -100,10 +101,10 @@
         self._save_and_send()
 
     def _save_and_send(self) -> None:
-        """Saves what must be on disk first, then sends, and sets the timer for what is due next."""
+        """Saves the state, sends the messages that depend on it, and sets the timer."""
         for _ in range(MAX_SAVE_ROUND_COUNT):
             is_saved = self._save()
-            outgoing = self.policy_node.take_outgoing()  # with a full disk all but what would rest on it
+            outgoing = self.policy_node.take_outgoing()  # holds back messages that depend on unsaved state
             for receiver, body in outgoing:
                 self._membership.large_messages.send_to_member(receiver, PACKAGE, body)
             if not is_saved or not outgoing:
@@ -119,7 +120,7 @@
             self._timer = self._loop.after(due_ms - self._loop.now_ms, self._on_timer)
 
     def _save(self) -> bool:
-        """False where the disk takes nothing: nothing that rests on it may go out."""
+        """Saves unsaved state; returns False if writing failed, so that dependent messages stay held back."""
         state = self.policy_node.unsaved_state()
         if state is None or self._log_writer is None:
             return True
@@ -129,61 +130,61 @@
         self.policy_node.deliver_messages(self.clock_ms())
         return True
 
-    # The replicated log, for packages with a state machine on it
+    # Replicated log, for packages with a state machine on it
 
     @property
     def is_voter(self) -> bool:
-        """Whether this server has a log file, and so applies entries."""
+        """Whether this server has a log file and therefore applies entries."""
         return self.policy_node.raft is not None
 
     @property
     def leader(self) -> str:
-        """The leader that answers this server; empty where it knows none."""
+        """Name of the leader that replies to this server; empty if unknown."""
         return self._participant.discovery.leader
 
     @property
     def voters(self) -> list[str]:
-        """All voters, as the leader named them last."""
+        """Names of all voters, as last reported by the leader."""
         return self._participant.discovery.voters
 
     def register_state_machine(
         self, name: str, state_machine: StateMachine, on_committed: Callable[[float], None]
     ) -> None:
-        """Puts a state machine on the log; `on_committed(now_ms)` is called when entries were applied."""
+        """Adds a state machine to the log; `on_committed(now_ms)` is called after entries were applied."""
         self.policy_node.state_machines.register(name, state_machine)
         self.policy_node.commit_listeners.append(on_committed)
 
     def propose(self, data: bytes) -> bool:
-        """Appends an entry; False on a server that does not lead."""
+        """Appends an entry to the log; returns False if this server is not the leader."""
         raft = self.policy_node.raft
         is_proposed = raft is not None and raft.propose(data) is not None
         self._save_and_send()
         return is_proposed
 
     def is_leader(self) -> bool:
-        """Whether this server may speak as the leader; the clock is read now."""
+        """Returns whether this server holds the leader lease at the current time."""
         raft = self.policy_node.raft
         return raft is not None and raft.has_leader_lease(self.clock_ms())
 
     # Operators
 
     def submit_command(self, change_id: str, command: OperatorCommand) -> bool:
-        """Brings a command to the leader; False where too many are under way."""
-        is_taken = self.policy_node.submit_command(change_id, command, self.clock_ms())
+        """Forwards a command to the leader; returns False if too many are pending."""
+        is_accepted = self.policy_node.submit_command(change_id, command, self.clock_ms())
         self._save_and_send()
-        return is_taken
+        return is_accepted
 
     def member_record(self, name: str) -> MemberRecord | None:
-        """What membership knows of a server."""
+        """Returns the membership record of a server, or None if it is unknown."""
         return self._swim_node.member_table.record(name)
 
-    def on_trusted(self, version: int) -> None:
-        """An operator's word for the version in force was taken."""
+    def on_version_trusted(self, version: int) -> None:
+        """Logs and applies a version that an operator declared to be in force."""
         self._log("policy_trusted", version=version)
         self._router.request_settle()
 
     def finish(self) -> None:
-        """The loop has ended: nothing more is decided here, which is what the others wait for."""
+        """Tells the voters, after the end of the loop, that this server decides on no more RPCs."""
         self.policy_node.announce_departure()
         for receiver, body in self.policy_node.take_outgoing():
             self._swim_node.send_to_member(receiver, PACKAGE, body)
@@ -195,7 +196,7 @@
 def _open_log_file(settings: Settings, cluster_name: str, server_name: str) -> RaftLogFile | None:
     if not settings.journal:
         if server_name in settings.voters:
-            raise InvalidSettingError("journal", "is needed: this server is among voters")
+            raise InvalidSettingError("journal", "is required, because this server is one of the voters")
         return None
     try:
         return RaftLogFile(settings.journal, cluster_name, server_name)
--- a/landingshift/policies/settings.py
+++ b/landingshift/policies/settings.py
@@ -1,4 +1,4 @@
-"""The table `[policies]`; needs `[fleet]`."""
+"""Settings from the table `[policies]`, which requires the table `[fleet]`."""
 
 from __future__ import annotations
 
@@ -13,18 +13,19 @@
 
 
 class Settings(Struct, forbid_unknown_fields=True, frozen=True):
-    """The keys of the table. Alike on all servers of a fleet but for `journal`.
+    """Keys of the table. All except `journal` must be the same on all servers of a fleet.
 
     Attributes:
-        voters: Voters at first: 1, 3, 5 or 7.
-        journal: Log file of a voter, or of a server that may become one: on a disk that lasts.
-        on: Whether the package is used.
-        when_cut_off: What a server does once no leader has renewed its lease.
-        overlap_ms: For how long two versions may be in use at once, at most.
-        lease_ms: Length of a lease with "stand_aside".
-        spare_ms: Added until the leader takes a lease for expired.
-        wait_ms: After which a change that is not committed is withdrawn.
-        most: Servers that can be members.
+        needs: Other tables that this one requires.
+        voters: Names of the initial voters: 1, 3, 5 or 7.
+        journal: Path of the log file of a voter, or of a server that may become one, on persistent storage.
+        on: Whether the package is enabled.
+        when_cut_off: Behaviour of a server whose lease no leader has renewed: "serve" or "stand_aside".
+        overlap_ms: Maximum time during which two versions may be in use at once.
+        lease_ms: Duration of a lease with "stand_aside".
+        spare_ms: Extra time after the end of a lease before the leader considers it expired.
+        wait_ms: Time after which a change that is not committed is withdrawn.
+        most: Maximum number of members.
     """
 
     needs: ClassVar[tuple[str, ...]] = ("fleet",)
@@ -41,23 +42,23 @@
 
 
 def check(settings: Settings, _folder: str) -> None:
-    """Checks what the types can't say; looks at nothing that starting would create.
+    """Checks what the types can't express; does not look at files, which the start may still create.
 
     Raises:
-        InvalidSettingError: The text begins with the key.
+        InvalidSettingError: A value is invalid; the message begins with its key.
     """
     voter_count = len(settings.voters)
     if voter_count % 2 == 0:
-        reason = f"1, 3, 5 or 7 are expected, not {voter_count}: one more adds nothing"
+        reason = f"1, 3, 5 or 7 are expected, not {voter_count}; one voter fewer tolerates as many failures"
         raise InvalidSettingError("voters", reason)
     if len(set(settings.voters)) != voter_count:
-        raise InvalidSettingError("voters", "a name stands there twice")
+        raise InvalidSettingError("voters", "a name is listed twice")
     if settings.journal and not os.path.isabs(settings.journal):
         raise InvalidSettingError("journal", f"an absolute path is expected, not {settings.journal!r}")
 
 
 def to_policy_settings(settings: Settings) -> PolicySettings:
-    """The table's values by the names of the code."""
+    """Returns the protocol settings from the table."""
     return PolicySettings(
         voters=tuple(settings.voters),
         is_standby_when_cut_off=settings.when_cut_off == "stand_aside",
--- a/landingshift/policies/state_machine.py
+++ b/landingshift/policies/state_machine.py
@@ -1,9 +1,9 @@
-"""What the voters agree on: members, the version in force, and what became of each change.
+"""Replicated state machine of policies: the members, the version in force, and the outcome of each change.
 
-Guarantee: each voter applies the same commands in the same order and comes to the same state; a change's id
-ends in one way for ever. A command that does not fit any more when its turn comes (a commit after a new
-member joined, a withdrawal after the commit) does nothing. Failure mode: once `MAX_CHANGE_ID_COUNT` ids are
-known no new change is begun, since its end could not be kept.
+Guarantee: all voters apply the same commands in the same order and reach the same state; the outcome of a
+change never changes once it is final. A command that no longer applies when it is committed (a commit after
+a new member joined, a withdrawal after the commit) has no effect. Failure mode: once `MAX_CHANGE_ID_COUNT`
+changes are recorded, new ones are ignored, because their outcome could not be recorded.
 """
 
 from __future__ import annotations
@@ -21,25 +21,25 @@
     decode_command,
 )
 
-MAX_DETAILED_CHANGE_COUNT = 256  # ended changes that are kept with reason and author
-MAX_POLICY_TEXT_COUNT = 32  # versions whose policy is kept
-MAX_CHANGE_ID_COUNT = 10_000  # changes of which it is known for ever whether they were committed
+MAX_DETAILED_CHANGE_COUNT = 256  # final changes stored with reason and author
+MAX_STORED_POLICY_COUNT = 32  # versions whose policy is stored
+MAX_CHANGE_ID_COUNT = 10_000  # changes whose outcome is stored for good
 MAX_REASON_CHARS = 300
 DEFAULT_MAX_MEMBER_COUNT = 2000
 
 
 class Change(Struct, array_like=True):
-    """One change; an array in snapshots, so that only the order of the fields is stored.
+    """A change of policy. Snapshots store it as an array, so only the order of the fields matters.
 
     Attributes:
-        id: Chosen by whoever asked for it.
-        policy: The policy as it is stored.
-        author: Who asked.
-        reason: Why they asked.
-        opened_at_ms: Unix time of the leader that took it in.
-        outcome: What became of it.
-        version: The version that it became; 0 where it was not committed.
-        outcome_reason: Why it was not committed.
+        id: Id chosen by the operator.
+        policy: Proposed policy, encoded.
+        author: Operator who proposed the change.
+        reason: The operator's reason for the change.
+        opened_at_ms: Unix time of the leader when it accepted the proposal.
+        outcome: Outcome of the change.
+        version: Version that the change created; 0 if it was not committed.
+        outcome_reason: Reason why it was not committed.
     """
 
     id: str
@@ -53,7 +53,7 @@
 
 
 class StateSnapshot(Struct, array_like=True):
-    """The state machine as a snapshot; the fields are those of `PolicyStateMachine`."""
+    """Snapshot of the state machine; the fields are those of `PolicyStateMachine`."""
 
     members: dict[str, int]
     join_count: int
@@ -68,14 +68,15 @@
     """The replicated state of policies.
 
     Attributes:
-        max_member_count: Servers that can be members.
-        members: Who must take part in a change, and the run that joined.
-        join_count: How often `members` grew: a commit holds for those that its leader had asked.
-        version: In force; 0 is the settings of each start.
-        policies: Policy of each version that is kept.
-        pending_change_id: The change under way; empty for none.
-        changes: Changes with all details, in the order of their ids' first appearance.
-        final_versions: For each change that ended its version, 0 where it was not committed.
+        max_member_count: Maximum number of members.
+        members: Run id of each member by name. Every member must take part in a change.
+        join_count: Number of joins applied. A commit is valid only for the members that its leader asked, so
+            it names the count that the leader knew.
+        version: Version in force; 0 stands for the settings that each server started with.
+        policies: Encoded policies of the stored versions.
+        pending_change_id: Id of the change in progress; empty if there is none.
+        changes: Changes stored with all details, by id, in the order in which the ids first appeared.
+        final_versions: Version created by each final change, by id; 0 if it was not committed.
     """
 
     def __init__(self, max_member_count: int = DEFAULT_MAX_MEMBER_COUNT) -> None:
@@ -89,7 +90,7 @@
         self.final_versions: dict[str, int] = {}
 
     def find_change(self, change_id: str) -> Change | None:
-        """What became of a change; one that is long past is told without its details."""
+        """Returns a change, or None if it is unknown; an old change has only its outcome and version."""
         change = self.changes.get(change_id)
         if change is not None or change_id not in self.final_versions:
             return change
@@ -98,24 +99,24 @@
         return Change(change_id, b"", "", "", 0.0, outcome, version)
 
     def has_member(self, name: str, run_id: int) -> bool:
-        """Whether this very run is a member."""
+        """Returns whether this run of the server is a member."""
         return self.members.get(name) == run_id
 
     def has_capacity_for(self, name: str) -> bool:
-        """Whether the server is a member already, in whichever run, or one more fits."""
+        """Returns whether the server is already a member, in any run, or one more member is allowed."""
         return name in self.members or len(self.members) < self.max_member_count
 
     @property
     def is_full(self) -> bool:
-        """Whether no new change can be begun."""
+        """Whether the limit on recorded changes is reached, so that no new change is accepted."""
         return len(self.final_versions) >= MAX_CHANGE_ID_COUNT
 
     # Commands
 
     def apply(self, data: bytes) -> None:
-        """Applies a committed entry."""
+        """Applies a committed entry of the replicated log."""
         if not data:
-            return  # a leader's first entry
+            return  # the empty entry that a leader appends at the start of its term
         match decode_command(data):
             case JoinMembers(members):
                 for name, run_id in members:
@@ -133,57 +134,57 @@
 
     def _join(self, name: str, run_id: int) -> None:
         if not self.has_member(name, run_id) and self.has_capacity_for(name):
-            self.members[name] = run_id  # its earlier run has ended: one name is one process at a time
+            self.members[name] = run_id  # one process at a time has a name, so an earlier run has ended
             self.join_count += 1
 
     def _open(self, command: OpenChange) -> None:
         change_id = command.change_id
         if change_id in self.changes or change_id in self.final_versions or self.is_full:
-            return  # asked twice, done once
+            return  # a repeated proposal has no effect
         change = Change(change_id, command.policy, command.author, command.reason, command.opened_at_ms)
         self.changes[change_id] = change
         if self.pending_change_id:
             reason = f"another change is under way: {self.pending_change_id}"
-            self._close(change, ChangeOutcome.REJECTED, reason)
+            self._finish(change, ChangeOutcome.REJECTED, reason)
         elif change.policy == self.policies[self.version]:
-            self._close(change, ChangeOutcome.REJECTED, f"it says what version {self.version} says")
+            self._finish(change, ChangeOutcome.REJECTED, f"it says what version {self.version} says")
         else:
             self.pending_change_id = change_id
 
     def _commit(self, change: Change) -> None:
         self.version += 1
         self.policies[self.version] = change.policy
-        if self.version > MAX_POLICY_TEXT_COUNT:  # 0 is the start's, and costs nothing
-            self.policies.pop(self.version - MAX_POLICY_TEXT_COUNT, None)
+        if self.version > MAX_STORED_POLICY_COUNT:  # version 0 is empty and is always kept
+            self.policies.pop(self.version - MAX_STORED_POLICY_COUNT, None)
         change.version = self.version
         self.pending_change_id = ""
-        self._close(change, ChangeOutcome.COMMITTED, "")
+        self._finish(change, ChangeOutcome.COMMITTED, "")
 
     def _end(self, command: EndChange) -> None:
         change_id = command.change_id
         change = self.changes.get(change_id)
         if change is None and change_id not in self.final_versions and not self.is_full:
-            # Whoever proposes it later is told that it was withdrawn.
+            # Records a withdrawal that precedes the proposal, so that the late proposal has no effect.
             change = Change(change_id, b"", "", "", command.ended_at_ms)
             self.changes[change_id] = change
         if change is None or change.outcome is not ChangeOutcome.PENDING:
             return
         if self.pending_change_id == change_id:
             self.pending_change_id = ""
-        self._close(change, command.outcome, command.reason)
+        self._finish(change, command.outcome, command.reason)
 
-    def _close(self, change: Change, outcome: ChangeOutcome, reason: str) -> None:
+    def _finish(self, change: Change, outcome: ChangeOutcome, reason: str) -> None:
         change.outcome = outcome
         change.outcome_reason = reason[:MAX_REASON_CHARS]
         self.final_versions[change.id] = change.version
-        ended_ids = [id for id, each in self.changes.items() if each.outcome is not ChangeOutcome.PENDING]
-        for ended_id in ended_ids[:-MAX_DETAILED_CHANGE_COUNT]:
-            del self.changes[ended_id]
+        final_ids = [id for id, other in self.changes.items() if other.outcome is not ChangeOutcome.PENDING]
+        for final_id in final_ids[:-MAX_DETAILED_CHANGE_COUNT]:
+            del self.changes[final_id]
 
     # Snapshots
 
     def snapshot(self) -> bytes:
-        """The whole state."""
+        """Returns the whole state, encoded."""
         return msgspec.msgpack.encode(
             StateSnapshot(
                 self.members,
@@ -197,7 +198,7 @@
         )
 
     def restore(self, state: bytes) -> None:
-        """Takes the state of a snapshot in place of its own."""
+        """Replaces the state with that of a snapshot."""
         snapshot = msgspec.msgpack.decode(state, type=StateSnapshot)
         self.members = snapshot.members
         self.join_count = snapshot.join_count
--- a/landingshift/policies/voter_changes.py
+++ b/landingshift/policies/voter_changes.py
@@ -1,8 +1,8 @@
-"""The rule by which operators add and remove voters.
+"""Rules for adding and removing voters by operators.
 
-Guarantee: a voter is added only where it runs with a log file, and removed only where a majority of those
-who are left answers, so that no change of voters by itself stops the log. Failure mode: the voters that
-answer now may stop right after.
+Guarantee: a voter is added only if it runs with a log file, and removed only if a majority of the remaining
+voters responds, so a change of voters alone never stops the log. Failure mode: voters that respond now may
+stop right afterwards.
 """
 
 from __future__ import annotations
@@ -12,17 +12,17 @@
 from landingshift.consensus.raft import RaftNode
 from landingshift.policies.messages import ChangeVoters
 
-BEING_REPLICATED = "it is being agreed on"
+BEING_REPLICATED = "the change of voters is being replicated"
 
 
 @dataclass(slots=True, frozen=True)
 class VoterChangePlan:
-    """What to do about an operator's wish.
+    """Next step of a change of voters.
 
     Attributes:
-        is_done: Whether the voters are as wanted and that is committed.
-        reason: Why it is not done; empty where it is.
-        new_voters: Voters to propose; empty for nothing.
+        is_done: Whether the change is committed.
+        reason: Reason why it is not done yet; empty if it is.
+        new_voters: Voters to propose; empty if there is nothing to propose.
     """
 
     is_done: bool
@@ -33,13 +33,13 @@
 def plan_voter_change(
     raft: RaftNode, command: ChangeVoters, can_become_voter: bool, now_ms: float
 ) -> VoterChangePlan:
-    """What to do to add or remove a voter.
+    """Returns the next step to add or remove a voter.
 
     Args:
-        raft: The leader's node.
-        command: What the operator wants.
-        can_become_voter: Whether the server to add runs as a member with a log file.
-        now_ms: Monotonic clock.
+        raft: Raft node of the leader.
+        command: The operator's command.
+        can_become_voter: Whether the server to add is a member with a log file.
+        now_ms: Current time of the monotonic clock.
     """
     name = command.name
     if (name in raft.voters) is command.is_addition:
@@ -47,13 +47,13 @@
         return VoterChangePlan(is_committed, "" if is_committed else BEING_REPLICATED)
     if command.is_addition:
         if not can_become_voter:
-            return VoterChangePlan(False, f"{name} is not there with a journal")
+            return VoterChangePlan(False, f"{name} is not a member with a journal")
         return VoterChangePlan(False, BEING_REPLICATED, (*raft.voters, name))
     remaining = tuple(voter for voter in raft.voters if voter != name)
-    answering = [
+    responding = [
         voter for voter in remaining if voter == raft.name or raft.has_recent_response(voter, now_ms)
     ]
-    if 2 * len(answering) <= len(remaining):
-        reason = f"only {', '.join(answering)} would be left of {', '.join(remaining)}"
+    if 2 * len(responding) <= len(remaining):
+        reason = f"only {', '.join(responding)} of the remaining voters {', '.join(remaining)} respond"
         return VoterChangePlan(False, reason)
     return VoterChangePlan(False, BEING_REPLICATED, remaining)
--- a/landingshift/policies/wire.py
+++ b/landingshift/policies/wire.py
@@ -1,6 +1,6 @@
-"""Encoding of the messages of policies: lists whose first word names the kind.
+"""Encoding of messages about policies as lists whose first element names the kind of message.
 
-The only module that knows these lists. A body may be larger than a datagram.
+No other module depends on this encoding. A message may be larger than a datagram.
 """
 
 from __future__ import annotations
@@ -35,13 +35,13 @@
     WithdrawChange,
 )
 
-MAX_RECEIVED_VOTER_COUNT = 9  # voters of an answer that are kept
+MAX_RECEIVED_VOTER_COUNT = 9  # voters taken from a lease reply; further ones are ignored
 
 _PHASES = {phase.value: phase for phase in ChangePhase}
 
 
 def encode_operator_command(command: OperatorCommand) -> list[Any]:
-    """Fields of a command, its name first."""
+    """Returns the fields of a command, beginning with its name."""
     match command:
         case ProposeChange(policy, author, reason):
             return ["propose", policy, author, reason]
@@ -58,7 +58,7 @@
 
 
 def decode_operator_command(fields: list[Any]) -> OperatorCommand:
-    """Command of its fields."""
+    """Returns the command that the fields encode."""
     match fields:
         case ["propose", bytes(policy), str(author), str(reason)]:
             return ProposeChange(policy, author, reason)
@@ -74,7 +74,7 @@
 
 
 def encode_message(message: Message) -> list[Any]:
-    """Body of a message."""
+    """Returns the body of a message."""
     match message:
         case RaftPacket(data):
             return ["vote", data]
@@ -89,7 +89,7 @@
 
 
 def _encode_member_message(message: MemberMessage) -> list[Any]:
-    """Body of a message between a member and the leader."""
+    """Returns the body of a message between a member and the leader."""
     match message:
         case LeaseRequest():
             return _encode_lease_request(message)
@@ -141,10 +141,10 @@
 
 
 def decode_message(body: list[Any]) -> Message:
-    """Message of a body.
+    """Returns the message that a body encodes.
 
     Raises:
-        UnreadableMessageError: It is no message of this protocol.
+        UnreadableMessageError: The body is not a message of this protocol.
     """
     match body:
         case ["vote", bytes(data)]:
@@ -224,7 +224,7 @@
 
 
 def _decode_phase(value: str) -> ChangePhase:
-    """Phase of its name; one of a newer build wants nothing that this one could do."""
+    """Returns the phase; treats a phase of a newer build as none, since this build can't act on it."""
     return _PHASES.get(value, ChangePhase.NONE)
 
 
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -1,4 +1,4 @@
-"""What a policy may say, the replicated state of policies, and the encoding of commands and messages."""
+"""Tests of the policy format, the replicated state machine, and the encoding of commands and messages."""
 
 from __future__ import annotations
 
@@ -57,22 +57,22 @@
 from landingshift.policies.state_machine import (
     MAX_CHANGE_ID_COUNT,
     MAX_DETAILED_CHANGE_COUNT,
-    MAX_POLICY_TEXT_COUNT,
+    MAX_STORED_POLICY_COUNT,
     PolicyStateMachine,
 )
 from landingshift.policies.wire import decode_message, encode_message
 from tests.helpers import CONFIG
 
 
-def overlay() -> PolicyOverlay:
+def new_overlay() -> PolicyOverlay:
     config = decode_config(CONFIG | {"name": "n0"}, {})
     return PolicyOverlay(config.settings, config.methods, config.tenants)
 
 
-class Documents(unittest.TestCase):
-    def test_policy_that_no_build_can_read_names_its_key(self) -> None:
+class PolicyFormatTest(unittest.TestCase):
+    def test_error_of_an_invalid_policy_begins_with_the_key(self) -> None:
         for text, message_start in [
-            ("x = [", "no TOML: "),
+            ("x = [", "not TOML: "),
             ("[method.a]\n", "method: no such table"),
             ("[methods]\na = 1\n", "methods.a: a table is expected"),
             ("[methods.a]\nworth = 1\n", "methods.a.worth: no such key"),
@@ -84,11 +84,11 @@
             ("[rules]\nover_share_worth = 2\n", "rules.over_share_worth: a number"),
             ("format = 3\n", "format: this build reads up to 2, not 3"),
             ("rules = 1\n", "rules: a table is expected"),
-            ("[methods.a]\ncriticality = 99999999999999999999\n", "the whole: "),
+            ("[methods.a]\ncriticality = 99999999999999999999\n", "the whole policy: "),
             ("[methods.a]\ncriticality = 2026-12-02\n", "methods.a.criticality: a number"),
             (
                 "[tenants.a]\n" + "".join(f"[tenants.b{i}]\nallowance_s = 1\n" for i in range(4000)),
-                "the whole: ",
+                "the whole policy: ",
             ),
         ]:
             with self.subTest(text=text[:60]), self.assertRaises(InvalidPolicyError) as caught:
@@ -96,25 +96,28 @@
             self.assertTrue(str(caught.exception).startswith(message_start), caught.exception)
             self.assertEqual(str(caught.exception), f"{caught.exception.key}: {caught.exception.reason}")
 
-    def test_policy_that_this_server_cannot_decide_by_is_rejected_with_its_key(self) -> None:
-        method = next(iter(overlay().owners["methods"]))
+    def test_conflict_of_a_policy_with_this_server_begins_with_the_key(self) -> None:
+        method = next(iter(new_overlay().owners["methods"]))
         for text, conflict_start in [
-            ("[methods.nowhere]\ncriticality = 1\n", "methods.nowhere: this server has none of that name"),
-            (f"[methods.{method}]\ntarget_ms = 0\n", f"methods.{method}.target_ms: 0 would turn all away"),
-            (f"[methods.{method}]\ntarget_ms = 1e9\n", f"methods.{method}.target_ms: more than its deadline"),
+            ("[methods.nowhere]\ncriticality = 1\n", "methods.nowhere: not configured on this server"),
+            (f"[methods.{method}]\ntarget_ms = 0\n", f"methods.{method}.target_ms: 0 would reject every RPC"),
+            (
+                f"[methods.{method}]\ntarget_ms = 1e9\n",
+                f"methods.{method}.target_ms: more than the method's deadline, ",
+            ),
             (f"[methods.{method}]\ncriticality = 3\n", ""),
         ]:
             with self.subTest(text=text):
-                self.assertTrue(overlay().find_conflict(parse_policy(text)).startswith(conflict_start))
-        self.assertIn("the whole", overlay().find_conflict(b"\xc1"))
-        without_retry_after = overlay()
-        without_retry_after.start_values["rules", "", "max_retry_after_ms"] = 0.0
+                self.assertTrue(new_overlay().find_conflict(parse_policy(text)).startswith(conflict_start))
+        self.assertIn("the whole policy", new_overlay().find_conflict(b"\xc1"))
+        without_retry_after = new_overlay()
+        without_retry_after.startup_values["rules", "", "max_retry_after_ms"] = 0.0
         conflict = without_retry_after.find_conflict(parse_policy("[rules]\nhold_off_max_ms = 9\n"))
-        self.assertEqual(conflict, "rules.hold_off_max_ms: its settings permit no hold-off")
-        self.assertIn("tables are expected", overlay().find_conflict(msgspec.msgpack.encode([1])))
+        self.assertEqual(conflict, "rules.hold_off_max_ms: this server's settings disable hold-offs")
+        self.assertIn("tables are expected", new_overlay().find_conflict(msgspec.msgpack.encode([1])))
 
-    def test_next_policy_takes_back_what_it_does_not_name(self) -> None:
-        applied = overlay()
+    def test_new_policy_resets_values_that_it_does_not_set(self) -> None:
+        applied = new_overlay()
         name, method = next(iter(applied.owners["methods"].items()))
         assert isinstance(method, Method)
         start_values = method.criticality, method.latency_objective_ms
@@ -125,7 +128,7 @@
         applied.apply(b"")
         self.assertEqual((method.criticality, method.latency_objective_ms), start_values)
 
-    def test_differences_are_described_by_key(self) -> None:
+    def test_differences_are_listed_by_key(self) -> None:
         old = parse_policy("[methods.a]\ncriticality = 1\ntarget_ms = 5\n[rules]\nover_share_worth = 0.5\n")
         new = parse_policy("[methods.a]\ncriticality = 2\ntarget_ms = 5\n[tenants.t]\nallowance_s = 3\n")
         self.assertEqual(
@@ -140,7 +143,7 @@
 
     @settings(max_examples=300, deadline=None)
     @given(st.binary(max_size=200))
-    def test_any_bytes_decode_or_raise_the_typed_error(self, data: bytes) -> None:
+    def test_any_bytes_decode_or_raise_invalid_policy_error(self, data: bytes) -> None:
         with contextlib.suppress(InvalidPolicyError):
             decode_policy(data, 2)
 
@@ -159,12 +162,12 @@
             max_leaves=8,
         )
     )
-    def test_any_value_decodes_to_all_tables_or_raises_the_typed_error(self, value: Any) -> None:
+    def test_any_value_decodes_to_all_tables_or_raises_invalid_policy_error(self, value: Any) -> None:
         try:
-            figures = decode_policy(msgspec.msgpack.encode(value), 2)
+            tables = decode_policy(msgspec.msgpack.encode(value), 2)
         except InvalidPolicyError:
             return
-        self.assertEqual(set(figures), {"methods", "tenants", "rules"})
+        self.assertEqual(set(tables), {"methods", "tenants", "rules"})
 
 
 def join(*members: tuple[str, int]) -> JoinMembers:
@@ -179,15 +182,15 @@
     return EndChange(change_id, outcome, reason, 0.0)
 
 
-class StateMachines(unittest.TestCase):
+class StateMachineTest(unittest.TestCase):
     def state_after(self, *commands: Command | None) -> PolicyStateMachine:
-        """State of four members at most; None stands for a leader's empty entry."""
+        """Returns a state machine for at most four members; None stands for a leader's empty entry."""
         state = PolicyStateMachine(4)
         for command in commands:
             state.apply(encode_command(command) if command is not None else b"")
         return state
 
-    def test_outcome_of_changes(self) -> None:
+    def test_commands_give_each_change_its_outcome(self) -> None:
         members = join(("a", 1), ("b", 2))
         first, second = open_change("1", b"p1"), open_change("2", b"p2")
         same_as_in_force = open_change("3", b"")
@@ -200,13 +203,13 @@
             ([members, first, first], 0, {"1": pending}),
             ([members, first, second], 0, {"1": pending, "2": rejected}),
             ([members, first, commit], 1, {"1": committed}),
-            ([members, first, commit, rejection], 1, {"1": committed}),  # too late to be withdrawn
+            ([members, first, commit, rejection], 1, {"1": committed}),  # ended after the commit
             ([members, first, rejection, commit], 0, {"1": rejected}),
-            ([members, first, rejection, first], 0, {"1": rejected}),  # its id is spent
-            ([rejection, first], 0, {"1": rejected}),  # withdrawn before it was proposed
-            ([members, first, join(("c", 3)), commit], 0, {"1": pending}),  # c was not asked
-            ([members, first, join(("a", 1)), commit], 1, {"1": committed}),  # nothing new
-            ([members, first, join(("a", 9)), commit], 0, {"1": pending}),  # a is another run
+            ([members, first, rejection, first], 0, {"1": rejected}),  # the id is already used
+            ([rejection, first], 0, {"1": rejected}),  # ended before it was proposed
+            ([members, first, join(("c", 3)), commit], 0, {"1": pending}),  # c is not prepared
+            ([members, first, join(("a", 1)), commit], 1, {"1": committed}),  # a is already a member
+            ([members, first, join(("a", 9)), commit], 0, {"1": pending}),  # a new run of a has joined
             ([same_as_in_force], 0, {"3": rejected}),
             ([None, first], 0, {"1": pending}),
         ]
@@ -219,7 +222,7 @@
                 restored.restore(state.snapshot())
                 self.assertEqual(restored.snapshot(), state.snapshot())
 
-    def test_members_are_bounded_and_go_by_name_and_run(self) -> None:
+    def test_members_are_limited_and_removed_only_by_name_and_run(self) -> None:
         state = self.state_after(join(*((name, 1) for name in "abcdef")))
         self.assertEqual(list(state.members), list("abcd"))
         state.apply(encode_command(RemoveMember("a", 9)))
@@ -228,9 +231,9 @@
         state.apply(encode_command(join(("e", 1), ("b", 2))))
         self.assertEqual(state.members, {"b": 2, "c": 1, "d": 1, "e": 1})
 
-    def test_details_are_forgotten_but_never_whether_a_change_was_committed(self) -> None:
+    def test_old_changes_lose_their_details_but_keep_their_outcome(self) -> None:
         state = PolicyStateMachine()
-        change_count = MAX_DETAILED_CHANGE_COUNT + MAX_POLICY_TEXT_COUNT + 10
+        change_count = MAX_DETAILED_CHANGE_COUNT + MAX_STORED_POLICY_COUNT + 10
         for number in range(change_count):
             change_id = f"c{number}"
             state.apply(encode_command(open_change(change_id, b"%d" % number)))
@@ -239,7 +242,7 @@
             else:
                 state.apply(encode_command(end_change(change_id, ChangeOutcome.WITHDRAWN)))
         self.assertLessEqual(len(state.changes), MAX_DETAILED_CHANGE_COUNT + 1)
-        self.assertLessEqual(len(state.policies), MAX_POLICY_TEXT_COUNT + 1)
+        self.assertLessEqual(len(state.policies), MAX_STORED_POLICY_COUNT + 1)
         for number in range(change_count):
             change = state.find_change(f"c{number}")
             assert change is not None
@@ -248,9 +251,9 @@
             self.assertEqual((is_committed, change.version), (bool(number % 2), version))
         state.final_versions |= dict.fromkeys(map(str, range(MAX_CHANGE_ID_COUNT)), 0)
         state.apply(encode_command(open_change("one more", b"x")))
-        self.assertIsNone(state.find_change("one more"))  # what can't be kept for ever is not begun
+        self.assertIsNone(state.find_change("one more"))  # ignored, because the limit is reached
 
-    def test_commands_are_the_same_after_encoding(self) -> None:
+    def test_commands_are_unchanged_by_encoding_and_decoding(self) -> None:
         commands: list[Command] = [
             join(("a", 1), ("b", 2)),
             RemoveMember("a", 1),
@@ -264,7 +267,7 @@
         self.assertIsNone(decode_command(msgspec.msgpack.encode(["of a newer build", 1])))
 
 
-class Wire(unittest.TestCase):
+class WireTest(unittest.TestCase):
     MESSAGES: tuple[Message, ...] = (
         RaftPacket(b"packet"),
         LeaseRequest(1, 2, -1, "c", "ready", "", "serve 1000 3000", True),
@@ -285,17 +288,17 @@
         ChangeStatus("c", "open", 0, "", (WaitingMember("w", "away"),)),
     )
 
-    def test_messages_are_the_same_after_encoding(self) -> None:
+    def test_messages_are_unchanged_by_encoding_and_decoding(self) -> None:
         for message in self.MESSAGES:
             with self.subTest(message=message):
                 body = msgspec.msgpack.decode(msgspec.msgpack.encode(encode_message(message)))
                 self.assertEqual(decode_message(body), message)
 
-    def test_lease_request_of_a_newer_build_is_read_up_to_its_number(self) -> None:
+    def test_lease_request_of_a_newer_build_decodes_to_its_number(self) -> None:
         body = [*encode_message(self.MESSAGES[1]), "new field"]
         self.assertEqual(decode_message(body), UnreadableLeaseRequest(2))
 
-    def test_phase_of_a_newer_build_wants_nothing(self) -> None:
+    def test_phase_of_a_newer_build_decodes_to_none(self) -> None:
         body = ["told", 2, True, 3, "c", "of a newer build", [], True, ["v"]]
         reply = decode_message(body)
         assert isinstance(reply, LeaseReply)
--- a/tests/test_policies_service.py
+++ b/tests/test_policies_service.py
@@ -1,4 +1,4 @@
-"""A change of policy among several real processes, with faults between them; rows of the experiment."""
+"""Tests of policy changes among several real processes with faults, and of the command line of policies."""
 
 from __future__ import annotations
 
@@ -16,76 +16,76 @@
 from tests.helpers import RealRows
 from tests.test_membership_service import refused
 
-SERVERS = 5
-ABREAST = 4  # rows at a time: they mostly wait
+SERVER_COUNT = 5
+MAX_PARALLEL_ROWS = 4  # experiment rows that run at once; they spend most of their time waiting
 COMMAND = [sys.executable, "-c", "from landingshift.cli import start; start()", "policy"]
 
 
 def run_row(name: str) -> ExperimentRow:
-    return play_real_row(name, REAL[name], SERVERS, 1, 1)
+    return play_real_row(name, REAL[name], SERVER_COUNT, 1, 1)
 
 
-class Rows(RealRows):
-    """Each brings its failure about; what must hold afterwards is read off the history alone."""
+class RealRowsTest(RealRows):
+    """Each row causes its faults; invariants are then checked on the recorded history alone."""
 
-    real, play, abreast = REAL, staticmethod(run_row), ABREAST
+    real, play, abreast = REAL, staticmethod(run_row), MAX_PARALLEL_ROWS
 
-    def test_three_changes_one_proposed_twice_commit_everywhere(self) -> None:
+    def test_changes_that_are_each_proposed_twice_commit_everywhere(self) -> None:
         self.holds("real_without_faults")
         self.holds("real_without_faults_leased")
 
-    def test_change_with_a_member_down_all_along(self) -> None:
+    def test_change_while_a_member_is_down(self) -> None:
         self.holds("real_down_all_along")
         self.holds("real_lapses")
 
-    def test_change_with_a_member_down_at_the_commit_and_back_a_second_later(self) -> None:
+    def test_change_with_a_member_that_restarts_around_the_commit(self) -> None:
         self.holds("real_down_at_the_switch")
 
-    def test_change_with_member_leader_or_voter_killed_at_each_step(self) -> None:
+    def test_change_with_a_member_leader_or_voter_killed_at_each_step(self) -> None:
         self.holds("real_killed_at_each_step")
 
-    def test_change_outlives_the_server_that_was_asked_for_it(self) -> None:
+    def test_change_survives_the_server_that_received_the_proposal(self) -> None:
         self.holds("real_proposer_killed")
 
-    def test_leader_stopped_past_its_lease_does_no_harm_when_it_goes_on(self) -> None:
+    def test_leader_paused_past_its_lease_violates_no_invariant_when_it_resumes(self) -> None:
         self.holds("real_leader_paused")
         self.holds("real_leader_cut_and_paused")
 
-    def test_servers_serve_on_without_a_majority_of_voters(self) -> None:
+    def test_servers_keep_serving_without_a_majority_of_voters(self) -> None:
         self.holds("real_majority_gone")
         self.holds("real_majority_gone_for_good")
 
-    def test_voter_that_is_gone_for_good_is_replaced(self) -> None:
+    def test_voter_that_is_lost_permanently_is_replaced(self) -> None:
         self.holds("real_voters_replaced")
 
-    def test_changes_through_partitions_one_way_cuts_and_a_flapping_link(self) -> None:
+    def test_changes_during_partitions_one_way_cuts_and_a_flapping_link(self) -> None:
         self.holds("real_cuts")
         self.holds("real_cuts_leased")
 
-    def test_ten_changes_at_one_instant_end_in_one_order(self) -> None:
+    def test_ten_concurrent_changes_get_one_order_everywhere(self) -> None:
         self.holds("real_at_one_instant")
 
     def test_build_that_cannot_read_a_policy_rejects_it(self) -> None:
         self.holds("real_older_build")
 
-    def test_full_disk_is_outlived_and_torn_or_outdated_logs_are_rejected(self) -> None:
+    def test_voter_recovers_from_a_full_disk_and_rejects_a_torn_or_outdated_log(self) -> None:
         self.holds("real_disk")
 
-    def test_change_with_members_that_join_and_leave_in_the_middle(self) -> None:
+    def test_change_with_members_that_join_and_leave_during_it(self) -> None:
         self.holds("real_comes_and_goes")
 
-    def test_changes_through_random_faults(self) -> None:
+    def test_changes_during_random_faults(self) -> None:
         self.holds("real_chance")
         self.holds("real_chance_leased")
 
 
-class OperatorCommands(unittest.TestCase):
+class OperatorCommandsTest(unittest.TestCase):
     def command(self, *arguments: str, exit_status: int = 0) -> str:
-        done = subprocess.run([*COMMAND, *arguments], capture_output=True, text=True, timeout=60)
-        self.assertEqual(done.returncode, exit_status, done.stdout + done.stderr)
-        return done.stdout + done.stderr
+        result = subprocess.run([*COMMAND, *arguments], capture_output=True, text=True, timeout=60)
+        self.assertEqual(result.returncode, exit_status, result.stdout + result.stderr)
+        return result.stdout + result.stderr
 
-    def test_operators_commands_and_their_answers(self) -> None:
+    def test_commands_print_the_expected_results(self) -> None:
         with tempfile.TemporaryDirectory(dir=MEMORY) as folder:
             harness = PolicyHarness(folder, 4, 1)
             try:
@@ -99,8 +99,8 @@
         at = ["--at", server]
         wait = ["--wait", "20"]
         valid_path, conflicting_path = Path(folder, "one.toml"), Path(folder, "bad.toml")
-        more_than_a_datagram = 200 * "# so long that it is no datagram\n"
-        valid_path.write_text("[methods.m]\ncriticality = 5\n" + more_than_a_datagram)
+        long_comment = 200 * "# makes the file larger than a datagram\n"
+        valid_path.write_text("[methods.m]\ncriticality = 5\n" + long_comment)
         conflicting_path.write_text("[methods.nowhere]\ncriticality = 5\n")
         self.assertIn("ok: 1 figures", self.command("check", str(valid_path)))
         output = self.command("propose", str(valid_path), *at, "--why", "test", "--id", "one", *wait)
@@ -108,7 +108,7 @@
         conflicting = ("propose", str(conflicting_path), *at, "--why", "t", "--id", "two", *wait)
         output = self.command(*conflicting, exit_status=1)
         self.assertIn("refused: n", output)
-        self.assertIn("methods.nowhere: this server has none of that name", output)
+        self.assertIn("methods.nowhere: not configured on this server", output)
         self.assertIn("one: taken, version 1", self.command("status", "one", *at))
         self.assertIn("nobody has proposed", self.command("status", "never", *at))
         self.assertEqual(json.loads(self.command("status", *at, "--json"))["version"], 1)
@@ -122,7 +122,7 @@
         self.assertEqual([row["id"] for row in rows], ["one", "two", "three", "four"])
         self.assertIn("is not kept", self.command("show", "9", *at, exit_status=1))
 
-    def test_unusable_settings_are_rejected_by_their_key(self) -> None:
+    def test_error_of_invalid_settings_names_the_key(self) -> None:
         fleet = '[fleet]\nfleet = "lab"\nlisten = "127.0.0.1:0"\n'
         for text, message in [
             ('[policies]\nvoters = ["a"]\n', "[policies] needs the table [fleet]"),
@@ -130,7 +130,7 @@
             (fleet + '[policies]\nvoters = ["a", "b"]\n', "[policies] voters: 1, 3, 5 or 7 are expected"),
             (
                 fleet + '[policies]\nvoters = ["a", "a", "b"]\n',
-                "[policies] voters: a name stands there twice",
+                "[policies] voters: a name is listed twice",
             ),
             (fleet + '[policies]\nvoters = ["a"]\njournal = "x"\n', "[policies] journal: an absolute path"),
             (fleet + '[policies]\nvoters = ["a"]\nwhen_cut_off = "x"\n', "[policies] when_cut_off: "),
