--- a/landingshift/policies/coordinator.py
+++ b/landingshift/policies/coordinator.py
@@ -173,11 +173,11 @@
         own_fingerprint = self._settings.fingerprint
         if request.fingerprint != own_fingerprint:
             leader = self._raft.name
-            return f"its [policies] differs from {leader}'s: {request.fingerprint}, not {own_fingerprint}"
+            return f"its [policies] is another than {leader}'s: {request.fingerprint}, not {own_fingerprint}"
         state = self._state
         if state.has_capacity_for(sender):
             return ""
-        return f"the limit of {state.max_member_count} members is reached"
+        return f"{state.max_member_count} members are counted, which is the most"
 
     def _requested_phase(self) -> ChangePhase:
         if self._change_id == self._state.pending_change_id:
@@ -231,10 +231,9 @@
         if change is not None:
             self._send(sender, self._change_status(change, now_ms))
         elif self._state.is_full:
-            reason = "the limit on recorded changes is reached"
-            self._send(sender, ChangeStatus(change_id, UNKNOWN_OUTCOME, 0, reason))
+            self._send(sender, ChangeStatus(change_id, UNKNOWN_OUTCOME, 0, "the book is full"))
         elif isinstance(request.command, FindChange):
-            reason = "nobody has proposed this change"
+            reason = "nobody has proposed it here"
             self._send(sender, ChangeStatus(change_id, UNKNOWN_OUTCOME, 0, reason))
 
     def _change_status(self, change: Change, now_ms: float) -> ChangeStatus:
@@ -259,7 +258,7 @@
         if self._state.has_member(name, run_id):
             self._propose_once(f"{name} {run_id} gone", RemoveMember(name, run_id))
             return
-        reason = f"that run of {name} is not a member"
+        reason = f"that run of {name} is not counted"
         self._send(sender, ChangeStatus(change_id, ChangeOutcome.COMMITTED.value, 0, reason))
 
     def on_departure(self, sender: str, run_id: int, now_ms: float) -> None:
@@ -348,7 +347,7 @@
             reason = self.reports.by_member[rejecting.name].request.rejection_reason
             self._end_change(change_id, ChangeOutcome.REJECTED, f"{rejecting.name}: {reason}")
         elif now_ms - self._change_began_at_ms > self._settings.change_timeout_ms:
-            reason = f"timed out; it waited for {_describe_waiting(waiting)}"
+            reason = f"not in time; it waited for {_describe_waiting(waiting)}"
             self._end_change(change_id, ChangeOutcome.WITHDRAWN, reason)
         elif not waiting and self._state.members and not self._joining:
             index = self._propose(CommitChange(change_id, self._state.join_count))
--- a/landingshift/policies/document.py
+++ b/landingshift/policies/document.py
@@ -18,7 +18,7 @@
 MAX_POLICY_BYTES = 65_536  # size of an encoded policy
 NEWEST_FORMAT = 2  # newest policy format that this build reads
 MAX_VALUE = 1e15  # well below 2**53, above which floats can't represent every whole number
-POLICY_ROOT = "the whole policy"  # replaces the key in errors that concern no single key
+POLICY_ROOT = "the whole"  # replaces the key in errors that concern no single key
 NOT_TOML = "not TOML"  # replaces the key if the file can't be parsed
 
 PolicyValues = dict[str, dict[str, dict[str, float]]]  # by table, name and key; for rules the name is ""
@@ -99,7 +99,7 @@
             for name, entry in _require_table(table, values).items():
                 tables[table][name] = _decode_values(f"{table}.{name}", entry, keys, policy_format)
         else:
-            raise InvalidPolicyError(table, "no such table; methods, tenants or rules is expected")
+            raise InvalidPolicyError(table, "no such table; there is methods, tenants, rules")
     return tables
 
 
@@ -123,7 +123,7 @@
     table = _require_table(path, values)
     for key, value in table.items():
         if key not in keys:
-            raise InvalidPolicyError(f"{path}.{key}", f"no such key; one of {', '.join(keys)} is expected")
+            raise InvalidPolicyError(f"{path}.{key}", f"no such key; there is {', '.join(keys)}")
         spec = keys[key]
         if spec.since_format > policy_format:
             raise InvalidPolicyError(f"{path}.{key}", f"needs format = {spec.since_format}")
--- a/landingshift/policies/overlay.py
+++ b/landingshift/policies/overlay.py
@@ -60,15 +60,14 @@
     def _check_values(self, table: str, name: str, values: dict[str, float]) -> None:
         owner = self.owners[table].get(name)
         if owner is None:
-            raise InvalidPolicyError(f"{table}.{name}", "not configured on this server")
+            raise InvalidPolicyError(f"{table}.{name}", "this server has none of that name")
         if values.get("hold_off_max_ms") and not self.startup_values["rules", "", "max_retry_after_ms"]:
-            raise InvalidPolicyError("rules.hold_off_max_ms", "this server's settings disable hold-offs")
+            raise InvalidPolicyError("rules.hold_off_max_ms", "its settings permit no hold-off")
         objective_ms = values.get("target_ms")
         objective_key = f"{table}.{name}.target_ms"
         if objective_ms is None:
             return
         if isinstance(owner, Method) and objective_ms > owner.deadline_ms:
-            reason = f"more than the method's deadline, {owner.deadline_ms:g} ms"
-            raise InvalidPolicyError(objective_key, reason)
+            raise InvalidPolicyError(objective_key, f"more than its deadline, {owner.deadline_ms:g}")
         if objective_ms == 0.0:
-            raise InvalidPolicyError(objective_key, "0 would reject every RPC")
+            raise InvalidPolicyError(objective_key, "0 would turn all away")
--- a/landingshift/policies/voter_changes.py
+++ b/landingshift/policies/voter_changes.py
@@ -12,7 +12,7 @@
 from landingshift.consensus.raft import RaftNode
 from landingshift.policies.messages import ChangeVoters
 
-BEING_REPLICATED = "the change of voters is being replicated"
+BEING_REPLICATED = "it is being agreed on"
 
 
 @dataclass(slots=True, frozen=True)
@@ -47,13 +47,13 @@
         return VoterChangePlan(is_committed, "" if is_committed else BEING_REPLICATED)
     if command.is_addition:
         if not can_become_voter:
-            return VoterChangePlan(False, f"{name} is not a member with a journal")
+            return VoterChangePlan(False, f"{name} is not there with a journal")
         return VoterChangePlan(False, BEING_REPLICATED, (*raft.voters, name))
     remaining = tuple(voter for voter in raft.voters if voter != name)
     responding = [
         voter for voter in remaining if voter == raft.name or raft.has_recent_response(voter, now_ms)
     ]
     if 2 * len(responding) <= len(remaining):
-        reason = f"only {', '.join(responding)} of the remaining voters {', '.join(remaining)} respond"
+        reason = f"only {', '.join(responding)} would be left of {', '.join(remaining)}"
         return VoterChangePlan(False, reason)
     return VoterChangePlan(False, BEING_REPLICATED, remaining)
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -84,11 +84,11 @@
             ("[rules]\nover_share_worth = 2\n", "rules.over_share_worth: a number"),
             ("format = 3\n", "format: this build reads up to 2, not 3"),
             ("rules = 1\n", "rules: a table is expected"),
-            ("[methods.a]\ncriticality = 99999999999999999999\n", "the whole policy: "),
+            ("[methods.a]\ncriticality = 99999999999999999999\n", "the whole: "),
             ("[methods.a]\ncriticality = 2026-12-02\n", "methods.a.criticality: a number"),
             (
                 "[tenants.a]\n" + "".join(f"[tenants.b{i}]\nallowance_s = 1\n" for i in range(4000)),
-                "the whole policy: ",
+                "the whole: ",
             ),
         ]:
             with self.subTest(text=text[:60]), self.assertRaises(InvalidPolicyError) as caught:
@@ -99,21 +99,18 @@
     def test_conflict_of_a_policy_with_this_server_begins_with_the_key(self) -> None:
         method = next(iter(new_overlay().owners["methods"]))
         for text, conflict_start in [
-            ("[methods.nowhere]\ncriticality = 1\n", "methods.nowhere: not configured on this server"),
-            (f"[methods.{method}]\ntarget_ms = 0\n", f"methods.{method}.target_ms: 0 would reject every RPC"),
-            (
-                f"[methods.{method}]\ntarget_ms = 1e9\n",
-                f"methods.{method}.target_ms: more than the method's deadline, ",
-            ),
+            ("[methods.nowhere]\ncriticality = 1\n", "methods.nowhere: this server has none of that name"),
+            (f"[methods.{method}]\ntarget_ms = 0\n", f"methods.{method}.target_ms: 0 would turn all away"),
+            (f"[methods.{method}]\ntarget_ms = 1e9\n", f"methods.{method}.target_ms: more than its deadline"),
             (f"[methods.{method}]\ncriticality = 3\n", ""),
         ]:
             with self.subTest(text=text):
                 self.assertTrue(new_overlay().find_conflict(parse_policy(text)).startswith(conflict_start))
-        self.assertIn("the whole policy", new_overlay().find_conflict(b"\xc1"))
+        self.assertIn("the whole", new_overlay().find_conflict(b"\xc1"))
         without_retry_after = new_overlay()
         without_retry_after.startup_values["rules", "", "max_retry_after_ms"] = 0.0
         conflict = without_retry_after.find_conflict(parse_policy("[rules]\nhold_off_max_ms = 9\n"))
-        self.assertEqual(conflict, "rules.hold_off_max_ms: this server's settings disable hold-offs")
+        self.assertEqual(conflict, "rules.hold_off_max_ms: its settings permit no hold-off")
         self.assertIn("tables are expected", new_overlay().find_conflict(msgspec.msgpack.encode([1])))
 
     def test_new_policy_resets_values_that_it_does_not_set(self) -> None:
--- a/tests/test_policies_service.py
+++ b/tests/test_policies_service.py
@@ -108,7 +108,7 @@
         conflicting = ("propose", str(conflicting_path), *at, "--why", "t", "--id", "two", *wait)
         output = self.command(*conflicting, exit_status=1)
         self.assertIn("refused: n", output)
-        self.assertIn("methods.nowhere: not configured on this server", output)
+        self.assertIn("methods.nowhere: this server has none of that name", output)
         self.assertIn("one: taken, version 1", self.command("status", "one", *at))
         self.assertIn("nobody has proposed", self.command("status", "never", *at))
         self.assertEqual(json.loads(self.command("status", *at, "--json"))["version"], 1)
