--- a/landingshift/net/routing/engine_link.py
+++ b/landingshift/net/routing/engine_link.py
@@ -287,8 +287,8 @@
     def run_self_test(self, answer: Callable[[bool], None]) -> None:
         """Asks the engine to run its self-test.
 
-        If the link is not ready, the result is `is_working`. If `MAX_SELF_TESTS` tests are already in progress,
-        the test counts as failed.
+        If the link is not ready, the result is `is_working`. If `MAX_SELF_TESTS` tests are already in
+        progress, the test counts as failed.
 
         Args:
             answer: Called with whether the test passed.
