--- a/landingshift/hot_restart/__init__.py
+++ b/landingshift/hot_restart/__init__.py
@@ -1,4 +1,4 @@
-"""Hot restart: a new build takes over the sockets and all work in hand, or the old process goes on.
+"""Hot restart: a new build takes over the sockets and open RPCs, or the old process continues to serve.
 
-Not wired into the server yet; `docs/upgrade.md` tells the design and what is missing.
+The server does not use this package yet. `docs/upgrade.md` describes the design and the missing parts.
 """
--- a/landingshift/hot_restart/channel.py
+++ b/landingshift/hot_restart/channel.py
@@ -1,12 +1,12 @@
-"""The channel between two builds: frames and file descriptors over a Unix stream socket.
+"""Transfers frames and file descriptors between the two processes over a Unix stream socket.
 
-A frame is a version, a kind, the number of descriptors that come with it and the length of its body.
-Descriptors are passed by SCM_RIGHTS with the first byte of the frame, at most `MAX_FRAME_DESCRIPTORS` in one;
-more are sent in several frames.
+A frame header consists of the format version, the frame kind, the number of descriptors and the body length.
+Descriptors are passed by SCM_RIGHTS with the first byte of their frame, at most `MAX_FRAME_DESCRIPTORS` per
+frame; more descriptors need several frames.
 
-Guarantee: a frame is delivered whole and with all its descriptors, or not at all. Received descriptors belong
-to the channel until a frame that has them is returned; `close` closes the rest, so that a peer that can't be
-understood leaves none open.
+Guarantee: a frame is delivered complete and with all its descriptors, or not at all. The channel owns
+received descriptors until it returns the frame they belong to. `close` closes the remaining ones, so none
+leak when the peer sends invalid data.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 FRAME_VERSION = 1
 FRAME_HEADER = struct.Struct("!HHHI")  # version, kind, number of descriptors, length of the body
-MAX_FRAME_DESCRIPTORS = 200  # the kernel takes 253 in one message
+MAX_FRAME_DESCRIPTORS = 200  # the kernel's limit is 253 per message
 MAX_BODY_BYTES = 64 << 20
 RECEIVE_BYTES = 1 << 18
 ANCILLARY_BYTES = socket.CMSG_SPACE(MAX_FRAME_DESCRIPTORS * array.array("i").itemsize)
@@ -36,12 +36,12 @@
 
 @dataclass(slots=True)
 class Frame:
-    """One message.
+    """A message of the channel.
 
     Attributes:
-        kind: What the body is; the two sides agree on the numbers.
-        body: The bytes.
-        descriptors: File descriptors that come with it.
+        kind: The type of the message; the two processes define the numbers.
+        body: The content.
+        descriptors: The file descriptors sent with the frame.
     """
 
     kind: int
@@ -51,34 +51,34 @@
 
 @dataclass(slots=True)
 class _UnsentFrame:
-    """What is left of a frame; no descriptors any more once its first byte is out."""
+    """The unsent rest of a frame; `descriptors` is empty once the first byte has been sent."""
 
     data: memoryview
     descriptors: list[int]
 
 
 class Channel:
-    """One side of the connection.
+    """One end of the connection between the two processes.
 
     Args:
-        sock: A Unix stream socket, blocking or not.
-        version: Version of the frames that this side writes and reads.
+        sock: A Unix stream socket, blocking or non-blocking.
+        version: The format version of sent frames, and the only one accepted in received frames.
     """
 
     def __init__(self, sock: socket.socket, version: int = FRAME_VERSION) -> None:
         self._sock = sock
         self._version = version
         self._received = bytearray()
-        self._unclaimed_descriptors: deque[int] = deque()  # received; no frame has claimed them yet
+        self._unclaimed_descriptors: deque[int] = deque()  # received, but not yet assigned to a frame
         self._unsent: deque[_UnsentFrame] = deque()
 
     def send(self, frame: Frame) -> None:
-        """Queues a frame.
+        """Queues a frame for `flush`.
 
-        The caller keeps its own copies of the descriptors open until `flush` returns True.
+        The caller must keep the frame's descriptors open until `flush` returns True.
 
         Raises:
-            OversizedFrameError: For more descriptors or bytes than one frame may have.
+            OversizedFrameError: If the frame has too many descriptors or its body is too long.
         """
         if len(frame.descriptors) > MAX_FRAME_DESCRIPTORS:
             raise OversizedFrameError.of_descriptors(len(frame.descriptors), MAX_FRAME_DESCRIPTORS)
@@ -88,13 +88,13 @@
         self._unsent.append(_UnsentFrame(memoryview(header + frame.body), list(frame.descriptors)))
 
     def flush(self) -> bool:
-        """Sends what the socket takes.
+        """Sends queued frames until none is left or a non-blocking socket would block.
 
         Returns:
-            Whether everything is sent.
+            Whether all queued frames have been sent.
 
         Raises:
-            OSError: Where the other side is gone.
+            OSError: If the connection is closed or broken.
         """
         while self._unsent:
             unsent = self._unsent[0]
@@ -114,11 +114,13 @@
         return True
 
     def receive(self) -> list[Frame]:
-        """Returns the whole frames that have come; the caller owns their descriptors.
+        """Reads from the socket once and returns the frames that are complete; may return none.
+
+        The caller owns the descriptors of the returned frames.
 
         Raises:
-            EOFError: Where the other side has closed.
-            InvalidFrameError: For what is no frame; the caller closes the channel then.
+            EOFError: If the other process has closed its end.
+            InvalidFrameError: If the received data is invalid; the caller must then close the channel.
         """
         try:
             data, ancillary, flags, _ = self._sock.recvmsg(
@@ -136,10 +138,10 @@
         if not data:
             raise EOFError
         self._received += data
-        return self._take_frames()
+        return self._decode_frames()
 
-    def _take_frames(self) -> list[Frame]:
-        """Takes the whole frames off what was received."""
+    def _decode_frames(self) -> list[Frame]:
+        """Removes the complete frames from the receive buffer and returns them."""
         frames: list[Frame] = []
         while len(self._received) >= FRAME_HEADER.size:
             version, kind, descriptor_count, body_bytes = FRAME_HEADER.unpack_from(self._received)
@@ -159,7 +161,7 @@
         return frames
 
     def close(self) -> None:
-        """Closes the socket and all descriptors that no frame has claimed."""
+        """Closes the socket and all received descriptors that belong to no returned frame."""
         while self._unclaimed_descriptors:
             os.close(self._unclaimed_descriptors.popleft())
         self._unsent.clear()
--- a/landingshift/hot_restart/errors.py
+++ b/landingshift/hot_restart/errors.py
@@ -1,4 +1,4 @@
-"""What can fail in a hot restart."""
+"""Errors of a hot restart."""
 
 from __future__ import annotations
 
@@ -6,68 +6,70 @@
 
 
 class HotRestartError(LandingshiftError):
-    """Base of all errors of a hot restart."""
+    """Base class of all errors of a hot restart."""
 
 
 class InvalidFrameError(HotRestartError):
-    """The other side is no build that this one can speak to."""
+    """The other process sent data that is not a valid frame of this build's format."""
 
 
 class FrameVersionError(InvalidFrameError):
-    """A frame of another version of the format.
+    """A received frame has an unsupported format version.
 
     Attributes:
-        version: Version of the frame.
-        own_version: The one that this side reads.
+        version: The format version of the frame.
+        own_version: The format version that this process supports.
     """
 
     def __init__(self, version: int, own_version: int) -> None:
-        super().__init__(f"frames of version {version}, this build speaks {own_version}")
+        super().__init__(f"received a frame of version {version}; this build supports version {own_version}")
         self.version = version
         self.own_version = own_version
 
 
 class FrameLimitError(InvalidFrameError):
-    """A frame announces more bytes or descriptors than one may have.
+    """The header of a received frame announces more bytes or descriptors than the format allows.
 
     Attributes:
-        body_bytes: Length of the body that it announces.
-        descriptor_count: How many descriptors it announces.
+        body_bytes: The announced length of the body.
+        descriptor_count: The announced number of descriptors.
     """
 
     def __init__(self, body_bytes: int, descriptor_count: int) -> None:
-        super().__init__(f"a frame of {body_bytes} bytes with {descriptor_count} descriptors")
+        super().__init__(
+            f"frame header exceeds the limits: {body_bytes} body bytes, {descriptor_count} descriptors"
+        )
         self.body_bytes = body_bytes
         self.descriptor_count = descriptor_count
 
 
 class MissingDescriptorsError(InvalidFrameError):
-    """Fewer descriptors came than the frames announce.
+    """A complete frame was received with fewer descriptors than its header announces.
 
     Attributes:
-        announced_count: What the frame announces.
-        received_count: What came and no earlier frame has claimed.
+        announced_count: The number of descriptors that the header announces.
+        received_count: The number of received descriptors that no earlier frame has claimed.
     """
 
     def __init__(self, announced_count: int, received_count: int) -> None:
-        super().__init__(f"{announced_count} descriptors are said to come, {received_count} did")
+        super().__init__(f"frame announces {announced_count} descriptors, but {received_count} were received")
         self.announced_count = announced_count
         self.received_count = received_count
 
 
 class TruncatedDescriptorsError(InvalidFrameError):
-    """The system dropped descriptors that were sent, as this process has too many open."""
+    """The kernel dropped received descriptors because this process has too many open."""
 
     def __init__(self) -> None:
-        super().__init__("descriptors were cut off: this process may not open so many")
+        super().__init__("the kernel dropped received descriptors: too many are open in this process")
 
 
 class OversizedFrameError(HotRestartError, ValueError):
-    """A frame that is to be sent is larger than the format allows.
+    """A frame cannot be sent because it is larger than the format allows.
 
     Attributes:
-        size: Size of the frame, in the unit of the text.
-        limit: The most that is allowed, in the same unit.
+        size: The number of body bytes or of descriptors, whichever exceeds its limit.
+        limit: The maximum of that number.
     """
 
     def __init__(self, text: str, size: int, limit: int) -> None:
@@ -78,47 +80,49 @@
     @classmethod
     def of_body(cls, size_bytes: int, limit_bytes: int) -> OversizedFrameError:
         """Returns the error for a body that is too long."""
-        return cls(f"a frame of {size_bytes} bytes, at most {limit_bytes}", size_bytes, limit_bytes)
+        return cls(f"frame body has {size_bytes} bytes, the limit is {limit_bytes}", size_bytes, limit_bytes)
 
     @classmethod
     def of_descriptors(cls, count: int, limit: int) -> OversizedFrameError:
         """Returns the error for too many descriptors in one frame."""
-        return cls(f"{count} descriptors in one frame, at most {limit}", count, limit)
+        return cls(f"frame has {count} descriptors, the limit is {limit}", count, limit)
 
 
 class InvalidJournalError(HotRestartError, ValueError):
-    """Memory that holds no request journal."""
+    """The shared memory does not contain a request journal of the expected size."""
 
-    def __init__(self, text: str = "no journal") -> None:
+    def __init__(self, text: str = "the memory does not contain a request journal") -> None:
         super().__init__(text)
 
     @classmethod
     def of_size(cls, size_bytes: int, expected_bytes: int) -> InvalidJournalError:
-        """Returns the error for memory of another size."""
-        return cls(f"a journal of {size_bytes} bytes, not {expected_bytes}")
+        """Returns the error for memory of an unexpected size."""
+        return cls(f"the journal's memory has {size_bytes} bytes, expected {expected_bytes}")
 
 
 class JournalFullError(HotRestartError):
-    """No space for a record: what was to be recorded may not be done.
+    """The journal has no space for a record. The caller must not perform the operation to be recorded.
 
     Attributes:
-        record_bytes: Length of the record's data.
-        free_bytes: What data a record may have still.
-        capacity_bytes: Size of the journal.
+        record_bytes: The length of the record's data.
+        free_bytes: The maximum length of data that still fits; negative if not even a record header fits.
+        capacity_bytes: The size of the journal.
     """
 
     def __init__(self, record_bytes: int, free_bytes: int, capacity_bytes: int) -> None:
-        super().__init__(f"{record_bytes} bytes, {free_bytes} are left of {capacity_bytes}")
+        super().__init__(
+            f"no space for {record_bytes} bytes of data: {free_bytes} of {capacity_bytes} bytes are free"
+        )
         self.record_bytes = record_bytes
         self.free_bytes = free_bytes
         self.capacity_bytes = capacity_bytes
 
 
 class StateTransferError(HotRestartError):
-    """What is in hand can't go to another build; the old process goes on.
+    """The server's state cannot be transferred to another build; the old process continues to serve.
 
     Attributes:
-        reason: Why, for operators.
+        reason: The cause, as text for operators. Each subclass defines its own.
     """
 
     reason = ""
@@ -128,30 +132,30 @@
 
 
 class UnfinishedPassError(StateTransferError):
-    """Work of the loop's pass is pending."""
+    """The event loop has not finished its pass: events, writes or cancellations are pending."""
 
-    reason = "a pass is not over"
+    reason = "the event loop has pending work from its current pass"
 
 
 class AnswersGatedError(StateTransferError):
-    """Answers wait for the ledger, whose state is not transferred."""
+    """An answer gate holds answers back until the ledger has stored them; its state is not transferred."""
 
-    reason = "a gate holds answers"
+    reason = "an answer gate is active, and its state cannot be transferred"
 
 
 class UnmanagedRpcError(StateTransferError):
-    """The router holds an RPC that the admission controller does not."""
+    """The router has an RPC that the admission controller does not have."""
 
-    reason = "an RPC that the module does not know"
+    reason = "the router has an RPC that is unknown to the admission controller"
 
 
 class ReplacedResultError(StateTransferError):
-    """A repeat waits for a deduplication entry that a newer one has replaced."""
+    """A duplicate refers to a deduplication entry that a newer entry has replaced."""
 
-    reason = "a repeat waits for a result that was replaced"
+    reason = "a duplicate refers to a deduplication entry that was replaced"
 
 
 class IncompatibleSettingsError(StateTransferError):
-    """The new settings have no such method or tenant as an RPC in hand."""
+    """The new settings lack the method or the tenant of an RPC in the transferred state."""
 
-    reason = "an RPC in hand has a method or tenant that the new settings lack"
+    reason = "the new settings lack the method or tenant of an RPC in the transferred state"
--- a/landingshift/hot_restart/request_journal.py
+++ b/landingshift/hot_restart/request_journal.py
@@ -1,11 +1,13 @@
-"""The request journal: what the new process does on probation, readable by the old one even after a kill.
+"""The request journal: a log of the new process's operations on probation, which the old process can read.
 
-It lies in memory that both processes map: a memfd, which goes over the channel.
+The journal is in shared memory (a memfd passed over the channel), so the old process can read it even after
+the new one was killed.
 
-Guarantee: a record is written before what it tells is acted on, and counts once its end is stored, in one
-store of eight bytes. A kill in between leaves out only what was not done yet. Nothing is overwritten.
-Failure mode: a full journal takes no more (`JournalFullError`), and the new process must stop reading. What
-the machine itself loses is lost.
+Guarantee: if the new process writes each record before the operation that it describes, the journal contains
+every operation that was performed. A record becomes valid by a single 8-byte store of the used length. A kill
+before that store loses only the record of an operation that had not begun. Records are never overwritten.
+Failure mode: writing to a full journal raises `JournalFullError`, and the new process must stop reading its
+sockets. The journal does not survive a crash of the machine.
 """
 
 from __future__ import annotations
@@ -20,33 +22,33 @@
 from landingshift.hot_restart.errors import InvalidJournalError, JournalFullError
 
 MAGIC = b"lsjournl"
-HEADER = struct.Struct("=8sQ")  # magic, bytes of whole records
-RECORD_HEADER = struct.Struct("=BQI")  # kind, subject, length of the data
+HEADER = struct.Struct("=8sQ")  # magic, total length of complete records
+RECORD_HEADER = struct.Struct("=BQI")  # kind, subject id, length of the data
 USED_BYTES = struct.Struct("=Q")
-USED_BYTES_OFFSET = 8  # in the header
+USED_BYTES_OFFSET = 8  # of the length field in `HEADER`
 MEMFD_NAME = "landingshift-journal"
 
 
 class RecordKind(IntEnum):
-    """What a record tells; the numbers are the stored ones."""
+    """The operation that a record describes. The values are part of the stored format."""
 
     CONNECTION_ACCEPTED = 1
-    BYTES_READ = 2  # from a connection, before they are looked at
-    RPC_ANSWERED = 3  # before the first byte of the answer goes out
-    BYTES_SENT = 4  # how many bytes of a connection have gone in all
+    BYTES_READ = 2  # from a connection; written before the bytes are parsed
+    RPC_ANSWERED = 3  # written before the first byte of the answer is sent
+    BYTES_SENT = 4  # total number of bytes sent on a connection
     CONNECTION_CLOSED = 5
-    ENGINE_COMMAND = 6  # before it goes to the engine
-    ENGINE_NOTICE = 7  # read from the engine
+    ENGINE_COMMAND = 6  # written before the command is sent
+    ENGINE_NOTICE = 7  # received from the engine
 
 
 class JournalRecord(NamedTuple):
-    """One record as it was read.
+    """A record read from the journal.
 
     Attributes:
-        end_offset: Behind the record, from where `read` goes on.
-        kind: What it tells.
-        subject_id: The connection's number; for RPCs their number in the state that was transferred.
-        data: What belongs to it.
+        end_offset: The offset of the next record, for use as the `start_offset` of `read`.
+        kind: The operation that the record describes.
+        subject_id: The number of the connection; for an RPC its index in the transferred state.
+        data: The content of the record, in a format that depends on `kind`.
     """
 
     end_offset: int
@@ -56,15 +58,15 @@
 
 
 class RequestJournal:
-    """The journal, for the process that writes it and for the one that reads it.
+    """The request journal. The new process writes it; the old process reads it.
 
     Args:
-        descriptor: Descriptor of the shared memory; the journal owns it from now on.
-        capacity_bytes: Size of the memory, with the header.
-        is_new: Whether the memory is to be made a journal, not read as one.
+        descriptor: The descriptor of the shared memory. The journal takes ownership unless it raises.
+        capacity_bytes: The size of the memory, including the header.
+        is_new: Whether to initialize the memory as an empty journal instead of opening an existing one.
 
     Raises:
-        InvalidJournalError: For memory that holds no journal of that size.
+        InvalidJournalError: If the memory to open does not contain a journal of that size.
     """
 
     def __init__(self, descriptor: int, capacity_bytes: int, is_new: bool) -> None:
@@ -85,30 +87,34 @@
 
     @classmethod
     def create(cls, capacity_bytes: int) -> RequestJournal:
-        """Returns an empty journal in new memory."""
+        """Creates an empty journal in new shared memory."""
         return cls(os.memfd_create(MEMFD_NAME, os.MFD_CLOEXEC), capacity_bytes, is_new=True)
 
     @classmethod
     def open(cls, descriptor: int, capacity_bytes: int) -> RequestJournal:
-        """Returns the journal that another process has made. Raises InvalidJournalError."""
+        """Opens the journal that another process has created.
+
+        Raises:
+            InvalidJournalError: If the memory does not contain a journal of that size.
+        """
         return cls(descriptor, capacity_bytes, is_new=False)
 
     @property
     def used_bytes(self) -> int:
-        """Bytes of whole records, no more than there can be."""
-        stored_count: int = USED_BYTES.unpack_from(self.memory, USED_BYTES_OFFSET)[0]
-        return min(stored_count, self._capacity_bytes - HEADER.size)
+        """The total length of complete records, limited to the space that exists."""
+        stored_bytes: int = USED_BYTES.unpack_from(self.memory, USED_BYTES_OFFSET)[0]
+        return min(stored_bytes, self._capacity_bytes - HEADER.size)
 
     @property
     def free_bytes(self) -> int:
-        """The longest data that a further record may have."""
+        """The maximum data length of another record; negative if not even its header fits."""
         return self._capacity_bytes - HEADER.size - self.used_bytes - RECORD_HEADER.size
 
     def write(self, kind: RecordKind, subject_id: int, data: bytes = b"") -> None:
-        """Writes a record; called before what it tells is done.
+        """Appends a record; call this before performing the operation that the record describes.
 
         Raises:
-            JournalFullError: Where there is no space; what was to be recorded may not be done.
+            JournalFullError: If there is no space. The caller must not perform the operation.
         """
         if len(data) > self.free_bytes:
             raise JournalFullError(len(data), self.free_bytes, self._capacity_bytes)
@@ -117,14 +123,14 @@
         data_start = record_start + RECORD_HEADER.size
         RECORD_HEADER.pack_into(self.memory, record_start, kind, subject_id, len(data))
         self.memory[data_start : data_start + len(data)] = data
-        # Only this store makes the record count.
+        # This store makes the record valid: a writer killed before it leaves no partial record.
         USED_BYTES.pack_into(self.memory, USED_BYTES_OFFSET, used_bytes + RECORD_HEADER.size + len(data))
 
     def read(self, start_offset: int = 0) -> Iterator[JournalRecord]:
-        """Yields the whole records from an offset on; stops at what is no record.
+        """Yields the complete records from an offset on; stops at an invalid record.
 
         Args:
-            start_offset: 0, or the `end_offset` of the last record that was read.
+            start_offset: 0, or the `end_offset` of the last record read before.
         """
         position = HEADER.size + start_offset
         end = HEADER.size + self.used_bytes
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -269,7 +269,7 @@
         )
 
     def test_refuses_memory_that_holds_no_journal(self) -> None:
-        for capacity_bytes, message in ((4096, "no journal"), (100, "4096 bytes")):
+        for capacity_bytes, message in ((4096, "not contain a request journal"), (100, "4096 bytes")):
             descriptor = os.memfd_create("other")
             os.ftruncate(descriptor, 4096)
             with self.subTest(size=capacity_bytes), self.assertRaisesRegex(ValueError, message):
