--- a/landingshift/hot_restart/state_export.py
+++ b/landingshift/hot_restart/state_export.py
@@ -1,10 +1,10 @@
-"""Export of all that a server has in hand, as bytes and descriptors for another build.
+"""Exports the state of a server's router as bytes and file descriptors for another build.
 
-Called between two passes of the loop, when nothing waits to be settled.
+The export must take place between two passes of the event loop, when no event is pending.
 
-Guarantee: the old router is left as it is and goes on if the new one does not.
-Failure mode: state that can't be transferred is refused by a `StateTransferError` before anything is given
-away.
+Guarantee: the old router keeps its state and can continue if the new process fails. The only change to it is
+that deep health checks in progress are answered without their self-test.
+Failure mode: state that cannot be transferred raises a `StateTransferError`, and nothing is exported.
 """
 
 from __future__ import annotations
@@ -48,11 +48,12 @@
 
 
 class ExportedState(NamedTuple):
-    """What goes to the other build.
+    """The state to send to the other build.
 
     Attributes:
-        data: A `StoredState` in MessagePack.
-        descriptors: Those that it speaks of, the listener first; all stay the old process's own.
+        data: A `StoredState` encoded as MessagePack.
+        descriptors: The descriptors to which `data` refers by index. The first is the listener.
+            The old router still owns them.
     """
 
     data: bytes
@@ -60,10 +61,14 @@
 
 
 class StateExporter:
-    """Exports one router's state once.
+    """Exports the state of a router. An exporter can be used only once.
+
+    Args:
+        router: The router whose state is exported.
 
     Raises:
-        StateTransferError: Where a pass is not over, or answers are gated.
+        UnfinishedPassError: If the event loop's pass has pending work.
+        AnswersGatedError: If the router has an answer gate.
     """
 
     def __init__(self, router: Router) -> None:
@@ -81,15 +86,16 @@
         self._entry_indexes: dict[DedupEntry, int] = {}
 
     def _links_with_calls(self) -> list[DatabaseLink]:
-        """Returns links that have calls, retired ones too."""
+        """Returns the links with calls in flight, including retired links."""
         calls = self._router.database.calls
         return list({calls[rpc].link: None for rpc in self._router.table if rpc in calls})
 
     def export(self) -> ExportedState:
-        """Returns the state and its descriptors.
+        """Returns the state and its descriptors; answers the deep health checks in progress.
 
         Raises:
-            StateTransferError: Where the admission controller lacks an RPC, or one repeats a replaced result.
+            UnmanagedRpcError: If the admission controller does not have one of the router's RPCs.
+            ReplacedResultError: If a duplicate refers to a deduplication entry that was replaced.
         """
         router = self._router
         router.engine.abandon_self_tests()
@@ -101,26 +107,26 @@
             admission_state, managed_rpcs = admission.export_state()
         rpcs = self._index_rpcs(managed_rpcs)
         self._index_dedup_entries(rpcs)
-        # The order of the fields is that of the descriptors.
+        # Exporting a stream appends its descriptor, so the evaluation order here is that of the descriptors.
         state = StoredState(
-            connections=[self._connection(connection) for connection in self._connections],
-            rpcs=[self._rpc(rpc) for rpc in rpcs],
-            dedup_entries=[self._dedup_entry(entry) for entry in self._entry_indexes],
-            database_links=[self._link(link) for link in self._links if link.stream is not None],
-            engine_link=self._engine_link(),
+            connections=[self._export_connection(connection) for connection in self._connections],
+            rpcs=[self._export_rpc(rpc) for rpc in rpcs],
+            dedup_entries=[self._export_dedup_entry(entry) for entry in self._entry_indexes],
+            database_links=[self._export_link(link) for link in self._links if link.stream is not None],
+            engine_link=self._export_engine_link(),
             admission=admission_state,
             managed_rpc_count=len(managed_rpcs),
             starts_cold=admission is not None and admission.settings.starts_cold,
             answer_headers=router.answers.headers,
             is_draining=router.is_draining,
             stop_at_ms=router.shutdown.stop_at_ms,
-            health=self._health(),
+            health=self._export_health(),
             idle_limit_ms=router.gateways.context.idle_limit_ms,
         )
         return ExportedState(msgpack.encode(state), self._descriptors)
 
     def _index_rpcs(self, managed_rpcs: list[ManagedRpc]) -> list[RoutedRpc]:
-        """Numbers all RPCs: the admission controller's in its order, then owners of deduplication entries."""
+        """Assigns indexes: first to the admission controller's RPCs, then to other owners of entries."""
         rpcs = [managed.rpc for managed in managed_rpcs if isinstance(managed.rpc, RoutedRpc)]
         assert len(rpcs) == len(managed_rpcs)
         self._rpc_indexes = {rpc: index for index, rpc in enumerate(rpcs)}
@@ -133,14 +139,18 @@
         return rpcs
 
     def _index_dedup_entries(self, rpcs: list[RoutedRpc]) -> None:
-        """Numbers the entries. One that a newer one has replaced can't be found again by its key."""
+        """Assigns indexes to the deduplication entries.
+
+        Raises:
+            ReplacedResultError: If a duplicate refers to an entry that is no longer in the table.
+        """
         dedup = self._router.dedup
         self._entry_indexes = {entry: index for index, entry in enumerate(dedup.entries.values())}
         originals = dedup.originals
         if any(originals[rpc] not in self._entry_indexes for rpc in rpcs if rpc in originals):
             raise ReplacedResultError
 
-    def _stream(self, stream: Stream) -> StoredStream:
+    def _export_stream(self, stream: Stream) -> StoredStream:
         self._descriptors.append(stream.sock.fileno())
         return StoredStream(
             descriptor_index=len(self._descriptors) - 1,
@@ -153,15 +163,15 @@
             close_reason=stream.close_reason,
         )
 
-    def _connection(self, connection: GatewayConnection) -> StoredConnection:
+    def _export_connection(self, connection: GatewayConnection) -> StoredConnection:
         return StoredConnection(
-            stream=self._stream(connection.stream),
-            unread=connection.decoder.buffer,
+            stream=self._export_stream(connection.stream),
+            undecoded=connection.decoder.buffer,
             attributes=stored_values(connection, CONNECTION_NAMES),
             rpc_indexes={number: self._rpc_indexes[rpc] for number, rpc in connection.rpcs.items()},
         )
 
-    def _rpc(self, rpc: RoutedRpc) -> StoredRpc:
+    def _export_rpc(self, rpc: RoutedRpc) -> StoredRpc:
         router = self._router
         config = router.config
         connection = router.gateways.connections.get(rpc.connection)
@@ -173,13 +183,13 @@
             record=stored_values(rpc, RPC_RECORD_NAMES),
             facts=stored_values(rpc, RPC_FACT_NAMES),
             connection_index=NO_INDEX if connection is None else self._connections.index(connection),
-            command=self._command(rpc),
+            command=self._export_command(rpc),
             original_index=NO_INDEX if original is None else self._entry_indexes[original],
             waits_for_original=original is not None and rpc in original.waiters,
             used_link_indexes=[index for index, link in enumerate(self._links) if link in used_links],
         )
 
-    def _command(self, rpc: RoutedRpc) -> StoredCommand | None:
+    def _export_command(self, rpc: RoutedRpc) -> StoredCommand | None:
         command = self._router.engine.commands.latest.get(rpc)
         if command is None:
             return None
@@ -191,7 +201,7 @@
             is_withheld=command.is_withheld,
         )
 
-    def _dedup_entry(self, entry: DedupEntry) -> StoredDedupEntry:
+    def _export_dedup_entry(self, entry: DedupEntry) -> StoredDedupEntry:
         return StoredDedupEntry(
             owner_index=self._rpc_indexes[entry.owner],
             expires_ms=entry.expires_ms,
@@ -201,16 +211,16 @@
             run_time_ms=entry.run_time_ms,
         )
 
-    def _link(self, link: DatabaseLink) -> StoredDatabaseLink:
+    def _export_link(self, link: DatabaseLink) -> StoredDatabaseLink:
         assert link.stream is not None
         return StoredDatabaseLink(
-            stream=self._stream(link.stream),
-            unread=bytes(link.decoder.lines.buffer),
-            takes_new_calls=link in self._router.database.links,
-            calls=[self._call(call) for call in link.calls.values()],
+            stream=self._export_stream(link.stream),
+            undecoded=bytes(link.decoder.lines.buffer),
+            accepts_new_calls=link in self._router.database.links,
+            calls=[self._export_call(call) for call in link.calls.values()],
         )
 
-    def _call(self, call: DatabaseCall) -> StoredDatabaseCall:
+    def _export_call(self, call: DatabaseCall) -> StoredDatabaseCall:
         return StoredDatabaseCall(
             rpc_index=self._rpc_indexes[call.rpc],
             started_ms=call.started_ms,
@@ -218,14 +228,14 @@
             times_out_ms=call.timer.due_ms if call.timer else 0.0,
         )
 
-    def _engine_link(self) -> StoredEngineLink:
+    def _export_engine_link(self) -> StoredEngineLink:
         engine = self._router.engine
         gauge_query = None
         if engine.gauge_query is not None:
             gauge_query = StoredGaugeQuery(engine.gauge_query.tag, engine.gauge_query.bytes_before)
         return StoredEngineLink(
-            stream=self._stream(engine.stream) if engine.stream is not None else None,
-            unread=bytes(engine.decoder.lines.buffer),
+            stream=self._export_stream(engine.stream) if engine.stream is not None else None,
+            undecoded=bytes(engine.decoder.lines.buffer),
             attributes=stored_values(engine, ENGINE_LINK_NAMES),
             gauge_query=gauge_query,
             unconfirmed_rpc_indexes=[
@@ -235,6 +245,6 @@
             ],
         )
 
-    def _health(self) -> StoredHealth:
+    def _export_health(self) -> StoredHealth:
         reporter = self._router.health_reporter
         return StoredHealth(reporter.is_healthy, reporter.is_shallow, reporter.is_reporting)
--- a/landingshift/hot_restart/state_import.py
+++ b/landingshift/hot_restart/state_import.py
@@ -1,9 +1,9 @@
-"""Import of another build's state: a router that goes on where the old one was.
+"""Imports the state that another build exported, as a router that continues where the old one stopped.
 
-Guarantee: nothing is read or written before the loop's next pass, so the old process can still go on in its
-place.
-Failure mode: state that does not fit the settings is refused by `IncompatibleSettingsError` before a router
-is made.
+Guarantee: no socket is read or written before the next pass of the event loop. Until then the old process can
+still continue instead.
+Failure mode: if the settings lack a method or tenant of the state, the import raises
+`IncompatibleSettingsError` and creates no router.
 """
 
 from __future__ import annotations
@@ -49,14 +49,15 @@
 
 
 class StateImporter:
-    """Makes a router from what another build has exported.
+    """Creates a router from the state that another build exported.
 
     Args:
-        data: A `StoredState` in MessagePack.
-        descriptors: Those that it speaks of, the listener first; the importer owns them from now on.
+        data: A `StoredState` encoded as MessagePack.
+        descriptors: The descriptors to which `data` refers by index. The first is the listener.
+            The importer takes ownership of them.
 
     Raises:
-        msgspec.DecodeError: For what is no state.
+        msgspec.DecodeError: If `data` is invalid. The caller then still owns the descriptors.
     """
 
     def __init__(self, data: bytes, descriptors: list[int]) -> None:
@@ -66,10 +67,15 @@
             sock.setblocking(False)
 
     def import_router(self, loop: Loop, config: ServerConfig, log: Callable[..., None]) -> Router:
-        """Returns a router that goes on from the state.
+        """Returns a router that continues from the imported state.
+
+        Args:
+            loop: The event loop of the router.
+            config: The configuration of the router.
+            log: The log function of the router.
 
         Raises:
-            IncompatibleSettingsError: Where the settings lack a method or tenant of what is in hand.
+            IncompatibleSettingsError: If the settings lack the method or tenant of an RPC in the state.
         """
         for rpc in self._state.rpcs:
             has_method = rpc.method_index < len(config.settings.methods)
@@ -82,7 +88,7 @@
 
 
 class _StateRestorer:
-    """Puts a state into a new router, a part at a time in the order in which the parts need each other."""
+    """Restores a state into a new router, part by part: each part may refer to the parts before it."""
 
     def __init__(
         self,
@@ -100,18 +106,18 @@
         self._rpcs: list[RoutedRpc] = []
 
     def restore(self) -> None:
-        """Restores all parts; called once."""
+        """Restores all parts; must be called only once."""
         router = self._router
         state = self._state
-        self._rpcs = [self._rpc(stored) for stored in state.rpcs]
-        connections = [self._connection(stored) for stored in state.connections]
+        self._rpcs = [self._restore_rpc(stored) for stored in state.rpcs]
+        connections = [self._restore_connection(stored) for stored in state.connections]
         self._add_to_table(connections)
         self._add_dedup_entries()
         self._add_database_links()
         self._restore_engine_link()
         router.answers.headers = state.answer_headers
         if state.is_draining:
-            # The old process's timer stays with it: nobody else would end this shutdown.
+            # The timer that ends the shutdown belongs to the old process, so this router needs its own.
             router.shutdown.resume(state.stop_at_ms or self._loop.now_ms + self._config.stop_ms)
         self._restore_admission()
         router.gateways.context.idle_limit_ms = state.idle_limit_ms
@@ -122,7 +128,7 @@
         if state.health.is_reporting:
             router.health_reporter.start()
 
-    def _stream(
+    def _restore_stream(
         self,
         stored: StoredStream,
         owner: StreamOwner,
@@ -154,7 +160,7 @@
             self._loop.pending_writers[stream] = None
         return stream
 
-    def _rpc(self, stored: StoredRpc) -> RoutedRpc:
+    def _restore_rpc(self, stored: StoredRpc) -> RoutedRpc:
         record = attribute_values(stored.record, RPC_RECORD_NAMES)
         dedup_key = record["dedup_key"]
         record["dedup_key"] = tuple(dedup_key) if dedup_key is not None else None
@@ -167,13 +173,13 @@
             **record,
         )
         if stored.command is not None and not rpc.is_closed:
-            self._router.engine.commands.latest[rpc] = _command(rpc, stored.command)
+            self._router.engine.commands.latest[rpc] = _engine_command(rpc, stored.command)
         return rpc
 
-    def _connection(self, stored: StoredConnection) -> GatewayConnection:
+    def _restore_connection(self, stored: StoredConnection) -> GatewayConnection:
         gateways = self._router.gateways
         connection = gateways.add(
-            lambda owner: self._stream(
+            lambda owner: self._restore_stream(
                 stored.stream,
                 owner,
                 GATEWAY_MAX_UNSENT_BYTES,
@@ -181,7 +187,7 @@
                 reads_per_pass=1,
             )
         )
-        connection.decoder.buffer = stored.unread
+        connection.decoder.buffer = stored.undecoded
         for name, value in attribute_values(stored.attributes, CONNECTION_NAMES).items():
             setattr(connection, name, value)
         connection.rpcs = {number: self._rpcs[index] for number, index in stored.rpc_indexes.items()}
@@ -222,19 +228,21 @@
                 original.waiters[rpc] = None
 
     def _add_database_links(self) -> None:
-        links = [self._link(stored) for stored in self._state.database_links]
+        links = [self._restore_link(stored) for stored in self._state.database_links]
         for rpc, stored_rpc in zip(self._rpcs, self._state.rpcs, strict=True):
             used_links = [links[index] for index in stored_rpc.used_link_indexes if index < len(links)]
             if used_links:
                 self._router.database.used_links[rpc] = used_links
 
-    def _link(self, stored: StoredDatabaseLink) -> DatabaseLink:
+    def _restore_link(self, stored: StoredDatabaseLink) -> DatabaseLink:
         pool = self._router.database
-        link = DatabaseLink(pool, lambda owner: self._stream(stored.stream, owner, DATABASE_MAX_UNSENT_BYTES))
-        link.decoder.lines.buffer += stored.unread
-        if stored.takes_new_calls:
+        link = DatabaseLink(
+            pool, lambda owner: self._restore_stream(stored.stream, owner, DATABASE_MAX_UNSENT_BYTES)
+        )
+        link.decoder.lines.buffer += stored.undecoded
+        if stored.accepts_new_calls:
             pool.links.append(link)
-        if stored.unread:
+        if stored.undecoded:
             link.start_partial_reply_timer()
         for stored_call in stored.calls:
             rpc = self._rpcs[stored_call.rpc_index]
@@ -252,7 +260,7 @@
             if name in ENGINE_LINK_NAMES:
                 setattr(engine, ENGINE_LINK_NAMES[name], value)
         engine.decoder = engine_wire.NoticeDecoder()
-        engine.decoder.lines.buffer += stored.unread
+        engine.decoder.lines.buffer += stored.undecoded
         engine.gauge_query = None
         if stored.gauge_query is not None:
             engine.gauge_query = GaugeQuery(stored.gauge_query.tag, stored.gauge_query.bytes_before)
@@ -261,7 +269,7 @@
             if command is not None:
                 engine.commands.queue.append(command)
         if stored.stream is not None:
-            engine.stream = self._stream(stored.stream, engine, ENGINE_MAX_UNSENT_BYTES)
+            engine.stream = self._restore_stream(stored.stream, engine, ENGINE_MAX_UNSENT_BYTES)
         else:
             engine.reconnect_timer = self._loop.after(RECONNECT_DELAY_MS, engine.attach)
 
@@ -279,7 +287,7 @@
             rpc.managed = None if rpc.is_closed else managed
 
 
-def _command(rpc: RoutedRpc, stored: StoredCommand) -> EngineCommand:
+def _engine_command(rpc: RoutedRpc, stored: StoredCommand) -> EngineCommand:
     return EngineCommand(
         rpc,
         stored.data,
--- a/landingshift/hot_restart/state_machine.py
+++ b/landingshift/hot_restart/state_machine.py
@@ -1,13 +1,14 @@
-"""The steps of a hot restart, and which process serves in each. Pure: events come in, actions come out.
+"""The state machine of a hot restart, which the old process runs. It maps events to actions and does no I/O.
 
-The old process runs this state machine; the new one does what it is told and reports how that went. The old
-process serves up to `FROZEN`, nobody while frozen (nothing is read, so nothing can be lost), the new one from
-`PROBATION` on.
+The old process serves in all states before `FROZEN` and after a rollback. The new process serves from
+`PROBATION` on. In `FROZEN` and `TRANSFERRED` neither serves: nothing is read from the sockets, so nothing can
+be lost. The new process follows the old one's commands and reports the results.
 
-Guarantee: at no time do two processes read the sockets. A rollback is open until `COMPLETED`: the old process
-keeps its descriptors, and the request journal tells it what the new one did.
-Failure mode: a new process that hangs costs the time-out of the state that it is in; while frozen that is
-time in which nobody serves.
+Guarantee: the two processes never read the sockets at the same time. A rollback is possible until
+`COMPLETED`, because the old process keeps its descriptors and the request journal records what the new
+process did.
+Failure mode: if the new process hangs, the old one rolls back after the timeout of the current state. In
+`FROZEN` and `TRANSFERRED` no process serves until then.
 """
 
 from __future__ import annotations
@@ -16,88 +17,88 @@
 from enum import Enum
 from math import inf
 
-MAX_PROBATION_FACTOR = 4.0  # times the probation after which few answers are proof enough
+MAX_PROBATION_FACTOR = 4.0  # times `probation_ms`, after which probation ends even with few answers
 
 
 class RestartState(Enum):
-    """Where a hot restart is."""
+    """The state of a hot restart."""
 
     IDLE = "idle"
     STARTING = "starting"
-    """The new process loads, checks its settings and opens what it needs."""
+    """The new process loads, validates its settings and allocates its resources."""
     REHEARSING = "rehearsing"
-    """It imports a copy of the state, as a trial."""
+    """The new process imports a copy of the state as a trial."""
     FROZEN = "frozen"
-    """The old one reads, answers and decides nothing any more."""
+    """The old process has stopped reading, answering and making decisions; it sends its state."""
     TRANSFERRED = "transferred"
-    """Descriptors and state are with the new one, which has not acted yet."""
+    """The new process has received the descriptors and the state, and imports them."""
     PROBATION = "probation"
-    """The new one serves; the old one watches the request journal."""
+    """The new process serves; the old process watches the request journal."""
     COMPLETED = "completed"
-    """The old one may end."""
+    """The new process has passed probation; the old process may exit."""
     ROLLED_BACK = "rolled_back"
-    """The old one serves again as if nothing had happened."""
+    """The old process serves again."""
 
 
 class RestartEvent(Enum):
-    """What happens to a hot restart."""
+    """An input of the state machine."""
 
     REQUESTED = "requested"
-    """By an operator, with memory for two processes."""
+    """An operator has requested a hot restart, and the memory suffices for two processes."""
     NEW_PROCESS_READY = "new_process_ready"
     REHEARSAL_PASSED = "rehearsal_passed"
-    """The new process's copy of the state came out the same."""
+    """The copy of the state that the new process has imported is equal to the original."""
     STATE_SENT = "state_sent"
-    """The old process has frozen and sent everything."""
+    """The old process has sent all descriptors and its state."""
     STATE_IMPORTED = "state_imported"
-    """The new process has all and is ready to act."""
+    """The new process has imported the state and is ready to serve."""
     HEARTBEAT = "heartbeat"
-    """The new process has served a pass; on probation only."""
+    """The new process has completed a pass of its event loop; sent only on probation."""
     PROBATION_PASSED = "probation_passed"
-    """It was long enough, and enough RPCs were answered."""
+    """Probation has lasted long enough for the number of RPCs that the new process has answered."""
     FAILED = "failed"
-    """The new process refused, crashed, hung, or was too slow for the state."""
+    """The new process refused the state, crashed, hung, or exceeded the timeout of the current state."""
     ROLLBACK_REQUESTED = "rollback_requested"
-    """By an operator."""
+    """An operator has requested a rollback."""
     SHUTDOWN_REQUESTED = "shutdown_requested"
-    """The notice that this server is to leave."""
+    """This server has received the shutdown signal."""
     REQUESTED_AGAIN = "requested_again"
-    """A second hot restart while one is under way."""
+    """An operator has requested another hot restart while one is in progress."""
 
 
 class RestartAction(Enum):
-    """What the old process is to do."""
+    """An operation that the old process must perform."""
 
     START_NEW_PROCESS = "start_new_process"
     SEND_REHEARSAL_STATE = "send_rehearsal_state"
     FREEZE_AND_SEND_STATE = "freeze_and_send_state"
-    """Stop reading and deciding, then send everything."""
+    """Stop reading and making decisions, then send all descriptors and the state."""
     ACTIVATE_NEW_PROCESS = "activate_new_process"
-    """The new process may act."""
+    """Allow the new process to serve."""
     WATCH_JOURNAL = "watch_journal"
     EXIT_SILENTLY = "exit_silently"
-    """Close its descriptors without sending the peers anything, tell the supervisor, end."""
+    """Close all descriptors without sending anything to the peers, notify the supervisor, and exit."""
     KILL_NEW_PROCESS = "kill_new_process"
-    """Kill it and wait until it is gone."""
+    """Kill the new process and wait for its exit."""
     RESUME = "resume"
-    """Serve on with the state as it was frozen."""
+    """Continue to serve with the frozen state."""
     RESUME_FROM_JOURNAL = "resume_from_journal"
-    """Serve on with the state as it was frozen and what the request journal tells since."""
+    """Continue to serve with the frozen state, updated by the records of the request journal."""
     DRAIN = "drain"
-    """The old process shuts down gracefully, as always."""
+    """Begin the graceful shutdown of the old process."""
     FORWARD_SHUTDOWN = "forward_shutdown"
-    """The new process is told to shut down, with the time that is left."""
+    """Tell the new process to shut down gracefully within the remaining time."""
     REFUSE = "refuse"
-    """Reject the operator's request, with the reason."""
+    """Reject the operator's request and report the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class Transition:
-    """What an event leads to.
+    """The result of an event in a state.
 
     Attributes:
-        next_state: The state from then on.
-        actions: What is to be done, in this order.
+        next_state: The state after the event; may be the same as before.
+        actions: The actions to perform, in order.
     """
 
     next_state: RestartState
@@ -108,7 +109,7 @@
     return Transition(next_state, actions)
 
 
-# For the table alone, whose rows would not fit into a line with the full names.
+# Short names for the table below, so that most of its entries fit on one line.
 State = RestartState
 Event = RestartEvent
 Action = RestartAction
@@ -125,13 +126,14 @@
     ),
     (State.PROBATION, Event.HEARTBEAT): _to(State.PROBATION),
     (State.PROBATION, Event.PROBATION_PASSED): _to(State.COMPLETED, Action.EXIT_SILENTLY),
-    # Before the new process may act, one that fails has touched nothing: the old one goes on from where it
-    # is.
+    # A new process that fails before it is activated has changed nothing: the old one continues with its own
+    # state.
     (State.STARTING, Event.FAILED): _to(State.ROLLED_BACK, Action.KILL_NEW_PROCESS),
     (State.REHEARSING, Event.FAILED): _to(State.ROLLED_BACK, Action.KILL_NEW_PROCESS),
     (State.FROZEN, Event.FAILED): _to(State.ROLLED_BACK, Action.KILL_NEW_PROCESS, Action.RESUME),
     (State.TRANSFERRED, Event.FAILED): _to(State.ROLLED_BACK, Action.KILL_NEW_PROCESS, Action.RESUME),
-    # After that it must be gone before a byte is read: two readers of a socket share out its bytes.
+    # After its activation, the new process must have exited before the old one reads: if both read from a
+    # socket, each receives only some of the bytes.
     (State.PROBATION, Event.FAILED): _to(
         State.ROLLED_BACK, Action.KILL_NEW_PROCESS, Action.RESUME_FROM_JOURNAL
     ),
@@ -144,7 +146,8 @@
     (State.PROBATION, Event.ROLLBACK_REQUESTED): _to(
         State.ROLLED_BACK, Action.KILL_NEW_PROCESS, Action.RESUME_FROM_JOURNAL
     ),
-    # The notice to leave wins: whoever serves drains, and no hot restart goes on beside it.
+    # The shutdown signal takes precedence: the process that serves drains. Before probation, the hot restart
+    # is rolled back.
     (State.STARTING, Event.SHUTDOWN_REQUESTED): _to(State.ROLLED_BACK, Action.KILL_NEW_PROCESS, Action.DRAIN),
     (State.REHEARSING, Event.SHUTDOWN_REQUESTED): _to(
         State.ROLLED_BACK, Action.KILL_NEW_PROCESS, Action.DRAIN
@@ -174,16 +177,17 @@
 
 @dataclass(slots=True, frozen=True)
 class RestartTimeouts:
-    """How long each state may last; past it the new process counts as failed.
+    """Time limits of the states, past which the new process counts as failed, and the length of probation.
 
     Attributes:
-        starting_ms: To load.
-        rehearsing_ms: To import a copy of the state.
-        frozen_ms: To send everything; nothing is read meanwhile.
-        transferred_ms: To import it; nothing is read meanwhile.
-        heartbeat_ms: Between two signs of life on probation.
-        probation_ms: The shortest probation.
-        probation_answer_count: RPCs answered, or as many as were there, before probation can end.
+        starting_ms: The maximum time for the new process to start.
+        rehearsing_ms: The maximum time to import a copy of the state.
+        frozen_ms: The maximum time to send the state; no process serves during it.
+        transferred_ms: The maximum time to import the state; no process serves during it.
+        heartbeat_ms: The maximum interval between heartbeats on probation.
+        probation_ms: The minimum duration of probation.
+        probation_answer_count: The number of answered RPCs that ends probation after `probation_ms`. With
+            fewer answers, probation ends after `MAX_PROBATION_FACTOR` times `probation_ms`.
     """
 
     starting_ms: float = 15_000.0
@@ -196,19 +200,21 @@
 
 
 class HotRestart:
-    """One hot restart after the other, as the old process drives them.
+    """Controls hot restarts from the old process; after a rollback, another one may begin.
+
+    All times are on the old process's monotonic clock.
 
     Args:
-        timeouts: How long each state may last.
-        now_ms: The old process's monotonic clock, as everywhere here.
+        timeouts: The time limits of the states.
+        now_ms: The current time.
 
     Attributes:
-        state: Where it is.
-        state_since_ms: Since when.
-        last_heartbeat_ms: When the new process last sent a heartbeat, or when the last transition was.
-        answered_count: RPCs that the new process has answered on probation.
-        is_shutting_down: Whether the notice to leave has come; no hot restart begins after it.
-        reason: Why the last one was rolled back or refused.
+        state: The current state.
+        state_since_ms: The time at which the current state began.
+        last_heartbeat_ms: The time of the last heartbeat or other transition.
+        answered_count: The number of RPCs that the new process has answered on probation.
+        is_shutting_down: Whether the shutdown signal was received; no hot restart begins after it.
+        reason: Why the last hot restart was rolled back or the last request was refused.
     """
 
     def __init__(self, timeouts: RestartTimeouts, now_ms: float) -> None:
@@ -221,29 +227,31 @@
         self.reason = ""
 
     def on_event(self, event: RestartEvent, now_ms: float, reason: str = "") -> tuple[RestartAction, ...]:
-        """Returns what is to be done, in this order; an event without a transition changes nothing.
+        """Handles an event and returns the actions to perform, in order.
+
+        An event without a transition from the current state is ignored.
 
         Args:
-            event: What happened.
-            now_ms: When.
-            reason: Why, for a failure; the event's name where it is empty.
+            event: The event to handle.
+            now_ms: The current time.
+            reason: The cause of a rollback or refusal; the event's value if empty.
         """
         if event is RestartEvent.SHUTDOWN_REQUESTED:
             if self.is_shutting_down:
                 return ()
             self.is_shutting_down = True
         if event is RestartEvent.REQUESTED and self.is_shutting_down:
-            self.reason = "it is leaving"
+            self.reason = "the server is shutting down"
             return (RestartAction.REFUSE,)
         if event is RestartEvent.REQUESTED and (self.state, event) not in TRANSITIONS:
             event = RestartEvent.REQUESTED_AGAIN
-            reason = "an upgrade is under way"
+            reason = "a hot restart is already in progress"
         transition = TRANSITIONS.get((self.state, event))
         if transition is None:
             return ()
         self._enter(transition, now_ms, reason or event.value)
         if event is RestartEvent.FAILED and self.is_shutting_down:
-            # The notice came while the new process served.
+            # The shutdown signal was forwarded to the new process, which then failed.
             return (*transition.actions, RestartAction.DRAIN)
         return transition.actions
 
@@ -257,7 +265,14 @@
         self.last_heartbeat_ms = now_ms
 
     def on_heartbeat(self, answered_count: int, now_ms: float) -> tuple[RestartAction, ...]:
-        """A sign of life on probation, with how many RPCs were answered in all since it began."""
+        """Handles a heartbeat of the new process and returns the actions to perform.
+
+        A heartbeat outside `PROBATION` is ignored.
+
+        Args:
+            answered_count: The number of RPCs that the new process has answered since probation began.
+            now_ms: The current time.
+        """
         if self.state is not RestartState.PROBATION:
             return ()
         self.answered_count = answered_count
@@ -265,27 +280,32 @@
         return self.on_timer(now_ms)
 
     def on_timer(self, now_ms: float) -> tuple[RestartAction, ...]:
-        """What the time that has passed means: probation ends, or the state has lasted too long."""
+        """Ends probation, or rolls back if a time limit has passed; returns the actions to perform."""
         if self.next_check_in_ms(now_ms) > 0.0:
             return ()
-        if self.state is RestartState.PROBATION and self._has_heartbeat(now_ms):
+        if self.state is RestartState.PROBATION and self._has_recent_heartbeat(now_ms):
             if self._probation_passed(now_ms):
                 return self.on_event(RestartEvent.PROBATION_PASSED, now_ms)
             return ()
         elapsed_ms = now_ms - self.state_since_ms
-        return self.on_event(RestartEvent.FAILED, now_ms, f"{self.state.value} for {elapsed_ms:.0f} ms")
+        return self.on_event(
+            RestartEvent.FAILED, now_ms, f"timed out in state {self.state.value} after {elapsed_ms:.0f} ms"
+        )
 
-    def _has_heartbeat(self, now_ms: float) -> bool:
+    def _has_recent_heartbeat(self, now_ms: float) -> bool:
         return now_ms - self.last_heartbeat_ms < self.timeouts.heartbeat_ms
 
     def _probation_passed(self, now_ms: float) -> bool:
-        """Enough answers prove the new process, or with few RPCs a multiple of the time."""
+        """Returns whether there were enough answers, or probation has reached its maximum duration."""
         max_probation_ms = MAX_PROBATION_FACTOR * self.timeouts.probation_ms
-        is_answering = self.answered_count >= self.timeouts.probation_answer_count
-        return is_answering or now_ms - self.state_since_ms >= max_probation_ms
+        has_enough_answers = self.answered_count >= self.timeouts.probation_answer_count
+        return has_enough_answers or now_ms - self.state_since_ms >= max_probation_ms
 
     def next_check_in_ms(self, now_ms: float) -> float:
-        """Returns ms until `on_timer` can change something, 0 or less once it is due; inf for never."""
+        """Returns the time until `on_timer` must be called.
+
+        The result is 0 or less if the call is due, and inf in a state without a time limit.
+        """
         timeouts = self.timeouts
         match self.state:
             case RestartState.STARTING:
--- a/landingshift/hot_restart/stored_state.py
+++ b/landingshift/hot_restart/stored_state.py
@@ -1,8 +1,9 @@
-"""The state of a server as another build reads it: structs and names of the stored format.
+"""Defines the format in which a server's state is transferred to another build.
 
-MessagePack, a map a struct. A key that the reader does not know is left out; a key that is missing keeps its
-default. What can't be left out raises the version of the channel's frames. Times are of the machine's
-monotonic clock, which both builds share. Names in quotes are stored and stay when ours change.
+The format is MessagePack. Each struct is stored as a map, or as an array if it is declared `array_like`. A
+reader ignores unknown keys of a struct and uses the default of a missing key. A change that readers cannot
+ignore must increment the version of the channel's frames. Times are on the machine's monotonic clock, which
+both processes share. The names in quotes are part of the format: they must stay when an attribute is renamed.
 """
 
 from __future__ import annotations
@@ -11,7 +12,6 @@
 
 from msgspec import Struct, field
 
-# Stored name -> our attribute. What an RPC's record holds besides what the admission controller was told.
 RPC_RECORD_NAMES = {
     "rid": "rpc_id",
     "name": "method_name",
@@ -25,7 +25,8 @@
     "need_body": "call_request",
     "mark": "attempt_id",
 }
-# What the admission controller was told of the RPC.
+"""Maps stored names to the attributes that `RoutedRpc` adds to the admission controller's view of an RPC."""
+
 RPC_FACT_NAMES = {
     "remaining": "remaining_ms",
     "waited": "waited_ms",
@@ -38,7 +39,8 @@
     "write": "is_write",
     "tenant_name": "tenant_name",
 }
-# Of a gateway's connection.
+"""Maps stored names to the attributes of `Rpc`, and to the name of the tenant."""
+
 CONNECTION_NAMES = {
     "read": "rpc_count",
     "probes": "health_check_count",
@@ -50,7 +52,8 @@
     "heard": "last_message_ms",
     "half": "partial_since_ms",
 }
-# Of the link to the engine.
+"""Maps stored names to attributes of `GatewayConnection`."""
+
 ENGINE_LINK_NAMES = {
     "last": "last_notice_number",
     "links": "link_count",
@@ -63,31 +66,33 @@
     "lost": "lost_at_ms",
     "heard": "answered_at_ms",
 }
-NO_INDEX = -1  # in place of an index: there is none
+"""Maps stored names to attributes of `EngineLink`."""
+
+NO_INDEX = -1  # stored in place of an index to an object that does not exist
 
 
 def stored_values(owner: object, names: dict[str, str]) -> dict[str, Any]:
-    """Returns the attributes of `owner` that `names` lists, by their stored names."""
+    """Returns the values of the attributes of `owner` in the table `names`, by stored name."""
     return {stored: getattr(owner, attribute) for stored, attribute in names.items()}
 
 
 def attribute_values(stored: dict[str, Any], names: dict[str, str]) -> dict[str, Any]:
-    """Returns the stored values by attribute; a name that this build does not know stays as it is."""
+    """Returns the stored values by attribute name; a stored name that is not in `names` is kept as it is."""
     return {names.get(name, name): value for name, value in stored.items()}
 
 
 class StoredStream(Struct):
-    """A TCP connection.
+    """The state of a stream (a TCP connection).
 
     Attributes:
-        descriptor_index: Which of the descriptors that come with the state.
-        output: Queued and not sent.
-        queued_bytes: Since the start.
-        sent_bytes: Since the start.
-        last_activity_ms: When bytes last went either way.
-        is_reading: The other side has not ended its side.
-        is_connecting: The connection is not made yet.
-        close_reason: Set once it is to close gracefully.
+        descriptor_index: The index of its socket in the list of transferred descriptors.
+        output: The queued bytes that are not sent yet.
+        queued_bytes: The number of bytes queued since the connection was opened.
+        sent_bytes: The number of bytes sent since the connection was opened.
+        last_activity_ms: The time of the last transfer of bytes in either direction.
+        is_reading: Whether the peer may still send; False once it has closed its sending side.
+        is_connecting: Whether the connection is not established yet.
+        close_reason: The reason of a graceful close in progress; empty if there is none.
     """
 
     descriptor_index: int = field(name="fd")
@@ -101,14 +106,14 @@
 
 
 class StoredCommand(Struct, array_like=True):
-    """A command to the engine that is not known to have arrived; an array in this order.
+    """A command that is not known to have reached the engine. Stored as an array in the order of the fields.
 
     Attributes:
-        data: Its bytes.
-        starts_run: It must not happen twice.
-        stream_end: Where it ends in the link's stream; -1 before it is written.
-        is_in_doubt: Given to a link that broke: it may have arrived.
-        is_withheld: Not to be sent yet.
+        data: The encoded command.
+        starts_run: Whether it starts the RPC's run.
+        stream_end: The offset in the link's output stream at which it ends; -1 before it is written.
+        is_in_doubt: Whether it was sent on a link that broke, so that it may have arrived.
+        is_withheld: Whether it is not resent until the RPC is answered or abandoned.
     """
 
     data: bytes
@@ -119,18 +124,18 @@
 
 
 class StoredRpc(Struct):
-    """An RPC in hand, or the owner of a deduplication entry.
+    """An open RPC, or the owner of a deduplication entry, which may be closed.
 
     Attributes:
-        method_index: Index in the order of the settings.
-        tenant_name: None for a tenant without settings of its own.
-        record: By `RPC_RECORD_NAMES`.
-        facts: By `RPC_FACT_NAMES`.
-        connection_index: Index in the order of the connections; `NO_INDEX` where it is gone.
-        command: None once it is known to have arrived.
-        original_index: The deduplication entry that it repeats, or `NO_INDEX`.
-        waits_for_original: It is answered once that one ends.
-        used_link_indexes: Links to the database that had its calls.
+        method_index: The index of its method in the settings.
+        tenant_name: The name of its tenant; None for a tenant without settings.
+        record: The values of the attributes in `RPC_RECORD_NAMES`, by stored name.
+        facts: The values of the attributes in `RPC_FACT_NAMES`, by stored name.
+        connection_index: The index of its connection in `connections`; `NO_INDEX` if that is closed.
+        command: Its latest command to the engine; None if that is known to have arrived.
+        original_index: The index of the deduplication entry of which it is a duplicate, or `NO_INDEX`.
+        waits_for_original: Whether it is answered when the owner of that entry ends.
+        used_link_indexes: Indexes of the database links on which a late reply to its calls may still arrive.
     """
 
     method_index: int = field(name="method")
@@ -145,31 +150,31 @@
 
 
 class StoredConnection(Struct):
-    """A gateway's connection.
+    """A connection from a gateway.
 
     Attributes:
-        stream: Its connection.
-        unread: The beginning of a message that is not complete.
-        attributes: By `CONNECTION_NAMES`.
-        rpc_indexes: The open RPCs by message number.
+        stream: The connection's stream.
+        undecoded: The received part of an incomplete message.
+        attributes: The values of the attributes in `CONNECTION_NAMES`, by stored name.
+        rpc_indexes: Indexes of the open RPCs in `StoredState.rpcs`, by the message id of their requests.
     """
 
     stream: StoredStream
-    unread: bytes = field(name="rest")
+    undecoded: bytes = field(name="rest")
     attributes: dict[str, Any] = field(name="counts")
     rpc_indexes: dict[int, int] = field(name="rpcs")
 
 
 class StoredDedupEntry(Struct):
-    """A deduplication entry.
+    """An entry of the deduplication table.
 
     Attributes:
-        owner_index: The RPC that repeats are answered from.
-        expires_ms: Until when.
-        outcome: The value of its `Outcome`; None while it is held or runs.
-        ended_ms: When it ended.
-        result: Its answer.
-        run_time_ms: How long it ran.
+        owner_index: The index of the RPC from which duplicates are answered.
+        expires_ms: The time at which the entry expires.
+        outcome: The value of the owner's `Outcome`; None while the owner is queued or runs.
+        ended_ms: The time at which the owner ended.
+        result: The owner's result; None if it has none or the result was evicted.
+        run_time_ms: The duration of the owner's run.
     """
 
     owner_index: int = field(name="owner")
@@ -181,13 +186,13 @@
 
 
 class StoredDatabaseCall(Struct, array_like=True):
-    """A call under way; an array in this order.
+    """A database call in flight. Stored as an array in the order of the fields.
 
     Attributes:
-        rpc_index: Whose call it is.
-        started_ms: When.
-        stream_end: Where it ends in the link's stream.
-        times_out_ms: When it is given up.
+        rpc_index: The index of the RPC that made the call.
+        started_ms: The time at which the call started.
+        stream_end: The offset in the link's output stream at which the request ends.
+        times_out_ms: The time at which the call times out.
     """
 
     rpc_index: int
@@ -200,24 +205,24 @@
     """A connection to the database.
 
     Attributes:
-        stream: Its connection.
-        unread: The beginning of a reply that is not complete.
-        takes_new_calls: False once it is retired.
-        calls: Under way.
+        stream: The link's stream.
+        undecoded: The received part of an incomplete reply.
+        accepts_new_calls: Whether new calls may use the link; False once it is retired.
+        calls: The calls in flight on the link.
     """
 
     stream: StoredStream
-    unread: bytes = field(name="buffer")
-    takes_new_calls: bool = field(name="fresh")
+    undecoded: bytes = field(name="buffer")
+    accepts_new_calls: bool = field(name="fresh")
     calls: list[StoredDatabaseCall]
 
 
 class StoredGaugeQuery(Struct, array_like=True):
-    """A query for the engine's gauges that is not answered yet; an array in this order.
+    """A query of the engine's gauges without an answer yet. Stored as an array in the order of the fields.
 
     Attributes:
-        tag: Tag of the answer.
-        bytes_before: Bytes that were written to the link's stream before it.
+        tag: The tag that identifies the answer.
+        bytes_before: The length of the link's output stream before the query.
     """
 
     tag: bytes
@@ -228,27 +233,27 @@
     """The link to the engine.
 
     Attributes:
-        stream: Its connection; None while there is none.
-        unread: The beginning of a notice that is not complete.
-        attributes: By `ENGINE_LINK_NAMES`.
-        gauge_query: None where none is open.
-        unconfirmed_rpc_indexes: RPCs whose command is not known to have arrived, in order.
+        stream: The link's stream; None while there is no connection.
+        undecoded: The received part of an incomplete notice.
+        attributes: The values of the attributes in `ENGINE_LINK_NAMES`, by stored name.
+        gauge_query: The unanswered gauge query; None if there is none.
+        unconfirmed_rpc_indexes: Indexes of the RPCs of unconfirmed commands, in the order of the queue.
     """
 
     stream: StoredStream | None
-    unread: bytes = field(name="buffer")
+    undecoded: bytes = field(name="buffer")
     attributes: dict[str, Any] = field(name="plain")
     gauge_query: StoredGaugeQuery | None = field(name="stats")
     unconfirmed_rpc_indexes: list[int] = field(name="unsure")
 
 
 class StoredHealth(Struct, array_like=True):
-    """What load balancers are told; an array in this order.
+    """The state of the `HealthReporter`. Stored as an array in the order of the fields.
 
     Attributes:
-        is_healthy: As `HealthReporter` has it.
-        is_shallow: As `HealthReporter` has it.
-        is_reporting: Whether reports have begun.
+        is_healthy: Whether the server reports itself as healthy.
+        is_shallow: Whether deep health checks skip the engine's self-test.
+        is_reporting: Whether reports to the roster have begun.
     """
 
     is_healthy: bool
@@ -257,22 +262,22 @@
 
 
 class StoredState(Struct):
-    """All that a server has in hand.
+    """The transferred state of a server.
 
     Attributes:
-        connections: Of gateways.
-        rpcs: The admission controller's first, then owners of deduplication entries.
-        dedup_entries: Entries in the order of the table.
-        database_links: Open ones.
-        engine_link: The one link to the engine.
-        admission: As `AdmissionController.export_state` gives it; None before it decides.
-        managed_rpc_count: The first so many RPCs are the admission controller's, in its order.
-        starts_cold: Whether the admission controller began with a slow start.
-        answer_headers: What gateways are told with each answer.
-        is_draining: Whether a graceful shutdown is under way.
-        health: What load balancers are told.
-        idle_limit_ms: After which idle connections of gateways are closed.
-        stop_at_ms: When a graceful shutdown ends with the process; 0 where none is under way.
+        connections: The connections from gateways.
+        rpcs: The admission controller's RPCs in its order, then other owners of deduplication entries.
+        dedup_entries: The entries of the deduplication table, in its order.
+        database_links: The open links to the database.
+        engine_link: The link to the engine.
+        admission: The result of `AdmissionController.export_state`; None before the controller exists.
+        managed_rpc_count: The number of RPCs at the start of `rpcs` that belong to the admission controller.
+        starts_cold: Whether the admission controller was created with a slow start.
+        answer_headers: The headers of each answer, which advertise the server's load.
+        is_draining: Whether a graceful shutdown is in progress.
+        health: The state of health reports.
+        idle_limit_ms: The idle time after which connections from gateways are closed.
+        stop_at_ms: The time at which the process is killed in a graceful shutdown; 0 if none is in progress.
     """
 
     connections: list[StoredConnection]
