--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements that take minutes; no test runs them."""
+"""Benchmarks. They run for minutes and are not part of the tests."""
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,6 +1,6 @@
-"""What membership costs: CPU and memory of idle servers, plain and with the packages that need it.
+"""Measures the CPU time and memory of idle servers, without membership and with packages that need it.
 
-`python -m benchmarks.fleet [servers] [seconds]`; real processes, nothing else to do for them.
+Usage: `python -m benchmarks.fleet [servers] [seconds]`. Each server is a process without any RPC load.
 """
 
 from __future__ import annotations
@@ -23,15 +23,15 @@
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 DEFAULT_SERVER_COUNT = 30
 DEFAULT_MEASURED_SECONDS = 20.0
-SETTLING_SECONDS = 15.0  # until all servers have started and know each other
+WARM_UP_SECONDS = 15.0  # time for all servers to start and learn of each other
 SEED = 1
-USER_TICKS_FIELD = 11  # of /proc/PID/stat, counted behind the name of the process
+USER_TICKS_FIELD = 11  # index in /proc/PID/stat after the process name
 SYSTEM_TICKS_FIELD = 12
-RESIDENT_PAGES_FIELD = 1  # of /proc/PID/statm
+RESIDENT_PAGES_FIELD = 1  # index in /proc/PID/statm
 
 
 class RunningFleet(Protocol):
-    """Servers in processes of their own."""
+    """A harness that runs each server of a fleet in its own process."""
 
     servers: ProcessHarness
 
@@ -41,19 +41,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessUsage:
-    """What a process has used.
+    """Resource usage of a process.
 
     Attributes:
-        cpu_seconds: Since it started.
-        resident_mb: Now.
+        cpu_seconds: The CPU time since the start of the process.
+        resident_mb: The resident memory at the time of measurement.
     """
 
     cpu_seconds: float
     resident_mb: float
 
 
-def usage_of(process_id: int) -> ProcessUsage:
-    """Returns what a process has used so far."""
+def process_usage(process_id: int) -> ProcessUsage:
+    """Returns the resource usage of a process so far."""
     stat_fields = Path(f"/proc/{process_id}/stat").read_text().rpartition(")")[2].split()
     ticks = int(stat_fields[USER_TICKS_FIELD]) + int(stat_fields[SYSTEM_TICKS_FIELD])
     memory_fields = Path(f"/proc/{process_id}/statm").read_text().split()
@@ -64,23 +64,23 @@
 def measure(
     server_count: int, measured_seconds: float, make_fleet: Callable[[str], RunningFleet]
 ) -> tuple[float, float]:
-    """Returns per cent of a core and resident MB of a server, the mean of all.
+    """Runs a fleet and returns CPU usage in percent of a core and resident MB, each as the mean per server.
 
     Args:
-        server_count: How many servers the fleet has.
-        measured_seconds: For how long.
-        make_fleet: Makes the fleet in a folder.
+        server_count: The number of servers in the fleet.
+        measured_seconds: The duration of the measurement, after a warm-up.
+        make_fleet: Creates the fleet with its files in the given directory.
     """
-    with tempfile.TemporaryDirectory(dir=MEMORY) as folder:
-        fleet = make_fleet(folder)
+    with tempfile.TemporaryDirectory(dir=MEMORY) as directory:
+        fleet = make_fleet(directory)
         fleet.servers.load.rpcs_per_second = 0.0
         fleet.start_all()
         try:
-            time.sleep(SETTLING_SECONDS)
+            time.sleep(WARM_UP_SECONDS)
             process_ids = [process.pid for process in fleet.servers.processes.values()]
-            before = [usage_of(process_id) for process_id in process_ids]
+            before = [process_usage(process_id) for process_id in process_ids]
             time.sleep(measured_seconds)
-            after = [usage_of(process_id) for process_id in process_ids]
+            after = [process_usage(process_id) for process_id in process_ids]
         finally:
             fleet.servers.close()
     pairs = zip(before, after, strict=True)
@@ -90,15 +90,19 @@
 
 
 def main() -> None:
-    """Measures four fleets one after the other and prints a line each."""
+    """Measures four fleets one after the other and prints one line for each."""
     server_count = int(sys.argv[1]) if len(sys.argv) > 1 else DEFAULT_SERVER_COUNT
     measured_seconds = float(sys.argv[2]) if len(sys.argv) > 2 else DEFAULT_MEASURED_SECONDS
     print(f"{server_count} idle servers, {measured_seconds:g} s")
     fleets: dict[str, Callable[[str], RunningFleet]] = {
-        "as before": lambda folder: ColdStartHarness(folder, server_count, SEED, has_packages=False),
-        "with fleet and coldstart": lambda folder: ColdStartHarness(folder, server_count, SEED),
-        "fleet and policies": lambda folder: PolicyHarness(folder, server_count, SEED, load=0.0),
-        "the same, leased": lambda folder: PolicyHarness(folder, server_count, SEED, STAND_ASIDE, load=0.0),
+        "no membership": lambda directory: ColdStartHarness(
+            directory, server_count, SEED, has_packages=False
+        ),
+        "fleet and coldstart": lambda directory: ColdStartHarness(directory, server_count, SEED),
+        "fleet and policies": lambda directory: PolicyHarness(directory, server_count, SEED, load=0.0),
+        "fleet and policies, leased": lambda directory: PolicyHarness(
+            directory, server_count, SEED, STAND_ASIDE, load=0.0
+        ),
     }
     for name, make_fleet in fleets.items():
         cpu_percent, resident_mb = measure(server_count, measured_seconds, make_fleet)
--- a/benchmarks/hot_restart.py
+++ b/benchmarks/hot_restart.py
@@ -1,4 +1,7 @@
-"""What the parts of a hot restart cost: `python -m benchmarks.hot_restart`. Medians of 20, one process."""
+"""Measures the time of the parts of a hot restart: `python -m benchmarks.hot_restart`.
+
+Prints medians of 20 repetitions, all measured within one process.
+"""
 
 from __future__ import annotations
 
@@ -80,30 +83,30 @@
 
 
 class NoActions:
-    """Actions of the admission controller that do nothing."""
+    """Actions of the admission controller that do nothing; accepts every action."""
 
     def __getattr__(self, _: str) -> Callable[..., None]:
-        """Returns what does nothing, for any action."""
+        """Returns a function without effect for any action."""
         return lambda *_: None
 
 
 def median_ms(operation: Callable[[], object]) -> float:
-    """Returns the median duration of an operation."""
+    """Returns the median duration of `REPEAT_COUNT` calls of `operation`."""
     durations_ms = []
     for _ in range(REPEAT_COUNT):
-        began_seconds = time.perf_counter()
+        started_at_seconds = time.perf_counter()
         operation()
-        durations_ms.append((time.perf_counter() - began_seconds) * 1000.0)
+        durations_ms.append((time.perf_counter() - started_at_seconds) * 1000.0)
     return median(durations_ms)
 
 
 def measure_descriptors() -> None:
-    """Descriptors go over the channel and are closed again on the other side."""
+    """Measures sending descriptors over the channel and closing the received copies."""
     old_socket, new_socket = socket.socketpair()
     old_side, new_side = Channel(old_socket), Channel(new_socket)
     descriptors = [os.memfd_create("benchmark") for _ in range(DESCRIPTOR_COUNT)]
 
-    def move() -> None:
+    def transfer() -> None:
         received: list[int] = []
         for start in range(0, DESCRIPTOR_COUNT, MAX_FRAME_DESCRIPTORS):
             old_side.send(Frame(FRAME_KIND, b"", descriptors[start : start + MAX_FRAME_DESCRIPTORS]))
@@ -113,7 +116,7 @@
         for descriptor in received:
             os.close(descriptor)
 
-    print(f"{DESCRIPTOR_COUNT} descriptors moved and closed: {median_ms(move):.2f} ms")
+    print(f"{DESCRIPTOR_COUNT} descriptors sent, received and closed: {median_ms(transfer):.2f} ms")
     for descriptor in descriptors:
         os.close(descriptor)
     old_side.close()
@@ -121,7 +124,7 @@
 
 
 def measure_state() -> None:
-    """The admission controller's state with RPCs in hand is exported, packed, unpacked and imported."""
+    """Measures the export, encoding, decoding and import of the admission controller's state."""
     old = AdmissionController(SETTINGS, 1, NoActions(), 0.0)  # type: ignore[arg-type]
     for number in range(RPC_COUNT):
         old.now_ms += 0.1
@@ -132,22 +135,22 @@
         if number % 3 == 0 and managed_rpc.state is not None:
             old.on_run_finished(next(iter(old.state.rpcs_by_state[managed_rpc.state])), Outcome.OK, 5.0)
     exported, managed_rpcs = old.export_state()
-    packed = msgpack.encode(exported)
+    encoded = msgpack.encode(exported)
     new = AdmissionController(SETTINGS, 1, NoActions(), 0.0)  # type: ignore[arg-type]
     rpcs = [managed_rpc.rpc for managed_rpc in managed_rpcs]
-    print(f"{len(managed_rpcs)} RPCs in hand, {len(packed) // 1024} KB")
-    print(f"given and packed: {median_ms(lambda: msgpack.encode(old.export_state()[0])):.2f} ms")
+    print(f"{len(managed_rpcs)} open RPCs, {len(encoded) // 1024} KB")
+    print(f"exported and encoded: {median_ms(lambda: msgpack.encode(old.export_state()[0])):.2f} ms")
 
     def import_state() -> None:
         for rpcs_in_state in new.state.rpcs_by_state.values():
             rpcs_in_state.clear()
-        new.import_state(msgpack.decode(packed), rpcs)
+        new.import_state(msgpack.decode(encoded), rpcs)
 
-    print(f"unpacked and taken: {median_ms(import_state):.2f} ms")
+    print(f"decoded and imported: {median_ms(import_state):.2f} ms")
 
 
 def measure_journal() -> None:
-    """Records of 1 KB, as an RPC that is read on probation makes."""
+    """Measures journal records of 1 KB; reading an RPC on probation writes a record of about this size."""
     record = bytes(RECORD_BYTES)
     journal = RequestJournal.create(JOURNAL_BYTES)
 
@@ -157,7 +160,7 @@
             journal.write(RecordKind.BYTES_READ, number, record)
 
     microseconds = median_ms(write_records) * 1000.0 / RECORD_COUNT
-    print(f"a record of 1 KB: {microseconds:.2f} us")
+    print(f"journal record of 1 KB: {microseconds:.2f} us")
     journal.close()
 
 
--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -1,8 +1,10 @@
-"""Figures of usage metering: `python -m benchmarks.ledger [--rate N] [--big N]`; prints JSON. Takes minutes.
+"""Benchmarks of usage metering: `python -m benchmarks.ledger [--rate N] [--big N]`. Prints JSON.
 
-- rate: uses a second that the store's process takes from a queue, and how long each was not durable.
-- server: the same server without and with metering, in turn: CPU an RPC, latency, passes of the loop.
-- big: a store of millions of uses: opening, totals, bytes a use, memory.
+- rate: the rate at which the store process commits usage records, and the time until each is durable.
+- server: CPU time per RPC, latency and event loop passes of the same server without and with metering.
+- thousand, light: the same as server with a limited rate of RPCs.
+- big: time to open and read a store of millions of usage records, its size on disk, and the memory used while
+  it is filled.
 """
 
 from __future__ import annotations
@@ -48,40 +50,47 @@
 
 
 def p99(values: list[float]) -> float:
-    """The 99th percentile; 0 of nothing."""
+    """Returns the 99th percentile, or 0 for an empty list."""
     return sorted(values)[int(len(values) * 0.99)] if values else 0.0
 
 
 def cpu_seconds(pid: int) -> float:
-    """What a process has used."""
+    """Returns the CPU time that a process has used since its start."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND
 
 
 def memory_kb(pid: int) -> int:
-    """Resident memory of a process."""
+    """Returns the resident memory of a process."""
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * resource.getpagesize() // 1024
 
 
 def random_usage(sequence: int, at_ms: int, rng: Random) -> ReportedUsage:
-    """One use of one of many tenants."""
+    """Returns the usage record of an RPC of a random tenant."""
     tenant = b"club %d" % rng.randrange(TENANT_COUNT)
     return ReportedUsage(sequence, at_ms, tenant, b"m", 90_000, 800, 2000, rng.randbytes(16))
 
 
 class StoreLoad:
-    """A real store process and the load that the service would give it."""
+    """A store process, and the queue through which the ledger's service would send usage to it.
+
+    Attributes:
+        link: The connection to the store process.
+        process: The store process.
+        queue: The usage that is not durable yet.
+        not_durable_ms: The time from queueing to durability of each usage record, in order of durability.
+    """
 
     def __init__(self, directory: str) -> None:
-        self.link, theirs = socket.socketpair()
+        self.link, child_socket = socket.socketpair()
         settings = Settings(directory=directory, instance="bench")
         self.process = subprocess.Popen(
             [sys.executable, "-m", WORKER_MODULE, msgspec.json.encode(settings).decode(), "ab"],
-            env=os.environ | {WORKER_FD_VARIABLE: str(theirs.fileno())},
-            pass_fds=[theirs.fileno()],
+            env=os.environ | {WORKER_FD_VARIABLE: str(child_socket.fileno())},
+            pass_fds=[child_socket.fileno()],
         )
-        theirs.close()
-        self.link.recv(READ_BYTES)  # it is open
+        child_socket.close()
+        self.link.recv(READ_BYTES)  # sent once the store is open
         self.queue = UsageQueue(QUEUE_LIMIT_BYTES)
         self.not_durable_ms: list[float] = []
         self._frames = FrameDecoder()
@@ -91,7 +100,7 @@
         self._rng = Random(1)
 
     def offer(self, count: int) -> None:
-        """Queues so many uses."""
+        """Queues `count` usage records."""
         offered_at = time.perf_counter()
         for _ in range(count):
             usage = random_usage(0, round(time.time() * 1000), self._rng)
@@ -99,13 +108,13 @@
             self._offered_at[usage.sequence] = offered_at
 
     def send(self) -> None:
-        """Sends the next batch, if any."""
+        """Sends the next batch to the store process, if there is one."""
         batch = self.queue.next_batch(MAX_IN_FLIGHT_BATCH_COUNT)
         if batch is not None:
             self.link.sendall(encode_frame(self._encode(batch)))
 
     def receive(self) -> None:
-        """Takes the status and settles what is durable."""
+        """Receives status messages, and queues the outcome of each usage record that has become durable."""
         for message in self._frames.feed(self.link.recv(READ_BYTES)):
             for usage in self.queue.acknowledge(self._decode(message).committed_batch):
                 waited_seconds = time.perf_counter() - self._offered_at.pop(usage.sequence)
@@ -113,26 +122,29 @@
                 self.queue.add_outcome(DeliveryOutcome.DELIVERED, usage.sequence)
 
     def close(self) -> None:
-        """Ends the process."""
+        """Closes the connection and waits for the store process to exit."""
         self.link.close()
         self.process.wait()
 
 
 def measure_rate(uses_per_second: int, seconds: float) -> dict[str, Any]:
-    """Offers so many uses a second to a real store process, as the service does, and waits for nothing."""
+    """Measures a store process that receives `uses_per_second` usage records per second.
+
+    The load is open: records are queued at that rate even if earlier ones are not durable yet.
+    """
     with tempfile.TemporaryDirectory() as directory:
         load = StoreLoad(directory)
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         total_count = int(uses_per_second * seconds)
         offered_count = 0
         while len(load.not_durable_ms) < total_count:
-            due_count = min(int((time.perf_counter() - began) * uses_per_second), total_count)
+            due_count = min(int((time.perf_counter() - started_at) * uses_per_second), total_count)
             load.offer(due_count - offered_count)
             offered_count = due_count
             load.send()
             if select.select([load.link], [], [], POLL_SECONDS)[0]:
                 load.receive()
-        took_seconds = time.perf_counter() - began
+        elapsed_seconds = time.perf_counter() - started_at
         while not load.queue.is_empty:
             load.send()
             load.receive()
@@ -142,7 +154,7 @@
         size_bytes = Path(directory, STORE_FILE).stat().st_size
         return {
             "offered_a_second": uses_per_second,
-            "durable_a_second": round(total_count / took_seconds),
+            "durable_a_second": round(total_count / elapsed_seconds),
             "not_durable_ms": {
                 "p50": round(median(load.not_durable_ms), 2),
                 "p99": round(p99(load.not_durable_ms), 2),
@@ -156,7 +168,15 @@
 def measure_load(
     server: SingleServer, seconds: float, gateway_count: int, window: int, pace_ms: float
 ) -> dict[str, Any]:
-    """Closed load for CPU and latency; paced, a given rate."""
+    """Measures CPU time per RPC, latency and memory of a running server under load.
+
+    Args:
+        server: The running server.
+        seconds: The duration of the measurement, after a warm-up.
+        gateway_count: The number of gateways, each with one connection.
+        window: The number of RPCs that each gateway keeps open.
+        pace_ms: The minimum interval between the RPCs of a gateway; 0 for a closed loop.
+    """
     assert server.process
     pid = server.process.pid
     gateways = [
@@ -164,11 +184,11 @@
     ]
     time.sleep(WARM_UP_SECONDS)
     cpu_before = cpu_seconds(pid)
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     answered_before = sum(len(gateway.latencies_ms) for gateway in gateways)
     time.sleep(seconds)
     used_seconds = cpu_seconds(pid) - cpu_before
-    wall_seconds = time.perf_counter() - began
+    wall_seconds = time.perf_counter() - started_at
     answered_count = sum(len(gateway.latencies_ms) for gateway in gateways) - answered_before
     for gateway in gateways:
         gateway.is_stopping = True
@@ -186,12 +206,16 @@
 def measure_server(
     seconds: float, repeats: int, gateway_count: int, window: int, pace_ms: float = 0.0
 ) -> dict[str, Any]:
-    """Without and with metering, in turn, on the same machine in one run."""
-    rows: dict[str, list[dict[str, Any]]] = {"off": [], "after_answer": [], "before_answer": []}
+    """Measures servers without metering and with both durability modes.
+
+    Each round measures all three in turn, so that a change in the speed of the machine affects all of them.
+    The results are medians of `repeats` rounds. The other arguments are those of `measure_load`.
+    """
+    results_by_mode: dict[str, list[dict[str, Any]]] = {"off": [], "after_answer": [], "before_answer": []}
     for _ in range(repeats):
-        for durability, found in rows.items():
-            found.append(_measure_one_server(durability, seconds, gateway_count, window, pace_ms))
-    return {durability: _medians(found) for durability, found in rows.items()}
+        for durability, results in results_by_mode.items():
+            results.append(_measure_one_server(durability, seconds, gateway_count, window, pace_ms))
+    return {durability: _medians(results) for durability, results in results_by_mode.items()}
 
 
 def _measure_one_server(
@@ -202,37 +226,37 @@
         os.environ["BENCH_PASSES"] = directory + "/passes"
         server = SingleServer(directory, "" if durability == "off" else toml, module="benchmarks.passes")
         server.start()
-        row = measure_load(server, seconds, gateway_count, window, pace_ms)
+        result = measure_load(server, seconds, gateway_count, window, pace_ms)
         server.shut_down()
-        row["passes"] = orjson.loads(Path(directory, "passes").read_bytes())
+        result["passes"] = orjson.loads(Path(directory, "passes").read_bytes())
         server.close()
-        return row
+        return result
 
 
-def _medians(rows: list[dict[str, Any]]) -> dict[str, Any]:
+def _medians(results: list[dict[str, Any]]) -> dict[str, Any]:
     return {
-        "rpcs_a_second": median(row["rpcs_a_second"] for row in rows),
-        "cpu_us_an_rpc": median(row["cpu_us_an_rpc"] for row in rows),
-        "latency_p50_ms": median(row["latency_ms"]["p50"] for row in rows),
-        "latency_p99_ms": median(row["latency_ms"]["p99"] for row in rows),
-        "pass_p50_ms": round(median(row["passes"]["p50"] for row in rows), 3),
-        "pass_p99_ms": round(median(row["passes"]["p99"] for row in rows), 3),
-        "memory_kb": median(row["memory_kb"] for row in rows),
+        "rpcs_a_second": median(result["rpcs_a_second"] for result in results),
+        "cpu_us_an_rpc": median(result["cpu_us_an_rpc"] for result in results),
+        "latency_p50_ms": median(result["latency_ms"]["p50"] for result in results),
+        "latency_p99_ms": median(result["latency_ms"]["p99"] for result in results),
+        "pass_p50_ms": round(median(result["passes"]["p50"] for result in results), 3),
+        "pass_p99_ms": round(median(result["passes"]["p99"] for result in results), 3),
+        "memory_kb": median(result["memory_kb"] for result in results),
     }
 
 
 def measure_big_store(usage_count: int) -> dict[str, Any]:
-    """A store of so many uses over a month; opening and reading it in this process."""
+    """Fills a store with `usage_count` usage records over a month, and measures opening and reading it."""
     with tempfile.TemporaryDirectory() as directory:
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         memory_samples_kb = _fill_store(directory, usage_count)
-        fill_seconds = time.perf_counter() - began
-        began = time.perf_counter()
+        fill_seconds = time.perf_counter() - started_at
+        started_at = time.perf_counter()
         store = _open_big_store(directory)
-        open_seconds = time.perf_counter() - began
-        began = time.perf_counter()
+        open_seconds = time.perf_counter() - started_at
+        started_at = time.perf_counter()
         totals = store.tenant_totals(BIG_PERIOD)
-        read_seconds = time.perf_counter() - began
+        read_seconds = time.perf_counter() - started_at
         size_bytes = Path(store.path).stat().st_size
         uses_in_period = store.period_sum(BIG_PERIOD).uses
         store.close()
@@ -254,7 +278,7 @@
 
 
 def _fill_store(directory: str, usage_count: int) -> list[int]:
-    """Memory at each fifth, in KB."""
+    """Fills a store; returns the resident memory of this process in KB after each fifth of the records."""
     rng = Random(1)
     interval_ms = BIG_SPAN_MS / usage_count
     batch_count = usage_count // BIG_BATCH_USAGE_COUNT
@@ -276,7 +300,7 @@
 
 
 def main() -> None:
-    """Measures what the arguments ask for and prints a line of JSON for each part."""
+    """Runs the benchmarks selected by the arguments and prints the result of each as a line of JSON."""
     parser = argparse.ArgumentParser(description=__doc__.partition("\n")[0] if __doc__ else "")
     parser.add_argument("--rate", type=int, default=20_000)
     parser.add_argument("--seconds", type=float, default=5.0)
--- a/benchmarks/ledger_design.py
+++ b/benchmarks/ledger_design.py
@@ -1,8 +1,9 @@
-"""What the ledger's design note weighed: `python -m benchmarks.ledger_design`. Prints tables.
+"""Benchmarks of the alternatives in the ledger's design: `python -m benchmarks.ledger_design`. Prints tables.
 
-- identity: of generated attempts and retries, how many each identity merges (lost) or misses (billed twice).
-- delay: how late a loop's timer comes while usage is stored in a thread or a process beside it.
-- durable: uses a second that a file takes in commits of 100, each synced.
+- identity: for each way to identify retries, how many different attempts it merges and how many retries it
+  counts again, in generated traffic. Merged attempts are not billed; retries counted again are billed twice.
+- delay: how late a sleep of 1 ms returns while usage is stored in a thread or process of the same machine.
+- durable: usage records per second that a file accepts in commits of 100, each synced to disk.
 """
 
 from __future__ import annotations
@@ -25,11 +26,11 @@
 ATTEMPT_COUNT = 20_000
 ATTEMPTS_PER_SECOND = 200.0
 SUBJECT_COUNT = 2000  # drawn with weights 1 / rank
-SAME_BODY_FRACTION = 0.3  # of attempts whose body is that of every other attempt about their subject
-RETRIED_FRACTION = 1.0 / 3.0  # of attempts that are made again, which makes one in four a retry
-CHANGED_BODY_FRACTION = 0.02  # of retries whose client made the body anew
+SAME_BODY_FRACTION = 0.3  # of attempts: body depends only on the subject
+RETRIED_FRACTION = 1.0 / 3.0  # of attempts that are retried once, so one RPC in four is a retry
+CHANGED_BODY_FRACTION = 0.02  # of retries: body differs from that of the first attempt
 RETRY_DELAY_MS = (200.0, 60_000.0)
-WEIGHED_IDENTITIES = (("field", 900), ("key", 900), ("key", 60), ("body", 900), ("body", 60))  # window in s
+IDENTITY_CASES = (("field", 900), ("key", 900), ("key", 60), ("body", 900), ("body", 60))  # source, seconds
 UNBOUNDED_COUNT = 1 << 30
 
 COMMIT_USAGE_COUNT = 100
@@ -42,17 +43,17 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Attempt:
-    """An RPC of the generated traffic."""
+    """An RPC of the generated traffic: a first attempt or a retry."""
 
     at_ms: float
     number: int
-    """The same for the retries of one attempt."""
+    """Number of the first attempt; a retry has the same number."""
     key: bytes
     body: bytes
 
 
 def generate_traffic(rng: Random) -> list[Attempt]:
-    """Attempts in their order; one in four is a retry within a minute."""
+    """Returns generated RPCs in order of time. One in four is a retry, at most a minute after the first."""
     weights = [1.0 / rank for rank in range(1, SUBJECT_COUNT + 1)]
     subjects = rng.choices(range(SUBJECT_COUNT), weights, k=ATTEMPT_COUNT)
     attempts = []
@@ -68,12 +69,16 @@
     return sorted(attempts)
 
 
-def weigh_identity(source: str, window_ms: int) -> tuple[int, int]:
-    """Attempts that were merged with another one, and retries that counted.
+def count_identity_errors(source: str, window_ms: int) -> tuple[int, int]:
+    """Counts the errors of a way to identify retries in the generated traffic.
 
     Args:
-        source: What the identity is made from: "field", "key" or "body".
+        source: The part of an RPC from which its identity is derived: "field", "key" or "body".
         window_ms: The deduplication window.
+
+    Returns:
+        The number of first attempts that were taken for retries of another attempt, and the number of retries
+        that were counted again.
     """
     window = DedupWindow(window_ms, UNBOUNDED_COUNT)
     counted: set[int] = set()
@@ -93,12 +98,12 @@
 
 
 def random_usage(sequence: int, rng: Random) -> ReportedUsage:
-    """One use of one tenant."""
+    """Returns the usage record of an RPC; all records have the same tenant."""
     return ReportedUsage(sequence, sequence, b"club", b"m", 90_000, 800, 2000, rng.randbytes(16))
 
 
 def print_durable_rates() -> None:
-    """Rows with uses a second of each way to keep them."""
+    """Prints the usage records per second that each storage method commits durably."""
     rng = Random(1)
     usages = [random_usage(sequence, rng) for sequence in range(STORED_USAGE_COUNT)]
     commits = [usages[i : i + COMMIT_USAGE_COUNT] for i in range(0, len(usages), COMMIT_USAGE_COUNT)]
@@ -114,31 +119,31 @@
     db.execute("PRAGMA journal_mode = WAL")
     db.execute("PRAGMA synchronous = FULL")
     db.execute("CREATE TABLE entries(number INTEGER PRIMARY KEY, data BLOB)")
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     for usages in commits:
         db.execute("BEGIN")
         rows = [(usage.sequence, encode(usage)) for usage in usages]
         db.executemany("INSERT INTO entries VALUES(?, ?)", rows)
         db.execute("COMMIT")
-    took_seconds = time.perf_counter() - began
+    elapsed_seconds = time.perf_counter() - started_at
     db.close()
-    return took_seconds
+    return elapsed_seconds
 
 
 def _write_to_log(path: str, commits: list[list[ReportedUsage]]) -> float:
     fd = os.open(path, os.O_CREAT | os.O_WRONLY | os.O_APPEND)
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     for usages in commits:
         data = b"".join(map(encode, usages))
         os.write(fd, zlib.crc32(data).to_bytes(4, "big") + data)
         os.fdatasync(fd)
-    took_seconds = time.perf_counter() - began
+    elapsed_seconds = time.perf_counter() - started_at
     os.close(fd)
-    return took_seconds
+    return elapsed_seconds
 
 
 def store_until_stopped(directory: str, stop: threading.Event) -> None:
-    """Commits 200 uses every 10 ms."""
+    """Commits a batch of 200 usage records every 10 ms until `stop` is set."""
     rng = Random(1)
     number = 0
     sequence = 0
@@ -155,10 +160,10 @@
 
 
 def measure_timer_delay(place: str) -> tuple[float, float]:
-    """How late a loop's 1 ms timer comes, p50 and p99 in ms.
+    """Measures how late a 1 ms sleep returns; returns the p50 and p99 of the delay in ms.
 
     Args:
-        place: Where usage is stored meanwhile: "thread", "process" or "nowhere".
+        place: Where usage is stored during the measurement: "thread", "process" or "nowhere".
     """
     with tempfile.TemporaryDirectory() as directory:
         stop = threading.Event()
@@ -166,7 +171,7 @@
         if place == "thread":
             worker = threading.Thread(target=store_until_stopped, args=(directory, stop))
         elif place == "process":
-            worker = multiprocessing.Process(target=_store_until_ended, args=(directory,))
+            worker = multiprocessing.Process(target=_store_until_terminated, args=(directory,))
         if worker is not None:
             worker.start()
         delays_ms = sorted(_timer_delay_ms() for _ in range(TIMER_COUNT))
@@ -178,24 +183,24 @@
     return delays_ms[TIMER_COUNT // 2], delays_ms[TIMER_COUNT * 99 // 100]
 
 
-def _store_until_ended(directory: str) -> None:
+def _store_until_terminated(directory: str) -> None:
     store_until_stopped(directory, threading.Event())
 
 
 def _timer_delay_ms() -> float:
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     time.sleep(TIMER_MS / 1000.0)
-    return (time.perf_counter() - began) * 1000.0 - TIMER_MS
+    return (time.perf_counter() - started_at) * 1000.0 - TIMER_MS
 
 
 def main() -> None:
-    """Prints the tables."""
+    """Runs the benchmarks and prints their results as table rows."""
     for place in ("nowhere", "thread", "process"):
         median_ms, p99_ms = measure_timer_delay(place)
         print(f"| {place} | {median_ms:.2f} | {p99_ms:.2f} |")
     print("| identity | window | attempts merged with another | retries billed again |")
-    for source, window_seconds in WEIGHED_IDENTITIES:
-        merged_count, missed_count = weigh_identity(source, window_seconds * 1000)
+    for source, window_seconds in IDENTITY_CASES:
+        merged_count, missed_count = count_identity_errors(source, window_seconds * 1000)
         merged = f"{merged_count / ATTEMPT_COUNT:.2%}"
         print(f"| {source} | {window_seconds} s | {merged} | {missed_count / ATTEMPT_COUNT:.2%} |")
     print_durable_rates()
--- a/benchmarks/passes.py
+++ b/benchmarks/passes.py
@@ -1,6 +1,7 @@
-"""The server with the passes of its loop timed, from the end of its wait to the end of the pass.
+"""Runs the server and measures the duration of each pass of its event loop, without the wait for events.
 
-`BENCH_PASSES` names the file that gets p50, p99 and the longest, in ms, at the end.
+At the end, the number of passes and their p50, p99 and maximum duration in ms are written as JSON to the file
+named by the environment variable `BENCH_PASSES`.
 """
 
 from __future__ import annotations
@@ -20,18 +21,18 @@
 
 
 class PassTimer:
-    """Takes the time of each pass; `install` puts it into the loop's class.
+    """Measures the duration of each pass of the event loop, once `install` has been called.
 
     Attributes:
-        durations_ms: Of the passes, up to `MAX_PASSES`.
+        durations_ms: The durations of the first `MAX_PASSES` passes.
     """
 
     def __init__(self) -> None:
         self.durations_ms: list[float] = []
-        self._began_seconds = 0.0  # when the wait of the present pass was over; 0 until then
+        self._wait_ended_seconds = 0.0  # end of the wait for events in the current pass; 0 before it
 
     def install(self) -> None:
-        """Replaces two methods of `Loop` by ones that take the time."""
+        """Replaces `Loop.read` and `Loop.run_pass` by versions that measure the time."""
         read = Loop.read
         run_pass = Loop.run_pass
 
@@ -40,7 +41,7 @@
 
             def timed_select(timeout: float | None = None):  # type: ignore[no-untyped-def]
                 ready = select(timeout)
-                self._began_seconds = self._began_seconds or time.perf_counter()
+                self._wait_ended_seconds = self._wait_ended_seconds or time.perf_counter()
                 return ready
 
             loop.selector.select = timed_select  # type: ignore[method-assign]
@@ -50,16 +51,16 @@
                 loop.selector.select = select  # type: ignore[method-assign]
 
         def timed_run_pass(loop: Loop) -> None:
-            self._began_seconds = 0.0
+            self._wait_ended_seconds = 0.0
             run_pass(loop)
             if len(self.durations_ms) < MAX_PASSES:
-                self.durations_ms.append((time.perf_counter() - self._began_seconds) * 1000.0)
+                self.durations_ms.append((time.perf_counter() - self._wait_ended_seconds) * 1000.0)
 
         Loop.read = timed_read  # type: ignore[method-assign]
         Loop.run_pass = timed_run_pass  # type: ignore[method-assign]
 
-    def figures(self) -> dict[str, float]:
-        """Returns count and percentiles of the passes."""
+    def summary(self) -> dict[str, float]:
+        """Returns the number of passes and their p50, p99 and maximum duration in ms."""
         durations_ms = sorted(self.durations_ms)
         return {
             "passes": len(durations_ms),
@@ -70,11 +71,11 @@
 
 
 def run_timed_server() -> int:
-    """Serves until SIGTERM, writes the figures and returns the server's exit status."""
+    """Runs the server until SIGTERM, writes the measured durations and returns the server's exit status."""
     timer = PassTimer()
     timer.install()
     status = main()
-    Path(os.environ[RESULT_FILE_VARIABLE]).write_bytes(orjson.dumps(timer.figures()))
+    Path(os.environ[RESULT_FILE_VARIABLE]).write_bytes(orjson.dumps(timer.summary()))
     return status
 
 
--- a/tests/hot_restart_fixtures.py
+++ b/tests/hot_restart_fixtures.py
@@ -1,4 +1,4 @@
-"""Fixtures for state that moves between builds: random events for a controller, a router with its peers."""
+"""Fixtures for state transfer: random events for an admission controller, and a router with its peers."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 EVENT_WEIGHTS = {"read": 8, "tick": 6, "ended": 3, "wants_call": 6, "call_done": 3, "hangup": 1}
 STATE_FOR_EVENT = {"wants_call": RpcState.RUNNING, "call_done": RpcState.CALLING}
-STATES_WITH_A_RUN = (RpcState.RUNNING, RpcState.ABORTED, RpcState.ABANDONED, RpcState.CALLING)
+STATES_WITH_RUN = (RpcState.RUNNING, RpcState.ABORTED, RpcState.ABANDONED, RpcState.CALLING)
 CALL_OUTCOMES = [Outcome.OK, Outcome.OK, Outcome.NO_RESPONSE, Outcome.REJECTED]
 
 CALLING_METHOD = Method(Idempotency.IDEMPOTENT, 1000.0, 0.0, 3000.0, 1.0, 0.0, 5000.0, True, 0.5)
@@ -48,16 +48,22 @@
 
 @dataclass(frozen=True)
 class PlayedEvent:
-    """What happens to a controller; `fraction` in [0, 1) draws the RPC and all figures of the event."""
+    """An event for a controller.
+
+    Attributes:
+        name: A key of `EVENT_WEIGHTS`.
+        fraction: A random number in [0, 1) that determines the RPC and all numeric values of the event.
+    """
 
     name: str
     fraction: float
 
 
 class DecisionPlayback:
-    """Plays events into a controller and records its actions."""
+    """Delivers generated events to a controller and records its actions."""
 
     def bench(self) -> AdmissionBench:
+        """Returns a new controller with recorded actions."""
         return AdmissionBench(
             CALLING_METHOD,
             TOKEN_METHOD,
@@ -72,25 +78,33 @@
         )
 
     def events(self, rng: random.Random, count: int) -> list[PlayedEvent]:
+        """Returns `count` random events."""
         names = rng.choices(list(EVENT_WEIGHTS), list(EVENT_WEIGHTS.values()), k=count)
         return [PlayedEvent(name, rng.random()) for name in names]
 
     def play(self, bench: AdmissionBench, rpcs: list[ManagedRpc], events: list[PlayedEvent]) -> list[Any]:
-        """Returns the actions of each event, with RPCs by their number; `rpcs` gets those that are read."""
+        """Delivers the events and returns the actions that each of them caused.
+
+        Args:
+            bench: The controller with its recorded actions.
+            rpcs: All RPCs read so far; new ones are appended. In the returned actions, an RPC is replaced by
+                its index in this list.
+            events: The events to deliver.
+        """
         steps: list[Any] = []
-        numbers = {managed.rpc: number for number, managed in enumerate(rpcs)}
+        indexes = {managed.rpc: index for index, managed in enumerate(rpcs)}
         for event in events:
             bench.actions.clear()
-            self._play_event(bench, rpcs, event)
+            self._deliver(bench, rpcs, event)
             if event.name == "read":
-                numbers[rpcs[-1].rpc] = len(rpcs) - 1
+                indexes[rpcs[-1].rpc] = len(rpcs) - 1
             bench.controller.settle()
             assert_consistent(bench.controller)
-            steps.append([(name, *_numbered(values, numbers)) for name, *values in bench.actions])
+            steps.append([(name, *_with_indexes(values, indexes)) for name, *values in bench.actions])
         return steps
 
-    def _play_event(self, bench: AdmissionBench, rpcs: list[ManagedRpc], event: PlayedEvent) -> None:
-        server = bench.controller
+    def _deliver(self, bench: AdmissionBench, rpcs: list[ManagedRpc], event: PlayedEvent) -> None:
+        controller = bench.controller
         fraction = event.fraction
         wanted_state = STATE_FOR_EVENT.get(event.name)
         open_rpcs = [managed for managed in rpcs if managed.state is not None]
@@ -98,20 +112,20 @@
         if event.name == "read":
             rpcs.append(self._read(bench, fraction))
         elif event.name == "tick":
-            server.now_ms += fraction * 60
-            if server.now_ms >= server.next_check_ms - 1.0:
-                server.on_timer(Gauges(0.5 + fraction / 2, 2 + 8 * fraction, 30.0))
+            controller.now_ms += fraction * 60
+            if controller.now_ms >= controller.next_check_ms - 1.0:
+                controller.on_timer(Gauges(0.5 + fraction / 2, 2 + 8 * fraction, 30.0))
         elif candidates:
             managed = candidates[int(fraction * len(candidates))]
-            if event.name == "ended" and managed.state in STATES_WITH_A_RUN:
+            if event.name == "ended" and managed.state in STATES_WITH_RUN:
                 outcome = Outcome.OK if fraction < 0.9 else Outcome.ABORTED
-                server.on_run_finished(managed, outcome, 20 + 100 * fraction)
+                controller.on_run_finished(managed, outcome, 20 + 100 * fraction)
             elif event.name == "wants_call":
-                server.on_call_needed(managed)
+                controller.on_call_needed(managed)
             elif event.name == "call_done":
-                server.on_call_finished(managed, CALL_OUTCOMES[int(fraction * 4)], 10 + 80 * fraction)
+                controller.on_call_finished(managed, CALL_OUTCOMES[int(fraction * 4)], 10 + 80 * fraction)
             elif event.name == "hangup":
-                server.on_caller_gone(managed)
+                controller.on_caller_gone(managed)
 
     def _read(self, bench: AdmissionBench, fraction: float) -> ManagedRpc:
         return bench.read(
@@ -126,9 +140,9 @@
 
 
 class RouterHarness:
-    """A router in this process, linked to an engine and a database that the test plays.
+    """A router in this process, connected to an engine and a database that the test simulates.
 
-    `move` replaces it by one made from its state and descriptors; the peers notice nothing.
+    `move` replaces the router by one that is imported from its state; the connections to its peers stay open.
     """
 
     def __init__(self, case: unittest.TestCase) -> None:
@@ -150,11 +164,12 @@
         self.loop = self.new_loop()
         self.router = Router(self.loop, self.config, self.log)
         case.addCleanup(lambda: self.close_descriptors(self.router))
-        self.engine = self._greet_engine()
+        self.engine = self._accept_engine_link()
         self.unpacker = message_pack.Unpacker()
         self.rpc_count = 0
 
-    def _greet_engine(self) -> Peer:
+    def _accept_engine_link(self) -> Peer:
+        """Accepts the router's link to the engine and answers its first messages."""
         self.run_until_readable(self.engine_listener)
         engine = self.peer(self.engine_listener.accept()[0])
         self.run_until_readable(engine)
@@ -167,6 +182,7 @@
         return engine
 
     def log(self, event: str, **fields: Any) -> None:
+        """Collects logged faults in `faults`; ignores other events."""
         if event in FAULT_EVENTS:
             self.faults.append(f"{event} {fields}")
 
@@ -174,6 +190,7 @@
         return Loop(lambda: self.faults.append(traceback.format_exc()))
 
     def peer(self, sock: socket.socket) -> Peer:
+        """Returns a peer on an accepted connection."""
         peer = Peer.__new__(Peer)
         peer.sock, peer.buffer = sock, b""
         sock.settimeout(PEER_TIMEOUT_SECONDS)
@@ -181,13 +198,14 @@
         return peer
 
     def run(self, duration_ms: float = 15.0) -> None:
+        """Runs the router's event loop for the given time."""
         end_ms = self.loop.clock_ms() + duration_ms
         self.loop.after(duration_ms, lambda: None)
         while self.loop.clock_ms() < end_ms:
             self.loop.run_pass()
 
     def run_until_readable(self, source: socket.socket | Peer) -> None:
-        """Lets the router go on until something has come."""
+        """Runs the router until there is something to read from `source`, for 5 seconds at most."""
         sock, buffer = (source.sock, source.buffer) if isinstance(source, Peer) else (source, b"")
         for _ in range(1000):
             if b"\r\n" in buffer or select.select([sock], [], [], 0.0)[0]:
@@ -205,7 +223,7 @@
         return self.peer(self.database_listener.accept()[0])
 
     def request(self, method: str, body: bytes, **fields: str) -> bytes:
-        """A request as a gateway sends it, with the next message number."""
+        """Returns an encoded gateway request with the next message id; `fields` override header fields."""
         self.rpc_count += 1
         header = {
             "id": f"{self.rpc_count:016x}",
@@ -219,7 +237,7 @@
         return bytes(message_pack.packb([0, self.rpc_count, method, [header, body]]))
 
     def next_command(self) -> tuple[list[str], bytes]:
-        """The next command that the engine gets; queries for its gauges are answered on the way."""
+        """Returns the next command that the engine receives; answers gauge queries received before it."""
         for _ in range(50):
             self.run(5.0)
             self.run_until_readable(self.engine)
@@ -230,23 +248,26 @@
         raise TimeoutError
 
     def answers(self, gateway: socket.socket, count: int) -> dict[int, Any]:
-        """Bodies or error codes of the answers by message number; each RPC may have one only."""
-        found: dict[int, Any] = {}
+        """Returns the results or error codes by message id, once `count` have arrived or after a timeout.
+
+        Fails if a request is answered twice.
+        """
+        answers: dict[int, Any] = {}
         gateway.settimeout(0.02)
         for _ in range(100):
             self.run(5.0)
             with contextlib.suppress(TimeoutError):
                 self.unpacker.feed(gateway.recv(65536))
-            for kind, number, error, result in self.unpacker:
+            for kind, message_id, error, result in self.unpacker:
                 self.case.assertEqual(kind, 1)
-                self.case.assertNotIn(number, found, "answered twice")
-                found[number] = error[0] if error else result[0]
-            if len(found) >= count:
-                return found
-        return found
+                self.case.assertNotIn(message_id, answers, "answered twice")
+                answers[message_id] = error[0] if error else result[0]
+            if len(answers) >= count:
+                return answers
+        return answers
 
     def close_descriptors(self, router: Router) -> None:
-        """Closes a router's copies of its descriptors without a word to the peers."""
+        """Closes the router's descriptors without sending anything to the peers."""
         streams = [connection.stream for connection in router.gateways.connections]
         streams += [link.stream for link in router.database.links if link.stream]
         streams += [router.engine.stream] if router.engine.stream else []
@@ -257,7 +278,7 @@
         router.loop.selector.close()
 
     def move(self) -> None:
-        """Replaces the router by one that another build would make of its state."""
+        """Replaces the router by one that is imported from its exported state."""
         exported = StateExporter(self.router).export()
         copies = [os.dup(descriptor) for descriptor in exported.descriptors]
         old_router = self.router
@@ -267,9 +288,9 @@
         self.close_descriptors(old_router)
 
 
-def _numbered(values: list[Any], numbers: dict[Rpc, int]) -> list[Any]:
-    """RPCs by their number, if they have one; other values as they are."""
-    return [numbers.get(value, value) if isinstance(value, Rpc) else value for value in values]
+def _with_indexes(values: list[Any], indexes: dict[Rpc, int]) -> list[Any]:
+    """Replaces RPCs by their indexes, if they have one; leaves other values unchanged."""
+    return [indexes.get(value, value) if isinstance(value, Rpc) else value for value in values]
 
 
 def _address(sock: socket.socket) -> str:
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -1,4 +1,4 @@
-"""Hot restart: the state machine, the channel between the processes, the request journal."""
+"""Tests the state machine of hot restarts, the channel between the two processes and the request journal."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     RestartEvent.STATE_SENT,
     RestartEvent.STATE_IMPORTED,
 ]
-STATES_UNDER_WAY = (
+STATES_IN_PROGRESS = (
     RestartState.STARTING,
     RestartState.REHEARSING,
     RestartState.FROZEN,
@@ -46,6 +46,7 @@
 
 class StateMachineTest(unittest.TestCase):
     def restart_in(self, state: RestartState) -> HotRestart:
+        """Returns a hot restart that has reached `state`."""
         restart = HotRestart(RestartTimeouts(), 0.0)
         for event in EVENTS_TO_PROBATION:
             if restart.state is state:
@@ -54,7 +55,7 @@
         self.assertIs(restart.state, state)
         return restart
 
-    def test_completes_when_probation_has_lasted_long_enough_with_enough_answers(self) -> None:
+    def test_completes_after_the_minimum_probation_with_enough_answers(self) -> None:
         timeouts = RestartTimeouts(probation_ms=1000.0, probation_answer_count=10)
         restart = HotRestart(timeouts, 0.0)
         actions = [restart.on_event(event, now_ms) for now_ms, event in enumerate(EVENTS_TO_PROBATION)]
@@ -73,7 +74,7 @@
         self.assertEqual(restart.on_heartbeat(70, 1100), (RestartAction.EXIT_SILENTLY,))
         self.assertIs(restart.state, RestartState.COMPLETED)
 
-    def test_rolls_back_when_a_state_outlasts_its_timeout(self) -> None:
+    def test_rolls_back_when_a_state_exceeds_its_timeout(self) -> None:
         kill, resume = RestartAction.KILL_NEW_PROCESS, RestartAction.RESUME
         for state, timeout_ms, actions in [
             (RestartState.STARTING, 15_000, (kill,)),
@@ -89,14 +90,14 @@
                 self.assertIs(restart.state, RestartState.ROLLED_BACK)
                 self.assertIn(state.value, restart.reason)
 
-    def test_few_answers_prolong_probation_but_not_without_end(self) -> None:
+    def test_few_answers_prolong_probation_up_to_its_maximum(self) -> None:
         restart = self.restart_in(RestartState.PROBATION)
         for now_ms in range(400, 20_000, 400):
             self.assertEqual(restart.on_heartbeat(3, now_ms), ())
         self.assertEqual(restart.on_heartbeat(3, 20_000), (RestartAction.EXIT_SILENTLY,))
 
-    def test_shutdown_ends_a_restart_before_probation_and_refuses_further_ones(self) -> None:
-        states = (RestartState.IDLE, *STATES_UNDER_WAY[:-1])
+    def test_shutdown_before_probation_rolls_back_and_refuses_later_requests(self) -> None:
+        states = (RestartState.IDLE, *STATES_IN_PROGRESS[:-1])
         for state in states:
             with self.subTest(state=state):
                 restart = self.restart_in(state)
@@ -105,7 +106,7 @@
                 self.assertEqual(restart.on_event(RestartEvent.SHUTDOWN_REQUESTED, 2.0), ())
                 self.assertEqual(restart.on_event(RestartEvent.REQUESTED, 3.0), (RestartAction.REFUSE,))
 
-    def test_old_process_drains_when_the_new_one_fails_after_a_forwarded_shutdown(self) -> None:
+    def test_old_process_drains_if_the_new_one_fails_after_a_forwarded_shutdown(self) -> None:
         restart = self.restart_in(RestartState.PROBATION)
         actions = restart.on_event(RestartEvent.SHUTDOWN_REQUESTED, 1.0)
         self.assertEqual(actions, (RestartAction.FORWARD_SHUTDOWN,))
@@ -114,22 +115,22 @@
             (RestartAction.KILL_NEW_PROCESS, RestartAction.RESUME_FROM_JOURNAL, RestartAction.DRAIN),
         )
 
-    def test_refuses_a_second_restart_while_one_is_under_way(self) -> None:
-        for state in STATES_UNDER_WAY:
+    def test_refuses_a_second_restart_while_one_is_in_progress(self) -> None:
+        for state in STATES_IN_PROGRESS:
             with self.subTest(state=state):
                 restart = self.restart_in(state)
                 self.assertEqual(restart.on_event(RestartEvent.REQUESTED, 1.0), (RestartAction.REFUSE,))
                 self.assertIs(restart.state, state)
 
-    def test_no_transition_lets_two_processes_read_or_none_answer(self) -> None:
+    def test_each_takeover_stops_one_process_before_the_other_serves(self) -> None:
         for (state, event), transition in TRANSITIONS.items():
             with self.subTest(state=state, event=event):
                 next_state, actions = transition.next_state, transition.actions
-                is_back_to_old = next_state in OLD_PROCESS_SERVES
-                if state in NEW_PROCESS_SERVES and is_back_to_old:
+                returns_to_old_process = next_state in OLD_PROCESS_SERVES
+                if state in NEW_PROCESS_SERVES and returns_to_old_process:
                     expected = (RestartAction.KILL_NEW_PROCESS, RestartAction.RESUME_FROM_JOURNAL)
                     self.assertEqual(actions[:2], expected)
-                if state in (RestartState.FROZEN, RestartState.TRANSFERRED) and is_back_to_old:
+                if state in (RestartState.FROZEN, RestartState.TRANSFERRED) and returns_to_old_process:
                     self.assertEqual(actions[:2], (RestartAction.KILL_NEW_PROCESS, RestartAction.RESUME))
                 if next_state in NEW_PROCESS_SERVES and state not in NEW_PROCESS_SERVES:
                     expected_start = (RestartState.TRANSFERRED, RestartAction.ACTIVATE_NEW_PROCESS)
@@ -137,32 +138,32 @@
 
     @settings(max_examples=300)
     @given(st.lists(st.tuples(st.sampled_from(RestartEvent), st.floats(0.0, 600.0)), max_size=40))
-    def test_after_any_events_a_process_serves_or_a_timeout_is_set(
+    def test_after_any_events_the_old_process_serves_or_a_timeout_is_set(
         self, events: list[tuple[RestartEvent, float]]
     ) -> None:
         restart = HotRestart(RestartTimeouts(), 0.0)
         now_ms = 0.0
         is_frozen = False
-        has_new_process = False
+        new_process_exists = False
         for event, elapsed_ms in events:
             now_ms += elapsed_ms
             for actions in (restart.on_timer(now_ms), restart.on_event(event, now_ms)):
                 for action in actions:
                     if action is RestartAction.START_NEW_PROCESS:
-                        has_new_process = True
+                        new_process_exists = True
                     if action is RestartAction.KILL_NEW_PROCESS:
-                        has_new_process = False
+                        new_process_exists = False
                     if action is RestartAction.FREEZE_AND_SEND_STATE:
                         is_frozen = True
                     if action in (RestartAction.RESUME, RestartAction.RESUME_FROM_JOURNAL):
-                        self.assertFalse(has_new_process)
+                        self.assertFalse(new_process_exists)
                         is_frozen = False
                     self.assertFalse(action is RestartAction.DRAIN and is_frozen)
             self.assertEqual(is_frozen, restart.state not in OLD_PROCESS_SERVES)
             if restart.state not in (*OLD_PROCESS_SERVES, RestartState.COMPLETED):
                 self.assertLess(restart.next_check_in_ms(now_ms), float("inf"))
 
-    def test_every_event_is_answered_in_every_state(self) -> None:
+    def test_every_event_is_accepted_in_every_state(self) -> None:
         for state, event in product(RestartState, RestartEvent):
             restart = HotRestart(RestartTimeouts(), 0.0)
             restart.state = state
@@ -171,7 +172,7 @@
 
 class ChannelTest(unittest.TestCase):
     def connect(self) -> tuple[Channel, Channel, socket.socket]:
-        """Two channels, and the socket of the first."""
+        """Returns two connected channels and the socket of the first."""
         sending_socket, receiving_socket = socket.socketpair()
         for sock in (sending_socket, receiving_socket):
             sock.setblocking(False)
@@ -179,15 +180,16 @@
         return Channel(sending_socket), Channel(receiving_socket), sending_socket
 
     def transfer(self, sender: Channel, receiver: Channel, count: int) -> list[Frame]:
+        """Returns the `count` frames that the sender has queued, as the receiver decodes them."""
         frames: list[Frame] = []
         while len(frames) < count:
             sender.flush()
             frames += receiver.receive()
         return frames
 
-    def test_descriptors_and_bodies_arrive_with_their_frames(self) -> None:
+    def test_frames_arrive_with_their_bodies_and_descriptors(self) -> None:
         sender, receiver, _ = self.connect()
-        open_before = len(os.listdir("/proc/self/fd"))
+        open_count_before = len(os.listdir("/proc/self/fd"))
         descriptor_counts = (0, 3, MAX_FRAME_DESCRIPTORS, 1, 100)
         body_sizes = (0, 7, 300_000, 1, 1 << 20)
         sent_frames = []
@@ -210,10 +212,10 @@
                 self.assertEqual(os.pread(descriptor, 20, 0), b"%d %d" % (sent.kind, number))
             for descriptor in (*sent.descriptors, *received.descriptors):
                 os.close(descriptor)
-        self.assertEqual(len(os.listdir("/proc/self/fd")), open_before)
+        self.assertEqual(len(os.listdir("/proc/self/fd")), open_count_before)
 
-    def test_refuses_invalid_frames_and_leaves_no_descriptor_open(self) -> None:
-        open_before = len(os.listdir("/proc/self/fd"))
+    def test_rejects_invalid_frames_and_leaks_no_descriptors(self) -> None:
+        open_count_before = len(os.listdir("/proc/self/fd"))
         for header in [
             FRAME_HEADER.pack(2, 1, 0, 0),
             FRAME_HEADER.pack(1, 1, MAX_FRAME_DESCRIPTORS + 1, 0),
@@ -227,16 +229,16 @@
                 self.assertRaises(InvalidFrameError, receiver.receive)
                 receiver.close()
                 sender.close()
-        self.assertEqual(len(os.listdir("/proc/self/fd")), open_before)
+        self.assertEqual(len(os.listdir("/proc/self/fd")), open_count_before)
 
-    def test_reports_that_the_other_side_has_closed(self) -> None:
+    def test_raises_eof_error_when_the_peer_has_closed(self) -> None:
         sender, receiver, _ = self.connect()
         sender.close()
         self.assertRaises(EOFError, receiver.receive)
 
 
 class RequestJournalTest(unittest.TestCase):
-    def test_reads_what_a_killed_writer_had_written(self) -> None:
+    def test_reads_the_records_of_a_killed_writer(self) -> None:
         memory = os.memfd_create("journal")
         journal = RequestJournal(memory, JOURNAL_BYTES, is_new=True)
         self.addCleanup(journal.close)
@@ -257,7 +259,7 @@
         later_records = reader.read(records[499].end_offset)
         self.assertEqual([record.subject_id for record in later_records], list(range(500, 1000)))
 
-    def test_full_it_takes_no_more_and_keeps_what_it_has(self) -> None:
+    def test_full_journal_rejects_records_and_keeps_earlier_ones(self) -> None:
         journal = RequestJournal.create(4096)
         self.addCleanup(journal.close)
         journal.write(RecordKind.RPC_ANSWERED, 1, bytes(3000))
@@ -268,7 +270,7 @@
             [(RecordKind.RPC_ANSWERED, 1), (RecordKind.CONNECTION_CLOSED, 3)],
         )
 
-    def test_refuses_memory_that_holds_no_journal(self) -> None:
+    def test_rejects_memory_without_a_journal_of_that_size(self) -> None:
         for capacity_bytes, message in ((4096, "not contain a request journal"), (100, "4096 bytes")):
             descriptor = os.memfd_create("other")
             os.ftruncate(descriptor, 4096)
@@ -277,7 +279,7 @@
             os.close(descriptor)
 
     @given(st.binary(min_size=40, max_size=400))
-    def test_reads_any_bytes_without_harm(self, data: bytes) -> None:
+    def test_reads_arbitrary_bytes_without_an_error(self, data: bytes) -> None:
         journal = RequestJournal.create(4096)
         journal.memory[8 : 8 + len(data)] = data
         for record in journal.read():
