--- a/landingshift/hot_restart/state_machine.py
+++ b/landingshift/hot_restart/state_machine.py
@@ -46,6 +46,7 @@
     REQUESTED = "requested"
     """An operator has requested a hot restart, and the memory suffices for two processes."""
     NEW_PROCESS_READY = "new_process_ready"
+    """The new process has started and can import a state."""
     REHEARSAL_PASSED = "rehearsal_passed"
     """The copy of the state that the new process has imported is equal to the original."""
     STATE_SENT = "state_sent"
@@ -71,6 +72,7 @@
 
     START_NEW_PROCESS = "start_new_process"
     SEND_REHEARSAL_STATE = "send_rehearsal_state"
+    """Send a copy of the state for a trial import."""
     FREEZE_AND_SEND_STATE = "freeze_and_send_state"
     """Stop reading and making decisions, then send all descriptors and the state."""
     ACTIVATE_NEW_PROCESS = "activate_new_process"
@@ -280,7 +282,11 @@
         return self.on_timer(now_ms)
 
     def on_timer(self, now_ms: float) -> tuple[RestartAction, ...]:
-        """Ends probation, or rolls back if a time limit has passed; returns the actions to perform."""
+        """Completes the hot restart if probation has passed, or rolls it back if a time limit has expired.
+
+        Returns:
+            The actions to perform, in order; empty if nothing is due.
+        """
         if self.next_check_in_ms(now_ms) > 0.0:
             return ()
         if self.state is RestartState.PROBATION and self._has_recent_heartbeat(now_ms):
@@ -296,7 +302,7 @@
         return now_ms - self.last_heartbeat_ms < self.timeouts.heartbeat_ms
 
     def _probation_passed(self, now_ms: float) -> bool:
-        """Returns whether there were enough answers, or probation has reached its maximum duration."""
+        """Returns whether the new process has answered enough RPCs, or the maximum duration has passed."""
         max_probation_ms = MAX_PROBATION_FACTOR * self.timeouts.probation_ms
         has_enough_answers = self.answered_count >= self.timeouts.probation_answer_count
         return has_enough_answers or now_ms - self.state_since_ms >= max_probation_ms
--- a/landingshift/hot_restart/stored_state.py
+++ b/landingshift/hot_restart/stored_state.py
@@ -25,7 +25,7 @@
     "need_body": "call_request",
     "mark": "attempt_id",
 }
-"""Maps stored names to the attributes that `RoutedRpc` adds to the admission controller's view of an RPC."""
+"""Maps stored names to attributes that `RoutedRpc` adds to `Rpc`."""
 
 RPC_FACT_NAMES = {
     "remaining": "remaining_ms",
@@ -39,7 +39,7 @@
     "write": "is_write",
     "tenant_name": "tenant_name",
 }
-"""Maps stored names to the attributes of `Rpc`, and to the name of the tenant."""
+"""Maps stored names to attributes that `RoutedRpc` inherits from `Rpc`, and to `RoutedRpc.tenant_name`."""
 
 CONNECTION_NAMES = {
     "read": "rpc_count",
@@ -77,7 +77,7 @@
 
 
 def attribute_values(stored: dict[str, Any], names: dict[str, str]) -> dict[str, Any]:
-    """Returns the stored values by attribute name; a stored name that is not in `names` is kept as it is."""
+    """Returns the stored values by attribute name; a name that is not in `names` is kept unchanged."""
     return {names.get(name, name): value for name, value in stored.items()}
 
 
@@ -127,15 +127,17 @@
     """An open RPC, or the owner of a deduplication entry, which may be closed.
 
     Attributes:
-        method_index: The index of its method in the settings.
-        tenant_name: The name of its tenant; None for a tenant without settings.
+        method_index: The index of its method in `Settings.methods`.
+        tenant_name: The name of its tenant in the configuration; None for a tenant that is not configured.
         record: The values of the attributes in `RPC_RECORD_NAMES`, by stored name.
         facts: The values of the attributes in `RPC_FACT_NAMES`, by stored name.
-        connection_index: The index of its connection in `connections`; `NO_INDEX` if that is closed.
+        connection_index: The index of its connection in `StoredState.connections`, or `NO_INDEX` once closed.
         command: Its latest command to the engine; None if that is known to have arrived.
-        original_index: The index of the deduplication entry of which it is a duplicate, or `NO_INDEX`.
+        original_index: The index in `StoredState.dedup_entries` of the entry of which it is a duplicate, or
+            `NO_INDEX`.
         waits_for_original: Whether it is answered when the owner of that entry ends.
-        used_link_indexes: Indexes of the database links on which a late reply to its calls may still arrive.
+        used_link_indexes: Indexes in `StoredState.database_links` of links on which a late reply to one of
+            its calls may still arrive.
     """
 
     method_index: int = field(name="method")
@@ -169,7 +171,7 @@
     """An entry of the deduplication table.
 
     Attributes:
-        owner_index: The index of the RPC from which duplicates are answered.
+        owner_index: The index in `StoredState.rpcs` of the RPC whose result answers duplicates.
         expires_ms: The time at which the entry expires.
         outcome: The value of the owner's `Outcome`; None while the owner is queued or runs.
         ended_ms: The time at which the owner ended.
@@ -189,7 +191,7 @@
     """A database call in flight. Stored as an array in the order of the fields.
 
     Attributes:
-        rpc_index: The index of the RPC that made the call.
+        rpc_index: The index in `StoredState.rpcs` of the RPC that made the call.
         started_ms: The time at which the call started.
         stream_end: The offset in the link's output stream at which the request ends.
         times_out_ms: The time at which the call times out.
@@ -237,7 +239,8 @@
         undecoded: The received part of an incomplete notice.
         attributes: The values of the attributes in `ENGINE_LINK_NAMES`, by stored name.
         gauge_query: The unanswered gauge query; None if there is none.
-        unconfirmed_rpc_indexes: Indexes of the RPCs of unconfirmed commands, in the order of the queue.
+        unconfirmed_rpc_indexes: Indexes in `StoredState.rpcs` of the RPCs whose commands are queued and not
+            confirmed, in the order of the queue.
     """
 
     stream: StoredStream | None
