--- a/landingshift/hot_restart/errors.py
+++ b/landingshift/hot_restart/errors.py
@@ -10,7 +10,7 @@
 
 
 class InvalidFrameError(HotRestartError):
-    """The other process sent data that is not a valid frame of this build's format."""
+    """The received data and descriptors do not form a valid frame of this build's format."""
 
 
 class FrameVersionError(InvalidFrameError):
