--- a/landingshift/cli/__init__.py
+++ b/landingshift/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The `landingshift` command: thin, one module a group of commands."""
+"""The command line program `landingshift`, with one module for each group of commands."""
 
 import sys
 
@@ -6,7 +6,7 @@
 
 
 def start() -> None:
-    """Runs the command; status 2 where the extra `cli` is not installed, as on a server that only serves."""
+    """Runs the program; exits with status 2 and a hint if the optional dependency click is not installed."""
     try:
         from landingshift.cli.main import main
     except ModuleNotFoundError as err:
--- a/landingshift/cli/errors.py
+++ b/landingshift/cli/errors.py
@@ -1,16 +1,16 @@
-"""Exit statuses of the commands, and the error that ends one with a line on standard error."""
+"""Exit statuses of the commands, and the base class of errors that end a command with a message."""
 
 from __future__ import annotations
 
 import click
 
 EXIT_FAILED = 1
-"""A promise was found broken, a server does not answer, or something was not done."""
+"""A check failed, a server did not answer, or the requested action was not completed."""
 EXIT_USAGE = 2
-"""The command or the settings are wrong."""
+"""The command line or the settings are invalid, or the action was rejected."""
 
 
 class CommandError(click.ClickException):
-    """What the user is told in one line; the command ends with `EXIT_USAGE`."""
+    """Ends the command with `EXIT_USAGE` after printing the error's message to standard error."""
 
     exit_code = EXIT_USAGE
--- a/landingshift/cli/fleet.py
+++ b/landingshift/cli/fleet.py
@@ -1,4 +1,4 @@
-"""`landingshift fleet ...`: what any one server knows of the fleet."""
+"""`landingshift fleet ...`: shows one server's view of members, cold start and call quotas."""
 
 from __future__ import annotations
 
@@ -10,47 +10,47 @@
 
 DEPARTED_STATE_NAMES = tuple(state.name.lower() for state in DEPARTED_STATES)
 MEMBER_COLUMNS = ("name", "address", "zone", "state", "for_ms")
-HIDDEN_MEMBER_KEYS = {"run", "incarnation"}
+JSON_ONLY_MEMBER_KEYS = {"run", "incarnation"}
 LEASE_COLUMNS = ("name", "calls_s")
 
 
 @click.group()
 def group() -> None:
-    """Who is there, as one server sees it; exit status 1 where it does not answer."""
+    """Show the fleet as one server sees it. Exits with status 1 if that server does not answer."""
 
 
 @group.command()
 @server_options
 def status(client: OperatorClient, as_json: bool) -> None:
-    """How many are there, and how well this one hears."""
+    """Show the number of members by state, the server's health score and its datagram counts."""
     print_fields(client.call("status"), as_json)
 
 
 @group.command()
 @server_options
-@click.option("--gone", is_flag=True, help="Those that are dead or left, too.")
+@click.option("--gone", is_flag=True, help="Also list members that are dead or have left.")
 def members(client: OperatorClient, as_json: bool, gone: bool) -> None:
-    """One line a server."""
+    """List the members of the fleet, one per line."""
     rows = [row for row in client.call("members") if gone or row["state"] not in DEPARTED_STATE_NAMES]
     if as_json:
         print_json(rows)
         return
     keys = {key for row in rows for key in row}
-    metadata_columns = sorted(keys - set(MEMBER_COLUMNS) - HIDDEN_MEMBER_KEYS)
+    metadata_columns = sorted(keys - set(MEMBER_COLUMNS) - JSON_ONLY_MEMBER_KEYS)
     print_table(rows, (*MEMBER_COLUMNS, *metadata_columns))
 
 
 @group.command()
 @server_options
 def shares(client: OperatorClient, as_json: bool) -> None:
-    """How far this one is on its way to warm, and what it may use of the store."""
+    """Show the server's cold start stage and its quota of database calls."""
     print_fields(client.call("coldstart"), as_json)
 
 
 @group.command()
 @server_options
 def lent(client: OperatorClient, as_json: bool) -> None:
-    """What a lender has lent, and to whom."""
+    """Show the database call quotas and start permits that a grantor has granted, and to which servers."""
     report = client.call("lent")
     if as_json:
         print_json(report)
--- a/landingshift/cli/ledger.py
+++ b/landingshift/cli/ledger.py
@@ -1,4 +1,4 @@
-"""`landingshift ledger ...`: what operators and accountants do with a ledger."""
+"""`landingshift ledger ...`: the group of commands for operators and accountants of a billing ledger."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @click.group()
 def group() -> None:
-    """Use per tenant: periods, corrections, statements, export and reconciliation."""
+    """Manage the usage ledger: periods, corrections, statements, export and reconciliation."""
 
 
 for command in (
--- a/landingshift/cli/ledger_accounting.py
+++ b/landingshift/cli/ledger_accounting.py
@@ -1,4 +1,4 @@
-"""Commands of `landingshift ledger` about periods, entries and statements."""
+"""Commands of `landingshift ledger` for periods, entries, corrections, disputed usage and statements."""
 
 from __future__ import annotations
 
@@ -35,7 +35,8 @@
 from landingshift.ledger.totals import PeriodSummary
 from landingshift.ledger.usage_ledger import CorrectionRequest
 
-MAX_CORRECTION = Decimal(10) ** 12  # of uses, ms of work or an amount
+MAX_CORRECTION = Decimal(10) ** 12
+"""Maximum absolute value of each number in a correction: the uses, the work in ms, the amount of money."""
 
 
 @click.command()
@@ -43,7 +44,7 @@
 @json_option
 @reports_errors
 def status(toml: str | None, as_json: bool) -> None:
-    """Where the ledger stands."""
+    """Show the number of entries, the current period, unsettled and disputed usage, and the export state."""
     with open_store(toml) as store:
         data = _status(store)
     if as_json:
@@ -55,7 +56,7 @@
 
 
 def _status(store: UsageStore) -> dict[str, Any]:
-    """The keys that operators' tools know."""
+    """Returns the status under the keys that operators' tools read."""
     ledger = store.ledger
     now_ms = wall_clock_ms()
     current_period = store.calendar.period_at(max(now_ms, ledger.closed_end_ms)).name
@@ -82,7 +83,7 @@
 @json_option
 @reports_errors
 def periods(toml: str | None, as_json: bool) -> None:
-    """All periods with anything in them."""
+    """List the periods that have usage or corrections, with their state and totals."""
     with open_store(toml) as store:
         for period in store.periods():
             if as_json:
@@ -109,23 +110,23 @@
 @toml_option
 @reports_errors
 def close(period: str, toml: str | None) -> None:
-    """Closes a period that has ended, for good; a second time does nothing."""
+    """Close PERIOD permanently. The period must have ended; closing it again has no effect."""
     with open_store(toml) as store:
         with store.changing() as ledger:
-            is_new = ledger.close_period(
+            is_closed_now = ledger.close_period(
                 period, wall_clock_ms(), store.first_open_period(), store.period_totals(period)
             )
-        state = "closed" if is_new else "was closed before"
+        state = "closed" if is_closed_now else "was closed before"
         click.echo(f"{period}: {state}, {store.period_sum(period).uses} uses")
 
 
 @click.command()
-@click.option("--tenant", required=True)
-@click.option("--method", required=True)
-@click.option("--period", required=True, help="The period that it is about.")
-@click.option("--uses", type=int, default=0)
-@click.option("--work-ms", type=float, default=0.0)
-@click.option("--amount", default="", help="In the plan's currency, like -12.50.")
+@click.option("--tenant", required=True, help="Tenant whose usage is corrected.")
+@click.option("--method", required=True, help="Method whose usage is corrected.")
+@click.option("--period", required=True, help="Period in which the corrected usage occurred.")
+@click.option("--uses", type=int, default=0, help="Uses to add; negative to subtract.")
+@click.option("--work-ms", type=float, default=0.0, help="Work to add, in ms; negative to subtract.")
+@click.option("--amount", default="", help="Amount to add in the plan's currency, such as -12.50.")
 @reason_option
 @author_option
 @toml_option
@@ -141,7 +142,7 @@
     author: str,
     toml: str | None,
 ) -> None:
-    """Enters a correction; about a closed period it counts in the one then open."""
+    """Enter a correction. A correction of a closed period counts in the first period that is still open."""
     _check_correction(uses, work_ms, amount)
     with open_store(toml) as store:
         check_texts(reason, author)
@@ -163,9 +164,13 @@
 
 
 def _check_correction(uses: int, work_ms: float, amount: str) -> None:
-    """Bounds the numbers of a correction; a text that is no number is told too."""
+    """Checks the range of a correction's values.
+
+    Raises:
+        InvalidOptionError: `amount` is not a number, or a value exceeds `MAX_CORRECTION`.
+    """
     if amount and not _is_bounded_amount(amount):
-        raise InvalidOptionError("amount", f"a number up to {MAX_CORRECTION:g} is expected, not {amount!r}")
+        raise InvalidOptionError("amount", f"expected a number up to {MAX_CORRECTION:g}, not {amount!r}")
     if abs(uses) > MAX_CORRECTION or not abs(work_ms) <= float(MAX_CORRECTION):
         raise CorrectionTooLargeError
 
@@ -178,10 +183,12 @@
 
 
 @click.command()
-@click.option("--bill", "billed", multiple=True, type=int, help="Number of a disputed use.")
-@click.option("--waive", "waived", multiple=True, type=int)
-@click.option("--bill-all", is_flag=True)
-@click.option("--waive-all", is_flag=True)
+@click.option("--bill", "billed", multiple=True, type=int, help="Entry number of usage to bill; repeatable.")
+@click.option(
+    "--waive", "waived", multiple=True, type=int, help="Entry number of usage to waive; repeatable."
+)
+@click.option("--bill-all", is_flag=True, help="Bill all disputed usage.")
+@click.option("--waive-all", is_flag=True, help="Waive all disputed usage that is not billed.")
 @reason_option
 @author_option
 @toml_option
@@ -195,7 +202,10 @@
     author: str,
     toml: str | None,
 ) -> None:
-    """Bills or waives disputed uses; without numbers lists nothing and changes nothing."""
+    """Bill or waive disputed usage. At least one entry must be selected.
+
+    Selected usage that proves to be a retry of counted usage is not billed.
+    """
     with open_store(toml) as store:
         check_texts(reason, author)
         with store.changing() as ledger:
@@ -214,9 +224,9 @@
 
 def _check_selection(to_bill: set[int], to_waive: set[int], disputed_numbers: set[int]) -> None:
     not_disputed = (to_bill | to_waive) - disputed_numbers
-    named_twice = to_bill & to_waive
-    if not_disputed or named_twice or not to_bill | to_waive:
-        raise InvalidDisputeSelectionError(sorted(not_disputed or named_twice))
+    billed_and_waived = to_bill & to_waive
+    if not_disputed or billed_and_waived or not to_bill | to_waive:
+        raise InvalidDisputeSelectionError(sorted(not_disputed or billed_and_waived))
 
 
 @click.command()
@@ -224,7 +234,7 @@
 @toml_option
 @reports_errors
 def disputed(as_json: bool, toml: str | None) -> None:
-    """Uses of which nobody knows whether the answer arrived."""
+    """List disputed usage: usage for which it is unknown whether the caller received the answer."""
     with open_store(toml) as store:
         for number, usage in store.disputed():
             row = {
@@ -242,12 +252,12 @@
 
 @click.command()
 @click.argument("period")
-@click.option("--tenant")
+@click.option("--tenant", help="Tenant to bill. Default: all tenants.")
 @click.option("--format", "output_format", type=click.Choice(["csv", "json"]), default="csv")
 @toml_option
 @reports_errors
 def statement(period: str, tenant: str | None, output_format: str, toml: str | None) -> None:
-    """Statements of a period, of all tenants or of one, by the plan in the settings."""
+    """Print the statements of PERIOD, priced by the plan that the settings name."""
     from landingshift.ledger.price_plan import load_price_plan
     from landingshift.ledger.statements import statement_to_csv, statement_to_json, statements
 
@@ -258,11 +268,11 @@
     billed_tenant = unescape_name(tenant) if tenant is not None else None
     with open_store(toml) as store:
         is_first = True
-        for found in statements(store, plan, period, billed_tenant):
+        for tenant_statement in statements(store, plan, period, billed_tenant):
             if output_format == "json":
-                print_json(statement_to_json(found))
+                print_json(statement_to_json(tenant_statement))
             else:
-                click.echo(statement_to_csv(found, with_header=is_first), nl=False)
+                click.echo(statement_to_csv(tenant_statement, with_header=is_first), nl=False)
             is_first = False
         if tenant is not None and is_first:
             raise NothingToBillError(tenant, period)
@@ -273,7 +283,7 @@
 @toml_option
 @reports_errors
 def show(number: int, toml: str | None) -> None:
-    """One entry, and of a use what became of it."""
+    """Show entry NUMBER. For usage, also show whether it was counted, disputed, billed or waived."""
     from landingshift.ledger.entry_history import describe_entry
 
     with open_store(toml) as store:
@@ -286,7 +296,11 @@
 @toml_option
 @reports_errors
 def verify(as_json: bool, toml: str | None) -> None:
-    """Reads every entry and names each that is changed, missing or out of order; exit status 1 then."""
+    """Check all entries and the index.
+
+    Lists entries that are changed, missing or out of order, and errors of the index. Exits with status 1 if
+    there is any.
+    """
     from landingshift.ledger.audit import audit_store
 
     with open_store(toml) as store:
@@ -297,12 +311,12 @@
         with bar:
             findings = audit_store(store, lambda number: bar.update(number - bar.pos))
     if as_json:
-        listed = [{"number": finding.entry_number, "what": finding.problem} for finding in findings]
-        print_json({"entries": ledger.last_number, "findings": listed})
+        finding_rows = [{"number": finding.entry_number, "what": finding.problem} for finding in findings]
+        print_json({"entries": ledger.last_number, "findings": finding_rows})
     else:
         for finding in findings:
-            place = f"entry {finding.entry_number}: " if finding.entry_number else ""
-            click.echo(f"{place}{finding.problem}")
+            prefix = f"entry {finding.entry_number}: " if finding.entry_number else ""
+            click.echo(f"{prefix}{finding.problem}")
         if not findings:
             click.echo(f"{ledger.last_number} entries hold, the newest is {ledger.last_hash.hex()}")
     if findings:
--- a/landingshift/cli/ledger_operations.py
+++ b/landingshift/cli/ledger_operations.py
@@ -1,4 +1,4 @@
-"""Commands of `landingshift ledger` about a whole store: export, merging, backup, repair."""
+"""Commands of `landingshift ledger` that work on a whole store: export, merge, backup, compaction, repair."""
 
 from __future__ import annotations
 
@@ -29,18 +29,18 @@
     from landingshift.ledger.merged_store import MergedStore
 
 PEER_TIMEOUT_MS = 10_000.0
-SERVING_IDENTITY_COUNT = 1000  # who only reads needs no deduplication window
+SERVING_IDENTITY_COUNT = 1000  # the minimum: a reader of the ledger needs no deduplication window
 
 
 @click.command()
-@click.option("--to", "url", required=True, help="The receiver, like http://127.0.0.1:8080/ledger.")
-@click.option("--follow", is_flag=True, help="Goes on as new entries come.")
-@click.option("--timeout-ms", type=float, default=5000.0)
-@click.option("--seed", type=int, default=1)
+@click.option("--to", "url", required=True, help="URL of the receiver, such as http://127.0.0.1:8080/ledger.")
+@click.option("--follow", is_flag=True, help="Keep running and export new entries as they are written.")
+@click.option("--timeout-ms", type=float, default=5000.0, help="Timeout of each request, in ms.")
+@click.option("--seed", type=int, default=1, help="Seed of the random delays between retries.")
 @toml_option
 @reports_errors
 def export(url: str, follow: bool, timeout_ms: float, seed: int, toml: str | None) -> None:
-    """Delivers all entries' records exactly once, however the receiver fails."""
+    """Deliver the records of all entries exactly once to a receiver. Failed deliveries are retried."""
     from landingshift.cli.logs import event_logger
     from landingshift.ledger.exporter import Exporter
     from landingshift.ledger.receiver_client import HttpReceiver
@@ -54,30 +54,34 @@
 
 
 @click.command()
-@click.option("--listen", required=True, help="Where other instances ask, like 127.0.0.1:9400.")
+@click.option("--listen", required=True, help="Address to listen on, such as 127.0.0.1:9400.")
 @toml_option
 @reports_errors
 def serve(listen: str, toml: str | None) -> None:
-    """Lets other instances read this one's ledger, until it is ended."""
+    """Serve this ledger to other instances, for `ledger merge`, until the process is terminated."""
     from landingshift.ledger import peer_exchange
 
     settings = load_settings(toml).table
     with open_store(toml):
-        pass  # a store that can't be used is told at once
-    reading_settings = msgspec.structs.replace(settings, max_identity_count=SERVING_IDENTITY_COUNT)
-    server, port = peer_exchange.serve(lambda: UsageStore.from_settings(reading_settings), listen)
+        pass  # an unusable store is reported now, not at the first request
+    read_only_settings = msgspec.structs.replace(settings, max_identity_count=SERVING_IDENTITY_COUNT)
+    server, port = peer_exchange.serve(lambda: UsageStore.from_settings(read_only_settings), listen)
     click.echo(f"listening on port {port}", err=True)
     server.wait_for_termination()
 
 
 @click.command()
 @click.argument("peers", nargs=-1, required=True)
-@click.option("--into", required=True, type=click.Path(dir_okay=False), help="The merged ledger's file.")
+@click.option("--into", required=True, type=click.Path(dir_okay=False), help="File of the merged ledger.")
 @json_option
 @toml_option
 @reports_errors
 def merge(peers: tuple[str, ...], into: str, as_json: bool, toml: str | None) -> None:
-    """Brings ledgers together: addresses of `ledger serve`, or files. Any order, any repetition."""
+    """Merge the ledgers of PEERS into one file.
+
+    PEERS are addresses of `ledger serve` or store files. Neither their order nor merging a peer again changes
+    the result. A peer that can't be read is reported and skipped; the exit status is then 1.
+    """
     import grpc
 
     merged = _open_merged(into, toml)
@@ -134,7 +138,7 @@
 @toml_option
 @reports_errors
 def backup(path: str, toml: str | None) -> None:
-    """A copy that holds, while the server goes on."""
+    """Copy the store to the file TO. The copy is consistent even if the server is running."""
     if os.path.exists(path):
         raise FileExistsAlreadyError(path)
     with open_store(toml) as store:
@@ -144,11 +148,14 @@
 
 @click.command()
 @click.argument("period")
-@click.option("--unexported", is_flag=True, help="Also what no receiver has.")
+@click.option("--unexported", is_flag=True, help="Also remove entries that the receiver does not have yet.")
 @toml_option
 @reports_errors
 def compact(period: str, unexported: bool, toml: str | None) -> None:
-    """Takes the single uses out of all periods up to this one; totals, chain and corrections stay."""
+    """Remove the settled usage entries of PERIOD and all earlier periods.
+
+    Totals, corrections, disputed usage and the hash chain are kept.
+    """
     from landingshift.ledger.compaction import compact_store
 
     with open_store(toml) as store:
@@ -162,11 +169,16 @@
 
 
 @click.command(name="catch-up")
-@click.option("--from", "source", required=True, type=click.Path(exists=True), help="Merged ledger.")
+@click.option(
+    "--from", "source", required=True, type=click.Path(exists=True), help="File of the merged ledger."
+)
 @toml_option
 @reports_errors
 def catch_up(source: str, toml: str | None) -> None:
-    """Gives a ledger back from an old copy what the merged one has of it; with the server down."""
+    """Restore entries that this ledger lost because its store is an old copy.
+
+    The entries come from a merged ledger. The server must be stopped.
+    """
     from landingshift.ledger.repair import restore_missing_entries
 
     with StoreLock(load_settings(toml).table.directory, timeout_ms=0.0), open_store(toml) as store:
@@ -180,7 +192,7 @@
 @toml_option
 @reports_errors
 def reindex(toml: str | None) -> None:
-    """Makes totals and lists anew from the entries; the server must be down."""
+    """Rebuild the index, with its totals and lists, from the entries. The server must be stopped."""
     from landingshift.ledger.repair import reindex as reindex_store
 
     with StoreLock(load_settings(toml).table.directory, timeout_ms=0.0), open_store(toml) as store:
--- a/landingshift/cli/ledger_options.py
+++ b/landingshift/cli/ledger_options.py
@@ -1,4 +1,4 @@
-"""What the commands of `landingshift ledger` share: options, opening the store, errors in one line."""
+"""Shared parts of the `landingshift ledger` commands: options, opening the store, conversion of errors."""
 
 from __future__ import annotations
 
@@ -21,43 +21,47 @@
 from landingshift.net.program import features
 
 LEDGER_TABLE = "ledger"
-MAX_TEXT_LENGTH = 1000  # characters of a reason or an author
+MAX_TEXT_LENGTH = 1000
+"""Maximum number of characters of a reason or an author."""
 
 
 class LedgerCommandError(CommandError):
-    """A command can't be done, and nothing has changed."""
+    """A command of the ledger group failed and changed nothing."""
 
 
 class NoSettingsFileError(LedgerCommandError):
-    """Neither the option nor the environment names the file of settings."""
+    """Neither `--toml` nor the environment names the settings file."""
 
     def __init__(self) -> None:
-        super().__init__(f"--toml or {features.SETTINGS_FILE_VARIABLE} is to name the file with [ledger]")
+        super().__init__(
+            "no settings file given: name the file with [ledger] by --toml or "
+            f"{features.SETTINGS_FILE_VARIABLE}"
+        )
 
 
 class NoLedgerTableError(LedgerCommandError):
-    """The file of settings has no table `[ledger]`."""
+    """The settings file has no table `[ledger]`."""
 
     def __init__(self, path: str) -> None:
         super().__init__(f"{path}: there is no table [ledger]")
 
 
 class NoLedgerError(LedgerCommandError):
-    """The directory that the settings name holds no store."""
+    """The directory that the settings name contains no store."""
 
     def __init__(self, directory: str) -> None:
-        super().__init__(f"{directory}: there is no ledger")
+        super().__init__(f"{directory}: the directory contains no ledger")
 
 
 class StoreAccessError(LedgerCommandError):
     """The store's file can't be read or written."""
 
     def __init__(self, cause: Exception) -> None:
-        super().__init__(f"the store can't be used: {cause}")
+        super().__init__(f"can't read or write the store: {cause}")
 
 
 class InvalidOptionError(LedgerError, ValueError):
-    """An option has a value that can't be used."""
+    """An option of a command has an invalid value."""
 
     def __init__(self, option: str, problem: str) -> None:
         super().__init__(f"{option}: {problem}")
@@ -66,31 +70,34 @@
 
 
 class CorrectionTooLargeError(InvalidOptionError):
-    """A correction's uses or work are out of bounds."""
+    """The uses or the work of a correction exceed the allowed range."""
 
     def __init__(self) -> None:
-        super().__init__("uses, work-ms", "more than a correction can be")
+        super().__init__("uses, work-ms", "the value exceeds the maximum of a correction")
 
 
 @dataclass(frozen=True, slots=True)
 class LedgerSettings:
-    """The table `[ledger]` and where it was read."""
+    """The table `[ledger]` and the folder of its settings file."""
 
     table: Settings
     folder: str
-    """Folder of the file of settings."""
+    """Absolute path of the folder that contains the settings file."""
 
 
 def wall_clock_ms() -> int:
-    """Unix time."""
+    """Returns the current Unix time in ms."""
     return round(time.time() * 1000.0)
 
 
 def load_settings(path: str | None) -> LedgerSettings:
-    """Reads the table `[ledger]`, switched on or not.
+    """Reads the table `[ledger]`, also if the ledger is switched off.
+
+    Args:
+        path: Path of the settings file; None for the file that the environment names.
 
     Raises:
-        LedgerCommandError: There is none, or it can't be used.
+        LedgerCommandError: The file or the table is missing or invalid.
     """
     path = path or os.environ.get(features.SETTINGS_FILE_VARIABLE)
     if not path:
@@ -107,7 +114,14 @@
 
 @contextmanager
 def open_store(toml: str | None) -> Iterator[UsageStore]:
-    """The store that the settings name; the server may be writing to it meanwhile."""
+    """Opens the store that the settings file names. A running server may write to the store meanwhile.
+
+    Args:
+        toml: Path of the settings file; None for the file that the environment names.
+
+    Raises:
+        LedgerCommandError: The settings are missing or invalid, or the store does not exist.
+    """
     settings = load_settings(toml).table
     if not os.path.exists(os.path.join(settings.directory, STORE_FILE)):
         raise NoLedgerError(settings.directory)
@@ -116,11 +130,11 @@
 
 
 def reports_errors(command: Callable[..., None]) -> Callable[..., None]:
-    """Wraps a command, so that an error is one line on standard error."""
+    """Wraps a command so that expected errors end it with a one-line message instead of a traceback."""
 
     @wraps(command)
-    def run(*args: Any, **options: Any) -> None:
-        """Calls the command, and turns its errors into those that click reports."""
+    def call_reporting_errors(*args: Any, **options: Any) -> None:
+        """Calls the command and converts its errors to `LedgerCommandError`, which click prints."""
         try:
             command(*args, **options)
         except (CommandRejectedError, StoreUnavailableError, ValueError) as err:
@@ -128,25 +142,31 @@
         except (sqlite3.Error, OSError) as err:
             raise StoreAccessError(err) from err
 
-    return run
+    return call_reporting_errors
 
 
 toml_option = click.option(
-    "--toml", type=click.Path(dir_okay=False), help="Settings; else LANDINGSHIFT_TOML."
+    "--toml",
+    type=click.Path(dir_okay=False),
+    help="Settings file with [ledger]. Default: the file that LANDINGSHIFT_TOML names.",
 )
-json_option = click.option("--json", "as_json", is_flag=True, help="JSON for pipes.")
+json_option = click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 author_option = click.option(
-    "--who", "author", default=getpass.getuser, show_default="the user", help="Who says so."
+    "--who",
+    "author",
+    default=getpass.getuser,
+    show_default="the user",
+    help="Author of the entry, stored with it.",
 )
-reason_option = click.option("--reason", required=True, help="Kept with the entry for good.")
+reason_option = click.option("--reason", required=True, help="Reason for the entry, stored with it.")
 
 
 def check_texts(reason: str, author: str) -> None:
-    """Bounds the texts of an operator's entry.
+    """Checks the length of the texts that an operator stores with an entry.
 
     Raises:
-        InvalidOptionError: One is too long.
+        InvalidOptionError: A text is longer than `MAX_TEXT_LENGTH`.
     """
     for option, text in (("reason", reason), ("who", author)):
         if len(text) > MAX_TEXT_LENGTH:
-            raise InvalidOptionError(option, f"at most {MAX_TEXT_LENGTH} characters")
+            raise InvalidOptionError(option, f"at most {MAX_TEXT_LENGTH} characters are allowed")
--- a/landingshift/cli/main.py
+++ b/landingshift/cli/main.py
@@ -1,4 +1,4 @@
-"""The command and what needs no group of its own."""
+"""The command `landingshift` with its subcommands `serve` and `check`; other modules hold the groups."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 class LazyGroup(click.Group):
-    """Loads a group's module when it is asked for: `serve` must not pay for what the others need."""
+    """Imports the module of a group only when the group is used, to keep the memory of `serve` small."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         """Returns the names of all commands and groups."""
         return sorted({*super().list_commands(ctx), *GROUP_NAMES})
 
     def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
-        """Returns a command by its name, or the group of a module."""
+        """Returns the command or group with this name, or None if there is none."""
         if name in GROUP_NAMES:
             command: click.Command = import_module(f"landingshift.cli.{name}").group
             return command
@@ -32,14 +32,22 @@
 @click.group(cls=LazyGroup)
 @click.version_option(package_name="landingshift")
 def main() -> None:
-    """Admission and scheduling inside servers behind other people's balancers."""
+    """Admission control and scheduling of RPCs inside servers behind load balancers."""
 
 
 @main.command()
-@click.option("--config", type=click.Path(dir_okay=False), help="Platform's JSON; else GW_CONFIG names it.")
-@click.option("--toml", type=click.Path(dir_okay=False), help="Our own settings; else LANDINGSHIFT_TOML.")
+@click.option(
+    "--config",
+    type=click.Path(dir_okay=False),
+    help="Server configuration (JSON). Default: the file that GW_CONFIG names.",
+)
+@click.option(
+    "--toml",
+    type=click.Path(dir_okay=False),
+    help="Settings of the optional packages (TOML). Default: the file that LANDINGSHIFT_TOML names.",
+)
 def serve(config: str | None, toml: str | None) -> None:
-    """Serves until SIGTERM, as `python -m landingshift` does."""
+    """Run the server until SIGTERM, like `python -m landingshift`."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     from landingshift.net.program.main import main as run_server
 
@@ -51,7 +59,7 @@
 @main.command()
 @click.argument("files", nargs=-1, required=True, type=click.Path(dir_okay=False))
 def check(files: tuple[str, ...]) -> None:
-    """Says what is wrong in the platform's JSON and our TOML without starting anything."""
+    """Validate FILES: server configurations (*.json) and settings of optional packages (other names)."""
     from landingshift.net.program import config, features
 
     has_failed = False
--- a/landingshift/cli/operator_client.py
+++ b/landingshift/cli/operator_client.py
@@ -1,4 +1,4 @@
-"""Calls of operators to one server or to the leader that it knows, and the options that name the server."""
+"""Operator calls to one server or to the consensus leader, and the options that select the server."""
 
 from __future__ import annotations
 
@@ -19,19 +19,20 @@
 
 
 class ServerNotNamedError(CommandError):
-    """Neither an option nor the environment says which server is meant."""
+    """Neither an option nor the environment names the server to call."""
 
     def __init__(self) -> None:
         super().__init__(
-            f"--at is to name a server, or --toml or {features.SETTINGS_FILE_VARIABLE} the file with [fleet]"
+            "no server given: use --at with its address, or name a file with [fleet] by --toml or "
+            f"{features.SETTINGS_FILE_VARIABLE}"
         )
 
 
 class MissingTableError(CommandError):
-    """The settings lack the table that names the server's address.
+    """The settings file lacks the table `[fleet]`, which has the server's address.
 
     Attributes:
-        path: The settings file.
+        path: Path of the settings file.
     """
 
     def __init__(self, path: str) -> None:
@@ -40,11 +41,11 @@
 
 
 class OperatorClient:
-    """The server that a command asks; its address is looked up at the first call.
+    """Client for the operator calls of one server. The server's address is determined at each call.
 
     Args:
-        address_text: IPv4 address:port; None for the address in the settings.
-        settings_path: The file with [fleet]; None for the one that the environment names.
+        address_text: IPv4 address:port of the server; None to read the address from the settings file.
+        settings_path: Path of the file with `[fleet]`; None for the file that the environment names.
     """
 
     def __init__(self, address_text: str | None, settings_path: str | None = None) -> None:
@@ -52,18 +53,25 @@
         self._settings_path = settings_path
 
     def call(self, call_name: str, params: list[Any] | None = None) -> Any:
-        """Returns the server's answer; ends the command with `EXIT_FAILED` where there is none."""
+        """Calls the server and returns its answer.
+
+        If there is no answer, or the answer is an error, prints the reason and exits with `EXIT_FAILED`.
+        """
         return _call(self.address(), call_name, params)
 
     def call_leader(self, call_name: str, params: list[Any] | None = None) -> Any:
-        """As `call`, to the consensus leader that the server knows, else to the server itself."""
+        """Like `call`, but calls the consensus leader that the server names; without one, the server."""
         status = self.call("policy_status")
         leader_address = status["leader_at"]
         address = parse_address("leader", leader_address) if leader_address else self.address()
         return _call(address, call_name, params)
 
     def address(self) -> Address:
-        """Returns the address that is named, or that of the table [fleet]. Raises CommandError."""
+        """Returns the server's address, from the constructor's argument or else from the settings file.
+
+        Raises:
+            CommandError: The address is invalid, or neither source has one.
+        """
         if self._address_text:
             try:
                 return parse_address("--at", self._address_text)
@@ -72,7 +80,7 @@
         path = self._settings_path or os.environ.get(features.SETTINGS_FILE_VARIABLE)
         if not path:
             raise ServerNotNamedError
-        settings = _fleet_settings(path)
+        settings = _load_fleet_settings(path)
         if settings is None:
             raise MissingTableError(path)
         return parse_address("listen", settings.listen_address)
@@ -86,26 +94,33 @@
         raise SystemExit(EXIT_FAILED) from err
 
 
-def _fleet_settings(path: str) -> Settings | None:
+def _load_fleet_settings(path: str) -> Settings | None:
     try:
-        found = features.load_features(path, include_off=True)
+        loaded_features = features.load_features(path, include_off=True)
     except features.FeatureConfigError as err:
         raise CommandError(str(err)) from err
-    for feature in found:
+    for feature in loaded_features:
         if feature.table == TABLE_NAME and isinstance(feature.settings, Settings):
             return feature.settings
     return None
 
 
 def server_options(command: Callable[..., None]) -> Callable[..., None]:
-    """Adds the options of all commands that ask a server; they get `client` and `as_json`."""
+    """Adds the options `--at`, `--toml` and `--json` to a command that calls a server.
+
+    The command receives an `OperatorClient` as `client`, and whether to print JSON as `as_json`.
+    """
 
     @wraps(command)
-    def run(at: str | None, toml: str | None, **options: Any) -> None:
-        """Calls the command with a client in place of the two options."""
+    def call_with_client(at: str | None, toml: str | None, **options: Any) -> None:
+        """Calls the command with a client in place of the options `at` and `toml`."""
         command(client=OperatorClient(at, toml), **options)
 
-    at_option = click.option("--at", help="IPv4 address:port of a server's [fleet] listen.")
-    toml_option = click.option("--toml", type=click.Path(dir_okay=False), help="The file with [fleet].")
-    json_option = click.option("--json", "as_json", is_flag=True, help="One JSON value, for pipes.")
-    return at_option(toml_option(json_option(run)))
+    at_option = click.option("--at", help="IPv4 address:port that the server's [fleet] table has as listen.")
+    toml_option = click.option(
+        "--toml",
+        type=click.Path(dir_okay=False),
+        help="Settings file with [fleet], used without --at. Default: the file that LANDINGSHIFT_TOML names.",
+    )
+    json_option = click.option("--json", "as_json", is_flag=True, help="Print one JSON value.")
+    return at_option(toml_option(json_option(call_with_client)))
--- a/landingshift/cli/output.py
+++ b/landingshift/cli/output.py
@@ -1,4 +1,4 @@
-"""What commands write: JSON for pipes, tables and fields for people, progress on standard error."""
+"""Output of the commands: JSON for scripts, tables and fields for people, progress on standard error."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 def print_json(data: Any) -> None:
-    """Writes one JSON value to standard output."""
+    """Writes one JSON value and a line break to standard output."""
     import orjson
 
     click.echo(orjson.dumps(data, default=str))
 
 
 def print_table(rows: list[dict[str, Any]], columns: tuple[str, ...]) -> None:
-    """Writes a heading and a line a row; a key that a row lacks stays empty."""
+    """Writes a heading and one aligned line per row; the cell of a key that a row lacks is empty."""
     lines = [columns, *(tuple(format_value(row.get(column, "")) for column in columns) for row in rows)]
     widths = [max(len(line[index]) for line in lines) for index in range(len(columns))]
     for line in lines:
@@ -27,7 +27,7 @@
 
 
 def print_fields(fields: dict[str, Any], as_json: bool) -> None:
-    """Writes a line a field, or all as one JSON object."""
+    """Writes one line per field, or all fields as one JSON object."""
     if as_json:
         print_json(fields)
         return
@@ -36,20 +36,20 @@
 
 
 def format_value(value: Any) -> str:
-    """Returns a value as people read it: numbers with six digits."""
+    """Returns a value as text; a float has at most six significant digits."""
     return f"{value:.6g}" if isinstance(value, float) else str(value)
 
 
 def format_unix_ms(unix_ms: float) -> str:
-    """Returns date and time in UTC."""
+    """Returns the date and time in UTC for a Unix time in ms."""
     return time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(unix_ms / 1000.0))
 
 
 class ProgressLine:
-    """Progress on standard error, a line each time that the text has changed.
+    """Writes progress to standard error, as a new line whenever the text has changed.
 
     Args:
-        is_shown: False where the output is for pipes: nothing is written.
+        is_shown: Whether to write anything; False if the command prints JSON.
     """
 
     def __init__(self, is_shown: bool) -> None:
@@ -57,7 +57,7 @@
         self._last_text = ""
 
     def show(self, text: str) -> None:
-        """Writes the text if it is new."""
+        """Writes the text unless it equals the previous one."""
         if self._is_shown and text != self._last_text:
             click.echo(text, err=True)
             self._last_text = text
