--- a/landingshift/cli/ledger_accounting.py
+++ b/landingshift/cli/ledger_accounting.py
@@ -14,7 +14,7 @@
     CorrectionTooLargeError,
     InvalidOptionError,
     author_option,
-    check_texts,
+    check_text_lengths,
     json_option,
     load_settings,
     open_store,
@@ -145,7 +145,7 @@
     """Enter a correction. A correction of a closed period counts in the first period that is still open."""
     _check_correction(uses, work_ms, amount)
     with open_store(toml) as store:
-        check_texts(reason, author)
+        check_text_lengths(reason, author)
         if not store.has_tenant(unescape_name(tenant)):
             raise UnknownTenantError(tenant)
         request = CorrectionRequest(
@@ -207,7 +207,7 @@
     Selected usage that proves to be a retry of counted usage is not billed.
     """
     with open_store(toml) as store:
-        check_texts(reason, author)
+        check_text_lengths(reason, author)
         with store.changing() as ledger:
             disputed_usage = dict(store.disputed())
             to_bill = set(disputed_usage) if bill_all else set(billed)
--- a/landingshift/cli/ledger_options.py
+++ b/landingshift/cli/ledger_options.py
@@ -161,7 +161,7 @@
 reason_option = click.option("--reason", required=True, help="Reason for the entry, stored with it.")
 
 
-def check_texts(reason: str, author: str) -> None:
+def check_text_lengths(reason: str, author: str) -> None:
     """Checks the length of the texts that an operator stores with an entry.
 
     Raises:
--- a/landingshift/cli/operator_client.py
+++ b/landingshift/cli/operator_client.py
@@ -116,7 +116,9 @@
         """Calls the command with a client in place of the options `at` and `toml`."""
         command(client=OperatorClient(at, toml), **options)
 
-    at_option = click.option("--at", help="IPv4 address:port that the server's [fleet] table has as listen.")
+    at_option = click.option(
+        "--at", help="IPv4 address:port of the server to call: the listen address in its [fleet] table."
+    )
     toml_option = click.option(
         "--toml",
         type=click.Path(dir_okay=False),
