--- a/landingshift/ledger/__init__.py
+++ b/landingshift/ledger/__init__.py
@@ -1,6 +1,6 @@
-"""Usage metering: who used what in which billing period; durable, exported once, reconciled.
+"""Usage metering: stores, exports and reconciles what each tenant used in each billing period.
 
-Guarantee: billed usage <= usage whose answer was received <= billed and disputed usage; without a killed
-process all three are equal. Failure mode: where the store can't commit and its queue is full, usage is
-dropped, counted and recorded as a gap; it is never billed twice.
+Guarantee: billed usage <= usage whose answer was received <= billed plus disputed usage. If no process was
+killed, all three are equal. Failure mode: while the store can't commit and the queue is full, usage is
+dropped, and the number of dropped records is stored as a gap. No usage is billed twice.
 """
--- a/landingshift/ledger/audit.py
+++ b/landingshift/ledger/audit.py
@@ -1,4 +1,4 @@
-"""Reads a ledger from its first entry and says what does not hold. Changes nothing."""
+"""Checks the consistency of a ledger: its hash chain, its entries and its index. Read-only."""
 
 from __future__ import annotations
 
@@ -21,22 +21,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """Something that does not hold."""
+    """An inconsistency found by an audit."""
 
     entry_number: int
-    """0 where it is about the index."""
+    """Number of the entry; 0 if the finding concerns the index."""
     problem: str
+    """Description for operators."""
 
 
 def audit_store(reader: StoreReader, on_progress: Callable[[int], None] = lambda _: None) -> list[Finding]:
-    """Checks the chain, the entries and the index.
+    """Checks the hash chain, the entries and the index of a store.
 
     Args:
-        reader: The store.
-        on_progress: Gets the number of every thousandth entry.
+        reader: Store to check.
+        on_progress: Called with the entry number after every `PROGRESS_INTERVAL_ENTRIES` entries.
 
     Returns:
-        All findings, at most a hundred.
+        The first `MAX_FINDING_COUNT` findings.
     """
     audit = _Audit(reader, on_progress)
     findings = list(islice(audit.check_entries(), MAX_FINDING_COUNT))
@@ -45,7 +46,7 @@
 
 
 def retained_digest(reader: StoreReader, last_number: int) -> bytes:
-    """Digest of the entries up to `last_number` that are there now."""
+    """Returns a digest of all stored entries up to `last_number`."""
     digest = blake2b(digest_size=HASH_BYTES)
     for row in reader.rows(1, last_number):
         digest.update(b"%d %d %d " % (row.number, row.kind, len(row.data)))
@@ -55,7 +56,7 @@
 
 
 class _Audit:
-    """One pass over the entries, then the index against what they give."""
+    """One audit: call `check_entries` to its end, then `check_index`, which compares with its results."""
 
     def __init__(self, reader: StoreReader, on_progress: Callable[[int], None]) -> None:
         self.reader = reader
@@ -65,7 +66,7 @@
         self.next_number = 1
 
     def check_entries(self) -> Iterator[Finding]:
-        """What does not hold about the entries, in their order."""
+        """Yields the findings about the entries, in order of the entries."""
         yield from self._check_compacted_part()
         for row in self.reader.rows(self.next_number):
             if row.number % PROGRESS_INTERVAL_ENTRIES == 0:
@@ -79,7 +80,7 @@
                 yield Finding(row.number, problem)
 
     def check_index(self) -> Iterator[Finding]:
-        """What the index says otherwise than the entries."""
+        """Yields a finding for each difference between the index and the entries."""
         newest_number = self.reader.meta(META_LAST_NUMBER)
         if newest_number is not None and newest_number != self.next_number - 1:
             yield Finding(self.next_number, f"missing: the newest is {newest_number}")
@@ -103,8 +104,10 @@
 
     def _check_chain(self, row: EntryRow) -> Iterator[Finding]:
         if row.number != self.next_number:
-            is_one = row.number == self.next_number + 1
-            yield Finding(self.next_number, "missing" if is_one else f"missing, and all before {row.number}")
+            is_single = row.number == self.next_number + 1
+            yield Finding(
+                self.next_number, "missing" if is_single else f"missing, and all before {row.number}"
+            )
         elif chain_hash(self.last_hash, row.kind, row.data) != row.hash:
             yield Finding(row.number, "changed, or out of its order")
         self.last_hash = row.hash
--- a/landingshift/ledger/compaction.py
+++ b/landingshift/ledger/compaction.py
@@ -1,7 +1,7 @@
-"""Compaction of aged periods to their totals: settled usage goes, all else stays.
+"""Compaction: removes the settled usage entries of old closed periods and keeps their totals.
 
-Guarantee: totals, corrections, disputed usage and the chain stay, and what stayed is sealed by a digest in
-the chain. It refuses a ledger that does not hold, since what is wrong could not be found afterwards.
+Guarantee: totals, corrections, disputed usage and the hash chain are kept, and the chain contains a digest of
+the kept entries. An inconsistent ledger is not compacted, since its faults could not be found afterwards.
 """
 
 from __future__ import annotations
@@ -33,38 +33,41 @@
 
 @dataclass(frozen=True, slots=True)
 class CompactionPlan:
-    """What a compaction removes."""
+    """The entries that a compaction removes and keeps."""
 
     last_number: int
-    """The entry up to which settled usage goes."""
+    """Number of the last entry of the compacted part."""
     last_hash: bytes
+    """Hash of that entry."""
     retained_numbers: set[int]
-    """Usage up to there that is not settled, and settlements that dispute some."""
+    """Usage entries up to `last_number` that are not settled, and settlements that dispute usage."""
     removed_usage_count: int
+    """Number of usage entries that are removed."""
     totals: Totals
-    """As they are at `last_number`."""
+    """Totals after entry `last_number`."""
     closed_end_ms: int
-    """End of the last period that was closed by then."""
+    """End of the last period closed at or before entry `last_number`, Unix time."""
 
 
 def compact_store(store: UsageStore, period: str, now_ms: int, exported_number: int | None) -> int:
-    """Removes the settled usage of all periods up to this one.
+    """Removes the settled usage of a period and all periods before it.
 
     Args:
-        store: The store.
-        period: The last period to compact.
+        store: Store to compact.
+        period: Name of the last period to compact.
         now_ms: Unix time.
-        exported_number: The entry up to which the receiver has everything; None to go without.
+        exported_number: Number of the last entry that the receiver acknowledged; None to compact entries even
+            if they were not exported.
 
     Returns:
-        How many usage entries were removed.
+        The number of removed usage entries.
 
     Raises:
-        CorruptLedgerError: The ledger does not hold.
+        CorruptLedgerError: An audit found an inconsistency.
         PeriodNotClosedError: The period is open.
-        EntriesNotExportedError: The receiver has not everything.
+        EntriesNotExportedError: The receiver does not have all entries of the compacted part.
     """
-    _check_holds(store)
+    _check_consistency(store)
     with store.changing() as ledger:
         plan = plan_compaction(store, period, ledger.closed_end_ms)
         if exported_number is not None and exported_number < plan.last_number:
@@ -93,12 +96,12 @@
 
 
 def plan_compaction(reader: StoreReader, period: str, closed_end_ms: int) -> CompactionPlan:
-    """Decides by one pass what goes: all up to the first entry that concerns a later period.
+    """Decides which entries to remove; the compacted part ends before the first entry of a later period.
 
     Args:
-        reader: The store.
-        period: The last period to compact.
-        closed_end_ms: End of the last period that was closed.
+        reader: Store to compact.
+        period: Name of the last period to compact.
+        closed_end_ms: End of the last closed period, Unix time.
 
     Raises:
         PeriodNotClosedError: The period is open.
@@ -109,7 +112,7 @@
     replay = LedgerReplay(reader)
     last_number = 0
     last_hash = GENESIS_HASH
-    disputing_numbers = set()  # settlements that say of usage which may stay that it is disputed
+    disputing_numbers = set()  # settlements that dispute usage: an audit needs them while that usage is kept
     earlier = reader.newest_compaction()
     if earlier is not None:
         last_number = earlier.last_number
@@ -118,7 +121,7 @@
         disputing_numbers = _settlement_numbers(reader, last_number)
     for row, entry in _entries_to_compact(reader, last_number + 1, end_ms):
         for _ in replay.apply(row.number, entry):
-            pass  # the audit has reported what does not hold
+            pass  # `_check_consistency` has already found no inconsistency
         if isinstance(entry, Settlement) and entry.disputed:
             disputing_numbers.add(row.number)
         last_number = row.number
@@ -137,27 +140,25 @@
     return {row.number for row in reader.rows(1, last_number) if row.kind == EntryKind.SETTLEMENT}
 
 
-def _check_holds(reader: StoreReader) -> None:
+def _check_consistency(reader: StoreReader) -> None:
     findings = audit_store(reader)
     if findings:
         first = findings[0]
-        raise CorruptLedgerError(
-            first.entry_number, first.problem, "what is wrong now could not be found later"
-        )
+        raise CorruptLedgerError(first.entry_number, first.problem, "compaction would hide this fault")
 
 
 def _entries_to_compact(
     reader: StoreReader, first_number: int, end_ms: int
 ) -> Iterator[tuple[EntryRow, Entry]]:
-    """Entries up to the first that concerns a period which ends after `end_ms`."""
+    """Yields the entries from `first_number` up to the first one that belongs to a period after `end_ms`."""
     for row in reader.rows(first_number):
         entry = decode(row.kind, row.data)
-        if _concerns_later_period(entry, end_ms, reader.calendar):
+        if _belongs_to_later_period(entry, end_ms, reader.calendar):
             return
         yield row, entry
 
 
-def _concerns_later_period(entry: Entry, end_ms: int, calendar: BillingCalendar) -> bool:
+def _belongs_to_later_period(entry: Entry, end_ms: int, calendar: BillingCalendar) -> bool:
     match entry:
         case UsageRecord():
             return entry.at_ms >= end_ms
--- a/landingshift/ledger/database.py
+++ b/landingshift/ledger/database.py
@@ -1,4 +1,4 @@
-"""SQLite as the stores use it: explicit transactions, and the statement that adds up totals."""
+"""SQLite helpers shared by the stores: connections, transactions and the statement that updates totals."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 from landingshift import failpoints
 from landingshift.ledger.errors import StoreUnavailableError
 
-LOCK_TIMEOUT_MS = 10_000  # that a command waits for the server's commit, and the other way round
+LOCK_TIMEOUT_MS = 10_000  # wait for another process's transaction, such as the server's commit
 MAX_CACHED_STATEMENT_COUNT = 64
 ADD_TOTALS = """INSERT INTO totals VALUES(?, ?, ?, ?, ?, ?, ?, ?) ON CONFLICT DO UPDATE
     SET uses = uses + excluded.uses,
     work = work + excluded.work, size_in = size_in + excluded.size_in,
     size_out = size_out + excluded.size_out"""
-"""Takes a `TotalsKey` and the row of a `UsageTotals`."""
+"""Adds usage to the totals; the parameters are the rows of a `TotalsKey` and a `UsageTotals`."""
 
 
 def connect(path: str) -> sqlite3.Connection:
-    """Opens a database, which is made where there is none.
+    """Opens a SQLite database; creates the file and its directory if they do not exist.
 
     Raises:
-        StoreUnavailableError: The file can't be used.
+        StoreUnavailableError: The file can't be opened or is not a database.
     """
     try:
         Path(path).parent.mkdir(parents=True, exist_ok=True, mode=0o700)
@@ -40,19 +40,19 @@
 
 
 def make_tables(db: sqlite3.Connection, schema: str) -> None:
-    """Makes the tables that are not there; within a transaction."""
+    """Executes the statements of a schema, separated by semicolons; must be called within a transaction."""
     for statement in schema.split(";"):
         db.execute(statement)
 
 
 @contextmanager
 def transaction(db: sqlite3.Connection, before_commit: str, after_commit: str) -> Iterator[None]:
-    """All or nothing, durable at the end; another process's commit before it is seen.
+    """Runs its block as a write transaction: commits it durably, or rolls it back if the block raises.
 
     Args:
-        db: The connection.
-        before_commit: Name of the failpoint before the commit.
-        after_commit: Name of the failpoint after it.
+        db: Connection to the database.
+        before_commit: Name of the failpoint reached before the commit.
+        after_commit: Name of the failpoint reached after the commit.
     """
     db.execute("BEGIN IMMEDIATE")
     try:
--- a/landingshift/ledger/dedup_window.py
+++ b/landingshift/ledger/dedup_window.py
@@ -1,26 +1,31 @@
-"""The deduplication window: which identities were counted lately; bounded in memory.
+"""The deduplication window: the identities counted recently, in bounded memory.
 
-Guarantee: an identity that was counted less than a window ago is found. Failure mode: where more identities
-come within a window than may be remembered, the window is shortened, never the memory grown: a retry may
-then be counted again until ledgers are merged, which looks at all entries.
+Guarantee: an identity that was counted less than one window ago is found. Failure mode: if more identities
+are counted within a window than fit, the oldest are forgotten early. A retry may then be counted again;
+merging the ledgers removes such duplicates, since it compares all entries.
 """
 
 from __future__ import annotations
 
-MAX_TIMES_PER_IDENTITY = 4  # an identity counts again after a window, or where the clock stepped
+MAX_TIMES_PER_IDENTITY = 4  # one identity can count several times: after a window, or if the clock stepped
 
-CountedTimes = int | tuple[int, ...]  # Unix ms; one time as a plain number
+CountedTimes = int | tuple[int, ...]  # Unix ms; a single time is stored as a plain number to save memory
 
 
 class DedupWindow:
-    """Two generations of half the bound each; the previous one is dropped once the current one is full.
+    """Finds identities counted within a time window.
 
-    Turned over by number, not by time: a clock that steps forth and back must not make the ledger forget.
+    Identities are kept in two generations of at most half the bound each. When the current generation is
+    full, it replaces the previous one. Rotation depends on the number of identities and not on time, so that
+    a clock that steps forward and back does not make the ledger forget identities.
 
     Attributes:
-        window_ms: Within which a like attempt is a retry.
-        max_identity_count: How many identities are remembered.
-        shortened_count: Times that the bound cut the window.
+        window_ms: Time within which an attempt of the same identity is a retry.
+        max_identity_count: Maximum number of identities kept.
+        current_generation: Times at which each identity was counted, for the newer identities.
+        previous_generation: The same for the older identities.
+        last_rotated_ms: Time of the last rotation, Unix ms.
+        shortened_count: Number of times that identities were forgotten before their window had passed.
     """
 
     def __init__(self, window_ms: int, max_identity_count: int) -> None:
@@ -28,11 +33,14 @@
         self.max_identity_count = max_identity_count
         self.current_generation: dict[bytes, CountedTimes] = {}
         self.previous_generation: dict[bytes, CountedTimes] = {}
-        self.turned_over_ms = 0
+        self.last_rotated_ms = 0
         self.shortened_count = 0
 
     def contains(self, identity: bytes, at_ms: int) -> bool:
-        """Whether this identity was counted less than a window from `at_ms`; clocks may step back."""
+        """Returns whether this identity was counted less than one window before or after `at_ms`.
+
+        Times after `at_ms` matter because clocks may step back.
+        """
         window_ms = self.window_ms
         for generation in (self.current_generation, self.previous_generation):
             times = generation.get(identity)
@@ -46,9 +54,9 @@
         return False
 
     def add(self, identity: bytes, at_ms: int) -> None:
-        """Remembers that this identity was counted at `at_ms`."""
+        """Adds an identity that was counted at `at_ms`."""
         if len(self.current_generation) * 2 >= self.max_identity_count:
-            self._turn_over(at_ms)
+            self._rotate(at_ms)
         times = self.current_generation.get(identity)
         if times is None:
             self.current_generation[identity] = at_ms
@@ -56,9 +64,9 @@
         earlier = times if isinstance(times, tuple) else (times,)
         self.current_generation[identity] = (*earlier, at_ms)[-MAX_TIMES_PER_IDENTITY:]
 
-    def _turn_over(self, at_ms: int) -> None:
-        if at_ms - self.turned_over_ms < self.window_ms:
+    def _rotate(self, at_ms: int) -> None:
+        if at_ms - self.last_rotated_ms < self.window_ms:
             self.shortened_count += 1
         self.previous_generation = self.current_generation
         self.current_generation = {}
-        self.turned_over_ms = at_ms
+        self.last_rotated_ms = at_ms
--- a/landingshift/ledger/delivery_tracker.py
+++ b/landingshift/ledger/delivery_tracker.py
@@ -1,8 +1,8 @@
-"""Follows answers until it is known what became of them.
+"""Tracks sent answers until it is known whether the gateway received them.
 
-Decision: an answer counts as delivered once the gateway's machine has acknowledged all of it (the socket's
-unacknowledged bytes, `TIOCOUTQ`); as undelivered where it never left complete; as disputed where the
-connection broke in between, so that nobody knows.
+An answer is delivered once the gateway's machine has acknowledged all of its bytes, which the socket's count
+of unacknowledged bytes (`TIOCOUTQ`) shows. It is undelivered if the connection closed before all of it was
+sent. It is disputed if the connection broke after it was sent and before it was acknowledged.
 """
 
 from __future__ import annotations
@@ -16,26 +16,26 @@
 from landingshift.net.transport.loop import Loop
 from landingshift.net.transport.stream import Stream
 
-DELIVERY_TIMEOUT_MS = 60_000.0  # that an answer may be on its way before it is disputed
-COMPLETE_CLOSE_REASONS = ("closed_by_gateway", "goaway")  # the gateway read all before the connection ended
-TIOCOUTQ_BYTES = 4
+DELIVERY_TIMEOUT_MS = 60_000.0  # an answer not acknowledged after this time is disputed
+COMPLETE_CLOSE_REASONS = ("closed_by_gateway", "goaway")  # reasons that imply the gateway read everything
+TIOCOUTQ_BYTES = 4  # size of the C int that the ioctl returns
 
 
 @dataclass(slots=True, eq=False)
 class SentAnswer:
-    """An answer that was given to its connection."""
+    """An answer that was written to its connection's stream."""
 
     sequence: int
-    """Sequence of its usage."""
+    """Sequence number of its usage."""
     stream: Stream
     end_offset_bytes: int
-    """Where the answer ends in the stream."""
+    """Offset of the answer's end in the stream's output."""
     sent_ms: float
-    """Loop time."""
+    """Loop time at which the answer was written."""
 
 
 class DeliveryTracker:
-    """Answers that are not known to have arrived, in the order in which they went."""
+    """Determines the delivery outcome of each answer and adds it to the usage queue."""
 
     def __init__(self, loop: Loop, queue: UsageQueue) -> None:
         self._loop = loop
@@ -44,17 +44,22 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether no answer is in transit."""
+        """Whether every tracked answer has an outcome."""
         return not self._in_transit
 
     def track(self, sequence: int, stream: Stream) -> None:
-        """The answer of this usage was just written to a stream."""
+        """Starts tracking an answer; call it directly after the answer was written to the stream.
+
+        Args:
+            sequence: Sequence number of the answer's usage.
+            stream: Stream of the gateway's connection.
+        """
         self._in_transit.append(SentAnswer(sequence, stream, stream.queued_bytes, self._loop.now_ms))
 
-    def settle_known(self) -> None:
-        """Queues the outcomes that are known by now."""
+    def queue_known_outcomes(self) -> None:
+        """Adds the outcomes known by now to the usage queue and stops tracking their answers."""
         still_in_transit: deque[SentAnswer] = deque()
-        unacknowledged_bytes: dict[Stream, int] = {}  # asked once a stream
+        unacknowledged_bytes: dict[Stream, int] = {}  # one system call per stream
         for answer in self._in_transit:
             outcome = self._outcome(answer, unacknowledged_bytes)
             if outcome is None:
@@ -63,14 +68,14 @@
                 self._queue.add_outcome(outcome, answer.sequence)
         self._in_transit = still_in_transit
 
-    def dispute_rest(self) -> None:
-        """Nothing more will be known: whatever is in transit is disputed."""
+    def dispute_remaining(self) -> None:
+        """Marks all answers still in transit as disputed; call it when the server stops."""
         for answer in self._in_transit:
             self._queue.add_outcome(DeliveryOutcome.DISPUTED, answer.sequence)
         self._in_transit.clear()
 
     def _outcome(self, answer: SentAnswer, unacknowledged_bytes: dict[Stream, int]) -> DeliveryOutcome | None:
-        """What became of an answer; None where it is not known yet."""
+        """Returns the outcome of an answer; None if it is not known yet."""
         stream = answer.stream
         is_sent = stream.sent_bytes >= answer.end_offset_bytes
         if not stream.is_open:
@@ -82,7 +87,7 @@
             return None
         if stream not in unacknowledged_bytes:
             unacknowledged_bytes[stream] = _unacknowledged_bytes(stream)
-        # Acknowledged up to here: what the kernel still has is the end of what was sent.
+        # The unacknowledged bytes are always the last ones sent, so all bytes before them are acknowledged.
         if stream.sent_bytes - unacknowledged_bytes[stream] >= answer.end_offset_bytes:
             return DeliveryOutcome.DELIVERED
         if self._loop.now_ms - answer.sent_ms < DELIVERY_TIMEOUT_MS:
@@ -91,5 +96,5 @@
 
 
 def _unacknowledged_bytes(stream: Stream) -> int:
-    """What was sent and is not acknowledged by the other side's kernel."""
+    """Returns the number of sent bytes that the other side's kernel has not acknowledged."""
     return int.from_bytes(ioctl(stream.sock, TIOCOUTQ, bytes(TIOCOUTQ_BYTES)), "little")
--- a/landingshift/ledger/entries.py
+++ b/landingshift/ledger/entries.py
@@ -1,8 +1,8 @@
-"""The entries of the ledger: only ever appended, each with a hash over the one before it.
+"""Entry types of the append-only ledger and the hash chain over them.
 
-An entry's hash is blake2b of 16 bytes over the hash before it, its kind and its data (MessagePack of the
-struct as an array: fields are stored by position). Lists of numbers are packed as `number_ranges`
-specifies.
+The hash of an entry is a 16-byte blake2b digest of the previous entry's hash, the entry's kind and its data.
+The data is the struct as a MessagePack array, so fields are stored by position. Lists of entry numbers are
+stored as ranges, see `number_ranges`.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 HASH_BYTES = 16
 IDENTITY_BYTES = 16
 GENESIS_HASH = bytes(HASH_BYTES)
-"""The hash before the first entry."""
+"""Stands for the previous hash of the first entry."""
 
 
 class EntryKind(IntEnum):
-    """Stored with each entry; the values never change."""
+    """Type of an entry as stored in the ledger; existing values must never change."""
 
     OPENED = 1
     NAME = 2
@@ -36,123 +36,152 @@
 
 
 class Opened(Struct, array_like=True):
-    """A server run opened the ledger; what its predecessor left unsettled is disputed from here on."""
+    """Records the start of a server process, and disputes usage that an earlier process left pending."""
 
     run_id: bytes
+    """Identifies the server process."""
     at_ms: int
     """Unix time."""
     disputed: list[int]
-    """Ranges of usage entries."""
+    """Ranges of usage entries that become disputed."""
 
 
 class NameEntry(Struct, array_like=True):
-    """A tenant or a method; later entries refer to it by this entry's number."""
+    """Records the name of a tenant or a method; later entries refer to the name by this entry's number."""
 
     is_tenant: bool
+    """True for a tenant, False for a method."""
     name: bytes
 
 
 class UsageRecord(Struct, array_like=True):
-    """One RPC answered ok."""
+    """Records the usage of one RPC that was answered ok."""
 
     sequence: int
-    """The server run's own count of its usage."""
+    """Number of this usage record within the server process, from 1."""
     at_ms: int
-    """Unix time."""
+    """Unix time at which the answer was ready."""
     tenant_number: int
-    """Entry that names the tenant."""
+    """Number of the entry that names the tenant."""
     method_number: int
-    """Entry that names the method."""
+    """Number of the entry that names the method."""
     work_us: int
+    """Run time on the engine."""
     bytes_in: int
+    """Size of the request body."""
     bytes_out: int
+    """Size of the result."""
     identity: bytes
-    """Names the client's attempt, as `attempt_identity` gives it."""
+    """Identity of the client's attempt, computed by `attempt_identity`."""
 
 
 class Settlement(Struct, array_like=True):
-    """What became of usage, as ranges of usage entries."""
+    """Records the outcome of pending usage; each field holds ranges of usage entries."""
 
     counted: list[int]
+    """Usage that is billed."""
     duplicates: list[int]
-    """Attempts whose identity was counted within the window."""
+    """Usage whose identity was already counted within the deduplication window; not billed."""
     undelivered: list[int]
-    """The answer never left complete."""
+    """Usage whose answer was never sent completely; not billed."""
     disputed: list[int]
-    """Whether the answer arrived is unknown."""
+    """Usage for which it is unknown whether the answer arrived."""
 
 
 class Correction(Struct, array_like=True):
-    """An operator's change of what a tenant is billed."""
+    """Records a change that an operator made to what a tenant is billed."""
 
     at_ms: int
+    """Unix time."""
     tenant_number: int
+    """Number of the entry that names the tenant."""
     method_number: int
+    """Number of the entry that names the method."""
     service_period: str
-    """The period that the correction is about."""
+    """Period whose usage is corrected."""
     period: str
-    """The open period in which it counts."""
+    """Open period in which the correction is billed."""
     uses: int
+    """Change of the number of RPCs."""
     work_us: int
+    """Change of the run time on the engine."""
     amount: str
-    """A decimal number in the plan's currency, or empty."""
+    """Change of the amount due: a decimal number in the price plan's currency, or empty."""
     reason: str
     author: str
+    """Name of the operator."""
 
 
 class PeriodClose(Struct, array_like=True):
-    """A period is closed; its totals never change afterwards."""
+    """Records that a period was closed; the totals of a closed period never change."""
 
     at_ms: int
+    """Unix time at which the period was closed."""
     period: str
     start_ms: int
+    """Unix time of the start of the period."""
     end_ms: int
+    """Unix time of the end of the period, exclusive."""
     totals_digest: bytes
+    """Digest of the period's totals, computed by `period_digest`."""
 
 
 class UsageGap(Struct, array_like=True):
-    """Usage that could not be stored: counted, never billed."""
+    """Records how much usage was dropped because the queue was full; dropped usage is never billed."""
 
     at_ms: int
+    """Unix time at which the gap was stored."""
     dropped_count: int
+    """Number of dropped usage records."""
 
 
 class Resolution(Struct, array_like=True):
-    """An operator's decision about disputed usage."""
+    """Records an operator's decision about disputed usage."""
 
     at_ms: int
+    """Unix time."""
     billed: list[int]
-    """Ranges of usage entries."""
+    """Ranges of usage entries that are billed."""
     waived: list[int]
-    """Ranges of usage entries."""
+    """Ranges of usage entries that are not billed."""
     reason: str
     author: str
+    """Name of the operator."""
 
 
 class Compaction(Struct, array_like=True):
-    """Settled usage up to one is removed; the chain goes on from its hash, the totals from a baseline."""
+    """Records that settled usage up to entry `last_number` was removed.
+
+    An audit continues the hash chain from `last_hash` and the totals from the stored baseline.
+    """
 
     at_ms: int
+    """Unix time."""
     period: str
-    """Closed, and the last that has lost its usage records."""
+    """Last closed period whose usage records were removed."""
     last_number: int
-    """The last entry of the compacted part."""
+    """Number of the last entry of the compacted part."""
     last_hash: bytes
+    """Hash of that entry."""
     retained_digest: bytes
-    """Digest of the entries up to `last_number` that stayed."""
+    """Digest of the entries up to `last_number` that were kept."""
     baseline_digest: bytes
-    """Digest of the totals as they were at `last_number`."""
+    """Digest of the totals after entry `last_number`."""
     closed_end_ms: int
-    """End of the last period that was closed by then."""
+    """End of the last period closed at or before entry `last_number`, Unix time."""
 
 
 class EntryRow(NamedTuple):
-    """An entry as it is stored, in the order of the columns."""
+    """An entry as stored in the table `entries`, in the order of its columns."""
 
     number: int
+    """Position in the ledger, from 1."""
     kind: int
+    """Value of `EntryKind`."""
     data: bytes
+    """Encoded struct of that kind."""
     hash: bytes
+    """Hash of the chain up to this entry."""
 
 
 Entry = (
@@ -184,11 +213,11 @@
 
 
 def decode(kind: int, data: bytes) -> Entry:
-    """Decodes an entry of any kind.
+    """Decodes the data of an entry of the given kind.
 
     Raises:
-        msgspec.DecodeError: The data is not what any build has written.
-        UnknownEntryKindError: There is no such kind.
+        msgspec.DecodeError: The data does not decode as this kind.
+        UnknownEntryKindError: The kind is unknown.
     """
     decoder = _DECODERS.get(kind)
     if decoder is None:
@@ -201,24 +230,24 @@
     """Decodes the data of a usage entry.
 
     Raises:
-        msgspec.DecodeError: The data is not what any build has written.
+        msgspec.DecodeError: The data does not decode as a usage record.
     """
     record: UsageRecord = _DECODERS[EntryKind.USAGE].decode(data)
     return record
 
 
 def decode_period_close(data: bytes) -> PeriodClose:
-    """Decodes the data of a period's close.
+    """Decodes the data of a period close.
 
     Raises:
-        msgspec.DecodeError: The data is not what any build has written.
+        msgspec.DecodeError: The data does not decode as a period close.
     """
     period_close: PeriodClose = _DECODERS[EntryKind.PERIOD_CLOSE].decode(data)
     return period_close
 
 
 def chain_hash(previous_hash: bytes, kind: int, data: bytes) -> bytes:
-    """The hash of an entry that follows the one with `previous_hash`."""
+    """Returns the hash of an entry, given the hash of the entry before it."""
     digest = blake2b(previous_hash, digest_size=HASH_BYTES)
     digest.update(bytes((kind,)))
     digest.update(data)
@@ -226,16 +255,16 @@
 
 
 def attempt_identity(tenant: bytes, method: bytes, has_attempt_id: bool, content: bytes) -> bytes:
-    """Identifies a client's attempt, so that its retries are counted once.
+    """Returns a 16-byte digest that identifies a client's attempt, so that its retries are counted once.
 
-    Lengths stand before the parts: names may hold any bytes, and two attempts must not get one digest by
-    that.
+    The lengths of the names are part of the digest. Names may hold any bytes, and without the lengths two
+    pairs of names whose concatenation is equal would give the same digest.
 
     Args:
         tenant: Name of the tenant.
         method: Name of the method.
-        has_attempt_id: Whether `content` names the attempt (a token, a key or the installation's field).
-        content: What names the attempt, else the body of the RPC.
+        has_attempt_id: Whether `content` is an attempt ID (a token, a key or a configured field of the RPC).
+        content: The attempt ID, or the body of the RPC if it has none.
     """
     parts = b"%d %d %b%b%b" % (len(tenant), len(method), tenant, method, content)
     person = b"use:mark" if has_attempt_id else b"use:body"
--- a/landingshift/ledger/entry_history.py
+++ b/landingshift/ledger/entry_history.py
@@ -1,6 +1,6 @@
-"""An entry as text for operators, and of usage what became of it.
+"""Formats entries as text for `ledger show`, and lists the later outcomes of a usage entry.
 
-The printed names of entries and fields are those that operators know; they are mapped here.
+Operators' scripts may read the printed names, so these are fixed here and do not follow the code's names.
 """
 
 from __future__ import annotations
@@ -51,15 +51,16 @@
     Resolution: ("Resolved", ("at", "billed", "waived", "reason", "who")),
     Compaction: ("Compacted", ("at", "period", "last", "hash", "kept", "baseline", "until")),
 }
-"""Printed name and, in the order of the fields, their printed names; usage is described in sentences."""
+"""Printed name of each entry type and its fields, in the order of the struct. Usage entries are described in
+sentences and have no row."""
 DISPUTED = "disputed"
 
 
 def describe_entry(reader: StoreReader, number: int) -> Iterator[str]:
-    """Lines about an entry, and of usage what became of it.
+    """Yields lines of text that describe an entry and, for a usage entry, its outcomes.
 
     Raises:
-        UnknownEntryError: There is no such entry.
+        UnknownEntryError: There is no entry with this number.
     """
     row = reader.row(number)
     if row is None:
@@ -79,7 +80,7 @@
 
 
 def format_entry(entry: Entry) -> str:
-    """Any entry but usage on one line."""
+    """Returns any entry except a usage entry as one line of text."""
     name, printed_fields = PRINTED_FIELDS[type(entry)]
     values = [getattr(entry, field) for field in entry.__struct_fields__]
     fields = ", ".join(f"{field}={value!r}" for field, value in zip(printed_fields, values, strict=True))
@@ -96,7 +97,7 @@
 
 
 def _outcomes(entry: Entry, number: int) -> list[str]:
-    """What an entry says of the usage with this number."""
+    """Returns descriptions of the outcomes that `entry` gives to the usage entry with this number."""
     match entry:
         case Settlement():
             outcomes = [
--- a/landingshift/ledger/errors.py
+++ b/landingshift/ledger/errors.py
@@ -1,4 +1,4 @@
-"""Errors of usage metering; each builds its own text and carries what it is about."""
+"""Errors of usage metering. Each error builds its message from the values that it keeps as attributes."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class LedgerError(LandingshiftError):
-    """Base of the errors of usage metering."""
+    """Base class of the errors of usage metering."""
 
 
 class InvalidSettingError(LedgerError, ValueError):
-    """A key of the table `[ledger]` has a value that can't be used."""
+    """A key of the TOML table `[ledger]` has an invalid value."""
 
     def __init__(self, key: str, problem: str) -> None:
         super().__init__(f"{key}: {problem}")
@@ -19,7 +19,7 @@
 
 
 class InvalidPriceError(LedgerError, ValueError):
-    """A key of the price plan has a value that can't be used."""
+    """A key of a price plan has an invalid value."""
 
     def __init__(self, key: str, problem: str) -> None:
         super().__init__(f"{key}: {problem}")
@@ -28,7 +28,7 @@
 
 
 class InvalidPricePlanError(LedgerError, ValueError):
-    """A file with prices can't be used; the text names file, table and key."""
+    """A price plan file can't be read or is invalid; the message names the file and the key."""
 
     def __init__(self, path: str, problem: str) -> None:
         super().__init__(f"{path}: {problem}")
@@ -37,7 +37,7 @@
 
 
 class InvalidReceiverUrlError(LedgerError, ValueError):
-    """The address of a receiver is none of HTTP."""
+    """The URL of an export receiver is not an http or https URL."""
 
     def __init__(self, url: str) -> None:
         super().__init__(f"{url}: an http or https address is expected")
@@ -45,19 +45,19 @@
 
 
 class ReceiverUnavailableError(LedgerError):
-    """No reply that could be read: whether the receiver applied what was sent is unknown."""
+    """The receiver sent no valid reply, so it is unknown whether it applied the request."""
 
 
 class UnknownEntryKindError(LedgerError, ValueError):
-    """An entry has a kind that no build has written."""
+    """The kind of an entry is not a value of `EntryKind`."""
 
     def __init__(self, kind: int) -> None:
-        super().__init__(f"{kind} is not a valid Kind")
+        super().__init__(f"unknown entry kind {kind}")
         self.kind = kind
 
 
 class ReceiverConnectionError(ReceiverUnavailableError):
-    """The connection failed, or the reply is none of the protocol."""
+    """The connection to the receiver failed, or its reply violates the protocol."""
 
     def __init__(self, cause: Exception) -> None:
         super().__init__(f"{type(cause).__name__}: {cause}")
@@ -65,7 +65,7 @@
 
 
 class UnexpectedStatusError(ReceiverUnavailableError):
-    """The receiver replied with a status that the protocol does not know."""
+    """The receiver replied with an HTTP status that the protocol does not define."""
 
     def __init__(self, status: int) -> None:
         super().__init__(f"status {status}")
@@ -73,14 +73,14 @@
 
 
 class EmptyReplyError(ReceiverUnavailableError):
-    """The receiver's reply says nothing."""
+    """The receiver's reply does not name an instance."""
 
     def __init__(self) -> None:
-        super().__init__("an empty reply")
+        super().__init__("the reply names no instance")
 
 
 class StoreUnavailableError(LedgerError):
-    """A store can't be used; the text names the store and what keeps it from being used."""
+    """A store can't be used; the message names the store and the problem."""
 
     def __init__(self, source: str, problem: object) -> None:
         super().__init__(f"{source}: {problem}")
@@ -89,7 +89,7 @@
 
 
 class StoreLockedError(StoreUnavailableError):
-    """Another server holds the store."""
+    """Another server has locked the store."""
 
     def __init__(self, path: str, holder: str) -> None:
         super().__init__(path, f"held by another server (process {holder or 'unknown'})")
@@ -97,7 +97,7 @@
 
 
 class StoreMismatchError(StoreUnavailableError):
-    """A store was made with another instance, time zone or period unit."""
+    """A store was created for another instance, time zone, period unit, window or schema version."""
 
     def __init__(self, path: str, key: str, stored: object, expected: object) -> None:
         super().__init__(path, f"its {key} is {stored!r}, not {expected!r}")
@@ -110,12 +110,12 @@
     """An entry's hash does not follow from the entry before it."""
 
     def __init__(self, instance: str, entry_number: int) -> None:
-        super().__init__(instance, f"entry {entry_number} is changed, or out of its order")
+        super().__init__(instance, f"entry {entry_number} was changed or is out of order")
         self.entry_number = entry_number
 
 
 class MissingEntryError(StoreUnavailableError):
-    """An entry came without the one before it."""
+    """An entry was received without the entry before it."""
 
     def __init__(self, instance: str, missing_number: int, entry_number: int) -> None:
         super().__init__(instance, f"entry {missing_number} is missing before {entry_number}")
@@ -124,11 +124,11 @@
 
 
 class CommandRejectedError(LedgerError):
-    """A command or batch would break a guarantee; the text says which and why. Nothing was changed."""
+    """A command or batch was rejected because it would break a guarantee; the ledger is unchanged."""
 
 
 class InvalidPeriodError(CommandRejectedError, ValueError):
-    """A name that names no period of the ledger's unit."""
+    """A name is not the name of a period of the ledger's unit."""
 
     def __init__(self, name: str, unit: str, example: str) -> None:
         super().__init__(f"{name!r} names no {unit}; one like {example} does")
@@ -137,41 +137,41 @@
 
 
 class BatchOutOfOrderError(CommandRejectedError):
-    """A batch of the server does not follow the last one that was committed."""
+    """The number of a batch is not the one after the last applied batch."""
 
     def __init__(self, batch_number: int, last_batch_number: int) -> None:
-        super().__init__(f"batch {batch_number} after {last_batch_number}: the server and the store disagree")
+        super().__init__(f"batch {batch_number} was received after batch {last_batch_number}")
         self.batch_number = batch_number
         self.last_batch_number = last_batch_number
 
 
 class UnknownUsageError(CommandRejectedError):
-    """An outcome is about usage that is not pending."""
+    """A batch reports the outcome of usage that is not pending."""
 
     def __init__(self, sequence: int) -> None:
-        super().__init__(f"use {sequence} is not there or settled: the server and the store disagree")
+        super().__init__(f"outcome for usage {sequence}, which is unknown or already settled")
         self.sequence = sequence
 
 
 class PeriodNotEndedError(CommandRejectedError):
-    """A period is to be closed before its end."""
+    """A command tried to close a period before its end."""
 
     def __init__(self, period: str) -> None:
-        super().__init__(f"{period} has not ended: nothing can be closed before its time")
+        super().__init__(f"{period} has not ended and can't be closed yet")
         self.period = period
 
 
 class EarlierPeriodOpenError(CommandRejectedError):
-    """Periods are closed in their order."""
+    """A command tried to close a period while an earlier one is open."""
 
     def __init__(self, earlier: str, period: str) -> None:
-        super().__init__(f"{earlier} is open and comes before {period}: close it first")
+        super().__init__(f"{earlier} is before {period} and still open: close it first")
         self.earlier = earlier
         self.period = period
 
 
 class PeriodNotBegunError(CommandRejectedError):
-    """A correction is about a period that lies in the future."""
+    """A correction refers to a period in the future."""
 
     def __init__(self, period: str) -> None:
         super().__init__(f"{period} has not begun")
@@ -179,7 +179,7 @@
 
 
 class PeriodNotClosedError(CommandRejectedError):
-    """Only closed periods are compacted."""
+    """A command tried to compact a period that is still open."""
 
     def __init__(self, period: str) -> None:
         super().__init__(f"{period} is not closed")
@@ -187,14 +187,14 @@
 
 
 class EmptyCorrectionError(CommandRejectedError):
-    """A correction changes nothing."""
+    """A correction changes neither uses, work nor the amount."""
 
     def __init__(self) -> None:
         super().__init__("a correction of nothing: state uses, work or an amount")
 
 
 class MissingReasonError(CommandRejectedError):
-    """An operator's entry has no reason."""
+    """A correction or resolution was entered without a reason."""
 
     def __init__(self, subject: str) -> None:
         super().__init__(f"a {subject} needs a reason")
@@ -202,7 +202,7 @@
 
 
 class CorruptLedgerError(CommandRejectedError):
-    """An audit found an entry that does not hold, which the command must not build on."""
+    """A command was rejected because an audit found an inconsistent entry."""
 
     def __init__(self, entry_number: int, problem: str, consequence: str) -> None:
         super().__init__(f"entry {entry_number}: {problem}; {consequence}")
@@ -211,7 +211,7 @@
 
 
 class EntriesNotExportedError(CommandRejectedError):
-    """Usage that no receiver has must not be compacted."""
+    """A command tried to compact entries that were not exported yet."""
 
     def __init__(self, first_number: int, last_number: int) -> None:
         super().__init__(f"entry {first_number} of {last_number} is not exported yet")
@@ -220,7 +220,7 @@
 
 
 class DivergedLedgerError(CommandRejectedError):
-    """A ledger has entries of its own that the merged ledger's branch has not."""
+    """A ledger has entries that the merged ledger's branch of it does not have."""
 
     def __init__(self, entry_number: int) -> None:
         super().__init__(
@@ -230,7 +230,7 @@
 
 
 class UnknownEntryError(CommandRejectedError):
-    """There is no entry of this number."""
+    """The ledger has no entry with this number."""
 
     def __init__(self, entry_number: int) -> None:
         super().__init__(f"{entry_number}: there is no such entry")
@@ -238,7 +238,7 @@
 
 
 class UnknownTenantError(CommandRejectedError):
-    """A correction names a tenant that has no usage."""
+    """A correction names a tenant that no entry of the ledger names."""
 
     def __init__(self, tenant: str) -> None:
         super().__init__(f"tenant: {tenant!r} has no entry in this ledger")
@@ -246,7 +246,7 @@
 
 
 class InvalidDisputeSelectionError(CommandRejectedError):
-    """A resolution names usage that is not disputed, names it twice, or names none."""
+    """A resolution lists usage that is not disputed, lists an entry twice, or lists none."""
 
     def __init__(self, entry_numbers: list[int]) -> None:
         super().__init__(f"not disputed, named twice or none named: {entry_numbers}")
@@ -254,14 +254,14 @@
 
 
 class NoPricePlanError(CommandRejectedError):
-    """A statement needs prices and the settings name none."""
+    """A statement was requested, but the settings have no price plan."""
 
     def __init__(self) -> None:
-        super().__init__("[ledger] plan: no prices are named")
+        super().__init__("[ledger] plan: no price plan is set")
 
 
 class NothingToBillError(CommandRejectedError):
-    """A tenant has nothing in a period."""
+    """A statement was requested for a tenant without usage or corrections in the period."""
 
     def __init__(self, tenant: str, period: str) -> None:
         super().__init__(f"{tenant}: nothing in {period}")
@@ -270,8 +270,8 @@
 
 
 class FileExistsAlreadyError(CommandRejectedError):
-    """A backup never overwrites a file."""
+    """The target file of a backup already exists."""
 
     def __init__(self, path: str) -> None:
-        super().__init__(f"{path}: is there already")
+        super().__init__(f"{path}: the file already exists")
         self.path = path
--- a/landingshift/ledger/export_cursor.py
+++ b/landingshift/ledger/export_cursor.py
@@ -1,9 +1,9 @@
-"""The export's state machine: what the exporter does next. No I/O: replies come in, one step comes out.
+"""State machine of the export: decides the exporter's next step from the receiver's replies. No I/O.
 
-Guarantee: the receiver is the authority on what it has; each reply carries its cursor and the chain's hash
-there. The exporter sends from that cursor and from nowhere else, so that a reply that is lost, old or
-doubled can only make it send again what the receiver will not apply again. Failure mode: where the
-receiver's past is not this ledger's, the export stops, since going on could bill twice or not at all.
+Guarantee: each reply contains the receiver's cursor (the last entry it has) and the chain's hash at that
+entry, and the exporter always sends from that cursor. A lost, late or duplicate reply can only cause entries
+to be sent again, which the receiver ignores. Failure mode: if the receiver's hash differs from this ledger's,
+the export stops, since continuing could bill usage twice or not at all.
 """
 
 from __future__ import annotations
@@ -14,39 +14,40 @@
 
 INITIAL_BACKOFF_MS = 100.0
 MAX_BACKOFF_MS = 30_000.0
-MAX_DOUBLING_COUNT = 20  # past it the backoff is at its maximum anyway
-MAX_STALLED_REPLY_COUNT = 20  # replies in a row that bring nothing forward, before the exporter backs off
+MAX_DOUBLING_COUNT = 20  # avoids a float overflow; the backoff reaches its maximum long before
+MAX_STALLED_REPLY_COUNT = 20  # consecutive replies without progress after which the exporter backs off
 
 
 @dataclass(slots=True, frozen=True)
 class SendBatch:
-    """Send a batch of what comes after an entry."""
+    """Step: send a batch of the entries after entry `after`."""
 
     after: int
 
 
 @dataclass(slots=True, frozen=True)
 class QueryCursor:
-    """Ask for the receiver's cursor."""
+    """Step: ask the receiver for its cursor."""
 
 
 @dataclass(slots=True, frozen=True)
 class Wait:
-    """Do nothing for a time."""
+    """Step: wait before the next request."""
 
     delay_ms: float
 
 
 @dataclass(slots=True, frozen=True)
 class Idle:
-    """All is exported."""
+    """Step: do nothing, because the receiver has all entries."""
 
 
 @dataclass(slots=True, frozen=True)
 class Stop:
-    """An operator has to look: going on could bill twice or not at all."""
+    """Step: stop, because continuing could bill usage twice or not at all; an operator must intervene."""
 
     reason: str
+    """Description for the operator."""
 
 
 ExportStep = SendBatch | QueryCursor | Wait | Idle | Stop
@@ -56,19 +57,19 @@
     """Decides the exporter's next step.
 
     Attributes:
-        receiver_cursor: The entry up to which the receiver has everything; None where it must be asked.
-        furthest_cursor: The furthest that it ever was.
-        failure_count: Failures in a row.
-        stalled_reply_count: Replies in a row that brought nothing forward.
-        rewind_count: Times that the receiver had less than before.
+        receiver_cursor: Number of the last entry that the receiver has; None if it must be queried.
+        furthest_cursor: Highest cursor that the receiver has reported.
+        failure_count: Number of consecutive failed requests.
+        stalled_reply_count: Number of consecutive replies without progress.
+        rewind_count: Number of times that the receiver's cursor went back, for example to a restored backup.
     """
 
     def __init__(self, hash_at: Callable[[int], bytes | None], rng: Random) -> None:
-        """Begins without knowing the receiver.
+        """Creates the state machine; the first step queries the receiver's cursor.
 
         Args:
-            hash_at: The chain's hash at an entry, None where this ledger has it not.
-            rng: Spreads the backoff.
+            hash_at: Returns the chain's hash at an entry, or None if this ledger does not have the entry.
+            rng: Source of the backoff's jitter.
         """
         self._hash_at = hash_at
         self._rng = rng
@@ -80,7 +81,11 @@
         self._has_backed_off = False
 
     def next_step(self, newest_number: int) -> ExportStep:
-        """The next step, where the ledger's newest entry is `newest_number`."""
+        """Returns the next step.
+
+        Args:
+            newest_number: Number of the ledger's newest entry.
+        """
         if self.failure_count and not self._has_backed_off:
             self._has_backed_off = True
             return Wait(self._backoff_ms())
@@ -91,22 +96,25 @@
         return SendBatch(self.receiver_cursor)
 
     def on_request_failed(self) -> None:
-        """No reply, or none that could be read: the batch may have been applied, the next step asks."""
+        """Handles a request without a valid reply.
+
+        The receiver may have applied the batch, so after the backoff its cursor is queried.
+        """
         self._start_backoff()
         self.receiver_cursor = None
 
     def on_reply(self, cursor: int, cursor_hash: bytes, newest_number: int) -> Stop | None:
-        """Takes in a complete reply.
+        """Handles a valid reply.
 
         Args:
-            cursor: The receiver's.
-            cursor_hash: The chain's hash that the receiver has there.
-            newest_number: The ledger's newest entry.
+            cursor: Number of the last entry that the receiver has.
+            cursor_hash: The chain's hash at that entry, as known to the receiver.
+            newest_number: Number of the ledger's newest entry.
 
         Returns:
-            Stop where the receiver's past is not this ledger's.
+            `Stop` if the receiver's entries are not those of this ledger; else None.
         """
-        stop = self._contradiction(cursor, cursor_hash, newest_number)
+        stop = self._find_divergence(cursor, cursor_hash, newest_number)
         if stop is not None:
             return stop
         previous_cursor = self.receiver_cursor
@@ -124,7 +132,7 @@
             self.failure_count = 0
         return None
 
-    def _contradiction(self, cursor: int, cursor_hash: bytes, newest_number: int) -> Stop | None:
+    def _find_divergence(self, cursor: int, cursor_hash: bytes, newest_number: int) -> Stop | None:
         if cursor > newest_number:
             return Stop(
                 f"the receiver has up to entry {cursor}, this ledger ends at {newest_number}: an old backup?"
@@ -141,7 +149,7 @@
         self._has_backed_off = False
 
     def _backoff_ms(self) -> float:
-        """Exponential with jitter, so that many exporters do not come back at once."""
+        """Returns an exponential delay with jitter, so that many exporters do not retry at the same time."""
         doublings = min(self.failure_count - 1, MAX_DOUBLING_COUNT)
         limit_ms: float = min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2.0**doublings)
         return limit_ms * (0.5 + 0.5 * self._rng.random())
--- a/landingshift/ledger/export_records.py
+++ b/landingshift/ledger/export_records.py
@@ -1,4 +1,4 @@
-"""Entries as records for the receiver: usage in the order it was settled, corrections, closed periods."""
+"""Converts entries to export records: usage in the order of settlement, corrections and period closes."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 from landingshift.ledger.number_ranges import iterate_ranges
 from landingshift.ledger.store import UsageStore
 
-MAX_BATCH_RECORD_COUNT = 2000  # an entry's own are never parted
-MAX_BATCH_ENTRY_COUNT = 20_000  # looked at for one batch
+MAX_BATCH_RECORD_COUNT = 2000  # exceeded by the records of the last entry, which are never split
+MAX_BATCH_ENTRY_COUNT = 20_000  # entries read for one batch, most of which give no record
 MAX_CACHED_NAME_COUNT = 65_536
 EXPORTED_KINDS = (
     EntryKind.SETTLEMENT,
@@ -30,15 +30,19 @@
 
 
 class ExportReader:
-    """Reads one store, forward. Usage gets the period that the ledger gave it: by the closes before it."""
+    """Builds batches from the entries of one store.
+
+    Usage is assigned to the same billing period as in the ledger, by the periods that were closed before its
+    settlement.
+    """
 
     def __init__(self, store: UsageStore) -> None:
         self._store = store
-        self._period_closes: list[tuple[int, int]] = []  # entry, end of the period
+        self._period_closes: list[tuple[int, int]] = []  # entry number, end of the closed period
         self._names: dict[int, bytes] = {}
 
     def hash_at(self, number: int) -> bytes | None:
-        """The chain's hash at an entry; None where this ledger has it not."""
+        """Returns the chain's hash at an entry; None if this ledger does not have that hash."""
         if number == 0:
             return GENESIS_HASH
         row = self._store.row(number)
@@ -50,13 +54,13 @@
         return None
 
     def newest_number(self) -> int:
-        """The ledger's newest entry."""
+        """Returns the number of the ledger's newest entry."""
         return self._store.newest_number()
 
     def next_batch(self, after: int) -> Batch | None:
-        """What comes after this entry; None at the ledger's end."""
+        """Returns a batch of the records after entry `after`; None if there is no later entry."""
         batch = Batch(instance=self._store.instance, to=after)
-        setattr(batch, "from", after)  # the field's name is a keyword of Python
+        setattr(batch, "from", after)  # the name of the field is a Python keyword
         batch.from_hash = self.hash_at(after) or b""
         for entry_count, row in enumerate(self._store.rows(after + 1)):
             if entry_count >= MAX_BATCH_ENTRY_COUNT or len(batch.records) >= MAX_BATCH_RECORD_COUNT:
@@ -119,7 +123,7 @@
         )
 
     def _closed_end_ms_before(self, number: int) -> int:
-        """End of the last period that was closed when this entry was made."""
+        """Returns the end of the last period closed before this entry, Unix time; 0 if there is none."""
         last_known = self._period_closes[-1][0] if self._period_closes else 0
         self._period_closes += self._store.period_close_ends(last_known)
         ends = (end_ms for close_number, end_ms in self._period_closes if close_number < number)
--- a/landingshift/ledger/exporter.py
+++ b/landingshift/ledger/exporter.py
@@ -1,4 +1,4 @@
-"""Carries out the steps of the export cursor, in a process of its own."""
+"""Delivers the entries of a store to a receiver; runs in the process of `ledger export`."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 from landingshift.ledger.receiver_client import BATCH_PATH, Receiver, cursor_path
 from landingshift.ledger.store import UsageStore
 
-POLL_INTERVAL_MS = 1000.0  # between two looks for new entries where the exporter goes on
+POLL_INTERVAL_MS = 1000.0  # between two checks for new entries with `follow`
 
 Log = Callable[..., None]
 
 
 class Exporter:
-    """Delivers a store's entries to a receiver.
+    """Executes the steps of an `ExportCursor` with the store and the receiver.
 
     Attributes:
-        cursor: What the receiver has and what is next.
+        cursor: State of the export.
     """
 
     def __init__(
@@ -42,14 +42,14 @@
         log: Log,
         sleep: Callable[[float], None] = time.sleep,
     ) -> None:
-        """Begins without knowing the receiver.
+        """Creates an exporter; the first request queries the receiver's cursor.
 
         Args:
-            store: The store.
-            receiver: Gets the entries.
-            rng: Spreads the backoff.
-            log: Takes an event and its fields.
-            sleep: Waits for so many seconds.
+            store: Store to export.
+            receiver: Receiver of the records.
+            rng: Source of the backoff's jitter.
+            log: Function that logs an event and its fields.
+            sleep: Function that waits for a number of seconds.
         """
         self._store = store
         self._receiver = receiver
@@ -59,13 +59,13 @@
         self.cursor = ExportCursor(self._entries.hash_at, rng)
 
     def run(self, follow: bool = False) -> Stop | None:
-        """Exports until all is exported, or without an end.
+        """Exports all entries that the receiver does not have yet.
 
         Args:
-            follow: Whether to go on as new entries come.
+            follow: Whether to keep exporting new entries instead of returning when all are exported.
 
         Returns:
-            A stop where an operator has to look; None where all is exported.
+            None when all entries are exported; a `Stop` if the receiver's entries differ from this ledger's.
         """
         while True:
             step = self.cursor.next_step(self._entries.newest_number())
@@ -85,7 +85,7 @@
                 return stop
 
     def _carry_out(self, step: ExportStep) -> Ack | None:
-        """The receiver's reply, where the step asks for one."""
+        """Executes a step; returns the receiver's reply if the step was a request."""
         match step:
             case Wait(delay_ms=delay_ms):
                 self._sleep(delay_ms / 1000.0)
@@ -104,7 +104,7 @@
         self.cursor.on_request_failed()
         failure_count = self.cursor.failure_count
         is_power_of_two = failure_count & (failure_count - 1) == 0
-        if is_power_of_two:  # few lines however long the receiver is away
+        if is_power_of_two:  # keeps the log short during a long outage
             self._log("export_failed", error=str(error), fails=failure_count)
 
     def _on_reply(self, reply: Ack) -> Stop | None:
--- a/landingshift/ledger/index_writer.py
+++ b/landingshift/ledger/index_writer.py
@@ -1,4 +1,4 @@
-"""Writes the tables that are an index over the entries. Each call belongs into a commit."""
+"""Writes the index tables, which are derived from the entries."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 
 
 class IndexWriter:
-    """The index of one store."""
+    """Writes the index tables of one store. All methods must be called within a transaction."""
 
     def __init__(self, db: sqlite3.Connection) -> None:
         self._db = db
 
     def clear(self) -> None:
-        """Empties all tables but the baseline."""
+        """Empties all index tables; the baseline, which can't be derived from the entries, is kept."""
         for table in INDEX_TABLES:
             self._db.execute(f"DELETE FROM {table}")
 
     def add_totals(self, totals: Totals) -> None:
-        """Adds usage to the totals and to the sums of the periods."""
+        """Adds usage to the totals per tenant and method and to the sums per period."""
         rows = [(*key.as_row(), *usage.as_row()) for key, usage in totals.items()]
         self._db.executemany(ADD_TOTALS, rows)
         sums = [(period, *usage.as_row()) for period, usage in sum_by_period(totals).items()]
@@ -50,16 +50,16 @@
         self._db.executemany("INSERT INTO corrections VALUES(?, ?)", rows)
 
     def add_disputed(self, numbers: Iterable[int]) -> None:
-        """Usage entries that are disputed from now on."""
+        """Adds usage entries that became disputed."""
         self._db.executemany("INSERT INTO disputed VALUES(?)", [(number,) for number in numbers])
 
     def remove_disputed(self, numbers: Iterable[int]) -> None:
-        """Usage entries that are disputed no longer."""
+        """Removes usage entries whose dispute was resolved."""
         rows = [(number,) for number in numbers]
         self._db.executemany("DELETE FROM disputed WHERE number = ?", rows)
 
     def replace_baseline(self, totals: Totals) -> None:
-        """Sets the totals as they are at a compaction's last entry."""
+        """Replaces the baseline: the totals after the last entry of the compacted part."""
         self._db.execute("DELETE FROM baseline")
         rows = [(*key.as_row(), *usage.as_row()) for key, usage in totals.items()]
         self._db.executemany("INSERT INTO baseline VALUES(?, ?, ?, ?, ?, ?, ?, ?)", rows)
--- a/landingshift/ledger/merge_rules.py
+++ b/landingshift/ledger/merge_rules.py
@@ -1,8 +1,8 @@
-"""Merging of many ledgers into one. Pure: what follows from a set of entries, whatever order they came in.
+"""Rules for merging many ledgers into one; results do not depend on the order of merging. No I/O.
 
-A *branch* is one instance's chain. An instance that came back from an old backup and went on writes another
-chain from some entry on; that is a branch of its own, named after the instance and the first entry that
-differs. Both branches stand.
+A *branch* is one hash chain of an instance. An instance that was restored from an old backup and continued
+writing has two chains that differ from some entry on. The second chain is a branch of its own, named after
+the instance and the first entry that differs. The merged ledger keeps both branches.
 """
 
 from __future__ import annotations
@@ -12,35 +12,35 @@
 from enum import Enum
 from typing import NamedTuple
 
-HASH_PREFIX_LENGTH = 8  # hexadecimal digits in the name of a branch
+HASH_PREFIX_LENGTH = 8  # hexadecimal digits of the hash in the name of a branch
 
 
 class EntryFit(Enum):
-    """How an entry that came stands to a branch."""
+    """Relation of a received entry to a branch."""
 
     NEXT = 1
-    """It follows the branch's newest entry."""
+    """The entry follows the branch's newest entry."""
     KNOWN = 2
-    """The branch has it."""
+    """The branch already has the entry."""
     AHEAD = 3
-    """An entry before it is missing and must be asked for first."""
+    """An entry before it is missing and must be fetched first."""
     DIVERGED = 4
-    """The branch has another entry of this number."""
+    """The branch has a different entry with this number."""
     BROKEN = 5
-    """Its hash does not follow from the entry before it."""
+    """The entry's hash does not follow from the entry before it."""
 
 
 def classify_entry(
     number: int, entry_hash: bytes, follows_chain: bool, head_number: int, known_hash: bytes | None
 ) -> EntryFit:
-    """How an entry stands to a branch.
+    """Decides how a received entry relates to a branch.
 
     Args:
-        number: Number of the entry.
-        entry_hash: Hash of the entry.
-        follows_chain: Whether the hash is the chain's over the entry before it.
-        head_number: The branch's newest entry.
-        known_hash: Hash of the branch's entry of this number, if any.
+        number: Number of the received entry.
+        entry_hash: Hash of the received entry.
+        follows_chain: Whether the hash is correct for the branch's entry before it.
+        head_number: Number of the branch's newest entry.
+        known_hash: Hash of the branch's own entry with this number, if any.
     """
     if number <= head_number:
         return EntryFit.KNOWN if known_hash == entry_hash else EntryFit.DIVERGED
@@ -50,22 +50,25 @@
 
 
 def branch_name(instance: str, number: int, entry_hash: bytes) -> str:
-    """The name of the branch that goes another way from this entry on."""
+    """Returns the name of the branch whose first differing entry has this number and hash."""
     return f"{instance}~{number}-{entry_hash.hex()[:HASH_PREFIX_LENGTH]}"
 
 
 class UsageReference(NamedTuple):
-    """Usage of one identity, in the order in which it is looked at."""
+    """Refers to a usage entry of a branch; the order of the fields is the order of deduplication."""
 
     at_ms: int
+    """Unix time of the usage."""
     branch: str
     number: int
+    """Number of the usage entry in the branch."""
 
 
 def countable_usages(usages: Iterable[UsageReference], window_ms: int) -> set[UsageReference]:
-    """Decides which usage of one identity counts: each that is a window or more after the last that does.
+    """Decides which usage of one identity counts.
 
-    Goes by the set alone, so that any order of merging and any repetition gives the same.
+    The earliest usage counts, and then each usage that is one window or more after the last that counts. The
+    result depends only on the set of `usages`, not on their order or repetition.
     """
     countable: set[UsageReference] = set()
     last_counted_ms: int | None = None
@@ -78,17 +81,18 @@
 
 @dataclass(frozen=True, slots=True)
 class MergeResult:
-    """What came of merging one instance, and how its ledger stands to what is merged of it."""
+    """Result of merging the ledger of one instance."""
 
     instance: str
     new_entry_count: int
+    """Number of entries that the merged ledger did not have before."""
     branch: str
-    """The branch that has the entries."""
+    """Name of the branch that contains the instance's entries."""
     missing_entry_count: int
-    """Entries that are merged and that the instance has not."""
+    """Number of entries that the merged ledger has after the instance's newest entry."""
 
     def summary(self) -> str:
-        """One line for operators."""
+        """Returns a one-line description for operators."""
         text = f"{self.new_entry_count} new entries of {self.instance}"
         if self.branch != self.instance:
             text += f", which came back from an old copy and went on: kept as {self.branch}"
--- a/landingshift/ledger/merged_store.py
+++ b/landingshift/ledger/merged_store.py
@@ -1,8 +1,8 @@
-"""The ledgers of many instances in one file: entries as they are, and the totals of all.
+"""Storage of the merged ledger: the entries of many instances and their common totals in one SQLite file.
 
-Guarantee: the totals follow from the set of merged entries alone, whatever the order, repetition or subset;
-usage of one identity counts once a window, on whichever instances it was. Failure mode: entries that do not
-follow their chain are refused as a whole.
+Guarantee: the totals depend only on the set of merged entries, not on the order or repetition of merging.
+Usage of one identity counts once per deduplication window, across all instances. Failure mode: if an entry
+given to `add_entries` does not follow its chain, the call adds no entries at all.
 """
 
 from __future__ import annotations
@@ -61,7 +61,8 @@
     method INTEGER NOT NULL, uses INTEGER NOT NULL, work INTEGER NOT NULL, size_in INTEGER NOT NULL,
     size_out INTEGER NOT NULL, PRIMARY KEY(period, tenant, method, belongs)) WITHOUT ROWID;
 """
-"""`lines` are branches; `head` and `hash` their newest entry, `until` the end of their last closed period."""
+"""The table `lines` has one row per branch: `start` is its first entry, `head` and `hash` are the number and
+hash of its newest entry, and `until` is the end of its last closed period."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -74,34 +75,37 @@
 
 @dataclass(slots=True)
 class _BranchState:
-    """A branch while entries are added to it."""
+    """State of a branch while entries are added to it."""
 
     name: str
     head_number: int
+    """Number of its newest entry."""
     closed_end_ms: int
+    """End of its last closed period, Unix time."""
 
 
 class MergedStore:
-    """A merged ledger that is open for reading and writing.
+    """Reads and writes a merged ledger.
 
     Attributes:
-        path: The file.
-        dedup_window_ms: Within which usage of one identity counts once.
-        calendar: The billing periods.
+        path: Path of the SQLite file.
+        dedup_window_ms: Time within which usage of one identity counts once.
+        db: Connection to the file.
+        calendar: Billing periods.
     """
 
     def __init__(self, path: str, time_zone: str, period_unit: PeriodUnit, dedup_window_ms: int) -> None:
-        """Opens the file, which is made where there is none.
+        """Opens the file; creates it if it does not exist.
 
         Args:
-            path: The file.
-            time_zone: The instances' own.
-            period_unit: The instances' own.
-            dedup_window_ms: The instances' own.
+            path: Path of the SQLite file.
+            time_zone: Time zone of the billing periods, the same as on the instances.
+            period_unit: Length of the billing periods, the same as on the instances.
+            dedup_window_ms: Time within which usage of one identity counts once.
 
         Raises:
-            StoreUnavailableError: The file can't be used.
-            StoreMismatchError: It was made with another time zone, unit or window.
+            StoreUnavailableError: The file can't be opened or read.
+            StoreMismatchError: The file was created with another time zone, period unit or window.
         """
         self.path = path
         self.dedup_window_ms = dedup_window_ms
@@ -111,9 +115,9 @@
             self.db.execute("PRAGMA synchronous = FULL")
             with self._writing():
                 make_tables(self.db, SCHEMA)
-                self._agree_on("zone", time_zone)
-                self._agree_on("unit", period_unit)
-                self._agree_on("window", dedup_window_ms)
+                self._set_or_check_meta("zone", time_zone)
+                self._set_or_check_meta("unit", period_unit)
+                self._set_or_check_meta("window", dedup_window_ms)
         except sqlite3.Error as err:
             raise StoreUnavailableError(path, err) from err
         self.calendar = BillingCalendar(time_zone, period_unit)
@@ -125,24 +129,24 @@
     # Branches
 
     def heads(self) -> dict[str, BranchHead]:
-        """The newest entry of each branch."""
+        """Returns the newest entry of each branch, by the name of the branch."""
         rows = self.db.execute("SELECT line, head, hash FROM lines")
         return {branch: BranchHead(number, entry_hash) for branch, number, entry_hash in rows}
 
     def head_number(self, branch: str) -> int:
-        """The newest entry of a branch; 0 where there is no such branch."""
+        """Returns the number of a branch's newest entry; 0 if there is no such branch."""
         head = self.heads().get(branch)
         return head.number if head else 0
 
     def current_branch(self, instance: str) -> str:
-        """The branch that an instance went on last."""
+        """Returns the name of an instance's latest branch; the instance's name if it has no branch yet."""
         rows = self.db.execute(
             "SELECT line FROM lines WHERE instance = ? ORDER BY start DESC LIMIT 1", (instance,)
         )
         return next((branch for (branch,) in rows), instance)
 
     def hash_at(self, branch: str, number: int) -> bytes | None:
-        """The chain's hash at an entry; None where the branch has it not."""
+        """Returns the chain's hash at an entry of a branch or its parents; None if there is no such entry."""
         if number == 0:
             return GENESIS_HASH
         row = self.db.execute(
@@ -157,12 +161,12 @@
         return self.hash_at(parent, number) if parent and number < start else None
 
     def follows_chain(self, branch: str, row: EntryRow) -> bool:
-        """Whether an entry's hash follows from the one before it on a branch."""
+        """Returns whether an entry's hash follows from the branch's entry before it."""
         previous_hash = self.hash_at(branch, row.number - 1)
         return previous_hash is not None and chain_hash(previous_hash, row.kind, row.data) == row.hash
 
     def rows_after(self, branch: str, number: int, max_row_count: int) -> list[EntryRow]:
-        """Entries of a branch after this one, in their order."""
+        """Returns up to `max_row_count` entries of a branch after entry `number`, in order."""
         rows = self.db.execute(
             "SELECT number, kind, data, hash FROM entries WHERE line = ? AND number > ? "
             "ORDER BY number LIMIT ?",
@@ -173,19 +177,19 @@
     # Merging
 
     def add_entries(self, instance: str, rows: Iterable[EntryRow], branch: str = "") -> tuple[int, str]:
-        """Adds entries of one instance, in their order: all or nothing; what is known changes nothing.
+        """Adds entries of one instance in a single transaction; ignores entries that are already merged.
 
         Args:
-            instance: Whose entries they are.
-            rows: The entries.
-            branch: The branch to begin with; the instance's first one by default.
+            instance: Name of the instance.
+            rows: Entries in order.
+            branch: Branch with which to compare the first entry; the instance's first branch by default.
 
         Returns:
-            How many were new, and the branch that has them.
+            The number of new entries and the name of the branch that contains them.
 
         Raises:
-            BrokenChainError: An entry does not follow the one before it.
-            MissingEntryError: An entry came without the one before it.
+            BrokenChainError: The hash of an entry does not follow from the entry before it.
+            MissingEntryError: An entry was given without the entry before it.
         """
         new_count = 0
         with self._writing():
@@ -199,7 +203,7 @@
         return new_count, state.name
 
     def _matching_branch(self, instance: str, state: _BranchState, row: EntryRow) -> _BranchState:
-        """The branch on which an entry is known, or next."""
+        """Returns the branch that has the entry or that the entry continues; adds a branch if it diverges."""
         follows_chain = self.follows_chain(state.name, row)
         known_hash = self.hash_at(state.name, row.number)
         match classify_entry(row.number, row.hash, follows_chain, state.head_number, known_hash):
@@ -213,7 +217,7 @@
                 raise BrokenChainError(instance, row.number)
 
     def _diverge(self, instance: str, state: _BranchState, row: EntryRow) -> _BranchState:
-        """The branch that goes another way from this entry on, made where it is new."""
+        """Returns the branch that diverges at this entry; adds it if it is new."""
         previous_hash = self.hash_at(state.name, row.number - 1)
         assert previous_hash is not None
         name = branch_name(instance, row.number, row.hash)
@@ -243,7 +247,7 @@
             (row.number, row.hash, state.closed_end_ms, state.name),
         )
 
-    # What follows from an entry
+    # Totals
 
     def _apply(self, state: _BranchState, entry: Entry) -> None:
         match entry:
@@ -303,7 +307,10 @@
         self._recount(record.identity)
 
     def _recount(self, identity: bytes) -> None:
-        """Looks at all usage of one identity again: an earlier one may have come from elsewhere."""
+        """Decides again which usage of an identity counts, and updates the totals.
+
+        Merging another instance can add usage earlier than the usage counted so far.
+        """
         rows = self.db.execute(
             "SELECT at, line, number, counted, period, belongs, tenant, method, work, size_in, "
             "size_out FROM uses WHERE identity = ?",
@@ -326,7 +333,7 @@
         self.db.execute(ADD_TOTALS, (*key.as_row(), *totals.as_row()))
 
     def tenant_totals(self) -> list[TenantTotals]:
-        """What counts, in the order of periods, tenants and methods; without totals of nothing."""
+        """Returns all nonzero totals, ordered by period, tenant and method."""
         rows = self.db.execute(
             """SELECT period, belongs, t.name, m.name, uses, work, size_in, size_out FROM totals
                JOIN names t ON t.id = tenant JOIN names m ON m.id = method
@@ -343,7 +350,7 @@
     def _writing(self) -> AbstractContextManager[None]:
         return transaction(self.db, "ledger.merge", "ledger.merged")
 
-    def _agree_on(self, key: str, value: object) -> None:
+    def _set_or_check_meta(self, key: str, value: object) -> None:
         self.db.execute("INSERT OR IGNORE INTO meta VALUES(?, ?)", (key, value))
         stored = self.db.execute("SELECT value FROM meta WHERE key = ?", (key,)).fetchone()[0]
         if stored != value:
--- a/landingshift/ledger/name_cache.py
+++ b/landingshift/ledger/name_cache.py
@@ -1,4 +1,4 @@
-"""Numbers of the entries that name tenants and methods: a bounded cache before the table."""
+"""Bounded cache of the entry numbers of tenant and method names."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 MAX_CACHED_NAME_COUNT = 65_536
 
 NameKey = tuple[bool, bytes]
-"""Whether it is a tenant's, and the name."""
+"""(True, tenant name) or (False, method name)."""
 
 
 class NameNumberCache(dict[NameKey, int]):
-    """Looks in the table for what is not in memory, which is bounded."""
+    """Maps names to the numbers of their entries; looks up missing names in the table `names`."""
 
     def __init__(self, db: sqlite3.Connection) -> None:
         super().__init__()
         self._db = db
 
     def __missing__(self, key: NameKey) -> int:
-        """The number from the table.
+        """Looks up a name in the table and caches the result.
 
         Raises:
             KeyError: No entry has this name.
@@ -31,7 +31,7 @@
         return number
 
     def __setitem__(self, key: NameKey, number: int) -> None:
-        """Remembers a number; the commit at hand writes it to the table."""
+        """Caches a number, without writing the table; empties the cache first if it is full."""
         if len(self) >= MAX_CACHED_NAME_COUNT:
             self.clear()
         super().__setitem__(key, number)
--- a/landingshift/ledger/name_escaping.py
+++ b/landingshift/ledger/name_escaping.py
@@ -1,4 +1,4 @@
-r"""Names of any bytes as text and back: printable UTF-8 as it is, all else as \xNN."""
+r"""Reversible conversion of names to printable text: all bytes but printable UTF-8 become \xNN."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def escape_name(name: bytes) -> str:
-    """A name as printable text."""
+    """Returns a name as printable text; backslashes are doubled."""
     parts = []
     for character in name.decode("utf-8", "surrogateescape"):
         if character == "\\":
@@ -21,7 +21,7 @@
 
 
 def unescape_name(text: str) -> bytes:
-    """The bytes for which `escape_name` gives this text."""
+    """Returns the name that `escape_name` converted to this text."""
     return _ESCAPE.sub(_unescape_match, text.encode("utf-8", "surrogateescape"))
 
 
--- a/landingshift/ledger/number_ranges.py
+++ b/landingshift/ledger/number_ranges.py
@@ -1,4 +1,4 @@
-"""Sorted numbers as ranges: first, count, first, count, ..., as entries store them."""
+"""Compact encoding of sets of entry numbers as the list first, count, first, count, ... of their ranges."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def encode_ranges(numbers: Iterable[int]) -> list[int]:
-    """Packs numbers, in any order, into ranges."""
+    """Encodes distinct numbers, given in any order, as ranges."""
     ranges: list[int] = []
     for number in sorted(numbers):
         if ranges and ranges[-2] + ranges[-1] == number:
@@ -17,23 +17,27 @@
 
 
 def iterate_ranges(ranges: list[int]) -> Iterator[tuple[int, int]]:
-    """The first number and the count of each range.
+    """Yields the first number and the length of each range.
 
     Raises:
-        ValueError: A count is missing.
+        ValueError: The list has an odd length.
     """
     return zip(ranges[::2], ranges[1::2], strict=True)
 
 
 def decode_ranges(ranges: list[int]) -> list[int]:
-    """All numbers of the ranges, in their order.
+    """Returns all numbers of the ranges, in the order of the ranges.
 
     Raises:
-        ValueError: A count is missing.
+        ValueError: The list has an odd length.
     """
     return [number for first, count in iterate_ranges(ranges) for number in range(first, first + count)]
 
 
 def ranges_contain(ranges: list[int], number: int) -> bool:
-    """Whether one of the ranges has the number."""
+    """Returns whether one of the ranges contains the number.
+
+    Raises:
+        ValueError: The list has an odd length.
+    """
     return any(first <= number < first + count for first, count in iterate_ranges(ranges))
--- a/landingshift/ledger/peer_exchange.py
+++ b/landingshift/ledger/peer_exchange.py
@@ -1,8 +1,7 @@
-"""Ledgers read each other over gRPC, in a process of its own beside the server's.
+"""gRPC service and client that let other instances read a ledger; runs in a process beside the server.
 
-Whoever asks says the newest entry that it has of the other's branch; the other returns what comes after.
-Entries are taken only where they follow, so that any order, repetition or cut of a connection leaves a
-complete chain.
+The client sends the number of the last entry it has, and the service returns the entries after it. Entries
+are merged only if they continue their chain, so that lost, repeated or reordered replies leave no gap.
 """
 
 from __future__ import annotations
@@ -29,20 +28,23 @@
 
 
 class ReconcileService:
-    """Serves one instance's ledger; each call opens the store, as SQLite wants one thread each."""
+    """Serves the ledger of one instance.
+
+    Each call opens the store anew, because a SQLite connection may only be used in the thread that opened it.
+    """
 
     def __init__(self, open_store: OpenStore) -> None:
         self._open_store = open_store
 
     def heads(self, _request: Known, _context: Any) -> Known:
-        """The newest entry of this instance."""
+        """Returns number and hash of this instance's newest entry."""
         with self._open_store() as store:
             ledger = store.ledger
             head = Known.Head(instance=store.instance, number=ledger.last_number, hash=ledger.last_hash)
             return Known(heads=[head])
 
     def pull(self, request: Known, _context: Any) -> Part:
-        """Entries after the one that the request names for this instance."""
+        """Returns entries after the number that the request gives for this instance, up to a limit."""
         with self._open_store() as store:
             after = next((head.number for head in request.heads if head.instance == store.instance), 0)
             part = Part(zone=store.time_zone, unit=store.period_unit)
@@ -55,17 +57,17 @@
 
 
 def serve(open_store: OpenStore, address: str) -> tuple[Any, int]:
-    """Starts a server.
+    """Starts a gRPC server.
 
     Args:
-        open_store: Opens the store to serve.
-        address: Like 127.0.0.1:0.
+        open_store: Function that opens the store to serve.
+        address: Address to listen on, like 127.0.0.1:0.
 
     Returns:
         The running server and its port.
 
     Raises:
-        OSError: It can't listen there.
+        OSError: The server can't listen on the address.
     """
     service = ReconcileService(open_store)
     handlers = {
@@ -93,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerHead:
-    """The newest entry of a peer's ledger."""
+    """Number and hash of the newest entry of a peer's ledger."""
 
     instance: str
     number: int
@@ -102,27 +104,28 @@
 
 @dataclass(frozen=True, slots=True)
 class PulledEntries:
-    """Entries of a peer's ledger, in their order."""
+    """Consecutive entries of a peer's ledger, in order."""
 
     rows: list[EntryRow]
     has_more: bool
+    """Whether the peer has entries after these."""
 
 
 class PeerClient:
     """Reads another instance's ledger. Calls raise `grpc.RpcError`."""
 
     def __init__(self, address: str, timeout_ms: float) -> None:
-        """Connects at the first call.
+        """Creates a client, which connects at the first call.
 
         Args:
-            address: Like 127.0.0.1:9400.
-            timeout_ms: Of each call.
+            address: Address of the peer, like 127.0.0.1:9400.
+            timeout_ms: Timeout of each call.
         """
         self._channel = grpc.insecure_channel(address)
         self._timeout_seconds = timeout_ms / 1000.0
 
     def __enter__(self) -> PeerClient:
-        """Nothing to open."""
+        """Returns this client."""
         return self
 
     def __exit__(
@@ -136,12 +139,12 @@
         self._channel.close()
 
     def head(self) -> PeerHead:
-        """The peer's newest entry."""
+        """Returns instance, number and hash of the peer's newest entry."""
         head = self._call(HEADS_METHOD, Known(), Known).heads[0]
         return PeerHead(head.instance, head.number, head.hash)
 
     def pull(self, instance: str, after: int) -> PulledEntries:
-        """Entries after this one."""
+        """Returns entries of an instance's ledger after entry `after`."""
         request = Known(heads=[Known.Head(instance=instance, number=after)])
         part = self._call(PULL_METHOD, request, Part)
         rows = [EntryRow(entry.number, entry.kind, entry.data, entry.hash) for entry in part.entries]
--- a/landingshift/ledger/periods.py
+++ b/landingshift/ledger/periods.py
@@ -1,4 +1,4 @@
-"""Billing periods in a named time zone. Pure: times are arguments, Unix ms."""
+"""Billing periods in a time zone. All times are arguments in Unix ms; nothing here reads a clock."""
 
 from __future__ import annotations
 
@@ -19,46 +19,51 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Period:
-    """From `start_ms` to under `end_ms`, Unix time."""
+    """A billing period."""
 
     start_ms: int
+    """Unix time."""
     end_ms: int
+    """Unix time, exclusive."""
     name: str
 
 
 class PeriodAssignment(Struct, frozen=True):
-    """Where usage counts."""
+    """The period in which usage is billed."""
 
     period: str
-    """In which the usage counts."""
+    """Name of the period in which the usage is billed."""
     service_period: str
-    """In which it was rendered, where that is another one; else empty."""
+    """Name of the period in which the usage occurred, if it differs from `period`; else empty."""
 
 
 class BillingCalendar:
-    """Periods start at local midnight, so that a day has 23, 24 or 25 hours and none is missed or doubled."""
+    """Divides time into billing periods of one unit, without gaps or overlaps.
+
+    Periods start at local midnight, so that a day lasts 23 or 25 hours when clocks change.
+    """
 
     def __init__(self, time_zone: str, unit: PeriodUnit) -> None:
         self.time_zone = ZoneInfo(time_zone)
         self.unit = unit
-        self._latest = Period(0, 0, "")  # most usage falls into the period of the usage before it
+        self._latest = Period(0, 0, "")  # cache: most usage is in the same period as the usage before it
 
     def period_at(self, at_ms: int) -> Period:
-        """The period that holds a time."""
+        """Returns the period that contains a time."""
         if not self._latest.start_ms <= at_ms < self._latest.end_ms:
             local_time = datetime.fromtimestamp(at_ms / 1000.0, UTC).astimezone(self.time_zone)
             self._latest = self._period_of_day(local_time.date())
         return self._latest
 
     def assign(self, at_ms: int, closed_end_ms: int) -> PeriodAssignment:
-        """Decides in which period usage counts: its own while that is open, else the first open one.
+        """Decides in which period usage is billed: the period it occurred in, or the first open one.
 
-        A closed period never changes, so usage that is settled late counts later and names the period it is
-        from.
+        A closed period never changes, so usage settled after the close is billed in the first open period and
+        refers to the period in which it occurred.
 
         Args:
-            at_ms: When the usage was rendered, Unix time.
-            closed_end_ms: End of the last period that was closed when the usage was settled.
+            at_ms: Unix time at which the usage occurred.
+            closed_end_ms: End of the last closed period at the time when the usage was settled.
         """
         service_period = self.period_at(at_ms).name
         if at_ms >= closed_end_ms:
@@ -66,10 +71,10 @@
         return PeriodAssignment(self.period_at(closed_end_ms).name, service_period)
 
     def period_named(self, name: str) -> Period:
-        """The period of this name.
+        """Returns the period with this name.
 
         Raises:
-            InvalidPeriodError: It names no period of the calendar's unit.
+            InvalidPeriodError: The name is not the name of a period of the calendar's unit.
         """
         match = re.fullmatch(_NAME_PATTERNS[self.unit], name)
         if match is None:
@@ -85,7 +90,7 @@
         return self._period_of_day(day)
 
     def following(self, period: Period) -> Period:
-        """The period that begins where this one ends."""
+        """Returns the period after this one."""
         return self.period_at(period.end_ms)
 
     def _invalid(self, name: str) -> InvalidPeriodError:
@@ -104,7 +109,7 @@
         return Period(self._midnight_ms(first), self._midnight_ms(following), self._name_of(first))
 
     def _midnight_ms(self, day: date) -> int:
-        # Where the clock jumps over midnight, the day starts at the jump: fold 0 gives just that instant.
+        # If the clock jumps over midnight, the day starts at the jump; fold 0 gives exactly that instant.
         midnight = datetime(day.year, day.month, day.day, tzinfo=self.time_zone)
         return int(midnight.timestamp() * 1000.0)
 
--- a/landingshift/ledger/price_plan.py
+++ b/landingshift/ledger/price_plan.py
@@ -1,18 +1,20 @@
-"""Price plans from TOML, `Decimal` throughout.
+"""Price plans in TOML. All numbers are read as `Decimal`.
+
+A plan file looks like this:
 
     currency = "EUR"
-    places = 2                     # of a line's amount
-    rounding = "half_even"         # or half_up, down; once a line, nowhere else
-    default = "standard"
+    places = 2                     # decimal places of amounts
+    rounding = "half_even"         # or half_up, down; applied once per line of a statement
+    default = "standard"           # plan of tenants that are not listed below
 
     [tenants]
-    rundtur = "gold"
+    rundtur = "gold"               # plan of this tenant
 
     [[plans.standard]]             # a line of the statement
     name = "RPCs"
     unit = "rpc"                   # or work_s, mb_in, mb_out
-    methods = ["route-profile"]    # absent: all that no earlier line of this unit names
-    free = 1000                    # units a period
+    methods = ["route-profile"]    # if absent: all methods that no earlier line of this unit charges
+    free = 1000                    # free units per period
     tiers = [{ upto = 10000, price = 0.002 }, { price = 0.001 }]    # or price = 0.002
 
 The total of a statement is the sum of its rounded lines.
@@ -36,9 +38,9 @@
     "half_up": decimal.ROUND_HALF_UP,
     "down": decimal.ROUND_DOWN,
 }
-MAX_NUMBER = Decimal(10) ** 15  # of a price, an allowance or a tier's end
-MAX_DECIMAL_PLACES_COUNT = 12  # of the same
-ROUNDING_PRECISION_LENGTH = 60  # digits; more than any amount within the bounds has
+MAX_NUMBER = Decimal(10) ** 15  # bound of prices, free quantities and ends of tiers
+MAX_DECIMAL_PLACES = 12  # bound of the same numbers
+ROUNDING_PRECISION_DIGITS = 60  # more digits than any amount within these bounds has
 ZERO = Decimal(0)
 
 PlanText = Annotated[str, Meta(min_length=1, max_length=100)]
@@ -46,56 +48,63 @@
 
 
 class PriceTier(Struct, forbid_unknown_fields=True, frozen=True):
-    """A price for units from the end of the tier before it."""
+    """Price of the units between the end of the tier before and the end of this tier."""
 
     price: Decimal
+    """Price per unit."""
     up_to: Decimal | None = msgspec.field(default=None, name="upto")
-    """Units from the first that is charged; the last tier has no end."""
+    """End of the tier, counted in charged units from 0; None for the last tier."""
 
 
 class PriceLine(Struct, forbid_unknown_fields=True, frozen=True):
-    """What one line of a statement charges for."""
+    """One line of a price plan: the usage it charges and the prices."""
 
     name: PlanText
     unit: BillingUnit
     methods: list[PlanText] = []
-    """Escaped names; empty for all that no earlier line of this unit names."""
+    """Escaped names of methods; empty for all methods that no earlier line of this unit charges."""
     free_quantity: Decimal = msgspec.field(default=ZERO, name="free")
-    """Units a period that cost nothing."""
+    """Free units per period."""
     price: Decimal | None = None
+    """Price per unit; None if the line has tiers."""
     tiers: list[PriceTier] = []
+    """Tiers of prices; empty if the line has a single price."""
 
     def effective_tiers(self) -> list[PriceTier]:
-        """The tiers, or the one price as the only tier."""
+        """Returns the tiers; a single price is returned as one tier."""
         return self.tiers or [PriceTier(self.price or ZERO)]
 
 
 class PricePlan(Struct, forbid_unknown_fields=True, frozen=True):
-    """Prices of all tenants."""
+    """Price plans and their assignment to tenants."""
 
     currency: Annotated[str, Meta(pattern="^[A-Z]{3}$")]
     default_plan: PlanText = msgspec.field(name="default")
+    """Plan of tenants that `plan_by_tenant` does not list."""
     plans: dict[PlanText, list[PriceLine]]
+    """Lines of each plan, by name."""
     decimal_places: Annotated[int, Meta(ge=0, le=8)] = msgspec.field(default=2, name="places")
+    """Decimal places of amounts."""
     rounding: Literal["half_even", "half_up", "down"] = "half_even"
     plan_by_tenant: dict[str, PlanText] = msgspec.field(default={}, name="tenants")
+    """Name of the plan by escaped tenant name."""
 
     def lines_for(self, tenant: bytes) -> list[PriceLine]:
-        """The lines by which a tenant pays."""
+        """Returns the lines of a tenant's plan."""
         return self.plans[self.plan_by_tenant.get(escape_name(tenant), self.default_plan)]
 
     def rounded(self, amount: Decimal) -> Decimal:
-        """Rounds an amount; the one place where anything is rounded."""
+        """Returns an amount rounded to the plan's decimal places; nothing else rounds amounts."""
         quantum = Decimal(1).scaleb(-self.decimal_places)
-        context = decimal.Context(prec=ROUNDING_PRECISION_LENGTH)
+        context = decimal.Context(prec=ROUNDING_PRECISION_DIGITS)
         return amount.quantize(quantum, ROUNDING_MODES[self.rounding], context)
 
 
 def load_price_plan(path: str) -> PricePlan:
-    """Reads and checks a plan.
+    """Reads and validates a price plan file.
 
     Raises:
-        InvalidPricePlanError: The file can't be read or has a value that can't be used.
+        InvalidPricePlanError: The file can't be read or is invalid.
     """
     try:
         with open(path, "rb") as file:
@@ -114,10 +123,10 @@
 
 
 def check_price_plan(plan: PricePlan) -> None:
-    """Checks what the types can't say.
+    """Checks constraints of a plan that its types can't express.
 
     Raises:
-        InvalidPriceError: A key has a value that can't be used.
+        InvalidPriceError: A key has an invalid value.
     """
     if plan.default_plan not in plan.plans:
         raise InvalidPriceError("default", f"there is no plan {plan.default_plan!r}")
@@ -151,11 +160,7 @@
 def _check_number(key: str, value: Decimal | None) -> None:
     if value is None:
         return
-    if (
-        not value.is_finite()
-        or not ZERO <= value <= MAX_NUMBER
-        or value != round(value, MAX_DECIMAL_PLACES_COUNT)
-    ):
+    if not value.is_finite() or not ZERO <= value <= MAX_NUMBER or value != round(value, MAX_DECIMAL_PLACES):
         raise InvalidPriceError(
             key, f"a number from 0 to 1e15 with at most 12 places is expected, not {value}"
         )
--- a/landingshift/ledger/pricing.py
+++ b/landingshift/ledger/pricing.py
@@ -1,4 +1,4 @@
-"""What a tenant's usage in a period costs, by a price plan. Pure."""
+"""Computes the charges for a tenant's usage in a period by a price plan. No I/O."""
 
 from __future__ import annotations
 
@@ -11,25 +11,27 @@
 from landingshift.ledger.totals import TenantTotals, UsageTotals
 
 EXACT = decimal.Context(prec=60, traps=[decimal.InvalidOperation, decimal.DivisionByZero, decimal.Inexact])
-"""Raises where a digit would be lost."""
+"""Decimal context that raises `decimal.Inexact` instead of rounding."""
 
 
 @dataclass(slots=True)
 class LineCharge:
-    """One line of a statement. Quantities in the line's unit."""
+    """One line of a statement; all quantities are in the line's unit."""
 
     name: str
     unit: str
     quantity: Decimal
+    """Total quantity, including the free part."""
     free_quantity: Decimal
+    """Free quantity per period of the plan's line."""
     amount: Decimal
     """Rounded, in the plan's currency."""
     late_quantities: dict[str, Decimal] = field(default_factory=dict)
-    """Part of the quantity that was rendered in earlier periods, by their names."""
+    """Part of the quantity that was used in earlier periods, by the names of those periods."""
 
 
 def quantity_in_unit(unit: BillingUnit, totals: UsageTotals) -> Decimal:
-    """Totals in the unit of a line; exact."""
+    """Returns the exact quantity of the totals in a unit."""
     match unit:
         case "rpc":
             return Decimal(totals.uses)
@@ -42,7 +44,10 @@
 
 
 def exact_cost(line: PriceLine, quantity: Decimal) -> Decimal:
-    """Unrounded price of so many units; fewer than none (corrected) are paid back at the first price."""
+    """Returns the unrounded price of a quantity by a line of the price plan.
+
+    A negative quantity, which corrections can cause, gives a credit at the price of the first tier.
+    """
     is_charged = quantity > line.free_quantity
     charged_quantity = quantity - line.free_quantity if is_charged else min(quantity, ZERO)
     tiers = line.effective_tiers()
@@ -59,7 +64,10 @@
 
 
 def line_charges(plan: PricePlan, tenant: bytes, totals: list[TenantTotals]) -> list[LineCharge]:
-    """A tenant's lines for one period; every total is charged by one line a unit at the most."""
+    """Returns the charges of a tenant for one period, one per line of its plan.
+
+    For each unit, the usage of a method is charged only by the first line that covers the method.
+    """
     charges = []
     charged: set[tuple[BillingUnit, bytes]] = set()  # unit and method
     for line in plan.lines_for(tenant):
--- a/landingshift/ledger/receiver_client.py
+++ b/landingshift/ledger/receiver_client.py
@@ -1,4 +1,4 @@
-"""HTTP to the receiver of an export, as `docs/ledger-export.md` specifies."""
+"""HTTP client for the receiver of an export; the protocol is specified in `docs/ledger-export.md`."""
 
 from __future__ import annotations
 
@@ -19,16 +19,19 @@
 MAX_REPLY_BYTES = 1 << 16
 HEADERS = {"Content-Type": "application/x-protobuf"}
 BATCH_PATH = "/v1/batch"
-READABLE_STATUSES = (200, 409)  # 409: the batch is not at the receiver's cursor; the reply says which is
+READABLE_STATUSES = (
+    200,
+    409,
+)  # 409: the batch does not start at the receiver's cursor, which the reply contains
 
 
 def cursor_path(instance: str) -> str:
-    """Where to ask for the cursor of an instance."""
+    """Returns the URL path of an instance's cursor."""
     return f"/v1/cursor?instance={quote(instance)}"
 
 
 class Receiver(Protocol):
-    """Whatever takes an export."""
+    """Receiver of an export."""
 
     def request(self, method: str, path: str, body: bytes | None = None, /) -> Ack:
         """Sends a request.
@@ -39,17 +42,17 @@
 
 
 class HttpReceiver:
-    """A receiver behind HTTP; each request has a connection of its own."""
+    """A receiver reached over HTTP; each request opens its own connection."""
 
     def __init__(self, url: str, timeout_ms: float) -> None:
-        """Connects at each request.
+        """Creates a client, without connecting yet.
 
         Args:
-            url: Like http://127.0.0.1:8080/ledger.
-            timeout_ms: Of each request.
+            url: Base URL of the receiver, like http://127.0.0.1:8080/ledger.
+            timeout_ms: Timeout of each request's socket operations.
 
         Raises:
-            InvalidReceiverUrlError: The address is none of HTTP.
+            InvalidReceiverUrlError: The URL is not an http or https URL.
         """
         parts = urlsplit(url)
         if parts.scheme not in ("http", "https") or not parts.hostname:
--- a/landingshift/ledger/reconciliation.py
+++ b/landingshift/ledger/reconciliation.py
@@ -1,4 +1,4 @@
-"""Brings other instances' ledgers, over the network or from files, into a merged one."""
+"""Merges the ledgers of instances, read over the network or from files, into a merged ledger."""
 
 from __future__ import annotations
 
@@ -13,17 +13,18 @@
 
 
 def merge_peer(merged: MergedStore, peer: PeerClient) -> MergeResult:
-    """Adds all that a peer has and the merged ledger lacks.
+    """Adds all entries of a peer that the merged ledger does not have.
 
     Raises:
-        grpc.RpcError: The peer did not answer.
-        StoreUnavailableError: Its entries do not hold.
+        grpc.RpcError: A call to the peer failed.
+        StoreUnavailableError: The peer's entries do not form a valid chain.
     """
     head = peer.head()
     branch = merged.current_branch(head.instance)
     after = merged.head_number(branch)
     if head.number < after or merged.hash_at(branch, head.number) not in (None, head.hash):
-        # An old copy, perhaps gone on: looked at from its beginning, what is known changes nothing.
+        # The peer was restored from an old copy and may have diverged: read it from its first entry, since
+        # entries that are already merged are ignored.
         after = 0
         branch = head.instance
     new_count = 0
@@ -34,7 +35,7 @@
             break
         first = pulled.rows[0]
         if after and first.number == after + 1 and not merged.follows_chain(branch, first):
-            # It diverged from this branch before the branch's end.
+            # The peer diverged from this branch before the branch's end: read it from its first entry.
             after = 0
             branch = head.instance
             continue
@@ -47,10 +48,10 @@
 
 
 def merge_file(merged: MergedStore, path: str) -> MergeResult:
-    """Adds all entries of a ledger's file.
+    """Adds all entries of a store's SQLite file.
 
     Raises:
-        StoreUnavailableError: The file is no ledger or does not hold.
+        StoreUnavailableError: The file is not a store, or its entries do not form a valid chain.
     """
     try:
         db = sqlite3.connect(f"{Path(path).resolve().as_uri()}?mode=ro", uri=True)
--- a/landingshift/ledger/recovery.py
+++ b/landingshift/ledger/recovery.py
@@ -1,6 +1,6 @@
-"""Recovery: the accounting state of a store made from its file, by reading only the tail of the entries.
+"""Recovery: rebuilds the accounting state of a store from the newest entries of its file.
 
-Every opening is a recovery; there is no other way in, after a crash or without one.
+Every start runs the recovery, after a crash or not.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 from landingshift.ledger.store_reader import StoreReader
 from landingshift.ledger.usage_ledger import UsageLedger
 
-FIRST_TAIL_ENTRIES = 1000  # of the first step back; doubled until the window is covered
+FIRST_TAIL_ENTRIES = 1000  # first size of the tail; doubled until the tail covers the deduplication window
 
 
 def recover_ledger(reader: StoreReader, max_identity_count: int) -> UsageLedger:
-    """The accounting state that the file stands for.
+    """Returns the accounting state of a store as of its newest entry.
 
     Args:
-        reader: The store.
-        max_identity_count: Identities that are remembered for the deduplication window.
+        reader: Store to read.
+        max_identity_count: Maximum number of identities in the deduplication window.
     """
     window = DedupWindow(reader.dedup_window_ms, max_identity_count)
     ledger = UsageLedger(reader.calendar, window, NameNumberCache(reader.db))
@@ -35,9 +35,8 @@
         _, ledger.closed_end_ms = closes[-1]
     for row in reader.rows(first_replayed):
         ledger.replay(row.number, decode(row.kind, row.data), row.hash)
-    if (
-        first_pending > first_replayed
-    ):  # those before it are settled: by an entry before the first one replayed
+    if first_pending > first_replayed:
+        # Usage before `first_pending` is settled, but its settlement may be before `first_replayed`.
         ledger.pending = {
             sequence: usage
             for sequence, usage in ledger.pending.items()
@@ -50,7 +49,7 @@
 
 
 def _first_entry_of_window(reader: StoreReader, max_identity_count: int) -> int:
-    """The first entry of the deduplication window, or a little before it."""
+    """Returns the number of the first entry to replay in order to fill the deduplication window."""
     newest_number = reader.newest_number()
     newest_usage_ms = reader.usage_time_at(newest_number)
     if newest_usage_ms is None:
--- a/landingshift/ledger/repair.py
+++ b/landingshift/ledger/repair.py
@@ -1,4 +1,4 @@
-"""The index made anew from the entries, and entries given back that a ledger lost with an old copy."""
+"""Repairs a store: rebuilds its index, and restores entries missing after a restore from an old backup."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from landingshift.ledger.schema import META_FIRST_PENDING, META_LAST_NUMBER, META_RUN_ID
 from landingshift.ledger.store import UsageStore
 
-MAX_ROW_COUNT = 5000  # entries copied at a time
+MAX_ROW_COUNT = 5000  # entries copied per query
 
 
 def reindex(store: UsageStore) -> None:
-    """Makes the index anew, all or nothing.
+    """Rebuilds the index from the entries, in one transaction.
 
     Raises:
-        CorruptLedgerError: The entries themselves do not hold.
+        CorruptLedgerError: The entries are inconsistent.
     """
     for finding in audit_store(store):
         if finding.entry_number:
@@ -32,14 +32,14 @@
 
 
 def restore_missing_entries(store: UsageStore, merged: MergedStore) -> int:
-    """Takes what the merged ledger has of this one and it lacks.
+    """Copies the entries of this instance that only the merged ledger has into the store.
 
     Returns:
-        How many entries came back.
+        The number of restored entries.
 
     Raises:
-        DivergedLedgerError: This ledger has entries of its own that the merged branch has not. Both stand,
-            and the merged ledger has the totals.
+        DivergedLedgerError: The store has entries that the merged branch does not have. Nothing is changed.
+            Merging the store adds its entries to the merged ledger as a branch of their own.
     """
     branch = merged.current_branch(store.instance)
     last_number = store.ledger.last_number
@@ -52,13 +52,13 @@
             last_number = rows[-1].number
             restored_count += len(rows)
         _rebuild_index(store)
-        store.set_meta(META_RUN_ID, None)  # whoever opens it next is another run: what is pending is disputed
+        store.set_meta(META_RUN_ID, None)  # so that the next start disputes the pending usage
         store.ledger = recover_ledger(store, store.max_identity_count)
     return restored_count
 
 
 def _rebuild_index(store: UsageStore) -> None:
-    """Within a commit."""
+    """Rebuilds the index tables; must be called within a transaction."""
     replay = LedgerReplay(store)
     compaction = store.newest_compaction()
     store.index.clear()
@@ -73,7 +73,7 @@
         newest_number = row.number
         if row.number > compacted_number:
             for _ in replay.apply(row.number, entry):
-                pass  # the audit has reported what does not hold
+                pass  # inconsistencies are reported by `audit_store`
         if isinstance(entry, Opened):
             run_start_number = row.number
         _index_entry(store.index, row.number, entry)
@@ -96,7 +96,7 @@
 
 
 def _pending_numbers(replay: LedgerReplay, run_start_number: int) -> Iterable[int]:
-    """Usage of the latest run that is neither settled nor disputed."""
+    """Yields the usage entries of the latest server process that are neither settled nor disputed."""
     return (
         number for number in replay.unsettled if number not in replay.disputed and number > run_start_number
     )
--- a/landingshift/ledger/replay.py
+++ b/landingshift/ledger/replay.py
@@ -1,6 +1,7 @@
-"""The totals as the entries give them: the accounting rules again, by code of their own.
+"""Computes the totals from the entries, for audits.
 
-An audit that used the code that it audits would mean nothing.
+This is a second implementation of the accounting rules: an audit that used the code of `usage_ledger` could
+not find its faults.
 """
 
 from __future__ import annotations
@@ -25,13 +26,14 @@
 
 
 class LedgerReplay:
-    """Takes entries in their order and reports what does not follow.
+    """Replays the entries of a ledger in order and reports those that contradict earlier entries.
 
     Attributes:
-        totals: What counts, as the entries so far give it.
-        unsettled: Usage that is neither settled nor resolved, by the number of its entry.
-        disputed: Entries of disputed usage.
-        closed_end_ms: End of the last period that was closed.
+        calendar: Billing periods.
+        totals: Totals computed from the entries so far.
+        unsettled: Usage that is pending or disputed, by the number of its entry.
+        disputed: Numbers of disputed usage entries.
+        closed_end_ms: End of the last closed period, Unix time.
     """
 
     def __init__(self, reader: StoreReader) -> None:
@@ -43,7 +45,7 @@
         self._is_tenant_by_number: dict[int, bool] = {}
 
     def start_after(self, reader: StoreReader, compaction: Compaction) -> None:
-        """Takes up the state as of a compaction's last entry."""
+        """Sets the state after the last entry of a compacted part, from its baseline and the entries kept."""
         self.closed_end_ms = compaction.closed_end_ms
         self.totals.update(reader.baseline())
         for row in reader.rows(1, compaction.last_number):
@@ -59,7 +61,7 @@
                     )
 
     def apply(self, number: int, entry: Entry) -> Iterator[str]:
-        """Takes in an entry; yields what does not hold about it."""
+        """Updates the state by the next entry; yields a description of each inconsistency found."""
         match entry:
             case Opened():
                 yield from self._dispute(entry.disputed)
--- a/landingshift/ledger/schema.py
+++ b/landingshift/ledger/schema.py
@@ -1,4 +1,8 @@
-"""Tables of a store. `entries` is the ledger; the others are an index that `repair` can make again."""
+"""SQLite schema of a store.
+
+The table `entries` is the ledger. `meta` holds properties of the store, and `baseline` the totals of the
+compacted part. The other tables are an index that `repair.reindex` can rebuild from the entries.
+"""
 
 from __future__ import annotations
 
--- a/landingshift/ledger/service.py
+++ b/landingshift/ledger/service.py
@@ -1,8 +1,9 @@
-"""Usage metering at the server: ok answers pass here, their usage goes to the store's process.
+"""Usage metering in the server: measures the usage of ok answers and sends it to the store's process.
 
-Guarantee: with `before_answer`, an ok answer goes once its usage is durable, or shortly before its
-deadline. Failure mode: where the store can't keep up, answers go early (`stuck = "answer"`) or are aborted
-(`stuck = "abort"`); usage for which the queue has no room is dropped and counted, never billed.
+Guarantee: with `durable = "before_answer"`, an ok answer is sent once its usage is durable, at the latest
+shortly before its deadline. Failure mode: if the store can't keep up, answers are sent before their usage is
+durable (`stuck = "answer"`) or aborted (`stuck = "abort"`). Usage that does not fit into the queue is dropped
+and counted, but never billed.
 """
 
 from __future__ import annotations
@@ -26,8 +27,8 @@
     from landingshift.net.program.features import ServiceHost
     from landingshift.net.routing.rpc_record import RoutedRpc
 
-DEADLINE_MARGIN_MS = 15.0  # before its deadline an ok answer goes out whatever the store does
-MAX_RESULTS_RATIO = 4  # of the queue's bound, that results may take which wait for their commit
+DEADLINE_MARGIN_MS = 15.0  # an ok answer waits for the store until this time before its deadline
+MAX_DEFERRED_RESULTS_RATIO = 4  # maximum size of deferred results, as a multiple of the queue's limit
 NO_DEADLINE_MS = float("inf")
 
 
@@ -37,19 +38,19 @@
 
     rpc: RoutedRpc
     result: bytes
-    """Empty once the answer has gone."""
+    """Result to send; empty if the answer is not deferred any more."""
     due_ms: float
-    """When the answer goes whatever the store does; loop time."""
+    """Loop time at which the answer is sent or aborted even if its usage is not durable."""
     usage: ReportedUsage
     is_released: bool = False
-    """Whether the answer is no longer deferred."""
+    """Whether the answer was sent or aborted, or was never deferred."""
 
 
 class UsageMeter:
-    """The answer gate and the observer of answers.
+    """Meters the ok answers of a server; registered with the router as answer gate and as observer.
 
     Attributes:
-        name: Name of the observer, in the log.
+        name: Name of the observer in the log.
     """
 
     name = "ledger"
@@ -61,11 +62,11 @@
         self._settings = settings
         self._queue = UsageQueue(settings.queue_kb * 1024)
         self._tracker = DeliveryTracker(self._loop, self._queue)
-        self._not_durable: dict[int, MeteredAnswer] = {}  # by sequence of the usage
-        self._unanswered: dict[RoutedRpc, MeteredAnswer] = {}
+        self._not_durable: dict[int, MeteredAnswer] = {}  # by sequence number of the usage
+        self._unanswered: dict[RoutedRpc, MeteredAnswer] = {}  # not written to a connection yet
         self._deferred_result_bytes = 0
-        self._next_due_ms = NO_DEADLINE_MS  # no deferred answer is due before this
-        self._flush_deadline_ms = NO_DEADLINE_MS  # when all answers must go, once the server drains
+        self._next_due_ms = NO_DEADLINE_MS  # lower bound of the deferred answers' `due_ms`
+        self._flush_deadline_ms = NO_DEADLINE_MS  # set when the server drains: no answer waits longer
         self._tick_timer: Timer | None = None
         self._is_behind = False
         self._early_answer_count = 0
@@ -73,19 +74,22 @@
         self._store_process = StoreProcess(self._loop, self._log, settings, self._queue, self)
 
     def wait_for_start(self) -> None:
-        """Blocks until the store is open.
+        """Blocks until the store's process has opened the store.
 
         Raises:
-            InvalidSettingError: The store can't be used.
+            InvalidSettingError: The store can't be opened.
         """
         if not self._store_process.wait_until_ready():
             problem = self._store_process.error or "the process that keeps the store did not start"
             raise InvalidSettingError("folder", problem)
 
     def finish(self) -> None:
-        """The last commit: all connections are gone, so what became of each answer is known."""
-        self._tracker.settle_known()
-        self._tracker.dispute_rest()
+        """Commits the remaining usage; call it after all connections are closed.
+
+        Answers whose delivery is still unknown are disputed.
+        """
+        self._tracker.queue_known_outcomes()
+        self._tracker.dispute_remaining()
         if self._store_process.finish():
             self._log(
                 "ledger_finished",
@@ -94,49 +98,56 @@
                 dropped=self._dropped_count,
             )
 
-    # The answer gate
+    # Answer gate
 
     def defer_answer(self, rpc: RoutedRpc, result: bytes, run_time_ms: float) -> bool:
-        """Queues the usage of an ok answer, and defers the answer where durability comes first.
+        """Queues the usage of an ok answer, and with `before_answer` defers the answer until that is durable.
 
         Returns:
-            True where the answer is deferred here, or was aborted for want of room in the queue; False where
-            the caller is to send it now.
+            False if the caller must send the answer now. True if the answer is deferred, or if it was aborted
+            because the queue is full.
         """
         assert rpc.managed is not None
-        usage = self._measure(rpc, result, run_time_ms)
+        usage = self._make_usage(rpc, result, run_time_ms)
         if not self._queue.add(usage):
-            return self._abort_unmetered(rpc)
+            return self._on_queue_full(rpc)
         is_deferred = self._settings.durability == "before_answer"
         due_ms = min(rpc.managed.deadline_at_ms - DEADLINE_MARGIN_MS, self._flush_deadline_ms)
         answer = MeteredAnswer(rpc, result if is_deferred else b"", due_ms, usage, not is_deferred)
-        self._remember(answer)
+        self._add_answer(answer)
         if is_deferred:
             self._defer(answer)
         return is_deferred
 
     def flush_by(self, deadline_ms: float) -> None:
-        """The server drains: deferred answers are sent by that time; loop time."""
+        """Limits the wait of deferred answers; called when the server drains.
+
+        Args:
+            deadline_ms: Loop time by which all deferred answers are sent or aborted.
+        """
         self._flush_deadline_ms = deadline_ms
         for answer in self._not_durable.values():
             answer.due_ms = min(answer.due_ms, deadline_ms)
         if self._not_durable:
             self._next_due_ms = min(self._next_due_ms, deadline_ms)
 
-    def _remember(self, answer: MeteredAnswer) -> None:
-        """Keeps an answer until its usage is durable and the answer was written."""
+    def _add_answer(self, answer: MeteredAnswer) -> None:
+        """Registers an answer until its usage is durable and the answer was written to its connection."""
         self._not_durable[answer.usage.sequence] = answer
         self._unanswered[answer.rpc] = answer
         self._tick_within(self._settings.commit_ms)
 
     def _defer(self, answer: MeteredAnswer) -> None:
-        """Counts a deferred result; past the bound of memory it goes at the next tick, durable or not."""
+        """Counts the size of a deferred result.
+
+        If the deferred results exceed their limit, the answer is due at the next tick, durable or not.
+        """
         self._deferred_result_bytes += len(answer.result)
-        if self._deferred_result_bytes > MAX_RESULTS_RATIO * self._queue.limit_bytes:
+        if self._deferred_result_bytes > MAX_DEFERRED_RESULTS_RATIO * self._queue.limit_bytes:
             answer.due_ms = self._loop.now_ms
         self._next_due_ms = min(self._next_due_ms, answer.due_ms)
 
-    def _measure(self, rpc: RoutedRpc, result: bytes, run_time_ms: float) -> ReportedUsage:
+    def _make_usage(self, rpc: RoutedRpc, result: bytes, run_time_ms: float) -> ReportedUsage:
         tenant = rpc.tenant_name.encode(errors="surrogatepass")
         attempt_id = self._attempt_id(rpc)
         content = attempt_id.encode(errors="surrogatepass") if attempt_id else rpc.body
@@ -152,9 +163,10 @@
         )
 
     def _attempt_id(self, rpc: RoutedRpc) -> str | None:
-        """What names the client's attempt: the installation's field, else the token, else nothing.
+        """Returns the ID of the client's attempt: the configured field, else its token or key, else None.
 
-        A read's key says what the read is about, not which attempt it is, unless the installation says so.
+        The key of a read identifies the data and not the attempt, so it is only used if the setting
+        `identity_key` declares that it identifies the attempt.
         """
         if rpc.attempt_id or rpc.dedup_key is None:
             return rpc.attempt_id
@@ -162,11 +174,11 @@
             return None
         return rpc.dedup_key[1]
 
-    def _abort_unmetered(self, rpc: RoutedRpc) -> bool:
-        """No room for its usage: as the settings say, the answer is aborted, or goes unbilled and counted.
+    def _on_queue_full(self, rpc: RoutedRpc) -> bool:
+        """Counts dropped usage and, with `stuck = "abort"`, aborts its answer.
 
         Returns:
-            Whether the answer was aborted.
+            Whether the answer was aborted; if not, it must be sent without being billed.
         """
         self._dropped_count += 1
         self._set_behind(True)
@@ -175,10 +187,10 @@
             return True
         return False
 
-    # The store's process
+    # Callbacks of the store's process
 
     def on_durable(self, batch_number: int) -> None:
-        """All batches up to this one are committed: their answers go."""
+        """Sends the deferred answers of all batches up to this one, which are now durable."""
         for usage in self._queue.acknowledge(batch_number):
             answer = self._not_durable.pop(usage.sequence, None)
             if answer is not None and not answer.is_released:
@@ -188,13 +200,13 @@
             self._set_behind(False)
 
     def waiting_count(self) -> int:
-        """Returns the number of usage records that no commit has made durable yet."""
+        """Returns the number of usage records that are not durable yet."""
         return len(self._not_durable)
 
     # Answers
 
     def on_answered(self, rpc: RoutedRpc, kind: AnswerKind) -> None:
-        """An answer was written to its connection."""
+        """Starts tracking the delivery of an ok answer, which was just written to its connection."""
         answer = self._unanswered.pop(rpc, None) if kind is AnswerKind.OK else None
         if answer is None:
             return
@@ -222,11 +234,11 @@
         return result
 
     def _settle_unless_answered(self, answer: MeteredAnswer) -> None:
-        """Where nobody waited for the answer any more, there is no usage."""
+        """Marks an answer as undelivered if it was not written to a connection, so that it is not billed."""
         if self._unanswered.pop(answer.rpc, None) is not None:
             self._queue.add_outcome(DeliveryOutcome.UNDELIVERED, answer.usage.sequence)
 
-    # Every few ms while there is anything to do
+    # Periodic work
 
     def _tick_within(self, delay_ms: float) -> None:
         due_ms = self._loop.now_ms + delay_ms
@@ -238,7 +250,7 @@
         self._tick_timer = None
         now_ms = self._loop.now_ms
         if now_ms >= self._store_process.outcomes_due_ms:
-            self._tracker.settle_known()
+            self._tracker.queue_known_outcomes()
         if self._settings.durability == "after_answer":
             for answer in list(self._unanswered.values()):
                 if answer.is_released:
@@ -252,7 +264,7 @@
             self._tick_within(max(1.0, self._store_process.outcomes_due_ms - now_ms))
 
     def _release_due(self) -> None:
-        """Sends or aborts answers that are due: the deadline does not wait for a disk."""
+        """Sends or aborts the deferred answers that are due although their usage is not durable."""
         now_ms = self._loop.now_ms
         next_due_ms = NO_DEADLINE_MS
         for answer in [answer for answer in self._not_durable.values() if not answer.is_released]:
@@ -279,10 +291,10 @@
 
 
 def attach(host: ServiceHost, settings: Settings) -> UsageMeter:
-    """Switches usage metering on.
+    """Starts usage metering on a server and waits until its store is open.
 
     Raises:
-        InvalidSettingError: The store can't be used.
+        InvalidSettingError: The store can't be opened.
     """
     meter = UsageMeter(host, settings)
     meter.wait_for_start()
--- a/landingshift/ledger/settings.py
+++ b/landingshift/ledger/settings.py
@@ -1,6 +1,7 @@
-"""The table `[ledger]`. The names of its keys are the users'; the fields have the names of this package.
+"""Settings of the TOML table `[ledger]`.
 
-The store's process gets the same struct as JSON on its command line, with the users' names too.
+The server passes the settings to the store's process as JSON on its command line, with the keys of the TOML
+table.
 """
 
 from __future__ import annotations
@@ -20,53 +21,58 @@
 
 
 class Settings(Struct, forbid_unknown_fields=True, frozen=True):
-    """How usage is metered on this server."""
+    """Settings of usage metering."""
 
     directory: DirectoryPath = field(name="folder")
-    """Holds the store and its lock; one server a directory."""
+    """Directory of the store and its lock file, used by only one server at a time."""
     instance: Annotated[str, Meta(pattern=r"^[A-Za-z0-9._-]{1,64}$")]
-    """Names this store among others; never changes."""
+    """Unique name of this server's ledger; can't change once the store exists."""
     on: bool = True
+    """Whether usage is metered."""
     durability: Durability = field(default="before_answer", name="durable")
-    """Whether an ok answer waits until its usage is durable."""
+    """Whether an ok answer is sent only after its usage is durable, or without waiting."""
     overdue_action: OverdueAction = field(default="answer", name="stuck")
-    """What becomes of an ok answer whose usage is not durable by its deadline."""
+    """Whether an ok answer is sent or aborted if its usage is not durable by the RPC's deadline."""
     commit_ms: Annotated[float, Meta(ge=0.0, le=1000.0)] = 5.0
-    """How often new usage is sent to the store."""
+    """Interval at which new usage is sent to the store's process."""
     settle_ms: Annotated[float, Meta(ge=0.0, le=10_000.0)] = 50.0
-    """How often outcomes of answers are sent where there is no new usage."""
+    """Interval at which delivery outcomes are sent while there is no new usage."""
     queue_kb: Annotated[int, Meta(ge=64, le=65536)] = 1024
-    """Bound of the usage that waits for the store."""
+    """Maximum size of usage that is not durable yet, in KiB."""
     time_zone: str = field(default="UTC", name="zone")
+    """Time zone of the billing periods."""
     period_unit: PeriodUnit = field(default="month", name="period")
+    """Length of the billing periods."""
     dedup_window_seconds: Annotated[int, Meta(ge=1, le=86400)] = field(default=900, name="window_s")
-    """Within which a like RPC is a retry."""
+    """Time within which an RPC of the same identity is a retry and not billed."""
     max_identity_count: Annotated[int, Meta(ge=1000, le=20_000_000)] = field(default=100_000, name="recent")
-    """Identities that are remembered for the window."""
+    """Maximum number of identities in the deduplication window."""
     attempt_id_field: Annotated[str, Meta(max_length=32)] = field(default="", name="identity_field")
-    """An RPC's field that names the client's attempt."""
+    """Field of an RPC that contains the ID of the client's attempt; empty if there is none."""
     key_names_attempt: bool = field(default=False, name="identity_key")
-    """Whether a read's key names the client's attempt too, not only what the read is about."""
+    """Whether the key of a read identifies the client's attempt and not only the data that is read."""
     lock_wait_ms: Annotated[float, Meta(ge=0.0, le=60000.0)] = 3000.0
-    """How long a start waits for a predecessor's lock."""
+    """How long the start waits for the previous server process to release the store's lock."""
     price_plan_path: str = field(default="", name="plan")
-    """The prices; beside the file of settings, or absolute."""
+    """Path of the price plan file, absolute or relative to the settings file; empty if there is none."""
 
     @property
     def dedup_window_ms(self) -> int:
-        """The deduplication window."""
+        """Length of the deduplication window."""
         return self.dedup_window_seconds * 1000
 
 
 def check(settings: Settings, folder: str) -> None:
-    """Checks what the types can't say; looks at nothing that starting would create.
+    """Checks constraints of the settings that their types can't express, and the price plan file.
+
+    The store's directory need not exist yet and is not accessed.
 
     Args:
-        settings: What the file says.
-        folder: Folder of the file.
+        settings: Settings to check.
+        folder: Directory of the settings file.
 
     Raises:
-        InvalidSettingError: A key has a value that can't be used.
+        InvalidSettingError: A key has an invalid value.
     """
     try:
         ZoneInfo(settings.time_zone)
--- a/landingshift/ledger/statements.py
+++ b/landingshift/ledger/statements.py
@@ -1,4 +1,4 @@
-"""A tenant's statement for a period, as JSON and CSV whose lines add up to the total."""
+"""Statements of a tenant's charges for a period, in JSON and CSV."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Statement:
-    """What a tenant pays for a period."""
+    """Charges and corrections of a tenant for a period."""
 
     tenant: str
     """Escaped name."""
@@ -42,17 +42,24 @@
     charges: list[LineCharge]
     corrections: list[Correction]
     total: Decimal
-    """Sum of the rounded lines."""
+    """Sum of the rounded amounts of `charges` and `corrections`."""
     uses: int
+    """Number of billed RPCs."""
 
 
 def statements(
     reader: StoreReader, plan: PricePlan, period: str, tenant: bytes | None = None
 ) -> Iterator[Statement]:
-    """Statements of all tenants with anything in a period, or of one; in the order of names, one at a time.
+    """Yields the statements of tenants with usage or corrections in a period, in the order of their names.
+
+    Args:
+        reader: Store to read.
+        plan: Price plan.
+        period: Name of the period.
+        tenant: If given, only the statement of this tenant is yielded.
 
     Raises:
-        InvalidPeriodError: The name names no period.
+        InvalidPeriodError: `period` is not the name of a period.
     """
     name = reader.calendar.period_named(period).name
     is_closed = reader.is_closed(name)
@@ -81,7 +88,7 @@
 
 
 def statement_to_json(statement: Statement) -> dict[str, Any]:
-    """The statement with the keys that its readers know."""
+    """Returns the statement as a JSON object; its keys are a public format."""
     lines = [_charge_to_json(charge) for charge in statement.charges]
     lines += [_correction_to_json(correction) for correction in statement.corrections]
     return {
@@ -120,18 +127,19 @@
 
 
 def statement_to_csv(statement: Statement, with_header: bool) -> str:
-    """The statement's lines, and its total as the last one."""
+    """Returns the statement as CSV rows, the last of which is the total."""
     output = io.StringIO()
     writer = csv.writer(output, lineterminator="\n")
     if with_header:
         writer.writerow(CSV_HEADER)
-    beginning = [statement.tenant, statement.period]
+    first_columns = [statement.tenant, statement.period]
     for charge in statement.charges:
         late = " ".join(f"{period}={quantity}" for period, quantity in charge.late_quantities.items())
         quantities = [charge.quantity, charge.free_quantity, charge.amount]
-        writer.writerow([*beginning, charge.name, charge.unit, *quantities, statement.currency, late, ""])
+        writer.writerow([*first_columns, charge.name, charge.unit, *quantities, statement.currency, late, ""])
     for correction in statement.corrections:
-        ending = [statement.currency, correction.service_period, correction.reason]
-        writer.writerow([*beginning, "correction", "", correction.uses, 0, correction.amount or 0, *ending])
-    writer.writerow([*beginning, "total", "", "", "", statement.total, statement.currency, "", ""])
+        last_columns = [statement.currency, correction.service_period, correction.reason]
+        amount = correction.amount or 0
+        writer.writerow([*first_columns, "correction", "", correction.uses, 0, amount, *last_columns])
+    writer.writerow([*first_columns, "total", "", "", "", statement.total, statement.currency, "", ""])
     return output.getvalue()
--- a/landingshift/ledger/store.py
+++ b/landingshift/ledger/store.py
@@ -1,8 +1,8 @@
-"""The store: one SQLite file in WAL mode, every commit synced. Holds no accounting rule of its own.
+"""Storage of one ledger in a SQLite file; the accounting rules are in `usage_ledger`.
 
-Guarantee: a commit writes entries and index together or not at all, and it is durable when it returns.
-Failure mode: a commit that fails raises, changes nothing, and the next one recovers the accounting state
-from the file.
+Guarantee: a commit writes the entries and their index atomically and is durable (WAL mode, synced) when it
+returns. Failure mode: a failed commit raises and changes nothing in the file; the next commit first recovers
+the accounting state from the file.
 """
 
 from __future__ import annotations
@@ -38,14 +38,14 @@
 from landingshift.ledger.usage_ledger import CommitChanges, UsageLedger
 
 STORE_FILE = "ledger.sqlite"
-CACHE_SIZE = -8000  # KB, in the way SQLite counts
-BACKUP_STEP_COUNT = 1000  # pages that are copied at a time, so that the server goes on meanwhile
+CACHE_SIZE = -8000  # a negative value is in KiB for SQLite
+BACKUP_PAGES_PER_STEP = 1000  # the server can commit between two steps
 _UNKNOWN_DATA_VERSION = -1
 
 
 @contextmanager
 def _closing_on_error(db: sqlite3.Connection, path: str) -> Iterator[None]:
-    """Closes the file where it can't be used; SQLite's errors become `StoreUnavailableError`."""
+    """Closes the connection if the block fails, and raises SQLite's errors as `StoreUnavailableError`."""
     try:
         yield
     except sqlite3.Error as err:
@@ -57,15 +57,16 @@
 
 
 class UsageStore(StoreReader):
-    """A store that is open for reading and writing.
+    """Reads and writes the store of one ledger.
 
     Attributes:
-        path: The file.
-        instance: Names this ledger among others.
+        path: Path of the SQLite file.
+        instance: Unique name of the server whose usage the ledger records.
         time_zone: Time zone of the billing periods.
         period_unit: Length of the billing periods.
-        index: Writes the index over the entries.
-        ledger: The accounting state as of the last commit that was seen.
+        max_identity_count: Maximum number of identities in the deduplication window.
+        index: Writer of the index tables.
+        ledger: Accounting state as of the last commit this object read or made.
     """
 
     def __init__(
@@ -77,19 +78,19 @@
         dedup_window_ms: int,
         max_identity_count: int,
     ) -> None:
-        """Opens the store, which is made where there is none.
+        """Opens the store and recovers its accounting state; creates the file if it does not exist.
 
         Args:
-            directory: Holds the file.
-            instance: Names this ledger among others.
+            directory: Directory of the SQLite file.
+            instance: Unique name of the server whose usage the ledger records.
             time_zone: Time zone of the billing periods.
             period_unit: Length of the billing periods.
-            dedup_window_ms: Within which a like RPC is a retry.
-            max_identity_count: Identities that are remembered for that.
+            dedup_window_ms: Time within which an RPC of the same identity is a retry.
+            max_identity_count: Maximum number of identities in the deduplication window.
 
         Raises:
-            StoreUnavailableError: The file can't be used.
-            StoreMismatchError: It is another instance's, or was made with another time zone or unit.
+            StoreUnavailableError: The file can't be opened or read.
+            StoreMismatchError: The file was created for another instance, time zone or period unit.
         """
         self.path = os.path.join(directory, STORE_FILE)
         self.instance = instance
@@ -101,12 +102,12 @@
             self._prepare(db)
             super().__init__(db, BillingCalendar(time_zone, period_unit), dedup_window_ms)
             self.index = IndexWriter(db)
-            self._data_version = _UNKNOWN_DATA_VERSION  # the state of the file that `ledger` stands for
+            self._data_version = _UNKNOWN_DATA_VERSION  # version of the file from which `ledger` was read
             self.ledger = recover_ledger(self, max_identity_count)
 
     @classmethod
     def from_settings(cls, settings: Settings) -> UsageStore:
-        """Opens the store that the settings name."""
+        """Opens the store with the values of the settings."""
         return cls(
             settings.directory,
             settings.instance,
@@ -117,7 +118,7 @@
         )
 
     def __enter__(self) -> UsageStore:
-        """Open already."""
+        """Returns this store, which is already open."""
         return self
 
     def __exit__(
@@ -131,12 +132,20 @@
         self.db.close()
 
     def writing(self) -> AbstractContextManager[None]:
-        """One commit, all or nothing; another process's commit before it is seen."""
+        """Returns a context manager that runs its block as one atomic, durable transaction.
+
+        The block sees all commits that other processes made before it began.
+        """
         return transaction(self.db, "ledger.commit", "ledger.committed")
 
     @contextmanager
     def changing(self) -> Iterator[UsageLedger]:
-        """The accounting state for one commit; where the commit fails the state is recovered anew."""
+        """Runs its block as one transaction and commits the changes that the block makes to the ledger.
+
+        Yields:
+            The accounting state as of the last commit of any process. If the transaction fails, the next call
+            recovers this state from the file.
+        """
         is_committed = False
         try:
             with self.writing():
@@ -145,17 +154,20 @@
                     self.ledger = recover_ledger(self, self.max_identity_count)
                     self._data_version = data_version
                 yield self.ledger
-                self._write(self.ledger.take_changes())
+                self._write(self.ledger.pop_changes())
             is_committed = True
         finally:
             if not is_committed:
                 self._data_version = _UNKNOWN_DATA_VERSION
 
     def start_run(self, run_id: bytes, now_ms: int) -> int:
-        """A server run begins; for the same run, nothing changes.
+        """Records the start of a server process and disputes the usage that earlier processes left pending.
+
+        A second call with the same `run_id` changes nothing, so a restarted store process keeps the usage of
+        its server pending.
 
         Returns:
-            How much usage of an earlier run is disputed now.
+            The number of usage entries that became disputed.
         """
         with self.changing() as ledger:
             if self.meta(META_RUN_ID) == run_id:
@@ -164,23 +176,30 @@
             return ledger.start_run(run_id, now_ms)
 
     def set_meta(self, key: str, value: object) -> None:
-        """Sets a value of the table `meta`, within a commit."""
+        """Sets a value of the table `meta`; must be called within a transaction."""
         self.db.execute(
             "INSERT INTO meta VALUES(?, ?) ON CONFLICT DO UPDATE SET value = excluded.value", (key, value)
         )
 
     def remember_exported(self, number: int) -> None:
-        """Notes how far the receiver is, for `status` and `compact` alone: the receiver is the authority."""
+        """Stores the number of the last entry that the receiver acknowledged.
+
+        Only `ledger status` and `ledger compact` read it; the export always continues from the cursor that
+        the receiver reports.
+        """
         if self.meta(META_EXPORTED_NUMBER) != number:
             with self.writing():
                 self.set_meta(META_EXPORTED_NUMBER, number)
 
     def insert_entries(self, rows: Iterable[EntryRow]) -> None:
-        """Adds entries as they are, within a commit; the index does not follow by itself."""
+        """Inserts entries without updating the index; must be called within a transaction."""
         self.db.executemany("INSERT INTO entries VALUES(?, ?, ?, ?)", rows)
 
     def remove_settled_usage(self, last_number: int, retained_numbers: Iterable[int]) -> None:
-        """Removes usage and settlements up to an entry but for those to retain, within a commit."""
+        """Removes usage and settlement entries up to `last_number`, except those in `retained_numbers`.
+
+        Must be called within a transaction.
+        """
         self.db.execute("CREATE TEMP TABLE IF NOT EXISTS spared(number INTEGER PRIMARY KEY)")
         self.db.execute("DELETE FROM spared")
         self.db.executemany("INSERT INTO spared VALUES(?)", [(number,) for number in retained_numbers])
@@ -191,15 +210,15 @@
         )
 
     def reclaim_space(self) -> None:
-        """Gives the space of removed entries back to the disk."""
+        """Shrinks the file by the space of removed entries."""
         self.db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
         self.db.execute("VACUUM")
 
     def backup(self, path: str) -> None:
-        """Makes a complete copy while the server goes on."""
+        """Writes a consistent copy of the store to `path`; a server may keep writing meanwhile."""
         copy = sqlite3.connect(path)
         try:
-            self.db.backup(copy, pages=BACKUP_STEP_COUNT)
+            self.db.backup(copy, pages=BACKUP_PAGES_PER_STEP)
         finally:
             copy.close()
 
@@ -209,12 +228,12 @@
         db.execute(f"PRAGMA cache_size = {CACHE_SIZE}")
         with transaction(db, "ledger.commit", "ledger.committed"):
             make_tables(db, SCHEMA)
-            self._agree_on(db, META_VERSION, SCHEMA_VERSION)
-            self._agree_on(db, META_INSTANCE, self.instance)
-            self._agree_on(db, META_TIME_ZONE, self.time_zone)
-            self._agree_on(db, META_PERIOD_UNIT, self.period_unit)
+            self._set_or_check_meta(db, META_VERSION, SCHEMA_VERSION)
+            self._set_or_check_meta(db, META_INSTANCE, self.instance)
+            self._set_or_check_meta(db, META_TIME_ZONE, self.time_zone)
+            self._set_or_check_meta(db, META_PERIOD_UNIT, self.period_unit)
 
-    def _agree_on(self, db: sqlite3.Connection, key: str, value: object) -> None:
+    def _set_or_check_meta(self, db: sqlite3.Connection, key: str, value: object) -> None:
         row = db.execute("SELECT value FROM meta WHERE key = ?", (key,)).fetchone()
         stored = row[0] if row else None
         if stored is None:
--- a/landingshift/ledger/store_lock.py
+++ b/landingshift/ledger/store_lock.py
@@ -1,4 +1,4 @@
-"""The lock file of a store: one server a store."""
+"""Lock file that gives one server exclusive use of a store."""
 
 from __future__ import annotations
 
@@ -15,18 +15,25 @@
 
 
 class StoreLock:
-    """Held from a server's start to its end; the kernel releases it where the process is killed."""
+    """Exclusive lock on a store's directory, with which the store's process excludes other servers.
+
+    The kernel releases the lock if the process is killed.
+
+    Attributes:
+        path: Path of the lock file, which contains the process ID of the holder.
+    """
 
     def __init__(self, directory: str, timeout_ms: float) -> None:
-        """Takes the lock.
+        """Acquires the lock.
 
         Args:
-            directory: The store's.
-            timeout_ms: A predecessor that was killed may still be committing what it had read.
+            directory: Directory of the store.
+            timeout_ms: How long to wait for the lock. The store's process of a killed server keeps the lock
+                until it has committed the batches that it had read.
 
         Raises:
-            StoreLockedError: Another server holds it.
-            StoreUnavailableError: The file can't be used.
+            StoreLockedError: Another process still holds the lock after the timeout.
+            StoreUnavailableError: The lock file can't be opened.
         """
         self.path = os.path.join(directory, LOCK_FILE)
         try:
@@ -44,17 +51,17 @@
         os.pwrite(self._fd, str(os.getpid()).encode(), 0)
 
     def __enter__(self) -> StoreLock:
-        """Held already."""
+        """Returns this lock, which is already held."""
         return self
 
     def __exit__(
         self, _type: type[BaseException] | None, _error: BaseException | None, _trace: TracebackType | None
     ) -> None:
-        """Releases it."""
+        """Releases the lock."""
         self.close()
 
     def close(self) -> None:
-        """Releases it."""
+        """Releases the lock."""
         os.close(self._fd)
 
     def _try_lock(self) -> bool:
--- a/landingshift/ledger/store_messages.py
+++ b/landingshift/ledger/store_messages.py
@@ -1,4 +1,4 @@
-"""Messages between the server and the store's process: MessagePack arrays, fields by position."""
+"""Messages between the server and the store's process: MessagePack arrays with the fields by position."""
 
 from __future__ import annotations
 
@@ -6,41 +6,46 @@
 
 
 class ReportedUsage(Struct, array_like=True):
-    """Usage as the server reports it, with names in full."""
+    """Usage of one RPC that was answered ok, with the names of tenant and method instead of entry numbers."""
 
     sequence: int
+    """Number of this usage record within the server process, from 1."""
     at_ms: int
-    """Unix time."""
+    """Unix time at which the answer was ready."""
     tenant: bytes
     method: bytes
     work_us: int
+    """Run time on the engine."""
     bytes_in: int
+    """Size of the request body."""
     bytes_out: int
+    """Size of the result."""
     identity: bytes
-    """Names the client's attempt."""
+    """Identity of the client's attempt, computed by `attempt_identity`."""
 
 
 class UsageBatch(Struct, array_like=True):
-    """Committed as one. `number` rises by one within a run, so that a batch sent again is recognised."""
+    """Usage and delivery outcomes that the store commits together."""
 
     number: int
+    """Number of the batch within the server process, from 1; the store uses it to ignore resent batches."""
     usages: list[ReportedUsage]
     delivered: list[int]
-    """By sequence: the gateway's machine has the complete answer."""
+    """Sequence numbers of usage whose complete answer the gateway's machine acknowledged."""
     undelivered: list[int]
-    """By sequence: the answer never left complete."""
+    """Sequence numbers of usage whose answer was never sent completely."""
     disputed: list[int]
-    """By sequence: whether the answer arrived is unknown."""
+    """Sequence numbers of usage for which it is unknown whether the answer arrived."""
     dropped_count: int = 0
-    """Usage that found no room in the queue since the last batch."""
+    """Number of usage records dropped since the last batch because the queue was full."""
 
 
 class StoreStatus(Struct, array_like=True):
-    """What the store's process reports after each commit, and where it can't commit."""
+    """Report of the store's process after its start, each commit and each failed commit."""
 
     committed_batch: int
-    """Number of the last batch that is durable; -1 where none was looked at."""
+    """Number of the last durable batch; -1 if the store could not be opened or SQLite failed to commit."""
     error: str = ""
-    """Why nothing can be committed at the moment."""
+    """Why the store can't be opened or the last commit failed; empty if there is no error."""
     shortened_count: int = 0
-    """Times that identities were forgotten within their window."""
+    """Number of times that identities were forgotten before their deduplication window had passed."""
--- a/landingshift/ledger/store_process.py
+++ b/landingshift/ledger/store_process.py
@@ -1,8 +1,7 @@
-"""The server's side of the process that keeps the store: starts it, sends batches, takes its status.
+"""Server side of the store's process: starts it, sends it batches and handles its status reports.
 
-Guarantee: batches are sent in order, and again to a process that was started anew, until they are durable.
-Failure mode: a process that ends is started again after a growing pause; meanwhile usage waits in the
-queue.
+Guarantee: batches are sent in order, and sent again to a restarted process until they are durable. Failure
+mode: if the process exits, it is restarted after an increasing delay; meanwhile usage waits in the queue.
 """
 
 from __future__ import annotations
@@ -23,35 +22,35 @@
 from landingshift.net.transport.worker import Worker
 
 WORKER_MODULE = "landingshift.ledger.worker"
-MAX_IN_FLIGHT_BATCH_COUNT = 4  # more would only wait in the socket
-START_TIMEOUT_MS = 10_000.0  # that the process has to open the store, besides the wait for its lock
-FINISH_TIMEOUT_MS = 400.0  # that the end of the server waits for the last commit
-RESTART_BACKOFF_MS = (50.0, 200.0, 1000.0, 5000.0)  # between two starts; the last one repeats
-STEADY_AFTER_MS = 60_000.0  # a process that ran so long is started again as if it were the first
+MAX_IN_FLIGHT_BATCH_COUNT = 4  # more batches would only wait in the socket
+START_TIMEOUT_MS = 10_000.0  # time to open the store, in addition to the wait for its lock
+FINISH_TIMEOUT_MS = 400.0  # how long a stopping server waits for the last commit
+RESTART_BACKOFF_MS = (50.0, 200.0, 1000.0, 5000.0)  # delays before successive restarts; the last one repeats
+BACKOFF_RESET_AFTER_MS = 60_000.0  # if the process ran at least this long, the delays start from the first
 START_POLL_SECONDS = 0.1
 FINISH_POLL_SECONDS = 0.02
-SOCKET_LIMIT_BYTES_PER_KB = 2048  # that may wait in the socket, a KB of the queue
+SOCKET_LIMIT_BYTES_PER_KB = 2048  # limit of the bytes that wait for the socket, per KiB of the queue's limit
 
 Log = Callable[..., None]
 
 
 class StoreProcessOwner(Protocol):
-    """Whoever waits for usage to become durable."""
+    """Receives callbacks when usage becomes durable."""
 
     def on_durable(self, batch_number: int) -> None:
-        """All batches up to this one are committed."""
+        """Handles that all batches up to this one are durable."""
 
     def waiting_count(self) -> int:
         """Returns the number of usage records that are not durable yet, for the log."""
 
 
 class StoreProcess:
-    """Keeps a store's process running and the queue moving.
+    """Keeps the store's process running and sends it the batches of the queue.
 
     Attributes:
-        is_ready: The process has opened the store and takes batches.
-        error: Why it can't commit at the moment; empty where it can.
-        outcomes_due_ms: When outcomes of answers are sent even without new usage; loop time.
+        is_ready: Whether the process has opened the store and accepts batches.
+        error: Why the store can't be opened or can't commit at the moment; empty if there is no error.
+        outcomes_due_ms: Loop time from which delivery outcomes are sent even without new usage.
     """
 
     def __init__(
@@ -76,9 +75,12 @@
         self._start()
 
     def wait_until_ready(self) -> bool:
-        """Blocks until the process has opened the store; False where it could not.
+        """Blocks until the process has opened the store.
 
-        Before the first RPC is read: a store that can't be used must keep the server from starting.
+        Called before the server reads its first RPC, so that a server without a usable store does not start.
+
+        Returns:
+            False if the process exited, reported an error or did not open the store within the timeout.
         """
         timeout_ms = START_TIMEOUT_MS + self._settings.lock_wait_ms
         deadline = time.monotonic() + timeout_ms / 1000.0
@@ -90,7 +92,10 @@
         return self.is_ready
 
     def push(self) -> None:
-        """Sends new usage at once; outcomes go with it, or by themselves from time to time."""
+        """Sends the queued usage and outcomes to the process.
+
+        Outcomes without new usage are only sent every `settle_ms`.
+        """
         worker = self._worker
         are_outcomes_due = self._loop.now_ms >= self.outcomes_due_ms
         while self.is_ready and worker is not None and worker.free_bytes() > 0:
@@ -103,7 +108,11 @@
             self.outcomes_due_ms = self._loop.now_ms + self._settings.settle_ms
 
     def finish(self) -> bool:
-        """Sends what is left and waits a moment for the last commit; False where there is no process."""
+        """Sends all queued batches, waits a short time for their commit and disconnects the process.
+
+        Returns:
+            False if no process was ever started.
+        """
         self._is_finishing = True
         worker = self._worker
         if worker is None:
@@ -119,7 +128,7 @@
         return True
 
     def on_message(self, message: bytes) -> None:
-        """The process reports its status."""
+        """Handles a status report of the process."""
         status = self._decode(message)
         if status.error:
             self._on_error(status.error)
@@ -137,7 +146,7 @@
         self.push()
 
     def on_worker_lost(self, reason: str) -> None:
-        """The process has ended, or its end of the socket pair is closed."""
+        """Schedules a restart after the process exited or closed its end of the socket pair."""
         self.is_ready = False
         if self._is_finishing:
             return
@@ -153,8 +162,8 @@
 
     def _start(self) -> None:
         now_ms = self._loop.now_ms
-        was_steady = now_ms - self._started_ms >= STEADY_AFTER_MS
-        self._start_count = 1 if was_steady else self._start_count + 1
+        must_reset_backoff = now_ms - self._started_ms >= BACKOFF_RESET_AFTER_MS
+        self._start_count = 1 if must_reset_backoff else self._start_count + 1
         self._started_ms = now_ms
         arguments = [msgspec.json.encode(self._settings).decode(), self._run_id.hex()]
         limit_bytes = self._settings.queue_kb * SOCKET_LIMIT_BYTES_PER_KB
@@ -165,7 +174,7 @@
 
     def _restart(self) -> None:
         if self._worker is not None and not self._worker.has_exited():
-            # It finishes what it has read, and holds the lock.
+            # The old process still commits the batches that it has read, and holds the lock meanwhile.
             self._loop.after(RESTART_BACKOFF_MS[0], self._restart)
         else:
             self._start()
@@ -178,7 +187,7 @@
         self.error = error
 
     def _log_shortened_window(self, shortened_count: int) -> None:
-        """Logs at each doubling."""
+        """Logs that identities were forgotten early, each time the number of occurrences has doubled."""
         if shortened_count <= self._logged_shortened_count:
             return
         self._log(
--- a/landingshift/ledger/store_reader.py
+++ b/landingshift/ledger/store_reader.py
@@ -1,4 +1,4 @@
-"""Questions to a store, answered from its tables; the columns' names stand here and in the writing alone."""
+"""Read access to the tables of a store."""
 
 from __future__ import annotations
 
@@ -31,16 +31,16 @@
 )
 
 NO_LIMIT = 1 << 62
-UNKNOWN_NAME = b"?"
+UNKNOWN_NAME = b"?"  # stands for a name that is missing in the index
 
 
 class StoreReader:
-    """Reads a store, whoever writes to it meanwhile.
+    """Reads a store; other processes may write to it at the same time.
 
     Attributes:
-        db: The open database.
-        calendar: The store's billing periods.
-        dedup_window_ms: Within which a like RPC is a retry.
+        db: Connection to the SQLite file.
+        calendar: Billing periods of the store.
+        dedup_window_ms: Time within which an RPC of the same identity is a retry.
     """
 
     def __init__(self, db: sqlite3.Connection, calendar: BillingCalendar, dedup_window_ms: int) -> None:
@@ -49,19 +49,19 @@
         self.dedup_window_ms = dedup_window_ms
 
     def meta(self, key: str) -> object:
-        """A value of the table `meta`; None where there is none."""
+        """Returns a value of the table `meta`; None if the key is not set."""
         row = self.db.execute("SELECT value FROM meta WHERE key = ?", (key,)).fetchone()
         return row[0] if row else None
 
     def exported_number(self) -> int:
-        """The entry up to which the receiver had everything when it was last asked."""
+        """Returns the number of the last entry that the receiver acknowledged; 0 if there is none."""
         number = self.meta(META_EXPORTED_NUMBER)
         return number if isinstance(number, int) else 0
 
     # Entries
 
     def rows(self, first: int = 1, last: int = NO_LIMIT) -> Iterator[EntryRow]:
-        """Entries from `first` up to `last`, both included, in their order."""
+        """Yields the entries from `first` to `last`, both inclusive, in order."""
         cursor = self.db.execute(
             "SELECT number, kind, data, hash FROM entries WHERE number BETWEEN ? AND ? ORDER BY number",
             (first, last),
@@ -69,11 +69,11 @@
         return map(EntryRow._make, cursor)
 
     def row(self, number: int) -> EntryRow | None:
-        """One entry."""
+        """Returns the entry with this number; None if it does not exist or was compacted."""
         return next(self.rows(number, number), None)
 
     def row_before(self, number: int) -> EntryRow | None:
-        """The newest entry before this number."""
+        """Returns the newest entry with a lower number, if any."""
         row = self.db.execute(
             "SELECT number, kind, data, hash FROM entries WHERE number < ? ORDER BY number DESC LIMIT 1",
             (number,),
@@ -81,18 +81,18 @@
         return EntryRow._make(row) if row else None
 
     def newest_number(self) -> int:
-        """Number of the newest entry; 0 where there is none."""
+        """Returns the number of the newest entry; 0 if there is none."""
         return self.db.execute("SELECT max(number) FROM entries").fetchone()[0] or 0
 
     def usage_count(self, last: int) -> int:
-        """How many usage entries there are up to `last`."""
+        """Returns the number of stored usage entries up to entry `last`."""
         count: int = self.db.execute(
             "SELECT count(*) FROM entries WHERE number <= ? AND kind = ?", (last, EntryKind.USAGE)
         ).fetchone()[0]
         return count
 
     def usage_time_at(self, number: int) -> int | None:
-        """When the newest usage up to this entry was, Unix ms."""
+        """Returns the time of the newest usage entry up to this number, Unix ms; None if there is none."""
         row = self.db.execute(
             "SELECT data FROM entries WHERE number <= ? AND kind = ? ORDER BY number DESC LIMIT 1",
             (number, EntryKind.USAGE),
@@ -100,7 +100,7 @@
         return decode_usage(row[0]).at_ms if row else None
 
     def newest_compaction(self) -> Compaction | None:
-        """The newest compaction; what is before its last entry has no settled usage any more."""
+        """Returns the newest compaction entry; None if the store was never compacted."""
         row = self.db.execute(
             "SELECT data FROM entries WHERE kind = ? ORDER BY number DESC LIMIT 1", (EntryKind.COMPACTION,)
         ).fetchone()
@@ -111,7 +111,11 @@
         return entry
 
     def period_close_ends(self, after: int = 0) -> list[tuple[int, int]]:
-        """The entry and the end, Unix ms, of each period that was closed after an entry, in their order."""
+        """Returns the period closes after entry `after`, in order.
+
+        Returns:
+            For each, the number of its entry and the end of the closed period in Unix ms.
+        """
         rows = self.db.execute(
             "SELECT c.number, e.data FROM closed c JOIN entries e USING(number) "
             "WHERE number > ? ORDER BY number",
@@ -120,7 +124,7 @@
         return [(number, decode_period_close(data).end_ms) for number, data in rows]
 
     def corrections(self, period: str) -> Iterator[Correction]:
-        """Corrections that count in a period."""
+        """Yields the corrections that are billed in a period."""
         rows = self.db.execute(
             "SELECT e.data FROM corrections c JOIN entries e USING(number) WHERE period = ?", (period,)
         )
@@ -130,25 +134,25 @@
             yield entry
 
     def disputed(self) -> list[tuple[int, UsageRecord]]:
-        """Disputed usage and its entries, in their order."""
+        """Returns the disputed usage with its entry numbers, in order."""
         rows = self.db.execute(
             "SELECT d.number, e.data FROM disputed d JOIN entries e USING(number) ORDER BY number"
         )
         return [(number, decode_usage(data)) for number, data in rows]
 
     def disputed_numbers(self) -> set[int]:
-        """Entries of disputed usage."""
+        """Returns the entry numbers of disputed usage."""
         return {number for (number,) in self.db.execute("SELECT number FROM disputed")}
 
     # Names
 
     def name_of(self, number: int) -> bytes:
-        """The tenant or method that an entry names."""
+        """Returns the tenant or method name recorded by entry `number`; `UNKNOWN_NAME` if there is none."""
         row = self.db.execute("SELECT name FROM names WHERE number = ?", (number,)).fetchone()
         return row[0] if row else UNKNOWN_NAME
 
     def has_tenant(self, name: bytes) -> bool:
-        """Whether any entry names this tenant."""
+        """Returns whether an entry names this tenant."""
         return (
             self.db.execute("SELECT 1 FROM names WHERE tenant = 1 AND name = ?", (name,)).fetchone()
             is not None
@@ -157,7 +161,7 @@
     # Periods and totals
 
     def tenant_totals(self, period: str) -> list[TenantTotals]:
-        """What counts in a period, in the order of tenants and methods."""
+        """Returns the totals billed in a period, ordered by tenant and method."""
         rows = self.db.execute(
             """SELECT belongs, t.name, m.name, uses, work, size_in, size_out FROM totals
                JOIN names t ON t.number = totals.tenant AND t.tenant = 1
@@ -171,15 +175,15 @@
         ]
 
     def period_totals(self, period: str) -> Totals:
-        """What counts in a period, by the numbers of the names."""
+        """Returns the totals billed in a period, keyed by the entry numbers of the names."""
         return self._totals("SELECT * FROM totals WHERE period = ?", (period,))
 
     def all_totals(self) -> Totals:
-        """What counts in any period, by the numbers of the names."""
+        """Returns the totals of all periods, keyed by the entry numbers of the names."""
         return self._totals("SELECT * FROM totals", ())
 
     def baseline(self) -> Totals:
-        """Totals as they were at the newest compaction's last entry."""
+        """Returns the totals after the last entry of the compacted part; empty if there was no compaction."""
         return self._totals("SELECT * FROM baseline", ())
 
     def _totals(self, statement: str, parameters: tuple[str, ...]) -> Totals:
@@ -190,19 +194,19 @@
         }
 
     def period_sum(self, period: str) -> UsageTotals:
-        """Totals of a whole period."""
+        """Returns the totals of a period over all tenants and methods."""
         row = self.db.execute(
             "SELECT uses, work, size_in, size_out FROM sums WHERE period = ?", (period,)
         ).fetchone()
         return UsageTotals(*row) if row else ZERO_TOTALS
 
     def period_sums(self) -> dict[str, UsageTotals]:
-        """Totals of each period with anything in it, in the order of names."""
+        """Returns the totals of each period that has any, in the order of the periods' names."""
         rows = self.db.execute("SELECT period, uses, work, size_in, size_out FROM sums")
         return {period: UsageTotals(*sums) for period, *sums in rows}
 
     def periods(self) -> list[PeriodSummary]:
-        """All periods with anything in them, in their order."""
+        """Returns all periods that have totals, in chronological order."""
         closed = {name for (name,) in self.db.execute("SELECT period FROM closed")}
         summaries = [
             PeriodSummary(name, totals, name in closed) for name, totals in self.period_sums().items()
@@ -210,22 +214,25 @@
         return sorted(summaries, key=lambda summary: self.calendar.period_named(summary.name).start_ms)
 
     def is_closed(self, period: str) -> bool:
-        """Whether a period was closed."""
+        """Returns whether a period is closed."""
         row = self.db.execute("SELECT 1 FROM closed WHERE period = ?", (period,)).fetchone()
         return row is not None
 
     def first_open_period(self) -> str | None:
-        """The earliest period with totals that is not closed."""
+        """Returns the name of the earliest open period that has totals, if any."""
         return next((summary.name for summary in self.periods() if not summary.is_closed), None)
 
-    # Retries of old usage
+    # Deduplication of old usage
 
     def counted_near(self, records: Collection[UsageRecord]) -> DedupWindow:
-        """Identities that were counted within a window of the times of these records."""
-        known = DedupWindow(self.dedup_window_ms, NO_LIMIT)
+        """Returns when the identities of disputed records were counted, around the times of these records.
+
+        The result covers at least one deduplication window before and after each record.
+        """
+        counted = DedupWindow(self.dedup_window_ms, NO_LIMIT)
         times = [record.at_ms for record in records]
         if not times:
-            return known
+            return counted
         wanted = {record.identity for record in records}
         latest_ms = max(times) + 2 * self.dedup_window_ms
         candidates: dict[int, UsageRecord] = {}
@@ -237,11 +244,14 @@
                 if record.identity in wanted:
                     candidates[number] = record
             elif kind == EntryKind.SETTLEMENT and candidates:
-                _add_counted(known, decode(kind, data), candidates)
-        return known
+                _add_counted(counted, decode(kind, data), candidates)
+        return counted
 
     def _first_entry_since(self, at_ms: int) -> int:
-        """An entry before which all usage is older, if clocks only went forward; found by bisection."""
+        """Returns, by bisection, an entry number before which all usage is older than `at_ms`.
+
+        The result is exact only if the server's clock never stepped back.
+        """
         low = 1
         high = self.newest_number() or 1
         while low < high:
@@ -254,9 +264,9 @@
         return low
 
 
-def _add_counted(known: DedupWindow, settlement: Entry, candidates: dict[int, UsageRecord]) -> None:
+def _add_counted(counted: DedupWindow, settlement: Entry, candidates: dict[int, UsageRecord]) -> None:
     assert isinstance(settlement, Settlement)
     for number in decode_ranges(settlement.counted):
         record = candidates.get(number)
         if record is not None:
-            known.add(record.identity, record.at_ms)
+            counted.add(record.identity, record.at_ms)
--- a/landingshift/ledger/totals.py
+++ b/landingshift/ledger/totals.py
@@ -1,4 +1,4 @@
-"""Sums of usage and the digests that stand for them in the chain."""
+"""Totals of usage, and the digests of totals that the ledger's entries contain."""
 
 from __future__ import annotations
 
@@ -11,15 +11,19 @@
 
 
 class UsageTotals(Struct, frozen=True):
-    """Sums of usage; corrections may make them negative."""
+    """Sums over usage records; corrections may make them negative."""
 
     uses: int = 0
+    """Number of RPCs."""
     work_us: int = 0
+    """Run time on the engine."""
     bytes_in: int = 0
+    """Size of the request bodies."""
     bytes_out: int = 0
+    """Size of the results."""
 
     def __add__(self, other: UsageTotals) -> UsageTotals:
-        """The sum, field by field."""
+        """Adds two totals field by field."""
         return UsageTotals(
             self.uses + other.uses,
             self.work_us + other.work_us,
@@ -28,7 +32,7 @@
         )
 
     def __neg__(self) -> UsageTotals:
-        """What takes these totals back."""
+        """Negates all fields; adding the result removes these totals from a sum."""
         return UsageTotals(-self.uses, -self.work_us, -self.bytes_in, -self.bytes_out)
 
     def as_row(self) -> tuple[int, int, int, int]:
@@ -40,14 +44,16 @@
 
 
 class TotalsKey(Struct, frozen=True, order=True):
-    """What usage is summed up by, in the order of the stored columns."""
+    """Key by which usage is summed, with the fields in the order of the stored columns."""
 
     period: str
-    """The period in which the usage counts."""
+    """Period in which the usage is billed."""
     service_period: str
-    """The period in which it was rendered, where that is another one; else empty."""
+    """Period in which the usage occurred, if it differs from `period`; else empty."""
     tenant_number: int
+    """Entry number of the tenant's name, or in a merged ledger the row ID of the name."""
     method_number: int
+    """The same for the method's name."""
 
     def as_row(self) -> tuple[str, str, int, int]:
         """Returns the values in the order of the stored columns."""
@@ -55,18 +61,19 @@
 
 
 class TenantTotals(Struct, frozen=True):
-    """Totals of one tenant and method, with names in full."""
+    """Totals of one tenant and method, with their names instead of entry numbers."""
 
     period: str
+    """Period in which the usage is billed."""
     service_period: str
-    """The period in which the usage was rendered, where that is another one; else empty."""
+    """Period in which the usage occurred, if it differs from `period`; else empty."""
     tenant: bytes
     method: bytes
     totals: UsageTotals
 
 
 class PeriodSummary(Struct, frozen=True):
-    """A period's totals over all tenants and methods."""
+    """Totals of a period over all tenants and methods."""
 
     name: str
     totals: UsageTotals
@@ -77,7 +84,7 @@
 
 
 def sum_by_period(totals: Mapping[TotalsKey, UsageTotals]) -> dict[str, UsageTotals]:
-    """Totals of each period, in the order in which the periods occur."""
+    """Returns the totals of each period, in the order in which the periods first occur in `totals`."""
     sums: dict[str, UsageTotals] = {}
     for key, usage in totals.items():
         sums[key.period] = sums.get(key.period, ZERO_TOTALS) + usage
@@ -85,12 +92,12 @@
 
 
 def period_digest(totals: Mapping[TotalsKey, UsageTotals]) -> bytes:
-    """Digest of one period's totals, whatever their order."""
+    """Returns a digest of the totals of a single period; their order does not matter."""
     return _digest((*key.as_row()[1:], *usage.as_row()) for key, usage in totals.items())
 
 
 def baseline_digest(totals: Mapping[TotalsKey, UsageTotals]) -> bytes:
-    """Digest of the totals of all periods, whatever their order."""
+    """Returns a digest of the totals of any periods; their order does not matter."""
     return _digest((*key.as_row(), *usage.as_row()) for key, usage in totals.items())
 
 
--- a/landingshift/ledger/usage_ledger.py
+++ b/landingshift/ledger/usage_ledger.py
@@ -1,10 +1,10 @@
-"""The accounting decisions: which entries a batch becomes, what counts, in which period. Pure.
+"""The accounting rules: which entries a batch becomes, which usage is billed and in which period. No I/O.
 
-Guarantee: usage counts once it is settled, which means that its answer is with the gateway's machine and no
-usage of the same identity was counted within the deduplication window. Settled usage stays in the period of
-its time while that is open; after its close it counts in the period then open and names the one it is from.
-A closed period never changes. Failure mode: a commit that fails leaves a `UsageLedger` that is ahead of the
-store; it is discarded and recovered from the store.
+Guarantee: usage is counted (billed) when it is settled, provided that the gateway's machine acknowledged the
+answer and no usage of the same identity was counted within the deduplication window. Usage is billed in the
+period in which it occurred. If that period is closed by then, the usage is billed in the first open period,
+and its totals name the period in which it occurred. A closed period never changes. Failure mode: after a
+failed commit, a `UsageLedger` is ahead of the store; the store discards it and recovers a new one.
 """
 
 from __future__ import annotations
@@ -48,57 +48,62 @@
 
 @dataclass(slots=True)
 class CommitChanges:
-    """What one commit writes. Nothing of it is true before it is durable."""
+    """Changes that the next commit writes; nobody may be told of them before that commit is durable."""
 
     entries: list[EntryRow] = field(default_factory=list)
     totals: Totals = field(default_factory=dict)
-    """What is added to the totals."""
+    """Amounts to add to the stored totals."""
     disputed: list[int] = field(default_factory=list)
-    """Numbers of usage entries that are disputed from now on."""
+    """Numbers of usage entries that become disputed."""
     resolved: list[int] = field(default_factory=list)
-    """Numbers of usage entries that are disputed no longer."""
+    """Numbers of usage entries whose dispute was resolved."""
     period_closes: list[tuple[int, PeriodClose]] = field(default_factory=list)
-    """With the numbers of their entries, as are the next two."""
+    """New period closes with their entry numbers."""
     corrections: list[tuple[int, Correction]] = field(default_factory=list)
+    """New corrections with their entry numbers."""
     names: list[tuple[int, NameEntry]] = field(default_factory=list)
+    """New names with their entry numbers."""
 
 
 @dataclass(frozen=True, slots=True)
 class CorrectionRequest:
-    """What an operator asks to correct."""
+    """A correction as entered by an operator."""
 
     tenant: bytes
     method: bytes
     service_period: str
-    """Name of the period that the correction is about."""
+    """Name of the period whose usage is corrected."""
     uses: int
+    """Change of the number of RPCs."""
     work_us: int
+    """Change of the run time on the engine."""
     amount: str
-    """A decimal number in the plan's currency, or empty."""
+    """Change of the amount due: a decimal number in the price plan's currency, or empty."""
     reason: str
     author: str
+    """Name of the operator."""
 
 
 class PendingUsage(Struct, frozen=True):
-    """Usage that is not settled yet."""
+    """A usage entry that is not settled yet."""
 
     entry_number: int
     record: UsageRecord
 
 
 class UsageLedger:
-    """State of one store between two commits.
+    """Accounting state of one ledger; each operation appends entries to `changes` for the next commit.
 
     Attributes:
-        calendar: The billing periods.
-        dedup_window: Identities that were counted lately.
-        name_numbers: Finds the entry of a tenant's (True, name) or a method's (False, name) name.
-        last_number: Number of the newest entry.
-        last_hash: Its hash.
-        closed_end_ms: End of the last period that was closed.
-        last_batch_number: The last batch of this run that was applied.
-        pending: Usage that is not settled yet, by the server's sequence.
-        changes: What the next commit writes.
+        calendar: Billing periods.
+        dedup_window: Identities counted recently.
+        name_numbers: Number of the name entry by (True, tenant name) or (False, method name).
+        last_number: Number of the newest entry; 0 if there is none.
+        last_hash: Hash of the newest entry.
+        closed_end_ms: End of the last closed period, Unix time.
+        last_batch_number: Number of the last batch applied for the current server process.
+        pending: Usage that is not settled yet, by the server's sequence number.
+        changes: Changes that the next commit writes.
     """
 
     def __init__(
@@ -117,8 +122,8 @@
         self.pending: dict[int, PendingUsage] = {}
         self.changes = CommitChanges()
 
-    def take_changes(self) -> CommitChanges:
-        """What the commit at hand writes; the next one starts from nothing."""
+    def pop_changes(self) -> CommitChanges:
+        """Returns the changes collected since the last call and starts a new, empty collection."""
         changes = self.changes
         self.changes = CommitChanges()
         return changes
@@ -133,17 +138,19 @@
         return self.last_number
 
     def first_pending_number(self) -> int:
-        """The first entry that a recovery has to read for pending usage."""
+        """Returns the number of the first pending usage entry, or of the next new entry if there is none."""
         numbers = (usage.entry_number for usage in self.pending.values())
         return min(numbers, default=self.last_number + 1)
 
-    # What servers report
+    # Reports of the server
 
     def start_run(self, run_id: bytes, now_ms: int) -> int:
-        """A server run begins: what an earlier one left pending may or may not have arrived.
+        """Records the start of a server process and disputes all pending usage.
+
+        Pending usage is from an earlier process, whose answers may or may not have arrived.
 
         Returns:
-            How many usage entries are disputed by that.
+            The number of usage entries that became disputed.
         """
         unsettled = [usage.entry_number for usage in self.pending.values()]
         self.pending.clear()
@@ -153,14 +160,14 @@
         return len(unsettled)
 
     def apply_batch(self, batch: UsageBatch, now_ms: int) -> None:
-        """Appends what a batch reports; one that was applied before changes nothing.
+        """Appends the usage and settles the outcomes that a batch reports; ignores a batch already applied.
 
         Raises:
             BatchOutOfOrderError: A batch before this one is missing.
-            UnknownUsageError: An outcome is about usage that is not pending.
+            UnknownUsageError: An outcome refers to usage that is not pending.
         """
         if batch.number <= self.last_batch_number:
-            return  # sent again by a server that did not get the status: no usage counts twice
+            return  # the server resends batches whose status it did not receive; they must not count twice
         if batch.number != self.last_batch_number + 1:
             raise BatchOutOfOrderError(batch.number, self.last_batch_number)
         self.last_batch_number = batch.number
@@ -198,7 +205,7 @@
         counted = []
         duplicates = []
         for sequence in batch.delivered:
-            pending = self._take_pending(sequence)
+            pending = self._pop_pending(sequence)
             number = pending.entry_number
             record = pending.record
             if self.dedup_window.contains(record.identity, record.at_ms):
@@ -206,8 +213,8 @@
             else:
                 counted.append(number)
                 self._count(record)
-        undelivered = [self._take_pending(sequence).entry_number for sequence in batch.undelivered]
-        disputed = [self._take_pending(sequence).entry_number for sequence in batch.disputed]
+        undelivered = [self._pop_pending(sequence).entry_number for sequence in batch.undelivered]
+        disputed = [self._pop_pending(sequence).entry_number for sequence in batch.disputed]
         self.changes.disputed += disputed
         self.append(
             Settlement(
@@ -218,7 +225,7 @@
             )
         )
 
-    def _take_pending(self, sequence: int) -> PendingUsage:
+    def _pop_pending(self, sequence: int) -> PendingUsage:
         usage = self.pending.pop(sequence, None)
         if usage is None:
             raise UnknownUsageError(sequence)
@@ -234,24 +241,24 @@
         total = self.changes.totals.get(key)
         self.changes.totals[key] = usage if total is None else total + usage
 
-    # What operators enter
+    # Commands of operators
 
     def close_period(self, name: str, now_ms: int, first_open: str | None, totals: Totals) -> bool:
-        """Closes a period for good.
+        """Closes a period, so that its totals can't change any more.
 
         Args:
-            name: The period.
+            name: Name of the period.
             now_ms: Unix time.
-            first_open: The earliest open period with anything in it.
-            totals: The period's totals, whose digest goes into the chain.
+            first_open: Name of the earliest open period that has totals, if any.
+            totals: Totals of the period; the entry stores their digest.
 
         Returns:
-            False where it was closed before.
+            False if the period was already closed.
 
         Raises:
-            InvalidPeriodError: The name names no period.
-            PeriodNotEndedError: Nothing can be closed before its end.
-            EarlierPeriodOpenError: Periods are closed in their order.
+            InvalidPeriodError: `name` is not the name of a period.
+            PeriodNotEndedError: The period has not ended yet.
+            EarlierPeriodOpenError: An earlier period is open and must be closed first.
         """
         period = self.calendar.period_named(name)
         if period.end_ms <= self.closed_end_ms:
@@ -266,13 +273,13 @@
         return True
 
     def correct(self, request: CorrectionRequest, now_ms: int) -> Correction:
-        """Enters a correction; it counts in the period it is about while that is open, else in the open one.
+        """Appends a correction, billed in the corrected period or, if that is closed, the first open one.
 
         Raises:
-            InvalidPeriodError: The name names no period.
-            EmptyCorrectionError: Neither uses, work nor an amount is stated.
-            MissingReasonError: It has no reason.
-            PeriodNotBegunError: It is about a period in the future.
+            InvalidPeriodError: The service period is not the name of a period.
+            EmptyCorrectionError: The correction changes neither uses, work nor the amount.
+            MissingReasonError: The correction has no reason.
+            PeriodNotBegunError: The service period is in the future.
         """
         service_period = self.calendar.period_named(request.service_period)
         if not (request.uses or request.work_us or request.amount):
@@ -308,21 +315,22 @@
         author: str,
         now_ms: int,
     ) -> int:
-        """Bills or waives disputed usage; what turns out to be a retry of counted usage is waived.
+        """Bills or waives disputed usage; waives usage to bill if the same identity was counted already.
 
         Args:
-            billed: Usage to bill, by the number of its entry.
-            waived: Numbers of usage entries that are not billed.
-            counted_nearby: What was counted about the time of each: the window for new usage is too young.
+            billed: Disputed usage to bill, by the number of its entry.
+            waived: Numbers of disputed usage entries that are not billed.
+            counted_nearby: Identities counted around the times of `billed`. The ledger's own deduplication
+                window does not reach back that far.
             reason: The operator's reason.
-            author: Who decided.
+            author: Name of the operator.
             now_ms: Unix time.
 
         Returns:
-            How many of `billed` count.
+            The number of entries of `billed` that were counted.
 
         Raises:
-            MissingReasonError: There is no reason.
+            MissingReasonError: The reason is empty.
         """
         if not reason.strip():
             raise MissingReasonError("resolution")
@@ -340,10 +348,10 @@
         self.changes.resolved += [*billed, *waived]
         return len(counted)
 
-    # What the store holds already
+    # Recovery
 
     def replay(self, number: int, entry: Entry, entry_hash: bytes) -> None:
-        """Takes in an entry that is durable; entries come in their order."""
+        """Updates the state by an entry that is already stored; call it for each entry in order."""
         self.last_number = number
         self.last_hash = entry_hash
         match entry:
@@ -374,7 +382,7 @@
 
 
 def correction_key(correction: Correction) -> TotalsKey:
-    """Where a correction counts."""
+    """Returns the key of the totals that a correction changes."""
     is_late = correction.service_period != correction.period
     return TotalsKey(
         correction.period,
--- a/landingshift/ledger/usage_queue.py
+++ b/landingshift/ledger/usage_queue.py
@@ -1,8 +1,8 @@
-"""Usage that the server owes its store: batches in order, sent again until they are durable. No I/O.
+"""Queue of usage and delivery outcomes that the store has not committed yet. No I/O.
 
-Guarantee: a batch stays until the store has committed it, and an outcome never goes before its usage.
-Failure mode: past its bound the queue takes no more usage; what is dropped is counted and told to the
-store.
+Guarantee: a batch is kept until the store has committed it, and an outcome is never in an earlier batch than
+its usage. Failure mode: when its size limit is reached, the queue drops new usage; the next batch reports the
+number of dropped records to the store.
 """
 
 from __future__ import annotations
@@ -12,32 +12,32 @@
 
 from landingshift.ledger.store_messages import ReportedUsage, UsageBatch
 
-USAGE_OVERHEAD_BYTES = 96  # that usage takes here besides its names
-OUTCOME_BYTES = 8
+USAGE_OVERHEAD_BYTES = 96  # estimated memory of a usage record in addition to its names
+OUTCOME_BYTES = 8  # estimated memory of an outcome
 MAX_BATCH_USAGE_COUNT = 2000
 
 
 class DeliveryOutcome(Enum):
-    """What became of an answer."""
+    """Outcome of the delivery of an answer."""
 
     DELIVERED = "delivered"
-    """The gateway's machine has acknowledged the complete answer."""
+    """The gateway's machine acknowledged the complete answer."""
     UNDELIVERED = "undelivered"
-    """The answer never left complete."""
+    """The answer was never sent completely."""
     DISPUTED = "disputed"
     """Whether the answer arrived is unknown."""
 
 
 class UsageQueue:
-    """What is not durable yet, bounded in bytes.
+    """Collects usage and outcomes in numbered batches and keeps each batch until it is durable.
 
     Attributes:
-        limit_bytes: Bound of `queued_bytes` for new usage.
-        queued_bytes: Size of all that is not durable.
-        last_sequence: Sequence of the latest usage.
-        last_batch_number: Number of the latest batch that was built.
-        unsent_usages: Usage that is in no batch yet.
-        dropped_count: Usage that found no room since the last batch.
+        limit_bytes: Size limit of the queue; usage that would exceed it is dropped.
+        queued_bytes: Estimated size of all usage and outcomes that are not durable yet.
+        last_sequence: Sequence number of the newest usage.
+        last_batch_number: Number of the newest batch.
+        unsent_usages: Usage that is not in a batch yet.
+        dropped_count: Number of usage records dropped since the newest batch.
         unacknowledged: Batches that are not durable yet, each with its size in bytes.
     """
 
@@ -53,11 +53,15 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether everything is durable."""
+        """Whether all usage and outcomes are durable."""
         return not (self.unacknowledged or self.unsent_usages or self._has_outcomes)
 
     def add(self, usage: ReportedUsage) -> bool:
-        """Numbers the usage and queues it; False where it had to be dropped."""
+        """Assigns the next sequence number to a usage record and queues it.
+
+        Returns:
+            False if the queue is full and the record was dropped.
+        """
         size_bytes = _size_bytes(usage)
         if self.queued_bytes + size_bytes > self.limit_bytes:
             self.dropped_count += 1
@@ -69,26 +73,33 @@
         return True
 
     def add_outcome(self, outcome: DeliveryOutcome, sequence: int) -> None:
-        """Queues what became of an answer. Small beside the usage: never refused."""
+        """Queues the outcome of an answer.
+
+        Outcomes are small compared with their usage and are queued even if the limit is reached.
+
+        Args:
+            outcome: Outcome of the delivery.
+            sequence: Sequence number of the answer's usage.
+        """
         self.queued_bytes += OUTCOME_BYTES
         self._unsent_outcomes[outcome].append(sequence)
 
     def next_batch(self, max_in_flight_count: int, outcomes_are_due: bool = True) -> UsageBatch | None:
-        """Builds the next batch.
+        """Builds the next batch from the queued usage and outcomes.
 
         Args:
-            max_in_flight_count: Batches that may be unacknowledged.
-            outcomes_are_due: Whether outcomes of earlier usage are worth a batch of their own by now.
+            max_in_flight_count: Maximum number of unacknowledged batches.
+            outcomes_are_due: Whether to build a batch even if there are only outcomes.
 
         Returns:
-            None where there is nothing to send, or enough is in flight.
+            None if there is nothing to send or too many batches are unacknowledged.
         """
         has_content = bool(self.unsent_usages) or (outcomes_are_due and self._has_outcomes)
         if len(self.unacknowledged) >= max_in_flight_count or not has_content:
             return None
         count = min(MAX_BATCH_USAGE_COUNT, len(self.unsent_usages))
         usages = [self.unsent_usages.popleft() for _ in range(count)]
-        # An outcome goes with its usage or after it, never before: the store must know the usage.
+        # The store rejects outcomes of unknown usage, so outcomes of usage not sent yet stay in the queue.
         last_sent_sequence = usages[-1].sequence if self.unsent_usages and usages else self.last_sequence
         delivered = self._take_outcomes(DeliveryOutcome.DELIVERED, last_sent_sequence)
         undelivered = self._take_outcomes(DeliveryOutcome.UNDELIVERED, last_sent_sequence)
@@ -104,10 +115,10 @@
         return batch
 
     def acknowledge(self, batch_number: int) -> list[ReportedUsage]:
-        """All batches up to this one are durable.
+        """Removes all batches up to this one, which are durable now.
 
         Returns:
-            Their usage.
+            The usage of the removed batches.
         """
         durable: list[ReportedUsage] = []
         while self.unacknowledged and self.unacknowledged[0][0].number <= batch_number:
@@ -117,7 +128,7 @@
         return durable
 
     def unacknowledged_batches(self) -> list[UsageBatch]:
-        """What a store that was started again must get, in order."""
+        """Returns the batches that must be sent again to a restarted store process, in order."""
         return [batch for batch, _ in self.unacknowledged]
 
     @property
