--- a/landingshift/ledger/worker.py
+++ b/landingshift/ledger/worker.py
@@ -1,8 +1,8 @@
-"""The process that keeps the store: commits in groups what the server sends, and reports what is durable.
+"""The store's process: commits the server's batches in groups and reports which batches are durable.
 
-Guarantee: whatever was read when the server's end closes is committed before the process ends, since the
-server may have been killed. Failure mode: while the disk takes no commit, batches wait here and at the
-server, whose bound is the bound.
+Guarantee: all batches that were read are committed before the process exits, even if the server was killed;
+only a store that keeps failing after the server is gone ends this. Failure mode: while commits fail, batches
+wait here and in the server's queue, whose size limit bounds both.
 """
 
 from __future__ import annotations
@@ -25,24 +25,23 @@
 from landingshift.ledger.store_messages import StoreStatus, UsageBatch
 from landingshift.net.transport.worker import FrameDecoder, encode_frame, inherited_socket
 
-MAX_GROUP_BYTES = 4 << 20  # of an incomplete frame, past which a commit waits for no more
+MAX_GROUP_BYTES = 4 << 20  # size of buffered input from which a commit is not delayed to read more
 MAX_READ_BYTES = 1 << 18
-COMMIT_RETRY_SECONDS = (
-    0.02,
-    0.1,
-    0.25,
-    0.5,
-    1.0,
-)  # between attempts of a commit that fails; the last one repeats
-NO_BATCH = -1
+COMMIT_RETRY_SECONDS = (0.02, 0.1, 0.25, 0.5, 1.0)  # delays between failed commits; the last one repeats
+NO_BATCH = -1  # reported in place of a batch number
 EXIT_COMMIT_FAILED = 1
 EXIT_STORE_UNAVAILABLE = 2
 
 
 def main() -> int:
-    """Runs the process; its arguments are the settings as JSON and the run's id in hexadecimal."""
+    """Runs the process and returns its exit status.
+
+    The command-line arguments are the settings as JSON and the server's run_id in hexadecimal.
+    """
     for ignored_signal in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
-        signal.signal(ignored_signal, signal.SIG_IGN)  # the server says when: it may still have usage to send
+        signal.signal(
+            ignored_signal, signal.SIG_IGN
+        )  # the process ends when the server disconnects, which may have usage to send until then
     settings = msgspec.json.decode(sys.argv[1], type=Settings)
     run_id = bytes.fromhex(sys.argv[2])
     link = ServerLink(inherited_socket())
@@ -60,16 +59,16 @@
 
 
 def wall_clock_ms() -> int:
-    """Unix time."""
+    """Returns the current Unix time."""
     return round(time.time() * 1000.0)
 
 
 class ServerLink:
-    """The server's end of the socket pair.
+    """Connection to the server over a socket pair.
 
     Attributes:
-        is_connected: False once the server has closed its end.
-        batches: What came and is not committed yet, in order.
+        is_connected: Whether the server's end is still open.
+        batches: Received batches that are not committed yet, in order.
     """
 
     def __init__(self, sock: socket.socket) -> None:
@@ -81,12 +80,15 @@
         self.batches: list[UsageBatch] = []
 
     def report(self, status: StoreStatus) -> None:
-        """Sends a status; without a server, what it sent before is still to be committed."""
+        """Sends a status report.
+
+        Errors are ignored: after the server is gone, the batches received from it must still be committed.
+        """
         with suppress(OSError):
             self._sock.sendall(encode_frame(self._encode(status)))
 
     def receive(self) -> None:
-        """Waits for the next batch where there is none, then takes all that has come."""
+        """Receives all batches that are available; blocks for the next one if there is none to commit."""
         if self.is_connected and not self.batches:
             self.is_connected = self._read(is_blocking=True)
         while self.is_connected and len(self._frames.buffer) < MAX_GROUP_BYTES:
@@ -94,7 +96,11 @@
                 break
 
     def _read(self, is_blocking: bool) -> bool:
-        """Reads once; False at the end, or where nothing has come and it is not to block."""
+        """Reads once from the socket.
+
+        Returns:
+            False if the connection is closed, or if no data is available and the read does not block.
+        """
         self._sock.setblocking(is_blocking)
         try:
             data = self._sock.recv(MAX_READ_BYTES)
@@ -107,15 +113,15 @@
 
 
 class StoreWorker:
-    """Commits batches until the server has closed its end and all is durable."""
+    """Commits batches until the server has disconnected and all received batches are durable."""
 
     def __init__(self, link: ServerLink, store: UsageStore) -> None:
         self._link = link
         self._store = store
-        self._failed_commit_count = 0  # in a row
+        self._failed_commit_count = 0  # consecutive
 
     def run(self) -> int:
-        """The process's exit status."""
+        """Runs until the server has disconnected; returns the exit status of the process."""
         while self._link.is_connected or self._link.batches:
             self._link.receive()
             if not self._link.batches:
@@ -146,11 +152,11 @@
         self._link.report(StoreStatus(committed_batch, shortened_count=shortened_count))
 
     def _is_abandoned(self) -> bool:
-        """Whether nobody waits any more and the disk does not come back."""
+        """Returns whether the server has disconnected and the retries are exhausted."""
         return not self._link.is_connected and self._failed_commit_count >= len(COMMIT_RETRY_SECONDS)
 
     def _wait_before_retry(self) -> None:
-        """Full or slow disks come back: nothing is dropped here."""
+        """Sleeps before a failed commit is retried; its batches are kept, as a full disk may be temporary."""
         attempt = min(self._failed_commit_count, len(COMMIT_RETRY_SECONDS) - 1)
         time.sleep(COMMIT_RETRY_SECONDS[attempt])
         self._failed_commit_count += 1
