--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -268,7 +268,7 @@
                 sequence += 1
                 usages.append(random_usage(sequence, BIG_START_MS + int(sequence * interval_ms), rng))
             delivered = [usage.sequence for usage in usages]
-            with store.changing() as ledger:
+            with store.ledger_transaction() as ledger:
                 ledger.apply_batch(UsageBatch(number, usages, delivered, [], []), BIG_START_MS)
             if number % max(1, batch_count // BIG_MEMORY_SAMPLE_COUNT) == 0:
                 memory_samples_kb.append(memory_kb(os.getpid()))
--- a/benchmarks/ledger_design.py
+++ b/benchmarks/ledger_design.py
@@ -149,7 +149,7 @@
             sequences = range(sequence + 1, sequence + 1 + DELAY_BATCH_USAGE_COUNT)
             usages = [ReportedUsage(n, 1, b"club", b"m", 9, 8, 7, rng.randbytes(16)) for n in sequences]
             sequence += DELAY_BATCH_USAGE_COUNT
-            with store.changing() as ledger:
+            with store.ledger_transaction() as ledger:
                 ledger.apply_batch(UsageBatch(number, usages, list(sequences), [], []), 1)
             stop.wait(DELAY_BATCH_INTERVAL_SECONDS)
 
--- a/landingshift/cli/ledger_accounting.py
+++ b/landingshift/cli/ledger_accounting.py
@@ -111,7 +111,7 @@
 def close(period: str, toml: str | None) -> None:
     """Closes a period that has ended, for good; a second time does nothing."""
     with open_store(toml) as store:
-        with store.changing() as ledger:
+        with store.ledger_transaction() as ledger:
             is_new = ledger.close_period(
                 period, wall_clock_ms(), store.first_open_period(), store.period_totals(period)
             )
@@ -157,7 +157,7 @@
             reason,
             author,
         )
-        with store.changing() as ledger:
+        with store.ledger_transaction() as ledger:
             entry = ledger.correct(request, wall_clock_ms())
         click.echo(f"correction of {entry.service_period} counts in {entry.period}")
 
@@ -198,7 +198,7 @@
     """Bills or waives disputed uses; without numbers lists nothing and changes nothing."""
     with open_store(toml) as store:
         check_texts(reason, author)
-        with store.changing() as ledger:
+        with store.ledger_transaction() as ledger:
             disputed_usage = dict(store.disputed())
             to_bill = set(disputed_usage) if bill_all else set(billed)
             to_waive = set(disputed_usage) - to_bill if waive_all else set(waived)
--- a/landingshift/ledger/compaction.py
+++ b/landingshift/ledger/compaction.py
@@ -68,7 +68,7 @@
         EntriesNotExportedError: The receiver does not have all entries of the compacted part.
     """
     _check_consistency(store)
-    with store.changing() as ledger:
+    with store.ledger_transaction() as ledger:
         plan = plan_compaction(store, period, ledger.closed_end_ms)
         if exported_number is not None and exported_number < plan.last_number:
             raise EntriesNotExportedError(exported_number + 1, plan.last_number)
--- a/landingshift/ledger/exporter.py
+++ b/landingshift/ledger/exporter.py
@@ -115,5 +115,5 @@
             return stop
         if self.cursor.rewind_count > rewind_count:
             self._log("export_rewound", cursor=reply.cursor, had=self.cursor.furthest_cursor)
-        self._store.remember_exported(reply.cursor)
+        self._store.set_exported_number(reply.cursor)
         return None
--- a/landingshift/ledger/merge_rules.py
+++ b/landingshift/ledger/merge_rules.py
@@ -15,7 +15,7 @@
 HASH_PREFIX_LENGTH = 8  # hexadecimal digits of the hash in the name of a branch
 
 
-class EntryFit(Enum):
+class EntryRelation(Enum):
     """Relation of a received entry to a branch."""
 
     NEXT = 1
@@ -32,7 +32,7 @@
 
 def classify_entry(
     number: int, entry_hash: bytes, follows_chain: bool, head_number: int, known_hash: bytes | None
-) -> EntryFit:
+) -> EntryRelation:
     """Decides how a received entry relates to a branch.
 
     Args:
@@ -43,10 +43,10 @@
         known_hash: Hash of the branch's own entry with this number, if any.
     """
     if number <= head_number:
-        return EntryFit.KNOWN if known_hash == entry_hash else EntryFit.DIVERGED
+        return EntryRelation.KNOWN if known_hash == entry_hash else EntryRelation.DIVERGED
     if number > head_number + 1:
-        return EntryFit.AHEAD
-    return EntryFit.NEXT if follows_chain else EntryFit.BROKEN
+        return EntryRelation.AHEAD
+    return EntryRelation.NEXT if follows_chain else EntryRelation.BROKEN
 
 
 def branch_name(instance: str, number: int, entry_hash: bytes) -> str:
--- a/landingshift/ledger/merged_store.py
+++ b/landingshift/ledger/merged_store.py
@@ -35,7 +35,7 @@
     StoreUnavailableError,
 )
 from landingshift.ledger.merge_rules import (
-    EntryFit,
+    EntryRelation,
     UsageReference,
     branch_name,
     classify_entry,
@@ -113,7 +113,7 @@
         try:
             self.db.execute("PRAGMA journal_mode = WAL")
             self.db.execute("PRAGMA synchronous = FULL")
-            with self._writing():
+            with self._transaction():
                 make_tables(self.db, SCHEMA)
                 self._set_or_check_meta("zone", time_zone)
                 self._set_or_check_meta("unit", period_unit)
@@ -192,7 +192,7 @@
             MissingEntryError: An entry was given without the entry before it.
         """
         new_count = 0
-        with self._writing():
+        with self._transaction():
             self._add_branch(instance, instance, 1, GENESIS_HASH, "")
             state = self._branch_state(branch or instance)
             for row in rows:
@@ -207,11 +207,11 @@
         follows_chain = self.follows_chain(state.name, row)
         known_hash = self.hash_at(state.name, row.number)
         match classify_entry(row.number, row.hash, follows_chain, state.head_number, known_hash):
-            case EntryFit.NEXT | EntryFit.KNOWN:
+            case EntryRelation.NEXT | EntryRelation.KNOWN:
                 return state
-            case EntryFit.DIVERGED if follows_chain:
+            case EntryRelation.DIVERGED if follows_chain:
                 return self._diverge(instance, state, row)
-            case EntryFit.AHEAD:
+            case EntryRelation.AHEAD:
                 raise MissingEntryError(instance, state.head_number + 1, row.number)
             case _:
                 raise BrokenChainError(instance, row.number)
@@ -347,7 +347,7 @@
 
     # The file
 
-    def _writing(self) -> AbstractContextManager[None]:
+    def _transaction(self) -> AbstractContextManager[None]:
         return transaction(self.db, "ledger.merge", "ledger.merged")
 
     def _set_or_check_meta(self, key: str, value: object) -> None:
--- a/landingshift/ledger/repair.py
+++ b/landingshift/ledger/repair.py
@@ -27,7 +27,7 @@
     for finding in audit_store(store):
         if finding.entry_number:
             raise CorruptLedgerError(finding.entry_number, finding.problem, "totals can't be made from that")
-    with store.changing():
+    with store.ledger_transaction():
         _rebuild_index(store)
 
 
@@ -46,7 +46,7 @@
     if merged.hash_at(branch, last_number) != store.ledger.last_hash:
         raise DivergedLedgerError(last_number)
     restored_count = 0
-    with store.changing():
+    with store.ledger_transaction():
         while rows := merged.rows_after(branch, last_number, MAX_ROW_COUNT):
             store.insert_entries(rows)
             last_number = rows[-1].number
--- a/landingshift/ledger/store.py
+++ b/landingshift/ledger/store.py
@@ -131,7 +131,7 @@
         """Closes the file."""
         self.db.close()
 
-    def writing(self) -> AbstractContextManager[None]:
+    def transaction(self) -> AbstractContextManager[None]:
         """Returns a context manager that runs its block as one atomic, durable transaction.
 
         The block sees all commits that other processes made before it began.
@@ -139,7 +139,7 @@
         return transaction(self.db, "ledger.commit", "ledger.committed")
 
     @contextmanager
-    def changing(self) -> Iterator[UsageLedger]:
+    def ledger_transaction(self) -> Iterator[UsageLedger]:
         """Runs its block as one transaction and commits the changes that the block makes to the ledger.
 
         Yields:
@@ -148,7 +148,7 @@
         """
         is_committed = False
         try:
-            with self.writing():
+            with self.transaction():
                 data_version = self.db.execute("PRAGMA data_version").fetchone()[0]
                 if data_version != self._data_version:
                     self.ledger = recover_ledger(self, self.max_identity_count)
@@ -169,7 +169,7 @@
         Returns:
             The number of usage entries that became disputed.
         """
-        with self.changing() as ledger:
+        with self.ledger_transaction() as ledger:
             if self.meta(META_RUN_ID) == run_id:
                 return 0
             self.set_meta(META_RUN_ID, run_id)
@@ -181,14 +181,14 @@
             "INSERT INTO meta VALUES(?, ?) ON CONFLICT DO UPDATE SET value = excluded.value", (key, value)
         )
 
-    def remember_exported(self, number: int) -> None:
+    def set_exported_number(self, number: int) -> None:
         """Stores the number of the last entry that the receiver acknowledged.
 
         Only `ledger status` and `ledger compact` read it; the export always continues from the cursor that
         the receiver reports.
         """
         if self.meta(META_EXPORTED_NUMBER) != number:
-            with self.writing():
+            with self.transaction():
                 self.set_meta(META_EXPORTED_NUMBER, number)
 
     def insert_entries(self, rows: Iterable[EntryRow]) -> None:
--- a/landingshift/ledger/worker.py
+++ b/landingshift/ledger/worker.py
@@ -141,7 +141,7 @@
 
     def _commit(self) -> None:
         batches = self._link.batches
-        with self._store.changing() as ledger:
+        with self._store.ledger_transaction() as ledger:
             for batch in batches:
                 ledger.apply_batch(batch, wall_clock_ms())
         self._failed_commit_count = 0
--- a/landingshift/testbed/experiments/ledger_period_cases.py
+++ b/landingshift/testbed/experiments/ledger_period_cases.py
@@ -41,7 +41,7 @@
     today = simulation.store.calendar.period_at(simulation.now_ms).name
     for refused_name, description in ((today, "an open day"), ("2026-02-30", "no day")):
         try:
-            with simulation.store.changing() as ledger:
+            with simulation.store.ledger_transaction() as ledger:
                 first_open = simulation.store.first_open_period()
                 ledger.close_period(refused_name, simulation.now_ms, first_open, {})
             case.row.violations.append(f"it closed {description}")
@@ -53,7 +53,7 @@
 
 def _close(simulation: LedgerSimulation, name: str) -> bool:
     store = simulation.store
-    with store.changing() as ledger:
+    with store.ledger_transaction() as ledger:
         return ledger.close_period(
             name, simulation.now_ms, store.first_open_period(), store.period_totals(name)
         )
--- a/landingshift/testbed/experiments/ledger_simulation.py
+++ b/landingshift/testbed/experiments/ledger_simulation.py
@@ -186,7 +186,7 @@
     def commit_again(self) -> None:
         """Commits the batch that could not be committed."""
         batch = self.queue.unacknowledged_batches()[0]
-        with self.store.changing() as ledger:
+        with self.store.ledger_transaction() as ledger:
             ledger.apply_batch(batch, self.now_ms)
         self._on_committed(batch)
 
@@ -200,7 +200,7 @@
 
     def _try_commit(self, batch: UsageBatch) -> bool:
         try:
-            with self.store.changing() as ledger:
+            with self.store.ledger_transaction() as ledger:
                 ledger.apply_batch(batch, self.now_ms)
         except failpoints.SimulatedCrashError:
             return False
@@ -276,7 +276,7 @@
             return
         period = self.store.calendar.period_named(name)
         if period.end_ms <= self.now_ms:
-            with self.store.changing() as ledger:
+            with self.store.ledger_transaction() as ledger:
                 ledger.close_period(name, self.now_ms, name, self.store.period_totals(name))
             self.closed_end_ms = period.end_ms
 
@@ -287,7 +287,7 @@
         request = CorrectionRequest(
             b"club 1", b"m", service_period, -1, -500, "-0.10", reason="credit", author="lab"
         )
-        with self.store.changing() as ledger:
+        with self.store.ledger_transaction() as ledger:
             entry = ledger.correct(request, self.now_ms)
         self.expected.add(RecordKey(entry.period, service_period, b"club 1", b"m"), -1, -500)
 
--- a/tests/test_golden_storage.py
+++ b/tests/test_golden_storage.py
@@ -241,20 +241,20 @@
         ]
         raws[3].identity = raws[2].identity  # a retry within the window
         store.start_run(b"run-1", 50)
-        with store.changing() as ledger:
+        with store.ledger_transaction() as ledger:
             ledger.apply_batch(UsageBatch(1, raws[:4], [1, 2, 3], [], [], 2), 110)
             ledger.apply_batch(UsageBatch(2, raws[4:], [4], [5], []), 120)
         store.start_run(b"run-2", 200)
-        with store.changing() as ledger:
+        with store.ledger_transaction() as ledger:
             ledger.append(UsageGap(210, 3))
             ledger.correct(CorrectionRequest(b"t1", b"m", "1970-01-01", 2, 10, "1.5", "a reason", "me"), 220)
-        with store.changing() as ledger:
+        with store.ledger_transaction() as ledger:
             uses = dict(store.disputed())
             ledger.resolve_disputes(uses, [], store.counted_near(uses.values()), "checked", "me", 230)
-        with store.changing() as ledger:
+        with store.ledger_transaction() as ledger:
             late = ReportedUsage(1, DAY + 500, b"t1", b"m", 4000, 1, 2, b"z" * 16)
             ledger.apply_batch(UsageBatch(1, [late], [1], [], []), DAY + 500)
-        with store.changing() as ledger:
+        with store.ledger_transaction() as ledger:
             ledger.close_period(
                 "1970-01-01", 2 * DAY, store.first_open_period(), store.period_totals("1970-01-01")
             )
--- a/tests/test_ledger_accounting.py
+++ b/tests/test_ledger_accounting.py
@@ -160,17 +160,17 @@
         store = self.open_store()
         store.start_run(b"1", 0)
         usages = [usage(1, 100, b"a" * 16), usage(2, 100, b"b" * 16)]
-        with store.changing() as ledger:
+        with store.ledger_transaction() as ledger:
             ledger.apply_batch(UsageBatch(1, usages, [], [], []), 100)
         self.assertEqual(store.start_run(b"2", 200), 2)
-        with store.changing() as ledger:
+        with store.ledger_transaction() as ledger:
             ledger.apply_batch(UsageBatch(1, [usage(1, 300, b"a" * 16)], [1], [], []), 300)
         return store
 
     def test_disputes_are_resolved_once_and_a_retry_that_counted_makes_them_duplicates(self) -> None:
         store = self.store_with_disputes()
         disputed = dict(store.disputed())
-        with store.changing() as ledger:
+        with store.ledger_transaction() as ledger:
             counted_nearby = store.counted_near(disputed.values())
             billed_count = ledger.resolve_disputes(
                 disputed, [], counted_nearby, "log of the gateway", "me", 10**9
@@ -204,7 +204,7 @@
 
     def test_statements_add_up(self) -> None:
         store = self.open_store()
-        with store.changing() as ledger:
+        with store.ledger_transaction() as ledger:
             ledger.start_run(b"run", 0)
             usages = [
                 usage(number, 5000 * number, b"%016d" % number, b"t\xff" if number % 2 else b"u")
--- a/tests/test_ledger_commands.py
+++ b/tests/test_ledger_commands.py
@@ -52,7 +52,7 @@
             for run_id, delivered in ((b"1", [1, 2, 3]), (b"2", [])):
                 store.start_run(run_id, at_ms)
                 usages = [usage(number, at_ms, run_id + b"%015d" % number) for number in (1, 2, 3)]
-                with store.changing() as ledger:
+                with store.ledger_transaction() as ledger:
                     ledger.apply_batch(UsageBatch(1, usages, delivered, [], []), at_ms)
             store.start_run(b"3", at_ms)
 
@@ -130,7 +130,7 @@
             usage(9, DECEMBER_2025_MS, b"x" * 16, tenant=b"new club"),
             usage(10, DECEMBER_2025_MS, b"y" * 16, work_us=1),
         ]
-        with self.open_store() as store, store.changing() as ledger:
+        with self.open_store() as store, store.ledger_transaction() as ledger:
             ledger.apply_batch(UsageBatch(1, usages, [9], [], []), DECEMBER_2025_MS)
         self.run_command("merge", store_path, "--into", merged)
         for name in ("ledger.sqlite-wal", "ledger.sqlite-shm"):
--- a/tests/test_ledger_exchange.py
+++ b/tests/test_ledger_exchange.py
@@ -19,7 +19,7 @@
     Stop,
     Wait,
 )
-from landingshift.ledger.merge_rules import EntryFit, UsageReference, classify_entry, countable_usages
+from landingshift.ledger.merge_rules import EntryRelation, UsageReference, classify_entry, countable_usages
 
 
 class ExportCursorTest(unittest.TestCase):
@@ -70,12 +70,12 @@
 class MergeRulesTest(unittest.TestCase):
     def test_classifies_entries_by_the_branch_that_they_come_to(self) -> None:
         for number, entry_hash, follows_chain, head_number, known_hash, expected in [
-            (1, b"a", True, 0, None, EntryFit.NEXT),
-            (1, b"a", False, 0, None, EntryFit.BROKEN),
-            (2, b"a", True, 0, None, EntryFit.AHEAD),
-            (1, b"a", True, 3, b"a", EntryFit.KNOWN),
-            (1, b"b", True, 3, b"a", EntryFit.DIVERGED),
-            (3, b"b", True, 3, None, EntryFit.DIVERGED),
+            (1, b"a", True, 0, None, EntryRelation.NEXT),
+            (1, b"a", False, 0, None, EntryRelation.BROKEN),
+            (2, b"a", True, 0, None, EntryRelation.AHEAD),
+            (1, b"a", True, 3, b"a", EntryRelation.KNOWN),
+            (1, b"b", True, 3, b"a", EntryRelation.DIVERGED),
+            (3, b"b", True, 3, None, EntryRelation.DIVERGED),
         ]:
             with self.subTest(expected=expected):
                 found = classify_entry(number, entry_hash, follows_chain, head_number, known_hash)
