--- a/tests/ledger_fixtures.py
+++ b/tests/ledger_fixtures.py
@@ -1,4 +1,4 @@
-"""Usage, corrections and prices for the tests of usage metering."""
+"""Builders of usage records, corrections and price plans for the ledger tests."""
 
 import tempfile
 from pathlib import Path
@@ -14,7 +14,7 @@
 [tenants]
 gold = "free"
 [[plans.standard]]
-name = "dear"
+name = "climbs"
 unit = "rpc"
 methods = ["climb"]
 price = 0.005
@@ -50,10 +50,10 @@
     uses: int = 0,
     service_period: str = "1970-01-01",
     amount: str = "",
-    reason: str = "x",
+    reason: str = "complaint",
     tenant: bytes = b"t",
 ) -> CorrectionRequest:
-    return CorrectionRequest(tenant, b"m", service_period, uses, 0, amount, reason, author="me")
+    return CorrectionRequest(tenant, b"m", service_period, uses, 0, amount, reason, author="operator")
 
 
 def price_plan(text: str = PLAN_TOML) -> PricePlan:
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -1,4 +1,4 @@
-"""Usage metering: encodings, the names that others know, and the experiment."""
+"""Tests of the ledger's encodings, of its external names and formats, and of its testbed experiment."""
 
 import unittest
 
@@ -32,15 +32,15 @@
 
 class EncodingTest(unittest.TestCase):
     @given(st.binary(max_size=40))
-    def test_escaped_names_come_back(self, name: bytes) -> None:
+    def test_unescaping_an_escaped_name_returns_the_name(self, name: bytes) -> None:
         self.assertEqual(unescape_name(escape_name(name)), name)
         self.assertTrue(escape_name(name).isprintable())
 
     @given(st.sets(st.integers(1, 200)))
-    def test_number_ranges_come_back(self, numbers: set[int]) -> None:
+    def test_decoding_encoded_ranges_returns_the_numbers(self, numbers: set[int]) -> None:
         self.assertEqual(decode_ranges(encode_ranges(list(numbers))), sorted(numbers))
 
-    def test_identities_differ_where_the_parts_do(self) -> None:
+    def test_identities_differ_if_any_part_differs(self) -> None:
         identities = {
             attempt_identity(tenant, method, has_attempt_id, content)
             for tenant, method, has_attempt_id, content in [
@@ -54,10 +54,10 @@
         self.assertEqual(len(identities), 5)
 
 
-class OutsideNamesTest(unittest.TestCase):
-    """What operators and other processes see keeps its names, whatever the code's are."""
+class ExternalNamesTest(unittest.TestCase):
+    """Names and formats that operators and other processes read must not follow renames in the code."""
 
-    def test_entries_are_printed_with_the_names_that_operators_know(self) -> None:
+    def test_printed_entries_keep_their_type_and_field_names(self) -> None:
         printed: list[tuple[Entry, str]] = [
             (Opened(b"r", 1, [2, 3]), "Opened(run=b'r', at=1, disputed=[2, 3])"),
             (NameEntry(True, b"t"), "Name(tenant=True, name=b't')"),
@@ -84,12 +84,12 @@
         for entry, text in printed:
             with self.subTest(entry=type(entry).__name__):
                 self.assertEqual(format_entry(entry), text)
-        self.assertEqual(len(printed) + 1, len(KIND_BY_TYPE))  # usage is described in sentences
+        self.assertEqual(len(printed) + 1, len(KIND_BY_TYPE))  # usage entries are printed in sentences
 
     def test_entry_kinds_keep_their_stored_values(self) -> None:
         self.assertEqual([kind.value for kind in EntryKind], list(range(1, 10)))
 
-    def test_settings_go_to_the_store_process_by_the_names_of_the_file(self) -> None:
+    def test_settings_are_passed_to_the_store_process_with_the_toml_keys(self) -> None:
         text = msgspec.json.encode(Settings(directory="/d", instance="n1"))
         self.assertEqual(
             text,
@@ -100,7 +100,7 @@
         )
         self.assertEqual(msgspec.json.decode(text, type=Settings), Settings(directory="/d", instance="n1"))
 
-    def test_messages_to_and_from_the_store_process_are_arrays_by_position(self) -> None:
+    def test_store_process_messages_are_arrays_with_fields_by_position(self) -> None:
         batch = UsageBatch(3, [usage(1)], [1], [2], [3], 4)
         self.assertEqual(
             msgpack.decode(msgpack.encode(batch)),
@@ -110,14 +110,14 @@
 
 
 class ExperimentTest(unittest.TestCase):
-    def test_every_case_holds(self) -> None:
+    def test_every_experiment_case_passes(self) -> None:
         rows = [row for row in experiment(5, 0, 7) if row.name not in RUN_ONCE_CASES]
         for row in rows:
             with self.subTest(case=row.name):
                 self.assertEqual(row.violations, [])
         self.assertEqual({row.name for row in rows} | set(RUN_ONCE_CASES), set(CASES))
 
-    def test_cases_break_where_a_defence_is_removed(self) -> None:
+    def test_a_case_fails_if_its_defence_is_removed(self) -> None:
         for defence, case in [
             ("cursor", "totals"),
             ("identity", "retries"),
@@ -127,7 +127,7 @@
             with self.subTest(defence=defence):
                 self.assertFalse(all(row.holds for row in experiment(10, 0, 7, defence, case)))
 
-    def test_servers_killed_under_load(self) -> None:
+    def test_kills_under_load_pass_only_if_unsettled_usage_is_disputed(self) -> None:
         for defence, holds in ((None, True), ("disputed", False)):
             with self.subTest(defence=defence):
                 self.assertEqual(all(row.holds for row in experiment(1, 5, 3, defence, "kills")), holds)
--- a/tests/test_ledger_accounting.py
+++ b/tests/test_ledger_accounting.py
@@ -1,4 +1,4 @@
-"""Accounting decisions, the deduplication window, the queue and the store."""
+"""Tests of the accounting rules, the deduplication window, the usage queue and the store."""
 
 import tempfile
 import unittest
@@ -31,7 +31,7 @@
 
 
 class DedupWindowTest(unittest.TestCase):
-    def test_a_bound_shortens_the_window_and_counts_it(self) -> None:
+    def test_the_bound_of_identities_shortens_the_window_and_is_counted(self) -> None:
         window = DedupWindow(1000, 10)
         for at_ms in range(20):
             window.add(b"%d" % at_ms, at_ms)
@@ -40,7 +40,7 @@
         self.assertFalse(window.contains(b"0", 20))
         self.assertGreater(window.shortened_count, 0)
 
-    def test_a_clock_that_steps_forth_and_back_forgets_nothing(self) -> None:
+    def test_a_clock_stepping_forward_and_back_forgets_no_identity(self) -> None:
         window = DedupWindow(1000, 1000)
         for at_ms in (0, 5000, -9000, 20_000, 3000):
             window.add(b"a", at_ms)
@@ -51,7 +51,7 @@
 
 
 class UsageQueueTest(unittest.TestCase):
-    def test_bounds_usage_and_keeps_batches_in_order_until_they_are_durable(self) -> None:
+    def test_limits_usage_and_keeps_batches_in_order_until_they_are_durable(self) -> None:
         queue = UsageQueue(1000)
         added = [number for number in range(30) if queue.add(usage())]
         self.assertLess(len(added), 12)
@@ -66,7 +66,7 @@
         queue.add_outcome(DeliveryOutcome.UNDELIVERED, 2)
         self.assertEqual(queue.next_batch(2).undelivered, [2])  # type: ignore[union-attr]
         queue.add_outcome(DeliveryOutcome.DISPUTED, 3)
-        self.assertIsNone(queue.next_batch(2))  # enough is in flight
+        self.assertIsNone(queue.next_batch(2))  # two batches are unacknowledged
         self.assertEqual([batch.number for batch in queue.unacknowledged_batches()], [1, 2])
         self.assertEqual(len(queue.acknowledge(1)), len(added))
         self.assertEqual([batch.number for batch in queue.unacknowledged_batches()], [2])
@@ -76,7 +76,7 @@
         self.assertTrue(queue.is_empty)
         self.assertEqual(queue.queued_bytes, 0)
 
-    def test_an_outcome_never_goes_before_its_usage(self) -> None:
+    def test_an_outcome_is_never_batched_before_its_usage(self) -> None:
         queue = UsageQueue(1 << 20)
         for _ in range(MAX_BATCH_USAGE_COUNT + 5):
             queue.add(usage())
@@ -90,7 +90,7 @@
     def new_ledger(self, max_identity_count: int = 1000) -> UsageLedger:
         return UsageLedger(BillingCalendar("UTC", "day"), DedupWindow(1000, max_identity_count), {})
 
-    def test_applies_batches_in_order_and_once(self) -> None:
+    def test_applies_each_batch_once_and_rejects_a_gap(self) -> None:
         ledger = self.new_ledger()
         ledger.start_run(b"run", 0)
         batch = UsageBatch(1, [usage(1)], [1], [], [])
@@ -100,17 +100,17 @@
         self.assertEqual(ledger.last_number, last_number)
         self.assertRaises(CommandRejectedError, ledger.apply_batch, UsageBatch(3, [], [], [], []), 0)
 
-    def test_closes_a_period_in_its_turn_and_for_good(self) -> None:
+    def test_closes_periods_in_order_and_bills_later_usage_in_the_next_one(self) -> None:
         ledger = self.new_ledger()
-        for name, now_ms, first_open, problem in [
+        for name, now_ms, first_open, problem in [  # no problem: the period is closed
             ("1970-01-01", DAY_MS - 1, None, "not ended"),
             ("1970-01-02", 2 * DAY_MS, "1970-01-01", "close it first"),
             ("1970-01-33", 9 * DAY_MS, None, "names no day"),
             ("1970-01-01", DAY_MS, "1970-01-01", ""),
-            ("1970-01-01", DAY_MS, None, "before"),
+            ("1970-01-01", DAY_MS, None, "closed before"),
         ]:
             with self.subTest(name=name, now_ms=now_ms):
-                if problem and problem != "before":
+                if problem and problem != "closed before":
                     with self.assertRaisesRegex(CommandRejectedError, problem):
                         ledger.close_period(name, now_ms, first_open, {})
                 else:
@@ -118,7 +118,7 @@
         ledger.apply_batch(UsageBatch(1, [usage(1, at_ms=5)], [1], [], []), DAY_MS)
         self.assertEqual(list(ledger.changes.totals), [TotalsKey("1970-01-02", "1970-01-01", 2, 3)])
 
-    def test_corrections_name_their_period_and_reason(self) -> None:
+    def test_rejects_corrections_without_change_reason_or_valid_period(self) -> None:
         ledger = self.new_ledger()
         for uses, service_period, reason, problem in [
             (0, "1970-01-01", "x", "of nothing"),
@@ -132,7 +132,7 @@
         self.assertEqual(ledger.correct(correction_request(-1), 5).period, "1970-01-01")
 
     @given(st.binary(max_size=200))
-    def test_no_bytes_from_elsewhere_pass_for_a_batch_that_breaks_the_ledger(self, data: bytes) -> None:
+    def test_batches_of_arbitrary_bytes_raise_only_expected_errors(self, data: bytes) -> None:
         ledger = self.new_ledger(max_identity_count=100)
         try:
             batch = msgpack.decode(data, type=UsageBatch)
@@ -156,7 +156,7 @@
         return store
 
     def store_with_disputes(self) -> UsageStore:
-        """Two disputed uses, of which the client of the first tried again and was answered."""
+        """Returns a store with two disputed usage entries; the first one was retried and counted."""
         store = self.open_store()
         store.start_run(b"1", 0)
         usages = [usage(1, 100, b"a" * 16), usage(2, 100, b"b" * 16)]
@@ -167,18 +167,18 @@
             ledger.apply_batch(UsageBatch(1, [usage(1, 300, b"a" * 16)], [1], [], []), 300)
         return store
 
-    def test_disputes_are_resolved_once_and_a_retry_that_counted_makes_them_duplicates(self) -> None:
+    def test_billing_disputes_skips_usage_whose_retry_was_counted(self) -> None:
         store = self.store_with_disputes()
         disputed = dict(store.disputed())
         with store.ledger_transaction() as ledger:
             counted_nearby = store.counted_near(disputed.values())
             billed_count = ledger.resolve_disputes(
-                disputed, [], counted_nearby, "log of the gateway", "me", 10**9
+                disputed, [], counted_nearby, "found in the gateway log", "operator", 10**9
             )
         self.assertEqual((billed_count, store.period_sum("1970-01-01").uses, store.disputed()), (1, 2, []))
         self.assertEqual(audit_store(store), [])
 
-    def test_describes_usage_by_what_became_of_it(self) -> None:
+    def test_describes_usage_with_its_outcomes(self) -> None:
         store = self.store_with_disputes()
         number, _ = store.disputed()[0]
         described = list(describe_entry(store, number))
@@ -197,12 +197,12 @@
             ):
                 self.open_store(**change)
 
-    def test_rejects_a_file_that_is_no_ledger(self) -> None:
-        Path(self.directory, "ledger.sqlite").write_bytes(b"no database at all, " * 100)
+    def test_rejects_a_file_that_is_not_a_database(self) -> None:
+        Path(self.directory, "ledger.sqlite").write_bytes(b"not a database file, " * 100)
         with self.assertRaisesRegex(StoreUnavailableError, "not a database"):
             self.open_store()
 
-    def test_statements_add_up(self) -> None:
+    def test_statement_lines_add_up_to_the_total(self) -> None:
         store = self.open_store()
         with store.ledger_transaction() as ledger:
             ledger.start_run(b"run", 0)
@@ -212,7 +212,7 @@
             ]
             delivered = [reported.sequence for reported in usages]
             ledger.apply_batch(UsageBatch(1, usages, delivered, [], []), 0)
-            ledger.correct(correction_request(amount="-0.10", reason="fair", tenant=b"u"), 5)
+            ledger.correct(correction_request(amount="-0.10", reason="goodwill", tenant=b"u"), 5)
         for statement in statements(store, price_plan(), "1970-01-01"):
             printed = statement_to_json(statement)
             self.assertEqual(
--- a/tests/test_ledger_commands.py
+++ b/tests/test_ledger_commands.py
@@ -1,4 +1,4 @@
-"""The commands of `landingshift ledger`, on stores with usage of a month."""
+"""Tests of the `landingshift ledger` commands on stores with usage of one month."""
 
 import json
 import tempfile
@@ -46,7 +46,7 @@
         return UsageStore(f"{self.directory}/{instance}", instance, "UTC", "month", 900_000, 1000)
 
     def fill_store(self, instance: str, at_ms: int) -> None:
-        """Two runs of three uses each; the second one was killed before any was settled."""
+        """Stores three usage records each of two server processes; those of the second one are disputed."""
         Path(self.directory, instance).mkdir(exist_ok=True)
         with self.open_store(instance) as store:
             for run_id, delivered in ((b"1", [1, 2, 3]), (b"2", [])):
@@ -61,7 +61,7 @@
         self.assertEqual(result.exit_code, status, result.output)
         return result.output
 
-    def test_a_month_from_status_to_compaction(self) -> None:
+    def test_commands_of_a_month_from_status_to_compaction(self) -> None:
         state = json.loads(self.run_command("status", "--json"))
         self.assertEqual((state["disputed"], state["unsettled"]), (3, 0))
         self.assertEqual(json.loads(self.run_command("periods", "--json"))["uses"], 3)
@@ -73,7 +73,7 @@
         self.assertIn("closed", self.run_command("close", PERIOD))
         self.assertIn("before", self.run_command("close", PERIOD))
         self.assertIn("hold", self.run_command("verify"))
-        self.run_command("compact", PERIOD, status=EXIT_USAGE)  # not exported
+        self.run_command("compact", PERIOD, status=EXIT_USAGE)  # rejected: not exported yet
         self.export()
         self.assertIn("uses gone", self.run_command("compact", PERIOD))
         self.assertIn("hold", self.run_command("verify"))
@@ -92,10 +92,10 @@
         self.assertIn("billed by me", self.run_command("show", first_number))
 
     def enter_corrections(self) -> None:
-        about = ("--method", "m", "--period", PERIOD, "--reason", "complaint")
-        self.run_command("correct", "--tenant", "club", "--uses", "-1", "--amount", "-1.00", *about)
-        for wrong in (["--tenant", "nobody", "--uses", "1"], ["--tenant", "club", "--amount", "x"]):
-            self.run_command("correct", *wrong, *about, status=EXIT_USAGE)
+        common = ("--method", "m", "--period", PERIOD, "--reason", "complaint")
+        self.run_command("correct", "--tenant", "club", "--uses", "-1", "--amount", "-1.00", *common)
+        for invalid in (["--tenant", "nobody", "--uses", "1"], ["--tenant", "club", "--amount", "x"]):
+            self.run_command("correct", *invalid, *common, status=EXIT_USAGE)
 
     def export(self) -> None:
         receiver_state = ReceiverState()
@@ -104,13 +104,13 @@
             self.run_command("export", "--to", server.url)
         self.assertEqual(sum(billed.uses for billed in receiver_state.totals().values()), 3)
 
-    def test_verify_names_what_is_wrong(self) -> None:
+    def test_verify_reports_a_missing_entry(self) -> None:
         with self.open_store() as store:
             store.db.execute("DELETE FROM entries WHERE number = 5")
         self.assertIn("entry 5: missing", self.run_command("verify", status=EXIT_FAILED))
         self.run_command("compact", PERIOD, "--unexported", status=EXIT_USAGE)
 
-    def test_reindex_restores_what_only_the_index_lost(self) -> None:
+    def test_reindex_restores_a_damaged_index(self) -> None:
         with self.open_store() as store:
             totals, disputed = store.tenant_totals(PERIOD), store.disputed()
             for table in ("totals", "sums", "disputed", "names"):
@@ -121,7 +121,7 @@
         with self.open_store() as store:
             self.assertEqual((store.tenant_totals(PERIOD), store.disputed()), (totals, disputed))
 
-    def test_an_old_copy_catches_up_from_the_merged_ledger(self) -> None:
+    def test_catch_up_restores_entries_missing_in_an_old_copy(self) -> None:
         copy = f"{self.directory}/copy.sqlite"
         merged = f"{self.directory}/all.sqlite"
         store_path = f"{self.directory}/n1/ledger.sqlite"
@@ -141,10 +141,10 @@
         self.assertIn("hold", self.run_command("verify"))
         with self.open_store() as store:
             self.assertEqual(store.period_sum(PERIOD).uses, 4)
-            # What was not settled when the copy was merged.
+            # The usage with sequence 10 was not settled before the merge, so the next start disputes it.
             self.assertEqual(store.start_run(b"next", DECEMBER_2025_MS), 1)
 
-    def test_merges_files_and_counts_an_attempt_on_two_instances_once(self) -> None:
+    def test_merge_counts_an_attempt_metered_by_two_instances_once(self) -> None:
         self.write_settings("n2")
         self.fill_store("n2", DECEMBER_2025_MS + 500)
         merged = f"{self.directory}/all.sqlite"
@@ -154,7 +154,7 @@
         self.assertEqual(totals["uses"], 3)  # the same three attempts on both
         self.run_command("merge", f"{self.directory}/plan.toml", "--into", merged, status=EXIT_FAILED)
 
-    def test_says_what_is_missing_without_a_ledger(self) -> None:
+    def test_without_a_ledger_the_error_names_the_missing_setting(self) -> None:
         for words, expected in [
             (["status", "--toml", "/none.toml"], "/none.toml"),
             (["status"], "--toml"),
--- a/tests/test_ledger_exchange.py
+++ b/tests/test_ledger_exchange.py
@@ -1,4 +1,4 @@
-"""The export's cursor and the rules of merging."""
+"""Tests of the export cursor and the merge rules."""
 
 import unittest
 from itertools import pairwise
@@ -26,17 +26,17 @@
     def new_cursor(self) -> ExportCursor:
         return ExportCursor({0: GENESIS_HASH, 5: b"5", 9: b"9"}.get, Random(1))
 
-    def test_the_receiver_is_the_authority(self) -> None:
+    def test_sends_from_the_cursor_that_the_receiver_reports(self) -> None:
         cursor = self.new_cursor()
         self.assertEqual(cursor.next_step(9), QueryCursor())
         self.assertIsNone(cursor.on_reply(0, GENESIS_HASH, 9))
         self.assertEqual(cursor.next_step(9), SendBatch(0))
         self.assertIsNone(cursor.on_reply(9, b"9", 9))
         self.assertEqual(cursor.next_step(9), Idle())
-        self.assertIsNone(cursor.on_reply(5, b"5", 9))  # it lost some
+        self.assertIsNone(cursor.on_reply(5, b"5", 9))  # the receiver lost entries
         self.assertEqual((cursor.next_step(9), cursor.rewind_count), (SendBatch(5), 1))
 
-    def test_backs_off_longer_after_each_failure_and_asks_again(self) -> None:
+    def test_backs_off_longer_after_each_failure_and_queries_the_cursor(self) -> None:
         cursor = self.new_cursor()
         delays_ms = []
         for _ in range(12):
@@ -48,7 +48,7 @@
         self.assertLess(delays_ms[0], 101.0)
         self.assertTrue(15_000.0 <= delays_ms[-1] <= 30_000.0)
 
-    def test_stops_where_the_pasts_differ(self) -> None:
+    def test_stops_if_the_receiver_has_other_entries(self) -> None:
         for receiver_cursor, cursor_hash, problem in [
             (12, b"x", "old backup"),
             (9, b"other", "parted"),
@@ -59,7 +59,7 @@
                 assert isinstance(found, Stop)
                 self.assertIn(problem, found.reason)
 
-    def test_replies_that_bring_nothing_forward_make_it_wait(self) -> None:
+    def test_backs_off_after_replies_without_progress(self) -> None:
         cursor = self.new_cursor()
         cursor.on_reply(5, b"5", 9)
         for _ in range(MAX_STALLED_REPLY_COUNT):
@@ -68,7 +68,7 @@
 
 
 class MergeRulesTest(unittest.TestCase):
-    def test_classifies_entries_by_the_branch_that_they_come_to(self) -> None:
+    def test_classifies_entries_by_their_relation_to_a_branch(self) -> None:
         for number, entry_hash, follows_chain, head_number, known_hash, expected in [
             (1, b"a", True, 0, None, EntryRelation.NEXT),
             (1, b"a", False, 0, None, EntryRelation.BROKEN),
@@ -88,7 +88,7 @@
         ),
         st.randoms(),
     )
-    def test_any_order_and_repetition_counts_the_same(
+    def test_deduplication_ignores_order_and_repetition(
         self, usages: list[UsageReference], rng: Random
     ) -> None:
         counted = countable_usages(usages, 100)
--- a/tests/test_ledger_pricing.py
+++ b/tests/test_ledger_pricing.py
@@ -1,4 +1,4 @@
-"""Billing periods and prices."""
+"""Tests of billing periods, price plans and pricing."""
 
 import unittest
 from decimal import Decimal
@@ -20,13 +20,13 @@
 
 
 class BillingCalendarTest(unittest.TestCase):
-    def test_days_have_the_hours_that_the_time_zone_gives_them(self) -> None:
+    def test_days_are_shorter_or_longer_when_clocks_change(self) -> None:
         for time_zone, day, hours in [
             ("UTC", "2026-03-29", 24),
             ("Europe/Copenhagen", "2026-03-29", 23),
             ("Europe/Copenhagen", "2026-10-25", 25),
             ("Europe/Copenhagen", "2026-06-01", 24),
-            ("Africa/Cairo", "2026-04-24", 23),  # the clock jumps over midnight itself
+            ("Africa/Cairo", "2026-04-24", 23),  # the clock jumps over midnight
             ("America/Havana", "2026-11-01", 25),
             ("Australia/Lord_Howe", "2026-10-04", 23.5),
         ]:
@@ -34,7 +34,7 @@
                 period = BillingCalendar(time_zone, "day").period_named(day)
                 self.assertEqual((period.end_ms - period.start_ms) / HOUR_MS, hours)
 
-    def test_finds_periods_by_name_and_rejects_names_of_none(self) -> None:
+    def test_finds_periods_by_name_and_rejects_invalid_names(self) -> None:
         for unit, name, is_valid in [
             ("month", "2026-12", True),
             ("month", "2026-13", False),
@@ -59,9 +59,7 @@
         st.sampled_from(["day", "week", "month"]),
         st.integers(0, 4_000_000_000_000),
     )
-    def test_periods_follow_each_other_without_gap_or_overlap(
-        self, time_zone: str, unit: Any, at_ms: int
-    ) -> None:
+    def test_periods_have_no_gap_or_overlap(self, time_zone: str, unit: Any, at_ms: int) -> None:
         calendar = BillingCalendar(time_zone, unit)
         period = calendar.period_at(at_ms)
         self.assertTrue(period.start_ms <= at_ms < period.end_ms)
@@ -88,7 +86,7 @@
             with self.subTest(quantity=quantity):
                 self.assertEqual(exact_cost(line, Decimal(quantity)), Decimal(cost))
 
-    def test_each_total_is_charged_once_a_unit_and_rounded_once_a_line(self) -> None:
+    def test_charges_each_total_once_per_unit_and_rounds_once_per_line(self) -> None:
         totals = [
             tenant_totals(b"climb", 3, 1_005_000),
             tenant_totals(b"m", 15),
@@ -101,7 +99,7 @@
         self.assertEqual(
             found,
             [
-                ("dear", 3, "0.02", {}),
+                ("climbs", 3, "0.02", {}),
                 ("RPCs", 17, "0.07", {"2026-10": 2}),
                 ("work", Decimal("1.005"), "0.10", {"2026-10": 0}),
             ],
@@ -111,7 +109,7 @@
                 plan = price_plan(f'rounding = "{rounding}"\n' + PLAN_TOML)
                 self.assertEqual(str(line_charges(plan, b"t", totals[:1])[0].amount), amount)
 
-    def test_rejects_bad_plans_by_file_and_key(self) -> None:
+    def test_errors_of_invalid_plans_name_the_file_and_key(self) -> None:
         for change, key in [
             ((PLAN_TOML, "x"), "plan.toml"),
             (("EUR", "euro"), "currency"),
--- a/tests/test_ledger_service.py
+++ b/tests/test_ledger_service.py
@@ -1,4 +1,4 @@
-"""Usage metering in a running server: what is billed is what gateways got."""
+"""Tests of usage metering in a running server: billed usage matches the answers that gateways received."""
 
 import contextlib
 import tempfile
@@ -25,7 +25,7 @@
 
 
 def billed_uses(world: ProgramUnderTest) -> dict[tuple[bytes, bytes], int]:
-    """Uses by tenant and method."""
+    """Returns the billed uses by tenant and method."""
     found: dict[tuple[bytes, bytes], int] = {}
     with open_store(world) as store:
         for period in store.periods():
@@ -47,7 +47,7 @@
 
 
 def run_rpc(world: ProgramUnderTest, gateway: GatewayClient, method: str = "m", **fields: Any) -> Any:
-    """An RPC that the engine answers ok; returns the number of its request."""
+    """Sends an RPC that the engine answers ok and returns the number of the request."""
     number = gateway.send_rpc(method, **fields)
     world.engine.expect_command("RUN", gateway.last_rpc_id)
     world.engine.send_notice("DONE", world.rpc_count, gateway.last_rpc_id, "good 12.5", body=RESULT)
@@ -55,14 +55,14 @@
 
 
 def crash_once(case: unittest.TestCase, failpoint: str) -> dict[str, str]:
-    """The environment in which the first process that gets to a failpoint is killed there."""
+    """Returns the environment in which the first process that reaches a failpoint is killed there."""
     directory = tempfile.TemporaryDirectory()
     case.addCleanup(directory.cleanup)
     return {"LANDINGSHIFT_CRASH": failpoint, "LANDINGSHIFT_CRASH_ONCE": directory.name + "/crashed"}
 
 
 class MeteringServiceTest(unittest.TestCase):
-    def test_bills_only_ok_answers_and_each_once(self) -> None:
+    def test_bills_each_ok_answer_once_and_no_other_answers(self) -> None:
         for durability in ("before_answer", "after_answer"):
             with self.subTest(durability=durability):
                 world = ProgramUnderTest(self, toml=TOML + f'durable = "{durability}"\n')
@@ -70,9 +70,8 @@
                 for index in range(3):
                     number = run_rpc(world, gateway, body=b"route %d" % index)
                     self.assertEqual(gateway.read_answer(), (number, RESULT))
-                number = run_rpc(
-                    world, gateway, body=b"route 1"
-                )  # a retry: its first attempt was answered ok
+                # A retry of an RPC that was answered ok.
+                number = run_rpc(world, gateway, body=b"route 1")
                 self.assertEqual(gateway.read_answer(), (number, RESULT))
                 number = gateway.send_rpc(body=b"fails")
                 world.engine.expect_command("RUN", gateway.last_rpc_id)
@@ -84,7 +83,7 @@
                 self.assertEqual(billed_uses(world), {(b"t", b"m"): 3})
                 self.assertEqual(disputed_usage(world), [])
 
-    def test_an_answer_that_cannot_leave_is_not_billed(self) -> None:
+    def test_the_answer_of_a_cancelled_rpc_is_not_billed(self) -> None:
         world = ProgramUnderTest(self, toml=TOML)
         abandoning, other = GatewayClient(world), GatewayClient(world)
         abandoning.send_rpc(body=b"given up")
@@ -99,7 +98,7 @@
         stop_server(world)
         self.assertEqual(billed_uses(world), {(b"t", b"m"): 2})
 
-    def test_after_a_kill_what_was_not_known_to_arrive_is_disputed(self) -> None:
+    def test_after_a_kill_unconfirmed_answers_are_disputed(self) -> None:
         for failpoint, min_billed in (("ledger.push:2", 0), ("ledger.answering:2", 0)):
             with self.subTest(failpoint=failpoint):
                 world = ProgramUnderTest(self, toml=TOML, env={"LANDINGSHIFT_CRASH": failpoint})
@@ -124,7 +123,7 @@
                 self.assertLessEqual(received_count, billed_count + len(disputed_usage(world)))
                 self.assertGreaterEqual(billed_count, min_billed)
 
-    def test_refuses_to_start_on_a_store_that_another_server_holds(self) -> None:
+    def test_does_not_start_while_another_server_has_locked_the_store(self) -> None:
         world = ProgramUnderTest(self, toml=TOML.replace("2000", "100"))
         process = launch_program(world.folder.name, world.make_config({}, {}), world.env)
         output = process.communicate(timeout=20)
@@ -132,8 +131,8 @@
         self.assertIn("held by another server", output[1])
         self.assertIn("[ledger] folder", output[1])
 
-    def test_a_store_process_that_dies_comes_back_and_nothing_is_lost(self) -> None:
-        # Killed before the commit, after it, and before it could say so.
+    def test_a_killed_store_process_is_restarted_without_losing_usage(self) -> None:
+        # Killed before a commit, after a commit, and before reporting a commit to the server.
         for failpoint in ("ledger.appended:2", "ledger.committed:4", "ledger.acking:2"):
             with self.subTest(failpoint=failpoint):
                 world = ProgramUnderTest(self, toml=TOML, env=crash_once(self, failpoint))
@@ -146,8 +145,8 @@
                 self.assertEqual(billed_uses(world), {(b"t", b"m"): 4})
                 self.assertEqual(disputed_usage(world), [])
 
-    def test_a_drain_does_not_wait_for_a_store_that_hangs(self) -> None:
-        # All that was read is answered before the stop, and the notice shortens what an answer may wait.
+    def test_drain_does_not_wait_for_a_hanging_store(self) -> None:
+        # The drain limits how long answers wait for the store, and all RPCs read before it are answered.
         world = ProgramUnderTest(self, toml=TOML, env={"LANDINGSHIFT_SLOW": "ledger.take:3000"})
         gateway = GatewayClient(world)
         number = run_rpc(world, gateway, body=b"slow")
@@ -156,17 +155,20 @@
         world.process.terminate()
         begun = time.monotonic()
         messages = (gateway.read_message(), gateway.read_message())
-        answers = [message for message in messages if message[0] == 1]  # the other asks it to go
+        answers = [
+            message for message in messages if message[0] == 1
+        ]  # the other message asks the gateway to disconnect
         self.assertEqual([(answer[1], answer[3][0]) for answer in answers], [(number, RESULT)])
         self.assertLess(time.monotonic() - begun, 1.4)  # stop_ms is 1500
         line = world.wait_for_log("mode")
         remaining_ms = int(line["text"].removeprefix("draining: ").partition(" ")[0])
         elapsed_ms = line["t"] - notified_at_unix_ms
         self.assertTrue(1498 - elapsed_ms <= remaining_ms <= 1500, (remaining_ms, elapsed_ms))
-        self.assertLess(elapsed_ms, 100.0)  # the store hangs for 3 s
+        self.assertLess(elapsed_ms, 100.0)  # although each commit of the store takes 3 s
 
-    def test_results_that_wait_for_a_commit_are_bounded(self) -> None:
-        # 64 KB of usage let four times that of results wait; 90 of 4 KB are more, and the rest goes at once.
+    def test_the_size_of_deferred_results_is_limited(self) -> None:
+        # With a queue of 64 KiB, at most 256 KiB of results are deferred. Of 90 results of 4000 bytes, those
+        # past this limit are answered before the slow commit.
         world = ProgramUnderTest(
             self, toml=TOML + "queue_kb = 64\n", env={"LANDINGSHIFT_SLOW": "ledger.take:1500"}
         )
@@ -186,7 +188,7 @@
             early_count += sum(1 for _ in gateway.unpacker)
         self.assertTrue(20 <= early_count <= 45, early_count)
 
-    def test_a_slow_store_holds_no_answer_past_its_deadline(self) -> None:
+    def test_a_slow_store_delays_no_answer_past_its_deadline(self) -> None:
         world = ProgramUnderTest(self, toml=TOML, env={"LANDINGSHIFT_SLOW": "ledger.take:900"})
         gateway = GatewayClient(world)
         begun = time.monotonic()
