--- a/landingshift/ledger/compaction.py
+++ b/landingshift/ledger/compaction.py
@@ -144,7 +144,9 @@
     findings = audit_store(reader)
     if findings:
         first = findings[0]
-        raise CorruptLedgerError(first.entry_number, first.problem, "compaction would hide this fault")
+        raise CorruptLedgerError(
+            first.entry_number, first.problem, "what is wrong now could not be found later"
+        )
 
 
 def _entries_to_compact(
--- a/landingshift/ledger/dedup_window.py
+++ b/landingshift/ledger/dedup_window.py
@@ -24,7 +24,7 @@
         max_identity_count: Maximum number of identities kept.
         current_generation: Times at which each identity was counted, for the newer identities.
         previous_generation: The same for the older identities.
-        last_rotated_ms: Time of the last rotation, Unix ms.
+        last_rotated_ms: Time of the identity that caused the last rotation, Unix ms.
         shortened_count: Number of times that identities were forgotten before their window had passed.
     """
 
--- a/landingshift/ledger/errors.py
+++ b/landingshift/ledger/errors.py
@@ -52,7 +52,7 @@
     """The kind of an entry is not a value of `EntryKind`."""
 
     def __init__(self, kind: int) -> None:
-        super().__init__(f"unknown entry kind {kind}")
+        super().__init__(f"{kind} is not a valid Kind")
         self.kind = kind
 
 
@@ -76,7 +76,7 @@
     """The receiver's reply does not name an instance."""
 
     def __init__(self) -> None:
-        super().__init__("the reply names no instance")
+        super().__init__("an empty reply")
 
 
 class StoreUnavailableError(LedgerError):
@@ -110,7 +110,7 @@
     """An entry's hash does not follow from the entry before it."""
 
     def __init__(self, instance: str, entry_number: int) -> None:
-        super().__init__(instance, f"entry {entry_number} was changed or is out of order")
+        super().__init__(instance, f"entry {entry_number} is changed, or out of its order")
         self.entry_number = entry_number
 
 
@@ -157,7 +157,7 @@
     """A command tried to close a period before its end."""
 
     def __init__(self, period: str) -> None:
-        super().__init__(f"{period} has not ended and can't be closed yet")
+        super().__init__(f"{period} has not ended: nothing can be closed before its time")
         self.period = period
 
 
@@ -165,7 +165,7 @@
     """A command tried to close a period while an earlier one is open."""
 
     def __init__(self, earlier: str, period: str) -> None:
-        super().__init__(f"{earlier} is before {period} and still open: close it first")
+        super().__init__(f"{earlier} is open and comes before {period}: close it first")
         self.earlier = earlier
         self.period = period
 
@@ -257,7 +257,7 @@
     """A statement was requested, but the settings have no price plan."""
 
     def __init__(self) -> None:
-        super().__init__("[ledger] plan: no price plan is set")
+        super().__init__("[ledger] plan: no prices are named")
 
 
 class NothingToBillError(CommandRejectedError):
@@ -273,5 +273,5 @@
     """The target file of a backup already exists."""
 
     def __init__(self, path: str) -> None:
-        super().__init__(f"{path}: the file already exists")
+        super().__init__(f"{path}: is there already")
         self.path = path
--- a/landingshift/ledger/export_records.py
+++ b/landingshift/ledger/export_records.py
@@ -42,7 +42,7 @@
         self._names: dict[int, bytes] = {}
 
     def hash_at(self, number: int) -> bytes | None:
-        """Returns the chain's hash at an entry; None if this ledger does not have that hash."""
+        """Returns the chain's hash at an entry; None if the entry does not exist or was compacted."""
         if number == 0:
             return GENESIS_HASH
         row = self._store.row(number)
--- a/landingshift/ledger/merge_rules.py
+++ b/landingshift/ledger/merge_rules.py
@@ -50,7 +50,7 @@
 
 
 def branch_name(instance: str, number: int, entry_hash: bytes) -> str:
-    """Returns the name of the branch whose first differing entry has this number and hash."""
+    """Returns the name of an instance's branch whose first differing entry has this number and hash."""
     return f"{instance}~{number}-{entry_hash.hex()[:HASH_PREFIX_LENGTH]}"
 
 
--- a/landingshift/ledger/receiver_client.py
+++ b/landingshift/ledger/receiver_client.py
@@ -19,10 +19,8 @@
 MAX_REPLY_BYTES = 1 << 16
 HEADERS = {"Content-Type": "application/x-protobuf"}
 BATCH_PATH = "/v1/batch"
-READABLE_STATUSES = (
-    200,
-    409,
-)  # 409: the batch does not start at the receiver's cursor, which the reply contains
+READABLE_STATUSES = (200, 409)
+"""The reply to 409 contains the receiver's cursor, because the batch did not start there."""
 
 
 def cursor_path(instance: str) -> str:
@@ -34,7 +32,7 @@
     """Receiver of an export."""
 
     def request(self, method: str, path: str, body: bytes | None = None, /) -> Ack:
-        """Sends a request.
+        """Sends an HTTP request and returns the decoded reply.
 
         Raises:
             ReceiverUnavailableError: There is no reply that can be read.
@@ -61,7 +59,7 @@
         self._timeout_seconds = timeout_ms / 1000.0
 
     def request(self, method: str, path: str, body: bytes | None = None) -> Ack:
-        """Sends a request.
+        """Sends an HTTP request and returns the decoded reply.
 
         Raises:
             ReceiverUnavailableError: There is no reply that can be read.
--- a/landingshift/ledger/repair.py
+++ b/landingshift/ledger/repair.py
@@ -32,7 +32,7 @@
 
 
 def restore_missing_entries(store: UsageStore, merged: MergedStore) -> int:
-    """Copies the entries of this instance that only the merged ledger has into the store.
+    """Copies into the store those entries of its instance that only the merged ledger has.
 
     Returns:
         The number of restored entries.
--- a/landingshift/ledger/store.py
+++ b/landingshift/ledger/store.py
@@ -57,7 +57,7 @@
 
 
 class UsageStore(StoreReader):
-    """Reads and writes the store of one ledger.
+    """Reads and writes the SQLite file (the store) that holds one ledger.
 
     Attributes:
         path: Path of the SQLite file.
@@ -102,7 +102,7 @@
             self._prepare(db)
             super().__init__(db, BillingCalendar(time_zone, period_unit), dedup_window_ms)
             self.index = IndexWriter(db)
-            self._data_version = _UNKNOWN_DATA_VERSION  # version of the file from which `ledger` was read
+            self._data_version = _UNKNOWN_DATA_VERSION  # SQLite's version of the file that `ledger` reflects
             self.ledger = recover_ledger(self, max_identity_count)
 
     @classmethod
@@ -210,7 +210,7 @@
         )
 
     def reclaim_space(self) -> None:
-        """Shrinks the file by the space of removed entries."""
+        """Returns the disk space of removed entries to the file system."""
         self.db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
         self.db.execute("VACUUM")
 
--- a/landingshift/ledger/store_reader.py
+++ b/landingshift/ledger/store_reader.py
@@ -225,7 +225,7 @@
     # Deduplication of old usage
 
     def counted_near(self, records: Collection[UsageRecord]) -> DedupWindow:
-        """Returns when the identities of disputed records were counted, around the times of these records.
+        """Returns the identities of the given disputed records that were counted around the records' times.
 
         The result covers at least one deduplication window before and after each record.
         """
--- a/landingshift/ledger/worker.py
+++ b/landingshift/ledger/worker.py
@@ -1,8 +1,8 @@
 """The store's process: commits the server's batches in groups and reports which batches are durable.
 
-Guarantee: all batches that were read are committed before the process exits, even if the server was killed;
-only a store that keeps failing after the server is gone ends this. Failure mode: while commits fail, batches
-wait here and in the server's queue, whose size limit bounds both.
+Guarantee: the process commits all batches that it has read before it exits, even if the server was killed. It
+gives up only if commits keep failing after the server is gone. Failure mode: while commits fail, batches wait
+here and in the server's queue, whose size limit bounds both.
 """
 
 from __future__ import annotations
@@ -39,9 +39,8 @@
     The command-line arguments are the settings as JSON and the server's run_id in hexadecimal.
     """
     for ignored_signal in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
-        signal.signal(
-            ignored_signal, signal.SIG_IGN
-        )  # the process ends when the server disconnects, which may have usage to send until then
+        # The process ends when the server disconnects, since the server may have usage to send until then.
+        signal.signal(ignored_signal, signal.SIG_IGN)
     settings = msgspec.json.decode(sys.argv[1], type=Settings)
     run_id = bytes.fromhex(sys.argv[2])
     link = ServerLink(inherited_socket())
