--- a/landingshift/membership/__init__.py
+++ b/landingshift/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Cluster membership: a SWIM failure detector with gossip, anti-entropy and calls for operators."""
+"""Cluster membership: a SWIM failure detector with gossip, anti-entropy and RPCs for operators."""
--- a/landingshift/membership/anti_entropy.py
+++ b/landingshift/membership/anti_entropy.py
@@ -1,7 +1,8 @@
-"""Push-pull anti-entropy: now and then two members compare their whole tables by digest.
+"""Push-pull anti-entropy: members periodically compare table digests and exchange the records that differ.
 
-Guarantee: what gossip has missed reaches every member that can be reached, some intervals later.
-Failure mode: where much differs, one comparison brings a bounded part of it and the next one follows soon.
+Guarantee: an update that gossip missed reaches every reachable member within a few syncs.
+Failure mode: where two tables differ widely, one sync transfers only a bounded number of records; the next
+sync then follows soon.
 """
 
 from __future__ import annotations
@@ -9,17 +10,17 @@
 from landingshift.membership.messages import Address, RecordPage, TableDigestMessage
 from landingshift.membership.node_context import NodeContext
 
-MAX_PAGES_PER_REPLY = 24  # datagrams that one comparison may bring about
-FOLLOW_UP_INTERVAL_MS = 200.0  # to the next comparison after one that brought something new
-FOLLOW_UP_JITTER = (0.5, 1.5)  # bounds of the factor on that interval
-INTERVAL_JITTER = (0.8, 1.2)  # bounds of the factor on the regular interval
+MAX_PAGES_PER_REPLY = 24  # bounds the datagrams sent in reply to one digest
+FOLLOW_UP_INTERVAL_MS = 200.0  # delay of the next sync after a page with new records
+FOLLOW_UP_JITTER = (0.5, 1.5)  # range of the random factor applied to that delay
+INTERVAL_JITTER = (0.8, 1.2)  # range of the random factor applied to the regular interval
 
 
 class AntiEntropy:
-    """Starts comparisons and answers those of others.
+    """Starts periodic syncs and replies to the digests of other members.
 
     Attributes:
-        next_sync_ms: When the next comparison is due.
+        next_sync_ms: Time at which the next sync is due.
     """
 
     def __init__(self, context: NodeContext, first_sync_ms: float) -> None:
@@ -27,7 +28,7 @@
         self.next_sync_ms = first_sync_ms
 
     def on_timer(self, now_ms: float) -> None:
-        """Sends a digest to one member if that is due."""
+        """Sends a digest to one random member if a sync is due."""
         if now_ms < self.next_sync_ms:
             return
         rng = self._context.rng
@@ -37,16 +38,16 @@
             self._send_digest(record.address, wants_digest=True)
 
     def on_first_contact(self, now_ms: float) -> None:
-        """Somebody was heard for the first time: one neighbour is enough to learn of all others."""
+        """Schedules a sync at once: a single peer can supply the records of the whole cluster."""
         self.next_sync_ms = now_ms
 
     def on_new_records(self, now_ms: float) -> None:
-        """A page brought something new: there may be more, and the next comparison comes soon."""
+        """Schedules the next sync soon after a page with new records, since the peer may have more."""
         follow_up_ms = now_ms + FOLLOW_UP_INTERVAL_MS * self._context.rng.uniform(*FOLLOW_UP_JITTER)
         self.next_sync_ms = min(self.next_sync_ms, follow_up_ms)
 
     def on_digest(self, sender: Address, digest: TableDigestMessage) -> None:
-        """Sends the records that differ, and its own digest where the sender asks for that."""
+        """Sends the records that differ and, if the sender asked for it, this member's own digest."""
         table = self._context.member_table
         for page in table.differing_pages(digest.bucket_checksums, MAX_PAGES_PER_REPLY):
             self._context.outbox.send(sender, RecordPage(), gossip=page)
--- a/landingshift/membership/contact_addresses.py
+++ b/landingshift/membership/contact_addresses.py
@@ -1,4 +1,4 @@
-"""Addresses at which members may be found. Pure."""
+"""Addresses at which members may be reachable."""
 
 from __future__ import annotations
 
@@ -8,21 +8,23 @@
 
 
 class ContactAddresses:
-    """Addresses that may lead to members: configured, learned from a list, or of members that died.
+    """Bounded set of addresses that `Rejoin` pings to find members.
+
+    They come from the settings, from service discovery, and from members that were declared dead.
 
     Attributes:
-        last_attempt_ms: When each address was last tried, 0 for never.
+        last_attempt_ms: Time at which each address was last pinged; 0 if never.
     """
 
     def __init__(self, addresses: list[Address]) -> None:
         self.last_attempt_ms: dict[Address, float] = dict.fromkeys(addresses, 0.0)
 
     def __len__(self) -> int:
-        """How many addresses are kept."""
+        """Returns the number of addresses."""
         return len(self.last_attempt_ms)
 
     def add(self, addresses: list[Address]) -> None:
-        """Keeps addresses as far as there is room."""
+        """Adds addresses, and ignores those beyond `MAX_CONTACT_ADDRESSES`."""
         for address in addresses:
             if len(self.last_attempt_ms) < MAX_CONTACT_ADDRESSES:
                 self.last_attempt_ms.setdefault(address, 0.0)
--- a/landingshift/membership/duplicate_names.py
+++ b/landingshift/membership/duplicate_names.py
@@ -1,4 +1,4 @@
-"""Finding out that two servers run under one name."""
+"""Detection of two servers that run under the same name."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 
 from landingshift.membership.messages import Address
 
-DUPLICATE_CONFLICT_COUNT = 3  # conflicts with another address after which it is no restart
+CONFLICT_THRESHOLD = 3  # a server that restarts at a new address causes fewer conflicts than this
 CONFLICT_WINDOW_MS = 60_000.0
 
 
 class DuplicateNameDetector:
-    """Counts how often this member had to refute another process with its name at another address."""
+    """Counts how often this member refuted a process with its own name at another address."""
 
     def __init__(self, log: Callable[..., None]) -> None:
         self._log = log
         self._conflict_times_ms: list[float] = []
 
     def on_conflict(self, name: str, other_address: Address, now_ms: float) -> None:
-        """Notes one conflict; logs where there were too many within the window for a restart."""
+        """Records one conflict; logs the duplicate when the window holds `CONFLICT_THRESHOLD` of them."""
         recent = [time_ms for time_ms in self._conflict_times_ms if now_ms - time_ms < CONFLICT_WINDOW_MS]
-        self._conflict_times_ms = recent[-DUPLICATE_CONFLICT_COUNT:]
+        self._conflict_times_ms = recent[-CONFLICT_THRESHOLD:]
         self._conflict_times_ms.append(now_ms)
-        if len(self._conflict_times_ms) == DUPLICATE_CONFLICT_COUNT:
+        if len(self._conflict_times_ms) == CONFLICT_THRESHOLD:
             host, port = other_address
             self._log("fleet_name_twice", name=name, other=f"{host}:{port}")
--- a/landingshift/membership/errors.py
+++ b/landingshift/membership/errors.py
@@ -1,4 +1,4 @@
-"""What can go wrong in the membership package, as one hierarchy of exceptions."""
+"""Exceptions of the membership package."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class MembershipError(LandingshiftError):
-    """Base of all errors of this package."""
+    """Base class of all errors of this package."""
 
 
 class DatagramRejection(Enum):
-    """Why a datagram was rejected; the values are reason codes of the log."""
+    """Reason for rejecting a datagram; the value is the name of its counter in the log."""
 
     OVERSIZED = "oversized"
     UNDECODABLE = "garbage"
@@ -23,10 +23,10 @@
 
 
 class InvalidDatagramError(MembershipError):
-    """A datagram is no message of this cluster.
+    """A datagram is not a valid message of this cluster.
 
     Attributes:
-        rejection: Why it was rejected; the error's text is its value.
+        rejection: Reason for the rejection; its value is the error text.
     """
 
     def __init__(self, rejection: DatagramRejection) -> None:
@@ -35,14 +35,14 @@
 
 
 class TransferError(MembershipError, ValueError):
-    """A fragment of a large message was rejected; the text goes back to its sender."""
+    """A fragment of a large message was rejected; the error text is returned to its sender."""
 
 
 class MalformedTransferError(TransferError):
-    """A call, or the message put together from its fragments, does not have the expected shape.
+    """The parameters of a call or the reassembled message do not have the expected types.
 
     Attributes:
-        detail: What is wrong, empty where the parameters themselves do not match.
+        detail: What is wrong with the message; empty if the parameters of the call are malformed.
     """
 
     def __init__(self, detail: str = "") -> None:
@@ -51,24 +51,24 @@
 
 
 class UnknownSenderError(TransferError):
-    """The fragment is from another cluster, from no known incarnation, or for a package without a handler."""
+    """The fragment has the wrong cluster name, an unknown sender or run, or a package without a handler."""
 
     def __init__(self) -> None:
         super().__init__("from nobody that is known here")
 
 
 class InvalidFragmentError(TransferError):
-    """The part's index, count or size is out of bounds."""
+    """The fragment's index, count or size is out of bounds."""
 
     def __init__(self) -> None:
         super().__init__("no part of a letter")
 
 
 class OperatorRpcError(MembershipError):
-    """An operator's call was not answered, or answered with an error.
+    """An operator call got no response, or an error response.
 
     Attributes:
-        reason: What the server or the operating system said.
+        reason: Error text of the server or of the operating system.
     """
 
     def __init__(self, reason: str) -> None:
@@ -77,18 +77,18 @@
 
 
 class ConnectionClosedError(OperatorRpcError):
-    """The server has closed the connection without an answer."""
+    """The server closed the connection without sending a response."""
 
     def __init__(self) -> None:
-        super().__init__("it closed the connection")
+        super().__init__("the server closed the connection without sending a response")
 
 
 class InvalidSettingError(MembershipError, ValueError):
-    """A setting can't be used.
+    """A setting has an unusable value.
 
     Attributes:
-        key: The key in the TOML table.
-        problem: What is wrong with its value.
+        key: Key in the TOML table.
+        problem: What is wrong with the value.
     """
 
     def __init__(self, key: str, problem: str) -> None:
@@ -97,22 +97,22 @@
 
 
 class InvalidAddressError(InvalidSettingError):
-    """A setting is no IPv4 address with a port.
+    """A value is not an IPv4 address with a port.
 
     Attributes:
-        text: The value as it was given.
+        text: The rejected value.
     """
 
     def __init__(self, key: str, text: str) -> None:
-        super().__init__(key, f"an IPv4 address:port is expected, not {text!r}")
+        super().__init__(key, f"expected an IPv4 address:port, got {text!r}")
         self.text = text
 
 
 class ListenAddressError(InvalidSettingError):
-    """The address to listen at can't be bound.
+    """The listen address can't be bound.
 
     Attributes:
-        address: The address as it is configured.
+        address: The configured address.
     """
 
     def __init__(self, address: str, os_error: OSError) -> None:
--- a/landingshift/membership/failure_detector.py
+++ b/landingshift/membership/failure_detector.py
@@ -1,12 +1,13 @@
 """SWIM's failure detector with Lifeguard's extensions.
 
-Each interval one member is probed. One that does not answer is probed through a few others (ping-req); one
-that is still silent becomes a suspect, and dead once nobody, least of all itself, has refuted that in time.
-
-Guarantee: a member that is reachable by anybody and answers within the suspicion time-out is not declared
-dead by a member whose own process runs on time; a dead one is declared dead within a time that grows with the
-logarithm of the cluster's size.
-Failure mode: in a partition each side declares the other dead; `rejoin` brings them together again.
+Each interval, one member is pinged. If it sends no ack, a few intermediaries are asked to ping it (ping-req).
+If no ack arrives through them either, it becomes a suspect, and it is declared dead unless the suspicion is
+refuted within the suspicion time-out.
+
+Guarantee: a member whose own process runs on time does not declare a member dead that any other member can
+reach and that answers within the suspicion time-out. The time to declare a failed member dead grows with the
+logarithm of the cluster size.
+Failure mode: in a partition each side declares the other dead; `rejoin` merges them again.
 """
 
 from __future__ import annotations
@@ -30,38 +31,39 @@
 )
 from landingshift.membership.node_context import NodeContext
 
-HELPER_COUNT = 3  # members that are asked to probe a silent one
-MAX_INDIRECT_PROBES = 64  # on behalf of others at a time
-SUSPECT_CHECK_INTERVAL_MS = 50.0  # a lost zone is many suspects: not checked at each datagram
-PROBE_DURATION_FRACTION = 0.95  # of the interval, so that a probe has ended when the next one is due
+PING_REQUEST_FANOUT = 3  # intermediaries that are asked to ping a member that sent no ack
+MAX_INDIRECT_PROBES = 64  # concurrent probes on behalf of other members
+# The loss of a zone leaves many suspects, too many to check on each datagram.
+SUSPECT_CHECK_INTERVAL_MS = 50.0
+PROBE_DURATION_FRACTION = 0.95  # of the probe interval, so that a probe ends before the next one is due
 
 
 @dataclass(slots=True, eq=False)
 class Probe:
-    """This member's own probe under way.
+    """The probe that this member has in progress.
 
     Attributes:
-        sequence_number: What answers carry.
-        target_name: Who is probed.
-        ping_request_at_ms: When helpers are asked.
-        ends_at_ms: When the target becomes a suspect.
-        has_asked_helpers: Whether they were asked.
-        helper_count: How many were asked.
-        silent_helper_count: How many of them have sent neither an ack nor a nack.
+        sequence_number: Sequence number of the ping, which acks and nacks repeat.
+        target_name: Name of the probed member.
+        ping_request_at_ms: Time at which ping-reqs are sent.
+        ends_at_ms: Time at which the target becomes a suspect.
+        has_sent_ping_requests: Whether the time to send ping-reqs has passed.
+        ping_request_count: Number of ping-reqs sent.
+        missing_nack_count: Number of ping-reqs that no nack has answered.
     """
 
     sequence_number: int
     target_name: str
     ping_request_at_ms: float
     ends_at_ms: float
-    has_asked_helpers: bool = False
-    helper_count: int = 0
-    silent_helper_count: int = 0
+    has_sent_ping_requests: bool = False
+    ping_request_count: int = 0
+    missing_nack_count: int = 0
 
     @property
     def next_deadline_ms(self) -> float:
-        """When the probe goes on."""
-        return self.ends_at_ms if self.has_asked_helpers else self.ping_request_at_ms
+        """Time at which the next step of the probe is due."""
+        return self.ends_at_ms if self.has_sent_ping_requests else self.ping_request_at_ms
 
 
 @dataclass(slots=True, eq=False)
@@ -69,9 +71,9 @@
     """A probe on behalf of another member.
 
     Attributes:
-        requester_sequence_number: Number of the requester's own probe.
-        requester: Where the answer goes.
-        nack_at_ms: When the requester is told that the target was silent.
+        requester_sequence_number: Sequence number of the requester's probe, which the ack or nack repeats.
+        requester: Address that the ack or nack is sent to.
+        nack_at_ms: Time at which a nack is sent if the target has sent no ack.
     """
 
     requester_sequence_number: int
@@ -80,11 +82,11 @@
 
 
 class FailureDetector:
-    """Probes of this member and on behalf of others, and the suspicions.
+    """Probes other members, for itself and on behalf of others, and tracks suspects.
 
     Attributes:
-        local_health: How far this member trusts its own view.
-        indirect_probes: Probes on behalf of others, by the sequence number of their pings.
+        local_health: This member's local health score.
+        indirect_probes: Probes on behalf of other members, by the sequence number of the ping.
     """
 
     def __init__(self, context: NodeContext, now_ms: float, first_probe_ms: float) -> None:
@@ -92,15 +94,13 @@
         self.local_health = LocalHealth()
         self.indirect_probes: dict[int, IndirectProbe] = {}
         self._probe: Probe | None = None
-        self._probe_order: list[str] = []  # the last one is next; shuffled by each member for itself
+        self._probe_order: list[str] = []  # probed from the end; each member shuffles its own list
         self._next_probe_ms = first_probe_ms
         self._suspects: dict[str, None] = {}
         self._next_suspect_check_ms = now_ms
 
-    # For the node
-
     def next_deadline_ms(self) -> float:
-        """When `on_timer` is due."""
+        """Returns when `on_timer` is due."""
         deadline_ms = self._next_probe_ms
         if self._probe is not None:
             deadline_ms = min(deadline_ms, self._probe.next_deadline_ms)
@@ -111,7 +111,7 @@
         return deadline_ms
 
     def on_timer(self, now_ms: float, is_leaving: bool) -> None:
-        """Does what is due; a member that is leaving starts no probe of its own."""
+        """Runs the steps that are due; a member that is leaving starts no new probe."""
         self._expire_indirect_probes(now_ms)
         if now_ms >= self._next_suspect_check_ms:
             self._next_suspect_check_ms = now_ms + SUSPECT_CHECK_INTERVAL_MS
@@ -126,9 +126,10 @@
                 self._start_probe(now_ms)
 
     def on_local_pause(self, pause_ms: float) -> None:
-        """This member was paused: what others sent meanwhile may be lost.
+        """Compensates for a pause of this member's own process.
 
-        All that runs against others is put off by as much, and this member doubts itself.
+        Messages that arrived during the pause may be lost. All pending deadlines of other members are
+        therefore postponed by its length, and the local health score rises.
         """
         self.local_health.degrade(1 + int(pause_ms / self._context.timings.probe_interval_ms))
         if self._probe is not None:
@@ -140,7 +141,7 @@
             self._context.member_table.members[name].state_since_ms += pause_ms
 
     def on_state_change(self, member: Member, previous_state: MemberState | None, now_ms: float) -> None:
-        """A member came to another state or run."""
+        """Updates the suspects and the probe order after a change of a member's record."""
         record = member.record
         if record.state is MemberState.SUSPECT:
             if not self._suspects:
@@ -150,11 +151,14 @@
             self._suspects.pop(record.name, None)
         has_joined = previous_state is None or previous_state in DEPARTED_STATES
         if record.state is MemberState.ALIVE and has_joined:
-            # At a random position: members that start together must not all be probed by all in one order.
+            # A random position, so that members that start together are not probed by all in the same order.
             self._probe_order.insert(self._context.rng.randint(0, len(self._probe_order)), record.name)
 
     def on_ack(self, sequence_number: int) -> None:
-        """A target has answered, directly or through a helper: both carry the number of the probe."""
+        """Ends this member's probe, or forwards the ack if the ping was sent on behalf of another member.
+
+        Acks from the target and from intermediaries carry the same sequence number.
+        """
         indirect_probe = self.indirect_probes.pop(sequence_number, None)
         if indirect_probe is not None:
             self._context.outbox.send(
@@ -165,12 +169,12 @@
             self.local_health.improve()
 
     def on_nack(self, sequence_number: int) -> None:
-        """A helper is there, though it did not reach the target."""
+        """Counts a nack, which shows that an intermediary can reach this member."""
         if self._probe is not None and self._probe.sequence_number == sequence_number:
-            self._probe.silent_helper_count = max(0, self._probe.silent_helper_count - 1)
+            self._probe.missing_nack_count = max(0, self._probe.missing_nack_count - 1)
 
     def on_ping_request(self, message: Message, request: PingRequest, now_ms: float) -> None:
-        """Probes a third member for the sender, as far as there is room."""
+        """Pings a third member for the sender, unless too many indirect probes are in progress."""
         if len(self.indirect_probes) >= MAX_INDIRECT_PROBES:
             return
         sequence_number = next(self._context.sequence_numbers)
@@ -183,7 +187,7 @@
     # Probes
 
     def _expire_indirect_probes(self, now_ms: float) -> None:
-        """Tells the requesters of probes that were not answered in time."""
+        """Sends a nack to the requester of each indirect probe that timed out."""
         expired = [number for number, probe in self.indirect_probes.items() if probe.nack_at_ms <= now_ms]
         for number in expired:
             indirect_probe = self.indirect_probes.pop(number)
@@ -201,13 +205,13 @@
         ping_request_at_ms = now_ms + self._context.timings.ack_timeout_ms * multiplier
         duration_ms = self._context.timings.probe_interval_ms * multiplier * PROBE_DURATION_FRACTION
         self._probe = Probe(sequence_number, name, ping_request_at_ms, now_ms + duration_ms)
-        # A suspect must receive the suspicion itself, or it could never refute it.
+        # A suspect must learn of the suspicion in order to refute it.
         suspicion = record if record.state is MemberState.SUSPECT else None
         gossip = self._context.member_table.select_gossip(suspicion)
         self._context.outbox.send(record.address, Ping(name), sequence_number, gossip)
 
     def _next_target(self) -> str | None:
-        """Round robin over a shuffled list: each member is probed within a bounded time."""
+        """Returns the next member of a shuffled round robin, so that each is probed within a bounded time."""
         for _ in range(2):
             while self._probe_order:
                 name = self._probe_order.pop()
@@ -218,34 +222,34 @@
         return None
 
     def _continue_probe(self, probe: Probe, now_ms: float) -> None:
-        """Asks helpers or ends the probe, where that is due."""
+        """Sends the ping-reqs or ends the probe, whichever is due."""
         target = self._context.member_table.record(probe.target_name)
-        if not probe.has_asked_helpers and now_ms >= probe.ping_request_at_ms:
-            probe.has_asked_helpers = True
+        if not probe.has_sent_ping_requests and now_ms >= probe.ping_request_at_ms:
+            probe.has_sent_ping_requests = True
             if target is not None:
-                self._ask_helpers(probe, target)
+                self._send_ping_requests(probe, target)
         if now_ms >= probe.ends_at_ms:
             self._on_probe_failed(probe, target, now_ms)
 
-    def _ask_helpers(self, probe: Probe, target: MemberRecord) -> None:
+    def _send_ping_requests(self, probe: Probe, target: MemberRecord) -> None:
         request = PingRequest(target.host, target.port, target.name)
-        for helper in self._context.member_table.sample(
-            self._context.rng, HELPER_COUNT, (probe.target_name,)
+        for intermediary in self._context.member_table.sample(
+            self._context.rng, PING_REQUEST_FANOUT, (probe.target_name,)
         ):
-            probe.helper_count += 1
-            probe.silent_helper_count += 1
-            self._context.outbox.send(helper.address, request, probe.sequence_number)
+            probe.ping_request_count += 1
+            probe.missing_nack_count += 1
+            self._context.outbox.send(intermediary.address, request, probe.sequence_number)
 
     def _on_probe_failed(self, probe: Probe, target: MemberRecord | None, now_ms: float) -> None:
-        """Suspects the target, and itself where helpers were silent too.
+        """Marks the target as a suspect, and raises the local health score if nacks are missing.
 
-        Where all helpers have answered this member is well, and a zone that is lost must not make it wait
-        longer and longer.
+        If every intermediary sent a nack, this member is healthy, and its score must not rise: otherwise the
+        loss of a zone would slow down its probes more and more.
         """
         self._probe = None
-        some_silent = probe.silent_helper_count > 0
-        all_silent = probe.silent_helper_count == probe.helper_count
-        self.local_health.degrade(some_silent + all_silent)
+        some_missing = probe.missing_nack_count > 0
+        all_missing = probe.missing_nack_count == probe.ping_request_count
+        self.local_health.degrade(some_missing + all_missing)
         if target is not None and target.state not in DEPARTED_STATES:
             self._merge_local_observation(target, MemberState.SUSPECT, now_ms)
 
@@ -257,18 +261,18 @@
             self._declare_dead(name, now_ms)
 
     def _suspicion_ends_at_ms(self, name: str) -> float:
-        """When a suspect that has not refuted counts as dead."""
+        """Returns the time at which a suspect is declared dead unless the suspicion is refuted."""
         member = self._context.member_table.members[name]
         timeout_ms = suspicion_timeout_ms(
             self._context.timings.min_suspicion_ms,
             member_count=len(self._context.member_table.present_names) + 1,
-            confirmation_count=max(0, len(member.suspecting_members) - 1),
+            confirmation_count=max(0, len(member.accusers) - 1),
             multiplier=self.local_health.multiplier,
         )
         return member.state_since_ms + timeout_ms
 
     def _declare_dead(self, name: str, now_ms: float) -> None:
-        """Its address is kept: where it is cut off and not dead, it must be found again."""
+        """Declares a suspect dead, and keeps its address to find it again if it was only unreachable."""
         member = self._context.member_table.members[name]
         self._context.contacts.add([member.record.address])
         silent_ms = round(now_ms - member.state_since_ms)
@@ -278,6 +282,6 @@
         self._merge_local_observation(member.record, MemberState.DEAD, now_ms)
 
     def _merge_local_observation(self, record: MemberRecord, state: MemberState, now_ms: float) -> None:
-        """Enters into the table the state that this member itself believes another one to be in."""
+        """Merges a state that this member itself has determined for another member."""
         local_name = self._context.member_table.local_record.name
         self._context.member_table.merge(replace(record, state=state, reported_by=local_name), now_ms)
--- a/landingshift/membership/gossip_queue.py
+++ b/landingshift/membership/gossip_queue.py
@@ -1,7 +1,7 @@
-"""Dissemination of news by piggybacking: which records ride on the next message.
+"""Queue of membership updates, from which each message takes the records it piggybacks.
 
-Guarantee: each change of a record is sent often enough that, with high probability, all members receive it.
-Failure mode: with some luck against it a member misses a change; the anti-entropy brings it later.
+Guarantee: each update is transmitted often enough to reach every member with high probability.
+Failure mode: an update may miss a member by chance; anti-entropy delivers it later.
 """
 
 from __future__ import annotations
@@ -11,23 +11,23 @@
 
 from landingshift.membership.messages import MAX_GOSSIP_RECORDS, MemberRecord
 
-EXTRA_TRANSMISSION_COUNT = 2  # over the logarithm of the cluster's size
+EXTRA_TRANSMISSION_COUNT = 2  # added to the logarithm of the cluster size
 
 
 def transmission_limit(present_count: int) -> int:
-    """How often one member sends one piece of news.
+    """Returns how many times one member transmits each update.
 
-    Sent k times by each, about e^-k of the members have not received it: the limit grows with the logarithm
-    of the cluster's size.
+    After every member has sent an update k times, a fraction of about e^-k has not received it. The limit
+    therefore grows with the logarithm of the cluster size.
     """
     return EXTRA_TRANSMISSION_COUNT + ceil(log2(present_count + 2))
 
 
 class GossipQueue:
-    """Names whose records are news, least sent first.
+    """Names of the members whose records still have to be transmitted.
 
     Attributes:
-        transmission_counts: How often the record of each name was sent since it changed.
+        transmission_counts: Number of transmissions of each member's record since it last changed.
     """
 
     def __init__(self, find_record: Callable[[str], MemberRecord | None]) -> None:
@@ -35,23 +35,23 @@
         self.transmission_counts: dict[str, int] = {}
 
     def __len__(self) -> int:
-        """How many names are news."""
+        """Returns the number of queued names."""
         return len(self.transmission_counts)
 
     def enqueue(self, name: str) -> None:
-        """The record of that name has changed: it is to be sent, as if it never had been."""
+        """Queues a member whose record has changed, and resets its transmission count."""
         self.transmission_counts[name] = 0
 
     def discard(self, name: str) -> None:
-        """The name is forgotten."""
+        """Removes a name from the queue."""
         self.transmission_counts.pop(name, None)
 
     def select(self, present_count: int, first: MemberRecord | None = None) -> list[MemberRecord]:
-        """Records for one message, each of which counts as sent.
+        """Selects the least transmitted records for one message and counts each as transmitted.
 
         Args:
-            present_count: Other members that are present.
-            first: A record that must ride on this message, whether or not it is news.
+            present_count: Number of other members that are present.
+            first: Record that the message must carry, whether or not it is queued.
         """
         chosen = [first] if first is not None else []
         if not self.transmission_counts:
--- a/landingshift/membership/large_message_assembly.py
+++ b/landingshift/membership/large_message_assembly.py
@@ -1,28 +1,28 @@
-"""Putting large messages together from fragments that come in any order. Pure; memory is bounded."""
+"""Reassembly of large messages from fragments that arrive in any order, in bounded memory."""
 
 from __future__ import annotations
 
 from landingshift.membership.errors import InvalidFragmentError
 from landingshift.membership.large_message_wire import MAX_FRAGMENT_BYTES, MessageFragment
 
-MAX_MESSAGE_BYTES = 4 << 20  # of one message, and of all that are incomplete
+MAX_MESSAGE_BYTES = 4 << 20  # limit of one message, and of all incomplete messages together
 MAX_FRAGMENT_COUNT = MAX_MESSAGE_BYTES // MAX_FRAGMENT_BYTES + 1
 
 
 class FragmentAssembler:
-    """Fragments of incomplete messages; the oldest message gives way where there are too many."""
+    """Collects fragments, and drops the oldest incomplete messages when they exceed the memory limit."""
 
     def __init__(self) -> None:
         self._incomplete: dict[tuple[str, int, int], dict[int, bytes]] = {}
 
     def add(self, fragment: MessageFragment) -> bytes | None:
-        """Takes a fragment.
+        """Adds a fragment.
 
         Returns:
-            The bytes of the whole message where this fragment was the last one that was missing.
+            The whole message if this fragment completes it, None otherwise.
 
         Raises:
-            InvalidFragmentError: Its index, count or size is out of bounds.
+            InvalidFragmentError: The fragment's index, count or size is out of bounds.
         """
         is_index_valid = 0 <= fragment.fragment_index < fragment.fragment_count <= MAX_FRAGMENT_COUNT
         if not is_index_valid or len(fragment.content) > MAX_FRAGMENT_BYTES:
--- a/landingshift/membership/large_message_wire.py
+++ b/landingshift/membership/large_message_wire.py
@@ -1,8 +1,7 @@
-"""Fragments of large messages, as MessagePack-RPC calls.
+"""Encoding of the fragments of large messages as MessagePack-RPC calls.
 
-Each is `letter(fleet, sender, run, package, number, part, parts, bytes)`.
-
-The only place that knows the call's name and the order of its parameters.
+Each fragment is one call `letter(fleet, sender, run, package, number, part, parts, bytes)`. Only this module
+knows the name of the call and the order of its parameters.
 """
 
 from __future__ import annotations
@@ -19,7 +18,7 @@
 METHOD = "letter"
 RPC_REQUEST_TYPE = 0  # MessagePack-RPC type of a call that expects a response
 NOT_A_LIST = "a list is expected"
-MAX_FRAGMENT_BYTES = 12_000  # so that each call fits into one message of the codec
+MAX_FRAGMENT_BYTES = 12_000  # keeps each call within the message size limit of the gateway codec
 
 
 @dataclass(slots=True, frozen=True)
@@ -27,14 +26,14 @@
     """One fragment of a large message.
 
     Attributes:
-        cluster_name: The sender's cluster.
+        cluster_name: Name of the sender's cluster.
         sender_name: Name of the sending member.
-        sender_run_id: Which process of that name.
-        package: Package that the message is for.
-        transfer_number: Counts the sender's large messages.
-        fragment_index: From 0.
-        fragment_count: Fragments of the whole message.
-        content: The bytes.
+        sender_run_id: Run ID of the sending member.
+        package: Name of the package that the message is for.
+        transfer_number: Sequence number of the message among the large messages of this run.
+        fragment_index: Index of the fragment, from 0.
+        fragment_count: Number of fragments of the message.
+        content: Bytes of the fragment.
     """
 
     cluster_name: str
@@ -48,15 +47,15 @@
 
 
 def encode_body(body: list[Any]) -> bytes:
-    """The whole body of a message, as it is split into fragments."""
+    """Encodes the body of a message, before it is split into fragments."""
     return msgspec.msgpack.encode(body)
 
 
 def decode_body(data: bytes) -> list[Any]:
-    """The body from the bytes of all fragments.
+    """Decodes the body of a reassembled message.
 
     Raises:
-        MalformedTransferError: The bytes are no list.
+        MalformedTransferError: The bytes do not encode a list.
     """
     try:
         body = msgspec.msgpack.decode(data)
@@ -70,23 +69,23 @@
 def encode_calls(
     cluster_name: str, sender: MemberRecord, package: str, transfer_number: int, packed_body: bytes
 ) -> list[bytes]:
-    """One call for each fragment of a message."""
-    pages = [
+    """Splits a message into fragments and encodes one call for each."""
+    fragments = [
         packed_body[start : start + MAX_FRAGMENT_BYTES]
         for start in range(0, len(packed_body), MAX_FRAGMENT_BYTES)
     ]
-    head = [cluster_name, sender.name, sender.run_id, package, transfer_number]
+    common_params = [cluster_name, sender.name, sender.run_id, package, transfer_number]
     return [
-        pack([RPC_REQUEST_TYPE, index, METHOD, [*head, index, len(pages), page]])
-        for index, page in enumerate(pages)
+        pack([RPC_REQUEST_TYPE, index, METHOD, [*common_params, index, len(fragments), fragment]])
+        for index, fragment in enumerate(fragments)
     ]
 
 
 def decode_fragment(params: list[Any]) -> MessageFragment:
-    """The parameters of one call, typed.
+    """Converts the parameters of one call to a fragment.
 
     Raises:
-        MalformedTransferError: They do not have the expected types.
+        MalformedTransferError: The parameters do not have the expected types.
     """
     match params:
         case [
--- a/landingshift/membership/large_messages.py
+++ b/landingshift/membership/large_messages.py
@@ -1,9 +1,9 @@
-"""Messages that are too large for a datagram, sent by calls over TCP.
+"""Transport for messages that are too large for a datagram: MessagePack-RPC calls over TCP.
 
-Each message has a connection of its own, to the address where the receiver has its datagrams.
+Each message opens its own connection, to the TCP port with the same number as the receiver's UDP port.
 
-Guarantee: a message arrives complete or not at all, at the process that was meant.
-Failure mode: it may be lost, as a datagram may; nobody is told.
+Guarantee: a message is delivered completely or not at all, and all its fragments go to the same process.
+Failure mode: like a datagram, a message may be lost without notice to the sender or the receiver.
 """
 
 from __future__ import annotations
@@ -31,12 +31,12 @@
 MAX_DATAGRAM_BODY_BYTES = 1100  # a larger body goes over TCP
 MAX_CONCURRENT_TRANSFERS = 16
 TRANSFER_TIMEOUT_MS = 3000.0
-MAX_UNSENT_BYTES = MAX_MESSAGE_BYTES + 1024  # a message with the heads of its calls
+MAX_UNSENT_BYTES = MAX_MESSAGE_BYTES + 1024  # one message with the overhead of its calls
 MAX_RESPONSE_BYTES = 4096
 
 
 class LargeMessageTransfer:
-    """One message on its way; however that ends, `on_finished` is called once."""
+    """Transfer of one message; calls `on_finished` exactly once, whatever the outcome."""
 
     def __init__(
         self,
@@ -59,7 +59,7 @@
             loop.after(0.0, lambda: self.on_closed("unreachable"))
 
     def on_data(self, data: bytes) -> None:
-        """Responses came; each says only that a fragment has arrived."""
+        """Counts responses, and closes the connection once each fragment has one, be it an error or not."""
         try:
             self._unpacker.feed(data)
             self._pending_responses -= sum(1 for _ in self._unpacker)
@@ -69,11 +69,11 @@
             self._close("answered")
 
     def on_eof(self) -> None:
-        """The receiver writes no more."""
+        """Closes the connection, as the receiver will send no more responses."""
         self._close("closed")
 
     def on_closed(self, _reason: str) -> None:
-        """The connection is closed."""
+        """Ends the transfer after the connection was closed or could not be opened."""
         self._stream = None
         self._loop.cancel(self._timeout)
         on_finished = self._on_finished
@@ -87,10 +87,10 @@
 
 
 class LargeMessageTransport:
-    """Sends messages of any size to members, and takes the large ones of others.
+    """Sends messages of any size to members, and receives large messages from them.
 
     Attributes:
-        dropped_message_count: Messages that were too large, or one too many at a time.
+        dropped_message_count: Messages that were too large or exceeded `MAX_CONCURRENT_TRANSFERS`.
     """
 
     def __init__(
@@ -105,7 +105,7 @@
         operator_rpc.handlers[METHOD] = self._on_call
 
     def send_to_member(self, name: str, package: str, body: list[Any]) -> None:
-        """Sends to one member, as a datagram where the body is small enough."""
+        """Sends a message to one member, as a datagram if the body is small enough."""
         record = self._node.member_table.record(name)
         if record is None:
             return
@@ -128,10 +128,10 @@
         self._active_transfer_count -= 1
 
     def _on_call(self, params: list[Any]) -> bool:
-        """Takes a part; hands the message on once it is complete.
+        """Receives a fragment, and passes the message to its handler once it is complete.
 
         Raises:
-            TransferError: It is no fragment of a message from a known member of this cluster.
+            TransferError: The fragment is malformed or does not come from a known member of this cluster.
         """
         fragment = decode_fragment(params)
         record = self._node.member_table.record(fragment.sender_name)
--- a/landingshift/membership/member_table.py
+++ b/landingshift/membership/member_table.py
@@ -1,8 +1,8 @@
-"""The table of members: which of two records holds, who is present, what is news.
+"""Member table: keeps the newest record of each member, tracks which are present, and queues updates.
 
-Guarantee: tables that have received the same records are alike, in whatever order those came.
-Failure mode: a full table refuses unknown members, and counts them.
-Pure: time in ms, chance and records are arguments.
+Guarantee: tables that received the same records agree, whatever the order of arrival.
+Failure mode: a full table rejects the records of unknown members, and counts them.
+The module does no I/O: times, in ms, and the random generator are arguments.
 """
 
 from __future__ import annotations
@@ -12,42 +12,42 @@
 from random import Random
 
 from landingshift.membership.gossip_queue import GossipQueue
-from landingshift.membership.local_health import SATURATING_CONFIRMATION_COUNT
+from landingshift.membership.local_health import CONFIRMATIONS_FOR_MIN_TIMEOUT
 from landingshift.membership.messages import DEPARTED_STATES, MAX_RECORDS_PER_PAGE, MemberRecord, MemberState
 from landingshift.membership.table_digest import TableDigest, bucket_of
 
 
 @dataclass(slots=True, eq=False)
 class Member:
-    """Another member as this one knows it.
+    """An entry of the table.
 
     Attributes:
-        record: The newest record.
-        state_since_ms: When it came to its state here.
-        suspecting_members: Names of those who said that they suspect it; empty unless it is a suspect.
+        record: The newest known record of the member.
+        state_since_ms: Local time at which its current state or run was learned.
+        accusers: Names of the members that reported the current suspicion; empty unless it is a suspect.
     """
 
     record: MemberRecord
     state_since_ms: float
-    suspecting_members: set[str] = field(default_factory=set)
+    accusers: set[str] = field(default_factory=set)
 
 
 StateObserver = Callable[[Member, MemberState | None], None]
-"""Called with a member that came to another state or run, and its state before, None for a new one."""
+"""Called with a member whose state, run or incarnation changed, and its previous state; None if it is new."""
 
 
 class MemberTable:
-    """All other members that are known, the departed ones included until they are forgotten.
+    """All other known members, including departed ones (dead or left) until they expire.
 
     Attributes:
-        local_record: This member's own record, which is not among `members`.
-        max_members: Bound of the table.
-        members: By name, in the order in which they were first heard of.
-        present_names: Names of those neither dead nor left, in no order.
-        present_index: Where each present name stands in `present_names`.
-        gossip: What is to be sent on.
-        digest: Checksums for the anti-entropy, with the local record.
-        refused_record_count: Records for which there was no room.
+        local_record: This member's own record, which is not in `members`.
+        max_members: Maximum number of entries.
+        members: Entries by name, in the order in which they were added.
+        present_names: Names of the members that are alive or suspects, unordered.
+        present_index: Index of each name in `present_names`.
+        gossip: Queue of updates to transmit.
+        digest: Checksums of the table for anti-entropy, including the local record.
+        rejected_record_count: Records rejected because the table was full.
     """
 
     def __init__(self, local_record: MemberRecord, max_members: int, on_state_change: StateObserver) -> None:
@@ -60,38 +60,38 @@
         self.gossip = GossipQueue(self.record)
         self.digest = TableDigest()
         self.digest.toggle(local_record)
-        self.refused_record_count = 0
+        self.rejected_record_count = 0
 
-    # What is known
+    # Lookup
 
     def record(self, name: str) -> MemberRecord | None:
-        """The newest record of that name, this member's own included."""
+        """Returns the newest record of a member, which may be this member itself; None if it is unknown."""
         if name == self.local_record.name:
             return self.local_record
         member = self.members.get(name)
         return member.record if member else None
 
     def known_names(self) -> set[str]:
-        """Names of all that were heard of and are not forgotten yet, present or departed."""
+        """Returns the names of all members in the table and of this member, present or departed."""
         return {self.local_record.name, *self.members}
 
     def present_records(self) -> Iterator[MemberRecord]:
-        """Records of the other members that are present."""
+        """Returns the records of the other members that are present."""
         return (self.members[name].record for name in self.present_names)
 
     def sample(self, rng: Random, count: int, excluded_names: tuple[str, ...] = ()) -> list[MemberRecord]:
-        """Up to `count` present members, chosen evenly; looks at no more names than it needs."""
+        """Returns up to `count` random present members; the cost does not depend on the table's size."""
         sample_size = min(len(self.present_names), count + len(excluded_names))
         names = rng.sample(self.present_names, sample_size)
         return [self.members[name].record for name in names if name not in excluded_names][:count]
 
-    # What is received
+    # Updates
 
     def merge(self, record: MemberRecord, now_ms: float) -> bool:
-        """Takes a record if it is newer than what is known.
+        """Stores a record if it is newer than the known one.
 
         Returns:
-            Whether it was newer, and there was room for it.
+            Whether it was newer and the table had room for it.
         """
         member = self.members.get(record.name)
         if member is None:
@@ -103,16 +103,16 @@
         self.digest.replace(known, record)
         member.record = record
         if record.liveness_precedence == known.liveness_precedence:
-            return True  # metadata only: it rides on its owner's own messages
+            return True  # only metadata changed, which each message of its owner carries anyway
         if known.state is not record.state or known.run_id != record.run_id:
             member.state_since_ms = now_ms
         self._on_liveness_change(member, known.state)
         return True
 
     def _add(self, record: MemberRecord, now_ms: float) -> bool:
-        """Takes the first record of a name; returns whether there was room."""
+        """Adds the first record of a name; returns whether the table had room."""
         if len(self.members) >= self.max_members and not self._evict_departed():
-            self.refused_record_count += 1
+            self.rejected_record_count += 1
             return False
         member = Member(record, now_ms)
         self.members[record.name] = member
@@ -121,30 +121,29 @@
         return True
 
     def _on_liveness_change(self, member: Member, previous_state: MemberState | None) -> None:
-        """A member came to another state, run or incarnation: that is news."""
+        """Updates presence, queues gossip and calls the observer after a new state, run or incarnation."""
         record = member.record
-        member.suspecting_members = {record.reported_by} if record.state is MemberState.SUSPECT else set()
+        member.accusers = {record.reported_by} if record.state is MemberState.SUSPECT else set()
         self._update_presence(record)
         self.gossip.enqueue(record.name)
         self._on_state_change(member, previous_state)
 
     def _count_confirmation(self, member: Member, record: MemberRecord) -> None:
-        """Counts another accuser of a suspect, and sends it on: a suspicion that many share is shorter."""
+        """Counts and gossips an independent confirmation of a suspicion, which shortens the suspicion."""
         known = member.record
         is_same_suspicion = (
             known.state is MemberState.SUSPECT is record.state
             and known.liveness_precedence == record.liveness_precedence
         )
-        accusers = member.suspecting_members
-        if not is_same_suspicion or record.reported_by in accusers:
+        if not is_same_suspicion or record.reported_by in member.accusers:
             return
-        if len(accusers) <= SATURATING_CONFIRMATION_COUNT:
-            accusers.add(record.reported_by)
+        if len(member.accusers) <= CONFIRMATIONS_FOR_MIN_TIMEOUT:
+            member.accusers.add(record.reported_by)
             member.record = record
             self.gossip.enqueue(record.name)
 
     def _update_presence(self, record: MemberRecord) -> None:
-        """Keeps the list of the present in step with a record; a removed name gives its place to the last."""
+        """Updates the list of present names in constant time; the last name replaces a removed one."""
         name = record.name
         is_present = record.state not in DEPARTED_STATES
         if is_present and name not in self.present_index:
@@ -158,16 +157,16 @@
                 self.present_index[last_name] = index
 
     def update_local_record(self, record: MemberRecord) -> None:
-        """This member's own record changes."""
+        """Replaces this member's own record, and queues it for gossip if more than metadata changed."""
         self.digest.replace(self.local_record, record)
         if record.liveness_precedence != self.local_record.liveness_precedence:
             self.gossip.enqueue(record.name)
         self.local_record = record
 
-    # What is forgotten
+    # Removal
 
     def _evict_departed(self) -> bool:
-        """Makes room at the cost of the one that departed longest ago; returns whether one had departed."""
+        """Removes the member that departed longest ago; returns whether there was one."""
         departed = [member for member in self.members.values() if member.record.state in DEPARTED_STATES]
         if not departed:
             return False
@@ -175,13 +174,13 @@
         return True
 
     def _forget(self, name: str) -> None:
-        """Removes one that has departed."""
+        """Removes a departed member from the table."""
         member = self.members.pop(name)
         self.digest.toggle(member.record)
         self.gossip.discard(name)
 
     def forget_departed(self, now_ms: float, retention_ms: float) -> None:
-        """Removes all tombstones that are older than `retention_ms`."""
+        """Removes all members that departed more than `retention_ms` ago."""
         expired = [
             name
             for name, member in self.members.items()
@@ -190,14 +189,14 @@
         for name in expired:
             self._forget(name)
 
-    # What is sent on
+    # Records to send
 
     def select_gossip(self, first: MemberRecord | None = None) -> list[MemberRecord]:
-        """News for one message; `first` must be among them."""
+        """Selects the queued updates for one message, led by `first` if it is given."""
         return self.gossip.select(len(self.present_names), first)
 
     def differing_pages(self, other_checksums: tuple[int, ...], max_pages: int) -> list[list[MemberRecord]]:
-        """Records, by pages, of the buckets in which another table differs; at most `max_pages` of them."""
+        """Returns the records of the buckets in which another table differs, as at most `max_pages` pages."""
         buckets = self.digest.differing_buckets(other_checksums)
         if not buckets:
             return []
--- a/landingshift/membership/messages.py
+++ b/landingshift/membership/messages.py
@@ -1,4 +1,4 @@
-"""The messages of the SWIM protocol as types; one message is one datagram, whose bytes `wire` knows."""
+"""Types of the SWIM protocol messages. Each message is one datagram, which `wire` encodes and decodes."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 from msgspec import Meta, Struct
 
 Address = tuple[str, int]
-"""IPv4 address in dotted form, and port."""
+"""IPv4 address in dotted-decimal form, and port."""
 MemberName = Annotated[str, Meta(pattern=r"^[A-Za-z0-9._-]{1,32}$")]
 ZoneName = Annotated[str, Meta(pattern=r"^[A-Za-z0-9._-]{0,16}$")]
-Counter = Annotated[int, Meta(ge=0, le=2**53)]
-"""A number that is counted up or drawn at random, exact in every peer's number type."""
+UInt53 = Annotated[int, Meta(ge=0, le=2**53)]
+"""Unsigned integer up to 2**53, which is exact even where a peer represents numbers as doubles."""
 
 MAX_METADATA_COUNT = 8  # entries in one record
 MAX_METADATA_MAGNITUDE = 1e12
-MAX_GOSSIP_RECORDS = 6  # on one message: with its sender's a datagram stays under an Ethernet frame
-MAX_RECORDS_PER_PAGE = 8  # in one message of the anti-entropy
-DIGEST_BUCKET_COUNT = 64  # checksums that the anti-entropy compares
+MAX_GOSSIP_RECORDS = 6  # per message; together with the sender's record they fit into one Ethernet frame
+MAX_RECORDS_PER_PAGE = 8  # records in one anti-entropy message
+DIGEST_BUCKET_COUNT = 64  # checksums in one table digest
 
 
 class MemberState(IntEnum):
-    """The believed state of a member; of the same incarnation the higher state wins.
+    """State of a member; for the same incarnation and run, the higher value overrides the lower.
 
-    Numbers are sent; `name.lower()` is what operators see.
+    Messages carry the number; operators see the name in lower case.
     """
 
     ALIVE = 0
@@ -38,31 +38,31 @@
 
 
 class MemberRecord(Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """What is known of one member, in its own words but for `state` and `reported_by`.
+    """Record of one member. The member itself sets all fields except `state` and `reported_by`.
 
-    A restarted member is told from its earlier process by `run_id`, without any clock. Sent as an array: the
-    order of the fields is part of the protocol.
+    `run_id` distinguishes a restarted member from its earlier process without relying on clocks. A record is
+    sent as an array, so the order of the fields is part of the protocol.
 
     Attributes:
-        name: Unique in the cluster.
+        name: Name, unique in the cluster.
         host: IPv4 address that peers send to.
-        port: Port for datagrams and for calls over TCP.
-        zone: Failure domain, may be empty.
-        run_id: Drawn at random at each start of the process.
-        incarnation: Raised by the member itself to refute what others say of it.
-        metadata_version: Raised by the member itself with each change of its metadata.
-        state: The state that the reporter believes it to be in.
-        reported_by: Name of the member that says so, empty where it is the member itself.
-        metadata: Figures that the member publishes of itself.
+        port: UDP port for messages and TCP port for calls.
+        zone: Failure domain; may be empty.
+        run_id: Random number drawn at each start of the process.
+        incarnation: Counter that the member increases to refute claims of other members.
+        metadata_version: Counter that the member increases with each change of its metadata.
+        state: State of the member according to the reporter.
+        reported_by: Name of the member that reported `state`; empty for the member itself.
+        metadata: Numbers that the member publishes about itself.
     """
 
     name: MemberName
     host: Annotated[str, Meta(pattern=r"^[0-9]{1,3}(\.[0-9]{1,3}){3}$")]
     port: Annotated[int, Meta(ge=1, le=65535)]
     zone: ZoneName
-    run_id: Counter
-    incarnation: Counter
-    metadata_version: Counter
+    run_id: UInt53
+    incarnation: UInt53
+    metadata_version: UInt53
     state: MemberState
     reported_by: Annotated[str, Meta(max_length=32)]
     metadata: Annotated[
@@ -71,22 +71,22 @@
 
     @property
     def address(self) -> Address:
-        """Where the member has its datagrams and its calls."""
+        """Address for messages (UDP) and calls (TCP)."""
         return self.host, self.port
 
     @property
     def liveness_precedence(self) -> tuple[int, int, int]:
-        """Orders two records of a member by what they say of its life, whatever their metadata."""
+        """Sort key like `precedence`, but without the metadata version."""
         return self.incarnation, self.run_id, self.state
 
     @property
     def precedence(self) -> tuple[int, int, int, int]:
-        """Orders two records of a member: the higher one is newer, whoever brought it and whenever."""
+        """Sort key: of two records of one member, that with the greater key is newer, whatever its source."""
         return self.incarnation, self.run_id, self.state, self.metadata_version
 
     @property
-    def has_finite_metadata(self) -> bool:
-        """Whether all figures of the metadata are finite and of a sane size."""
+    def has_valid_metadata(self) -> bool:
+        """Whether all metadata values are finite and smaller than `MAX_METADATA_MAGNITUDE`."""
         return all(
             isfinite(value) and abs(value) < MAX_METADATA_MAGNITUDE for value in self.metadata.values()
         )
@@ -96,18 +96,18 @@
     """Direct probe.
 
     Attributes:
-        target_name: Member that is meant, empty where only an address is known.
+        target_name: Name of the probed member; empty if only its address is known.
     """
 
     target_name: str
 
 
 class Ack(Struct, frozen=True):
-    """Answer to a ping; its sequence number is that of the probe."""
+    """Reply to a ping, with the same sequence number."""
 
 
 class PingRequest(Struct, frozen=True):
-    """Asks the receiver to probe a third member (SWIM's ping-req).
+    """Request to ping a third member on behalf of the sender (SWIM's ping-req).
 
     Attributes:
         host: IPv4 address of the target.
@@ -121,19 +121,19 @@
 
 
 class Nack(Struct, frozen=True):
-    """The helper is there, and its own probe of the target was not answered in time (Lifeguard)."""
+    """Reply to a ping-req whose target sent no ack in time (Lifeguard)."""
 
 
 class Gossip(Struct, frozen=True):
-    """Nothing but the records that ride on the message."""
+    """Empty payload of a message that only carries gossip records."""
 
 
 class TableDigestMessage(Struct, frozen=True):
-    """Checksums of the sender's member table, to be compared by the receiver.
+    """Digest of the sender's member table, which the receiver compares with its own.
 
     Attributes:
-        bucket_checksums: One for each of `DIGEST_BUCKET_COUNT` buckets.
-        wants_digest: Whether the sender wants the receiver's digest where the two differ.
+        bucket_checksums: Checksums of the `DIGEST_BUCKET_COUNT` buckets.
+        wants_digest: Whether the receiver replies with its own digest if the two differ.
     """
 
     bucket_checksums: tuple[int, ...]
@@ -141,15 +141,15 @@
 
 
 class RecordPage(Struct, frozen=True):
-    """The records that ride on the message are a page of those that differ."""
+    """Empty payload of an anti-entropy reply, whose records are in the gossip field of the message."""
 
 
 class ApplicationPayload(Struct, frozen=True):
-    """A message of another package, which checks the body itself.
+    """Payload of another package, which validates the body itself.
 
     Attributes:
-        package: Name under which the receiving package has registered.
-        body: What it says; lists, numbers, strings and bytes.
+        package: Name under which the package has registered its handler.
+        body: Lists, numbers, strings and bytes.
     """
 
     package: str
@@ -163,10 +163,10 @@
     """One datagram.
 
     Attributes:
-        payload: What is said or asked.
+        payload: Content, by the kind of the message.
         sender: The sender's own record.
-        sequence_number: Number of the probe that the message belongs to, 0 for none.
-        gossip: Records of other members that ride on it.
+        sequence_number: Sequence number of the probe that the message belongs to; 0 for none.
+        gossip: Piggybacked records of other members.
     """
 
     payload: Payload
--- a/landingshift/membership/node.py
+++ b/landingshift/membership/node.py
@@ -1,11 +1,11 @@
-"""One member of the cluster: wires failure detector, gossip, anti-entropy and rejoining together.
+"""SWIM node: one member's failure detector, gossip, anti-entropy and rejoining.
 
-Pure: time, chance and messages come in; messages, log events and the next deadline go out. One driver runs it
-on the server's loop, another one in virtual time.
+The module does no I/O. A driver passes in messages and the time, sends the outgoing messages, and calls
+`on_timer` at the next deadline; one driver runs on the server's event loop, another one in virtual time.
 
-Guarantee: members that can reach each other come to know the same members; each knows what was declared of
-itself and refutes what is wrong.
-Failure mode: two processes with one name refute each other without end, which is logged.
+Guarantee: members that can reach each other converge on the same set of members. A member learns of false
+claims about itself and refutes them.
+Failure mode: two processes with the same name refute each other forever, which is logged.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from landingshift.membership.contact_addresses import ContactAddresses
 from landingshift.membership.dissemination import GOSSIP_INTERVAL_MS, GossipRounds
 from landingshift.membership.duplicate_names import DuplicateNameDetector
-from landingshift.membership.failure_detector import HELPER_COUNT, FailureDetector
+from landingshift.membership.failure_detector import PING_REQUEST_FANOUT, FailureDetector
 from landingshift.membership.local_health import LocalHealth
 from landingshift.membership.member_table import Member, MemberTable, StateObserver
 from landingshift.membership.messages import (
@@ -45,30 +45,30 @@
 from landingshift.membership.timings import SwimTimings
 from landingshift.membership.token_bucket import TokenBucket
 
-LOCAL_PAUSE_THRESHOLD_MS = 100.0  # a timer that is later than this shows that the process was paused
-REPLIES_PER_SECOND = 200.0  # to digests, ping requests and outdated records
-METADATA_INTERVAL_MS = 500.0  # between two versions of this member's own metadata, at least
+LOCAL_PAUSE_THRESHOLD_MS = 100.0  # a timer that fires later than this shows that the process was paused
+REPLIES_PER_SECOND = 200.0  # replies to digests, ping-reqs and outdated records
+METADATA_INTERVAL_MS = 500.0  # minimum interval between two versions of this member's metadata
 TABLE_CLEANUP_INTERVAL_MS = 1000.0
-LEAVE_FANOUT_COUNT = 2 * HELPER_COUNT  # members that hear directly that this one leaves
+LEAVE_FANOUT = 2 * PING_REQUEST_FANOUT  # members that are notified directly when this one leaves
 
 MessageHandler = Callable[[MemberRecord, list[Any]], None]
-"""Called with the sender and the body of another package's message."""
+"""Called with the sender's record and the body of a message of another package."""
 
 
 class SwimNode:
-    """One member's part in the protocol.
+    """Runs the protocol for one member.
 
     Attributes:
         now_ms: Time of the last event, by the driver's monotonic clock.
-        member_table: The other members.
-        outbox: Messages that wait for the driver.
-        contacts: Addresses that may lead to members.
-        failure_detector: Probes and suspicions.
-        anti_entropy: Comparisons of whole tables.
-        message_handlers: By the name of the package whose messages they take.
-        state_observers: Called with each change of a member's state or run.
-        has_joined: Whether any other member was heard.
-        is_leaving: Whether this member has announced that it leaves.
+        member_table: Records of all known members.
+        outbox: Queue of messages for the driver to send.
+        contacts: Addresses at which members may be reachable.
+        failure_detector: Probes other members and tracks suspects.
+        anti_entropy: Synchronizes the member table with those of other members.
+        message_handlers: Handlers of other packages' messages, by package name.
+        state_observers: Called with each change of a member's state, run or incarnation.
+        has_joined: Whether a message of another member has been received.
+        is_leaving: Whether this member has announced that it is leaving.
     """
 
     def __init__(
@@ -98,7 +98,7 @@
         context = NodeContext(
             self.member_table, self.outbox, self.contacts, timings, rng, sequence_numbers, log
         )
-        # Each starts its rounds at a time of its own: hundreds that start together must not run in step.
+        # A random phase keeps hundreds of members that start together from sending in step.
         first_round_ms = now_ms + timings.probe_interval_ms * rng.random()
         first_gossip_ms = now_ms + GOSSIP_INTERVAL_MS * rng.random()
         self.failure_detector = FailureDetector(context, now_ms, first_round_ms)
@@ -106,7 +106,7 @@
         self.anti_entropy = AntiEntropy(context, first_round_ms)
         self._rejoin = Rejoin(context, first_round_ms)
 
-    # For the driver and for other packages
+    # Interface for the driver and for other packages
 
     @property
     def local_record(self) -> MemberRecord:
@@ -115,11 +115,11 @@
 
     @property
     def local_health(self) -> LocalHealth:
-        """How far this member trusts its own view."""
+        """This member's local health score."""
         return self.failure_detector.local_health
 
     def next_deadline_ms(self) -> float:
-        """When `on_timer` is due."""
+        """Returns when `on_timer` is due."""
         return min(
             self.failure_detector.next_deadline_ms(),
             self._gossip_rounds.next_deadline_ms(),
@@ -129,14 +129,14 @@
         )
 
     def take_outgoing(self) -> list[tuple[Address, Message]]:
-        """Messages that the driver is to send now, with their receivers."""
+        """Removes all messages from the outbox and returns them with their receivers."""
         return self.outbox.pop_all()
 
     def send_to_member(self, name: str, package: str, body: list[Any]) -> bool:
-        """Sends another package's message to one member; it may be lost like any datagram.
+        """Sends a message of another package to one member, as a datagram that may be lost.
 
         Returns:
-            False where no present member has that name.
+            False if no present member has that name.
         """
         record = self.member_table.record(name)
         if record is None or record.state in DEPARTED_STATES:
@@ -145,7 +145,7 @@
         return True
 
     def publish_metadata(self, now_ms: float, **metadata: float) -> None:
-        """Sets this member's metadata, which rides on all its messages; at most so often."""
+        """Sets the metadata that all messages of this member carry, at most every `METADATA_INTERVAL_MS`."""
         record = self.local_record
         if now_ms >= self._next_metadata_ms and metadata != record.metadata:
             self._next_metadata_ms = now_ms + METADATA_INTERVAL_MS
@@ -155,28 +155,28 @@
             )
 
     def leave(self, now_ms: float) -> None:
-        """Announces that this member leaves by its own will; from then on it only answers."""
+        """Announces that this member leaves; from then on it starts no probes and refutes no claims."""
         if self.is_leaving:
             return
         self.now_ms = now_ms
         self.is_leaving = True
-        farewell = replace(self.local_record, state=MemberState.LEFT)
-        for record in self.member_table.sample(self._rng, LEAVE_FANOUT_COUNT):
-            self.outbox.send(record.address, Gossip(), gossip=[farewell])
+        left_record = replace(self.local_record, state=MemberState.LEFT)
+        for record in self.member_table.sample(self._rng, LEAVE_FANOUT):
+            self.outbox.send(record.address, Gossip(), gossip=[left_record])
 
     def add_contact_addresses(self, addresses: list[Address]) -> None:
-        """Keeps addresses that may lead to members."""
+        """Adds addresses at which members may be reachable."""
         self.contacts.add(addresses)
 
-    # Messages
+    # Message handling
 
     def on_message(self, message: Message, now_ms: float) -> None:
-        """Takes one message that `wire` has checked."""
+        """Handles one message that `wire` has decoded and validated."""
         self.now_ms = now_ms
         sender = message.sender
         if sender.name == self.local_record.name:
             if sender.run_id != self.local_record.run_id:
-                self._refute(sender)  # its earlier process, or somebody else with its name
+                self._refute(sender)  # an earlier run of this member, or another process with its name
             return
         self._merge(sender)
         new_record_count = sum([self._merge(record) for record in message.gossip])
@@ -184,7 +184,7 @@
             self.anti_entropy.on_new_records(now_ms)
         known = self.member_table.record(sender.name)
         if known is None:
-            return  # no room for it in the table
+            return  # the table is full
         if not self.has_joined:
             self.has_joined = True
             self.anti_entropy.on_first_contact(now_ms)
@@ -196,12 +196,12 @@
     def _dispatch(
         self, message: Message, known: MemberRecord, overriding_record: MemberRecord | None
     ) -> None:
-        """Hands a message to the part that it is for.
+        """Dispatches a message by its payload.
 
         Args:
-            message: What came.
-            known: The newest record of its sender.
-            overriding_record: A record that overrides the sender's own, if there is one.
+            message: The received message.
+            known: Newest known record of its sender.
+            overriding_record: Record that overrides the one in the message; None if the latter is current.
         """
         sender = message.sender
         match message.payload:
@@ -221,21 +221,25 @@
                     handler(sender, body)
 
     def _correct_outdated_sender(self, message: Message, overriding_record: MemberRecord) -> None:
-        """Sends a member the record that overrides its own, as it could never refute that otherwise.
+        """Sends a member the record that overrides its own, so that the member can refute that record.
 
-        The ack to a ping carries it already.
+        A ping needs no extra message, because its ack already carries the record.
         """
         if not isinstance(message.payload, Ping) and self._reply_limit.try_consume(self.now_ms):
             self.outbox.send(message.sender.address, Gossip(), gossip=[overriding_record])
 
     def _on_ping(self, message: Message, target_name: str, overriding_record: MemberRecord | None) -> None:
-        """Answers a probe, unless it is meant for another member that had this address."""
+        """Replies to a ping, unless it is meant for another member that had this address before."""
         if target_name in (ANY_MEMBER, self.local_record.name):
             gossip = self.member_table.select_gossip(overriding_record)
             self.outbox.send(message.sender.address, Ack(), message.sequence_number, gossip)
 
     def _merge(self, record: MemberRecord) -> bool:
-        """Takes what is said of a member, itself included; returns whether it was new."""
+        """Merges a record of another member, or refutes a false claim about this member.
+
+        Returns:
+            Whether the table has changed.
+        """
         local_record = self.local_record
         if record.name == local_record.name:
             if record.run_id != local_record.run_id or record.state is not MemberState.ALIVE:
@@ -244,12 +248,12 @@
         return self.member_table.merge(record, self.now_ms)
 
     def _refute(self, claim: MemberRecord) -> None:
-        """What is said of this member is wrong: a higher incarnation overrides it."""
+        """Overrides a false claim about this member by raising its incarnation above that of the claim."""
         local_record = self.local_record
         if self.is_leaving or claim.precedence <= local_record.precedence:
             return
         if claim.run_id == local_record.run_id:
-            self.local_health.degrade()  # others did not hear it in time: it may be slow
+            self.local_health.degrade()  # other members got no reply in time, so this one may be slow
         elif claim.state is MemberState.ALIVE and claim.address != local_record.address:
             self._duplicate_names.on_conflict(local_record.name, claim.address, self.now_ms)
         self.member_table.update_local_record(replace(local_record, incarnation=claim.incarnation + 1))
@@ -259,10 +263,10 @@
         for observer in self.state_observers:
             observer(member, previous_state)
 
-    # Time
+    # Timers
 
     def on_timer(self, now_ms: float) -> None:
-        """Does all that is due."""
+        """Runs everything that is due."""
         lateness_ms = now_ms - self.next_deadline_ms()
         self.now_ms = now_ms
         if lateness_ms > LOCAL_PAUSE_THRESHOLD_MS:
--- a/landingshift/membership/node_context.py
+++ b/landingshift/membership/node_context.py
@@ -1,4 +1,4 @@
-"""What the parts of one node share."""
+"""State and dependencies that the components of one SWIM node share."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 @dataclass(slots=True, frozen=True, eq=False)
 class NodeContext:
-    """The state and the sources that failure detector, gossip, anti-entropy and rejoining work on.
+    """Shared by the failure detector, gossip rounds, anti-entropy and rejoining.
 
     Attributes:
-        member_table: The other members, and this one's own record.
-        outbox: Takes outgoing messages.
-        contacts: Addresses that may lead to members.
-        timings: Durations of the protocol.
-        rng: The node's only source of chance.
-        sequence_numbers: Numbers for pings; an answer to a number is an answer to that ping.
-        log: Called with an event and its fields.
+        member_table: Records of all known members.
+        outbox: Queue of outgoing messages.
+        contacts: Addresses at which members may be reachable.
+        timings: Protocol durations.
+        rng: The node's only source of randomness.
+        sequence_numbers: Sequence numbers for pings; an ack or nack repeats the number of its ping.
+        log: Called with an event name and its fields.
     """
 
     member_table: MemberTable
--- a/landingshift/membership/operator_rpc.py
+++ b/landingshift/membership/operator_rpc.py
@@ -1,6 +1,6 @@
-"""Calls that operators and peers make to one server: MessagePack-RPC over TCP, as gateways speak it.
+"""Calls of operators and peers to one server: MessagePack-RPC over TCP, the protocol that gateways use.
 
-`OperatorRpcServer` answers them on the loop; `call_operator_rpc` makes one from a command.
+`OperatorRpcServer` answers calls on the event loop; `call_operator_rpc` is the blocking client of the CLI.
 """
 
 from __future__ import annotations
@@ -26,15 +26,15 @@
 MIN_SOCKET_TIMEOUT_SECONDS = 0.01  # 0 would make the socket non-blocking
 RECEIVE_BYTES = 65536
 MAX_ECHOED_METHOD_CHARACTERS = 32
-RPC_REQUEST_TYPE = 0  # MessagePack-RPC type of a call
-RPC_RESPONSE_TYPE = 1  # MessagePack-RPC type of its answer
+RPC_REQUEST_TYPE = 0  # MessagePack-RPC message type of a request
+RPC_RESPONSE_TYPE = 1  # MessagePack-RPC message type of a response
 
 CallHandler = Callable[[list[Any]], Any]
-"""Takes a call's parameters; returns what MessagePack can hold, or raises ValueError for the caller."""
+"""Called with the parameters; returns a value for MessagePack, or raises ValueError for an error response."""
 
 
 class OperatorConnection:
-    """One connection of an operator or a peer."""
+    """A connection that an operator or a peer has opened to this server."""
 
     def __init__(self, server: OperatorRpcServer, sock: socket.socket) -> None:
         self._server = server
@@ -43,7 +43,7 @@
         self._timeout = server.loop.after(CONNECTION_TIMEOUT_MS, lambda: self.stream.close("slow"))
 
     def on_data(self, data: bytes) -> None:
-        """Answers the calls that came; closes the connection on what is no call."""
+        """Answers the received calls; closes the connection on malformed data."""
         for message in self._reader.feed(data):
             match message:
                 case gateway.Request(number, method, params):
@@ -53,26 +53,26 @@
                     return
 
     def on_eof(self) -> None:
-        """The caller writes no more; what is unsent still goes to it."""
+        """Closes the connection once pending responses are sent, as the caller will send no more calls."""
         self.stream.close_gracefully("closed")
 
     def on_closed(self, reason: str) -> None:
-        """The connection is closed."""
+        """Cancels the time-out and removes the connection from the server."""
         self._server.loop.cancel(self._timeout)
         self._server.on_connection_closed(self, reason)
 
 
 class OperatorRpcServer:
-    """Listens for calls.
+    """Accepts connections and answers calls.
 
     Attributes:
-        loop: The server's loop.
-        handlers: By the name of the call.
-        listener: The listening socket.
+        loop: Event loop of the server.
+        handlers: Handlers by method name.
+        listener: Listening TCP socket.
     """
 
     def __init__(self, loop: Loop, address: Address, log: Callable[..., None]) -> None:
-        """Starts to listen.
+        """Starts listening.
 
         Raises:
             OSError: The address can't be bound.
@@ -84,7 +84,7 @@
         self.listener = Listener(loop, address, lambda _: self._accepts_connection(), self._accept)
 
     def answer(self, number: int, method: str, params: list[Any]) -> bytes:
-        """The response to one call; an error's text for a call that is unknown or raises ValueError."""
+        """Returns the encoded response to a call: an error if the method is unknown or raises ValueError."""
         handler = self.handlers.get(method)
         if handler is None:
             error = f"no such call: {method[:MAX_ECHOED_METHOD_CHARACTERS]}"
@@ -95,12 +95,12 @@
             return gateway.pack([RPC_RESPONSE_TYPE, number, str(error), None])
 
     def on_connection_closed(self, connection: OperatorConnection, reason: str) -> None:
-        """Forgets a connection."""
+        """Removes a connection, and logs why it was closed."""
         self._connections.discard(connection)
         self._log("fleet_operator_connection_closed", reason=reason)
 
     def close(self) -> None:
-        """Stops listening and closes all connections."""
+        """Stops listening and closes all open connections."""
         self.listener.close()
         for connection in list(self._connections):
             connection.stream.close("stopping")
@@ -115,16 +115,16 @@
 def call_operator_rpc(
     address: Address, method: str, params: list[Any], timeout_ms: float = DEFAULT_CALL_TIMEOUT_MS
 ) -> Any:
-    """Makes one call and waits for its result, for commands.
+    """Makes one call and blocks until its result arrives.
 
     Args:
-        address: The server's `[fleet]` listen address.
-        method: Name of the call.
-        params: Its parameters.
-        timeout_ms: Longest that the call blocks.
+        address: Address of the server's `[fleet]` listener.
+        method: Method name.
+        params: Parameters of the method.
+        timeout_ms: Time-out of the connection attempt and of the whole call.
 
     Raises:
-        OperatorRpcError: There was no answer, or the server answered with an error.
+        OperatorRpcError: There was no valid response in time, or the server returned an error.
     """
     deadline_seconds = time.monotonic() + timeout_ms / 1000.0
     unpacker = msgpack.Unpacker(max_buffer_size=MAX_RESPONSE_BYTES)
@@ -140,16 +140,16 @@
                 unpacker.feed(data)
                 for _, _, error, result in unpacker:
                     return _result_of(error, result)
-    except (OSError, ValueError) as os_error:
-        raise OperatorRpcError(str(os_error)) from os_error
+    except (OSError, ValueError) as err:
+        raise OperatorRpcError(str(err)) from err
     raise ConnectionClosedError
 
 
 def _result_of(error: Any, result: Any) -> Any:
-    """The result of a response.
+    """Returns the result of a response.
 
     Raises:
-        OperatorRpcError: The response is an error.
+        OperatorRpcError: The response holds an error.
     """
     if error is not None:
         raise OperatorRpcError(str(error))
--- a/landingshift/membership/operator_views.py
+++ b/landingshift/membership/operator_views.py
@@ -1,7 +1,4 @@
-"""What operators see of the cluster: answers to the calls `members` and `status`.
-
-The only place that knows the keys of these answers.
-"""
+"""Results of the operator calls `members` and `status`. Only this module knows their keys."""
 
 from __future__ import annotations
 
@@ -14,12 +11,12 @@
 
 @dataclass(slots=True)
 class DatagramCounts:
-    """Datagrams of one server since its start.
+    """Datagram counters of one server since its start.
 
     Attributes:
-        received: Read from the socket, valid or not.
-        sent: Handed to the operating system, or tried to.
-        failed: Of those sent, that it did not take.
+        received: Datagrams read from the socket, valid or not.
+        sent: Datagrams passed to the operating system, including failed ones.
+        failed: Datagrams that the operating system did not accept.
     """
 
     received: int = 0
@@ -28,7 +25,7 @@
 
 
 def member_rows(node: SwimNode, now_ms: float) -> list[dict[str, Any]]:
-    """One row a known member, this one included, by name."""
+    """Returns one row per known member, including this one, sorted by name."""
     table = node.member_table
     rows = [_member_row(table.local_record, 0.0)]
     rows += [_member_row(member.record, now_ms - member.state_since_ms) for member in table.members.values()]
@@ -49,7 +46,7 @@
 
 
 def membership_status(node: SwimNode, cluster_name: str, datagrams: DatagramCounts) -> dict[str, Any]:
-    """How many are there, and how well this one receives."""
+    """Returns the member counts by state, the local health score and the message counters."""
     table = node.member_table
     state_counts: dict[str, int] = {}
     for member in table.members.values():
@@ -65,5 +62,5 @@
         "heard": datagrams.received,
         "said": datagrams.sent,
         "unsent": datagrams.failed + node.outbox.dropped_message_count,
-        "refused": table.refused_record_count,
+        "refused": table.rejected_record_count,
     }
--- a/landingshift/membership/outbox.py
+++ b/landingshift/membership/outbox.py
@@ -1,4 +1,4 @@
-"""Messages that wait for the driver which owns the socket."""
+"""Queue of outgoing messages, from which the driver that owns the socket sends."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
     Attributes:
         pending: Receivers and messages, oldest first.
-        dropped_message_count: Messages for which there was no room.
+        dropped_message_count: Messages dropped because the queue was full.
     """
 
     def __init__(self, member_table: MemberTable) -> None:
@@ -28,13 +28,13 @@
         sequence_number: int = 0,
         gossip: list[MemberRecord] | None = None,
     ) -> None:
-        """Queues one message, or drops it where the queue is full.
+        """Queues one message, or drops it if the queue is full.
 
         Args:
-            receiver: Address to send it to.
-            payload: What is said.
-            sequence_number: Number of the probe that it belongs to.
-            gossip: Records that ride on it; where it is None, the news that was sent least.
+            receiver: Destination address.
+            payload: Content of the message.
+            sequence_number: Number of the probe that the message belongs to; 0 for none.
+            gossip: Records to piggyback; None selects the queued updates that were sent least often.
         """
         if len(self.pending) >= MAX_OUTBOX_MESSAGES:
             self.dropped_message_count += 1
@@ -44,7 +44,7 @@
         self.pending.append((receiver, message))
 
     def pop_all(self) -> list[tuple[Address, Message]]:
-        """Empties the queue."""
+        """Empties the queue and returns its messages."""
         messages = self.pending
         self.pending = []
         return messages
--- a/landingshift/membership/rejoin.py
+++ b/landingshift/membership/rejoin.py
@@ -1,8 +1,8 @@
-"""Finding the cluster, and finding it again after a partition.
+"""Joining the cluster at start, and rejoining it after a network partition.
 
-Guarantee: as long as one kept address leads to a member, two halves of a cluster that were cut apart meet
-again without an operator.
-Failure mode: with no address that leads anywhere a member stays alone.
+Guarantee: two halves of a partitioned cluster merge again without an operator, as long as one stored contact
+address leads to a member of the other half.
+Failure mode: a member none of whose contact addresses leads to another member stays alone.
 """
 
 from __future__ import annotations
@@ -10,16 +10,16 @@
 from landingshift.membership.messages import Address, Ping
 from landingshift.membership.node_context import NodeContext
 
-RETRY_INTERVAL_MS = 2000.0  # between two attempts while somebody is present
-INTERVAL_JITTER = (0.7, 1.3)  # bounds of the factor on each interval
-ANY_MEMBER = ""  # target name of a ping to whoever has the address
+RETRY_INTERVAL_MS = 2000.0  # between two attempts while another member is present
+INTERVAL_JITTER = (0.7, 1.3)  # range of the random factor applied to each interval
+ANY_MEMBER = ""  # target name of a ping to an address whose member is unknown
 
 
 class Rejoin:
-    """Pings one address after the other at which no present member is.
+    """Pings, one at a time, the contact addresses that belong to no present member.
 
     Attributes:
-        next_attempt_ms: When the next ping is due.
+        next_attempt_ms: Time at which the next ping is due.
     """
 
     def __init__(self, context: NodeContext, first_attempt_ms: float) -> None:
@@ -27,7 +27,7 @@
         self.next_attempt_ms = first_attempt_ms
 
     def on_timer(self, now_ms: float, is_leaving: bool) -> None:
-        """Tries one address if that is due, more often while this member knows nobody."""
+        """Pings one address if that is due; the interval is shorter while no other member is present."""
         if now_ms < self.next_attempt_ms:
             return
         has_no_peers = not self._context.member_table.present_names
@@ -49,6 +49,6 @@
         ]
 
     def _least_recently_contacted(self, candidates: list[Address]) -> Address:
-        """The next address: a wrong one costs one datagram each time round, not a storm."""
+        """Picks the next address; a wrong address costs only one datagram per pass over all of them."""
         last_attempt_ms = self._context.contacts.last_attempt_ms
         return min(candidates, key=lambda address: (last_attempt_ms[address], self._context.rng.random()))
--- a/landingshift/membership/service.py
+++ b/landingshift/membership/service.py
@@ -1,4 +1,4 @@
-"""The node on the server's loop: one UDP socket for members, one TCP listener for calls."""
+"""Service that runs the SWIM node on the server's event loop: UDP for members, TCP for calls."""
 
 from __future__ import annotations
 
@@ -22,22 +22,22 @@
 if TYPE_CHECKING:
     from landingshift.net.program.features import ServiceHost
 
-MAX_DATAGRAMS_PER_PASS = 64  # a flood of datagrams must not hold up RPCs
-RECEIVE_BUFFER_BYTES = 1 << 20  # for datagrams that wait during a long pass of the loop
+MAX_DATAGRAMS_PER_PASS = 64  # bounds how long a flood of datagrams delays RPCs
+RECEIVE_BUFFER_BYTES = 1 << 20  # holds the datagrams that arrive during a long iteration of the event loop
 REJECTION_LOG_INTERVAL_MS = 1000.0
 MIN_TIMER_DELAY_MS = 1.0
 RUN_ID_BITS = 48
 
 
 class RejectedDatagrams:
-    """Counts rejected datagrams by reason, and logs them together once an interval."""
+    """Counts rejected datagrams by reason, and logs the counts at most once per interval."""
 
     def __init__(self, loop: Loop, log: Callable[..., None]) -> None:
         self._loop, self._log = loop, log
         self._counts: dict[str, int] = {}
 
     def add(self, rejection: DatagramRejection) -> None:
-        """Counts one."""
+        """Counts one rejected datagram, and schedules the log entry if none is scheduled."""
         if not self._counts:
             self._loop.after(REJECTION_LOG_INTERVAL_MS, self._flush)
         self._counts[rejection.value] = self._counts.get(rejection.value, 0) + 1
@@ -49,17 +49,17 @@
 
 
 class MembershipService:
-    """Drives a `SwimNode` with a socket and the loop's clock.
+    """Drives a `SwimNode` with a UDP socket and the clock of the event loop.
 
     Attributes:
-        settings: The table `[fleet]`.
-        node: This member's part in the protocol.
-        operator_rpc: Takes calls; other packages add their handlers.
-        large_messages: Sends messages of any size.
+        settings: Settings from the table `[fleet]`.
+        node: The SWIM node of this server.
+        operator_rpc: Server for calls, to which other packages add handlers.
+        large_messages: Transport for messages of any size.
     """
 
     def __init__(self, host: ServiceHost, settings: Settings) -> None:
-        """Binds the sockets and starts.
+        """Binds the sockets and starts the node.
 
         Raises:
             ListenAddressError: The address can't be bound.
@@ -112,7 +112,7 @@
         self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
 
     def _initial_record(self, rng: Random) -> MemberRecord:
-        """This member's record at its start; the run id tells it from the process before."""
+        """Returns this member's first record; its run ID distinguishes it from an earlier process."""
         host, port = self._advertised_address()
         return MemberRecord(
             name=self._router.config.name,
@@ -133,14 +133,14 @@
         host, port = self._socket.getsockname()
         return host, port
 
-    # The loop
+    # Event loop callbacks
 
     def on_ready(self, _mask: int) -> None:
-        """Datagrams are there to be read; called by the loop."""
+        """Reads and handles the datagrams that have arrived."""
         for _ in range(MAX_DATAGRAMS_PER_PASS):
             try:
                 data = self._socket.recv(wire.MAX_DATAGRAM_BYTES + 1)
-            except OSError:  # none left, or the error of one that could not be delivered
+            except OSError:  # no datagram is left, or an earlier send failed asynchronously
                 break
             self._on_datagram(data)
         self.flush_outgoing()
@@ -163,12 +163,12 @@
         self.flush_outgoing()
 
     def flush_outgoing(self) -> None:
-        """Sends what the node has queued, and sets the timer for its next deadline."""
+        """Sends the messages that the node has queued, and sets the timer for its next deadline."""
         for receiver, message in self.node.take_outgoing():
             self._datagram_counts.sent += 1
             try:
                 self._socket.sendto(wire.encode(self.settings.cluster_name, message), receiver)
-            except OSError:  # the buffer is full, or there is no route: a later message says the same
+            except OSError:  # the send buffer is full or there is no route; the protocol tolerates the loss
                 self._datagram_counts.failed += 1
         wake_at_ms = max(self.node.next_deadline_ms(), self._loop.now_ms + MIN_TIMER_DELAY_MS)
         if self._timer is None or wake_at_ms < self._timer.due_ms - MIN_TIMER_DELAY_MS:
@@ -176,7 +176,7 @@
             self._timer = self._loop.after(wake_at_ms - self._loop.now_ms, self._on_timer)
 
     def _on_member_state_change(self, member: Member, previous_state: MemberState | None) -> None:
-        """Logs who comes and who departs; suspicions come and go too often."""
+        """Logs members that join or depart; suspicions are too frequent to be logged."""
         record = member.record
         member_count = len(self.node.member_table.present_names) + 1
         was_present = previous_state in (MemberState.ALIVE, MemberState.SUSPECT)
@@ -192,14 +192,14 @@
             )
 
     def finish(self) -> None:
-        """Announces that this member leaves, and closes the sockets."""
+        """Announces that this member leaves, then closes the sockets."""
         self.node.leave(self._loop.now_ms)
         self.flush_outgoing()
         self._loop.watch(self._socket.fileno(), 0, self)
         self._socket.close()
         self.operator_rpc.close()
 
-    # Operators' calls
+    # Operator calls
 
     def _on_members_call(self, _params: list[Any]) -> list[dict[str, Any]]:
         return member_rows(self.node, self._loop.now_ms)
@@ -209,7 +209,7 @@
 
 
 def attach(host: ServiceHost, settings: Settings) -> MembershipService:
-    """Starts the service.
+    """Starts membership on a server.
 
     Raises:
         ListenAddressError: The address can't be bound.
--- a/landingshift/membership/settings.py
+++ b/landingshift/membership/settings.py
@@ -1,4 +1,4 @@
-"""The table `[fleet]` of the TOML file: its keys in, our names out."""
+"""Settings of the package, from the table `[fleet]` of the TOML file."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 """IPv4 address:port."""
 
 UNSPECIFIED_HOST = "0.0.0.0"
-MAX_ACK_TIMEOUT_FRACTION = 0.5  # of the probe interval, so that helpers have as long
+MAX_ACK_TIMEOUT_FRACTION = 0.5  # of the probe interval, so that ping-reqs have as much time as the ping
 
 TOML_KEYS = {
     "cluster_name": "fleet",
@@ -30,21 +30,21 @@
 
 
 class Settings(Struct, forbid_unknown_fields=True, frozen=True, rename=TOML_KEYS):
-    """The settings of one server.
+    """Membership settings of one server.
 
-    The protocol is unauthenticated: any sender that reaches the address is trusted.
+    The protocol is unauthenticated: any sender that can reach the address is trusted.
 
     Attributes:
-        cluster_name: Datagrams of other clusters are rejected.
-        listen_address: UDP for members, TCP for operators' calls and large messages.
-        on: Whether the package runs.
-        advertise_address: Where members reach this one, if not at `listen_address`.
-        zone: Failure domain.
-        seed_addresses: Members that are likely to be there.
-        max_members: Bound of the member table; a member takes about 1 KB.
-        probe_interval_ms: Between two probes.
-        ack_timeout_ms: For an answer to a ping, before others are asked to probe.
-        min_suspicion_ms: Shortest suspicion in a cluster of ten.
+        cluster_name: Name of the cluster; datagrams of other clusters are rejected.
+        listen_address: Address for members (UDP) and for operator calls and large messages (TCP).
+        on: Whether the package is enabled.
+        advertise_address: Address that other members use, if it differs from `listen_address`.
+        zone: Failure domain of this server.
+        seed_addresses: Addresses of members that are contacted in order to join the cluster.
+        max_members: Maximum size of the member table; each member takes about 1 KB.
+        probe_interval_ms: Interval between two probes.
+        ack_timeout_ms: Time to wait for an ack to a direct ping before sending ping-reqs.
+        min_suspicion_ms: Shortest suspicion time-out in a cluster of up to ten members.
     """
 
     cluster_name: Annotated[str, Meta(pattern=r"^[A-Za-z0-9._-]{1,64}$")]
@@ -59,20 +59,20 @@
     min_suspicion_ms: Annotated[float, Meta(ge=100.0, le=60_000.0)] = 1_200.0
 
     def timings(self) -> SwimTimings:
-        """The durations of the protocol."""
+        """Returns the protocol durations."""
         return SwimTimings(self.probe_interval_ms, self.ack_timeout_ms, self.min_suspicion_ms)
 
 
 def parse_address(key: str, text: str, allow_port_zero: bool = False) -> Address:
-    """Reads an IPv4 address with its port.
+    """Parses an IPv4 address with a port.
 
     Args:
-        key: The setting, for the error.
-        text: Its value.
-        allow_port_zero: Whether the operating system may choose the port.
+        key: Name of the setting, for the error message.
+        text: Value of the setting.
+        allow_port_zero: Whether port 0 is valid, with which the operating system chooses a port.
 
     Raises:
-        InvalidAddressError: The text is no address, or its port is out of range.
+        InvalidAddressError: The text is not an IPv4 address with a port, or the port is out of range.
     """
     host, _, port_text = text.rpartition(":")
     try:
@@ -86,19 +86,19 @@
 
 
 def check(settings: Settings, _folder: str) -> None:
-    """Checks what the types of the settings can't express.
+    """Checks the constraints that the types of the settings can't express.
 
     Raises:
-        InvalidSettingError: A value can't be used.
+        InvalidSettingError: A value violates a constraint.
     """
     listen_host, _ = parse_address("listen", settings.listen_address, allow_port_zero=True)
     if settings.advertise_address:
         parse_address("advertise", settings.advertise_address)
     elif listen_host == UNSPECIFIED_HOST:
         raise InvalidSettingError(
-            "advertise", "is needed where listen is 0.0.0.0: peers must be told where it is"
+            "advertise", f"required when listen is {UNSPECIFIED_HOST}: peers need an address they can reach"
         )
     for index, address in enumerate(settings.seed_addresses):
         parse_address(f"peers[{index}]", address)
     if settings.ack_timeout_ms > settings.probe_interval_ms * MAX_ACK_TIMEOUT_FRACTION:
-        raise InvalidSettingError("probe_ms", f"{settings.ack_timeout_ms:g} is more than half of period_ms")
+        raise InvalidSettingError("probe_ms", f"{settings.ack_timeout_ms:g} exceeds half of period_ms")
--- a/landingshift/membership/timings.py
+++ b/landingshift/membership/timings.py
@@ -1,4 +1,4 @@
-"""Durations of the SWIM protocol."""
+"""Intervals and time-outs of the SWIM protocol."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 @dataclass(slots=True, frozen=True)
 class SwimTimings:
-    """Durations that are alike on all members of a cluster, in ms.
+    """Protocol durations in ms, which must be the same on all members of a cluster.
 
     Attributes:
-        probe_interval_ms: Between two probes of a member that trusts itself.
-        ack_timeout_ms: For an answer to a direct ping, before others are asked to probe.
-        min_suspicion_ms: Shortest suspicion in a cluster of ten.
-        departed_retention_ms: How long the dead and the left stay in the table.
-        anti_entropy_interval_ms: Between two comparisons of the whole table.
+        probe_interval_ms: Interval between two probes while the local health score is 0.
+        ack_timeout_ms: Time to wait for an ack to a direct ping before sending ping-reqs.
+        min_suspicion_ms: Shortest suspicion time-out in a cluster of up to ten members.
+        departed_retention_ms: How long members that died or left stay in the member table.
+        anti_entropy_interval_ms: Mean interval between two anti-entropy syncs.
     """
 
     probe_interval_ms: float = 400.0
--- a/landingshift/membership/token_bucket.py
+++ b/landingshift/membership/token_bucket.py
@@ -1,10 +1,10 @@
-"""A rate limit for answers to what peers may ask without bound."""
+"""Token bucket that limits the rate of replies to peers."""
 
 from __future__ import annotations
 
 
 class TokenBucket:
-    """So many tokens a second, saved up for one second at the most."""
+    """Rate limit whose burst size is the number of tokens of one second."""
 
     def __init__(self, tokens_per_second: float) -> None:
         self._tokens_per_second = tokens_per_second
@@ -12,7 +12,7 @@
         self._refilled_at_ms = 0.0
 
     def try_consume(self, now_ms: float) -> bool:
-        """Takes one token; returns whether one was left."""
+        """Consumes one token; returns whether one was available."""
         elapsed_ms = max(0.0, now_ms - self._refilled_at_ms)
         refilled = self._available_tokens + elapsed_ms * self._tokens_per_second / 1000.0
         self._available_tokens = min(self._tokens_per_second, refilled)
--- a/landingshift/membership/wire.py
+++ b/landingshift/membership/wire.py
@@ -1,6 +1,6 @@
-"""Bytes of datagrams: MessagePack-RPC notifications `[2, kind, [fleet, number, sender, body, news]]`.
+"""Encoding of datagrams as MessagePack-RPC notifications `[2, kind, [fleet, number, sender, body, news]]`.
 
-The only place that knows the names of the message kinds on the wire and the shape of their bodies.
+Only this module knows the names of the message kinds on the wire and the layout of their bodies.
 """
 
 from __future__ import annotations
@@ -16,7 +16,6 @@
     MAX_RECORDS_PER_PAGE,
     Ack,
     ApplicationPayload,
-    Counter,
     Gossip,
     MemberRecord,
     MemberState,
@@ -27,6 +26,7 @@
     PingRequest,
     RecordPage,
     TableDigestMessage,
+    UInt53,
 )
 
 MAX_DATAGRAM_BYTES = 4096
@@ -52,10 +52,10 @@
 
 
 class Params(Struct, array_like=True, forbid_unknown_fields=True):
-    """Parameters of the notification, in the order in which they are sent."""
+    """Parameters of a notification, in wire order."""
 
     cluster_name: Annotated[str, Meta(max_length=64)]
-    sequence_number: Counter
+    sequence_number: UInt53
     sender: MemberRecord
     body: Annotated[list[Any], Meta(max_length=DIGEST_BUCKET_COUNT + 1)]
     gossip: Annotated[list[MemberRecord], Meta(max_length=MAX_RECORDS_PER_PAGE)]
@@ -66,17 +66,17 @@
 
 
 def encode(cluster_name: str, message: Message) -> bytes:
-    """Bytes of one datagram."""
+    """Encodes a message as one datagram."""
     body = _encode_body(message.payload)
     params = Params(cluster_name, message.sequence_number, message.sender, body, message.gossip)
     return _encoder.encode((RPC_NOTIFICATION_TYPE, WIRE_NAMES[type(message.payload)], params))
 
 
 def decode(cluster_name: str, data: bytes) -> Message:
-    """Checks and reads one datagram; only the bodies of other packages are left unchecked.
+    """Decodes and validates one datagram, except for the body of an `ApplicationPayload`.
 
     Raises:
-        InvalidDatagramError: The bytes are no message of this cluster.
+        InvalidDatagramError: The datagram is not a valid message of this cluster.
     """
     if len(data) > MAX_DATAGRAM_BYTES:
         raise InvalidDatagramError(DatagramRejection.OVERSIZED)
@@ -95,14 +95,14 @@
 
 
 def _are_records_valid(sender: MemberRecord, gossip: list[MemberRecord]) -> bool:
-    """Whether the sender says that it is alive, and all figures are finite."""
-    if sender.state is not MemberState.ALIVE or not sender.has_finite_metadata:
+    """Returns whether the sender's record says that it is alive, and all records have valid metadata."""
+    if sender.state is not MemberState.ALIVE or not sender.has_valid_metadata:
         return False
-    return all(record.has_finite_metadata for record in gossip)
+    return all(record.has_valid_metadata for record in gossip)
 
 
 def _encode_body(payload: Payload) -> list[Any]:
-    """The body as it is sent."""
+    """Converts a payload to the list that is sent as the body."""
     match payload:
         case Ping(target_name):
             return [target_name]
@@ -117,10 +117,10 @@
 
 
 def _decode_body(kind: str, body: list[Any]) -> Payload:
-    """The body of a message of that kind, typed.
+    """Converts the body of a message of the given kind to a payload.
 
     Raises:
-        InvalidDatagramError: The body does not have the shape that the kind demands.
+        InvalidDatagramError: The body has the wrong layout for the kind.
     """
     match kind, body:
         case "ping", [str(target_name)]:
@@ -129,12 +129,12 @@
             return PingRequest(host, port, target_name)
         case "package", [str(package), *application_body]:
             return ApplicationPayload(package, application_body)
-        case "sums", [*bucket_checksums, wants_digest] if _is_digest(body):
+        case "sums", [*bucket_checksums, wants_digest] if _is_digest_body(body):
             return TableDigestMessage(tuple(bucket_checksums), bool(wants_digest))
         case _, [] if kind in BODYLESS_PAYLOADS:
             return BODYLESS_PAYLOADS[kind]
     raise InvalidDatagramError(DatagramRejection.INVALID_BODY)
 
 
-def _is_digest(body: list[Any]) -> bool:
+def _is_digest_body(body: list[Any]) -> bool:
     return len(body) == DIGEST_BUCKET_COUNT + 1 and all(isinstance(number, int) for number in body)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Cluster membership: the table of members, bytes of datagrams, assembly of large messages."""
+"""Tests the member table, the encoding of datagrams and the reassembly of large messages."""
 
 from __future__ import annotations
 
@@ -106,7 +106,7 @@
         self.assertEqual(tables[0].digest.bucket_checksums, tables[1].digest.bucket_checksums)
         self.assertEqual(set(tables[0].present_names), set(tables[1].present_names))
 
-    def test_digest_follows_each_change_of_the_table(self) -> None:
+    def test_digest_is_empty_again_after_all_members_were_removed(self) -> None:
         table = empty_table()
         empty_checksums = list(table.digest.bucket_checksums)
         for index in range(20):
@@ -116,7 +116,7 @@
         self.assertEqual(table.digest.bucket_checksums, empty_checksums)
         self.assertFalse(table.present_names or table.members or table.gossip.transmission_counts)
 
-    def test_full_table_evicts_the_departed_first_and_then_refuses(self) -> None:
+    def test_full_table_evicts_departed_members_and_then_rejects_new_ones(self) -> None:
         table = empty_table(max_members=3)
         for index in range(3):
             table.merge(record(index), float(index))
@@ -124,18 +124,18 @@
         self.assertTrue(table.merge(record(7), 6.0))
         self.assertNotIn("n1", table.members)
         self.assertFalse(table.merge(record(8), 7.0))
-        self.assertEqual(table.refused_record_count, 1)
+        self.assertEqual(table.rejected_record_count, 1)
 
-    def test_suspicion_shrinks_with_each_confirmation(self) -> None:
+    def test_each_confirmation_shortens_the_suspicion_timeout(self) -> None:
         timeouts = [suspicion_timeout_ms(1000.0, 100, confirmations) for confirmations in range(6)]
         self.assertEqual(timeouts, sorted(timeouts, reverse=True))
         self.assertEqual((timeouts[0], timeouts[3], timeouts[5]), (8000.0, 2000.0, 2000.0))
-        # A member that doubts itself waits, but not for ever.
+        # The local health multiplier lengthens the time-out only up to a limit.
         self.assertEqual(suspicion_timeout_ms(1000.0, 10, 5, 9.0), 2000.0)
 
 
 class WireTest(unittest.TestCase):
-    def test_decodes_what_it_has_encoded(self) -> None:
+    def test_decoding_restores_the_encoded_message(self) -> None:
         payloads: tuple[Payload, ...] = (
             Ping("n2"),
             Ack(),
@@ -147,7 +147,7 @@
             sent = Message(payload, record(1, metadata={"warm": 0.5}), 9, [record(2, state=MemberState.DEAD)])
             self.assertEqual(wire.decode(CLUSTER, wire.encode(CLUSTER, sent)), sent)
 
-    def test_largest_datagram_fits_into_an_ethernet_frame(self) -> None:
+    def test_largest_ping_fits_into_an_ethernet_frame(self) -> None:
         largest = record(
             1,
             name="n" * 32,
@@ -161,8 +161,8 @@
         sent = Message(Ping("n" * 32), largest, 2**53, [largest] * MAX_GOSSIP_RECORDS)
         self.assertLess(len(wire.encode("f" * 64, sent)), ETHERNET_PAYLOAD_BYTES)
 
-    def test_rejects_invalid_datagrams_with_their_reason(self) -> None:
-        good = wire.encode(CLUSTER, message(Ack()))
+    def test_invalid_datagrams_are_rejected_with_a_reason(self) -> None:
+        valid = wire.encode(CLUSTER, message(Ack()))
 
         def with_sender(**changes: Any) -> bytes:
             fields = {name: getattr(record(1), name) for name in record(1).__struct_fields__} | changes
@@ -171,21 +171,21 @@
         def with_body(kind: str, body: list[Any]) -> bytes:
             return msgspec.msgpack.encode([2, kind, [CLUSTER, 9, record(1), body, []]])
 
-        too_many_figures = {f"f{index}": 1.0 for index in range(MAX_METADATA_COUNT + 1)}
+        too_many_entries = {f"f{index}": 1.0 for index in range(MAX_METADATA_COUNT + 1)}
         for data, reason in [
             (b"", "garbage"),
-            (good[:-1], "garbage"),
-            (good + b"\0", "garbage"),
+            (valid[:-1], "garbage"),
+            (valid + b"\0", "garbage"),
             (b"\xc1" * 50, "garbage"),
             (b"\x91" * 4000, "garbage"),
-            (good + bytes(5000), "oversized"),
-            (good.replace(b"ack", b"act"), "bad_message"),
+            (valid + bytes(5000), "oversized"),
+            (valid.replace(b"ack", b"act"), "bad_message"),
             (with_sender(name="a b"), "garbage"),
             (with_sender(port=0), "garbage"),
             (with_sender(host="example.org"), "garbage"),
             (with_sender(state=MemberState.DEAD), "bad_record"),
             (with_sender(metadata={"a": float("nan")}), "bad_record"),
-            (with_sender(metadata=too_many_figures), "garbage"),
+            (with_sender(metadata=too_many_entries), "garbage"),
             (wire.encode("g", message(Ack())), "other_fleet"),
             (with_body("ping", [5]), "bad_body"),
             (with_body("ask", ["10.0.0.1", 0, "n2"]), "bad_body"),
@@ -207,24 +207,24 @@
             wire.decode(CLUSTER, data)
 
 
-class PartAssemblerTest(unittest.TestCase):
+class FragmentAssemblerTest(unittest.TestCase):
     @staticmethod
-    def part(index: int, count: int, content: bytes, number: int = 1) -> MessageFragment:
+    def fragment(index: int, count: int, content: bytes, number: int = 1) -> MessageFragment:
         return MessageFragment(CLUSTER, "n1", 7, "policies", number, index, count, content)
 
-    def test_parts_in_any_order_give_the_whole_message(self) -> None:
+    def test_fragments_in_any_order_give_the_whole_message(self) -> None:
         assembler = FragmentAssembler()
-        self.assertIsNone(assembler.add(self.part(2, 3, b"c")))
-        self.assertIsNone(assembler.add(self.part(0, 3, b"a")))
-        self.assertIsNone(assembler.add(self.part(0, 3, b"a")))  # doubled
-        self.assertEqual(assembler.add(self.part(1, 3, b"b")), b"abc")
+        self.assertIsNone(assembler.add(self.fragment(2, 3, b"c")))
+        self.assertIsNone(assembler.add(self.fragment(0, 3, b"a")))
+        self.assertIsNone(assembler.add(self.fragment(0, 3, b"a")))  # a duplicate
+        self.assertEqual(assembler.add(self.fragment(1, 3, b"b")), b"abc")
 
-    def test_rejects_parts_that_are_out_of_bounds(self) -> None:
+    def test_out_of_bounds_fragments_are_rejected(self) -> None:
         for fragment in (
-            self.part(1, 1, b""),
-            self.part(-1, 1, b""),
-            self.part(0, 10_000, b""),
-            self.part(0, 1, bytes(MAX_FRAGMENT_BYTES + 1)),
+            self.fragment(1, 1, b""),
+            self.fragment(-1, 1, b""),
+            self.fragment(0, 10_000, b""),
+            self.fragment(0, 1, bytes(MAX_FRAGMENT_BYTES + 1)),
         ):
             with (
                 self.subTest(fragment=fragment.fragment_index),
--- a/tests/test_membership_cluster.py
+++ b/tests/test_membership_cluster.py
@@ -1,4 +1,4 @@
-"""Cluster membership of many nodes in virtual time: deaths, pauses, partitions, restarts, floods."""
+"""Tests clusters of simulated nodes under crashes, pauses, partitions, restarts and floods."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 
 
 class SimulatedCluster:
-    """Nodes in virtual time.
+    """Nodes on a simulated network in virtual time.
 
     Attributes:
-        log_lines: What they logged, as time, index of the node, event and fields.
+        log_entries: Log entries of all nodes, as time, node index, event and fields.
     """
 
-    def __init__(self, node_count: int, seed: int = 1, **world: Any) -> None:
-        self.network = SimulatedNetwork(seed, **world)
-        self.log_lines: list[tuple[float, int, str, dict[str, Any]]] = []
+    def __init__(self, node_count: int, seed: int = 1, **network_options: Any) -> None:
+        self.network = SimulatedNetwork(seed, **network_options)
+        self.log_entries: list[tuple[float, int, str, dict[str, Any]]] = []
         self.nodes: dict[int, SwimNode] = {}
         self.hosts: dict[int, SimulatedHost] = {}
         for index in range(node_count):
@@ -49,7 +49,7 @@
         return node
 
     def logger(self, index: int) -> Any:
-        return lambda event, **fields: self.log_lines.append((self.network.now_ms, index, event, fields))
+        return lambda event, **fields: self.log_entries.append((self.network.now_ms, index, event, fields))
 
     def run(self, duration_ms: float) -> None:
         self.network.run_until(self.network.now_ms + duration_ms)
@@ -59,16 +59,16 @@
             self.network.kill(address(index))
             del self.nodes[index]
 
-    def run_until_all_know(self, timeout_ms: float, *present: int) -> float:
-        """Virtual ms until all know that just these are present; fails past the time-out."""
+    def run_until_converged(self, timeout_ms: float, *present: int) -> float:
+        """Runs until each table holds exactly these members as present; returns the elapsed virtual ms."""
         started_at_ms = self.network.now_ms
-        while not self.all_know(*present):
+        while not self.has_converged(*present):
             if self.network.now_ms - started_at_ms > timeout_ms:
-                raise AssertionError(f"not within {timeout_ms} ms")
+                raise AssertionError(f"the member tables did not converge within {timeout_ms} ms")
             self.run(50.0)
         return self.network.now_ms - started_at_ms
 
-    def all_know(self, *present: int) -> bool:
+    def has_converged(self, *present: int) -> bool:
         names = {f"n{index}" for index in present}
         return all(
             set(node.member_table.present_index) == names - {f"n{index}"}
@@ -76,35 +76,33 @@
         )
 
     def declared_dead(self) -> set[str]:
-        return {fields["name"] for _, _, event, fields in self.log_lines if event == "fleet_dead"}
+        return {fields["name"] for _, _, event, fields in self.log_entries if event == "fleet_dead"}
 
 
 class SimulatedClusterTest(unittest.TestCase):
-    """Several members, with what the network and the machines do to them."""
-
-    def formed_cluster(self, node_count: int, **world: Any) -> SimulatedCluster:
-        cluster = SimulatedCluster(node_count, **world)
-        cluster.run_until_all_know(10_000.0, *range(node_count))
+    def formed_cluster(self, node_count: int, **network_options: Any) -> SimulatedCluster:
+        cluster = SimulatedCluster(node_count, **network_options)
+        cluster.run_until_converged(10_000.0, *range(node_count))
         return cluster
 
-    def test_members_find_each_other_and_learn_of_deaths(self) -> None:
+    def test_members_join_and_detect_crashes_despite_packet_loss(self) -> None:
         for loss in (0.0, 0.1):
             with self.subTest(loss=loss):
                 cluster = self.formed_cluster(60, loss_probability=loss)
                 cluster.kill(7, 8)
-                elapsed_ms = cluster.run_until_all_know(6_500.0, *range(7), *range(9, 60))
-                self.assertGreater(elapsed_ms, 1000.0)  # not on a single lost datagram
+                elapsed_ms = cluster.run_until_converged(6_500.0, *range(7), *range(9, 60))
+                self.assertGreater(elapsed_ms, 1000.0)  # one lost datagram must not suffice
                 self.assertEqual(cluster.declared_dead(), {"n7", "n8"})
 
-    def test_pauses_of_300_ms_are_no_deaths(self) -> None:
+    def test_members_paused_for_300_ms_are_not_declared_dead(self) -> None:
         cluster = self.formed_cluster(30)
         for turn in range(40):
             cluster.hosts[turn % 30].pause(300.0)
             cluster.run(700.0)
         self.assertEqual(cluster.declared_dead(), set())
 
-    def test_slow_members_are_not_declared_dead_nor_declare_others_dead(self) -> None:
-        # A full core takes hundreds of ms until it looks at a datagram.
+    def test_slow_members_are_not_declared_dead_and_declare_nobody_dead(self) -> None:
+        # A process on a saturated core reads a datagram hundreds of ms late.
         cluster = self.formed_cluster(30)
         for index in range(10):
             cluster.hosts[index].mean_delay_ms = 80.0
@@ -116,19 +114,19 @@
         cluster.hosts[3].pause(15_000.0)
         cluster.run(14_000.0)
         self.assertEqual(cluster.declared_dead(), {"n3"})
-        cluster.run_until_all_know(8_000.0, *range(20))
-        self.assertEqual(cluster.declared_dead(), {"n3"})  # though all were silent to it for 15 s
+        cluster.run_until_converged(8_000.0, *range(20))
+        self.assertEqual(cluster.declared_dead(), {"n3"})  # although it heard from nobody for 15 s
 
-    def test_restarted_member_is_told_from_its_earlier_process(self) -> None:
-        for clock_offset_ms in (0.0, -3_600_000.0):  # its clock was stepped back meanwhile
+    def test_restarted_member_is_distinguished_from_its_earlier_process(self) -> None:
+        for clock_offset_ms in (0.0, -3_600_000.0):  # in the second case its clock was set back by an hour
             with self.subTest(clock_offset_ms=clock_offset_ms):
                 cluster = self.formed_cluster(10)
                 cluster.kill(4)
-                cluster.run(200.0)  # long before its death is known
+                cluster.run(200.0)  # too short for its crash to be detected
                 run_id = cluster.start(4, clock_offset_ms=clock_offset_ms).local_record.run_id
-                cluster.run_until_all_know(5_000.0, *range(10))
+                cluster.run_until_converged(5_000.0, *range(10))
                 cluster.run(6_000.0)
-                self.assertTrue(cluster.all_know(*range(10)))
+                self.assertTrue(cluster.has_converged(*range(10)))
                 known_run_ids = {
                     node.member_table.members["n4"].record.run_id
                     for index, node in cluster.nodes.items()
@@ -136,7 +134,7 @@
                 }
                 self.assertEqual(known_run_ids, {run_id})
 
-    def test_partitioned_halves_rejoin(self) -> None:
+    def test_partitioned_halves_merge_when_the_partition_ends(self) -> None:
         cluster = self.formed_cluster(20)
         half = {address(index) for index in range(10)}
         cluster.network.is_cut = lambda sender, receiver: (sender in half) != (receiver in half)
@@ -145,15 +143,15 @@
             set(cluster.nodes[0].member_table.present_index), {f"n{index}" for index in range(1, 10)}
         )
         cluster.network.is_cut = lambda sender, receiver: False
-        cluster.run_until_all_know(15_000.0, *range(20))
+        cluster.run_until_converged(15_000.0, *range(20))
 
-    def test_link_cut_in_one_direction_is_no_death(self) -> None:
+    def test_link_cut_in_one_direction_causes_no_death(self) -> None:
         cluster = self.formed_cluster(12)
         cluster.network.is_cut = lambda sender, receiver: (sender, receiver) == (address(1), address(2))
         cluster.run(30_000.0)
         self.assertEqual(cluster.declared_dead(), set())
 
-    def test_member_that_sends_but_receives_nothing_does_not_empty_others_tables(self) -> None:
+    def test_member_that_receives_nothing_does_not_remove_others_from_tables(self) -> None:
         cluster = self.formed_cluster(12)
         cluster.network.is_cut = lambda sender, receiver: receiver == address(5)
         cluster.run(20_000.0)
@@ -168,11 +166,11 @@
         cluster.run(100.0)
         cluster.kill(2)
         remaining = [index for index in range(12) if index != 2]
-        elapsed_ms = cluster.run_until_all_know(3_000.0, *remaining)
+        elapsed_ms = cluster.run_until_converged(3_000.0, *remaining)
         self.assertLess(elapsed_ms, 2_000.0)
         self.assertEqual(cluster.declared_dead(), set())
 
-    def test_two_members_with_one_name_are_logged(self) -> None:
+    def test_two_members_with_the_same_name_are_logged(self) -> None:
         cluster = self.formed_cluster(6)
         other_record = record(50, name="n3", run_id=5)
         other = SwimNode(
@@ -186,9 +184,9 @@
         )
         cluster.network.start_host(address(50), other)
         cluster.run(20_000.0)
-        self.assertIn("fleet_name_twice", {event for _, _, event, _ in cluster.log_lines})
+        self.assertIn("fleet_name_twice", {event for _, _, event, _ in cluster.log_entries})
 
-    def test_message_rate_of_a_member_does_not_grow_with_the_cluster(self) -> None:
+    def test_message_rate_per_member_does_not_grow_with_the_cluster(self) -> None:
         rates = []
         for node_count in (30, 120):
             cluster = self.formed_cluster(node_count)
@@ -199,7 +197,7 @@
         self.assertLess(rates[1], 1.2 * rates[0])
         self.assertLess(rates[1], 8.0)
 
-    def test_answers_a_flood_of_requests_within_bounds(self) -> None:
+    def test_replies_to_a_flood_of_requests_are_bounded(self) -> None:
         node = SimulatedCluster(1).nodes[0]
         node.member_table.merge(record(1), 0.0)
         digest = TableDigestMessage((7,) * DIGEST_BUCKET_COUNT, True)
--- a/tests/test_membership_service.py
+++ b/tests/test_membership_service.py
@@ -1,4 +1,4 @@
-"""Several real processes that know of each other, with faults between them."""
+"""Tests membership between real server processes, and the errors of its settings."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 
 class RealServersTest(unittest.TestCase):
     def setUp(self) -> None:
-        # Ports that were free a moment ago may be a neighbour's by the time a server binds them: these
-        # addresses are nobody else's while the claim is held.
-        net, claim = reserve_subnet()
-        self.addCleanup(claim.close)
-        self.addresses = [(f"127.{net}.0.{index + 1}", MEMBERSHIP_PORT) for index in range(SERVER_COUNT)]
-        self.worlds: list[ProgramUnderTest] = [self.start(index) for index in range(SERVER_COUNT)]
+        # Free ports could be taken by another process before a server binds them; addresses of a reserved
+        # subnet belong to this test for as long as the reservation is open.
+        subnet, reservation = reserve_subnet()
+        self.addCleanup(reservation.close)
+        self.addresses = [(f"127.{subnet}.0.{index + 1}", MEMBERSHIP_PORT) for index in range(SERVER_COUNT)]
+        self.servers: list[ProgramUnderTest] = [self.start(index) for index in range(SERVER_COUNT)]
 
     def start(self, index: int) -> ProgramUnderTest:
         peers = ", ".join('"{}:{}"'.format(*address) for address in self.addresses[:2])
@@ -47,7 +47,7 @@
         return [row["run"] for row in self.call(0, "members") if row["name"] == name]
 
     def wait_until(self, timeout_seconds: float, condition: Any) -> float:
-        """Seconds until the condition holds; fails past the time-out."""
+        """Waits until the condition holds, and returns the elapsed seconds; fails after the time-out."""
         started_at = time.monotonic()
         while not condition():
             elapsed_seconds = time.monotonic() - started_at
@@ -55,36 +55,36 @@
             time.sleep(0.05)
         return time.monotonic() - started_at
 
-    def test_members_learn_of_pause_kill_restart_and_drain(self) -> None:
+    def test_kill_restart_and_drain_are_detected_and_short_pauses_tolerated(self) -> None:
         all_alive = {f"n{index}": "alive" for index in range(SERVER_COUNT)}
-        everyone = range(SERVER_COUNT)
-        self.wait_until(10.0, lambda: all(self.states(index) == all_alive for index in everyone))
-        # Stopped for 300 ms, again and again: nobody may take it for dead.
+        all_indexes = range(SERVER_COUNT)
+        self.wait_until(10.0, lambda: all(self.states(index) == all_alive for index in all_indexes))
+        # A server that is repeatedly stopped for 300 ms must not be declared dead.
         for _ in range(5):
-            self.worlds[3].process.send_signal(signal.SIGSTOP)
+            self.servers[3].process.send_signal(signal.SIGSTOP)
             time.sleep(0.3)
-            self.worlds[3].process.send_signal(signal.SIGCONT)
+            self.servers[3].process.send_signal(signal.SIGCONT)
             time.sleep(0.2)
         self.assertEqual(self.states(0), all_alive)
-        self.worlds[4].process.kill()
+        self.servers[4].process.kill()
         elapsed_seconds = self.wait_until(
             8.0, lambda: all(self.states(index)["n4"] == "dead" for index in range(4))
         )
         self.assertGreater(elapsed_seconds, 0.5)
         earlier_run_ids = self.run_ids("n4")
-        # A restart under its name is another run, whatever is said of the earlier one. It has another seed,
-        # as the platform gives with each start.
-        self.worlds[4] = ProgramUnderTest(self, toml=self.worlds[4].toml, name="n4", seed="77", stop_ms=300)
-        self.wait_until(8.0, lambda: all(self.states(index) == all_alive for index in everyone))
+        # A restart under the same name is a new run, although the earlier one was declared dead. It has a new
+        # seed, as the platform passes a new one at each start.
+        self.servers[4] = ProgramUnderTest(self, toml=self.servers[4].toml, name="n4", seed="77", stop_ms=300)
+        self.wait_until(8.0, lambda: all(self.states(index) == all_alive for index in all_indexes))
         self.assertNotEqual(earlier_run_ids, self.run_ids("n4"))
-        self.worlds[2].process.send_signal(signal.SIGTERM)
+        self.servers[2].process.send_signal(signal.SIGTERM)
         elapsed_seconds = self.wait_until(
             3.0, lambda: all(self.states(index)["n2"] == "left" for index in (0, 1, 3, 4))
         )
         self.assertLess(elapsed_seconds, 2.0)
-        self.assertEqual(self.worlds[2].process.wait(10), 0)
+        self.assertEqual(self.servers[2].process.wait(10), 0)
 
-    def test_flood_of_invalid_datagrams_harms_nobody(self) -> None:
+    def test_flood_of_invalid_datagrams_stops_no_server_and_causes_no_death(self) -> None:
         self.wait_until(
             10.0, lambda: all(len(self.states(index)) == SERVER_COUNT for index in range(SERVER_COUNT))
         )
@@ -96,21 +96,21 @@
             for data in (*INVALID_DATAGRAMS, os.urandom(200)):
                 sender.sendto(data, self.addresses[0])
                 sent_count += 1
-        GatewayClient(self.worlds[0]).check_health()  # it serves as before
+        GatewayClient(self.servers[0]).check_health()
         self.assertGreater(sent_count, 1000)
-        self.assertIn("garbage", self.worlds[0].wait_for_log("fleet_datagrams_rejected"))
-        # On a full machine one that is flooded may be suspected for a moment, which takes nothing from it.
+        self.assertIn("garbage", self.servers[0].wait_for_log("fleet_datagrams_rejected"))
+        # On a busy machine the flooded server may briefly be a suspect, which has no effect on it.
         self.wait_until(
             10.0,
             lambda: all(set(self.states(index).values()) == {"alive"} for index in range(SERVER_COUNT)),
         )
-        for world in self.worlds:
-            world.process.kill()
-        for world in self.worlds:
-            world.wait_for_exit()
-            self.assertEqual([line for line in world.log_entries if line["event"] == "fleet_dead"], [])
+        for server in self.servers:
+            server.process.kill()
+        for server in self.servers:
+            server.wait_for_exit()
+            self.assertEqual([entry for entry in server.log_entries if entry["event"] == "fleet_dead"], [])
 
-    def test_answers_operators_and_closes_connections_of_others(self) -> None:
+    def test_operator_calls_are_answered_and_other_protocols_disconnected(self) -> None:
         command = [sys.executable, "-c", "from landingshift.cli import start; start()", "fleet"]
         at = ["--at", "{}:{}".format(*self.addresses[0])]
         self.wait_until(10.0, lambda: len(self.states(0)) == SERVER_COUNT)
@@ -131,19 +131,19 @@
 
 
 def refused(case: unittest.TestCase, toml: str) -> str:
-    """What a server writes to stderr that does not start with these settings."""
+    """Returns what a server writes to stderr when it refuses to start with these settings."""
     with tempfile.TemporaryDirectory() as folder:
         path = f"{folder}/ours.toml"
         with open(path, "w") as file:
             file.write(toml)
         process = launch_program(folder, CONFIG, {"LANDINGSHIFT_TOML": path})
-        _, err = process.communicate(timeout=20)
+        _, stderr = process.communicate(timeout=20)
         case.assertEqual(process.returncode, 2)
-        return err
+        return stderr
 
 
 class SettingsTest(unittest.TestCase):
-    def test_names_the_key_that_cannot_be_used(self) -> None:
+    def test_startup_error_names_the_invalid_setting(self) -> None:
         valid = {"fleet": '"lab"', "listen": '"127.0.0.1:0"'}
         cases: list[tuple[dict[str, str | None], str]] = [
             ({"listen": '"127.0.0.1"'}, "listen"),
@@ -165,8 +165,8 @@
                 error = refused(self, "[fleet]\n" + "\n".join(lines))
                 self.assertIn(f"ours.toml: [fleet] {key}: ", error)
 
-    def test_names_an_address_that_is_in_use(self) -> None:
-        with socket.create_server(("127.0.0.1", 0)) as taken:
-            address = f"127.0.0.1:{taken.getsockname()[1]}"
+    def test_startup_error_names_a_listen_address_that_is_in_use(self) -> None:
+        with socket.create_server(("127.0.0.1", 0)) as listener:
+            address = f"127.0.0.1:{listener.getsockname()[1]}"
             error = refused(self, f'[fleet]\nfleet = "lab"\nlisten = "{address}"\n')
             self.assertIn(f"[fleet] listen: {address}", error)
