--- a/tests/test_coldstart_service.py
+++ b/tests/test_coldstart_service.py
@@ -17,7 +17,7 @@
 from landingshift.testbed.experiments.cold_start_real import REAL
 from landingshift.testbed.experiments.rows import ExperimentRow
 from tests.helpers import RealRows
-from tests.test_membership_service import refused
+from tests.test_membership_service import startup_error
 
 SERVER_COUNT = 6
 CONCURRENT_ROW_COUNT = 3  # they mostly wait
@@ -120,4 +120,4 @@
             (membership + '[coldstart]\nservers = 3\nfloor = 0.9\nlenders = ["a"]\n', "[coldstart] floor: "),
         ]:
             with self.subTest(text=text):
-                self.assertIn(f"ours.toml: {error}", refused(self, text))
+                self.assertIn(f"ours.toml: {error}", startup_error(self, text))
--- a/tests/test_maintenance_service.py
+++ b/tests/test_maintenance_service.py
@@ -13,7 +13,7 @@
 from landingshift.testbed.experiments.maintenance_real import REAL
 from landingshift.testbed.experiments.rows import ExperimentRow, play_real_row
 from tests.helpers import RealRows
-from tests.test_membership_service import refused
+from tests.test_membership_service import startup_error
 
 SERVERS = 6
 ABREAST = 4
@@ -105,4 +105,4 @@
             (policies + "[upkeep]\ncapacity = 9\nzone_share = 2.0\n", "[upkeep] zone_share: "),
         ]:
             with self.subTest(text=text):
-                self.assertIn(f"ours.toml: {message}", refused(self, text))
+                self.assertIn(f"ours.toml: {message}", startup_error(self, text))
--- a/tests/test_membership_service.py
+++ b/tests/test_membership_service.py
@@ -130,7 +130,7 @@
             self.assertEqual(sock.recv(100), b"")
 
 
-def refused(case: unittest.TestCase, toml: str) -> str:
+def startup_error(case: unittest.TestCase, toml: str) -> str:
     """Returns what a server writes to stderr when it refuses to start with these settings."""
     with tempfile.TemporaryDirectory() as folder:
         path = f"{folder}/ours.toml"
@@ -162,11 +162,11 @@
             with self.subTest(change=change):
                 values = {**valid, **change}
                 lines = [f"{name} = {value}" for name, value in values.items() if value is not None]
-                error = refused(self, "[fleet]\n" + "\n".join(lines))
+                error = startup_error(self, "[fleet]\n" + "\n".join(lines))
                 self.assertIn(f"ours.toml: [fleet] {key}: ", error)
 
     def test_startup_error_names_a_listen_address_that_is_in_use(self) -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             address = f"127.0.0.1:{listener.getsockname()[1]}"
-            error = refused(self, f'[fleet]\nfleet = "lab"\nlisten = "{address}"\n')
+            error = startup_error(self, f'[fleet]\nfleet = "lab"\nlisten = "{address}"\n')
             self.assertIn(f"[fleet] listen: {address}", error)
--- a/tests/test_policies_service.py
+++ b/tests/test_policies_service.py
@@ -14,7 +14,7 @@
 from landingshift.testbed.experiments.policies_real import REAL
 from landingshift.testbed.experiments.rows import ExperimentRow, play_real_row
 from tests.helpers import RealRows
-from tests.test_membership_service import refused
+from tests.test_membership_service import startup_error
 
 SERVERS = 5
 ABREAST = 4  # rows at a time: they mostly wait
@@ -137,4 +137,4 @@
             (fleet + '[policies]\nvoters = ["a"]\noverlap_ms = 1\n', "[policies] overlap_ms: "),
         ]:
             with self.subTest(text=text):
-                self.assertIn(f"ours.toml: {message}", refused(self, text))
+                self.assertIn(f"ours.toml: {message}", startup_error(self, text))
