--- a/landingshift/cli/ledger_options.py
+++ b/landingshift/cli/ledger_options.py
@@ -96,7 +96,7 @@
     if not path:
         raise NoSettingsFileError
     try:
-        loaded = features.load_features(path, include_off=True)
+        loaded = features.load_features(path, include_disabled=True)
     except features.FeatureConfigError as err:
         raise LedgerCommandError(str(err)) from err
     for feature in loaded:
--- a/landingshift/cli/operator_client.py
+++ b/landingshift/cli/operator_client.py
@@ -88,7 +88,7 @@
 
 def _fleet_settings(path: str) -> Settings | None:
     try:
-        found = features.load_features(path, include_off=True)
+        found = features.load_features(path, include_disabled=True)
     except features.FeatureConfigError as err:
         raise CommandError(str(err)) from err
     for feature in found:
--- a/landingshift/failpoints.py
+++ b/landingshift/failpoints.py
@@ -41,7 +41,7 @@
 
     Args:
         crash_name: The failpoint at which the process dies.
-        visits_before_crash: At which visit it dies, counted from 1.
+        crash_visit: At which visit it dies, counted from 1.
         crash_marker_path: A file that the dying process creates; where it exists already, nobody dies. Empty
             for none.
         slow_name: The failpoint at which the process waits.
@@ -60,13 +60,13 @@
     def __init__(
         self,
         crash_name: str = "",
-        visits_before_crash: int = 1,
+        crash_visit: int = 1,
         crash_marker_path: str = "",
         slow_name: str = "",
         delay_ms: float = 0.0,
     ) -> None:
         self._crash_name = crash_name
-        self._visits_left = visits_before_crash
+        self._visits_left = crash_visit
         self._crash_marker_path = crash_marker_path
         self._slow_name = slow_name
         self._delay_seconds = delay_ms / 1000.0
@@ -83,16 +83,16 @@
         slow_name, _, delay_ms = environment.get(SLOW_VARIABLE, "").partition(":")
         return cls(
             crash_name=crash_name,
-            visits_before_crash=int(visits or 1),
+            crash_visit=int(visits or 1),
             crash_marker_path=environment.get(CRASH_ONCE_VARIABLE, ""),
             slow_name=slow_name,
             delay_ms=float(delay_ms or 0.0),
         )
 
-    def arm(self, name: str, visits_before_crash: int = 1) -> None:
+    def arm(self, name: str, crash_visit: int = 1) -> None:
         """Lets `reach` raise SimulatedCrashError at the given visit of a failpoint; an empty name disarms."""
         self._crash_name = name
-        self._visits_left = visits_before_crash
+        self._visits_left = crash_visit
         self._raises_instead_of_kill = True
 
     def reach(self, name: str) -> None:
--- a/landingshift/hot_restart/state_export.py
+++ b/landingshift/hot_restart/state_export.py
@@ -205,7 +205,7 @@
         assert link.stream is not None
         return StoredDatabaseLink(
             stream=self._stream(link.stream),
-            unread=bytes(link.decoder.lines.buffer),
+            unread=bytes(link.decoder.line_decoder.buffer),
             takes_new_calls=link in self._router.database.links,
             calls=[self._call(call) for call in link.calls.values()],
         )
@@ -225,7 +225,7 @@
             gauge_query = StoredGaugeQuery(engine.gauge_query.tag, engine.gauge_query.bytes_before)
         return StoredEngineLink(
             stream=self._stream(engine.stream) if engine.stream is not None else None,
-            unread=bytes(engine.decoder.lines.buffer),
+            unread=bytes(engine.decoder.line_decoder.buffer),
             attributes=stored_values(engine, ENGINE_LINK_NAMES),
             gauge_query=gauge_query,
             unconfirmed_rpc_indexes=[
--- a/landingshift/hot_restart/state_import.py
+++ b/landingshift/hot_restart/state_import.py
@@ -231,7 +231,7 @@
     def _link(self, stored: StoredDatabaseLink) -> DatabaseLink:
         pool = self._router.database
         link = DatabaseLink(pool, lambda owner: self._stream(stored.stream, owner, DATABASE_MAX_UNSENT_BYTES))
-        link.decoder.lines.buffer += stored.unread
+        link.decoder.line_decoder.buffer += stored.unread
         if stored.takes_new_calls:
             pool.links.append(link)
         if stored.unread:
@@ -252,7 +252,7 @@
             if name in ENGINE_LINK_NAMES:
                 setattr(engine, ENGINE_LINK_NAMES[name], value)
         engine.decoder = engine_wire.NoticeDecoder()
-        engine.decoder.lines.buffer += stored.unread
+        engine.decoder.line_decoder.buffer += stored.unread
         engine.gauge_query = None
         if stored.gauge_query is not None:
             engine.gauge_query = GaugeQuery(stored.gauge_query.tag, stored.gauge_query.bytes_before)
--- a/landingshift/net/program/features.py
+++ b/landingshift/net/program/features.py
@@ -86,19 +86,19 @@
         return service
 
 
-def decode_features(data: dict[str, Any], path: str, include_off: bool = False) -> list[Feature]:
+def decode_features(data: dict[str, Any], path: str, include_disabled: bool = False) -> list[Feature]:
     """The packages of decoded TOML, in the order in which they are attached.
 
     Args:
         data: The decoded file.
         path: The file's path, for errors and paths relative to it.
-        include_off: Not only those that are switched on.
+        include_disabled: Not only those that are switched on.
 
     Raises:
         FeatureConfigError: A table can't be used.
     """
     features = [_decode_table(table, values, path) for table, values in data.items()]
-    features = [feature for feature in features if feature.settings.on or include_off]
+    features = [feature for feature in features if feature.settings.on or include_disabled]
     on = {feature.table for feature in features if feature.settings.on}
     for feature in features:
         for needed in getattr(feature.settings, "needs", ()):
@@ -139,12 +139,12 @@
     return what
 
 
-def load_features(path: str | None, include_off: bool = False) -> list[Feature]:
+def load_features(path: str | None, include_disabled: bool = False) -> list[Feature]:
     """The packages that the file of our own settings names; none where there is no file.
 
     Args:
         path: The file's path.
-        include_off: Not only those that are switched on.
+        include_disabled: Not only those that are switched on.
 
     Raises:
         FeatureConfigError: The file or a table of it can't be used.
@@ -158,4 +158,4 @@
         raise FeatureConfigError(path, str(err.strerror)) from err
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as err:
         raise FeatureConfigError(path, str(err)) from err
-    return decode_features(data, path, include_off)
+    return decode_features(data, path, include_disabled)
--- a/landingshift/net/program/main.py
+++ b/landingshift/net/program/main.py
@@ -44,7 +44,7 @@
     except (ServerConfigError, features.FeatureConfigError, ListenError) as err:
         sys.stderr.write(f"landingshift: {err}\n")
         return EXIT_UNUSABLE_SETTINGS
-    signals.on_signal = lambda number, came_ms: _on_signal(router, log, number, came_ms)
+    signals.on_signal = lambda number, received_ms: _on_signal(router, log, number, received_ms)
     _tune_collector()
     log(
         "started",
@@ -67,12 +67,12 @@
         raise ListenError(config.listen, str(err.strerror)) from err
 
 
-def _on_signal(router: Router, log: EventLog, number: int, came_ms: float) -> None:
+def _on_signal(router: Router, log: EventLog, number: int, received_ms: float) -> None:
     """SIGHUP has the configuration read again; all others are the notice to leave."""
     if number == signal.SIGHUP:
         _reload(router, log)
     else:
-        router.drain(came_ms)
+        router.drain(received_ms)
 
 
 def _reload(router: Router, log: EventLog) -> None:
--- a/landingshift/net/program/signals.py
+++ b/landingshift/net/program/signals.py
@@ -18,13 +18,13 @@
 
     Attributes:
         on_signal: Called with the signal's number and the loop's time at which it came.
-        came_ms: By the signal's number, the time of the first one that was not passed on yet.
+        received_ms: By the signal's number, the time of the first one that was not passed on yet.
     """
 
     def __init__(self, loop: Loop) -> None:
         self.loop = loop
         self.on_signal: Callable[[int, float], None] | None = None
-        self.came_ms: dict[int, float] = {}
+        self.received_ms: dict[int, float] = {}
         self.reader, self.writer = socket.socketpair()
         self.reader.setblocking(False)
         self.writer.setblocking(False)
@@ -35,14 +35,14 @@
 
     def _note(self, number: int, _frame: object) -> None:
         """Called in the midst of a pass: a notice counts from now on, not from when the pass is over."""
-        self.came_ms.setdefault(number, self.loop.clock_ms())
+        self.received_ms.setdefault(number, self.loop.clock_ms())
 
     def on_ready(self, _mask: int) -> None:
         """Passes on what has come; many of one kind want no more than one."""
         for number in sorted(set(self.reader.recv(MAX_SIGNALS_PER_READ))):
-            came_ms = self.came_ms.pop(number, self.loop.now_ms)
+            received_ms = self.received_ms.pop(number, self.loop.now_ms)
             if self.on_signal is not None:
-                self.on_signal(number, came_ms)
+                self.on_signal(number, received_ms)
 
     def close(self) -> None:
         """Ends the watch."""
--- a/landingshift/net/protocol/database.py
+++ b/landingshift/net/protocol/database.py
@@ -36,7 +36,7 @@
 
     def __init__(self) -> None:
         # A length of 0 where a body follows must not pass as an empty reply.
-        self.lines = LineDecoder(_has_body, body_always_ends_in_line_end=True)
+        self.line_decoder = LineDecoder(_has_body, empty_body_has_line_end=True)
 
     def feed(self, data: bytes) -> Iterator[Reply]:
         """Yields complete replies.
@@ -44,7 +44,7 @@
         Raises:
             ProtocolError: What follows the replies given out so far is none.
         """
-        for tokens, body in self.lines.feed(data):
+        for tokens, body in self.line_decoder.feed(data):
             if len(tokens) < 2 or tokens[1] not in OUTCOME_BY_STATUS:
                 raise ProtocolError("bad_line")
             if len(tokens) != 2 + (tokens[1] == STATUS_WITH_BODY):
@@ -54,7 +54,7 @@
     @property
     def has_partial_reply(self) -> bool:
         """Whether a reply has begun and is not complete."""
-        return bool(self.lines.buffer)
+        return bool(self.line_decoder.buffer)
 
 
 def encode_call(rpc_id: bytes, timeout_ms: float, request: bytes) -> bytes:
--- a/landingshift/net/protocol/engine.py
+++ b/landingshift/net/protocol/engine.py
@@ -112,7 +112,7 @@
     """Bytes of one link to messages."""
 
     def __init__(self) -> None:
-        self.lines = LineDecoder(_has_body)
+        self.line_decoder = LineDecoder(_has_body)
 
     def feed(self, data: bytes) -> Iterator[Message]:
         """Yields complete messages.
@@ -120,7 +120,7 @@
         Raises:
             ProtocolError: What follows the messages given out so far is none.
         """
-        for tokens, body in self.lines.feed(data):
+        for tokens, body in self.line_decoder.feed(data):
             yield _decode(tokens, body)
 
 
--- a/landingshift/net/protocol/lines.py
+++ b/landingshift/net/protocol/lines.py
@@ -40,15 +40,15 @@
 
     Args:
         has_body: Whether a line of these tokens is followed by a body.
-        body_always_ends_in_line_end: An empty body is followed by a line end, too; anything else there is an
+        empty_body_has_line_end: An empty body is followed by a line end, too; anything else there is an
             error. Otherwise a length of 0 may stand for no body at all.
     """
 
     def __init__(
-        self, has_body: Callable[[list[bytes]], bool], body_always_ends_in_line_end: bool = False
+        self, has_body: Callable[[list[bytes]], bool], empty_body_has_line_end: bool = False
     ) -> None:
         self.has_body = has_body
-        self.body_always_ends_in_line_end = body_always_ends_in_line_end
+        self.empty_body_has_line_end = empty_body_has_line_end
         self.buffer = bytearray()  # bytes of a line or body that is not complete yet
 
     def feed(self, data: bytes) -> Iterator[tuple[list[bytes], bytes]]:
@@ -86,7 +86,7 @@
         size = decode_number(tokens[-1])
         if size > MAX_BODY_BYTES:
             raise ProtocolError("oversized")
-        if size or self.body_always_ends_in_line_end:
+        if size or self.empty_body_has_line_end:
             return body_start + size + len(LINE_END)
         return body_start
 
--- a/landingshift/net/routing/gateway_connection.py
+++ b/landingshift/net/routing/gateway_connection.py
@@ -97,7 +97,7 @@
         self.partial_since_ms = 0.0
         self.stream = open_stream(self)
         self.slot = context.connections.put(self)
-        self.accepted_pass = self.loop.passes_read
+        self.accepted_pass = self.loop.read_count
         self.timer = self.loop.after(VERIFICATION_TIME_MS, self.check_idle)
 
     # What comes
--- a/landingshift/net/routing/gateways.py
+++ b/landingshift/net/routing/gateways.py
@@ -110,7 +110,7 @@
 
         One that has just come may have brought an RPC that is not read yet: it would be lost.
         """
-        newest_pass = self.loop.passes_read - MIN_AGE_PASSES
+        newest_pass = self.loop.read_count - MIN_AGE_PASSES
         return [
             connection
             for connection in self.connections
--- a/landingshift/net/transport/loop.py
+++ b/landingshift/net/transport/loop.py
@@ -49,7 +49,7 @@
 
     Attributes:
         now_ms: The monotonic time at which the sockets were last read; the same for all handlers of a pass.
-        passes_read: How often the sockets were read.
+        read_count: How often the sockets were read.
         pending_writers: Those that have something to write at the end of the pass.
         settle: Ends each pass, before what is to be written is written.
     """
@@ -60,7 +60,7 @@
         self.timers: list[tuple[float, int, Timer]] = []  # heap; the number keeps the order of equal times
         self.timer_count = 0
         self.cancelled_count = 0  # of timers in the heap
-        self.passes_read = 0
+        self.read_count = 0
         self.pending_writers: dict[Writer, None] = {}
         self.on_fault = on_fault
         self.is_running = True
@@ -146,7 +146,7 @@
         """Waits for sockets at most so long and calls their watchers; returns whether any was ready."""
         events = self.selector.select(wait_ms / 1000.0)
         self.now_ms = self.clock_ms()
-        self.passes_read += 1
+        self.read_count += 1
         for key, mask in events:
             watcher = self.watchers.get(key.fd)
             if watcher is not None and watcher is key.data:  # not closed by a handler before it
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -20,7 +20,7 @@
 from landingshift.net.transport.loop import Loop
 from landingshift.net.transport.stream import LINGER_MS, MAX_DISCARDED_BYTES, MAX_LINGERS, Stream
 from tests.helpers import EngineStandIn, GatewayClient, ProgramUnderTest, wait_until
-from tests.test_server import prove, resident
+from tests.test_server import resident_mb, verify
 
 
 class RecordedGatewayEvents:
@@ -272,7 +272,7 @@
     def test_reset_in_each_state_ends_only_its_connection(self) -> None:
         program = ProgramUnderTest(self)
         other = GatewayClient(program)
-        prove(program, other)
+        verify(program, other)
         notice = 1
         for state in ("idle", "half", "running", "calling", "answered", "half closed"):
             with self.subTest(state=state):
@@ -364,7 +364,7 @@
         program = ProgramUnderTest(self, limits={"sockets": 96})
         program.roster.close()
         gateway = GatewayClient(program)
-        prove(program, gateway)
+        verify(program, gateway)
         strangers = [GatewayClient(program) for _ in range(60)]  # more than places; they only keep theirs
         message_id = gateway.send_rpc()
         program.engine.expect_command("RUN", gateway.last_rpc_id)
@@ -392,7 +392,7 @@
     def test_gateway_is_served_during_a_flood_of_strangers(self) -> None:
         program = ProgramUnderTest(self, limits={"sockets": 128})
         gateway = GatewayClient(program)
-        prove(program, gateway)
+        verify(program, gateway)
         flood = [msgpack.packb([0, 1, "m", [{"id": "x"}, b""]]), b"\xc1" * 2000, rpc()[:9], b""]
         strangers = []
         for i in range(200):
@@ -405,7 +405,7 @@
                 program.engine.send_notice("DONE", i // 20 + 2, gateway.last_rpc_id, "good 5", body=b"r")
                 self.assertEqual(gateway.read_answer(), (message_id, b"r"))
         self.assertTrue(all(one.is_closed_by_program() for one in strangers))
-        self.assertLess(resident(program.process.pid), 64.0)
+        self.assertLess(resident_mb(program.process.pid), 64.0)
 
 
 if __name__ == "__main__":
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -256,7 +256,7 @@
         self.addCleanup(signals.writer.close)
         signals.on_signal = lambda number, at: signals_heard.append((number, at))
         os.kill(os.getpid(), signal.SIGTERM)
-        wait_until(lambda: signal.SIGTERM in signals.came_ms)
+        wait_until(lambda: signal.SIGTERM in signals.received_ms)
         after = loop.clock_ms()
         wait_until(lambda: loop.clock_ms() > after + 20.0)  # the rest of a long pass
         loop.run_pass()
--- a/tests/test_failpoints.py
+++ b/tests/test_failpoints.py
@@ -46,7 +46,7 @@
 class FailpointsTest(unittest.TestCase):
     def test_armed_failpoint_raises_at_the_given_visit_only(self) -> None:
         failpoints = Failpoints()
-        failpoints.arm("point", visits_before_crash=2)
+        failpoints.arm("point", crash_visit=2)
         failpoints.reach("point")
         failpoints.reach("other")
         with self.assertRaises(SimulatedCrashError) as caught:
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -217,10 +217,10 @@
         log = EventLog(writes)
         for i in range(3000):
             log("mode", text="x" * 100, i=i)
-        self.assertGreater(log.lost, 0)
+        self.assertGreater(log.lost_count, 0)
         os.read(reads, 1 << 20)
         log("mode", text="y" * 9000)
-        self.assertEqual(log.lost, 0)
+        self.assertEqual(log.lost_count, 0)
         self.assertIn(b'"cut"', os.read(reads, 1 << 20))
         os.close(reads)
         os.close(writes)
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -16,7 +16,7 @@
     ProgramUnderTest,
     wait_until,
 )
-from tests.test_server import prove
+from tests.test_server import verify
 
 TOKENED = Method(Idempotency.KEYED, 1000.0, 0.0, 3000.0, 1.0, 0.0, 500.0, False, 0.0)
 
@@ -129,7 +129,7 @@
     def test_repeat_and_end_of_the_first_attempt_in_one_pass(self) -> None:
         program = ProgramUnderTest(self)
         gateway, other_gateway = GatewayClient(program), GatewayClient(program)
-        prove(program, other_gateway)
+        verify(program, other_gateway)
         for i, end in enumerate(("good", "bad")):
             with self.subTest(end=end):
                 first_id, first = self.tokened(program, gateway, end)
@@ -150,7 +150,7 @@
             with self.subTest(gone=hang_up):
                 program = ProgramUnderTest(self)
                 gateway, other_gateway = GatewayClient(program), GatewayClient(program)
-                prove(program, other_gateway)
+                verify(program, other_gateway)
                 first_id, first = self.tokened(program, gateway, "a")
                 program.engine.expect_command("RUN", first)
                 with program.paused():
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -17,7 +17,7 @@
 from tests.helpers import CONFIG, EngineStandIn, GatewayClient, ProgramUnderTest, launch_program
 
 
-def prove(program: ProgramUnderTest, gateway: GatewayClient) -> None:
+def verify(program: ProgramUnderTest, gateway: GatewayClient) -> None:
     """An RPC that the engine knows and ends with notice 1."""
     message_id = gateway.send_rpc()
     program.engine.expect_command("RUN", gateway.last_rpc_id)
@@ -71,7 +71,7 @@
     def test_bad_fields_are_answered_once_as_never_run(self) -> None:
         program = ProgramUnderTest(self)
         gateway = GatewayClient(program)
-        prove(program, gateway)
+        verify(program, gateway)
         for method, change in [
             ("x", {}), ("m", {"id": "xyz"}), ("m", {"id": "a b\r\nRUN"}), ("m", {"tenant": "u"}),
             ("m", {"at": None}),
@@ -456,12 +456,12 @@
         while program.wait_for_log("connection")["reason"] != "stalled":
             pass
         self.assertEqual(GatewayClient(program).check_health()[0], True)
-        self.assertLess(resident(program.process.pid), 64.0)
+        self.assertLess(resident_mb(program.process.pid), 64.0)
 
     def test_idle_verified_connections_get_goaway(self) -> None:
         program = ProgramUnderTest(self, settings__extra__caller_idle=400.0)
         silent, polite = GatewayClient(program), GatewayClient(program)
-        prove(program, polite)
+        verify(program, polite)
         self.assertEqual(polite.read_message(), [2, "goaway", []])
         message_id = polite.send_rpc()  # crossed it: still answered
         program.engine.expect_command("RUN", polite.last_rpc_id)
@@ -476,7 +476,7 @@
         # Hundreds of them would take every descriptor and the core from the gateways.
         program = ProgramUnderTest(self, limits={"sockets": 128})
         gateway = GatewayClient(program)
-        prove(program, gateway)
+        verify(program, gateway)
         for first in (b"", b"\x94\x00", msgpack.packb([0, 1, "probe", [{}]])):
             with self.subTest(first=first[:4]):
                 start = time.monotonic()
@@ -495,7 +495,7 @@
         # Their RPCs wait with their bodies: those of hundreds of connections would fill the memory.
         program = ProgramUnderTest(self, limits={"sockets": 200}, settings__extra__n_cores=1)
         known = GatewayClient(program)
-        prove(program, known)
+        verify(program, known)
         clients = [GatewayClient(program) for _ in range(40)]
         for one in clients:
             for _ in range(32):
@@ -689,7 +689,7 @@
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-def resident(pid: int) -> float:
+def resident_mb(pid: int) -> float:
     with open(f"/proc/{pid}/statm") as file:
         return int(file.read().split()[1]) * 4096 / 1048576.0
 
