--- a/landingshift/__init__.py
+++ b/landingshift/__init__.py
@@ -1,1 +1,1 @@
-"""Admission and scheduling decisions inside servers behind load balancers that can't be changed."""
+"""Admission control and scheduling of RPCs in servers behind load balancers that can't be changed."""
--- a/landingshift/__main__.py
+++ b/landingshift/__main__.py
@@ -1,4 +1,4 @@
-"""One real server, configured by the file that GW_CONFIG names; with arguments, the operators' commands."""
+"""Runs a server, configured by the file that GW_CONFIG names; with arguments, runs an operator command."""
 
 import signal
 import sys
@@ -8,7 +8,8 @@
 
     start()
 else:
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # by default it ends a program that is still being loaded
+    # By default SIGHUP would end the program while it imports its modules.
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
     from landingshift.net.program.main import main
 
--- a/landingshift/decision_history.py
+++ b/landingshift/decision_history.py
@@ -1,7 +1,8 @@
-"""The history of what this process believed and decided, for a checker that reads it after a test.
+"""Records observations and decisions of this process in a file, which a checker reads after a test.
 
-`LANDINGSHIFT_HISTORY=path` names the file. Each line is the `repr` of a tuple: monotonic ms, which all
-processes of a machine share, the name of the event and its values. Without the variable nothing is recorded.
+`LANDINGSHIFT_HISTORY=path` names the file. Each line is the `repr` of a tuple: the monotonic time in ms (the
+same clock for all processes of a machine), the event name and its values. Without the variable nothing is
+recorded.
 """
 
 from __future__ import annotations
@@ -20,11 +21,11 @@
 
 
 def record(event: str, *values: object) -> None:
-    """Appends one line, if the process records its history.
+    """Appends an event to the history; does nothing if the process records none.
 
     Args:
-        event: What happened; the checker knows the name.
-        values: What belongs to it, of types whose `repr` is a Python literal.
+        event: The event name, which the checker interprets.
+        values: The event's values, of types whose `repr` is a Python literal.
     """
     if not _HISTORY_PATH:
         return
--- a/landingshift/errors.py
+++ b/landingshift/errors.py
@@ -1,7 +1,7 @@
-"""The root of all errors that the packages raise for their callers."""
+"""The base class of all errors that the packages raise."""
 
 from __future__ import annotations
 
 
 class LandingshiftError(Exception):
-    """Base of each package's own base error."""
+    """Base class of all errors of this library."""
--- a/landingshift/failpoints.py
+++ b/landingshift/failpoints.py
@@ -1,13 +1,15 @@
-"""Failpoints: named places at which a test ends or delays a process, to see what its successor finds.
+"""Failpoints: named points in the code at which a test kills or delays a process.
 
-Environment variables set them for the whole process:
+The test then checks that the next process recovers from the state that was left behind. Environment variables
+set failpoints for the whole process:
 
-- `LANDINGSHIFT_CRASH=name` kills the process at the failpoint of that name; `name:3` at the third visit.
-- `LANDINGSHIFT_CRASH_ONCE=path` lets only the first process that gets there die; it creates the file.
-- `LANDINGSHIFT_SLOW=name:200` waits 200 ms each time the failpoint is reached.
+- `LANDINGSHIFT_CRASH=name` kills the process at the named failpoint; `name:3` does so at the third visit.
+- `LANDINGSHIFT_CRASH_ONCE=path` limits this to one process: it creates the file before it is killed, and no
+  process is killed once the file exists.
+- `LANDINGSHIFT_SLOW=name:200` delays the process by 200 ms at each visit to the named failpoint.
 
-Tests that walk through failpoints within one process call `arm`; `reach` then raises `SimulatedCrashError`.
-With nothing set, `reach` costs two comparisons of strings.
+Tests that simulate a crash within one process call `arm`; `reach` then raises `SimulatedCrashError`. With
+nothing set, `reach` costs two string comparisons.
 """
 
 from __future__ import annotations
@@ -23,9 +25,9 @@
 
 
 class SimulatedCrashError(BaseException):
-    """Raised in place of a kill at an armed failpoint.
+    """Raised at an armed failpoint instead of killing the process.
 
-    It derives from BaseException so that no handler of ordinary errors survives the crash.
+    It derives from BaseException, so that no handler of ordinary exceptions catches it.
 
     Attributes:
         failpoint: The name of the failpoint that was reached.
@@ -37,15 +39,15 @@
 
 
 class Failpoints:
-    """What happens at which failpoint of one process; an empty name stands for no failpoint.
+    """The actions at the failpoints of one process; an empty name means no failpoint.
 
     Args:
-        crash_name: The failpoint at which the process dies.
-        crash_visit: At which visit it dies, counted from 1.
-        crash_marker_path: A file that the dying process creates; where it exists already, nobody dies. Empty
-            for none.
-        slow_name: The failpoint at which the process waits.
-        delay_ms: How long it waits there.
+        crash_name: The failpoint at which the process is killed.
+        crash_visit: The number of the visit at which it is killed, counted from 1.
+        crash_marker_path: A file that the process creates before it is killed; if the file exists already,
+            the process is not killed. Empty for no such file.
+        slow_name: The failpoint at which the process is delayed.
+        delay_ms: The delay at each visit.
     """
 
     __slots__ = (
@@ -74,35 +76,35 @@
 
     @classmethod
     def from_environment(cls, environment: Mapping[str, str]) -> Failpoints:
-        """Returns what the environment variables set.
+        """Returns the failpoints that the environment variables set.
 
         Raises:
-            ValueError: For a count or a delay that is no number.
+            ValueError: The visit or the delay is not a number.
         """
-        crash_name, _, visits = environment.get(CRASH_VARIABLE, "").partition(":")
+        crash_name, _, visit = environment.get(CRASH_VARIABLE, "").partition(":")
         slow_name, _, delay_ms = environment.get(SLOW_VARIABLE, "").partition(":")
         return cls(
             crash_name=crash_name,
-            crash_visit=int(visits or 1),
+            crash_visit=int(visit or 1),
             crash_marker_path=environment.get(CRASH_ONCE_VARIABLE, ""),
             slow_name=slow_name,
             delay_ms=float(delay_ms or 0.0),
         )
 
     def arm(self, name: str, crash_visit: int = 1) -> None:
-        """Lets `reach` raise SimulatedCrashError at the given visit of a failpoint; an empty name disarms."""
+        """Makes `reach` raise SimulatedCrashError at the given visit to `name`; an empty name disarms it."""
         self._crash_name = name
         self._visits_left = crash_visit
         self._raises_instead_of_kill = True
 
     def reach(self, name: str) -> None:
-        """Waits, dies or raises where that is set for this failpoint; else does nothing."""
+        """Marks a failpoint in the code: delays, kills or raises if that is set for this name."""
         if name == self._slow_name:
             time.sleep(self._delay_seconds)
         if name == self._crash_name:
-            self._on_crash_point_reached(name)
+            self._crash_if_due(name)
 
-    def _on_crash_point_reached(self, name: str) -> None:
+    def _crash_if_due(self, name: str) -> None:
         self._visits_left -= 1
         if self._visits_left != 0:
             return
@@ -114,7 +116,7 @@
 
 
 def _create_marker(path: str) -> bool:
-    """Creates an empty file; False where it is there already, whoever made it."""
+    """Creates an empty file; returns False if it exists already."""
     try:
         os.close(os.open(path, os.O_CREAT | os.O_EXCL))
     except FileExistsError:
@@ -123,6 +125,6 @@
 
 
 _process_failpoints = Failpoints.from_environment(os.environ)
-# Bound once: a call costs no more than that of a function.
+# Bound once, so that a call costs no more than a function call.
 reach = _process_failpoints.reach
 arm = _process_failpoints.arm
--- a/landingshift/net/__init__.py
+++ b/landingshift/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real server, in layers that import only downward: program, routing, protocol, transport."""
+"""The network server, in layers that import only downward: program, routing, protocol, transport."""
--- a/landingshift/net/program/__init__.py
+++ b/landingshift/net/program/__init__.py
@@ -1,1 +1,1 @@
-"""The program: its configuration, log, signals and wiring."""
+"""The program: configuration, optional packages, log, signals and the wiring of the server."""
--- a/landingshift/net/program/config.py
+++ b/landingshift/net/program/config.py
@@ -1,4 +1,4 @@
-"""The one place where the platform's configuration is read, checked and given defaults."""
+"""Reads the platform's JSON configuration, checks it and fills in defaults."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from landingshift.net.program.config_errors import (
     CONFIG_FILE_VARIABLE,
     ConfigFileError,
-    ConfigNotNamedError,
+    ConfigPathMissingError,
     ServerConfigError,
 )
 from landingshift.net.program.config_reader import REQUIRED, ConfigReader
@@ -28,51 +28,51 @@
 
 
 def decode_config(data: Any, env: Mapping[str, str]) -> ServerConfig:
-    """The configuration of decoded JSON.
+    """Converts decoded JSON to a configuration.
 
     Args:
-        data: The JSON's value.
-        env: Names the server and where it listens, if the JSON does not.
+        data: The decoded JSON.
+        env: Environment variables, which supply the server's name and address if the JSON lacks them.
 
     Raises:
-        ServerConfigError: It can't be used.
+        ServerConfigError: A value is missing or invalid.
     """
-    top = ConfigReader(data)
-    limits = top.inner("limits", {})
-    settings = top.inner("settings")
-    decoded = _decode_settings(settings)
-    extra = settings.inner("extra")
+    root = ConfigReader(data)
+    limits = root.nested("limits", {})
+    settings = root.nested("settings")
+    server_settings = _decode_settings(settings)
+    extra = settings.nested("extra")
     gauges = extra.value("gauges", list, "a list", [])
     methods = settings.check_unique("classes", [one.token("name") for one in settings.entries("classes")])
-    # A tenant's name goes into no line: it may have spaces, as operators write them.
+    # Tenant names are never tokens of a line protocol, so they may contain spaces.
     tenants = settings.check_unique("orgs", [one.text("name") for one in settings.entries("orgs")])
     return ServerConfig(
-        name=top.token("name", env.get(NAME_VARIABLE, REQUIRED)),
-        listen=top.address("listen", env.get(LISTEN_VARIABLE, REQUIRED)),
-        engine=top.address("engine"),
-        database=top.address("db") if decoded.downstream is not DownstreamKind.NONE else None,
-        roster=top.address("roster"),
-        seed=top.hex_number("seed"),
-        stop_ms=top.number("stop_ms", 1.0, 1e7, DEFAULT_STOP_MS),
+        name=root.token("name", env.get(NAME_VARIABLE, REQUIRED)),
+        listen=root.address("listen", env.get(LISTEN_VARIABLE, REQUIRED)),
+        engine=root.address("engine"),
+        database=root.address("db") if server_settings.downstream is not DownstreamKind.NONE else None,
+        roster=root.address("roster"),
+        seed=root.hex_number("seed"),
+        stop_ms=root.number("stop_ms", 1.0, 1e7, DEFAULT_STOP_MS),
         memory_mb=limits.number("memory_mb", 16.0, 1e6, DEFAULT_MEMORY_MB),
         max_sockets=int(limits.number("sockets", 32.0, 1e6, DEFAULT_SOCKET_COUNT)),
-        settings=decoded,
-        methods=dict(zip(methods, decoded.methods, strict=True)),
-        tenants=dict(zip(tenants, decoded.tenants, strict=True)),
+        settings=server_settings,
+        methods=dict(zip(methods, server_settings.methods, strict=True)),
+        tenants=dict(zip(tenants, server_settings.tenants, strict=True)),
         gauge_names=[str(name) for name in gauges],
         runs_deep_checks=bool(extra.data.get("deep-checks")),
     )
 
 
 def load_config(env: Mapping[str, str]) -> ServerConfig:
-    """The configuration of the file that the environment names.
+    """Loads the configuration from the file that the environment names.
 
     Raises:
-        ServerConfigError: The file or what stands in it can't be used.
+        ServerConfigError: The file can't be read, or a value is missing or invalid.
     """
     path = env.get(CONFIG_FILE_VARIABLE)
     if not path:
-        raise ConfigNotNamedError
+        raise ConfigPathMissingError
     try:
         with open(path, "rb") as file:
             data = orjson.loads(file.read())
--- a/landingshift/net/program/config_errors.py
+++ b/landingshift/net/program/config_errors.py
@@ -1,4 +1,4 @@
-"""What can be wrong with the platform's configuration. Each text begins with the key."""
+"""Errors in the platform's configuration; each message begins with the key that is at fault."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
     """The configuration can't be used.
 
     Attributes:
-        key: The key, after the keys of the objects around it.
-        problem: What is wrong with its value.
+        key: The full path of the key at fault.
+        problem: A description of the problem with its value.
     """
 
     def __init__(self, key: str, problem: str) -> None:
@@ -22,7 +22,7 @@
 
 
 class ConfigFileError(ServerConfigError):
-    """The file can't be read or is no JSON.
+    """The configuration file can't be read or is not valid JSON.
 
     Attributes:
         path: The file's path.
@@ -33,32 +33,32 @@
         self.path = path
 
 
-class ConfigNotNamedError(ServerConfigError):
-    """The environment does not say where the file is."""
+class ConfigPathMissingError(ServerConfigError):
+    """The environment does not name the configuration file."""
 
     def __init__(self) -> None:
-        super().__init__(CONFIG_FILE_VARIABLE, "the environment does not name the configuration file")
+        super().__init__(CONFIG_FILE_VARIABLE, "this environment variable must name the configuration file")
 
 
 class ObjectExpectedError(ServerConfigError):
-    """Something else stands where an object is due."""
+    """A value should be a JSON object and is not."""
 
     def __init__(self, key: str) -> None:
         super().__init__(key or "configuration", "an object is expected")
 
 
 class MissingKeyError(ServerConfigError):
-    """A key without a default is not there."""
+    """A required key is missing."""
 
     def __init__(self, key: str) -> None:
         super().__init__(key, "missing")
 
 
 class UnexpectedValueError(ServerConfigError):
-    """A value is of another kind.
+    """A value has the wrong type or format.
 
     Attributes:
-        value: As it stands there.
+        value: The invalid value.
     """
 
     def __init__(self, key: str, expected: str, value: object) -> None:
@@ -67,31 +67,31 @@
 
 
 class HexDigitsExpectedError(ServerConfigError):
-    """A value that is to be a number in hex digits is none."""
+    """A value should be a hexadecimal number and is not."""
 
     def __init__(self, key: str, value: str) -> None:
-        super().__init__(key, f"hex digits are expected, not {value!r}")
+        super().__init__(key, f"a hexadecimal number is expected, not {value!r}")
 
 
 class OutOfRangeError(ServerConfigError):
-    """A number is too small or too large."""
+    """A number is outside of its range."""
 
     def __init__(self, key: str, value: float, low: float, high: float) -> None:
-        super().__init__(key, f"{value} is not from {low:g} to {high:g}")
+        super().__init__(key, f"{value} is not between {low:g} and {high:g}")
 
 
-class RepeatedNameError(ServerConfigError):
-    """Two entries of a list have one name: the first would be served as if it were the second."""
+class DuplicateNameError(ServerConfigError):
+    """Two entries of a list have the same name, so RPCs of one would be served as those of the other."""
 
     def __init__(self, key: str, name: str) -> None:
-        super().__init__(key, f"{name!r} stands there twice")
+        super().__init__(key, f"the name {name!r} occurs more than once")
 
 
 class ListenError(LandingshiftError):
-    """The server can't listen where it is told to.
+    """The server can't listen on the configured address.
 
     Attributes:
-        address: Host and port.
+        address: The host and port.
     """
 
     def __init__(self, address: tuple[str, int], problem: str) -> None:
--- a/landingshift/net/program/config_reader.py
+++ b/landingshift/net/program/config_reader.py
@@ -1,4 +1,4 @@
-"""Takes values out of nested JSON and says by key what is wrong with them."""
+"""Reads typed values from nested JSON and reports errors with the full path of the key."""
 
 from __future__ import annotations
 
@@ -6,28 +6,28 @@
 from typing import Any
 
 from landingshift.net.program.config_errors import (
+    DuplicateNameError,
     HexDigitsExpectedError,
     MissingKeyError,
     ObjectExpectedError,
     OutOfRangeError,
-    RepeatedNameError,
     UnexpectedValueError,
 )
 from landingshift.net.transport.stream import Address
 
-REQUIRED: Any = object()  # stands for a default where there is none
+REQUIRED: Any = object()  # in place of a default: the key must be present
 MAX_PORT = 65535
 
 
 class ConfigReader:
-    """One object of the JSON.
+    """Reads values from one JSON object.
 
-    All methods raise a `ServerConfigError` for a value that can't be used. A key whose value is null counts
-    as one that is not there, here as in the settings.
+    All methods raise a `ServerConfigError` for an invalid value. A null value counts as a missing key, as it
+    does in the settings.
 
     Args:
-        data: The object.
-        path: Keys that lead to it; empty at the top.
+        data: The JSON object.
+        path: The keys that lead to it, joined by dots; empty for the root.
     """
 
     def __init__(self, data: Any, path: str = "") -> None:
@@ -36,84 +36,86 @@
         self.data = data
         self.path = path
 
-    def full_key(self, key: str) -> str:
-        """The key with those of the objects around it."""
+    def key_path(self, key: str) -> str:
+        """Returns the full path of a key of this object."""
         return f"{self.path}.{key}" if self.path else key
 
-    def value(self, key: str, kinds: Any, expected: str, default: Any) -> Any:
-        """The value of a key.
+    def value(self, key: str, types: Any, expected: str, default: Any) -> Any:
+        """Returns the value of a key.
 
         Args:
             key: The key in this object.
-            kinds: Types that it may have.
-            expected: The name of these types in an error.
-            default: The value where the key is missing; `REQUIRED` makes that an error.
+            types: The types that the value may have.
+            expected: The name of these types in error messages.
+            default: The value if the key is missing; `REQUIRED` makes a missing key an error.
         """
         value = self.data.get(key)
         if value is None:
             value = default
         if value is REQUIRED:
-            raise MissingKeyError(self.full_key(key))
-        if not isinstance(value, kinds) or isinstance(value, bool):
-            raise UnexpectedValueError(self.full_key(key), expected, value)
+            raise MissingKeyError(self.key_path(key))
+        if not isinstance(value, types) or isinstance(value, bool):
+            raise UnexpectedValueError(self.key_path(key), expected, value)
         return value
 
-    def inner(self, key: str, default: Any = REQUIRED) -> ConfigReader:
-        """The object of a key."""
-        return ConfigReader(self.value(key, dict, "an object", default), self.full_key(key))
+    def nested(self, key: str, default: Any = REQUIRED) -> ConfigReader:
+        """Returns a reader for the JSON object of a key."""
+        return ConfigReader(self.value(key, dict, "an object", default), self.key_path(key))
 
     def text(self, key: str, default: Any = REQUIRED) -> str:
-        """A text that is not empty."""
-        value: str = self.value(key, str, "a text", default)
+        """Returns a string that is not empty."""
+        value: str = self.value(key, str, "a string", default)
         if not value:
-            raise UnexpectedValueError(self.full_key(key), "a text", value)
+            raise UnexpectedValueError(self.key_path(key), "a non-empty string", value)
         return value
 
     def token(self, key: str, default: Any = REQUIRED) -> str:
-        """A text that may be a token of a line."""
+        """Returns a string that may be a token of a line protocol: printable and without spaces."""
         value = self.text(key, default)
         if not value.isprintable() or " " in value:
-            raise UnexpectedValueError(self.full_key(key), "a word", value)
+            raise UnexpectedValueError(
+                self.key_path(key), "a string of printable characters without spaces", value
+            )
         return value
 
     def number(self, key: str, low: float, high: float, default: Any = REQUIRED) -> float:
-        """A number from `low` to `high`, both included."""
+        """Returns a number from `low` to `high`, both included."""
         value = self.value(key, int | float, "a number", default)
         if not low <= value <= high:
-            raise OutOfRangeError(self.full_key(key), value, low, high)
+            raise OutOfRangeError(self.key_path(key), value, low, high)
         return float(value)
 
     def hex_number(self, key: str) -> int:
-        """A whole number in hex digits."""
+        """Returns an integer that is written in hexadecimal digits."""
         value = self.token(key)
         try:
             return int(value, 16)
         except ValueError as err:
-            raise HexDigitsExpectedError(self.full_key(key), value) from err
+            raise HexDigitsExpectedError(self.key_path(key), value) from err
 
     def address(self, key: str, default: Any = REQUIRED) -> Address:
-        """An IPv4 address and a port.
+        """Returns an IPv4 address and a port.
 
-        Names are not looked up: that would hold up the one loop, and there may be nobody to ask.
+        Host names are not accepted: a DNS lookup would block the event loop, and there may be no DNS server.
         """
         value = self.token(key, default)
         host, _, port = value.rpartition(":")
         try:
             address = str(IPv4Address(host)), int(port)
         except ValueError as err:
-            raise UnexpectedValueError(self.full_key(key), "an IPv4 address:port", value) from err
+            raise UnexpectedValueError(self.key_path(key), "an IPv4 address:port", value) from err
         if not 0 <= address[1] <= MAX_PORT:
-            raise UnexpectedValueError(self.full_key(key), "an IPv4 address:port", value)
+            raise UnexpectedValueError(self.key_path(key), "an IPv4 address:port", value)
         return address
 
     def entries(self, key: str) -> list[ConfigReader]:
-        """The objects of a list; none where the key is not there."""
+        """Returns readers for the JSON objects in a list; an empty list if the key is missing."""
         values = self.value(key, list, "a list", [])
-        return [ConfigReader(value, f"{self.full_key(key)}[{i}]") for i, value in enumerate(values)]
+        return [ConfigReader(value, f"{self.key_path(key)}[{i}]") for i, value in enumerate(values)]
 
     def check_unique(self, key: str, names: list[str]) -> list[str]:
-        """The names of the entries of a list, of which no two may be the same."""
+        """Returns the names of a list's entries after checking that they are unique."""
         for i, name in enumerate(names):
             if name in names[:i]:
-                raise RepeatedNameError(f"{self.full_key(key)}[{i}].name", name)
+                raise DuplicateNameError(f"{self.key_path(key)}[{i}].name", name)
         return names
--- a/landingshift/net/program/feature_errors.py
+++ b/landingshift/net/program/feature_errors.py
@@ -1,4 +1,4 @@
-"""What can be wrong with our own settings. Each text names file, table and key."""
+"""Errors in the settings of optional packages; each message names the file, the table and the key."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class FeatureConfigError(LandingshiftError):
-    """The settings can't be used.
+    """The settings of the optional packages can't be used.
 
     Attributes:
-        path: The file's path; empty where only the start of a package showed what is wrong.
-        problem: What is wrong.
+        path: The path of the settings file; empty if a package detected the problem at its start.
+        problem: A description of the problem.
     """
 
     def __init__(self, path: str, problem: str) -> None:
@@ -22,15 +22,15 @@
 
 
 class UnknownTableError(FeatureConfigError):
-    """A table that no package has."""
+    """The file has a table that belongs to no package."""
 
     def __init__(self, path: str, table: str, known: Iterable[str]) -> None:
-        super().__init__(path, f"[{table}]: no such table; there is {', '.join(known)}")
+        super().__init__(path, f"[{table}]: unknown table; known tables are {', '.join(known)}")
         self.table = table
 
 
 class TableExpectedError(FeatureConfigError):
-    """Something else stands where a package's table is due."""
+    """A package's name is used for a value that is not a table."""
 
     def __init__(self, path: str, table: str) -> None:
         super().__init__(path, f"{table}: a table is expected")
@@ -38,10 +38,10 @@
 
 
 class InvalidTableError(FeatureConfigError):
-    """A package's table has a value that it can't use.
+    """A package's table has an invalid value.
 
     Args:
-        reason: The key and what is wrong with it.
+        reason: The key at fault and the problem with it.
     """
 
     def __init__(self, path: str, table: str, reason: str) -> None:
@@ -49,9 +49,9 @@
         self.table = table
 
 
-class NeededTableError(FeatureConfigError):
-    """A package can't be on without another."""
+class MissingDependencyError(FeatureConfigError):
+    """A package is enabled without another package that it requires."""
 
-    def __init__(self, path: str, table: str, needed: str) -> None:
-        super().__init__(path, f"[{table}] needs the table [{needed}], switched on")
+    def __init__(self, path: str, table: str, dependency: str) -> None:
+        super().__init__(path, f"[{table}] needs the table [{dependency}], which must be enabled")
         self.table = table
--- a/landingshift/net/program/features.py
+++ b/landingshift/net/program/features.py
@@ -1,9 +1,13 @@
-"""Our own settings: one TOML file, one table a package; what it does not name stays off and unloaded.
+"""Loads the optional packages that the TOML settings file enables; other packages are not even imported.
 
-A package that can be switched on has a module `settings` with the struct `Settings` (msgspec, unknown keys
-refused) and `check(settings, folder)`, which raises `ValueError("key: what is wrong")`, and a module
-`service` with `attach(host, settings) -> Service`. `Settings.needs`, where it is there, names the tables
-without which the package can't be on. Packages are attached in the order of `PACKAGES`.
+The file has one table for each package. An optional package has two modules:
+
+- `settings` with the msgspec struct `Settings`, which forbids unknown keys, and `check(settings, folder)`,
+  which raises `ValueError("key: problem")`. `Settings.needs`, if present, names the tables of packages that
+  must be enabled as well.
+- `service` with `attach(host, settings) -> Service`.
+
+Packages are attached in the order of `PACKAGES`.
 """
 
 from __future__ import annotations
@@ -18,7 +22,7 @@
 from landingshift.net.program.feature_errors import (
     FeatureConfigError,
     InvalidTableError,
-    NeededTableError,
+    MissingDependencyError,
     TableExpectedError,
     UnknownTableError,
 )
@@ -28,7 +32,7 @@
 
 __all__ = ["Feature", "FeatureConfigError", "Service", "ServiceHost", "decode_features", "load_features"]
 
-# Table of the file and the package that it is for, in the order in which packages are attached.
+# Tables of the settings file and their packages, in the order in which the packages are attached.
 PACKAGES = {
     "ledger": "landingshift.ledger",
     "fleet": "landingshift.membership",
@@ -40,18 +44,22 @@
 
 
 class Service(Protocol):
-    """What a package has attached to the server."""
+    """A service that a package has attached to the server."""
 
     def finish(self) -> None:
-        """Called once the loop has ended; may block for a moment, no longer than the process has left."""
+        """Finishes the service's work after the loop has ended.
+
+        It may block briefly, but not beyond the time left until the process is killed.
+        """
 
 
 @dataclass(slots=True)
 class ServiceHost:
-    """What a service is given to wire itself to the loop.
+    """The parts of the server that a service may use to attach itself.
 
     Attributes:
-        services: Those attached so far, by their tables.
+        log: Writes an event to the log.
+        services: The services attached so far, by the names of their tables.
     """
 
     router: Router
@@ -61,21 +69,21 @@
 
 @dataclass(slots=True)
 class Feature:
-    """A package that the file names.
+    """An optional package that the settings file names.
 
     Attributes:
-        table: The package's table in the file.
-        settings: The package's own struct.
+        table: The name of the package's table.
+        settings: The package's `Settings` struct.
     """
 
     table: str
     settings: Any
 
     def attach(self, host: ServiceHost) -> Service:
-        """Starts the package's service.
+        """Starts the package's service and adds it to the host.
 
         Raises:
-            InvalidTableError: What the settings name can't be used.
+            InvalidTableError: The service can't be started with these settings.
         """
         module = import_module(f"{PACKAGES[self.table]}.service")
         try:
@@ -87,23 +95,23 @@
 
 
 def decode_features(data: dict[str, Any], path: str, include_disabled: bool = False) -> list[Feature]:
-    """The packages of decoded TOML, in the order in which they are attached.
+    """Returns the packages that decoded TOML names, in the order in which they are attached.
 
     Args:
         data: The decoded file.
-        path: The file's path, for errors and paths relative to it.
-        include_disabled: Not only those that are switched on.
+        path: The file's path, for error messages and relative paths in the settings.
+        include_disabled: Also return packages that are not enabled.
 
     Raises:
-        FeatureConfigError: A table can't be used.
+        FeatureConfigError: A table is unknown or invalid.
     """
     features = [_decode_table(table, values, path) for table, values in data.items()]
     features = [feature for feature in features if feature.settings.on or include_disabled]
-    on = {feature.table for feature in features if feature.settings.on}
+    enabled = {feature.table for feature in features if feature.settings.on}
     for feature in features:
-        for needed in getattr(feature.settings, "needs", ()):
-            if feature.settings.on and needed not in on:
-                raise NeededTableError(path, feature.table, needed)
+        for dependency in getattr(feature.settings, "needs", ()):
+            if feature.settings.on and dependency not in enabled:
+                raise MissingDependencyError(path, feature.table, dependency)
     order = list(PACKAGES)
     return sorted(features, key=lambda feature: order.index(feature.table))
 
@@ -120,34 +128,34 @@
         settings = msgspec.convert(values, package_settings.Settings)
         package_settings.check(settings, os.path.dirname(os.path.abspath(path)))
     except msgspec.ValidationError as err:
-        raise InvalidTableError(path, table, _key_first(str(err))) from err
+        raise InvalidTableError(path, table, _move_key_first(str(err))) from err
     except ValueError as err:
         raise InvalidTableError(path, table, str(err)) from err
     return Feature(table, settings)
 
 
-def _key_first(text: str) -> str:
-    """An error of msgspec with the key in front.
+def _move_key_first(text: str) -> str:
+    """Moves the key to the front of an error message of msgspec.
 
-    It says `what - at `$.key``, or names an unknown key in the text.
+    The message ends in " - at `$.key`", or quotes an unknown or missing key in its text.
     """
-    what, _, where = text.partition(" - at `$.")
-    if where:
-        return f"{where.rstrip('`')}: {what}"
-    if "unknown field" in what or "missing required field" in what:
-        return f"{what.split('`')[1]}: {what}"
-    return what
+    problem, _, key = text.partition(" - at `$.")
+    if key:
+        return f"{key.rstrip('`')}: {problem}"
+    if "unknown field" in problem or "missing required field" in problem:
+        return f"{problem.split('`')[1]}: {problem}"
+    return problem
 
 
 def load_features(path: str | None, include_disabled: bool = False) -> list[Feature]:
-    """The packages that the file of our own settings names; none where there is no file.
+    """Loads the packages that the settings file names; returns an empty list if there is no file.
 
     Args:
-        path: The file's path.
-        include_disabled: Not only those that are switched on.
+        path: The file's path; None or empty if there is no file.
+        include_disabled: Also return packages that are not enabled.
 
     Raises:
-        FeatureConfigError: The file or a table of it can't be used.
+        FeatureConfigError: The file can't be read, or a table is unknown or invalid.
     """
     if not path:
         return []
--- a/landingshift/net/program/log.py
+++ b/landingshift/net/program/log.py
@@ -1,4 +1,4 @@
-"""The log: one JSON line an event."""
+"""Writes the event log, one line of JSON for each event."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 import orjson
 
-MAX_LINE_BYTES = 4000  # below what a pipe takes at once
-SHORTENED_BYTES = 2000  # of a longer line that are kept
+MAX_LINE_BYTES = 4000  # less than PIPE_BUF (4096), so that a pipe takes a line whole or not at all
+TRUNCATED_LINE_BYTES = 2000  # the length to which longer lines are truncated
 
 
 class EventLog:
-    """Writes events to a descriptor, and never waits for who reads it.
+    """Writes events to a file descriptor without ever waiting for its reader.
 
     Attributes:
-        lost_count: Events since the last line that could not be written; the next line tells.
+        lost_count: The number of events dropped since the last written line; the next line reports it.
     """
 
     def __init__(self, fd: int) -> None:
@@ -27,15 +27,15 @@
         self.poll.register(fd, select.POLLOUT)
 
     def __call__(self, event: str, **fields: Any) -> None:
-        """Writes one line, or counts it as lost where it does not fit at once."""
+        """Writes one event, or counts it as lost if it can't be written at once."""
         entry: dict[str, Any] = {"t": round(time.time() * 1000.0), "event": event, **fields}
         if self.lost_count:
             entry["lost"] = self.lost_count
         line = orjson.dumps(entry, default=str)
         if len(line) >= MAX_LINE_BYTES:
-            beginning = line[:SHORTENED_BYTES].decode(errors="replace")
+            beginning = line[:TRUNCATED_LINE_BYTES].decode(errors="replace")
             line = orjson.dumps({"t": entry["t"], "event": event, "cut": beginning})
-        # A log that nobody reads must not hold up RPCs: what does not fit at once is counted and left out.
+        # A log that nobody reads must not delay RPCs: what can't be written at once is dropped and counted.
         if self._write(line + b"\n"):
             self.lost_count = 0
         else:
--- a/landingshift/net/program/main.py
+++ b/landingshift/net/program/main.py
@@ -19,31 +19,32 @@
 from landingshift.net.transport.loop import Loop
 
 EXIT_OK = 0
-EXIT_UNUSABLE_SETTINGS = 2
-GC_THRESHOLDS = (20_000, 20, 50)  # collections are rarer than by default: one falls into a pass of the loop
+EXIT_INVALID_CONFIG = 2
+# Collections are rarer than by default, because each one delays a pass of the loop.
+GC_THRESHOLDS = (20_000, 20, 50)
 
 
 def main(toml: str | None = None) -> int:
-    """Serves until told to leave.
+    """Runs the server until its graceful shutdown is complete.
 
     Args:
-        toml: Path of our own settings; else the environment names it.
+        toml: The path of the settings file of the optional packages; by default the environment names it.
 
     Returns:
-        The exit status: 2 for settings that can't be used.
+        The exit status: 0 after a shutdown, 2 if the configuration or the settings can't be used.
     """
     log = EventLog(sys.stdout.fileno())
     loop = Loop(lambda: log("fault", trace=traceback.format_exc(limit=-MAX_TRACE_FRAMES)))
     signals = SignalWatcher(loop)
     try:
         config = load_config(os.environ)
-        switched_on = features.load_features(toml or os.environ.get(features.SETTINGS_FILE_VARIABLE))
+        enabled = features.load_features(toml or os.environ.get(features.SETTINGS_FILE_VARIABLE))
         router = _make_router(loop, config, log)
         host = features.ServiceHost(router, log)
-        services = [feature.attach(host) for feature in switched_on]
+        services = [feature.attach(host) for feature in enabled]
     except (ServerConfigError, features.FeatureConfigError, ListenError) as err:
         sys.stderr.write(f"landingshift: {err}\n")
-        return EXIT_UNUSABLE_SETTINGS
+        return EXIT_INVALID_CONFIG
     signals.on_signal = lambda number, received_ms: _on_signal(router, log, number, received_ms)
     _tune_collector()
     log(
@@ -53,7 +54,8 @@
         cold=config.settings.starts_cold,
     )
     loop.run()
-    for service in reversed(services):  # what one says at its end may go by another
+    # In reverse order, because the last messages of a service may go through one attached before it.
+    for service in reversed(services):
         service.finish()
     log("stopped", connections=len(router.gateways.connections))
     signals.close()
@@ -68,7 +70,7 @@
 
 
 def _on_signal(router: Router, log: EventLog, number: int, received_ms: float) -> None:
-    """SIGHUP has the configuration read again; all others are the notice to leave."""
+    """Reloads the configuration on SIGHUP and starts the graceful shutdown on any other signal."""
     if number == signal.SIGHUP:
         _reload(router, log)
     else:
@@ -79,13 +81,13 @@
     try:
         config = load_config(os.environ)
     except ServerConfigError as err:
-        log("reload_failed", error=str(err))  # the old configuration stays
+        log("reload_failed", error=str(err))  # the old configuration stays in use
     else:
         router.reload(config)
 
 
 def _tune_collector() -> None:
-    """What is there now stays: collections need not look at it again, and are short."""
+    """Excludes all objects created so far from garbage collection, which keeps collections short."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
--- a/landingshift/net/protocol/__init__.py
+++ b/landingshift/net/protocol/__init__.py
@@ -1,4 +1,4 @@
-"""Bytes to typed messages and back: the only modules that know names on the wire. Knows no socket.
+"""Encoders and decoders of all messages; the only modules that know names on the wire. They use no sockets.
 
-Each decoder gives out the complete messages in front of malformed bytes before it reports those.
+Each decoder returns the complete messages that precede malformed bytes before it reports the error.
 """
--- a/landingshift/net/protocol/database.py
+++ b/landingshift/net/protocol/database.py
@@ -1,4 +1,4 @@
-"""Calls to the shared database and its replies."""
+"""Encodes calls to the shared database and decodes its replies."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
     b"FULL": Outcome.REJECTED,
     b"FAIL": Outcome.ABORTED,
     b"TIMEOUT": Outcome.NO_RESPONSE,
-    b"NONE": Outcome.NO_CONNECTION,  # it proves as much: the call never ran
+    b"NONE": Outcome.NO_CONNECTION,  # like a failed connection, it proves that the call never ran
 }
 
 
 @dataclass(slots=True)
 class Reply:
-    """The database's answer to one call."""
+    """The database's reply to one call."""
 
     rpc_id: bytes
     outcome: Outcome
@@ -32,17 +32,17 @@
 
 
 class ReplyDecoder:
-    """Bytes of one link to replies."""
+    """Decodes the replies that arrive on one link."""
 
     def __init__(self) -> None:
-        # A length of 0 where a body follows must not pass as an empty reply.
+        # Without this check, a length of 0 with a body behind it would pass as an empty reply.
         self.line_decoder = LineDecoder(_has_body, empty_body_has_line_end=True)
 
     def feed(self, data: bytes) -> Iterator[Reply]:
-        """Yields complete replies.
+        """Adds received bytes and yields the replies that are complete.
 
         Raises:
-            ProtocolError: What follows the replies given out so far is none.
+            ProtocolError: The bytes after the replies yielded so far are malformed.
         """
         for tokens, body in self.line_decoder.feed(data):
             if len(tokens) < 2 or tokens[1] not in OUTCOME_BY_STATUS:
@@ -53,15 +53,15 @@
 
     @property
     def has_partial_reply(self) -> bool:
-        """Whether a reply has begun and is not complete."""
+        """Returns whether part of a reply has arrived."""
         return bool(self.line_decoder.buffer)
 
 
 def encode_call(rpc_id: bytes, timeout_ms: float, request: bytes) -> bytes:
-    """A call on behalf of an RPC, which the database may take `timeout_ms` for."""
+    """Encodes a call for an RPC, which the database should answer within `timeout_ms`."""
     return encode_line(b"Q", rpc_id, b"%d" % max(1, round(timeout_ms)), body=request)
 
 
 def encode_cancel(rpc_id: bytes) -> bytes:
-    """Nobody waits for the RPC's call any more."""
+    """Encodes the cancellation of an RPC's call, whose reply is no longer needed."""
     return encode_line(b"X", rpc_id)
--- a/landingshift/net/protocol/engine.py
+++ b/landingshift/net/protocol/engine.py
@@ -1,4 +1,8 @@
-"""The engine's notices and the commands that it is given."""
+"""Decodes the engine's messages and encodes the commands to it.
+
+The engine numbers its notices consecutively. After a reconnection it repeats those that follow the number in
+the attach command, so that no notice is lost with a connection.
+"""
 
 from __future__ import annotations
 
@@ -14,23 +18,33 @@
     b"cut": Outcome.CANCELLED,
     b"gone": Outcome.NOT_SENT,
 }
-RUN_COMMAND = b"RUN"  # as a refusal names it
-NO_NOTICE_NUMBER = 0  # no notice of the engine has it
+RUN_COMMAND = b"RUN"
+NO_NOTICE_NUMBER = 0  # the engine gives no notice this number
 
 
 @dataclass(slots=True)
 class Hello:
-    """The engine took the link."""
+    """The engine's acceptance of the link.
+
+    Attributes:
+        is_cold: The engine was started together with this server and now begins to warm up.
+        age_ms: The time since the engine was started.
+    """
 
-    is_cold: bool  # it was started with this server and warms up from now on
+    is_cold: bool
     age_ms: float
 
 
 @dataclass(slots=True)
 class RunEnded:
-    """The run of an RPC is over."""
+    """The notice that the run of an RPC has ended.
 
-    notice_number: int  # `NO_NOTICE_NUMBER` where this server concludes it by itself
+    Attributes:
+        notice_number: The notice's number; `NO_NOTICE_NUMBER` if this server concluded the end by itself.
+        elapsed_ms: The time that the run took.
+    """
+
+    notice_number: int
     rpc_id: bytes
     outcome: Outcome
     elapsed_ms: float
@@ -39,7 +53,7 @@
 
 @dataclass(slots=True)
 class CallNeeded:
-    """A running RPC asks for a call to the database."""
+    """The notice that a run needs a call to the database."""
 
     notice_number: int
     rpc_id: bytes
@@ -48,14 +62,14 @@
 
 @dataclass(slots=True)
 class OtherNotice:
-    """A numbered notice that this server has no use for."""
+    """A numbered notice that this server ignores."""
 
     notice_number: int
 
 
 @dataclass(slots=True)
 class GaugeReport:
-    """The answer to a query for the gauges, in the order of the configuration."""
+    """The answer to a gauge query; the values are in the order of the configured gauge names."""
 
     tag: bytes
     values: list[float]
@@ -71,7 +85,7 @@
 
 @dataclass(slots=True)
 class CommandRefused:
-    """The engine did not take a command."""
+    """The message that the engine rejected a command."""
 
     command: bytes
     rpc_id: bytes
@@ -90,8 +104,8 @@
         match tokens:
             case [b"HELLO", state, age]:
                 return Hello(state == b"new", float(age))
-            case [b"DONE", number, rpc_id, end, elapsed, *_]:
-                outcome = OUTCOME_BY_STATUS[end]
+            case [b"DONE", number, rpc_id, status, elapsed, *_]:
+                outcome = OUTCOME_BY_STATUS[status]
                 return RunEnded(decode_number(number), rpc_id, outcome, float(elapsed), body)
             case [b"NEED", number, rpc_id, _]:
                 return CallNeeded(decode_number(number), rpc_id, body)
@@ -99,8 +113,8 @@
                 return OtherNotice(decode_number(number))
             case [b"STATS", tag, *values]:
                 return GaugeReport(tag, [float(value) for value in values])
-            case [b"TESTED", tag, end]:
-                return SelfTestResult(tag, end == b"good")
+            case [b"TESTED", tag, status]:
+                return SelfTestResult(tag, status == b"good")
             case [b"NO", command, rpc_id, *_]:
                 return CommandRefused(command, rpc_id)
     except (KeyError, ValueError) as err:
@@ -109,51 +123,51 @@
 
 
 class NoticeDecoder:
-    """Bytes of one link to messages."""
+    """Decodes the messages that arrive on one link."""
 
     def __init__(self) -> None:
         self.line_decoder = LineDecoder(_has_body)
 
     def feed(self, data: bytes) -> Iterator[Message]:
-        """Yields complete messages.
+        """Adds received bytes and yields the messages that are complete.
 
         Raises:
-            ProtocolError: What follows the messages given out so far is none.
+            ProtocolError: The bytes after the messages yielded so far are malformed.
         """
         for tokens, body in self.line_decoder.feed(data):
             yield _decode(tokens, body)
 
 
 def encode_attach(last_notice_number: int) -> bytes:
-    """Takes the link; the engine repeats the notices after this one."""
+    """Encodes the command that takes over the link; the engine repeats all notices with higher numbers."""
     return encode_line(b"ATTACH", b"%d" % last_notice_number)
 
 
 def encode_run(rpc_id: bytes, method: bytes, body: bytes) -> bytes:
-    """Starts the run of an RPC."""
+    """Encodes the command that starts the run of an RPC."""
     return encode_line(RUN_COMMAND, rpc_id, method, body=body)
 
 
 def encode_call_reply(rpc_id: bytes, reply: bytes) -> bytes:
-    """Hands a run the reply to the call that it asked for."""
+    """Encodes the command that passes the reply of a call to the run that asked for it."""
     return encode_line(b"FEED", rpc_id, body=reply)
 
 
 def encode_skip_call(rpc_id: bytes, notice_number: int) -> bytes:
-    """Lets a run go on without the call that the notice of this number asked for."""
+    """Encodes the command that continues a run without the call for which the given notice asked."""
     return encode_line(b"SKIP", rpc_id, b"%d" % notice_number)
 
 
 def encode_halt(rpc_id: bytes) -> bytes:
-    """Stops a run."""
+    """Encodes the command that stops a run."""
     return encode_line(b"HALT", rpc_id)
 
 
 def encode_gauge_query(tag: bytes) -> bytes:
-    """Asks for the gauges; the answer bears the same tag."""
+    """Encodes a query for the gauges; the answer carries the same tag."""
     return encode_line(b"STAT", tag)
 
 
 def encode_self_test(tag: bytes) -> bytes:
-    """Asks the engine to do a piece of work for a deep health check."""
+    """Encodes the self-test command of a deep health check; the answer carries the same tag."""
     return encode_line(b"TEST", tag)
--- a/landingshift/net/protocol/gateway.py
+++ b/landingshift/net/protocol/gateway.py
@@ -1,4 +1,4 @@
-"""MessagePack-RPC as the gateways speak it: requests and notifications in, responses and goaway out."""
+"""Decodes MessagePack-RPC requests and notifications of gateways and encodes the responses to them."""
 
 from __future__ import annotations
 
@@ -23,7 +23,6 @@
 
 HEALTH_CHECK_METHOD = "probe"
 
-
 PARSER_LIMITS = {
     "max_str_len": 1024,
     "max_bin_len": MAX_MESSAGE_BYTES,
@@ -34,7 +33,7 @@
 
 
 class MessageType:
-    """The message types of MessagePack-RPC; plain numbers, since every message is matched against them."""
+    """The message types of MessagePack-RPC; plain integers, because every message is matched on them."""
 
     REQUEST = 0
     RESPONSE = 1
@@ -42,10 +41,10 @@
 
 
 class InvalidFieldError(LandingshiftError):
-    """An RPC that can't be taken.
+    """A field of a request is missing or invalid, so the RPC can't be accepted.
 
     Attributes:
-        field: The field that is wrong, by its name on the wire.
+        field: The field's name on the wire.
     """
 
     def __init__(self, field: str) -> None:
@@ -55,7 +54,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """A request whose response bears the same message id."""
+    """A request; its response carries the same message id."""
 
     message_id: int
     method: str
@@ -64,14 +63,14 @@
 
 @dataclass(slots=True)
 class CancelNotification:
-    """The gateway waits no more for the response to a request."""
+    """The notification that the gateway no longer waits for the response to a request."""
 
     message_id: int
 
 
 @dataclass(slots=True)
 class ProtocolFailure:
-    """Nothing after this can be read."""
+    """Reports that the bytes after the previous message are malformed, so decoding ends."""
 
     reason: str
 
@@ -81,43 +80,56 @@
 
 @dataclass(slots=True)
 class RequestFields:
-    """What a gateway tells of an RPC."""
+    """The fields of an RPC's request.
+
+    Attributes:
+        arrived_unix_ms: The time at which the RPC reached this machine.
+        tenant: Empty if the request names none.
+        wait_ms: The time that the caller waits for the answer; None if the request does not tell.
+        cache_key: Equal for requests that may share a result.
+        idempotency_key: Equal for all attempts of one RPC.
+        work_hint_ms: The caller's estimate of the work.
+        attempt_id: Identifies the client's attempt, if the configuration names a field for it.
+    """
 
     rpc_id: bytes
-    arrived_unix_ms: float  # when it came to this machine
+    arrived_unix_ms: float
     caller_id: int
     tenant: str
-    wait_ms: float | None  # how long the caller waits; None where callers do not tell it
+    wait_ms: float | None
     memory_kb: float
-    cache_key: str | None  # the same for requests whose result may be shared
-    idempotency_key: str | None  # the same for all attempts of one RPC
+    cache_key: str | None
+    idempotency_key: str | None
     work_hint_ms: float | None
     is_retry: bool
     body: bytes
-    attempt_id: str | None = None  # of the client's attempt, where the installation names a field for it
+    attempt_id: str | None = None
 
 
 class MessageDecoder:
-    """Bytes of one connection to messages.
+    """Decodes the messages that arrive on one connection.
 
-    Keeps no parser between two pieces: parsers are large, and many connections are idle.
+    It keeps only the undecoded bytes between calls, no parser: parsers are large and most connections idle.
     """
 
     def __init__(self) -> None:
-        self.buffer = b""  # of a message that is not complete yet
+        self.buffer = b""  # received bytes of an incomplete message
 
     def feed(self, data: bytes) -> list[Message]:
-        """The complete messages so far, then a `ProtocolFailure` where a malformed one follows them."""
+        """Adds received bytes and returns the complete messages.
+
+        A `ProtocolFailure` follows them if the next bytes are malformed.
+        """
         if not self.buffer:
             try:
                 message = _decode(msgpack.unpackb(data, **PARSER_LIMITS))
-            except Exception:  # not exactly one complete message: what it is shows below
+            except Exception:  # not exactly one complete message; decoded below
                 pass
             else:
                 return [message] if message is not None else []
-        return self._feed_pieces(self.buffer + data)
+        return self._feed_incrementally(self.buffer + data)
 
-    def _feed_pieces(self, data: bytes) -> list[Message]:
+    def _feed_incrementally(self, data: bytes) -> list[Message]:
         messages: list[Message] = []
         unpacker = msgpack.Unpacker(max_buffer_size=len(data) + 1024, read_size=1024, **PARSER_LIMITS)
         end = 0
@@ -130,7 +142,7 @@
                     messages.append(message)
         except ProtocolError as err:
             return [*messages, ProtocolFailure(err.reason)]
-        except Exception:  # the library raises many kinds for bytes that are no MessagePack
+        except Exception:  # msgpack raises various types for malformed bytes
             return [*messages, ProtocolFailure("garbage")]
         self.buffer = data[end:]
         if len(self.buffer) > MAX_MESSAGE_BYTES:
@@ -139,7 +151,7 @@
 
 
 def _decode(value: Any) -> Message | None:
-    """The message that `value` is; None for a notification that this server has no use for."""
+    """Converts unpacked MessagePack to a message; None for a notification that this server ignores."""
     match value:
         case [MessageType.REQUEST, int(message_id), str(method), list(params)] if not isinstance(
             message_id, bool
@@ -167,14 +179,14 @@
 
 
 def decode_fields(params: list[Any], attempt_id_field: str = "") -> RequestFields:
-    """What the parameters of an RPC's request tell of it.
+    """Decodes and checks the parameters of an RPC's request.
 
     Args:
-        params: As they came.
-        attempt_id_field: Name of the field with the client's attempt; empty where there is none.
+        params: The parameters as unpacked.
+        attempt_id_field: The name of the field that identifies the client's attempt; empty if there is none.
 
     Raises:
-        InvalidFieldError: A field is missing or out of its range.
+        InvalidFieldError: A field is missing, of the wrong type or out of range.
     """
     match params:
         case [dict(values), bytes(body)]:
@@ -185,7 +197,7 @@
         raise InvalidFieldError("body")
     rpc_id = values.get("id")
     if not isinstance(rpc_id, str) or not RPC_ID.fullmatch(rpc_id):
-        raise InvalidFieldError("id")  # it goes into lines of words: anything else could forge a command
+        raise InvalidFieldError("id")  # part of commands to the engine: other characters could forge one
     return RequestFields(
         rpc_id=rpc_id.encode(),
         arrived_unix_ms=_number(values, "at", 0.0, MAX_UNIX_MS),
@@ -203,33 +215,33 @@
 
 
 def is_deep_health_check(params: list[Any]) -> bool:
-    """Whether a health check asks for a piece of work by the engine."""
+    """Returns whether a health check asks for a self-test of the engine."""
     return bool(params) and isinstance(params[0], dict) and params[0].get("deep") == "1"
 
 
 def pack(value: Any) -> bytes:
-    """MessagePack of `value`."""
+    """Encodes `value` as MessagePack."""
     packed: bytes = msgpack.packb(value)
     return packed
 
 
 def encode_ok(message_id: int, result: bytes, headers: dict[str, str]) -> bytes:
-    """The response with an RPC's result; `headers` is what the server tells callers of its load."""
+    """Encodes the response with an RPC's result; `headers` tell callers the server's load."""
     return pack([MessageType.RESPONSE, message_id, None, [result, headers]])
 
 
 def encode_rejected(message_id: int, headers: dict[str, str]) -> bytes:
-    """The response that the RPC never ran here."""
+    """Encodes the response that the RPC was rejected without being run."""
     return pack([MessageType.RESPONSE, message_id, ["Busy", headers], None])
 
 
 def rejection_headers(headers: dict[str, str], retry_after_ms: float, is_final: bool) -> dict[str, str]:
-    """The headers with the advice that comes with a rejection.
+    """Returns the response headers with the retry advice of a rejection.
 
     Args:
-        headers: What each response carries.
-        retry_after_ms: How long the caller should leave this server alone; none where it is 0.
-        is_final: The caller should not try another server either.
+        headers: The headers that every response carries.
+        retry_after_ms: The time for which the caller should not retry on this server; 0 for no such advice.
+        is_final: The caller should not retry on another server either.
     """
     if retry_after_ms <= 0 and not is_final:
         return headers
@@ -242,19 +254,19 @@
 
 
 def load_headers(load: float) -> dict[str, str]:
-    """The headers that tell callers of the server's load: its weight, level or credit."""
+    """Returns the headers that advertise the server's load to callers, as its weight, level or credit."""
     return {"say": f"{load:g}"}
 
 
 def encode_aborted(message_id: int, headers: dict[str, str]) -> bytes:
-    """The response that the RPC may have run and brought no result."""
+    """Encodes the response that the RPC failed; it may have been run."""
     return pack([MessageType.RESPONSE, message_id, ["Failed", headers], None])
 
 
 def encode_health(message_id: int, is_healthy: bool, headers: dict[str, str]) -> bytes:
-    """The response to a health check."""
+    """Encodes the response to a health check."""
     return pack([MessageType.RESPONSE, message_id, None, [is_healthy, headers]])
 
 
-# Asks the gateway to close the connection once it has its answers.
+# Asks the gateway to close the connection after it has received its outstanding responses.
 GOAWAY = pack([MessageType.NOTIFICATION, "goaway", []])
--- a/landingshift/net/protocol/lines.py
+++ b/landingshift/net/protocol/lines.py
@@ -1,4 +1,7 @@
-"""Lines of tokens that end in CR LF, some of them followed by as many bytes as their last token says."""
+"""The line format of engine and database: tokens separated by spaces, CR LF at the end.
+
+Some lines are followed by a body and another CR LF; the last token is then the length of the body in bytes.
+"""
 
 from __future__ import annotations
 
@@ -13,10 +16,10 @@
 
 
 class ProtocolError(LandingshiftError):
-    """A peer sent bytes that are not its protocol.
+    """A peer violated its protocol.
 
     Attributes:
-        reason: Reason code, as it stands in the log line of the closed connection.
+        reason: Reason code; the log entry of the closed connection shows it.
     """
 
     def __init__(self, reason: str) -> None:
@@ -25,10 +28,10 @@
 
 
 def decode_number(token: bytes) -> int:
-    """The non-negative whole number that `token` spells.
+    """Returns the non-negative integer that `token` contains.
 
     Raises:
-        ProtocolError: `token` is no such number.
+        ProtocolError: `token` is not such a number, or has too many digits.
     """
     if not token.isdigit() or len(token) > MAX_NUMBER_DIGITS:
         raise ProtocolError("bad_number")
@@ -36,12 +39,12 @@
 
 
 class LineDecoder:
-    """Splits a stream of bytes into lines of tokens and their bodies.
+    """Splits a byte stream into lines of tokens and their bodies.
 
     Args:
-        has_body: Whether a line of these tokens is followed by a body.
-        empty_body_has_line_end: An empty body is followed by a line end, too; anything else there is an
-            error. Otherwise a length of 0 may stand for no body at all.
+        has_body: Returns whether a body follows a line with the given tokens.
+        empty_body_has_line_end: An empty body is followed by a line end as well, and anything else after it
+            is an error. If not set, the line end after an empty body may be missing.
     """
 
     def __init__(
@@ -49,13 +52,13 @@
     ) -> None:
         self.has_body = has_body
         self.empty_body_has_line_end = empty_body_has_line_end
-        self.buffer = bytearray()  # bytes of a line or body that is not complete yet
+        self.buffer = bytearray()  # received bytes of an incomplete line or body
 
     def feed(self, data: bytes) -> Iterator[tuple[list[bytes], bytes]]:
-        """Yields tokens and body of each complete line.
+        """Adds received bytes and yields the tokens and the body of each complete line.
 
         Raises:
-            ProtocolError: What follows the lines given out so far is none.
+            ProtocolError: The bytes after the lines yielded so far are malformed.
         """
         self.buffer += data
         start = 0
@@ -76,13 +79,13 @@
                     body = self._read_body(end, body_end)
                     end = body_end
                 start = end
-                if tokens != [b""]:  # the line end behind an empty body
+                if tokens != [b""]:  # skips the line end after an empty body
                     yield tokens, body
         finally:
             del self.buffer[:start]
 
     def _body_end(self, tokens: list[bytes], body_start: int) -> int:
-        """The index at which the body and its line end are over; `body_start` where there is no body."""
+        """Returns the index after the body and its line end; `body_start` if there is no body."""
         size = decode_number(tokens[-1])
         if size > MAX_BODY_BYTES:
             raise ProtocolError("oversized")
@@ -100,7 +103,7 @@
 
 
 def encode_line(*tokens: bytes, body: bytes | None = None) -> bytes:
-    """One line, with the length of `body` as its last token and the body behind it where there is one."""
+    """Encodes one line; a body is appended to it, with its length as the last token."""
     if body is None:
         return b" ".join(tokens) + LINE_END
     return b"%b %d\r\n%b\r\n" % (b" ".join(tokens), len(body), body)
--- a/landingshift/net/protocol/roster.py
+++ b/landingshift/net/protocol/roster.py
@@ -1,8 +1,8 @@
-"""The datagram that tells the roster of servers that this one is present."""
+"""Encodes the datagram that registers this server with the roster of servers."""
 
 from __future__ import annotations
 
 
 def encode_presence(server_name: str, is_healthy: bool) -> bytes:
-    """The report that the server exists and whether callers may choose it."""
+    """Encodes the report that the server is present and whether callers may select it."""
     return f"HERE {server_name} {'on' if is_healthy else 'off'}".encode()
--- a/landingshift/net/transport/__init__.py
+++ b/landingshift/net/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets, time and numbered slots, all on one loop; knows no message."""
+"""Event loop, timers, sockets and worker processes; independent of the messages that they carry."""
--- a/landingshift/net/transport/datagram.py
+++ b/landingshift/net/transport/datagram.py
@@ -1,4 +1,4 @@
-"""UDP, one way."""
+"""Sends UDP datagrams."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class DatagramSender:
-    """Sends datagrams to one address; what is lost on the way is not noticed."""
+    """Sends datagrams to one address, without delivery guarantee or replies."""
 
     def __init__(self, address: Address) -> None:
         self.address = address
@@ -17,6 +17,6 @@
         self.sock.setblocking(False)
 
     def send(self, data: bytes) -> None:
-        """Sends one datagram, or drops it where the system does not take it."""
-        with suppress(OSError):  # nobody may be listening: the next report is the cure
+        """Sends one datagram, or drops it if the socket reports an error or a full buffer."""
+        with suppress(OSError):  # the receiver may be down; the sender repeats its reports anyway
             self.sock.sendto(data, self.address)
--- a/landingshift/net/transport/listener.py
+++ b/landingshift/net/transport/listener.py
@@ -1,4 +1,4 @@
-"""Non-blocking TCP: the listening socket."""
+"""Accepts non-blocking TCP connections."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 
 BACKLOG_COUNT = 1024  # connections that may wait to be accepted
 ACCEPTS_PER_PASS = 64
-ACCEPT_PAUSE_MS = 20.0  # without accepting after the descriptors ran out
+ACCEPT_PAUSE_MS = 20.0  # the pause in accepting when capacity or descriptors ran out
 
 
 class Listener:
-    """Accepts connections while there is room.
+    """Accepts connections while there is capacity for them.
 
     Args:
-        address: The address to listen at.
-        has_capacity: Whether one more may come; where not, it makes some. Its argument is whether descriptors
-            are left.
-        on_accept: Gets each connection that came.
-        sock: A socket that listens already, with its backlog.
+        address: The address to listen on.
+        has_capacity: Returns whether one more connection may be accepted; may close others for it. Its
+            argument tells whether file descriptors are left.
+        on_accept: Called with the socket of each accepted connection.
+        sock: A socket that already listens, with its backlog; replaces `address`.
 
     Raises:
-        OSError: It can't listen there.
+        OSError: The address can't be listened on.
 
     Attributes:
-        address: The address at which it listens, with the port that the system chose.
-        is_draining: It takes what waits to be accepted and nothing after that.
+        address: The address listened on, with the port that the system chose if port 0 was given.
+        is_draining: `drain` was called; apart from the backlog, no more connections are accepted.
     """
 
     def __init__(
@@ -51,7 +51,7 @@
         loop.watch(self.sock.fileno(), EVENT_READ, self)
 
     def on_ready(self, _mask: int) -> None:
-        """Connections wait to be accepted."""
+        """Accepts connections from the backlog."""
         for _ in range(ACCEPTS_PER_PASS):
             if not self.has_capacity(True):
                 self._pause()
@@ -60,7 +60,7 @@
                 sock, _ = self.sock.accept()
             except (BlockingIOError, ConnectionAbortedError, InterruptedError):
                 return
-            except OSError:  # out of descriptors: the loop would spin on a socket that stays readable
+            except OSError:  # out of descriptors; without a pause the loop would spin
                 if self.has_capacity(False):
                     continue
                 self._pause()
@@ -68,7 +68,7 @@
             self._accept(sock)
 
     def drain(self) -> bool:
-        """Takes all that waits to be accepted; False where more may wait and there are no descriptors."""
+        """Accepts the whole backlog; returns False if connections may be left in it."""
         self.is_draining = True
         self.loop.watch(self.sock.fileno(), 0, self)
         for _ in range(2 * BACKLOG_COUNT):
@@ -86,7 +86,7 @@
         return False
 
     def close(self) -> None:
-        """Stops listening; what waits to be accepted is reset."""
+        """Stops listening; connections in the backlog are reset."""
         if self.is_open:
             self.is_open = False
             self.loop.watch(self.sock.fileno(), 0, self)
--- a/landingshift/net/transport/loop.py
+++ b/landingshift/net/transport/loop.py
@@ -1,6 +1,6 @@
-"""The one loop: sockets are read, then timers fire, then what the pass produced is settled and written.
+"""The event loop: each pass reads sockets, fires timers, settles the results and writes the output.
 
-Guarantee: nothing that a handler raises stops the loop or keeps other handlers from their turn.
+Guarantee: an exception in one handler neither stops the loop nor keeps other handlers from being called.
 """
 
 from __future__ import annotations
@@ -11,28 +11,28 @@
 from collections.abc import Callable
 from typing import Protocol
 
-LATE_TIMER_MS = 5.0  # a timer later than this says that the process stood still
-CATCH_UP_READ_COUNT = 16  # times that the sockets are read then before it fires
-MAX_WAIT_MS = 1000.0  # for sockets where there is no timer
-MIN_CANCELLED_TIMERS = 64  # that may stand in the heap whatever share of it they are
+LATE_TIMER_MS = 5.0  # a timer that is later than this shows that the process was paused
+MAX_CATCH_UP_READS = 16  # reads of the sockets after a pause, before timers fire
+MAX_WAIT_MS = 1000.0  # the wait for sockets if there is no timer
+MIN_CANCELLED_TIMERS = 64  # with fewer cancelled timers the heap is not compacted
 
 
 class Watcher(Protocol):
-    """Called when a descriptor can be read or written."""
+    """Handles events of a file descriptor."""
 
     def on_ready(self, mask: int) -> None:
-        """`mask`: events of the `selectors` module that have come."""
+        """Handles the descriptor's events, given as a mask of the `selectors` module."""
 
 
 class Writer(Protocol):
-    """Has something to write at the end of the pass."""
+    """Writes its output at the end of a pass."""
 
     def flush(self) -> None:
-        """Writes what can be written now."""
+        """Writes as much as can be written without blocking."""
 
 
 class Timer:
-    """An action that is due at a time of the loop."""
+    """An action that is due at a given time of the loop."""
 
     __slots__ = ("action", "due_ms")
 
@@ -42,24 +42,24 @@
 
 
 class Loop:
-    """Runs handlers one after the other.
+    """A single-threaded event loop.
 
     Args:
-        on_fault: Called within the handling of an exception that a handler raised.
+        on_fault: Called while an exception of a handler is being handled, so that `traceback` can show it.
 
     Attributes:
         now_ms: The monotonic time at which the sockets were last read; the same for all handlers of a pass.
-        read_count: How often the sockets were read.
-        pending_writers: Those that have something to write at the end of the pass.
-        settle: Ends each pass, before what is to be written is written.
+        read_count: The number of times that the sockets were read.
+        pending_writers: The writers with output to write at the end of the pass, in order.
+        settle: Called in each pass after all handlers and before the output is written.
     """
 
     def __init__(self, on_fault: Callable[[], None]) -> None:
         self.selector = selectors.DefaultSelector()
         self.watchers: dict[int, Watcher] = {}
-        self.timers: list[tuple[float, int, Timer]] = []  # heap; the number keeps the order of equal times
-        self.timer_count = 0
-        self.cancelled_count = 0  # of timers in the heap
+        self.timers: list[tuple[float, int, Timer]] = []  # heap; the sequence number orders equal times
+        self.timer_count = 0  # timers ever started
+        self.cancelled_count = 0  # cancelled timers in the heap
         self.read_count = 0
         self.pending_writers: dict[Writer, None] = {}
         self.on_fault = on_fault
@@ -69,66 +69,66 @@
 
     @staticmethod
     def clock_ms() -> float:
-        """The monotonic time now; later than `now_ms` within a pass."""
+        """Returns the current monotonic time, which within a pass is later than `now_ms`."""
         return time.monotonic() * 1000.0
 
     def after(self, delay_ms: float, action: Callable[[], None]) -> Timer:
-        """Has `action` called once the time has passed; equal times keep the order of the calls."""
+        """Calls `action` after the delay; actions that are due at the same time run in the order of calls."""
         timer = Timer(self.now_ms + delay_ms, action)
         self.timer_count += 1
         heapq.heappush(self.timers, (timer.due_ms, self.timer_count, timer))
         return timer
 
     def cancel(self, timer: Timer | None) -> None:
-        """Keeps a timer from firing; does nothing for one that has fired or was cancelled."""
+        """Cancels a timer; does nothing if it has fired or was cancelled before."""
         if timer is None or timer.action is None:
             return
         timer.action = None
         self.cancelled_count += 1
         if self.cancelled_count > MIN_CANCELLED_TIMERS and self.cancelled_count * 2 > len(self.timers):
-            # Bounded memory: far deadlines are mostly cancelled long before they would be popped.
+            # Bounds memory: most distant deadlines are cancelled long before they reach the top of the heap.
             self.timers = [entry for entry in self.timers if entry[2].action is not None]
             heapq.heapify(self.timers)
             self.cancelled_count = 0
 
     def watch(self, fd: int, mask: int, watcher: Watcher) -> None:
-        """Watches a descriptor for `mask` (events of the `selectors` module); 0 ends it."""
-        known = self.watchers.pop(fd, None)
+        """Watches a descriptor for the events in `mask` (of the `selectors` module); 0 stops watching it."""
+        previous = self.watchers.pop(fd, None)
         if mask:
             self.watchers[fd] = watcher
-            if known is None:
+            if previous is None:
                 self.selector.register(fd, mask, watcher)
             else:
                 self.selector.modify(fd, mask, watcher)
-        elif known is not None:
+        elif previous is not None:
             self.selector.unregister(fd)
 
     def stop(self) -> None:
-        """Ends `run` after this pass."""
+        """Stops the loop after the current pass."""
         self.is_running = False
 
     def run(self) -> None:
-        """Runs passes until it is stopped."""
+        """Runs passes until the loop is stopped."""
         while self.is_running:
             self.run_pass()
 
     def run_pass(self) -> None:
-        """One pass: waits for sockets or the next timer, calls handlers, settles and writes."""
+        """Waits for sockets or the next timer, calls handlers, settles the results and writes the output."""
         wait_ms = max(0.0, self.timers[0][0] - self.clock_ms()) if self.timers else MAX_WAIT_MS
         self.read(wait_ms)
         if self.timers and self.now_ms - self.timers[0][0] > LATE_TIMER_MS:
             self._catch_up()
         self._fire_timers()
-        self._guarded(self.settle)
+        self._run_guarded(self.settle)
         while self.pending_writers:
             writers = self.pending_writers
             self.pending_writers = {}
             for writer in writers:
-                self._guarded(writer.flush)
+                self._run_guarded(writer.flush)
 
     def _catch_up(self) -> None:
-        """After a pause what came meanwhile must be seen before anything is held to be overdue."""
-        for _ in range(CATCH_UP_READ_COUNT):
+        """Reads what arrived while the process was paused, before timers treat anything as overdue."""
+        for _ in range(MAX_CATCH_UP_READS):
             if not self.read(0.0):
                 return
 
@@ -140,24 +140,24 @@
                 continue
             action = timer.action
             timer.action = None
-            self._guarded(action)
+            self._run_guarded(action)
 
     def read(self, wait_ms: float) -> bool:
-        """Waits for sockets at most so long and calls their watchers; returns whether any was ready."""
+        """Waits at most `wait_ms` for sockets and calls their watchers; returns whether any was ready."""
         events = self.selector.select(wait_ms / 1000.0)
         self.now_ms = self.clock_ms()
         self.read_count += 1
         for key, mask in events:
             watcher = self.watchers.get(key.fd)
-            if watcher is not None and watcher is key.data:  # not closed by a handler before it
+            if watcher is not None and watcher is key.data:  # not closed by an earlier handler
                 try:
                     watcher.on_ready(mask)
                 except Exception:
                     self.on_fault()
         return bool(events)
 
-    def _guarded(self, step: Callable[[], None]) -> None:
+    def _run_guarded(self, step: Callable[[], None]) -> None:
         try:
             step()
-        except Exception:  # one bad message or defect must not end the RPCs of all others
+        except Exception:  # a single bad message or bug must not end all other RPCs
             self.on_fault()
--- a/landingshift/net/transport/slots.py
+++ b/landingshift/net/transport/slots.py
@@ -1,4 +1,4 @@
-"""Tables of numbered slots."""
+"""A table of reusable slots with unique numbers."""
 
 from __future__ import annotations
 
@@ -11,17 +11,20 @@
 
 
 class Slots(Generic[T]):
-    """A number names an entry for as long as it is in the table; a slot used again gets another number."""
+    """A table of entries by number; when a slot is reused, its new entry gets a different number.
+
+    A number consists of the index of the slot and a generation, which counts how often the slot was emptied.
+    """
 
     def __init__(self) -> None:
         self.items: list[T | None] = []
-        self.generations: list[int] = []  # of each slot: how often it was emptied
-        self.free: list[int] = []
+        self.generations: list[int] = []  # of each slot
+        self.free_indexes: list[int] = []
 
     def put(self, item: T) -> int:
-        """Takes in an entry; returns its number."""
-        if self.free:
-            index = self.free.pop()
+        """Adds an entry and returns its number."""
+        if self.free_indexes:
+            index = self.free_indexes.pop()
         else:
             index = len(self.items)
             self.items.append(None)
@@ -30,22 +33,22 @@
         return self.generations[index] << INDEX_BITS | index
 
     def get(self, number: int) -> T | None:
-        """The entry of this number; late news for the old holder of a slot must not reach the new one."""
+        """Returns the entry with this number, or None if it was removed, even if its slot is in use again."""
         index = number & INDEX_MASK
         return self.items[index] if self.generations[index] == number >> INDEX_BITS else None
 
     def drop(self, number: int) -> None:
-        """Empties the slot of this number, if its entry is still there."""
+        """Removes the entry with this number, if it is still in the table."""
         if self.get(number) is not None:
             index = number & INDEX_MASK
             self.items[index] = None
             self.generations[index] += 1
-            self.free.append(index)
+            self.free_indexes.append(index)
 
     def __len__(self) -> int:
-        """Entries in the table."""
-        return len(self.items) - len(self.free)
+        """Returns the number of entries."""
+        return len(self.items) - len(self.free_indexes)
 
     def __iter__(self) -> Iterator[T]:
-        """The entries, in the order of their slots; the table may change meanwhile."""
+        """Iterates over the entries in slot order; the table may be changed during the iteration."""
         return (item for item in list(self.items) if item is not None)
--- a/landingshift/net/transport/stream.py
+++ b/landingshift/net/transport/stream.py
@@ -1,7 +1,8 @@
 """Non-blocking TCP: streams with partial writes and bounded buffers.
 
-Guarantee: what was written before a graceful close reaches a peer that reads, or the close reason says that
-it did not. A peer that stops reading costs no more than the stream's bound and the time that it may linger.
+Guarantee: data written before a graceful close reaches a peer that keeps reading; otherwise the close reason
+says that it did not. A peer that stops reading uses no more memory than the stream's bound, and no more time
+than the limits on lingering allow.
 """
 
 from __future__ import annotations
@@ -15,50 +16,52 @@
 from landingshift.net.transport.loop import Loop, Timer
 
 READ_BYTES = 16384
-READS_PER_PASS = 8  # taken from one stream before the others have their turn
-LINGER_MS = 1000.0  # that the other side has to close after we have, or to take some of what it is owed
-MAX_LINGERS = 10  # times that it may take some and no more
-MAX_DISCARDED_BYTES = 65536  # taken off a connection after our half-close, before a close over the rest
-IP_BIND_ADDRESS_NO_PORT = 24  # Linux: the port is chosen once the other side is known, so that they last
+READS_PER_PASS = 8  # the most reads of one stream before other streams are read
+LINGER_MS = 1000.0  # a closing stream waits so long for its peer to close or to read more of the output
+MAX_LINGERS = 10  # the most such waits, even if the peer reads slowly
+MAX_DISCARDED_BYTES = 65536  # discarded after a half-close; if the peer sends more, the stream is closed
+# Linux: chooses the local port at connect, when the peer is known, so that several peers can share a port and
+# the ports do not run out.
+IP_BIND_ADDRESS_NO_PORT = 24
 ANY_ADDRESS = "0.0.0.0"
 Address = tuple[str, int]
 
 
 class StreamOwner(Protocol):
-    """Called with what comes on a stream."""
+    """Handles the events of a stream."""
 
     def on_data(self, data: bytes) -> None:
-        """Bytes came."""
+        """Handles received bytes."""
 
     def on_eof(self) -> None:
-        """The other side writes no more."""
+        """Handles the end of the peer's output."""
 
     def on_closed(self, reason: str) -> None:
-        """The stream is closed; `reason` is a code for the log."""
+        """Handles the end of the stream; `reason` is a code for the log."""
 
 
-class NoOwner:
-    """The owner of a closed stream."""
+class NullOwner:
+    """Ignores all events; the owner of a closed stream."""
 
     def on_data(self, data: bytes) -> None:
-        """Ignores it."""
+        """Does nothing."""
 
     def on_eof(self) -> None:
-        """Ignores it."""
+        """Does nothing."""
 
     def on_closed(self, reason: str) -> None:
-        """Ignores it."""
+        """Does nothing."""
 
 
-NO_OWNER = NoOwner()
+NULL_OWNER = NullOwner()
 
 
 class UnsentBudget:
-    """What many streams together have not got rid of.
+    """A shared bound on the unsent output of several streams.
 
     Args:
-        max_bytes: The bound past which some of it must go.
-        on_exceeded: Lets some of it go.
+        max_bytes: The bound on their unsent output in total.
+        on_exceeded: Called when the bound is exceeded; frees output, for example by closing streams.
     """
 
     def __init__(self, max_bytes: int, on_exceeded: Callable[[], None]) -> None:
@@ -67,31 +70,31 @@
         self.used_bytes = 0
 
     def add(self, count: int) -> None:
-        """Counts bytes that were queued, or with a negative count sent or given up."""
+        """Adds queued bytes; a negative count subtracts bytes that were sent or discarded."""
         self.used_bytes += count
         if count > 0 and self.used_bytes > self.max_bytes:
             self.on_exceeded()
 
 
 class Stream:
-    """A connection that is read by its owner and written at the end of each pass of the loop.
+    """A connection that passes input to its owner and writes output at the end of each pass of the loop.
 
     Args:
-        sock: The socket, non-blocking.
-        owner: Called with what comes.
-        max_unsent_bytes: The bound on queued bytes, past which the stream is closed as stalled.
-        is_connecting: The connection is not made yet.
-        unsent_budget: Shared with other streams.
-        reads_per_pass: How often it is read before others have their turn.
+        sock: The socket; must be non-blocking.
+        owner: Handles the stream's events.
+        max_unsent_bytes: The bound on unsent output; if it is exceeded, the stream is closed as stalled.
+        is_connecting: The connection is not established yet.
+        unsent_budget: A bound on unsent output that is shared with other streams.
+        reads_per_pass: The most reads of this stream before other streams are read.
 
     Attributes:
-        is_open: Not closed yet.
-        is_reading: The other side has not ended its side.
-        close_reason: Set once it is to close gracefully or is closed.
-        output: Queued and not sent.
-        queued_bytes: Since the start.
-        sent_bytes: Since the start; only what is sent may have arrived.
-        last_activity_ms: The time at which bytes last went either way.
+        is_open: The stream has not been closed.
+        is_reading: The peer has not ended its output.
+        close_reason: The reason code of the close; empty until a close, graceful or not, begins.
+        output: Bytes that are queued and not sent.
+        queued_bytes: The number of bytes queued since the start.
+        sent_bytes: The number of bytes sent since the start; the peer can't have received more than these.
+        last_activity_ms: The time at which bytes were last sent or received.
     """
 
     def __init__(
@@ -114,19 +117,19 @@
         self.is_reading = True
         self.is_open = True
         self.close_reason = ""
-        self.watched_mask = -1  # what the loop watches it for
+        self.watched_mask = -1  # the events that the loop watches; -1 before the first call
         self.output = bytearray()
         self.queued_bytes = 0
         self.sent_bytes = 0
-        self.discarded_bytes = 0  # after our half-close
+        self.discarded_bytes = 0  # received after the close began
         self.linger_count = 0
-        self.sent_bytes_at_linger = 0  # when the current wait for the other side began
+        self.sent_bytes_at_linger = 0  # `sent_bytes` when the current wait for the peer began
         self.last_activity_ms = loop.now_ms
         self.linger_timer: Timer | None = None
         self.update_watch()
 
     def update_watch(self) -> None:
-        """Has the loop watch the socket for what the stream can do with it now."""
+        """Updates the events that the loop watches to match the state of the stream."""
         mask = EVENT_READ if self.is_reading and not self.is_connecting else 0
         if self.is_connecting or self.output:
             mask |= EVENT_WRITE
@@ -135,7 +138,7 @@
             self.loop.watch(self.sock.fileno(), mask, self)
 
     def on_ready(self, mask: int) -> None:
-        """The socket can be read or written, or the connection is made or failed."""
+        """Handles a readable or writable socket, and an established or failed connection."""
         if self.is_connecting:
             code = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
             if code:
@@ -151,7 +154,7 @@
     # Reading
 
     def read(self) -> None:
-        """Takes what has come, up to the stream's turn."""
+        """Reads what has arrived, with at most `reads_per_pass` reads."""
         for _ in range(self.reads_per_pass):
             try:
                 data = self.sock.recv(READ_BYTES)
@@ -180,7 +183,7 @@
         if not self.close_reason:
             self.owner.on_data(data)
             return
-        # After our half-close: it can't be answered any more, so it must not be acted on either.
+        # The close has begun: requests can't be answered any more, so they must not be processed either.
         self.discarded_bytes += len(data)
         if self.discarded_bytes > MAX_DISCARDED_BYTES:
             self.close(self.close_reason)
@@ -188,7 +191,7 @@
     # Writing
 
     def write(self, data: bytes) -> None:
-        """Queues; the loop sends at the end of its pass."""
+        """Queues data, which the loop sends at the end of the pass; ignored once a close has begun."""
         if not self.is_open or self.close_reason:
             return
         self.output += data
@@ -198,11 +201,11 @@
             self.unsent_budget.add(len(data))
         if len(self.output) > self.max_unsent_bytes:
             self.flush()
-            if len(self.output) > self.max_unsent_bytes:  # a peer that stops reading must not fill the memory
+            if len(self.output) > self.max_unsent_bytes:  # bounds memory if the peer stops reading
                 self.close("stalled")
 
     def flush(self) -> None:
-        """Sends what the system takes."""
+        """Sends as much output as possible without blocking."""
         if not self.is_open or self.is_connecting:
             return
         try:
@@ -226,26 +229,29 @@
     # Closing
 
     def close_gracefully(self, reason: str) -> None:
-        """A half-close once all is written, and a close once the other side has read it and closed too."""
+        """Half-closes the connection when the output is sent, and closes it when the peer has closed too."""
         if self.is_open and not self.close_reason:
             self.close_reason = reason
             self.linger()
             self.flush()
 
     def linger(self) -> None:
-        """Ends the wait for the other side, unless it reads slowly and is owed answers."""
-        has_taken_some = self.sent_bytes != self.sent_bytes_at_linger
-        may_go_on = self.output and has_taken_some and self.linger_count < MAX_LINGERS
-        if self.linger_timer is None or may_go_on:
+        """Waits for the peer to close; after that wait, closes the stream.
+
+        It waits again only while output is left and some of it was sent since the last wait began.
+        """
+        has_progress = self.sent_bytes != self.sent_bytes_at_linger
+        may_wait_again = self.output and has_progress and self.linger_count < MAX_LINGERS
+        if self.linger_timer is None or may_wait_again:
             self.linger_count += 1
             self.sent_bytes_at_linger = self.sent_bytes
             self.start_linger_timer()
         else:
-            self.read()  # a close over unread bytes would reset the connection under answers it has not read
+            self.read()  # closing with unread input would reset the connection and could destroy sent answers
             self.close(self.close_reason)
 
     def start_linger_timer(self) -> None:
-        """Waits for the other side before the next look at it."""
+        """Starts the next wait for the peer."""
         self.linger_timer = self.loop.after(LINGER_MS, self.linger)
 
     def _half_close(self) -> None:
@@ -253,18 +259,21 @@
             self.close(self.close_reason)
             return
         try:
-            # A close with bytes unread would reset the connection and could take answers with it.
+            # A full close with unread input would reset the connection and could destroy sent answers.
             self.sock.shutdown(socket.SHUT_WR)
         except OSError:
             self.close(self.close_reason)
 
     def check_error(self) -> None:
-        """Closes the stream if the socket shows that a peer which writes no more reads no more either."""
+        """Closes the stream if its socket has an error.
+
+        Called after the end of the peer's output, to detect a peer that has closed the connection completely.
+        """
         if self.is_open and self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
             self.close("reset")
 
     def close(self, reason: str) -> None:
-        """Closes at once; what is not sent is lost."""
+        """Closes the stream at once and discards unsent output."""
         if not self.is_open:
             return
         self.is_open = False
@@ -274,22 +283,22 @@
         self.loop.watch(self.sock.fileno(), 0, self)
         self.sock.close()
         owner = self.owner
-        self.owner = NO_OWNER  # no cycle: memory must not wait for the collector
-        self.close_reason = self.close_reason or reason  # a reset after our own close is not why it ended
+        self.owner = NULL_OWNER  # breaks the reference cycle, so that memory is freed at once
+        self.close_reason = self.close_reason or reason  # a reset during a graceful close is not the reason
         owner.on_closed(self.close_reason)
 
 
 def connect(
     loop: Loop, address: Address, owner: StreamOwner, max_unsent_bytes: int, source_host: str = ""
 ) -> Stream | str:
-    """A stream on its way, or the reason why there is none.
+    """Starts a connection; returns its stream, or a reason code if it failed at once.
 
     Args:
         loop: The stream's loop.
         address: The address to connect to.
         owner: The stream's owner.
-        max_unsent_bytes: The stream's bound on queued bytes.
-        source_host: The address that the connection comes from; the system's choice where it is empty.
+        max_unsent_bytes: The stream's bound on unsent output.
+        source_host: The local address of the connection; if empty, the system chooses one.
     """
     try:
         sock = socket.socket()
--- a/landingshift/net/transport/worker.py
+++ b/landingshift/net/transport/worker.py
@@ -1,7 +1,8 @@
-"""Work off the loop: a process of our own behind a bounded queue, one end of a socket pair on the loop.
+"""Runs blocking work in a child process, connected to the loop by a socket pair with a bounded queue.
 
-The loop never waits for it. What the owner does while the queue is full or the process is gone is the owner's
-rule; `free_bytes` tells before anything is written. Frames are four bytes of length and as many of message.
+The loop never waits for the process. `free_bytes` tells the owner before a write whether the queue has space;
+the owner decides what to do if it is full or the process has ended. A frame is a message behind its length in
+four bytes.
 """
 
 from __future__ import annotations
@@ -19,14 +20,15 @@
 
 MAX_FRAME_BYTES = 16 << 20
 LENGTH_BYTES = 4
-WORKER_FD_VARIABLE = "LANDINGSHIFT_WORKER_FD"  # where the process finds its end of the pair
+# Environment variable that tells the process the descriptor of its end of the socket pair.
+WORKER_FD_VARIABLE = "LANDINGSHIFT_WORKER_FD"
 
 
 class FrameError(LandingshiftError):
-    """A length past the bound: the two sides disagree.
+    """A frame's length exceeds the bound, so the two sides disagree on the format.
 
     Attributes:
-        size: The length that was told, in bytes.
+        size: The length in the frame, in bytes.
     """
 
     def __init__(self, size: int) -> None:
@@ -35,16 +37,16 @@
 
 
 class FrameDecoder:
-    """Bytes to complete frames."""
+    """Decodes a byte stream into frames."""
 
     def __init__(self) -> None:
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """Yields the message of each complete frame.
+        """Adds received bytes and yields the message of each complete frame.
 
         Raises:
-            FrameError: What follows the frames given out so far is none.
+            FrameError: The next frame is longer than `MAX_FRAME_BYTES`.
         """
         self.buffer += data
         start = 0
@@ -64,31 +66,31 @@
 
 
 def encode_frame(message: bytes) -> bytes:
-    """The frame of a message."""
+    """Encodes a message as a frame."""
     return len(message).to_bytes(LENGTH_BYTES, "big") + message
 
 
 class WorkerOwner(Protocol):
-    """Called with what the process says."""
+    """Handles the messages and the end of a worker process."""
 
     def on_message(self, message: bytes) -> None:
-        """A message came."""
+        """Handles a message from the process."""
 
     def on_worker_lost(self, reason: str) -> None:
-        """The process is gone or its end of the pair is closed."""
+        """Handles the loss of the process or of the connection to it."""
 
 
 class Worker:
-    """A process that runs `module` with this interpreter; it takes its end with `inherited_socket`.
+    """A child process that runs `module` with this interpreter and connects by `inherited_socket`.
 
     Args:
         module: The module to run.
-        args: The arguments of its command line.
-        owner: Called with what it says.
-        max_queued_bytes: The bound on messages that the process has not taken.
+        args: The command line arguments of the module.
+        owner: Handles messages and the end of the process.
+        max_queued_bytes: The bound on queued messages that are not sent to the process yet.
 
     Raises:
-        OSError: The process could not be started.
+        OSError: The process can't be started.
     """
 
     def __init__(
@@ -96,8 +98,8 @@
     ) -> None:
         self.owner = owner
         self.max_queued_bytes = max_queued_bytes
-        ours, theirs = socket.socketpair()
-        fd = theirs.fileno()
+        local, remote = socket.socketpair()
+        fd = remote.fileno()
         try:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", module, *args],
@@ -106,16 +108,16 @@
                 stdin=subprocess.DEVNULL,
             )
         except OSError:
-            ours.close()
+            local.close()
             raise
         finally:
-            theirs.close()
-        ours.setblocking(False)
+            remote.close()
+        local.setblocking(False)
         self.decoder = FrameDecoder()
-        self.stream = Stream(loop, ours, self, max_queued_bytes)
+        self.stream = Stream(loop, local, self, max_queued_bytes)
 
     def free_bytes(self) -> int:
-        """Bytes that may still be queued."""
+        """Returns the number of bytes that may still be queued; 0 after the connection is lost."""
         return self.max_queued_bytes - len(self.stream.output) if self.stream.is_open else 0
 
     def send(self, message: bytes) -> None:
@@ -123,7 +125,7 @@
         self.stream.write(encode_frame(message))
 
     def on_data(self, data: bytes) -> None:
-        """Bytes came from the process."""
+        """Decodes bytes from the process and passes on the messages."""
         try:
             for message in self.decoder.feed(data):
                 self.owner.on_message(message)
@@ -131,18 +133,18 @@
             self.stream.close("bad_frame")
 
     def on_eof(self) -> None:
-        """The process has closed its end."""
+        """Closes the stream, since the process has closed its end."""
         self.stream.close("closed")
 
     def on_closed(self, reason: str) -> None:
-        """The pair is closed: the process sees EOF now, on which it finishes what it has and goes."""
+        """Reports the loss; the process reads EOF, finishes the messages that it has received, and exits."""
         self.owner.on_worker_lost(reason)
 
     def has_exited(self) -> bool:
-        """Whether the process has ended; takes its exit status, so that no zombie stays."""
+        """Returns whether the process has ended; collects its exit status, so that no zombie remains."""
         return self.process.poll() is not None
 
 
 def inherited_socket() -> socket.socket:
-    """The process's own end of the pair."""
+    """Returns the worker process's own end of the socket pair."""
     return socket.socket(fileno=int(os.environ.pop(WORKER_FD_VARIABLE)))
--- a/landingshift/system_clock.py
+++ b/landingshift/system_clock.py
@@ -1,7 +1,7 @@
-"""The machine's wall clock and its boot, as the packages read them; tests can shift or replace both.
+"""The wall clock and the boot of the machine; tests can shift the one and replace the other.
 
-`LANDINGSHIFT_CLOCK=-60000` sets the wall clock 60,000 ms back. `LANDINGSHIFT_BOOT=id:ms` stands for the
-boot of the machine and how long it has been up.
+`LANDINGSHIFT_CLOCK=-60000` sets the wall clock back by 60,000 ms. `LANDINGSHIFT_BOOT=id:ms` replaces the boot
+id and the uptime of the machine.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SystemBoot:
-    """This start of the machine.
+    """The current boot of the machine.
 
     Attributes:
-        boot_id: What the system calls this boot; empty where the system does not tell.
-        uptime_ms: Milliseconds since then.
+        boot_id: The kernel's id of this boot; empty if the system provides none.
+        uptime_ms: The time since the boot.
     """
 
     boot_id: str
@@ -34,12 +34,12 @@
 
 
 def wall_clock_ms() -> float:
-    """Returns Unix ms."""
+    """Returns the Unix time in ms."""
     return time.time() * 1000.0 + _CLOCK_SHIFT_MS
 
 
 def system_boot() -> SystemBoot:
-    """Returns the boot that the machine runs in; an empty id and 0 ms where the system does not tell."""
+    """Returns the current boot; if the system does not provide it, its id is empty and its uptime 0."""
     if _BOOT_OVERRIDE:
         boot_id, _, uptime_ms = _BOOT_OVERRIDE.partition(":")
         return SystemBoot(boot_id, float(uptime_ms or 0.0))
@@ -47,5 +47,5 @@
         with Path(BOOT_ID_PATH).open() as file:
             boot_id = file.read(MAX_BOOT_ID_LENGTH).strip()
         return SystemBoot(boot_id, time.clock_gettime(time.CLOCK_BOOTTIME) * 1000.0)
-    except (OSError, AttributeError):  # a system without /proc, or without a clock that counts from the boot
+    except (OSError, AttributeError):  # no /proc or no CLOCK_BOOTTIME on this system
         return SystemBoot("", 0.0)
--- a/tests/golden_files.py
+++ b/tests/golden_files.py
@@ -1,7 +1,7 @@
-"""Compares what the program writes with files under `tests/golden/` that an earlier build wrote.
+"""Compares the output of the code with golden files under `tests/golden/` that an earlier build wrote.
 
-The files are the contract with all that is outside of a process: peers, disks and repeated simulations.
-`LANDINGSHIFT_WRITE_GOLDEN=1` writes the files that do not exist yet; a file that exists is never written.
+The files fix the formats on which peers, stored data and repeated simulations depend.
+`LANDINGSHIFT_WRITE_GOLDEN=1` writes the files that do not exist yet; existing files are never changed.
 """
 
 from __future__ import annotations
@@ -13,56 +13,56 @@
 from typing import Any
 
 FOLDER = Path(__file__).parent / "golden"
-WRITE = os.environ.get("LANDINGSHIFT_WRITE_GOLDEN") == "1"
+WRITES_MISSING_FILES = os.environ.get("LANDINGSHIFT_WRITE_GOLDEN") == "1"
 
 
-def plain(value: Any) -> Any:
-    """JSON for `value`: bytes become `{"hex": ...}`, tuples become lists."""
+def to_json_value(value: Any) -> Any:
+    """Converts `value` to JSON types: bytes become `{"hex": ...}`, tuples become lists."""
     match value:
         case bytes() | bytearray():
             return {"hex": bytes(value).hex()}
         case dict():
-            return {str(key): plain(each) for key, each in value.items()}
+            return {str(key): to_json_value(each) for key, each in value.items()}
         case list() | tuple():
-            return [plain(each) for each in value]
+            return [to_json_value(each) for each in value]
     return value
 
 
-def from_plain(value: Any) -> Any:
-    """The value of which `plain` made this JSON, with lists for tuples."""
+def from_json_value(value: Any) -> Any:
+    """Reverses `to_json_value`, except that tuples come back as lists."""
     match value:
         case {"hex": str(digits)} if len(value) == 1:
             return bytes.fromhex(digits)
         case dict():
-            return {key: from_plain(each) for key, each in value.items()}
+            return {key: from_json_value(each) for key, each in value.items()}
         case list():
-            return [from_plain(each) for each in value]
+            return [from_json_value(each) for each in value]
     return value
 
 
 def golden_json(name: str) -> Any:
-    """The content of a golden JSON file."""
-    return from_plain(json.loads((FOLDER / name).read_text()))
+    """Returns the content of a golden JSON file."""
+    return from_json_value(json.loads((FOLDER / name).read_text()))
 
 
 def golden_bytes(name: str) -> bytes:
-    """The content of a golden file that is not JSON."""
+    """Returns the bytes of a golden file that is not JSON."""
     return (FOLDER / name).read_bytes()
 
 
 def assert_golden_json(test: unittest.TestCase, name: str, value: Any) -> None:
-    """Fails where `value` differs from the golden JSON file `name`."""
+    """Asserts that `value` equals the content of the golden JSON file `name`."""
     path = FOLDER / name
-    if WRITE and not path.exists():
-        rows = ",\n".join(f" {json.dumps(k)}: {json.dumps(plain(v))}" for k, v in value.items())
+    if WRITES_MISSING_FILES and not path.exists():
+        rows = ",\n".join(f" {json.dumps(k)}: {json.dumps(to_json_value(v))}" for k, v in value.items())
         path.write_text("{\n" + rows + "\n}\n")
     test.maxDiff = None
-    test.assertEqual(json.loads(json.dumps(plain(value))), json.loads(path.read_text()))
+    test.assertEqual(json.loads(json.dumps(to_json_value(value))), json.loads(path.read_text()))
 
 
 def assert_golden_bytes(test: unittest.TestCase, name: str, value: bytes) -> None:
-    """Fails where `value` differs from the golden file `name` by a byte."""
+    """Asserts that `value` equals the golden file `name` byte for byte."""
     path = FOLDER / name
-    if WRITE and not path.exists():
+    if WRITES_MISSING_FILES and not path.exists():
         path.write_bytes(value)
     test.assertEqual(value, path.read_bytes())
--- a/tests/test_failpoints.py
+++ b/tests/test_failpoints.py
@@ -1,4 +1,4 @@
-"""Failpoints, the wall clock and boot that tests replace, and the history of decisions."""
+"""Tests failpoints, the replaceable wall clock and boot, and the decision history."""
 
 from __future__ import annotations
 
@@ -54,17 +54,17 @@
         self.assertEqual(caught.exception.failpoint, "point")
         failpoints.reach("point")
 
-    def test_empty_name_disarms(self) -> None:
+    def test_empty_name_disarms_the_failpoint(self) -> None:
         failpoints = Failpoints()
         failpoints.arm("point")
         failpoints.arm("")
         failpoints.reach("point")
 
-    def test_environment_kills_the_process_at_a_visit(self) -> None:
+    def test_environment_kills_the_process_at_the_given_visit(self) -> None:
         result = run_python(REACH_TWICE, LANDINGSHIFT_CRASH="point:2")
         self.assertEqual((result.returncode, result.stdout), (SIGKILL_STATUS, "alive\n"))
 
-    def test_only_the_first_of_several_processes_dies_where_a_marker_is_named(self) -> None:
+    def test_with_a_marker_file_only_the_first_process_is_killed(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             variables = {"LANDINGSHIFT_CRASH": "point", "LANDINGSHIFT_CRASH_ONCE": f"{folder}/marker"}
             first = run_python(REACH_TWICE, **variables)
@@ -73,12 +73,12 @@
         self.assertEqual((first.returncode, first.stdout), (SIGKILL_STATUS, ""))
         self.assertEqual((second.returncode, second.stdout), (0, "alive\nalive\n"))
 
-    def test_slow_failpoint_waits_each_time(self) -> None:
+    def test_slow_failpoint_delays_each_visit(self) -> None:
         failpoints = Failpoints.from_environment({"LANDINGSHIFT_SLOW": "point:30"})
-        began_seconds = time.monotonic()
+        start_seconds = time.monotonic()
         failpoints.reach("point")
         failpoints.reach("point")
-        self.assertGreaterEqual(time.monotonic() - began_seconds, 0.06)
+        self.assertGreaterEqual(time.monotonic() - start_seconds, 0.06)
 
 
 class SystemClockTest(unittest.TestCase):
@@ -86,25 +86,25 @@
         result = run_python(PRINT_CLOCK_SHIFT, LANDINGSHIFT_CLOCK="-60000")
         self.assertAlmostEqual(float(result.stdout), -60_000.0, delta=1000.0)
 
-    def test_environment_stands_for_the_boot_of_the_machine(self) -> None:
+    def test_environment_replaces_the_boot(self) -> None:
         result = run_python(PRINT_BOOT, LANDINGSHIFT_BOOT="second:9000")
         self.assertEqual(result.stdout, "second 9000.0\n")
 
 
 class DecisionHistoryTest(unittest.TestCase):
-    def test_records_a_literal_a_line_with_monotonic_ms_first(self) -> None:
+    def test_each_line_is_a_literal_that_begins_with_the_monotonic_time(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder, "history")
-            began_ms = time.monotonic() * 1000.0
+            start_ms = time.monotonic() * 1000.0
             result = run_python(RECORD_TWO_EVENTS, LANDINGSHIFT_HISTORY=str(path))
-            ended_ms = time.monotonic() * 1000.0
+            end_ms = time.monotonic() * 1000.0
             lines = [ast.literal_eval(line) for line in path.read_text().splitlines()]
         self.assertEqual(result.stdout, "True\n")
         self.assertEqual([line[1:] for line in lines], [("loan", "n1", 2.5, b"x"), ("left", "n2")])
         for line in lines:
-            self.assertTrue(began_ms <= line[0] <= ended_ms)
+            self.assertTrue(start_ms <= line[0] <= end_ms)
 
-    def test_records_nothing_without_a_file(self) -> None:
+    def test_nothing_is_recorded_without_the_variable(self) -> None:
         self.assertEqual(run_python(RECORD_TWO_EVENTS).stdout, "False\n")
 
 
--- a/tests/test_golden_names.py
+++ b/tests/test_golden_names.py
@@ -1,4 +1,4 @@
-"""Outer names that no other golden test writes: settings, peer messages, reason codes, the simulator."""
+"""Tests outer names that other golden tests omit: settings, peer messages, reason codes and the simulator."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     "not_sent",
 ]  # fmt: skip
 
-# Every key of the settings with a value that is not its default.
+# Every key of the settings, with a value that differs from its default.
 METHOD = {
     "name": "m", "effect": "dedup", "slo": 801.0, "aim-stretch": 4.5, "give-up": 3001.0, "value": 1.5,
     "late-share": 0.25, "repeat-window": 5001.0,
@@ -63,7 +63,7 @@
 
 
 def values_of(item: Any) -> Any:
-    """Field values in their order, without the names that the code has for them."""
+    """Returns the field values in order, without the names that the fields have in the code."""
     if isinstance(item, Enum):
         return item.value
     if dataclasses.is_dataclass(item):
@@ -75,26 +75,26 @@
     return item
 
 
-def changed(data: Any, path: tuple[Any, ...], value: Any) -> Any:
-    """A copy of nested JSON with another value at `path`."""
+def replace_at(data: Any, path: tuple[Any, ...], value: Any) -> Any:
+    """Returns a copy of nested JSON with another value at `path`."""
     if not path:
         return value
     copy = dict(data) if isinstance(data, dict) else list(data)
-    copy[path[0]] = changed(copy[path[0]], path[1:], value)
+    copy[path[0]] = replace_at(copy[path[0]], path[1:], value)
     return copy
 
 
-def leaves(data: Any, path: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
-    """Paths of all values in nested JSON that are neither objects nor lists."""
+def leaf_paths(data: Any, path: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
+    """Returns the paths of all values in nested JSON that are neither objects nor lists."""
     if isinstance(data, dict):
-        return [leaf for key, value in data.items() for leaf in leaves(value, (*path, key))]
+        return [leaf for key, value in data.items() for leaf in leaf_paths(value, (*path, key))]
     if isinstance(data, list):
-        return [leaf for index, value in enumerate(data) for leaf in leaves(value, (*path, index))]
+        return [leaf for index, value in enumerate(data) for leaf in leaf_paths(value, (*path, index))]
     return [path]
 
 
 def key_at_fault(decode: Callable[[], Any]) -> str | None:
-    """The key that an error names; None where there is no error."""
+    """Returns the key that the error of `decode` names; None if there is no error."""
     try:
         decode()
     except (SettingsError, ServerConfigError) as err:
@@ -102,8 +102,8 @@
     return None
 
 
-class SettingsRows(unittest.TestCase):
-    def test_every_key_is_read(self) -> None:
+class SettingsKeysTest(unittest.TestCase):
+    def test_every_key_is_decoded(self) -> None:
         found: dict[str, Any] = {
             "settings": values_of(decode_settings(SETTINGS)),
             "configuration": values_of(decode_config(CONFIG, {})),
@@ -111,28 +111,28 @@
         unnamed = {key: value for key, value in CONFIG.items() if key not in ("name", "listen")}
         env = {"GW_NAME": "n9", "GW_LISTEN": "127.0.0.1:7009"}
         found["environment"] = values_of(decode_config(unnamed, env))
-        for path in leaves(SETTINGS):
-            without = changed(SETTINGS, path, None)
-            key = key_at_fault(lambda data=without: decode_settings(data))  # type: ignore[misc]
-            found[f"without {path}"] = key or values_of(decode_settings(without))
-        for key, words in CHOICES.items():
+        for path in leaf_paths(SETTINGS):
+            without_key = replace_at(SETTINGS, path, None)
+            key = key_at_fault(lambda data=without_key: decode_settings(data))  # type: ignore[misc]
+            found[f"without {path}"] = key or values_of(decode_settings(without_key))
+        for key, choices in CHOICES.items():
             path = ("classes", 0, key) if key == "effect" else ("extra", key)
-            for word in words:
-                found[f"{key} {word}"] = values_of(decode_settings(changed(SETTINGS, path, word)))
+            for choice in choices:
+                found[f"{key} {choice}"] = values_of(decode_settings(replace_at(SETTINGS, path, choice)))
         assert_golden_json(self, "settings_read.json", found)
 
     def test_errors_name_the_key(self) -> None:
         found = {}
-        for path in leaves(CONFIG):
+        for path in leaf_paths(CONFIG):
             for value in (None, {}, -1.0, "no such word"):
-                data = changed(CONFIG, path, value)
+                data = replace_at(CONFIG, path, value)
                 key = key_at_fault(lambda data=data: decode_config(data, {}))  # type: ignore[misc]
                 found[f"{path} {value!r}"] = key
         assert_golden_json(self, "settings_keys_at_fault.json", found)
 
 
-class PeerMessages(unittest.TestCase):
-    """Bodies that earlier builds sent are read, each kind as a type of its own, and written again alike."""
+class PeerMessagesTest(unittest.TestCase):
+    """Decodes messages of an earlier build, each kind to a type of its own, and encodes them unchanged."""
 
     POLICIES: tuple[list[Any], ...] = (
         ["vote", b"raft"],
@@ -166,39 +166,39 @@
         ["told", 2, "", 0, 0.0],
     )
 
-    def test_packages(self) -> None:
-        packages = [coldstart_wire.PACKAGE, maintenance_wire.PACKAGE]
-        self.assertEqual(packages, ["cold", "upkeep"])
+    def test_package_names(self) -> None:
+        names = [coldstart_wire.PACKAGE, maintenance_wire.PACKAGE]
+        self.assertEqual(names, ["cold", "upkeep"])
 
-    def test_policies(self) -> None:
+    def test_policy_messages(self) -> None:
         for body in self.POLICIES:
             with self.subTest(body=body):
                 self.assertEqual(policies_wire.encode_message(policies_wire.decode_message(body)), body)
         rows = [values_of(policies_wire.decode_message(body)) for body in self.POLICIES]
-        kinds = [type(policies_wire.decode_message(body)) for body in self.POLICIES]
+        types = [type(policies_wire.decode_message(body)) for body in self.POLICIES]
         commands = [policies_wire.decode_operator_command(body[2:]) for body in self.POLICIES[1:8]]
-        self.assertEqual(len(set(kinds)), 12)
+        self.assertEqual(len(set(types)), 12)
         self.assertEqual(len({type(command) for command in commands}), 6)
         assert_golden_json(self, "policy_messages.json", {"rows": rows})
 
-    def test_cold_start(self) -> None:
+    def test_cold_start_messages(self) -> None:
         request, grant = map(coldstart_wire.decode, self.COLD_START)
         assert isinstance(request, coldstart_wire.ColdStartRequest)
         assert isinstance(grant, coldstart_wire.ColdStartGrant)
         self.assertEqual(coldstart_wire.encode_request(request), self.COLD_START[0])
         self.assertEqual(coldstart_wire.encode_grant(grant), self.COLD_START[1])
 
-    def test_maintenance(self) -> None:
+    def test_maintenance_messages(self) -> None:
         report, answer, empty = map(maintenance_wire.decode_message, self.MAINTENANCE)
         assert isinstance(report, maintenance_wire.LoadReport)
         self.assertEqual(maintenance_wire.encode_report(report), self.MAINTENANCE[0])
-        for found, body in ((answer, self.MAINTENANCE[1]), (empty, self.MAINTENANCE[2])):
-            assert isinstance(found, maintenance_wire.ReportAnswer)
-            self.assertEqual(maintenance_wire.encode_answer(found), body)
+        for decoded, body in ((answer, self.MAINTENANCE[1]), (empty, self.MAINTENANCE[2])):
+            assert isinstance(decoded, maintenance_wire.ReportAnswer)
+            self.assertEqual(maintenance_wire.encode_answer(decoded), body)
 
 
-class Protocols(unittest.TestCase):
-    RID = b"00000000000000ab"
+class ProtocolErrorsTest(unittest.TestCase):
+    RPC_ID = b"00000000000000ab"
 
     def reason(self, feed: Callable[[], Any]) -> str:
         with self.assertRaises(ProtocolError) as raised:
@@ -206,23 +206,23 @@
         return raised.exception.reason
 
     def test_reason_codes_of_malformed_bytes(self) -> None:
-        to_engine = {
+        engine_data = {
             "long line": b"x" * (MAX_LINE_BYTES + 1),
-            "oversized": b"NEED 1 %b 65537\r\n" % self.RID,
-            "bad length": b"NEED 1 %b 2\r\nabcd" % self.RID,
-            "bad number": b"NEED 1 %b x\r\n" % self.RID,
+            "oversized": b"NEED 1 %b 65537\r\n" % self.RPC_ID,
+            "bad length": b"NEED 1 %b 2\r\nabcd" % self.RPC_ID,
+            "bad number": b"NEED 1 %b x\r\n" % self.RPC_ID,
             "bad notice number": b"NOTE x\r\n",
-            "bad word": b"DONE 1 %b odd 1\r\n" % self.RID,
+            "bad word": b"DONE 1 %b odd 1\r\n" % self.RPC_ID,
             "bad age": b"HELLO new x\r\n",
             "bad line": b"ODD 1\r\n",
         }
-        to_database = {
+        database_data = {
             "bad line": b"one\r\n",
-            "bad word": self.RID + b" ODD\r\n",
-            "bad number": self.RID + b" ROWS x\r\n",
-            "bad length": self.RID + b" ROWS 2\r\nabcd",
+            "bad word": self.RPC_ID + b" ODD\r\n",
+            "bad number": self.RPC_ID + b" ROWS x\r\n",
+            "bad length": self.RPC_ID + b" ROWS 2\r\nabcd",
         }
-        to_gateways = {
+        gateway_data = {
             "no array": gateway.pack({"a": 1}),
             "short": gateway.pack([0, 1]),
             "unknown kind": gateway.pack([7, 1, "m", []]),
@@ -232,17 +232,17 @@
             "no bytes of this format": b"\xc1",
         }
         found: dict[str, Any] = {}
-        for name, data in to_engine.items():
+        for name, data in engine_data.items():
             found[f"engine, {name}"] = self.reason(lambda data=data: engine.NoticeDecoder().feed(data))  # type: ignore[misc]
-        for name, data in to_database.items():
+        for name, data in database_data.items():
             found[f"database, {name}"] = self.reason(lambda data=data: database.ReplyDecoder().feed(data))  # type: ignore[misc]
-        for name, data in to_gateways.items():
+        for name, data in gateway_data.items():
             messages = gateway.MessageDecoder().feed(data)
-            rows = [[getattr(message, part) for part in type(message).__slots__] for message in messages]
+            rows = [[getattr(message, field) for field in type(message).__slots__] for message in messages]
             found[f"gateway, {name}"] = rows
         assert_golden_json(self, "reason_codes.json", found)
 
-    def test_errors_of_requests_name_the_field(self) -> None:
+    def test_request_errors_name_the_field(self) -> None:
         fields = {"id": "00000000000000ab", "at": "1796287000000.25", "from": "4", "wait": "1", "kb": "1.5"}
         optional = {"tenant": "t", "key": "k", "once": "o", "cost": "3.5", "retry": "1", "mark": "m7"}
         found: dict[str, Any] = {}
@@ -261,7 +261,7 @@
             return str(err)
         return None
 
-    def test_headers_of_rejections(self) -> None:
+    def test_rejection_and_load_headers(self) -> None:
         found: dict[str, Any] = {
             f"{retry_after_ms} {is_final}": gateway.rejection_headers({"x": "1"}, retry_after_ms, is_final)
             for retry_after_ms in (0.0, 1.0, 1500.25)
@@ -271,20 +271,20 @@
         assert_golden_json(self, "gateway_headers.json", found)
 
 
-class SimulatorPlay:
-    """A drawn play of one instance, which reacts to the messages of the adapter."""
+class RandomSimulation:
+    """A simulation of one instance with random events, some of which respond to messages of the adapter."""
 
     def __init__(self, seed: int, settings: dict[str, Any]) -> None:
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.adapter = Adapter()
         self.replies: list[Any] = []
         self.running: list[str] = []
         self.calling: list[str] = []
-        self.read: list[str] = []
-        self.batch(0.0, 0, [["Configure", 3, 7, settings]])
+        self.read_rpcs: list[str] = []
+        self.send_batch(0.0, 0, [["Configure", 3, 7, settings]])
 
-    def batch(self, now_ms: float, number: int, events: list[Any]) -> None:
-        """Sends a batch as JSON and takes the replies in."""
+    def send_batch(self, now_ms: float, number: int, events: list[Any]) -> None:
+        """Sends a batch as JSON and processes the replies."""
         for message in [["Batch", now_ms, number], *events, ["End"]]:
             self.adapter.handle_message(json.loads(json.dumps(message)))
         replies = json.loads(json.dumps(self.adapter.close_batch()))
@@ -292,57 +292,57 @@
         self.running += [reply[2] for reply in replies if reply[0] == "Execute"]
         self.calling += [reply[2] for reply in replies if reply[0] == "GoCall"]
 
-    def drawn_from(self, rpcs: list[str]) -> str:
-        return rpcs.pop(self.chance.randrange(len(rpcs)))
+    def pop_random(self, rpcs: list[str]) -> str:
+        return rpcs.pop(self.rng.randrange(len(rpcs)))
 
-    def ingress(self, rpc_id: str) -> list[Any]:
-        key = f"k{self.chance.randrange(6)}" if self.chance.random() < 0.4 else None
-        original = self.chance.choice(self.read) if self.read and self.chance.random() < 0.1 else None
-        remaining = self.chance.choice([None, 5.0, 400.0, 3000.0])
-        caller, bits = self.chance.randrange(3), self.chance.randrange(8)
-        self.read.append(rpc_id)
+    def rpc_event(self, rpc_id: str) -> list[Any]:
+        key = f"k{self.rng.randrange(6)}" if self.rng.random() < 0.4 else None
+        original = self.rng.choice(self.read_rpcs) if self.read_rpcs and self.rng.random() < 0.1 else None
+        remaining = self.rng.choice([None, 5.0, 400.0, 3000.0])
+        caller, bits = self.rng.randrange(3), self.rng.randrange(8)
+        self.read_rpcs.append(rpc_id)
         return ["Ingress", 3, rpc_id, key, remaining, 1.0, 20.0, caller, 0, 5.0, 0, 0.5, original, bits]
 
-    def events(self, number: int) -> list[Any]:
-        found = [self.ingress(f"{number}.{index}") for index in range(self.chance.randrange(3))]
-        if self.running and self.chance.random() < 0.8:
-            found.append(self.end("Result", self.drawn_from(self.running)))
-        if self.running and self.chance.random() < 0.3:
-            found.append(["WantsCall", 3, self.chance.choice(self.running)])
-        if self.calling and self.chance.random() < 0.8:
-            found.append(self.end("CallDone", self.drawn_from(self.calling)))
-        if self.read and self.chance.random() < 0.05:
-            found.append(["Hangup", 3, self.chance.choice(self.read[-5:])])
-        if self.chance.random() < 0.3:
-            found.append(["Elapsed", 3, "w1", {"core_use": self.chance.random(), "on_cores": 3, "links": 9}])
+    def random_events(self, number: int) -> list[Any]:
+        events = [self.rpc_event(f"{number}.{index}") for index in range(self.rng.randrange(3))]
+        if self.running and self.rng.random() < 0.8:
+            events.append(self.end_event("Result", self.pop_random(self.running)))
+        if self.running and self.rng.random() < 0.3:
+            events.append(["WantsCall", 3, self.rng.choice(self.running)])
+        if self.calling and self.rng.random() < 0.8:
+            events.append(self.end_event("CallDone", self.pop_random(self.calling)))
+        if self.read_rpcs and self.rng.random() < 0.05:
+            events.append(["Hangup", 3, self.rng.choice(self.read_rpcs[-5:])])
+        if self.rng.random() < 0.3:
+            events.append(["Elapsed", 3, "w1", {"core_use": self.rng.random(), "on_cores": 3, "links": 9}])
         if number == 380:
-            found.append(["Quiesce", 3, 900.0])
-        return found
+            events.append(["Quiesce", 3, 900.0])
+        return events
 
-    def end(self, word: str, rpc_id: str) -> list[Any]:
-        outcome = "served" if self.chance.random() < 0.8 else self.chance.choice(OUTCOMES)
-        return [word, 3, rpc_id, outcome, self.chance.expovariate(1 / 30.0)]
+    def end_event(self, event: str, rpc_id: str) -> list[Any]:
+        outcome = "served" if self.rng.random() < 0.8 else self.rng.choice(OUTCOMES)
+        return [event, 3, rpc_id, outcome, self.rng.expovariate(1 / 30.0)]
 
     def run(self) -> list[Any]:
-        """Plays four hundred batches; returns all replies."""
+        """Runs 399 batches and returns all replies."""
         now_ms = 0.0
         for number in range(1, 400):
-            now_ms += self.chance.expovariate(1 / 40.0)
-            self.batch(now_ms, number, self.events(number))
+            now_ms += self.rng.expovariate(1 / 40.0)
+            self.send_batch(now_ms, number, self.random_events(number))
         return self.replies
 
 
-class Simulator(unittest.TestCase):
-    """Every event of the simulator and every message to it, in plays drawn from seeds."""
+class SimulatorEventsTest(unittest.TestCase):
+    """Covers every event of the simulator and every message to it by random simulations with fixed seeds."""
 
-    def test_plays(self) -> None:
+    def test_random_simulations(self) -> None:
         found: dict[str, Any] = {}
         names: set[str] = set()
         for seed in range(4):
             for effect in CHOICES["effect"]:
-                settings = changed(SETTINGS, ("classes", 0, "effect"), effect)
+                settings = replace_at(SETTINGS, ("classes", 0, "effect"), effect)
                 settings["extra"] = EXTRA | {"cold": seed % 2 == 1, "halt": CHOICES["halt"][seed % 3]}
-                replies = SimulatorPlay(seed, settings).run()
+                replies = RandomSimulation(seed, settings).run()
                 counts: dict[str, int] = {}
                 for name, *_ in replies:
                     counts[name] = counts.get(name, 0) + 1
--- a/tests/test_golden_storage.py
+++ b/tests/test_golden_storage.py
@@ -1,4 +1,4 @@
-"""Files of an earlier build are read as before, and what is written has the bytes that it had before."""
+"""Tests that stored data has the same bytes as that of an earlier build, whose files can still be read."""
 
 from __future__ import annotations
 
@@ -43,13 +43,13 @@
 DAY = 86_400_000
 
 
-class Folder(unittest.TestCase):
+class TemporaryFolderTest(unittest.TestCase):
     def setUp(self) -> None:
         self.folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
 
 
-class Raft(Folder):
-    def test_messages(self) -> None:
+class RaftLogTest(TemporaryFolderTest):
+    def test_raft_messages(self) -> None:
         entries = (LogEntry(3, b"\x91\xa1x"), LogEntry(3, b""))
         messages = [
             RequestVote(4, 10, 3, True),
@@ -59,13 +59,13 @@
             InstallSnapshot(4, 200, 3, b"state", 78, ("n1", "n2")),
             InstallSnapshot(4, 200, 3, b"state", 78),
         ]
-        found = {f"{i}": msgpack.encode(message) for i, message in enumerate(messages)}
-        assert_golden_json(self, "raft_messages.json", found)
+        encoded = {f"{i}": msgpack.encode(message) for i, message in enumerate(messages)}
+        assert_golden_json(self, "raft_messages.json", encoded)
         for i, data in enumerate(golden_json("raft_messages.json").values()):
             self.assertEqual(msgpack.decode(data, type=Message), messages[i])
 
-    def stored(self) -> list[PersistentState]:
-        """States as a voter saves them one after the other: an append, a cut, a new term, a snapshot."""
+    def saved_states(self) -> list[PersistentState]:
+        """Returns successive states of a voter: an append, a truncation, a new term, a snapshot."""
         a, b, c = LogEntry(1, b"\x91\xa1a"), LogEntry(1, b"\x91\xa1b"), LogEntry(2, b"\xc1\x92\xa2n1\xa2n2")
         return [
             PersistentState(1, "n1", entries=[a, b]),
@@ -75,28 +75,28 @@
             PersistentState(3, "", 2, 2, b"snapshot", [c], ("n1", "n2")),
         ]
 
-    def test_log(self) -> None:
+    def test_log_and_seal(self) -> None:
         path = str(self.folder / "journal")
-        journal = RaftLogFile(path, "golden", "n1")
-        for stored in self.stored():
-            journal.save(stored)
-        journal.close()
+        log = RaftLogFile(path, "golden", "n1")
+        for state in self.saved_states():
+            log.save(state)
+        log.close()
         assert_golden_bytes(self, "raft_log", Path(path).read_bytes())
         assert_golden_bytes(self, "raft_log.seal", Path(path + ".seal").read_bytes())
-        again = str(self.folder / "again")
-        for ending in ("", ".seal"):
-            shutil.copy(FOLDER / f"raft_log{ending}", again + ending)
-        journal = RaftLogFile(again, "golden", "n1")
-        self.assertEqual(journal.persistent_state, self.stored()[-1])
-        journal.rewrite(journal.persistent_state)
-        journal.close()
-        assert_golden_bytes(self, "raft_log_rewritten", Path(again).read_bytes())
+        copy_path = str(self.folder / "again")
+        for suffix in ("", ".seal"):
+            shutil.copy(FOLDER / f"raft_log{suffix}", copy_path + suffix)
+        log = RaftLogFile(copy_path, "golden", "n1")
+        self.assertEqual(log.persistent_state, self.saved_states()[-1])
+        log.rewrite(log.persistent_state)
+        log.close()
+        assert_golden_bytes(self, "raft_log_rewritten", Path(copy_path).read_bytes())
 
 
-class Replicated(unittest.TestCase):
-    """Entries and snapshots of what the voters agree on."""
+class ReplicatedStateTest(unittest.TestCase):
+    """Entries and snapshots of the replicated state machines."""
 
-    POLICIES = (
+    POLICY_ENTRIES = (
         ["join", [["n1", 11], ["n2", 12]]],
         ["propose", "c1", b"text", "me", "why", 5.0],
         ["propose", "c2", b"other", "me", "why", 6.0],
@@ -107,7 +107,7 @@
         ["end", "c5", "withdrawn", "not known", 10.0],
         ["gone", "n2", 12],
     )
-    WORK = (
+    MAINTENANCE_ENTRIES = (
         encode_entry(STATE_MACHINE_NAME, "machine", "n1", 100.0, "z0", "a", True),
         encode_entry(STATE_MACHINE_NAME, "machine", "n2", 50.0, "z1", "b", False),
         encode_entry(
@@ -128,46 +128,46 @@
     )
 
     def test_entries_and_snapshots(self) -> None:
-        policies, work, shelf = PolicyStateMachine(), MaintenanceState(), StateMachineRegistry()
-        shelf.register("policies", policies)
-        shelf.register(STATE_MACHINE_NAME, work)
-        for words in self.POLICIES:
-            shelf.apply(msgpack.encode(words))
-        for data in self.WORK:
-            shelf.apply(data)
-        shelf.apply(encode_entry("unknown", "x", 1))
-        found = {
-            "work entries": list(self.WORK),
+        policies, maintenance, registry = PolicyStateMachine(), MaintenanceState(), StateMachineRegistry()
+        registry.register("policies", policies)
+        registry.register(STATE_MACHINE_NAME, maintenance)
+        for entry in self.POLICY_ENTRIES:
+            registry.apply(msgpack.encode(entry))
+        for data in self.MAINTENANCE_ENTRIES:
+            registry.apply(data)
+        registry.apply(encode_entry("unknown", "x", 1))
+        states = {
+            "work entries": list(self.MAINTENANCE_ENTRIES),
             "other": encode_entry("unknown", "x", 1),
             "policies": policies.snapshot(),
-            "work": work.snapshot(),
-            "all": shelf.snapshot(),
+            "work": maintenance.snapshot(),
+            "all": registry.snapshot(),
         }
-        assert_golden_json(self, "replicated_states.json", found)
-        policies, work, shelf = PolicyStateMachine(), MaintenanceState(), StateMachineRegistry()
-        shelf.register("policies", policies)
-        shelf.register(STATE_MACHINE_NAME, work)
-        shelf.restore(golden_json("replicated_states.json")["all"])
-        self.assertEqual((policies.snapshot(), work.snapshot()), (found["policies"], found["work"]))
-        self.assertEqual(shelf.snapshot(), found["all"])
+        assert_golden_json(self, "replicated_states.json", states)
+        policies, maintenance, registry = PolicyStateMachine(), MaintenanceState(), StateMachineRegistry()
+        registry.register("policies", policies)
+        registry.register(STATE_MACHINE_NAME, maintenance)
+        registry.restore(golden_json("replicated_states.json")["all"])
+        self.assertEqual((policies.snapshot(), maintenance.snapshot()), (states["policies"], states["work"]))
+        self.assertEqual(registry.snapshot(), states["all"])
 
 
-class Disks(Folder):
+class SmallFilesTest(TemporaryFolderTest):
     def test_endpoint_cache(self) -> None:
         path = str(self.folder / "list")
         endpoint_cache.save(path, "golden", [("10.0.0.1", 7101), ("10.0.0.2", 7102)], 1_796_287_000_000.0)
         assert_golden_bytes(self, "endpoint_cache", Path(path).read_bytes())
-        found = endpoint_cache.load(str(FOLDER / "endpoint_cache"), "golden", 1_796_287_001_000.0)
-        self.assertEqual(found.endpoints, [("10.0.0.1", 7101), ("10.0.0.2", 7102)])
-        self.assertEqual(found.age_ms, 1000.0)
+        cache = endpoint_cache.load(str(FOLDER / "endpoint_cache"), "golden", 1_796_287_001_000.0)
+        self.assertEqual(cache.endpoints, [("10.0.0.1", 7101), ("10.0.0.2", 7102)])
+        self.assertEqual(cache.age_ms, 1000.0)
 
-    def test_mark_of_a_boot(self) -> None:
+    def test_last_boot_id(self) -> None:
         path = str(self.folder / "list.boot")
         write_last_boot_id(path, "0f0f-boot")
         assert_golden_bytes(self, "boot_mark", Path(path).read_bytes())
         self.assertEqual(read_last_boot_id(str(FOLDER / "boot_mark")), "0f0f-boot")
 
-    def test_mark_of_work(self) -> None:
+    def test_used_permit(self) -> None:
         path = str(self.folder / "mark")
         write_used_permit(path, "n3", 17)
         assert_golden_bytes(self, "work_mark", Path(path).read_bytes())
@@ -175,7 +175,7 @@
 
 
 def shape(value: Any) -> Any:
-    """Names and kinds without values; of a list each kind once, in order."""
+    """Returns the names and types in `value` without its values; equal element shapes of a list only once."""
     match value:
         case dict():
             return {str(key): shape(each) for key, each in value.items()}
@@ -188,9 +188,9 @@
     return "number"
 
 
-class HotRestart(unittest.TestCase):
-    def test_names_in_the_state(self) -> None:
-        """A router with an RPC at each layer: the state that another build reads has the same names."""
+class HotRestartTest(unittest.TestCase):
+    def test_names_in_the_exported_state(self) -> None:
+        """Exports a router with an RPC at each stage; the state keeps the names that another build reads."""
         harness = RouterHarness(self)
         gateway = harness.connect_gateway()
         gateway.sendall(
@@ -209,13 +209,11 @@
         state = msgpack.decode(data)
         state["module"] = {part: sorted(state["module"][part]) for part in ("plain", "rings")}
         for rpc in state["rpcs"]:
-            rpc["command"] = (
-                None  # whether the engine has confirmed it is a matter of time, as its gauges are
-            )
-        state["engine"]["stats"] = None
+            rpc["command"] = None  # depends on whether the engine has confirmed the command yet
+        state["engine"]["stats"] = None  # depends on whether gauges have arrived yet
         assert_golden_json(self, "hot_restart_state.json", shape(state))
 
-    def test_journal(self) -> None:
+    def test_request_journal(self) -> None:
         journal = RequestJournal.create(4096)
         self.addCleanup(journal.close)
         for i, kind in enumerate(RecordKind):
@@ -223,34 +221,36 @@
         assert_golden_bytes(self, "hot_restart_journal", journal.memory[:256])
         fd = os.memfd_create("golden")
         os.write(fd, golden_bytes("hot_restart_journal").ljust(4096, b"\0"))
-        again = RequestJournal.open(fd, 4096)
-        self.addCleanup(again.close)
-        rows = [(int(kind), whom, data) for _, kind, whom, data in again.read()]
+        reopened = RequestJournal.open(fd, 4096)
+        self.addCleanup(reopened.close)
+        rows = [(int(kind), subject_id, data) for _, kind, subject_id, data in reopened.read()]
         self.assertEqual(rows, [(i + 1, i, b"data" * i) for i in range(len(RecordKind))])
 
 
-class Ledger(Folder):
-    """A ledger with every kind of entry; the chained hashes make any changed byte show."""
+class LedgerTest(TemporaryFolderTest):
+    """A ledger with every kind of entry; its chained hashes reveal any changed byte."""
 
-    def make(self) -> UsageStore:
+    def make_store(self) -> UsageStore:
         store = UsageStore(str(self.folder), "n1", "UTC", "day", 1000, 1000)
         self.addCleanup(store.close)
-        raws = [
+        usage = [
             ReportedUsage(i, 100 + i, b"t%d" % (i % 2), b"m", 5000 + i, 10, 20, b"%016d" % i)
             for i in range(1, 7)
         ]
-        raws[3].identity = raws[2].identity  # a retry within the window
+        usage[3].identity = usage[2].identity  # a retry within the window
         store.start_run(b"run-1", 50)
         with store.changing() as ledger:
-            ledger.apply_batch(UsageBatch(1, raws[:4], [1, 2, 3], [], [], 2), 110)
-            ledger.apply_batch(UsageBatch(2, raws[4:], [4], [5], []), 120)
+            ledger.apply_batch(UsageBatch(1, usage[:4], [1, 2, 3], [], [], 2), 110)
+            ledger.apply_batch(UsageBatch(2, usage[4:], [4], [5], []), 120)
         store.start_run(b"run-2", 200)
         with store.changing() as ledger:
             ledger.append(UsageGap(210, 3))
             ledger.correct(CorrectionRequest(b"t1", b"m", "1970-01-01", 2, 10, "1.5", "a reason", "me"), 220)
         with store.changing() as ledger:
-            uses = dict(store.disputed())
-            ledger.resolve_disputes(uses, [], store.counted_near(uses.values()), "checked", "me", 230)
+            disputed_usage = dict(store.disputed())
+            ledger.resolve_disputes(
+                disputed_usage, [], store.counted_near(disputed_usage.values()), "checked", "me", 230
+            )
         with store.changing() as ledger:
             late = ReportedUsage(1, DAY + 500, b"t1", b"m", 4000, 1, 2, b"z" * 16)
             ledger.apply_batch(UsageBatch(1, [late], [1], [], []), DAY + 500)
@@ -260,7 +260,7 @@
             )
         return store
 
-    def content(self, store: UsageStore) -> dict[str, Any]:
+    def table_rows(self, store: UsageStore) -> dict[str, Any]:
         tables = ("entries", "names", "totals", "sums", "baseline", "disputed", "corrections", "closed")
         found: dict[str, Any] = {
             table: sorted(store.db.execute(f"SELECT * FROM {table}").fetchall()) for table in tables
@@ -269,33 +269,33 @@
         found["schema"] = store.db.execute("SELECT name, sql FROM sqlite_master ORDER BY name").fetchall()
         return found
 
-    def test_every_kind_of_entry_and_the_export(self) -> None:
-        store = self.make()
+    def test_entries_export_and_compaction(self) -> None:
+        store = self.make_store()
         batch = ExportReader(store).next_batch(0)
         assert batch is not None
-        found = self.content(store) | {"export": batch.SerializeToString(deterministic=True)}
+        found = self.table_rows(store) | {"export": batch.SerializeToString(deterministic=True)}
         kinds = {kind for _, kind, _, _ in found["entries"]}
         compact_store(store, "1970-01-01", 3 * DAY, store.ledger.last_number)
-        found["after compaction"] = self.content(store)
+        found["after compaction"] = self.table_rows(store)
         kinds |= {kind for _, kind, _, _ in found["after compaction"]["entries"]}
         self.assertEqual(kinds, set(range(1, 10)))
         assert_golden_json(self, "ledger.json", found)
 
-    def test_an_earlier_file_is_read(self) -> None:
+    def test_store_of_an_earlier_build_is_read(self) -> None:
         path = self.folder / STORE_FILE
         if not (FOLDER / "ledger.sqlite").exists() and os.environ.get("LANDINGSHIFT_WRITE_GOLDEN") == "1":
-            made = self.make()
-            made.backup(str(FOLDER / "ledger.sqlite"))
-            made.close()
+            created = self.make_store()
+            created.backup(str(FOLDER / "ledger.sqlite"))
+            created.close()
             path.unlink()
         shutil.copy(FOLDER / "ledger.sqlite", path)
         store = UsageStore(str(self.folder), "n1", "UTC", "day", 1000, 1000)
         self.addCleanup(store.close)
-        wanted = golden_json("ledger.json")
+        expected = golden_json("ledger.json")
         rows = [list(row) for row in store.rows()]
-        self.assertEqual(rows, wanted["entries"])
+        self.assertEqual(rows, expected["entries"])
         self.assertEqual(type(decode(*rows[0][1:3])).__name__, "Opened")
         batch = ExportReader(store).next_batch(0)
         assert batch is not None
-        self.assertEqual(batch.SerializeToString(deterministic=True), wanted["export"])
+        self.assertEqual(batch.SerializeToString(deterministic=True), expected["export"])
         self.assertEqual([period.name for period in store.periods()], ["1970-01-01", "1970-01-02"])
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,4 +1,4 @@
-"""The parts of the server that need no program to be started."""
+"""Tests parts of the server within the test process."""
 
 import os
 import socket
@@ -24,32 +24,34 @@
 from tests.helpers import BLANK, METHOD
 
 
-def routed(rid: int, effect: Idempotency = Idempotency.IDEMPOTENT, dedup_key: str = "s") -> RoutedRpc:
+def routed_rpc(
+    rpc_number: int, idempotency: Idempotency = Idempotency.IDEMPOTENT, dedup_key: str = "s"
+) -> RoutedRpc:
     return RoutedRpc(
-        **{**BLANK, "method": replace(METHOD, idempotency=effect)},
-        rpc_id=b"%016x" % rid,
+        **{**BLANK, "method": replace(METHOD, idempotency=idempotency)},
+        rpc_id=b"%016x" % rpc_number,
         method_name=b"m",
         body=b"",
         connection=0,
-        message_id=rid,
+        message_id=rpc_number,
         dedup_key=(b"m", dedup_key),
     )
 
 
 class SlotsTest(unittest.TestCase):
-    def test_a_slot_used_again_has_another_number(self) -> None:
+    def test_reused_slot_gets_a_different_number(self) -> None:
         slots: Slots[str] = Slots()
         first = slots.put("a")
         slots.drop(first)
         second = slots.put("b")
-        slots.drop(first)  # late news for the old holder
+        slots.drop(first)  # must not affect the new entry
         self.assertEqual(
             (slots.get(first), slots.get(second), len(slots), list(slots)), (None, "b", 1, ["b"])
         )
 
 
 class LoopTimersTest(unittest.TestCase):
-    def test_timers_fire_in_order_whatever_others_raise_and_cancelled_ones_take_no_memory(self) -> None:
+    def test_timers_fire_in_order_despite_exceptions_and_cancelled_ones_are_freed(self) -> None:
         faults: list[int] = []
         loop, fired = Loop(lambda: faults.append(1)), []
         for delay in (3.0, 1.0, 2.0):
@@ -66,10 +68,10 @@
 
 
 class DecodersTest(unittest.TestCase):
-    def test_engine_lines_decode_alike_in_one_piece_and_byte_by_byte(self) -> None:
-        good = engine.RunEnded(7, b"aa", Outcome.OK, 1.5, b"a\r\nb")
+    def test_engine_lines_decode_the_same_at_once_and_byte_by_byte(self) -> None:
+        run_ended = engine.RunEnded(7, b"aa", Outcome.OK, 1.5, b"a\r\nb")
         for data, messages in [
-            (b"DONE 7 aa good 1.5 4\r\na\r\nb\r\n", [good]),
+            (b"DONE 7 aa good 1.5 4\r\na\r\nb\r\n", [run_ended]),
             (b"DONE 7 aa bad 1.5 0\r\n\r\nNOTE 8 x y 99\r\n",
              [engine.RunEnded(7, b"aa", Outcome.ABORTED, 1.5, b""), engine.OtherNotice(8)]),
             (b"DONE 7 aa gone 0\r\nNO RUN aa\r\n",
@@ -90,23 +92,23 @@
             with self.subTest(data=data[:20]), self.assertRaises(ProtocolError):
                 list(engine.NoticeDecoder().feed(data))
 
-    def test_a_gateway_message_in_pieces_stays_bounded(self) -> None:
-        reader = gateway.MessageDecoder()
-        messages = reader.feed(b"\x94\x00\x01\xa1m\xc6\x7f\xff\xff\xff")
-        while not messages and len(reader.buffer) < 1 << 20:
-            messages = reader.feed(bytes(1000))
+    def test_incomplete_gateway_message_is_limited_in_size(self) -> None:
+        decoder = gateway.MessageDecoder()
+        messages = decoder.feed(b"\x94\x00\x01\xa1m\xc6\x7f\xff\xff\xff")
+        while not messages and len(decoder.buffer) < 1 << 20:
+            messages = decoder.feed(bytes(1000))
         self.assertEqual(messages, [gateway.ProtocolFailure("oversized")])
-        self.assertLess(len(reader.buffer), 20000)
+        self.assertLess(len(decoder.buffer), 20000)
 
 
 class DedupTableTest(unittest.TestCase):
-    def test_full_table_forgets_results_but_not_that_an_effect_happened(self) -> None:
-        # What goes when the memory is short: results of reads whole, of others all but that they happened.
-        for effect, known in [(Idempotency.IDEMPOTENT, False), (Idempotency.KEYED, True)]:
-            with self.subTest(effect=effect):
+    def test_full_table_drops_results_but_remembers_effects(self) -> None:
+        # When memory is short, entries of idempotent RPCs are removed; others keep the fact that the RPC ran.
+        for idempotency, is_known in [(Idempotency.IDEMPOTENT, False), (Idempotency.KEYED, True)]:
+            with self.subTest(idempotency=idempotency):
                 table = DedupTable(20 * (ENTRY_BYTES + 1000), response_cache_ttl_ms=60000.0)
                 for i in range(100):
-                    rpc = routed(i, effect, str(i))
+                    rpc = routed_rpc(i, idempotency, str(i))
                     table.reserve(rpc, 60000.0)
                     entry = table.owned_by(rpc)
                     assert entry is not None
@@ -114,11 +116,13 @@
                 self.assertLess(
                     sum(len(e.result or b"") for e in table.entries.values()), 20 * (ENTRY_BYTES + 1000)
                 )
-                self.assertEqual(table.find(routed(200, effect, "0"), 200.0, 200.0) is not None, known)
-                self.assertIsNotNone(table.find(routed(200, effect, "99"), 200.0, 200.0))
+                self.assertEqual(
+                    table.find(routed_rpc(200, idempotency, "0"), 200.0, 200.0) is not None, is_known
+                )
+                self.assertIsNotNone(table.find(routed_rpc(200, idempotency, "99"), 200.0, 200.0))
 
-    def test_entry_lasts_as_long_as_its_outcome_and_idempotency_allow(self) -> None:
-        for effect, outcome, at, known in [
+    def test_entry_lifetime_depends_on_outcome_and_idempotency(self) -> None:
+        for idempotency, outcome, now_ms, is_known in [
             (Idempotency.IDEMPOTENT, Outcome.OK, 600.0, True),
             (Idempotency.IDEMPOTENT, Outcome.OK, 800.0, False),
             (Idempotency.IDEMPOTENT, Outcome.ABORTED, 200.0, False),
@@ -126,45 +130,47 @@
             (Idempotency.KEYED, Outcome.OK, 4000.0, True),
             (Idempotency.KEYED, Outcome.OK, 5001.0, False),
         ]:
-            with self.subTest(effect=effect, outcome=outcome, at=at):
+            with self.subTest(idempotency=idempotency, outcome=outcome, now_ms=now_ms):
                 table = DedupTable(10000, response_cache_ttl_ms=500.0)
-                owner = routed(1, effect)
+                owner = routed_rpc(1, idempotency)
                 table.reserve(owner, 5000.0)
-                self.assertIsNotNone(table.find(routed(2, effect), 100.0, 100.0))
+                self.assertIsNotNone(table.find(routed_rpc(2, idempotency), 100.0, 100.0))
                 entry = table.owned_by(owner)
                 assert entry is not None
                 table.complete(entry, outcome, b"r", 200.0)
-                self.assertEqual(table.find(routed(3, effect), at, at) is not None, known)
+                self.assertEqual(table.find(routed_rpc(3, idempotency), now_ms, now_ms) is not None, is_known)
 
 
 class DatabasePoolTest(unittest.TestCase):
-    def test_an_idle_link_is_closed_before_the_database_does(self) -> None:
-        # Half a call that crosses the other side's close could not be told from one that ran.
+    def test_idle_link_is_closed_before_the_database_closes_it(self) -> None:
+        # If the database closed a link while a call is sent on it, the server could not tell whether it ran.
         listener = socket.create_server(("127.0.0.1", 0))
         faults: list[str] = []
         loop = Loop(lambda: faults.append(traceback.format_exc()))
-        told: list[Any] = []
-        lines: list[Any] = []
-        database = DatabasePool(loop, listener.getsockname(), lambda *a, **_: lines.append(a))
-        database.start(mock.Mock(on_call_finished=lambda *facts: told.append(facts)))
-        rpc = routed(1)
+        finished_calls: list[Any] = []
+        log_events: list[Any] = []
+        database = DatabasePool(loop, listener.getsockname(), lambda *a, **_: log_events.append(a))
+        database.start(mock.Mock(on_call_finished=lambda *facts: finished_calls.append(facts)))
+        rpc = routed_rpc(1)
         with mock.patch("landingshift.net.routing.database_pool.MAX_IDLE_MS", 40.0):
             self.assertTrue(database.call(rpc, 1000.0))
             loop.run_pass()
             peer = listener.accept()[0]
             peer.settimeout(5.0)
             peer.sendall(b"%b ROWS 2\r\nok\r\n" % rpc.rpc_id)
-            while not told or database.links:
+            while not finished_calls or database.links:
                 loop.run_pass()
-            self.assertEqual((told[0][0], told[0][1], told[0][3]), (rpc, Outcome.OK, b"ok"))
+            self.assertEqual(
+                (finished_calls[0][0], finished_calls[0][1], finished_calls[0][3]), (rpc, Outcome.OK, b"ok")
+            )
             self.assertTrue(peer.recv(100).startswith(b"Q " + rpc.rpc_id))
             self.assertEqual(peer.recv(100), b"")
             peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-            peer.close()  # with a reset, which is no loss
+            peer.close()  # with a reset, which causes no fault and no second log entry
             while loop.selector.get_map():
                 loop.run_pass()
             self.assertTrue(database.call(rpc, 1000.0))  # on a new link
-        self.assertEqual((lines, faults), ([("database_link_ended",)], []))
+        self.assertEqual((log_events, faults), ([("database_link_ended",)], []))
         for link in database.links:
             assert link.stream
             link.stream.close("test")
@@ -173,24 +179,24 @@
 
 
 class HealthReporterTest(unittest.TestCase):
-    def test_deep_check_runs_a_self_test_unless_the_controller_answers_it(self) -> None:
-        for working, good, cheap, deep, answer in [
+    def test_deep_check_runs_a_self_test_unless_the_controller_prevents_it(self) -> None:
+        for is_working, is_healthy, is_shallow, is_deep, answer in [
             (True, True, False, True, "tested"), (True, True, True, True, True),
             (True, True, False, False, True), (True, False, False, True, False),
             (False, True, True, True, False), (False, True, True, False, True),
         ]:  # fmt: skip
-            with self.subTest(working=working, good=good, cheap=cheap, deep=deep):
-                link: Any = mock.Mock(spec=EngineLink, is_working=working)
-                link.run_self_test.side_effect = lambda told: told("tested")
+            with self.subTest(working=is_working, healthy=is_healthy, shallow=is_shallow, deep=is_deep):
+                link: Any = mock.Mock(spec=EngineLink, is_working=is_working)
+                link.run_self_test.side_effect = lambda on_result: on_result("tested")
                 health = HealthReporter(mock.Mock(spec=Loop), "n", mock.Mock(), link, True)
-                health.set_health(good, cheap)
-                told: list[Any] = []
-                health.check(deep, told.append)
-                self.assertEqual(told, [answer])
+                health.set_health(is_healthy, is_shallow)
+                answers: list[Any] = []
+                health.check(is_deep, answers.append)
+                self.assertEqual(answers, [answer])
 
 
 class DecodeConfigTest(unittest.TestCase):
-    def test_minimal_config_takes_defaults_and_name_from_environment(self) -> None:
+    def test_missing_keys_get_defaults_and_the_name_comes_from_the_environment(self) -> None:
         minimal = {
             "engine": "127.0.0.1:1", "roster": "127.0.0.1:2", "seed": "ff",
             "settings": {
@@ -200,11 +206,17 @@
             },
         }  # fmt: skip
         env = {"GW_NAME": "n3", "GW_LISTEN": "127.0.0.1:7001"}
-        site = config.decode_config(minimal, env)
-        self.assertEqual((site.name, site.listen, site.seed), ("n3", ("127.0.0.1", 7001), 255))
-        self.assertEqual((site.stop_ms, site.memory_mb, site.max_sockets), (3000.0, 192.0, 1024))
+        decoded = config.decode_config(minimal, env)
+        self.assertEqual((decoded.name, decoded.listen, decoded.seed), ("n3", ("127.0.0.1", 7001), 255))
+        self.assertEqual((decoded.stop_ms, decoded.memory_mb, decoded.max_sockets), (3000.0, 192.0, 1024))
         self.assertEqual(
-            (site.database, site.gauge_names, site.tenants, list(site.methods)), (None, [], {}, ["m"])
+            (
+                decoded.database,
+                decoded.gauge_names,
+                decoded.tenants,
+                list(decoded.methods),
+            ),
+            (None, [], {}, ["m"]),
         )
         self.assertEqual(config.decode_config({**minimal, "name": "n4"}, env).name, "n4")
         with self.assertRaisesRegex(config.ServerConfigError, "^listen: missing"):
@@ -212,18 +224,18 @@
 
 
 class EventLogTest(unittest.TestCase):
-    def test_log_that_nobody_reads_counts_lost_events_and_never_blocks(self) -> None:
-        reads, writes = os.pipe()
-        log = EventLog(writes)
+    def test_unread_log_never_blocks_and_counts_lost_events(self) -> None:
+        read_fd, write_fd = os.pipe()
+        log = EventLog(write_fd)
         for i in range(3000):
             log("mode", text="x" * 100, i=i)
         self.assertGreater(log.lost_count, 0)
-        os.read(reads, 1 << 20)
+        os.read(read_fd, 1 << 20)
         log("mode", text="y" * 9000)
         self.assertEqual(log.lost_count, 0)
-        self.assertIn(b'"cut"', os.read(reads, 1 << 20))
-        os.close(reads)
-        os.close(writes)
+        self.assertIn(b'"cut"', os.read(read_fd, 1 << 20))
+        os.close(read_fd)
+        os.close(write_fd)
 
 
 if __name__ == "__main__":
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""Starts and what a server is told at them: nothing of one site may act in another, nothing bad may start."""
+"""Tests the start of a server: its configuration, signals before and during the start, and restarts."""
 
 import json
 import signal
@@ -21,13 +21,13 @@
 ROOT = Path(__file__).parent.parent
 
 
-def changed(path: str, value: Any) -> Any:
-    """The tests' configuration with one value changed; ... takes the key out."""
+def config_with(path: str, value: Any) -> Any:
+    """Returns the tests' configuration with one value replaced, or removed if the new value is `...`."""
     config = json.loads(json.dumps(CONFIG))
-    *way, last = path.split(".")
+    *parents, last = path.split(".")
     inner: Any = config
-    for step in way:
-        inner = inner[int(step) if step.isdigit() else step]
+    for key in parents:
+        inner = inner[int(key) if key.isdigit() else key]
     if value is ...:
         del inner[int(last) if last.isdigit() else last]
     else:
@@ -36,7 +36,7 @@
 
 
 class SettingsTest(unittest.TestCase):
-    def test_null_counts_as_an_absent_key(self) -> None:
+    def test_null_counts_as_a_missing_key(self) -> None:
         for path in [
             "limits", "limits.memory_mb", "limits.sockets", "limits.cores", "stop_ms", "settings.orgs",
             "settings.permissions", "settings.extra.gauges", "settings.extra.class-calls",
@@ -49,40 +49,41 @@
         ]:  # fmt: skip
             with self.subTest(path=path):
                 self.assertEqual(
-                    repr(decode_config(changed(path, None), {})), repr(decode_config(changed(path, ...), {}))
+                    repr(decode_config(config_with(path, None), {})),
+                    repr(decode_config(config_with(path, ...), {})),
                 )
 
-    def test_lists_shorter_or_longer_than_the_methods_are_taken(self) -> None:
-        for calls, skip, want in [
+    def test_lists_may_be_shorter_or_longer_than_the_list_of_methods(self) -> None:
+        for calls, skip_values, expected in [
             ([], [], [(False, 0.0)] * 3),
             ([True], [0.5], [(True, 0.5), (False, 0.0), (False, 0.0)]),
             ([True, False, None], [0.5, None, 0.25], [(True, 0.5), (False, 0.0), (False, 0.25)]),
             ([True] * 5, [0.5] * 5, [(True, 0.5)] * 3),
         ]:
-            with self.subTest(calls=calls, skip=skip):
-                config = changed("settings.extra.class-calls", calls)
-                config["settings"]["extra"]["class-skip-worth"] = skip
+            with self.subTest(calls=calls, skip_values=skip_values):
+                config = config_with("settings.extra.class-calls", calls)
+                config["settings"]["extra"]["class-skip-worth"] = skip_values
                 methods = decode_config(config, {}).settings.methods
-                self.assertEqual([(m.calls_downstream, m.degraded_value_fraction) for m in methods], want)
+                self.assertEqual([(m.calls_downstream, m.degraded_value_fraction) for m in methods], expected)
 
-    def test_names_and_orders_of_another_installation(self) -> None:
-        config = changed("settings.classes", [
+    def test_unusual_names_and_unknown_keys_are_accepted(self) -> None:
+        config = config_with("settings.classes", [
             {"name": name, "effect": effect, "give-up": 100.0 * i, "slo": 50.0, "value": 1.0, "new": {}}
             for i, (name, effect) in enumerate(
                 [("probe", "fragile"), ("giveUp", "dedup"), ("a/b:c", "retryable"), ("x", "fragile")], 1)
         ])  # fmt: skip
         config["settings"]["orgs"] = [{"name": "Vargas y Hijos"}, {"name": "Ærø"}, {"name": "a\tb"}]
         config["settings"]["unknown"] = config["unknown"] = 5
-        config_read = decode_config(config, {})
+        decoded = decode_config(config, {})
         self.assertEqual(
-            [(n, m.idempotency, m.deadline_ms, m.dedup_window_ms) for n, m in config_read.methods.items()],
+            [(n, m.idempotency, m.deadline_ms, m.dedup_window_ms) for n, m in decoded.methods.items()],
             [("probe", Idempotency.NON_IDEMPOTENT, 100.0, 0.0), ("giveUp", Idempotency.KEYED, 200.0, 0.0),
              ("a/b:c", Idempotency.IDEMPOTENT, 300.0, 0.0), ("x", Idempotency.NON_IDEMPOTENT, 400.0, 0.0)],
         )  # fmt: skip
-        self.assertEqual(list(config_read.tenants), ["Vargas y Hijos", "Ærø", "a\tb"])
+        self.assertEqual(list(decoded.tenants), ["Vargas y Hijos", "Ærø", "a\tb"])
 
-    def test_unusable_value_is_reported_by_its_key(self) -> None:
-        for path, value, words in [
+    def test_error_for_an_invalid_value_names_its_key(self) -> None:
+        for path, value, key in [
             ("settings.classes.1.name", "m", "settings.classes[1].name"),
             ("settings.classes.1.name", "a b", "settings.classes[1].name"),
             ("settings.orgs", [{"name": "t"}, {"name": "t"}], "settings.orgs[1].name"),
@@ -98,10 +99,10 @@
             ("listen", None, "listen"), ("seed", None, "seed"), ("db", None, "db"),
         ]:  # fmt: skip
             with self.subTest(path=path, value=value), self.assertRaises(ServerConfigError) as caught:
-                decode_config(changed(path, value), {})
-            self.assertIn(words, str(caught.exception))
+                decode_config(config_with(path, value), {})
+            self.assertIn(key, str(caught.exception))
 
-    def test_a_tenant_with_spaces_is_served(self) -> None:
+    def test_tenant_name_may_contain_spaces(self) -> None:
         program = ProgramUnderTest(self, settings__orgs__0__name="Vargas y Hijos")
         gateway = GatewayClient(program)
         message_id = gateway.send_rpc(tenant="Vargas y Hijos")
@@ -111,8 +112,9 @@
 
 
 class ChangeAddressTest(unittest.TestCase):
-    def test_link_that_is_being_left_is_kept_until_its_commands_are_confirmed(self) -> None:
-        # However often the address changes meanwhile: what is in doubt may not run again, and is lost.
+    def test_old_link_is_kept_until_its_commands_are_confirmed(self) -> None:
+        # Without confirmation it is unknown whether commands arrived; they must not run again, so their RPCs
+        # would be lost. A second change of address in the meantime must not close the old link either.
         loop = Loop(lambda: self.fail("a handler raised"))
         listeners = [socket.create_server(("127.0.0.1", 0)) for _ in range(2)]
         for listener in listeners:
@@ -124,12 +126,12 @@
         self.addCleanup(peer.close)
         peer.sendall(b"HELLO old 60000\r\nSTATS s1 0.2 1 0.1 3\r\n")
 
-        def ready() -> bool:
+        def is_ready_after_a_pass() -> bool:
             loop.after(0.0, lambda: None)
             loop.run_pass()
             return link.is_ready
 
-        wait_until(ready)
+        wait_until(is_ready_after_a_pass)
         stream = link.stream
         assert stream is not None
         self.addCleanup(stream.sock.close)
@@ -141,16 +143,18 @@
 
 class ProgramStartTest(unittest.TestCase):
     def test_sighup_before_the_start_is_ignored(self) -> None:
-        # SIGHUP may come before the interpreter is there; what it would tell is read at the start anyway.
-        run = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
-        before, _, program = run.rpartition("exec ")
-        shown = f"{before}exec grep SigIgn /proc/self/status"
-        mask = int(subprocess.run(["sh", "-c", shown], capture_output=True, text=True).stdout.split()[1], 16)
+        # SIGHUP may arrive before the interpreter runs, and the start reads the configuration anyway.
+        command = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
+        setup, _, program = command.rpartition("exec ")
+        probe_command = f"{setup}exec grep SigIgn /proc/self/status"
+        mask = int(
+            subprocess.run(["sh", "-c", probe_command], capture_output=True, text=True).stdout.split()[1], 16
+        )
         self.assertTrue(mask & 1 << signal.SIGHUP - 1)
-        self.assertFalse(mask & 1 << signal.SIGTERM - 1)  # the notice to leave must not be lost
+        self.assertFalse(mask & 1 << signal.SIGTERM - 1)  # the shutdown signal must not be lost
         self.assertEqual(program.split()[1:], ["-m", "landingshift"])
 
-    def test_notice_before_it_listens_ends_it_with_nothing_accepted(self) -> None:
+    def test_sigterm_during_the_start_ends_the_program_cleanly(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             process = launch_program(folder, CONFIG)
             process.send_signal(signal.SIGTERM)
@@ -161,12 +165,11 @@
                 [json.loads(text)["event"] for text in out.splitlines()][:1], ["started"] if out else []
             )
 
-    def test_restart_after_a_kill_behind_an_accept(self) -> None:
+    def test_restart_on_the_same_address_after_a_kill_with_an_unread_rpc(self) -> None:
         program = ProgramUnderTest(self)
         gateway = GatewayClient(program)
         gateway.send_rpc("once")
-        first = gateway.last_rpc_id
-        program.engine.expect_command("RUN", first)
+        program.engine.expect_command("RUN", gateway.last_rpc_id)
         with program.paused():
             late = GatewayClient(program)
             late.send_rpc()
@@ -176,48 +179,52 @@
         start = time.monotonic()
         program.engine.sock.close()
         program.process.communicate()
-        # At its old address.
+        # Restarts on the same address.
         program.start(program.make_config({}, {"listen": "{}:{}".format(*program.address)}))
         self.assertLess(time.monotonic() - start, 10.0)
-        again = GatewayClient(program)
-        message_id = again.send_rpc("once")
-        program.engine.expect_command("RUN", again.last_rpc_id)
-        program.engine.send_notice("DONE 1", again.last_rpc_id, "good 5", body=b"r")
-        self.assertEqual(again.read_answer(), (message_id, b"r"))
-
-    def test_coldness_follows_the_hello_of_older_and_later_engines(self) -> None:
-        for hello, cold in [("HELLO old 3600000", False), ("HELLO new 0", True), ("HELLO new 600000", True)]:
+        new_gateway = GatewayClient(program)
+        message_id = new_gateway.send_rpc("once")
+        program.engine.expect_command("RUN", new_gateway.last_rpc_id)
+        program.engine.send_notice("DONE 1", new_gateway.last_rpc_id, "good 5", body=b"r")
+        self.assertEqual(new_gateway.read_answer(), (message_id, b"r"))
+
+    def test_engine_hello_decides_whether_the_server_starts_cold(self) -> None:
+        for hello, is_cold in [
+            ("HELLO old 3600000", False),
+            ("HELLO new 0", True),
+            ("HELLO new 600000", True),
+        ]:
             with self.subTest(hello=hello):
                 program = ProgramUnderTest(self, engine=False)
                 gateway = GatewayClient(program)
                 message_id = gateway.send_rpc()
                 self.assertEqual(gateway.read_answer(), (message_id, "Busy"))
                 link = EngineStandIn(program, hello=hello)
-                self.assertEqual(program.wait_for_log("engine_link")["cold"], cold)
+                self.assertEqual(program.wait_for_log("engine_link")["cold"], is_cold)
                 program.engine = link
                 message_id = gateway.send_rpc()
                 link.expect_command("RUN", gateway.last_rpc_id)
                 link.send_notice("DONE 1", gateway.last_rpc_id, "good 5", body=b"r")
                 self.assertEqual(gateway.read_answer(), (message_id, b"r"))
 
-    def test_nine_in_ten_starts_are_ready_within_ten_seconds(self) -> None:
-        """Thirty at once on a shared processor."""
+    def test_ninety_percent_of_starts_take_less_than_ten_seconds(self) -> None:
+        """Thirty servers start at the same time on shared cores."""
         with tempfile.TemporaryDirectory() as folder:
-            start, took = time.monotonic(), []
-            programs = []
+            start, durations = time.monotonic(), []
+            processes = []
             for i in range(30):
                 (Path(folder) / str(i)).mkdir()
-                programs.append(launch_program(f"{folder}/{i}", CONFIG))
+                processes.append(launch_program(f"{folder}/{i}", CONFIG))
             try:
-                for process in programs:
+                for process in processes:
                     assert process.stdout is not None
                     self.assertEqual(json.loads(process.stdout.readline())["event"], "started")
-                    took.append(time.monotonic() - start)
+                    durations.append(time.monotonic() - start)
             finally:
-                for process in programs:
+                for process in processes:
                     process.kill()
                     process.communicate()
-            self.assertLess(sorted(took)[26], 10.0)
+            self.assertLess(sorted(durations)[26], 10.0)
 
 
 if __name__ == "__main__":
