--- a/landingshift/net/protocol/database.py
+++ b/landingshift/net/protocol/database.py
@@ -35,7 +35,7 @@
     """Decodes the replies that arrive on one link."""
 
     def __init__(self) -> None:
-        # Without this check, a length of 0 with a body behind it would pass as an empty reply.
+        # Without the required line end, a wrong length of 0 before a body would pass as an empty reply.
         self.line_decoder = LineDecoder(_has_body, empty_body_has_line_end=True)
 
     def feed(self, data: bytes) -> Iterator[Reply]:
@@ -53,7 +53,7 @@
 
     @property
     def has_partial_reply(self) -> bool:
-        """Returns whether part of a reply has arrived."""
+        """Returns whether part of an incomplete reply has arrived."""
         return bool(self.line_decoder.buffer)
 
 
--- a/landingshift/net/protocol/lines.py
+++ b/landingshift/net/protocol/lines.py
@@ -103,7 +103,7 @@
 
 
 def encode_line(*tokens: bytes, body: bytes | None = None) -> bytes:
-    """Encodes one line; a body is appended to it, with its length as the last token."""
+    """Encodes one line; with a body, its length becomes the last token and the body follows the line."""
     if body is None:
         return b" ".join(tokens) + LINE_END
     return b"%b %d\r\n%b\r\n" % (b" ".join(tokens), len(body), body)
--- a/landingshift/net/transport/stream.py
+++ b/landingshift/net/transport/stream.py
@@ -19,7 +19,7 @@
 READS_PER_PASS = 8  # the most reads of one stream before other streams are read
 LINGER_MS = 1000.0  # a closing stream waits so long for its peer to close or to read more of the output
 MAX_LINGERS = 10  # the most such waits, even if the peer reads slowly
-MAX_DISCARDED_BYTES = 65536  # discarded after a half-close; if the peer sends more, the stream is closed
+MAX_DISCARDED_BYTES = 65536  # input discarded during a graceful close; after more, the stream is closed
 # Linux: chooses the local port at connect, when the peer is known, so that several peers can share a port and
 # the ports do not run out.
 IP_BIND_ADDRESS_NO_PORT = 24
