--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -16,7 +16,7 @@
     ProgramUnderTest,
     wait_until,
 )
-from tests.test_server import prove
+from tests.test_server import verify
 
 KEYED_METHOD = Method(Idempotency.KEYED, 1000.0, 0.0, 3000.0, 1.0, 0.0, 500.0, False, 0.0)
 
@@ -140,7 +140,7 @@
     def test_duplicate_and_end_of_the_first_attempt_in_one_pass(self) -> None:
         program = ProgramUnderTest(self)
         gateway, other_gateway = GatewayClient(program), GatewayClient(program)
-        prove(program, other_gateway)
+        verify(program, other_gateway)
         for i, outcome in enumerate(("good", "bad")):
             with self.subTest(outcome=outcome):
                 first_message_id, first_rpc_id = self.send_keyed_rpc(program, gateway, outcome)
@@ -161,7 +161,7 @@
             with self.subTest(hang_up=hang_up):
                 program = ProgramUnderTest(self)
                 gateway, other_gateway = GatewayClient(program), GatewayClient(program)
-                prove(program, other_gateway)
+                verify(program, other_gateway)
                 first_message_id, first_rpc_id = self.send_keyed_rpc(program, gateway, "a")
                 program.engine.expect_command("RUN", first_rpc_id)
                 with program.paused():
