--- a/landingshift/decision_history.py
+++ b/landingshift/decision_history.py
@@ -21,7 +21,7 @@
 
 
 def record(event: str, *values: object) -> None:
-    """Appends an event to the history; does nothing if the process records none.
+    """Appends an event to the history; does nothing if this process does not record its history.
 
     Args:
         event: The event name, which the checker interprets.
--- a/landingshift/failpoints.py
+++ b/landingshift/failpoints.py
@@ -4,12 +4,12 @@
 set failpoints for the whole process:
 
 - `LANDINGSHIFT_CRASH=name` kills the process at the named failpoint; `name:3` does so at the third visit.
-- `LANDINGSHIFT_CRASH_ONCE=path` limits this to one process: it creates the file before it is killed, and no
-  process is killed once the file exists.
+- `LANDINGSHIFT_CRASH_ONCE=path` limits this to one process, which creates the file before it is killed; while
+  the file exists, no process is killed.
 - `LANDINGSHIFT_SLOW=name:200` delays the process by 200 ms at each visit to the named failpoint.
 
-Tests that simulate a crash within one process call `arm`; `reach` then raises `SimulatedCrashError`. With
-nothing set, `reach` costs two string comparisons.
+Tests that simulate a crash within one process call `arm`; `reach` then raises `SimulatedCrashError`. If no
+failpoint is set, `reach` costs two string comparisons.
 """
 
 from __future__ import annotations
@@ -39,15 +39,15 @@
 
 
 class Failpoints:
-    """The actions at the failpoints of one process; an empty name means no failpoint.
+    """The crash and the delay that are set for failpoints of one process; an empty name sets none.
 
     Args:
         crash_name: The failpoint at which the process is killed.
-        crash_visit: The number of the visit at which it is killed, counted from 1.
+        crash_visit: The number of the visit to `crash_name` at which the process is killed, counted from 1.
         crash_marker_path: A file that the process creates before it is killed; if the file exists already,
-            the process is not killed. Empty for no such file.
+            the process is not killed. If empty, the process is killed in any case.
         slow_name: The failpoint at which the process is delayed.
-        delay_ms: The delay at each visit.
+        delay_ms: The delay at each visit to `slow_name`.
     """
 
     __slots__ = (
@@ -98,7 +98,10 @@
         self._raises_instead_of_kill = True
 
     def reach(self, name: str) -> None:
-        """Marks a failpoint in the code: delays, kills or raises if that is set for this name."""
+        """Marks the failpoint `name` in the code.
+
+        Delays or kills the process, or raises SimulatedCrashError, if this is set for `name`.
+        """
         if name == self._slow_name:
             time.sleep(self._delay_seconds)
         if name == self._crash_name:
@@ -125,6 +128,6 @@
 
 
 _process_failpoints = Failpoints.from_environment(os.environ)
-# Bound once, so that a call costs no more than a function call.
+# Bound once, so that a call needs no lookup of the method.
 reach = _process_failpoints.reach
 arm = _process_failpoints.arm
--- a/landingshift/hot_restart/channel.py
+++ b/landingshift/hot_restart/channel.py
@@ -1,12 +1,12 @@
-"""Transfers frames and file descriptors between the two processes over a Unix stream socket.
+"""Transfers frames and file descriptors between the old and the new process over a Unix stream socket.
 
 A frame header consists of the format version, the frame kind, the number of descriptors and the body length.
 Descriptors are passed by SCM_RIGHTS with the first byte of their frame, at most `MAX_FRAME_DESCRIPTORS` per
 frame; more descriptors need several frames.
 
 Guarantee: a frame is delivered complete and with all its descriptors, or not at all. The channel owns
-received descriptors until it returns the frame they belong to. `close` closes the remaining ones, so none
-leak when the peer sends invalid data.
+received descriptors until it returns their frame. `close` closes descriptors that were not returned, so none
+leak if the peer sends invalid data.
 """
 
 from __future__ import annotations
@@ -39,8 +39,8 @@
     """A message of the channel.
 
     Attributes:
-        kind: The type of the message; the two processes define the numbers.
-        body: The content.
+        kind: The type of the message; the channel does not interpret it.
+        body: The payload.
         descriptors: The file descriptors sent with the frame.
     """
 
@@ -51,14 +51,14 @@
 
 @dataclass(slots=True)
 class _UnsentFrame:
-    """The unsent rest of a frame; `descriptors` is empty once the first byte has been sent."""
+    """The unsent part of a frame; `descriptors` is empty once the first byte has been sent."""
 
     data: memoryview
     descriptors: list[int]
 
 
 class Channel:
-    """One end of the connection between the two processes.
+    """One end of the connection between the old and the new process.
 
     Args:
         sock: A Unix stream socket, blocking or non-blocking.
@@ -73,7 +73,7 @@
         self._unsent: deque[_UnsentFrame] = deque()
 
     def send(self, frame: Frame) -> None:
-        """Queues a frame for `flush`.
+        """Queues a frame, which `flush` sends.
 
         The caller must keep the frame's descriptors open until `flush` returns True.
 
@@ -114,7 +114,7 @@
         return True
 
     def receive(self) -> list[Frame]:
-        """Reads from the socket once and returns the frames that are complete; may return none.
+        """Reads from the socket once and returns the frames that are now complete; the list can be empty.
 
         The caller owns the descriptors of the returned frames.
 
@@ -161,7 +161,7 @@
         return frames
 
     def close(self) -> None:
-        """Closes the socket and all received descriptors that belong to no returned frame."""
+        """Closes the socket and all received descriptors that were not returned with a frame."""
         while self._unclaimed_descriptors:
             os.close(self._unclaimed_descriptors.popleft())
         self._unsent.clear()
--- a/landingshift/hot_restart/errors.py
+++ b/landingshift/hot_restart/errors.py
@@ -10,7 +10,7 @@
 
 
 class InvalidFrameError(HotRestartError):
-    """The received data and descriptors do not form a valid frame of this build's format."""
+    """The received data and descriptors are not a valid frame in the format of this build."""
 
 
 class FrameVersionError(InvalidFrameError):
@@ -48,7 +48,7 @@
 
     Attributes:
         announced_count: The number of descriptors that the header announces.
-        received_count: The number of received descriptors that no earlier frame has claimed.
+        received_count: The number of received descriptors that do not belong to an earlier frame.
     """
 
     def __init__(self, announced_count: int, received_count: int) -> None:
@@ -101,7 +101,7 @@
 
 
 class JournalFullError(HotRestartError):
-    """The journal has no space for a record. The caller must not perform the operation to be recorded.
+    """The journal has no space for a record, so the caller must not perform the operation to be recorded.
 
     Attributes:
         record_bytes: The length of the record's data.
@@ -138,7 +138,10 @@
 
 
 class AnswersGatedError(StateTransferError):
-    """An answer gate holds answers back until the ledger has stored them; its state is not transferred."""
+    """The router has an answer gate, which delays answers until the ledger has stored them.
+
+    The state of the gate is not transferred.
+    """
 
     reason = "an answer gate is active, and its state cannot be transferred"
 
@@ -150,7 +153,7 @@
 
 
 class ReplacedResultError(StateTransferError):
-    """A duplicate refers to a deduplication entry that a newer entry has replaced."""
+    """A duplicate refers to a deduplication entry that has been replaced by a newer entry."""
 
     reason = "a duplicate refers to a deduplication entry that was replaced"
 
--- a/landingshift/hot_restart/request_journal.py
+++ b/landingshift/hot_restart/request_journal.py
@@ -1,7 +1,7 @@
-"""The request journal: a log of the new process's operations on probation, which the old process can read.
+"""The request journal: a log of the operations that the new process performs on probation.
 
-The journal is in shared memory (a memfd passed over the channel), so the old process can read it even after
-the new one was killed.
+The journal is in shared memory (a memfd passed over the channel), so the old process can read it even if the
+new process has been killed.
 
 Guarantee: if the new process writes each record before the operation that it describes, the journal contains
 every operation that was performed. A record becomes valid by a single 8-byte store of the used length. A kill
@@ -25,7 +25,7 @@
 HEADER = struct.Struct("=8sQ")  # magic, total length of complete records
 RECORD_HEADER = struct.Struct("=BQI")  # kind, subject id, length of the data
 USED_BYTES = struct.Struct("=Q")
-USED_BYTES_OFFSET = 8  # of the length field in `HEADER`
+USED_BYTES_OFFSET = 8  # offset of the length field in `HEADER`
 MEMFD_NAME = "landingshift-journal"
 
 
@@ -47,7 +47,7 @@
     Attributes:
         end_offset: The offset of the next record, for use as the `start_offset` of `read`.
         kind: The operation that the record describes.
-        subject_id: The number of the connection; for an RPC its index in the transferred state.
+        subject_id: The number of the connection or, for an RPC, its index in `StoredState.rpcs`.
         data: The content of the record, in a format that depends on `kind`.
     """
 
@@ -61,7 +61,8 @@
     """The request journal. The new process writes it; the old process reads it.
 
     Args:
-        descriptor: The descriptor of the shared memory. The journal takes ownership unless it raises.
+        descriptor: The descriptor of the shared memory. The journal takes ownership unless the
+            constructor raises.
         capacity_bytes: The size of the memory, including the header.
         is_new: Whether to initialize the memory as an empty journal instead of opening an existing one.
 
@@ -101,7 +102,7 @@
 
     @property
     def used_bytes(self) -> int:
-        """The total length of complete records, limited to the space that exists."""
+        """The total length of complete records; at most the length of the memory after the header."""
         stored_bytes: int = USED_BYTES.unpack_from(self.memory, USED_BYTES_OFFSET)[0]
         return min(stored_bytes, self._capacity_bytes - HEADER.size)
 
@@ -127,10 +128,10 @@
         USED_BYTES.pack_into(self.memory, USED_BYTES_OFFSET, used_bytes + RECORD_HEADER.size + len(data))
 
     def read(self, start_offset: int = 0) -> Iterator[JournalRecord]:
-        """Yields the complete records from an offset on; stops at an invalid record.
+        """Yields the complete records that begin at or after `start_offset`; stops at an invalid record.
 
         Args:
-            start_offset: 0, or the `end_offset` of the last record read before.
+            start_offset: 0 for the first record, or the `end_offset` of the last record that was read.
         """
         position = HEADER.size + start_offset
         end = HEADER.size + self.used_bytes
--- a/landingshift/hot_restart/state_export.py
+++ b/landingshift/hot_restart/state_export.py
@@ -2,8 +2,8 @@
 
 The export must take place between two passes of the event loop, when no event is pending.
 
-Guarantee: the old router keeps its state and can continue if the new process fails. The only change to it is
-that deep health checks in progress are answered without their self-test.
+Guarantee: the old router keeps its state and can continue if the new process fails. The export changes only
+one thing in it: deep health checks in progress are answered without the engine's self-test.
 Failure mode: state that cannot be transferred raises a `StateTransferError`, and nothing is exported.
 """
 
@@ -67,7 +67,7 @@
         router: The router whose state is exported.
 
     Raises:
-        UnfinishedPassError: If the event loop's pass has pending work.
+        UnfinishedPassError: If the event loop has pending work from its current pass.
         AnswersGatedError: If the router has an answer gate.
     """
 
@@ -91,7 +91,7 @@
         return list({calls[rpc].link: None for rpc in self._router.table if rpc in calls})
 
     def export(self) -> ExportedState:
-        """Returns the state and its descriptors; answers the deep health checks in progress.
+        """Returns the router's state and descriptors; answers deep health checks in progress.
 
         Raises:
             UnmanagedRpcError: If the admission controller does not have one of the router's RPCs.
@@ -107,7 +107,7 @@
             admission_state, managed_rpcs = admission.export_state()
         rpcs = self._index_rpcs(managed_rpcs)
         self._index_dedup_entries(rpcs)
-        # Exporting a stream appends its descriptor, so the evaluation order here is that of the descriptors.
+        # Exporting a stream appends its descriptor, so the descriptors are in the order of these arguments.
         state = StoredState(
             connections=[self._export_connection(connection) for connection in self._connections],
             rpcs=[self._export_rpc(rpc) for rpc in rpcs],
@@ -126,7 +126,13 @@
         return ExportedState(msgpack.encode(state), self._descriptors)
 
     def _index_rpcs(self, managed_rpcs: list[ManagedRpc]) -> list[RoutedRpc]:
-        """Assigns indexes: first to the admission controller's RPCs, then to other owners of entries."""
+        """Assigns indexes to RPCs and returns the RPCs in this order.
+
+        The admission controller's RPCs come first, then the other RPCs that own deduplication entries.
+
+        Raises:
+            UnmanagedRpcError: If an RPC in the router's table gets no index.
+        """
         rpcs = [managed.rpc for managed in managed_rpcs if isinstance(managed.rpc, RoutedRpc)]
         assert len(rpcs) == len(managed_rpcs)
         self._rpc_indexes = {rpc: index for index, rpc in enumerate(rpcs)}
--- a/landingshift/hot_restart/state_import.py
+++ b/landingshift/hot_restart/state_import.py
@@ -1,7 +1,7 @@
-"""Imports the state that another build exported, as a router that continues where the old one stopped.
+"""Creates a router from the state that another build exported; it continues where the old router stopped.
 
-Guarantee: no socket is read or written before the next pass of the event loop. Until then the old process can
-still continue instead.
+Guarantee: no socket is read or written before the next pass of the event loop. Until that pass, the old
+process can still resume service.
 Failure mode: if the settings lack a method or tenant of the state, the import raises
 `IncompatibleSettingsError` and creates no router.
 """
@@ -88,7 +88,7 @@
 
 
 class _StateRestorer:
-    """Restores a state into a new router, part by part: each part may refer to the parts before it."""
+    """Restores a state into a new router; parts that refer to other parts are restored after them."""
 
     def __init__(
         self,
--- a/landingshift/hot_restart/state_machine.py
+++ b/landingshift/hot_restart/state_machine.py
@@ -1,4 +1,4 @@
-"""The state machine of a hot restart, which the old process runs. It maps events to actions and does no I/O.
+"""The state machine of a hot restart. It runs in the old process, maps events to actions and does no I/O.
 
 The old process serves in all states before `FROZEN` and after a rollback. The new process serves from
 `PROBATION` on. In `FROZEN` and `TRANSFERRED` neither serves: nothing is read from the sockets, so nothing can
@@ -17,7 +17,7 @@
 from enum import Enum
 from math import inf
 
-MAX_PROBATION_FACTOR = 4.0  # times `probation_ms`, after which probation ends even with few answers
+MAX_PROBATION_FACTOR = 4.0  # maximum duration of probation, as a multiple of `probation_ms`
 
 
 class RestartState(Enum):
@@ -44,7 +44,7 @@
     """An input of the state machine."""
 
     REQUESTED = "requested"
-    """An operator has requested a hot restart, and the memory suffices for two processes."""
+    """An operator has requested a hot restart, and there is enough memory for two processes."""
     NEW_PROCESS_READY = "new_process_ready"
     """The new process has started and can import a state."""
     REHEARSAL_PASSED = "rehearsal_passed"
@@ -56,7 +56,7 @@
     HEARTBEAT = "heartbeat"
     """The new process has completed a pass of its event loop; sent only on probation."""
     PROBATION_PASSED = "probation_passed"
-    """Probation has lasted long enough for the number of RPCs that the new process has answered."""
+    """Probation has lasted its minimum duration with enough RPCs answered, or its maximum duration."""
     FAILED = "failed"
     """The new process refused the state, crashed, hung, or exceeded the timeout of the current state."""
     ROLLBACK_REQUESTED = "rollback_requested"
@@ -128,14 +128,14 @@
     ),
     (State.PROBATION, Event.HEARTBEAT): _to(State.PROBATION),
     (State.PROBATION, Event.PROBATION_PASSED): _to(State.COMPLETED, Action.EXIT_SILENTLY),
-    # A new process that fails before it is activated has changed nothing: the old one continues with its own
-    # state.
+    # If the new process fails before its activation, it has changed nothing, so the old process continues
+    # with its own state.
     (State.STARTING, Event.FAILED): _to(State.ROLLED_BACK, Action.KILL_NEW_PROCESS),
     (State.REHEARSING, Event.FAILED): _to(State.ROLLED_BACK, Action.KILL_NEW_PROCESS),
     (State.FROZEN, Event.FAILED): _to(State.ROLLED_BACK, Action.KILL_NEW_PROCESS, Action.RESUME),
     (State.TRANSFERRED, Event.FAILED): _to(State.ROLLED_BACK, Action.KILL_NEW_PROCESS, Action.RESUME),
-    # After its activation, the new process must have exited before the old one reads: if both read from a
-    # socket, each receives only some of the bytes.
+    # If the new process fails after its activation, the old process must not read from a socket until the new
+    # process has exited: if both read, each would receive only some of the bytes.
     (State.PROBATION, Event.FAILED): _to(
         State.ROLLED_BACK, Action.KILL_NEW_PROCESS, Action.RESUME_FROM_JOURNAL
     ),
@@ -148,8 +148,8 @@
     (State.PROBATION, Event.ROLLBACK_REQUESTED): _to(
         State.ROLLED_BACK, Action.KILL_NEW_PROCESS, Action.RESUME_FROM_JOURNAL
     ),
-    # The shutdown signal takes precedence: the process that serves drains. Before probation, the hot restart
-    # is rolled back.
+    # The shutdown signal takes precedence over the hot restart. Before probation, the hot restart is rolled
+    # back and the old process drains. On probation, the new process is told to drain.
     (State.STARTING, Event.SHUTDOWN_REQUESTED): _to(State.ROLLED_BACK, Action.KILL_NEW_PROCESS, Action.DRAIN),
     (State.REHEARSING, Event.SHUTDOWN_REQUESTED): _to(
         State.ROLLED_BACK, Action.KILL_NEW_PROCESS, Action.DRAIN
@@ -179,17 +179,19 @@
 
 @dataclass(slots=True, frozen=True)
 class RestartTimeouts:
-    """Time limits of the states, past which the new process counts as failed, and the length of probation.
+    """The time limits of the states, and the length of probation.
+
+    The new process counts as failed if the time limit of a state expires.
 
     Attributes:
         starting_ms: The maximum time for the new process to start.
         rehearsing_ms: The maximum time to import a copy of the state.
-        frozen_ms: The maximum time to send the state; no process serves during it.
-        transferred_ms: The maximum time to import the state; no process serves during it.
+        frozen_ms: The maximum time to send the state; no process serves during this time.
+        transferred_ms: The maximum time to import the state; no process serves during this time.
         heartbeat_ms: The maximum interval between heartbeats on probation.
         probation_ms: The minimum duration of probation.
-        probation_answer_count: The number of answered RPCs that ends probation after `probation_ms`. With
-            fewer answers, probation ends after `MAX_PROBATION_FACTOR` times `probation_ms`.
+        probation_answer_count: The number of RPCs that the new process must answer for probation to end after
+            `probation_ms`. With fewer answers, it ends after `MAX_PROBATION_FACTOR` times `probation_ms`.
     """
 
     starting_ms: float = 15_000.0
@@ -202,7 +204,7 @@
 
 
 class HotRestart:
-    """Controls hot restarts from the old process; after a rollback, another one may begin.
+    """Controls a hot restart in the old process; after a rollback, another hot restart can begin.
 
     All times are on the old process's monotonic clock.
 
@@ -213,7 +215,7 @@
     Attributes:
         state: The current state.
         state_since_ms: The time at which the current state began.
-        last_heartbeat_ms: The time of the last heartbeat or other transition.
+        last_heartbeat_ms: The time of the last heartbeat or state change.
         answered_count: The number of RPCs that the new process has answered on probation.
         is_shutting_down: Whether the shutdown signal was received; no hot restart begins after it.
         reason: Why the last hot restart was rolled back or the last request was refused.
@@ -236,7 +238,7 @@
         Args:
             event: The event to handle.
             now_ms: The current time.
-            reason: The cause of a rollback or refusal; the event's value if empty.
+            reason: The cause of a rollback or refusal; if empty, the event's value is used.
         """
         if event is RestartEvent.SHUTDOWN_REQUESTED:
             if self.is_shutting_down:
@@ -253,7 +255,8 @@
             return ()
         self._enter(transition, now_ms, reason or event.value)
         if event is RestartEvent.FAILED and self.is_shutting_down:
-            # The shutdown signal was forwarded to the new process, which then failed.
+            # The shutdown signal was forwarded to the new process. As that process has failed, the old one
+            # drains.
             return (*transition.actions, RestartAction.DRAIN)
         return transition.actions
 
--- a/landingshift/hot_restart/stored_state.py
+++ b/landingshift/hot_restart/stored_state.py
@@ -68,16 +68,16 @@
 }
 """Maps stored names to attributes of `EngineLink`."""
 
-NO_INDEX = -1  # stored in place of an index to an object that does not exist
+NO_INDEX = -1  # stored instead of an index if there is no object to refer to
 
 
 def stored_values(owner: object, names: dict[str, str]) -> dict[str, Any]:
-    """Returns the values of the attributes of `owner` in the table `names`, by stored name."""
+    """Returns the values of the attributes of `owner` that `names` lists, keyed by stored name."""
     return {stored: getattr(owner, attribute) for stored, attribute in names.items()}
 
 
 def attribute_values(stored: dict[str, Any], names: dict[str, str]) -> dict[str, Any]:
-    """Returns the stored values by attribute name; a name that is not in `names` is kept unchanged."""
+    """Returns the stored values, keyed by attribute name; a stored name that is not in `names` is kept."""
     return {names.get(name, name): value for name, value in stored.items()}
 
 
@@ -124,20 +124,23 @@
 
 
 class StoredRpc(Struct):
-    """An open RPC, or the owner of a deduplication entry, which may be closed.
+    """An RPC that is open or owns a deduplication entry.
+
+    An RPC owns an entry if duplicates are answered with its result; the RPC itself can already be closed.
 
     Attributes:
         method_index: The index of its method in `Settings.methods`.
         tenant_name: The name of its tenant in the configuration; None for a tenant that is not configured.
-        record: The values of the attributes in `RPC_RECORD_NAMES`, by stored name.
-        facts: The values of the attributes in `RPC_FACT_NAMES`, by stored name.
-        connection_index: The index of its connection in `StoredState.connections`, or `NO_INDEX` once closed.
-        command: Its latest command to the engine; None if that is known to have arrived.
-        original_index: The index in `StoredState.dedup_entries` of the entry of which it is a duplicate, or
-            `NO_INDEX`.
-        waits_for_original: Whether it is answered when the owner of that entry ends.
-        used_link_indexes: Indexes in `StoredState.database_links` of links on which a late reply to one of
-            its calls may still arrive.
+        record: The values of the attributes in `RPC_RECORD_NAMES`, keyed by stored name.
+        facts: The values of the attributes in `RPC_FACT_NAMES`, keyed by stored name.
+        connection_index: The index of its connection in `StoredState.connections`, or `NO_INDEX` if that
+            connection is closed.
+        command: Its latest command to the engine; None if no command is unconfirmed.
+        original_index: The index in `StoredState.dedup_entries` of the entry that answers this RPC, or
+            `NO_INDEX` if it is not a duplicate.
+        waits_for_original: Whether it is answered only once the owner of that entry has ended.
+        used_link_indexes: Indexes in `StoredState.database_links` of the links on which a late reply to one
+            of its calls can still arrive.
     """
 
     method_index: int = field(name="method")
@@ -157,8 +160,8 @@
     Attributes:
         stream: The connection's stream.
         undecoded: The received part of an incomplete message.
-        attributes: The values of the attributes in `CONNECTION_NAMES`, by stored name.
-        rpc_indexes: Indexes of the open RPCs in `StoredState.rpcs`, by the message id of their requests.
+        attributes: The values of the attributes in `CONNECTION_NAMES`, keyed by stored name.
+        rpc_indexes: Indexes of the open RPCs in `StoredState.rpcs`, keyed by the message id of the request.
     """
 
     stream: StoredStream
@@ -220,11 +223,12 @@
 
 
 class StoredGaugeQuery(Struct, array_like=True):
-    """A query of the engine's gauges without an answer yet. Stored as an array in the order of the fields.
+    """An unanswered query for the engine's gauges. Stored as an array in the order of the fields.
 
     Attributes:
         tag: The tag that identifies the answer.
-        bytes_before: The length of the link's output stream before the query.
+        bytes_before: The length of the link's output stream before the query; the answer confirms that the
+            engine has received these bytes.
     """
 
     tag: bytes
@@ -237,7 +241,7 @@
     Attributes:
         stream: The link's stream; None while there is no connection.
         undecoded: The received part of an incomplete notice.
-        attributes: The values of the attributes in `ENGINE_LINK_NAMES`, by stored name.
+        attributes: The values of the attributes in `ENGINE_LINK_NAMES`, keyed by stored name.
         gauge_query: The unanswered gauge query; None if there is none.
         unconfirmed_rpc_indexes: Indexes in `StoredState.rpcs` of the RPCs whose commands are queued and not
             confirmed, in the order of the queue.
@@ -269,16 +273,16 @@
 
     Attributes:
         connections: The connections from gateways.
-        rpcs: The admission controller's RPCs in its order, then other owners of deduplication entries.
+        rpcs: The admission controller's RPCs in its order, then other RPCs that own deduplication entries.
         dedup_entries: The entries of the deduplication table, in its order.
         database_links: The open links to the database.
         engine_link: The link to the engine.
-        admission: The result of `AdmissionController.export_state`; None before the controller exists.
+        admission: The controller's state from `AdmissionController.export_state`; None before it exists.
         managed_rpc_count: The number of RPCs at the start of `rpcs` that belong to the admission controller.
         starts_cold: Whether the admission controller was created with a slow start.
-        answer_headers: The headers of each answer, which advertise the server's load.
+        answer_headers: The headers that each answer carries to advertise the server's load.
         is_draining: Whether a graceful shutdown is in progress.
-        health: The state of health reports.
+        health: The state of the health reporter.
         idle_limit_ms: The idle time after which connections from gateways are closed.
         stop_at_ms: The time at which the process is killed in a graceful shutdown; 0 if none is in progress.
     """
--- a/landingshift/net/program/__init__.py
+++ b/landingshift/net/program/__init__.py
@@ -1,1 +1,1 @@
-"""The program: configuration, optional packages, log, signals and the wiring of the server."""
+"""The server program: reads the configuration, loads optional packages, and runs the server."""
--- a/landingshift/net/program/config.py
+++ b/landingshift/net/program/config.py
@@ -32,7 +32,7 @@
 
     Args:
         data: The decoded JSON.
-        env: Environment variables, which supply the server's name and address if the JSON lacks them.
+        env: Environment variables. They supply the server's name and listen address if the JSON lacks them.
 
     Raises:
         ServerConfigError: A value is missing or invalid.
@@ -65,7 +65,10 @@
 
 
 def load_config(env: Mapping[str, str]) -> ServerConfig:
-    """Loads the configuration from the file that the environment names.
+    """Loads the configuration from the file whose path is in the environment variable `GW_CONFIG`.
+
+    Args:
+        env: Environment variables.
 
     Raises:
         ServerConfigError: The file can't be read, or a value is missing or invalid.
--- a/landingshift/net/program/config_errors.py
+++ b/landingshift/net/program/config_errors.py
@@ -11,8 +11,8 @@
     """The configuration can't be used.
 
     Attributes:
-        key: The full path of the key at fault.
-        problem: A description of the problem with its value.
+        key: The full path of the invalid or missing key, or the name of an environment variable.
+        problem: A description of the problem with the value.
     """
 
     def __init__(self, key: str, problem: str) -> None:
@@ -34,7 +34,7 @@
 
 
 class ConfigPathMissingError(ServerConfigError):
-    """The environment does not name the configuration file."""
+    """The environment variable for the path of the configuration file is not set."""
 
     def __init__(self) -> None:
         super().__init__(CONFIG_FILE_VARIABLE, "this environment variable must name the configuration file")
@@ -81,7 +81,7 @@
 
 
 class DuplicateNameError(ServerConfigError):
-    """Two entries of a list have the same name, so RPCs of one would be served as those of the other."""
+    """Two entries of a list have the same name, so the second would replace the first."""
 
     def __init__(self, key: str, name: str) -> None:
         super().__init__(key, f"the name {name!r} occurs more than once")
--- a/landingshift/net/program/config_reader.py
+++ b/landingshift/net/program/config_reader.py
@@ -15,7 +15,7 @@
 )
 from landingshift.net.transport.stream import Address
 
-REQUIRED: Any = object()  # in place of a default: the key must be present
+REQUIRED: Any = object()  # as a default, it makes a missing key an error
 MAX_PORT = 65535
 
 
@@ -27,7 +27,7 @@
 
     Args:
         data: The JSON object.
-        path: The keys that lead to it, joined by dots; empty for the root.
+        path: The keys from the configuration's root to this object, joined by dots; empty for the root.
     """
 
     def __init__(self, data: Any, path: str = "") -> None:
@@ -41,12 +41,12 @@
         return f"{self.path}.{key}" if self.path else key
 
     def value(self, key: str, types: Any, expected: str, default: Any) -> Any:
-        """Returns the value of a key.
+        """Returns the value at `key`, checked for its type.
 
         Args:
             key: The key in this object.
-            types: The types that the value may have.
-            expected: The name of these types in error messages.
+            types: The accepted types, as for `isinstance`; booleans are never accepted.
+            expected: The description of these types in error messages.
             default: The value if the key is missing; `REQUIRED` makes a missing key an error.
         """
         value = self.data.get(key)
@@ -59,18 +59,21 @@
         return value
 
     def nested(self, key: str, default: Any = REQUIRED) -> ConfigReader:
-        """Returns a reader for the JSON object of a key."""
+        """Returns a reader for the JSON object at `key`."""
         return ConfigReader(self.value(key, dict, "an object", default), self.key_path(key))
 
     def text(self, key: str, default: Any = REQUIRED) -> str:
-        """Returns a string that is not empty."""
+        """Returns the string at `key`, which must not be empty."""
         value: str = self.value(key, str, "a string", default)
         if not value:
             raise UnexpectedValueError(self.key_path(key), "a non-empty string", value)
         return value
 
     def token(self, key: str, default: Any = REQUIRED) -> str:
-        """Returns a string that may be a token of a line protocol: printable and without spaces."""
+        """Returns the string at `key`, which must be a valid token of a line protocol.
+
+        Such a token is not empty, is printable and contains no spaces.
+        """
         value = self.text(key, default)
         if not value.isprintable() or " " in value:
             raise UnexpectedValueError(
@@ -79,14 +82,14 @@
         return value
 
     def number(self, key: str, low: float, high: float, default: Any = REQUIRED) -> float:
-        """Returns a number from `low` to `high`, both included."""
+        """Returns the number at `key`, which must be from `low` to `high`, both included."""
         value = self.value(key, int | float, "a number", default)
         if not low <= value <= high:
             raise OutOfRangeError(self.key_path(key), value, low, high)
         return float(value)
 
     def hex_number(self, key: str) -> int:
-        """Returns an integer that is written in hexadecimal digits."""
+        """Returns the integer at `key`, which must be a string of hexadecimal digits."""
         value = self.token(key)
         try:
             return int(value, 16)
@@ -94,9 +97,9 @@
             raise HexDigitsExpectedError(self.key_path(key), value) from err
 
     def address(self, key: str, default: Any = REQUIRED) -> Address:
-        """Returns an IPv4 address and a port.
+        """Returns the IPv4 address and the port at `key`, written as `address:port`.
 
-        Host names are not accepted: a DNS lookup would block the event loop, and there may be no DNS server.
+        Host names are not accepted: a DNS lookup would block the event loop, and might find no DNS server.
         """
         value = self.token(key, default)
         host, _, port = value.rpartition(":")
@@ -109,12 +112,16 @@
         return address
 
     def entries(self, key: str) -> list[ConfigReader]:
-        """Returns readers for the JSON objects in a list; an empty list if the key is missing."""
+        """Returns readers for the JSON objects in the list at `key`; an empty list if the key is missing."""
         values = self.value(key, list, "a list", [])
         return [ConfigReader(value, f"{self.key_path(key)}[{i}]") for i, value in enumerate(values)]
 
     def check_unique(self, key: str, names: list[str]) -> list[str]:
-        """Returns the names of a list's entries after checking that they are unique."""
+        """Returns `names`, the names of the entries in the list at `key`, if each occurs only once.
+
+        Raises:
+            DuplicateNameError: A name occurs more than once.
+        """
         for i, name in enumerate(names):
             if name in names[:i]:
                 raise DuplicateNameError(f"{self.key_path(key)}[{i}].name", name)
--- a/landingshift/net/program/feature_errors.py
+++ b/landingshift/net/program/feature_errors.py
@@ -11,7 +11,7 @@
     """The settings of the optional packages can't be used.
 
     Attributes:
-        path: The path of the settings file; empty if a package detected the problem at its start.
+        path: The path of the settings file; empty if a package detected the problem when its service started.
         problem: A description of the problem.
     """
 
@@ -22,7 +22,7 @@
 
 
 class UnknownTableError(FeatureConfigError):
-    """The file has a table that belongs to no package."""
+    """The settings file has a table that belongs to no package."""
 
     def __init__(self, path: str, table: str, known: Iterable[str]) -> None:
         super().__init__(path, f"[{table}]: unknown table; known tables are {', '.join(known)}")
@@ -30,7 +30,7 @@
 
 
 class TableExpectedError(FeatureConfigError):
-    """A package's name is used for a value that is not a table."""
+    """The value that the settings file has under a package's table name is not a table."""
 
     def __init__(self, path: str, table: str) -> None:
         super().__init__(path, f"{table}: a table is expected")
--- a/landingshift/net/program/features.py
+++ b/landingshift/net/program/features.py
@@ -1,10 +1,11 @@
-"""Loads the optional packages that the TOML settings file enables; other packages are not even imported.
+"""Loads the optional packages that the TOML settings file enables.
 
-The file has one table for each package. An optional package has two modules:
+The file has one table for each package; a package without a table is not imported. An optional package has
+two modules:
 
 - `settings` with the msgspec struct `Settings`, which forbids unknown keys, and `check(settings, folder)`,
-  which raises `ValueError("key: problem")`. `Settings.needs`, if present, names the tables of packages that
-  must be enabled as well.
+  which raises `ValueError("key: problem")` for an invalid value; `folder` is the directory of the settings
+  file. `Settings.needs`, if present, names the tables of packages that must be enabled as well.
 - `service` with `attach(host, settings) -> Service`.
 
 Packages are attached in the order of `PACKAGES`.
@@ -49,17 +50,18 @@
     def finish(self) -> None:
         """Finishes the service's work after the loop has ended.
 
-        It may block briefly, but not beyond the time left until the process is killed.
+        It can block briefly, but must return before the end of the time left until the process is killed.
         """
 
 
 @dataclass(slots=True)
 class ServiceHost:
-    """The parts of the server that a service may use to attach itself.
+    """The parts of the server to which a service can attach itself.
 
     Attributes:
+        router: The server's router.
         log: Writes an event to the log.
-        services: The services attached so far, by the names of their tables.
+        services: The services attached so far, keyed by the names of their tables.
     """
 
     router: Router
@@ -69,7 +71,7 @@
 
 @dataclass(slots=True)
 class Feature:
-    """An optional package that the settings file names.
+    """An optional package that has a table in the settings file.
 
     Attributes:
         table: The name of the package's table.
@@ -80,7 +82,7 @@
     settings: Any
 
     def attach(self, host: ServiceHost) -> Service:
-        """Starts the package's service and adds it to the host.
+        """Starts the package's service and adds it to `host.services`.
 
         Raises:
             InvalidTableError: The service can't be started with these settings.
@@ -95,15 +97,15 @@
 
 
 def decode_features(data: dict[str, Any], path: str, include_disabled: bool = False) -> list[Feature]:
-    """Returns the packages that decoded TOML names, in the order in which they are attached.
+    """Returns the enabled packages of a settings file, in the order in which they are attached.
 
     Args:
-        data: The decoded file.
+        data: The settings file as decoded from TOML.
         path: The file's path, for error messages and relative paths in the settings.
         include_disabled: Also return packages that are not enabled.
 
     Raises:
-        FeatureConfigError: A table is unknown or invalid.
+        FeatureConfigError: A table is unknown or invalid, or a package needs another that is not enabled.
     """
     features = [_decode_table(table, values, path) for table, values in data.items()]
     features = [feature for feature in features if feature.settings.on or include_disabled]
@@ -148,14 +150,14 @@
 
 
 def load_features(path: str | None, include_disabled: bool = False) -> list[Feature]:
-    """Loads the packages that the settings file names; returns an empty list if there is no file.
+    """Reads the settings file and returns the packages that it enables, in the order of attachment.
 
     Args:
-        path: The file's path; None or empty if there is no file.
+        path: The file's path; if it is None or empty, the result is an empty list.
         include_disabled: Also return packages that are not enabled.
 
     Raises:
-        FeatureConfigError: The file can't be read, or a table is unknown or invalid.
+        FeatureConfigError: The file can't be read or its content is invalid.
     """
     if not path:
         return []
--- a/landingshift/net/program/log.py
+++ b/landingshift/net/program/log.py
@@ -9,7 +9,7 @@
 
 import orjson
 
-MAX_LINE_BYTES = 4000  # less than PIPE_BUF (4096), so that a pipe takes a line whole or not at all
+MAX_LINE_BYTES = 4000  # less than PIPE_BUF (4096), so that a write to a pipe is atomic
 TRUNCATED_LINE_BYTES = 2000  # the length to which longer lines are truncated
 
 
@@ -35,7 +35,8 @@
         if len(line) >= MAX_LINE_BYTES:
             beginning = line[:TRUNCATED_LINE_BYTES].decode(errors="replace")
             line = orjson.dumps({"t": entry["t"], "event": event, "cut": beginning})
-        # A log that nobody reads must not delay RPCs: what can't be written at once is dropped and counted.
+        # A log that nobody reads must not delay RPCs, so a line that can't be written at once is dropped and
+        # counted.
         if self._write(line + b"\n"):
             self.lost_count = 0
         else:
--- a/landingshift/net/program/main.py
+++ b/landingshift/net/program/main.py
@@ -1,4 +1,4 @@
-"""Wires the server together and runs it."""
+"""Creates the server from its configuration and runs it."""
 
 from __future__ import annotations
 
@@ -28,10 +28,12 @@
     """Runs the server until its graceful shutdown is complete.
 
     Args:
-        toml: The path of the settings file of the optional packages; by default the environment names it.
+        toml: The path of the settings file of the optional packages; if None or empty, the environment
+            variable `LANDINGSHIFT_TOML` supplies it.
 
     Returns:
-        The exit status: 0 after a shutdown, 2 if the configuration or the settings can't be used.
+        The exit status: 0 after a shutdown, 2 if the configuration or the settings are invalid or the server
+            can't listen on its address.
     """
     log = EventLog(sys.stdout.fileno())
     loop = Loop(lambda: log("fault", trace=traceback.format_exc(limit=-MAX_TRACE_FRAMES)))
@@ -54,7 +56,8 @@
         cold=config.settings.starts_cold,
     )
     loop.run()
-    # In reverse order, because the last messages of a service may go through one attached before it.
+    # Services finish in reverse order, because the last messages of a service can be sent through a service
+    # that was attached earlier.
     for service in reversed(services):
         service.finish()
     log("stopped", connections=len(router.gateways.connections))
@@ -87,7 +90,7 @@
 
 
 def _tune_collector() -> None:
-    """Excludes all objects created so far from garbage collection, which keeps collections short."""
+    """Makes garbage collections rarer, and shorter by excluding all objects created so far."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
--- a/landingshift/net/program/signals.py
+++ b/landingshift/net/program/signals.py
@@ -1,4 +1,4 @@
-"""Delivers signals as events of the loop."""
+"""Delivers signals of the operating system as events of the loop."""
 
 from __future__ import annotations
 
@@ -14,11 +14,13 @@
 
 
 class SignalWatcher:
-    """Delivers signals as events of the loop; from its creation on, none of them ends the program.
+    """Delivers SIGTERM, SIGINT and SIGHUP as events of the loop.
+
+    Once the watcher has been created, these signals no longer end the process.
 
     Attributes:
-        on_signal: Called with the signal's number and the loop's time at which the signal was received.
-        received_ms: By signal number, the time of the first signal that has not been delivered yet.
+        on_signal: Called with the signal's number and the time of its receipt on the loop's clock.
+        received_ms: The time of receipt of the first undelivered signal, keyed by signal number.
     """
 
     def __init__(self, loop: Loop) -> None:
@@ -34,7 +36,7 @@
         loop.watch(self.reader.fileno(), EVENT_READ, self)
 
     def _record_time(self, number: int, _frame: object) -> None:
-        """Records the time of a signal, which counts from now and not from the end of a long pass."""
+        """Records the time of receipt: the time to stop runs from it, not from the end of a long pass."""
         self.received_ms.setdefault(number, self.loop.clock_ms())
 
     def on_ready(self, _mask: int) -> None:
@@ -45,5 +47,5 @@
                 self.on_signal(number, received_ms)
 
     def close(self) -> None:
-        """Closes the socket that the loop reads."""
+        """Closes the socket from which the loop reads signals."""
         self.reader.close()
--- a/landingshift/net/protocol/__init__.py
+++ b/landingshift/net/protocol/__init__.py
@@ -1,4 +1,4 @@
-"""Encoders and decoders of all messages; the only modules that know names on the wire. They use no sockets.
+"""Encodes and decodes all messages. Names on the wire occur only in these modules, which use no sockets.
 
 Each decoder returns the complete messages that precede malformed bytes before it reports the error.
 """
--- a/landingshift/net/protocol/database.py
+++ b/landingshift/net/protocol/database.py
@@ -35,7 +35,7 @@
     """Decodes the replies that arrive on one link."""
 
     def __init__(self) -> None:
-        # Without the required line end, a wrong length of 0 before a body would pass as an empty reply.
+        # Requiring the line end detects a body whose length is wrongly given as 0.
         self.line_decoder = LineDecoder(_has_body, empty_body_has_line_end=True)
 
     def feed(self, data: bytes) -> Iterator[Reply]:
@@ -58,10 +58,10 @@
 
 
 def encode_call(rpc_id: bytes, timeout_ms: float, request: bytes) -> bytes:
-    """Encodes a call for an RPC, which the database should answer within `timeout_ms`."""
+    """Encodes a call for an RPC; the database should reply within `timeout_ms`."""
     return encode_line(b"Q", rpc_id, b"%d" % max(1, round(timeout_ms)), body=request)
 
 
 def encode_cancel(rpc_id: bytes) -> bytes:
-    """Encodes the cancellation of an RPC's call, whose reply is no longer needed."""
+    """Encodes the cancellation of an RPC's call when its reply is no longer needed."""
     return encode_line(b"X", rpc_id)
--- a/landingshift/net/protocol/engine.py
+++ b/landingshift/net/protocol/engine.py
@@ -1,7 +1,7 @@
 """Decodes the engine's messages and encodes the commands to it.
 
-The engine numbers its notices consecutively. After a reconnection it repeats those that follow the number in
-the attach command, so that no notice is lost with a connection.
+The engine numbers its notices consecutively. After a reconnection, the attach command contains the number of
+the last notice received. The engine then repeats all later notices, so none is lost with a connection.
 """
 
 from __future__ import annotations
@@ -19,15 +19,15 @@
     b"gone": Outcome.NOT_SENT,
 }
 RUN_COMMAND = b"RUN"
-NO_NOTICE_NUMBER = 0  # the engine gives no notice this number
+NO_NOTICE_NUMBER = 0  # no notice of the engine has this number
 
 
 @dataclass(slots=True)
 class Hello:
-    """The engine's acceptance of the link.
+    """The engine's reply to the attach command: it accepts the link.
 
     Attributes:
-        is_cold: The engine was started together with this server and now begins to warm up.
+        is_cold: Whether the engine was started together with this server and is beginning to warm up.
         age_ms: The time since the engine was started.
     """
 
@@ -40,8 +40,9 @@
     """The notice that the run of an RPC has ended.
 
     Attributes:
-        notice_number: The notice's number; `NO_NOTICE_NUMBER` if this server concluded the end by itself.
-        elapsed_ms: The time that the run took.
+        notice_number: The notice's number; `NO_NOTICE_NUMBER` if the engine sent no notice and this server
+            inferred the end of the run.
+        elapsed_ms: The duration of the run.
     """
 
     notice_number: int
@@ -77,7 +78,7 @@
 
 @dataclass(slots=True)
 class SelfTestResult:
-    """The answer to a self-test."""
+    """The answer to a self-test command."""
 
     tag: bytes
     has_passed: bool
@@ -85,7 +86,7 @@
 
 @dataclass(slots=True)
 class CommandRefused:
-    """The message that the engine rejected a command."""
+    """The message by which the engine rejects a command."""
 
     command: bytes
     rpc_id: bytes
@@ -139,7 +140,10 @@
 
 
 def encode_attach(last_notice_number: int) -> bytes:
-    """Encodes the command that takes over the link; the engine repeats all notices with higher numbers."""
+    """Encodes the command that makes a new connection the engine's link.
+
+    The engine then repeats all notices with numbers higher than `last_notice_number`.
+    """
     return encode_line(b"ATTACH", b"%d" % last_notice_number)
 
 
@@ -149,12 +153,12 @@
 
 
 def encode_call_reply(rpc_id: bytes, reply: bytes) -> bytes:
-    """Encodes the command that passes the reply of a call to the run that asked for it."""
+    """Encodes the command that passes the reply to a database call to the run that requested the call."""
     return encode_line(b"FEED", rpc_id, body=reply)
 
 
 def encode_skip_call(rpc_id: bytes, notice_number: int) -> bytes:
-    """Encodes the command that continues a run without the call for which the given notice asked."""
+    """Encodes the command that continues a run without the database call requested by the given notice."""
     return encode_line(b"SKIP", rpc_id, b"%d" % notice_number)
 
 
@@ -164,7 +168,7 @@
 
 
 def encode_gauge_query(tag: bytes) -> bytes:
-    """Encodes a query for the gauges; the answer carries the same tag."""
+    """Encodes a query for the engine's gauges; the answer carries the same tag."""
     return encode_line(b"STAT", tag)
 
 
--- a/landingshift/net/protocol/gateway.py
+++ b/landingshift/net/protocol/gateway.py
@@ -1,4 +1,4 @@
-"""Decodes MessagePack-RPC requests and notifications of gateways and encodes the responses to them."""
+"""Decodes MessagePack-RPC requests and notifications from gateways, and encodes the responses."""
 
 from __future__ import annotations
 
@@ -33,7 +33,10 @@
 
 
 class MessageType:
-    """The message types of MessagePack-RPC; plain integers, because every message is matched on them."""
+    """The message types of MessagePack-RPC.
+
+    They are plain integers and not an enum because every received message is compared with them.
+    """
 
     REQUEST = 0
     RESPONSE = 1
@@ -63,14 +66,18 @@
 
 @dataclass(slots=True)
 class CancelNotification:
-    """The notification that the gateway no longer waits for the response to a request."""
+    """The notification that the gateway no longer waits for the response to the request `message_id`."""
 
     message_id: int
 
 
 @dataclass(slots=True)
 class ProtocolFailure:
-    """Reports that the bytes after the previous message are malformed, so decoding ends."""
+    """Reports that the bytes after the previous message are malformed and can't be decoded.
+
+    Attributes:
+        reason: A reason code for the log.
+    """
 
     reason: str
 
@@ -83,13 +90,15 @@
     """The fields of an RPC's request.
 
     Attributes:
-        arrived_unix_ms: The time at which the RPC reached this machine.
-        tenant: Empty if the request names none.
-        wait_ms: The time that the caller waits for the answer; None if the request does not tell.
-        cache_key: Equal for requests that may share a result.
-        idempotency_key: Equal for all attempts of one RPC.
-        work_hint_ms: The caller's estimate of the work.
-        attempt_id: Identifies the client's attempt, if the configuration names a field for it.
+        arrived_unix_ms: The Unix time at which the RPC reached this machine.
+        tenant: The name of the tenant; empty if the request has none.
+        wait_ms: The time for which the caller waits for the answer; None if the request does not state it.
+        memory_kb: The memory that the RPC needs.
+        cache_key: A key that is equal for requests that can share a result; None if the request has none.
+        idempotency_key: A key that is equal for all attempts of one RPC; None if the request has none.
+        work_hint_ms: The caller's estimate of the work; None if the request has none.
+        attempt_id: The id of the client's attempt; None if the request has none or no field is configured
+            for it.
     """
 
     rpc_id: bytes
@@ -109,16 +118,17 @@
 class MessageDecoder:
     """Decodes the messages that arrive on one connection.
 
-    It keeps only the undecoded bytes between calls, no parser: parsers are large and most connections idle.
+    Between calls it keeps only undecoded bytes and no parser, because parsers are large and most connections
+    are idle.
     """
 
     def __init__(self) -> None:
         self.buffer = b""  # received bytes of an incomplete message
 
     def feed(self, data: bytes) -> list[Message]:
-        """Adds received bytes and returns the complete messages.
+        """Adds received bytes and returns the messages that are now complete.
 
-        A `ProtocolFailure` follows them if the next bytes are malformed.
+        If the bytes after them are malformed, a `ProtocolFailure` is the last element.
         """
         if not self.buffer:
             try:
@@ -151,7 +161,7 @@
 
 
 def _decode(value: Any) -> Message | None:
-    """Converts unpacked MessagePack to a message; None for a notification that this server ignores."""
+    """Converts an unpacked value to a message; returns None for a notification that this server ignores."""
     match value:
         case [MessageType.REQUEST, int(message_id), str(method), list(params)] if not isinstance(
             message_id, bool
@@ -197,7 +207,7 @@
         raise InvalidFieldError("body")
     rpc_id = values.get("id")
     if not isinstance(rpc_id, str) or not RPC_ID.fullmatch(rpc_id):
-        raise InvalidFieldError("id")  # part of commands to the engine: other characters could forge one
+        raise InvalidFieldError("id")  # sent in commands to the engine, so other characters could forge one
     return RequestFields(
         rpc_id=rpc_id.encode(),
         arrived_unix_ms=_number(values, "at", 0.0, MAX_UNIX_MS),
@@ -226,12 +236,12 @@
 
 
 def encode_ok(message_id: int, result: bytes, headers: dict[str, str]) -> bytes:
-    """Encodes the response with an RPC's result; `headers` tell callers the server's load."""
+    """Encodes the response with an RPC's result; `headers` advertise the server's load to callers."""
     return pack([MessageType.RESPONSE, message_id, None, [result, headers]])
 
 
 def encode_rejected(message_id: int, headers: dict[str, str]) -> bytes:
-    """Encodes the response that the RPC was rejected without being run."""
+    """Encodes the response to an RPC that was rejected without being run."""
     return pack([MessageType.RESPONSE, message_id, ["Busy", headers], None])
 
 
@@ -241,7 +251,7 @@
     Args:
         headers: The headers that every response carries.
         retry_after_ms: The time for which the caller should not retry on this server; 0 for no such advice.
-        is_final: The caller should not retry on another server either.
+        is_final: Whether the caller should not retry on another server either.
     """
     if retry_after_ms <= 0 and not is_final:
         return headers
@@ -254,12 +264,12 @@
 
 
 def load_headers(load: float) -> dict[str, str]:
-    """Returns the headers that advertise the server's load to callers, as its weight, level or credit."""
+    """Returns the headers that advertise `load` to callers, in the form of `Settings.load_advertisement`."""
     return {"say": f"{load:g}"}
 
 
 def encode_aborted(message_id: int, headers: dict[str, str]) -> bytes:
-    """Encodes the response that the RPC failed; it may have been run."""
+    """Encodes the response to an RPC that failed and might have been run."""
     return pack([MessageType.RESPONSE, message_id, ["Failed", headers], None])
 
 
--- a/landingshift/net/protocol/lines.py
+++ b/landingshift/net/protocol/lines.py
@@ -1,6 +1,7 @@
-"""The line format of engine and database: tokens separated by spaces, CR LF at the end.
+"""Encodes and decodes the lines of the engine and database protocols.
 
-Some lines are followed by a body and another CR LF; the last token is then the length of the body in bytes.
+A line consists of tokens separated by spaces and ends with CR LF. Some lines are followed by a body and
+another CR LF; the last token of such a line is the length of the body in bytes.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
     """A peer violated its protocol.
 
     Attributes:
-        reason: Reason code; the log entry of the closed connection shows it.
+        reason: A reason code, which appears in the log when the connection is closed.
     """
 
     def __init__(self, reason: str) -> None:
@@ -31,7 +32,7 @@
     """Returns the non-negative integer that `token` contains.
 
     Raises:
-        ProtocolError: `token` is not such a number, or has too many digits.
+        ProtocolError: `token` is not a decimal integer, or has too many digits.
     """
     if not token.isdigit() or len(token) > MAX_NUMBER_DIGITS:
         raise ProtocolError("bad_number")
@@ -39,12 +40,12 @@
 
 
 class LineDecoder:
-    """Splits a byte stream into lines of tokens and their bodies.
+    """Splits a byte stream into lines, and each line into its tokens and body.
 
     Args:
         has_body: Returns whether a body follows a line with the given tokens.
-        empty_body_has_line_end: An empty body is followed by a line end as well, and anything else after it
-            is an error. If not set, the line end after an empty body may be missing.
+        empty_body_has_line_end: If True, an empty body must be followed by a line end like any other body. If
+            False, the line end after an empty body can be missing.
     """
 
     def __init__(
@@ -85,7 +86,10 @@
             del self.buffer[:start]
 
     def _body_end(self, tokens: list[bytes], body_start: int) -> int:
-        """Returns the index after the body and its line end; `body_start` if there is no body."""
+        """Returns the buffer index after the body and its line end.
+
+        For an empty body that needs no line end, this is `body_start`.
+        """
         size = decode_number(tokens[-1])
         if size > MAX_BODY_BYTES:
             raise ProtocolError("oversized")
@@ -103,7 +107,7 @@
 
 
 def encode_line(*tokens: bytes, body: bytes | None = None) -> bytes:
-    """Encodes one line; with a body, its length becomes the last token and the body follows the line."""
+    """Encodes one line; if `body` is given, it follows the line, and its length is the last token."""
     if body is None:
         return b" ".join(tokens) + LINE_END
     return b"%b %d\r\n%b\r\n" % (b" ".join(tokens), len(body), body)
--- a/landingshift/net/transport/__init__.py
+++ b/landingshift/net/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Event loop, timers, sockets and worker processes; independent of the messages that they carry."""
+"""Provides the event loop, timers, sockets and worker processes, independent of the message formats."""
--- a/landingshift/net/transport/listener.py
+++ b/landingshift/net/transport/listener.py
@@ -9,27 +9,28 @@
 from landingshift.net.transport.loop import Loop
 from landingshift.net.transport.stream import Address
 
-BACKLOG_COUNT = 1024  # connections that may wait to be accepted
+BACKLOG_COUNT = 1024  # maximum number of connections waiting to be accepted
 ACCEPTS_PER_PASS = 64
-ACCEPT_PAUSE_MS = 20.0  # the pause in accepting when capacity or descriptors ran out
+ACCEPT_PAUSE_MS = 20.0  # wait before accepting again after capacity or descriptors ran out
 
 
 class Listener:
     """Accepts connections while there is capacity for them.
 
     Args:
+        loop: The event loop that watches the listening socket.
         address: The address to listen on.
-        has_capacity: Returns whether one more connection may be accepted; may close others for it. Its
-            argument tells whether file descriptors are left.
+        has_capacity: Returns whether one more connection can be accepted; can close other connections to make
+            room. Its argument is False if the process has run out of file descriptors.
         on_accept: Called with the socket of each accepted connection.
-        sock: A socket that already listens, with its backlog; replaces `address`.
+        sock: A socket that is already listening; if given, it is used instead of `address`.
 
     Raises:
-        OSError: The address can't be listened on.
+        OSError: Listening on `address` failed.
 
     Attributes:
-        address: The address listened on, with the port that the system chose if port 0 was given.
-        is_draining: `drain` was called; apart from the backlog, no more connections are accepted.
+        address: The local address, with the port that the system chose if port 0 was given.
+        is_draining: Whether `drain` has been called; after it, no more connections are accepted.
     """
 
     def __init__(
@@ -68,7 +69,11 @@
             self._accept(sock)
 
     def drain(self) -> bool:
-        """Accepts the whole backlog; returns False if connections may be left in it."""
+        """Accepts the connections in the backlog and stops accepting later ones.
+
+        Returns:
+            Whether the backlog was emptied; False if connections might be left in it.
+        """
         self.is_draining = True
         self.loop.watch(self.sock.fileno(), 0, self)
         for _ in range(2 * BACKLOG_COUNT):
--- a/landingshift/net/transport/loop.py
+++ b/landingshift/net/transport/loop.py
@@ -1,6 +1,6 @@
-"""The event loop: each pass reads sockets, fires timers, settles the results and writes the output.
+"""The event loop: each pass reads sockets, fires timers, calls the hook `settle` and writes the output.
 
-Guarantee: an exception in one handler neither stops the loop nor keeps other handlers from being called.
+Guarantee: an exception in one handler neither stops the loop nor prevents calls of the other handlers.
 """
 
 from __future__ import annotations
@@ -11,9 +11,9 @@
 from collections.abc import Callable
 from typing import Protocol
 
-LATE_TIMER_MS = 5.0  # a timer that is later than this shows that the process was paused
-MAX_CATCH_UP_READS = 16  # reads of the sockets after a pause, before timers fire
-MAX_WAIT_MS = 1000.0  # the wait for sockets if there is no timer
+LATE_TIMER_MS = 5.0  # a timer that fires later than this indicates that the process was paused
+MAX_CATCH_UP_READS = 16  # maximum number of `read` calls after a pause, before timers fire
+MAX_WAIT_MS = 1000.0  # maximum wait for sockets if there is no timer
 MIN_CANCELLED_TIMERS = 64  # with fewer cancelled timers the heap is not compacted
 
 
@@ -25,14 +25,14 @@
 
 
 class Writer(Protocol):
-    """Writes its output at the end of a pass."""
+    """Has output that the loop writes at the end of a pass."""
 
     def flush(self) -> None:
         """Writes as much as can be written without blocking."""
 
 
 class Timer:
-    """An action that is due at a given time of the loop."""
+    """An action that the loop calls once at a given time."""
 
     __slots__ = ("action", "due_ms")
 
@@ -45,13 +45,14 @@
     """A single-threaded event loop.
 
     Args:
-        on_fault: Called while an exception of a handler is being handled, so that `traceback` can show it.
+        on_fault: Called in the `except` block for an exception of a handler, so that `traceback.format_exc`
+            can format the exception.
 
     Attributes:
-        now_ms: The monotonic time at which the sockets were last read; the same for all handlers of a pass.
-        read_count: The number of times that the sockets were read.
+        now_ms: The monotonic time of the last `read` call; handlers use it as the current time.
+        read_count: The number of `read` calls.
         pending_writers: The writers with output to write at the end of the pass, in order.
-        settle: Called in each pass after all handlers and before the output is written.
+        settle: A hook that is called once in each pass, after all handlers and before the output is written.
     """
 
     def __init__(self, on_fault: Callable[[], None]) -> None:
@@ -73,14 +74,17 @@
         return time.monotonic() * 1000.0
 
     def after(self, delay_ms: float, action: Callable[[], None]) -> Timer:
-        """Calls `action` after the delay; actions that are due at the same time run in the order of calls."""
+        """Starts a timer that calls `action` after the delay.
+
+        Actions that are due at the same time are called in the order in which their timers were started.
+        """
         timer = Timer(self.now_ms + delay_ms, action)
         self.timer_count += 1
         heapq.heappush(self.timers, (timer.due_ms, self.timer_count, timer))
         return timer
 
     def cancel(self, timer: Timer | None) -> None:
-        """Cancels a timer; does nothing if it has fired or was cancelled before."""
+        """Cancels a timer; does nothing if it is None, has fired or is already cancelled."""
         if timer is None or timer.action is None:
             return
         timer.action = None
@@ -92,7 +96,7 @@
             self.cancelled_count = 0
 
     def watch(self, fd: int, mask: int, watcher: Watcher) -> None:
-        """Watches a descriptor for the events in `mask` (of the `selectors` module); 0 stops watching it."""
+        """Watches a file descriptor for the events in `mask` (of module `selectors`); 0 stops watching it."""
         previous = self.watchers.pop(fd, None)
         if mask:
             self.watchers[fd] = watcher
@@ -113,7 +117,7 @@
             self.run_pass()
 
     def run_pass(self) -> None:
-        """Waits for sockets or the next timer, calls handlers, settles the results and writes the output."""
+        """Waits for sockets or the next timer, calls handlers and then `settle`, and writes the output."""
         wait_ms = max(0.0, self.timers[0][0] - self.clock_ms()) if self.timers else MAX_WAIT_MS
         self.read(wait_ms)
         if self.timers and self.now_ms - self.timers[0][0] > LATE_TIMER_MS:
@@ -127,7 +131,7 @@
                 self._run_guarded(writer.flush)
 
     def _catch_up(self) -> None:
-        """Reads what arrived while the process was paused, before timers treat anything as overdue."""
+        """Reads input that arrived during a pause of the process, so that no timer treats it as missing."""
         for _ in range(MAX_CATCH_UP_READS):
             if not self.read(0.0):
                 return
@@ -143,13 +147,17 @@
             self._run_guarded(action)
 
     def read(self, wait_ms: float) -> bool:
-        """Waits at most `wait_ms` for sockets and calls their watchers; returns whether any was ready."""
+        """Waits at most `wait_ms` for socket events and calls the watchers.
+
+        Returns:
+            Whether any socket was ready.
+        """
         events = self.selector.select(wait_ms / 1000.0)
         self.now_ms = self.clock_ms()
         self.read_count += 1
         for key, mask in events:
             watcher = self.watchers.get(key.fd)
-            if watcher is not None and watcher is key.data:  # not closed by an earlier handler
+            if watcher is not None and watcher is key.data:  # no earlier handler has closed the socket
                 try:
                     watcher.on_ready(mask)
                 except Exception:
@@ -159,5 +167,5 @@
     def _run_guarded(self, step: Callable[[], None]) -> None:
         try:
             step()
-        except Exception:  # a single bad message or bug must not end all other RPCs
+        except Exception:  # one invalid message or bug must not end all other RPCs
             self.on_fault()
--- a/landingshift/net/transport/slots.py
+++ b/landingshift/net/transport/slots.py
@@ -1,4 +1,4 @@
-"""A table of reusable slots with unique numbers."""
+"""A table that assigns unique numbers to its entries and reuses their slots."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 
 class Slots(Generic[T]):
-    """A table of entries by number; when a slot is reused, its new entry gets a different number.
+    """A table that assigns a unique number to each entry, even if the entry reuses the slot of a removed one.
 
     A number consists of the index of the slot and a generation, which counts how often the slot was emptied.
     """
 
     def __init__(self) -> None:
         self.items: list[T | None] = []
-        self.generations: list[int] = []  # of each slot
+        self.generations: list[int] = []  # of each slot: how often it was emptied
         self.free_indexes: list[int] = []
 
     def put(self, item: T) -> int:
-        """Adds an entry and returns its number."""
+        """Adds an entry and returns the number assigned to it."""
         if self.free_indexes:
             index = self.free_indexes.pop()
         else:
@@ -33,7 +33,7 @@
         return self.generations[index] << INDEX_BITS | index
 
     def get(self, number: int) -> T | None:
-        """Returns the entry with this number, or None if it was removed, even if its slot is in use again."""
+        """Returns the entry with this number, or None if that entry was removed."""
         index = number & INDEX_MASK
         return self.items[index] if self.generations[index] == number >> INDEX_BITS else None
 
--- a/landingshift/net/transport/stream.py
+++ b/landingshift/net/transport/stream.py
@@ -1,8 +1,8 @@
-"""Non-blocking TCP: streams with partial writes and bounded buffers.
+"""Provides non-blocking TCP streams with partial writes and bounded buffers.
 
 Guarantee: data written before a graceful close reaches a peer that keeps reading; otherwise the close reason
-says that it did not. A peer that stops reading uses no more memory than the stream's bound, and no more time
-than the limits on lingering allow.
+shows that it did not. A peer that stops reading uses no more memory than the stream's bound, and delays the
+close by no more than the limits on lingering.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 from landingshift.net.transport.loop import Loop, Timer
 
 READ_BYTES = 16384
-READS_PER_PASS = 8  # the most reads of one stream before other streams are read
-LINGER_MS = 1000.0  # a closing stream waits so long for its peer to close or to read more of the output
-MAX_LINGERS = 10  # the most such waits, even if the peer reads slowly
-MAX_DISCARDED_BYTES = 65536  # input discarded during a graceful close; after more, the stream is closed
-# Linux: chooses the local port at connect, when the peer is known, so that several peers can share a port and
-# the ports do not run out.
+READS_PER_PASS = 8  # maximum number of reads from one stream before other streams are read
+LINGER_MS = 1000.0  # time for which a closing stream waits for its peer to close or to read more output
+MAX_LINGERS = 10  # maximum number of such waits, even if the peer is still reading
+MAX_DISCARDED_BYTES = 65536  # maximum input discarded during a graceful close, before the stream is closed
+# Linux socket option: the kernel chooses the local port at connect instead of bind. Connections to different
+# peers can then share a local port, so that ports do not run out.
 IP_BIND_ADDRESS_NO_PORT = 24
 ANY_ADDRESS = "0.0.0.0"
 Address = tuple[str, int]
@@ -60,8 +60,8 @@
     """A shared bound on the unsent output of several streams.
 
     Args:
-        max_bytes: The bound on their unsent output in total.
-        on_exceeded: Called when the bound is exceeded; frees output, for example by closing streams.
+        max_bytes: The bound on the total unsent output of the streams.
+        on_exceeded: Called when the bound is exceeded; reduces the output, for example by closing streams.
     """
 
     def __init__(self, max_bytes: int, on_exceeded: Callable[[], None]) -> None:
@@ -70,7 +70,7 @@
         self.used_bytes = 0
 
     def add(self, count: int) -> None:
-        """Adds queued bytes; a negative count subtracts bytes that were sent or discarded."""
+        """Adds `count` queued bytes; a negative count subtracts bytes that were sent or discarded."""
         self.used_bytes += count
         if count > 0 and self.used_bytes > self.max_bytes:
             self.on_exceeded()
@@ -80,20 +80,22 @@
     """A connection that passes input to its owner and writes output at the end of each pass of the loop.
 
     Args:
+        loop: The event loop that watches the socket.
         sock: The socket; must be non-blocking.
         owner: Handles the stream's events.
         max_unsent_bytes: The bound on unsent output; if it is exceeded, the stream is closed as stalled.
-        is_connecting: The connection is not established yet.
-        unsent_budget: A bound on unsent output that is shared with other streams.
-        reads_per_pass: The most reads of this stream before other streams are read.
+        is_connecting: Whether the connection is not established yet.
+        unsent_budget: A bound on unsent output that is shared with other streams; None if there is none.
+        reads_per_pass: The maximum number of reads from this stream before other streams are read.
 
     Attributes:
-        is_open: The stream has not been closed.
-        is_reading: The peer has not ended its output.
+        is_open: Whether the stream has not been closed.
+        is_reading: Whether the peer can still send; False once it has ended its output.
         close_reason: The reason code of the close; empty until a close, graceful or not, begins.
-        output: Bytes that are queued and not sent.
-        queued_bytes: The number of bytes queued since the start.
-        sent_bytes: The number of bytes sent since the start; the peer can't have received more than these.
+        output: The bytes that are queued and not sent yet.
+        queued_bytes: The number of bytes queued since the connection was opened.
+        sent_bytes: The number of bytes sent since the connection was opened; the peer can't have received
+            more.
         last_activity_ms: The time at which bytes were last sent or received.
     """
 
@@ -138,7 +140,7 @@
             self.loop.watch(self.sock.fileno(), mask, self)
 
     def on_ready(self, mask: int) -> None:
-        """Handles a readable or writable socket, and an established or failed connection."""
+        """Handles a socket that is readable or writable, or whose connection attempt has ended."""
         if self.is_connecting:
             code = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
             if code:
@@ -154,7 +156,7 @@
     # Reading
 
     def read(self) -> None:
-        """Reads what has arrived, with at most `reads_per_pass` reads."""
+        """Reads available input, in at most `reads_per_pass` reads."""
         for _ in range(self.reads_per_pass):
             try:
                 data = self.sock.recv(READ_BYTES)
@@ -191,7 +193,7 @@
     # Writing
 
     def write(self, data: bytes) -> None:
-        """Queues data, which the loop sends at the end of the pass; ignored once a close has begun."""
+        """Queues data to be sent at the end of the pass; does nothing once a close has begun."""
         if not self.is_open or self.close_reason:
             return
         self.output += data
@@ -229,16 +231,20 @@
     # Closing
 
     def close_gracefully(self, reason: str) -> None:
-        """Half-closes the connection when the output is sent, and closes it when the peer has closed too."""
+        """Closes the sending side once all output is sent, and the stream once the peer has closed its side.
+
+        If the peer does not, the stream is closed when the limits on lingering are reached.
+        """
         if self.is_open and not self.close_reason:
             self.close_reason = reason
             self.linger()
             self.flush()
 
     def linger(self) -> None:
-        """Waits for the peer to close; after that wait, closes the stream.
+        """Starts the first wait for the peer to close; when called again after a wait, closes the stream.
 
-        It waits again only while output is left and some of it was sent since the last wait began.
+        Instead of closing, it waits again if output is left and some was sent during the last wait, up to
+        `MAX_LINGERS` waits in total.
         """
         has_progress = self.sent_bytes != self.sent_bytes_at_linger
         may_wait_again = self.output and has_progress and self.linger_count < MAX_LINGERS
@@ -251,7 +257,7 @@
             self.close(self.close_reason)
 
     def start_linger_timer(self) -> None:
-        """Starts the next wait for the peer."""
+        """Starts a wait for the peer: `linger` is called after `LINGER_MS`."""
         self.linger_timer = self.loop.after(LINGER_MS, self.linger)
 
     def _half_close(self) -> None:
@@ -267,7 +273,8 @@
     def check_error(self) -> None:
         """Closes the stream if its socket has an error.
 
-        Called after the end of the peer's output, to detect a peer that has closed the connection completely.
+        Call this some time after the end of the peer's output, to detect that the peer has closed the
+        connection completely.
         """
         if self.is_open and self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
             self.close("reset")
@@ -284,14 +291,15 @@
         self.sock.close()
         owner = self.owner
         self.owner = NULL_OWNER  # breaks the reference cycle, so that memory is freed at once
-        self.close_reason = self.close_reason or reason  # a reset during a graceful close is not the reason
+        # A reset does not replace the reason of a graceful close.
+        self.close_reason = self.close_reason or reason
         owner.on_closed(self.close_reason)
 
 
 def connect(
     loop: Loop, address: Address, owner: StreamOwner, max_unsent_bytes: int, source_host: str = ""
 ) -> Stream | str:
-    """Starts a connection; returns its stream, or a reason code if it failed at once.
+    """Starts connecting to `address`; returns the new stream, or a reason code if this failed at once.
 
     Args:
         loop: The stream's loop.
--- a/landingshift/net/transport/worker.py
+++ b/landingshift/net/transport/worker.py
@@ -1,8 +1,8 @@
 """Runs blocking work in a child process, connected to the loop by a socket pair with a bounded queue.
 
-The loop never waits for the process. `free_bytes` tells the owner before a write whether the queue has space;
-the owner decides what to do if it is full or the process has ended. A frame is a message behind its length in
-four bytes.
+The loop never waits for the process. Before sending a message, the owner checks with `Worker.free_bytes`
+whether the queue has space, and decides what to do if it is full or the process has ended. Each message is
+sent as a frame: the message preceded by its length as four bytes.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 MAX_FRAME_BYTES = 16 << 20
 LENGTH_BYTES = 4
-# Environment variable that tells the process the descriptor of its end of the socket pair.
+# Environment variable with the file descriptor of the worker process's end of the socket pair.
 WORKER_FD_VARIABLE = "LANDINGSHIFT_WORKER_FD"
 
 
@@ -28,7 +28,7 @@
     """A frame's length exceeds the bound, so the two sides disagree on the format.
 
     Attributes:
-        size: The length in the frame, in bytes.
+        size: The message length that the frame states, in bytes.
     """
 
     def __init__(self, size: int) -> None:
@@ -37,7 +37,7 @@
 
 
 class FrameDecoder:
-    """Decodes a byte stream into frames."""
+    """Splits a byte stream into frames and extracts their messages."""
 
     def __init__(self) -> None:
         self.buffer = bytearray()
@@ -81,13 +81,14 @@
 
 
 class Worker:
-    """A child process that runs `module` with this interpreter and connects by `inherited_socket`.
+    """A child process that runs `module` with this interpreter; `module` must call `inherited_socket`.
 
     Args:
+        loop: The event loop of the owner.
         module: The module to run.
         args: The command line arguments of the module.
-        owner: Handles messages and the end of the process.
-        max_queued_bytes: The bound on queued messages that are not sent to the process yet.
+        owner: Handles messages from the process and the end of the process.
+        max_queued_bytes: The bound on the bytes that are queued and not sent to the process yet.
 
     Raises:
         OSError: The process can't be started.
@@ -117,15 +118,15 @@
         self.stream = Stream(loop, local, self, max_queued_bytes)
 
     def free_bytes(self) -> int:
-        """Returns the number of bytes that may still be queued; 0 after the connection is lost."""
+        """Returns the number of bytes that can still be queued; 0 after the connection is lost."""
         return self.max_queued_bytes - len(self.stream.output) if self.stream.is_open else 0
 
     def send(self, message: bytes) -> None:
-        """Queues a message for the process."""
+        """Queues a message for the process; closes the connection if the queue exceeds its bound."""
         self.stream.write(encode_frame(message))
 
     def on_data(self, data: bytes) -> None:
-        """Decodes bytes from the process and passes on the messages."""
+        """Decodes bytes from the process and passes the messages to the owner."""
         try:
             for message in self.decoder.feed(data):
                 self.owner.on_message(message)
@@ -137,7 +138,10 @@
         self.stream.close("closed")
 
     def on_closed(self, reason: str) -> None:
-        """Reports the loss; the process reads EOF, finishes the messages that it has received, and exits."""
+        """Reports the loss to the owner.
+
+        A process that is still running reads EOF, finishes the messages that it has received, and exits.
+        """
         self.owner.on_worker_lost(reason)
 
     def has_exited(self) -> bool:
--- a/landingshift/system_clock.py
+++ b/landingshift/system_clock.py
@@ -1,7 +1,7 @@
-"""The wall clock and the boot of the machine; tests can shift the one and replace the other.
+"""Reads the wall clock, the boot id and the uptime of the machine.
 
-`LANDINGSHIFT_CLOCK=-60000` sets the wall clock back by 60,000 ms. `LANDINGSHIFT_BOOT=id:ms` replaces the boot
-id and the uptime of the machine.
+Tests can change them by environment variables: `LANDINGSHIFT_CLOCK=-60000` sets the wall clock back by
+60,000 ms, and `LANDINGSHIFT_BOOT=id:ms` replaces the boot id and the uptime.
 """
 
 from __future__ import annotations
@@ -34,12 +34,12 @@
 
 
 def wall_clock_ms() -> float:
-    """Returns the Unix time in ms."""
+    """Returns the Unix time in ms, shifted by `LANDINGSHIFT_CLOCK` if that is set."""
     return time.time() * 1000.0 + _CLOCK_SHIFT_MS
 
 
 def system_boot() -> SystemBoot:
-    """Returns the current boot; if the system does not provide it, its id is empty and its uptime 0."""
+    """Returns the current boot; the id is empty and the uptime 0 if the system does not provide them."""
     if _BOOT_OVERRIDE:
         boot_id, _, uptime_ms = _BOOT_OVERRIDE.partition(":")
         return SystemBoot(boot_id, float(uptime_ms or 0.0))
