--- a/landingshift/hot_restart/__init__.py
+++ b/landingshift/hot_restart/__init__.py
@@ -1,4 +1,6 @@
-"""Hot restart: a new build takes over the sockets and open RPCs, or the old process continues to serve.
+"""Hot restart: a new build takes over the sockets and open RPCs of the running server.
+
+If this fails, the old process continues to serve.
 
 The server does not use this package yet. `docs/upgrade.md` describes the design and the missing parts.
 """
--- a/landingshift/hot_restart/state_export.py
+++ b/landingshift/hot_restart/state_export.py
@@ -52,8 +52,8 @@
 
     Attributes:
         data: A `StoredState` encoded as MessagePack.
-        descriptors: The descriptors to which `data` refers by index. The first is the listener.
-            The old router still owns them.
+        descriptors: The file descriptors to which `data` refers by index; the first is that of the listening
+            socket. The old router still owns all of them.
     """
 
     data: bytes
--- a/landingshift/hot_restart/state_import.py
+++ b/landingshift/hot_restart/state_import.py
@@ -53,8 +53,8 @@
 
     Args:
         data: A `StoredState` encoded as MessagePack.
-        descriptors: The descriptors to which `data` refers by index. The first is the listener.
-            The importer takes ownership of them.
+        descriptors: The file descriptors to which `data` refers by index; the first is that of the listening
+            socket. The importer takes ownership of all of them.
 
     Raises:
         msgspec.DecodeError: If `data` is invalid. The caller then still owns the descriptors.
--- a/landingshift/hot_restart/state_machine.py
+++ b/landingshift/hot_restart/state_machine.py
@@ -215,7 +215,7 @@
     Attributes:
         state: The current state.
         state_since_ms: The time at which the current state began.
-        last_heartbeat_ms: The time of the last heartbeat or state change.
+        last_heartbeat_ms: The time of the last heartbeat or other transition, even one that keeps the state.
         answered_count: The number of RPCs that the new process has answered on probation.
         is_shutting_down: Whether the shutdown signal was received; no hot restart begins after it.
         reason: Why the last hot restart was rolled back or the last request was refused.
--- a/landingshift/net/protocol/gateway.py
+++ b/landingshift/net/protocol/gateway.py
@@ -93,7 +93,7 @@
         arrived_unix_ms: The Unix time at which the RPC reached this machine.
         tenant: The name of the tenant; empty if the request has none.
         wait_ms: The time for which the caller waits for the answer; None if the request does not state it.
-        memory_kb: The memory that the RPC needs.
+        memory_kb: The memory that the RPC uses while it is queued.
         cache_key: A key that is equal for requests that can share a result; None if the request has none.
         idempotency_key: A key that is equal for all attempts of one RPC; None if the request has none.
         work_hint_ms: The caller's estimate of the work; None if the request has none.
--- a/landingshift/net/transport/datagram.py
+++ b/landingshift/net/transport/datagram.py
@@ -9,7 +9,7 @@
 
 
 class DatagramSender:
-    """Sends datagrams to one address, without delivery guarantee or replies."""
+    """Sends datagrams to one address; delivery is not guaranteed, and replies are not read."""
 
     def __init__(self, address: Address) -> None:
         self.address = address
