--- a/landingshift/coldstart/adaptive_limit.py
+++ b/landingshift/coldstart/adaptive_limit.py
@@ -1,32 +1,31 @@
-"""A limit that follows the saturation of what it protects. Pure.
+"""A limit that adapts to the reported saturation of a shared resource. Pure.
 
-The rule of slow start and congestion avoidance: doubled each window until something was saturated for the
-first time, raised by a tenth after that, halved when something is saturated.
+The limit follows slow start and congestion avoidance: it doubles each window until saturation is reported for
+the first time, grows by a tenth per window after that, and halves whenever saturation is reported.
 
-Guarantee: while those who are admitted report saturation, the limit falls until they don't, down to its
-minimum.
-Failure mode: reports come a window late, so that a limit may be too high for about two windows.
+Guarantee: while admitted servers report saturation, the limit decreases down to its minimum.
+Failure mode: reports arrive a window late, so a limit may be too high for about two windows.
 """
 
 from __future__ import annotations
 
-WINDOW_MS = 1000.0  # in which reports are gathered
-SLOW_START_GROWTH_FRACTION = 1.0  # per window until something was saturated
-GROWTH_FRACTION = 0.1  # per window after that
-UNSATURATED_RATIO = 0.5  # saturation up to which the limit is raised
+WINDOW_MS = 1000.0  # reports are evaluated once per window
+SLOW_START_GROWTH_FRACTION = 1.0  # per window, before the first reported saturation
+GROWTH_FRACTION = 0.1  # per window, afterwards
+UNSATURATED_RATIO = 0.5  # highest saturation at which the limit still grows
 SATURATED_RATIO = 1.0  # saturation above which the limit is halved
 DECREASE_RATIO = 0.5
-HOLD_WINDOW_COUNT = 2  # after a decrease: its effect shows later
-MAX_REPORT_COUNT = 4096  # in one window
-MIN_PERMIT_COUNT = 0.25  # below one nobody is admitted for some windows, then one
+HOLD_WINDOW_COUNT = 2  # windows without a change after a decrease, whose effect is reported with a delay
+MAX_REPORT_COUNT = 4096  # per window
+MIN_PERMIT_COUNT = 0.25  # with a limit below 1 no server is admitted for some windows, then one
 
 
 class AdaptiveLimit:
-    """A limit on admitted servers, or on calls a second.
+    """Adaptive limit on the number of starting servers or on calls per second.
 
     Attributes:
-        limit: The limit as it stands.
-        minimum: It never falls below that.
+        limit: Present limit.
+        minimum: Lower bound of the limit.
     """
 
     def __init__(
@@ -42,17 +41,18 @@
         self._growth_fraction = SLOW_START_GROWTH_FRACTION
 
     def record_saturation(self, saturation: float) -> None:
-        """Takes a report; one below 0 says that nothing is known, which is no reason for anything."""
+        """Record a report; a value below 0 means that the saturation is unknown and is ignored."""
         if saturation >= 0.0 and len(self._reports) < MAX_REPORT_COUNT:
             self._reports.append(saturation)
 
     def evaluate(self, now_ms: float, is_exhausted: bool) -> bool:
-        """Adapts the limit once a window; called as often as wanted.
+        """Adapt the limit at the end of each window; may be called at any time.
 
         Args:
-            now_ms: Time.
-            is_exhausted: Whether all is in use and more is asked for, so that a higher limit would be tried
-                out. It counts for the whole window: what is free at this moment says nothing of the rest.
+            now_ms: Present time.
+            is_exhausted: Whether the limit is fully used and more is requested, so that a higher limit would
+                have an effect. One call with True counts for the whole window, since capacity that is free
+                at one moment says little about the rest of the window.
 
         Returns:
             Whether the limit changed.
@@ -70,13 +70,13 @@
         return self.limit != previous_limit
 
     def _typical_saturation(self) -> float | None:
-        """Upper quartile of the reports: a few who have a fault of their own must not stop all."""
+        """Return the upper quartile of the reports, so that a few faulty servers can't lower the limit."""
         if not self._reports:
             return None
         return sorted(self._reports)[len(self._reports) * 3 // 4]
 
     def _adapt(self, saturation: float | None, was_exhausted: bool) -> None:
-        """The rule itself, for one window; `saturation` is None where nobody had anything to report."""
+        """Adapt the limit to one window; `saturation` is None if no server reported a known value."""
         if self._hold_windows:
             self._hold_windows -= 1
         elif saturation is not None and saturation > SATURATED_RATIO:
@@ -84,16 +84,20 @@
             self._hold_windows = HOLD_WINDOW_COUNT
             self._growth_fraction = GROWTH_FRACTION
         elif was_exhausted and saturation is None and self.limit < 1.0:
-            # Nobody is admitted who could report: up to one is, or those who wait would wait for ever.
-            self.limit = min(1.0, self._maximum, self._raised_limit())
+            # No admitted server is left to report. Raise the limit up to 1, or the others would wait forever.
+            self.limit = min(1.0, self._maximum, self._increased_limit())
         elif was_exhausted and self._is_unsaturated(saturation):
-            self.limit = min(self._maximum, self._raised_limit())
+            self.limit = min(self._maximum, self._increased_limit())
 
     def _is_unsaturated(self, saturation: float | None) -> bool:
-        """Silence counts as unsaturated only as long as nothing was ever saturated: nobody has called yet."""
+        """Return whether the limit may grow.
+
+        A window without reports counts as unsaturated only before the first reported saturation, when no
+        server may have made a call yet.
+        """
         if saturation is None:
             return self._growth_fraction >= SLOW_START_GROWTH_FRACTION
         return saturation <= UNSATURATED_RATIO
 
-    def _raised_limit(self) -> float:
+    def _increased_limit(self) -> float:
         return self.limit + max(self.minimum, self._growth_fraction * self.limit)
--- a/landingshift/coldstart/downstream_saturation.py
+++ b/landingshift/coldstart/downstream_saturation.py
@@ -1,34 +1,34 @@
-"""How saturated the shared downstream is by one server's own calls, and how many calls it needs. Pure.
+"""Saturation of the shared downstream and the demand for calls, measured from one server's own calls. Pure.
 
-At a saturation of 1 calls take a multiple of their baseline, or a good part of them fails. The baseline is
-the lowest that is known, this server's own or one that it was told: a server that starts into an overload
-has never seen the downstream healthy, and would take the overload for its nature. Without a call nothing is
-known: silence must not pass for a healthy downstream.
+At a saturation of 1, calls take three times their baseline latency or a quarter of them fails. The baseline
+is the lower of this server's own and the one reported by a grantor: a server that starts during an overload
+has never measured a healthy downstream and would take the overloaded latency for normal. Without recent calls
+the saturation is unknown, because the absence of calls does not show that the downstream is healthy.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-SATURATED_LATENCY_RATIO = 3.0  # to the baseline
-SATURATED_FAILURE_FRACTION = 0.25  # of all calls
+SATURATED_LATENCY_RATIO = 3.0  # of the mean latency to the baseline, at a saturation of 1
+SATURATED_FAILURE_FRACTION = 0.25  # of the calls that ended, at a saturation of 1
 BUCKET_COUNT = 8
 BUCKET_WIDTH_MS = 250.0
 WINDOW_MS = BUCKET_COUNT * BUCKET_WIDTH_MS
-MIN_BASELINE_CALL_COUNT = 4  # with fewer calls their mean is no baseline
+MIN_BASELINE_CALL_COUNT = 4  # the mean of fewer calls is not used as a baseline
 UNKNOWN_SATURATION = -1.0
-NOT_STARTED_MS = -1.0
+NO_CALL_WANTED_MS = -1.0  # time of the first wanted call before there was one
 
 
 @dataclass(slots=True)
 class CallBucket:
-    """Calls of one stretch of the window.
+    """Call counts of one bucket of the rolling window.
 
     Attributes:
-        answered_count: Calls that were answered.
-        failed_count: Calls that were not.
-        answered_total_ms: What the answered ones took together.
-        wanted_count: Calls that RPCs asked for, made or not.
+        answered_count: Number of answered calls.
+        failed_count: Number of failed calls.
+        answered_total_ms: Total duration of the answered calls.
+        wanted_count: Number of calls that RPCs needed, made or not.
     """
 
     answered_count: int = 0
@@ -38,20 +38,20 @@
 
 
 class DownstreamSaturation:
-    """Rolling window over this server's calls.
+    """Measures downstream saturation over a rolling window of this server's calls.
 
     Attributes:
-        baseline_latency_ms: Lowest mean of any window with enough calls, 0 where there was none.
+        baseline_latency_ms: Lowest mean latency of any window with enough calls, 0 if there was none.
     """
 
     def __init__(self) -> None:
         self._buckets = [CallBucket() for _ in range(BUCKET_COUNT)]
         self._current_index = 0
-        self._first_wanted_ms = NOT_STARTED_MS
+        self._first_wanted_ms = NO_CALL_WANTED_MS
         self.baseline_latency_ms = 0.0
 
     def on_call_finished(self, now_ms: float, is_answered: bool, duration_ms: float) -> None:
-        """A call has ended."""
+        """Record the result of a call."""
         bucket = self._current_bucket(now_ms)
         if is_answered:
             bucket.answered_count += 1
@@ -60,14 +60,14 @@
             bucket.failed_count += 1
 
     def on_call_wanted(self, now_ms: float) -> None:
-        """An RPC asks for a call, whether or not it will get one: what was left out is needed too."""
+        """Record that an RPC needs a call, even if the call is then skipped: skipped calls are demand too."""
         bucket = self._current_bucket(now_ms)
         if self._first_wanted_ms < 0.0:
             self._first_wanted_ms = now_ms
         bucket.wanted_count += 1
 
     def wanted_calls_per_second(self, now_ms: float) -> float:
-        """Calls that were asked for lately; where the first one was just now, since then."""
+        """Return the rate of needed calls, averaged over the window or the shorter time since the first."""
         self._current_bucket(now_ms)
         span_ms = WINDOW_MS
         if self._first_wanted_ms >= 0.0:
@@ -75,17 +75,17 @@
         return sum(bucket.wanted_count for bucket in self._buckets) * 1000.0 / span_ms
 
     def saturation(self, now_ms: float, reported_baseline_ms: float) -> float:
-        """How saturated the downstream is: 0 healthy, 1 saturated, more where it is worse.
+        """Return the saturation of the downstream: 0 if healthy, 1 if saturated, above 1 if overloaded.
 
         Args:
-            now_ms: Time.
-            reported_baseline_ms: The lowest baseline that others know, 0 where none does.
+            now_ms: Present time.
+            reported_baseline_ms: Lowest baseline latency reported by a grantor, 0 if unknown.
 
         Returns:
-            `UNKNOWN_SATURATION` where no call ended within the window.
+            The saturation, or `UNKNOWN_SATURATION` if no call ended within the window.
         """
         self._current_bucket(now_ms)
-        answered_count, mean_ms = self._answered()
+        answered_count, mean_ms = self._answered_count_and_mean_ms()
         failed_count = sum(bucket.failed_count for bucket in self._buckets)
         call_count = answered_count + failed_count
         if not call_count:
@@ -93,31 +93,31 @@
         known_baselines = [
             baseline for baseline in (self.baseline_latency_ms, reported_baseline_ms) if baseline
         ]
-        by_latency = 0.0
+        latency_saturation = 0.0
         if known_baselines and answered_count:
-            by_latency = (mean_ms / min(known_baselines) - 1.0) / (SATURATED_LATENCY_RATIO - 1.0)
-        by_failures = failed_count / call_count / SATURATED_FAILURE_FRACTION
-        return max(0.0, by_latency, by_failures)
+            latency_saturation = (mean_ms / min(known_baselines) - 1.0) / (SATURATED_LATENCY_RATIO - 1.0)
+        failure_saturation = failed_count / call_count / SATURATED_FAILURE_FRACTION
+        return max(0.0, latency_saturation, failure_saturation)
 
-    def _answered(self) -> tuple[int, float]:
-        """How many calls of the window were answered, and their mean in ms."""
+    def _answered_count_and_mean_ms(self) -> tuple[int, float]:
+        """Return the number of answered calls in the window and their mean latency in ms."""
         count = sum(bucket.answered_count for bucket in self._buckets)
         total_ms = sum(bucket.answered_total_ms for bucket in self._buckets)
         return count, total_ms / count if count else 0.0
 
     def _current_bucket(self, now_ms: float) -> CallBucket:
-        """The bucket of the present; first empties those that have passed."""
+        """Return the bucket of the present time, after clearing the buckets that left the window."""
         index = int(now_ms // BUCKET_WIDTH_MS)
         if index != self._current_index:
             self._update_baseline()
             oldest = max(self._current_index + 1, index - BUCKET_COUNT + 1)
-            for passed in range(oldest, index + 1):
-                self._buckets[passed % BUCKET_COUNT] = CallBucket()
+            for expired in range(oldest, index + 1):
+                self._buckets[expired % BUCKET_COUNT] = CallBucket()
             self._current_index = index
         return self._buckets[index % BUCKET_COUNT]
 
     def _update_baseline(self) -> None:
-        count, mean_ms = self._answered()
+        count, mean_ms = self._answered_count_and_mean_ms()
         if count >= MIN_BASELINE_CALL_COUNT:
             known_ms = self.baseline_latency_ms
             self.baseline_latency_ms = min(known_ms, mean_ms) if known_ms else mean_ms
--- a/landingshift/coldstart/endpoint_cache.py
+++ b/landingshift/coldstart/endpoint_cache.py
@@ -1,9 +1,9 @@
-"""The last endpoint list on disk, so that a start needs no list service.
+"""Endpoint cache: a file with the last known endpoints, which allows a start without the list service.
 
-The file is one line of ASCII (`landingshift-members 1 <blake2b of the rest>`) with MessagePack after it.
+The file has one line of ASCII (`landingshift-members 1 <blake2b of the rest>`), followed by MessagePack.
 
-Guarantee: it is written beside, synced and renamed, so that a crash leaves the old file or the new one.
-Failure mode: a file that is torn, old or of another cluster is a reason to do without, never to stop.
+Guarantee: the file is replaced atomically, so a crash leaves either the old file or the new one.
+Failure mode: a file that is torn, malformed or of another cluster is ignored; the server starts without it.
 """
 
 from __future__ import annotations
@@ -29,18 +29,18 @@
 MAX_ENDPOINT_COUNT = 1024
 MAX_FILE_BYTES = 1 << 20
 CHECKSUM_BYTES = 16
-FIRST_WRITE_BYTES = 100  # before the failpoint that leaves half a file
+FIRST_WRITE_BYTES = 100  # written before the failpoint that simulates a crash in the middle of a write
 FAILPOINT_HALF_WRITTEN = "coldstart.snapshot_half"
 FAILPOINT_SYNCED = "coldstart.snapshot_synced"
 
 
 class StoredEndpoints(Struct, array_like=True, forbid_unknown_fields=True):
-    """Content of the file, in the order in which it is stored.
+    """Content of the file, in stored order.
 
     Attributes:
-        cluster_name: Whose endpoints they are.
-        saved_at_unix_ms: By the writer's wall clock.
-        endpoints: Addresses of members.
+        cluster_name: Name of the cluster to which the endpoints belong.
+        saved_at_unix_ms: Time of writing by the writer's wall clock.
+        endpoints: Addresses of the members.
     """
 
     cluster_name: str
@@ -53,11 +53,11 @@
 
 @dataclass(slots=True, frozen=True)
 class CachedEndpoints:
-    """What a start reads.
+    """Endpoints loaded from the cache.
 
     Attributes:
-        endpoints: Addresses of members.
-        age_ms: Since they were saved, negative where a clock was set back.
+        endpoints: Addresses of the members.
+        age_ms: Time since the endpoints were saved, negative if the clock was set back.
     """
 
     endpoints: list[Address]
@@ -65,10 +65,10 @@
 
 
 def save(path: str, cluster_name: str, endpoints: list[Address], now_unix_ms: float) -> None:
-    """Replaces the file.
+    """Replace the file.
 
     Raises:
-        OSError: It can't be written; the old one stays.
+        OSError: The file can't be written; the old file is kept.
     """
     body = msgspec.msgpack.encode(StoredEndpoints(cluster_name, now_unix_ms, endpoints[:MAX_ENDPOINT_COUNT]))
     data = HEADER_PREFIX + _checksum(body) + b"\n" + body
@@ -76,14 +76,14 @@
     _write_synced(temporary_path, data)
     failpoints.reach(FAILPOINT_SYNCED)
     os.replace(temporary_path, path)
-    _sync_folder(os.path.dirname(path) or ".")
+    _sync_directory(os.path.dirname(path) or ".")
 
 
 def load(path: str, cluster_name: str, now_unix_ms: float) -> CachedEndpoints:
-    """Reads the file.
+    """Load the file.
 
     Raises:
-        EndpointCacheError: It can't be read or used.
+        EndpointCacheError: The file can't be read or its content can't be used.
     """
     try:
         with open(path, "rb") as file:
@@ -119,9 +119,9 @@
         os.close(descriptor)
 
 
-def _sync_folder(folder: str) -> None:
-    """Else the old name may come back after a power cut, which is no worse than an older list."""
-    descriptor = os.open(folder, os.O_RDONLY)
+def _sync_directory(directory: str) -> None:
+    """Sync the directory, so that a power cut does not undo the rename and bring back an older list."""
+    descriptor = os.open(directory, os.O_RDONLY)
     try:
         os.fsync(descriptor)
     finally:
--- a/landingshift/coldstart/endpoint_discovery.py
+++ b/landingshift/coldstart/endpoint_discovery.py
@@ -1,4 +1,4 @@
-"""Finding members on the server's loop: the endpoint cache first, then the list service."""
+"""Discovery of members on the server's event loop: from the endpoint cache first, then the list service."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from landingshift.net.transport.loop import Loop
 
 SAVE_INTERVAL_MS = 60_000.0
-FIRST_SAVE_MS = 5_000.0  # after the start
-KNOWN_ADDRESSES_GRACE_MS = 3_000.0  # that known addresses are tried before the list service is polled
+FIRST_SAVE_MS = 5_000.0  # delay after the start
+KNOWN_ADDRESSES_GRACE_MS = 3_000.0  # known addresses are tried this long before the list service is polled
 
 
 class EndpointDiscovery:
-    """Gives the membership addresses to try, and keeps the endpoint cache."""
+    """Supplies the membership with contact addresses and maintains the endpoint cache."""
 
     def __init__(
         self,
@@ -49,11 +49,11 @@
 
     @property
     def poll_count(self) -> int:
-        """Polls of the list service since the start."""
+        """Number of polls of the list service since the start."""
         return self._poller.poll_count
 
     def on_timer(self) -> None:
-        """Polls the list service and saves the cache, where that is due."""
+        """Poll the list service and save the cache if either is due."""
         now_ms = self._loop.now_ms
         has_joined = self._membership.node.has_joined
         if self._settings.list_service_address and self._poller.start_poll_if_due(now_ms, has_joined):
@@ -63,7 +63,7 @@
             self._save_cache()
 
     def finish(self) -> None:
-        """Ends a poll under way and saves the cache."""
+        """Cancel a poll in progress and save the cache."""
         if self._request is not None:
             self._request.cancel()
         self._save_cache()
@@ -82,7 +82,7 @@
         self._membership.node.add_contact_addresses(endpoints)
 
     def _load_cache(self) -> bool:
-        """Reads the last list; returns whether it has an address to try."""
+        """Load the cached endpoints and return whether there are any."""
         path = self._settings.endpoint_cache_path
         if not path:
             return False
@@ -101,7 +101,7 @@
         return bool(cached.endpoints)
 
     def _save_cache(self) -> None:
-        """Saves the addresses of all present members, if they have changed."""
+        """Save the addresses of all present members if they have changed."""
         path = self._settings.endpoint_cache_path
         endpoints = sorted(record.address for record in self._membership.node.member_table.present_records())
         if not path or not endpoints or endpoints == self._saved_endpoints:
@@ -111,5 +111,5 @@
                 path, self._membership.settings.cluster_name, endpoints, system_clock.wall_clock_ms()
             )
             self._saved_endpoints = endpoints
-        except OSError as error:  # the old one stays; a start is only slower without
+        except OSError as error:  # the old file is kept; a start with an outdated list is only slower
             self._log("coldstart_endpoint_cache_not_saved", error=str(error))
--- a/landingshift/coldstart/endpoint_list_client.py
+++ b/landingshift/coldstart/endpoint_list_client.py
@@ -1,4 +1,4 @@
-"""One poll of the list service: MessagePack-RPC `list(fleet)`, answered by `[[host, port], ...]`."""
+"""Client of the list service: the MessagePack-RPC call `list(fleet)`, answered by `[[host, port], ...]`."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from landingshift.net.transport.stream import Stream, connect
 
 METHOD = "list"
-RPC_REQUEST_TYPE = 0  # MessagePack-RPC type of a call
-RPC_RESPONSE_TYPE = 1  # MessagePack-RPC type of its answer
+RPC_REQUEST_TYPE = 0  # message type of a request in MessagePack-RPC
+RPC_RESPONSE_TYPE = 1  # message type of a response in MessagePack-RPC
 REQUEST_NUMBER = 1
 MAX_UNSENT_BYTES = 1 << 16
 MAX_RESPONSE_BYTES = 1 << 17
@@ -29,11 +29,11 @@
 )
 
 ResultHandler = Callable[[list[Address], str], None]
-"""Called with the endpoints and an empty reason, or with none and why the poll failed."""
+"""Called with the endpoints and an empty reason, or with no endpoints and the reason of the failure."""
 
 
 class EndpointListRequest:
-    """A poll under way; `on_result` is called once, unless the poll is cancelled."""
+    """A poll in progress; `on_result` is called once, unless the poll is cancelled."""
 
     def __init__(self, loop: Loop, address: Address, cluster_name: str, on_result: ResultHandler) -> None:
         self._on_result: ResultHandler | None = on_result
@@ -46,14 +46,14 @@
             loop.after(0.0, lambda: self._finish([], stream))
 
     def on_data(self, data: bytes) -> None:
-        """Bytes of the response came."""
+        """Handle received bytes of the response."""
         self._received += data
         try:
             rpc_type, number, error, endpoints = _decoder.decode(bytes(self._received))
         except msgspec.ValidationError:
             self._close("bad_answer")
             return
-        except msgspec.DecodeError:  # incomplete as yet
+        except msgspec.DecodeError:  # the response is still incomplete
             if len(self._received) > MAX_RESPONSE_BYTES:
                 self._close("oversized")
             return
@@ -65,16 +65,16 @@
         self._close("answered")
 
     def on_eof(self) -> None:
-        """The service writes no more."""
+        """Handle the end of the service's output."""
         self._close("closed")
 
     def on_closed(self, reason: str) -> None:
-        """The connection is closed: without a result before, the poll has failed."""
+        """Handle the closed connection; without an earlier result, the poll has failed."""
         self._stream = None
         self._finish([], reason)
 
     def cancel(self) -> None:
-        """Ends the poll without a result."""
+        """End the poll without a result."""
         self._on_result = None
         self._close("cancelled")
 
--- a/landingshift/coldstart/errors.py
+++ b/landingshift/coldstart/errors.py
@@ -1,4 +1,4 @@
-"""What can go wrong in the cold start package, as one hierarchy of exceptions."""
+"""Exceptions of the cold start package."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
     """A peer's message is neither a request nor a grant."""
 
     def __init__(self) -> None:
-        super().__init__("no cold start message")
+        super().__init__("message is neither a cold start request nor a grant")
 
 
 class NotAGrantorError(ColdStartError, ValueError):
-    """An operator asks for the grants of a server that grants nothing; the text is the answer."""
+    """An operator requested the grants of a server that is no grantor; the text is sent to the operator."""
 
     def __init__(self) -> None:
-        super().__init__("it lends nothing: it is not among the lenders")
+        super().__init__("this server lends nothing: it is not listed in the setting lenders")
 
 
 class EndpointCacheError(ColdStartError):
-    """The endpoint cache can't be used; the start goes on without it.
+    """The endpoint cache can't be used; the server starts without it.
 
     Attributes:
-        reason: Why; the field of a log line.
+        reason: Reason, as logged in the field `why`.
     """
 
     def __init__(self, reason: str) -> None:
@@ -36,26 +36,26 @@
 
 
 class MalformedEndpointCacheError(EndpointCacheError):
-    """The file is not one of this format."""
+    """The file does not have the format of an endpoint cache."""
 
     def __init__(self) -> None:
-        super().__init__("not a list")
+        super().__init__("not an endpoint cache file")
 
 
 class TornEndpointCacheError(EndpointCacheError):
-    """The file's checksum does not match its content."""
+    """The checksum of the file does not match its content."""
 
     def __init__(self) -> None:
         super().__init__("torn")
 
 
 class OtherClusterError(EndpointCacheError):
-    """The file was written in another cluster.
+    """The file was written by a server of another cluster.
 
     Attributes:
-        cluster_name: Which one, cut to a sane length.
+        cluster_name: Name of that cluster, truncated to 64 characters.
     """
 
     def __init__(self, cluster_name: str) -> None:
         self.cluster_name = cluster_name[:64]
-        super().__init__(f"of another fleet: {self.cluster_name}")
+        super().__init__(f"written in another fleet: {self.cluster_name}")
--- a/landingshift/coldstart/fair_division.py
+++ b/landingshift/coldstart/fair_division.py
@@ -1,17 +1,20 @@
-"""Max-min fairness: dividing what there is among those who want it. Pure."""
+"""Max-min fair division of a capacity. Pure."""
 
 from __future__ import annotations
 
 
 def max_min_fair_shares(wanted_amounts: dict[str, float], capacity: float) -> dict[str, float]:
-    """Divides so that no share can grow but at the cost of a smaller one.
+    """Divide a capacity so that no share can grow except at the cost of a smaller or equal one.
 
-    All get what they want where that fits; else those who want little get it whole, and the others equal
-    parts of the rest.
+    If everything fits, each name gets its wanted amount. Otherwise small wants are met in full, and the
+    others get equal parts of the rest.
 
     Args:
-        wanted_amounts: By name.
-        capacity: What there is.
+        wanted_amounts: Wanted amounts by name.
+        capacity: Amount to divide.
+
+    Returns:
+        Shares by name.
     """
     shares: dict[str, float] = {}
     remaining = capacity
--- a/landingshift/coldstart/grantor.py
+++ b/landingshift/coldstart/grantor.py
@@ -1,4 +1,4 @@
-"""A grantor's side of a cold start: its part of the start permits and of the downstream's calls. Pure."""
+"""The grantor's side of a cold start: leases its part of the start permits and of the call rate. Pure."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 from landingshift.coldstart.start_permits import PermitRequest, StartPermitPool
 from landingshift.membership.messages import MemberRecord
 
-MIN_CALLS_FRACTION = 0.05  # of the grantor's calls: it never grants less in all
+MIN_CALLS_FRACTION = 0.05  # lower bound of the adaptive call limit, as a fraction of the grantor's part
 
 
 class ColdStartGrantor:
     """Grants call quotas and start permits.
 
     Attributes:
-        call_quota_grantor: Leases calls a second.
-        start_permits: Leases permits.
+        call_quota_grantor: Grantor of leases on downstream calls per second.
+        start_permits: Pool of start permits.
     """
 
     def __init__(self, plan: ColdStartPlan, now_ms: float, recovery_grace_ms: float | None = None) -> None:
-        """Starts without any knowledge of earlier grants.
+        """Start without knowledge of the grants of a previous process.
 
         Args:
-            plan: What is settled for the cluster.
-            now_ms: Time.
-            recovery_grace_ms: How long it grants no more than is claimed; one booking where it is None.
+            plan: Cluster-wide cold start parameters.
+            now_ms: Present time.
+            recovery_grace_ms: Length of the recovery grace period; None for one reservation period.
         """
         calls_per_second = plan.amount_per_grantor(
             plan.downstream_calls_per_second * (1.0 - plan.floor_fraction)
@@ -50,24 +50,24 @@
             self.set_recovery_grace_until(now_ms + recovery_grace_ms)
 
     def set_recovery_grace_until(self, until_ms: float) -> None:
-        """Until then no more is granted than holders claim to have."""
+        """Set the time until which holders are granted no more than they claim to have."""
         self.call_quota_grantor.recovery_grace_until_ms = until_ms
         self.start_permits.lease_grantor.recovery_grace_until_ms = until_ms
 
     def baseline_latency_ms(self) -> float:
-        """The lowest baseline of all holders, 0 where none knows one."""
+        """Return the lowest baseline latency of all holders, 0 if none knows one."""
         return min((baseline for baseline in self._baselines_ms.values() if baseline), default=0.0)
 
     def on_request(
         self, sender: MemberRecord, request: ColdStartRequest, now_ms: float
     ) -> ColdStartGrant | None:
-        """Grants or renews what a server asks for; None for a late, duplicated or invalid request."""
+        """Grant or renew a server's leases; return None for a late, duplicated or invalid request."""
         if not request.is_within_bounds:
             return None
         for name in self.call_quota_grantor.expire(now_ms):
             self._baselines_ms.pop(name, None)
         self._calls_limiter.record_saturation(request.saturation)
-        # This limit begins at its maximum, and after a decrease rises to it again however little is in use.
+        # This limit starts at its maximum and returns to it after a decrease, even if little of it is used.
         if self._calls_limiter.evaluate(now_ms, is_exhausted=True):
             self.call_quota_grantor.capacity = self._calls_limiter.limit
         quota = self.call_quota_grantor.renew(_quota_request(sender, request), now_ms)
--- a/landingshift/coldstart/last_boot.py
+++ b/landingshift/coldstart/last_boot.py
@@ -1,4 +1,4 @@
-"""The boot in which a grantor ran last, on disk beside its endpoint cache; used by `recovery_grace`."""
+"""File with the id of the boot in which a grantor ran last; `recovery_grace` describes its use."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 def write_last_boot_id(path: str, boot_id: str) -> None:
-    """Replaces the id; the file is synced and renamed, so that a crash leaves the old one or the new one.
+    """Replace the file atomically: a crash leaves either the old boot id or the new one.
 
     Raises:
-        OSError: It can't be written.
+        OSError: The file can't be written.
     """
     temporary_path = f"{path}.new"
     with open(temporary_path, "w") as file:
@@ -22,7 +22,7 @@
 
 
 def read_last_boot_id(path: str) -> str:
-    """The boot id of the last run, empty where it is unknown."""
+    """Return the boot id of the previous process, empty if unknown."""
     try:
         with open(path) as file:
             return file.read(MAX_BOOT_ID_BYTES).strip()
@@ -31,7 +31,7 @@
 
 
 def remove_last_boot_id(path: str) -> bool:
-    """Removes the file; returns whether it is gone."""
+    """Remove the file and return whether it no longer exists."""
     try:
         os.unlink(path)
     except FileNotFoundError:
--- a/landingshift/coldstart/lease_history.py
+++ b/landingshift/coldstart/lease_history.py
@@ -1,4 +1,4 @@
-"""Notes for checkers of a run: what this server holds, and until when."""
+"""Record of the leases that a server holds, in the decision history that invariant checkers read."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class LeaseHistory:
-    """Writes each change of a held lease to the history, if there is one; their sum must keep the bound."""
+    """Records each change of a held lease, so that a checker can compare their sum with the capacity."""
 
     def __init__(self) -> None:
-        self._noted: dict[str, tuple[float, ...]] = {}
+        self._recorded: dict[str, tuple[float, ...]] = {}
 
     def update(self, participant: ColdStartParticipant) -> None:
-        """Notes what has changed."""
+        """Record the leases that have changed, if a history is being recorded."""
         if not decision_history.is_recording():
             return
         holder_name = participant.node.local_record.name
@@ -26,6 +26,6 @@
                 leases.start_permit.held_amount,
                 leases.start_permit.expires_at_ms,
             )
-            if self._noted.get(grantor_name) != held:
-                self._noted[grantor_name] = held
+            if self._recorded.get(grantor_name) != held:
+                self._recorded[grantor_name] = held
                 decision_history.record(HISTORY_EVENT, holder_name, grantor_name, *held)
--- a/landingshift/coldstart/leases.py
+++ b/landingshift/coldstart/leases.py
@@ -1,25 +1,25 @@
-"""Leased amounts: a grantor's and a holder's side.
-
-Guarantee: the sum of what all holders may use never passes what the grantor has, although messages are lost,
-late, duplicated and reordered, processes are paused or replaced, and clocks differ. The rule, and why that
-holds:
-
-1. A holder numbers its requests and takes only the answer to its last one. What an older answer offered is
-   void from the moment of the next request, so that the claim in that request is all that it can ever use.
-2. A holder uses an amount until the lease has passed since *its request*, by its own monotonic clock. The
-   grantor counts the lease from *its answer*, which is later, and adds a margin for clocks that drift and
-   for calls that are already under way.
-3. The grantor books the greater of what it now grants and what the holder still claims. A smaller grant
-   frees nothing until a later request claims no more than it, or the old lease has expired.
-4. What is booked in all never passes the capacity. A grantor that has just started knows nothing of the
-   grants of its earlier process: during the recovery grace period it grants no more than each holder claims
-   to have from it.
-
-Failure mode: what a lost grantor has granted expires within one lease, and nobody can be granted its part of
-the capacity until a process with its name is back and its recovery grace period is over. What a lost holder
-had is free after one booking.
-
-Pure: time in ms is an argument. Amounts are numbers of 0 or more.
+"""Leases on parts of a capacity: the grantor's and the holder's side. Pure: time in ms is an argument.
+
+Guarantee: the amounts that all holders may use never add up to more than the grantor's capacity, even if
+messages are lost, delayed, duplicated or reordered, processes are paused or replaced, and clocks differ. The
+rules, and why they suffice:
+
+1. A holder numbers its requests and accepts only the response to the latest one. Sending a request voids the
+   responses to all earlier ones, so the holder can use no more than that request claims until it is answered.
+2. A holder may use an amount until the lease duration has passed since it sent *the request*, by its own
+   monotonic clock. The grantor counts the duration from *its response*, which is later, and adds a margin for
+   clock drift and for calls that are still in flight.
+3. The grantor reserves the larger of the amount it grants and the amount the holder claims. A smaller grant
+   therefore frees nothing until a later request claims no more than that grant, or the old lease has expired.
+4. No grant raises the sum of the reserved amounts above the capacity. A grantor that has just started does
+   not know the grants of its previous process: during the recovery grace period it grants each holder no
+   more than the holder claims to have from it.
+
+When the capacity is lowered, amounts granted before may stay in use until the division takes them back.
+
+Failure mode: the grants of a lost grantor expire within one lease; its part of the capacity can't be granted
+until a process of the same name has started and its recovery grace period is over. The amount of a lost
+holder is free again once its reservation expires.
 """
 
 from __future__ import annotations
@@ -27,35 +27,36 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-# Of a lease, by which two monotonic clocks may run apart in it; policies and maintenance assume the same.
+# Largest drift between two monotonic clocks, as a fraction of the elapsed time; policies and maintenance
+# assume the same value.
 CLOCK_DRIFT_FRACTION = 0.02
 MAX_HOLDER_COUNT = 10_000
-DIVISION_LIFETIME_MS = 100.0  # hundreds of holders ask in each second
-NEVER_MS = -1e9  # a time before all others
+DIVISION_LIFETIME_MS = 100.0  # divisions are cached this long: hundreds of holders send requests each second
+NEVER_MS = -1e9  # earlier than any real time
 
-Division = Callable[[dict[str, float], float], dict[str, float]]
-"""Divides a capacity among names by what each wants; it may give a name less than it has."""
+DivideFunction = Callable[[dict[str, float], float], dict[str, float]]
+"""Divides a capacity among holders by their wanted amounts; may assign a holder less than it has now."""
 
 
 def booking_duration_ms(lease_ms: float, expiry_margin_ms: float) -> float:
-    """How long a grantor must count an amount as granted.
+    """Return for how long a grantor must reserve a granted amount.
 
-    Longer than any holder may use it: the holder's clock may run slower, and calls that it has made in time
-    may still be under way.
+    This is longer than any holder may use the amount, because the holder's clock may run slower and calls
+    that it made in time may still be in flight.
     """
     return lease_ms * (1.0 + CLOCK_DRIFT_FRACTION) + expiry_margin_ms
 
 
 @dataclass(slots=True, frozen=True)
 class LeaseRequest:
-    """A holder's request for a lease, or for its renewal.
+    """A holder's request for a lease or its renewal.
 
     Attributes:
-        holder_name: Who asks.
-        run_id: Which process of that name.
-        request_number: Numbers the holder's requests.
-        claimed_amount: What it still holds from this grantor.
-        wanted_amount: What it wants from now on.
+        holder_name: Name of the requesting server.
+        run_id: Identifier of the requesting process; differs after a restart.
+        request_number: Sequence number of the holder's requests to this grantor.
+        claimed_amount: Amount that the holder still holds from this grantor.
+        wanted_amount: Amount that the holder wants from now on.
     """
 
     holder_name: str
@@ -67,15 +68,15 @@
 
 @dataclass(slots=True, eq=False)
 class LeaseGrant:
-    """What a grantor has granted to one holder.
+    """A grantor's record of one holder.
 
     Attributes:
-        run_id: Which process of the holder's name.
-        request_number: Its last request.
-        amount: What was granted last.
-        booked_amount: The most that the holder may use until `expires_at_ms`.
-        expires_at_ms: When what is booked is free.
-        wanted_amount: What the holder wanted last.
+        run_id: Identifier of the holder's process.
+        request_number: Number of the holder's latest request.
+        amount: Amount granted last.
+        booked_amount: Reserved amount, the most that the holder may use until `expires_at_ms`.
+        expires_at_ms: Time at which the reserved amount becomes free.
+        wanted_amount: Amount that the holder wanted last.
     """
 
     run_id: int
@@ -87,18 +88,18 @@
 
 
 class LeaseGrantor:
-    """Grants parts of a capacity for a time.
+    """Leases parts of a capacity to holders.
 
     Attributes:
-        capacity: What there is; may be changed at any time.
-        booking_ms: How long a grant is booked.
-        recovery_grace_until_ms: Until then no more is granted than holders claim to have.
-        grants: By the holders' names.
-        refused_holder_count: Requests of new holders that found the table full.
+        capacity: Sum of the amounts that may be granted; may be changed at any time.
+        booking_ms: Time for which a granted amount stays reserved.
+        recovery_grace_until_ms: Time until which no holder is granted more than it claims.
+        grants: Records of the holders, by name.
+        refused_holder_count: Requests of new holders that were refused because the table was full.
     """
 
     def __init__(
-        self, capacity: float, lease_ms: float, expiry_margin_ms: float, now_ms: float, divide: Division
+        self, capacity: float, lease_ms: float, expiry_margin_ms: float, now_ms: float, divide: DivideFunction
     ) -> None:
         self.capacity = capacity
         self.booking_ms = booking_duration_ms(lease_ms, expiry_margin_ms)
@@ -110,11 +111,11 @@
         self._divided_at_ms = NEVER_MS
 
     def booked_amount(self) -> float:
-        """What all holders together may use at the most."""
+        """Return the sum of all reserved amounts, the most that all holders together may use."""
         return sum(grant.booked_amount for grant in self.grants.values())
 
     def expire(self, now_ms: float) -> list[str]:
-        """Frees what has expired; returns the holders' names."""
+        """Remove expired grants and return the names of their holders."""
         expired = [name for name, grant in self.grants.items() if grant.expires_at_ms <= now_ms]
         for name in expired:
             del self.grants[name]
@@ -123,18 +124,18 @@
         return expired
 
     def invalidate_division(self) -> None:
-        """The capacity is divided anew at the next request."""
+        """Discard the cached division, so that the next request divides the capacity again."""
         self._divided_at_ms = NEVER_MS
 
     def renew(self, request: LeaseRequest, now_ms: float) -> float | None:
-        """Grants or renews a lease.
+        """Grant or renew a lease.
 
         Args:
             request: The holder's request.
-            now_ms: By the grantor's clock.
+            now_ms: Present time by the grantor's clock.
 
         Returns:
-            What is granted from now on; None for a request that is late or duplicated, which has no answer.
+            The amount granted from now on, or None for a late or duplicated request, which is not answered.
         """
         self.expire(now_ms)
         grant = self.grants.get(request.holder_name)
@@ -148,16 +149,18 @@
                 return 0.0
             grant = self._book_claim(request, others_booked, now_ms)
         elif not is_same_run:
-            # The earlier process may still run, paused or cut off: what it has stays booked until it expires.
+            # The previous process may still run, paused or partitioned: its amount stays reserved until it
+            # expires.
             if grant.booked_amount > 0.0:
                 return 0.0
             grant.run_id = request.run_id
         return self._grant(grant, request, others_booked, now_ms)
 
     def _book_claim(self, request: LeaseRequest, others_booked: float, now_ms: float) -> LeaseGrant:
-        """Books what a new holder claims to have from this grantor's earlier process.
+        """Reserve what a new holder claims to have from this grantor's previous process.
 
-        All true claims fit, by rule 4 of that process; a false one is cut to what is left.
+        All true claims fit into the capacity, because the previous process obeyed rule 4; a false claim is
+        limited to the capacity that is left.
         """
         booked = max(0.0, min(request.claimed_amount, self.capacity - others_booked))
         grant = LeaseGrant(request.run_id, request.request_number, 0.0, booked, now_ms + self.booking_ms)
@@ -166,14 +169,14 @@
         return grant
 
     def _grant(self, grant: LeaseGrant, request: LeaseRequest, others_booked: float, now_ms: float) -> float:
-        """Settles what is granted, and books it by rule 3."""
+        """Determine the amount to grant and reserve it by rule 3."""
         grant.request_number = request.request_number
         grant.wanted_amount = max(0.0, request.wanted_amount)
         claimed = max(0.0, min(request.claimed_amount, grant.booked_amount))
         if now_ms < self.recovery_grace_until_ms:
             amount = min(claimed, grant.wanted_amount)
         else:
-            # What the holder has may stay although the capacity has shrunk, unless the division takes it.
+            # A holder may keep its amount after a decrease of the capacity, unless the division takes it.
             available = max(claimed, self.capacity - others_booked)
             amount = max(0.0, min(self._divided_amount(request.holder_name, now_ms), available))
         grant.amount = amount
@@ -182,7 +185,7 @@
         return amount
 
     def _divided_amount(self, holder_name: str, now_ms: float) -> float:
-        """The holder's part by the last division, which stands for a while."""
+        """Return the holder's share; divide again if the cached division is outdated or lacks the holder."""
         is_outdated = now_ms - self._divided_at_ms >= DIVISION_LIFETIME_MS
         if is_outdated or holder_name not in self._division:
             wanted_amounts = {name: grant.wanted_amount for name, grant in self.grants.items()}
@@ -192,15 +195,15 @@
 
 
 class HeldLease:
-    """A holder's side of a lease, with one grantor.
+    """A holder's record of its lease from one grantor.
 
     Attributes:
-        lease_ms: How long an amount may be used, from its request on.
-        request_number: The last request.
-        requested_at_ms: When that was made.
-        is_answered: Whether its answer was taken.
-        held_amount: What was granted last.
-        expires_at_ms: Until when it may be used.
+        lease_ms: Time for which a granted amount may be used, counted from its request.
+        request_number: Number of the latest request.
+        requested_at_ms: Time of the latest request.
+        is_answered: Whether the response to the latest request was accepted.
+        held_amount: Amount granted last.
+        expires_at_ms: Time until which the held amount may be used.
     """
 
     def __init__(self, lease_ms: float) -> None:
@@ -212,21 +215,21 @@
         self.expires_at_ms = 0.0
 
     def usable_amount(self, now_ms: float) -> float:
-        """What may be used now."""
+        """Return the amount that may be used now."""
         return self.held_amount if now_ms < self.expires_at_ms else 0.0
 
     def next_request(self, now_ms: float) -> tuple[int, float]:
-        """Begins a request; returns its number and what is claimed in it."""
+        """Begin a request and return its number and the amount it claims."""
         self.request_number += 1
         self.requested_at_ms = now_ms
         self.is_answered = False
         return self.request_number, self.usable_amount(now_ms)
 
     def on_grant(self, request_number: int, amount: float, now_ms: float) -> bool:
-        """Takes an answer.
+        """Accept a response if it answers the latest request.
 
         Returns:
-            False for an answer to another request than the last, a second one, or one that comes too late.
+            Whether it was accepted: not if it answers an earlier request, is a duplicate or came too late.
         """
         expires_at_ms = self.requested_at_ms + self.lease_ms
         if request_number != self.request_number or self.is_answered or now_ms >= expires_at_ms:
--- a/landingshift/coldstart/messages.py
+++ b/landingshift/coldstart/messages.py
@@ -1,4 +1,4 @@
-"""What servers and grantors say to each other, as types; `wire` has the lists that are sent."""
+"""Messages between servers and grantors; `wire` defines their encoding."""
 
 from __future__ import annotations
 
@@ -6,23 +6,23 @@
 
 from landingshift.coldstart.downstream_saturation import UNKNOWN_SATURATION
 
-MAX_VALUE = 1e9  # above any amount, rate or number that occurs; bounds what a peer may claim
+MAX_VALUE = 1e9  # above any real amount, rate or request number; bounds what a peer may claim
 
 
 @dataclass(slots=True, frozen=True)
 class ColdStartRequest:
-    """One server's request to one grantor, for a call quota and a start permit at once.
+    """A server's request to one grantor, for a call quota and a start permit at once.
 
     Attributes:
-        quota_request_number: Numbers the server's requests for a quota to this grantor.
-        claimed_quota: Calls a second that it still holds from this grantor.
-        needed_calls_per_second: Calls a second that it wants from this grantor.
-        permit_request_number: Numbers its requests for a permit.
-        claimed_permit: 1 where it still holds a permit from this grantor, else 0.
-        wants_permit: Whether it wants one, or wants to keep it.
-        waiting_rpcs_per_second: Work that waits for the server; orders those who wait for a permit.
-        saturation: Of the downstream, as this server's own calls show it; below 0 where unknown.
-        baseline_latency_ms: Of a call to a healthy downstream, 0 where unknown.
+        quota_request_number: Sequence number of the server's quota requests to this grantor.
+        claimed_quota: Calls per second that the server still holds from this grantor.
+        needed_calls_per_second: Calls per second that the server wants from this grantor.
+        permit_request_number: Sequence number of the server's permit requests to this grantor.
+        claimed_permit: 1 if the server still holds a permit from this grantor, else 0.
+        wants_permit: Whether the server wants to get or keep a permit.
+        waiting_rpcs_per_second: Rate of RPCs that arrive for the server; a higher rate gets a permit sooner.
+        saturation: Saturation of the downstream as this server measures it, below 0 if unknown.
+        baseline_latency_ms: Latency of a call to the healthy downstream, 0 if unknown.
     """
 
     quota_request_number: int
@@ -37,8 +37,8 @@
 
     @property
     def is_within_bounds(self) -> bool:
-        """Whether all figures are sane: not negative, except for an unknown saturation, and not huge."""
-        figures = (
+        """Whether all values are below `MAX_VALUE` and not negative, except for an unknown saturation."""
+        values = (
             self.quota_request_number,
             self.claimed_quota,
             self.needed_calls_per_second,
@@ -48,19 +48,19 @@
             self.baseline_latency_ms,
         )
         is_saturation_valid = UNKNOWN_SATURATION <= self.saturation < MAX_VALUE
-        return is_saturation_valid and all(0 <= figure < MAX_VALUE for figure in figures)
+        return is_saturation_valid and all(0 <= value < MAX_VALUE for value in values)
 
 
 @dataclass(slots=True, frozen=True)
 class ColdStartGrant:
-    """A grantor's answer to one request.
+    """A grantor's response to one request.
 
     Attributes:
-        quota_request_number: The request that the quota answers.
-        quota: Calls a second, from the answer until the lease has passed since the request.
-        permit_request_number: The request that the permit answers.
-        permit: 1 where the server may start, else 0.
-        baseline_latency_ms: The lowest that the grantor was told, 0 where unknown.
+        quota_request_number: Number of the quota request that is answered.
+        quota: Calls per second, usable until the lease duration has passed since the request.
+        permit_request_number: Number of the permit request that is answered.
+        permit: 1 if the server may start, else 0.
+        baseline_latency_ms: Lowest baseline latency that the grantor's holders reported, 0 if unknown.
     """
 
     quota_request_number: int
--- a/landingshift/coldstart/operator_views.py
+++ b/landingshift/coldstart/operator_views.py
@@ -1,4 +1,4 @@
-"""What operators and members see of a cold start; the only place that knows the keys of these answers."""
+"""Answers to operator calls and the metadata published to members; only this module knows their keys."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def published_metadata(participant: ColdStartParticipant, now_ms: float) -> dict[str, float]:
-    """What a server publishes of its start to all members."""
+    """Return the metadata that a server publishes to all members."""
     return {
         "stage": STAGE_POSITIONS[participant.start_sequence.stage],
         "share": round(participant.call_quota(now_ms), 1),
@@ -22,7 +22,7 @@
 def cold_start_status(
     participant: ColdStartParticipant, list_poll_count: int, now_ms: float
 ) -> dict[str, Any]:
-    """Answer to the call `coldstart`: how far this server is, and what it may use."""
+    """Return the answer to the operator call `coldstart`: this server's stage, quota and measurements."""
     observation = participant.observation
     return {
         "name": participant.node.local_record.name,
@@ -40,10 +40,10 @@
 
 
 def granted_leases(participant: ColdStartParticipant) -> dict[str, Any]:
-    """Answer to the call `lent`: what this server has granted.
+    """Return the answer to the operator call `lent`: the quotas and permits that this server has granted.
 
     Raises:
-        NotAGrantorError: It grants nothing.
+        NotAGrantorError: This server is no grantor.
     """
     grantor = participant.grantor
     if grantor is None:
--- a/landingshift/coldstart/participant.py
+++ b/landingshift/coldstart/participant.py
@@ -1,10 +1,10 @@
-"""One server's part in a cold start: requests start permits and call quotas, and grants them if it is to.
+"""One server's part in a cold start: requests start permits and call quotas, and grants them if a grantor.
 
-Pure: speaks through its `SwimNode`, which the server's loop or virtual time drives.
+Pure: sends and receives through its `SwimNode`, which the server's event loop or a simulation drives.
 
-Guarantee: between an RPC and its response no peer is ever waited for.
-Failure mode: with no grantor to ask a server goes on with what it was granted last, then with its floor, and
-starts without a permit after a time-out.
+Guarantee: no RPC waits for a response of a peer.
+Failure mode: a server that reaches no grantor uses its last leases until they expire, then only its floor,
+and starts without a permit after a timeout.
 """
 
 from __future__ import annotations
@@ -25,24 +25,24 @@
 from landingshift.membership.messages import DEPARTED_STATES, MemberRecord
 from landingshift.membership.node import SwimNode
 
-REQUESTS_PER_LEASE_COUNT = 3.0  # two may be lost
-REQUEST_JITTER = (0.9, 1.1)  # bounds of the factor on the interval between requests
-EARLY_REQUEST_FRACTION = 0.25  # of that interval, for a server whose need has grown
-EARLY_REQUEST_NEED_RATIO = 2.0  # of what is needed to what was asked for last
-SATISFIED_FRACTION = 0.9  # of what is needed; with less a second grantor is asked too
-SECOND_GRANTOR_LEASE_COUNT = 5.0  # for which it is asked, once it was needed
+REQUESTS_PER_LEASE_COUNT = 3.0  # two requests in a row may be lost without losing the lease
+REQUEST_JITTER = (0.9, 1.1)  # bounds of the random factor on the request interval
+EARLY_REQUEST_FRACTION = 0.25  # of the request interval that must pass before an early request
+EARLY_REQUEST_NEED_RATIO = 2.0  # factor by which the need must have grown for an early request
+SATISFIED_FRACTION = 0.9  # of the needed calls: if less is granted, a second grantor is asked as well
+SECOND_GRANTOR_LEASE_COUNT = 5.0  # requests to a second grantor go on for this many lease durations
 
 
 @dataclass(slots=True)
 class LoadObservation:
-    """What a server sees of itself.
+    """A server's measurements of its own state and load.
 
     Attributes:
-        warm_fraction: From 0 to 1, how far it is warm.
-        needed_calls_per_second: Calls to the downstream that it would make.
-        waiting_rpcs_per_second: Work that waits for it.
-        saturation: Of the downstream, below 0 where unknown.
-        baseline_latency_ms: Of a call to a healthy downstream, 0 where it never saw that.
+        warm_fraction: Progress of the warm-up, from 0 to 1.
+        needed_calls_per_second: Downstream calls per second that the server needs.
+        waiting_rpcs_per_second: Rate of RPCs that arrive for the server.
+        saturation: Saturation of the downstream, below 0 if unknown.
+        baseline_latency_ms: Latency of a call to the healthy downstream, 0 if never measured.
     """
 
     warm_fraction: float = 0.0
@@ -54,18 +54,18 @@
 
 @dataclass(slots=True, eq=False)
 class HeldLeases:
-    """What a server holds from one grantor.
+    """A server's leases from one grantor.
 
     Attributes:
-        call_quota: Calls a second.
-        start_permit: 1 or 0.
+        call_quota: Lease on downstream calls per second.
+        start_permit: Lease on a start permit, with an amount of 1 or 0.
     """
 
     call_quota: HeldLease
     start_permit: HeldLease
 
     def expires_at_ms(self) -> float:
-        """When the later one of the two expires."""
+        """Return when the later of the two leases expires."""
         return max(self.call_quota.expires_at_ms, self.start_permit.expires_at_ms)
 
 
@@ -73,16 +73,16 @@
     """Requests, grants and the start sequence of one server.
 
     Attributes:
-        node: Its membership.
-        plan: What is settled for the cluster.
-        grantor: Its own grants, None where it grants nothing.
-        held_leases: What it holds, by the grantors' names.
-        start_sequence: Its way from start to warm.
-        observation: What it saw of itself last.
-        reported_baseline_ms: The lowest baseline that a grantor told, 0 where unknown.
-        next_request_ms: When the next request is due.
-        request_count: Requests since the start.
-        response_count: Answers that were taken.
+        node: Membership node of the server.
+        plan: Cluster-wide cold start parameters.
+        grantor: Grantor part of this server, None if it is no grantor.
+        held_leases: Leases that the server holds, by grantor name.
+        start_sequence: Start stages of the server.
+        observation: Latest measurements of the server.
+        reported_baseline_ms: Baseline latency in the latest grant, 0 if unknown.
+        next_request_ms: Time of the next regular request.
+        request_count: Number of requests since the start.
+        response_count: Number of accepted responses.
     """
 
     def __init__(
@@ -104,7 +104,7 @@
         self.observation = LoadObservation()
         self.reported_baseline_ms = 0.0
         self._request_interval_ms = plan.lease_ms / REQUESTS_PER_LEASE_COUNT
-        # Servers that start in one second must not ask in step for ever.
+        # A random first delay keeps servers that start together from sending requests in step.
         self.next_request_ms = now_ms + self._request_interval_ms * rng.random()
         self.request_count = 0
         self.response_count = 0
@@ -113,25 +113,28 @@
         self._second_grantor_until_ms = 0.0
         node.message_handlers[wire.PACKAGE] = self.on_message
 
-    # What this server may do
+    # Held quotas and permits
 
     def call_quota(self, now_ms: float) -> float:
-        """Calls a second that it may make; never less than its floor."""
+        """Return the downstream calls per second that this server may make, at least its floor."""
         leased = sum(leases.call_quota.usable_amount(now_ms) for leases in self.held_leases.values())
         return self.floor_calls_per_second + leased
 
     @property
     def floor_calls_per_second(self) -> float:
-        """Calls a second that need no lease; less where more servers are present than were planned for."""
+        """Calls per second that need no lease; reduced if more servers are present than planned."""
         present_count = len(self.node.member_table.present_names) + 1
         return self.plan.floor_calls_per_second * min(1.0, self.plan.max_servers / present_count)
 
     def has_start_permit(self, now_ms: float) -> bool:
-        """Whether it may warm up."""
+        """Return whether this server holds a start permit."""
         return any(leases.start_permit.usable_amount(now_ms) >= 1.0 for leases in self.held_leases.values())
 
     def present_grantors(self) -> list[str]:
-        """Grantors that are present, in this server's own order, so that each has about as many holders."""
+        """Return the present grantors in an order hashed from this server's name.
+
+        Different orders on different servers give each grantor about the same number of holders.
+        """
         own_name = self.node.local_record.name
         present = [name for name in self.plan.grantor_names if name == own_name or self._is_present(name)]
         return sorted(present, key=lambda name: zlib.crc32(f"{name} {own_name}".encode()))
@@ -140,10 +143,10 @@
         record = self.node.member_table.record(name)
         return record is not None and record.state not in DEPARTED_STATES
 
-    # Time
+    # Sending requests
 
     def on_timer(self, now_ms: float, observation: LoadObservation) -> bool:
-        """Sends requests that are due and goes on with the start sequence.
+        """Send requests that are due and advance the start sequence.
 
         Returns:
             Whether the stage of the start changed.
@@ -152,7 +155,7 @@
         if now_ms >= self.next_request_ms or self._is_early_request_due(now_ms):
             self.next_request_ms = now_ms + self._request_interval_ms * self._rng.uniform(*REQUEST_JITTER)
             self._send_requests(now_ms)
-        self._forget_expired_leases(now_ms)
+        self._remove_expired_leases(now_ms)
         return self.start_sequence.advance(
             now_ms,
             len(self.present_grantors()),
@@ -161,9 +164,9 @@
         )
 
     def _is_early_request_due(self, now_ms: float) -> bool:
-        """Whether the need has doubled since all that was asked for was granted.
+        """Return whether the need has doubled since the last request and nearly all of that was granted.
 
-        A server that begins to take RPCs must not wait for its turn.
+        A server that begins to accept RPCs can't wait for its next regular request.
         """
         requested = self._requested_calls_per_second
         known_need = max(requested, self.floor_calls_per_second)
@@ -174,15 +177,15 @@
         earliest_ms = self._requested_at_ms + self._request_interval_ms * EARLY_REQUEST_FRACTION
         return has_need_grown and now_ms >= earliest_ms
 
-    def _forget_expired_leases(self, now_ms: float) -> None:
-        """Drops grantors that are gone, once nothing that they granted is left."""
+    def _remove_expired_leases(self, now_ms: float) -> None:
+        """Remove the expired leases of grantors that have left or are no longer configured."""
         expired = [name for name, leases in self.held_leases.items() if leases.expires_at_ms() <= now_ms]
         for name in expired:
             if name not in self.plan.grantor_names or not self._is_present(name):
                 del self.held_leases[name]
 
     def _send_requests(self, now_ms: float) -> None:
-        """Asks the first grantor, and for a while a second one where the first could not grant enough."""
+        """Send a request to the first grantor and, after it granted too little, also to a second one."""
         needed = self.observation.needed_calls_per_second
         self._requested_at_ms = now_ms
         self._requested_calls_per_second = needed
@@ -193,16 +196,16 @@
         leased = self.call_quota(now_ms) - floor
         if self.response_count and leased < SATISFIED_FRACTION * (needed - floor):
             self._second_grantor_until_ms = now_ms + SECOND_GRANTOR_LEASE_COUNT * self.plan.lease_ms
-        self._send_request(grantors[0], needed - floor, may_grant_permit=True, now_ms=now_ms)
+        self._send_request(grantors[0], needed - floor, may_request_permit=True, now_ms=now_ms)
         if now_ms < self._second_grantor_until_ms and len(grantors) > 1:
             from_first = self.held_leases[grantors[0]].call_quota.usable_amount(now_ms)
             remaining = needed - floor - from_first
-            self._send_request(grantors[1], remaining, may_grant_permit=False, now_ms=now_ms)
+            self._send_request(grantors[1], remaining, may_request_permit=False, now_ms=now_ms)
 
     def _send_request(
-        self, grantor_name: str, needed_calls_per_second: float, may_grant_permit: bool, now_ms: float
+        self, grantor_name: str, needed_calls_per_second: float, may_request_permit: bool, now_ms: float
     ) -> None:
-        request = self._next_request(grantor_name, needed_calls_per_second, may_grant_permit, now_ms)
+        request = self._build_request(grantor_name, needed_calls_per_second, may_request_permit, now_ms)
         self.request_count += 1
         local_record = self.node.local_record
         if grantor_name == local_record.name and self.grantor is not None:
@@ -212,8 +215,8 @@
         else:
             self.node.send_to_member(grantor_name, wire.PACKAGE, wire.encode_request(request))
 
-    def _next_request(
-        self, grantor_name: str, needed_calls_per_second: float, may_grant_permit: bool, now_ms: float
+    def _build_request(
+        self, grantor_name: str, needed_calls_per_second: float, may_request_permit: bool, now_ms: float
     ) -> ColdStartRequest:
         lease_ms = self.plan.lease_ms
         leases = self.held_leases.setdefault(
@@ -227,16 +230,16 @@
             needed_calls_per_second=max(0.0, needed_calls_per_second),
             permit_request_number=permit_request_number,
             claimed_permit=claimed_permit,
-            wants_permit=may_grant_permit and self.start_sequence.wants_permit,
+            wants_permit=may_request_permit and self.start_sequence.wants_permit,
             waiting_rpcs_per_second=self.observation.waiting_rpcs_per_second,
             saturation=self.observation.saturation,
             baseline_latency_ms=self.observation.baseline_latency_ms,
         )
 
-    # What others say
+    # Receiving messages
 
     def on_message(self, sender: MemberRecord, body: list[Any]) -> None:
-        """Takes a request or a grant of another server; what is neither is dropped."""
+        """Handle a request or grant of another server; drop any other message."""
         now_ms = self.node.now_ms
         try:
             message = wire.decode(body)
@@ -256,11 +259,11 @@
             self.node.send_to_member(sender.name, wire.PACKAGE, wire.encode_grant(grant))
 
     def _on_grant(self, grantor_name: str, grant: ColdStartGrant, now_ms: float) -> None:
-        """Takes a grant as far as it answers the last request."""
+        """Accept the parts of a grant that answer the latest request."""
         leases = self.held_leases[grantor_name]
-        is_quota_taken = leases.call_quota.on_grant(grant.quota_request_number, grant.quota, now_ms)
-        is_permit_taken = leases.start_permit.on_grant(grant.permit_request_number, grant.permit, now_ms)
-        if is_quota_taken or is_permit_taken:
+        is_quota_accepted = leases.call_quota.on_grant(grant.quota_request_number, grant.quota, now_ms)
+        is_permit_accepted = leases.start_permit.on_grant(grant.permit_request_number, grant.permit, now_ms)
+        if is_quota_accepted or is_permit_accepted:
             self.start_sequence.last_grantor_response_ms = now_ms
             self.response_count += 1
             self.reported_baseline_ms = grant.baseline_latency_ms
--- a/landingshift/coldstart/plan.py
+++ b/landingshift/coldstart/plan.py
@@ -1,4 +1,4 @@
-"""What is settled for all servers of a cluster alike."""
+"""Cold start parameters that are the same on all servers of a cluster."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 @dataclass(slots=True, frozen=True)
 class ColdStartPlan:
-    """The bounds of a cold start, and how they are divided.
+    """Cluster-wide limits of a cold start and the parameters of its leases.
 
     Attributes:
-        grantor_names: Servers that grant leases, each of its own part of all bounds.
-        downstream_calls_per_second: Calls that the downstream bears from all servers together.
-        max_servers: The most servers that there will be.
-        floor_fraction: Part of the calls that is divided evenly and for good, and never leased.
-        lease_ms: How long a holder may use what it was granted, from its request on.
-        expiry_margin_ms: How much longer the grantor counts it as granted.
+        grantor_names: Names of the servers that grant leases, each on an equal part of the limits.
+        downstream_calls_per_second: Call rate that the downstream can serve from all servers together.
+        max_servers: Largest number of servers in the cluster.
+        floor_fraction: Fraction of the call rate that is divided evenly among servers and never leased.
+        lease_ms: Time for which a holder may use a granted amount, counted from its request.
+        expiry_margin_ms: Additional time for which the grantor keeps a granted amount reserved.
         initial_permits: Start permits of all grantors together when they start.
-        max_permits: The most that they may become.
-        grantor_timeout_ms: Without an answer for that long a server starts without a grantor.
-        ungranted_starts_per_second: Rate of such starts in the whole cluster.
+        max_permits: Upper bound of the start permits of all grantors together.
+        grantor_timeout_ms: Time without a grantor's answer after which a server starts without a permit.
+        ungranted_starts_per_second: Rate of starts without a permit in the whole cluster.
     """
 
     grantor_names: tuple[str, ...]
@@ -36,17 +36,17 @@
     ungranted_starts_per_second: float
 
     def amount_per_grantor(self, amount: float) -> float:
-        """What one grantor has of an amount that all of them grant together."""
+        """Return one grantor's part of an amount that all grantors grant together."""
         return amount / len(self.grantor_names) if self.grantor_names else 0.0
 
     @property
     def booking_ms(self) -> float:
-        """How long a grantor counts an amount as granted."""
+        """Time for which a grantor keeps a granted amount reserved."""
         return booking_duration_ms(self.lease_ms, self.expiry_margin_ms)
 
     @property
     def floor_calls_per_second(self) -> float:
-        """What each server may always use; all there is in equal parts where nobody grants leases."""
+        """Call rate that each server may always use; an equal part of the whole if there are no grantors."""
         if self.grantor_names:
             return self.downstream_calls_per_second * self.floor_fraction / self.max_servers
         return self.downstream_calls_per_second / self.max_servers
--- a/landingshift/coldstart/recovery_grace.py
+++ b/landingshift/coldstart/recovery_grace.py
@@ -1,13 +1,13 @@
-"""For how long a grantor that starts must grant no more than is claimed from it. Pure.
+"""Recovery grace period: the time after its start in which a grantor grants no more than holders claim. Pure.
 
-It knows nothing of the grants of its earlier process, which may be used for one lease. After a power cut
-there is nothing to wait for: a process that ended before this machine was booted made its last grant before
-that. That it did is known from the id of the boot in which it ran, which it left on disk. The id of this
-boot, or none, proves nothing.
+A grantor that starts does not know the grants of its previous process, which may be used for one lease. If
+the machine has booted since, the previous process made its last grant before the boot, so the time since the
+boot counts towards the grace period. The boot id that the previous process stored on disk shows this: it
+differs from the present one. The id of the present boot, or a missing one, does not shorten the period.
 
-Guarantee: the sum of all leases never passes the capacity through a restart of the grantor.
-Failure mode: a disk that is moved to another machine brings a boot id that proves too much while the
-old process may still run.
+Guarantee: a restart of the grantor never lets the sum of all leases exceed the capacity.
+Failure mode: if the disk is moved to another machine, its boot id differs although the previous process may
+still run, so the grace period may be too short.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 
 
 def recovery_grace_ms(booking_ms: float, current_boot: SystemBoot, last_boot_id: str) -> float:
-    """How long the grantor must wait.
+    """Return the length of the recovery grace period.
 
     Args:
-        booking_ms: How long a grant of the earlier process is booked.
-        current_boot: The boot in which this process runs.
-        last_boot_id: The boot of the earlier process, empty where it is unknown.
+        booking_ms: Time for which a grant of the previous process stays reserved.
+        current_boot: Boot in which this process runs.
+        last_boot_id: Id of the boot in which the previous process ran, empty if unknown.
     """
     if not last_boot_id or not current_boot.boot_id or last_boot_id == current_boot.boot_id:
         return booking_ms
--- a/landingshift/coldstart/service.py
+++ b/landingshift/coldstart/service.py
@@ -1,4 +1,7 @@
-"""The cold start on the server's loop: holds the server back, and applies its call quota to the admission."""
+"""Cold start service on the server's event loop.
+
+It keeps the server unready until its start stage allows RPCs, and passes the call quota to admission control.
+"""
 
 from __future__ import annotations
 
@@ -26,20 +29,22 @@
     from landingshift.net.program.features import ServiceHost
     from landingshift.net.routing.rpc_record import RoutedRpc
 
-EVALUATION_INTERVAL_MS = 200.0  # between two looks at what this server needs
+EVALUATION_INTERVAL_MS = 200.0  # longest time between two evaluations of this server's need
 MIN_TIMER_DELAY_MS = 5.0
-NEED_HEADROOM_RATIO = 1.25  # of what is asked for to what is needed: room to grow into
+NEED_HEADROOM_RATIO = 1.25  # of the requested to the measured call rate, as room for growth
 MIN_NEEDED_CALLS_PER_SECOND = 1.0
-NO_CALL_QUOTA = -1.0  # none was applied yet: differs from every quota
+NO_CALL_QUOTA = -1.0  # no quota has been applied yet; differs from every real quota
 
 
 def grantor_recovery_grace_ms(settings: Settings, name: str, log: Callable[..., None]) -> float | None:
-    """How long this server must grant no more than is claimed from it, if it is a grantor.
+    """Return the length of the recovery grace period if this server is a grantor.
 
-    The id of this boot is on disk before anything is granted: a later process of this boot must find it.
+    The id of the present boot is stored before anything is granted, because a later process of the same boot
+    must find it.
 
     Returns:
-        None for one booking, infinity for an id that would prove too much and can't be removed.
+        The length in ms; None for the default of one reservation period; infinity if the stored id of an
+        older boot can be neither replaced nor removed.
     """
     if not settings.endpoint_cache_path or name not in settings.grantor_names:
         return None
@@ -51,7 +56,8 @@
         write_last_boot_id(path, boot.boot_id)
     except OSError as error:
         log("coldstart_boot_id_not_saved", error=str(error))
-        # Without an id the next process waits. That of an older boot would let it grant too early.
+        # Without a stored id the next process waits in full; the id of an older boot would let it grant too
+        # early, so that id must be removed.
         return inf if last_boot_id and not remove_last_boot_id(path) else None
     log("coldstart_recovery_grace", ms=round(grace_ms), uptime_s=round(boot.uptime_ms / 1000.0))
     return grace_ms
@@ -61,7 +67,7 @@
     """Drives a `ColdStartParticipant` and an `EndpointDiscovery`.
 
     Attributes:
-        name: Under which the server's health is held back.
+        name: Name of the service's readiness gate.
     """
 
     name = "coldstart"
@@ -90,24 +96,24 @@
         self._node.message_handlers[wire.PACKAGE] = self._on_message
         self._timer: Timer | None = self._loop.after(0.0, self._on_timer)
 
-    # Events of the router
+    # Router events
 
     def on_call_needed(self, _rpc: RoutedRpc) -> None:
-        """An RPC asks for a call to the downstream."""
+        """Record that an RPC needs a downstream call."""
         self._saturation.on_call_wanted(self._loop.now_ms)
 
     def on_call_finished(self, _rpc: RoutedRpc, outcome: Outcome, duration_ms: float) -> None:
-        """A call to the downstream has ended."""
+        """Record the result of a downstream call."""
         self._saturation.on_call_finished(self._loop.now_ms, outcome is Outcome.OK, duration_ms)
 
     def _observe(self) -> LoadObservation:
-        """What this server sees of itself."""
+        """Measure this server's state and load."""
         now_ms, admission = self._loop.now_ms, self._router.admission
         if admission is None:
             return LoadObservation()
         warm_up_ms = admission.settings.warm_up_ms if admission.settings.starts_cold else 0.0
         age_ms = now_ms - admission.started_at_ms
-        # Before it is open it calls for nobody: those that fill their caches need the calls more.
+        # Before it accepts RPCs it makes no calls; servers that are filling their caches need the quota more.
         needed = 0.0
         if self._participant.start_sequence.is_open:
             wanted = self._saturation.wanted_calls_per_second(now_ms)
@@ -120,11 +126,11 @@
             baseline_latency_ms=self._saturation.baseline_latency_ms,
         )
 
-    # Time and messages
+    # Timer and messages
 
     def _on_message(self, sender: MemberRecord, body: list[Any]) -> None:
         self._participant.on_message(sender, body)
-        self._on_timer()  # what was granted is used at once
+        self._on_timer()  # applies a new grant without delay
 
     def _on_timer(self) -> None:
         self._advance()
@@ -142,7 +148,7 @@
 
     def _advance(self) -> None:
         now_ms, participant = self._loop.now_ms, self._participant
-        # Without its engine the server can't work: a permit would be taken for nothing.
+        # Without its engine the server can't serve RPCs, so a permit would be wasted.
         if self._router.admission is not None and participant.on_timer(now_ms, self._observe()):
             self._on_stage_changed()
         self._lease_history.update(participant)
@@ -164,7 +170,7 @@
             self._router.health_reporter.remove_readiness_gate(self.name)
 
     def _apply_call_quota(self) -> None:
-        """Tells the admission how many calls a second it may make, where that has changed."""
+        """Pass the call quota to admission control if it has changed."""
         admission = self._router.admission
         if not self._settings.downstream_calls_per_second or admission is None:
             return
@@ -174,10 +180,10 @@
             admission.set_call_rate_quota(quota)
 
     def finish(self) -> None:
-        """Saves what the next start needs."""
+        """End discovery, which saves the endpoint cache for the next start."""
         self._discovery.finish()
 
-    # Operators' calls
+    # Operator calls
 
     def _on_status_call(self, _params: list[Any]) -> dict[str, Any]:
         return cold_start_status(self._participant, self._discovery.poll_count, self._loop.now_ms)
@@ -187,5 +193,5 @@
 
 
 def attach(host: ServiceHost, settings: Settings) -> ColdStartService:
-    """Starts the service; the membership must run."""
+    """Start the service, which requires a running membership service."""
     return ColdStartService(host, settings)
--- a/landingshift/coldstart/service_discovery.py
+++ b/landingshift/coldstart/service_discovery.py
@@ -1,8 +1,8 @@
-"""When to poll the list service for endpoints: late, seldom, and not at all once a neighbour is known. Pure.
+"""Schedule of the polls of the list service, which end once the server has joined the cluster. Pure.
 
-Guarantee: all servers together, starting at once, rarely bring more polls in a second than the service bears.
-Failure mode: with the service down and no known address a server polls on with growing pauses, and serves
-meanwhile.
+Guarantee: servers that start together rarely make more polls per second than the list service can serve.
+Failure mode: while the service is down and no other address is known, a server keeps polling with growing
+pauses, and serves RPCs meanwhile.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 
 POLL_TIMEOUT_MS = 5_000.0
 MIN_POLL_PAUSE_MS = 1_000.0
-MAX_POLL_PAUSE_MS = 30_000.0  # where the cluster is small enough
-MAX_PAUSE_RATIO = 4.0  # of the longest pause to the shortest in a large cluster
+MAX_POLL_PAUSE_MS = 30_000.0  # in a small cluster
+MAX_PAUSE_RATIO = 4.0  # of the longest to the shortest pause in a large cluster
 
 
 class ServiceDiscoveryPoller:
-    """One server's polls.
+    """Schedules one server's polls.
 
     Attributes:
-        next_poll_ms: When the next poll is due, while none is under way.
-        poll_count: Polls since the start.
-        consecutive_failures: Since the last answer.
+        next_poll_ms: Time of the next poll, if none is in progress.
+        poll_count: Number of polls since the start.
+        consecutive_failures: Number of failed polls since the last successful one.
     """
 
     def __init__(
@@ -36,35 +36,35 @@
         rng: Random,
         now_ms: float,
     ) -> None:
-        """Draws the time of the first poll.
+        """Draw the time of the first poll.
 
         Args:
-            max_servers: Servers that may start at once.
-            polls_per_second: What the service bears from all of them together.
-            has_known_addresses: Whether there are addresses from elsewhere, which are tried first.
-            known_addresses_grace_ms: For how long they are tried.
-            rng: Source of chance.
-            now_ms: Time.
+            max_servers: Largest number of servers that may start at the same time.
+            polls_per_second: Rate of polls from all servers that the list service can serve.
+            has_known_addresses: Whether addresses from other sources are known, which are tried first.
+            known_addresses_grace_ms: Time for which known addresses are tried before the first poll.
+            rng: Random number generator for delays and pauses.
+            now_ms: Present time.
         """
         mean_polls_per_second = mean_rate_below_cap(polls_per_second)
-        # All of them together, each after such a pause, bring about half of that rate.
+        # Most pauses are longer than this minimum, so all servers together poll at about half the mean rate.
         pause_ms = max(MIN_POLL_PAUSE_MS, 1000.0 * max_servers / mean_polls_per_second)
         self._backoff = DecorrelatedJitterBackoff(
             rng, pause_ms, max(MAX_POLL_PAUSE_MS, MAX_PAUSE_RATIO * pause_ms)
         )
         grace_ms = known_addresses_grace_ms if has_known_addresses else 0.0
-        # Whoever is reached by one that has polled needs not poll itself: most of these turns never come.
+        # A server that is contacted by one that has polled joins without polling, so most polls never happen.
         self.next_poll_ms = now_ms + random_start_delay_ms(rng, max_servers, mean_polls_per_second) + grace_ms
         self._polled_at_ms: float | None = None
         self.poll_count = 0
         self.consecutive_failures = 0
 
     def next_deadline_ms(self) -> float:
-        """When a poll is due, or the one under way has failed."""
+        """Return when the next poll is due or, during a poll, when it times out."""
         return self.next_poll_ms if self._polled_at_ms is None else self._polled_at_ms + POLL_TIMEOUT_MS
 
     def start_poll_if_due(self, now_ms: float, has_joined: bool) -> bool:
-        """Returns whether the caller is to poll now; a poll without an answer in time has failed."""
+        """Return whether the caller has to poll now; a poll in progress past its timeout counts as failed."""
         if self._polled_at_ms is not None and now_ms >= self._polled_at_ms + POLL_TIMEOUT_MS:
             self.on_poll_finished(now_ms, is_successful=False)
         if has_joined or self._polled_at_ms is not None or now_ms < self.next_poll_ms:
@@ -74,9 +74,9 @@
         return True
 
     def on_poll_finished(self, now_ms: float, is_successful: bool) -> None:
-        """The answer is there, or known not to come.
+        """Record the end of a poll and schedule the next.
 
-        After a good answer that led nowhere there is another poll, too.
+        Even a successful poll is followed by another one if the server does not join through its result.
         """
         self._polled_at_ms = None
         if is_successful:
--- a/landingshift/coldstart/settings.py
+++ b/landingshift/coldstart/settings.py
@@ -1,4 +1,4 @@
-"""The table `[coldstart]` of the TOML file, which needs `[fleet]`: its keys in, our names out."""
+"""Settings of the package: the table `[coldstart]` of the TOML file, which requires the table `[fleet]`."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from landingshift.membership.messages import MemberName
 from landingshift.membership.settings import parse_address
 
-USEFUL_QUOTA_CALLS_PER_SECOND = 3.0  # with which a server gets on with its start
-INITIAL_PERMIT_COUNT_WITHOUT_QUOTAS = 32.0  # where no quotas bound what starting servers call
+USEFUL_QUOTA_CALLS_PER_SECOND = 3.0  # smallest call quota with which a server makes progress in its start
+INITIAL_PERMIT_COUNT_WITHOUT_QUOTAS = 32.0  # default if no quotas limit the calls of starting servers
 MAX_FLOOR_FRACTION = 0.5
 PositiveRate = Annotated[float, Meta(gt=0.0, le=1e6)]
 RateOrZero = Annotated[float, Meta(ge=0.0, le=1e6)]
@@ -35,24 +35,24 @@
 
 
 class Settings(Struct, forbid_unknown_fields=True, frozen=True, rename=TOML_KEYS):
-    """The settings of one server; alike on all servers of a cluster but for `endpoint_cache_path`.
+    """Settings of one server, the same on all servers of a cluster except for `endpoint_cache_path`.
 
     Attributes:
-        needs: Other tables without which this one can't be on.
-        max_servers: The most servers that there will be.
+        needs: Tables that must be on as well.
+        max_servers: Largest number of servers in the cluster.
         on: Whether the package runs.
-        grantor_names: Servers that grant leases on calls and start permits.
-        downstream_calls_per_second: Calls that the downstream bears, 0 for no quotas.
-        floor_fraction: Part of them that is divided evenly and never leased.
-        lease_ms: How long a holder may use what it was granted.
-        expiry_margin_ms: How much longer the grantor counts it as granted.
-        initial_permits: Servers that may warm up at once in the beginning, 0 for what the calls allow.
-        max_permits: The same at the most, 0 for all servers.
-        grantor_timeout_ms: Without a grantor's answer for that long a server starts by itself.
-        ungranted_starts_per_second: Rate of such starts in the whole cluster.
-        list_service_address: Where endpoints are polled, empty for nowhere.
-        list_service_polls_per_second: Polls that the list service bears.
-        endpoint_cache_path: Absolute path of the endpoint cache, on a disk that lasts; empty for none.
+        grantor_names: Names of the servers that grant call quotas and start permits.
+        downstream_calls_per_second: Call rate that the downstream can serve, 0 for no quotas.
+        floor_fraction: Fraction of that rate that is divided evenly among servers and never leased.
+        lease_ms: Time for which a holder may use a granted amount.
+        expiry_margin_ms: Additional time for which the grantor keeps a granted amount reserved.
+        initial_permits: Servers that may warm up at once at first, 0 to derive it from the call rate.
+        max_permits: Most servers that may ever warm up at once, 0 for all servers.
+        grantor_timeout_ms: Time without a grantor's answer after which a server starts without a permit.
+        ungranted_starts_per_second: Rate of starts without a permit in the whole cluster.
+        list_service_address: Address of the service that is polled for endpoints, empty for none.
+        list_service_polls_per_second: Rate of polls that the list service can serve.
+        endpoint_cache_path: Absolute path of the endpoint cache on a persistent disk, empty for none.
     """
 
     needs: ClassVar[tuple[str, ...]] = ("fleet",)
@@ -74,10 +74,10 @@
 
 
 def check(settings: Settings, _folder: str) -> None:
-    """Checks what the types of the settings can't express; looks at nothing that starting would create.
+    """Check constraints that the types can't express, without access to files that a start would create.
 
     Raises:
-        InvalidSettingError: A value can't be used.
+        InvalidSettingError: A value is invalid.
     """
     if settings.list_service_address:
         parse_address("list_service", settings.list_service_address)
@@ -85,28 +85,29 @@
     if cache_path and not os.path.isabs(cache_path):
         raise InvalidSettingError("snapshot", f"an absolute path is expected, not {cache_path!r}")
     if len(set(settings.grantor_names)) != len(settings.grantor_names):
-        raise InvalidSettingError("lenders", "a name stands there twice")
+        raise InvalidSettingError("lenders", "a name is listed twice")
     _check_permits(settings)
     if settings.grantor_names and settings.floor_fraction > MAX_FLOOR_FRACTION:
-        raise InvalidSettingError("floor", f"{settings.floor_fraction:g} leaves less than half to be lent")
+        problem = f"{settings.floor_fraction:g} leaves less than half of calls_s to be lent"
+        raise InvalidSettingError("floor", problem)
 
 
 def _check_permits(settings: Settings) -> None:
     initial_permits, max_permits = permit_bounds(settings)
     if initial_permits > max_permits:
-        problem = f"{initial_permits:g} is more than places_most, {max_permits:g}"
+        problem = f"{initial_permits:g} is more than places_most, which is {max_permits:g}"
         raise InvalidSettingError("places_first", problem)
     if settings.grantor_names and max_permits < len(settings.grantor_names):
-        # Each grants its part by itself, and a fraction of a permit is none.
-        problem = f"{max_permits:g} is less than one for each of lenders"
+        # Each grantor has an equal part and grants only whole permits.
+        problem = f"{max_permits:g} is less than one for each server in lenders"
         raise InvalidSettingError("places_most", problem)
 
 
 def permit_bounds(settings: Settings) -> tuple[float, float]:
-    """Start permits in the beginning, and at the most.
+    """Return the initial and the maximum number of start permits.
 
-    Quotas bound what all servers call, whoever holds a permit: there are as many permits in the beginning as
-    leave each starting server a useful quota, and at least one for each grantor.
+    Quotas limit the calls of all servers together. By default the initial number is therefore the largest
+    that leaves each starting server a useful quota, but at least one per grantor.
     """
     grantor_count = float(len(settings.grantor_names))
     max_permits = settings.max_permits or max(float(settings.max_servers), grantor_count)
@@ -117,7 +118,7 @@
 
 
 def cold_start_plan(settings: Settings) -> ColdStartPlan:
-    """What the settings say of the whole cluster."""
+    """Return the cluster-wide parameters in the settings."""
     initial_permits, max_permits = permit_bounds(settings)
     return ColdStartPlan(
         grantor_names=tuple(settings.grantor_names),
--- a/landingshift/coldstart/start_permits.py
+++ b/landingshift/coldstart/start_permits.py
@@ -1,11 +1,11 @@
-"""Start permits: how many servers may warm up at once, and who is next. Pure.
+"""Start permits: limit how many servers warm up at once, and choose which server is next. Pure.
 
-A permit is leased like any amount (`leases`) and lapses with its holder. How many there are follows what the
-servers that warm up report of the downstream that all of them need (`adaptive_limit`).
+A permit is leased like any amount (`leases`), so it expires if its holder fails. The number of permits adapts
+to the saturation of the shared downstream that the starting servers report (`adaptive_limit`).
 
-Guarantee: never more servers hold a permit than the highest limit of the last lease.
-Failure mode: with a lost grantor its permits can't be granted; servers that know no other one start after a
-time-out.
+Guarantee: the number of servers that hold a permit never exceeds the highest limit within the last lease.
+Failure mode: the permits of a lost grantor can't be granted; servers that know no other grantor start after
+a timeout.
 """
 
 from __future__ import annotations
@@ -20,17 +20,17 @@
 
 @dataclass(slots=True, frozen=True)
 class PermitRequest:
-    """A server's request for a permit, or to keep it.
+    """A server's request to get or keep a permit.
 
     Attributes:
-        holder_name: Who asks.
-        run_id: Which process of that name.
-        request_number: Numbers its requests.
-        claimed_permit: 1 where it holds one from this grantor.
-        wants_permit: False for a server that is warm.
-        zone: Its failure domain.
-        waiting_rpcs_per_second: Work that waits for it.
-        saturation: Of the downstream, below 0 where unknown.
+        holder_name: Name of the requesting server.
+        run_id: Identifier of the requesting process; differs after a restart.
+        request_number: Sequence number of the server's permit requests to this grantor.
+        claimed_permit: 1 if the server holds a permit from this grantor, else 0.
+        wants_permit: Whether the server wants a permit; False once it is warm.
+        zone: Failure domain of the server.
+        waiting_rpcs_per_second: Rate of RPCs that arrive for the server.
+        saturation: Saturation of the downstream as the server measures it, below 0 if unknown.
     """
 
     holder_name: str
@@ -48,9 +48,9 @@
     """A server that holds a permit or waits for one.
 
     Attributes:
-        zone: Its failure domain.
-        waiting_rpcs_per_second: Work that waits for it.
-        waiting_since_ms: When it asked first.
+        zone: Failure domain of the server.
+        waiting_rpcs_per_second: Rate of RPCs that arrive for the server.
+        waiting_since_ms: Time of its first request.
     """
 
     zone: str
@@ -59,15 +59,18 @@
 
 
 def assign_permits(candidates: dict[str, StartCandidate], holders: list[str], free_count: int) -> list[str]:
-    """Who gets the free permits.
+    """Choose the servers that get the free permits.
 
-    First the zone with the fewest servers that warm up, so that no zone is served last; in a zone the server
-    with most work waiting; of equal ones the longest wait.
+    The zone with the fewest permit holders comes first, so that all zones start evenly. Within a zone the
+    server with the most waiting RPCs comes first, and among equal ones the one that has waited longest.
 
     Args:
-        candidates: All who hold a permit or wait for one, by name.
-        holders: Names of those who hold one.
-        free_count: Permits that nobody holds.
+        candidates: All servers that hold a permit or wait for one, by name.
+        holders: Names of the servers that hold a permit.
+        free_count: Number of permits that nobody holds.
+
+    Returns:
+        Names of the chosen servers, in the order of choice.
     """
     warming_by_zone: dict[str, int] = {}
     for name in holders:
@@ -85,14 +88,14 @@
 
 
 def _waiting_by_zone(candidates: dict[str, StartCandidate], holders: list[str]) -> dict[str, list[str]]:
-    """Names of those who wait, by zone; the next one last."""
+    """Return the names of the waiting servers by zone, the next one of each zone last."""
     waiting: dict[str, list[str]] = {}
     for name, candidate in candidates.items():
         if name not in holders:
             waiting.setdefault(candidate.zone, []).append(name)
 
     def urgency(name: str) -> tuple[float, float, str]:
-        """Most work, then the longest wait, then the name."""
+        """Sort key: most waiting RPCs, then the longest wait, then the name."""
         candidate = candidates[name]
         return candidate.waiting_rpcs_per_second, -candidate.waiting_since_ms, name
 
@@ -105,9 +108,9 @@
     """One grantor's permits.
 
     Attributes:
-        limiter: How many there are.
-        candidates: Those who hold a permit or wait for one, by name.
-        lease_grantor: Leases the permits.
+        limiter: Adaptive limit on the number of permits.
+        candidates: Servers that hold a permit or wait for one, by name.
+        lease_grantor: Grantor that leases the permits.
     """
 
     def __init__(
@@ -123,11 +126,10 @@
         self.lease_grantor = LeaseGrantor(initial_permits, lease_ms, expiry_margin_ms, now_ms, self._divide)
 
     def renew(self, request: PermitRequest, now_ms: float) -> float | None:
-        """Grants a permit, or renews one.
+        """Grant or renew a permit.
 
         Returns:
-            1 where the server may start, 0 where it is to ask again, None for a request that is late or
-            duplicated.
+            1 if the server may start, 0 if it has to request again, None for a late or duplicated request.
         """
         for name in self.lease_grantor.expire(now_ms):
             self.candidates.pop(name, None)
@@ -135,7 +137,7 @@
         self._update_candidate(request, now_ms)
         if self.limiter.evaluate(now_ms, self._is_exhausted()):
             self.lease_grantor.capacity = self.limiter.limit
-        self.lease_grantor.invalidate_division()  # a free permit goes to the next who asks, at once
+        self.lease_grantor.invalidate_division()  # otherwise a free permit would wait for the next division
         wanted_amount = PERMIT_AMOUNT if request.wants_permit else 0.0
         granted = self.lease_grantor.renew(
             LeaseRequest(
@@ -153,7 +155,7 @@
         return granted
 
     def permits_in_use(self) -> int:
-        """Servers that hold a permit, or may still believe that they do."""
+        """Return the number of servers that hold a permit or may still assume that they do."""
         return sum(grant.booked_amount >= PERMIT_AMOUNT for grant in self.lease_grantor.grants.values())
 
     def _update_candidate(self, request: PermitRequest, now_ms: float) -> None:
@@ -167,18 +169,18 @@
         )
 
     def _is_exhausted(self) -> bool:
-        """Whether somebody waits and no whole permit is free."""
+        """Return whether servers wait while no whole permit is free."""
         in_use = self.permits_in_use()
         return len(self.candidates) > in_use and in_use + PERMIT_AMOUNT > self.limiter.limit
 
     def _revoke_fraction(self, name: str) -> None:
-        """A fraction of a permit is none, and must not be booked either."""
+        """Remove the fraction of a permit that was granted: it is of no use and must not stay reserved."""
         grant = self.lease_grantor.grants[name]
         grant.amount = 0.0
         grant.booked_amount = 0.0
 
     def _divide(self, _wanted_amounts: dict[str, float], capacity: float) -> dict[str, float]:
-        """Who has a permit keeps it while it wants it, since a start can't be taken back."""
+        """Assign free permits; holders keep theirs while they want it, because a start can't be undone."""
         holders = [
             name
             for name, grant in self.lease_grantor.grants.items()
--- a/landingshift/coldstart/start_sequence.py
+++ b/landingshift/coldstart/start_sequence.py
@@ -1,8 +1,8 @@
-"""One server's way from its start until it is warm. Pure: what is known comes in, the stage comes out.
+"""State machine of one server's start, from the process start until the server is warm. Pure.
 
-Guarantee: with grantors that answer no server warms up without a permit.
-Failure mode: without an answer for a time-out a server starts by itself, at a random time over the whole
-cluster's size.
+Guarantee: while grantors answer, no server warms up without a permit.
+Failure mode: a server that gets no answer within a timeout starts without a permit, after a random delay. The
+range of the delay is proportional to the size of the cluster.
 """
 
 from __future__ import annotations
@@ -14,25 +14,28 @@
 
 
 class StartStage(Enum):
-    """Stages in their order; the values are logged and answered to operators, positions are published."""
+    """Start stages in their order.
 
-    SEEKING_GRANTOR = "seeking"  # knows no grantor
+    The values appear in logs and in answers to operators; the positions are published as metadata.
+    """
+
+    SEEKING_GRANTOR = "seeking"  # no grantor is known yet
     WAITING_FOR_PERMIT = "waiting"
-    WAITING_WITHOUT_GRANTOR = "alone"  # no grantor answers: waits for a random time of its own
-    WARMING_UP = "starting"  # takes RPCs
+    WAITING_WITHOUT_GRANTOR = "alone"  # no grantor answers: the server starts after a random delay
+    WARMING_UP = "starting"  # the server accepts RPCs
     WARM = "warm"
 
 
-OPEN_STAGES = (StartStage.WARMING_UP, StartStage.WARM)  # in which balancers may send RPCs
+OPEN_STAGES = (StartStage.WARMING_UP, StartStage.WARM)  # the gateway may send RPCs
 
 
 class StartSequence:
-    """The stages of one server.
+    """State machine of one server's start.
 
     Attributes:
-        stage: The present one.
-        last_grantor_response_ms: When a grantor answered last, or the start.
-        started_without_grantor: Whether it began to warm up without a permit.
+        stage: Present stage.
+        last_grantor_response_ms: Time of the last response of a grantor, initially the start time.
+        started_without_grantor: Whether the server began to warm up without a permit.
     """
 
     def __init__(
@@ -43,14 +46,14 @@
         rng: Random,
         now_ms: float,
     ) -> None:
-        """Begins as a server that knows no grantor.
+        """Begin in the stage `SEEKING_GRANTOR`.
 
         Args:
-            grantor_timeout_ms: Without an answer for that long it starts by itself.
-            max_servers: How many may do so at once.
-            ungranted_starts_per_second: Rate of such starts in the whole cluster.
-            rng: Source of chance.
-            now_ms: Time.
+            grantor_timeout_ms: Time without a grantor's answer after which the start delay is drawn.
+            max_servers: Largest number of servers that may start without a permit at the same time.
+            ungranted_starts_per_second: Rate of starts without a permit in the whole cluster.
+            rng: Random number generator for the start delay.
+            now_ms: Present time.
         """
         self._grantor_timeout_ms = grantor_timeout_ms
         self._max_servers = max_servers
@@ -62,13 +65,13 @@
         self.started_without_grantor = False
 
     def advance(self, now_ms: float, grantor_count: int, has_permit: bool, warm_fraction: float) -> bool:
-        """Goes on to the next stage if that is due.
+        """Move to the next stage if its condition holds.
 
         Args:
-            now_ms: Time.
-            grantor_count: Grantors that are present.
-            has_permit: Whether it holds a permit.
-            warm_fraction: From 0 to 1, how far it is warm.
+            now_ms: Present time.
+            grantor_count: Number of grantors that are present.
+            has_permit: Whether the server holds a start permit.
+            warm_fraction: Progress of the warm-up, from 0 to 1.
 
         Returns:
             Whether the stage changed.
@@ -86,19 +89,19 @@
             case StartStage.WAITING_WITHOUT_GRANTOR:
                 self._wait_without_grantor(now_ms, grantor_count, is_unanswered)
             case _ if is_unanswered:
-                self._give_up_on_grantors(now_ms)
+                self._schedule_start_without_permit(now_ms)
             case StartStage.SEEKING_GRANTOR if grantor_count:
                 self.stage = StartStage.WAITING_FOR_PERMIT
         return self.stage is not previous_stage
 
-    def _give_up_on_grantors(self, now_ms: float) -> None:
-        """All servers wait about as long, so that their starts are spread over the whole cluster's size."""
+    def _schedule_start_without_permit(self, now_ms: float) -> None:
+        """Draw a random start delay, which spreads the starts of all servers that lack a grantor."""
         delay_ms = random_start_delay_ms(self._rng, self._max_servers, self._ungranted_starts_per_second)
         self._ungranted_start_ms = now_ms + delay_ms
         self.stage = StartStage.WAITING_WITHOUT_GRANTOR
 
     def _wait_without_grantor(self, now_ms: float, grantor_count: int, is_unanswered: bool) -> None:
-        """Goes back to a grantor that answers again, or starts at the drawn time."""
+        """Return to waiting for a permit if a grantor answers again, or start at the drawn time."""
         if grantor_count and not is_unanswered:
             self.stage = StartStage.WAITING_FOR_PERMIT
         elif now_ms >= self._ungranted_start_ms:
@@ -107,10 +110,10 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether balancers may send RPCs."""
+        """Whether the gateway may send RPCs."""
         return self.stage in OPEN_STAGES
 
     @property
     def wants_permit(self) -> bool:
-        """Whether it asks for a permit, or keeps the one that it has."""
+        """Whether the server requests a permit or keeps the one it has."""
         return self.stage is not StartStage.WARM
--- a/landingshift/coldstart/start_spreading.py
+++ b/landingshift/coldstart/start_spreading.py
@@ -1,26 +1,25 @@
-"""Spreads what many servers do at the same time, of which none knows the others. Pure."""
+"""Random delays that spread out the actions of servers that start together without coordination. Pure."""
 
 from __future__ import annotations
 
 from math import sqrt
 from random import Random
 
-CAP_STANDARD_DEVIATION_COUNT = 4.0  # by which the mean of a Poisson count stays below the cap
+CAP_STANDARD_DEVIATION_COUNT = 4.0  # standard deviations between the mean of a Poisson count and the cap
 
 
 def mean_rate_below_cap(cap_per_second: float) -> float:
-    """The mean rate at which a second with more than `cap_per_second` random events is rare.
+    """Return a mean rate of random events at which a second with more than `cap_per_second` events is rare.
 
-    Random events bunch: this is the mean of a Poisson count that reaches the cap at its fourth standard
-    deviation.
+    It is the mean of a Poisson distribution whose fourth standard deviation above the mean is the cap.
     """
     half_deviations = CAP_STANDARD_DEVIATION_COUNT / 2.0
     return (sqrt(half_deviations**2 + cap_per_second) - half_deviations) ** 2
 
 
 def random_start_delay_ms(rng: Random, server_count: int, starts_per_second: float) -> float:
-    """A server's own delay where up to `server_count` that know nothing of each other may be starting now.
+    """Draw the delay of one of up to `server_count` servers that start at the same time.
 
-    All delays together bring `starts_per_second` on average.
+    With such delays all servers together make `starts_per_second` starts per second on average.
     """
     return rng.random() * server_count * 1000.0 / starts_per_second
--- a/landingshift/coldstart/wire.py
+++ b/landingshift/coldstart/wire.py
@@ -1,8 +1,9 @@
-"""Cold start messages as the lists that members send to each other.
+"""Encoding of cold start messages as lists, sent in datagrams of the package `cold`.
 
-`["ask", number, claims, need, place number, place, wants, work, strain, base]` and `["give", number, amount,
-place number, place, base]`, in datagrams of the package `cold`. The only place that knows these words and
-positions.
+A request is `["ask", quota_request_number, claimed_quota, needed_calls_per_second, permit_request_number,
+claimed_permit, wants_permit, waiting_rpcs_per_second, saturation, baseline_latency_ms]`; a grant is
+`["give", quota_request_number, quota, permit_request_number, permit, baseline_latency_ms]`. Only this module
+knows these names and positions.
 """
 
 from __future__ import annotations
@@ -15,11 +16,11 @@
 PACKAGE = "cold"
 REQUEST = "ask"
 GRANT = "give"
-REQUEST_FIGURE_COUNT = 9
+REQUEST_VALUE_COUNT = 9
 
 
 def encode_request(request: ColdStartRequest) -> list[Any]:
-    """The list that a server sends to a grantor."""
+    """Encode a server's request to a grantor."""
     return [
         REQUEST,
         request.quota_request_number,
@@ -35,7 +36,7 @@
 
 
 def encode_grant(grant: ColdStartGrant) -> list[Any]:
-    """The list that a grantor answers with."""
+    """Encode a grantor's response."""
     return [
         GRANT,
         grant.quota_request_number,
@@ -47,14 +48,14 @@
 
 
 def decode(body: list[Any]) -> ColdStartRequest | ColdStartGrant:
-    """Reads a peer's message; the bounds of a request's figures are the grantor's to check.
+    """Decode a peer's message; the grantor checks the bounds of a request's values.
 
     Raises:
-        InvalidMessageError: It is neither a request nor a grant.
+        InvalidMessageError: The message is neither a request nor a grant.
     """
     match body:
-        case [str(kind), *figures] if kind == REQUEST:
-            return _decode_request(figures)
+        case [str(kind), *values] if kind == REQUEST:
+            return _decode_request(values)
         case [
             str(kind),
             int(quota_request_number),
@@ -69,13 +70,13 @@
     raise InvalidMessageError
 
 
-def _decode_request(figures: list[Any]) -> ColdStartRequest:
-    if len(figures) != REQUEST_FIGURE_COUNT:
+def _decode_request(values: list[Any]) -> ColdStartRequest:
+    if len(values) != REQUEST_VALUE_COUNT:
         raise InvalidMessageError
-    if not all(isinstance(figure, int | float) for figure in figures):
+    if not all(isinstance(value, int | float) for value in values):
         raise InvalidMessageError
-    quota_number, claimed_quota, needed, permit_number, claimed_permit = figures[:5]
-    wants_permit, waiting_rpcs, saturation, baseline = figures[5:]
+    quota_number, claimed_quota, needed, permit_number, claimed_permit = values[:5]
+    wants_permit, waiting_rpcs, saturation, baseline = values[5:]
     if not 0 <= wants_permit < MAX_VALUE:
         raise InvalidMessageError
     return ColdStartRequest(
--- a/tests/test_coldstart.py
+++ b/tests/test_coldstart.py
@@ -1,4 +1,4 @@
-"""Cold start: leases, permits, one server's way, the endpoint cache; then whole clusters in virtual time."""
+"""Tests of the cold start package: its single parts, then whole clusters in simulated time."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 class LeaseTest(unittest.TestCase):
-    def test_max_min_fairness_gives_small_wants_whole(self) -> None:
+    def test_max_min_fair_shares_meet_small_wants_in_full(self) -> None:
         for wanted, shares in [
             ({"a": 1.0, "b": 2.0}, {"a": 1.0, "b": 2.0}),
             ({"a": 1.0, "b": 20.0, "c": 30.0}, {"a": 1.0, "b": 4.5, "c": 4.5}),
@@ -53,20 +53,20 @@
             with self.subTest(wanted=wanted):
                 self.assertEqual(max_min_fair_shares(wanted, 10.0), shares)
 
-    def test_false_claims_are_bounded(self) -> None:
+    def test_false_claim_reserves_no_more_than_the_capacity(self) -> None:
         grantor = LeaseGrantor(10.0, LEASE_MS, CLOCK_MARGIN_MS, 0.0, max_min_fair_shares)
         self.assertEqual(grantor.renew(LeaseRequest("a", 1, 1, 1e9, 5.0), 2000.0), 5.0)
         self.assertLessEqual(grantor.booked_amount(), 10.0)
-        # All is still booked for the one with the false claim.
+        # The whole capacity is still reserved for the holder with the false claim.
         self.assertEqual(grantor.renew(LeaseRequest("b", 1, 1, 1e9, 1e9), 2000.0), 0.0)
 
-    def test_requests_of_another_shape_or_out_of_bounds_are_not_granted(self) -> None:
+    def test_malformed_or_out_of_range_requests_are_not_granted(self) -> None:
         grantor = ColdStartGrantor(ColdStartCase().plan(), 0.0)
         sender = MemberRecord("n9", "10.0.0.1", 1, "z", 1, 0, 0, MemberState.ALIVE, "", {})
 
-        def granted(figures: list[Any]) -> ColdStartGrant | None:
+        def granted(values: list[Any]) -> ColdStartGrant | None:
             try:
-                request = wire.decode(["ask", *figures])
+                request = wire.decode(["ask", *values])
             except InvalidMessageError:
                 return None
             assert isinstance(request, ColdStartRequest)
@@ -74,22 +74,22 @@
 
         valid: list[Any] = [1] * 9
         one_invalid = [
-            [*valid[:position], figure, *valid[position + 1 :]]
+            [*valid[:position], value, *valid[position + 1 :]]
             for position in range(9)
-            for figure in (-2, 1e300, float("nan"), None, "x")
+            for value in (-2, 1e300, float("nan"), None, "x")
         ]
-        for figures in ([], [1] * 8, ["x"] * 9, [-1] * 9, [1e300] * 9, [None] * 9, *one_invalid):
-            with self.subTest(figures=figures):
-                self.assertIsNone(granted(figures))
+        for values in ([], [1] * 8, ["x"] * 9, [-1] * 9, [1e300] * 9, [None] * 9, *one_invalid):
+            with self.subTest(values=values):
+                self.assertIsNone(granted(values))
         self.assertIsNotNone(granted(valid))
 
 
 class WireTest(unittest.TestCase):
-    def test_decodes_what_it_has_encoded(self) -> None:
+    def test_encoded_messages_decode_to_the_same_values(self) -> None:
         self.assertEqual(wire.decode(wire.encode_request(REQUEST)), REQUEST)
         self.assertEqual(wire.decode(wire.encode_grant(GRANT)), GRANT)
 
-    def test_rejects_what_is_neither_request_nor_grant(self) -> None:
+    def test_messages_that_are_neither_request_nor_grant_are_rejected(self) -> None:
         for body in (
             [],
             ["take", 1],
@@ -106,34 +106,34 @@
 
 
 class LeaseSearchTest(unittest.TestCase):
-    def test_no_order_of_messages_breaks_the_bound(self) -> None:
+    def test_no_message_order_lets_leases_exceed_the_capacity(self) -> None:
         search = LeaseSearch()
         exploration = search.run(7, 6000)
         self.assertEqual(exploration.violation, "")
         self.assertGreater(exploration.state_count, 3000)
-        self.assertEqual(search.max_believed, 4.0)  # all is leased: the bound is reached, and not passed
+        self.assertEqual(search.max_believed, 4.0)  # the whole capacity was leased, so the limit was reached
 
-    def test_each_part_of_the_rule_is_needed(self) -> None:
+    def test_search_finds_a_violation_without_each_lease_rule(self) -> None:
         for without in ({"has_recovery_grace": False}, {"books_old_grants": False}):
             with self.subTest(without=without):
                 self.assertIn(" of 4, by ", LeaseSearch(**without).run(12, 40_000).violation)
 
 
 class RecoveryGraceTest(unittest.TestCase):
-    def test_only_a_mark_of_another_boot_shortens_the_grace_period(self) -> None:
+    def test_only_the_id_of_another_boot_shortens_the_grace_period(self) -> None:
         for last_boot_id, boot_id, uptime_ms, grace_ms in [
-            ("", "b", 9e9, 1830.0),  # its first run, or a disk that was lost
-            ("b", "b", 9e9, 1830.0),  # killed and started again
+            ("", "b", 9e9, 1830.0),  # first run or lost disk
+            ("b", "b", 9e9, 1830.0),  # killed and restarted in the same boot
             ("a", "b", 9e9, 0.0),
-            ("a", "b", 800.0, 1030.0),  # it may have granted just before the power went
-            ("a", "", 0.0, 1830.0),  # a system that tells no boot
+            ("a", "b", 800.0, 1030.0),  # the last grant may have been made just before the power cut
+            ("a", "", 0.0, 1830.0),  # the system provides no boot id
             ("a", "b", -50.0, 1830.0),
         ]:
             with self.subTest(last_boot_id=last_boot_id, uptime_ms=uptime_ms):
                 boot = SystemBoot(boot_id, uptime_ms)
                 self.assertEqual(recovery_grace_ms(1830.0, boot, last_boot_id), grace_ms)
 
-    def test_boot_id_that_cannot_be_read_is_unknown(self) -> None:
+    def test_unreadable_boot_id_counts_as_unknown(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = f"{folder}/n1.boot"
             self.assertEqual(read_last_boot_id(path), "")
@@ -161,7 +161,7 @@
         self.assertEqual(limits[3:after_hold], [10.0] * (1 + HOLD_WINDOW_COUNT))
         self.assertEqual([round(limit, 1) for limit in limits[after_hold:][:2]], [11.0, 12.1])
         limit = limiter.limit
-        # A downstream in overload that nobody calls is not healthy: the limit must not grow.
+        # Without calls nobody can notice an overload, so missing reports must not let the limit grow.
         for window in range(12, 20):
             limiter.record_saturation(UNKNOWN_SATURATION)
             limiter.evaluate(WINDOW_MS * window, True)
@@ -169,10 +169,10 @@
         for window in range(20, 60):
             limiter.record_saturation(5.0)
             limiter.evaluate(WINDOW_MS * window, True)
-        self.assertEqual(limiter.limit, limiter.minimum)  # never quite none: one tries now and then
+        self.assertEqual(limiter.limit, limiter.minimum)  # stays above 0, so a server can still try
 
-    def test_one_is_admitted_where_nobody_is_who_could_report(self) -> None:
-        # Halved below one, with requests only of those who wait and have nothing to report.
+    def test_limit_below_one_recovers_to_one_without_reports(self) -> None:
+        # With a limit below 1 only waiting servers send requests, and these report no saturation.
         limiter = AdaptiveLimit(1.0, 20.0, 0.0)
         for window in range(1, 9):
             limiter.record_saturation(5.0)
@@ -181,11 +181,11 @@
         for window in range(9, 40):
             limiter.record_saturation(UNKNOWN_SATURATION)
             limiter.evaluate(WINDOW_MS * window, True)
-        self.assertEqual(limiter.limit, 1.0)  # and no more than one
+        self.assertEqual(limiter.limit, 1.0)
 
 
 class StartPermitTest(unittest.TestCase):
-    def test_zone_with_fewest_starts_then_most_work_then_longest_wait_is_next(self) -> None:
+    def test_permits_go_by_fewest_starts_in_zone_then_most_rpcs_then_longest_wait(self) -> None:
         candidates = {
             "a": StartCandidate("x", 5.0, 0.0),
             "b": StartCandidate("x", 9.0, 0.0),
@@ -210,28 +210,28 @@
             return pool.renew(PermitRequest(name, 1, number, claimed, wants, "z", 1.0, 0.0), now_ms)
 
         self.assertEqual([renew(name, 1, 0.0, 0.0) for name in "abc"], [1.0, 1.0, 0.0])
-        pool.lease_grantor.capacity = 1.0  # something was saturated since: who has begun goes on
+        pool.lease_grantor.capacity = 1.0  # the limit was lowered: servers that have begun keep their permits
         self.assertEqual(renew("a", 2, 1.0, 500.0), 1.0)
         self.assertEqual(renew("c", 2, 0.0, 500.0), 0.0)
         pool.lease_grantor.capacity = 2.0
-        # "b" is silent: killed, stopped or cut off. Its permit is free once its lease has expired.
+        # "b" sends no more requests (killed, paused or partitioned): its permit is free once it expires.
         self.assertEqual(renew("c", 3, 0.0, 1000.0), 0.0)
         self.assertEqual(renew("c", 4, 0.0, 1200.0), 1.0)
-        self.assertEqual(renew("a", 3, 1.0, 1300.0, wants=False), 0.0)  # warm: gives it back
+        self.assertEqual(renew("a", 3, 1.0, 1300.0, wants=False), 0.0)  # warm: returns its permit
         self.assertEqual(renew("a", 4, 0.0, 1400.0, wants=False), 0.0)
         self.assertEqual(pool.permits_in_use(), 1)
 
 
 class StartSequenceTest(unittest.TestCase):
-    def test_stages_follow_grantors_permit_and_time_outs(self) -> None:
-        alone = (0, False, 0.0, False)
+    def test_stages_follow_grantors_permits_and_timeouts(self) -> None:
+        no_grantor = (0, False, 0.0, False)
         for seconds, stages in [
-            # (grantors, has a permit, warm fraction, a grantor has answered) at 0, 1, 2, ... s
+            # (grantor count, has a permit, warm fraction, a grantor has answered) at 0, 1, 2, ... s
             (
-                [alone, (1, False, 0.0, True), (1, True, 0.0, True), (1, True, 1.0, True)],
+                [no_grantor, (1, False, 0.0, True), (1, True, 0.0, True), (1, True, 1.0, True)],
                 "seeking waiting starting warm",
             ),
-            ([alone] * 66, "seeking alone starting"),
+            ([no_grantor] * 66, "seeking alone starting"),
             (
                 [(1, False, 0.0, False)] * 7 + [(1, False, 0.0, True), (1, True, 0.0, True)],
                 "waiting alone waiting starting",
@@ -240,10 +240,10 @@
             with self.subTest(stages=stages):
                 start = StartSequence(5000.0, 10, 1.0, Random(1), 0.0)
                 seen = [StartStage.SEEKING_GRANTOR]
-                for second, (grantors, has_permit, warm_fraction, is_answered) in enumerate(seconds):
+                for second, (grantor_count, has_permit, warm_fraction, is_answered) in enumerate(seconds):
                     if is_answered:
                         start.last_grantor_response_ms = second * 1000.0
-                    start.advance(second * 1000.0, grantors, has_permit, warm_fraction)
+                    start.advance(second * 1000.0, grantor_count, has_permit, warm_fraction)
                     if start.stage is not seen[-1]:
                         seen.append(start.stage)
                 expected = [StartStage(value) for value in stages.split()]
@@ -253,7 +253,7 @@
 
 
 class BackoffTest(unittest.TestCase):
-    def test_random_start_delays_keep_the_rate_cap(self) -> None:
+    def test_random_start_delays_stay_close_to_the_rate_cap(self) -> None:
         rng = Random(3)
         rate = mean_rate_below_cap(20.0)
         delays_ms = sorted(random_start_delay_ms(rng, 200, rate) for _ in range(200))
@@ -262,7 +262,7 @@
         )
         self.assertLessEqual(worst_second, 22)
 
-    def test_pauses_grow_apart_and_are_bounded(self) -> None:
+    def test_pauses_spread_out_and_stay_within_bounds(self) -> None:
         backoffs = [DecorrelatedJitterBackoff(Random(seed), 100.0, 5000.0) for seed in range(50)]
         rounds = [[backoff.next_pause_ms() for backoff in backoffs] for _ in range(12)]
         self.assertTrue(all(100.0 <= pause_ms <= 5000.0 for pauses in rounds for pause_ms in pauses))
@@ -271,14 +271,14 @@
 
 
 class ServiceDiscoveryPollerTest(unittest.TestCase):
-    def test_polls_late_one_at_a_time_and_not_once_joined(self) -> None:
+    def test_polls_after_the_grace_period_one_at_a_time_and_only_until_joined(self) -> None:
         poller = ServiceDiscoveryPoller(100, 20.0, True, 3000.0, Random(1), 0.0)
         self.assertGreaterEqual(poller.next_poll_ms, 3000.0)
         self.assertFalse(poller.start_poll_if_due(poller.next_poll_ms, True))
         self.assertTrue(poller.start_poll_if_due(poller.next_poll_ms, False))
         self.assertFalse(poller.start_poll_if_due(poller.next_poll_ms + 10.0, False))
         timeout_ms = poller.next_deadline_ms()
-        self.assertFalse(poller.start_poll_if_due(timeout_ms, False))  # no answer: it failed, and waits
+        self.assertFalse(poller.start_poll_if_due(timeout_ms, False))  # timed out: pauses before the next
         self.assertGreater(poller.next_poll_ms, timeout_ms)
         self.assertEqual((poller.consecutive_failures, poller.poll_count), (1, 1))
         self.assertGreater(round(timeout_ms - POLL_TIMEOUT_MS), 0)
@@ -300,12 +300,12 @@
                     window.on_call_finished(1000.0 + call, call < answered, duration_ms)
                 saturation = window.saturation(1100.0, reported_baseline_ms)
                 self.assertTrue(low <= saturation <= high, saturation)
-                # Nothing outlasts its cause; and that nothing was called does not show a healthy downstream.
+                # Results expire with the window; without calls the saturation is unknown, not 0.
                 self.assertEqual(window.saturation(60_000.0, reported_baseline_ms), UNKNOWN_SATURATION)
 
-    def test_wanted_calls_of_a_new_server_count_since_its_first_call(self) -> None:
+    def test_wanted_call_rate_of_a_new_server_counts_from_its_first_call(self) -> None:
         window = DownstreamSaturation()
-        for call in range(20):  # forty a second
+        for call in range(20):  # 40 per second
             window.on_call_wanted(1000.0 + 25.0 * call)
         self.assertAlmostEqual(window.wanted_calls_per_second(1500.0), 40.0, delta=2.0)
         for call in range(20, 160):
@@ -316,9 +316,9 @@
 
 class EndpointCacheTest(unittest.TestCase):
     def setUp(self) -> None:
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.path = os.path.join(folder.name, "members")
+        directory = tempfile.TemporaryDirectory()
+        self.addCleanup(directory.cleanup)
+        self.path = os.path.join(directory.name, "members")
         self.endpoints = [("10.0.0.1", 7101), ("10.0.0.2", 7101)]
 
     def load_error(self, path: str) -> str:
@@ -326,7 +326,7 @@
             endpoint_cache.load(path, "lab", 0.0)
         return caught.exception.reason
 
-    def test_loads_what_was_saved_with_its_age(self) -> None:
+    def test_loads_saved_endpoints_and_their_age(self) -> None:
         endpoint_cache.save(self.path, "lab", self.endpoints, 5_000.0)
         for now_ms, age_ms in [
             (65_000.0, 60_000.0),
@@ -336,26 +336,26 @@
             cached = endpoint_cache.load(self.path, "lab", now_ms)
             self.assertEqual((cached.endpoints, cached.age_ms), (self.endpoints, age_ms))
 
-    def test_unusable_files_are_named(self) -> None:
+    def test_unusable_files_are_rejected_with_a_reason(self) -> None:
         endpoint_cache.save(self.path, "lab", self.endpoints, 5_000.0)
         data = Path(self.path).read_bytes()
         for unusable, reason in [
-            (b"", "not a list"),
+            (b"", "not an endpoint cache file"),
             (data[:40], "torn"),
             (data[:-1], "torn"),
             (data[:-3] + b"\0\0\0", "torn"),
-            (data.replace(b" 1 ", b" 2 ", 1), "not a list"),
-            (bytes(2 << 20), "not a list"),
+            (data.replace(b" 1 ", b" 2 ", 1), "not an endpoint cache file"),
+            (bytes(2 << 20), "not an endpoint cache file"),
         ]:
             with self.subTest(reason=reason, size=len(unusable)):
                 Path(self.path).write_bytes(unusable)
                 self.assertEqual(self.load_error(self.path), reason)
         endpoint_cache.save(self.path, "other", self.endpoints, 5_000.0)
-        self.assertIn("another fleet", self.load_error(self.path))
+        self.assertIn("written in another fleet: other", self.load_error(self.path))
         self.assertTrue(self.load_error(self.path + "x"))
         self.assertTrue(self.load_error(os.path.dirname(self.path)))
 
-    def test_crash_while_saving_leaves_the_old_file_or_the_new_one(self) -> None:
+    def test_crash_while_saving_keeps_the_old_file(self) -> None:
         self.addCleanup(failpoints.arm, "")
         endpoint_cache.save(self.path, "lab", self.endpoints, 1.0)
         for point in ("coldstart.snapshot_half", "coldstart.snapshot_synced"):
@@ -369,25 +369,28 @@
 
 
 class ExperimentTest(unittest.TestCase):
-    """The experiment's rows with few repeats; a row that no missing defence can break shows nothing."""
+    """Runs the rows of the cold start experiment with few repeats.
 
-    def test_clusters_start_with_all_bounds_kept(self) -> None:
+    A row shows something only if it fails without the defence that it tests.
+    """
+
+    def test_simulated_clusters_start_without_violations(self) -> None:
         for row in experiment(1, 1, 0):
             with self.subTest(row=row.name):
                 self.assertEqual(row.violations, [])
 
-    def test_leases_keep_their_bound_through_many_histories(self) -> None:
+    def test_leases_stay_within_the_capacity_in_many_histories(self) -> None:
         (row,) = experiment(8, 1, 0, only="lent")
         self.assertEqual(row.violations, [])
-        self.assertGreater(row.figures["most_of_10"], 6.0)  # it is leased, not merely kept safe
+        self.assertGreater(row.figures["most_of_10"], 6.0)  # leasing too little would pass trivially
 
-    def test_each_defence_is_needed(self) -> None:
-        for away, only, repeats in [
+    def test_rows_fail_without_the_defence_that_they_test(self) -> None:
+        for removed_defence, only, repeats in [
             ("quiet", "lent", 12),
             ("booking", "lent", 12),
             ("shares", "all_at_once", 1),
             ("quiet", "lenders_killed", 1),
         ]:
-            with self.subTest(away=away, only=only):
-                (row,) = experiment(repeats, 1, 0, away, only)
+            with self.subTest(removed_defence=removed_defence, only=only):
+                (row,) = experiment(repeats, 1, 0, removed_defence, only)
                 self.assertFalse(row.holds)
--- a/tests/test_coldstart_service.py
+++ b/tests/test_coldstart_service.py
@@ -1,4 +1,4 @@
-"""Cold start of real processes, with faults between them; the rows are the experiment's."""
+"""Tests of the cold start of real processes: injected faults, operator calls and config errors."""
 
 from __future__ import annotations
 
@@ -20,53 +20,53 @@
 from tests.test_membership_service import refused
 
 SERVER_COUNT = 6
-CONCURRENT_ROW_COUNT = 3  # they mostly wait
+CONCURRENT_ROW_COUNT = 3  # rows spend most of their time waiting
 
 
-def run_row(name: str, away: str = "") -> ExperimentRow:
+def run_row(name: str, removed_defence: str = "") -> ExperimentRow:
     row = ExperimentRow(name)
     with tempfile.TemporaryDirectory(dir=MEMORY) as folder:
-        REAL[name](folder, SERVER_COUNT, 1, away, row)
+        REAL[name](folder, SERVER_COUNT, 1, removed_defence, row)
     return row
 
 
 class FaultRowsTest(RealRows):
-    """Each brings its failure about; what must hold afterwards is checked from the history alone."""
+    """Injects each row's fault into real processes and checks the invariants in the recorded history."""
 
     real, play, abreast = REAL, staticmethod(run_row), CONCURRENT_ROW_COUNT
-    without: ClassVar[Future[ExperimentRow]]
+    row_without_quotas: ClassVar[Future[ExperimentRow]]
 
     @classmethod
     def setUpClass(cls) -> None:
         super().setUpClass()
-        cls.without = cls.pool.submit(run_row, "real_at_once", "shares")
+        cls.row_without_quotas = cls.pool.submit(run_row, "real_at_once", "shares")
 
-    def test_all_servers_start_in_one_second(self) -> None:
+    def test_all_servers_start_at_once(self) -> None:
         self.holds("real_at_once")
 
-    def test_killed_grantor_keeps_the_bound_when_it_is_back(self) -> None:
+    def test_killed_grantor_keeps_leases_within_the_capacity_after_its_restart(self) -> None:
         self.holds("real_lenders_killed")
 
-    def test_paused_cut_off_and_unheard_servers_with_loss(self) -> None:
+    def test_paused_partitioned_and_muted_servers_with_message_loss(self) -> None:
         self.holds("real_stopped_and_cut")
 
-    def test_starting_server_killed_at_each_stage(self) -> None:
+    def test_server_killed_at_each_start_stage(self) -> None:
         self.holds("real_killed_at_each_step")
 
-    def test_list_service_down_then_slow_then_outdated_then_incomplete(self) -> None:
+    def test_list_service_that_is_down_slow_outdated_or_incomplete(self) -> None:
         self.holds("real_list_down")
 
-    def test_power_cut_and_start_with_unusable_endpoint_caches(self) -> None:
+    def test_restart_after_power_cut_with_unusable_endpoint_caches(self) -> None:
         self.holds("real_from_disk")
 
-    def test_downstream_recovers_from_overload_by_itself(self) -> None:
+    def test_downstream_recovers_from_overload_without_intervention(self) -> None:
         self.holds("real_store_collapses")
 
-    def test_flood_of_invalid_datagrams(self) -> None:
+    def test_start_under_a_flood_of_invalid_datagrams(self) -> None:
         self.holds("real_rude")
 
-    def test_without_quotas_the_downstream_sees_more_than_it_bears(self) -> None:
-        row = self.without.result()
+    def test_downstream_is_overloaded_without_quotas(self) -> None:
+        row = self.row_without_quotas.result()
         self.assertTrue(any("calls a second" in text for text in row.violations), row)
 
 
@@ -78,17 +78,17 @@
             try:
                 harness.start_all()
                 address = harness.servers.membership_addresses[0]
-                ends_at = time.monotonic() + 20.0
-                found: dict[str, Any] = {}
-                while found.get("stage") not in ("starting", "warm") and time.monotonic() < ends_at:
+                deadline = time.monotonic() + 20.0
+                status: dict[str, Any] = {}
+                while status.get("stage") not in ("starting", "warm") and time.monotonic() < deadline:
                     time.sleep(0.2)
                     try:
-                        found = call_operator_rpc(address, "coldstart", [])
+                        status = call_operator_rpc(address, "coldstart", [])
                     except OperatorRpcError:
                         continue
                 at = ["--at", "{}:{}".format(*address)]
                 printed = json.loads(subprocess.check_output([*command, "shares", *at, "--json"]))
-                self.assertEqual(set(printed), set(found))
+                self.assertEqual(set(printed), set(status))
                 self.assertIn(printed["stage"], ("starting", "warm"))
                 text = subprocess.check_output([*command, "lent", *at], text=True)
                 self.assertIn("calls_booked", text)
@@ -98,7 +98,7 @@
             finally:
                 harness.close()
 
-    def test_names_the_setting_that_cannot_be_used(self) -> None:
+    def test_config_error_names_the_invalid_setting(self) -> None:
         membership = '[fleet]\nfleet = "lab"\nlisten = "127.0.0.1:0"\n'
         for text, error in [
             ("[coldstart]\nservers = 3\n", "[coldstart] needs the table [fleet]"),
