--- a/landingshift/coldstart/leases.py
+++ b/landingshift/coldstart/leases.py
@@ -38,7 +38,7 @@
 """Divides a capacity among holders by their wanted amounts; may assign a holder less than it has now."""
 
 
-def booking_duration_ms(lease_ms: float, expiry_margin_ms: float) -> float:
+def reservation_duration_ms(lease_ms: float, expiry_margin_ms: float) -> float:
     """Return for how long a grantor must reserve a granted amount.
 
     This is longer than any holder may use the amount, because the holder's clock may run slower and calls
@@ -74,7 +74,7 @@
         run_id: Identifier of the holder's process.
         request_number: Number of the holder's latest request.
         amount: Amount granted last.
-        booked_amount: Reserved amount, the most that the holder may use until `expires_at_ms`.
+        reserved_amount: The most that the holder may use until `expires_at_ms`.
         expires_at_ms: Time at which the reserved amount becomes free.
         wanted_amount: Amount that the holder wanted last.
     """
@@ -82,7 +82,7 @@
     run_id: int
     request_number: int
     amount: float
-    booked_amount: float
+    reserved_amount: float
     expires_at_ms: float
     wanted_amount: float = 0.0
 
@@ -92,7 +92,7 @@
 
     Attributes:
         capacity: Sum of the amounts that may be granted; may be changed at any time.
-        booking_ms: Time for which a granted amount stays reserved.
+        reservation_ms: Time for which a granted amount stays reserved.
         recovery_grace_until_ms: Time until which no holder is granted more than it claims.
         grants: Records of the holders, by name.
         refused_holder_count: Requests of new holders that were refused because the table was full.
@@ -102,17 +102,17 @@
         self, capacity: float, lease_ms: float, expiry_margin_ms: float, now_ms: float, divide: DivideFunction
     ) -> None:
         self.capacity = capacity
-        self.booking_ms = booking_duration_ms(lease_ms, expiry_margin_ms)
-        self.recovery_grace_until_ms = now_ms + self.booking_ms
+        self.reservation_ms = reservation_duration_ms(lease_ms, expiry_margin_ms)
+        self.recovery_grace_until_ms = now_ms + self.reservation_ms
         self.grants: dict[str, LeaseGrant] = {}
         self.refused_holder_count = 0
         self._divide = divide
         self._division: dict[str, float] = {}
         self._divided_at_ms = NEVER_MS
 
-    def booked_amount(self) -> float:
+    def reserved_amount(self) -> float:
         """Return the sum of all reserved amounts, the most that all holders together may use."""
-        return sum(grant.booked_amount for grant in self.grants.values())
+        return sum(grant.reserved_amount for grant in self.grants.values())
 
     def expire(self, now_ms: float) -> list[str]:
         """Remove expired grants and return the names of their holders."""
@@ -142,46 +142,50 @@
         is_same_run = grant is not None and grant.run_id == request.run_id
         if grant is not None and is_same_run and request.request_number <= grant.request_number:
             return None
-        others_booked = self.booked_amount() - (grant.booked_amount if grant is not None else 0.0)
+        others_reserved = self.reserved_amount() - (grant.reserved_amount if grant is not None else 0.0)
         if grant is None:
             if len(self.grants) >= MAX_HOLDER_COUNT:
                 self.refused_holder_count += 1
                 return 0.0
-            grant = self._book_claim(request, others_booked, now_ms)
+            grant = self._reserve_claim(request, others_reserved, now_ms)
         elif not is_same_run:
             # The previous process may still run, paused or partitioned: its amount stays reserved until it
             # expires.
-            if grant.booked_amount > 0.0:
+            if grant.reserved_amount > 0.0:
                 return 0.0
             grant.run_id = request.run_id
-        return self._grant(grant, request, others_booked, now_ms)
+        return self._grant(grant, request, others_reserved, now_ms)
 
-    def _book_claim(self, request: LeaseRequest, others_booked: float, now_ms: float) -> LeaseGrant:
+    def _reserve_claim(self, request: LeaseRequest, others_reserved: float, now_ms: float) -> LeaseGrant:
         """Reserve what a new holder claims to have from this grantor's previous process.
 
         All true claims fit into the capacity, because the previous process obeyed rule 4; a false claim is
         limited to the capacity that is left.
         """
-        booked = max(0.0, min(request.claimed_amount, self.capacity - others_booked))
-        grant = LeaseGrant(request.run_id, request.request_number, 0.0, booked, now_ms + self.booking_ms)
+        reserved = max(0.0, min(request.claimed_amount, self.capacity - others_reserved))
+        grant = LeaseGrant(
+            request.run_id, request.request_number, 0.0, reserved, now_ms + self.reservation_ms
+        )
         self.grants[request.holder_name] = grant
         self.invalidate_division()
         return grant
 
-    def _grant(self, grant: LeaseGrant, request: LeaseRequest, others_booked: float, now_ms: float) -> float:
+    def _grant(
+        self, grant: LeaseGrant, request: LeaseRequest, others_reserved: float, now_ms: float
+    ) -> float:
         """Determine the amount to grant and reserve it by rule 3."""
         grant.request_number = request.request_number
         grant.wanted_amount = max(0.0, request.wanted_amount)
-        claimed = max(0.0, min(request.claimed_amount, grant.booked_amount))
+        claimed = max(0.0, min(request.claimed_amount, grant.reserved_amount))
         if now_ms < self.recovery_grace_until_ms:
             amount = min(claimed, grant.wanted_amount)
         else:
             # A holder may keep its amount after a decrease of the capacity, unless the division takes it.
-            available = max(claimed, self.capacity - others_booked)
+            available = max(claimed, self.capacity - others_reserved)
             amount = max(0.0, min(self._divided_amount(request.holder_name, now_ms), available))
         grant.amount = amount
-        grant.booked_amount = max(amount, claimed)
-        grant.expires_at_ms = now_ms + self.booking_ms
+        grant.reserved_amount = max(amount, claimed)
+        grant.expires_at_ms = now_ms + self.reservation_ms
         return amount
 
     def _divided_amount(self, holder_name: str, now_ms: float) -> float:
--- a/landingshift/coldstart/operator_views.py
+++ b/landingshift/coldstart/operator_views.py
@@ -53,7 +53,7 @@
     permits_in_use = permits.permits_in_use()
     return {
         "calls": quotas.capacity,
-        "calls_booked": quotas.booked_amount(),
+        "calls_booked": quotas.reserved_amount(),
         "places": permits.limiter.limit,
         "places_in_use": permits_in_use,
         "waiting": len(permits.candidates) - permits_in_use,
--- a/landingshift/coldstart/plan.py
+++ b/landingshift/coldstart/plan.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from landingshift.coldstart.leases import booking_duration_ms
+from landingshift.coldstart.leases import reservation_duration_ms
 
 
 @dataclass(slots=True, frozen=True)
@@ -40,9 +40,9 @@
         return amount / len(self.grantor_names) if self.grantor_names else 0.0
 
     @property
-    def booking_ms(self) -> float:
+    def reservation_ms(self) -> float:
         """Time for which a grantor keeps a granted amount reserved."""
-        return booking_duration_ms(self.lease_ms, self.expiry_margin_ms)
+        return reservation_duration_ms(self.lease_ms, self.expiry_margin_ms)
 
     @property
     def floor_calls_per_second(self) -> float:
--- a/landingshift/coldstart/recovery_grace.py
+++ b/landingshift/coldstart/recovery_grace.py
@@ -15,14 +15,14 @@
 from landingshift.system_clock import SystemBoot
 
 
-def recovery_grace_ms(booking_ms: float, current_boot: SystemBoot, last_boot_id: str) -> float:
+def recovery_grace_ms(reservation_ms: float, current_boot: SystemBoot, last_boot_id: str) -> float:
     """Return the length of the recovery grace period.
 
     Args:
-        booking_ms: Time for which a grant of the previous process stays reserved.
+        reservation_ms: Time for which a grant of the previous process stays reserved.
         current_boot: Boot in which this process runs.
         last_boot_id: Id of the boot in which the previous process ran, empty if unknown.
     """
     if not last_boot_id or not current_boot.boot_id or last_boot_id == current_boot.boot_id:
-        return booking_ms
-    return min(booking_ms, max(0.0, booking_ms - current_boot.uptime_ms))
+        return reservation_ms
+    return min(reservation_ms, max(0.0, reservation_ms - current_boot.uptime_ms))
--- a/landingshift/coldstart/service.py
+++ b/landingshift/coldstart/service.py
@@ -51,7 +51,7 @@
     path = f"{settings.endpoint_cache_path}.boot"
     boot = system_clock.system_boot()
     last_boot_id = read_last_boot_id(path)
-    grace_ms = recovery_grace_ms(cold_start_plan(settings).booking_ms, boot, last_boot_id)
+    grace_ms = recovery_grace_ms(cold_start_plan(settings).reservation_ms, boot, last_boot_id)
     try:
         write_last_boot_id(path, boot.boot_id)
     except OSError as error:
--- a/landingshift/coldstart/start_permits.py
+++ b/landingshift/coldstart/start_permits.py
@@ -156,7 +156,7 @@
 
     def permits_in_use(self) -> int:
         """Return the number of servers that hold a permit or may still assume that they do."""
-        return sum(grant.booked_amount >= PERMIT_AMOUNT for grant in self.lease_grantor.grants.values())
+        return sum(grant.reserved_amount >= PERMIT_AMOUNT for grant in self.lease_grantor.grants.values())
 
     def _update_candidate(self, request: PermitRequest, now_ms: float) -> None:
         if not request.wants_permit:
@@ -177,14 +177,14 @@
         """Remove the fraction of a permit that was granted: it is of no use and must not stay reserved."""
         grant = self.lease_grantor.grants[name]
         grant.amount = 0.0
-        grant.booked_amount = 0.0
+        grant.reserved_amount = 0.0
 
     def _divide(self, _wanted_amounts: dict[str, float], capacity: float) -> dict[str, float]:
         """Assign free permits; holders keep theirs while they want it, because a start can't be undone."""
         holders = [
             name
             for name, grant in self.lease_grantor.grants.items()
-            if grant.booked_amount >= PERMIT_AMOUNT and name in self.candidates
+            if grant.reserved_amount >= PERMIT_AMOUNT and name in self.candidates
         ]
         free_count = int(capacity) - self.permits_in_use()
         chosen = assign_permits(self.candidates, holders, free_count)
--- a/landingshift/testbed/simulation/leases.py
+++ b/landingshift/testbed/simulation/leases.py
@@ -144,5 +144,5 @@
         if amount is None:
             return
         if not self.books_old_grants:
-            self.grantor.grants[request.holder_name].booked_amount = amount
+            self.grantor.grants[request.holder_name].reserved_amount = amount
         self._send(GrantMessage(request.holder_name, request.run_id, request.request_number, amount))
--- a/landingshift/testbed/simulation/removed_defences.py
+++ b/landingshift/testbed/simulation/removed_defences.py
@@ -126,7 +126,7 @@
     def renew_without_booking(request: LeaseRequest, now_ms: float) -> float | None:
         amount = renew(request, now_ms)
         if amount is not None and request.holder_name in quota_grantor.grants:
-            quota_grantor.grants[request.holder_name].booked_amount = amount
+            quota_grantor.grants[request.holder_name].reserved_amount = amount
         return amount
 
     quota_grantor.renew = renew_without_booking  # type: ignore[method-assign]
--- a/landingshift/testbed/verification/search_leases.py
+++ b/landingshift/testbed/verification/search_leases.py
@@ -189,7 +189,7 @@
                 if amount is None:
                     return
                 if not self.books_old_grants:
-                    state.grantor.grants[name].booked_amount = amount
+                    state.grantor.grants[name].reserved_amount = amount
                 state.messages.append(LeaseGrant(name, run_id, number, amount))
             case LeaseGrant(name, run_id, number, amount) if run_id == state.run_ids[name]:
                 state.leases[name].on_grant(number, amount, state.now_ms)
@@ -209,7 +209,7 @@
                 grant.run_id,
                 grant.request_number,
                 grant.amount,
-                grant.booked_amount,
+                grant.reserved_amount,
                 grant.expires_at_ms - now_ms,
                 grant.wanted_amount,
             )
--- a/tests/test_coldstart.py
+++ b/tests/test_coldstart.py
@@ -56,7 +56,7 @@
     def test_false_claim_reserves_no_more_than_the_capacity(self) -> None:
         grantor = LeaseGrantor(10.0, LEASE_MS, CLOCK_MARGIN_MS, 0.0, max_min_fair_shares)
         self.assertEqual(grantor.renew(LeaseRequest("a", 1, 1, 1e9, 5.0), 2000.0), 5.0)
-        self.assertLessEqual(grantor.booked_amount(), 10.0)
+        self.assertLessEqual(grantor.reserved_amount(), 10.0)
         # The whole capacity is still reserved for the holder with the false claim.
         self.assertEqual(grantor.renew(LeaseRequest("b", 1, 1, 1e9, 1e9), 2000.0), 0.0)
 
