--- a/landingshift/coldstart/lease_history.py
+++ b/landingshift/coldstart/lease_history.py
@@ -9,7 +9,7 @@
 
 
 class LeaseHistory:
-    """Records each change of a held lease, so that a checker can compare their sum with the capacity."""
+    """Records each change of a held lease, so that a checker can compare the sum with the capacity."""
 
     def __init__(self) -> None:
         self._recorded: dict[str, tuple[float, ...]] = {}
--- a/landingshift/coldstart/service_discovery.py
+++ b/landingshift/coldstart/service_discovery.py
@@ -14,8 +14,8 @@
 
 POLL_TIMEOUT_MS = 5_000.0
 MIN_POLL_PAUSE_MS = 1_000.0
-MAX_POLL_PAUSE_MS = 30_000.0  # in a small cluster
-MAX_PAUSE_RATIO = 4.0  # of the longest to the shortest pause in a large cluster
+MAX_POLL_PAUSE_MS = 30_000.0  # longest pause, unless the cluster is so large that MAX_PAUSE_RATIO exceeds it
+MAX_PAUSE_RATIO = 4.0  # least ratio of the longest to the shortest pause
 
 
 class ServiceDiscoveryPoller:
--- a/landingshift/coldstart/settings.py
+++ b/landingshift/coldstart/settings.py
@@ -107,7 +107,7 @@
     """Return the initial and the maximum number of start permits.
 
     Quotas limit the calls of all servers together. By default the initial number is therefore the largest
-    that leaves each starting server a useful quota, but at least one per grantor.
+    that leaves each starting server a useful quota, but at least one per grantor and at most the maximum.
     """
     grantor_count = float(len(settings.grantor_names))
     max_permits = settings.max_permits or max(float(settings.max_servers), grantor_count)
--- a/landingshift/coldstart/start_spreading.py
+++ b/landingshift/coldstart/start_spreading.py
@@ -11,7 +11,7 @@
 def mean_rate_below_cap(cap_per_second: float) -> float:
     """Return a mean rate of random events at which a second with more than `cap_per_second` events is rare.
 
-    It is the mean of a Poisson distribution whose fourth standard deviation above the mean is the cap.
+    The cap lies four standard deviations above the mean of a Poisson distribution with the returned rate.
     """
     half_deviations = CAP_STANDARD_DEVIATION_COUNT / 2.0
     return (sqrt(half_deviations**2 + cap_per_second) - half_deviations) ** 2
