--- a/landingshift/coldstart/errors.py
+++ b/landingshift/coldstart/errors.py
@@ -20,7 +20,7 @@
     """An operator requested the grants of a server that is no grantor; the text is sent to the operator."""
 
     def __init__(self) -> None:
-        super().__init__("this server lends nothing: it is not listed in the setting lenders")
+        super().__init__("it lends nothing: it is not among the lenders")
 
 
 class EndpointCacheError(ColdStartError):
