--- a/landingshift/ledger/audit.py
+++ b/landingshift/ledger/audit.py
@@ -24,7 +24,7 @@
     """An inconsistency found by an audit."""
 
     entry_number: int
-    """Number of the entry; 0 if the finding concerns the index."""
+    """Number of the inconsistent or missing entry; 0 if the finding concerns the index."""
     problem: str
     """Description for operators."""
 
@@ -46,7 +46,7 @@
 
 
 def retained_digest(reader: StoreReader, last_number: int) -> bytes:
-    """Returns a digest of all stored entries up to `last_number`."""
+    """Returns a digest of the entries up to `last_number` that the store still has."""
     digest = blake2b(digest_size=HASH_BYTES)
     for row in reader.rows(1, last_number):
         digest.update(b"%d %d %d " % (row.number, row.kind, len(row.data)))
@@ -56,7 +56,11 @@
 
 
 class _Audit:
-    """One audit: call `check_entries` to its end, then `check_index`, which compares with its results."""
+    """State of one audit.
+
+    Exhaust the iterator that `check_entries` returns before calling `check_index`, which compares the index
+    with the state computed from the entries.
+    """
 
     def __init__(self, reader: StoreReader, on_progress: Callable[[int], None]) -> None:
         self.reader = reader
@@ -66,7 +70,7 @@
         self.next_number = 1
 
     def check_entries(self) -> Iterator[Finding]:
-        """Yields the findings about the entries, in order of the entries."""
+        """Checks the hash chain and the entries; yields the findings in the order of the entries."""
         yield from self._check_compacted_part()
         for row in self.reader.rows(self.next_number):
             if row.number % PROGRESS_INTERVAL_ENTRIES == 0:
--- a/landingshift/ledger/compaction.py
+++ b/landingshift/ledger/compaction.py
@@ -1,7 +1,8 @@
 """Compaction: removes the settled usage entries of old closed periods and keeps their totals.
 
-Guarantee: totals, corrections, disputed usage and the hash chain are kept, and the chain contains a digest of
-the kept entries. An inconsistent ledger is not compacted, since its faults could not be found afterwards.
+Guarantee: totals, corrections and disputed usage are kept. The hash chain continues, and the compaction entry
+contains a digest of the entries kept. An inconsistent ledger is not compacted, because finding its faults
+requires the entries that would be removed.
 """
 
 from __future__ import annotations
@@ -40,13 +41,13 @@
     last_hash: bytes
     """Hash of that entry."""
     retained_numbers: set[int]
-    """Usage entries up to `last_number` that are not settled, and settlements that dispute usage."""
+    """Numbers of pending and disputed usage entries, and of the settlements that dispute usage."""
     removed_usage_count: int
     """Number of usage entries that are removed."""
     totals: Totals
     """Totals after entry `last_number`."""
     closed_end_ms: int
-    """End of the last period closed at or before entry `last_number`, Unix time."""
+    """End of the last period that an entry up to `last_number` closed, Unix time."""
 
 
 def compact_store(store: UsageStore, period: str, now_ms: int, exported_number: int | None) -> int:
@@ -96,7 +97,9 @@
 
 
 def plan_compaction(reader: StoreReader, period: str, closed_end_ms: int) -> CompactionPlan:
-    """Decides which entries to remove; the compacted part ends before the first entry of a later period.
+    """Decides which entries to remove.
+
+    The compacted part ends before the first entry that belongs to a later period or closes this one.
 
     Args:
         reader: Store to compact.
@@ -152,7 +155,7 @@
 def _entries_to_compact(
     reader: StoreReader, first_number: int, end_ms: int
 ) -> Iterator[tuple[EntryRow, Entry]]:
-    """Yields the entries from `first_number` up to the first one that belongs to a period after `end_ms`."""
+    """Yields the entries from `first_number` to the end of the part to compact, see `plan_compaction`."""
     for row in reader.rows(first_number):
         entry = decode(row.kind, row.data)
         if _belongs_to_later_period(entry, end_ms, reader.calendar):
@@ -161,6 +164,7 @@
 
 
 def _belongs_to_later_period(entry: Entry, end_ms: int, calendar: BillingCalendar) -> bool:
+    """Returns whether an entry belongs to a period after `end_ms` or closes the period that ends there."""
     match entry:
         case UsageRecord():
             return entry.at_ms >= end_ms
--- a/landingshift/ledger/database.py
+++ b/landingshift/ledger/database.py
@@ -16,7 +16,7 @@
     SET uses = uses + excluded.uses,
     work = work + excluded.work, size_in = size_in + excluded.size_in,
     size_out = size_out + excluded.size_out"""
-"""Adds usage to the totals; the parameters are the rows of a `TotalsKey` and a `UsageTotals`."""
+"""Adds usage to the totals; the parameters are `TotalsKey.as_row()` followed by `UsageTotals.as_row()`."""
 
 
 def connect(path: str) -> sqlite3.Connection:
--- a/landingshift/ledger/dedup_window.py
+++ b/landingshift/ledger/dedup_window.py
@@ -1,13 +1,15 @@
-"""The deduplication window: the identities counted recently, in bounded memory.
+"""The deduplication window: identities of recently counted usage, in bounded memory.
+
+An identity is a digest that identifies a client's attempt and is the same for its retries.
 
 Guarantee: an identity that was counted less than one window ago is found. Failure mode: if more identities
-are counted within a window than fit, the oldest are forgotten early. A retry may then be counted again;
-merging the ledgers removes such duplicates, since it compares all entries.
+are counted within a window than fit into memory, the oldest are forgotten early, and a retry might be counted
+again. Merging the ledgers removes such duplicates, since it compares all entries.
 """
 
 from __future__ import annotations
 
-MAX_TIMES_PER_IDENTITY = 4  # one identity can count several times: after a window, or if the clock stepped
+MAX_TIMES_PER_IDENTITY = 4  # an identity counts again one window later, or after the clock stepped
 
 CountedTimes = int | tuple[int, ...]  # Unix ms; a single time is stored as a plain number to save memory
 
@@ -15,16 +17,17 @@
 class DedupWindow:
     """Finds identities counted within a time window.
 
-    Identities are kept in two generations of at most half the bound each. When the current generation is
-    full, it replaces the previous one. Rotation depends on the number of identities and not on time, so that
-    a clock that steps forward and back does not make the ledger forget identities.
+    Identities are kept in two generations of at most `max_identity_count / 2` each. When the current
+    generation is full, it replaces the previous one, whose identities are forgotten. This rotation depends on
+    the number of identities and not on time, so that a clock that steps forward and back does not make the
+    ledger forget identities.
 
     Attributes:
-        window_ms: Time within which an attempt of the same identity is a retry.
+        window_ms: Time within which only one RPC of the same identity is billed.
         max_identity_count: Maximum number of identities kept.
-        current_generation: Times at which each identity was counted, for the newer identities.
-        previous_generation: The same for the older identities.
-        last_rotated_ms: Time of the identity that caused the last rotation, Unix ms.
+        current_generation: Times at which the newer identities were counted, keyed by identity.
+        previous_generation: Times at which the older identities were counted, keyed by identity.
+        last_rotated_ms: Unix time of the usage that caused the last rotation.
         shortened_count: Number of times that identities were forgotten before their window had passed.
     """
 
--- a/landingshift/ledger/delivery_tracker.py
+++ b/landingshift/ledger/delivery_tracker.py
@@ -1,9 +1,9 @@
 """Tracks sent answers until it is known whether the gateway received them.
 
-An answer is delivered once the gateway's machine has acknowledged all of its bytes, which the socket's count
-of unacknowledged bytes (`TIOCOUTQ`) shows, or if the gateway ended the connection after reading everything.
-It is undelivered if the connection closed before all of the answer was sent. It is disputed if the connection
-broke, or a timeout passed, after the answer was sent and before it was acknowledged.
+An answer is delivered if the gateway's machine acknowledged all of its bytes, or if the gateway closed the
+connection after reading everything. The socket's count of unacknowledged bytes (`TIOCOUTQ`) shows what is
+acknowledged. An answer is undelivered if the connection closed before all of the answer was sent. It is
+disputed if it was sent completely, but the connection broke or a timeout passed before it was acknowledged.
 """
 
 from __future__ import annotations
--- a/landingshift/ledger/entries.py
+++ b/landingshift/ledger/entries.py
@@ -18,7 +18,7 @@
 HASH_BYTES = 16
 IDENTITY_BYTES = 16
 GENESIS_HASH = bytes(HASH_BYTES)
-"""Stands for the previous hash of the first entry."""
+"""Previous hash from which the hash of the first entry is computed."""
 
 
 class EntryKind(IntEnum):
@@ -36,14 +36,14 @@
 
 
 class Opened(Struct, array_like=True):
-    """Records the start of a server process, and disputes usage that an earlier process left pending."""
+    """Records the start of a server process and disputes the usage that earlier processes left pending."""
 
     run_id: bytes
     """Identifies the server process."""
     at_ms: int
     """Unix time."""
     disputed: list[int]
-    """Ranges of usage entries that become disputed."""
+    """Ranges of the numbers of usage entries that become disputed."""
 
 
 class NameEntry(Struct, array_like=True):
@@ -76,7 +76,7 @@
 
 
 class Settlement(Struct, array_like=True):
-    """Records the outcome of pending usage; each field holds ranges of usage entries."""
+    """Records the outcome of pending usage; each field contains ranges of usage entry numbers."""
 
     counted: list[int]
     """Usage that is billed."""
@@ -141,9 +141,9 @@
     at_ms: int
     """Unix time."""
     billed: list[int]
-    """Ranges of usage entries that are billed."""
+    """Ranges of the numbers of usage entries that are billed."""
     waived: list[int]
-    """Ranges of usage entries that are not billed."""
+    """Ranges of the numbers of usage entries that are not billed."""
     reason: str
     author: str
     """Name of the operator."""
@@ -168,7 +168,7 @@
     baseline_digest: bytes
     """Digest of the totals after entry `last_number`."""
     closed_end_ms: int
-    """End of the last period closed at or before entry `last_number`, Unix time."""
+    """End of the last period that an entry up to `last_number` closed, Unix time."""
 
 
 class EntryRow(NamedTuple):
@@ -255,7 +255,7 @@
 
 
 def attempt_identity(tenant: bytes, method: bytes, has_attempt_id: bool, content: bytes) -> bytes:
-    """Returns a 16-byte digest that identifies a client's attempt, so that its retries are counted once.
+    """Returns a 16-byte digest that identifies a client's attempt and is the same for all its retries.
 
     The lengths of the names are part of the digest. Names may hold any bytes, and without the lengths two
     pairs of names whose concatenation is equal would give the same digest.
--- a/landingshift/ledger/entry_history.py
+++ b/landingshift/ledger/entry_history.py
@@ -51,8 +51,8 @@
     Resolution: ("Resolved", ("at", "billed", "waived", "reason", "who")),
     Compaction: ("Compacted", ("at", "period", "last", "hash", "kept", "baseline", "until")),
 }
-"""Printed name of each entry type and its fields, in the order of the struct. Usage entries are described in
-sentences and have no row."""
+"""Printed names of each entry type and its fields, in the order of the struct's fields. `UsageRecord` is
+absent, because usage entries are described in sentences."""
 DISPUTED = "disputed"
 
 
@@ -97,7 +97,7 @@
 
 
 def _outcomes(entry: Entry, number: int) -> list[str]:
-    """Returns descriptions of the outcomes that `entry` gives to the usage entry with this number."""
+    """Returns descriptions of the outcomes that `entry` records for usage entry `number`."""
     match entry:
         case Settlement():
             outcomes = [
--- a/landingshift/ledger/errors.py
+++ b/landingshift/ledger/errors.py
@@ -1,4 +1,4 @@
-"""Errors of usage metering. Each error builds its message from the values that it keeps as attributes."""
+"""Errors of usage metering. The constructors build the messages from their arguments."""
 
 from __future__ import annotations
 
@@ -73,7 +73,7 @@
 
 
 class EmptyReplyError(ReceiverUnavailableError):
-    """The receiver's reply does not name an instance."""
+    """The receiver's reply does not contain the name of an instance."""
 
     def __init__(self) -> None:
         super().__init__("an empty reply")
@@ -107,7 +107,7 @@
 
 
 class BrokenChainError(StoreUnavailableError):
-    """An entry's hash does not follow from the entry before it."""
+    """An entry's hash does not match its data and the hash of the entry before it."""
 
     def __init__(self, instance: str, entry_number: int) -> None:
         super().__init__(instance, f"entry {entry_number} is changed, or out of its order")
@@ -128,7 +128,7 @@
 
 
 class InvalidPeriodError(CommandRejectedError, ValueError):
-    """A name is not the name of a period of the ledger's unit."""
+    """A text is not the name of a billing period of the ledger's period unit."""
 
     def __init__(self, name: str, unit: str, example: str) -> None:
         super().__init__(f"{name!r} names no {unit}; one like {example} does")
@@ -137,7 +137,7 @@
 
 
 class BatchOutOfOrderError(CommandRejectedError):
-    """The number of a batch is not the one after the last applied batch."""
+    """A batch does not have the number that follows the last applied batch."""
 
     def __init__(self, batch_number: int, last_batch_number: int) -> None:
         super().__init__(f"batch {batch_number} was received after batch {last_batch_number}")
@@ -187,7 +187,7 @@
 
 
 class EmptyCorrectionError(CommandRejectedError):
-    """A correction changes neither uses, work nor the amount."""
+    """A correction changes neither the number of RPCs, the run time nor the amount."""
 
     def __init__(self) -> None:
         super().__init__("a correction of nothing: state uses, work or an amount")
@@ -220,7 +220,7 @@
 
 
 class DivergedLedgerError(CommandRejectedError):
-    """A ledger has entries that the merged ledger's branch of it does not have."""
+    """A ledger has entries that its branch in the merged ledger does not have."""
 
     def __init__(self, entry_number: int) -> None:
         super().__init__(
@@ -238,7 +238,7 @@
 
 
 class UnknownTenantError(CommandRejectedError):
-    """A correction names a tenant that no entry of the ledger names."""
+    """A correction names a tenant that does not occur in the ledger."""
 
     def __init__(self, tenant: str) -> None:
         super().__init__(f"tenant: {tenant!r} has no entry in this ledger")
--- a/landingshift/ledger/export_cursor.py
+++ b/landingshift/ledger/export_cursor.py
@@ -1,9 +1,10 @@
 """State machine of the export: decides the exporter's next step from the receiver's replies. No I/O.
 
-Guarantee: each reply contains the receiver's cursor (the last entry it has) and the chain's hash at that
-entry, and the exporter always sends from that cursor. A lost, late or duplicate reply can only cause entries
-to be sent again, which the receiver ignores. Failure mode: if the receiver's hash differs from this ledger's,
-the export stops, since continuing could bill usage twice or not at all.
+Each reply contains the receiver's cursor, which is the number of the last entry it has, and the hash of that
+entry. Guarantee: the exporter always continues from the cursor of the last reply. A lost, late or duplicate
+reply can only cause entries to be sent again, and the receiver ignores those. Failure mode: if the receiver's
+hash differs from that of the same entry in this ledger, the export stops, since continuing could bill usage
+twice or not at all.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendBatch:
-    """Step: send a batch of the entries after entry `after`."""
+    """Step: send the next batch, which begins after entry `after`."""
 
     after: int
 
@@ -59,16 +60,17 @@
     Attributes:
         receiver_cursor: Number of the last entry that the receiver has; None if it must be queried.
         furthest_cursor: Highest cursor that the receiver has reported.
-        failure_count: Number of consecutive failed requests.
-        stalled_reply_count: Number of consecutive replies without progress.
-        rewind_count: Number of times that the receiver's cursor went back, for example to a restored backup.
+        failure_count: Number of failed requests and stalls since the cursor last advanced or was queried.
+        stalled_reply_count: Number of consecutive replies that did not raise `furthest_cursor`.
+        rewind_count: Number of times that the cursor went back, for example because the receiver was restored
+            from a backup.
     """
 
     def __init__(self, hash_at: Callable[[int], bytes | None], rng: Random) -> None:
         """Creates the state machine; the first step queries the receiver's cursor.
 
         Args:
-            hash_at: Returns the chain's hash at an entry, or None if this ledger does not have the entry.
+            hash_at: Function that returns the hash of an entry; None if this ledger does not have the entry.
             rng: Source of the backoff's jitter.
         """
         self._hash_at = hash_at
@@ -98,7 +100,7 @@
     def on_request_failed(self) -> None:
         """Handles a request without a valid reply.
 
-        The receiver may have applied the batch, so after the backoff its cursor is queried.
+        The receiver might have applied the batch. Therefore its cursor is queried after the backoff.
         """
         self._start_backoff()
         self.receiver_cursor = None
@@ -108,11 +110,11 @@
 
         Args:
             cursor: Number of the last entry that the receiver has.
-            cursor_hash: The chain's hash at that entry, as known to the receiver.
+            cursor_hash: Hash that the receiver has for that entry.
             newest_number: Number of the ledger's newest entry.
 
         Returns:
-            `Stop` if the receiver's entries are not those of this ledger; else None.
+            `Stop` if the receiver's last entry is not an entry of this ledger; else None.
         """
         stop = self._find_divergence(cursor, cursor_hash, newest_number)
         if stop is not None:
--- a/landingshift/ledger/export_records.py
+++ b/landingshift/ledger/export_records.py
@@ -1,4 +1,7 @@
-"""Converts entries to export records: usage in the order of settlement, corrections and period closes."""
+"""Converts entries to export records of billed usage, corrections and period closes.
+
+The records of usage have the order in which the usage was settled.
+"""
 
 from __future__ import annotations
 
@@ -18,8 +21,8 @@
 from landingshift.ledger.number_ranges import iterate_ranges
 from landingshift.ledger.store import UsageStore
 
-MAX_BATCH_RECORD_COUNT = 2000  # exceeded by the records of the last entry, which are never split
-MAX_BATCH_ENTRY_COUNT = 20_000  # entries read for one batch, most of which give no record
+MAX_BATCH_RECORD_COUNT = 2000  # can be exceeded, since the records of one entry are never split
+MAX_BATCH_ENTRY_COUNT = 20_000  # bound of the entries read for one batch; most give no record
 MAX_CACHED_NAME_COUNT = 65_536
 EXPORTED_KINDS = (
     EntryKind.SETTLEMENT,
@@ -32,8 +35,8 @@
 class ExportReader:
     """Builds batches from the entries of one store.
 
-    Usage is assigned to the same billing period as in the ledger, by the periods that were closed before its
-    settlement.
+    Usage has the same billing period as in the ledger, which depends on the periods that were closed before
+    the usage was settled.
     """
 
     def __init__(self, store: UsageStore) -> None:
@@ -42,7 +45,10 @@
         self._names: dict[int, bytes] = {}
 
     def hash_at(self, number: int) -> bytes | None:
-        """Returns the chain's hash at an entry; None if the entry does not exist or was compacted."""
+        """Returns the hash of an entry; None if the entry does not exist or was removed by a compaction.
+
+        The hash of the last entry of the compacted part is always known.
+        """
         if number == 0:
             return GENESIS_HASH
         row = self._store.row(number)
@@ -58,7 +64,11 @@
         return self._store.newest_number()
 
     def next_batch(self, after: int) -> Batch | None:
-        """Returns a batch of the records after entry `after`; None if there is no later entry."""
+        """Returns a batch with the records of the next entries after entry `after`.
+
+        Returns:
+            None if there are no entries after `after`.
+        """
         batch = Batch(instance=self._store.instance, to=after)
         setattr(batch, "from", after)  # the name of the field is a Python keyword
         batch.from_hash = self.hash_at(after) or b""
@@ -123,7 +133,7 @@
         )
 
     def _closed_end_ms_before(self, number: int) -> int:
-        """Returns the end of the last period closed before this entry, Unix time; 0 if there is none."""
+        """Returns the end of the last period that an earlier entry closed, Unix time; 0 if there is none."""
         last_known = self._period_closes[-1][0] if self._period_closes else 0
         self._period_closes += self._store.period_close_ends(last_known)
         ends = (end_ms for close_number, end_ms in self._period_closes if close_number < number)
--- a/landingshift/ledger/index_writer.py
+++ b/landingshift/ledger/index_writer.py
@@ -50,16 +50,16 @@
         self._db.executemany("INSERT INTO corrections VALUES(?, ?)", rows)
 
     def add_disputed(self, numbers: Iterable[int]) -> None:
-        """Adds usage entries that became disputed."""
+        """Adds the numbers of usage entries that became disputed."""
         self._db.executemany("INSERT INTO disputed VALUES(?)", [(number,) for number in numbers])
 
     def remove_disputed(self, numbers: Iterable[int]) -> None:
-        """Removes usage entries whose dispute was resolved."""
+        """Removes the numbers of usage entries whose dispute was resolved."""
         rows = [(number,) for number in numbers]
         self._db.executemany("DELETE FROM disputed WHERE number = ?", rows)
 
     def replace_baseline(self, totals: Totals) -> None:
-        """Replaces the baseline: the totals after the last entry of the compacted part."""
+        """Sets the baseline, which is the totals after the last entry of the compacted part."""
         self._db.execute("DELETE FROM baseline")
         rows = [(*key.as_row(), *usage.as_row()) for key, usage in totals.items()]
         self._db.executemany("INSERT INTO baseline VALUES(?, ?, ?, ?, ?, ?, ?, ?)", rows)
--- a/landingshift/ledger/merge_rules.py
+++ b/landingshift/ledger/merge_rules.py
@@ -1,8 +1,8 @@
 """Rules for merging many ledgers into one; results do not depend on the order of merging. No I/O.
 
-A *branch* is one hash chain of an instance. An instance that was restored from an old backup and continued
-writing has two chains that differ from some entry on. The second chain is a branch of its own, named after
-the instance and the first entry that differs. The merged ledger keeps both branches.
+A *branch* is one hash chain of an instance. If an instance was restored from an old backup and then wrote new
+entries, it has two chains with a common beginning. The second chain becomes a branch of its own, which is
+named after the instance and its first entry that differs. The merged ledger keeps both branches.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
     DIVERGED = 4
     """The branch has a different entry with this number."""
     BROKEN = 5
-    """The entry's hash does not follow from the entry before it."""
+    """The entry's hash does not match its data and the hash of the entry before it."""
 
 
 def classify_entry(
@@ -38,9 +38,10 @@
     Args:
         number: Number of the received entry.
         entry_hash: Hash of the received entry.
-        follows_chain: Whether the hash is correct for the branch's entry before it.
+        follows_chain: Whether `entry_hash` matches the entry's data and the hash of the branch's entry
+            before it.
         head_number: Number of the branch's newest entry.
-        known_hash: Hash of the branch's own entry with this number, if any.
+        known_hash: Hash of the branch's entry with the same number; None if it has none.
     """
     if number <= head_number:
         return EntryRelation.KNOWN if known_hash == entry_hash else EntryRelation.DIVERGED
@@ -50,12 +51,12 @@
 
 
 def branch_name(instance: str, number: int, entry_hash: bytes) -> str:
-    """Returns the name of an instance's branch whose first differing entry has this number and hash."""
+    """Returns the name of the branch that diverges from an instance's chain with the given entry."""
     return f"{instance}~{number}-{entry_hash.hex()[:HASH_PREFIX_LENGTH]}"
 
 
 class UsageReference(NamedTuple):
-    """Refers to a usage entry of a branch; the order of the fields is the order of deduplication."""
+    """Refers to a usage entry of a branch; sorted references have the order of deduplication."""
 
     at_ms: int
     """Unix time of the usage."""
@@ -67,8 +68,8 @@
 def countable_usages(usages: Iterable[UsageReference], window_ms: int) -> set[UsageReference]:
     """Decides which usage of one identity counts.
 
-    The earliest usage counts, and then each usage that is one window or more after the last that counts. The
-    result depends only on the set of `usages`, not on their order or repetition.
+    The earliest usage counts. A later usage counts if it is at least one window after the last usage that
+    counts. The result depends only on the set of `usages`, not on their order or repetition.
     """
     countable: set[UsageReference] = set()
     last_counted_ms: int | None = None
@@ -89,7 +90,7 @@
     branch: str
     """Name of the branch that contains the instance's entries."""
     missing_entry_count: int
-    """Number of entries that the merged ledger has after the instance's newest entry."""
+    """Number of entries in the merged branch that the instance has lost: those after its newest entry."""
 
     def summary(self) -> str:
         """Returns a one-line description for operators."""
--- a/landingshift/ledger/merged_store.py
+++ b/landingshift/ledger/merged_store.py
@@ -1,8 +1,11 @@
 """Storage of the merged ledger: the entries of many instances and their common totals in one SQLite file.
 
 Guarantee: the totals depend only on the set of merged entries, not on the order or repetition of merging.
-Usage of one identity counts once per deduplication window, across all instances. Failure mode: if an entry
-given to `add_entries` does not follow its chain, the call adds no entries at all.
+Usage of one identity counts once per deduplication window, across all instances. Failure mode: `add_entries`
+adds no entries at all if one of the given entries does not continue its hash chain.
+
+A branch is one hash chain of an instance, see `merge_rules`. Its parent is the branch from which it diverged.
+The entries before the divergence are stored only once, in the parent.
 """
 
 from __future__ import annotations
@@ -61,8 +64,9 @@
     method INTEGER NOT NULL, uses INTEGER NOT NULL, work INTEGER NOT NULL, size_in INTEGER NOT NULL,
     size_out INTEGER NOT NULL, PRIMARY KEY(period, tenant, method, belongs)) WITHOUT ROWID;
 """
-"""The table `lines` has one row per branch: `start` is its first entry, `head` and `hash` are the number and
-hash of its newest entry, and `until` is the end of its last closed period."""
+"""The table `lines` has one row per branch. `start` is the number of its first own entry, `head` and `hash`
+are the number and hash of its newest entry, `until` is the end of its last closed period, and `parent` is the
+name of its parent (empty if there is none)."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -129,7 +133,7 @@
     # Branches
 
     def heads(self) -> dict[str, BranchHead]:
-        """Returns the newest entry of each branch, by the name of the branch."""
+        """Returns the newest entry of each branch, keyed by the name of the branch."""
         rows = self.db.execute("SELECT line, head, hash FROM lines")
         return {branch: BranchHead(number, entry_hash) for branch, number, entry_hash in rows}
 
@@ -139,14 +143,21 @@
         return head.number if head else 0
 
     def current_branch(self, instance: str) -> str:
-        """Returns the name of an instance's latest branch; the instance's name if it has no branch yet."""
+        """Returns the name of the instance's branch that diverged at the highest entry number.
+
+        The instance's first branch has the name of the instance; its name is returned if there is no other.
+        """
         rows = self.db.execute(
             "SELECT line FROM lines WHERE instance = ? ORDER BY start DESC LIMIT 1", (instance,)
         )
         return next((branch for (branch,) in rows), instance)
 
     def hash_at(self, branch: str, number: int) -> bytes | None:
-        """Returns the chain's hash at an entry of a branch or its parents; None if there is no such entry."""
+        """Returns the hash of an entry of a branch, including those in its parents.
+
+        Returns:
+            None if there is no such entry; `GENESIS_HASH` for number 0.
+        """
         if number == 0:
             return GENESIS_HASH
         row = self.db.execute(
@@ -161,12 +172,15 @@
         return self.hash_at(parent, number) if parent and number < start else None
 
     def follows_chain(self, branch: str, row: EntryRow) -> bool:
-        """Returns whether an entry's hash follows from the branch's entry before it."""
+        """Returns whether an entry's hash matches its data and the hash of the branch's entry before it."""
         previous_hash = self.hash_at(branch, row.number - 1)
         return previous_hash is not None and chain_hash(previous_hash, row.kind, row.data) == row.hash
 
     def rows_after(self, branch: str, number: int, max_row_count: int) -> list[EntryRow]:
-        """Returns up to `max_row_count` entries of a branch after entry `number`, in order."""
+        """Returns at most `max_row_count` entries of a branch after entry `number`, in order.
+
+        Entries that are stored in the branch's parents are not included.
+        """
         rows = self.db.execute(
             "SELECT number, kind, data, hash FROM entries WHERE line = ? AND number > ? "
             "ORDER BY number LIMIT ?",
@@ -181,14 +195,15 @@
 
         Args:
             instance: Name of the instance.
-            rows: Entries in order.
-            branch: Branch with which to compare the first entry; the instance's first branch by default.
+            rows: Entries in the order of their numbers.
+            branch: Name of the branch that the first entry belongs to or diverges from; empty for the first
+                branch of the instance.
 
         Returns:
             The number of new entries and the name of the branch that contains them.
 
         Raises:
-            BrokenChainError: The hash of an entry does not follow from the entry before it.
+            BrokenChainError: The hash of an entry does not match its data and its predecessor's hash.
             MissingEntryError: An entry was given without the entry before it.
         """
         new_count = 0
@@ -203,7 +218,7 @@
         return new_count, state.name
 
     def _matching_branch(self, instance: str, state: _BranchState, row: EntryRow) -> _BranchState:
-        """Returns the branch that has the entry or that the entry continues; adds a branch if it diverges."""
+        """Returns the branch of an entry: `state`, or the branch that diverges from it with this entry."""
         follows_chain = self.follows_chain(state.name, row)
         known_hash = self.hash_at(state.name, row.number)
         match classify_entry(row.number, row.hash, follows_chain, state.head_number, known_hash):
@@ -217,7 +232,7 @@
                 raise BrokenChainError(instance, row.number)
 
     def _diverge(self, instance: str, state: _BranchState, row: EntryRow) -> _BranchState:
-        """Returns the branch that diverges at this entry; adds it if it is new."""
+        """Returns the branch that diverges from `state` with this entry; adds it if it is new."""
         previous_hash = self.hash_at(state.name, row.number - 1)
         assert previous_hash is not None
         name = branch_name(instance, row.number, row.hash)
@@ -309,7 +324,8 @@
     def _recount(self, identity: bytes) -> None:
         """Decides again which usage of an identity counts, and updates the totals.
 
-        Merging another instance can add usage earlier than the usage counted so far.
+        Merging another instance can add earlier usage of the identity, which then counts instead of the usage
+        counted so far.
         """
         rows = self.db.execute(
             "SELECT at, line, number, counted, period, belongs, tenant, method, work, size_in, "
--- a/landingshift/ledger/name_cache.py
+++ b/landingshift/ledger/name_cache.py
@@ -1,4 +1,4 @@
-"""Bounded cache of the entry numbers of tenant and method names."""
+"""Bounded cache of the entry numbers under which tenant and method names are registered."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class NameNumberCache(dict[NameKey, int]):
-    """Maps names to the numbers of their entries; looks up missing names in the table `names`."""
+    """Maps names to the numbers of their `NameEntry`; looks up missing names in the table `names`."""
 
     def __init__(self, db: sqlite3.Connection) -> None:
         super().__init__()
@@ -21,7 +21,7 @@
         """Looks up a name in the table and caches the result.
 
         Raises:
-            KeyError: No entry has this name.
+            KeyError: The name is not in the table.
         """
         row = self._db.execute("SELECT number FROM names WHERE tenant = ? AND name = ?", key).fetchone()
         if row is None:
--- a/landingshift/ledger/name_escaping.py
+++ b/landingshift/ledger/name_escaping.py
@@ -1,4 +1,4 @@
-r"""Reversible conversion of names to printable text: all bytes but printable UTF-8 become \xNN."""
+r"""Reversible conversion of names to printable text: bytes that are not printable UTF-8 become \xNN."""
 
 from __future__ import annotations
 
--- a/landingshift/ledger/number_ranges.py
+++ b/landingshift/ledger/number_ranges.py
@@ -1,4 +1,4 @@
-"""Compact encoding of sets of entry numbers as the list first, count, first, count, ... of their ranges."""
+"""Encodes a set of entry numbers as ranges, in a flat list `[first, count, first, count, ...]`."""
 
 from __future__ import annotations
 
--- a/landingshift/ledger/peer_exchange.py
+++ b/landingshift/ledger/peer_exchange.py
@@ -1,7 +1,8 @@
 """gRPC service and client that let other instances read a ledger; runs in a process beside the server.
 
-The client sends the number of the last entry it has, and the service returns the entries after it. Entries
-are merged only if they continue their chain, so that lost, repeated or reordered replies leave no gap.
+The client sends the number of the last entry it has, and the service returns the entries that follow it.
+Entries are merged only if they continue their hash chain, so that lost, repeated or reordered replies leave
+no gap.
 """
 
 from __future__ import annotations
@@ -30,7 +31,7 @@
 class ReconcileService:
     """Serves the ledger of one instance.
 
-    Each call opens the store anew, because a SQLite connection may only be used in the thread that opened it.
+    Each call opens the store anew, because a SQLite connection can only be used in the thread that opened it.
     """
 
     def __init__(self, open_store: OpenStore) -> None:
@@ -44,7 +45,7 @@
             return Known(heads=[head])
 
     def pull(self, request: Known, _context: Any) -> Part:
-        """Returns entries after the number that the request gives for this instance, up to a limit."""
+        """Returns at most `MAX_REPLY_ENTRIES` entries after the number that the request names."""
         with self._open_store() as store:
             after = next((head.number for head in request.heads if head.instance == store.instance), 0)
             part = Part(zone=store.time_zone, unit=store.period_unit)
@@ -61,7 +62,7 @@
 
     Args:
         open_store: Function that opens the store to serve.
-        address: Address to listen on, like 127.0.0.1:0.
+        address: Address to listen on, like 127.0.0.1:0; port 0 selects a free port.
 
     Returns:
         The running server and its port.
@@ -104,11 +105,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PulledEntries:
-    """Consecutive entries of a peer's ledger, in order."""
+    """Entries of a peer's ledger, in the order of their numbers."""
 
     rows: list[EntryRow]
     has_more: bool
-    """Whether the peer has entries after these."""
+    """Whether the peer has further entries after `rows`."""
 
 
 class PeerClient:
@@ -144,7 +145,12 @@
         return PeerHead(head.instance, head.number, head.hash)
 
     def pull(self, instance: str, after: int) -> PulledEntries:
-        """Returns entries of an instance's ledger after entry `after`."""
+        """Returns the next entries of the peer's ledger after entry `after`.
+
+        Args:
+            instance: Name of the peer's instance.
+            after: Number of the last entry that the caller has; 0 if it has none.
+        """
         request = Known(heads=[Known.Head(instance=instance, number=after)])
         part = self._call(PULL_METHOD, request, Part)
         rows = [EntryRow(entry.number, entry.kind, entry.data, entry.hash) for entry in part.entries]
--- a/landingshift/ledger/periods.py
+++ b/landingshift/ledger/periods.py
@@ -56,10 +56,10 @@
         return self._latest
 
     def assign(self, at_ms: int, closed_end_ms: int) -> PeriodAssignment:
-        """Decides in which period usage is billed: the period it occurred in, or the first open one.
+        """Decides in which period usage is billed: the one in which it occurred, or the first open one.
 
-        A closed period never changes, so usage settled after the close is billed in the first open period and
-        refers to the period in which it occurred.
+        A closed period never changes, so usage settled after the close is billed in the first open period.
+        The assignment then also names the period in which the usage occurred.
 
         Args:
             at_ms: Unix time at which the usage occurred.
@@ -109,7 +109,7 @@
         return Period(self._midnight_ms(first), self._midnight_ms(following), self._name_of(first))
 
     def _midnight_ms(self, day: date) -> int:
-        # If the clock jumps over midnight, the day starts at the jump; fold 0 gives exactly that instant.
+        # If a clock change skips midnight, the day starts at the change; fold 0 gives exactly that instant.
         midnight = datetime(day.year, day.month, day.day, tzinfo=self.time_zone)
         return int(midnight.timestamp() * 1000.0)
 
--- a/landingshift/ledger/price_plan.py
+++ b/landingshift/ledger/price_plan.py
@@ -38,9 +38,9 @@
     "half_up": decimal.ROUND_HALF_UP,
     "down": decimal.ROUND_DOWN,
 }
-MAX_NUMBER = Decimal(10) ** 15  # bound of prices, free quantities and ends of tiers
-MAX_DECIMAL_PLACES = 12  # bound of the same numbers
-ROUNDING_PRECISION_DIGITS = 60  # more digits than any amount within these bounds has
+MAX_NUMBER = Decimal(10) ** 15  # maximum of prices, free quantities and ends of tiers
+MAX_DECIMAL_PLACES = 12  # of prices, free quantities and ends of tiers
+ROUNDING_PRECISION_DIGITS = 60  # more digits than any amount within the bounds above has
 ZERO = Decimal(0)
 
 PlanText = Annotated[str, Meta(min_length=1, max_length=100)]
@@ -48,12 +48,12 @@
 
 
 class PriceTier(Struct, forbid_unknown_fields=True, frozen=True):
-    """Price of the units between the end of the tier before and the end of this tier."""
+    """Price of the charged units from the end of the previous tier to the end of this tier."""
 
     price: Decimal
     """Price per unit."""
     up_to: Decimal | None = msgspec.field(default=None, name="upto")
-    """End of the tier, counted in charged units from 0; None for the last tier."""
+    """Number of units above the free quantity at which the tier ends; None for the last tier."""
 
 
 class PriceLine(Struct, forbid_unknown_fields=True, frozen=True):
@@ -82,12 +82,12 @@
     default_plan: PlanText = msgspec.field(name="default")
     """Plan of tenants that `plan_by_tenant` does not list."""
     plans: dict[PlanText, list[PriceLine]]
-    """Lines of each plan, by name."""
+    """Lines of each plan, keyed by the name of the plan."""
     decimal_places: Annotated[int, Meta(ge=0, le=8)] = msgspec.field(default=2, name="places")
     """Decimal places of amounts."""
     rounding: Literal["half_even", "half_up", "down"] = "half_even"
     plan_by_tenant: dict[str, PlanText] = msgspec.field(default={}, name="tenants")
-    """Name of the plan by escaped tenant name."""
+    """Names of the tenants' plans, keyed by the escaped name of the tenant."""
 
     def lines_for(self, tenant: bytes) -> list[PriceLine]:
         """Returns the lines of a tenant's plan."""
--- a/landingshift/ledger/pricing.py
+++ b/landingshift/ledger/pricing.py
@@ -23,11 +23,11 @@
     quantity: Decimal
     """Total quantity, including the free part."""
     free_quantity: Decimal
-    """Free quantity per period of the plan's line."""
+    """Quantity per period that the line of the price plan does not charge."""
     amount: Decimal
     """Rounded, in the plan's currency."""
     late_quantities: dict[str, Decimal] = field(default_factory=dict)
-    """Part of the quantity that was used in earlier periods, by the names of those periods."""
+    """Parts of `quantity` that were used in earlier periods, keyed by the names of those periods."""
 
 
 def quantity_in_unit(unit: BillingUnit, totals: UsageTotals) -> Decimal:
@@ -44,7 +44,7 @@
 
 
 def exact_cost(line: PriceLine, quantity: Decimal) -> Decimal:
-    """Returns the unrounded price of a quantity by a line of the price plan.
+    """Returns the unrounded cost of a quantity according to a line of the price plan.
 
     A negative quantity, which corrections can cause, gives a credit at the price of the first tier.
     """
--- a/landingshift/ledger/receiver_client.py
+++ b/landingshift/ledger/receiver_client.py
@@ -20,7 +20,8 @@
 HEADERS = {"Content-Type": "application/x-protobuf"}
 BATCH_PATH = "/v1/batch"
 READABLE_STATUSES = (200, 409)
-"""The reply to 409 contains the receiver's cursor, because the batch did not start there."""
+"""HTTP statuses of valid replies. Status 409 means that the batch did not start at the receiver's cursor,
+which the reply contains."""
 
 
 def cursor_path(instance: str) -> str:
@@ -35,7 +36,7 @@
         """Sends an HTTP request and returns the decoded reply.
 
         Raises:
-            ReceiverUnavailableError: There is no reply that can be read.
+            ReceiverUnavailableError: The receiver sent no valid reply.
         """
 
 
@@ -47,7 +48,7 @@
 
         Args:
             url: Base URL of the receiver, like http://127.0.0.1:8080/ledger.
-            timeout_ms: Timeout of each request's socket operations.
+            timeout_ms: Timeout of each socket operation.
 
         Raises:
             InvalidReceiverUrlError: The URL is not an http or https URL.
@@ -62,7 +63,7 @@
         """Sends an HTTP request and returns the decoded reply.
 
         Raises:
-            ReceiverUnavailableError: There is no reply that can be read.
+            ReceiverUnavailableError: The receiver sent no valid reply.
         """
         connection = self._connect()
         try:
--- a/landingshift/ledger/reconciliation.py
+++ b/landingshift/ledger/reconciliation.py
@@ -13,7 +13,7 @@
 
 
 def merge_peer(merged: MergedStore, peer: PeerClient) -> MergeResult:
-    """Adds all entries of a peer that the merged ledger does not have.
+    """Pulls the entries of a peer that the merged ledger does not have, and adds them to it.
 
     Raises:
         grpc.RpcError: A call to the peer failed.
@@ -23,8 +23,8 @@
     branch = merged.current_branch(head.instance)
     after = merged.head_number(branch)
     if head.number < after or merged.hash_at(branch, head.number) not in (None, head.hash):
-        # The peer was restored from an old copy and may have diverged: read it from its first entry, since
-        # entries that are already merged are ignored.
+        # The peer was restored from an old backup, and its newest entries might differ from the branch.
+        # Compare all of its entries with the instance's first branch; those already merged are ignored.
         after = 0
         branch = head.instance
     new_count = 0
@@ -35,7 +35,8 @@
             break
         first = pulled.rows[0]
         if after and first.number == after + 1 and not merged.follows_chain(branch, first):
-            # The peer diverged from this branch before the branch's end: read it from its first entry.
+            # The peer's entry does not continue the branch, so an earlier entry of the peer already differs.
+            # Compare all of its entries with the instance's first branch.
             after = 0
             branch = head.instance
             continue
--- a/landingshift/ledger/recovery.py
+++ b/landingshift/ledger/recovery.py
@@ -1,6 +1,6 @@
 """Recovery: rebuilds the accounting state of a store from the newest entries of its file.
 
-Every start runs the recovery, after a crash or not.
+It runs at every start, not only after a crash.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from landingshift.ledger.store_reader import StoreReader
 from landingshift.ledger.usage_ledger import UsageLedger
 
-FIRST_TAIL_ENTRIES = 1000  # first size of the tail; doubled until the tail covers the deduplication window
+FIRST_TAIL_ENTRIES = 1000  # replayed entries; doubled until they cover the deduplication window
 
 
 def recover_ledger(reader: StoreReader, max_identity_count: int) -> UsageLedger:
@@ -27,16 +27,17 @@
     stored_first_pending = reader.meta(META_FIRST_PENDING)
     first_pending = stored_first_pending if isinstance(stored_first_pending, int) else 1
     first_replayed = min(first_pending, _first_entry_of_window(reader, max_identity_count))
-    before = reader.row_before(first_replayed)
-    ledger.last_number = before.number if before else 0
-    ledger.last_hash = before.hash if before else GENESIS_HASH
+    previous_row = reader.row_before(first_replayed)
+    ledger.last_number = previous_row.number if previous_row else 0
+    ledger.last_hash = previous_row.hash if previous_row else GENESIS_HASH
     closes = reader.period_close_ends()
     if closes:
         _, ledger.closed_end_ms = closes[-1]
     for row in reader.rows(first_replayed):
         ledger.replay(row.number, decode(row.kind, row.data), row.hash)
     if first_pending > first_replayed:
-        # Usage before `first_pending` is settled, but its settlement may be before `first_replayed`.
+        # All usage before `first_pending` is settled. It must not stay pending, even if the replayed entries
+        # did not settle it.
         ledger.pending = {
             sequence: usage
             for sequence, usage in ledger.pending.items()
@@ -49,7 +50,7 @@
 
 
 def _first_entry_of_window(reader: StoreReader, max_identity_count: int) -> int:
-    """Returns the number of the first entry to replay in order to fill the deduplication window."""
+    """Returns the number of the first entry to replay so that the deduplication window is complete."""
     newest_number = reader.newest_number()
     newest_usage_ms = reader.usage_time_at(newest_number)
     if newest_usage_ms is None:
--- a/landingshift/ledger/repair.py
+++ b/landingshift/ledger/repair.py
@@ -32,13 +32,13 @@
 
 
 def restore_missing_entries(store: UsageStore, merged: MergedStore) -> int:
-    """Copies into the store those entries of its instance that only the merged ledger has.
+    """Copies entries that the store lost from the merged ledger back into the store.
 
     Returns:
         The number of restored entries.
 
     Raises:
-        DivergedLedgerError: The store has entries that the merged branch does not have. Nothing is changed.
+        DivergedLedgerError: The store has entries that its branch does not have. Nothing is changed.
             Merging the store adds its entries to the merged ledger as a branch of their own.
     """
     branch = merged.current_branch(store.instance)
@@ -58,7 +58,7 @@
 
 
 def _rebuild_index(store: UsageStore) -> None:
-    """Rebuilds the index tables; must be called within a transaction."""
+    """Rebuilds the index tables and the `meta` values derived from entries; call it within a transaction."""
     replay = LedgerReplay(store)
     compaction = store.newest_compaction()
     store.index.clear()
@@ -66,21 +66,21 @@
     if compaction is not None:
         compacted_number = compaction.last_number
         replay.start_after(store, compaction)
-    run_start_number = 0
+    last_start_number = 0
     newest_number = 0
     for row in store.rows():
         entry = decode(row.kind, row.data)
         newest_number = row.number
         if row.number > compacted_number:
             for _ in replay.apply(row.number, entry):
-                pass  # inconsistencies are reported by `audit_store`
+                pass  # only the new state is needed; `audit_store` reports inconsistencies
         if isinstance(entry, Opened):
-            run_start_number = row.number
+            last_start_number = row.number
         _index_entry(store.index, row.number, entry)
     failpoints.reach("ledger.rebuild")
     store.index.add_totals(replay.totals)
     store.index.add_disputed(sorted(replay.disputed))
-    pending = _pending_numbers(replay, run_start_number)
+    pending = _pending_numbers(replay, last_start_number)
     store.set_meta(META_FIRST_PENDING, min(pending, default=newest_number + 1))
     store.set_meta(META_LAST_NUMBER, newest_number)
 
@@ -95,8 +95,8 @@
             index.add_corrections([(number, entry)])
 
 
-def _pending_numbers(replay: LedgerReplay, run_start_number: int) -> Iterable[int]:
-    """Yields the usage entries of the latest server process that are neither settled nor disputed."""
+def _pending_numbers(replay: LedgerReplay, last_start_number: int) -> Iterable[int]:
+    """Returns the usage entries since the last server start that are neither settled nor disputed."""
     return (
-        number for number in replay.unsettled if number not in replay.disputed and number > run_start_number
+        number for number in replay.unsettled if number not in replay.disputed and number > last_start_number
     )
--- a/landingshift/ledger/replay.py
+++ b/landingshift/ledger/replay.py
@@ -1,7 +1,7 @@
-"""Computes the totals from the entries, for audits.
+"""Computes the totals from the entries, for audits, compaction and rebuilding the index.
 
-This is a second implementation of the accounting rules: an audit that used the code of `usage_ledger` could
-not find its faults.
+It implements the accounting rules a second time, because an audit that used the code of `usage_ledger` could
+not find faults in that code.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
     Attributes:
         calendar: Billing periods.
         totals: Totals computed from the entries so far.
-        unsettled: Usage that is pending or disputed, by the number of its entry.
+        unsettled: Usage that is pending or disputed, keyed by the number of its entry.
         disputed: Numbers of disputed usage entries.
         closed_end_ms: End of the last closed period, Unix time.
     """
@@ -45,7 +45,7 @@
         self._is_tenant_by_number: dict[int, bool] = {}
 
     def start_after(self, reader: StoreReader, compaction: Compaction) -> None:
-        """Sets the state after the last entry of a compacted part, from its baseline and the entries kept."""
+        """Loads the state after the compacted part of the ledger from the baseline and the entries kept."""
         self.closed_end_ms = compaction.closed_end_ms
         self.totals.update(reader.baseline())
         for row in reader.rows(1, compaction.last_number):
@@ -61,7 +61,10 @@
                     )
 
     def apply(self, number: int, entry: Entry) -> Iterator[str]:
-        """Updates the state by the next entry; yields a description of each inconsistency found."""
+        """Applies the next entry and yields a description of each inconsistency found.
+
+        The caller must exhaust the iterator, because the state is updated during iteration.
+        """
         match entry:
             case Opened():
                 yield from self._dispute(entry.disputed)
@@ -73,11 +76,11 @@
                 self.unsettled[number] = entry
             case Settlement():
                 yield from self._count(entry.counted)
-                yield from self._drop([*entry.duplicates, *entry.undelivered])
+                yield from self._remove_unbilled([*entry.duplicates, *entry.undelivered])
                 yield from self._dispute(entry.disputed)
             case Resolution():
                 yield from self._count(entry.billed)
-                yield from self._drop(entry.waived)
+                yield from self._remove_unbilled(entry.waived)
             case Correction():
                 self._correct(entry)
             case PeriodClose():
@@ -87,10 +90,12 @@
         names_tenant = self._is_tenant_by_number.get(record.tenant_number) is True
         return names_tenant and self._is_tenant_by_number.get(record.method_number) is False
 
-    def _add(self, at_ms: int, service_period: str, names: tuple[int, int], usage: UsageTotals) -> None:
+    def _add(
+        self, at_ms: int, service_period: str, name_numbers: tuple[int, int], usage: UsageTotals
+    ) -> None:
         is_open = at_ms >= self.closed_end_ms
         period = service_period if is_open else self.calendar.period_at(self.closed_end_ms).name
-        key = TotalsKey(period, "" if service_period == period else service_period, *names)
+        key = TotalsKey(period, "" if service_period == period else service_period, *name_numbers)
         self.totals[key] = self.totals.get(key, ZERO_TOTALS) + usage
 
     def _count(self, ranges: list[int]) -> Iterator[str]:
@@ -107,7 +112,7 @@
                 UsageTotals(1, record.work_us, record.bytes_in, record.bytes_out),
             )
 
-    def _drop(self, ranges: list[int]) -> Iterator[str]:
+    def _remove_unbilled(self, ranges: list[int]) -> Iterator[str]:
         for number in decode_ranges(ranges):
             self.disputed.discard(number)
             if self.unsettled.pop(number, None) is None:
--- a/landingshift/ledger/schema.py
+++ b/landingshift/ledger/schema.py
@@ -1,7 +1,7 @@
 """SQLite schema of a store.
 
-The table `entries` is the ledger. `meta` holds properties of the store, and `baseline` the totals of the
-compacted part. The other tables are an index that `repair.reindex` can rebuild from the entries.
+The table `entries` contains the ledger, `meta` contains properties of the store, and `baseline` contains the
+totals of the compacted part. The other tables are an index that `repair.reindex` can rebuild.
 """
 
 from __future__ import annotations
--- a/landingshift/ledger/service.py
+++ b/landingshift/ledger/service.py
@@ -38,7 +38,7 @@
 
     rpc: RoutedRpc
     result: bytes
-    """Result to send; empty if the answer is not deferred any more."""
+    """Result to send; empty unless the answer is deferred."""
     due_ms: float
     """Loop time at which the answer is sent or aborted even if its usage is not durable."""
     usage: ReportedUsage
@@ -65,8 +65,8 @@
         self._not_durable: dict[int, MeteredAnswer] = {}  # by sequence number of the usage
         self._unanswered: dict[RoutedRpc, MeteredAnswer] = {}  # not written to a connection yet
         self._deferred_result_bytes = 0
-        self._next_due_ms = NO_DEADLINE_MS  # lower bound of the deferred answers' `due_ms`
-        self._flush_deadline_ms = NO_DEADLINE_MS  # set when the server drains: no answer waits longer
+        self._next_due_ms = NO_DEADLINE_MS  # lower bound of `due_ms` of all deferred answers
+        self._flush_deadline_ms = NO_DEADLINE_MS  # latest release of answers while the server drains
         self._tick_timer: Timer | None = None
         self._is_behind = False
         self._early_answer_count = 0
@@ -101,7 +101,7 @@
     # Answer gate
 
     def defer_answer(self, rpc: RoutedRpc, result: bytes, run_time_ms: float) -> bool:
-        """Queues the usage of an ok answer, and with `before_answer` defers the answer until that is durable.
+        """Queues an ok answer's usage; with `before_answer`, defers the answer until the usage is durable.
 
         Returns:
             False if the caller must send the answer now. True if the answer is deferred, or if it was aborted
@@ -138,9 +138,9 @@
         self._tick_within(self._settings.commit_ms)
 
     def _defer(self, answer: MeteredAnswer) -> None:
-        """Counts the size of a deferred result.
+        """Adds the size of a deferred result to the sum.
 
-        If the deferred results exceed their limit, the answer is due at the next tick, durable or not.
+        If the sum exceeds its limit, the answer is released at the next tick, durable or not.
         """
         self._deferred_result_bytes += len(answer.result)
         if self._deferred_result_bytes > MAX_DEFERRED_RESULTS_RATIO * self._queue.limit_bytes:
@@ -165,8 +165,8 @@
     def _attempt_id(self, rpc: RoutedRpc) -> str | None:
         """Returns the ID of the client's attempt: the configured field, else its token or key, else None.
 
-        The key of a read identifies the data and not the attempt, so it is only used if the setting
-        `identity_key` declares that it identifies the attempt.
+        The cache key of a read identifies the data that is read, not the attempt. It is used only if the
+        setting `identity_key` declares that each attempt has a cache key of its own.
         """
         if rpc.attempt_id or rpc.dedup_key is None:
             return rpc.attempt_id
@@ -178,7 +178,7 @@
         """Counts dropped usage and, with `stuck = "abort"`, aborts its answer.
 
         Returns:
-            Whether the answer was aborted; if not, it must be sent without being billed.
+            Whether the answer was aborted. If it was not, the caller must send it; its usage is not billed.
         """
         self._dropped_count += 1
         self._set_behind(True)
@@ -190,7 +190,7 @@
     # Callbacks of the store's process
 
     def on_durable(self, batch_number: int) -> None:
-        """Sends the deferred answers of all batches up to this one, which are now durable."""
+        """Sends the deferred answers whose usage is durable: it is in a batch up to `batch_number`."""
         for usage in self._queue.acknowledge(batch_number):
             answer = self._not_durable.pop(usage.sequence, None)
             if answer is not None and not answer.is_released:
@@ -234,7 +234,7 @@
         return result
 
     def _settle_unless_answered(self, answer: MeteredAnswer) -> None:
-        """Marks an answer as undelivered if it was not written to a connection, so that it is not billed."""
+        """Reports an answer as undelivered, and so not billed, if it was not written to a connection."""
         if self._unanswered.pop(answer.rpc, None) is not None:
             self._queue.add_outcome(DeliveryOutcome.UNDELIVERED, answer.usage.sequence)
 
@@ -264,7 +264,7 @@
             self._tick_within(max(1.0, self._store_process.outcomes_due_ms - now_ms))
 
     def _release_due(self) -> None:
-        """Sends or aborts the deferred answers that are due although their usage is not durable."""
+        """Sends or aborts the deferred answers that have reached their `due_ms` without durable usage."""
         now_ms = self._loop.now_ms
         next_due_ms = NO_DEADLINE_MS
         for answer in [answer for answer in self._not_durable.values() if not answer.is_released]:
--- a/landingshift/ledger/settings.py
+++ b/landingshift/ledger/settings.py
@@ -32,25 +32,25 @@
     durability: Durability = field(default="before_answer", name="durable")
     """Whether an ok answer is sent only after its usage is durable, or without waiting."""
     overdue_action: OverdueAction = field(default="answer", name="stuck")
-    """Whether an ok answer is sent or aborted if its usage is not durable by the RPC's deadline."""
+    """Whether an ok answer is sent or aborted if its usage is not durable shortly before the deadline."""
     commit_ms: Annotated[float, Meta(ge=0.0, le=1000.0)] = 5.0
     """Interval at which new usage is sent to the store's process."""
     settle_ms: Annotated[float, Meta(ge=0.0, le=10_000.0)] = 50.0
     """Interval at which delivery outcomes are sent while there is no new usage."""
     queue_kb: Annotated[int, Meta(ge=64, le=65536)] = 1024
-    """Maximum size of usage that is not durable yet, in KiB."""
+    """Maximum size of the usage that is queued until it is durable, in KiB."""
     time_zone: str = field(default="UTC", name="zone")
     """Time zone of the billing periods."""
     period_unit: PeriodUnit = field(default="month", name="period")
     """Length of the billing periods."""
     dedup_window_seconds: Annotated[int, Meta(ge=1, le=86400)] = field(default=900, name="window_s")
-    """Time within which an RPC of the same identity is a retry and not billed."""
+    """Time within which only one RPC of the same identity is billed; the others are its retries."""
     max_identity_count: Annotated[int, Meta(ge=1000, le=20_000_000)] = field(default=100_000, name="recent")
     """Maximum number of identities in the deduplication window."""
     attempt_id_field: Annotated[str, Meta(max_length=32)] = field(default="", name="identity_field")
     """Field of an RPC that contains the ID of the client's attempt; empty if there is none."""
     key_names_attempt: bool = field(default=False, name="identity_key")
-    """Whether the key of a read identifies the client's attempt and not only the data that is read."""
+    """Whether the cache key of an RPC is unique to the client's attempt, so that it identifies retries."""
     lock_wait_ms: Annotated[float, Meta(ge=0.0, le=60000.0)] = 3000.0
     """How long the start waits for the previous server process to release the store's lock."""
     price_plan_path: str = field(default="", name="plan")
--- a/landingshift/ledger/statements.py
+++ b/landingshift/ledger/statements.py
@@ -50,7 +50,7 @@
 def statements(
     reader: StoreReader, plan: PricePlan, period: str, tenant: bytes | None = None
 ) -> Iterator[Statement]:
-    """Yields the statements of tenants with usage or corrections in a period, in the order of their names.
+    """Yields the statements of tenants with usage or corrections in a period, ordered by tenant name.
 
     Args:
         reader: Store to read.
--- a/landingshift/ledger/store.py
+++ b/landingshift/ledger/store.py
@@ -66,7 +66,7 @@
         period_unit: Length of the billing periods.
         max_identity_count: Maximum number of identities in the deduplication window.
         index: Writer of the index tables.
-        ledger: Accounting state as of the last commit this object read or made.
+        ledger: Accounting state after the last commit that this object recovered or made.
     """
 
     def __init__(
@@ -85,7 +85,7 @@
             instance: Unique name of the server whose usage the ledger records.
             time_zone: Time zone of the billing periods.
             period_unit: Length of the billing periods.
-            dedup_window_ms: Time within which an RPC of the same identity is a retry.
+            dedup_window_ms: Time within which only one RPC of the same identity is billed.
             max_identity_count: Maximum number of identities in the deduplication window.
 
         Raises:
@@ -134,7 +134,7 @@
     def transaction(self) -> AbstractContextManager[None]:
         """Returns a context manager that runs its block as one atomic, durable transaction.
 
-        The block sees all commits that other processes made before it began.
+        The block sees the commits that other processes made before the transaction began.
         """
         return transaction(self.db, "ledger.commit", "ledger.committed")
 
@@ -143,8 +143,8 @@
         """Runs its block as one transaction and commits the changes that the block makes to the ledger.
 
         Yields:
-            The accounting state as of the last commit of any process. If the transaction fails, the next call
-            recovers this state from the file.
+            The accounting state after the last commit of any process. If the transaction fails, the next call
+            recovers the state from the file.
         """
         is_committed = False
         try:
--- a/landingshift/ledger/store_lock.py
+++ b/landingshift/ledger/store_lock.py
@@ -15,7 +15,7 @@
 
 
 class StoreLock:
-    """Exclusive lock on a store's directory, with which the store's process excludes other servers.
+    """Exclusive lock on a store's directory, which the store's process of one server holds.
 
     The kernel releases the lock if the process is killed.
 
@@ -28,8 +28,8 @@
 
         Args:
             directory: Directory of the store.
-            timeout_ms: How long to wait for the lock. The store's process of a killed server keeps the lock
-                until it has committed the batches that it had read.
+            timeout_ms: How long to wait for the lock. After a server was killed, its store's process keeps
+                the lock until it has committed the batches that it had read.
 
         Raises:
             StoreLockedError: Another process still holds the lock after the timeout.
--- a/landingshift/ledger/store_messages.py
+++ b/landingshift/ledger/store_messages.py
@@ -41,7 +41,7 @@
 
 
 class StoreStatus(Struct, array_like=True):
-    """Report of the store's process after its start, each commit and each failed commit."""
+    """Status report that the store's process sends after its start and after each commit or failed commit."""
 
     committed_batch: int
     """Number of the last durable batch; -1 if the store could not be opened or SQLite failed to commit."""
--- a/landingshift/ledger/store_process.py
+++ b/landingshift/ledger/store_process.py
@@ -1,7 +1,7 @@
 """Server side of the store's process: starts it, sends it batches and handles its status reports.
 
-Guarantee: batches are sent in order, and sent again to a restarted process until they are durable. Failure
-mode: if the process exits, it is restarted after an increasing delay; meanwhile usage waits in the queue.
+Guarantee: batches are sent in order. After a restart, all batches that are not durable are sent again.
+Failure mode: if the process exits, it is restarted after an increasing delay, and usage waits in the queue.
 """
 
 from __future__ import annotations
@@ -26,10 +26,10 @@
 START_TIMEOUT_MS = 10_000.0  # time to open the store, in addition to the wait for its lock
 FINISH_TIMEOUT_MS = 400.0  # how long a stopping server waits for the last commit
 RESTART_BACKOFF_MS = (50.0, 200.0, 1000.0, 5000.0)  # delays before successive restarts; the last one repeats
-BACKOFF_RESET_AFTER_MS = 60_000.0  # if the process ran at least this long, the delays start from the first
+BACKOFF_RESET_AFTER_MS = 60_000.0  # if the process ran at least this long, the first delay is used again
 START_POLL_SECONDS = 0.1
 FINISH_POLL_SECONDS = 0.02
-SOCKET_LIMIT_BYTES_PER_KB = 2048  # limit of the bytes that wait for the socket, per KiB of the queue's limit
+SOCKET_LIMIT_BYTES_PER_KB = 2048  # maximum bytes buffered for the socket, per KiB of `queue_kb`
 
 Log = Callable[..., None]
 
@@ -38,19 +38,19 @@
     """Receives callbacks when usage becomes durable."""
 
     def on_durable(self, batch_number: int) -> None:
-        """Handles that all batches up to this one are durable."""
+        """Handles the confirmation that all batches up to `batch_number` are durable."""
 
     def waiting_count(self) -> int:
-        """Returns the number of usage records that are not durable yet, for the log."""
+        """Returns the number of usage records that are not durable yet; it is logged."""
 
 
 class StoreProcess:
-    """Keeps the store's process running and sends it the batches of the queue.
+    """Starts the store's process, restarts it when it exits, and sends it the batches of the queue.
 
     Attributes:
         is_ready: Whether the process has opened the store and accepts batches.
         error: Why the store can't be opened or can't commit at the moment; empty if there is no error.
-        outcomes_due_ms: Loop time from which delivery outcomes are sent even without new usage.
+        outcomes_due_ms: Loop time after which `push` sends delivery outcomes even if there is no new usage.
     """
 
     def __init__(
@@ -94,7 +94,7 @@
     def push(self) -> None:
         """Sends the queued usage and outcomes to the process.
 
-        Outcomes without new usage are only sent every `settle_ms`.
+        If there is no new usage, outcomes are sent only every `settle_ms`.
         """
         worker = self._worker
         are_outcomes_due = self._loop.now_ms >= self.outcomes_due_ms
@@ -108,7 +108,7 @@
             self.outcomes_due_ms = self._loop.now_ms + self._settings.settle_ms
 
     def finish(self) -> bool:
-        """Sends all queued batches, waits a short time for their commit and disconnects the process.
+        """Sends all queued usage, waits up to `FINISH_TIMEOUT_MS` for its commit and disconnects the process.
 
         Returns:
             False if no process was ever started.
@@ -146,7 +146,7 @@
         self.push()
 
     def on_worker_lost(self, reason: str) -> None:
-        """Schedules a restart after the process exited or closed its end of the socket pair."""
+        """Schedules a restart after the process or its connection was lost, unless the server is stopping."""
         self.is_ready = False
         if self._is_finishing:
             return
@@ -174,7 +174,7 @@
 
     def _restart(self) -> None:
         if self._worker is not None and not self._worker.has_exited():
-            # The old process still commits the batches that it has read, and holds the lock meanwhile.
+            # The old process holds the store's lock until it has committed the batches that it had read.
             self._loop.after(RESTART_BACKOFF_MS[0], self._restart)
         else:
             self._start()
@@ -187,7 +187,7 @@
         self.error = error
 
     def _log_shortened_window(self, shortened_count: int) -> None:
-        """Logs that identities were forgotten early, each time the number of occurrences has doubled."""
+        """Logs that identities were forgotten early: the first time, and each time the count has doubled."""
         if shortened_count <= self._logged_shortened_count:
             return
         self._log(
--- a/landingshift/ledger/store_reader.py
+++ b/landingshift/ledger/store_reader.py
@@ -40,7 +40,7 @@
     Attributes:
         db: Connection to the SQLite file.
         calendar: Billing periods of the store.
-        dedup_window_ms: Time within which an RPC of the same identity is a retry.
+        dedup_window_ms: Time within which only one RPC of the same identity is billed.
     """
 
     def __init__(self, db: sqlite3.Connection, calendar: BillingCalendar, dedup_window_ms: int) -> None:
@@ -73,7 +73,7 @@
         return next(self.rows(number, number), None)
 
     def row_before(self, number: int) -> EntryRow | None:
-        """Returns the newest entry with a lower number, if any."""
+        """Returns the last stored entry before entry `number`; None if there is none."""
         row = self.db.execute(
             "SELECT number, kind, data, hash FROM entries WHERE number < ? ORDER BY number DESC LIMIT 1",
             (number,),
@@ -92,7 +92,7 @@
         return count
 
     def usage_time_at(self, number: int) -> int | None:
-        """Returns the time of the newest usage entry up to this number, Unix ms; None if there is none."""
+        """Returns the Unix time of the last usage entry up to entry `number`; None if there is none."""
         row = self.db.execute(
             "SELECT data FROM entries WHERE number <= ? AND kind = ? ORDER BY number DESC LIMIT 1",
             (number, EntryKind.USAGE),
@@ -111,10 +111,10 @@
         return entry
 
     def period_close_ends(self, after: int = 0) -> list[tuple[int, int]]:
-        """Returns the period closes after entry `after`, in order.
+        """Returns the `PeriodClose` entries that follow entry `after`, in order.
 
         Returns:
-            For each, the number of its entry and the end of the closed period in Unix ms.
+            Pairs of the number of the entry and the end of the period that it closes, in Unix ms.
         """
         rows = self.db.execute(
             "SELECT c.number, e.data FROM closed c JOIN entries e USING(number) "
@@ -134,25 +134,25 @@
             yield entry
 
     def disputed(self) -> list[tuple[int, UsageRecord]]:
-        """Returns the disputed usage with its entry numbers, in order."""
+        """Returns the number and the record of each disputed usage entry, in the order of the numbers."""
         rows = self.db.execute(
             "SELECT d.number, e.data FROM disputed d JOIN entries e USING(number) ORDER BY number"
         )
         return [(number, decode_usage(data)) for number, data in rows]
 
     def disputed_numbers(self) -> set[int]:
-        """Returns the entry numbers of disputed usage."""
+        """Returns the numbers of the disputed usage entries."""
         return {number for (number,) in self.db.execute("SELECT number FROM disputed")}
 
     # Names
 
     def name_of(self, number: int) -> bytes:
-        """Returns the tenant or method name recorded by entry `number`; `UNKNOWN_NAME` if there is none."""
+        """Returns the tenant or method name registered by entry `number`; `UNKNOWN_NAME` if there is none."""
         row = self.db.execute("SELECT name FROM names WHERE number = ?", (number,)).fetchone()
         return row[0] if row else UNKNOWN_NAME
 
     def has_tenant(self, name: bytes) -> bool:
-        """Returns whether an entry names this tenant."""
+        """Returns whether a tenant of this name is registered in the ledger."""
         return (
             self.db.execute("SELECT 1 FROM names WHERE tenant = 1 AND name = ?", (name,)).fetchone()
             is not None
@@ -175,11 +175,14 @@
         ]
 
     def period_totals(self, period: str) -> Totals:
-        """Returns the totals billed in a period, keyed by the entry numbers of the names."""
+        """Returns the totals billed in a period.
+
+        Their keys contain the entry numbers under which tenant and method names are registered.
+        """
         return self._totals("SELECT * FROM totals WHERE period = ?", (period,))
 
     def all_totals(self) -> Totals:
-        """Returns the totals of all periods, keyed by the entry numbers of the names."""
+        """Returns the totals of all periods, with keys as in `period_totals`."""
         return self._totals("SELECT * FROM totals", ())
 
     def baseline(self) -> Totals:
@@ -194,14 +197,14 @@
         }
 
     def period_sum(self, period: str) -> UsageTotals:
-        """Returns the totals of a period over all tenants and methods."""
+        """Returns the totals billed in a period over all tenants and methods; zero if there are none."""
         row = self.db.execute(
             "SELECT uses, work, size_in, size_out FROM sums WHERE period = ?", (period,)
         ).fetchone()
         return UsageTotals(*row) if row else ZERO_TOTALS
 
     def period_sums(self) -> dict[str, UsageTotals]:
-        """Returns the totals of each period that has any, in the order of the periods' names."""
+        """Returns the sum over all tenants and methods for each period, keyed and ordered by period name."""
         rows = self.db.execute("SELECT period, uses, work, size_in, size_out FROM sums")
         return {period: UsageTotals(*sums) for period, *sums in rows}
 
@@ -225,9 +228,9 @@
     # Deduplication of old usage
 
     def counted_near(self, records: Collection[UsageRecord]) -> DedupWindow:
-        """Returns the identities of the given disputed records that were counted around the records' times.
+        """Returns a window with the times at which the identities of the given records were counted.
 
-        The result covers at least one deduplication window before and after each record.
+        It covers at least one deduplication window before and after the time of each record.
         """
         counted = DedupWindow(self.dedup_window_ms, NO_LIMIT)
         times = [record.at_ms for record in records]
@@ -248,9 +251,9 @@
         return counted
 
     def _first_entry_since(self, at_ms: int) -> int:
-        """Returns, by bisection, an entry number before which all usage is older than `at_ms`.
+        """Returns the number of an entry before which all usage is older than `at_ms`, found by bisection.
 
-        The result is exact only if the server's clock never stepped back.
+        If the server's clock stepped back, some earlier entries might be newer than `at_ms`.
         """
         low = 1
         high = self.newest_number() or 1
--- a/landingshift/ledger/totals.py
+++ b/landingshift/ledger/totals.py
@@ -44,7 +44,7 @@
 
 
 class TotalsKey(Struct, frozen=True, order=True):
-    """Key by which usage is summed, with the fields in the order of the stored columns."""
+    """Key of a total; the fields have the order of the stored columns."""
 
     period: str
     """Period in which the usage is billed."""
@@ -53,7 +53,7 @@
     tenant_number: int
     """Entry number of the tenant's name, or in a merged ledger the row ID of the name."""
     method_number: int
-    """The same for the method's name."""
+    """Entry number of the method's name, or in a merged ledger the row ID of the name."""
 
     def as_row(self) -> tuple[str, str, int, int]:
         """Returns the values in the order of the stored columns."""
@@ -61,7 +61,7 @@
 
 
 class TenantTotals(Struct, frozen=True):
-    """Totals of one tenant and method, with their names instead of entry numbers."""
+    """Totals of one tenant and method in a period, with their names instead of entry numbers."""
 
     period: str
     """Period in which the usage is billed."""
--- a/landingshift/ledger/usage_ledger.py
+++ b/landingshift/ledger/usage_ledger.py
@@ -1,10 +1,11 @@
-"""The accounting rules: which entries a batch becomes, which usage is billed and in which period. No I/O.
-
-Guarantee: usage is counted (billed) when it is settled, provided that the gateway's machine acknowledged the
-answer and no usage of the same identity was counted within the deduplication window. Usage is billed in the
-period in which it occurred. If that period is closed by then, the usage is billed in the first open period,
-and its totals name the period in which it occurred. A closed period never changes. Failure mode: after a
-failed commit, a `UsageLedger` is ahead of the store; the store discards it and recovers a new one.
+"""Accounting rules: converts batches to entries and decides which usage is billed in which period. No I/O.
+
+Usage is pending until a batch reports whether its answer was delivered, and is then settled. Guarantee:
+settled usage is counted (billed) if the gateway's machine acknowledged the answer and no usage of the same
+identity was counted within the deduplication window. It is billed in the period in which it occurred. If that
+period is closed, it is billed in the first open period, and its totals name the period in which it occurred.
+A closed period never changes. Failure mode: after a failed commit, a `UsageLedger` contains entries that the
+store does not have; the store discards it and recovers a new one.
 """
 
 from __future__ import annotations
@@ -48,11 +49,11 @@
 
 @dataclass(slots=True)
 class CommitChanges:
-    """Changes that the next commit writes; nobody may be told of them before that commit is durable."""
+    """Changes that the next commit writes; do not report them to anyone before that commit is durable."""
 
     entries: list[EntryRow] = field(default_factory=list)
     totals: Totals = field(default_factory=dict)
-    """Amounts to add to the stored totals."""
+    """Usage to add to the stored totals."""
     disputed: list[int] = field(default_factory=list)
     """Numbers of usage entries that become disputed."""
     resolved: list[int] = field(default_factory=list)
@@ -92,17 +93,17 @@
 
 
 class UsageLedger:
-    """Accounting state of one ledger; each operation appends entries to `changes` for the next commit.
+    """Accounting state of one ledger; operations append entries and collect `changes` for the next commit.
 
     Attributes:
         calendar: Billing periods.
         dedup_window: Identities counted recently.
-        name_numbers: Number of the name entry by (True, tenant name) or (False, method name).
+        name_numbers: Numbers of the name entries, keyed by (True, tenant name) or (False, method name).
         last_number: Number of the newest entry; 0 if there is none.
         last_hash: Hash of the newest entry.
         closed_end_ms: End of the last closed period, Unix time.
         last_batch_number: Number of the last batch applied for the current server process.
-        pending: Usage that is not settled yet, by the server's sequence number.
+        pending: Usage that is not settled yet, keyed by its sequence number within the server process.
         changes: Changes that the next commit writes.
     """
 
@@ -147,7 +148,7 @@
     def start_run(self, run_id: bytes, now_ms: int) -> int:
         """Records the start of a server process and disputes all pending usage.
 
-        Pending usage is from an earlier process, whose answers may or may not have arrived.
+        Pending usage is from an earlier server process. Whether its answers arrived is unknown.
 
         Returns:
             The number of usage entries that became disputed.
@@ -160,14 +161,16 @@
         return len(unsettled)
 
     def apply_batch(self, batch: UsageBatch, now_ms: int) -> None:
-        """Appends the usage and settles the outcomes that a batch reports; ignores a batch already applied.
+        """Appends the usage of a batch and settles the pending usage whose outcomes the batch reports.
+
+        A batch that was already applied is ignored.
 
         Raises:
             BatchOutOfOrderError: A batch before this one is missing.
             UnknownUsageError: An outcome refers to usage that is not pending.
         """
         if batch.number <= self.last_batch_number:
-            return  # the server resends batches whose status it did not receive; they must not count twice
+            return  # the server resends batches whose commit was not confirmed; count them only once
         if batch.number != self.last_batch_number + 1:
             raise BatchOutOfOrderError(batch.number, self.last_batch_number)
         self.last_batch_number = batch.number
@@ -244,7 +247,7 @@
     # Commands of operators
 
     def close_period(self, name: str, now_ms: int, first_open: str | None, totals: Totals) -> bool:
-        """Closes a period, so that its totals can't change any more.
+        """Appends the close of a period, after which its totals can't change any more.
 
         Args:
             name: Name of the period.
@@ -273,11 +276,11 @@
         return True
 
     def correct(self, request: CorrectionRequest, now_ms: int) -> Correction:
-        """Appends a correction, billed in the corrected period or, if that is closed, the first open one.
+        """Appends a correction, billed in the corrected period or, if that is closed, in the first open one.
 
         Raises:
             InvalidPeriodError: The service period is not the name of a period.
-            EmptyCorrectionError: The correction changes neither uses, work nor the amount.
+            EmptyCorrectionError: The correction changes neither the RPC count, the run time nor the amount.
             MissingReasonError: The correction has no reason.
             PeriodNotBegunError: The service period is in the future.
         """
@@ -315,10 +318,12 @@
         author: str,
         now_ms: int,
     ) -> int:
-        """Bills or waives disputed usage; waives usage to bill if the same identity was counted already.
+        """Bills or waives disputed usage, as an operator decided.
+
+        Usage in `billed` is waived if its identity was already counted within the deduplication window.
 
         Args:
-            billed: Disputed usage to bill, by the number of its entry.
+            billed: Disputed usage to bill, keyed by the number of its entry.
             waived: Numbers of disputed usage entries that are not billed.
             counted_nearby: Identities counted around the times of `billed`. The ledger's own deduplication
                 window does not reach back that far.
@@ -351,7 +356,7 @@
     # Recovery
 
     def replay(self, number: int, entry: Entry, entry_hash: bytes) -> None:
-        """Updates the state by an entry that is already stored; call it for each entry in order."""
+        """Applies an entry that is already stored; recovery calls this for each entry to replay, in order."""
         self.last_number = number
         self.last_hash = entry_hash
         match entry:
--- a/landingshift/ledger/usage_queue.py
+++ b/landingshift/ledger/usage_queue.py
@@ -34,10 +34,10 @@
     Attributes:
         limit_bytes: Size limit of the queue; usage that would exceed it is dropped.
         queued_bytes: Estimated size of all usage and outcomes that are not durable yet.
-        last_sequence: Sequence number of the newest usage.
-        last_batch_number: Number of the newest batch.
+        last_sequence: Sequence number of the newest usage; 0 if there is none.
+        last_batch_number: Number of the newest batch; 0 if there is none.
         unsent_usages: Usage that is not in a batch yet.
-        dropped_count: Number of usage records dropped since the newest batch.
+        dropped_count: Number of usage records dropped since the newest batch was built.
         unacknowledged: Batches that are not durable yet, each with its size in bytes.
     """
 
@@ -54,7 +54,7 @@
     @property
     def is_empty(self) -> bool:
         """Whether all usage and outcomes are durable."""
-        return not (self.unacknowledged or self.unsent_usages or self._has_outcomes)
+        return not (self.unacknowledged or self.unsent_usages or self._has_unsent_reports)
 
     def add(self, usage: ReportedUsage) -> bool:
         """Assigns the next sequence number to a usage record and queues it.
@@ -89,17 +89,18 @@
 
         Args:
             max_in_flight_count: Maximum number of unacknowledged batches.
-            outcomes_are_due: Whether to build a batch even if there are only outcomes.
+            outcomes_are_due: Whether to build a batch even if it contains no usage.
 
         Returns:
             None if there is nothing to send or too many batches are unacknowledged.
         """
-        has_content = bool(self.unsent_usages) or (outcomes_are_due and self._has_outcomes)
+        has_content = bool(self.unsent_usages) or (outcomes_are_due and self._has_unsent_reports)
         if len(self.unacknowledged) >= max_in_flight_count or not has_content:
             return None
         count = min(MAX_BATCH_USAGE_COUNT, len(self.unsent_usages))
         usages = [self.unsent_usages.popleft() for _ in range(count)]
-        # The store rejects outcomes of unknown usage, so outcomes of usage not sent yet stay in the queue.
+        # The store rejects the outcome of a usage record that it does not have. Therefore outcomes stay in
+        # the queue until their usage is in a batch.
         last_sent_sequence = usages[-1].sequence if self.unsent_usages and usages else self.last_sequence
         delivered = self._take_outcomes(DeliveryOutcome.DELIVERED, last_sent_sequence)
         undelivered = self._take_outcomes(DeliveryOutcome.UNDELIVERED, last_sent_sequence)
@@ -115,7 +116,7 @@
         return batch
 
     def acknowledge(self, batch_number: int) -> list[ReportedUsage]:
-        """Removes all batches up to this one, which are durable now.
+        """Removes all batches up to `batch_number`, because they are durable.
 
         Returns:
             The usage of the removed batches.
@@ -128,11 +129,12 @@
         return durable
 
     def unacknowledged_batches(self) -> list[UsageBatch]:
-        """Returns the batches that must be sent again to a restarted store process, in order."""
+        """Returns the batches to send again to a restarted store process, in order."""
         return [batch for batch, _ in self.unacknowledged]
 
     @property
-    def _has_outcomes(self) -> bool:
+    def _has_unsent_reports(self) -> bool:
+        """Whether there are outcomes or dropped records that are not in a batch yet."""
         return bool(self.dropped_count) or any(self._unsent_outcomes.values())
 
     def _take_outcomes(self, outcome: DeliveryOutcome, last_sequence: int) -> list[int]:
--- a/landingshift/ledger/worker.py
+++ b/landingshift/ledger/worker.py
@@ -2,7 +2,7 @@
 
 Guarantee: the process commits all batches that it has read before it exits, even if the server was killed. It
 gives up only if commits keep failing after the server is gone. Failure mode: while commits fail, batches wait
-here and in the server's queue, whose size limit bounds both.
+in this process. The server keeps them in its queue too, whose size limit therefore bounds them.
 """
 
 from __future__ import annotations
@@ -25,10 +25,10 @@
 from landingshift.ledger.store_messages import StoreStatus, UsageBatch
 from landingshift.net.transport.worker import FrameDecoder, encode_frame, inherited_socket
 
-MAX_GROUP_BYTES = 4 << 20  # size of buffered input from which a commit is not delayed to read more
+MAX_GROUP_BYTES = 4 << 20  # reading stops for a commit once this much of an incomplete frame is buffered
 MAX_READ_BYTES = 1 << 18
 COMMIT_RETRY_SECONDS = (0.02, 0.1, 0.25, 0.5, 1.0)  # delays between failed commits; the last one repeats
-NO_BATCH = -1  # reported in place of a batch number
+NO_BATCH = -1  # batch number of a status report that confirms no batch
 EXIT_COMMIT_FAILED = 1
 EXIT_STORE_UNAVAILABLE = 2
 
@@ -39,7 +39,7 @@
     The command-line arguments are the settings as JSON and the server's run_id in hexadecimal.
     """
     for ignored_signal in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
-        # The process ends when the server disconnects, since the server may have usage to send until then.
+        # The process must not end before the server disconnects: the server can send usage until then.
         signal.signal(ignored_signal, signal.SIG_IGN)
     settings = msgspec.json.decode(sys.argv[1], type=Settings)
     run_id = bytes.fromhex(sys.argv[2])
@@ -81,13 +81,13 @@
     def report(self, status: StoreStatus) -> None:
         """Sends a status report.
 
-        Errors are ignored: after the server is gone, the batches received from it must still be committed.
+        Errors are ignored, because batches must still be committed after the server is gone.
         """
         with suppress(OSError):
             self._sock.sendall(encode_frame(self._encode(status)))
 
     def receive(self) -> None:
-        """Receives all batches that are available; blocks for the next one if there is none to commit."""
+        """Receives all available batches; blocks until data arrives if no batch is waiting for its commit."""
         if self.is_connected and not self.batches:
             self.is_connected = self._read(is_blocking=True)
         while self.is_connected and len(self._frames.buffer) < MAX_GROUP_BYTES:
@@ -117,10 +117,10 @@
     def __init__(self, link: ServerLink, store: UsageStore) -> None:
         self._link = link
         self._store = store
-        self._failed_commit_count = 0  # consecutive
+        self._failed_commit_count = 0  # consecutive failed commits
 
     def run(self) -> int:
-        """Runs until the server has disconnected; returns the exit status of the process."""
+        """Runs until the server has disconnected and no batch is left; returns the exit status."""
         while self._link.is_connected or self._link.batches:
             self._link.receive()
             if not self._link.batches:
@@ -151,11 +151,11 @@
         self._link.report(StoreStatus(committed_batch, shortened_count=shortened_count))
 
     def _is_abandoned(self) -> bool:
-        """Returns whether the server has disconnected and the retries are exhausted."""
+        """Returns whether to give up: the server has disconnected and the retries are exhausted."""
         return not self._link.is_connected and self._failed_commit_count >= len(COMMIT_RETRY_SECONDS)
 
     def _wait_before_retry(self) -> None:
-        """Sleeps before a failed commit is retried; its batches are kept, as a full disk may be temporary."""
+        """Sleeps before a failed commit is retried; its cause, such as a full disk, might be temporary."""
         attempt = min(self._failed_commit_count, len(COMMIT_RETRY_SECONDS) - 1)
         time.sleep(COMMIT_RETRY_SECONDS[attempt])
         self._failed_commit_count += 1
