--- a/landingshift/hot_restart/state_export.py
+++ b/landingshift/hot_restart/state_export.py
@@ -215,7 +215,7 @@
         assert link.stream is not None
         return StoredDatabaseLink(
             stream=self._export_stream(link.stream),
-            undecoded=bytes(link.decoder.lines.buffer),
+            undecoded=bytes(link.decoder.line_decoder.buffer),
             accepts_new_calls=link in self._router.database.links,
             calls=[self._export_call(call) for call in link.calls.values()],
         )
@@ -235,7 +235,7 @@
             gauge_query = StoredGaugeQuery(engine.gauge_query.tag, engine.gauge_query.bytes_before)
         return StoredEngineLink(
             stream=self._export_stream(engine.stream) if engine.stream is not None else None,
-            undecoded=bytes(engine.decoder.lines.buffer),
+            undecoded=bytes(engine.decoder.line_decoder.buffer),
             attributes=stored_values(engine, ENGINE_LINK_NAMES),
             gauge_query=gauge_query,
             unconfirmed_rpc_indexes=[
--- a/landingshift/hot_restart/state_import.py
+++ b/landingshift/hot_restart/state_import.py
@@ -239,7 +239,7 @@
         link = DatabaseLink(
             pool, lambda owner: self._restore_stream(stored.stream, owner, DATABASE_MAX_UNSENT_BYTES)
         )
-        link.decoder.lines.buffer += stored.undecoded
+        link.decoder.line_decoder.buffer += stored.undecoded
         if stored.accepts_new_calls:
             pool.links.append(link)
         if stored.undecoded:
@@ -260,7 +260,7 @@
             if name in ENGINE_LINK_NAMES:
                 setattr(engine, ENGINE_LINK_NAMES[name], value)
         engine.decoder = engine_wire.NoticeDecoder()
-        engine.decoder.lines.buffer += stored.undecoded
+        engine.decoder.line_decoder.buffer += stored.undecoded
         engine.gauge_query = None
         if stored.gauge_query is not None:
             engine.gauge_query = GaugeQuery(stored.gauge_query.tag, stored.gauge_query.bytes_before)
--- a/landingshift/net/routing/gateways.py
+++ b/landingshift/net/routing/gateways.py
@@ -115,7 +115,7 @@
         A connection accepted in the last passes is not included: its socket may hold an RPC that has not been
         read yet and would be lost.
         """
-        newest_pass = self.loop.passes_read - MIN_AGE_PASSES
+        newest_pass = self.loop.read_count - MIN_AGE_PASSES
         return [
             connection
             for connection in self.connections
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -20,7 +20,7 @@
 from landingshift.net.transport.loop import Loop
 from landingshift.net.transport.stream import LINGER_MS, MAX_DISCARDED_BYTES, MAX_LINGERS, Stream
 from tests.helpers import EngineStandIn, GatewayClient, ProgramUnderTest, wait_until
-from tests.test_server import prove, resident
+from tests.test_server import resident_mb, verify
 
 
 class RecordedGatewayEvents:
@@ -279,7 +279,7 @@
     def test_reset_in_each_state_ends_only_its_connection(self) -> None:
         program = ProgramUnderTest(self)
         other = GatewayClient(program)
-        prove(program, other)
+        verify(program, other)
         notice = 1
         for state in ("idle", "half", "running", "calling", "answered", "half closed"):
             with self.subTest(state=state):
@@ -371,7 +371,7 @@
         program = ProgramUnderTest(self, limits={"sockets": 96})
         program.roster.close()  # reports to the roster go nowhere
         gateway = GatewayClient(program)
-        prove(program, gateway)
+        verify(program, gateway)
         # With 96 sockets the connection table holds 32; these clients connect and send nothing.
         idle_clients = [GatewayClient(program) for _ in range(60)]
         message_id = gateway.send_rpc()
@@ -400,7 +400,7 @@
     def test_gateway_is_served_during_a_flood_of_unknown_clients(self) -> None:
         program = ProgramUnderTest(self, limits={"sockets": 128})
         gateway = GatewayClient(program)
-        prove(program, gateway)
+        verify(program, gateway)
         flood = [msgpack.packb([0, 1, "m", [{"id": "x"}, b""]]), b"\xc1" * 2000, rpc_request()[:9], b""]
         clients = []
         for i in range(200):
@@ -413,7 +413,7 @@
                 program.engine.send_notice("DONE", i // 20 + 2, gateway.last_rpc_id, "good 5", body=b"r")
                 self.assertEqual(gateway.read_answer(), (message_id, b"r"))
         self.assertTrue(all(client.is_closed_by_program() for client in clients))
-        self.assertLess(resident(program.process.pid), 64.0)
+        self.assertLess(resident_mb(program.process.pid), 64.0)
 
 
 if __name__ == "__main__":
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -259,7 +259,7 @@
         self.addCleanup(signals.writer.close)
         signals.on_signal = lambda number, at_ms: received_signals.append((number, at_ms))
         os.kill(os.getpid(), signal.SIGTERM)
-        wait_until(lambda: signal.SIGTERM in signals.came_ms)
+        wait_until(lambda: signal.SIGTERM in signals.received_ms)
         signalled_by_ms = loop.clock_ms()
         wait_until(lambda: loop.clock_ms() > signalled_by_ms + 20.0)  # the rest of a long pass
         loop.run_pass()
