--- a/landingshift/ledger/compaction.py
+++ b/landingshift/ledger/compaction.py
@@ -56,7 +56,7 @@
     Args:
         store: Store to compact.
         period: Name of the last period to compact.
-        now_ms: Unix time.
+        now_ms: Current Unix time.
         exported_number: Number of the last entry that the receiver acknowledged; None to compact entries even
             if they were not exported.
 
--- a/landingshift/ledger/entries.py
+++ b/landingshift/ledger/entries.py
@@ -41,7 +41,7 @@
     run_id: bytes
     """Identifies the server process."""
     at_ms: int
-    """Unix time."""
+    """Unix time at which the process was recorded."""
     disputed: list[int]
     """Ranges of the numbers of usage entries that become disputed."""
 
@@ -62,9 +62,9 @@
     at_ms: int
     """Unix time at which the answer was ready."""
     tenant_number: int
-    """Number of the entry that names the tenant."""
+    """Number of the `NameEntry` of the tenant."""
     method_number: int
-    """Number of the entry that names the method."""
+    """Number of the `NameEntry` of the method."""
     work_us: int
     """Run time on the engine."""
     bytes_in: int
@@ -89,14 +89,14 @@
 
 
 class Correction(Struct, array_like=True):
-    """Records a change that an operator made to what a tenant is billed."""
+    """Records an operator's correction of a tenant's bill."""
 
     at_ms: int
-    """Unix time."""
+    """Unix time at which the correction was entered."""
     tenant_number: int
-    """Number of the entry that names the tenant."""
+    """Number of the `NameEntry` of the tenant."""
     method_number: int
-    """Number of the entry that names the method."""
+    """Number of the `NameEntry` of the method."""
     service_period: str
     """Period whose usage is corrected."""
     period: str
@@ -139,7 +139,7 @@
     """Records an operator's decision about disputed usage."""
 
     at_ms: int
-    """Unix time."""
+    """Unix time at which the decision was entered."""
     billed: list[int]
     """Ranges of the numbers of usage entries that are billed."""
     waived: list[int]
@@ -156,7 +156,7 @@
     """
 
     at_ms: int
-    """Unix time."""
+    """Unix time of the compaction."""
     period: str
     """Last closed period whose usage records were removed."""
     last_number: int
@@ -164,9 +164,9 @@
     last_hash: bytes
     """Hash of that entry."""
     retained_digest: bytes
-    """Digest of the entries up to `last_number` that were kept."""
+    """Digest of the entries kept in the compacted part, computed by `retained_digest`."""
     baseline_digest: bytes
-    """Digest of the totals after entry `last_number`."""
+    """Digest of the totals after entry `last_number`, computed by `baseline_digest`."""
     closed_end_ms: int
     """End of the last period that an entry up to `last_number` closed, Unix time."""
 
--- a/landingshift/ledger/merge_rules.py
+++ b/landingshift/ledger/merge_rules.py
@@ -56,7 +56,7 @@
 
 
 class UsageReference(NamedTuple):
-    """Refers to a usage entry of a branch; sorted references have the order of deduplication."""
+    """Refers to a usage entry of a branch; references sort by time, because the earliest usage counts."""
 
     at_ms: int
     """Unix time of the usage."""
--- a/landingshift/ledger/periods.py
+++ b/landingshift/ledger/periods.py
@@ -46,7 +46,7 @@
     def __init__(self, time_zone: str, unit: PeriodUnit) -> None:
         self.time_zone = ZoneInfo(time_zone)
         self.unit = unit
-        self._latest = Period(0, 0, "")  # cache: most usage is in the same period as the usage before it
+        self._latest = Period(0, 0, "")  # cache: consecutive usage is mostly in the same period
 
     def period_at(self, at_ms: int) -> Period:
         """Returns the period that contains a time."""
--- a/landingshift/ledger/pricing.py
+++ b/landingshift/ledger/pricing.py
@@ -1,4 +1,4 @@
-"""Computes the charges for a tenant's usage in a period by a price plan. No I/O."""
+"""Computes the charges for a tenant's usage in a period according to a price plan. No I/O."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def quantity_in_unit(unit: BillingUnit, totals: UsageTotals) -> Decimal:
-    """Returns the exact quantity of the totals in a unit."""
+    """Converts totals to a quantity in a billing unit, without rounding."""
     match unit:
         case "rpc":
             return Decimal(totals.uses)
--- a/landingshift/ledger/recovery.py
+++ b/landingshift/ledger/recovery.py
@@ -12,7 +12,7 @@
 from landingshift.ledger.store_reader import StoreReader
 from landingshift.ledger.usage_ledger import UsageLedger
 
-FIRST_TAIL_ENTRIES = 1000  # replayed entries; doubled until they cover the deduplication window
+FIRST_TAIL_ENTRIES = 1000  # initial number of entries to replay; doubled until they cover the window
 
 
 def recover_ledger(reader: StoreReader, max_identity_count: int) -> UsageLedger:
--- a/landingshift/ledger/repair.py
+++ b/landingshift/ledger/repair.py
@@ -32,13 +32,13 @@
 
 
 def restore_missing_entries(store: UsageStore, merged: MergedStore) -> int:
-    """Copies entries that the store lost from the merged ledger back into the store.
+    """Restores the entries that the store lost, by copying them from the merged ledger.
 
     Returns:
         The number of restored entries.
 
     Raises:
-        DivergedLedgerError: The store has entries that its branch does not have. Nothing is changed.
+        DivergedLedgerError: The store's newest entry is not in the merged ledger. Nothing is changed.
             Merging the store adds its entries to the merged ledger as a branch of their own.
     """
     branch = merged.current_branch(store.instance)
@@ -96,7 +96,7 @@
 
 
 def _pending_numbers(replay: LedgerReplay, last_start_number: int) -> Iterable[int]:
-    """Returns the usage entries since the last server start that are neither settled nor disputed."""
+    """Returns the numbers of usage entries since the last server start that are not settled or disputed."""
     return (
         number for number in replay.unsettled if number not in replay.disputed and number > last_start_number
     )
--- a/landingshift/ledger/service.py
+++ b/landingshift/ledger/service.py
@@ -62,7 +62,7 @@
         self._settings = settings
         self._queue = UsageQueue(settings.queue_kb * 1024)
         self._tracker = DeliveryTracker(self._loop, self._queue)
-        self._not_durable: dict[int, MeteredAnswer] = {}  # by sequence number of the usage
+        self._not_durable: dict[int, MeteredAnswer] = {}  # keyed by the sequence number of the usage
         self._unanswered: dict[RoutedRpc, MeteredAnswer] = {}  # not written to a connection yet
         self._deferred_result_bytes = 0
         self._next_due_ms = NO_DEADLINE_MS  # lower bound of `due_ms` of all deferred answers
@@ -190,7 +190,7 @@
     # Callbacks of the store's process
 
     def on_durable(self, batch_number: int) -> None:
-        """Sends the deferred answers whose usage is durable: it is in a batch up to `batch_number`."""
+        """Sends the deferred answers of all batches up to `batch_number`, whose usage is now durable."""
         for usage in self._queue.acknowledge(batch_number):
             answer = self._not_durable.pop(usage.sequence, None)
             if answer is not None and not answer.is_released:
--- a/landingshift/ledger/store.py
+++ b/landingshift/ledger/store.py
@@ -102,7 +102,7 @@
             self._prepare(db)
             super().__init__(db, BillingCalendar(time_zone, period_unit), dedup_window_ms)
             self.index = IndexWriter(db)
-            self._data_version = _UNKNOWN_DATA_VERSION  # SQLite's version of the file that `ledger` reflects
+            self._data_version = _UNKNOWN_DATA_VERSION  # PRAGMA data_version for which `ledger` is current
             self.ledger = recover_ledger(self, max_identity_count)
 
     @classmethod
--- a/landingshift/ledger/store_messages.py
+++ b/landingshift/ledger/store_messages.py
@@ -1,4 +1,4 @@
-"""Messages between the server and the store's process: MessagePack arrays with the fields by position."""
+"""Messages between the server and the store's process, encoded as MessagePack arrays without field names."""
 
 from __future__ import annotations
 
--- a/landingshift/ledger/store_reader.py
+++ b/landingshift/ledger/store_reader.py
@@ -31,7 +31,7 @@
 )
 
 NO_LIMIT = 1 << 62
-UNKNOWN_NAME = b"?"  # stands for a name that is missing in the index
+UNKNOWN_NAME = b"?"  # returned for a name that is missing in the index
 
 
 class StoreReader:
@@ -222,7 +222,7 @@
         return row is not None
 
     def first_open_period(self) -> str | None:
-        """Returns the name of the earliest open period that has totals, if any."""
+        """Returns the name of the earliest open period that has totals; None if there is none."""
         return next((summary.name for summary in self.periods() if not summary.is_closed), None)
 
     # Deduplication of old usage
--- a/landingshift/ledger/usage_ledger.py
+++ b/landingshift/ledger/usage_ledger.py
@@ -251,7 +251,7 @@
 
         Args:
             name: Name of the period.
-            now_ms: Unix time.
+            now_ms: Current Unix time.
             first_open: Name of the earliest open period that has totals, if any.
             totals: Totals of the period; the entry stores their digest.
 
@@ -329,7 +329,7 @@
                 window does not reach back that far.
             reason: The operator's reason.
             author: Name of the operator.
-            now_ms: Unix time.
+            now_ms: Current Unix time.
 
         Returns:
             The number of entries of `billed` that were counted.
