--- a/landingshift/ledger/pricing.py
+++ b/landingshift/ledger/pricing.py
@@ -1,4 +1,4 @@
-"""Computes the charges for a tenant's usage in a period by a price plan. No I/O."""
+"""Computes the charges for a tenant's usage in a period according to a price plan. No I/O."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
     quantity: Decimal
     """Total quantity, including the free part."""
     free_quantity: Decimal
-    """Free quantity per period of the plan's line."""
+    """Quantity per period that the line of the price plan does not charge."""
     amount: Decimal
     """Rounded, in the plan's currency."""
     late_quantities: dict[str, Decimal] = field(default_factory=dict)
-    """Part of the quantity that was used in earlier periods, by the names of those periods."""
+    """Parts of `quantity` that were used in earlier periods, keyed by the names of those periods."""
 
 
 def quantity_in_unit(unit: BillingUnit, totals: UsageTotals) -> Decimal:
-    """Returns the exact quantity of the totals in a unit."""
+    """Converts totals to a quantity in a billing unit, without rounding."""
     match unit:
         case "rpc":
             return Decimal(totals.uses)
@@ -44,7 +44,7 @@
 
 
 def exact_cost(line: PriceLine, quantity: Decimal) -> Decimal:
-    """Returns the unrounded price of a quantity by a line of the price plan.
+    """Returns the unrounded cost of a quantity according to a line of the price plan.
 
     A negative quantity, which corrections can cause, gives a credit at the price of the first tier.
     """
