--- a/landingshift/membership/anti_entropy.py
+++ b/landingshift/membership/anti_entropy.py
@@ -1,8 +1,8 @@
-"""Push-pull anti-entropy: members periodically compare table digests and exchange the records that differ.
+"""Push-pull anti-entropy: each sync compares the table digests of two members and exchanges what differs.
 
 Guarantee: an update that gossip missed reaches every reachable member within a few syncs.
 Failure mode: where two tables differ widely, one sync transfers only a bounded number of records; the next
-sync then follows soon.
+sync follows after a shorter interval.
 """
 
 from __future__ import annotations
@@ -11,9 +11,9 @@
 from landingshift.membership.node_context import NodeContext
 
 MAX_PAGES_PER_REPLY = 24  # bounds the datagrams sent in reply to one digest
-FOLLOW_UP_INTERVAL_MS = 200.0  # delay of the next sync after a page with new records
-FOLLOW_UP_JITTER = (0.5, 1.5)  # range of the random factor applied to that delay
-INTERVAL_JITTER = (0.8, 1.2)  # range of the random factor applied to the regular interval
+FOLLOW_UP_INTERVAL_MS = 200.0  # delay of the next sync after a `RecordPage` with new records
+FOLLOW_UP_JITTER = (0.5, 1.5)  # range of the random factor for the follow-up interval
+INTERVAL_JITTER = (0.8, 1.2)  # range of the random factor for the regular interval
 
 
 class AntiEntropy:
@@ -38,16 +38,19 @@
             self._send_digest(record.address, wants_digest=True)
 
     def on_first_contact(self, now_ms: float) -> None:
-        """Schedules a sync at once: a single peer can supply the records of the whole cluster."""
+        """Schedules a sync for now, since any one peer can supply the records of the whole cluster."""
         self.next_sync_ms = now_ms
 
     def on_new_records(self, now_ms: float) -> None:
-        """Schedules the next sync soon after a page with new records, since the peer may have more."""
+        """Schedules an earlier sync after a page with new records, since the peer might have more."""
         follow_up_ms = now_ms + FOLLOW_UP_INTERVAL_MS * self._context.rng.uniform(*FOLLOW_UP_JITTER)
         self.next_sync_ms = min(self.next_sync_ms, follow_up_ms)
 
     def on_digest(self, sender: Address, digest: TableDigestMessage) -> None:
-        """Sends the records that differ and, if the sender asked for it, this member's own digest."""
+        """Replies to a differing digest with the records of the differing buckets.
+
+        Also sends this member's own digest if the sender wants it.
+        """
         table = self._context.member_table
         for page in table.differing_pages(digest.bucket_checksums, MAX_PAGES_PER_REPLY):
             self._context.outbox.send(sender, RecordPage(), gossip=page)
--- a/landingshift/membership/contact_addresses.py
+++ b/landingshift/membership/contact_addresses.py
@@ -1,4 +1,4 @@
-"""Addresses at which members may be reachable."""
+"""Addresses at which members might be reachable."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     They come from the settings, from service discovery, and from members that were declared dead.
 
     Attributes:
-        last_attempt_ms: Time at which each address was last pinged; 0 if never.
+        last_attempt_ms: Time of the last ping to each address, keyed by address; 0 if there was none.
     """
 
     def __init__(self, addresses: list[Address]) -> None:
@@ -24,7 +24,7 @@
         return len(self.last_attempt_ms)
 
     def add(self, addresses: list[Address]) -> None:
-        """Adds addresses, and ignores those beyond `MAX_CONTACT_ADDRESSES`."""
+        """Adds addresses until the set holds `MAX_CONTACT_ADDRESSES`, and ignores the rest."""
         for address in addresses:
             if len(self.last_attempt_ms) < MAX_CONTACT_ADDRESSES:
                 self.last_attempt_ms.setdefault(address, 0.0)
--- a/landingshift/membership/dissemination.py
+++ b/landingshift/membership/dissemination.py
@@ -1,4 +1,4 @@
-"""Gossip rounds, sent in addition to the updates that are piggybacked on probes."""
+"""Gossip rounds: periodic messages that carry queued updates in addition to the piggybacking on probes."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from landingshift.membership.messages import Gossip
 from landingshift.membership.node_context import NodeContext
 
-GOSSIP_FANOUT = 2  # members that receive each round
+GOSSIP_FANOUT = 2  # number of members to which each round sends a message
 GOSSIP_INTERVAL_MS = 100.0
 
 
--- a/landingshift/membership/errors.py
+++ b/landingshift/membership/errors.py
@@ -42,7 +42,7 @@
     """The parameters of a call or the reassembled message do not have the expected types.
 
     Attributes:
-        detail: What is wrong with the message; empty if the parameters of the call are malformed.
+        detail: What is wrong with the reassembled message; empty if the parameters of the call are malformed.
     """
 
     def __init__(self, detail: str = "") -> None:
@@ -51,7 +51,7 @@
 
 
 class UnknownSenderError(TransferError):
-    """The fragment has the wrong cluster name, an unknown sender or run, or a package without a handler."""
+    """The fragment has a wrong cluster name, an unknown sender or run ID, or a package without a handler."""
 
     def __init__(self) -> None:
         super().__init__("from nobody that is known here")
@@ -68,7 +68,7 @@
     """An operator call got no response, or an error response.
 
     Attributes:
-        reason: Error text of the server or of the operating system.
+        reason: Error text from the server, the operating system or the decoder of the response.
     """
 
     def __init__(self, reason: str) -> None:
--- a/landingshift/membership/failure_detector.py
+++ b/landingshift/membership/failure_detector.py
@@ -1,13 +1,14 @@
 """SWIM's failure detector with Lifeguard's extensions.
 
 Each interval, one member is pinged. If it sends no ack, a few intermediaries are asked to ping it (ping-req).
-If no ack arrives through them either, it becomes a suspect, and it is declared dead unless the suspicion is
-refuted within the suspicion time-out.
-
-Guarantee: a member whose own process runs on time does not declare a member dead that any other member can
-reach and that answers within the suspicion time-out. The time to declare a failed member dead grows with the
-logarithm of the cluster size.
-Failure mode: in a partition each side declares the other dead; `rejoin` merges them again.
+If no ack arrives through them either, the pinged member becomes a suspect. A suspect is declared dead unless
+it refutes the suspicion within the suspicion time-out.
+
+Guarantee: if at least one other member can reach a suspect, and the suspect answers within the suspicion
+time-out, no member declares the suspect dead, except a member whose own process is delayed. The time to
+declare a failed member dead grows with the logarithm of the cluster size.
+Failure mode: in a network partition, the members on each side declare those on the other side dead. `rejoin`
+merges the two sides after the partition.
 """
 
 from __future__ import annotations
@@ -33,14 +34,14 @@
 
 PING_REQUEST_FANOUT = 3  # intermediaries that are asked to ping a member that sent no ack
 MAX_INDIRECT_PROBES = 64  # concurrent probes on behalf of other members
-# The loss of a zone leaves many suspects, too many to check on each datagram.
+# Suspects are not checked after each datagram, because the loss of a zone can leave too many of them.
 SUSPECT_CHECK_INTERVAL_MS = 50.0
 PROBE_DURATION_FRACTION = 0.95  # of the probe interval, so that a probe ends before the next one is due
 
 
 @dataclass(slots=True, eq=False)
 class Probe:
-    """The probe that this member has in progress.
+    """A probe that this member started for itself; there is at most one at a time.
 
     Attributes:
         sequence_number: Sequence number of the ping, which acks and nacks repeat.
@@ -49,7 +50,7 @@
         ends_at_ms: Time at which the target becomes a suspect.
         has_sent_ping_requests: Whether the time to send ping-reqs has passed.
         ping_request_count: Number of ping-reqs sent.
-        missing_nack_count: Number of ping-reqs that no nack has answered.
+        missing_nack_count: Number of ping-reqs that have not been answered with a nack.
     """
 
     sequence_number: int
@@ -68,7 +69,7 @@
 
 @dataclass(slots=True, eq=False)
 class IndirectProbe:
-    """A probe on behalf of another member.
+    """A probe on behalf of another member, the requester.
 
     Attributes:
         requester_sequence_number: Sequence number of the requester's probe, which the ack or nack repeats.
@@ -86,7 +87,7 @@
 
     Attributes:
         local_health: This member's local health score.
-        indirect_probes: Probes on behalf of other members, by the sequence number of the ping.
+        indirect_probes: Probes on behalf of other members, keyed by the sequence number of the ping.
     """
 
     def __init__(self, context: NodeContext, now_ms: float, first_probe_ms: float) -> None:
@@ -94,13 +95,13 @@
         self.local_health = LocalHealth()
         self.indirect_probes: dict[int, IndirectProbe] = {}
         self._probe: Probe | None = None
-        self._probe_order: list[str] = []  # probed from the end; each member shuffles its own list
+        self._probe_order: list[str] = []  # shuffled names of the next targets, taken from the end
         self._next_probe_ms = first_probe_ms
         self._suspects: dict[str, None] = {}
         self._next_suspect_check_ms = now_ms
 
     def next_deadline_ms(self) -> float:
-        """Returns when `on_timer` is due."""
+        """Returns the time at which `on_timer` is next due."""
         deadline_ms = self._next_probe_ms
         if self._probe is not None:
             deadline_ms = min(deadline_ms, self._probe.next_deadline_ms)
@@ -111,7 +112,7 @@
         return deadline_ms
 
     def on_timer(self, now_ms: float, is_leaving: bool) -> None:
-        """Runs the steps that are due; a member that is leaving starts no new probe."""
+        """Runs the due steps of probes and suspicions; starts no new probe if this member is leaving."""
         self._expire_indirect_probes(now_ms)
         if now_ms >= self._next_suspect_check_ms:
             self._next_suspect_check_ms = now_ms + SUSPECT_CHECK_INTERVAL_MS
@@ -128,8 +129,8 @@
     def on_local_pause(self, pause_ms: float) -> None:
         """Compensates for a pause of this member's own process.
 
-        Messages that arrived during the pause may be lost. All pending deadlines of other members are
-        therefore postponed by its length, and the local health score rises.
+        Messages that arrived during the pause might be lost. The deadlines of all probes and suspicions are
+        therefore postponed by the length of the pause, and the local health score is raised.
         """
         self.local_health.degrade(1 + int(pause_ms / self._context.timings.probe_interval_ms))
         if self._probe is not None:
@@ -151,13 +152,14 @@
             self._suspects.pop(record.name, None)
         has_joined = previous_state is None or previous_state in DEPARTED_STATES
         if record.state is MemberState.ALIVE and has_joined:
-            # A random position, so that members that start together are not probed by all in the same order.
+            # Insert at a random position: if many members start together, others should not all probe them
+            # in the same order.
             self._probe_order.insert(self._context.rng.randint(0, len(self._probe_order)), record.name)
 
     def on_ack(self, sequence_number: int) -> None:
-        """Ends this member's probe, or forwards the ack if the ping was sent on behalf of another member.
+        """Ends this member's probe, or forwards the ack to the requester of an indirect probe.
 
-        Acks from the target and from intermediaries carry the same sequence number.
+        A probe ends with an ack from its target or from an intermediary, as both carry its sequence number.
         """
         indirect_probe = self.indirect_probes.pop(sequence_number, None)
         if indirect_probe is not None:
@@ -169,7 +171,7 @@
             self.local_health.improve()
 
     def on_nack(self, sequence_number: int) -> None:
-        """Counts a nack, which shows that an intermediary can reach this member."""
+        """Counts a nack, which shows that this member and an intermediary can reach each other."""
         if self._probe is not None and self._probe.sequence_number == sequence_number:
             self._probe.missing_nack_count = max(0, self._probe.missing_nack_count - 1)
 
@@ -187,7 +189,7 @@
     # Probes
 
     def _expire_indirect_probes(self, now_ms: float) -> None:
-        """Sends a nack to the requester of each indirect probe that timed out."""
+        """Ends the indirect probes that timed out, and sends a nack to the requester of each."""
         expired = [number for number, probe in self.indirect_probes.items() if probe.nack_at_ms <= now_ms]
         for number in expired:
             indirect_probe = self.indirect_probes.pop(number)
@@ -205,13 +207,16 @@
         ping_request_at_ms = now_ms + self._context.timings.ack_timeout_ms * multiplier
         duration_ms = self._context.timings.probe_interval_ms * multiplier * PROBE_DURATION_FRACTION
         self._probe = Probe(sequence_number, name, ping_request_at_ms, now_ms + duration_ms)
-        # A suspect must learn of the suspicion in order to refute it.
+        # The ping to a suspect carries the suspicion, so that the suspect learns of it and can refute it.
         suspicion = record if record.state is MemberState.SUSPECT else None
         gossip = self._context.member_table.select_gossip(suspicion)
         self._context.outbox.send(record.address, Ping(name), sequence_number, gossip)
 
     def _next_target(self) -> str | None:
-        """Returns the next member of a shuffled round robin, so that each is probed within a bounded time."""
+        """Returns the name of the next target, or None if no other member is present.
+
+        A shuffled round robin bounds the time until each member is probed.
+        """
         for _ in range(2):
             while self._probe_order:
                 name = self._probe_order.pop()
@@ -222,7 +227,7 @@
         return None
 
     def _continue_probe(self, probe: Probe, now_ms: float) -> None:
-        """Sends the ping-reqs or ends the probe, whichever is due."""
+        """Sends the ping-reqs if they are due, and ends the probe if its time is over."""
         target = self._context.member_table.record(probe.target_name)
         if not probe.has_sent_ping_requests and now_ms >= probe.ping_request_at_ms:
             probe.has_sent_ping_requests = True
@@ -241,10 +246,11 @@
             self._context.outbox.send(intermediary.address, request, probe.sequence_number)
 
     def _on_probe_failed(self, probe: Probe, target: MemberRecord | None, now_ms: float) -> None:
-        """Marks the target as a suspect, and raises the local health score if nacks are missing.
+        """Marks the target as a suspect, and raises the local health score if this member might be at fault.
 
-        If every intermediary sent a nack, this member is healthy, and its score must not rise: otherwise the
-        loss of a zone would slow down its probes more and more.
+        It might be at fault if nacks are missing or no ping-req was sent. If every intermediary sent a nack,
+        it is healthy. Its score must then not rise, as otherwise the loss of a zone would slow down its
+        probes more and more.
         """
         self._probe = None
         some_missing = probe.missing_nack_count > 0
@@ -272,7 +278,7 @@
         return member.state_since_ms + timeout_ms
 
     def _declare_dead(self, name: str, now_ms: float) -> None:
-        """Declares a suspect dead, and keeps its address to find it again if it was only unreachable."""
+        """Declares a suspect dead, and keeps its address for `Rejoin`, as it might only be unreachable."""
         member = self._context.member_table.members[name]
         self._context.contacts.add([member.record.address])
         silent_ms = round(now_ms - member.state_since_ms)
@@ -282,6 +288,6 @@
         self._merge_local_observation(member.record, MemberState.DEAD, now_ms)
 
     def _merge_local_observation(self, record: MemberRecord, state: MemberState, now_ms: float) -> None:
-        """Merges a state that this member itself has determined for another member."""
+        """Merges another member's record with a state that this member has determined itself."""
         local_name = self._context.member_table.local_record.name
         self._context.member_table.merge(replace(record, state=state, reported_by=local_name), now_ms)
--- a/landingshift/membership/gossip_queue.py
+++ b/landingshift/membership/gossip_queue.py
@@ -1,7 +1,7 @@
 """Queue of membership updates, from which each message takes the records it piggybacks.
 
 Guarantee: each update is transmitted often enough to reach every member with high probability.
-Failure mode: an update may miss a member by chance; anti-entropy delivers it later.
+Failure mode: an update might miss a member by chance; anti-entropy delivers it later.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
     """Names of the members whose records still have to be transmitted.
 
     Attributes:
-        transmission_counts: Number of transmissions of each member's record since it last changed.
+        transmission_counts: How often each queued record has been transmitted, keyed by member name.
     """
 
     def __init__(self, find_record: Callable[[str], MemberRecord | None]) -> None:
@@ -39,11 +39,11 @@
         return len(self.transmission_counts)
 
     def enqueue(self, name: str) -> None:
-        """Queues a member whose record has changed, and resets its transmission count."""
+        """Queues the changed record of a member, with a transmission count of 0."""
         self.transmission_counts[name] = 0
 
     def discard(self, name: str) -> None:
-        """Removes a name from the queue."""
+        """Removes a member's record from the queue if it is queued."""
         self.transmission_counts.pop(name, None)
 
     def select(self, present_count: int, first: MemberRecord | None = None) -> list[MemberRecord]:
--- a/landingshift/membership/large_message_assembly.py
+++ b/landingshift/membership/large_message_assembly.py
@@ -5,12 +5,12 @@
 from landingshift.membership.errors import InvalidFragmentError
 from landingshift.membership.large_message_wire import MAX_FRAGMENT_BYTES, MessageFragment
 
-MAX_MESSAGE_BYTES = 4 << 20  # limit of one message, and of all incomplete messages together
+MAX_MESSAGE_BYTES = 4 << 20  # limit for one message, and for all incomplete messages together
 MAX_FRAGMENT_COUNT = MAX_MESSAGE_BYTES // MAX_FRAGMENT_BYTES + 1
 
 
 class FragmentAssembler:
-    """Collects fragments, and drops the oldest incomplete messages when they exceed the memory limit."""
+    """Collects fragments; drops the oldest incomplete messages beyond a total of `MAX_MESSAGE_BYTES`."""
 
     def __init__(self) -> None:
         self._incomplete: dict[tuple[str, int, int], dict[int, bytes]] = {}
--- a/landingshift/membership/large_message_wire.py
+++ b/landingshift/membership/large_message_wire.py
@@ -1,7 +1,7 @@
 """Encoding of the fragments of large messages as MessagePack-RPC calls.
 
-Each fragment is one call `letter(fleet, sender, run, package, number, part, parts, bytes)`. Only this module
-knows the name of the call and the order of its parameters.
+Each fragment is one call of the method `letter`. Its parameters are the fields of `MessageFragment` in order.
+Only this module knows the name of the method and the order of the parameters.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
         sender_name: Name of the sending member.
         sender_run_id: Run ID of the sending member.
         package: Name of the package that the message is for.
-        transfer_number: Sequence number of the message among the large messages of this run.
+        transfer_number: Sequence number of the message among the large messages of the sending process.
         fragment_index: Index of the fragment, from 0.
         fragment_count: Number of fragments of the message.
         content: Bytes of the fragment.
@@ -47,7 +47,7 @@
 
 
 def encode_body(body: list[Any]) -> bytes:
-    """Encodes the body of a message, before it is split into fragments."""
+    """Encodes the body of a large message, for `encode_calls` to split into fragments."""
     return msgspec.msgpack.encode(body)
 
 
@@ -69,7 +69,7 @@
 def encode_calls(
     cluster_name: str, sender: MemberRecord, package: str, transfer_number: int, packed_body: bytes
 ) -> list[bytes]:
-    """Splits a message into fragments and encodes one call for each."""
+    """Splits an encoded message body into fragments and encodes one call for each."""
     fragments = [
         packed_body[start : start + MAX_FRAGMENT_BYTES]
         for start in range(0, len(packed_body), MAX_FRAGMENT_BYTES)
--- a/landingshift/membership/large_messages.py
+++ b/landingshift/membership/large_messages.py
@@ -1,9 +1,9 @@
 """Transport for messages that are too large for a datagram: MessagePack-RPC calls over TCP.
 
-Each message opens its own connection, to the TCP port with the same number as the receiver's UDP port.
+Each message has its own connection, to the TCP port that has the same number as the receiver's UDP port.
 
 Guarantee: a message is delivered completely or not at all, and all its fragments go to the same process.
-Failure mode: like a datagram, a message may be lost without notice to the sender or the receiver.
+Failure mode: like a datagram, a message might be lost without notice to the sender or the receiver.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 MAX_DATAGRAM_BODY_BYTES = 1100  # a larger body goes over TCP
 MAX_CONCURRENT_TRANSFERS = 16
 TRANSFER_TIMEOUT_MS = 3000.0
-MAX_UNSENT_BYTES = MAX_MESSAGE_BYTES + 1024  # one message with the overhead of its calls
+MAX_UNSENT_BYTES = MAX_MESSAGE_BYTES + 1024  # room for one message with the overhead of its calls
 MAX_RESPONSE_BYTES = 4096
 
 
@@ -59,7 +59,7 @@
             loop.after(0.0, lambda: self.on_closed("unreachable"))
 
     def on_data(self, data: bytes) -> None:
-        """Counts responses, and closes the connection once each fragment has one, be it an error or not."""
+        """Counts responses, errors included, and closes the connection once each fragment has one."""
         try:
             self._unpacker.feed(data)
             self._pending_responses -= sum(1 for _ in self._unpacker)
@@ -87,10 +87,10 @@
 
 
 class LargeMessageTransport:
-    """Sends messages of any size to members, and receives large messages from them.
+    """Sends messages of up to `MAX_MESSAGE_BYTES` to members, and receives large messages from them.
 
     Attributes:
-        dropped_message_count: Messages that were too large or exceeded `MAX_CONCURRENT_TRANSFERS`.
+        dropped_message_count: Messages dropped because they were too large or too many were being sent.
     """
 
     def __init__(
@@ -105,7 +105,7 @@
         operator_rpc.handlers[METHOD] = self._on_call
 
     def send_to_member(self, name: str, package: str, body: list[Any]) -> None:
-        """Sends a message to one member, as a datagram if the body is small enough."""
+        """Sends a message to one member, over TCP if the body is too large for a datagram."""
         record = self._node.member_table.record(name)
         if record is None:
             return
@@ -128,10 +128,10 @@
         self._active_transfer_count -= 1
 
     def _on_call(self, params: list[Any]) -> bool:
-        """Receives a fragment, and passes the message to its handler once it is complete.
+        """Receives a fragment; if it completes its message, passes the message to the package's handler.
 
         Raises:
-            TransferError: The fragment is malformed or does not come from a known member of this cluster.
+            TransferError: The fragment is malformed, or its cluster, sender or package is unknown.
         """
         fragment = decode_fragment(params)
         record = self._node.member_table.record(fragment.sender_name)
--- a/landingshift/membership/member_table.py
+++ b/landingshift/membership/member_table.py
@@ -1,7 +1,10 @@
-"""Member table: keeps the newest record of each member, tracks which are present, and queues updates.
+"""Table of the cluster's members, with the newest known record of each.
 
-Guarantee: tables that received the same records agree, whatever the order of arrival.
-Failure mode: a full table rejects the records of unknown members, and counts them.
+A member is present while it is alive or a suspect, and departed once it is dead or has left. Changed records
+are queued for gossip.
+
+Guarantee: tables that received the same records agree on all states, in whatever order the records arrived.
+Failure mode: a table that is full and has no departed member to evict rejects records of unknown members.
 The module does no I/O: times, in ms, and the random generator are arguments.
 """
 
@@ -23,8 +26,8 @@
 
     Attributes:
         record: The newest known record of the member.
-        state_since_ms: Local time at which its current state or run was learned.
-        accusers: Names of the members that reported the current suspicion; empty unless it is a suspect.
+        state_since_ms: Local time at which the member's current state or run ID was stored.
+        accusers: Names of the members that reported the current suspicion; empty if there is none.
     """
 
     record: MemberRecord
@@ -33,19 +36,19 @@
 
 
 StateObserver = Callable[[Member, MemberState | None], None]
-"""Called with a member whose state, run or incarnation changed, and its previous state; None if it is new."""
+"""Called with a member whose state, run ID or incarnation changed, and its previous state (None if new)."""
 
 
 class MemberTable:
-    """All other known members, including departed ones (dead or left) until they expire.
+    """Records of all other known members, including departed members until they are removed.
 
     Attributes:
         local_record: This member's own record, which is not in `members`.
         max_members: Maximum number of entries.
         members: Entries by name, in the order in which they were added.
         present_names: Names of the members that are alive or suspects, unordered.
-        present_index: Index of each name in `present_names`.
-        gossip: Queue of updates to transmit.
+        present_index: Index in `present_names`, keyed by name.
+        gossip: Queue of changed records to transmit.
         digest: Checksums of the table for anti-entropy, including the local record.
         rejected_record_count: Records rejected because the table was full.
     """
@@ -65,7 +68,7 @@
     # Lookup
 
     def record(self, name: str) -> MemberRecord | None:
-        """Returns the newest record of a member, which may be this member itself; None if it is unknown."""
+        """Returns the newest known record of a member, including this one; None if the name is unknown."""
         if name == self.local_record.name:
             return self.local_record
         member = self.members.get(name)
@@ -76,11 +79,11 @@
         return {self.local_record.name, *self.members}
 
     def present_records(self) -> Iterator[MemberRecord]:
-        """Returns the records of the other members that are present."""
+        """Iterates over the records of the other members that are present."""
         return (self.members[name].record for name in self.present_names)
 
     def sample(self, rng: Random, count: int, excluded_names: tuple[str, ...] = ()) -> list[MemberRecord]:
-        """Returns up to `count` random present members; the cost does not depend on the table's size."""
+        """Returns the records of up to `count` random present members, in time independent of table size."""
         sample_size = min(len(self.present_names), count + len(excluded_names))
         names = rng.sample(self.present_names, sample_size)
         return [self.members[name].record for name in names if name not in excluded_names][:count]
@@ -88,10 +91,12 @@
     # Updates
 
     def merge(self, record: MemberRecord, now_ms: float) -> bool:
-        """Stores a record if it is newer than the known one.
+        """Stores a record if its member is unknown or it overrides the known record.
+
+        A record that does not override the known one is counted if it confirms the known suspicion.
 
         Returns:
-            Whether it was newer and the table had room for it.
+            Whether the record overrode the known one or added a member.
         """
         member = self.members.get(record.name)
         if member is None:
@@ -103,14 +108,14 @@
         self.digest.replace(known, record)
         member.record = record
         if record.liveness_precedence == known.liveness_precedence:
-            return True  # only metadata changed, which each message of its owner carries anyway
+            return True  # only metadata changed: needs no gossip, as the member's own messages all carry it
         if known.state is not record.state or known.run_id != record.run_id:
             member.state_since_ms = now_ms
         self._on_liveness_change(member, known.state)
         return True
 
     def _add(self, record: MemberRecord, now_ms: float) -> bool:
-        """Adds the first record of a name; returns whether the table had room."""
+        """Adds a member that is not in the table; returns whether there was room."""
         if len(self.members) >= self.max_members and not self._evict_departed():
             self.rejected_record_count += 1
             return False
@@ -121,7 +126,7 @@
         return True
 
     def _on_liveness_change(self, member: Member, previous_state: MemberState | None) -> None:
-        """Updates presence, queues gossip and calls the observer after a new state, run or incarnation."""
+        """Updates presence, queues gossip and calls the observer after a new state, run ID or incarnation."""
         record = member.record
         member.accusers = {record.reported_by} if record.state is MemberState.SUSPECT else set()
         self._update_presence(record)
@@ -129,7 +134,10 @@
         self._on_state_change(member, previous_state)
 
     def _count_confirmation(self, member: Member, record: MemberRecord) -> None:
-        """Counts and gossips an independent confirmation of a suspicion, which shortens the suspicion."""
+        """Counts and gossips the record if it confirms the known suspicion and comes from a new accuser.
+
+        Each confirmation shortens the suspicion time-out, up to `CONFIRMATIONS_FOR_MIN_TIMEOUT`.
+        """
         known = member.record
         is_same_suspicion = (
             known.state is MemberState.SUSPECT is record.state
@@ -143,7 +151,7 @@
             self.gossip.enqueue(record.name)
 
     def _update_presence(self, record: MemberRecord) -> None:
-        """Updates the list of present names in constant time; the last name replaces a removed one."""
+        """Adds or removes a present name in constant time: the last name moves to a removed name's index."""
         name = record.name
         is_present = record.state not in DEPARTED_STATES
         if is_present and name not in self.present_index:
@@ -192,11 +200,11 @@
     # Records to send
 
     def select_gossip(self, first: MemberRecord | None = None) -> list[MemberRecord]:
-        """Selects the queued updates for one message, led by `first` if it is given."""
+        """Selects the records that one message piggybacks: `first`, if given, and then queued updates."""
         return self.gossip.select(len(self.present_names), first)
 
     def differing_pages(self, other_checksums: tuple[int, ...], max_pages: int) -> list[list[MemberRecord]]:
-        """Returns the records of the buckets in which another table differs, as at most `max_pages` pages."""
+        """Returns the records of all buckets whose checksum differs, split into at most `max_pages` pages."""
         buckets = self.digest.differing_buckets(other_checksums)
         if not buckets:
             return []
--- a/landingshift/membership/messages.py
+++ b/landingshift/membership/messages.py
@@ -13,9 +13,9 @@
 MemberName = Annotated[str, Meta(pattern=r"^[A-Za-z0-9._-]{1,32}$")]
 ZoneName = Annotated[str, Meta(pattern=r"^[A-Za-z0-9._-]{0,16}$")]
 UInt53 = Annotated[int, Meta(ge=0, le=2**53)]
-"""Unsigned integer up to 2**53, which is exact even where a peer represents numbers as doubles."""
+"""Unsigned integer up to 2**53, the range that peers with double-precision numbers represent exactly."""
 
-MAX_METADATA_COUNT = 8  # entries in one record
+MAX_METADATA_COUNT = 8  # metadata entries in one record
 MAX_METADATA_MAGNITUDE = 1e12
 MAX_GOSSIP_RECORDS = 6  # per message; together with the sender's record they fit into one Ethernet frame
 MAX_RECORDS_PER_PAGE = 8  # records in one anti-entropy message
@@ -23,8 +23,9 @@
 
 
 class MemberState(IntEnum):
-    """State of a member; for the same incarnation and run, the higher value overrides the lower.
+    """State of a member.
 
+    Of two records with the same incarnation and run ID, the one with the higher state overrides the other.
     Messages carry the number; operators see the name in lower case.
     """
 
@@ -49,10 +50,10 @@
         port: UDP port for messages and TCP port for calls.
         zone: Failure domain; may be empty.
         run_id: Random number drawn at each start of the process.
-        incarnation: Counter that the member increases to refute claims of other members.
+        incarnation: Counter that the member increases to refute false claims by other members.
         metadata_version: Counter that the member increases with each change of its metadata.
-        state: State of the member according to the reporter.
-        reported_by: Name of the member that reported `state`; empty for the member itself.
+        state: State of the member as reported by `reported_by`.
+        reported_by: Name of the member that reported `state`; empty if the member reported it itself.
         metadata: Numbers that the member publishes about itself.
     """
 
@@ -81,7 +82,7 @@
 
     @property
     def precedence(self) -> tuple[int, int, int, int]:
-        """Sort key: of two records of one member, that with the greater key is newer, whatever its source."""
+        """Sort key: of two records of one member, the one with the greater key wins, whoever reported it."""
         return self.incarnation, self.run_id, self.state, self.metadata_version
 
     @property
@@ -93,7 +94,7 @@
 
 
 class Ping(Struct, frozen=True):
-    """Direct probe.
+    """Direct probe of a member, which replies with an `Ack`.
 
     Attributes:
         target_name: Name of the probed member; empty if only its address is known.
@@ -121,7 +122,7 @@
 
 
 class Nack(Struct, frozen=True):
-    """Reply to a ping-req whose target sent no ack in time (Lifeguard)."""
+    """Reply to a ping-req if the target sent the intermediary no ack in time (from Lifeguard)."""
 
 
 class Gossip(Struct, frozen=True):
@@ -133,7 +134,7 @@
 
     Attributes:
         bucket_checksums: Checksums of the `DIGEST_BUCKET_COUNT` buckets.
-        wants_digest: Whether the receiver replies with its own digest if the two differ.
+        wants_digest: Whether the receiver is asked to reply with its own digest if the two digests differ.
     """
 
     bucket_checksums: tuple[int, ...]
@@ -145,11 +146,11 @@
 
 
 class ApplicationPayload(Struct, frozen=True):
-    """Payload of another package, which validates the body itself.
+    """Message of another package, which validates the body itself.
 
     Attributes:
         package: Name under which the package has registered its handler.
-        body: Lists, numbers, strings and bytes.
+        body: Content of the message: lists, numbers, strings and bytes.
     """
 
     package: str
@@ -163,10 +164,10 @@
     """One datagram.
 
     Attributes:
-        payload: Content, by the kind of the message.
+        payload: Content of the message; its type determines the kind of the message on the wire.
         sender: The sender's own record.
-        sequence_number: Sequence number of the probe that the message belongs to; 0 for none.
-        gossip: Piggybacked records of other members.
+        sequence_number: Sequence number of the probe that the message belongs to; 0 if there is none.
+        gossip: Piggybacked member records.
     """
 
     payload: Payload
--- a/landingshift/membership/node.py
+++ b/landingshift/membership/node.py
@@ -1,11 +1,12 @@
 """SWIM node: one member's failure detector, gossip, anti-entropy and rejoining.
 
 The module does no I/O. A driver passes in messages and the time, sends the outgoing messages, and calls
-`on_timer` at the next deadline; one driver runs on the server's event loop, another one in virtual time.
+`on_timer` at the next deadline. `MembershipService` is the driver on a server's event loop; other drivers run
+nodes in virtual time.
 
 Guarantee: members that can reach each other converge on the same set of members. A member learns of false
 claims about itself and refutes them.
-Failure mode: two processes with the same name refute each other forever, which is logged.
+Failure mode: two processes with the same name refute each other's records forever; this is logged.
 """
 
 from __future__ import annotations
@@ -45,14 +46,14 @@
 from landingshift.membership.timings import SwimTimings
 from landingshift.membership.token_bucket import TokenBucket
 
-LOCAL_PAUSE_THRESHOLD_MS = 100.0  # a timer that fires later than this shows that the process was paused
-REPLIES_PER_SECOND = 200.0  # replies to digests, ping-reqs and outdated records
+LOCAL_PAUSE_THRESHOLD_MS = 100.0  # a timer that is late by more than this shows that the process was paused
+REPLIES_PER_SECOND = 200.0  # limit for replies to digests, ping-reqs and outdated records
 METADATA_INTERVAL_MS = 500.0  # minimum interval between two versions of this member's metadata
 TABLE_CLEANUP_INTERVAL_MS = 1000.0
 LEAVE_FANOUT = 2 * PING_REQUEST_FANOUT  # members that are notified directly when this one leaves
 
 MessageHandler = Callable[[MemberRecord, list[Any]], None]
-"""Called with the sender's record and the body of a message of another package."""
+"""Called with the sender's record and the body of each message for the handler's package."""
 
 
 class SwimNode:
@@ -62,11 +63,11 @@
         now_ms: Time of the last event, by the driver's monotonic clock.
         member_table: Records of all known members.
         outbox: Queue of messages for the driver to send.
-        contacts: Addresses at which members may be reachable.
+        contacts: Addresses at which members might be reachable.
         failure_detector: Probes other members and tracks suspects.
         anti_entropy: Synchronizes the member table with those of other members.
-        message_handlers: Handlers of other packages' messages, by package name.
-        state_observers: Called with each change of a member's state, run or incarnation.
+        message_handlers: Handlers of other packages' messages, keyed by package name.
+        state_observers: Functions that are called on each change of a member's state, run ID or incarnation.
         has_joined: Whether a message of another member has been received.
         is_leaving: Whether this member has announced that it is leaving.
     """
@@ -98,7 +99,7 @@
         context = NodeContext(
             self.member_table, self.outbox, self.contacts, timings, rng, sequence_numbers, log
         )
-        # A random phase keeps hundreds of members that start together from sending in step.
+        # The phase is random, so that hundreds of members that start together do not send at the same times.
         first_round_ms = now_ms + timings.probe_interval_ms * rng.random()
         first_gossip_ms = now_ms + GOSSIP_INTERVAL_MS * rng.random()
         self.failure_detector = FailureDetector(context, now_ms, first_round_ms)
@@ -119,7 +120,7 @@
         return self.failure_detector.local_health
 
     def next_deadline_ms(self) -> float:
-        """Returns when `on_timer` is due."""
+        """Returns the time at which `on_timer` is next due."""
         return min(
             self.failure_detector.next_deadline_ms(),
             self._gossip_rounds.next_deadline_ms(),
@@ -136,7 +137,7 @@
         """Sends a message of another package to one member, as a datagram that may be lost.
 
         Returns:
-            False if no present member has that name.
+            Whether the message was queued; False if no present member has that name.
         """
         record = self.member_table.record(name)
         if record is None or record.state in DEPARTED_STATES:
@@ -145,7 +146,10 @@
         return True
 
     def publish_metadata(self, now_ms: float, **metadata: float) -> None:
-        """Sets the metadata that all messages of this member carry, at most every `METADATA_INTERVAL_MS`."""
+        """Sets the metadata that all messages of this member carry.
+
+        A call less than `METADATA_INTERVAL_MS` after the last change is ignored, not deferred.
+        """
         record = self.local_record
         if now_ms >= self._next_metadata_ms and metadata != record.metadata:
             self._next_metadata_ms = now_ms + METADATA_INTERVAL_MS
@@ -155,7 +159,7 @@
             )
 
     def leave(self, now_ms: float) -> None:
-        """Announces that this member leaves; from then on it starts no probes and refutes no claims."""
+        """Announces that this member is leaving; a leaving member starts no probes and refutes no claims."""
         if self.is_leaving:
             return
         self.now_ms = now_ms
@@ -165,7 +169,7 @@
             self.outbox.send(record.address, Gossip(), gossip=[left_record])
 
     def add_contact_addresses(self, addresses: list[Address]) -> None:
-        """Adds addresses at which members may be reachable."""
+        """Adds addresses at which members might be reachable."""
         self.contacts.add(addresses)
 
     # Message handling
@@ -176,7 +180,7 @@
         sender = message.sender
         if sender.name == self.local_record.name:
             if sender.run_id != self.local_record.run_id:
-                self._refute(sender)  # an earlier run of this member, or another process with its name
+                self._refute(sender)  # an earlier process of this member, or a duplicate of its name
             return
         self._merge(sender)
         new_record_count = sum([self._merge(record) for record in message.gossip])
@@ -196,12 +200,12 @@
     def _dispatch(
         self, message: Message, known: MemberRecord, overriding_record: MemberRecord | None
     ) -> None:
-        """Dispatches a message by its payload.
+        """Passes a message to the handler of its payload type; drops requests beyond the reply limit.
 
         Args:
             message: The received message.
-            known: Newest known record of its sender.
-            overriding_record: Record that overrides the one in the message; None if the latter is current.
+            known: Newest known record of the sender.
+            overriding_record: `known` if it overrides the sender's record in the message; None otherwise.
         """
         sender = message.sender
         match message.payload:
@@ -221,15 +225,15 @@
                     handler(sender, body)
 
     def _correct_outdated_sender(self, message: Message, overriding_record: MemberRecord) -> None:
-        """Sends a member the record that overrides its own, so that the member can refute that record.
+        """Sends a member the record that overrides its own record, so that the member can refute it.
 
-        A ping needs no extra message, because its ack already carries the record.
+        A ping needs no extra message, because the ack to it already carries the overriding record.
         """
         if not isinstance(message.payload, Ping) and self._reply_limit.try_consume(self.now_ms):
             self.outbox.send(message.sender.address, Gossip(), gossip=[overriding_record])
 
     def _on_ping(self, message: Message, target_name: str, overriding_record: MemberRecord | None) -> None:
-        """Replies to a ping, unless it is meant for another member that had this address before."""
+        """Replies to a ping, unless it names another member, which might have had this address earlier."""
         if target_name in (ANY_MEMBER, self.local_record.name):
             gossip = self.member_table.select_gossip(overriding_record)
             self.outbox.send(message.sender.address, Ack(), message.sequence_number, gossip)
@@ -248,12 +252,12 @@
         return self.member_table.merge(record, self.now_ms)
 
     def _refute(self, claim: MemberRecord) -> None:
-        """Overrides a false claim about this member by raising its incarnation above that of the claim."""
+        """Overrides a false claim about this member by raising the local incarnation above the claim's."""
         local_record = self.local_record
         if self.is_leaving or claim.precedence <= local_record.precedence:
             return
         if claim.run_id == local_record.run_id:
-            self.local_health.degrade()  # other members got no reply in time, so this one may be slow
+            self.local_health.degrade()  # other members got no reply in time, so this member might be slow
         elif claim.state is MemberState.ALIVE and claim.address != local_record.address:
             self._duplicate_names.on_conflict(local_record.name, claim.address, self.now_ms)
         self.member_table.update_local_record(replace(local_record, incarnation=claim.incarnation + 1))
@@ -266,7 +270,7 @@
     # Timers
 
     def on_timer(self, now_ms: float) -> None:
-        """Runs everything that is due."""
+        """Runs all due timers; first compensates for a pause of the process if the call is late."""
         lateness_ms = now_ms - self.next_deadline_ms()
         self.now_ms = now_ms
         if lateness_ms > LOCAL_PAUSE_THRESHOLD_MS:
--- a/landingshift/membership/node_context.py
+++ b/landingshift/membership/node_context.py
@@ -14,12 +14,12 @@
 
 @dataclass(slots=True, frozen=True, eq=False)
 class NodeContext:
-    """Shared by the failure detector, gossip rounds, anti-entropy and rejoining.
+    """Context that the failure detector, gossip rounds, anti-entropy and `Rejoin` of one node share.
 
     Attributes:
         member_table: Records of all known members.
         outbox: Queue of outgoing messages.
-        contacts: Addresses at which members may be reachable.
+        contacts: Addresses at which members might be reachable.
         timings: Protocol durations.
         rng: The node's only source of randomness.
         sequence_numbers: Sequence numbers for pings; an ack or nack repeats the number of its ping.
--- a/landingshift/membership/operator_rpc.py
+++ b/landingshift/membership/operator_rpc.py
@@ -1,4 +1,4 @@
-"""Calls of operators and peers to one server: MessagePack-RPC over TCP, the protocol that gateways use.
+"""Calls from operators and other members to a server, in the MessagePack-RPC protocol that gateways use.
 
 `OperatorRpcServer` answers calls on the event loop; `call_operator_rpc` is the blocking client of the CLI.
 """
@@ -30,11 +30,11 @@
 RPC_RESPONSE_TYPE = 1  # MessagePack-RPC message type of a response
 
 CallHandler = Callable[[list[Any]], Any]
-"""Called with the parameters; returns a value for MessagePack, or raises ValueError for an error response."""
+"""Called with the parameters; returns the result of the call, or raises ValueError with an error text."""
 
 
 class OperatorConnection:
-    """A connection that an operator or a peer has opened to this server."""
+    """A connection that an operator or another member has opened to this server."""
 
     def __init__(self, server: OperatorRpcServer, sock: socket.socket) -> None:
         self._server = server
@@ -67,7 +67,7 @@
 
     Attributes:
         loop: Event loop of the server.
-        handlers: Handlers by method name.
+        handlers: Handlers, keyed by method name.
         listener: Listening TCP socket.
     """
 
@@ -118,7 +118,7 @@
     """Makes one call and blocks until its result arrives.
 
     Args:
-        address: Address of the server's `[fleet]` listener.
+        address: Address of the server's TCP listener for operator calls.
         method: Method name.
         params: Parameters of the method.
         timeout_ms: Time-out of the connection attempt and of the whole call.
--- a/landingshift/membership/operator_views.py
+++ b/landingshift/membership/operator_views.py
@@ -1,4 +1,4 @@
-"""Results of the operator calls `members` and `status`. Only this module knows their keys."""
+"""Results of the operator calls `members` and `status`. Only this module knows the keys of these results."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
     Attributes:
         received: Datagrams read from the socket, valid or not.
-        sent: Datagrams passed to the operating system, including failed ones.
+        sent: Datagrams passed to the operating system, including those counted in `failed`.
         failed: Datagrams that the operating system did not accept.
     """
 
@@ -25,7 +25,7 @@
 
 
 def member_rows(node: SwimNode, now_ms: float) -> list[dict[str, Any]]:
-    """Returns one row per known member, including this one, sorted by name."""
+    """Returns one dictionary for each known member, including this one, sorted by name."""
     table = node.member_table
     rows = [_member_row(table.local_record, 0.0)]
     rows += [_member_row(member.record, now_ms - member.state_since_ms) for member in table.members.values()]
@@ -46,7 +46,7 @@
 
 
 def membership_status(node: SwimNode, cluster_name: str, datagrams: DatagramCounts) -> dict[str, Any]:
-    """Returns the member counts by state, the local health score and the message counters."""
+    """Returns the counts of other members by state, the local health score and the message counters."""
     table = node.member_table
     state_counts: dict[str, int] = {}
     for member in table.members.values():
--- a/landingshift/membership/outbox.py
+++ b/landingshift/membership/outbox.py
@@ -1,4 +1,4 @@
-"""Queue of outgoing messages, from which the driver that owns the socket sends."""
+"""Queue of outgoing messages, which the driver of the node empties and sends."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     """Bounded queue of outgoing datagrams.
 
     Attributes:
-        pending: Receivers and messages, oldest first.
+        pending: Queued messages with the addresses of their receivers, oldest first.
         dropped_message_count: Messages dropped because the queue was full.
     """
 
@@ -33,8 +33,8 @@
         Args:
             receiver: Destination address.
             payload: Content of the message.
-            sequence_number: Number of the probe that the message belongs to; 0 for none.
-            gossip: Records to piggyback; None selects the queued updates that were sent least often.
+            sequence_number: Sequence number of the probe that the message belongs to; 0 if there is none.
+            gossip: Records to piggyback; None selects the queued updates that were transmitted least often.
         """
         if len(self.pending) >= MAX_OUTBOX_MESSAGES:
             self.dropped_message_count += 1
--- a/landingshift/membership/rejoin.py
+++ b/landingshift/membership/rejoin.py
@@ -1,8 +1,9 @@
 """Joining the cluster at start, and rejoining it after a network partition.
 
-Guarantee: two halves of a partitioned cluster merge again without an operator, as long as one stored contact
-address leads to a member of the other half.
-Failure mode: a member none of whose contact addresses leads to another member stays alone.
+Guarantee: once a partition has ended, its two sides merge without an operator if at least one member has a
+contact address of a member on the other side.
+Failure mode: a member stays alone if none of its contact addresses leads to another member and no other
+member contacts it.
 """
 
 from __future__ import annotations
@@ -10,8 +11,8 @@
 from landingshift.membership.messages import Address, Ping
 from landingshift.membership.node_context import NodeContext
 
-RETRY_INTERVAL_MS = 2000.0  # between two attempts while another member is present
-INTERVAL_JITTER = (0.7, 1.3)  # range of the random factor applied to each interval
+RETRY_INTERVAL_MS = 2000.0  # between two pings while at least one other member is present
+INTERVAL_JITTER = (0.7, 1.3)  # range of the random factor for the interval
 ANY_MEMBER = ""  # target name of a ping to an address whose member is unknown
 
 
@@ -27,7 +28,10 @@
         self.next_attempt_ms = first_attempt_ms
 
     def on_timer(self, now_ms: float, is_leaving: bool) -> None:
-        """Pings one address if that is due; the interval is shorter while no other member is present."""
+        """Pings one address if a ping is due and this member is not leaving.
+
+        While no other member is present, the interval between pings is the shorter probe interval.
+        """
         if now_ms < self.next_attempt_ms:
             return
         has_no_peers = not self._context.member_table.present_names
@@ -49,6 +53,9 @@
         ]
 
     def _least_recently_contacted(self, candidates: list[Address]) -> Address:
-        """Picks the next address; a wrong address costs only one datagram per pass over all of them."""
+        """Returns the address that was pinged longest ago; ties are broken at random.
+
+        An address without a member thus costs only one datagram per pass over all addresses.
+        """
         last_attempt_ms = self._context.contacts.last_attempt_ms
         return min(candidates, key=lambda address: (last_attempt_ms[address], self._context.rng.random()))
--- a/landingshift/membership/service.py
+++ b/landingshift/membership/service.py
@@ -1,4 +1,4 @@
-"""Service that runs the SWIM node on the server's event loop: UDP for members, TCP for calls."""
+"""Service that runs a SWIM node on the server's event loop, with a UDP socket and a TCP listener."""
 
 from __future__ import annotations
 
@@ -30,7 +30,10 @@
 
 
 class RejectedDatagrams:
-    """Counts rejected datagrams by reason, and logs the counts at most once per interval."""
+    """Counts rejected datagrams by reason.
+
+    The counts are logged and reset at most once per `REJECTION_LOG_INTERVAL_MS`.
+    """
 
     def __init__(self, loop: Loop, log: Callable[..., None]) -> None:
         self._loop, self._log = loop, log
@@ -54,8 +57,8 @@
     Attributes:
         settings: Settings from the table `[fleet]`.
         node: The SWIM node of this server.
-        operator_rpc: Server for calls, to which other packages add handlers.
-        large_messages: Transport for messages of any size.
+        operator_rpc: Server for operator calls and large messages; other packages add their handlers to it.
+        large_messages: Transport for messages that can be too large for a datagram.
     """
 
     def __init__(self, host: ServiceHost, settings: Settings) -> None:
@@ -112,7 +115,7 @@
         self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
 
     def _initial_record(self, rng: Random) -> MemberRecord:
-        """Returns this member's first record; its run ID distinguishes it from an earlier process."""
+        """Returns this member's first record; its run ID distinguishes this process from earlier ones."""
         host, port = self._advertised_address()
         return MemberRecord(
             name=self._router.config.name,
@@ -209,7 +212,7 @@
 
 
 def attach(host: ServiceHost, settings: Settings) -> MembershipService:
-    """Starts membership on a server.
+    """Starts the membership service on a server.
 
     Raises:
         ListenAddressError: The address can't be bound.
--- a/landingshift/membership/settings.py
+++ b/landingshift/membership/settings.py
@@ -12,10 +12,10 @@
 from landingshift.membership.timings import SwimTimings
 
 AddressText = Annotated[str, Meta(min_length=1, max_length=21)]
-"""IPv4 address:port."""
+"""IPv4 address and port, written `host:port`."""
 
 UNSPECIFIED_HOST = "0.0.0.0"
-MAX_ACK_TIMEOUT_FRACTION = 0.5  # of the probe interval, so that ping-reqs have as much time as the ping
+MAX_ACK_TIMEOUT_FRACTION = 0.5  # of the probe interval; leaves at least the other half for ping-reqs
 
 TOML_KEYS = {
     "cluster_name": "fleet",
@@ -32,19 +32,20 @@
 class Settings(Struct, forbid_unknown_fields=True, frozen=True, rename=TOML_KEYS):
     """Membership settings of one server.
 
-    The protocol is unauthenticated: any sender that can reach the address is trusted.
+    The protocol is unauthenticated: any sender that can reach the listen address is trusted.
 
     Attributes:
-        cluster_name: Name of the cluster; datagrams of other clusters are rejected.
-        listen_address: Address for members (UDP) and for operator calls and large messages (TCP).
-        on: Whether the package is enabled.
-        advertise_address: Address that other members use, if it differs from `listen_address`.
-        zone: Failure domain of this server.
+        cluster_name: Name of the cluster; datagrams from other clusters are rejected.
+        listen_address: Address to bind: UDP for protocol messages, TCP for operator calls and large messages.
+        on: Whether membership is enabled.
+        advertise_address: Address at which other members reach this server; if empty, the bound address.
+        zone: Failure domain of this server; may be empty.
         seed_addresses: Addresses of members that are contacted in order to join the cluster.
-        max_members: Maximum size of the member table; each member takes about 1 KB.
-        probe_interval_ms: Interval between two probes.
+        max_members: Maximum number of other members in the member table; each takes about 1 KB of memory.
+        probe_interval_ms: Interval between two probes while the local health score is 0.
         ack_timeout_ms: Time to wait for an ack to a direct ping before sending ping-reqs.
-        min_suspicion_ms: Shortest suspicion time-out in a cluster of up to ten members.
+        min_suspicion_ms: Shortest time after which a suspect is declared dead, in a cluster of up to ten
+            members.
     """
 
     cluster_name: Annotated[str, Meta(pattern=r"^[A-Za-z0-9._-]{1,64}$")]
@@ -59,17 +60,17 @@
     min_suspicion_ms: Annotated[float, Meta(ge=100.0, le=60_000.0)] = 1_200.0
 
     def timings(self) -> SwimTimings:
-        """Returns the protocol durations."""
+        """Returns the intervals and time-outs of the protocol."""
         return SwimTimings(self.probe_interval_ms, self.ack_timeout_ms, self.min_suspicion_ms)
 
 
 def parse_address(key: str, text: str, allow_port_zero: bool = False) -> Address:
-    """Parses an IPv4 address with a port.
+    """Parses `host:port` into an IPv4 address and a port number.
 
     Args:
         key: Name of the setting, for the error message.
         text: Value of the setting.
-        allow_port_zero: Whether port 0 is valid, with which the operating system chooses a port.
+        allow_port_zero: Whether port 0, which lets the operating system choose a port, is valid.
 
     Raises:
         InvalidAddressError: The text is not an IPv4 address with a port, or the port is out of range.
--- a/landingshift/membership/token_bucket.py
+++ b/landingshift/membership/token_bucket.py
@@ -4,7 +4,7 @@
 
 
 class TokenBucket:
-    """Rate limit whose burst size is the number of tokens of one second."""
+    """Token bucket that is full at first and holds at most the tokens of one second."""
 
     def __init__(self, tokens_per_second: float) -> None:
         self._tokens_per_second = tokens_per_second
--- a/landingshift/membership/wire.py
+++ b/landingshift/membership/wire.py
@@ -1,5 +1,6 @@
-"""Encoding of datagrams as MessagePack-RPC notifications `[2, kind, [fleet, number, sender, body, news]]`.
+"""Encoding of datagrams as MessagePack-RPC notifications.
 
+A datagram is the array `[2, kind, [cluster name, sequence number, sender's record, body, gossip records]]`.
 Only this module knows the names of the message kinds on the wire and the layout of their bodies.
 """
 
@@ -73,7 +74,9 @@
 
 
 def decode(cluster_name: str, data: bytes) -> Message:
-    """Decodes and validates one datagram, except for the body of an `ApplicationPayload`.
+    """Decodes and validates one datagram.
+
+    The body of an `ApplicationPayload` is left for the receiving package to validate.
 
     Raises:
         InvalidDatagramError: The datagram is not a valid message of this cluster.
@@ -95,7 +98,7 @@
 
 
 def _are_records_valid(sender: MemberRecord, gossip: list[MemberRecord]) -> bool:
-    """Returns whether the sender's record says that it is alive, and all records have valid metadata."""
+    """Returns whether the sender's record has the state ALIVE and all records have valid metadata."""
     if sender.state is not MemberState.ALIVE or not sender.has_valid_metadata:
         return False
     return all(record.has_valid_metadata for record in gossip)
@@ -120,7 +123,7 @@
     """Converts the body of a message of the given kind to a payload.
 
     Raises:
-        InvalidDatagramError: The body has the wrong layout for the kind.
+        InvalidDatagramError: The body does not have the layout of this kind.
     """
     match kind, body:
         case "ping", [str(target_name)]:
