--- a/landingshift/membership/dissemination.py
+++ b/landingshift/membership/dissemination.py
@@ -7,7 +7,7 @@
 from landingshift.membership.messages import Gossip
 from landingshift.membership.node_context import NodeContext
 
-GOSSIP_FANOUT = 2  # number of members to which each round sends a message
+GOSSIP_FANOUT = 2  # number of random members that receive a message in each round
 GOSSIP_INTERVAL_MS = 100.0
 
 
--- a/landingshift/membership/member_table.py
+++ b/landingshift/membership/member_table.py
@@ -36,7 +36,10 @@
 
 
 StateObserver = Callable[[Member, MemberState | None], None]
-"""Called with a member whose state, run ID or incarnation changed, and its previous state (None if new)."""
+"""Called when a member's state, run ID or incarnation has changed.
+
+The arguments are the member and its previous state, which is None if the member is new.
+"""
 
 
 class MemberTable:
--- a/landingshift/membership/messages.py
+++ b/landingshift/membership/messages.py
@@ -82,7 +82,10 @@
 
     @property
     def precedence(self) -> tuple[int, int, int, int]:
-        """Sort key: of two records of one member, the one with the greater key wins, whoever reported it."""
+        """Sort key: of two records of one member, the one with the greater key overrides the other.
+
+        Who reported a record makes no difference.
+        """
         return self.incarnation, self.run_id, self.state, self.metadata_version
 
     @property
--- a/landingshift/membership/operator_rpc.py
+++ b/landingshift/membership/operator_rpc.py
@@ -1,4 +1,4 @@
-"""Calls from operators and other members to a server, in the MessagePack-RPC protocol that gateways use.
+"""Calls from operators and other members to a server: the gateways' MessagePack-RPC protocol over TCP.
 
 `OperatorRpcServer` answers calls on the event loop; `call_operator_rpc` is the blocking client of the CLI.
 """
--- a/landingshift/membership/timings.py
+++ b/landingshift/membership/timings.py
@@ -12,7 +12,8 @@
     Attributes:
         probe_interval_ms: Interval between two probes while the local health score is 0.
         ack_timeout_ms: Time to wait for an ack to a direct ping before sending ping-reqs.
-        min_suspicion_ms: Shortest suspicion time-out in a cluster of up to ten members.
+        min_suspicion_ms: Shortest time after which a suspect is declared dead, in a cluster of up to ten
+            members.
         departed_retention_ms: Time after which members that died or left are removed from the member table.
         anti_entropy_interval_ms: Mean interval between two anti-entropy syncs that one member starts.
     """
