--- a/landingshift/policies/change_log.py
+++ b/landingshift/policies/change_log.py
@@ -1,4 +1,4 @@
-"""Log lines and failpoints for the steps of a change on a participant or leader."""
+"""Log lines and failpoints for the steps of a policy change on this server, as participant and as leader."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from landingshift.policies.node import PolicyNode
 from landingshift.policies.participant import ParticipantState
 
-COMMITTING_STEP = "switching"  # step in which the commit is proposed
-NO_STEP = "none"  # replaces an empty step or state in the names of failpoints
+COMMITTING_STEP = "switching"  # the leader has proposed the commit, which is not applied yet
+NO_STEP = "none"  # stands for an empty step or state in the names of failpoints
 
 
 @dataclass(slots=True, frozen=True)
@@ -22,7 +22,8 @@
         state: State of this server in that change.
         pending_change_id: Id of the change in progress, according to the entries applied here.
         is_leader: Whether this server is the leader.
-        leader_step: Step of the change in progress if this server is the leader, else empty.
+        leader_step: `ChangePhase` value or `COMMITTING_STEP`; empty if this server is not the leader or no
+            change is in progress.
     """
 
     change_id: str = ""
@@ -33,7 +34,7 @@
 
 
 class ChangeLog:
-    """Logs each step of a change once."""
+    """Logs each step of a change once, and reaches its failpoint."""
 
     def __init__(self, node: PolicyNode, log: Callable[..., None]) -> None:
         self._node = node
@@ -41,7 +42,7 @@
         self._previous = ChangeProgress()
 
     def update(self, now_ms: float) -> None:
-        """Logs the changes since the last call."""
+        """Compares the progress with that at the last call, and logs each difference."""
         current = self._progress(now_ms)
         if current == self._previous:
             return
--- a/landingshift/policies/commands.py
+++ b/landingshift/policies/commands.py
@@ -18,7 +18,7 @@
 
     PENDING = "open"
     COMMITTED = "taken"
-    REJECTED = "refused"  # by a member, or when it was proposed
+    REJECTED = "refused"  # by a member, or because another change is pending or it would change nothing
     WITHDRAWN = "withdrawn"  # by an operator, or by the leader after a timeout
 
 
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True, frozen=True)
 class JoinMembers:
-    """Adds members; from then on, every change must wait for them.
+    """Adds servers to the members. Every change must wait for all members.
 
     Attributes:
         members: Name and run id of each server.
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RemoveMember:
-    """Removes one run of a member, which has ended and decides on no more RPCs."""
+    """Removes a member whose process with this run id has ended and decides on no more RPCs."""
 
     name: str
     run_id: int
@@ -47,10 +47,10 @@
 
 @dataclass(slots=True, frozen=True)
 class OpenChange:
-    """Opens a change.
+    """Records a proposed change, which becomes the change in progress unless it is rejected at once.
 
     Attributes:
-        change_id: Id chosen by the operator, which makes a repeated proposal harmless.
+        change_id: Id chosen by the operator; another proposal with the same id has no effect.
         policy: Complete policy, encoded.
         author: Operator who proposes the change.
         reason: The operator's reason for the change.
@@ -66,7 +66,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CommitChange:
-    """Puts a change in force as the next version, unless a member joined after all members were prepared.
+    """Puts a change in force as the next version, unless a member has joined since the leader proposed it.
 
     Attributes:
         change_id: Id of the change.
@@ -85,7 +85,7 @@
         change_id: Id of the change.
         outcome: Final outcome.
         reason: Reason for the outcome.
-        ended_at_ms: Unix time of the leader.
+        ended_at_ms: Unix time of the leader when it proposed this command.
     """
 
     change_id: str
@@ -117,7 +117,7 @@
 
 
 def decode_command(data: bytes) -> Command | None:
-    """Returns the command of a log entry, or None if this build does not know it."""
+    """Returns the command of a log entry, or None if this build does not know the command."""
     match msgspec.msgpack.decode(data):
         case ["join", list(members)]:
             return JoinMembers(tuple((name, run_id) for name, run_id in members))
--- a/landingshift/policies/coordinator.py
+++ b/landingshift/policies/coordinator.py
@@ -1,9 +1,9 @@
 """Coordinator of policy changes on the leader: tracks members' states, and commits or ends the change.
 
-Guarantee: a commit is proposed only once every member is prepared or certainly on standby, and no lease is
-granted from then on until the commit is applied or void. Failure mode: the state of the coordinator is lost
-with its leader. The next leader polls the members again; everything that must survive is in the replicated
-state machine.
+Guarantee: a commit is proposed only once every member is prepared (it decides by the old version only under
+short leases) or certainly on standby. From the proposal until the commit is applied, or void because a
+member joined, no lease is granted. Failure mode: the coordinator's state is lost when the leader changes. The
+next leader polls the members again; everything that must survive is in the replicated state machine.
 """
 
 from __future__ import annotations
@@ -65,11 +65,11 @@
 
 
 class ChangeCoordinator:
-    """Drives changes and answers members and operators while its voter is the leader.
+    """Advances changes, and answers members and operators, while this voter is the leader.
 
     Attributes:
-        reports: Members' reports in this term.
-        phase: Phase that members are asked for in the change in progress.
+        reports: Reports that members sent during this leader's term.
+        phase: Phase of the change in progress, which lease replies pass on to the members.
         committing_change_id: Id of the change whose commit is proposed and not yet applied; empty if none.
         next_deadline_ms: Time at which `tick` is due.
         outbox: Messages to send, each with its receiver.
@@ -82,13 +82,13 @@
         settings: PolicySettings,
         wall_clock_ms: Callable[[], float],
     ) -> None:
-        """Starts outside any term.
+        """Creates the coordinator of a voter that has not become leader yet.
 
         Args:
             raft: Raft node of this server, whether leader or not.
             state: Replicated state machine.
             settings: Protocol settings, the same on all servers.
-            wall_clock_ms: Returns Unix time for operators to read; no decision depends on it.
+            wall_clock_ms: Returns the Unix time shown to operators; no decision depends on it.
         """
         self._raft = raft
         self._state = state
@@ -100,14 +100,14 @@
 
     def _begin_term(self, now_ms: float) -> None:
         self.reports = MemberReports(self._settings, now_ms)
-        self._joining: dict[str, int] = {}  # run ids of servers whose join is not yet applied
+        self._joining: dict[str, int] = {}  # run id of each server whose join is not yet applied
         self._join_entry_index = 0
         self._change_id = ""  # the change that `phase` belongs to
         self._change_began_at_ms = now_ms
         self.phase = ChangePhase.NONE
         self.committing_change_id = ""
         self._commit_entry_index = 0
-        self._ending_change_id = ""  # the change whose end is proposed
+        self._ending_change_id = ""  # the change for which an `EndChange` is proposed
         self._proposed_entry_index: dict[str, int] = {}  # log index by proposal key, see `_propose_once`
         self._version = self._state.version
         self._committed_at_ms = NEVER_MS
@@ -115,7 +115,7 @@
         self.next_deadline_ms = now_ms
 
     def _is_leading(self, now_ms: float) -> bool:
-        """Returns whether this voter holds the leader lease; resets the state at the start of a new term."""
+        """Returns whether this voter holds the leader lease; resets the state when it begins a new term."""
         if not self._raft.has_leader_lease(now_ms):
             return False
         if self._raft.current_term != self._term:
@@ -136,9 +136,10 @@
         Args:
             sender: Name of the requesting server.
             request: The request.
-            now_ms: Monotonic clock, read after the request arrived.
-            known_leader: Leader that replies to this server's own requests. A replaced voter no longer learns
-                the leader from Raft, but servers that know only the initial voters may ask no other server.
+            now_ms: Time of the monotonic clock, read after the request arrived.
+            known_leader: Server that receives this server's own lease requests, used if Raft names no leader.
+                A removed voter gets no Raft messages, but is still asked by servers that know only the
+                initial voters.
         """
         if not self._is_leading(now_ms):
             leader = self._raft.leader or known_leader
@@ -152,7 +153,7 @@
         if not is_member and len(self._joining) < MAX_JOIN_COUNT:
             self._joining[sender] = request.run_id
             self.next_deadline_ms = now_ms
-        # No lease for the old version is granted once the commit may be replicated.
+        # Other servers can switch once the commit is proposed, so the old version gets no more leases.
         is_leased = is_member and not self.committing_change_id
         if self.reports.record(sender, request, is_leased, now_ms):
             self.next_deadline_ms = now_ms
@@ -180,12 +181,13 @@
         return f"{state.max_member_count} members are counted, which is the most"
 
     def _requested_phase(self) -> ChangePhase:
+        """Returns the phase for lease replies; a change that `tick` has not seen yet begins with VALIDATE."""
         if self._change_id == self._state.pending_change_id:
             return self.phase
         return ChangePhase.VALIDATE if self._state.pending_change_id else ChangePhase.NONE
 
     def _ended_change(self, change_id: str) -> EndedChange | None:
-        """Returns the outcome of the change that a member is in; None if it is in progress or unknown."""
+        """Returns the outcome of the change that a request names; None if it is unknown or in progress."""
         if not change_id or change_id == self._state.pending_change_id:
             return None
         change = self._state.find_change(change_id)
@@ -195,7 +197,7 @@
         return EndedChange(change_id, change.outcome.value, change.version, reason)
 
     def on_policy_request(self, sender: str, request: PolicyRequest) -> None:
-        """Sends the policy of the change in progress or of the version in force, as requested."""
+        """Sends the requested policy if it is that of the change in progress or of the version in force."""
         state = self._state
         if request.change_id and request.change_id == state.pending_change_id:
             policy = state.changes[request.change_id].policy
@@ -206,9 +208,10 @@
     # Requests of operators
 
     def on_operator_request(self, sender: str, request: OperatorRequest, now_ms: float) -> None:
-        """Executes an operator's command if this voter is the leader.
+        """Executes an operator's command and replies with a status, if this voter is the leader.
 
-        A proposal or withdrawal is answered only once it is applied; the sender repeats it until then.
+        A change has a status only once a log entry about it is applied. The sender repeats the command until
+        the reported outcome is final.
         """
         if not self._is_leading(now_ms):
             return
@@ -254,7 +257,7 @@
         self._send(sender, ChangeStatus(change_id, outcome, 0, reason))
 
     def _remove_member(self, sender: str, change_id: str, name: str, run_id: int) -> None:
-        """Removes only the given run of a member: by now, a new run may have joined under the same name."""
+        """Removes a member if its run id matches; by now, a new process might have joined under the name."""
         if self._state.has_member(name, run_id):
             self._propose_once(f"{name} {run_id} gone", RemoveMember(name, run_id))
             return
@@ -271,7 +274,7 @@
         return self._raft.propose(encode_command(command))
 
     def _propose_once(self, key: str, command: Command) -> None:
-        """Proposes a command unless its key has an uncommitted entry; duplicates would be harmless."""
+        """Proposes a command unless an older entry for `key` is uncommitted; duplicates would do nothing."""
         if self._proposed_entry_index.get(key, 0) <= self._raft.commit_index:
             index = self._propose(command)
             if index is not None:
@@ -386,7 +389,7 @@
 
 
 def _can_be_withdrawn(change: Change | None) -> bool:
-    """Returns whether a change may still be withdrawn, which includes one not proposed yet."""
+    """Returns whether a change can still be withdrawn; None stands for one that is not proposed yet."""
     return change is None or change.outcome is ChangeOutcome.PENDING
 
 
--- a/landingshift/policies/document.py
+++ b/landingshift/policies/document.py
@@ -1,7 +1,7 @@
 """Format of policies: values for methods, tenants and admission rules.
 
-A policy is complete: a value that it does not set is that of the server's startup settings. A policy file is
-TOML; servers send and store the same tables as MessagePack.
+A policy replaces the previous one as a whole: a value that it does not set returns to the server's startup
+setting. A policy file is TOML; servers send and store the same tables as MessagePack.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 from landingshift.policies.errors import InvalidPolicyError
 
-MAX_POLICY_BYTES = 65_536  # size of an encoded policy
+MAX_POLICY_BYTES = 65_536  # maximum size of an encoded policy
 NEWEST_FORMAT = 2  # newest policy format that this build reads
 MAX_VALUE = 1e15  # well below 2**53, above which floats can't represent every whole number
 POLICY_ROOT = "the whole"  # replaces the key in errors that concern no single key
@@ -30,8 +30,9 @@
 
     Attributes:
         since_format: First format that has the key.
-        attribute: Attribute of the admission module's object that holds the value.
-        is_fraction: Whether the value may be at most 1.
+        attribute: Name of the attribute that holds the value, on a method, tenant or settings object of the
+            admission package.
+        is_fraction: Whether values above 1 are invalid.
     """
 
     since_format: int
@@ -54,7 +55,7 @@
 
 
 def parse_policy(text: str) -> bytes:
-    """Encodes the text of a policy file.
+    """Validates the text of a policy file and returns the encoded policy.
 
     Raises:
         InvalidPolicyError: The policy is invalid.
@@ -65,7 +66,7 @@
         raise InvalidPolicyError(NOT_TOML, str(error)) from error
     try:
         encoded = msgspec.msgpack.encode(data, order="deterministic")
-    except (OverflowError, TypeError) as error:  # TOML allows larger integers, and dates
+    except (OverflowError, TypeError) as error:  # TOML allows integers that MessagePack can't encode
         raise InvalidPolicyError(POLICY_ROOT, str(error)) from error
     decode_policy(encoded, NEWEST_FORMAT)
     if len(encoded) > MAX_POLICY_BYTES:
@@ -78,7 +79,7 @@
 
     Args:
         encoded: Result of `parse_policy`; empty for the startup settings.
-        newest_format: Newest format that the reader accepts.
+        newest_format: Newest policy format to accept.
 
     Raises:
         InvalidPolicyError: The policy is invalid or has a newer format.
--- a/landingshift/policies/enforcement.py
+++ b/landingshift/policies/enforcement.py
@@ -1,8 +1,8 @@
-"""Tells the admission controller which policy version is in force, and whether it may decide at all.
+"""Applies new policy versions to the admission controller, and switches the server to standby and back.
 
-Guarantee: both are checked at the end of each pass of the event loop, before the controller starts or rejects
-an RPC; a server that may not decide is on standby. Failure mode: a process that is paused after the check
-resumes within the same pass, and acts on a check that may be out of date.
+Guarantee: at the end of each pass of the event loop, before the controller starts or rejects an RPC, a new
+version is applied, and the server goes on standby if it is not allowed to decide. Failure mode: if the
+process is paused after this check, it resumes in the same pass, where the check might be out of date.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
     def __init__(
         self, host: ServiceHost, server_name: str, overlay: PolicyOverlay, participant: ChangeParticipant
     ) -> None:
-        """Registers the check, and a readiness gate that is removed once this server may decide."""
+        """Registers the check, and a readiness gate that is removed once this server is allowed to decide."""
         self.applied_version = 0
         self._router = host.router
         self._loop = host.router.loop
@@ -50,11 +50,11 @@
             self._router.observers.add(self)
 
     def before_decisions(self) -> None:
-        """Applies a new version, and tells the controller whether it may decide."""
+        """Applies a new version, and enters or leaves standby; called at the end of each loop pass."""
         controller, participant = self._router.admission, self._participant
         if controller is None:
             return
-        # The clock is read again for a lease, which may have expired since the start of the pass.
+        # If a lease is needed, it might have expired since the loop read the clock at the start of the pass.
         now_ms = self._loop.clock_ms() if participant.needs_lease else self._loop.now_ms
         if participant.version > self.applied_version:
             self._apply_version(controller)
@@ -77,7 +77,7 @@
     def _update_controller(self, controller: AdmissionController) -> None:
         may_decide = self._may_decide
         is_shutting_down = controller.stop_at_ms is not None
-        if not is_shutting_down or not may_decide:
+        if not is_shutting_down or not may_decide:  # a server that is shutting down does not leave standby
             controller.now_ms = self._loop.now_ms
             controller.set_standby(not may_decide)
             self._router.request_settle()
@@ -87,7 +87,7 @@
         self._log("policy_aside", on=not may_decide, version=self._participant.version, why=reason)
 
     def standby_reason(self) -> str:
-        """Returns why this server may not decide, for operators."""
+        """Returns the reason why this server is on standby, as shown to operators."""
         participant = self._participant
         if participant.refusal_reason:
             return participant.refusal_reason
@@ -99,14 +99,14 @@
             return f"no lease from the leader for too long, during change {participant.change_id}"
         return "no lease from the leader for too long"
 
-    # Observer of RPCs, which records decisions for the history checker
+    # RPC observer, registered only while decisions are recorded for the history checker
 
     def on_started(self, _rpc: RoutedRpc) -> None:
         """Records the start of an RPC as a decision."""
         self._record_decision()
 
     def on_answered(self, _rpc: RoutedRpc, kind: AnswerKind) -> None:
-        """Records a rejection as a decision; a rejection on standby does not depend on the policy."""
+        """Records rejections as decisions, except those on standby, which do not depend on the policy."""
         if kind is AnswerKind.REJECTED and self._may_decide:
             self._record_decision()
 
--- a/landingshift/policies/errors.py
+++ b/landingshift/policies/errors.py
@@ -13,7 +13,7 @@
     """A policy can't be read, or this server can't apply it; the message begins with the key.
 
     Attributes:
-        key: Dotted path in the policy, or a name for the whole policy.
+        key: Dotted path of the invalid value, or a phrase that stands for the whole policy.
         reason: Description of the problem.
     """
 
@@ -45,7 +45,7 @@
 
 
 class InvalidParamsError(OperatorCallError):
-    """A call has invalid parameters."""
+    """The parameters of a call are invalid; the message says which are expected."""
 
     def __init__(self, expectation: str) -> None:
         self.expectation = expectation
@@ -69,7 +69,7 @@
 
 
 class NotAVoterError(OperatorCallError):
-    """Only a voter can answer the call."""
+    """This server is not a voter, and only voters can answer the call."""
 
     def __init__(self, voters: list[str]) -> None:
         self.voters = voters
--- a/landingshift/policies/leader_discovery.py
+++ b/landingshift/policies/leader_discovery.py
@@ -1,8 +1,8 @@
 """Discovery of the leader from replies, redirects and missing replies.
 
 Guarantee: the leader is found as long as a reachable server knows it, because requests go to the voters in
-turn and then to any server that is alive. Failure mode: two servers that each name the other as the leader
-are followed a few times without delay, then only at the regular interval.
+turn and then to any server that is alive. Failure mode: if two servers name each other as the leader, their
+redirects are followed a few times without delay, then only at the interval of lease requests.
 """
 
 from __future__ import annotations
@@ -10,14 +10,16 @@
 from collections.abc import Callable
 from random import Random
 
-MAX_IMMEDIATE_REDIRECT_COUNT = 4  # in a row; servers that redirect to each other may both be wrong
-MAX_UNANSWERED_COUNT = 2  # in a row, before requests go to another server
+MAX_IMMEDIATE_REDIRECT_COUNT = 4  # consecutive ones; two servers might redirect to each other
+MAX_UNANSWERED_COUNT = 2  # consecutive unanswered requests before the next candidate is tried
 FIRST_RETRY_MS = 250.0
 MAX_RETRY_DOUBLING_COUNT = 3
 
 
 class LeaderDiscovery:
-    """Chooses the server that requests are sent to.
+    """Chooses the server that lease requests are sent to.
+
+    Until one replies, the voters are tried in turn, and a random alive server once all of them were silent.
 
     Attributes:
         leader: Name of the server that requests go to; empty if the next candidate is to be tried.
@@ -38,7 +40,7 @@
         self._redirect_count = 0
 
     def choose_target(self) -> str:
-        """Returns the receiver of the next request, a new one if the last one does not reply."""
+        """Returns the receiver of the next request; tries the next candidate if the current one is silent."""
         if self._unanswered_by_leader_count >= MAX_UNANSWERED_COUNT or not self.leader:
             self._choose_next_candidate()
         self._unanswered_by_leader_count += 1
@@ -51,13 +53,13 @@
         self._unanswered_by_leader_count = 0
         has_tried_all = self._unanswered_count >= MAX_UNANSWERED_COUNT * len(candidates)
         peers = self.list_alive_peers() if has_tried_all else []
-        if peers and self._candidate_index == 0:  # no known voter replied; another server may know the leader
+        if peers and self._candidate_index == 0:  # no voter replied; another server might know the leader
             self.leader = self._rng.choice(peers)
 
     def next_retry_ms(self) -> float:
         """Returns the retry delay of a request, and counts the request as unanswered until a reply arrives.
 
-        The delay doubles each time up to a limit, because the leader may be gone for good.
+        The delay doubles each time up to a limit, because the leader might never return.
         """
         doubling_count = min(self._unanswered_count, MAX_RETRY_DOUBLING_COUNT)
         self._unanswered_count += 1
@@ -74,12 +76,12 @@
         self.leader = leader
 
     def on_voters_received(self, voters: tuple[str, ...]) -> None:
-        """Stores the voters that the leader reported."""
+        """Stores the voters that the leader reported, and allows immediate redirects again."""
         self.voters = list(voters)
         self._redirect_count = 0
 
     def on_redirected(self, leader: str) -> bool:
-        """Follows a redirect to `leader`; if that is empty, the next candidate is tried.
+        """Follows a redirect to `leader`; if `leader` is empty, the next request tries the next candidate.
 
         Returns:
             Whether to send a request to the new leader immediately.
--- a/landingshift/policies/log_writer.py
+++ b/landingshift/policies/log_writer.py
@@ -1,7 +1,8 @@
 """Saves a voter's state to its log file, and retries after write errors.
 
-Guarantee: no message that depends on unsaved state is sent. Failure mode: with a full disk this voter answers
-no elections and accepts no entries; the other voters continue without it.
+Guarantee: `save` returns True only once the state is on disk; its caller holds back the messages that depend
+on the state until then. Failure mode: while the disk is full, this voter does not vote and accepts no
+entries; the other voters continue without it.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 
 class LogWriter:
-    """Writes the log file of a voter, with retries."""
+    """Writes the log file of a voter; skips attempts within `RETRY_INTERVAL_MS` after an error."""
 
     def __init__(self, log_file: RaftLogFile, log: Callable[..., None]) -> None:
         self._log_file = log_file
@@ -27,7 +28,7 @@
         """Writes and syncs the state.
 
         Returns:
-            False if the write failed, or if the interval since the last failure has not passed.
+            False if the write failed, or was skipped because the last failure is too recent.
         """
         if now_ms < self._retry_at_ms:
             return False
--- a/landingshift/policies/messages.py
+++ b/landingshift/policies/messages.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-MAX_SENT_REASON_CHARS = 200  # length of a reason in a message to a member
+MAX_SENT_REASON_CHARS = 200  # maximum length of a reason in a message to a member
 
 
 class ChangePhase(Enum):
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ChangeVoters:
-    """Adds a voter, or removes one."""
+    """Adds a server to the voters, or removes it."""
 
     is_addition: bool
     name: str
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DeclareDeparted:
-    """Declares that a run of a member has ended."""
+    """Declares that the process `run_id` of a member has ended."""
 
     name: str
     run_id: int
@@ -91,7 +91,7 @@
         version: Version that the server decides by; -1 if it has none yet.
         change_id: Id of the change whose policy the server has; empty if there is none.
         state: Value of the server's `ParticipantState` in that change.
-        rejection_reason: Reason why the server can't apply that policy.
+        rejection_reason: Reason why the server can't apply that policy; empty if it can.
         fingerprint: `PolicySettings.fingerprint` of the server, which must equal the leader's.
         can_become_voter: Whether the server has a log file.
     """
@@ -108,7 +108,7 @@
 
 @dataclass(slots=True, frozen=True)
 class UnreadableLeaseRequest:
-    """Stands for a lease request of which only the number is readable."""
+    """Stands for a lease request in an unknown format, whose number could still be read."""
 
     number: int
 
@@ -121,7 +121,7 @@
         change_id: Id of the change.
         outcome: Value of its `ChangeOutcome`.
         version: Version that the change created; 0 if it was not committed.
-        reason: Reason why it was not committed.
+        reason: Reason why it was not committed; empty if it was.
     """
 
     change_id: str
@@ -136,12 +136,12 @@
 
     Attributes:
         number: Number of the request.
-        is_member: Whether the sender is a member, so that changes wait for it.
+        is_member: Whether the requesting server is a member, so that changes wait for it.
         version: Version in force.
         change_id: Id of the change in progress; empty if there is none.
         phase: Phase of that change.
         ended: Outcome of the change that the request named; None while it is in progress.
-        is_lease_granted: Whether the member may decide by its version for the duration of a lease.
+        is_lease_granted: Whether the leader grants the member a lease to decide by `version`.
         voters: Names of all voters, from the leader's log.
     """
 
@@ -157,7 +157,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Redirect:
-    """Names the leader, in reply to a lease request to another server; `leader` is empty if unknown."""
+    """Answers a lease request sent to a server that is not the leader; `leader` is empty if unknown."""
 
     number: int
     leader: str
@@ -173,7 +173,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StatusPoll:
-    """Asks a member to send a lease request soon, because a change or a version is new to it."""
+    """Asks a member to send a lease request soon, because its last one lags behind the leader's state."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -195,7 +195,7 @@
 
 @dataclass(slots=True, frozen=True)
 class OperatorRequest:
-    """Carries an operator's command to the leader, sent by the server that received it."""
+    """Forwards an operator's command to the leader from the server at which the operator submitted it."""
 
     change_id: str
     command: OperatorCommand
@@ -203,7 +203,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Departure:
-    """Announces that the sender's process ends and that this run decides on no more RPCs."""
+    """Announces that the sender's process is ending and decides on no more RPCs."""
 
     run_id: int
 
@@ -218,7 +218,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ChangeStatus:
-    """Status of a change or of another operator's command.
+    """Status of a change, or of an operator's command that does not concern a change.
 
     Attributes:
         change_id: Id of the change or command.
--- a/landingshift/policies/node.py
+++ b/landingshift/policies/node.py
@@ -1,8 +1,8 @@
-"""One server's node for policies: a participant, and on a voter also the Raft node and the coordinator.
+"""Policy node of a server: a participant, and with a log file also a Raft node and a coordinator.
 
-The node does no I/O. Its driver passes in messages, the time and a random generator, and takes out the
-messages to send and the state to save before them. `now_ms` must be read after the message has arrived: a
-leader lease judged by an earlier time could already have expired.
+The node does no I/O. Its driver passes in messages, the time and a random generator, and takes out the state
+to save and the messages to send once the state is saved. The driver must read the clock for `now_ms` after a
+message has arrived; with an earlier time, an expired leader lease could seem valid.
 """
 
 from __future__ import annotations
@@ -42,9 +42,9 @@
 from landingshift.policies.wire import decode_message, encode_message
 
 STATE_MACHINE_NAME = "policies"
-COMPACTION_ENTRY_COUNT = 200  # entries after which a snapshot replaces them
+COMPACTION_ENTRY_COUNT = 200  # number of applied entries in the log at which a snapshot replaces them
 DEFAULT_TIMEOUTS = RaftTimeouts()
-MAX_LOCAL_DELIVERY_COUNT = 8  # rounds of messages to itself, each of which may cause the next
+MAX_LOCAL_DELIVERY_COUNT = 8  # rounds of messages to itself; each round can produce further messages
 
 
 class PolicyNode:
@@ -53,12 +53,12 @@
     Attributes:
         name: Name of this server.
         run_id: Random id of this process, new at each start.
-        participant: Participant that determines which version this server may decide by.
+        participant: Participant that determines which version this server can decide by.
         raft: Raft node; None on a server without a log file.
         coordinator: Coordinator of changes, active while `raft` is the leader; None if `raft` is None.
         state_machine: Replicated state of policies, as applied on this server.
         state_machines: All state machines on the replicated log.
-        commit_listeners: Callbacks that receive the current time after entries were applied.
+        commit_listeners: Functions to call with the current time after entries were applied.
         operator_commands: Commands that operators submitted to this server.
     """
 
@@ -85,7 +85,7 @@
             persistent_state: State from the log file; None on a server without one.
             rng: Source of the jitter of requests and elections.
             now_ms: Current time of the monotonic clock.
-            wall_clock_ms: Returns Unix time for operators to read.
+            wall_clock_ms: Returns the Unix time shown to operators.
             timeouts: Timeouts of Raft.
             max_member_count: Maximum number of members.
         """
@@ -115,7 +115,7 @@
         return self.raft.unsaved_state() if self.raft is not None else None
 
     def on_state_saved(self, now_ms: float) -> None:
-        """Continues after the result of `unsaved_state` is saved."""
+        """Allows sending the messages that wait for `unsaved_state`, and applies newly committed entries."""
         assert self.raft is not None, "only a voter has unsaved state"
         self.raft.on_state_saved()
         self._apply_committed(now_ms)
@@ -141,7 +141,7 @@
         self.deliver_messages(now_ms)
 
     def on_message(self, sender: str, body: list[Any], now_ms: float) -> None:
-        """Processes a message of a peer; drops it if it is unreadable."""
+        """Decodes and processes a message of another server; drops it if it is unreadable."""
         try:
             message = decode_message(body)
         except UnreadableMessageError:
@@ -151,7 +151,7 @@
         self.deliver_messages(now_ms)
 
     def take_outgoing(self) -> list[tuple[str, list[Any]]]:
-        """Returns receivers and bodies of messages to send; holds back Raft's until its state is saved."""
+        """Takes the (receiver, body) pairs to send; Raft's messages wait until its state is saved."""
         messages = self._outbox
         self._outbox = []
         if self.raft is not None:
@@ -160,7 +160,7 @@
         return [(receiver, encode_message(message)) for receiver, message in messages]
 
     def deliver_messages(self, now_ms: float) -> None:
-        """Collects the messages to send, and processes those to this server itself."""
+        """Processes the messages to this server itself, and queues all others for `take_outgoing`."""
         for _ in range(MAX_LOCAL_DELIVERY_COUNT):
             local_messages = self._collect_outgoing()
             for message in local_messages:
@@ -211,7 +211,8 @@
             packet = decode_raft_message(data)
         except InvalidMessageError:
             return
-        # A voter whose log is behind also accepts voters known only from the settings or the leader.
+        # A voter whose log is behind might not know all voters, so it also accepts messages from those in the
+        # settings and those that the leader reported.
         self.raft.additional_senders = {*self._initial_voters, *self.participant.discovery.voters}
         self.raft.on_message(sender, packet, now_ms)
         self._apply_committed(now_ms)
@@ -228,7 +229,7 @@
         self._tick_coordinator_if_due(self.coordinator, now_ms)
 
     def _on_policy_request(self, sender: str, request: PolicyRequest) -> None:
-        """Sends the requested policy; a server without a log file has only the one that it decides by."""
+        """Sends the requested policy; without a log file this server has only the one that it decides by."""
         if self.coordinator is not None:
             self.coordinator.on_policy_request(sender, request)
         elif not request.change_id and request.version == self.participant.version:
@@ -269,13 +270,13 @@
     # Operators
 
     def submit_command(self, change_id: str, command: OperatorCommand, now_ms: float) -> bool:
-        """Queues a command to be forwarded to the leader until it replies; False if too many are pending."""
+        """Queues a command for the leader; returns False if too many commands are pending."""
         return self.operator_commands.submit(change_id, command, now_ms)
 
     def forward_command(self, change_id: str, now_ms: float) -> None:
         """Sends a pending command to the leader, and from the second attempt on to all voters.
 
-        Between changes lease requests are rare, so the known leader may have been gone for some time.
+        Between changes lease requests are rare, so the known leader might have stopped some time ago.
         """
         pending = self.operator_commands.next_attempt(change_id, now_ms)
         if pending is None:
@@ -291,7 +292,7 @@
                 self._outbox.append((receiver, request))
 
     def change_status(self, change_id: str) -> ChangeStatus:
-        """Returns what this server knows of a change; a final outcome never changes."""
+        """Returns the status of a change as known to this server; a final outcome never changes."""
         change = self.state_machine.find_change(change_id) if self.raft is not None else None
         if change is not None and change.outcome is not ChangeOutcome.PENDING:
             return ChangeStatus(change_id, change.outcome.value, change.version, change.outcome_reason)
@@ -304,11 +305,11 @@
         return self.operator_commands.last_status(change_id)
 
     def announce_departure(self) -> None:
-        """Queues the last messages of this run, which tell the voters that it decides on no more RPCs."""
+        """Queues messages to the other voters, which say that this process decides on no more RPCs."""
         for voter in self.participant.discovery.voters:
             if voter != self.name:
                 self._outbox.append((voter, Departure(self.run_id)))
 
     def list_changes(self) -> list[Change]:
-        """Returns all changes stored with details, newest last."""
+        """Returns all changes that are stored with details here, newest last."""
         return list(self.state_machine.changes.values())
--- a/landingshift/policies/operator_calls.py
+++ b/landingshift/policies/operator_calls.py
@@ -57,7 +57,7 @@
         }
 
     def submit(self, params: list[Any]) -> bool:
-        """Forwards a command to the leader; returns False if too many are pending.
+        """Submits a command for the leader; returns False if too many commands are pending.
 
         Args:
             params: [id, name of the command, fields of the command ...].
@@ -71,7 +71,7 @@
         raise InvalidParamsError(EXPECTED_COMMAND)
 
     def _declare_departed(self, name: str) -> OperatorCommand:
-        """Returns the command that declares the last known run of a member departed."""
+        """Returns a command which declares that the last known process of a member has ended."""
         record = self._service.member_record(name)
         if record is None:
             raise UnknownMemberError(name)
@@ -80,14 +80,14 @@
         return DeclareDeparted(name, record.run_id)
 
     def change_status(self, params: list[Any]) -> dict[str, Any]:
-        """Returns what this server knows of a change; `params` is [id]."""
+        """Returns the status of a change as known to this server; `params` is [id]."""
         match params:
             case [str(change_id)]:
                 return _status_to_map(self._node.change_status(change_id))
         raise InvalidParamsError(EXPECTED_ID)
 
     def server_status(self, _params: list[Any]) -> dict[str, Any]:
-        """Returns the state of this server, on a voter with that of the log; takes no parameters."""
+        """Returns the state of this server, with that of Raft if it has a log file; takes no parameters."""
         participant = self._participant
         now_ms = self._service.clock_ms()
         may_decide = participant.may_decide(now_ms)
@@ -110,7 +110,7 @@
         return status | self._voter_status(now_ms)
 
     def _voter_status(self, now_ms: float) -> dict[str, Any]:
-        """Returns the entries that only a voter has; empty on other servers."""
+        """Returns the entries that only a server with a log file has; empty on other servers."""
         raft, coordinator, state = self._node.raft, self._node.coordinator, self._node.state_machine
         if raft is None or coordinator is None:
             return {}
@@ -129,7 +129,7 @@
         return status
 
     def history(self, _params: list[Any]) -> list[dict[str, Any]]:
-        """Returns all changes that the voters store, newest last; takes no parameters."""
+        """Returns all changes that this voter stores with details, newest last; takes no parameters."""
         if self._node.raft is None or not self._node.raft.is_voter:
             raise NotAVoterError(self._participant.discovery.voters)
         return [_change_to_map(change) for change in self._node.list_changes()]
@@ -150,7 +150,7 @@
         return policy
 
     def trust(self, params: list[Any]) -> bool:
-        """Adopts a version on an operator's word, without a leader; `params` is [version, policy]."""
+        """Adopts a version that an operator declares to be in force; `params` is [version, policy]."""
         match params:
             case [int(version), bytes(policy)] if version >= 0:
                 reason = self._participant.adopt_trusted_version(version, policy)
@@ -162,7 +162,7 @@
 
 
 def _is_valid_command(fields: list[Any]) -> bool:
-    """Returns whether the fields are a command within the size limits; `submit` itself handles "gone"."""
+    """Returns whether the fields are a command within the size limits; `submit` checks "gone" itself."""
     match fields:
         case ["propose", bytes(policy), str(author), str(reason)]:
             return len(policy) <= MAX_POLICY_BYTES and _are_within_limits(author, reason)
--- a/landingshift/policies/operator_commands.py
+++ b/landingshift/policies/operator_commands.py
@@ -1,7 +1,7 @@
 """Operators' commands pending on this server, and the leader's replies to them.
 
-Guarantee: a command is forwarded to the leader repeatedly until it is answered or times out; an outcome that
-was reported as final never changes. Failure mode: without a leader the outcome is "unknown".
+Guarantee: a command is forwarded to the leader repeatedly until its outcome is final or it times out; a final
+outcome never changes. Failure mode: without a leader the outcome is "unknown".
 """
 
 from __future__ import annotations
@@ -12,20 +12,20 @@
 from landingshift.policies.messages import ChangeStatus, FindChange, OperatorCommand, ProposeChange
 
 FORWARD_INTERVAL_MS = 300.0  # between attempts to forward a command
-COMMAND_TIMEOUT_MS = 120_000.0  # after which an unanswered command is dropped
+COMMAND_TIMEOUT_MS = 120_000.0  # after which a command without a final outcome is dropped
 MAX_PENDING_COMMAND_COUNT = 32
 MAX_STORED_STATUS_COUNT = 256
 
 
 @dataclass(slots=True)
 class PendingOperatorCommand:
-    """Operator's command that the leader has not answered yet.
+    """Operator's command whose outcome is not final yet.
 
     Attributes:
         command: The command.
-        submitted_at_ms: Time of the last submission by the operator.
-        due_at_ms: Time of the next attempt to forward it.
-        attempt_count: Number of attempts so far.
+        submitted_at_ms: Time when the operator submitted `command`.
+        due_at_ms: Time of the next attempt to forward the command.
+        attempt_count: Number of attempts so far to forward a command for this change.
     """
 
     command: OperatorCommand
@@ -38,7 +38,7 @@
     """Commands submitted to this server, and the replies to them.
 
     Attributes:
-        pending: Commands without a final reply, by change id.
+        pending: Commands whose outcome is not final yet, by change id.
         statuses: Last reply for each change, by change id.
     """
 
@@ -47,12 +47,12 @@
         self.statuses: dict[str, ChangeStatus] = {}
 
     def submit(self, change_id: str, command: OperatorCommand, now_ms: float) -> bool:
-        """Queues a command, which replaces a pending one for the same change.
+        """Queues a command, which replaces a pending command for the same change.
 
         A pending proposal is never replaced, and a `FindChange` replaces nothing.
 
         Returns:
-            False if too many commands are pending.
+            False if the command was dropped because too many are pending.
         """
         pending = self.pending.get(change_id)
         if pending is None:
@@ -79,7 +79,10 @@
         return pending
 
     def on_status(self, status: ChangeStatus) -> None:
-        """Stores the leader's reply to a pending command, which ends if the reply is final."""
+        """Stores the leader's reply to a pending command, and removes the command if the reply is final.
+
+        Any reply to a `FindChange` is final.
+        """
         change_id = status.change_id
         pending = self.pending.get(change_id)
         if pending is None:
@@ -96,6 +99,6 @@
         return status if status is not None and status.outcome in FINAL_OUTCOMES else None
 
     def last_status(self, change_id: str) -> ChangeStatus:
-        """Returns the status that the leader reported last."""
+        """Returns the status that the leader reported last; "unknown" if it has reported none."""
         unknown = ChangeStatus(change_id, UNKNOWN_OUTCOME, 0, "no leader has answered yet")
         return self.statuses.get(change_id, unknown)
--- a/landingshift/policies/overlay.py
+++ b/landingshift/policies/overlay.py
@@ -9,7 +9,7 @@
 from landingshift.policies.document import ALL_TABLES, NEWEST_FORMAT, decode_policy
 from landingshift.policies.errors import InvalidPolicyError
 
-FORMAT_VARIABLE = "LANDINGSHIFT_FORMAT"  # in tests, makes this build read policies like an older one
+FORMAT_VARIABLE = "LANDINGSHIFT_FORMAT"  # newest format to accept; tests set it to imitate an older build
 
 
 def newest_readable_format() -> int:
@@ -21,7 +21,7 @@
     """Checks policies against this server's settings, and applies them over the startup values.
 
     Attributes:
-        owners: Objects of the admission module that hold the values, by table and name.
+        owners: Objects of the admission package that hold the values, by table and name.
         startup_values: Values at the start of this server, by table, name and attribute.
     """
 
--- a/landingshift/policies/participant.py
+++ b/landingshift/policies/participant.py
@@ -1,17 +1,17 @@
-"""Participant of policy changes: which policy version a server may decide by, and its state in a change.
+"""Participant of policy changes: which policy version a server decides by, and its state in a change.
 
 These rules bound the time during which the old and the new version are both in use:
 
-1. A server decides on no RPC until the leader has confirmed its membership and the version in force.
-2. A server prepares only after it has fetched and validated the policy of the change. Once prepared, it
-   decides by the old version only under leases of `prepared_lease_ms`. The leader stops granting leases
-   before it replicates the commit, so no server decides by the old version for longer than such a lease
-   after another has decided by the new one.
-3. A prepared server leaves that state only when it learns the outcome of this change. A late reply, sent
-   before the change was opened, must not release it.
-4. With `is_standby_when_cut_off` every decision needs a lease of `lease_ms`, also between changes.
+- A server decides on no RPC until the leader has confirmed its membership and the version in force.
+- A server prepares only after it has fetched and validated the policy of the change. A prepared server
+  decides by the old version only under leases of `prepared_lease_ms`. The leader stops granting leases before
+  it replicates the commit. So once one server decides by the new version, all others stop deciding by the old
+  one within the duration of such a lease.
+- A prepared server leaves that state only when it learns the outcome of the change. A late reply, sent before
+  the change was opened, must not release it.
+- With `is_standby_when_cut_off`, decisions also need a lease between changes; that lease lasts `lease_ms`.
 
-A lease starts when its request was sent, by this server's monotonic clock. Failure mode: a prepared server
+A lease begins when its request is sent, by this server's monotonic clock. Failure mode: a prepared server
 that is cut off goes on standby until a leader reports the outcome of the change.
 """
 
@@ -40,11 +40,11 @@
 
 NEVER_MS = -inf
 MAX_ENDED_CHANGE_COUNT = 64  # ended changes whose outcome is stored
-MAX_TRACKED_REQUEST_COUNT = 16  # requests whose sending time is stored
+MAX_TRACKED_REQUEST_COUNT = 16  # requests whose sending time is stored; replies to older requests are ignored
 IDLE_REQUEST_INTERVAL_MS = 2000.0  # between changes, when no lease is needed
 POLL_SPREAD_MS = 20.0  # replies to a poll are spread over this time, so that they do not all arrive at once
 MIN_REQUEST_INTERVAL_MS = 10.0
-REQUESTS_PER_LEASE = 4.0  # so that a lease outlives lost requests
+REQUESTS_PER_LEASE = 4.0  # so that a lease can be extended in time even if requests are lost
 MIN_JITTER, MAX_JITTER = 0.8, 1.2  # factors of an interval, so that servers do not send in lockstep
 
 
@@ -58,7 +58,7 @@
 
 
 class ChangeParticipant:
-    """One server's side of a change.
+    """A server's part in policy changes: asks the leader for leases and policies, and follows its replies.
 
     Attributes:
         discovery: Discovery of the leader.
@@ -67,10 +67,10 @@
         can_become_voter: Whether this server has a log file.
         version: Policy version that this server decides by; -1 until it has one.
         policy: Encoded policy of that version.
-        latest_version: Newest version known to be in force; `policy` may still be missing for it.
+        latest_version: Newest version known to be in force; its policy might not have arrived yet.
         change_id: Id of the change whose policy this server has; empty if there is none.
         state: State of this server in that change.
-        rejection_reason: Reason why this server can't apply the policy of that change.
+        rejection_reason: Reason why this server can't apply the policy of that change; empty if it can.
         lease_expiry_ms: End of the lease, by the monotonic clock.
         ended_changes: Outcomes of the changes that this server took part in, by id, newest last.
         last_request_number: Number of the last lease request sent.
@@ -88,7 +88,7 @@
         rng: Random,
         now_ms: float,
     ) -> None:
-        """Starts without a version.
+        """Creates the participant of a server that has no policy version yet.
 
         Args:
             run_id: Random id of this process, new at each start.
@@ -129,13 +129,13 @@
         return self._settings.is_standby_when_cut_off or self.state is ParticipantState.PREPARED
 
     def may_decide(self, now_ms: float) -> bool:
-        """Returns whether this server may decide on RPCs now, by `version`."""
+        """Returns whether this server is allowed to decide on RPCs by `version` at `now_ms`."""
         if not self.is_member or self.latest_version > self.version:
             return False
         return now_ms < self.lease_expiry_ms if self.needs_lease else True
 
     def adopt_trusted_version(self, version: int, policy: bytes) -> str:
-        """Adopts a version that an operator declares to be in force, for use when no leader will return.
+        """Adopts a version that an operator declares to be in force, for use when no leader can return.
 
         Returns:
             Reason why the version was not adopted; empty if it was.
@@ -198,7 +198,7 @@
         return self._rng.uniform(MIN_JITTER, MAX_JITTER)
 
     def _request_by(self, at_ms: float) -> None:
-        """Moves the next request forward to `at_ms` if it is due later."""
+        """Makes the next request due at `at_ms`, unless it is due earlier."""
         self.next_deadline_ms = min(self.next_deadline_ms, at_ms)
 
     def _request_at_once(self, now_ms: float) -> None:
@@ -207,7 +207,7 @@
     # Messages
 
     def on_message(self, sender: str, message: Message, now_ms: float) -> None:
-        """Processes a message for participants; ignores other messages and replies to untracked requests."""
+        """Processes a message for participants; ignores replies whose request is no longer tracked."""
         match message:
             case StatusPoll():
                 spread_ms = POLL_SPREAD_MS * self._rng.random()
@@ -245,7 +245,7 @@
         self._request_by(now_ms + self._request_interval_ms() * self._jitter())
 
     def _end_change(self, ended: EndedChange, version_in_force: int) -> None:
-        """Leaves the current change. By rule 3, a prepared server does this only on its outcome."""
+        """Leaves the current change, whose outcome is known, and adopts its version if that is in force."""
         self.ended_changes[ended.change_id] = ended
         if len(self.ended_changes) > MAX_ENDED_CHANGE_COUNT:
             del self.ended_changes[next(iter(self.ended_changes))]
@@ -266,7 +266,7 @@
             self._request_by(now_ms + self._prepared_request_interval_ms)
 
     def _prepare_if_requested(self, reply: LeaseReply, now_ms: float) -> None:
-        """Prepares by rule 2: later leases are short, and a longer current lease is shortened."""
+        """Prepares if the leader asks for it and the policy is valid; shortens a longer current lease."""
         is_requested = reply.change_id == self.change_id and reply.phase is ChangePhase.PREPARE
         if is_requested and self.state is ParticipantState.VALIDATED:
             self.state = ParticipantState.PREPARED
--- a/landingshift/policies/policy_settings.py
+++ b/landingshift/policies/policy_settings.py
@@ -13,9 +13,9 @@
 
     Attributes:
         voters: Initial voters, used until the replicated log names others.
-        is_standby_when_cut_off: Whether each decision needs a lease at all times, so that a change need not
-            wait for a server that is cut off.
-        overlap_ms: Maximum time during which two versions may be in use at once.
+        is_standby_when_cut_off: Whether decisions need a lease also between changes. A server that is cut off
+            then goes on standby, and a change need not wait for it.
+        overlap_ms: Maximum time during which two versions can be in use at once.
         lease_ms: Duration of a lease between changes, if `is_standby_when_cut_off`.
         clock_margin_ms: Extra time after the end of a lease before the leader considers it expired.
         change_timeout_ms: Time after which a change that is not committed is withdrawn.
@@ -30,7 +30,7 @@
 
     @property
     def prepared_lease_ms(self) -> float:
-        """Duration of a lease of a prepared server, which may use the old version until it expires."""
+        """Duration of a lease of a prepared server, which can use the old version until its lease expires."""
         return PREPARED_LEASE_FRACTION * self.overlap_ms
 
     @property
--- a/landingshift/policies/service.py
+++ b/landingshift/policies/service.py
@@ -1,4 +1,4 @@
-"""Policy service on the event loop: messages, timers, the log file, and the log for other packages."""
+"""Policy service: runs the policy node on the event loop, and offers its log to other packages."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
     from landingshift.net.program.features import ServiceHost
 
 PACKAGE = "policies"  # names this package's messages in the datagrams of membership
-MIN_TIMER_MS = 1.0  # shortest timer
-MAX_SAVE_ROUND_COUNT = 8  # rounds of saving, each of which may produce more state to save
+MIN_TIMER_MS = 1.0  # shortest delay of a timer, and smallest amount by which a set timer is moved forward
+MAX_SAVE_ROUND_COUNT = 8  # rounds of saving and sending; each round can produce more state to save
 
 
 class PolicyService:
@@ -82,8 +82,8 @@
         membership.operator_rpc.handlers |= OperatorCalls(self).handlers()
         self._loop.after(0.0, self._on_timer)
 
-    # Time and messages. The clock is read again for each message, because a message may have arrived after
-    # the loop read it at the start of the pass.
+    # Time and messages. The clock is read again for each message, because the message might have arrived
+    # after the loop read the clock at the start of the pass.
 
     def clock_ms(self) -> float:
         """Returns the current time of the monotonic clock."""
@@ -120,7 +120,7 @@
             self._timer = self._loop.after(due_ms - self._loop.now_ms, self._on_timer)
 
     def _save(self) -> bool:
-        """Saves unsaved state; returns False if writing failed, so that dependent messages stay held back."""
+        """Saves unsaved state; returns False if writing failed, so that Raft messages stay held back."""
         state = self.policy_node.unsaved_state()
         if state is None or self._log_writer is None:
             return True
@@ -139,7 +139,7 @@
 
     @property
     def leader(self) -> str:
-        """Name of the leader that replies to this server; empty if unknown."""
+        """Name of the leader as far as this server knows; empty if unknown."""
         return self._participant.discovery.leader
 
     @property
@@ -169,7 +169,7 @@
     # Operators
 
     def submit_command(self, change_id: str, command: OperatorCommand) -> bool:
-        """Forwards a command to the leader; returns False if too many are pending."""
+        """Submits a command for the leader; returns False if too many commands are pending."""
         is_accepted = self.policy_node.submit_command(change_id, command, self.clock_ms())
         self._save_and_send()
         return is_accepted
@@ -179,12 +179,12 @@
         return self._swim_node.member_table.record(name)
 
     def on_version_trusted(self, version: int) -> None:
-        """Logs and applies a version that an operator declared to be in force."""
+        """Logs that a version declared by an operator was adopted, and requests that it be applied."""
         self._log("policy_trusted", version=version)
         self._router.request_settle()
 
     def finish(self) -> None:
-        """Tells the voters, after the end of the loop, that this server decides on no more RPCs."""
+        """Tells the voters that this process decides on no more RPCs; called after the end of the loop."""
         self.policy_node.announce_departure()
         for receiver, body in self.policy_node.take_outgoing():
             self._swim_node.send_to_member(receiver, PACKAGE, body)
--- a/landingshift/policies/settings.py
+++ b/landingshift/policies/settings.py
@@ -17,11 +17,11 @@
 
     Attributes:
         needs: Other tables that this one requires.
-        voters: Names of the initial voters: 1, 3, 5 or 7.
-        journal: Path of the log file of a voter, or of a server that may become one, on persistent storage.
+        voters: Names of the initial voters; 1, 3, 5 or 7 names are allowed.
+        journal: Path of the log file of a voter, or of a server that can become one, on persistent storage.
         on: Whether the package is enabled.
         when_cut_off: Behaviour of a server whose lease no leader has renewed: "serve" or "stand_aside".
-        overlap_ms: Maximum time during which two versions may be in use at once.
+        overlap_ms: Maximum time during which two versions can be in use at once.
         lease_ms: Duration of a lease with "stand_aside".
         spare_ms: Extra time after the end of a lease before the leader considers it expired.
         wait_ms: Time after which a change that is not committed is withdrawn.
@@ -42,7 +42,7 @@
 
 
 def check(settings: Settings, _folder: str) -> None:
-    """Checks what the types can't express; does not look at files, which the start may still create.
+    """Validates values beyond their types; ignores files, which the server might create only at startup.
 
     Raises:
         InvalidSettingError: A value is invalid; the message begins with its key.
--- a/landingshift/policies/state_machine.py
+++ b/landingshift/policies/state_machine.py
@@ -23,13 +23,13 @@
 
 MAX_DETAILED_CHANGE_COUNT = 256  # final changes stored with reason and author
 MAX_STORED_POLICY_COUNT = 32  # versions whose policy is stored
-MAX_CHANGE_ID_COUNT = 10_000  # changes whose outcome is stored for good
+MAX_CHANGE_ID_COUNT = 10_000  # changes whose outcome is stored permanently
 MAX_REASON_CHARS = 300
 DEFAULT_MAX_MEMBER_COUNT = 2000
 
 
 class Change(Struct, array_like=True):
-    """A change of policy. Snapshots store it as an array, so only the order of the fields matters.
+    """A policy change. Snapshots store it as an array, so fields can be renamed but not reordered.
 
     Attributes:
         id: Id chosen by the operator.
@@ -39,7 +39,7 @@
         opened_at_ms: Unix time of the leader when it accepted the proposal.
         outcome: Outcome of the change.
         version: Version that the change created; 0 if it was not committed.
-        outcome_reason: Reason why it was not committed.
+        outcome_reason: Reason why it was not committed; empty if it was or is pending.
     """
 
     id: str
@@ -53,7 +53,7 @@
 
 
 class StateSnapshot(Struct, array_like=True):
-    """Snapshot of the state machine; the fields are those of `PolicyStateMachine`."""
+    """Snapshot of the state machine; the fields correspond to the attributes of `PolicyStateMachine`."""
 
     members: dict[str, int]
     join_count: int
@@ -70,8 +70,8 @@
     Attributes:
         max_member_count: Maximum number of members.
         members: Run id of each member by name. Every member must take part in a change.
-        join_count: Number of joins applied. A commit is valid only for the members that its leader asked, so
-            it names the count that the leader knew.
+        join_count: Number of joins applied. A `CommitChange` carries the count at its proposal. It has no
+            effect if a member has joined since, because the leader did not wait for that member.
         version: Version in force; 0 stands for the settings that each server started with.
         policies: Encoded policies of the stored versions.
         pending_change_id: Id of the change in progress; empty if there is none.
@@ -90,7 +90,10 @@
         self.final_versions: dict[str, int] = {}
 
     def find_change(self, change_id: str) -> Change | None:
-        """Returns a change, or None if it is unknown; an old change has only its outcome and version."""
+        """Returns a change, or None if it is unknown.
+
+        An old change has no details. It counts as withdrawn if it was not committed, even if it was rejected.
+        """
         change = self.changes.get(change_id)
         if change is not None or change_id not in self.final_versions:
             return change
@@ -99,11 +102,11 @@
         return Change(change_id, b"", "", "", 0.0, outcome, version)
 
     def has_member(self, name: str, run_id: int) -> bool:
-        """Returns whether this run of the server is a member."""
+        """Returns whether the server is a member with this run id."""
         return self.members.get(name) == run_id
 
     def has_capacity_for(self, name: str) -> bool:
-        """Returns whether the server is already a member, in any run, or one more member is allowed."""
+        """Returns whether the server is a member, with any run id, or one more member is allowed."""
         return name in self.members or len(self.members) < self.max_member_count
 
     @property
@@ -134,13 +137,13 @@
 
     def _join(self, name: str, run_id: int) -> None:
         if not self.has_member(name, run_id) and self.has_capacity_for(name):
-            self.members[name] = run_id  # one process at a time has a name, so an earlier run has ended
+            self.members[name] = run_id  # one process at a time uses a name, so an earlier one has ended
             self.join_count += 1
 
     def _open(self, command: OpenChange) -> None:
         change_id = command.change_id
         if change_id in self.changes or change_id in self.final_versions or self.is_full:
-            return  # a repeated proposal has no effect
+            return  # the proposal is a repeated one, or its outcome could not be recorded
         change = Change(change_id, command.policy, command.author, command.reason, command.opened_at_ms)
         self.changes[change_id] = change
         if self.pending_change_id:
--- a/landingshift/policies/voter_changes.py
+++ b/landingshift/policies/voter_changes.py
@@ -1,8 +1,8 @@
 """Rules for adding and removing voters by operators.
 
 Guarantee: a voter is added only if it runs with a log file, and removed only if a majority of the remaining
-voters responds, so a change of voters alone never stops the log. Failure mode: voters that respond now may
-stop right afterwards.
+voters responds, so that the change itself never leaves the log without a majority. Failure mode: voters that
+respond now might stop right afterwards.
 """
 
 from __future__ import annotations
--- a/landingshift/policies/wire.py
+++ b/landingshift/policies/wire.py
@@ -1,6 +1,6 @@
 """Encoding of messages about policies as lists whose first element names the kind of message.
 
-No other module depends on this encoding. A message may be larger than a datagram.
+No other module depends on this encoding. A message can be larger than a datagram.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
     WithdrawChange,
 )
 
-MAX_RECEIVED_VOTER_COUNT = 9  # voters taken from a lease reply; further ones are ignored
+MAX_RECEIVED_VOTER_COUNT = 9  # voters read from a lease reply; further ones are ignored
 
 _PHASES = {phase.value: phase for phase in ChangePhase}
 
@@ -58,7 +58,7 @@
 
 
 def decode_operator_command(fields: list[Any]) -> OperatorCommand:
-    """Returns the command that the fields encode."""
+    """Returns the command that the fields encode, or `UnknownCommand` if they are unreadable."""
     match fields:
         case ["propose", bytes(policy), str(author), str(reason)]:
             return ProposeChange(policy, author, reason)
@@ -224,7 +224,7 @@
 
 
 def _decode_phase(value: str) -> ChangePhase:
-    """Returns the phase; treats a phase of a newer build as none, since this build can't act on it."""
+    """Returns the phase; a phase that only newer builds know becomes NONE, as this build can't act on it."""
     return _PHASES.get(value, ChangePhase.NONE)
 
 
