--- a/landingshift/cli/operator_client.py
+++ b/landingshift/cli/operator_client.py
@@ -96,7 +96,7 @@
 
 def _load_fleet_settings(path: str) -> Settings | None:
     try:
-        loaded_features = features.load_features(path, include_off=True)
+        loaded_features = features.load_features(path, include_disabled=True)
     except features.FeatureConfigError as err:
         raise CommandError(str(err)) from err
     for feature in loaded_features:
--- a/landingshift/net/transport/__init__.py
+++ b/landingshift/net/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets, time and numbered slots, all on one loop; knows no message."""
+"""Provides the event loop, timers, sockets and worker processes, independent of the message formats."""
--- a/landingshift/net/transport/listener.py
+++ b/landingshift/net/transport/listener.py
@@ -1,4 +1,4 @@
-"""Non-blocking TCP: the listening socket."""
+"""Accepts non-blocking TCP connections."""
 
 from __future__ import annotations
 
@@ -9,27 +9,28 @@
 from landingshift.net.transport.loop import Loop
 from landingshift.net.transport.stream import Address
 
-BACKLOG_COUNT = 1024  # connections that may wait to be accepted
+BACKLOG_COUNT = 1024  # maximum number of connections waiting to be accepted
 ACCEPTS_PER_PASS = 64
-ACCEPT_PAUSE_MS = 20.0  # without accepting after the descriptors ran out
+ACCEPT_PAUSE_MS = 20.0  # wait before accepting again after capacity or descriptors ran out
 
 
 class Listener:
-    """Accepts connections while there is room.
+    """Accepts connections while there is capacity for them.
 
     Args:
-        address: The address to listen at.
-        has_capacity: Whether one more may come; where not, it makes some. Its argument is whether descriptors
-            are left.
-        on_accept: Gets each connection that came.
-        sock: A socket that listens already, with its backlog.
+        loop: The event loop that watches the listening socket.
+        address: The address to listen on.
+        has_capacity: Returns whether one more connection can be accepted; can close other connections to make
+            room. Its argument is False if the process has run out of file descriptors.
+        on_accept: Called with the socket of each accepted connection.
+        sock: A socket that is already listening; if given, it is used instead of `address`.
 
     Raises:
-        OSError: It can't listen there.
+        OSError: Listening on `address` failed.
 
     Attributes:
-        address: The address at which it listens, with the port that the system chose.
-        is_draining: It takes what waits to be accepted and nothing after that.
+        address: The local address, with the port that the system chose if port 0 was given.
+        is_draining: Whether `drain` has been called; after it, no more connections are accepted.
     """
 
     def __init__(
@@ -51,7 +52,7 @@
         loop.watch(self.sock.fileno(), EVENT_READ, self)
 
     def on_ready(self, _mask: int) -> None:
-        """Connections wait to be accepted."""
+        """Accepts connections from the backlog."""
         for _ in range(ACCEPTS_PER_PASS):
             if not self.has_capacity(True):
                 self._pause()
@@ -60,7 +61,7 @@
                 sock, _ = self.sock.accept()
             except (BlockingIOError, ConnectionAbortedError, InterruptedError):
                 return
-            except OSError:  # out of descriptors: the loop would spin on a socket that stays readable
+            except OSError:  # out of descriptors; without a pause the loop would spin
                 if self.has_capacity(False):
                     continue
                 self._pause()
@@ -68,7 +69,11 @@
             self._accept(sock)
 
     def drain(self) -> bool:
-        """Takes all that waits to be accepted; False where more may wait and there are no descriptors."""
+        """Accepts the connections in the backlog and stops accepting later ones.
+
+        Returns:
+            Whether the backlog was emptied; False if connections might be left in it.
+        """
         self.is_draining = True
         self.loop.watch(self.sock.fileno(), 0, self)
         for _ in range(2 * BACKLOG_COUNT):
@@ -86,7 +91,7 @@
         return False
 
     def close(self) -> None:
-        """Stops listening; what waits to be accepted is reset."""
+        """Stops listening; connections in the backlog are reset."""
         if self.is_open:
             self.is_open = False
             self.loop.watch(self.sock.fileno(), 0, self)
