--- a/landingshift/coldstart/adaptive_limit.py
+++ b/landingshift/coldstart/adaptive_limit.py
@@ -1,30 +1,34 @@
-"""A limit that adapts to the reported saturation of a shared resource. Pure.
+"""Limit that adapts to the saturation of a shared resource, as reported by the servers that use it.
 
-The limit follows slow start and congestion avoidance: it doubles each window until saturation is reported for
-the first time, grows by a tenth per window after that, and halves whenever saturation is reported.
+The limit follows slow start and congestion avoidance, as in TCP. It is evaluated once per window. While it is
+fully used and the reported saturation is low, it doubles in each window; after the first decrease it grows by
+only a tenth per window. If the reported saturation exceeds 1, the limit is halved and then left unchanged for
+two windows.
 
-Guarantee: while admitted servers report saturation, the limit decreases down to its minimum.
-Failure mode: reports arrive a window late, so a limit may be too high for about two windows.
+Guarantee: while admitted servers report a saturation above 1, the limit falls until it reaches its minimum.
+Failure mode: reports arrive a window late, so the limit can be too high for about two windows.
+
+Does no I/O and reads no clock: times are passed in as ms.
 """
 
 from __future__ import annotations
 
 WINDOW_MS = 1000.0  # reports are evaluated once per window
-SLOW_START_GROWTH_FRACTION = 1.0  # per window, before the first reported saturation
-GROWTH_FRACTION = 0.1  # per window, afterwards
+SLOW_START_GROWTH_FRACTION = 1.0  # growth per window before the first decrease
+GROWTH_FRACTION = 0.1  # growth per window after the first decrease
 UNSATURATED_RATIO = 0.5  # highest saturation at which the limit still grows
 SATURATED_RATIO = 1.0  # saturation above which the limit is halved
-DECREASE_RATIO = 0.5
-HOLD_WINDOW_COUNT = 2  # windows without a change after a decrease, whose effect is reported with a delay
-MAX_REPORT_COUNT = 4096  # per window
-MIN_PERMIT_COUNT = 0.25  # with a limit below 1 no server is admitted for some windows, then one
+DECREASE_RATIO = 0.5  # ratio of the limit after a decrease to the limit before it
+HOLD_WINDOW_COUNT = 2  # windows without a change after a decrease, because reports show its effect late
+MAX_REPORT_COUNT = 4096  # reports evaluated per window; further ones are ignored
+MIN_PERMIT_COUNT = 0.25  # a limit that has fallen below 1 admits no server until it is 1 again
 
 
 class AdaptiveLimit:
     """Adaptive limit on the number of starting servers or on calls per second.
 
     Attributes:
-        limit: Present limit.
+        limit: Current limit.
         minimum: Lower bound of the limit.
     """
 
@@ -41,18 +45,18 @@
         self._growth_fraction = SLOW_START_GROWTH_FRACTION
 
     def record_saturation(self, saturation: float) -> None:
-        """Record a report; a value below 0 means that the saturation is unknown and is ignored."""
+        """Record the saturation that a server reports; negative values mean unknown and are ignored."""
         if saturation >= 0.0 and len(self._reports) < MAX_REPORT_COUNT:
             self._reports.append(saturation)
 
     def evaluate(self, now_ms: float, is_exhausted: bool) -> bool:
-        """Adapt the limit at the end of each window; may be called at any time.
+        """Adapt the limit if the current window has ended; can be called at any time.
 
         Args:
             now_ms: Present time.
             is_exhausted: Whether the limit is fully used and more is requested, so that a higher limit would
-                have an effect. One call with True counts for the whole window, since capacity that is free
-                at one moment says little about the rest of the window.
+                have an effect. If it is True in one call, it counts for the whole window, since capacity that
+                is free at one moment says little about the rest of the window.
 
         Returns:
             Whether the limit changed.
@@ -70,13 +74,16 @@
         return self.limit != previous_limit
 
     def _typical_saturation(self) -> float | None:
-        """Return the upper quartile of the reports, so that a few faulty servers can't lower the limit."""
+        """Return the upper quartile of the window's reports, or None if there are none.
+
+        With a quartile instead of the maximum, a few faulty servers can't lower the limit.
+        """
         if not self._reports:
             return None
         return sorted(self._reports)[len(self._reports) * 3 // 4]
 
     def _adapt(self, saturation: float | None, was_exhausted: bool) -> None:
-        """Adapt the limit to one window; `saturation` is None if no server reported a known value."""
+        """Adapt the limit after a window; `saturation` is None if no server reported a known value."""
         if self._hold_windows:
             self._hold_windows -= 1
         elif saturation is not None and saturation > SATURATED_RATIO:
@@ -84,16 +91,17 @@
             self._hold_windows = HOLD_WINDOW_COUNT
             self._growth_fraction = GROWTH_FRACTION
         elif was_exhausted and saturation is None and self.limit < 1.0:
-            # No admitted server is left to report. Raise the limit up to 1, or the others would wait forever.
+            # A limit below 1 admits no server, so none reports a saturation. Raise the limit up to 1;
+            # otherwise the waiting servers would wait forever.
             self.limit = min(1.0, self._maximum, self._increased_limit())
         elif was_exhausted and self._is_unsaturated(saturation):
             self.limit = min(self._maximum, self._increased_limit())
 
     def _is_unsaturated(self, saturation: float | None) -> bool:
-        """Return whether the limit may grow.
+        """Return whether the resource has room for a higher limit.
 
-        A window without reports counts as unsaturated only before the first reported saturation, when no
-        server may have made a call yet.
+        A window without reports counts as unsaturated only before the first decrease of the limit, when
+        possibly no server has made a call yet.
         """
         if saturation is None:
             return self._growth_fraction >= SLOW_START_GROWTH_FRACTION
--- a/landingshift/coldstart/backoff.py
+++ b/landingshift/coldstart/backoff.py
@@ -1,4 +1,4 @@
-"""Exponential backoff with decorrelated jitter, so that servers don't retry in step. Pure."""
+"""Exponential backoff with decorrelated jitter, so that servers don't retry in step. Does no I/O."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class DecorrelatedJitterBackoff:
-    """Draws pauses between attempts that grow while attempts fail.
+    """Draws random pauses between attempts; the pauses tend to grow while attempts fail.
 
-    Each pause is drawn between the minimum and three times the previous pause, up to the maximum. Servers
-    that failed at the same time are spread out by their second attempt, so a service that recovers does not
-    receive all their requests at once.
+    Each pause is drawn between the minimum and three times the previous pause, and limited to the maximum.
+    Servers whose attempts failed at the same time therefore retry at different times, so a service that
+    recovers does not receive all their requests simultaneously.
     """
 
     def __init__(self, rng: Random, min_pause_ms: float, max_pause_ms: float) -> None:
@@ -21,7 +21,7 @@
         self._last_pause_ms = min_pause_ms
 
     def next_pause_ms(self) -> float:
-        """Draw the next pause."""
+        """Draw the pause before the next attempt."""
         longest_ms = max(self._min_pause_ms, GROWTH_RATIO * self._last_pause_ms)
         self._last_pause_ms = min(self._max_pause_ms, self._rng.uniform(self._min_pause_ms, longest_ms))
         return self._last_pause_ms
--- a/landingshift/coldstart/downstream_saturation.py
+++ b/landingshift/coldstart/downstream_saturation.py
@@ -1,23 +1,27 @@
-"""Saturation of the shared downstream and the demand for calls, measured from one server's own calls. Pure.
+"""Measures the saturation of the shared downstream, and the demand for calls, from one server's own calls.
 
-At a saturation of 1, calls take three times their baseline latency or a quarter of them fails. The baseline
-is the lower of this server's own and the one reported by a grantor: a server that starts during an overload
-has never measured a healthy downstream and would take the overloaded latency for normal. Without recent calls
-the saturation is unknown, because the absence of calls does not show that the downstream is healthy.
+A saturation of 1 means that calls take three times their baseline latency, or that a quarter of them fails.
+The baseline latency is that of the healthy downstream: the lower of the one that this server has measured and
+the one that a grantor reports. A server that starts during an overload has never measured a healthy
+downstream; without the reported value it would take the latency under overload for the baseline. If no call
+has ended recently, the saturation is unknown: the absence of calls does not show that the downstream is
+healthy.
+
+Does no I/O and reads no clock: times are passed in as ms.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-SATURATED_LATENCY_RATIO = 3.0  # of the mean latency to the baseline, at a saturation of 1
-SATURATED_FAILURE_FRACTION = 0.25  # of the calls that ended, at a saturation of 1
+SATURATED_LATENCY_RATIO = 3.0  # ratio of mean latency to baseline latency at a saturation of 1
+SATURATED_FAILURE_FRACTION = 0.25  # failed fraction of the finished calls at a saturation of 1
 BUCKET_COUNT = 8
 BUCKET_WIDTH_MS = 250.0
 WINDOW_MS = BUCKET_COUNT * BUCKET_WIDTH_MS
 MIN_BASELINE_CALL_COUNT = 4  # the mean of fewer calls is not used as a baseline
 UNKNOWN_SATURATION = -1.0
-NO_CALL_WANTED_MS = -1.0  # time of the first wanted call before there was one
+NO_CALL_WANTED_MS = -1.0  # placeholder for the time of the first wanted call until there is one
 
 
 @dataclass(slots=True)
@@ -28,7 +32,7 @@
         answered_count: Number of answered calls.
         failed_count: Number of failed calls.
         answered_total_ms: Total duration of the answered calls.
-        wanted_count: Number of calls that RPCs needed, made or not.
+        wanted_count: Number of calls that RPCs needed, whether or not they were made.
     """
 
     answered_count: int = 0
@@ -38,10 +42,11 @@
 
 
 class DownstreamSaturation:
-    """Measures downstream saturation over a rolling window of this server's calls.
+    """Measures downstream saturation and the rate of wanted calls over a rolling window.
 
     Attributes:
-        baseline_latency_ms: Lowest mean latency of any window with enough calls, 0 if there was none.
+        baseline_latency_ms: Lowest mean latency of any window with at least `MIN_BASELINE_CALL_COUNT`
+            answered calls; 0 if there was no such window.
     """
 
     def __init__(self) -> None:
@@ -60,14 +65,18 @@
             bucket.failed_count += 1
 
     def on_call_wanted(self, now_ms: float) -> None:
-        """Record that an RPC needs a call, even if the call is then skipped: skipped calls are demand too."""
+        """Record that an RPC needs a call. Calls that are then skipped count as demand too."""
         bucket = self._current_bucket(now_ms)
         if self._first_wanted_ms < 0.0:
             self._first_wanted_ms = now_ms
         bucket.wanted_count += 1
 
     def wanted_calls_per_second(self, now_ms: float) -> float:
-        """Return the rate of needed calls, averaged over the window or the shorter time since the first."""
+        """Return the mean rate of wanted calls over the window.
+
+        If the first wanted call is more recent than the start of the window, the mean covers only the time
+        since that call, but at least the width of one bucket.
+        """
         self._current_bucket(now_ms)
         span_ms = WINDOW_MS
         if self._first_wanted_ms >= 0.0:
@@ -79,10 +88,10 @@
 
         Args:
             now_ms: Present time.
-            reported_baseline_ms: Lowest baseline latency reported by a grantor, 0 if unknown.
+            reported_baseline_ms: Baseline latency reported by a grantor, 0 if unknown.
 
         Returns:
-            The saturation, or `UNKNOWN_SATURATION` if no call ended within the window.
+            The saturation, or `UNKNOWN_SATURATION` if no call has ended within the window.
         """
         self._current_bucket(now_ms)
         answered_count, mean_ms = self._answered_count_and_mean_ms()
@@ -106,7 +115,10 @@
         return count, total_ms / count if count else 0.0
 
     def _current_bucket(self, now_ms: float) -> CallBucket:
-        """Return the bucket of the present time, after clearing the buckets that left the window."""
+        """Return the bucket for the present time.
+
+        When a new bucket begins, update the baseline latency and clear the buckets that have left the window.
+        """
         index = int(now_ms // BUCKET_WIDTH_MS)
         if index != self._current_index:
             self._update_baseline()
--- a/landingshift/coldstart/endpoint_cache.py
+++ b/landingshift/coldstart/endpoint_cache.py
@@ -1,9 +1,10 @@
 """Endpoint cache: a file with the last known endpoints, which allows a start without the list service.
 
-The file has one line of ASCII (`landingshift-members 1 <blake2b of the rest>`), followed by MessagePack.
+The file begins with one line of ASCII, `landingshift-members 1 <blake2b of the rest>`. The rest is a
+`StoredEndpoints` in MessagePack.
 
 Guarantee: the file is replaced atomically, so a crash leaves either the old file or the new one.
-Failure mode: a file that is torn, malformed or of another cluster is ignored; the server starts without it.
+Failure mode: an incomplete or malformed file, or one of another cluster, is ignored as if there were none.
 """
 
 from __future__ import annotations
@@ -35,11 +36,11 @@
 
 
 class StoredEndpoints(Struct, array_like=True, forbid_unknown_fields=True):
-    """Content of the file, in stored order.
+    """Content of the file; the fields are stored in the order given here.
 
     Attributes:
         cluster_name: Name of the cluster to which the endpoints belong.
-        saved_at_unix_ms: Time of writing by the writer's wall clock.
+        saved_at_unix_ms: Time of saving by the wall clock of the server that saved the file.
         endpoints: Addresses of the members.
     """
 
@@ -65,10 +66,10 @@
 
 
 def save(path: str, cluster_name: str, endpoints: list[Address], now_unix_ms: float) -> None:
-    """Replace the file.
+    """Replace the file by one with the given endpoints, of which at most `MAX_ENDPOINT_COUNT` are saved.
 
     Raises:
-        OSError: The file can't be written; the old file is kept.
+        OSError: The new file can't be written; the old one is kept.
     """
     body = msgspec.msgpack.encode(StoredEndpoints(cluster_name, now_unix_ms, endpoints[:MAX_ENDPOINT_COUNT]))
     data = HEADER_PREFIX + _checksum(body) + b"\n" + body
@@ -80,7 +81,7 @@
 
 
 def load(path: str, cluster_name: str, now_unix_ms: float) -> CachedEndpoints:
-    """Load the file.
+    """Load the endpoints of the cluster `cluster_name` from the file.
 
     Raises:
         EndpointCacheError: The file can't be read or its content can't be used.
@@ -120,7 +121,7 @@
 
 
 def _sync_directory(directory: str) -> None:
-    """Sync the directory, so that a power cut does not undo the rename and bring back an older list."""
+    """Sync the directory, so that a power failure does not undo the rename and restore the old file."""
     descriptor = os.open(directory, os.O_RDONLY)
     try:
         os.fsync(descriptor)
--- a/landingshift/coldstart/endpoint_discovery.py
+++ b/landingshift/coldstart/endpoint_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery of members on the server's event loop: from the endpoint cache first, then the list service."""
+"""Finds members of the cluster on the server's event loop: from the endpoint cache, then the list service."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from landingshift.net.transport.loop import Loop
 
 SAVE_INTERVAL_MS = 60_000.0
-FIRST_SAVE_MS = 5_000.0  # delay after the start
+FIRST_SAVE_MS = 5_000.0  # delay of the first save after the start
 KNOWN_ADDRESSES_GRACE_MS = 3_000.0  # known addresses are tried this long before the list service is polled
 
 
 class EndpointDiscovery:
-    """Supplies the membership with contact addresses and maintains the endpoint cache."""
+    """Supplies the membership service with contact addresses and maintains the endpoint cache."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
         return self._poller.poll_count
 
     def on_timer(self) -> None:
-        """Poll the list service and save the cache if either is due."""
+        """Poll the list service if a poll is due, and save the cache if a save is due."""
         now_ms = self._loop.now_ms
         has_joined = self._membership.node.has_joined
         if self._settings.list_service_address and self._poller.start_poll_if_due(now_ms, has_joined):
@@ -82,7 +82,7 @@
         self._membership.node.add_contact_addresses(endpoints)
 
     def _load_cache(self) -> bool:
-        """Load the cached endpoints and return whether there are any."""
+        """Add the cached endpoints to the contact addresses and return whether there are any."""
         path = self._settings.endpoint_cache_path
         if not path:
             return False
@@ -111,5 +111,6 @@
                 path, self._membership.settings.cluster_name, endpoints, system_clock.wall_clock_ms()
             )
             self._saved_endpoints = endpoints
-        except OSError as error:  # the old file is kept; a start with an outdated list is only slower
+        except OSError as error:
+            # The old file is kept. Outdated endpoints only make the next start slower.
             self._log("coldstart_endpoint_cache_not_saved", error=str(error))
--- a/landingshift/coldstart/endpoint_list_client.py
+++ b/landingshift/coldstart/endpoint_list_client.py
@@ -1,4 +1,7 @@
-"""Client of the list service: the MessagePack-RPC call `list(fleet)`, answered by `[[host, port], ...]`."""
+"""Client of the list service, which returns the endpoints of a cluster.
+
+The MessagePack-RPC method `list` takes the cluster name and returns `[[host, port], ...]`.
+"""
 
 from __future__ import annotations
 
@@ -29,11 +32,11 @@
 )
 
 ResultHandler = Callable[[list[Address], str], None]
-"""Called with the endpoints and an empty reason, or with no endpoints and the reason of the failure."""
+"""Receives the endpoints and an empty reason; after a failure, an empty list and the reason."""
 
 
 class EndpointListRequest:
-    """A poll in progress; `on_result` is called once, unless the poll is cancelled."""
+    """One poll of the list service, sent on creation; calls `on_result` once, unless cancelled before."""
 
     def __init__(self, loop: Loop, address: Address, cluster_name: str, on_result: ResultHandler) -> None:
         self._on_result: ResultHandler | None = on_result
@@ -65,16 +68,16 @@
         self._close("answered")
 
     def on_eof(self) -> None:
-        """Handle the end of the service's output."""
+        """Close the connection after the service has closed its side."""
         self._close("closed")
 
     def on_closed(self, reason: str) -> None:
-        """Handle the closed connection; without an earlier result, the poll has failed."""
+        """Report a failure if the connection was closed before a result was reported."""
         self._stream = None
         self._finish([], reason)
 
     def cancel(self) -> None:
-        """End the poll without a result."""
+        """End the poll without calling `on_result`."""
         self._on_result = None
         self._close("cancelled")
 
--- a/landingshift/coldstart/errors.py
+++ b/landingshift/coldstart/errors.py
@@ -10,14 +10,14 @@
 
 
 class InvalidMessageError(ColdStartError):
-    """A peer's message is neither a request nor a grant."""
+    """A peer's message is neither a valid request nor a valid grant."""
 
     def __init__(self) -> None:
         super().__init__("message is neither a cold start request nor a grant")
 
 
 class NotAGrantorError(ColdStartError, ValueError):
-    """An operator requested the grants of a server that is no grantor; the text is sent to the operator."""
+    """An operator requested the grants of a server that is not a grantor; the operator gets the text."""
 
     def __init__(self) -> None:
         super().__init__("it lends nothing: it is not among the lenders")
@@ -27,7 +27,7 @@
     """The endpoint cache can't be used; the server starts without it.
 
     Attributes:
-        reason: Reason, as logged in the field `why`.
+        reason: Why the cache can't be used; logged in the field `why`.
     """
 
     def __init__(self, reason: str) -> None:
@@ -53,7 +53,7 @@
     """The file was written by a server of another cluster.
 
     Attributes:
-        cluster_name: Name of that cluster, truncated to 64 characters.
+        cluster_name: Name of the other cluster, truncated to 64 characters.
     """
 
     def __init__(self, cluster_name: str) -> None:
--- a/landingshift/coldstart/fair_division.py
+++ b/landingshift/coldstart/fair_division.py
@@ -1,4 +1,4 @@
-"""Max-min fair division of a capacity. Pure."""
+"""Max-min fair division of a capacity."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 def max_min_fair_shares(wanted_amounts: dict[str, float], capacity: float) -> dict[str, float]:
     """Divide a capacity so that no share can grow except at the cost of a smaller or equal one.
 
-    If everything fits, each name gets its wanted amount. Otherwise small wants are met in full, and the
-    others get equal parts of the rest.
+    If the sum of the wanted amounts fits into the capacity, each share is the wanted amount. Otherwise the
+    small wanted amounts are assigned in full, and the remaining names get equal parts of the rest.
 
     Args:
         wanted_amounts: Wanted amounts by name.
--- a/landingshift/coldstart/grantor.py
+++ b/landingshift/coldstart/grantor.py
@@ -1,4 +1,9 @@
-"""The grantor's side of a cold start: leases its part of the start permits and of the call rate. Pure."""
+"""The grantor's side of a cold start: leases start permits and call quotas to servers.
+
+Each grantor leases an equal part of the cluster's start permits and of the downstream's call rate.
+
+Does no I/O and reads no clock: times are passed in as ms.
+"""
 
 from __future__ import annotations
 
@@ -10,11 +15,11 @@
 from landingshift.coldstart.start_permits import PermitRequest, StartPermitPool
 from landingshift.membership.messages import MemberRecord
 
-MIN_CALLS_FRACTION = 0.05  # lower bound of the adaptive call limit, as a fraction of the grantor's part
+MIN_CALLS_FRACTION = 0.05  # lower bound of the adaptive call limit, as a fraction of the grantor's call rate
 
 
 class ColdStartGrantor:
-    """Grants call quotas and start permits.
+    """Grants and renews the servers' leases on call quotas and start permits.
 
     Attributes:
         call_quota_grantor: Grantor of leases on downstream calls per second.
@@ -22,12 +27,13 @@
     """
 
     def __init__(self, plan: ColdStartPlan, now_ms: float, recovery_grace_ms: float | None = None) -> None:
-        """Start without knowledge of the grants of a previous process.
+        """Initialize without grants; those of a previous process of this grantor are unknown.
 
         Args:
             plan: Cluster-wide cold start parameters.
             now_ms: Present time.
-            recovery_grace_ms: Length of the recovery grace period; None for one reservation period.
+            recovery_grace_ms: Time from now in which holders are granted no more than they claim to have;
+                None for one reservation period.
         """
         calls_per_second = plan.amount_per_grantor(
             plan.downstream_calls_per_second * (1.0 - plan.floor_fraction)
@@ -55,19 +61,20 @@
         self.start_permits.lease_grantor.recovery_grace_until_ms = until_ms
 
     def baseline_latency_ms(self) -> float:
-        """Return the lowest baseline latency of all holders, 0 if none knows one."""
+        """Return the lowest baseline latency that the present holders reported, 0 if none knows one."""
         return min((baseline for baseline in self._baselines_ms.values() if baseline), default=0.0)
 
     def on_request(
         self, sender: MemberRecord, request: ColdStartRequest, now_ms: float
     ) -> ColdStartGrant | None:
-        """Grant or renew a server's leases; return None for a late, duplicated or invalid request."""
+        """Grant or renew a server's leases; a late, duplicated or invalid request gets no response (None)."""
         if not request.is_within_bounds:
             return None
         for name in self.call_quota_grantor.expire(now_ms):
             self._baselines_ms.pop(name, None)
         self._calls_limiter.record_saturation(request.saturation)
-        # This limit starts at its maximum and returns to it after a decrease, even if little of it is used.
+        # `is_exhausted` is always True, so that the limit returns to its maximum after a decrease, even if
+        # little of it is used.
         if self._calls_limiter.evaluate(now_ms, is_exhausted=True):
             self.call_quota_grantor.capacity = self._calls_limiter.limit
         quota = self.call_quota_grantor.renew(_quota_request(sender, request), now_ms)
--- a/landingshift/coldstart/last_boot.py
+++ b/landingshift/coldstart/last_boot.py
@@ -1,4 +1,4 @@
-"""File with the id of the boot in which a grantor ran last; `recovery_grace` describes its use."""
+"""File with the id of the machine's boot in which a grantor last ran; `recovery_grace` describes its use."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def read_last_boot_id(path: str) -> str:
-    """Return the boot id of the previous process, empty if unknown."""
+    """Return the boot id that the previous process stored, or an empty string if there is none to read."""
     try:
         with open(path) as file:
             return file.read(MAX_BOOT_ID_BYTES).strip()
@@ -31,7 +31,7 @@
 
 
 def remove_last_boot_id(path: str) -> bool:
-    """Remove the file and return whether it no longer exists."""
+    """Remove the file; return True if it is gone or did not exist, False if it can't be removed."""
     try:
         os.unlink(path)
     except FileNotFoundError:
--- a/landingshift/coldstart/lease_history.py
+++ b/landingshift/coldstart/lease_history.py
@@ -1,4 +1,4 @@
-"""Record of the leases that a server holds, in the decision history that invariant checkers read."""
+"""Records the leases that a server holds in the decision history, which invariant checkers read."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class LeaseHistory:
-    """Records each change of a held lease, so that a checker can compare the sum with the capacity."""
+    """Records each change of the held leases; checkers compare the sum over all servers with the capacity."""
 
     def __init__(self) -> None:
         self._recorded: dict[str, tuple[float, ...]] = {}
 
     def update(self, participant: ColdStartParticipant) -> None:
-        """Record the leases that have changed, if a history is being recorded."""
+        """Record the leases that have changed since the previous call, if a history is being recorded."""
         if not decision_history.is_recording():
             return
         holder_name = participant.node.local_record.name
--- a/landingshift/coldstart/leases.py
+++ b/landingshift/coldstart/leases.py
@@ -1,25 +1,30 @@
-"""Leases on parts of a capacity: the grantor's and the holder's side. Pure: time in ms is an argument.
+"""Leases on parts of a capacity: the grantor's and the holder's side.
 
-Guarantee: the amounts that all holders may use never add up to more than the grantor's capacity, even if
-messages are lost, delayed, duplicated or reordered, processes are paused or replaced, and clocks differ. The
-rules, and why they suffice:
+A grantor divides its capacity among the servers that request a part of it, its holders. A lease allows one
+holder to use an amount for a limited time. Does no I/O and reads no clock: times are passed in as ms.
+
+Guarantee: while the capacity is not lowered, the amounts that all holders are allowed to use never add up to
+more than the capacity, even if messages are lost, delayed, duplicated or reordered, processes are paused or
+replaced, and clocks differ. It follows from these rules:
 
 1. A holder numbers its requests and accepts only the response to the latest one. Sending a request voids the
-   responses to all earlier ones, so the holder can use no more than that request claims until it is answered.
-2. A holder may use an amount until the lease duration has passed since it sent *the request*, by its own
-   monotonic clock. The grantor counts the duration from *its response*, which is later, and adds a margin for
-   clock drift and for calls that are still in flight.
-3. The grantor reserves the larger of the amount it grants and the amount the holder claims. A smaller grant
-   therefore frees nothing until a later request claims no more than that grant, or the old lease has expired.
+   responses to all earlier ones. Until the request is answered, the holder therefore uses no more than the
+   amount that the request claims, which is the amount that the holder has at that time.
+2. A holder is allowed to use an amount until the lease duration has passed since it sent *the request*, by
+   its own monotonic clock. The grantor keeps the amount reserved for the lease duration after *its response*,
+   which is later, plus a margin for clock drift and for calls that are still in flight.
+3. The grantor reserves the larger of the amount it grants and the amount the holder claims. A grant that is
+   smaller than the claim therefore frees nothing until a later request claims less or the reservation ends.
 4. No grant raises the sum of the reserved amounts above the capacity. A grantor that has just started does
-   not know the grants of its previous process: during the recovery grace period it grants each holder no
-   more than the holder claims to have from it.
+   not know the grants of its previous process. During its recovery grace period it grants each holder no
+   more than the holder claims to have.
 
-When the capacity is lowered, amounts granted before may stay in use until the division takes them back.
+After the capacity has been lowered, the reserved amounts can exceed it. A holder then keeps its amount until
+a renewal grants it less or its lease expires.
 
-Failure mode: the grants of a lost grantor expire within one lease; its part of the capacity can't be granted
-until a process of the same name has started and its recovery grace period is over. The amount of a lost
-holder is free again once its reservation expires.
+Failure mode: the grants of a lost grantor expire within one lease duration. The capacity of that grantor
+can't be granted until a process of the same name has started and its recovery grace period is over. The
+amount of a lost holder is free again once its reservation expires.
 """
 
 from __future__ import annotations
@@ -27,22 +32,24 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-# Largest drift between two monotonic clocks, as a fraction of the elapsed time; policies and maintenance
-# assume the same value.
+# Largest drift between two monotonic clocks, as a fraction of the elapsed time. The packages `policies` and
+# `maintenance` assume the same value.
 CLOCK_DRIFT_FRACTION = 0.02
 MAX_HOLDER_COUNT = 10_000
-DIVISION_LIFETIME_MS = 100.0  # divisions are cached this long: hundreds of holders send requests each second
+# Lifetime of a cached division. Hundreds of holders send requests each second, so the capacity is not divided
+# anew for each request.
+DIVISION_LIFETIME_MS = 100.0
 NEVER_MS = -1e9  # earlier than any real time
 
 DivideFunction = Callable[[dict[str, float], float], dict[str, float]]
-"""Divides a capacity among holders by their wanted amounts; may assign a holder less than it has now."""
+"""Divides a capacity among holders, given their wanted amounts by name; can assign less than a holder has."""
 
 
 def reservation_duration_ms(lease_ms: float, expiry_margin_ms: float) -> float:
     """Return for how long a grantor must reserve a granted amount.
 
-    This is longer than any holder may use the amount, because the holder's clock may run slower and calls
-    that it made in time may still be in flight.
+    This is longer than any holder is allowed to use the amount, because the holder's clock might run slower
+    and calls that it made in time might still be in flight.
     """
     return lease_ms * (1.0 + CLOCK_DRIFT_FRACTION) + expiry_margin_ms
 
@@ -55,8 +62,8 @@
         holder_name: Name of the requesting server.
         run_id: Identifier of the requesting process; differs after a restart.
         request_number: Sequence number of the holder's requests to this grantor.
-        claimed_amount: Amount that the holder still holds from this grantor.
-        wanted_amount: Amount that the holder wants from now on.
+        claimed_amount: Amount that the holder is still allowed to use under this grantor's last grant.
+        wanted_amount: Amount that the holder wants to get or keep.
     """
 
     holder_name: str
@@ -74,9 +81,9 @@
         run_id: Identifier of the holder's process.
         request_number: Number of the holder's latest request.
         amount: Amount granted last.
-        reserved_amount: The most that the holder may use until `expires_at_ms`.
+        reserved_amount: Upper bound of what the holder can use until `expires_at_ms`.
         expires_at_ms: Time at which the reserved amount becomes free.
-        wanted_amount: Amount that the holder wanted last.
+        wanted_amount: Amount wanted in the latest request.
     """
 
     run_id: int
@@ -91,11 +98,11 @@
     """Leases parts of a capacity to holders.
 
     Attributes:
-        capacity: Sum of the amounts that may be granted; may be changed at any time.
+        capacity: Total amount that can be leased; the owner can change it at any time.
         reservation_ms: Time for which a granted amount stays reserved.
         recovery_grace_until_ms: Time until which no holder is granted more than it claims.
         grants: Records of the holders, by name.
-        refused_holder_count: Requests of new holders that were refused because the table was full.
+        refused_holder_count: Number of requests of new holders that were refused because `grants` was full.
     """
 
     def __init__(
@@ -111,7 +118,7 @@
         self._divided_at_ms = NEVER_MS
 
     def reserved_amount(self) -> float:
-        """Return the sum of all reserved amounts, the most that all holders together may use."""
+        """Return the sum of all reserved amounts, the upper bound of what all holders together can use."""
         return sum(grant.reserved_amount for grant in self.grants.values())
 
     def expire(self, now_ms: float) -> list[str]:
@@ -135,12 +142,13 @@
             now_ms: Present time by the grantor's clock.
 
         Returns:
-            The amount granted from now on, or None for a late or duplicated request, which is not answered.
+            The granted amount, which replaces the amount of the previous grant. None for a late or duplicated
+            request, which must not be answered.
         """
         self.expire(now_ms)
         grant = self.grants.get(request.holder_name)
-        is_same_run = grant is not None and grant.run_id == request.run_id
-        if grant is not None and is_same_run and request.request_number <= grant.request_number:
+        is_same_process = grant is not None and grant.run_id == request.run_id
+        if grant is not None and is_same_process and request.request_number <= grant.request_number:
             return None
         others_reserved = self.reserved_amount() - (grant.reserved_amount if grant is not None else 0.0)
         if grant is None:
@@ -148,19 +156,19 @@
                 self.refused_holder_count += 1
                 return 0.0
             grant = self._reserve_claim(request, others_reserved, now_ms)
-        elif not is_same_run:
-            # The previous process may still run, paused or partitioned: its amount stays reserved until it
-            # expires.
+        elif not is_same_process:
+            # The holder's previous process might still run, paused or partitioned. Its amount stays reserved
+            # until the reservation expires.
             if grant.reserved_amount > 0.0:
                 return 0.0
             grant.run_id = request.run_id
         return self._grant(grant, request, others_reserved, now_ms)
 
     def _reserve_claim(self, request: LeaseRequest, others_reserved: float, now_ms: float) -> LeaseGrant:
-        """Reserve what a new holder claims to have from this grantor's previous process.
+        """Reserve the amount that an unknown holder claims to have from this grantor's previous process.
 
-        All true claims fit into the capacity, because the previous process obeyed rule 4; a false claim is
-        limited to the capacity that is left.
+        All true claims fit into the capacity, because the previous process granted no more than the capacity.
+        A false claim is limited to the unreserved capacity.
         """
         reserved = max(0.0, min(request.claimed_amount, self.capacity - others_reserved))
         grant = LeaseGrant(
@@ -173,14 +181,14 @@
     def _grant(
         self, grant: LeaseGrant, request: LeaseRequest, others_reserved: float, now_ms: float
     ) -> float:
-        """Determine the amount to grant and reserve it by rule 3."""
+        """Determine the amount to grant, and reserve the larger of this amount and the claimed amount."""
         grant.request_number = request.request_number
         grant.wanted_amount = max(0.0, request.wanted_amount)
         claimed = max(0.0, min(request.claimed_amount, grant.reserved_amount))
         if now_ms < self.recovery_grace_until_ms:
             amount = min(claimed, grant.wanted_amount)
         else:
-            # A holder may keep its amount after a decrease of the capacity, unless the division takes it.
+            # After a decrease of the capacity, a holder keeps its amount unless the division assigns it less.
             available = max(claimed, self.capacity - others_reserved)
             amount = max(0.0, min(self._divided_amount(request.holder_name, now_ms), available))
         grant.amount = amount
@@ -189,7 +197,10 @@
         return amount
 
     def _divided_amount(self, holder_name: str, now_ms: float) -> float:
-        """Return the holder's share; divide again if the cached division is outdated or lacks the holder."""
+        """Return the amount that the division assigns to the holder.
+
+        Divide the capacity again if the cached division is outdated or does not contain the holder.
+        """
         is_outdated = now_ms - self._divided_at_ms >= DIVISION_LIFETIME_MS
         if is_outdated or holder_name not in self._division:
             wanted_amounts = {name: grant.wanted_amount for name, grant in self.grants.items()}
@@ -202,11 +213,11 @@
     """A holder's record of its lease from one grantor.
 
     Attributes:
-        lease_ms: Time for which a granted amount may be used, counted from its request.
+        lease_ms: Time for which a granted amount may be used, counted from the sending of the request.
         request_number: Number of the latest request.
         requested_at_ms: Time of the latest request.
         is_answered: Whether the response to the latest request was accepted.
-        held_amount: Amount granted last.
+        held_amount: Amount of the last accepted grant.
         expires_at_ms: Time until which the held amount may be used.
     """
 
@@ -223,17 +234,18 @@
         return self.held_amount if now_ms < self.expires_at_ms else 0.0
 
     def next_request(self, now_ms: float) -> tuple[int, float]:
-        """Begin a request and return its number and the amount it claims."""
+        """Record that a request is sent now, and return its number and the amount it claims."""
         self.request_number += 1
         self.requested_at_ms = now_ms
         self.is_answered = False
         return self.request_number, self.usable_amount(now_ms)
 
     def on_grant(self, request_number: int, amount: float, now_ms: float) -> bool:
-        """Accept a response if it answers the latest request.
+        """Accept a grant if it answers the latest request.
 
         Returns:
-            Whether it was accepted: not if it answers an earlier request, is a duplicate or came too late.
+            Whether the grant was accepted. It is rejected if it answers an earlier request, is a duplicate or
+            arrives after the lease duration since the request has passed.
         """
         expires_at_ms = self.requested_at_ms + self.lease_ms
         if request_number != self.request_number or self.is_answered or now_ms >= expires_at_ms:
--- a/landingshift/coldstart/messages.py
+++ b/landingshift/coldstart/messages.py
@@ -6,12 +6,12 @@
 
 from landingshift.coldstart.downstream_saturation import UNKNOWN_SATURATION
 
-MAX_VALUE = 1e9  # above any real amount, rate or request number; bounds what a peer may claim
+MAX_VALUE = 1e9  # values from a peer must be below this, which is above any real amount, rate or number
 
 
 @dataclass(slots=True, frozen=True)
 class ColdStartRequest:
-    """A server's request to one grantor, for a call quota and a start permit at once.
+    """A server's request to one grantor for both a call quota and a start permit.
 
     Attributes:
         quota_request_number: Sequence number of the server's quota requests to this grantor.
@@ -20,7 +20,8 @@
         permit_request_number: Sequence number of the server's permit requests to this grantor.
         claimed_permit: 1 if the server still holds a permit from this grantor, else 0.
         wants_permit: Whether the server wants to get or keep a permit.
-        waiting_rpcs_per_second: Rate of RPCs that arrive for the server; a higher rate gets a permit sooner.
+        waiting_rpcs_per_second: Rate at which RPCs arrive at the server; with a higher rate it gets a permit
+            sooner.
         saturation: Saturation of the downstream as this server measures it, below 0 if unknown.
         baseline_latency_ms: Latency of a call to the healthy downstream, 0 if unknown.
     """
@@ -37,7 +38,7 @@
 
     @property
     def is_within_bounds(self) -> bool:
-        """Whether all values are below `MAX_VALUE` and not negative, except for an unknown saturation."""
+        """Whether all values are below `MAX_VALUE` and, except for an unknown saturation, not negative."""
         values = (
             self.quota_request_number,
             self.claimed_quota,
@@ -57,9 +58,10 @@
 
     Attributes:
         quota_request_number: Number of the quota request that is answered.
-        quota: Calls per second, usable until the lease duration has passed since the request.
+        quota: Calls per second that the server may make until the lease duration since its request has
+            passed.
         permit_request_number: Number of the permit request that is answered.
-        permit: 1 if the server may start, else 0.
+        permit: 1 if the server is allowed to start, else 0.
         baseline_latency_ms: Lowest baseline latency that the grantor's holders reported, 0 if unknown.
     """
 
--- a/landingshift/coldstart/operator_views.py
+++ b/landingshift/coldstart/operator_views.py
@@ -1,4 +1,4 @@
-"""Answers to operator calls and the metadata published to members; only this module knows their keys."""
+"""Answers to operator calls, and the metadata published to members. Their keys are defined only here."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def published_metadata(participant: ColdStartParticipant, now_ms: float) -> dict[str, float]:
-    """Return the metadata that a server publishes to all members."""
+    """Return the metadata that a server publishes to all members: its start stage, as a number, and quota."""
     return {
         "stage": STAGE_POSITIONS[participant.start_sequence.stage],
         "share": round(participant.call_quota(now_ms), 1),
@@ -43,7 +43,7 @@
     """Return the answer to the operator call `lent`: the quotas and permits that this server has granted.
 
     Raises:
-        NotAGrantorError: This server is no grantor.
+        NotAGrantorError: This server is not a grantor.
     """
     grantor = participant.grantor
     if grantor is None:
--- a/landingshift/coldstart/participant.py
+++ b/landingshift/coldstart/participant.py
@@ -1,10 +1,11 @@
-"""One server's part in a cold start: requests start permits and call quotas, and grants them if a grantor.
+"""One server's part in a cold start: requests a start permit and call quotas, and grants them on a grantor.
 
-Pure: sends and receives through its `SwimNode`, which the server's event loop or a simulation drives.
+Does no I/O itself: sends and receives through its `SwimNode`, which the server's event loop or a simulation
+drives.
 
 Guarantee: no RPC waits for a response of a peer.
-Failure mode: a server that reaches no grantor uses its last leases until they expire, then only its floor,
-and starts without a permit after a timeout.
+Failure mode: a server that reaches no grantor uses its last leases until they expire. Then it makes calls
+only at its floor, the rate that needs no lease, and starts without a permit after a timeout.
 """
 
 from __future__ import annotations
@@ -27,10 +28,10 @@
 
 REQUESTS_PER_LEASE_COUNT = 3.0  # two requests in a row may be lost without losing the lease
 REQUEST_JITTER = (0.9, 1.1)  # bounds of the random factor on the request interval
-EARLY_REQUEST_FRACTION = 0.25  # of the request interval that must pass before an early request
-EARLY_REQUEST_NEED_RATIO = 2.0  # factor by which the need must have grown for an early request
-SATISFIED_FRACTION = 0.9  # of the needed calls: if less is granted, a second grantor is asked as well
-SECOND_GRANTOR_LEASE_COUNT = 5.0  # requests to a second grantor go on for this many lease durations
+EARLY_REQUEST_FRACTION = 0.25  # part of the request interval that must pass before an early request
+EARLY_REQUEST_NEED_RATIO = 2.0  # an early request is sent if the needed call rate grew by this factor
+SATISFIED_FRACTION = 0.9  # a second grantor is asked if less than this fraction of the needed calls is leased
+SECOND_GRANTOR_LEASE_COUNT = 5.0  # after a shortfall, a second grantor is asked for this many lease durations
 
 
 @dataclass(slots=True)
@@ -40,7 +41,7 @@
     Attributes:
         warm_fraction: Progress of the warm-up, from 0 to 1.
         needed_calls_per_second: Downstream calls per second that the server needs.
-        waiting_rpcs_per_second: Rate of RPCs that arrive for the server.
+        waiting_rpcs_per_second: Rate at which RPCs arrive at the server.
         saturation: Saturation of the downstream, below 0 if unknown.
         baseline_latency_ms: Latency of a call to the healthy downstream, 0 if never measured.
     """
@@ -65,24 +66,24 @@
     start_permit: HeldLease
 
     def expires_at_ms(self) -> float:
-        """Return when the later of the two leases expires."""
+        """Return the time at which the later of the two leases expires."""
         return max(self.call_quota.expires_at_ms, self.start_permit.expires_at_ms)
 
 
 class ColdStartParticipant:
-    """Requests, grants and the start sequence of one server.
+    """Requests and holds one server's leases, advances its start, and answers requests if it is a grantor.
 
     Attributes:
         node: Membership node of the server.
         plan: Cluster-wide cold start parameters.
-        grantor: Grantor part of this server, None if it is no grantor.
+        grantor: Grants leases to all servers; None if this server is not a grantor.
         held_leases: Leases that the server holds, by grantor name.
-        start_sequence: Start stages of the server.
+        start_sequence: State machine of the server's start.
         observation: Latest measurements of the server.
-        reported_baseline_ms: Baseline latency in the latest grant, 0 if unknown.
-        next_request_ms: Time of the next regular request.
+        reported_baseline_ms: Baseline latency of downstream calls in the latest grant, 0 if unknown.
+        next_request_ms: Time of the next regular request to the grantors.
         request_count: Number of requests since the start.
-        response_count: Number of accepted responses.
+        response_count: Number of accepted grants.
     """
 
     def __init__(
@@ -122,7 +123,11 @@
 
     @property
     def floor_calls_per_second(self) -> float:
-        """Calls per second that need no lease; reduced if more servers are present than planned."""
+        """Calls per second that this server may make without a lease.
+
+        Reduced if more servers than `plan.max_servers` are present, so that the floors of all servers
+        together don't exceed the planned part of the call rate.
+        """
         present_count = len(self.node.member_table.present_names) + 1
         return self.plan.floor_calls_per_second * min(1.0, self.plan.max_servers / present_count)
 
@@ -131,9 +136,9 @@
         return any(leases.start_permit.usable_amount(now_ms) >= 1.0 for leases in self.held_leases.values())
 
     def present_grantors(self) -> list[str]:
-        """Return the present grantors in an order hashed from this server's name.
+        """Return the names of the present grantors, ordered by a hash that includes this server's name.
 
-        Different orders on different servers give each grantor about the same number of holders.
+        The order differs between servers, so each grantor is first for about the same number of servers.
         """
         own_name = self.node.local_record.name
         present = [name for name in self.plan.grantor_names if name == own_name or self._is_present(name)]
@@ -146,10 +151,10 @@
     # Sending requests
 
     def on_timer(self, now_ms: float, observation: LoadObservation) -> bool:
-        """Send requests that are due and advance the start sequence.
+        """Send requests if they are due and advance the start sequence.
 
         Returns:
-            Whether the stage of the start changed.
+            Whether the start stage changed.
         """
         self.observation = observation
         if now_ms >= self.next_request_ms or self._is_early_request_due(now_ms):
@@ -164,9 +169,10 @@
         )
 
     def _is_early_request_due(self, now_ms: float) -> bool:
-        """Return whether the need has doubled since the last request and nearly all of that was granted.
+        """Return whether to send a request before the next regular one.
 
-        A server that begins to accept RPCs can't wait for its next regular request.
+        This is so if the needed call rate has more than doubled since the last request and that request was
+        granted almost in full, as when a server begins to accept RPCs.
         """
         requested = self._requested_calls_per_second
         known_need = max(requested, self.floor_calls_per_second)
@@ -178,14 +184,17 @@
         return has_need_grown and now_ms >= earliest_ms
 
     def _remove_expired_leases(self, now_ms: float) -> None:
-        """Remove the expired leases of grantors that have left or are no longer configured."""
+        """Remove the expired leases from grantors that have left or are no longer configured."""
         expired = [name for name, leases in self.held_leases.items() if leases.expires_at_ms() <= now_ms]
         for name in expired:
             if name not in self.plan.grantor_names or not self._is_present(name):
                 del self.held_leases[name]
 
     def _send_requests(self, now_ms: float) -> None:
-        """Send a request to the first grantor and, after it granted too little, also to a second one."""
+        """Send a request to the first grantor.
+
+        If the held leases don't cover the need, also request the rest from a second grantor for some time.
+        """
         needed = self.observation.needed_calls_per_second
         self._requested_at_ms = now_ms
         self._requested_calls_per_second = needed
@@ -259,7 +268,7 @@
             self.node.send_to_member(sender.name, wire.PACKAGE, wire.encode_grant(grant))
 
     def _on_grant(self, grantor_name: str, grant: ColdStartGrant, now_ms: float) -> None:
-        """Accept the parts of a grant that answer the latest request."""
+        """Accept the quota and the permit of a grant, each if it answers the latest request."""
         leases = self.held_leases[grantor_name]
         is_quota_accepted = leases.call_quota.on_grant(grant.quota_request_number, grant.quota, now_ms)
         is_permit_accepted = leases.start_permit.on_grant(grant.permit_request_number, grant.permit, now_ms)
--- a/landingshift/coldstart/plan.py
+++ b/landingshift/coldstart/plan.py
@@ -12,16 +12,17 @@
     """Cluster-wide limits of a cold start and the parameters of its leases.
 
     Attributes:
-        grantor_names: Names of the servers that grant leases, each on an equal part of the limits.
+        grantor_names: Names of the servers that grant leases; each grants an equal part of the limits.
         downstream_calls_per_second: Call rate that the downstream can serve from all servers together.
         max_servers: Largest number of servers in the cluster.
         floor_fraction: Fraction of the call rate that is divided evenly among servers and never leased.
-        lease_ms: Time for which a holder may use a granted amount, counted from its request.
-        expiry_margin_ms: Additional time for which the grantor keeps a granted amount reserved.
-        initial_permits: Start permits of all grantors together when they start.
-        max_permits: Upper bound of the start permits of all grantors together.
-        grantor_timeout_ms: Time without a grantor's answer after which a server starts without a permit.
-        ungranted_starts_per_second: Rate of starts without a permit in the whole cluster.
+        lease_ms: Time for which a holder may use a granted amount, counted from the sending of its request.
+        expiry_margin_ms: Time for which a grantor keeps a granted amount reserved beyond the lease duration.
+        initial_permits: Number of start permits of all grantors together when the grantors start.
+        max_permits: Upper bound of the number of start permits of all grantors together.
+        grantor_timeout_ms: Time without a grantor's answer after which a server schedules a start without a
+            permit, with a random delay.
+        ungranted_starts_per_second: Mean rate of starts without a permit, all servers together.
     """
 
     grantor_names: tuple[str, ...]
@@ -36,7 +37,7 @@
     ungranted_starts_per_second: float
 
     def amount_per_grantor(self, amount: float) -> float:
-        """Return one grantor's part of an amount that all grantors grant together."""
+        """Return one grantor's part of an amount that all grantors grant together; 0 without grantors."""
         return amount / len(self.grantor_names) if self.grantor_names else 0.0
 
     @property
@@ -46,7 +47,10 @@
 
     @property
     def floor_calls_per_second(self) -> float:
-        """Call rate that each server may always use; an equal part of the whole if there are no grantors."""
+        """Call rate that each server may use without a lease.
+
+        If there are no grantors, this is an equal part of the downstream's whole call rate.
+        """
         if self.grantor_names:
             return self.downstream_calls_per_second * self.floor_fraction / self.max_servers
         return self.downstream_calls_per_second / self.max_servers
--- a/landingshift/coldstart/service.py
+++ b/landingshift/coldstart/service.py
@@ -1,6 +1,7 @@
 """Cold start service on the server's event loop.
 
-It keeps the server unready until its start stage allows RPCs, and passes the call quota to admission control.
+It reports the server as not ready until the start stage allows RPCs, and passes the server's call quota to
+admission control.
 """
 
 from __future__ import annotations
@@ -29,21 +30,21 @@
     from landingshift.net.program.features import ServiceHost
     from landingshift.net.routing.rpc_record import RoutedRpc
 
-EVALUATION_INTERVAL_MS = 200.0  # longest time between two evaluations of this server's need
+EVALUATION_INTERVAL_MS = 200.0  # longest time between two measurements of this server's load
 MIN_TIMER_DELAY_MS = 5.0
-NEED_HEADROOM_RATIO = 1.25  # of the requested to the measured call rate, as room for growth
+NEED_HEADROOM_RATIO = 1.25  # requested divided by measured call rate, to leave room for growth
 MIN_NEEDED_CALLS_PER_SECOND = 1.0
-NO_CALL_QUOTA = -1.0  # no quota has been applied yet; differs from every real quota
+NO_CALL_QUOTA = -1.0  # initial value until a quota is applied; differs from every real quota
 
 
 def grantor_recovery_grace_ms(settings: Settings, name: str, log: Callable[..., None]) -> float | None:
-    """Return the length of the recovery grace period if this server is a grantor.
+    """Determine the length of a grantor's recovery grace period, and store the id of the present boot.
 
-    The id of the present boot is stored before anything is granted, because a later process of the same boot
-    must find it.
+    The id is stored before anything is granted, because a later process in the same boot must find it.
 
     Returns:
-        The length in ms; None for the default of one reservation period; infinity if the stored id of an
+        The length in ms. None if this server is not a grantor or the default of one reservation period
+        applies. Infinity, so that holders are never granted more than they claim, if the stored id of an
         older boot can be neither replaced nor removed.
     """
     if not settings.endpoint_cache_path or name not in settings.grantor_names:
@@ -56,15 +57,15 @@
         write_last_boot_id(path, boot.boot_id)
     except OSError as error:
         log("coldstart_boot_id_not_saved", error=str(error))
-        # Without a stored id the next process waits in full; the id of an older boot would let it grant too
-        # early, so that id must be removed.
+        # Without a stored id, the next process waits for a whole reservation period. The id of an older boot
+        # would let it grant too early, so that id must be removed.
         return inf if last_boot_id and not remove_last_boot_id(path) else None
     log("coldstart_recovery_grace", ms=round(grace_ms), uptime_s=round(boot.uptime_ms / 1000.0))
     return grace_ms
 
 
 class ColdStartService:
-    """Drives a `ColdStartParticipant` and an `EndpointDiscovery`.
+    """Drives a `ColdStartParticipant` and an `EndpointDiscovery` by timers, messages and router events.
 
     Attributes:
         name: Name of the service's readiness gate.
@@ -113,7 +114,8 @@
             return LoadObservation()
         warm_up_ms = admission.settings.warm_up_ms if admission.settings.starts_cold else 0.0
         age_ms = now_ms - admission.started_at_ms
-        # Before it accepts RPCs it makes no calls; servers that are filling their caches need the quota more.
+        # A server makes no calls before it accepts RPCs. It requests no quota then, so that more is left for
+        # servers that are filling their caches.
         needed = 0.0
         if self._participant.start_sequence.is_open:
             wanted = self._saturation.wanted_calls_per_second(now_ms)
@@ -130,7 +132,7 @@
 
     def _on_message(self, sender: MemberRecord, body: list[Any]) -> None:
         self._participant.on_message(sender, body)
-        self._on_timer()  # applies a new grant without delay
+        self._on_timer()  # applies a new grant immediately
 
     def _on_timer(self) -> None:
         self._advance()
@@ -148,7 +150,8 @@
 
     def _advance(self) -> None:
         now_ms, participant = self._loop.now_ms, self._participant
-        # Without its engine the server can't serve RPCs, so a permit would be wasted.
+        # Admission is None until the engine has answered. Before that the server can't serve RPCs, so a
+        # permit would be wasted.
         if self._router.admission is not None and participant.on_timer(now_ms, self._observe()):
             self._on_stage_changed()
         self._lease_history.update(participant)
@@ -180,7 +183,7 @@
             admission.set_call_rate_quota(quota)
 
     def finish(self) -> None:
-        """End discovery, which saves the endpoint cache for the next start."""
+        """End the discovery of members and save the endpoint cache for the next start."""
         self._discovery.finish()
 
     # Operator calls
--- a/landingshift/coldstart/service_discovery.py
+++ b/landingshift/coldstart/service_discovery.py
@@ -1,8 +1,10 @@
-"""Schedule of the polls of the list service, which end once the server has joined the cluster. Pure.
+"""Schedules a server's polls of the list service until the server has joined the cluster.
+
+Does no I/O and reads no clock: times are passed in as ms.
 
 Guarantee: servers that start together rarely make more polls per second than the list service can serve.
-Failure mode: while the service is down and no other address is known, a server keeps polling with growing
-pauses, and serves RPCs meanwhile.
+Failure mode: while the list service is down and no other address is known, a server keeps polling with
+growing pauses. It serves RPCs meanwhile.
 """
 
 from __future__ import annotations
@@ -14,12 +16,12 @@
 
 POLL_TIMEOUT_MS = 5_000.0
 MIN_POLL_PAUSE_MS = 1_000.0
-MAX_POLL_PAUSE_MS = 30_000.0  # longest pause, unless the cluster is so large that MAX_PAUSE_RATIO exceeds it
-MAX_PAUSE_RATIO = 4.0  # least ratio of the longest to the shortest pause
+MAX_POLL_PAUSE_MS = 30_000.0  # longest pause, unless MAX_PAUSE_RATIO times the shortest pause is longer
+MAX_PAUSE_RATIO = 4.0  # the longest pause is at least this multiple of the shortest one
 
 
 class ServiceDiscoveryPoller:
-    """Schedules one server's polls.
+    """Schedules one server's polls, which the caller makes.
 
     Attributes:
         next_poll_ms: Time of the next poll, if none is in progress.
@@ -40,20 +42,22 @@
 
         Args:
             max_servers: Largest number of servers that may start at the same time.
-            polls_per_second: Rate of polls from all servers that the list service can serve.
-            has_known_addresses: Whether addresses from other sources are known, which are tried first.
+            polls_per_second: Rate of polls that the list service can serve, all servers together.
+            has_known_addresses: Whether contact addresses are known from other sources and tried first.
             known_addresses_grace_ms: Time for which known addresses are tried before the first poll.
             rng: Random number generator for delays and pauses.
             now_ms: Present time.
         """
         mean_polls_per_second = mean_rate_below_cap(polls_per_second)
-        # Most pauses are longer than this minimum, so all servers together poll at about half the mean rate.
+        # If all servers made this shortest pause, they would together poll at the mean rate. Most pauses are
+        # longer, so they poll at about half the mean rate.
         pause_ms = max(MIN_POLL_PAUSE_MS, 1000.0 * max_servers / mean_polls_per_second)
         self._backoff = DecorrelatedJitterBackoff(
             rng, pause_ms, max(MAX_POLL_PAUSE_MS, MAX_PAUSE_RATIO * pause_ms)
         )
         grace_ms = known_addresses_grace_ms if has_known_addresses else 0.0
-        # A server that is contacted by one that has polled joins without polling, so most polls never happen.
+        # A server that has polled contacts others, which then join without a poll of their own. Most of the
+        # scheduled polls are therefore never made.
         self.next_poll_ms = now_ms + random_start_delay_ms(rng, max_servers, mean_polls_per_second) + grace_ms
         self._polled_at_ms: float | None = None
         self.poll_count = 0
@@ -64,7 +68,10 @@
         return self.next_poll_ms if self._polled_at_ms is None else self._polled_at_ms + POLL_TIMEOUT_MS
 
     def start_poll_if_due(self, now_ms: float, has_joined: bool) -> bool:
-        """Return whether the caller has to poll now; a poll in progress past its timeout counts as failed."""
+        """Return whether the caller must poll now; if so, record that the poll is in progress.
+
+        First, a poll that has been in progress for `POLL_TIMEOUT_MS` is recorded as failed.
+        """
         if self._polled_at_ms is not None and now_ms >= self._polled_at_ms + POLL_TIMEOUT_MS:
             self.on_poll_finished(now_ms, is_successful=False)
         if has_joined or self._polled_at_ms is not None or now_ms < self.next_poll_ms:
@@ -76,7 +83,7 @@
     def on_poll_finished(self, now_ms: float, is_successful: bool) -> None:
         """Record the end of a poll and schedule the next.
 
-        Even a successful poll is followed by another one if the server does not join through its result.
+        Even after a successful poll another one is needed if the server has not joined by the scheduled time.
         """
         self._polled_at_ms = None
         if is_successful:
--- a/landingshift/coldstart/settings.py
+++ b/landingshift/coldstart/settings.py
@@ -35,23 +35,27 @@
 
 
 class Settings(Struct, forbid_unknown_fields=True, frozen=True, rename=TOML_KEYS):
-    """Settings of one server, the same on all servers of a cluster except for `endpoint_cache_path`.
+    """Settings of one server; all but `endpoint_cache_path` must be the same on all servers of a cluster.
 
     Attributes:
-        needs: Tables that must be on as well.
+        needs: Names of the settings tables that must be on as well.
         max_servers: Largest number of servers in the cluster.
-        on: Whether the package runs.
+        on: Whether the cold start service runs.
         grantor_names: Names of the servers that grant call quotas and start permits.
-        downstream_calls_per_second: Call rate that the downstream can serve, 0 for no quotas.
-        floor_fraction: Fraction of that rate that is divided evenly among servers and never leased.
-        lease_ms: Time for which a holder may use a granted amount.
-        expiry_margin_ms: Additional time for which the grantor keeps a granted amount reserved.
-        initial_permits: Servers that may warm up at once at first, 0 to derive it from the call rate.
-        max_permits: Most servers that may ever warm up at once, 0 for all servers.
-        grantor_timeout_ms: Time without a grantor's answer after which a server starts without a permit.
-        ungranted_starts_per_second: Rate of starts without a permit in the whole cluster.
+        downstream_calls_per_second: Call rate that the downstream can serve, all servers together; 0 for no
+            quotas.
+        floor_fraction: Fraction of the call rate that is divided evenly among servers and never leased.
+        lease_ms: Time for which a holder may use a granted amount, counted from the sending of its request.
+        expiry_margin_ms: Time for which a grantor keeps a granted amount reserved beyond the lease duration.
+        initial_permits: Number of servers that are allowed to warm up simultaneously when the grantors start;
+            0 to derive it from the call rate.
+        max_permits: Upper bound of the number of servers that warm up simultaneously; 0 for the number of
+            servers.
+        grantor_timeout_ms: Time without a grantor's answer after which a server schedules a start without a
+            permit, with a random delay.
+        ungranted_starts_per_second: Mean rate of starts without a permit, all servers together.
         list_service_address: Address of the service that is polled for endpoints, empty for none.
-        list_service_polls_per_second: Rate of polls that the list service can serve.
+        list_service_polls_per_second: Rate of polls that the list service can serve, all servers together.
         endpoint_cache_path: Absolute path of the endpoint cache on a persistent disk, empty for none.
     """
 
@@ -74,7 +78,7 @@
 
 
 def check(settings: Settings, _folder: str) -> None:
-    """Check constraints that the types can't express, without access to files that a start would create.
+    """Check constraints that the types can't express; files that only a start creates are not accessed.
 
     Raises:
         InvalidSettingError: A value is invalid.
@@ -98,7 +102,7 @@
         problem = f"{initial_permits:g} is more than places_most, which is {max_permits:g}"
         raise InvalidSettingError("places_first", problem)
     if settings.grantor_names and max_permits < len(settings.grantor_names):
-        # Each grantor has an equal part and grants only whole permits.
+        # Each grantor grants whole permits from an equal part, so a part below 1 could not be granted.
         problem = f"{max_permits:g} is less than one for each server in lenders"
         raise InvalidSettingError("places_most", problem)
 
@@ -106,8 +110,9 @@
 def permit_bounds(settings: Settings) -> tuple[float, float]:
     """Return the initial and the maximum number of start permits.
 
-    Quotas limit the calls of all servers together. By default the initial number is therefore the largest
-    that leaves each starting server a useful quota, but at least one per grantor and at most the maximum.
+    The default of the initial number is the largest that leaves each starting server a useful part of the
+    downstream's call rate, or a constant if there are no call quotas. It is at least one per grantor and at
+    most the maximum. The default of the maximum is the number of servers.
     """
     grantor_count = float(len(settings.grantor_names))
     max_permits = settings.max_permits or max(float(settings.max_servers), grantor_count)
@@ -118,7 +123,7 @@
 
 
 def cold_start_plan(settings: Settings) -> ColdStartPlan:
-    """Return the cluster-wide parameters in the settings."""
+    """Build the cluster-wide cold start parameters from the settings."""
     initial_permits, max_permits = permit_bounds(settings)
     return ColdStartPlan(
         grantor_names=tuple(settings.grantor_names),
--- a/landingshift/coldstart/start_permits.py
+++ b/landingshift/coldstart/start_permits.py
@@ -1,11 +1,14 @@
-"""Start permits: limit how many servers warm up at once, and choose which server is next. Pure.
+"""Start permits, which limit how many servers warm up simultaneously, and the choice of the next server.
 
-A permit is leased like any amount (`leases`), so it expires if its holder fails. The number of permits adapts
-to the saturation of the shared downstream that the starting servers report (`adaptive_limit`).
+A permit is a lease on an amount of 1 (`leases`), so it expires if its holder fails. The number of permits
+adapts to the saturation of the shared downstream that the servers report (`adaptive_limit`).
 
-Guarantee: the number of servers that hold a permit never exceeds the highest limit within the last lease.
-Failure mode: the permits of a lost grantor can't be granted; servers that know no other grantor start after
-a timeout.
+Guarantee: no new permit is granted if it would raise the number of permits in use above the limit. After the
+limit has been lowered, servers keep the permits that they hold.
+Failure mode: the permits of a lost grantor can't be granted; servers that know no other grantor start without
+a permit after a timeout.
+
+Does no I/O and reads no clock: times are passed in as ms.
 """
 
 from __future__ import annotations
@@ -26,10 +29,10 @@
         holder_name: Name of the requesting server.
         run_id: Identifier of the requesting process; differs after a restart.
         request_number: Sequence number of the server's permit requests to this grantor.
-        claimed_permit: 1 if the server holds a permit from this grantor, else 0.
-        wants_permit: Whether the server wants a permit; False once it is warm.
+        claimed_permit: 1 if the server still holds a permit from this grantor, else 0.
+        wants_permit: Whether the server wants to get or keep a permit; False once it is warm.
         zone: Failure domain of the server.
-        waiting_rpcs_per_second: Rate of RPCs that arrive for the server.
+        waiting_rpcs_per_second: Rate at which RPCs arrive at the server.
         saturation: Saturation of the downstream as the server measures it, below 0 if unknown.
     """
 
@@ -49,8 +52,8 @@
 
     Attributes:
         zone: Failure domain of the server.
-        waiting_rpcs_per_second: Rate of RPCs that arrive for the server.
-        waiting_since_ms: Time of its first request.
+        waiting_rpcs_per_second: Rate at which RPCs arrive at the server.
+        waiting_since_ms: Time of its first permit request to this grantor.
     """
 
     zone: str
@@ -61,8 +64,9 @@
 def assign_permits(candidates: dict[str, StartCandidate], holders: list[str], free_count: int) -> list[str]:
     """Choose the servers that get the free permits.
 
-    The zone with the fewest permit holders comes first, so that all zones start evenly. Within a zone the
-    server with the most waiting RPCs comes first, and among equal ones the one that has waited longest.
+    Each permit goes to the zone with the fewest permit holders, among those with waiting servers, so that all
+    zones start evenly. Within a zone, the server with the highest rate of arriving RPCs comes first; among
+    equal rates, the server that has waited longest.
 
     Args:
         candidates: All servers that hold a permit or wait for one, by name.
@@ -72,30 +76,30 @@
     Returns:
         Names of the chosen servers, in the order of choice.
     """
-    warming_by_zone: dict[str, int] = {}
+    holder_count_by_zone: dict[str, int] = {}
     for name in holders:
         zone = candidates[name].zone
-        warming_by_zone[zone] = warming_by_zone.get(zone, 0) + 1
+        holder_count_by_zone[zone] = holder_count_by_zone.get(zone, 0) + 1
     waiting_by_zone = _waiting_by_zone(candidates, holders)
     chosen: list[str] = []
     while free_count > len(chosen) and waiting_by_zone:
-        zone = min(waiting_by_zone, key=lambda zone: (warming_by_zone.get(zone, 0), zone))
+        zone = min(waiting_by_zone, key=lambda zone: (holder_count_by_zone.get(zone, 0), zone))
         chosen.append(waiting_by_zone[zone].pop())
-        warming_by_zone[zone] = warming_by_zone.get(zone, 0) + 1
+        holder_count_by_zone[zone] = holder_count_by_zone.get(zone, 0) + 1
         if not waiting_by_zone[zone]:
             del waiting_by_zone[zone]
     return chosen
 
 
 def _waiting_by_zone(candidates: dict[str, StartCandidate], holders: list[str]) -> dict[str, list[str]]:
-    """Return the names of the waiting servers by zone, the next one of each zone last."""
+    """Return the names of the waiting servers by zone, sorted so that the next to get a permit is last."""
     waiting: dict[str, list[str]] = {}
     for name, candidate in candidates.items():
         if name not in holders:
             waiting.setdefault(candidate.zone, []).append(name)
 
     def urgency(name: str) -> tuple[float, float, str]:
-        """Sort key: most waiting RPCs, then the longest wait, then the name."""
+        """Return the sort key: rate of arriving RPCs, then waiting time, then name; the highest is last."""
         candidate = candidates[name]
         return candidate.waiting_rpcs_per_second, -candidate.waiting_since_ms, name
 
@@ -105,7 +109,7 @@
 
 
 class StartPermitPool:
-    """One grantor's permits.
+    """Start permits of one grantor, which it leases to servers.
 
     Attributes:
         limiter: Adaptive limit on the number of permits.
@@ -129,7 +133,8 @@
         """Grant or renew a permit.
 
         Returns:
-            1 if the server may start, 0 if it has to request again, None for a late or duplicated request.
+            1 if the server is allowed to start, 0 if it has to request again, None for a late or duplicated
+            request, which must not be answered.
         """
         for name in self.lease_grantor.expire(now_ms):
             self.candidates.pop(name, None)
@@ -137,7 +142,7 @@
         self._update_candidate(request, now_ms)
         if self.limiter.evaluate(now_ms, self._is_exhausted()):
             self.lease_grantor.capacity = self.limiter.limit
-        self.lease_grantor.invalidate_division()  # otherwise a free permit would wait for the next division
+        self.lease_grantor.invalidate_division()  # otherwise a free permit waits for the next division
         wanted_amount = PERMIT_AMOUNT if request.wants_permit else 0.0
         granted = self.lease_grantor.renew(
             LeaseRequest(
@@ -155,7 +160,7 @@
         return granted
 
     def permits_in_use(self) -> int:
-        """Return the number of servers that hold a permit or may still assume that they do."""
+        """Return the number of servers that hold a permit or might still assume that they do."""
         return sum(grant.reserved_amount >= PERMIT_AMOUNT for grant in self.lease_grantor.grants.values())
 
     def _update_candidate(self, request: PermitRequest, now_ms: float) -> None:
@@ -174,13 +179,16 @@
         return len(self.candidates) > in_use and in_use + PERMIT_AMOUNT > self.limiter.limit
 
     def _revoke_fraction(self, name: str) -> None:
-        """Remove the fraction of a permit that was granted: it is of no use and must not stay reserved."""
+        """Revoke a granted fraction of a permit: a server can't use it, so it must not stay reserved."""
         grant = self.lease_grantor.grants[name]
         grant.amount = 0.0
         grant.reserved_amount = 0.0
 
     def _divide(self, _wanted_amounts: dict[str, float], capacity: float) -> dict[str, float]:
-        """Assign free permits; holders keep theirs while they want it, because a start can't be undone."""
+        """Assign the free permits to waiting servers.
+
+        Holders keep their permits while they want them, because a start can't be undone.
+        """
         holders = [
             name
             for name, grant in self.lease_grantor.grants.items()
--- a/landingshift/coldstart/start_sequence.py
+++ b/landingshift/coldstart/start_sequence.py
@@ -1,8 +1,10 @@
-"""State machine of one server's start, from the process start until the server is warm. Pure.
+"""State machine of one server's start, from the process start until the server is warm.
+
+Does no I/O and reads no clock: times are passed in as ms.
 
 Guarantee: while grantors answer, no server warms up without a permit.
 Failure mode: a server that gets no answer within a timeout starts without a permit, after a random delay. The
-range of the delay is proportional to the size of the cluster.
+range of the delay is proportional to the largest number of servers in the cluster.
 """
 
 from __future__ import annotations
@@ -14,9 +16,10 @@
 
 
 class StartStage(Enum):
-    """Start stages in their order.
+    """Stages of a server's start, in their order.
 
-    The values appear in logs and in answers to operators; the positions are published as metadata.
+    Logs and answers to operators contain the value of a stage; metadata published to members contains its
+    position in this order.
     """
 
     SEEKING_GRANTOR = "seeking"  # no grantor is known yet
@@ -26,7 +29,7 @@
     WARM = "warm"
 
 
-OPEN_STAGES = (StartStage.WARMING_UP, StartStage.WARM)  # the gateway may send RPCs
+OPEN_STAGES = (StartStage.WARMING_UP, StartStage.WARM)  # in these stages the gateway is allowed to send RPCs
 
 
 class StartSequence:
@@ -34,7 +37,7 @@
 
     Attributes:
         stage: Present stage.
-        last_grantor_response_ms: Time of the last response of a grantor, initially the start time.
+        last_grantor_response_ms: Time of the last accepted grant, initially the time of creation.
         started_without_grantor: Whether the server began to warm up without a permit.
     """
 
@@ -49,9 +52,10 @@
         """Begin in the stage `SEEKING_GRANTOR`.
 
         Args:
-            grantor_timeout_ms: Time without a grantor's answer after which the start delay is drawn.
-            max_servers: Largest number of servers that may start without a permit at the same time.
-            ungranted_starts_per_second: Rate of starts without a permit in the whole cluster.
+            grantor_timeout_ms: Time without an accepted grant after which the server schedules a start
+                without a permit.
+            max_servers: Largest number of servers in the cluster, which might all start without a permit.
+            ungranted_starts_per_second: Mean rate of starts without a permit, all servers together.
             rng: Random number generator for the start delay.
             now_ms: Present time.
         """
@@ -65,7 +69,7 @@
         self.started_without_grantor = False
 
     def advance(self, now_ms: float, grantor_count: int, has_permit: bool, warm_fraction: float) -> bool:
-        """Move to the next stage if its condition holds.
+        """Change the stage if the condition for another stage is met.
 
         Args:
             now_ms: Present time.
@@ -95,13 +99,13 @@
         return self.stage is not previous_stage
 
     def _schedule_start_without_permit(self, now_ms: float) -> None:
-        """Draw a random start delay, which spreads the starts of all servers that lack a grantor."""
+        """Schedule a start after a random delay, to spread out the starts of servers without a grantor."""
         delay_ms = random_start_delay_ms(self._rng, self._max_servers, self._ungranted_starts_per_second)
         self._ungranted_start_ms = now_ms + delay_ms
         self.stage = StartStage.WAITING_WITHOUT_GRANTOR
 
     def _wait_without_grantor(self, now_ms: float, grantor_count: int, is_unanswered: bool) -> None:
-        """Return to waiting for a permit if a grantor answers again, or start at the drawn time."""
+        """Wait for a permit again if a grantor has answered, or warm up at the randomly chosen start time."""
         if grantor_count and not is_unanswered:
             self.stage = StartStage.WAITING_FOR_PERMIT
         elif now_ms >= self._ungranted_start_ms:
@@ -110,10 +114,10 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether the gateway may send RPCs."""
+        """Whether the gateway is allowed to send RPCs to this server."""
         return self.stage in OPEN_STAGES
 
     @property
     def wants_permit(self) -> bool:
-        """Whether the server requests a permit or keeps the one it has."""
+        """Whether the server wants to get or keep a permit; False once it is warm."""
         return self.stage is not StartStage.WARM
--- a/landingshift/coldstart/start_spreading.py
+++ b/landingshift/coldstart/start_spreading.py
@@ -1,4 +1,4 @@
-"""Random delays that spread out the actions of servers that start together without coordination. Pure."""
+"""Random delays that spread out the actions of servers that start together without coordination."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 
 
 def random_start_delay_ms(rng: Random, server_count: int, starts_per_second: float) -> float:
-    """Draw the delay of one of up to `server_count` servers that start at the same time.
+    """Draw a random delay for one of `server_count` servers that would otherwise start at the same time.
 
-    With such delays all servers together make `starts_per_second` starts per second on average.
+    With these delays, all servers together make `starts_per_second` starts per second on average.
     """
     return rng.random() * server_count * 1000.0 / starts_per_second
--- a/landingshift/coldstart/wire.py
+++ b/landingshift/coldstart/wire.py
@@ -1,9 +1,9 @@
-"""Encoding of cold start messages as lists, sent in datagrams of the package `cold`.
+"""Encoding of cold start messages as lists, which membership datagrams carry under the package name `cold`.
 
 A request is `["ask", quota_request_number, claimed_quota, needed_calls_per_second, permit_request_number,
 claimed_permit, wants_permit, waiting_rpcs_per_second, saturation, baseline_latency_ms]`; a grant is
 `["give", quota_request_number, quota, permit_request_number, permit, baseline_latency_ms]`. Only this module
-knows these names and positions.
+knows the names `ask` and `give` and the positions of the values.
 """
 
 from __future__ import annotations
@@ -48,10 +48,10 @@
 
 
 def decode(body: list[Any]) -> ColdStartRequest | ColdStartGrant:
-    """Decode a peer's message; the grantor checks the bounds of a request's values.
+    """Decode a peer's message; whether a request's values are within bounds is checked later by the grantor.
 
     Raises:
-        InvalidMessageError: The message is neither a request nor a grant.
+        InvalidMessageError: The message is neither a valid request nor a valid grant.
     """
     match body:
         case [str(kind), *values] if kind == REQUEST:
