--- a/landingshift/admission/backpressure.py
+++ b/landingshift/admission/backpressure.py
@@ -1,11 +1,11 @@
 """Computes the load that this server advertises to callers and the Retry-After of its rejections.
 
 The advertised load depends on two signals between `MIN_SIGNAL` and 1. `queue_weight` falls while the queue is
-long. `read_responsiveness` falls while RPCs wait long before they are read. It detects cores that are
-busy reading, even before any run has ended.
+long. `read_responsiveness` is low while RPCs wait long before they are read. It detects cores that are busy
+reading RPCs, even before any run has ended.
 
-The signals never reach 0, because callers discard an advertisement after some time. At 0, a caller would send
-nothing, receive no update, and return at full rate once the advertisement has expired.
+The signals never reach 0. At 0, a caller would send nothing and therefore receive no update. Since callers
+discard an advertisement after some time, the caller would then return at full rate.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 
 UNREAD_BUCKET_COUNT, UNREAD_BUCKET_MS = 2, 250.0
 MAX_UNREAD_FRACTION = 0.5
-"""Mean wait before the read at which `read_responsiveness` would be 0 if it had no minimum, as a fraction of
-the shortest latency objective."""
+"""Mean time that RPCs wait to be read, as a fraction of the shortest latency objective, at which
+`read_responsiveness` would be 0 without its minimum."""
 MIN_SIGNAL = 0.2
 """Minimum of each signal, so that callers keep returning and receive load updates."""
 # A mode is logged as on while its signal is below its threshold. The thresholds affect only the log.
@@ -41,7 +41,7 @@
         queue_weight: Signal from `MIN_SIGNAL` to 1 that falls while more than one RPC per core is queued.
         read_responsiveness: Signal from `MIN_SIGNAL` to 1 that falls with the mean time that RPCs wait to be
             read.
-        unread_ms: Time for which each RPC of the last half second waited before it was read.
+        unread_ms: Time that each RPC read in the last half second had waited to be read.
         advertised_load: Load that was last advertised, in the form of `Settings.load_advertisement`.
     """
 
@@ -76,8 +76,8 @@
     def reject(self, managed: ManagedRpc) -> None:
         """Rejects the RPC with a Retry-After that grows with the mean time that RPCs wait to be read.
 
-        While the server is draining or on standby, the Retry-After is the maximum and callers may always try
-        another server.
+        While the server is draining or on standby, the Retry-After is the maximum, and callers are always
+        allowed to try another server.
         """
         self._check.record_rejection(managed)
         is_final = self._retries.is_final_rejection(managed)
@@ -129,12 +129,12 @@
         return self.queue_weight * self.read_responsiveness * is_in_service
 
     def _credit(self) -> float:
-        """Returns how many RPCs one caller may have in flight.
+        """Returns how many RPCs one caller is allowed to have in flight.
 
         This is the server's capacity times the busiest caller's fraction of the recent RPCs. The capacity
-        counts the RPCs that may run, those in or waiting for a downstream call, and one queued RPC per core.
-        All callers get the same credit: an even split would give the busiest caller too little while others
-        leave theirs unused.
+        is the sum of the RPCs that can run, the RPCs in or waiting for a downstream call, and one queued RPC
+        per core. All callers get this credit instead of an even split of the capacity. An even split would
+        give the busiest caller too little, while the other callers leave part of theirs unused.
         """
         server = self._server
         running = max(self._limit.limit, len(server.running))
--- a/landingshift/admission/call_rate.py
+++ b/landingshift/admission/call_rate.py
@@ -1,9 +1,9 @@
 """Rate limit of downstream calls: a token bucket whose rate adapts to the outcomes of recent calls.
 
 The rate falls while calls fail or are slow and grows while they succeed. After two consecutive calls without
-a response, the rate drops to the minimum at once. A downstream service that hangs does so for all servers,
-and each further lost call would use up part of the quota, which may be small. The fleet may also assign this
-server a quota of calls per second, which is an upper bound of the rate.
+a response, the rate drops to the minimum immediately: a downstream service that hangs does so for all
+servers, and each further lost call would use up part of the quota. The quota is an upper bound of the rate in
+calls per second. The fleet can assign one to this server, and it may be small.
 
 Slow calls do not reduce the rate as long as they end well within the latency objectives.
 """
@@ -26,7 +26,8 @@
 SLOW_LATENCY_RATIO = 3.0
 """Ratio of mean to base latency above which calls count as slow."""
 TOLERATED_LATENCY_FRACTION = 0.4
-"""Fraction of the shortest latency objective that calls may take without a cut of the rate."""
+"""Mean call latency up to which slow calls do not cut the rate, as a fraction of the shortest latency
+objective."""
 RATE_CUT_FRACTION_PER_SECOND = 0.5
 MIN_CALLS_PER_SECOND = 1.0
 MIN_QUOTA_PER_SECOND = 0.01
@@ -103,9 +104,9 @@
     def set_quota(self, calls_per_second: float) -> None:
         """Replaces the quota, which is the upper bound of the rate.
 
-        If the rate was equal to the old quota, it is set to the new one. Otherwise it is at most lowered, so
-        that a rate that was cut because of failed or slow calls is not raised. All accumulated tokens but one
-        are discarded, because they may stem from a larger quota.
+        If the rate was equal to the old quota, it is set to the new one. Otherwise it can only fall: a rate
+        that was cut because calls failed or were slow is not raised. All accumulated tokens but one are
+        discarded, because they may stem from a larger quota.
         """
         is_bounded_by_quota = self.calls_per_second >= self.quota_per_second
         self.quota_per_second = max(MIN_QUOTA_PER_SECOND, calls_per_second)
@@ -170,7 +171,7 @@
     def _pause_after_losses(self, waited_ms: float) -> None:
         """Cuts the rate to the minimum after several consecutive calls without a response.
 
-        Calls that were already in flight at the previous such cut do not trigger another one.
+        A call that was already in flight at the previous cut of this kind does not trigger another cut.
 
         Args:
             waited_ms: Time after which the latest of these calls was given up.
--- a/landingshift/admission/check_timer.py
+++ b/landingshift/admission/check_timer.py
@@ -1,7 +1,7 @@
 """Schedules the controller's periodic check of gauges, deadlines and rates.
 
 Checks are frequent while RPCs are queued or wait for a call slot. They are rare on an idle server, so that
-idle servers use little CPU time. A new RPC may bring the next check forward but never delays it.
+idle servers use little CPU time. A new RPC can bring the next check forward but never delays it.
 """
 
 from __future__ import annotations
--- a/landingshift/admission/concurrency_limit.py
+++ b/landingshift/admission/concurrency_limit.py
@@ -1,12 +1,13 @@
 """Adaptive limit on concurrent runs, computed from the ratio of run times to run times without load.
 
-The limit starts at the number of cores and never falls below it. While RPCs are queued, it grows at once by
-the number of idle cores. While the cores are busy, it is divided by the ratio of measured run times to run
-times without load. It stays below the number of runs at which the server fails, which is smaller while the
-server is cold.
+The limit starts at the number of cores and never falls below it. While RPCs are queued and cores are idle,
+the limit is raised to the number of runs plus the number of idle cores. While the cores are busy, it is
+divided by the ratio of measured run times to run times without load. It stays below the number of runs at
+which the server fails. That number is smaller while the server is cold.
 
 Reading RPCs from the network also occupies cores and cannot be stopped. While reads occupy many cores, fewer
-runs start, even fewer than the number of cores, because runs and reads would otherwise slow each other down.
+RPCs run than the limit allows, and possibly fewer than there are cores. Otherwise, runs and reads would slow
+each other down.
 """
 
 from __future__ import annotations
@@ -24,8 +25,8 @@
 """A single cut removes at most half of the limit."""
 MIN_SLOWDOWN = 0.01
 MIN_RUNS_FOR_SLOWDOWN = 5
-"""Minimum number of runs in the last 2 s for a meaningful mean. Small servers, which finish about two runs
-per second, do not reach it."""
+"""Minimum number of runs in the last 2 s for a meaningful mean slowdown. Small servers do not reach it,
+because they finish about two runs per second."""
 UNTHROTTLED_READING_FRACTION = 0.5
 """Fraction of the cores that may be busy reading before fewer runs start."""
 SMOOTHING_OLD, SMOOTHING_NEW = 0.7, 0.3
@@ -37,7 +38,7 @@
     """Adaptive limit on concurrent runs.
 
     Attributes:
-        limit: Number of RPCs that may run at once, before cores busy with reads are subtracted.
+        limit: Number of RPCs that can run concurrently, before cores busy with reads are subtracted.
         core_utilization: Core utilization from 0 to 1 at the last check.
         last_cut_ms: Time of the last cut.
         slowdown: Ratio of run time without downstream calls to the method's base run time, for each
@@ -66,7 +67,7 @@
             self.slowdown.add(self._server.now_ms, own_ms / service_times.base_own_ms)
 
     def survivable_runs(self) -> float:
-        """Returns how many RPCs may be on the cores without risk that the server fails.
+        """Returns how many RPCs can run concurrently without the risk that the server fails.
 
         The number grows while the server warms up.
         """
--- a/landingshift/admission/controller.py
+++ b/landingshift/admission/controller.py
@@ -3,15 +3,16 @@
 For each event, the host program sets `now_ms` and calls one method of the controller. After all simultaneous
 events, it calls `settle`. The controller requests actions from the program through the `Actions` interface.
 
-The controller guarantees that each RPC whose caller still waits is answered once, that no run starts that is
-expected to miss its deadline, and that memory, cores and the downstream service stay within their limits.
+The controller guarantees that each RPC whose caller still waits is answered once, that no run is started if
+it is expected to miss its deadline, and that the use of memory, cores and the downstream service stays within
+limits.
 Under overload it rejects RPCs that would wait too long. It decides locally, without asking other servers.
 
 Each rule has its own module:
 
     deadline_check      whether a queued RPC may still start
     start_order         which queued RPC starts first, and which must not start under overload
-    concurrency_limit   how many RPCs run at once
+    concurrency_limit   how many RPCs run concurrently
     queue_scheduler     applies these three rules and the memory limit to the queue
     service_times       run time statistics that the rules use
     tenant_quotas       lower weights for tenants that exceed their quota
@@ -65,8 +66,8 @@
 from landingshift.admission.tenant_quotas import TenantQuotas
 
 DEADLINE_LEAD_MS = MIN_CHECK_INTERVAL_MS
-"""Time before the end time of an RPC at which `enforce_deadline` aborts it. A longer lead would abort runs
-that still end in time; with a shorter lead, the next check may come too late."""
+"""`enforce_deadline` aborts an RPC this long before its end time. With a longer lead, it would abort runs
+that still end in time. With a shorter lead, the next check might come after the end time."""
 SLOW_UPDATE_INTERVAL_MS = 1000.0
 """Interval between updates of slowly changing inputs: tenant weights and the connection idle timeout."""
 
@@ -158,7 +159,10 @@
         self.lifecycle.resume(managed, RpcEvent.RUN_FINISHED)
 
     def on_call_needed(self, managed: ManagedRpc) -> None:
-        """Handles a run that needs a downstream call and uses no core until the call ends or is skipped."""
+        """Handles a run that needs a downstream call.
+
+        The run uses no core until the call ends or is skipped.
+        """
         managed.call_started_at_ms = self.state.now_ms
         if managed.state is RpcState.RUNNING:
             self.lifecycle.resume(managed, RpcEvent.CALL_NEEDED)
@@ -225,8 +229,8 @@
     def enforce_deadline(self, managed: ManagedRpc) -> float:
         """Aborts an RPC at its end time, or cancels the run of an aborted or abandoned RPC.
 
-        If the engine can cancel runs, the end time is when the answer loses its value, otherwise the
-        deadline. Queued RPCs are not aborted here but rejected by the deadline check.
+        If the engine can cancel runs, the end time is the time at which the answer has lost all its value.
+        Otherwise it is the deadline. Queued RPCs are not aborted here; the deadline check rejects them.
 
         Returns:
             Clock time in ms at which the RPC needs its next check.
@@ -322,7 +326,7 @@
     # Hot restart
 
     def export_state(self) -> tuple[dict[str, Any], list[ManagedRpc]]:
-        """Returns the controller's state as plain values, and the list of RPCs that its indices refer to."""
+        """Returns the controller's state as plain values, and the RPCs to which its indices refer."""
         return export_state(self._snapshot_parts())
 
     def import_state(self, state: dict[str, Any], rpcs: list[Rpc]) -> list[ManagedRpc]:
--- a/landingshift/admission/deadline_check.py
+++ b/landingshift/admission/deadline_check.py
@@ -17,8 +17,8 @@
 from landingshift.admission.start_order import OVERLOAD_BUCKET_COUNT, OVERLOAD_BUCKET_MS, StartOrder
 
 MAX_MARGIN_FRACTION = 0.7
-"""Maximum margin as a fraction of an RPC's time budget: with long-tailed service times, an uncapped p99 would
-reject every RPC."""
+"""Maximum margin as a fraction of an RPC's time budget. With long-tailed service times, a margin equal to the
+p99 could make every RPC fail."""
 MAX_QUEUE_FRACTION_BELOW_FLOOR = 0.12
 """Fraction of its time budget for which an RPC below the priority floor stays queued."""
 
@@ -28,9 +28,9 @@
 
     Attributes:
         failures: One value for each RPC that was rejected in the last 2 s because it failed the check.
-        next_failure_ms: Earliest time at which a queued RPC must be rejected; 0 if this must be computed
-            again. The time stays valid between periodic checks, because the inputs of the deadline check do
-            not change in between.
+        next_failure_ms: Earliest time at which a queued RPC must be rejected; 0 if this time must be
+            recomputed. The time stays valid between periodic checks, because the inputs of the deadline check
+            do not change in between.
     """
 
     def __init__(self, server: ServerState, draining: Draining, order: StartOrder) -> None:
@@ -44,7 +44,7 @@
         """Returns the time at which the RPC fails the check: its deadline minus the margin.
 
         The margin is the p99 run time of its method, including calls, capped at a fraction of the RPC's time
-        budget. An RPC that arrived after `Draining.accept_until_ms` fails at once.
+        budget. An RPC that arrived after `Draining.accept_until_ms` fails immediately.
         """
         if managed.arrived_at_ms > self._draining.accept_until_ms:
             return 0.0
@@ -66,8 +66,8 @@
     def record_rejection(self, managed: ManagedRpc) -> None:
         """Counts a rejected RPC if it failed the check.
 
-        An RPC that was rejected earlier, because of its priority or a lack of memory, is not counted. It
-        would prolong the overload state that caused its rejection.
+        An RPC that was rejected before it failed the check, because of its priority or a lack of memory, is
+        not counted. Otherwise, the rejection would prolong the overload state that caused it.
         """
         if self._server.now_ms >= self.latest_start_ms(managed):
             self.failures.add(self._server.now_ms, 1.0)
@@ -88,7 +88,7 @@
         self.next_failure_ms = min(self.next_failure_ms, self.queued_until_ms(managed))
 
     def is_due(self) -> bool:
-        """Returns whether a queued RPC may have to be rejected now."""
+        """Returns whether a queued RPC might have to be rejected now."""
         return self._server.now_ms >= self.next_failure_ms
 
     def failed_rpcs(self) -> list[ManagedRpc]:
--- a/landingshift/admission/dedup_entries.py
+++ b/landingshift/admission/dedup_entries.py
@@ -1,7 +1,7 @@
 """Selects the RPCs that get an entry in the host program's deduplication table, and accounts for its memory.
 
 The table belongs to the program. An RPC with an idempotency key gets its entry as soon as it is queued.
-Otherwise, a duplicate that arrives while the RPC is queued would not be recognised and would run as well. If
+Otherwise, a duplicate that arrives while the RPC is queued would not be recognised and would also run. If
 there is no memory for the entry, the RPC is rejected. A cacheable read gets an entry if memory allows. The
 entry of an RPC that never ran is dropped, so that a later attempt can run.
 """
@@ -19,7 +19,7 @@
     """Adds and drops the entries of this server's RPCs in the deduplication table.
 
     Attributes:
-        expires_at_ms: Expiry time of each live entry, by its RPC.
+        expires_at_ms: Expiry times of the live entries, keyed by their RPCs.
     """
 
     def __init__(self, server: ServerState, actions: Actions) -> None:
--- a/landingshift/admission/downstream_calls.py
+++ b/landingshift/admission/downstream_calls.py
@@ -1,13 +1,14 @@
 """Decides which downstream calls start, and sets their timeouts.
 
-A run that needs a call waits for a call slot. Slots go first to the runs that gain most value from the call,
-within three limits: the rate (`call_rate`), this server's time budget in the shared store
-(`downstream_time_budget`), and a limit on calls in flight by Little's law. Without the limit on calls in
-flight, calls would accumulate in a slow service until all of them time out.
+A run that needs a call waits for a call slot. Slots go first to the runs that gain the most value from their
+calls. Three limits determine whether a slot is free: the rate of calls (`call_rate`), the total time for
+which this server's calls occupy the shared store (`downstream_time_budget`), and the number of calls in
+flight, limited by Little's law. Without the last limit, calls would accumulate in a slow service until all of
+them time out.
 
 If no slot is free, a run that has too little time left skips the call, or fails if the call is required. A
-run that can skip the call also does so if it has waited, or would wait, too long. A free slot is assigned
-regardless of the time left.
+run that can skip the call also skips it if the run has waited, or would wait, too long. A free slot is
+assigned regardless of the time left.
 """
 
 from __future__ import annotations
@@ -23,14 +24,14 @@
 
 LATENCY_BUCKET_COUNT, LATENCY_BUCKET_MS = 10, 3000.0
 MAX_TIMEOUT_FRACTION = 0.8
-"""Maximum timeout as a fraction of the time left, so that after a lost call there is time to retry or to
-finish without it."""
+"""Maximum timeout as a fraction of the time until the RPC's check deadline, so that time is left to retry a
+lost call or to finish without it."""
 MIN_TIMEOUT_CAP_MS, TIMEOUT_LATENCY_RATIO = 300.0, 6.0
-"""The maximum timeout is the larger of this time and this multiple of the mean latency."""
+"""The timeout is at most the larger of the first value and the second value times the mean latency."""
 DEFAULT_LATENCY_MS = 100.0
 MIN_CALLS_IN_FLIGHT_COUNT, DEFAULT_CALLS_IN_FLIGHT_COUNT = 2.0, 6.0
 IN_FLIGHT_LATENCY_RATIO = 6.0
-"""Latency assumed in the limit on calls in flight, as a multiple of the recent mean. It equals
+"""Latency that the limit on calls in flight accepts, as a multiple of the recent mean latency. It equals
 `TIMEOUT_LATENCY_RATIO`, so that the limit leaves room for calls that last until their timeout."""
 MAX_SLOT_WAIT_FRACTION = 0.1
 """Fraction of its time budget for which an RPC may wait for the slot of a call that it can skip."""
@@ -134,9 +135,9 @@
     def _max_in_flight(self) -> float:
         """Returns the limit on calls in flight by Little's law: completion rate times acceptable latency.
 
-        Calls beyond it would only wait downstream until they time out. The limit has a minimum, which is
-        lowered for a small quota: if every server had several times its quota in flight, the store would be
-        overloaded.
+        Further calls would only wait downstream until they time out. The limit has a minimum. A small
+        concurrency quota lowers this minimum, because the store would be overloaded if every server had
+        several times its quota in flight.
         """
         quota = self._server.settings.downstream_concurrency_quota or DEFAULT_CALLS_IN_FLIGHT_COUNT
         minimum = max(MIN_CALLS_IN_FLIGHT_COUNT, min(DEFAULT_CALLS_IN_FLIGHT_COUNT, quota))
--- a/landingshift/admission/draining.py
+++ b/landingshift/admission/draining.py
@@ -16,8 +16,7 @@
 from landingshift.admission.server_state import ServerState
 
 STOP_MARGIN_MS = CHECK_INTERVAL_MS
-"""Time before the process stops by which all RPCs must be answered, because a check may be late by one
-interval."""
+"""All RPCs must be answered this long before the process stops: a check may be late by one interval."""
 
 
 class Draining:
@@ -42,7 +41,7 @@
 
         Args:
             remaining_ms: Time until the process is stopped.
-            notified_ago_ms: Time since the shutdown notice, from which the grace period counts.
+            notified_ago_ms: Time since the shutdown notice, which began the grace period.
         """
         server = self._server
         grace_end_ms = server.now_ms - notified_ago_ms + server.settings.drain_grace_ms
@@ -66,7 +65,10 @@
         self._actions.set_health(self.is_in_service, True)
 
     def shorten_deadline(self, managed: ManagedRpc) -> None:
-        """Limits the deadline of an RPC that was read while draining to shortly before the process stops."""
+        """Sets the RPC's deadline to at most `STOP_MARGIN_MS` before the process stops, but not to the past.
+
+        Has no effect unless the server is draining.
+        """
         if self.stop_at_ms is not None:
             latest_ms = min(managed.deadline_at_ms, self.stop_at_ms - STOP_MARGIN_MS)
             managed.deadline_at_ms = max(self._server.now_ms, latest_ms)
--- a/landingshift/admission/idle_connections.py
+++ b/landingshift/admission/idle_connections.py
@@ -1,8 +1,8 @@
 """Idle timeout after which this server closes callers' connections.
 
-The open connections of many callers that each send rarely load the cores, and a full connection table locks
-out other callers. If callers return within seconds, their connections stay open, because closing them would
-only cost handshakes.
+If many callers keep connections open but rarely send RPCs, these connections load the cores. They can also
+fill the connection table, which locks out other callers. If callers return within seconds, their connections
+stay open, because closing them would only cost handshakes.
 """
 
 from __future__ import annotations
--- a/landingshift/admission/interface.py
+++ b/landingshift/admission/interface.py
@@ -44,7 +44,7 @@
     LEVEL = 2
     """Load level from 0 (idle) to 1 (full)."""
     CREDIT = 3
-    """Number of RPCs that one caller may have in flight on this server."""
+    """Number of RPCs that one caller is allowed to have in flight on this server."""
     WEIGHT = 4
     """Weight from 1 (idle) to 0 (full) for weighted load balancing."""
 
@@ -92,11 +92,11 @@
     deadline_ms: float
     """Time from arrival to deadline for an RPC that carries no deadline."""
     criticality: float
-    """Value of one answer in time, or of one unit of work (`Settings.criticality_is_per_work`)."""
+    """Value of an answer in time; per unit of its work if `Settings.criticality_is_per_work` is set."""
     late_value_fraction: float
     """Fraction of its value that an answer keeps between latency objective and deadline."""
     dedup_window_ms: float
-    """Time after the first attempt in which duplicates may arrive; for KEYED methods."""
+    """Time after the first attempt in which duplicates can arrive; for KEYED methods."""
     calls_downstream: bool
     degraded_value_fraction: float
     """Fraction of its value that an answer keeps without its downstream call; 0 if the call is required."""
@@ -154,7 +154,7 @@
     drain_grace_ms: float
     """Time after the shutdown notice in which arriving RPCs are still run."""
     max_runs_per_core: float
-    """Number of RPCs on the cores, per core, that a warm server can run without failing."""
+    """Maximum number of concurrent runs per core at which a warm server does not fail."""
 
 
 @dataclass(slots=True, eq=False)
@@ -173,9 +173,10 @@
     work_hint_ms: float | None
     """The caller's estimate of the RPC's work; None if the caller sends none."""
     has_cache_key: bool
-    """Whether its result may answer other RPCs with the same cache key."""
+    """Whether it carries a cache key, so that its result can answer other RPCs with the same key."""
     is_duplicate: bool
-    """Whether the deduplication table has an earlier attempt, or a read with the same cache key."""
+    """Whether the deduplication table has an entry of an earlier attempt, or of a read with the same cache
+    key."""
     is_retry: bool
     """Whether its caller marked it as a retry or a hedged request."""
     is_write: bool
@@ -223,7 +224,7 @@
         """Continues the run without its downstream call."""
 
     def retain_dedup_entry(self, rpc: Rpc, duration_ms: float) -> None:
-        """Adds the RPC to the deduplication table, or extends its entry."""
+        """Adds the RPC's deduplication entry, or extends it; the entry expires after `duration_ms`."""
 
     def drop_dedup_entry(self, rpc: Rpc) -> None:
         """Removes the entry of an RPC that never ran, so that a duplicate can run."""
--- a/landingshift/admission/managed_rpc.py
+++ b/landingshift/admission/managed_rpc.py
@@ -11,7 +11,7 @@
 MIN_LATE_VALUE_FRACTION = 0.5
 """An RPC is run past its latency objective only if a late answer keeps more than this fraction of its value.
 
-Otherwise it is rejected earlier, so that another server can still answer in time.
+Otherwise, the deadline check rejects the RPC earlier, so that another server can still answer in time.
 """
 MIN_TIME_BUDGET_MS = 1.0
 MIN_OWN_RUN_MS = 1.0
@@ -31,7 +31,8 @@
     CALLING = 5
     """Its run waits for the result of a downstream call."""
     CALL_SKIPPED = 6
-    """Its run continues without the downstream call. The RPC's recorded state is then RUNNING."""
+    """Its run is about to continue without the downstream call. This state is transient: the RPC becomes
+    `RUNNING` immediately, and `ManagedRpc.state` never has this value."""
     REJECTED = 7
     """Answered as never run, and released."""
     ABORTED = 8
@@ -41,7 +42,10 @@
 
 
 class RpcEvent(Enum):
-    """Event that resumes an RPC's lifecycle. The end of a downstream call resumes it with an `Outcome`."""
+    """Event that resumes an RPC's lifecycle.
+
+    The end of a downstream call resumes it with an `Outcome` instead.
+    """
 
     START = 1
     SHED = 2
@@ -74,7 +78,7 @@
         state: Current state; None before the first state and after release.
         lifecycle: Generator of its states.
         arrived_at_ms: Time at which it reached the machine.
-        deadline_at_ms: Time at which its caller stops waiting. On a draining server, it is limited to shortly
+        deadline_at_ms: Time at which its caller stops waiting. A draining server limits it to a time shortly
             before the process stops.
         objective_at_ms: Time after which its answer is late; at most the deadline.
         time_budget_ms: Time from arrival to `check_deadline_ms`.
@@ -83,8 +87,8 @@
         call_gain: Value that is lost if its downstream call is skipped.
         call_attempts: Number of its downstream calls that failed.
         total_call_ms: Total duration of its downstream calls.
-        call_started_at_ms: From `CALLING` on, start time of the call. While `AWAITING_CALL_SLOT`, time at
-            which the run needed the call or, for a retry, start time of the failed attempt.
+        call_started_at_ms: Start time of its latest downstream call. While the first attempt of a call waits
+            for a call slot, the time at which the run requested the call.
         call_expires_at_ms: Time after which the current call no longer occupies the downstream service, even
             if it was given up.
     """
@@ -133,7 +137,7 @@
 
     @property
     def check_deadline_ms(self) -> float:
-        """Deadline used by the deadline check: no run is started for an answer after this time."""
+        """Deadline used by the deadline check. A run is not started if its answer is expected later."""
         return self._latest_answer_ms(MIN_LATE_VALUE_FRACTION)
 
     @property
--- a/landingshift/admission/mode_log.py
+++ b/landingshift/admission/mode_log.py
@@ -1,4 +1,7 @@
-"""Logs each rule that becomes active or inactive, with the measurements that caused the change."""
+"""Logs mode changes, with the measurements that caused them.
+
+A mode is on while its admission rule is active.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
     """Logs mode changes. The mode names are part of the log format; `docs/oncall.md` explains each of them.
 
     Attributes:
-        is_on: Whether each mode is on, by its name; a mode that was never on is missing.
+        is_on: Whether each mode is on, keyed by mode name; a mode that was never on is missing.
     """
 
     def __init__(self, actions: Actions) -> None:
--- a/landingshift/admission/queue_scheduler.py
+++ b/landingshift/admission/queue_scheduler.py
@@ -1,8 +1,9 @@
-"""Queue scheduler, which rejects RPCs that fail the deadline check and starts the best while slots are free.
+"""Rejects queued RPCs that fail the deadline check, and starts the best of the others while slots are free.
 
-A server that runs out of memory fails. If memory is short, RPCs are rejected from the lowest priority up,
-even if they pass the deadline check. If there is not enough memory to run the best RPC, RPCs are rejected
-from the lowest priority up until there is enough, or until only the best RPC is queued.
+The best RPC is the one that is first in the start order. A server that runs out of memory fails. Therefore,
+if memory is short, queued RPCs are rejected in reverse start order, even if they pass the deadline check. If
+there is not enough memory to run the best RPC, others are rejected in the same order until there is enough,
+or until only the best RPC is queued.
 """
 
 from __future__ import annotations
@@ -62,6 +63,9 @@
         return self._server.memory_in_use_kb > self._server.max_memory_kb
 
     def _fits(self, managed: ManagedRpc) -> bool:
-        """Returns whether there is memory for what a run of the RPC needs in addition."""
+        """Returns whether there is enough memory to run a queued RPC.
+
+        A run needs more memory than the queued RPC already uses.
+        """
         growth_kb = managed.rpc.memory_kb * (self._server.settings.running_memory_factor - 1.0)
         return self._server.memory_in_use_kb + growth_kb <= self._server.max_memory_kb
--- a/landingshift/admission/recent_callers.py
+++ b/landingshift/admission/recent_callers.py
@@ -47,10 +47,10 @@
 
         A server that starts cold has read no RPC from most of its callers yet. If only the RPCs read so far
         counted, the first caller would get the whole capacity as its credit, and each further caller nearly
-        as much. When the first RPC is read, each of the `caller_count` callers is therefore counted with one
-        assumed RPC. This number decreases linearly to 0 over one window. For example, assume 10 callers, of
-        which one has sent 3 RPCs and another 1. Half a window after the first RPC, the fraction of the
-        busiest caller is (3 + 0.5) / (4 + 0.5 * 10) = 0.39 instead of 3 / 4.
+        as much. Therefore, each of the `caller_count` callers is counted with one assumed RPC when the first
+        RPC is read. The assumed number per caller then decreases linearly to 0 over one window. For example,
+        one of 10 callers has sent 3 RPCs, another has sent 1, and the others none. Half a window after the
+        first RPC, the fraction of the busiest caller is (3 + 0.5) / (4 + 0.5 * 10) = 0.39 instead of 3 / 4.
         """
         now_ms, settings = self._server.now_ms, self._server.settings
         counts = Counter(self.caller_ids.values(now_ms))
--- a/landingshift/admission/retry_policy.py
+++ b/landingshift/admission/retry_policy.py
@@ -1,8 +1,9 @@
 """Retry rules for downstream calls and for rejected RPCs.
 
 Only calls and RPCs that are idempotent or cannot have run are retried, so that no effect occurs twice. The
-caller of a rejected RPC may try another server only while marked retries are rare. Each further attempt costs
-a read on another server, and many retries show that other servers reject RPCs too (retry amplification).
+caller of a rejected RPC is allowed to try another server only while marked retries are rare. Each further
+attempt costs a read on another server, and many retries show that other servers reject RPCs too (retry
+amplification).
 """
 
 from __future__ import annotations
--- a/landingshift/admission/rpc_lifecycle.py
+++ b/landingshift/admission/rpc_lifecycle.py
@@ -13,13 +13,13 @@
                        -> AWAITING_CALL_SLOT  call failed, is retried
                        -> CALL_SKIPPED        call failed, optional
                        -> ABORTED             call failed, required
-    CALL_SKIPPED       -> RUNNING             at once
+    CALL_SKIPPED       -> RUNNING             immediately
     any state of a run -> ABORTED             at its deadline, or needs a call once its answer is worthless
                        -> ABANDONED           its caller has disconnected
 
-An RPC is released when its run or the original attempt that it waits for has ended, when it is rejected, and
-when it is aborted without a run of its own. If its caller disconnects before a run was started, it is
-released without an answer.
+An RPC is released when its run has ended, when the original attempt that it waits for has ended, when it is
+rejected, or when it is aborted without a run of its own. If its caller disconnects before a run was started,
+the RPC is released without an answer.
 
 Each RPC is answered at most once: with its result, as rejected (never ran) or as aborted. The memory of a run
 is counted until the engine reports its end, whether or not a caller still waits for it.
@@ -138,9 +138,8 @@
         """Yields the states of a downstream call, which is made, retried if that is safe, or skipped.
 
         Returns:
-            The next event of the run. If the answer had lost all value before the call, or if the call is
-            required and failed or was denied, this is DEADLINE_REACHED, which aborts the run to save the rest
-            of its work.
+            The next event of the run. If the answer has already lost all its value, or if a required call
+            failed or was denied, this is DEADLINE_REACHED: the run is aborted, to save the rest of its work.
         """
         if self._server.now_ms > managed.worthless_at_ms:
             return RpcEvent.DEADLINE_REACHED
--- a/landingshift/admission/server_state.py
+++ b/landingshift/admission/server_state.py
@@ -50,7 +50,7 @@
 
     @property
     def seconds_since_check(self) -> float:
-        """Seconds since the last periodic check, by which rate changes are scaled."""
+        """Seconds since the last periodic check; rate changes are proportional to it."""
         return (self.now_ms - self.last_check_ms) / 1000.0
 
     def all_rpcs(self) -> list[ManagedRpc]:
--- a/landingshift/admission/service_times.py
+++ b/landingshift/admission/service_times.py
@@ -1,8 +1,8 @@
 """Service times of one method, measured on successful runs.
 
 The deadline check uses the p99 as its margin, and the start order uses the mean as the expected work. The
-base time is the lowest mean of a 5 s bucket in the last 40 s, which estimates the run time without load. The
-concurrency limit is divided by the ratio of run times to the base time.
+base time estimates the run time without load. It is the lowest of the mean run times of the 5 s buckets in
+the last 40 s. The concurrency limit is divided by the ratio of run times to the base time.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 OWN_BUCKET_COUNT, OWN_BUCKET_MS = 8, 5000.0
 REFRESH_CHANGE_FRACTION = 0.01
 """Fraction of the values that must have changed before the statistics are recomputed. Fewer changes hardly
-affect the p99, and computing it sorts all values."""
+affect the p99, and computing the p99 requires sorting all values."""
 
 
 class ServiceTimes:
@@ -25,7 +25,7 @@
         changes_seen: Value of `run_ms.change_count` when the statistics were last computed.
         p99_ms: 99th percentile of `run_ms`.
         mean_own_ms: Mean of `own_ms`.
-        base_own_ms: Lowest bucket mean of `own_ms`, or their overall mean while no bucket has enough values.
+        base_own_ms: Lowest bucket mean of `own_ms`, or its overall mean while no bucket has enough values.
     """
 
     def __init__(self) -> None:
--- a/landingshift/admission/snapshot.py
+++ b/landingshift/admission/snapshot.py
@@ -1,8 +1,8 @@
 """Export and import of a controller's complete state for a hot restart.
 
-The other process may run an older or a newer build. The tables in this module define the stored format. They
-map stored names to the attributes that hold the values in this build. Stored values that this build does not
-know are ignored; values that the other build did not store keep their initial value.
+The other process can be of an older or a newer build. The tables in this module define the stored format.
+They map stored names to the attributes that contain the values in this build. Stored values that this build
+does not know are ignored; values that the other build did not store keep their initial value.
 """
 
 from __future__ import annotations
@@ -61,8 +61,8 @@
     "fails": ("check", "next_failure_ms"),
     "alarm": ("timer", "next_check_ms"),
 }
-"""Maps the stored name of each scalar value to the field of `SnapshotParts` and the attribute that hold it,
-in stored order."""
+"""Maps the stored name of each scalar value to its location in this build: a field of `SnapshotParts`, and an
+attribute of that part. The entries are in stored order."""
 
 STORED_WINDOWS = {
     "stretch": ("limit", "slowdown"),
@@ -77,8 +77,8 @@
     "call_recent": ("call_rate", "recent_ms"),
     "call_load": ("time_budget", "call_time_ms"),
 }
-"""Maps the stored name of each rolling window in the same way. The windows of methods and tenants are stored
-after these, in the order of the settings."""
+"""Maps the stored name of each rolling window to its location in the same way. The windows of methods and
+tenants are stored after these, in the order of the settings."""
 
 STORED_RPC_ATTRIBUTES = (
     "arrived_at_ms",
@@ -123,7 +123,7 @@
     """Exports the state of a controller.
 
     Returns:
-        The state as plain values, and the list of RPCs that its indices refer to.
+        The state as plain values, and the RPCs to which indices in the state refer.
     """
     entries = parts.dedup.expires_at_ms
     rpcs = parts.server.all_rpcs() + [managed for managed in entries if managed.state is None]
--- a/landingshift/admission/start_order.py
+++ b/landingshift/admission/start_order.py
@@ -88,9 +88,9 @@
     def update_floor(self, is_saturated: bool, failed_count: int) -> None:
         """Sets the priority floor under overload, and removes it otherwise.
 
-        If n RPCs were started in the last 2 s, the floor is the priority of the RPC ranked n + 1 among those
-        read in that time. Without a floor, RPCs of high priority would expire while RPCs of low priority
-        occupy the slots.
+        The RPCs read in the last 2 s are ranked by descending priority. If n RPCs were started in that time,
+        the floor is the priority at rank n + 1. Without a floor, RPCs of high priority would expire while
+        RPCs of low priority occupy the slots.
 
         Args:
             is_saturated: Whether utilization is high and no core is idle.
--- a/landingshift/drill/adapter.py
+++ b/landingshift/drill/adapter.py
@@ -1,4 +1,4 @@
-"""Reads batches of events from the simulator, passes them to the instances and writes their replies.
+"""Reads batches of events from the simulator, passes them to the instances and writes the replies.
 
 An exception in one instance is reported to the simulator with its traceback and does not affect other
 instances. A malformed line ends the process.
--- a/landingshift/drill/wire.py
+++ b/landingshift/drill/wire.py
@@ -41,7 +41,7 @@
     "not_sent": Outcome.NOT_SENT,
 }
 FIELD_COUNTS = {INGRESS: 12, RESULT: 3, WANTS_CALL: 1, CALL_DONE: 3, HANGUP: 1, QUIESCE: 1, ELAPSED: 2}
-"""Number of fields of each event after the number of its instance; missing trailing fields count as null."""
+"""Number of fields of each event after the instance number; missing trailing fields count as null."""
 
 HINT_BIT, RETRY_BIT, WRITE_BIT = 1, 2, 4
 """Bits in the flags of an RPC: the work hint is valid; the RPC is a retry; the RPC changes state."""
@@ -67,7 +67,7 @@
 
 @dataclass(slots=True)
 class RunFinished:
-    """A run has ended, or the original attempt that a duplicate waited for."""
+    """A run has ended, or the original attempt that a duplicate waited for has ended."""
 
     rpc_id: str
     outcome: Outcome
--- a/landingshift/net/routing/actions.py
+++ b/landingshift/net/routing/actions.py
@@ -109,7 +109,7 @@
             self.dedup.unlink_duplicate(rpc)
         self.engine.commands.forget(rpc)
         self.database.forget_rpc(rpc)
-        rpc.managed = None  # breaks a reference cycle, so that memory is freed at once
+        rpc.managed = None  # breaks a reference cycle, so that memory is freed immediately
         self.table.remove(rpc)
         self.observers.notify("on_closed", rpc)
 
--- a/landingshift/net/routing/admission_driver.py
+++ b/landingshift/net/routing/admission_driver.py
@@ -1,8 +1,9 @@
 """Delivers events to the admission controller in order, and never while the controller is acting.
 
-The controller settles when it decides on the events received so far and requests its actions. Invariant: it
-receives all events of one loop pass before it settles. Events that its own actions cause are deferred until
-it has settled; then they are delivered, and the controller settles again in the same pass.
+Settling means that the controller decides on the events received so far and requests the resulting actions.
+Invariant: the controller receives all events of one loop pass before it settles. The actions can cause
+further events. These are deferred until the controller has settled. Then they are delivered, and the
+controller settles again in the same pass.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
     Attributes:
         controller: The admission controller; None until the engine is up.
         needs_settle: Whether the controller has received events since it last settled.
-        deferred: Callbacks to run before the controller settles next; each may deliver an event.
+        deferred: Callbacks to run before the controller settles next; each can deliver an event.
     """
 
     def __init__(self, loop: Loop) -> None:
@@ -41,7 +42,7 @@
         self.deferred.append(action)
 
     def settle(self) -> None:
-        """Runs deferred callbacks and settles the controller until no callback or unsettled event is left."""
+        """Runs deferred callbacks and makes the controller settle, until no callbacks or events are left."""
         while self.deferred or self.needs_settle:
             while self.deferred:
                 self.deferred.popleft()()
--- a/landingshift/net/routing/answers.py
+++ b/landingshift/net/routing/answers.py
@@ -50,7 +50,7 @@
             self.send_deferred(rpc, result)
 
     def send_deferred(self, rpc: RoutedRpc, result: bytes) -> None:
-        """Sends an ok answer at once, without asking the gate; the gate calls this to release an answer."""
+        """Sends an ok answer without asking the gate; the gate calls this to release an answer."""
         rpc.is_answer_deferred = False
         self._answer(rpc, wire.encode_ok(rpc.message_id, result, self.headers), AnswerKind.OK)
 
--- a/landingshift/net/routing/database_pool.py
+++ b/landingshift/net/routing/database_pool.py
@@ -1,9 +1,11 @@
 """Makes calls to the shared database over a pool of links.
 
 Calls are spread so that each link carries as few as possible, since a malformed or incomplete reply fails all
-calls on its link. Guarantee: a call that cannot have reached the database ends as `NO_CONNECTION`. If it may
-have reached the database but got no reply, it ends as `NO_RESPONSE` after its timeout or as `CONNECTION_LOST`
-if its link is lost.
+calls on its link.
+
+Guarantee: a call that cannot have reached the database ends as `NO_CONNECTION`. A call that might have
+reached the database but got no reply ends as `NO_RESPONSE` after its timeout, or as `CONNECTION_LOST` if its
+link is lost.
 """
 
 from __future__ import annotations
@@ -56,7 +58,7 @@
     def __init__(self, pool: DatabasePool, open_stream: Callable[[DatabaseLink], Stream | str]) -> None:
         self.pool = pool
         self.decoder = wire.ReplyDecoder()
-        self.calls: dict[bytes, DatabaseCall] = {}  # calls in flight on this link, by RPC id
+        self.calls: dict[bytes, DatabaseCall] = {}  # calls in flight on this link, keyed by RPC id
         self.partial_reply_timer: Timer | None = None  # set while a reply is partly received
         stream = open_stream(self)
         self.stream = stream if isinstance(stream, Stream) else None
@@ -98,7 +100,7 @@
         self.partial_reply_timer = None
 
     def close(self, reason: str) -> None:
-        """Closes the link at once."""
+        """Closes the link immediately."""
         if self.stream is not None:
             self.stream.close(reason)
 
@@ -131,8 +133,8 @@
         links: Links that take new calls.
         open_count: The number of open links, including retired links, which take no new calls.
         calls: The call in flight of each RPC that has one.
-        used_links: The links that the calls of each open RPC have used; a late reply may still arrive there.
-        cancelled: Links and RPC ids of the calls cancelled since the last flush.
+        used_links: For each open RPC, the links that its calls have used; late replies can arrive there.
+        cancelled: Links and RPC ids of the calls that were cancelled since the last flush.
     """
 
     def __init__(self, loop: Loop, address: Address | None, log: Callable[..., None]) -> None:
--- a/landingshift/net/routing/dedup.py
+++ b/landingshift/net/routing/dedup.py
@@ -1,10 +1,10 @@
 """The deduplication table: stores the outcomes of RPCs, from which their duplicates are answered.
 
-Two requests are duplicates if they have the same deduplication key: method and idempotency key, or method and
-cache key. The RPC that runs for them is the owner of their entry in the table.
+Requests with the same deduplication key are duplicates. The key consists of the method and either the
+idempotency key or the cache key. One RPC runs for all of them: the owner of their entry in the table.
 
 Guarantee: an RPC whose effect must not happen twice stays in the table until its deduplication window ends.
-Under memory pressure its result is dropped, but not the fact that it ran. Once the owner has ended, a
+Under memory pressure its result is dropped, but not the record that it ran. Once the owner has ended, a
 duplicate that arrives after the window runs as a new RPC.
 """
 
@@ -43,7 +43,7 @@
 
 
 class DedupTable:
-    """The deduplication entries, by deduplication key. Their total size is bounded.
+    """The deduplication entries, keyed by deduplication key. Their total size is bounded.
 
     Args:
         max_bytes: The total size of entries and results above which results are evicted.
@@ -52,8 +52,8 @@
 
     Attributes:
         used_bytes: The total size of entries and results.
-        entries: The entries, by deduplication key.
-        originals: The entry that answers each open duplicate, by the duplicate.
+        entries: The entries, keyed by deduplication key.
+        originals: For each open duplicate (read and not yet closed), the entry that answers it.
     """
 
     def __init__(self, max_bytes: int, response_cache_ttl_ms: float, max_age_ms: float = 0.0) -> None:
@@ -67,9 +67,10 @@
     def find(self, rpc: RoutedRpc, now_ms: float, arrived_ms: float) -> DedupEntry | None:
         """Return the entry that answers `rpc` as a duplicate; None if there is none.
 
-        An entry that has expired or whose result may not be reused is removed. `rpc` is within the window of
-        an entry if it arrived at the machine (`arrived_ms`) before the window ended, even if it is read much
-        later. If it counted as a new RPC, it could be rejected as never run although its original ran.
+        An entry whose owner has ended is removed if it has expired or if its result must not be reused. It
+        has expired if `rpc` arrived at the machine (`arrived_ms`) after the end of the window. The time at
+        which `rpc` is read does not matter, because a duplicate that is read late could otherwise be rejected
+        as never run although the original ran.
         """
         entry = self.entries.get(rpc.dedup_key) if rpc.dedup_key else None
         if entry is None:
@@ -139,7 +140,7 @@
     def _evict(self, now_ms: float) -> None:
         """Frees memory: removes expired entries, then evicts results, those of the oldest entries first.
 
-        The entry of an RPC whose effect must not happen twice loses only its result: the fact that the RPC
+        The entry of an RPC whose effect must not happen twice loses only its result: the record that the RPC
         ran is kept however little memory is left.
         """
         # An entry is kept for max_age_ms after its window ends, since a duplicate that arrived within the
--- a/landingshift/net/routing/engine_commands.py
+++ b/landingshift/net/routing/engine_commands.py
@@ -31,8 +31,8 @@
     def is_unsafe_to_resend(self) -> bool:
         """Return whether resending the command could repeat an effect.
 
-        The engine may have received the command on the lost link and completed the run in the meantime. An
-        RPC that is idempotent or already answered may run again.
+        The engine may have received the command on the lost link and completed the run in the meantime.
+        Resending counts as safe if the RPC is idempotent or already answered.
         """
         may_run_again = self.rpc.method.idempotency is Idempotency.IDEMPOTENT or self.rpc.is_answered
         return self.starts_run and self.is_in_doubt and not may_run_again
--- a/landingshift/net/routing/engine_events.py
+++ b/landingshift/net/routing/engine_events.py
@@ -91,8 +91,8 @@
     def on_command_refused(self, refusal: wire.CommandRefused) -> None:
         """Logs a refused command, and ends the RPC if the refusal shows that the engine does not know it.
 
-        A refused run command and a refused `EngineLink.query_known` show this. The RPC is then aborted, and
-        its connection is cut off if it is unverified.
+        A refused run command shows this, and so does a refused query of `EngineLink.query_known`. The RPC is
+        then aborted, and its connection is cut off if the connection is unverified.
         """
         rpc = self.table.find(refusal.rpc_id)
         self.log("engine_command_refused", command=refusal.command.decode("latin-1"), known=rpc is not None)
--- a/landingshift/net/routing/engine_link.py
+++ b/landingshift/net/routing/engine_link.py
@@ -64,7 +64,7 @@
     Attributes:
         last_notice_number: The number of the last notice read.
         is_ready: Whether commands may be written. After a connect this is false until all notices that were
-            missed without a link have been read.
+            missed while there was no link have been read.
         has_reached_engine: Whether the engine has answered at least once since the start of the server.
         is_greeted: Whether the engine has answered on the present link.
         is_changing_address: Whether the link is about to close, to reconnect at another address.
@@ -110,7 +110,7 @@
     # Connecting
 
     def attach(self) -> None:
-        """Connects to the engine; if that fails at once, retries after `RECONNECT_DELAY_MS`."""
+        """Connects to the engine; if that fails immediately, retries after `RECONNECT_DELAY_MS`."""
         self.reconnect_timer = None
         self.decoder = wire.NoticeDecoder()
         self.linked_at_ms = self.loop.now_ms
@@ -136,8 +136,8 @@
         elif not self.is_ready:
             self.stream.close("moved")
         else:
-            # The link is closed once all commands are confirmed, so that no command is in doubt and withheld.
-            # The timer bounds the wait.
+            # The link is closed once all commands are confirmed. If it were closed earlier, unconfirmed
+            # commands would be in doubt and could be withheld. The timer bounds the wait.
             stream = self.stream
             self.is_ready = False
             self.is_changing_address = True
@@ -250,8 +250,8 @@
         if not self.has_reached_engine:
             self.has_reached_engine = True
             self.events.on_engine_up(hello)
-        # The engine sends the notices that were missed without a link before it answers this query. Until the
-        # answer it is not known which commands must be resent.
+        # Before the engine answers this query, it sends the notices that were missed while there was no link.
+        # Until the answer it is not known which commands must be resent.
         self.query_gauges()
 
     def _on_gauge_report(self, report: wire.GaugeReport) -> None:
@@ -329,7 +329,11 @@
         self.query_gauges()
 
     def send_withheld(self, rpc: RoutedRpc) -> None:
-        """Sends the withheld command, if any, of an answered or abandoned RPC, to learn how its run ended."""
+        """Sends the withheld run command, if there is one, of an RPC that was answered or abandoned.
+
+        Until then the command was withheld because it could have repeated the effect of the RPC. The engine
+        replies with the end of the run or refuses the command; either lets the controller release the RPC.
+        """
         command = self.commands.latest.get(rpc)
         if command is not None and command.is_withheld:
             self.send_command(rpc, command.data, starts_run=True)
--- a/landingshift/net/routing/gateway_connection.py
+++ b/landingshift/net/routing/gateway_connection.py
@@ -64,7 +64,7 @@
         open_stream: Opens the connection's stream.
 
     Attributes:
-        rpcs: Open RPCs, by the message id of their requests.
+        rpcs: Open RPCs, keyed by the message id of their requests.
         rpc_count: The number of RPCs read.
         health_check_count: The number of health checks read.
         invalid_count: The number of RPCs rejected for an invalid field.
@@ -138,8 +138,8 @@
     def on_eof(self) -> None:
         """Handles the end of the gateway's output: closes the connection once its RPCs are answered.
 
-        The gateway may still read answers. If it does not, the goaway written here causes a reset, which is
-        checked for after `RESET_TIME_MS`.
+        The gateway might still read answers. If it does not, the goaway written here causes a reset. The
+        stream is checked for a reset after `RESET_TIME_MS`.
         """
         if not self.rpcs:
             self.stream.close_gracefully("closed_by_gateway")
@@ -197,7 +197,7 @@
     # Closing
 
     def send_goaway(self, grace_ms: float = GOAWAY_GRACE_MS) -> None:
-        """Asks the gateway to close the connection; this server closes it if it is open after `grace_ms`."""
+        """Asks the gateway to close the connection, and closes the connection itself after `grace_ms`."""
         if not self.stream.is_open:
             return
         if not self.goaway_deadline_ms:
@@ -216,7 +216,7 @@
         self.stream.close_gracefully(reason)
 
     def close_now(self, reason: str) -> None:
-        """Closes the connection at once; called only if no answer is owed on it."""
+        """Closes the connection immediately; called only if no answer is owed on it."""
         self.stream.flush()
         self.stream.close(reason)
 
@@ -240,8 +240,8 @@
         """Closes the connection or sends goaway if a deadline has passed; otherwise schedules the next check.
 
         After its idle limit, a connection gets goaway if it is verified, or if it has carried RPCs and all of
-        them were valid. Any other connection is closed at once. After goaway, the connection is closed if the
-        gateway does not close it in time. A connection is cut off if a message is not complete after
+        them were valid. Any other connection is closed immediately. After goaway, the connection is closed if
+        the gateway does not close it in time. A connection is cut off if a message is not complete after
         `MAX_MESSAGE_MS`.
         """
         if self.stream.close_reason:
@@ -275,7 +275,7 @@
     def _is_goaway_unsent(self) -> bool:
         """Return whether goaway may still be queued behind answers because the gateway reads slowly.
 
-        This holds for at most `GOAWAY_GRACE_MS` after the deadline, so that the connection closes in the end.
+        False once `GOAWAY_GRACE_MS` have passed since the goaway deadline, so that the connection is closed.
         """
         if not self.goaway_deadline_ms or not self.stream.output:
             return False
--- a/landingshift/net/routing/gateways.py
+++ b/landingshift/net/routing/gateways.py
@@ -92,8 +92,8 @@
     def _has_capacity(self, has_descriptors: bool) -> bool:
         """Return whether one more connection can be accepted; evict idle connections if necessary.
 
-        An unverified connection can be closed at once to make room. A verified connection only gets goaway
-        and makes room later.
+        An unverified connection can be closed immediately to make room. A verified connection only gets
+        goaway and makes room later.
 
         Args:
             has_descriptors: Whether the process has file descriptors left.
@@ -110,10 +110,10 @@
         return False
 
     def _idle_connections(self) -> list[GatewayConnection]:
-        """Return the connections without open RPCs to which no goaway was sent.
+        """Return the idle connections: those that have no open RPC and have not been sent goaway.
 
-        A connection accepted in the last passes is not included: its socket may hold an RPC that has not been
-        read yet and would be lost.
+        Connections accepted in this loop pass or the previous one are not included. Their sockets may contain
+        RPCs that have not been read yet and would be lost.
         """
         newest_pass = self.loop.read_count - MIN_AGE_PASSES
         return [
@@ -165,8 +165,8 @@
     def start_draining(self) -> None:
         """Accepts the waiting connections, closes the listener and sends goaway on all connections."""
         self.context.is_draining = True
-        # The listener is closed before goaway is sent: a gateway that gets goaway reconnects at once, and a
-        # refused connection proves to it that nothing ran.
+        # The listener is closed before goaway is sent: a gateway that gets goaway reconnects immediately, and
+        # a refused connection proves to the gateway that nothing ran.
         self._close_listener()
         for connection in self.connections:
             connection.send_goaway(DRAIN_GOAWAY_GRACE_MS)
--- a/landingshift/net/routing/health.py
+++ b/landingshift/net/routing/health.py
@@ -37,7 +37,7 @@
         self.engine = engine
         self.runs_deep_checks = runs_deep_checks
         self.is_healthy = True  # set by the admission controller
-        # Whether deep checks skip the self-test, whose load may be untimely; set by the admission controller.
+        # Whether deep checks skip the self-test, to avoid its load at a bad time; set by the controller.
         self.is_shallow = True
         self.is_reporting = False
         self.is_started = False
@@ -59,7 +59,7 @@
                 self.start()
 
     def set_health(self, is_healthy: bool, is_shallow: bool) -> None:
-        """Sets the health and whether deep checks skip the self-test; reports a change of health at once."""
+        """Sets the health and whether deep checks skip the self-test; reports changed health immediately."""
         has_changed = is_healthy != self.is_healthy
         self.is_healthy = is_healthy
         self.is_shallow = is_shallow
--- a/landingshift/net/routing/observers.py
+++ b/landingshift/net/routing/observers.py
@@ -48,16 +48,17 @@
 
 
 class AnswerGate(Protocol):
-    """May delay ok answers, but not beyond the deadlines of their RPCs."""
+    """Delays ok answers if necessary, but not beyond the deadlines of their RPCs."""
 
     def defer_answer(self, rpc: RoutedRpc, result: bytes, run_time_ms: float) -> bool:
         """Return whether the gate takes over the ok answer of `rpc`.
 
-        If so, it must itself send or abort it with `AnswerWriter.send_deferred` or `abort_deferred`.
+        If so, the gate must later call `AnswerWriter.send_deferred` to send the answer, or `abort_deferred`
+        to abort the RPC instead.
         """
 
     def flush_by(self, deadline_ms: float) -> None:
-        """Requires the gate to release all answers that it holds by `deadline_ms` on the loop's clock."""
+        """Requires the gate to release all its deferred answers by `deadline_ms` on the loop's clock."""
 
 
 Handler = Callable[..., None]
--- a/landingshift/net/routing/reload.py
+++ b/landingshift/net/routing/reload.py
@@ -6,8 +6,8 @@
 
 from landingshift.net.routing.server_config import ServerConfig
 
-# Configuration keys that take effect only at the next start, with their attributes in `ServerConfig`. The log
-# names those that a reload would change. `settings` also takes effect only at the next start, but is not
+# Configuration keys that take effect only at the next start, with their attributes in `ServerConfig`. A
+# reload logs which of them have changed. `settings` also takes effect only at the next start, but is not
 # listed, because policies change it while the server runs.
 FIXED_KEYS = {
     "name": "name",
--- a/landingshift/net/routing/request_validation.py
+++ b/landingshift/net/routing/request_validation.py
@@ -98,7 +98,7 @@
 def _id_in_use_error(method: Method, rpc_with_id: RoutedRpc) -> LandingshiftError:
     """Return the error for a request that has the id of an open RPC.
 
-    Such a request is never accepted, because the engine could not tell the two apart.
+    Such a request is never accepted, because the engine could not tell the two RPCs apart.
     """
     has_started = rpc_with_id.managed is not None and rpc_with_id.managed.has_started
     if has_started and method.idempotency is not Idempotency.IDEMPOTENT:
--- a/landingshift/net/routing/router.py
+++ b/landingshift/net/routing/router.py
@@ -154,7 +154,7 @@
         self.driver.needs_settle = True
 
     def settle(self) -> None:
-        """Ends a loop pass: the controller decides on the events of the pass and carries out its actions."""
+        """Ends a loop pass: the controller decides on the events, and its actions are carried out."""
         if self.before_decisions is not None:
             self.before_decisions()
         self.driver.settle()
@@ -167,7 +167,7 @@
     def _start_admission(self, hello: Hello) -> None:
         """Creates the admission controller when the engine answers for the first time.
 
-        The controller's start time is the start of the engine, from which the engine's cores warm up.
+        The controller's start time is that of the engine, because the engine's cores warm up from then on.
         """
         if self.is_draining:
             return  # the server stops without running any RPC, so it must not report to the roster
--- a/landingshift/net/routing/rpc_intake.py
+++ b/landingshift/net/routing/rpc_intake.py
@@ -1,7 +1,7 @@
 """Handles requests from gateways: passes RPCs to the admission controller and answers health checks.
 
-Guarantee: every request is answered; a request that is not accepted is answered at once. A rejection states
-that the RPC never ran, so a duplicate of an RPC that must not run twice is never rejected.
+Guarantee: every request is answered; a request that is not accepted is answered immediately. A rejection
+states that the RPC never ran, so a duplicate of an RPC that must not run twice is never rejected.
 """
 
 from __future__ import annotations
@@ -66,7 +66,7 @@
         self.log = log
 
     def on_request(self, connection: GatewayConnection, request: wire.Request) -> None:
-        """Validates a request and passes the RPC to the controller; answers at once if it is not accepted."""
+        """Validates a request and passes its RPC to the controller; answers it if it is not accepted."""
         try:
             checked = self.validator.check(connection, request)
         except wire.InvalidFieldError as err:
--- a/landingshift/net/routing/rpc_record.py
+++ b/landingshift/net/routing/rpc_record.py
@@ -1,4 +1,4 @@
-"""The record of an RPC in this server. It holds no references to the components that handle the RPC."""
+"""The record of an RPC in this server. It has no references to the components that handle the RPC."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     # The admission controller's handle; None before the controller receives the RPC and after its release.
     managed: ManagedRpc | None = None
     is_answered: bool = False
-    is_answer_deferred: bool = False  # the answer gate holds its ok answer
+    is_answer_deferred: bool = False  # the answer gate is delaying its ok answer
     is_abandoned: bool = False  # its caller no longer waits for an answer
     is_closed: bool = False  # the admission controller has released it
     call_notice_number: int = 0  # number of the engine's notice that asked for the latest database call
--- a/landingshift/net/routing/server_config.py
+++ b/landingshift/net/routing/server_config.py
@@ -23,8 +23,8 @@
         memory_mb: The memory limit of the process.
         max_sockets: The maximum number of open sockets.
         settings: The admission controller's settings; a policy may change their fields in place.
-        methods: The methods, by their names on the wire.
-        tenants: The tenants, by their names on the wire; empty if RPCs name no tenant.
+        methods: The methods, keyed by their names on the wire.
+        tenants: The tenants, keyed by their names on the wire; empty if RPCs name no tenant.
         gauge_names: The names of the engine's gauges, in the order in which the engine reports them.
         runs_deep_checks: Whether a deep health check runs the engine's self-test.
     """
