--- a/landingshift/admission/snapshot.py
+++ b/landingshift/admission/snapshot.py
@@ -190,7 +190,7 @@
 
 
 def _windows(parts: SnapshotParts) -> dict[str, RollingWindow]:
-    """Returns all rolling windows by their stored names, in stored order."""
+    """Returns all rolling windows, keyed by their stored names, in stored order."""
     windows = {
         stored_name: getattr(getattr(parts, part), attribute)
         for stored_name, (part, attribute) in STORED_WINDOWS.items()
--- a/landingshift/net/routing/database_events.py
+++ b/landingshift/net/routing/database_events.py
@@ -21,7 +21,7 @@
         self.observers = observers
 
     def on_call_finished(self, rpc: RoutedRpc, outcome: Outcome, elapsed_ms: float, reply: bytes) -> None:
-        """Reports a finished call later in the loop pass, since the controller may be acting now."""
+        """Reports a finished call later in the loop pass, since the controller might be acting now."""
         self.driver.defer(partial(self._notify_controller, rpc, outcome, elapsed_ms, reply))
 
     def _notify_controller(self, rpc: RoutedRpc, outcome: Outcome, elapsed_ms: float, reply: bytes) -> None:
--- a/landingshift/net/routing/database_pool.py
+++ b/landingshift/net/routing/database_pool.py
@@ -52,7 +52,7 @@
 
     Args:
         pool: The pool that the link belongs to.
-        open_stream: Opens the link's stream, or returns the reason why it cannot.
+        open_stream: Opens the link's stream and returns it, or returns the reason for a failure.
     """
 
     def __init__(self, pool: DatabasePool, open_stream: Callable[[DatabaseLink], Stream | str]) -> None:
@@ -89,7 +89,7 @@
             self.start_partial_reply_timer()
 
     def start_partial_reply_timer(self) -> None:
-        """Closes the link if the reply is not complete within `MAX_REPLY_MS`.
+        """Closes the link if the partly received reply is not complete within `MAX_REPLY_MS`.
 
         A reply with a wrong length or an endless line would block all calls on the link.
         """
@@ -126,7 +126,7 @@
     """The links to the database and the calls on them.
 
     Args:
-        address: The database's address; None where there is no database.
+        address: The database's address; None if there is no database.
         log: Receives an event for each link that ends.
 
     Attributes:
--- a/landingshift/net/routing/dedup.py
+++ b/landingshift/net/routing/dedup.py
@@ -118,7 +118,7 @@
         return entry if entry is not None and entry.owner is rpc else None
 
     def remove(self, entry: DedupEntry) -> None:
-        """Removes an entry unless a newer one has taken over its key."""
+        """Removes an entry; has no effect if a newer entry has replaced it."""
         dedup_key = entry.owner.dedup_key
         if dedup_key is not None and self.entries.get(dedup_key) is entry:
             del self.entries[dedup_key]
--- a/landingshift/net/routing/duplicates.py
+++ b/landingshift/net/routing/duplicates.py
@@ -3,8 +3,8 @@
 The original of a duplicate is the earlier RPC with the same idempotency key or cache key.
 
 Guarantee: a result goes only to a gateway. A connection is verified once the engine has recognized an RPC
-that arrived on it. A duplicate on an unverified connection may come from an unknown client that guessed a
-gateway's key, so it gets the result only after verification. If the connection is not verified within
+that arrived on it. A duplicate on an unverified connection might come from an unknown client that guessed
+the key. It therefore gets the result only after verification. If the connection is not verified within
 `VERIFICATION_TIME_MS`, the duplicate is aborted.
 """
 
--- a/landingshift/net/routing/engine_commands.py
+++ b/landingshift/net/routing/engine_commands.py
@@ -57,7 +57,7 @@
         self.queue.append(command)
 
     def forget(self, rpc: RoutedRpc) -> None:
-        """Stops tracking the RPC's latest command: it has arrived, or its delivery no longer matters."""
+        """Stops tracking the RPC's latest command, which has arrived or whose delivery no longer matters."""
         self.latest.pop(rpc, None)
 
     def confirm(self, confirmed_bytes: int) -> None:
--- a/landingshift/net/routing/gateways.py
+++ b/landingshift/net/routing/gateways.py
@@ -34,7 +34,7 @@
     Args:
         address: The address at which gateways connect.
         max_connections: The maximum number of open connections.
-        max_unsent_bytes: The bound on unsent answers over all connections.
+        max_unsent_bytes: The maximum total size of the unsent answers on all connections.
         idle_limit_ms: The time after which gateways close idle connections themselves.
         log: Receives events on closed connections and on a full connection table.
         sock: The listening socket of the old process; set only by hot restart.
--- a/landingshift/net/routing/router.py
+++ b/landingshift/net/routing/router.py
@@ -150,7 +150,7 @@
         return self.shutdown.is_draining
 
     def request_settle(self) -> None:
-        """Makes the controller settle in this pass because its inputs have changed without an event."""
+        """Makes the controller settle in this pass. Call this if its inputs have changed without an event."""
         self.driver.needs_settle = True
 
     def settle(self) -> None:
--- a/landingshift/net/routing/rpc_intake.py
+++ b/landingshift/net/routing/rpc_intake.py
@@ -66,7 +66,7 @@
         self.log = log
 
     def on_request(self, connection: GatewayConnection, request: wire.Request) -> None:
-        """Validates a request and passes its RPC to the controller; answers it if it is not accepted."""
+        """Validates a request. Passes its RPC to the controller, or answers the request if not accepted."""
         try:
             checked = self.validator.check(connection, request)
         except wire.InvalidFieldError as err:
@@ -143,7 +143,7 @@
     ) -> None:
         """Rejects a valid request that is not accepted, because no engine is up or too many RPCs are open.
 
-        A duplicate of an RPC that may have run and must not run twice is aborted instead.
+        A duplicate of an RPC that might have run and must not run twice is aborted instead.
         """
         may_have_run = method.idempotency is Idempotency.KEYED and dedup_key in self.dedup.entries
         encode = wire.encode_aborted if may_have_run else wire.encode_rejected
