--- a/landingshift/net/routing/actions.py
+++ b/landingshift/net/routing/actions.py
@@ -1,4 +1,4 @@
-"""Carries out the actions that the admission controller requests from its host program."""
+"""Carries out the actions that the admission controller requests."""
 
 from __future__ import annotations
 
@@ -22,7 +22,10 @@
 
 
 class RouterActions:
-    """Implements `Actions` with the engine, the database, the gateways and the deduplication table."""
+    """Implements the admission controller's `Actions` interface.
+
+    The actions concern the engine, the database, the gateways and the deduplication table.
+    """
 
     def __init__(
         self,
@@ -57,25 +60,28 @@
     # Runs and calls
 
     def start_run(self, rpc: Rpc) -> None:
-        """Sends the RPC to the engine to run."""
+        """Sends the engine the command to run the RPC."""
         assert isinstance(rpc, RoutedRpc)
         self.observers.notify("on_started", rpc)
         command = engine_wire.encode_run(rpc.rpc_id, rpc.method_name, rpc.body)
         self.engine.send_command(rpc, command, starts_run=True)
 
     def cancel_run(self, rpc: Rpc) -> None:
-        """Asks the engine to cancel the run."""
+        """Asks the engine to cancel the RPC's run."""
         assert isinstance(rpc, RoutedRpc)
         self.engine.halt(rpc)
 
     def start_call(self, rpc: Rpc, timeout_ms: float) -> None:
-        """Starts the database call that the run waits for."""
+        """Starts the database call that the RPC's run waits for.
+
+        If there is no link to the database, the call ends as `NO_CONNECTION`.
+        """
         assert isinstance(rpc, RoutedRpc)
         if not self.database.call(rpc, timeout_ms):
             self.database.events.on_call_finished(rpc, Outcome.NO_CONNECTION, 0.0, b"")
 
     def skip_call(self, rpc: Rpc) -> None:
-        """Tells the engine to continue the run without its database call."""
+        """Tells the engine to continue the RPC's run without the database call that the run asked for."""
         assert isinstance(rpc, RoutedRpc)
         command = engine_wire.encode_skip_call(rpc.rpc_id, rpc.call_notice_number)
         self.engine.send_command(rpc, command)
@@ -83,19 +89,26 @@
     # Answers
 
     def reject(self, rpc: Rpc, retry_after_ms: float, is_final: bool) -> None:
-        """Answers the RPC as rejected: it never ran on this server."""
+        """Answers the RPC as rejected, which tells the caller that the RPC never ran on this server."""
         assert isinstance(rpc, RoutedRpc)
         self.answers.reject(rpc, retry_after_ms, is_final)
 
     def abort(self, rpc: Rpc) -> None:
-        """Answers the RPC as aborted and cancels its database call; a later result of its run is dropped."""
+        """Answers the RPC as aborted and cancels its database call.
+
+        If the RPC's run yields a result later, that result is not sent.
+        """
         assert isinstance(rpc, RoutedRpc)
         self.answers.abort(rpc)
         self.engine.send_withheld(rpc)
         self.database.cancel(rpc)
 
     def release(self, rpc: Rpc) -> None:
-        """Closes an RPC that the controller has finished with, and aborts it if it has no answer yet."""
+        """Closes an RPC for which the controller will request no more actions.
+
+        An RPC without an answer is aborted, unless the caller has abandoned it or the answer gate (see
+        `AnswerGate`) delays the answer.
+        """
         assert isinstance(rpc, RoutedRpc)
         if not rpc.is_answered and not rpc.is_abandoned and not rpc.is_answer_deferred:
             self.answers.abort(rpc)  # every RPC that was read must get an answer
@@ -103,7 +116,8 @@
         if rpc.managed is None or not rpc.managed.has_started:
             entry = self.dedup.owned_by(rpc)
             if entry is not None and entry.outcome is None:
-                # The RPC never ran, so duplicates that wait for its outcome would never be answered.
+                # The RPC never ran, so it will have no outcome. Without this call, the duplicates that
+                # wait for the outcome would never be answered.
                 self.duplicates.drop_unrun(entry)
         if rpc.is_duplicate:
             self.dedup.unlink_duplicate(rpc)
@@ -116,41 +130,52 @@
     # Duplicates
 
     def retain_dedup_entry(self, rpc: Rpc, duration_ms: float) -> None:
-        """Adds or extends the RPC's deduplication entry, which answers duplicates for `duration_ms`."""
+        """Creates or extends the RPC's deduplication entry, from which duplicates of the RPC are answered.
+
+        The entry expires after `duration_ms`.
+        """
         assert isinstance(rpc, RoutedRpc)
         self.dedup.reserve(rpc, self.loop.now_ms + duration_ms)
 
     def drop_dedup_entry(self, rpc: Rpc) -> None:
-        """Removes the deduplication entry of an RPC that never ran, so that a later duplicate may run."""
+        """Removes the deduplication entry of an RPC that never ran, so that a later duplicate can run."""
         assert isinstance(rpc, RoutedRpc)
         entry = self.dedup.owned_by(rpc)
         if entry is not None:
             self.duplicates.drop_unrun(entry)
 
     def await_original(self, rpc: Rpc) -> None:
-        """Answers the duplicate once its original has ended."""
+        """Answers the duplicate `rpc` once the earlier RPC with the same deduplication key has ended."""
         assert isinstance(rpc, RoutedRpc)
         self.duplicates.await_original(rpc)
 
     # Health, advertised load and check times
 
     def set_health(self, is_healthy: bool, is_shallow: bool) -> None:
-        """Sets the health reported to health checks and to the roster; `is_shallow` disables self-tests."""
+        """Sets the health that is reported to health checks and to the roster.
+
+        Args:
+            is_healthy: Whether gateways should send RPCs to this server.
+            is_shallow: If True, deep health checks do not run the engine's self-test.
+        """
         self.health_reporter.set_health(is_healthy, is_shallow)
 
     def advertise_load(self, amount: float) -> None:
-        """Sets the load that answers advertise to callers, unless the settings disable this."""
+        """Sets the load that is advertised to callers in the headers of answers.
+
+        Has no effect if `settings.load_advertisement` is `NONE`.
+        """
         if self.settings.load_advertisement is not LoadAdvertisement.NONE:
             self.answers.headers = gateway_wire.load_headers(amount)
 
     def close_idle_connections(self, idle_timeout_ms: float) -> None:
-        """Sets the time after which idle connections are closed."""
+        """Sets the time after which idle connections from gateways are closed."""
         self.gateways.set_idle_limit(idle_timeout_ms)
 
     def schedule_check(self, delay_ms: float) -> None:
-        """Schedules the next check after `delay_ms` and cancels any check scheduled before."""
+        """Schedules the controller's next check in `delay_ms`, in place of any check scheduled earlier."""
         self.check_runner.schedule_check(delay_ms)
 
     def log(self, text: str) -> None:
-        """Logs a change of mode."""
+        """Logs a change of the admission controller's mode, described by `text`."""
         self.report("mode", text=text)
--- a/landingshift/net/routing/admission_driver.py
+++ b/landingshift/net/routing/admission_driver.py
@@ -1,9 +1,9 @@
-"""Delivers events to the admission controller in order, and never while the controller is acting.
+"""Delivers events to the admission controller in order, but none while the controller settles.
 
 Settling means that the controller decides on the events received so far and requests the resulting actions.
-Invariant: the controller receives all events of one loop pass before it settles. The actions can cause
-further events. These are deferred until the controller has settled. Then they are delivered, and the
-controller settles again in the same pass.
+Invariant: the controller receives all events of one loop pass before it settles. The requested actions can
+cause further events. These events are deferred until the controller has settled. Then they are delivered, and
+the controller settles again in the same pass.
 """
 
 from __future__ import annotations
@@ -16,12 +16,15 @@
 
 
 class AdmissionDriver:
-    """Sets the controller's clock, defers events while the controller acts, and makes it settle.
+    """Delivers events to the admission controller and makes the controller settle.
+
+    To settle, the controller decides on the events received so far and requests the resulting actions. Events
+    that the actions cause are deferred until the controller has settled.
 
     Attributes:
         controller: The admission controller; None until the engine is up.
         needs_settle: Whether the controller has received events since it last settled.
-        deferred: Callbacks to run before the controller settles next; each can deliver an event.
+        deferred: Callbacks that are called before the controller next settles; each can deliver an event.
     """
 
     def __init__(self, loop: Loop) -> None:
@@ -31,14 +34,17 @@
         self.deferred: deque[Callable[[], None]] = deque()
 
     def controller_for_event(self) -> AdmissionController:
-        """Set the controller's clock, mark it as needing to settle, and return it to receive an event."""
+        """Return the controller, so that the caller can deliver an event to it.
+
+        The controller's clock is set to the current time, and the controller will settle in this loop pass.
+        """
         assert self.controller is not None
         self.controller.now_ms = self.loop.now_ms
         self.needs_settle = True
         return self.controller
 
     def defer(self, action: Callable[[], None]) -> None:
-        """Calls `action` later in this pass, before the controller settles next."""
+        """Calls `action` later in this loop pass, before the controller next settles."""
         self.deferred.append(action)
 
     def settle(self) -> None:
--- a/landingshift/net/routing/answers.py
+++ b/landingshift/net/routing/answers.py
@@ -1,6 +1,7 @@
 """Writes the answers to RPCs.
 
-Guarantee: an RPC gets at most one answer; further answers are dropped. An abandoned RPC gets none.
+Guarantee: an RPC gets at most one answer; further answers are dropped. An RPC that its caller has abandoned
+gets none.
 """
 
 from __future__ import annotations
@@ -19,13 +20,13 @@
     """Writes answers to the connections on which the RPCs arrived.
 
     Args:
-        connections: The gateways' connections.
+        connections: The open connections from gateways.
         observers: Notified of each answer that was written.
-        log: Receives an event when an answer gate fails and is removed.
+        log: Receives an event when the answer gate fails and is removed.
 
     Attributes:
-        headers: The headers of each answer, which advertise the server's load to callers.
-        gate: The gate that may delay ok answers; None if there is none.
+        headers: The headers that are sent with each answer; they advertise the server's load to callers.
+        gate: The answer gate, a component that can delay ok answers; None if there is none.
     """
 
     def __init__(
@@ -50,26 +51,32 @@
             self.send_deferred(rpc, result)
 
     def send_deferred(self, rpc: RoutedRpc, result: bytes) -> None:
-        """Sends an ok answer without asking the gate; the gate calls this to release an answer."""
+        """Sends an ok answer without asking the answer gate.
+
+        The gate calls this to release an answer that it has delayed.
+        """
         rpc.is_answer_deferred = False
         self._answer(rpc, wire.encode_ok(rpc.message_id, result, self.headers), AnswerKind.OK)
 
     def abort_deferred(self, rpc: RoutedRpc) -> None:
-        """Answers the RPC as aborted; the gate calls this if it does not release the ok answer."""
+        """Answers the RPC as aborted.
+
+        The answer gate calls this if the ok answer that it has delayed must not be sent.
+        """
         rpc.is_answer_deferred = False
         self.abort(rpc)
 
     def abort(self, rpc: RoutedRpc) -> None:
-        """Answers the RPC as aborted: it has no result and may have run."""
+        """Answers the RPC as aborted, which tells the caller that the RPC failed and might have run."""
         self._answer(rpc, wire.encode_aborted(rpc.message_id, self.headers), AnswerKind.ABORTED)
 
     def reject(self, rpc: RoutedRpc, retry_after_ms: float, is_final: bool) -> None:
-        """Answers the RPC as rejected: it never ran on this server.
+        """Answers the RPC as rejected, which tells the caller that the RPC never ran on this server.
 
         Args:
             rpc: The RPC to answer.
-            retry_after_ms: The time after which the caller may retry on this server; 0 to state none.
-            is_final: Whether the caller should not retry on another server either.
+            retry_after_ms: The time for which the caller should not retry on this server; 0 for no advice.
+            is_final: If True, the caller is told not to retry on another server either.
         """
         headers = wire.rejection_headers(self.headers, retry_after_ms, is_final)
         self._answer(rpc, wire.encode_rejected(rpc.message_id, headers), AnswerKind.REJECTED)
--- a/landingshift/net/routing/check_runner.py
+++ b/landingshift/net/routing/check_runner.py
@@ -1,7 +1,7 @@
 """Runs the admission controller's periodic checks with the engine's gauges, such as core utilization.
 
-Guarantee: a check runs without gauges if the engine does not report them in time, since the checks also
-enforce the deadlines of RPCs.
+Guarantee: if the engine does not report the gauges in time, the check runs without them. A check must not be
+delayed further, because the checks also enforce the deadlines of RPCs.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from landingshift.net.transport.loop import Loop, Timer
 
 MAX_GAUGE_WAIT_MS = 25.0  # longest time that a check waits for the gauges
-MAX_GAUGE_AGE_MS = 500.0  # older gauges no longer describe the load on the cores
+MAX_GAUGE_AGE_MS = 500.0  # older values are not used, since they no longer describe the load on the cores
 NO_GAUGES = Gauges(None, None, None)
 
 
@@ -31,7 +31,7 @@
         self.engine = engine
         self.gauge_names = gauge_names
         self.gauges = NO_GAUGES
-        self.gauges_at_ms = 0.0  # when the engine last reported the gauges
+        self.gauges_at_ms = 0.0  # time at which the engine last reported the gauges
         self.check_timer: Timer | None = None
         self.gauge_wait_timer: Timer | None = None  # set while a check waits for the gauges
 
@@ -67,6 +67,7 @@
         try:
             self.driver.controller_for_event().on_timer(self.gauges if is_fresh else NO_GAUGES)
         except Exception:
-            # An exception must not end the series of checks, or RPCs would get no answer by their deadlines.
+            # The controller might not have scheduled its next check. Without further checks, RPCs would get
+            # no answer by their deadlines.
             self.schedule_check(MAX_GAUGE_WAIT_MS)
             raise
--- a/landingshift/net/routing/database_events.py
+++ b/landingshift/net/routing/database_events.py
@@ -1,4 +1,4 @@
-"""Passes the replies of database calls to the engine and their outcomes to the admission controller."""
+"""Passes replies from the database to the engine, and outcomes of calls to the admission controller."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class DatabaseEventHandler:
-    """Implements the database pool's `DatabaseEvents`."""
+    """Implements `DatabaseEvents`: handles the end of each database call."""
 
     def __init__(self, driver: AdmissionDriver, engine: EngineLink, observers: RpcObservers) -> None:
         self.driver = driver
@@ -21,7 +21,10 @@
         self.observers = observers
 
     def on_call_finished(self, rpc: RoutedRpc, outcome: Outcome, elapsed_ms: float, reply: bytes) -> None:
-        """Reports a finished call later in the loop pass, since the controller might be acting now."""
+        """Reports the finished call later in the loop pass.
+
+        The report is deferred because the controller might be settling now, that is, requesting actions.
+        """
         self.driver.defer(partial(self._notify_controller, rpc, outcome, elapsed_ms, reply))
 
     def _notify_controller(self, rpc: RoutedRpc, outcome: Outcome, elapsed_ms: float, reply: bytes) -> None:
--- a/landingshift/net/routing/database_pool.py
+++ b/landingshift/net/routing/database_pool.py
@@ -1,7 +1,7 @@
 """Makes calls to the shared database over a pool of links.
 
-Calls are spread so that each link carries as few as possible, since a malformed or incomplete reply fails all
-calls on its link.
+Calls are spread so that each link carries as few calls as possible, since a malformed or incomplete
+reply fails all calls on its link.
 
 Guarantee: a call that cannot have reached the database ends as `NO_CONNECTION`. A call that might have
 reached the database but got no reply ends as `NO_RESPONSE` after its timeout, or as `CONNECTION_LOST` if its
@@ -22,29 +22,30 @@
 from landingshift.net.transport.stream import Address, Stream, connect
 
 MAX_UNSENT_BYTES = 1 << 20
-# Idle links are closed after this time: the database may silently drop them, and the next call would be lost.
+# An idle link is closed after this time. The database might otherwise drop the link without notice, and the
+# next call on the link would be lost.
 MAX_IDLE_MS = 1000.0
-MAX_LINKS = 24  # links that take new calls
-MAX_RETIRED_LINKS = 16  # further links that stay open only until their last calls end
+MAX_LINKS = 24  # maximum number of links that are used for new calls
+MAX_RETIRED_LINKS = 16  # maximum number of further links, each open only until its last call ends
 MAX_REPLY_MS = 100.0  # maximum time from a reply's first byte to its last
 
 
 class DatabaseEvents(Protocol):
-    """Receives the outcomes of calls."""
+    """Receives the outcomes of database calls."""
 
     def on_call_finished(self, rpc: RoutedRpc, outcome: Outcome, elapsed_ms: float, reply: bytes) -> None:
-        """Handles the end of the RPC's call, `elapsed_ms` after its start."""
+        """Handles the end of a database call of `rpc`, `elapsed_ms` after the start of the call."""
 
 
 @dataclass(slots=True, eq=False)
 class DatabaseCall:
-    """A call in flight."""
+    """A database call in flight."""
 
     rpc: RoutedRpc
     link: DatabaseLink
     started_ms: float
     stream_end: int  # offset in the link's output stream at which the request ends
-    timer: Timer | None = None
+    timer: Timer | None = None  # ends the call at its timeout
 
 
 class DatabaseLink:
@@ -59,7 +60,7 @@
         self.pool = pool
         self.decoder = wire.ReplyDecoder()
         self.calls: dict[bytes, DatabaseCall] = {}  # calls in flight on this link, keyed by RPC id
-        self.partial_reply_timer: Timer | None = None  # set while a reply is partly received
+        self.partial_reply_timer: Timer | None = None  # set while a reply has been received only in part
         stream = open_stream(self)
         self.stream = stream if isinstance(stream, Stream) else None
         if self.stream is not None:
@@ -76,7 +77,7 @@
             self.pool.loop.after(max(MAX_IDLE_MS / 4.0, MAX_IDLE_MS - idle_ms), self._check_idle)
 
     def on_data(self, data: bytes) -> None:
-        """Decodes received bytes and finishes the calls that they answer."""
+        """Decodes received bytes and finishes the calls whose replies are complete."""
         try:
             for reply in self.decoder.feed(data):
                 self._stop_partial_reply_timer()
@@ -91,7 +92,7 @@
     def start_partial_reply_timer(self) -> None:
         """Closes the link if the partly received reply is not complete within `MAX_REPLY_MS`.
 
-        A reply with a wrong length or an endless line would block all calls on the link.
+        A reply with a wrong length or an endless line would otherwise block all calls on the link.
         """
         self.partial_reply_timer = self.pool.loop.after(MAX_REPLY_MS, lambda: self.close("unfinished"))
 
@@ -117,7 +118,7 @@
         self.stream = None
         self.pool.open_count -= 1
         for call in list(self.calls.values()):
-            # Only a request that was not completely sent is known not to have run.
+            # A request that was not sent completely cannot have run. Any other request might have run.
             never_ran = call.stream_end > sent_bytes
             self.pool.finish(call, Outcome.NO_CONNECTION if never_ran else Outcome.CONNECTION_LOST, b"")
 
@@ -130,10 +131,10 @@
         log: Receives an event for each link that ends.
 
     Attributes:
-        links: Links that take new calls.
+        links: Links that are used for new calls.
         open_count: The number of open links, including retired links, which take no new calls.
-        calls: The call in flight of each RPC that has one.
-        used_links: For each open RPC, the links that its calls have used; late replies can arrive there.
+        calls: The calls in flight, keyed by RPC; an RPC has at most one call in flight.
+        used_links: For each open RPC, the links that its calls have used; late replies can arrive on them.
         cancelled: Links and RPC ids of the calls that were cancelled since the last flush.
     """
 
@@ -149,7 +150,7 @@
         self.cancelled: list[tuple[DatabaseLink, bytes]] = []
 
     def start(self, events: DatabaseEvents) -> None:
-        """Sets the receiver of call outcomes; must precede the first call."""
+        """Sets the receiver of call outcomes; must be called before the first database call."""
         self.events = events
 
     def call(self, rpc: RoutedRpc, timeout_ms: float) -> bool:
@@ -168,10 +169,12 @@
     def _choose_link(self, rpc: RoutedRpc) -> DatabaseLink | None:
         """Return a link for the RPC's next call; None if there is none.
 
-        An idle link is preferred, then a new one within the limits, then the link with the fewest calls.
-        Among equals the most recently used link is chosen, so that surplus links become idle and close. Links
-        that the RPC has used are skipped: a reply may arrive twice, and on the same link the copy would be
-        taken for the reply to the RPC's next call.
+        An idle link is preferred, then a new link if the limits allow one, then the link with the
+        fewest calls. Among links with equally many calls, the most recently used link is chosen, so that
+        surplus links become idle and close.
+
+        Links that earlier calls of the RPC have used are skipped, because the reply to an earlier call might
+        arrive twice. On the same link, the copy would be taken for the reply to the next call.
         """
         used = self.used_links.get(rpc, ())
         candidates = [link for link in self.links if link not in used]
@@ -208,7 +211,7 @@
         stream = call.link.stream
         never_ran = stream is None or call.stream_end > stream.sent_bytes
         self._cancel(call)
-        self.retire(call.link)  # the link may hang although the database works
+        self.retire(call.link)  # the link might hang although the database works
         outcome = Outcome.NO_CONNECTION if never_ran else Outcome.NO_RESPONSE
         self.events.on_call_finished(call.rpc, outcome, self._elapsed_ms(call), b"")
 
@@ -230,7 +233,8 @@
     def flush(self, is_calling: Callable[[bytes], bool]) -> None:
         """Sends the pending cancellations to the database.
 
-        An RPC that has a new call in flight is skipped: the new call replaces the cancelled one.
+        No cancellation is sent for an RPC that has a new call in flight, because the new call replaces the
+        cancelled one.
 
         Args:
             is_calling: Returns whether the RPC with the given id has a call in flight.
--- a/landingshift/net/routing/duplicates.py
+++ b/landingshift/net/routing/duplicates.py
@@ -1,10 +1,10 @@
 """Answers duplicates of RPCs from the deduplication table.
 
-The original of a duplicate is the earlier RPC with the same idempotency key or cache key.
+The original of a duplicate is the earlier RPC with the same deduplication key (see `dedup`).
 
-Guarantee: a result goes only to a gateway. A connection is verified once the engine has recognized an RPC
-that arrived on it. A duplicate on an unverified connection might come from an unknown client that guessed
-the key. It therefore gets the result only after verification. If the connection is not verified within
+Guarantee: results are sent only to gateways, never to unknown clients that guessed a deduplication key. A
+connection is verified as a gateway's once the engine has recognized an RPC that arrived on it. A duplicate on
+an unverified connection waits for the verification. If the connection is not verified within
 `VERIFICATION_TIME_MS`, the duplicate is aborted.
 """
 
@@ -24,7 +24,10 @@
 
 
 class DuplicateResolver:
-    """Answers a duplicate once its original has ended; sends a result only on a verified connection."""
+    """Answers a duplicate once its original has ended.
+
+    Results are sent only on verified connections: those on which the engine has recognized an RPC.
+    """
 
     def __init__(
         self,
@@ -51,12 +54,12 @@
             self._defer_answer(rpc, entry)
 
     def complete(self, entry: DedupEntry, outcome: Outcome, result: bytes) -> None:
-        """Stores outcome and result of the entry's owner, and answers the duplicates that wait for them."""
+        """Stores outcome and result of the entry's owner, and answers duplicates that wait for the owner."""
         for waiter in self.dedup.complete(entry, outcome, result, self.loop.now_ms):
             self._defer_answer(waiter, entry)
 
     def drop_unrun(self, entry: DedupEntry) -> None:
-        """Removes an entry whose owner never ran, so that a later duplicate may run.
+        """Removes an entry whose owner never ran, so that a later duplicate can run.
 
         Duplicates that wait for the owner are aborted.
         """
@@ -64,9 +67,9 @@
         self.dedup.remove(entry)
 
     def verify_connection(self, rpc: RoutedRpc) -> None:
-        """Marks the connection of `rpc` as verified, because the engine has recognized `rpc`.
+        """Marks the connection on which `rpc` arrived as verified.
 
-        The duplicates on that connection that wait for its verification are then answered.
+        Call this once the engine has recognized `rpc`. Duplicates that wait for verification are answered.
         """
         connection = self.connections.get(rpc.connection)
         if connection is None or connection.is_verified:
@@ -80,12 +83,14 @@
         self.driver.defer(partial(self._answer_duplicate, rpc, entry, is_last_chance))
 
     def _answer_duplicate(self, rpc: RoutedRpc, entry: DedupEntry, is_last_chance: bool) -> None:
-        """Answers a duplicate whose original has ended, or waits until its connection is verified.
+        """Answers a duplicate whose original has ended.
+
+        If there is a result but the connection is unverified, the duplicate waits for the verification.
 
         Args:
             rpc: The duplicate.
-            entry: The entry of its original.
-            is_last_chance: Whether the duplicate is aborted now if its connection is still unverified.
+            entry: The deduplication entry of the original.
+            is_last_chance: If True, the duplicate is aborted instead of waiting for the verification.
         """
         if rpc.is_closed or rpc.managed is None:
             return
@@ -109,9 +114,10 @@
     def _await_verification(self, connection: GatewayConnection, rpc: RoutedRpc, entry: DedupEntry) -> None:
         """Answers the duplicate once the connection is verified; aborts it after `VERIFICATION_TIME_MS`.
 
-        Used for methods whose database call must not be skipped. For their duplicates the engine is not asked
-        whether it knows the RPC: `EngineLink.query_known` sends a skip-call command, which the engine refuses
-        for such methods even if it knows the RPC. The refusal would cut off the connection.
+        Used for methods whose database call must not be skipped. For other methods, `EngineLink.query_known`
+        asks the engine whether it knows the duplicate. That query is a skip-call command. If the method's
+        call must not be skipped, the engine refuses the command even for an RPC that it knows. The connection
+        would then be cut off by mistake.
         """
         connection.unverified_duplicates = {
             duplicate: original
--- a/landingshift/net/routing/engine_commands.py
+++ b/landingshift/net/routing/engine_commands.py
@@ -1,8 +1,9 @@
 """Tracks commands that the engine has not confirmed, and decides which of them may be resent.
 
-A command that was sent on a link that broke is in doubt: the engine may have received it. Guarantee: if the
-effect of an RPC must not happen twice and the command to run it is in doubt, the command is withheld: it is
-not resent until the RPC is answered or abandoned. The RPC may therefore end as aborted although it never ran.
+A command is in doubt if it was sent on a link that broke: the engine might have received the command.
+Guarantee: a run command is withheld if it is in doubt and the effect of its RPC must not happen twice. A
+withheld command is not resent until the RPC is answered or abandoned. The RPC might therefore be aborted
+although it never ran.
 """
 
 from __future__ import annotations
@@ -17,21 +18,21 @@
 
 @dataclass(slots=True, eq=False)
 class EngineCommand:
-    """A command for an RPC; tracked until the engine has confirmed it."""
+    """A command for an RPC. The command is tracked until the engine has confirmed it."""
 
     rpc: RoutedRpc
     data: bytes
-    starts_run: bool  # whether it starts the RPC's run
-    stream_end: int = -1  # offset of its end in the link's output stream; -1 before it is written
-    is_in_doubt: bool = False  # sent on a link that broke: the engine may have received it
+    starts_run: bool  # True for a command that starts the RPC's run
+    stream_end: int = -1  # offset in the link's output stream at which the command ends; -1 if not written
+    is_in_doubt: bool = False  # sent on a link that broke, so the engine might have received it
     is_withheld: bool = False  # not resent until the RPC is answered or abandoned
     on_known: Callable[[], None] | None = None  # called once the command is confirmed without a refusal
 
     @property
     def is_unsafe_to_resend(self) -> bool:
-        """Return whether resending the command could repeat an effect.
+        """Return whether resending the command could repeat the effect of its RPC.
 
-        The engine may have received the command on the lost link and completed the run in the meantime.
+        The engine might have received the command on the lost link and completed the run in the meantime.
         Resending counts as safe if the RPC is idempotent or already answered.
         """
         may_run_again = self.rpc.method.idempotency is Idempotency.IDEMPOTENT or self.rpc.is_answered
@@ -39,11 +40,11 @@
 
 
 class UnconfirmedCommands:
-    """Commands for open RPCs that the engine has not confirmed.
+    """Tracks the commands for open RPCs until the engine has confirmed them.
 
     Attributes:
-        queue: The commands in the order in which they were added, without withheld ones. A command replaced
-            by a later command for the same RPC stays until it is confirmed or a new link is ready.
+        queue: The commands that are not withheld, oldest first. A command that was replaced by a later
+            command for the same RPC stays in the queue until it is confirmed or a new link is ready.
         latest: The latest unconfirmed command of each open RPC, including withheld ones.
     """
 
@@ -52,12 +53,12 @@
         self.latest: dict[RoutedRpc, EngineCommand] = {}
 
     def add(self, command: EngineCommand) -> None:
-        """Adds a command; an earlier command for the same RPC is no longer resent."""
+        """Adds a command; an earlier command for the same RPC will not be resent."""
         self.latest[command.rpc] = command
         self.queue.append(command)
 
     def forget(self, rpc: RoutedRpc) -> None:
-        """Stops tracking the RPC's latest command, which has arrived or whose delivery no longer matters."""
+        """Stops tracking the RPC's latest command, which the engine has received or no longer needs."""
         self.latest.pop(rpc, None)
 
     def confirm(self, confirmed_bytes: int) -> None:
@@ -71,13 +72,13 @@
                 command.on_known()
 
     def on_link_lost(self, sent_bytes: int) -> None:
-        """Marks the commands that end within the first `sent_bytes` of the lost link's output as in doubt."""
+        """Marks a command as in doubt if it ends within the first `sent_bytes` of the lost link's output."""
         for command in self.queue:
             command.is_in_doubt = command.is_in_doubt or 0 <= command.stream_end <= sent_bytes
             command.stream_end = -1
 
     def withhold(self) -> int:
-        """Reduces the queue to the commands to resend on a new link.
+        """Reduces the queue to the commands that are to be resent on a new link.
 
         Replaced and forgotten commands are dropped. Commands that are unsafe to resend become withheld.
 
@@ -91,14 +92,14 @@
         return len(open_commands)
 
     def has_written(self) -> bool:
-        """Return whether a queued command was written on the present link."""
+        """Return whether any command in the queue was written on the present link."""
         return any(command.stream_end >= 0 for command in self.queue)
 
     def has_query(self) -> bool:
-        """Return whether a queued command asks whether the engine knows its RPC."""
+        """Return whether any command in the queue is a query by `EngineLink.query_known`."""
         return any(command.on_known is not None for command in self.queue)
 
     def is_query(self, rpc: RoutedRpc) -> bool:
-        """Return whether the RPC's latest command asks whether the engine knows the RPC."""
+        """Return whether the RPC's latest command is a query by `EngineLink.query_known`."""
         command = self.latest.get(rpc)
         return command is not None and command.on_known is not None
--- a/landingshift/net/routing/engine_events.py
+++ b/landingshift/net/routing/engine_events.py
@@ -77,7 +77,7 @@
             self.duplicates.complete(entry, notice.outcome, notice.result)
 
     def on_call_needed(self, notice: wire.CallNeeded) -> None:
-        """Stores the call that the run asks for; the controller decides whether it is made."""
+        """Stores the database request of a run; the controller decides whether the database call is made."""
         rpc = self.table.find(notice.rpc_id)
         if rpc is None or rpc.managed is None:
             return
@@ -89,10 +89,10 @@
         self.driver.controller_for_event().on_call_needed(rpc.managed)
 
     def on_command_refused(self, refusal: wire.CommandRefused) -> None:
-        """Logs a refused command, and ends the RPC if the refusal shows that the engine does not know it.
+        """Logs a refused command, and aborts the RPC if the refusal shows that the engine does not know it.
 
-        A refused run command shows this, and so does a refused query of `EngineLink.query_known`. The RPC is
-        then aborted, and its connection is cut off if the connection is unverified.
+        The refusal of a run command or of a query by `EngineLink.query_known` shows this. An unverified
+        connection on which such an RPC arrived is cut off.
         """
         rpc = self.table.find(refusal.rpc_id)
         self.log("engine_command_refused", command=refusal.command.decode("latin-1"), known=rpc is not None)
@@ -103,8 +103,8 @@
         connection = self.gateways.connections.get(rpc.connection)
         self.on_run_ended(wire.RunEnded(wire.NO_NOTICE_NUMBER, refusal.rpc_id, Outcome.NOT_SENT, 0.0, b""))
         if connection is not None and not connection.is_verified:
-            connection.cut_off("unknown_rpc")  # further RPCs of an unknown client would only use up capacity
+            connection.cut_off("unknown_rpc")  # further RPCs of an unknown client would waste capacity
 
     def on_gauges(self, values: list[float]) -> None:
-        """Passes the gauge values to the check runner; their order is that of the configured gauge names."""
+        """Passes the gauge values, in the order of the configured gauge names, to the check runner."""
         self.check_runner.on_gauges(values)
--- a/landingshift/net/routing/engine_link.py
+++ b/landingshift/net/routing/engine_link.py
@@ -1,8 +1,9 @@
 """Maintains the link to the engine: reconnects after a loss and resends commands safely.
 
-A notice is a numbered message of the engine about a run. Guarantee: a command counts as delivered once the
-engine has answered a gauge query that was written after the command. After a reconnect, undelivered commands
-are resent, except those that `engine_commands` withholds.
+A notice is a numbered message from the engine about a run. A gauge query asks the engine for its gauges, such
+as core utilization. Guarantee: a command counts as confirmed once the engine has answered a gauge query that
+was written after the command. After a reconnect, unconfirmed commands are resent, except those that
+`engine_commands` withholds.
 """
 
 from __future__ import annotations
@@ -18,17 +19,22 @@
 from landingshift.net.transport.loop import Loop, Timer
 from landingshift.net.transport.stream import Address, Stream, connect
 
-MAX_UNSENT_BYTES = 8 << 20  # more than the commands for all RPCs that fit into a server's memory
+# Larger than the total size of the commands for as many RPCs as a server's memory can hold.
+MAX_UNSENT_BYTES = 8 << 20
 RECONNECT_DELAY_MS = 50.0
-ADDRESS_CHANGE_GRACE_MS = 100.0  # time for the old link to confirm its commands before it is closed
+ADDRESS_CHANGE_GRACE_MS = 100.0  # time for the engine to confirm commands before the old link is closed
 MAX_OUTAGE_MS = 1500.0  # time without a link after which the engine counts as not working
 MAX_SILENCE_MS = 2500.0  # the link is closed if the engine takes longer than this to answer
 MAX_SELF_TESTS = 64  # maximum number of self-tests in progress, each for a deep health check
+# Reasons for which a link is closed before it is established; such failures are not logged.
 CONNECT_FAILURES = ("refused", "unreachable")
 
 
 class EngineEvents(Protocol):
-    """Receives the engine's messages in order; a notice repeated after a reconnect is delivered only once."""
+    """Receives the engine's messages in order.
+
+    A notice is delivered only once, even if the engine repeats it after a reconnect.
+    """
 
     def on_engine_up(self, hello: wire.Hello) -> None:
         """Handles the engine's first answer since the start of this server."""
@@ -55,19 +61,19 @@
 
 
 class EngineLink:
-    """The single link to the engine.
+    """The single link to the engine; reconnects when the connection is lost.
 
     Args:
         address: The address at which the engine listens.
-        log: Receives an event when the link is made, ready or lost, and when notices are missing.
+        log: Receives an event when the link is established, ready or lost, and when notices are missing.
 
     Attributes:
         last_notice_number: The number of the last notice read.
-        is_ready: Whether commands may be written. After a connect this is false until all notices that were
-            missed while there was no link have been read.
+        is_ready: Whether commands can be written now. After each connect this is False until all notices that
+            were missed while there was no link have been read.
         has_reached_engine: Whether the engine has answered at least once since the start of the server.
         is_greeted: Whether the engine has answered on the present link.
-        is_changing_address: Whether the link is about to close, to reconnect at another address.
+        is_changing_address: Whether the link is about to be closed because the engine's address has changed.
         commands: Commands that the engine has not confirmed.
         answered_at_ms: The time at which the wait for the engine's answer began; updated regularly while no
             answer is due.
@@ -96,11 +102,11 @@
         self.answered_at_ms = loop.now_ms
 
     def start(self, events: EngineEvents, attach: bool = True) -> None:
-        """Connects to the engine and delivers its messages to `events`.
+        """Connects to the engine and delivers the engine's messages to `events`.
 
         Args:
             events: The receiver of the engine's messages.
-            attach: Whether to connect now; False only in a hot restart, which takes over an open link.
+            attach: If True, connects now. False only in a hot restart, in which an open link is taken over.
         """
         self.events = events
         if attach:
@@ -124,7 +130,10 @@
         stream.write(wire.encode_attach(self.last_notice_number))
 
     def change_address(self, address: Address) -> None:
-        """Moves the link to another address of the same engine: runs and notice numbers continue there."""
+        """Replaces the link by a link to another address of the same engine process.
+
+        The runs and the notice numbers therefore continue.
+        """
         if address == self.address:
             return
         self.address = address
@@ -132,12 +141,12 @@
             self.loop.cancel(self.reconnect_timer)
             self.attach()
         elif self.is_changing_address:
-            pass  # the link is closing already; the next one goes to the latest address
+            pass  # the link is about to be closed already; the next link uses `self.address`
         elif not self.is_ready:
             self.stream.close("moved")
         else:
-            # The link is closed once all commands are confirmed. If it were closed earlier, unconfirmed
-            # commands would be in doubt and could be withheld. The timer bounds the wait.
+            # The link is closed once all commands are confirmed. If the link were closed earlier, unconfirmed
+            # commands would be in doubt and could be withheld. The timer bounds the wait for confirmation.
             stream = self.stream
             self.is_ready = False
             self.is_changing_address = True
@@ -148,7 +157,7 @@
     def is_working(self) -> bool:
         """Return whether the engine counts as working: the link is ready, or was lost only a short time ago.
 
-        Losing the link for less than `MAX_OUTAGE_MS` is routine.
+        An outage of the link that is shorter than `MAX_OUTAGE_MS` is routine and does not count.
         """
         return self.is_ready or (
             self.has_reached_engine and self.loop.now_ms - self.lost_at_ms < MAX_OUTAGE_MS
@@ -181,7 +190,7 @@
             self.stream.close("closed")
 
     def on_closed(self, reason: str) -> None:
-        """Marks the commands sent on the closed link as in doubt and schedules a reconnect."""
+        """Marks commands as in doubt if they were sent on the closed link, and schedules a reconnect."""
         sent_bytes = self.stream.sent_bytes if self.stream is not None else 0
         if reason not in CONNECT_FAILURES:
             self.log(
@@ -204,7 +213,7 @@
         self.reconnect_timer = self.loop.after(delay_ms, self.attach)
 
     def abandon_self_tests(self) -> None:
-        """Ends the self-tests in progress; they count as passed if the engine counts as working."""
+        """Ends the self-tests in progress; these count as passed if the engine counts as working."""
         answers = self.self_tests
         self.self_tests = {}
         for answer in answers.values():
@@ -229,7 +238,7 @@
 
     def _on_notice(self, notice: wire.NumberedNotice) -> None:
         if notice.notice_number <= self.last_notice_number:
-            return  # repeated after a reconnect
+            return  # the engine has repeated this notice after a reconnect
         if notice.notice_number > self.last_notice_number + 1:
             self.log("engine_notices_lost", after=self.last_notice_number, before=notice.notice_number)
         self.last_notice_number = notice.notice_number
@@ -251,7 +260,7 @@
             self.has_reached_engine = True
             self.events.on_engine_up(hello)
         # Before the engine answers this query, it sends the notices that were missed while there was no link.
-        # Until the answer it is not known which commands must be resent.
+        # Until the answer arrives, it is not known which commands must be resent.
         self.query_gauges()
 
     def _on_gauge_report(self, report: wire.GaugeReport) -> None:
@@ -270,12 +279,15 @@
         elif not self.is_ready:
             self._resend()
         if self.commands.has_query():
-            self.query_gauges()  # a duplicate is not answered before its query is confirmed
+            self.query_gauges()  # a duplicate waits for its `query_known` command
 
     # Outgoing messages
 
     def query_gauges(self) -> None:
-        """Queries the gauges; the answer also confirms all commands written before the query."""
+        """Queries the engine's gauges, unless an earlier query is still unanswered.
+
+        The answer also confirms all commands that were written before the query.
+        """
         if self.stream is None or not self.is_greeted or self.gauge_query is not None:
             return
         self.tag_count += 1
@@ -287,11 +299,11 @@
     def run_self_test(self, answer: Callable[[bool], None]) -> None:
         """Asks the engine to run its self-test.
 
-        If the link is not ready, the result is `is_working`. If `MAX_SELF_TESTS` tests are already in
+        While the link is not ready, the result is `is_working`. If `MAX_SELF_TESTS` tests are already in
         progress, the test counts as failed.
 
         Args:
-            answer: Called with whether the test passed.
+            answer: Called with True if the self-test passes, otherwise with False.
         """
         if not self.is_ready or self.stream is None or len(self.self_tests) >= MAX_SELF_TESTS:
             answer(self.is_working and len(self.self_tests) < MAX_SELF_TESTS)
@@ -302,7 +314,7 @@
         self.stream.write(wire.encode_self_test(tag))
 
     def send_command(self, rpc: RoutedRpc, data: bytes, starts_run: bool = False) -> EngineCommand:
-        """Sends a command for an RPC as soon as the link is ready."""
+        """Sends a command for an RPC as soon as the link is ready; returns the command."""
         command = EngineCommand(rpc, data, starts_run)
         self.commands.add(command)
         if self.is_ready:
@@ -310,15 +322,15 @@
         return command
 
     def halt(self, rpc: RoutedRpc) -> None:
-        """Asks the engine to cancel a run. The admission controller repeats this until the run has ended."""
+        """Asks the engine to cancel the RPC's run. The controller repeats this until the run has ended."""
         if self.is_ready and self.stream is not None:
             self.stream.write(wire.encode_halt(rpc.rpc_id))
 
     def query_known(self, rpc: RoutedRpc, on_known: Callable[[], None]) -> None:
-        """Asks the engine whether it knows the RPC; an engine that does not know it refuses the query.
+        """Asks the engine whether it knows the RPC. An engine that does not know the RPC refuses the query.
 
-        The query is a skip-call command with the number `NO_NOTICE_NUMBER`, which no notice has. It
-        therefore has no effect on an RPC that the engine knows.
+        The query is a skip-call command with the number `NO_NOTICE_NUMBER`, which no notice has. The
+        query therefore has no effect on an RPC that the engine knows.
 
         Args:
             rpc: The RPC in question.
@@ -329,10 +341,11 @@
         self.query_gauges()
 
     def send_withheld(self, rpc: RoutedRpc) -> None:
-        """Sends the withheld run command, if there is one, of an RPC that was answered or abandoned.
+        """Sends the run command of an answered or abandoned RPC, if the command has been withheld until now.
 
-        Until then the command was withheld because it could have repeated the effect of the RPC. The engine
-        replies with the end of the run or refuses the command; either lets the controller release the RPC.
+        The command was withheld because resending it could have repeated the effect of the RPC. The engine
+        now either reports the end of the run or refuses the command. In both cases the controller can release
+        the RPC.
         """
         command = self.commands.latest.get(rpc)
         if command is not None and command.is_withheld:
--- a/landingshift/net/routing/gateway_connection.py
+++ b/landingshift/net/routing/gateway_connection.py
@@ -1,10 +1,11 @@
 """One connection from a gateway: reads requests, writes answers and decides when to close.
 
-Guarantee: this server closes a connection only after it has answered every RPC that it has read, unless the
-gateway stops reading or violates the protocol.
+Guarantee: this server closes a connection only after every RPC that was read from it has been answered,
+unless the gateway stops reading or violates the protocol. Goaway is a message that asks the gateway to close
+the connection.
 
-A connection is verified once the engine has recognized an RPC that arrived on it. Until then it may be idle
-for at most `VERIFICATION_TIME_MS`, so that unknown clients cannot fill the connection table.
+A connection is verified once the engine has recognized an RPC that arrived on it. An unverified connection
+can be idle for at most `VERIFICATION_TIME_MS`, so that unknown clients cannot fill the connection table.
 """
 
 from __future__ import annotations
@@ -20,15 +21,17 @@
 from landingshift.net.transport.slots import Slots
 from landingshift.net.transport.stream import Stream
 
-MAX_OPEN_RPCS = 32  # on one connection
-MAX_ANSWER_BYTES = 5000
-MAX_UNSENT_BYTES = MAX_OPEN_RPCS * MAX_ANSWER_BYTES  # the answers to all open RPCs
+MAX_OPEN_RPCS = 32  # maximum number of open RPCs on one connection
+MAX_ANSWER_BYTES = 5000  # assumed maximum size of one answer
+MAX_UNSENT_BYTES = MAX_OPEN_RPCS * MAX_ANSWER_BYTES  # room for the answers to all open RPCs
 GOAWAY_GRACE_MS = 1500.0  # time for a gateway to close its connection after goaway
 VERIFICATION_TIME_MS = 1000.0  # idle time allowed to an unverified connection
 MAX_MESSAGE_MS = 2000.0  # maximum time from a message's first byte to its last
 MIN_CHECK_INTERVAL_MS = 50.0
-RESET_TIME_MS = 30.0  # time within which a write to a socket that the gateway has closed causes a reset
-DUE_TOLERANCE_MS = 1.0  # deadlines this close count as reached
+# If the gateway has closed its socket, a write to the connection causes a reset. The reset arrives within
+# this time.
+RESET_TIME_MS = 30.0
+DUE_TOLERANCE_MS = 1.0  # a deadline that is at most this far away counts as passed
 
 
 class GatewayEvents(Protocol):
@@ -70,13 +73,15 @@
         invalid_count: The number of RPCs rejected for an invalid field.
         cut_off_count: The number of RPCs that were open when this server cut the connection off.
         last_invalid_field: The name of the last invalid field; empty if there was none.
-        goaway_deadline_ms: The time at which this server closes the connection after goaway; 0 before goaway.
+        goaway_deadline_ms: The time at which this server closes the connection if the gateway has not
+            closed it after goaway; 0 until goaway is sent.
         is_verified: Whether the engine has recognized an RPC from this connection.
-        unverified_duplicates: Duplicates that wait until the connection is verified, with the deduplication
-            entries that answer them.
+        unverified_duplicates: Duplicates that wait until the connection is verified, each with the
+            deduplication entry from which it is answered.
         accepted_ms: The time at which the connection was accepted.
         last_message_ms: The time of the last complete message or the last written answer.
-        partial_since_ms: The time at which a partly received message began; 0 if there is none.
+        partial_since_ms: The time at which the first part of an incomplete message was received; 0 if no
+            message is incomplete.
         accepted_pass: The number of the loop pass in which the connection was accepted.
     """
 
@@ -138,8 +143,9 @@
     def on_eof(self) -> None:
         """Handles the end of the gateway's output: closes the connection once its RPCs are answered.
 
-        The gateway might still read answers. If it does not, the goaway written here causes a reset. The
-        stream is checked for a reset after `RESET_TIME_MS`.
+        The gateway might have stopped sending but still read answers. If the gateway has closed its socket
+        instead, the goaway that is written here causes a reset. The stream is therefore checked for a reset
+        after `RESET_TIME_MS`.
         """
         if not self.rpcs:
             self.stream.close_gracefully("closed_by_gateway")
@@ -173,14 +179,15 @@
         if not self.stream.is_reading and not self.rpcs:
             self.stream.close_gracefully("closed_by_gateway")
         elif self.context.is_draining and not self.rpcs:
-            # The last answers are written shortly before the process is killed, so their connections are
-            # closed without waiting for the next scheduled check.
+            # The last answers of a drain are written shortly before the process is killed. The connection is
+            # therefore checked immediately, not at the next scheduled check.
             self._check_after(0.0)
 
     def answer_invalid(self, message_id: int, field: str, data: bytes) -> None:
-        """Writes the answer `data` to a request whose field `field` is invalid.
+        """Writes `data`, the answer to a request in which the field named `field` is invalid.
 
-        Gateways send no such requests, so an unverified connection is cut off.
+        Gateways are not expected to send invalid requests. If the connection is unverified, the peer is
+        therefore probably an unknown client, and the connection is cut off.
         """
         self.invalid_count += 1
         self.last_invalid_field = field
@@ -197,7 +204,7 @@
     # Closing
 
     def send_goaway(self, grace_ms: float = GOAWAY_GRACE_MS) -> None:
-        """Asks the gateway to close the connection, and closes the connection itself after `grace_ms`."""
+        """Asks the gateway to close the connection, and closes it after `grace_ms` if it is still open."""
         if not self.stream.is_open:
             return
         if not self.goaway_deadline_ms:
@@ -206,10 +213,10 @@
         self._check_after(grace_ms)
 
     def cut_off(self, reason: str) -> None:
-        """Gracefully closes the connection of a peer that violates the protocol; abandons its open RPCs.
+        """Closes the connection of a peer that violates the protocol, and abandons the open RPCs.
 
-        An immediate close with unread bytes in the socket would send a reset, which can discard answers that
-        the peer has not read.
+        The connection is closed gracefully: an immediate close with unread bytes in the socket would cause a
+        reset, which can discard answers that the peer has not read.
         """
         self.cut_off_count += len(self.rpcs)
         self._abandon_rpcs()
@@ -221,14 +228,18 @@
         self.stream.close(reason)
 
     def try_evict(self) -> bool:
-        """Reads waiting data; closes the connection if no RPC is open then. Returns whether it is closed."""
+        """Reads waiting data, then closes the connection if no RPC is open.
+
+        Returns:
+            Whether the connection is closed.
+        """
         self._read_pending()
         if self.stream.close_reason or not self.rpcs:
             self.close_now("crowded")
         return not self.stream.is_open
 
     def _read_pending(self) -> None:
-        """Reads the data waiting in the socket: a close would discard the data and reset the connection."""
+        """Reads data that waits in the socket, since a close would discard the data and cause a reset."""
         if self.stream.is_open and self.stream.is_reading:
             self.stream.read()
 
@@ -239,16 +250,16 @@
     def check_idle(self) -> None:
         """Closes the connection or sends goaway if a deadline has passed; otherwise schedules the next check.
 
-        After its idle limit, a connection gets goaway if it is verified, or if it has carried RPCs and all of
-        them were valid. Any other connection is closed immediately. After goaway, the connection is closed if
-        the gateway does not close it in time. A connection is cut off if a message is not complete after
-        `MAX_MESSAGE_MS`.
+        When a connection reaches its idle limit, goaway is sent if the connection is verified, or if RPCs
+        were read from it and all of them were valid. Any other connection is closed immediately. After
+        goaway, the connection is closed if the gateway does not close it in time. A connection is cut off if
+        a message is not complete after `MAX_MESSAGE_MS`.
         """
         if self.stream.close_reason:
             return
         if self._time_left_ms() <= DUE_TOLERANCE_MS:
             self.stream.flush()
-            self._read_pending()  # may yield an RPC or the end of the connection
+            self._read_pending()  # can deliver an RPC or show that the gateway has closed the connection
             if self.stream.close_reason:
                 return
         time_left_ms = self._time_left_ms()
@@ -257,7 +268,7 @@
         elif self._is_message_overdue:
             self.cut_off("unfinished")
         elif self._is_goaway_unsent:
-            # The gateway has not received goaway yet, so what it still sends must be handled.
+            # The gateway might not have received goaway yet and can still send requests, which must be read.
             self._check_after(MIN_CHECK_INTERVAL_MS)
         elif self.goaway_deadline_ms:
             self.stream.close_gracefully("goaway")
@@ -273,7 +284,7 @@
 
     @property
     def _is_goaway_unsent(self) -> bool:
-        """Return whether goaway may still be queued behind answers because the gateway reads slowly.
+        """Return whether goaway might still be queued behind answers because the gateway reads slowly.
 
         False once `GOAWAY_GRACE_MS` have passed since the goaway deadline, so that the connection is closed.
         """
@@ -282,7 +293,7 @@
         return self.loop.now_ms < self.goaway_deadline_ms + GOAWAY_GRACE_MS
 
     def _time_left_ms(self) -> float:
-        """Return the time until the next check; at most `DUE_TOLERANCE_MS` if a deadline has passed."""
+        """Return the time until the next deadline; a deadline within `DUE_TOLERANCE_MS` counts as passed."""
         now_ms = self.loop.now_ms
         if self.goaway_deadline_ms:
             ends_ms = self.goaway_deadline_ms
--- a/landingshift/net/routing/gateways.py
+++ b/landingshift/net/routing/gateways.py
@@ -1,4 +1,8 @@
-"""Manages the gateways' connections: accepts new ones, evicts idle ones and drains all at shutdown."""
+"""Manages the connections from gateways: accepts, evicts and drains them.
+
+A connection is verified once the engine has recognized an RPC that arrived on it. Goaway is a message that
+asks a gateway to close its connection.
+"""
 
 from __future__ import annotations
 
@@ -20,12 +24,12 @@
     UnsentBudget,
 )
 
-# This server's idle limit is the gateways' own limit times this factor. A connection that exceeds it belongs
-# to a gateway that does not enforce its limit.
+# Gateways close connections that have been idle for a limit of their own. By default, this server's idle
+# limit is the gateways' limit times this factor, so gateways normally close idle connections first.
 IDLE_LIMIT_FACTOR = 1.25
 DRAIN_GOAWAY_GRACE_MS = 250.0  # time for a gateway to close its connection while the server drains
-EVICTION_FRACTION = 1 / 16  # about this fraction of the maximum number of connections is evicted at a time
-MIN_AGE_PASSES = 2  # loop passes for which a new connection cannot be evicted
+EVICTION_FRACTION = 1 / 16  # fraction of `max_connections` that is evicted at a time, rounded down, plus one
+MIN_AGE_PASSES = 2  # number of loop passes for which a new connection cannot be evicted
 
 
 class Gateways:
@@ -35,9 +39,9 @@
         address: The address at which gateways connect.
         max_connections: The maximum number of open connections.
         max_unsent_bytes: The maximum total size of the unsent answers on all connections.
-        idle_limit_ms: The time after which gateways close idle connections themselves.
+        idle_limit_ms: The idle time after which gateways close their connections themselves.
         log: Receives events on closed connections and on a full connection table.
-        sock: The listening socket of the old process; set only by hot restart.
+        sock: The listening socket of the old process in a hot restart; otherwise None.
     """
 
     def __init__(
@@ -101,7 +105,7 @@
         if has_descriptors and len(self.connections) < self.max_connections:
             return True
         if has_descriptors and any(not connection.is_verified for connection in self._idle_connections()):
-            return True  # `_accept` evicts an unverified connection
+            return True  # `_accept` will evict an idle unverified connection
         if self.evict_idle():
             return True
         if not self.is_full:
@@ -112,8 +116,8 @@
     def _idle_connections(self) -> list[GatewayConnection]:
         """Return the idle connections: those that have no open RPC and have not been sent goaway.
 
-        Connections accepted in this loop pass or the previous one are not included. Their sockets may contain
-        RPCs that have not been read yet and would be lost.
+        Connections that were accepted in this loop pass or the previous one are not included. Their sockets
+        might contain RPCs that have not been read yet and would be lost if the connections were closed.
         """
         newest_pass = self.loop.read_count - MIN_AGE_PASSES
         return [
@@ -127,7 +131,7 @@
     def evict_idle(self) -> bool:
         """Closes some idle unverified connections, or else sends goaway to some idle verified ones.
 
-        Goaway is sent only if every connection is verified or has open RPCs.
+        Goaway is sent only if no connection was closed and every connection is verified or has open RPCs.
 
         Returns:
             Whether a connection was closed.
@@ -163,7 +167,7 @@
     # Draining
 
     def start_draining(self) -> None:
-        """Accepts the waiting connections, closes the listener and sends goaway on all connections."""
+        """Accepts the connections in the backlog, closes the listener and sends goaway on all connections."""
         self.context.is_draining = True
         # The listener is closed before goaway is sent: a gateway that gets goaway reconnects immediately, and
         # a refused connection proves to the gateway that nothing ran.
@@ -172,8 +176,8 @@
             connection.send_goaway(DRAIN_GOAWAY_GRACE_MS)
 
     def _close_listener(self) -> None:
-        # Connections in the backlog may hold requests, which a close of the listener would lose. They are
-        # accepted even if the connection table is full.
+        # Connections in the listener's backlog might contain requests, which would be lost if the listener
+        # were closed. These connections are accepted first, even if the connection table is full.
         if self.listener.drain():
             self.listener.close()
         else:
--- a/landingshift/net/routing/health.py
+++ b/landingshift/net/routing/health.py
@@ -16,11 +16,13 @@
 class HealthReporter:
     """Answers health checks, and reports the server's health to the roster once the server is ready.
 
+    A deep health check also covers the engine.
+
     Args:
         server_name: The server's name in the roster.
         roster: The sender of reports to the roster.
-        engine: The link to the engine, which runs a self-test for a deep check.
-        runs_deep_checks: Whether deep checks run that self-test.
+        engine: The link to the engine, which can run a self-test.
+        runs_deep_checks: Whether a deep health check runs the engine's self-test.
     """
 
     def __init__(
@@ -59,7 +61,10 @@
                 self.start()
 
     def set_health(self, is_healthy: bool, is_shallow: bool) -> None:
-        """Sets the health and whether deep checks skip the self-test; reports changed health immediately."""
+        """Sets the health and whether deep checks skip the self-test.
+
+        Once reports have started, a change of the health is reported to the roster immediately.
+        """
         has_changed = is_healthy != self.is_healthy
         self.is_healthy = is_healthy
         self.is_shallow = is_shallow
@@ -67,7 +72,7 @@
             self._send_report()
 
     def start(self) -> None:
-        """Starts the periodic reports, or lets them start when the last readiness gate is removed."""
+        """Starts the periodic reports to the roster now, or when the last readiness gate is removed."""
         self.is_started = True
         if not self.is_reporting and not self.readiness_gates:
             self.is_reporting = True
@@ -83,8 +88,8 @@
         """Answers a health check; a deep check may first wait for the engine's self-test.
 
         Args:
-            is_deep: Whether the check also covers the engine.
-            answer: Called with whether the server is healthy.
+            is_deep: If True, the check also covers the engine.
+            answer: Called with True if the server is healthy, otherwise with False.
         """
         if self.readiness_gates or (is_deep and not self.engine.is_working):
             answer(False)  # the server is not ready yet, or cannot work without its engine
--- a/landingshift/net/routing/observers.py
+++ b/landingshift/net/routing/observers.py
@@ -1,6 +1,7 @@
-"""Interfaces for components that observe RPCs, and for the gate that may delay ok answers.
+"""Interfaces for observers of RPCs, and for the answer gate, a component that can delay ok answers.
 
-An observer or gate that raises an exception is removed, and the RPC continues; the exception is logged.
+If an observer or the answer gate raises an exception, that component is removed, the exception is logged, and
+the processing of the RPC continues.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 from landingshift.net.routing.rpc_record import RoutedRpc
 
-MAX_TRACE_FRAMES = 6  # innermost frames of a traceback to log
+MAX_TRACE_FRAMES = 6  # number of innermost traceback frames that are logged
 EVENT_HANDLERS = (
     "on_read",
     "on_started",
@@ -37,28 +38,28 @@
     The methods, each optional:
 
     - `on_read(rpc)`: the RPC was read and its request is valid.
-    - `on_started(rpc)`: its run was handed to the engine.
-    - `on_call_needed(rpc)`: its run asks for a database call.
-    - `on_call_finished(rpc, outcome, elapsed_ms)`: its database call has ended.
-    - `on_answered(rpc, kind)`: its answer was written; `kind` is an `AnswerKind`.
+    - `on_started(rpc)`: the engine is asked to run the RPC.
+    - `on_call_needed(rpc)`: the RPC's run asks for a database call.
+    - `on_call_finished(rpc, outcome, elapsed_ms)`: the RPC's database call has ended after `elapsed_ms`.
+    - `on_answered(rpc, kind)`: the answer to the RPC was written; `kind` is an `AnswerKind`.
     - `on_closed(rpc)`: the RPC is closed; no further event follows.
     """
 
-    name: str
+    name: str  # name of the observer in the log
 
 
 class AnswerGate(Protocol):
-    """Delays ok answers if necessary, but not beyond the deadlines of their RPCs."""
+    """A component that can delay the ok answers to RPCs, but not beyond the deadlines of the RPCs."""
 
     def defer_answer(self, rpc: RoutedRpc, result: bytes, run_time_ms: float) -> bool:
-        """Return whether the gate takes over the ok answer of `rpc`.
+        """Return whether this gate delays the ok answer to `rpc`; if not, the caller sends it immediately.
 
-        If so, the gate must later call `AnswerWriter.send_deferred` to send the answer, or `abort_deferred`
-        to abort the RPC instead.
+        After returning True, the gate must call `AnswerWriter.send_deferred` later to send the answer, or
+        `AnswerWriter.abort_deferred` to abort the RPC.
         """
 
     def flush_by(self, deadline_ms: float) -> None:
-        """Requires the gate to release all its deferred answers by `deadline_ms` on the loop's clock."""
+        """Requires the gate to send or abort every delayed answer by `deadline_ms` on the loop's clock."""
 
 
 Handler = Callable[..., None]
@@ -81,11 +82,11 @@
         self._set_observers((*self.observers, observer))
 
     def notify(self, event: str, *args: object) -> None:
-        """Calls the method named `event` of all observers that have it; removes an observer that raises."""
+        """Calls the method named `event` of each observer that has it; removes observers that raise."""
         for observer, handler in self.handlers[event]:
             try:
                 handler(*args)
-            except Exception:  # a failing observer is removed; the RPC continues
+            except Exception:  # a failing observer must not stop the processing of the RPC
                 self._set_observers(tuple(other for other in self.observers if other is not observer))
                 trace = traceback.format_exc(limit=-MAX_TRACE_FRAMES)
                 self.log("observer_cut_off", name=observer.name, trace=trace)
--- a/landingshift/net/routing/reload.py
+++ b/landingshift/net/routing/reload.py
@@ -6,9 +6,10 @@
 
 from landingshift.net.routing.server_config import ServerConfig
 
-# Configuration keys that take effect only at the next start, with their attributes in `ServerConfig`. A
-# reload logs which of them have changed. `settings` also takes effect only at the next start, but is not
-# listed, because policies change it while the server runs.
+# Configuration keys that take effect only at the next start, mapped to their attributes in `ServerConfig`. A
+# reload logs which of these keys have changed. `settings` also takes effect only at the next start. It is not
+# listed, because policies change the settings while the server runs: a difference between the new and the
+# current settings does not show that an operator has changed the configuration.
 FIXED_KEYS = {
     "name": "name",
     "listen": "listen",
@@ -20,7 +21,7 @@
 
 
 def reloaded_config(current: ServerConfig, new: ServerConfig) -> ServerConfig:
-    """Return `current` with the values of `new` that may change while the server runs.
+    """Return a copy of `current` with those values of `new` that can take effect while the server runs.
 
     Changes of `settings` are not applied.
     """
--- a/landingshift/net/routing/request_validation.py
+++ b/landingshift/net/routing/request_validation.py
@@ -17,9 +17,9 @@
 from landingshift.net.routing.rpc_table import RpcTable
 from landingshift.net.routing.server_config import ServerConfig
 
-MAX_AGE_MS = 120_000.0  # longest time since the RPC's arrival at the machine
-MAX_CLOCK_LEAD_MS = 5_000.0  # longest time by which the stated arrival may be later than this server's clock
-MAX_WAIT_FACTOR = 4.0  # a caller may wait at most this many times the deadline of the method
+MAX_AGE_MS = 120_000.0  # maximum time since the request arrived at the machine
+MAX_CLOCK_LEAD_MS = 5_000.0  # maximum time by which the stated arrival can be ahead of this server's clock
+MAX_WAIT_FACTOR = 4.0  # maximum wait of a caller, as a multiple of the method's deadline
 
 
 class RpcAlreadyRunningError(LandingshiftError):
@@ -34,15 +34,16 @@
     tenant: Tenant | None
     fields: wire.RequestFields
     age_ms: float  # time since the request's arrival at the machine
-    wait_ms: float  # total time that its caller waits
-    remaining_ms: float | None  # time that its caller still waits; None if callers do not send it
+    wait_ms: float  # total time for which the caller waits
+    remaining_ms: float | None  # time for which the caller still waits; None if callers do not send it
 
 
 class RequestValidator:
     """Checks requests against the configuration and the RPCs in flight.
 
     Attributes:
-        attempt_id_field: The name of the field with the id of the client's attempt; empty if there is none.
+        attempt_id_field: The name of the request field that contains the id of the client's attempt; empty if
+            no such field is configured.
     """
 
     def __init__(self, config: ServerConfig, table: RpcTable) -> None:
@@ -55,7 +56,7 @@
 
         Raises:
             wire.InvalidFieldError: A field is invalid.
-            RpcAlreadyRunningError: An RPC with this id has started and must not run twice.
+            RpcAlreadyRunningError: An RPC with the request's id has started and must not run twice.
         """
         method = self.config.methods.get(request.method)
         if method is None:
@@ -75,9 +76,9 @@
     def _check_times(
         self, method: Method, tenant: Tenant | None, fields: wire.RequestFields
     ) -> CheckedRequest:
-        """Check the RPC's age and how long its caller waits; return the checked request.
+        """Check the age of the request and the wait of its caller; return the checked request.
 
-        If the request does not state the caller's wait, the method's deadline is used for it.
+        If the request does not state how long its caller waits, the method's deadline is used instead.
         """
         now_unix_ms = time.time() * 1000.0
         if not now_unix_ms - MAX_AGE_MS < fields.arrived_unix_ms < now_unix_ms + MAX_CLOCK_LEAD_MS:
--- a/landingshift/net/routing/router.py
+++ b/landingshift/net/routing/router.py
@@ -44,16 +44,16 @@
     Args:
         loop: The event loop; the controller settles (decides and acts) at the end of each pass.
         config: The configuration at startup.
-        log: The function that logs events; called with an event's name and its fields.
-        listener: The listening socket of the old process; set only by hot restart, which also takes over the
-            link to the engine.
+        log: The function that logs events; called with the name and the fields of an event.
+        listener: The listening socket of the old process in a hot restart, which also takes over the link to
+            the engine; otherwise None.
 
     Raises:
         OSError: The server cannot listen at the configured address.
 
     Attributes:
         config: The configuration in effect; a reload replaces it.
-        before_decisions: Called at the end of each pass, before the controller settles.
+        before_decisions: Called at the end of each loop pass, before the controller settles.
     """
 
     def __init__(
@@ -146,15 +146,21 @@
 
     @property
     def is_draining(self) -> bool:
-        """Return whether the server has received the shutdown signal."""
+        """Return whether the graceful shutdown has begun."""
         return self.shutdown.is_draining
 
     def request_settle(self) -> None:
-        """Makes the controller settle in this pass. Call this if its inputs have changed without an event."""
+        """Makes the controller settle (decide and act) at the end of this loop pass.
+
+        Call this if the inputs of the controller's decisions have changed without an event.
+        """
         self.driver.needs_settle = True
 
     def settle(self) -> None:
-        """Ends a loop pass: the controller decides on the events, and its actions are carried out."""
+        """Ends a loop pass: the controller decides on the events, and its actions are carried out.
+
+        Afterwards, pending cancellations are sent to the database.
+        """
         if self.before_decisions is not None:
             self.before_decisions()
         self.driver.settle()
@@ -167,7 +173,8 @@
     def _start_admission(self, hello: Hello) -> None:
         """Creates the admission controller when the engine answers for the first time.
 
-        The controller's start time is that of the engine, because the engine's cores warm up from then on.
+        The start time of the engine is passed to the controller as its own start time, because the engine's
+        cores warm up from that time on.
         """
         if self.is_draining:
             return  # the server stops without running any RPC, so it must not report to the roster
@@ -177,7 +184,7 @@
         self.health_reporter.start()
 
     def reload(self, config: ServerConfig) -> None:
-        """Applies the parts of a new configuration that may change while the server runs.
+        """Applies the parts of a new configuration that can take effect while the server runs.
 
         The log names the changed keys that take effect only at the next start, except `settings`.
         """
@@ -190,7 +197,11 @@
         self.health_reporter.change_address(config.roster)
 
     def drain(self, notice_ms: float | None = None) -> None:
-        """Starts the shutdown for a signal received at `notice_ms` on the loop's clock; now by default."""
+        """Starts the graceful shutdown.
+
+        Args:
+            notice_ms: The time of the shutdown signal on the loop's clock; now by default.
+        """
         self.shutdown.start(notice_ms)
 
 
--- a/landingshift/net/routing/rpc_intake.py
+++ b/landingshift/net/routing/rpc_intake.py
@@ -1,7 +1,8 @@
 """Handles requests from gateways: passes RPCs to the admission controller and answers health checks.
 
 Guarantee: every request is answered; a request that is not accepted is answered immediately. A rejection
-states that the RPC never ran, so a duplicate of an RPC that must not run twice is never rejected.
+tells the caller that the RPC never ran. If a valid request is a duplicate of an RPC that might have run and
+must not run twice, the request is therefore aborted rather than rejected when it is not accepted.
 """
 
 from __future__ import annotations
@@ -66,7 +67,10 @@
         self.log = log
 
     def on_request(self, connection: GatewayConnection, request: wire.Request) -> None:
-        """Validates a request. Passes its RPC to the controller, or answers the request if not accepted."""
+        """Validates a request and passes its RPC to the admission controller.
+
+        A request that is not accepted is answered immediately.
+        """
         try:
             checked = self.validator.check(connection, request)
         except wire.InvalidFieldError as err:
@@ -113,7 +117,7 @@
             rpc.managed = self.driver.controller_for_event().on_rpc_read(rpc)
         except Exception:
             if not rpc.is_closed:
-                self.release(rpc)  # even after an exception the RPC must get its answer
+                self.release(rpc)  # the RPC must get an answer even after an exception
             raise
         if rpc.is_closed:
             rpc.managed = None
@@ -129,7 +133,8 @@
 
     def _answer_invalid(self, connection: GatewayConnection, request: wire.Request, field: str) -> None:
         if connection.is_verified and not connection.invalid_count:
-            # Further invalid requests are only counted, in the log event for the closed connection.
+            # Only the first invalid request is logged. The number of invalid requests is logged when the
+            # connection is closed.
             self.log("bad_rpc", field=field, method=request.method)
         data = wire.encode_rejected(request.message_id, self.answers.headers)
         connection.answer_invalid(request.message_id, field, data)
@@ -169,7 +174,7 @@
         method=checked.method,
         tenant=checked.tenant,
         remaining_ms=checked.remaining_ms,
-        # Capped: once the caller's wait is over, the RPC's exact age no longer matters.
+        # Limited to the total wait: once the caller no longer waits, the exact age does not matter.
         waited_ms=min(checked.wait_ms, checked.age_ms),
         memory_kb=fields.memory_kb,
         caller_id=fields.caller_id,
--- a/landingshift/net/routing/rpc_record.py
+++ b/landingshift/net/routing/rpc_record.py
@@ -1,4 +1,4 @@
-"""The record of an RPC in this server. It has no references to the components that handle the RPC."""
+"""The record of an RPC in this server; contains no references to the components of the router."""
 
 from __future__ import annotations
 
@@ -16,16 +16,17 @@
     method_name: bytes  # as sent to the engine
     body: bytes
     connection: int  # slot number of the connection on which the RPC arrived
-    message_id: int  # message id of its request on that connection
+    message_id: int  # message id of the RPC's request on that connection
     dedup_key: tuple[bytes, str] | None  # deduplication key: method, and idempotency key or cache key
     tenant_name: str = ""
     attempt_id: str | None = None  # id of the client's attempt, if a request field for it is configured
     slot: int = -1  # slot number in the table of RPCs in flight
-    # The admission controller's handle; None before the controller receives the RPC and after its release.
+    # The admission controller's handle for the RPC; None until the controller has received the RPC, and again
+    # after the controller has released the RPC.
     managed: ManagedRpc | None = None
     is_answered: bool = False
-    is_answer_deferred: bool = False  # the answer gate is delaying its ok answer
-    is_abandoned: bool = False  # its caller no longer waits for an answer
-    is_closed: bool = False  # the admission controller has released it
+    is_answer_deferred: bool = False  # the answer gate (see `AnswerGate`) is delaying the ok answer
+    is_abandoned: bool = False  # the caller no longer waits for an answer
+    is_closed: bool = False  # the admission controller has released the RPC
     call_notice_number: int = 0  # number of the engine's notice that asked for the latest database call
-    call_request: bytes = b""  # request of that call
+    call_request: bytes = b""  # request of the latest database call
--- a/landingshift/net/routing/server_config.py
+++ b/landingshift/net/routing/server_config.py
@@ -22,9 +22,9 @@
         stop_ms: The time from the shutdown signal until the process is killed.
         memory_mb: The memory limit of the process.
         max_sockets: The maximum number of open sockets.
-        settings: The admission controller's settings; a policy may change their fields in place.
+        settings: The admission controller's settings; a policy can change their fields in place.
         methods: The methods, keyed by their names on the wire.
-        tenants: The tenants, keyed by their names on the wire; empty if RPCs name no tenant.
+        tenants: The tenants, keyed by their names on the wire; empty if requests contain no tenant name.
         gauge_names: The names of the engine's gauges, in the order in which the engine reports them.
         runs_deep_checks: Whether a deep health check runs the engine's self-test.
     """
--- a/landingshift/net/routing/shutdown.py
+++ b/landingshift/net/routing/shutdown.py
@@ -1,9 +1,9 @@
 """Graceful shutdown: answers all RPCs, then closes the connections, then stops the loop.
 
-Guarantee: every request that had reached the server's sockets at the shutdown signal is answered, even if it
-had not been accepted or read yet. The loop stops when all connections are closed. If a gateway does not close
-its side, the process runs until it is killed, since closing earlier could cause a reset that discards answers
-which the gateway has not read.
+Guarantee: every request that had reached the server's sockets at the shutdown signal is answered, even if
+its connection had not been accepted or the request had not been read. The loop stops when all connections are
+closed. If a gateway does not close its side, the process runs until it is killed. If this server closed the
+connection earlier, a reset could discard answers that the gateway has not read.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 from landingshift.net.routing.gateways import Gateways
 from landingshift.net.transport.loop import Loop
 
-CONNECTION_DRAIN_MS = 600.0  # time between goaway and the kill; at most half of the time left
-CHECK_INTERVAL_MS = 20.0  # time between checks whether all connections are closed
-MIN_TIME_LEFT_MS = 1.0  # assumed if the loop handles the signal after the kill is due
+CONNECTION_DRAIN_MS = 600.0  # time from goaway until the kill; or half of the time left, if shorter
+CHECK_INTERVAL_MS = 20.0  # interval at which the server checks whether all connections are closed
+MIN_TIME_LEFT_MS = 1.0  # assumed time left if the loop handles the signal only after the kill was due
 
 
 class GracefulShutdown:
@@ -25,7 +25,7 @@
         stop_ms: The time from the shutdown signal until the process is killed.
 
     Attributes:
-        stop_at_ms: The time on the loop's clock at which the process is killed; 0 before the signal.
+        stop_at_ms: The time on the loop's clock at which the process will be killed; 0 before the signal.
     """
 
     def __init__(
@@ -48,8 +48,8 @@
         """Starts the shutdown; a repeated call has no effect.
 
         Args:
-            notice_ms: The time of the shutdown signal on the loop's clock; now by default. The time until the
-                kill counts from the signal, even if the loop handles it late.
+            notice_ms: The time of the shutdown signal on the loop's clock; now by default. The process is
+                killed `stop_ms` after the signal, even if the loop handles the signal late.
         """
         if self.is_draining:
             return
@@ -58,7 +58,7 @@
         left_ms = max(MIN_TIME_LEFT_MS, self.stop_ms - elapsed_ms)
         self.stop_at_ms = self.loop.now_ms + left_ms
         if self.driver.controller is None:
-            # No RPC runs yet, but requests that have not been read must be answered: they will be rejected.
+            # No RPC runs yet, but requests that have not been read must still be read and rejected.
             self._drain_connections()
             return
         self.driver.controller_for_event().start_draining(left_ms, elapsed_ms)
@@ -73,7 +73,11 @@
         self.schedule_connection_drain()
 
     def schedule_connection_drain(self) -> float:
-        """Schedules the closing of the listener and goaway on all connections; returns the delay in ms."""
+        """Schedules the time at which the listener is closed and goaway is sent on all connections.
+
+        Returns:
+            The time until then, in ms.
+        """
         left_ms = self.stop_at_ms - self.loop.now_ms
         drain_after_ms = max(left_ms - CONNECTION_DRAIN_MS, left_ms / 2.0)
         self.loop.after(drain_after_ms, self._drain_connections)
