--- a/landingshift/admission/backpressure.py
+++ b/landingshift/admission/backpressure.py
@@ -24,10 +24,10 @@
 UNREAD_BUCKET_COUNT, UNREAD_BUCKET_MS = 2, 250.0
 MAX_UNREAD_FRACTION = 0.5
 """Mean time that RPCs wait to be read, as a fraction of the shortest latency objective, at which
-`read_responsiveness` would be 0 without its minimum."""
+`read_responsiveness` would be 0 if it had no minimum."""
 MIN_SIGNAL = 0.2
 """Minimum of each signal, so that callers keep returning and receive load updates."""
-# A mode is logged as on while its signal is below its threshold. The thresholds affect only the log.
+# A mode (see `ModeLog`) is on while its signal is below the threshold. Thresholds affect only the log.
 READ_OVERLOAD_MODE, READ_OVERLOAD_THRESHOLD = "drowning", 0.3
 SHEDDING_MODE, SHEDDING_THRESHOLD = "shedding", 0.7
 ADVERTISED_DIGIT_COUNT = 3
@@ -41,8 +41,10 @@
         queue_weight: Signal from `MIN_SIGNAL` to 1 that falls while more than one RPC per core is queued.
         read_responsiveness: Signal from `MIN_SIGNAL` to 1 that falls with the mean time that RPCs wait to be
             read.
-        unread_ms: Time that each RPC read in the last half second had waited to be read.
-        advertised_load: Load that was last advertised, in the form of `Settings.load_advertisement`.
+        unread_ms: Time for which each RPC waited before it was read, for the RPCs that were read in the last
+            0.5 s.
+        advertised_load: Load that was last advertised, in the form of `Settings.load_advertisement`;
+            `NEVER_ADVERTISED` before the first advertisement.
     """
 
     def __init__(
@@ -131,10 +133,11 @@
     def _credit(self) -> float:
         """Returns how many RPCs one caller is allowed to have in flight.
 
-        This is the server's capacity times the busiest caller's fraction of the recent RPCs. The capacity
-        is the sum of the RPCs that can run, the RPCs in or waiting for a downstream call, and one queued RPC
-        per core. All callers get this credit instead of an even split of the capacity. An even split would
-        give the busiest caller too little, while the other callers leave part of theirs unused.
+        This is the server's capacity times the busiest caller's fraction of the recent RPCs. The capacity is
+        the number of RPCs that can run, plus the RPCs that make or wait for a downstream call, plus one
+        queued RPC per core. All callers get this credit instead of an even split of the capacity. An even
+        split would give the busiest caller too little, while the other callers leave part of their shares
+        unused.
         """
         server = self._server
         running = max(self._limit.limit, len(server.running))
--- a/landingshift/admission/call_rate.py
+++ b/landingshift/admission/call_rate.py
@@ -1,11 +1,11 @@
 """Rate limit of downstream calls: a token bucket whose rate adapts to the outcomes of recent calls.
 
 The rate falls while calls fail or are slow and grows while they succeed. After two consecutive calls without
-a response, the rate drops to the minimum immediately: a downstream service that hangs does so for all
-servers, and each further lost call would use up part of the quota. The quota is an upper bound of the rate in
-calls per second. The fleet can assign one to this server, and it may be small.
+a response, the rate drops to the minimum immediately. If a downstream service hangs, it hangs for all
+servers. Further calls would probably also be lost and would only use up the quota. The quota is an upper bound
+of the rate. The fleet can assign a quota to this server, and the quota can be below one call per second.
 
-Slow calls do not reduce the rate as long as they end well within the latency objectives.
+Slow calls do not reduce the rate as long as their mean latency is well below the latency objectives.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 MIN_ANSWERED_FRACTION = 0.75
 """Fraction of successful recent calls below which the rate is cut."""
 SLOW_LATENCY_RATIO = 3.0
-"""Ratio of mean to base latency above which calls count as slow."""
+"""Ratio of the mean latency to the estimated latency without load above which calls count as slow."""
 TOLERATED_LATENCY_FRACTION = 0.4
 """Mean call latency up to which slow calls do not cut the rate, as a fraction of the shortest latency
 objective."""
@@ -32,8 +32,8 @@
 MIN_CALLS_PER_SECOND = 1.0
 MIN_QUOTA_PER_SECOND = 0.01
 UNLIMITED_RATE_RATIO, UNLIMITED_EXTRA_CALLS_PER_SECOND = 2.0, 10.0
-"""The limit is lifted once the rate exceeds the first value times the number of calls in the last second,
-plus the second value, because such a rate does not limit the calls."""
+"""The rate rises to the quota once it exceeds the first value times the number of calls in the last second,
+plus the second value. The rate limit then has no effect, because far fewer calls are made."""
 CONSECUTIVE_LOSSES_FOR_PAUSE_COUNT = 2
 MIN_BURST_CALLS = 1.0
 BURST_SECONDS = 0.2
@@ -47,7 +47,7 @@
     """Token bucket that limits the rate of downstream calls.
 
     Attributes:
-        recent_ms: Latencies of the calls that ended in the last second, `UNANSWERED` for those that failed.
+        recent_ms: Latencies of the calls that ended in the last second; `UNANSWERED` for a failed call.
         recent_mean_ms: Mean latency of the successful calls in `recent_ms`, as of the last check.
         tokens: Number of calls that may start now.
         calls_per_second: Rate at which tokens are added; infinite while the downstream service keeps up.
@@ -74,7 +74,7 @@
         return TOLERATED_LATENCY_FRACTION * self._server.shortest_objective_ms
 
     def has_token(self) -> bool:
-        """Returns whether a call may start now."""
+        """Returns whether there is a token for another call."""
         return self.tokens >= 1.0
 
     def take_token(self) -> None:
@@ -135,10 +135,10 @@
     def _adapt_rate(self, recent_count: int, answered_count: int, is_slow: bool) -> None:
         """Cuts or raises the rate.
 
-        After enough recent calls, the rate is cut if more than a quarter of them failed, or if they are slow
-        and their mean latency exceeds the tolerated latency. Otherwise the rate grows, unless RPCs wait for a
-        call slot and no recent call succeeded. The limit is lifted once the rate is well above the number of
-        recent calls and calls are not slow.
+        If there are enough recent calls, the rate is cut when more than a quarter of these calls failed, or
+        when the calls are slow and their mean latency exceeds the tolerated latency. Otherwise the rate
+        grows, unless RPCs wait for a call slot and no recent call succeeded. Once the rate is well above the
+        number of recent calls and calls are not slow, the rate rises to the quota, which can be infinite.
         """
         seconds = self._server.seconds_since_check
         is_intolerable = is_slow and self.recent_mean_ms > self.tolerated_latency_ms
--- a/landingshift/admission/check_timer.py
+++ b/landingshift/admission/check_timer.py
@@ -1,7 +1,8 @@
 """Schedules the controller's periodic check of gauges, deadlines and rates.
 
-Checks are frequent while RPCs are queued or wait for a call slot. They are rare on an idle server, so that
-idle servers use little CPU time. A new RPC can bring the next check forward but never delays it.
+Checks are frequent while RPCs are queued or wait for a call slot, which is the permission to make a
+downstream call. Checks are rare on an idle server, so that it uses little CPU time. A new RPC can bring the
+next check forward but never delays the check.
 """
 
 from __future__ import annotations
@@ -31,20 +32,27 @@
         self.next_check_ms = server.now_ms
 
     def schedule(self, delay_ms: float) -> None:
-        """Requests the next check after the delay, replacing any earlier request."""
+        """Requests the next check, `delay_ms` from now, in place of any earlier request."""
         self.next_check_ms = self._server.now_ms + delay_ms
         self._actions.schedule_check(delay_ms)
 
     def rearm(self) -> None:
-        """Requests the pending check again after a hot restart, when the new process has no timer yet."""
+        """Requests the next check again after a hot restart, because the new process has no timer yet."""
         self._actions.schedule_check(max(0.0, self.next_check_ms - self._server.now_ms))
 
     def is_due(self) -> bool:
-        """Returns whether the pending check is due; the timer of a replaced request may fire before that."""
+        """Returns whether the next check is due.
+
+        A new request does not cancel the timer of the request that it replaces. Therefore, a timer can fire
+        before the next check is due.
+        """
         return self._server.now_ms >= self.next_check_ms - TIMER_TOLERANCE_MS
 
     def schedule_before_deadline(self, managed: ManagedRpc) -> None:
-        """Brings the next check forward if it might come too late for the deadline of a new RPC."""
+        """Brings the next check forward for a new RPC with an early deadline.
+
+        The check is brought forward if the deadline might otherwise pass before the check.
+        """
         ends_before_check = managed.check_deadline_ms < self.next_check_ms + CHECK_INTERVAL_MS
         if ends_before_check and self.next_check_ms > self._server.now_ms + MIN_CHECK_INTERVAL_MS:
             self.schedule(MIN_CHECK_INTERVAL_MS)
@@ -57,7 +65,7 @@
             self.schedule(CHECK_INTERVAL_MS / 2.0)
 
     def schedule_next(self, next_checks_ms: list[float]) -> None:
-        """Requests the next check after a check has run.
+        """Requests the next check. Call this at the end of each check.
 
         Args:
             next_checks_ms: Times at which the RPCs need their next check.
--- a/landingshift/admission/concurrency_limit.py
+++ b/landingshift/admission/concurrency_limit.py
@@ -5,9 +5,9 @@
 divided by the ratio of measured run times to run times without load. It stays below the number of runs at
 which the server fails. That number is smaller while the server is cold.
 
-Reading RPCs from the network also occupies cores and cannot be stopped. While reads occupy many cores, fewer
-RPCs run than the limit allows, and possibly fewer than there are cores. Otherwise, runs and reads would slow
-each other down.
+Reads of RPCs from the network also occupy cores, and a read cannot be stopped. While reads occupy many cores,
+fewer RPCs run than the limit allows, and possibly fewer than there are cores. Otherwise, runs and reads would
+slow each other down.
 """
 
 from __future__ import annotations
@@ -20,15 +20,16 @@
 BUSY_UTILIZATION_FRACTION = 0.95
 """Core utilization at and above which the cores count as busy."""
 CUT_INTERVAL_MS = 500.0
-"""Minimum interval between cuts, so that the effect of one is measured before the next."""
+"""Minimum interval between cuts of the limit, so that the effect of each cut is measured before the next."""
 MIN_CUT_FACTOR = 0.5
 """A single cut removes at most half of the limit."""
 MIN_SLOWDOWN = 0.01
 MIN_RUNS_FOR_SLOWDOWN = 5
-"""Minimum number of runs in the last 2 s for a meaningful mean slowdown. Small servers do not reach it,
-because they finish about two runs per second."""
+"""Minimum number of successful runs in the last 2 s for a meaningful mean of the slowdown (run time divided
+by run time without load). Small servers do not reach this number, because they finish about two runs per
+second."""
 UNTHROTTLED_READING_FRACTION = 0.5
-"""Fraction of the cores that may be busy reading before fewer runs start."""
+"""Fraction of the cores that reads can occupy without a reduction of the number of runs."""
 SMOOTHING_OLD, SMOOTHING_NEW = 0.7, 0.3
 SLOWDOWN_BUCKET_COUNT, SLOWDOWN_BUCKET_MS = 2, 1000.0
 MIN_WARM_UP_MS = 1.0
@@ -40,9 +41,9 @@
     Attributes:
         limit: Number of RPCs that can run concurrently, before cores busy with reads are subtracted.
         core_utilization: Core utilization from 0 to 1 at the last check.
-        last_cut_ms: Time of the last cut.
-        slowdown: Ratio of run time without downstream calls to the method's base run time, for each
-            successful run of the last 2 s.
+        last_cut_ms: Time of the last cut of the limit.
+        slowdown: Value for each successful run of the last 2 s: the run time, excluding downstream calls,
+            divided by the method's estimated run time without load.
         busy_cores: Smoothed number of tasks that need a core.
         reading_cores: Smoothed number of tasks that need a core but are not runs; most of them read RPCs.
     """
@@ -57,7 +58,7 @@
         self.reading_cores = 0.0
 
     def record_run(self, service_times: ServiceTimes, own_ms: float) -> None:
-        """Records the slowdown of a successful run relative to the base run time of its method.
+        """Records the slowdown of a successful run, relative to the method's estimated run time without load.
 
         Args:
             service_times: Service times of the method.
@@ -83,7 +84,7 @@
     def free_slots(self) -> float:
         """Returns how many more RPCs may start; a value below 1 means none.
 
-        RPCs in a downstream call, or waiting for one, return to the cores without a further check. They
+        RPCs that make or wait for a downstream call return to the cores without a further check. They
         therefore count towards `survivable_runs`, but not towards the limit.
         """
         server = self._server
@@ -120,8 +121,8 @@
     def _cut(self) -> None:
         """Divides the limit by the mean slowdown of runs.
 
-        If too few runs have ended to measure it, the number of tasks per core is used instead, so that the
-        limit does not stay high on a server on which hardly any run ends.
+        If too few runs have ended to measure the slowdown, the number of tasks per core is used instead, so
+        that the limit does not stay high on a server on which hardly any run ends.
         """
         now_ms = self._server.now_ms
         if self.slowdown.count(now_ms) >= MIN_RUNS_FOR_SLOWDOWN:
--- a/landingshift/admission/controller.py
+++ b/landingshift/admission/controller.py
@@ -1,4 +1,4 @@
-"""Admission controller of one server, which makes every decision about an RPC from read to answer.
+"""Admission controller of one server. It decides about each RPC from reading it to answering it.
 
 For each event, the host program sets `now_ms` and calls one method of the controller. After all simultaneous
 events, it calls `settle`. The controller requests actions from the program through the `Actions` interface.
@@ -66,8 +66,8 @@
 from landingshift.admission.tenant_quotas import TenantQuotas
 
 DEADLINE_LEAD_MS = MIN_CHECK_INTERVAL_MS
-"""`enforce_deadline` aborts an RPC this long before its end time. With a longer lead, it would abort runs
-that still end in time. With a shorter lead, the next check might come after the end time."""
+"""An RPC is aborted this long before its end time (see `enforce_deadline`). A larger value would abort runs
+that still end in time. With a smaller value, the next check might come after the end time."""
 SLOW_UPDATE_INTERVAL_MS = 1000.0
 """Interval between updates of slowly changing inputs: tenant weights and the connection idle timeout."""
 
@@ -80,8 +80,8 @@
 
         Args:
             settings: The server's settings. Call `on_settings_changed` after changing a field in place.
-            seed: Random seed for the delay of the first check, so that the servers of a fleet do not check in
-                lockstep.
+            seed: Random seed for the delay of the first check. Use a different seed for each server, so that
+                the servers of a fleet do not run their checks simultaneously.
             actions: Carries out the controller's decisions.
             now_ms: Current time, which becomes the start time of the server.
         """
@@ -123,7 +123,7 @@
     def on_rpc_read(self, rpc: Rpc) -> ManagedRpc:
         """Admits or rejects an RPC that has been read, and returns the handle for its later events.
 
-        The RPC may be rejected before this method returns; the handle's state is then None.
+        If the RPC is rejected before this method returns, the state of the handle is None.
         """
         now_ms = self.state.now_ms
         managed = ManagedRpc(rpc, self.service_times[rpc.method], now_ms)
@@ -185,9 +185,10 @@
             self.lifecycle.resume(managed, RpcEvent.CALLER_GONE)
 
     def settle(self) -> None:
-        """Rejects queued RPCs that fail the deadline check, starts the best others, and assigns call slots.
+        """Rejects and starts queued RPCs, and assigns call slots to runs that need a downstream call.
 
-        Call this once after all simultaneous events have been reported.
+        RPCs that fail the deadline check are rejected. Of the others, the best are started while slots are
+        free. Call this once after all simultaneous events have been reported.
         """
         self.scheduler.reject_failed()
         self.scheduler.start_best()
@@ -200,7 +201,8 @@
     def on_timer(self, gauges: Gauges) -> None:
         """Runs the periodic check of gauges, rates and deadlines that `Actions.schedule_check` requested.
 
-        Has no effect before `next_check_ms`, so that timers of replaced requests need not be cancelled.
+        Has no effect before `next_check_ms`. The program therefore need not cancel the timer of a request
+        when a later request replaces it.
         """
         if not self.timer.is_due():
             return
@@ -233,7 +235,7 @@
         Otherwise it is the deadline. Queued RPCs are not aborted here; the deadline check rejects them.
 
         Returns:
-            Clock time in ms at which the RPC needs its next check.
+            Clock time in ms at which the RPC needs its next check; infinite if it needs none.
         """
         now_ms = self.state.now_ms
         can_cancel = self.state.settings.run_cancellation is not RunCancellation.NONE
@@ -266,12 +268,12 @@
         self._actions.log(f"draining: {remaining_ms:.0f} ms left, {queued} held")
 
     def set_standby(self, is_standby: bool) -> None:
-        """Enters or leaves standby, in which no new run starts because the server has no valid policy."""
+        """Enters or leaves standby. On standby the server has no valid policy and starts no new runs."""
         self.check.recheck_all()
         self.draining.set_standby(is_standby)
 
     def set_call_rate_quota(self, calls_per_second: float) -> None:
-        """Sets this server's share of the fleet's downstream calls per second, which limits the call rate."""
+        """Limits the rate of downstream calls to this server's share of the rate allowed for the fleet."""
         self.call_rate.set_quota(calls_per_second)
 
     def on_settings_changed(self) -> None:
@@ -311,7 +313,7 @@
 
     @property
     def next_check_ms(self) -> float:
-        """Time at which `on_timer` is due."""
+        """Time at which the next call of `on_timer` is due."""
         return self.timer.next_check_ms
 
     @property
@@ -320,13 +322,17 @@
         return self.backpressure.advertised_load
 
     def arrivals_per_second(self, now_ms: float) -> float:
-        """Returns the mean number of RPCs read per second over the last 2 s."""
+        """Returns the mean number of RPCs that were read per second over the last 2 s."""
         return self.order.arrivals_per_second(now_ms)
 
     # Hot restart
 
     def export_state(self) -> tuple[dict[str, Any], list[ManagedRpc]]:
-        """Returns the controller's state as plain values, and the RPCs to which its indices refer."""
+        """Exports the controller's state.
+
+        Returns:
+            The state as plain values, and the RPCs to which indices in the state refer.
+        """
         return export_state(self._snapshot_parts())
 
     def import_state(self, state: dict[str, Any], rpcs: list[Rpc]) -> list[ManagedRpc]:
--- a/landingshift/admission/deadline_check.py
+++ b/landingshift/admission/deadline_check.py
@@ -1,4 +1,6 @@
-"""Deadline check of queued RPCs: an RPC fails when the current time plus a margin reaches its deadline.
+"""Deadline check of queued RPCs.
+
+An RPC fails the check when the current time plus a margin for its run reaches the deadline of the RPC.
 
 The check prevents runs whose callers will have stopped waiting when the run ends. Without it, a server under
 overload can have a high throughput while no answer is in time. An RPC is rejected as soon as it fails the
@@ -20,7 +22,8 @@
 """Maximum margin as a fraction of an RPC's time budget. With long-tailed service times, a margin equal to the
 p99 could make every RPC fail."""
 MAX_QUEUE_FRACTION_BELOW_FLOOR = 0.12
-"""Fraction of its time budget for which an RPC below the priority floor stays queued."""
+"""Maximum time in the queue for an RPC below the priority floor, as a fraction of the RPC's time budget. The
+floor is set by `start_order` under overload."""
 
 
 class DeadlineCheck:
@@ -41,10 +44,10 @@
         self.next_failure_ms = 0.0
 
     def latest_start_ms(self, managed: ManagedRpc) -> float:
-        """Returns the time at which the RPC fails the check: its deadline minus the margin.
+        """Returns the time from which the RPC fails the check: its `check_deadline_ms` minus the margin.
 
-        The margin is the p99 run time of its method, including calls, capped at a fraction of the RPC's time
-        budget. An RPC that arrived after `Draining.accept_until_ms` fails immediately.
+        The margin is the p99 run time of the method, including downstream calls, and at most a fraction of
+        the RPC's time budget. An RPC that arrived after `Draining.accept_until_ms` fails immediately.
         """
         if managed.arrived_at_ms > self._draining.accept_until_ms:
             return 0.0
@@ -54,8 +57,9 @@
     def queued_until_ms(self, managed: ManagedRpc) -> float:
         """Returns the time at which a queued RPC is rejected.
 
-        This is when it fails the check, or earlier if it is below the priority floor. Such an RPC is unlikely
-        to start on this server, and an early rejection leaves time to run it on another server.
+        An RPC is rejected when it fails the check. An RPC below the priority floor is rejected earlier,
+        because it is unlikely to start on this server, and an early rejection leaves time to run it on
+        another server.
         """
         latest_start_ms = self.latest_start_ms(managed)
         if self._order.may_start(managed):
@@ -67,7 +71,8 @@
         """Counts a rejected RPC if it failed the check.
 
         An RPC that was rejected before it failed the check, because of its priority or a lack of memory, is
-        not counted. Otherwise, the rejection would prolong the overload state that caused it.
+        not counted. The server counts as overloaded while many RPCs are counted here. If rejections caused by
+        overload were counted too, they would prolong the overload state.
         """
         if self._server.now_ms >= self.latest_start_ms(managed):
             self.failures.add(self._server.now_ms, 1.0)
@@ -80,7 +85,7 @@
         return self.failures.count(self._server.now_ms)
 
     def recheck_all(self) -> None:
-        """Makes the next `settle` check all queued RPCs. Call this if the inputs of the check change."""
+        """Makes the next `settle` check all queued RPCs. Call this when the inputs of the check change."""
         self.next_failure_ms = 0.0
 
     def record_queued(self, managed: ManagedRpc) -> None:
--- a/landingshift/admission/dedup_entries.py
+++ b/landingshift/admission/dedup_entries.py
@@ -1,9 +1,12 @@
-"""Selects the RPCs that get an entry in the host program's deduplication table, and accounts for its memory.
+"""Selects the RPCs that get an entry in the host program's deduplication table.
 
-The table belongs to the program. An RPC with an idempotency key gets its entry as soon as it is queued.
-Otherwise, a duplicate that arrives while the RPC is queued would not be recognised and would also run. If
-there is no memory for the entry, the RPC is rejected. A cacheable read gets an entry if memory allows. The
-entry of an RPC that never ran is dropped, so that a later attempt can run.
+The program stores the table and uses it to recognise and answer duplicates. The memory of the entries is
+included in the server's memory in use.
+
+An RPC with an idempotency key gets an entry as soon as it is queued. Otherwise, a duplicate that arrives
+while the RPC is queued would not be recognised and would also run. If there is not enough memory for the entry, the
+RPC is rejected. A cacheable read that gets no entry for lack of memory is still run. The entry of an RPC that
+never ran is dropped, so that a later attempt can run.
 """
 
 from __future__ import annotations
@@ -36,7 +39,8 @@
         """Adds an entry for a queued RPC if it is keyed or cacheable.
 
         Returns:
-            False if a keyed RPC gets no entry for lack of memory and therefore must not run, else True.
+            False if the RPC is keyed but there is not enough memory for its entry, so that the RPC must not
+            run; else True.
         """
         server, settings, rpc = self._server, self._server.settings, managed.rpc
         is_cacheable = self._is_cacheable(rpc)
--- a/landingshift/admission/downstream_calls.py
+++ b/landingshift/admission/downstream_calls.py
@@ -1,10 +1,10 @@
 """Decides which downstream calls start, and sets their timeouts.
 
-A run that needs a call waits for a call slot. Slots go first to the runs that gain the most value from their
-calls. Three limits determine whether a slot is free: the rate of calls (`call_rate`), the total time for
-which this server's calls occupy the shared store (`downstream_time_budget`), and the number of calls in
-flight, limited by Little's law. Without the last limit, calls would accumulate in a slow service until all of
-them time out.
+A run that needs a call waits for a call slot, which is the permission to make the call. Slots are assigned
+first to the runs that gain the most value from their calls. Three limits determine whether a slot is free:
+the rate of calls (`call_rate`), the total time for which this server's calls occupy the shared store
+(`downstream_time_budget`), and the number of calls in flight, limited by Little's law. Without the last
+limit, calls would accumulate in a slow service until all of them time out.
 
 If no slot is free, a run that has too little time left skips the call, or fails if the call is required. A
 run that can skip the call also skips it if the run has waited, or would wait, too long. A free slot is
@@ -24,8 +24,8 @@
 
 LATENCY_BUCKET_COUNT, LATENCY_BUCKET_MS = 10, 3000.0
 MAX_TIMEOUT_FRACTION = 0.8
-"""Maximum timeout as a fraction of the time until the RPC's check deadline, so that time is left to retry a
-lost call or to finish without it."""
+"""Maximum timeout as a fraction of the time until the RPC's `check_deadline_ms`, so that time is left to
+retry a lost call or to finish without it."""
 MIN_TIMEOUT_CAP_MS, TIMEOUT_LATENCY_RATIO = 300.0, 6.0
 """The timeout is at most the larger of the first value and the second value times the mean latency."""
 DEFAULT_LATENCY_MS = 100.0
@@ -34,7 +34,7 @@
 """Latency that the limit on calls in flight accepts, as a multiple of the recent mean latency. It equals
 `TIMEOUT_LATENCY_RATIO`, so that the limit leaves room for calls that last until their timeout."""
 MAX_SLOT_WAIT_FRACTION = 0.1
-"""Fraction of its time budget for which an RPC may wait for the slot of a call that it can skip."""
+"""Maximum wait for the slot of a call that can be skipped, as a fraction of the RPC's time budget."""
 MIN_TIMEOUT_LATENCY_RATIO = 2.0
 """A run stops waiting for a slot once its call timeout would be below this multiple of the mean latency."""
 
@@ -66,7 +66,7 @@
         return min(MAX_TIMEOUT_FRACTION * time_left_ms, max_timeout_ms)
 
     def on_started(self, managed: ManagedRpc) -> float:
-        """Records the start of the RPC's call and returns its timeout in ms."""
+        """Records the start of the RPC's call and returns the timeout of the call in ms."""
         now_ms = self._server.now_ms
         timeout_ms = self.timeout_ms(managed)
         managed.call_started_at_ms = now_ms
@@ -96,12 +96,12 @@
         self.rate.update(self.latency_ms.lowest_bucket_mean(self._server.now_ms, 0.0))
 
     def assign_slots(self, resume: Callable[[ManagedRpc, RpcEvent], None]) -> None:
-        """Permits waiting calls while slots are free, and denies those that can wait no longer.
+        """Permits waiting calls while slots are free, and denies calls that cannot wait any longer.
 
         A call for which a slot is free is permitted even if little time is left for it.
 
         Args:
-            resume: Resumes an RPC's lifecycle with the decision.
+            resume: Function that resumes the lifecycle of an RPC with the decision.
         """
         mean_ms = self.mean_latency_ms()
         waiting = sorted(self._server.awaiting_call_slot, key=lambda managed: -managed.call_gain)
--- a/landingshift/admission/downstream_time_budget.py
+++ b/landingshift/admission/downstream_time_budget.py
@@ -1,11 +1,11 @@
 """Limit on the time for which this server's calls occupy a store shared by all servers.
 
 The store fails if its mean concurrency over a time window is too high. Calls that were given up count until
-the store has finished them. Each server has a share of this concurrency
-(`Settings.downstream_concurrency_quota`) and enforces it as a budget of call time: the time of the calls that
-ended within the window, plus the maximum time of the calls in flight, stays below quota times window. The
-maximum time of a call is reserved before it starts, so the budget also holds between checks. The number
-of calls per second is limited in `call_rate`.
+the store has finished them. Each server has a quota of the mean concurrency
+(`Settings.downstream_concurrency_quota`) and enforces the quota as a budget of call time: the time of the
+calls that ended within the window, plus the maximum time of the calls in flight, stays below quota times
+window. The maximum time of a call is reserved before it starts, so the budget also holds between checks. The
+number of calls per second is limited in `call_rate`.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
     def __init__(self, server: ServerState) -> None:
         self._server = server
         window_ms = server.settings.downstream_quota_window_ms
-        # One bucket more than the window needs, because the oldest bucket lies only partly in the window.
+        # One extra bucket is needed, because the oldest bucket lies only partly in the window.
         self.call_time_ms = RollingWindow(
             BUCKETS_PER_WINDOW_COUNT + 1, max(MIN_BUCKET_MS, window_ms / BUCKETS_PER_WINDOW_COUNT)
         )
--- a/landingshift/admission/draining.py
+++ b/landingshift/admission/draining.py
@@ -1,9 +1,9 @@
 """Graceful shutdown and standby, the two modes in which a server is out of service.
 
-A draining server still runs RPCs that arrive within the grace period, answers everything that it has read
-before the process stops, and reports itself unhealthy to balancers from the shutdown notice on. Draining is
-final. A server is on standby while it has no valid policy. It then starts no new run and has no grace period,
-but can return to service.
+A draining server reports itself unhealthy to balancers from the shutdown notice on. It still runs RPCs that
+arrive within the grace period. Before the process stops, the server answers all RPCs that it has read.
+Draining is final. A server is on standby while it has no valid policy. On standby it starts no new runs and
+has no grace period, but it can return to service.
 """
 
 from __future__ import annotations
@@ -16,7 +16,8 @@
 from landingshift.admission.server_state import ServerState
 
 STOP_MARGIN_MS = CHECK_INTERVAL_MS
-"""All RPCs must be answered this long before the process stops: a check may be late by one interval."""
+"""All RPCs must be answered this long before the process stops, because a check can be late by one
+interval."""
 
 
 class Draining:
@@ -26,7 +27,8 @@
         stop_at_ms: Time at which the process is stopped; None unless the server is draining.
         is_in_service: Whether the server is neither draining nor on standby. False also during the grace
             period, in which a draining server still accepts RPCs.
-        accept_until_ms: Latest arrival time of RPCs that are run; infinite while in service.
+        accept_until_ms: Latest arrival time of RPCs that are run; infinite while in service, and minus
+            infinity on standby.
     """
 
     def __init__(self, server: ServerState, actions: Actions) -> None:
@@ -41,7 +43,7 @@
 
         Args:
             remaining_ms: Time until the process is stopped.
-            notified_ago_ms: Time since the shutdown notice, which began the grace period.
+            notified_ago_ms: Time since the shutdown notice. The grace period began with the notice.
         """
         server = self._server
         grace_end_ms = server.now_ms - notified_ago_ms + server.settings.drain_grace_ms
--- a/landingshift/admission/idle_connections.py
+++ b/landingshift/admission/idle_connections.py
@@ -2,7 +2,7 @@
 
 If many callers keep connections open but rarely send RPCs, these connections load the cores. They can also
 fill the connection table, which locks out other callers. If callers return within seconds, their connections
-stay open, because closing them would only cost handshakes.
+stay open, because closing and reopening them would only cost handshakes.
 """
 
 from __future__ import annotations
--- a/landingshift/admission/interface.py
+++ b/landingshift/admission/interface.py
@@ -1,11 +1,12 @@
 """Types of the interface between a host program and the admission controller.
 
-A program creates one `admission.controller.AdmissionController` per instance with its `Settings` and an
-implementation of `Actions`, and calls one of its methods for each event. The controller returns a handle
-(`ManagedRpc`) for each RPC that the program has read; the program passes this handle with later events.
+A host program creates one `admission.controller.AdmissionController` per server instance, with `Settings` and
+an implementation of `Actions`. It calls one method of the controller for each event. The controller returns a
+handle (`ManagedRpc`) for each RPC that the program has read; the program passes this handle with later
+events.
 
-Times are milliseconds of one monotonic clock; sizes are kilobytes. The value of an RPC is what a correct
-answer in time is worth to the operator. A value fraction is a fraction of this value.
+Times are milliseconds of one monotonic clock; sizes are kilobytes. The value of an RPC is the benefit to the
+operator of a correct answer within the latency objective. A value fraction is a fraction of this value.
 """
 
 from __future__ import annotations
@@ -16,14 +17,15 @@
 
 
 class Idempotency(Enum):
-    """Whether an RPC may run more than once."""
+    """Whether an RPC is allowed to run more than once."""
 
     IDEMPOTENT = 1
-    """May run any number of times."""
+    """The RPC is allowed to run any number of times."""
     KEYED = 2
-    """Carries an idempotency key; a duplicate is answered from the deduplication table."""
+    """The RPC carries an idempotency key. The host program stores the key in its deduplication table and
+    answers duplicates with the result of the first attempt."""
     NON_IDEMPOTENT = 3
-    """May run at most once, and duplicates cannot be recognised."""
+    """The RPC is allowed to run at most once, and duplicates cannot be recognised."""
 
 
 class DownstreamKind(Enum):
@@ -50,14 +52,14 @@
 
 
 class RunCancellation(Enum):
-    """Effect of cancelling a run on the engine."""
+    """How the engine cancels a run."""
 
     NONE = 1
-    """Not supported; the run occupies a core until it ends."""
+    """The engine cannot cancel a run, so the run occupies a core until it ends."""
     DROP = 2
-    """Ends the run."""
+    """The engine ends the run."""
     PAUSE = 3
-    """Takes the run off the cores; its memory stays in use."""
+    """The engine takes the run off the cores. The memory of the run stays in use."""
 
 
 class Outcome(Enum):
@@ -71,7 +73,7 @@
     NO_RESPONSE = 4
     """Timed out; may have run."""
     NO_CONNECTION = 5
-    """Never sent."""
+    """Never sent, because there was no connection."""
     CONNECTION_LOST = 6
     """Connection lost after sending; may have run."""
     CANCELLED = 7
@@ -83,28 +85,30 @@
 
 @dataclass(slots=True, eq=False)
 class Method:
-    """Settings of one method. A policy may change its fields in place."""
+    """Settings of one method. A policy change modifies the fields of this object in place."""
 
     idempotency: Idempotency
     latency_objective_ms: float
     objective_work_factor: float
-    """Multiple of an RPC's work hint that is added to the latency objective."""
+    """Factor; the latency objective of an RPC is extended by this factor times `Rpc.work_hint_ms`."""
     deadline_ms: float
     """Time from arrival to deadline for an RPC that carries no deadline."""
     criticality: float
-    """Value of an answer in time; per unit of its work if `Settings.criticality_is_per_work` is set."""
+    """Value of an answer within the latency objective, or of each unit of work if
+    `Settings.criticality_is_per_work` is set."""
     late_value_fraction: float
-    """Fraction of its value that an answer keeps between latency objective and deadline."""
+    """Fraction of the value that remains if the answer comes after the latency objective but before the
+    deadline."""
     dedup_window_ms: float
-    """Time after the first attempt in which duplicates can arrive; for KEYED methods."""
+    """Time after the first attempt during which duplicates can arrive; used for KEYED methods."""
     calls_downstream: bool
     degraded_value_fraction: float
-    """Fraction of its value that an answer keeps without its downstream call; 0 if the call is required."""
+    """Fraction of the value that remains if the run skips its downstream call; 0 if the call is required."""
 
 
 @dataclass(slots=True, eq=False)
 class Tenant:
-    """One tenant. A policy may change its quota in place."""
+    """One tenant. A policy change modifies the quota of this object in place."""
 
     quota_per_second: float
     """RPCs per second over the whole fleet; 0 if unlimited."""
@@ -112,21 +116,22 @@
 
 @dataclass(slots=True, eq=False)
 class Settings:
-    """Settings of a server. A policy may change its fields in place."""
+    """Settings of a server. A policy change modifies the fields of this object in place."""
 
     methods: list[Method]
     tenants: list[Tenant]
     over_quota_value_fraction: float
-    """Fraction of its value that an RPC beyond its tenant's quota keeps."""
+    """Value of an RPC beyond the quota of its tenant, as a fraction of the value of an RPC within the
+    quota."""
     criticality_is_per_work: bool
-    """Whether criticality is the value of each unit of work instead of each answer."""
+    """If True, `Method.criticality` is the value of each unit of work instead of each answer."""
     server_count: int
     caller_count: int
     """Number of callers when the server starts; 0 if unknown."""
     core_count: int
     starts_cold: bool
     cold_speed_fraction: float
-    """Speed of a cold server as a fraction of a warm one's."""
+    """Speed of a cold server as a fraction of the speed of a warm server."""
     warm_up_ms: float
     memory_kb: float
     """Memory use at which the server fails."""
@@ -134,8 +139,8 @@
     """Ratio of an RPC's memory while running to its memory while queued."""
     dedup_entry_kb: float
     response_cache_ttl_ms: float
-    """Time for which the result of an idempotent read may answer RPCs with the same cache key; 0 for
-    never."""
+    """Time for which the result of an idempotent read can be reused for RPCs with the same cache key; 0 if
+    results are not reused."""
     run_cancellation: RunCancellation
     downstream: DownstreamKind
     downstream_concurrency_quota: float
@@ -143,16 +148,16 @@
     downstream_quota_window_ms: float
     """Time window over which the store's concurrency is averaged."""
     lost_call_linger_ms: float
-    """Maximum time for which the store continues to process a call that was given up."""
+    """Maximum time for which the store continues to process a call after this server has given it up."""
     load_advertisement: LoadAdvertisement
     callers_send_deadline: bool
     callers_mark_retries: bool
     max_retry_after_ms: float
-    """Maximum Retry-After of a rejection; 0 if rejections may carry none."""
+    """Maximum Retry-After of a rejection; 0 if rejections must not carry a Retry-After."""
     connection_idle_timeout_ms: float
     """Idle time after which callers close a connection."""
     drain_grace_ms: float
-    """Time after the shutdown notice in which arriving RPCs are still run."""
+    """Time after the shutdown notice during which new RPCs are still accepted and run."""
     max_runs_per_core: float
     """Maximum number of concurrent runs per core at which a warm server does not fail."""
 
@@ -164,7 +169,7 @@
     method: Method
     tenant: Tenant | None
     remaining_ms: float | None
-    """Time for which the caller will still wait; None if the caller does not send it."""
+    """Time for which the caller will still wait; None if the caller does not send this time."""
     waited_ms: float
     """Time from the RPC's arrival at the machine until it was read."""
     memory_kb: float
@@ -173,15 +178,15 @@
     work_hint_ms: float | None
     """The caller's estimate of the RPC's work; None if the caller sends none."""
     has_cache_key: bool
-    """Whether it carries a cache key, so that its result can answer other RPCs with the same key."""
+    """Whether the RPC carries a cache key, so that its result can be reused for RPCs with the same key."""
     is_duplicate: bool
-    """Whether the deduplication table has an entry of an earlier attempt, or of a read with the same cache
-    key."""
+    """Whether the deduplication table has an entry of an earlier attempt of this RPC, or of a read with the
+    same cache key."""
     is_retry: bool
-    """Whether its caller marked it as a retry or a hedged request."""
+    """Whether the caller marked the RPC as a retry or a hedged request."""
     is_write: bool
-    """Whether it changes state, so that its result must not answer other RPCs. Only the simulator sets this;
-    the server's protocol has no such flag, so it is always False there."""
+    """Whether the RPC changes state, so that its result must not be reused for other RPCs. Only the simulator
+    sets this field. In the server it is always False, because the protocol has no such flag."""
 
 
 @dataclass(slots=True)
@@ -196,41 +201,44 @@
 
 
 class Actions(Protocol):
-    """Actions that the controller requests from its host program. They must not call the controller."""
+    """Actions that the controller requests from its host program.
+
+    Implementations must not call the controller.
+    """
 
     def start_run(self, rpc: Rpc) -> None:
-        """Starts the RPC on the engine."""
+        """Starts a run of the RPC on the engine."""
 
     def cancel_run(self, rpc: Rpc) -> None:
-        """Asks the engine to cancel a run; requested repeatedly until the run has ended."""
+        """Asks the engine to cancel the run of the RPC; requested repeatedly until the run has ended."""
 
     def reject(self, rpc: Rpc, retry_after_ms: float, is_final: bool) -> None:
         """Answers that the RPC was rejected and has not run.
 
         Args:
             rpc: The rejected RPC.
-            retry_after_ms: Time for which its caller should send nothing to this server; 0 for no
+            retry_after_ms: Time for which the caller should send nothing to this server; 0 for no
                 Retry-After.
-            is_final: Whether its caller should not try another server either.
+            is_final: Whether the caller should not try any other server.
         """
 
     def abort(self, rpc: Rpc) -> None:
         """Answers that the RPC failed and may have run."""
 
     def start_call(self, rpc: Rpc, timeout_ms: float) -> None:
-        """Makes the downstream call that the run waits for."""
+        """Makes the downstream call for which the run of the RPC waits."""
 
     def skip_call(self, rpc: Rpc) -> None:
-        """Continues the run without its downstream call."""
+        """Continues the run of the RPC without the downstream call for which it waits."""
 
     def retain_dedup_entry(self, rpc: Rpc, duration_ms: float) -> None:
         """Adds the RPC's deduplication entry, or extends it; the entry expires after `duration_ms`."""
 
     def drop_dedup_entry(self, rpc: Rpc) -> None:
-        """Removes the entry of an RPC that never ran, so that a duplicate can run."""
+        """Removes the deduplication entry of an RPC that never ran, so that a duplicate can run."""
 
     def await_original(self, rpc: Rpc) -> None:
-        """Answers the duplicate with the result of its original attempt once that is available."""
+        """Answers a duplicate with the result of the original attempt once this result is available."""
 
     def release(self, rpc: Rpc) -> None:
         """Reports that the controller has finished with the RPC and requests no more actions for it."""
@@ -240,7 +248,8 @@
 
         Args:
             is_healthy: Whether balancers should send RPCs to this server.
-            is_shallow: Whether a health check is answered from this flag alone, without doing real work.
+            is_shallow: If True, every health check is answered with `is_healthy`. If False, a deep health
+                check of a healthy server also runs a self-test.
         """
 
     def advertise_load(self, amount: float) -> None:
@@ -250,7 +259,10 @@
         """Sets the idle time after which the server closes connections."""
 
     def schedule_check(self, delay_ms: float) -> None:
-        """Requests one call of `on_timer` after the delay, replacing any earlier request."""
+        """Requests one call of `AdmissionController.on_timer`, `delay_ms` from now.
+
+        The request replaces any earlier request. A call for a replaced request is harmless.
+        """
 
     def log(self, text: str) -> None:
         """Logs a change of mode for operators."""
--- a/landingshift/admission/managed_rpc.py
+++ b/landingshift/admission/managed_rpc.py
@@ -9,16 +9,17 @@
 from landingshift.admission.service_times import ServiceTimes
 
 MIN_LATE_VALUE_FRACTION = 0.5
-"""An RPC is run past its latency objective only if a late answer keeps more than this fraction of its value.
+"""Threshold for `Method.late_value_fraction`.
 
-Otherwise, the deadline check rejects the RPC earlier, so that another server can still answer in time.
+An RPC is run past its latency objective only if the fraction is above this threshold. Otherwise, the deadline
+check rejects the RPC earlier, so that another server can still answer within the objective.
 """
 MIN_TIME_BUDGET_MS = 1.0
 MIN_OWN_RUN_MS = 1.0
 
 
 class RpcState(IntEnum):
-    """State of an RPC. The numeric values are stored in a hot restart's state."""
+    """State of an RPC. The numeric values are part of the state that is exported for a hot restart."""
 
     QUEUED = 1
     """Read but not started."""
@@ -27,40 +28,41 @@
     RUNNING = 3
     """Running on a core."""
     AWAITING_CALL_SLOT = 4
-    """Its run waits for permission to make a downstream call."""
+    """The run waits for a call slot, which is the permission to make a downstream call."""
     CALLING = 5
-    """Its run waits for the result of a downstream call."""
+    """The run waits for the result of a downstream call."""
     CALL_SKIPPED = 6
-    """Its run is about to continue without the downstream call. This state is transient: the RPC becomes
+    """The run is about to continue without the downstream call. This state is transient: the RPC becomes
     `RUNNING` immediately, and `ManagedRpc.state` never has this value."""
     REJECTED = 7
-    """Answered as never run, and released."""
+    """Answered as rejected and released; never ran."""
     ABORTED = 8
-    """Answered as failed; its run may still occupy a core."""
+    """Answered as failed. The run may still occupy a core."""
     ABANDONED = 9
-    """No caller waits for it any more; its run may still occupy a core."""
+    """The caller has disconnected. The run may still occupy a core."""
 
 
 class RpcEvent(Enum):
     """Event that resumes an RPC's lifecycle.
 
-    The end of a downstream call resumes it with an `Outcome` instead.
+    The end of a downstream call resumes the lifecycle with an `Outcome` instead.
     """
 
     START = 1
     SHED = 2
     """The queued RPC is rejected.
 
-    Possible reasons: it fails the deadline check (also because the server is on standby, or draining and past
-    the grace period); it was queued too long below the priority floor; or there is not enough memory for it
-    or its deduplication entry.
+    There are three possible reasons. The RPC fails the deadline check; this includes every RPC while the
+    server is on standby, and every RPC that arrives after the grace period of a draining server. The RPC was
+    queued too long with a priority below the floor that `start_order` sets under overload. Or there is not
+    enough memory for the RPC or its deduplication entry.
     """
     DEADLINE_REACHED = 3
     CALLER_GONE = 4
     CALL_NEEDED = 5
     CALL_PERMITTED = 6
     CALL_DENIED = 7
-    """The RPC cannot wait any longer for a call slot."""
+    """The RPC gets no call slot, because it cannot wait for one any longer."""
     RUN_FINISHED = 8
 
 
@@ -70,7 +72,9 @@
 
 
 class ManagedRpc:
-    """An RPC from read to release, and the host program's handle for it.
+    """State of one RPC, from the time it is read to its release.
+
+    The host program uses this object as its handle for the RPC.
 
     Attributes:
         rpc: Properties of the RPC that were known when it was read.
@@ -78,8 +82,8 @@
         state: Current state; None before the first state and after release.
         lifecycle: Generator of its states.
         arrived_at_ms: Time at which it reached the machine.
-        deadline_at_ms: Time at which its caller stops waiting. A draining server limits it to a time shortly
-            before the process stops.
+        deadline_at_ms: Time at which its caller stops waiting. While the server drains, at most a time
+            shortly before the process stops.
         objective_at_ms: Time after which its answer is late; at most the deadline.
         time_budget_ms: Time from arrival to `check_deadline_ms`.
         priority: Result of `StartOrder.priority`; RPCs of higher priority start first.
@@ -90,7 +94,7 @@
         call_started_at_ms: Start time of its latest downstream call. While the first attempt of a call waits
             for a call slot, the time at which the run requested the call.
         call_expires_at_ms: Time after which the current call no longer occupies the downstream service, even
-            if it was given up.
+            if the call was given up.
     """
 
     lifecycle: Lifecycle
@@ -137,23 +141,23 @@
 
     @property
     def check_deadline_ms(self) -> float:
-        """Deadline used by the deadline check. A run is not started if its answer is expected later."""
+        """Deadline used by the deadline check. The RPC is not started if its answer is expected later."""
         return self._latest_answer_ms(MIN_LATE_VALUE_FRACTION)
 
     @property
     def worthless_at_ms(self) -> float:
-        """Time at which its answer has lost all its value."""
+        """Time after which an answer to this RPC has no value."""
         return self._latest_answer_ms(0.0)
 
     def _latest_answer_ms(self, min_value_fraction: float) -> float:
-        """Returns the time until which an answer keeps more than a fraction of its value.
+        """Returns the latest time at which an answer is worth more than a fraction of the RPC's value.
 
         Args:
-            min_value_fraction: Fraction of its value that a late answer must exceed.
+            min_value_fraction: The fraction, from 0 to 1.
 
         Returns:
-            The deadline if a late answer keeps more than the fraction, else the time of the latency
-            objective.
+            The deadline if `Method.late_value_fraction` is above `min_value_fraction`; else the earlier of
+            the deadline and `objective_at_ms`.
         """
         if self.rpc.method.late_value_fraction > min_value_fraction:
             return self.deadline_at_ms
--- a/landingshift/admission/mode_log.py
+++ b/landingshift/admission/mode_log.py
@@ -1,6 +1,7 @@
-"""Logs mode changes, with the measurements that caused them.
+"""Logs changes of the modes of a server.
 
-A mode is on while its admission rule is active.
+A mode shows whether one admission rule is active, for example the pacing of downstream calls. The log line of
+a change contains the measurements that caused the change.
 """
 
 from __future__ import annotations
@@ -9,7 +10,9 @@
 
 
 class ModeLog:
-    """Logs mode changes. The mode names are part of the log format; `docs/oncall.md` explains each of them.
+    """Logs changes of modes.
+
+    The mode names are part of the log format; `docs/oncall.md` explains each of them.
 
     Attributes:
         is_on: Whether each mode is on, keyed by mode name; a mode that was never on is missing.
--- a/landingshift/admission/queue_scheduler.py
+++ b/landingshift/admission/queue_scheduler.py
@@ -1,9 +1,9 @@
 """Rejects queued RPCs that fail the deadline check, and starts the best of the others while slots are free.
 
-The best RPC is the one that is first in the start order. A server that runs out of memory fails. Therefore,
-if memory is short, queued RPCs are rejected in reverse start order, even if they pass the deadline check. If
-there is not enough memory to run the best RPC, others are rejected in the same order until there is enough,
-or until only the best RPC is queued.
+The concurrency limit determines the number of slots. The best RPC is the first RPC in the start order. A
+server that runs out of memory fails. Therefore, if memory is short, queued RPCs are rejected in reverse start
+order, even if they pass the deadline check. If there is not enough memory to run the best RPC, other
+RPCs are also rejected in reverse start order, until there is enough memory or only the best RPC is queued.
 """
 
 from __future__ import annotations
--- a/landingshift/admission/recent_callers.py
+++ b/landingshift/admission/recent_callers.py
@@ -1,4 +1,8 @@
-"""Statistics of recent callers: the fraction of RPCs from the busiest caller and from returning callers."""
+"""Statistics of recent callers.
+
+They are the fraction of RPCs sent by the busiest caller, and the fraction sent by returning callers, which
+had already sent another RPC shortly before.
+"""
 
 from __future__ import annotations
 
@@ -17,9 +21,9 @@
     """Records the callers of RPCs and computes statistics of them.
 
     Attributes:
-        caller_ids: Caller of each RPC of the last 4 s.
-        returns: Value for each RPC of the last 10 s: 1 if its caller had sent another RPC in the 4 s before
-            it, else 0.
+        caller_ids: Caller id of each RPC of the last 4 s.
+        returns: Value for each RPC of the last 10 s: 1 if the same caller had already sent an RPC in the
+            preceding 4 s, else 0.
         first_rpc_ms: Time at which this server read its first RPC; infinite before that.
     """
 
@@ -39,18 +43,22 @@
         self.caller_ids.add(now_ms, rpc.caller_id)
 
     def return_fraction(self) -> float:
-        """Returns the fraction of recent RPCs that came from a returning caller; 1 before the first RPC."""
+        """Returns the fraction of the RPCs of the last 10 s sent by returning callers; 1 without RPCs."""
         return self.returns.mean(self._server.now_ms, 1.0)
 
     def busiest_caller_fraction(self) -> float:
-        """Returns the fraction of the recent RPCs that came from the busiest caller; 1 before the first RPC.
-
-        A server that starts cold has read no RPC from most of its callers yet. If only the RPCs read so far
-        counted, the first caller would get the whole capacity as its credit, and each further caller nearly
-        as much. Therefore, each of the `caller_count` callers is counted with one assumed RPC when the first
-        RPC is read. The assumed number per caller then decreases linearly to 0 over one window. For example,
-        one of 10 callers has sent 3 RPCs, another has sent 1, and the others none. Half a window after the
-        first RPC, the fraction of the busiest caller is (3 + 0.5) / (4 + 0.5 * 10) = 0.39 instead of 3 / 4.
+        """Returns the fraction of the RPCs of the last 4 s that came from the busiest caller.
+
+        The result is 1 if no RPC is counted. The credit of a caller is the number of RPCs that the caller is
+        allowed to have in flight. All callers get the same credit: the server's capacity times this
+        fraction. A server that starts cold has at first read RPCs from only one or
+        two callers. Without a correction, the fraction would be close to 1, and the credits of all callers
+        together would be many times the capacity.
+
+        Therefore, such a server counts one assumed RPC for each of the `Settings.caller_count` callers until
+        it reads its first RPC. The assumed number per caller then decreases linearly to 0 within 4 s. For
+        example, one of 10 callers has sent 3 RPCs, another has sent 1, and the others have sent none. Then,
+        2 s after the first RPC, the fraction is (3 + 0.5) / (4 + 0.5 * 10) = 0.39 instead of 3 / 4.
         """
         now_ms, settings = self._server.now_ms, self._server.settings
         counts = Counter(self.caller_ids.values(now_ms))
--- a/landingshift/admission/retry_policy.py
+++ b/landingshift/admission/retry_policy.py
@@ -1,9 +1,9 @@
 """Retry rules for downstream calls and for rejected RPCs.
 
 Only calls and RPCs that are idempotent or cannot have run are retried, so that no effect occurs twice. The
-caller of a rejected RPC is allowed to try another server only while marked retries are rare. Each further
-attempt costs a read on another server, and many retries show that other servers reject RPCs too (retry
-amplification).
+caller of a rejected RPC is allowed to try another server only while few of the RPCs that this server reads
+are marked as retries. If there are many retries, other servers probably reject RPCs too. A further attempt
+would then probably fail too, but another server would still have to read the RPC (retry amplification).
 """
 
 from __future__ import annotations
@@ -17,7 +17,8 @@
 OUTCOMES_WITHOUT_RUN = (Outcome.REJECTED, Outcome.NO_CONNECTION)
 MAX_CALL_ATTEMPTS = 3
 MAX_RETRY_FRACTION = 0.1
-"""If this fraction of the RPCs read are marked retries, other servers are assumed to reject RPCs too."""
+"""If at least this fraction of the recent RPCs are marked as retries, other servers are assumed to reject
+RPCs too."""
 BUCKET_COUNT, BUCKET_MS = 4, 500.0
 
 
@@ -25,7 +26,8 @@
     """Decides which calls and RPCs may be retried.
 
     Attributes:
-        retry_marks: Value for each RPC that was read in the last 2 s: 1 for a marked retry, else 0.
+        retry_marks: Value for each RPC that was read in the last 2 s: 1 if its caller marked it as a retry,
+            else 0.
     """
 
     def __init__(self, server: ServerState, calls: DownstreamCalls) -> None:
@@ -34,7 +36,7 @@
         self.retry_marks = RollingWindow(BUCKET_COUNT, BUCKET_MS)
 
     def record(self, rpc: Rpc) -> None:
-        """Records whether an RPC that was read is a marked retry."""
+        """Records whether an RPC that was read is marked as a retry."""
         self.retry_marks.add(self._server.now_ms, 1.0 if rpc.is_retry else 0.0)
 
     def may_retry_call(self, managed: ManagedRpc, outcome: Outcome) -> bool:
@@ -45,7 +47,8 @@
             outcome: How the call ended.
 
         Returns:
-            True if another call is safe, attempts are left, and its timeout would exceed the mean latency.
+            True if a further call cannot repeat an effect, attempts are left, and the timeout of a further
+            call would exceed the mean latency.
         """
         is_idempotent = managed.rpc.method.idempotency is Idempotency.IDEMPOTENT
         is_safe = is_idempotent or outcome in OUTCOMES_WITHOUT_RUN
@@ -56,8 +59,8 @@
     def is_final_rejection(self, managed: ManagedRpc) -> bool:
         """Returns whether the caller of a rejected RPC should not try another server.
 
-        This is the case if callers do not mark retries, if many of the RPCs read are retries, if this RPC is
-        itself a retry, or if its time left is shorter than the mean run time of its method.
+        The result is True if callers do not mark retries, if many recent RPCs are retries, if this RPC is
+        itself a retry, or if the time left for it is shorter than the mean run time of its method.
         """
         now_ms = self._server.now_ms
         others_accept = (
--- a/landingshift/admission/rolling_window.py
+++ b/landingshift/admission/rolling_window.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 MIN_VALUES_FOR_BUCKET_MEAN = 8
-"""Number of values that a bucket must have to be considered in `lowest_bucket_mean`, so that a single fast
-run does not determine the minimum."""
+"""Minimum number of values in a bucket that `lowest_bucket_mean` considers, so that a single low value does
+not determine the result."""
 
 
 class RollingWindow:
@@ -57,7 +57,7 @@
         self.change_count += 1
 
     def values(self, now_ms: float) -> list[float]:
-        """Returns all values in the order of `buckets`, which is not the order of time."""
+        """Returns all values, in the order of `buckets` instead of the order in which they were added."""
         self.advance(now_ms)
         return [value for bucket in self.buckets for value in bucket]
 
--- a/landingshift/admission/rpc_lifecycle.py
+++ b/landingshift/admission/rpc_lifecycle.py
@@ -1,28 +1,28 @@
-"""Lifecycle of an RPC: its states from read to release, and the actions on each transition.
+"""Lifecycle of an RPC: its states from reading to release, and the actions on each transition.
 
 The lifecycle of each RPC is a generator that yields the next state and is resumed with the next event:
 
-    AWAITING_ORIGINAL  -> ABORTED             at its deadline
+    AWAITING_ORIGINAL  -> ABORTED             deadline reached
     QUEUED             -> RUNNING             started
                        -> REJECTED            shed
-    RUNNING            -> AWAITING_CALL_SLOT  needs a downstream call
+    RUNNING            -> AWAITING_CALL_SLOT  downstream call needed
     AWAITING_CALL_SLOT -> CALLING             call permitted
-                       -> CALL_SKIPPED        call denied, optional
-                       -> ABORTED             call denied, required
+                       -> CALL_SKIPPED        optional call denied
+                       -> ABORTED             required call denied
     CALLING            -> RUNNING             call succeeded
-                       -> AWAITING_CALL_SLOT  call failed, is retried
-                       -> CALL_SKIPPED        call failed, optional
-                       -> ABORTED             call failed, required
+                       -> AWAITING_CALL_SLOT  call failed; retried
+                       -> CALL_SKIPPED        optional call failed; not retried
+                       -> ABORTED             required call failed; not retried
     CALL_SKIPPED       -> RUNNING             immediately
-    any state of a run -> ABORTED             at its deadline, or needs a call once its answer is worthless
-                       -> ABANDONED           its caller has disconnected
+    any state of a run -> ABORTED             deadline reached, or call needed when the answer has no value
+                       -> ABANDONED           caller disconnected
 
 An RPC is released when its run has ended, when the original attempt that it waits for has ended, when it is
 rejected, or when it is aborted without a run of its own. If its caller disconnects before a run was started,
 the RPC is released without an answer.
 
 Each RPC is answered at most once: with its result, as rejected (never ran) or as aborted. The memory of a run
-is counted until the engine reports its end, whether or not a caller still waits for it.
+is counted until the engine reports the end of the run, whether or not a caller still waits for it.
 """
 
 from __future__ import annotations
@@ -81,7 +81,7 @@
         self._reject = reject
 
     def begin(self, managed: ManagedRpc) -> None:
-        """Moves an RPC that was read to its first state."""
+        """Creates the lifecycle of a new RPC and enters its first state."""
         managed.lifecycle = self._states(managed)
         self._enter_state(managed, next(managed.lifecycle))
 
@@ -97,7 +97,7 @@
         self._enter_state(managed, state)
 
     def restore(self, managed: ManagedRpc, state: RpcState) -> None:
-        """Creates the lifecycle of an imported RPC and replays it to its state without any action.
+        """Creates the lifecycle of an imported RPC and advances it to the given state without any action.
 
         The RPC's memory is not added, because the imported state of the server already includes it.
         """
@@ -135,7 +135,10 @@
             yield RpcState.ABANDONED
 
     def _call_states(self, managed: ManagedRpc) -> CallStates:
-        """Yields the states of a downstream call, which is made, retried if that is safe, or skipped.
+        """Yields the states of a run while it waits for a downstream call or for the permission to make it.
+
+        A failed call is retried if that is safe. An optional call is skipped if it is denied, or if it fails
+        and is not retried.
 
         Returns:
             The next event of the run. If the answer has already lost all its value, or if a required call
--- a/landingshift/admission/server_state.py
+++ b/landingshift/admission/server_state.py
@@ -17,12 +17,12 @@
         now_ms: Current time for all rules.
         started_at_ms: Time at which the server started.
         last_check_ms: Time of the last periodic check.
-        rpcs_by_state: Current RPCs by state, in the order in which they entered it.
+        rpcs_by_state: For each state, the current RPCs in this state, in the order in which they entered it.
         queued: The RPCs in `RpcState.QUEUED`. This attribute and the next three are dicts in `rpcs_by_state`.
         running: The RPCs in `RUNNING`.
         awaiting_call_slot: The RPCs in `AWAITING_CALL_SLOT`.
         calling: The RPCs in `CALLING`.
-        max_memory_kb: Limit of memory in use.
+        max_memory_kb: Maximum of `memory_in_use_kb`.
         memory_in_use_kb: Memory of the current RPCs and the deduplication entries.
         shortest_objective_ms: Shortest latency objective of all methods.
     """
@@ -50,7 +50,7 @@
 
     @property
     def seconds_since_check(self) -> float:
-        """Seconds since the last periodic check; rate changes are proportional to it."""
+        """Seconds since the last periodic check. Rates change in proportion to this time."""
         return (self.now_ms - self.last_check_ms) / 1000.0
 
     def all_rpcs(self) -> list[ManagedRpc]:
@@ -62,7 +62,7 @@
         return len(self.running) + len(self._aborted) + len(self._abandoned)
 
     def calling_count(self) -> int:
-        """Returns the number of runs that use no core: in a downstream call or waiting for a call slot."""
+        """Returns the number of runs that use no core because they make or wait for a downstream call."""
         return len(self.calling) + len(self.awaiting_call_slot)
 
     def add(self, managed: ManagedRpc) -> None:
--- a/landingshift/admission/snapshot.py
+++ b/landingshift/admission/snapshot.py
@@ -1,8 +1,9 @@
 """Export and import of a controller's complete state for a hot restart.
 
-The other process can be of an older or a newer build. The tables in this module define the stored format.
-They map stored names to the attributes that contain the values in this build. Stored values that this build
-does not know are ignored; values that the other build did not store keep their initial value.
+The exporting and the importing process can run different builds of the program. The tables in this module
+define the stored format. They map stored names to the attributes that contain the values in this build. On
+import, stored values that this build does not know are ignored, and values that the other build did not store
+keep their initial value.
 """
 
 from __future__ import annotations
@@ -77,8 +78,8 @@
     "call_recent": ("call_rate", "recent_ms"),
     "call_load": ("time_budget", "call_time_ms"),
 }
-"""Maps the stored name of each rolling window to its location in the same way. The windows of methods and
-tenants are stored after these, in the order of the settings."""
+"""Maps the stored name of each rolling window to its location, in the same form as `STORED_FIGURES`. The
+windows of methods and tenants are stored after these windows, in the order of the settings."""
 
 STORED_RPC_ATTRIBUTES = (
     "arrived_at_ms",
@@ -92,7 +93,8 @@
     "call_attempts",
     "has_started",
 )
-"""Attributes of each RPC. Their values are stored in a list, in this order after the RPC's state."""
+"""Stored attributes of a `ManagedRpc`. Each RPC is stored as a list of its state and the values of these
+attributes, in this order."""
 
 
 @dataclass(frozen=True)
--- a/landingshift/admission/start_order.py
+++ b/landingshift/admission/start_order.py
@@ -1,4 +1,4 @@
-"""Start order of queued RPCs, and the priority floor below which none starts under overload.
+"""Start order of queued RPCs, and the priority floor below which no RPC starts under overload.
 
 The priority of an RPC is its value per ms of expected work, so that each ms of core time yields the most
 value. While queued RPCs fail the deadline check, RPCs of equal priority start newest first (adaptive LIFO),
@@ -17,21 +17,22 @@
 from landingshift.admission.tenant_quotas import TenantQuotas
 
 OVERLOAD_BUCKET_COUNT, OVERLOAD_BUCKET_MS = 4, 500.0
-"""Window of arrivals, starts and failures of the deadline check. `update_floor` compares all three, so they
-must cover the same time."""
+"""Window in which arrived RPCs, started RPCs and RPCs that failed the deadline check are counted.
+`update_floor` compares the three counts, so they must cover the same time."""
 WINDOW_SECONDS = OVERLOAD_BUCKET_COUNT * OVERLOAD_BUCKET_MS / 1000.0
 MIN_EXPECTED_WORK_MS = 1.0
 OVERLOAD_FAILURE_FRACTION = 0.1
-"""Fraction of the RPCs read that must fail the deadline check for the server to count as overloaded."""
+"""The server counts as overloaded if its cores are saturated and more than this fraction of the recent RPCs
+failed the deadline check."""
 SELECTION_MODE = "choosing"
 
 
 class StartOrder:
-    """Computes priorities of RPCs and the floor below which none starts.
+    """Computes the priorities of RPCs, and the priority floor below which no RPC starts.
 
     Attributes:
-        arrival_priorities: Priorities of all RPCs read in the last 2 s.
-        starts: One value for each start in the last 2 s.
+        arrival_priorities: Priorities of all RPCs that were read in the last 2 s.
+        starts: One value for each RPC that was started in the last 2 s.
         priority_floor: Minimum priority of RPCs that may start; 0 without overload.
     """
 
@@ -46,7 +47,7 @@
     def priority(self, managed: ManagedRpc) -> float:
         """Returns criticality times tenant weight, per ms of expected work.
 
-        If `Settings.criticality_is_per_work` is set, the criticality is not divided by the expected work.
+        If `Settings.criticality_is_per_work` is set, the product is not divided by the expected work.
         """
         rpc = managed.rpc
         value = rpc.method.criticality * self._tenants.weight(rpc.tenant)
@@ -69,7 +70,7 @@
             managed.priority = self.priority(managed)
 
     def arrivals_per_second(self, now_ms: float) -> float:
-        """Returns the mean number of RPCs read per second over the last 2 s."""
+        """Returns the mean number of RPCs that were read per second over the last 2 s."""
         return self.arrival_priorities.count(now_ms) / WINDOW_SECONDS
 
     def may_start(self, managed: ManagedRpc) -> bool:
@@ -88,9 +89,9 @@
     def update_floor(self, is_saturated: bool, failed_count: int) -> None:
         """Sets the priority floor under overload, and removes it otherwise.
 
-        The RPCs read in the last 2 s are ranked by descending priority. If n RPCs were started in that time,
-        the floor is the priority at rank n + 1. Without a floor, RPCs of high priority would expire while
-        RPCs of low priority occupy the slots.
+        The RPCs that were read in the last 2 s are ranked by descending priority. If n RPCs were started in
+        that time, the floor is the priority at rank n + 1. Without a floor, RPCs of high priority would
+        expire while RPCs of low priority occupy the slots.
 
         Args:
             is_saturated: Whether utilization is high and no core is idle.
--- a/landingshift/admission/tenant_quotas.py
+++ b/landingshift/admission/tenant_quotas.py
@@ -1,8 +1,9 @@
 """Reduces the weight of tenants above their quota, so that one tenant's load does not displace the others.
 
 A quota applies to the whole fleet, but servers do not exchange counts. Each server estimates a tenant's total
-rate as its own rate times the number of servers, with a tolerance for uneven distribution. If a tenant's RPCs
-go to only a few servers, the estimate is too high and the rule is too strict for that tenant.
+rate: it multiplies the rate of the tenant's RPCs on this server by the number of servers. Because RPCs are
+distributed unevenly, an estimate somewhat above the quota is tolerated. If a tenant's RPCs go to only a few
+servers, the estimate is still too high there, and the rule is too strict for that tenant.
 """
 
 from __future__ import annotations
@@ -14,16 +15,17 @@
 WINDOW_SECONDS = 5
 BUCKET_MS = 1000.0
 TOLERATED_QUOTA_FACTOR = 1.3
-"""Multiple of its quota up to which a tenant's estimated rate is tolerated, because callers are distributed
-unevenly."""
+"""The estimated rate of a tenant is tolerated up to this multiple of the tenant's quota, because RPCs are
+distributed unevenly over the servers."""
 
 
 class TenantQuotas:
     """Counts RPCs by tenant and computes the tenants' weights.
 
     Attributes:
-        arrivals: RPCs of each tenant in the last 5 s, with the tenants in the order of the settings.
-        weights: Factor of the priority of each tenant's RPCs, from `over_quota_value_fraction` to 1.
+        arrivals: One value for each RPC of the last 5 s, by tenant. Tenants are in the order of the settings.
+        weights: Factor by which the priority of each tenant's RPCs is multiplied, from
+            `over_quota_value_fraction` to 1.
     """
 
     def __init__(self, server: ServerState) -> None:
@@ -44,7 +46,7 @@
         return self.weights[tenant] if tenant else 1.0
 
     def update(self) -> None:
-        """Recomputes the weight of each tenant from its rate over the last 5 s.
+        """Recomputes the weight of each tenant from the tenant's estimated total rate over the last 5 s.
 
         The part of the rate within the tolerated quota counts with weight 1, and the excess with
         `over_quota_value_fraction`. All RPCs of the tenant get the mean of these weights.
--- a/landingshift/drill/adapter.py
+++ b/landingshift/drill/adapter.py
@@ -1,7 +1,7 @@
-"""Reads batches of events from the simulator, passes them to the instances and writes the replies.
+"""Reads batches of events from the simulator, passes them to the simulated servers and writes the replies.
 
-An exception in one instance is reported to the simulator with its traceback and does not affect other
-instances. A malformed line ends the process.
+A simulated server is called an instance. An exception in one instance is reported to the simulator with its
+traceback and does not affect other instances. A malformed line ends the process.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Batch:
-    """Number of a batch, and the simulated time at which all its events happen."""
+    """Number of a batch of events, and the simulated time at which all events of the batch happen."""
 
     now_ms: float
     number: int
@@ -82,7 +82,7 @@
         return False
 
     def close_batch(self) -> list[list[Any]]:
-        """Calls `settle` on each controller that had events, ends the batch and returns its reply."""
+        """Calls `settle` on each controller that had events, ends the batch and returns the reply."""
         assert self._batch is not None
         for instance_id, instance in self._instances_to_settle.items():
             self._run_guarded(instance_id, instance.controller.settle)
@@ -140,9 +140,10 @@
         self._instances_to_settle[instance_id] = instance
 
     def _run_guarded(self, instance_id: int, function: Callable[[], None]) -> None:
-        """Calls a function for an instance, and reports any exception it raises to the simulator.
+        """Calls a function for an instance.
 
-        The exception is not raised again, so that the other instances continue.
+        If the function raises an exception, the traceback is sent to the simulator. The exception is not
+        raised again, so that the other instances continue.
         """
         try:
             function()
@@ -151,7 +152,7 @@
 
 
 def main(source: BinaryIO, sink: BinaryIO, errors: TextIO) -> int:
-    """Serves the simulator until its input ends.
+    """Handles messages from the simulator until the input ends or a line is malformed.
 
     Args:
         source: Input stream with one message per line.
@@ -159,7 +160,8 @@
         errors: Output stream for the description of a malformed line.
 
     Returns:
-        The exit status of the process.
+        The exit status of the process: `EXIT_MALFORMED` if a line is malformed or the input ends inside a
+        batch, else `EXIT_OK`.
     """
     adapter = Adapter()
     decoder, encoder = msgspec.json.Decoder(), msgspec.json.Encoder()
--- a/landingshift/drill/instance.py
+++ b/landingshift/drill/instance.py
@@ -11,7 +11,7 @@
 
 
 class SimulatedInstance:
-    """Translates events to calls of the controller, and actions requested by the controller to messages.
+    """Translates events into calls of the controller, and the controller's actions into messages.
 
     Attributes:
         settings: Settings of this instance.
@@ -27,7 +27,7 @@
             instance_id: Number of the instance on the wire.
             settings: Settings of the instance.
             seed: Random seed of the controller.
-            now_ms: Simulated time.
+            now_ms: Current simulated time.
             outbox: List to which messages to the simulator are appended.
         """
         self._instance_id = instance_id
--- a/landingshift/drill/wire.py
+++ b/landingshift/drill/wire.py
@@ -1,7 +1,7 @@
 """Wire protocol of the simulator: message names, event types, and decoding and validation of fields.
 
-A message is a JSON array that begins with the message name. `Batch` begins a batch and `End` ends it. The
-events between them happen at the same simulated time, and each carries the number of its instance. Only this
+A message is a JSON array that begins with the message name. `Batch` begins a batch and `End` ends it. All
+events in a batch happen at the same simulated time, and each carries the number of its instance. Only this
 module uses the keywords of the protocol; it translates them to the types of the admission controller.
 """
 
@@ -99,7 +99,7 @@
 
 @dataclass(slots=True)
 class DrainNotice:
-    """The instance is notified that its process will be stopped."""
+    """The instance is notified that its process will be stopped in `remaining_ms`."""
 
     remaining_ms: float
 
@@ -115,7 +115,7 @@
 
 
 def padded_fields(name: str, fields: list[Any]) -> list[Any]:
-    """Returns exactly the fields of an event, with None for trailing fields that were omitted."""
+    """Returns the fields of an event, padded with None or shortened to the length in `FIELD_COUNTS`."""
     count = FIELD_COUNTS[name]
     return [*fields, *[None] * (count - len(fields))][:count]
 
@@ -187,7 +187,7 @@
 def _decode_rpc(fields: list[Any], settings: Settings) -> SimulatedRpc:
     rpc_id, key, ttl_ms, waited_ms, memory_kb, caller_id, method, hint_ms, tenant, _, original, flags = fields
     bits = flags or 0
-    # Unless the callers send deadlines, a remaining time of 0 means that it is unknown.
+    # If callers do not send deadlines, a remaining time of 0 stands for an unknown remaining time.
     has_remaining = ttl_ms is not None and (ttl_ms > 0 or settings.callers_send_deadline)
     return SimulatedRpc(
         method=settings.methods[method],
--- a/landingshift/settings.py
+++ b/landingshift/settings.py
@@ -123,7 +123,7 @@
 
         Args:
             key: Key of the setting.
-            values: Meaning of each valid keyword.
+            values: Maps each valid keyword to the value of the setting.
             default: Keyword to use if the key is missing or null.
 
         Raises:
@@ -161,7 +161,9 @@
         return [SettingsTable(value, f"{path}[{index}]") for index, value in enumerate(self.entries(key))]
 
     def table(self, key: str, default: Any = REQUIRED) -> SettingsTable:
-        """Returns the nested JSON object at `key`, or `default` if the key is missing or null.
+        """Returns a `SettingsTable` of the JSON object at `key`.
+
+        If the key is missing or null, the returned table contains the settings in `default`.
 
         Raises:
             MissingSettingError: The key is missing or null, and `default` is `REQUIRED`.
@@ -246,7 +248,7 @@
 
 
 def _decode_method(method: SettingsTable, extra: SettingsTable, skip_key: str, index: int) -> Method:
-    """Decodes one method. Two of its settings are in separate lists in `extra`, at the index of the method.
+    """Decodes one method. Two settings of a method are stored in separate lists, at the index of the method.
 
     Args:
         method: Object of the method.
