--- a/landingshift/admission/call_rate.py
+++ b/landingshift/admission/call_rate.py
@@ -2,8 +2,9 @@
 
 The rate falls while calls fail or are slow and grows while they succeed. After two consecutive calls without
 a response, the rate drops to the minimum immediately. If a downstream service hangs, it hangs for all
-servers. Further calls would probably also be lost and would only use up the quota. The quota is an upper bound
-of the rate. The fleet can assign a quota to this server, and the quota can be below one call per second.
+servers. Further calls would probably also be lost and would only use up the quota. The quota is an upper
+bound of the rate. The fleet can assign a quota to this server, and the quota can be below one call per
+second.
 
 Slow calls do not reduce the rate as long as their mean latency is well below the latency objectives.
 """
@@ -53,8 +54,8 @@
         calls_per_second: Rate at which tokens are added; infinite while the downstream service keeps up.
         quota_per_second: Upper bound of the rate, assigned by the fleet; infinite without a quota.
         consecutive_losses: Number of calls without a response since the last successful one.
-        last_pause_ms: Time at which consecutive losses last cut the rate to the minimum; initially the time
-            of creation.
+        last_pause_ms: Time of the latest cut to the minimum rate because of consecutive losses; initially the
+            time at which this object was created.
     """
 
     def __init__(self, server: ServerState, modes: ModeLog) -> None:
--- a/landingshift/admission/check_timer.py
+++ b/landingshift/admission/check_timer.py
@@ -43,8 +43,8 @@
     def is_due(self) -> bool:
         """Returns whether the next check is due.
 
-        A new request does not cancel the timer of the request that it replaces. Therefore, a timer can fire
-        before the next check is due.
+        The host program need not cancel the timer of a request when a later request replaces it. Therefore,
+        a timer can fire before the next check is due.
         """
         return self._server.now_ms >= self.next_check_ms - TIMER_TOLERANCE_MS
 
--- a/landingshift/admission/controller.py
+++ b/landingshift/admission/controller.py
@@ -1,19 +1,19 @@
-"""Admission controller of one server. It decides about each RPC from reading it to answering it.
+"""Admission controller of one server, which decides about each RPC from its arrival to its answer.
 
 For each event, the host program sets `now_ms` and calls one method of the controller. After all simultaneous
 events, it calls `settle`. The controller requests actions from the program through the `Actions` interface.
 
-The controller guarantees that each RPC whose caller still waits is answered once, that no run is started if
-it is expected to miss its deadline, and that the use of memory, cores and the downstream service stays within
-limits.
-Under overload it rejects RPCs that would wait too long. It decides locally, without asking other servers.
+The controller guarantees that each RPC whose caller still waits is answered once, that no RPC is run if its
+answer is expected after the deadline, and that the use of memory, cores and the downstream service stays
+within limits. Under overload, the controller rejects RPCs that would wait too long. It decides locally,
+without asking other servers.
 
 Each rule has its own module:
 
     deadline_check      whether a queued RPC may still start
     start_order         which queued RPC starts first, and which must not start under overload
     concurrency_limit   how many RPCs run concurrently
-    queue_scheduler     applies these three rules and the memory limit to the queue
+    queue_scheduler     applies the three rules above and the memory limit to the queue
     service_times       run time statistics that the rules use
     tenant_quotas       lower weights for tenants that exceed their quota
     downstream_calls    which RPCs may make a downstream call, and its timeout, within the limits of
--- a/landingshift/admission/deadline_check.py
+++ b/landingshift/admission/deadline_check.py
@@ -27,7 +27,7 @@
 
 
 class DeadlineCheck:
-    """Computes how long each queued RPC may wait before it is rejected.
+    """Computes how long each RPC can stay queued before it is rejected.
 
     Attributes:
         failures: One value for each RPC that was rejected in the last 2 s because it failed the check.
--- a/landingshift/admission/dedup_entries.py
+++ b/landingshift/admission/dedup_entries.py
@@ -4,9 +4,9 @@
 included in the server's memory in use.
 
 An RPC with an idempotency key gets an entry as soon as it is queued. Otherwise, a duplicate that arrives
-while the RPC is queued would not be recognised and would also run. If there is not enough memory for the entry, the
-RPC is rejected. A cacheable read that gets no entry for lack of memory is still run. The entry of an RPC that
-never ran is dropped, so that a later attempt can run.
+while the RPC is queued would not be recognised and would also run. If there is not enough memory for the
+entry, the RPC is rejected. A cacheable read that gets no entry for lack of memory is still run. The entry of
+an RPC that never ran is dropped, so that a later attempt can run.
 """
 
 from __future__ import annotations
--- a/landingshift/admission/recent_callers.py
+++ b/landingshift/admission/recent_callers.py
@@ -1,7 +1,7 @@
 """Statistics of recent callers.
 
-They are the fraction of RPCs sent by the busiest caller, and the fraction sent by returning callers, which
-had already sent another RPC shortly before.
+The statistics are the fraction of RPCs that the busiest caller sent, and the fraction that came from
+returning callers. A caller is returning if it had already sent another RPC in the preceding 4 s.
 """
 
 from __future__ import annotations
--- a/landingshift/admission/rolling_window.py
+++ b/landingshift/admission/rolling_window.py
@@ -8,10 +8,10 @@
 
 
 class RollingWindow:
-    """Values of the last `bucket_count` x `bucket_ms`, in insertion order within each bucket.
+    """Values that were added in the last `bucket_count` times `bucket_ms` ms, grouped into buckets by time.
 
-    The current bucket is only partly filled, so the window covers between `bucket_count - 1` and
-    `bucket_count` bucket lengths.
+    Within a bucket, the values are in the order in which they were added. The current bucket is only partly
+    filled, so the window covers between `bucket_count - 1` and `bucket_count` bucket lengths.
 
     Attributes:
         bucket_count: Number of buckets.
--- a/landingshift/admission/rpc_lifecycle.py
+++ b/landingshift/admission/rpc_lifecycle.py
@@ -1,4 +1,4 @@
-"""Lifecycle of an RPC: its states from reading to release, and the actions on each transition.
+"""Lifecycle of an RPC: its states until it is released, and the actions on each transition.
 
 The lifecycle of each RPC is a generator that yields the next state and is resumed with the next event:
 
--- a/landingshift/admission/server_state.py
+++ b/landingshift/admission/server_state.py
@@ -12,6 +12,8 @@
 class ServerState:
     """State that the admission rules read. Only `RpcLifecycle` moves RPCs between states.
 
+    The current RPCs are those that have been read and not yet released.
+
     Attributes:
         settings: The server's settings; a policy may change their fields in place.
         now_ms: Current time for all rules.
--- a/landingshift/admission/snapshot.py
+++ b/landingshift/admission/snapshot.py
@@ -99,7 +99,7 @@
 
 @dataclass(frozen=True)
 class SnapshotParts:
-    """Parts of a controller whose state is stored. The tables of this module use these field names."""
+    """The stored parts of a controller. The tables of this module refer to a part by its field name here."""
 
     server: ServerState
     service_times: dict[Method, ServiceTimes]
--- a/landingshift/admission/tenant_quotas.py
+++ b/landingshift/admission/tenant_quotas.py
@@ -1,4 +1,4 @@
-"""Reduces the weight of tenants above their quota, so that one tenant's load does not displace the others.
+"""Lowers the priority of tenants above their quota, so that they do not displace other tenants' RPCs.
 
 A quota applies to the whole fleet, but servers do not exchange counts. Each server estimates a tenant's total
 rate: it multiplies the rate of the tenant's RPCs on this server by the number of servers. Because RPCs are
@@ -20,7 +20,7 @@
 
 
 class TenantQuotas:
-    """Counts RPCs by tenant and computes the tenants' weights.
+    """Counts RPCs by tenant and computes a weight for each tenant, which is a factor of the RPCs' priority.
 
     Attributes:
         arrivals: One value for each RPC of the last 5 s, by tenant. Tenants are in the order of the settings.
