--- a/landingshift/net/routing/database_pool.py
+++ b/landingshift/net/routing/database_pool.py
@@ -1,7 +1,7 @@
 """Makes calls to the shared database over a pool of links.
 
-Calls are spread so that each link carries as few calls as possible, since a malformed or incomplete
-reply fails all calls on its link.
+Calls are spread so that each link carries as few calls as possible, since a malformed or incomplete reply
+fails all calls on its link.
 
 Guarantee: a call that cannot have reached the database ends as `NO_CONNECTION`. A call that might have
 reached the database but got no reply ends as `NO_RESPONSE` after its timeout, or as `CONNECTION_LOST` if its
@@ -21,7 +21,7 @@
 from landingshift.net.transport.loop import Loop, Timer
 from landingshift.net.transport.stream import Address, Stream, connect
 
-MAX_UNSENT_BYTES = 1 << 20
+MAX_UNSENT_BYTES = 1 << 20  # maximum unsent output of one link
 # An idle link is closed after this time. The database might otherwise drop the link without notice, and the
 # next call on the link would be lost.
 MAX_IDLE_MS = 1000.0
--- a/landingshift/net/routing/dedup.py
+++ b/landingshift/net/routing/dedup.py
@@ -82,7 +82,7 @@
         if entry is None:
             return None
         if entry.outcome is None:
-            return entry  # the owner may be running: a second run could repeat its effect
+            return entry  # the owner might be running, and a second run could repeat its effect
         has_lapsed = entry.expires_ms <= arrived_ms
         if rpc.method.idempotency is Idempotency.IDEMPOTENT:
             is_too_old = now_ms - entry.ended_ms > self.response_cache_ttl_ms
--- a/landingshift/net/routing/duplicates.py
+++ b/landingshift/net/routing/duplicates.py
@@ -85,12 +85,13 @@
     def _answer_duplicate(self, rpc: RoutedRpc, entry: DedupEntry, is_last_chance: bool) -> None:
         """Answers a duplicate whose original has ended.
 
-        If there is a result but the connection is unverified, the duplicate waits for the verification.
+        If there is a result but the connection is unverified, the engine is asked whether it knows the
+        duplicate, or the duplicate waits until another RPC verifies the connection.
 
         Args:
             rpc: The duplicate.
             entry: The deduplication entry of the original.
-            is_last_chance: If True, the duplicate is aborted instead of waiting for the verification.
+            is_last_chance: If True, the duplicate is aborted instead of waiting for another RPC.
         """
         if rpc.is_closed or rpc.managed is None:
             return
--- a/landingshift/net/routing/engine_commands.py
+++ b/landingshift/net/routing/engine_commands.py
@@ -1,4 +1,4 @@
-"""Tracks commands that the engine has not confirmed, and decides which of them may be resent.
+"""Tracks commands that the engine has not confirmed, and decides which of these commands are resent.
 
 A command is in doubt if it was sent on a link that broke: the engine might have received the command.
 Guarantee: a run command is withheld if it is in doubt and the effect of its RPC must not happen twice. A
--- a/landingshift/net/routing/health.py
+++ b/landingshift/net/routing/health.py
@@ -85,7 +85,7 @@
             self._send_report()
 
     def check(self, is_deep: bool, answer: Callable[[bool], None]) -> None:
-        """Answers a health check; a deep check may first wait for the engine's self-test.
+        """Answers a health check; a deep check can first wait for the engine's self-test.
 
         Args:
             is_deep: If True, the check also covers the engine.
--- a/landingshift/net/routing/rpc_intake.py
+++ b/landingshift/net/routing/rpc_intake.py
@@ -1,8 +1,9 @@
 """Handles requests from gateways: passes RPCs to the admission controller and answers health checks.
 
-Guarantee: every request is answered; a request that is not accepted is answered immediately. A rejection
-tells the caller that the RPC never ran. If a valid request is a duplicate of an RPC that might have run and
-must not run twice, the request is therefore aborted rather than rejected when it is not accepted.
+A request is accepted if its RPC is passed to the admission controller. Guarantee: every request is answered;
+a request that is not accepted is answered immediately. A rejection tells the caller that the RPC never ran.
+If a valid request is a duplicate of an RPC that might have run and must not run twice, the request is
+therefore aborted rather than rejected when it is not accepted.
 """
 
 from __future__ import annotations
@@ -104,7 +105,7 @@
         self.driver.defer(partial(self._on_caller_gone, rpc))
 
     def on_health_check(self, connection: GatewayConnection, request: wire.Request) -> None:
-        """Answers a health check; a deep check may first wait for the engine's self-test."""
+        """Answers a health check; a deep check can first wait for the engine's self-test."""
 
         def answer(is_healthy: bool) -> None:
             data = wire.encode_health(request.message_id, is_healthy, self.answers.headers)
