--- a/landingshift/testbed/__init__.py
+++ b/landingshift/testbed/__init__.py
@@ -1,6 +1,12 @@
-"""Load, stand-ins and experiments, which show what a change does under failures injected from a seed."""
+"""Load generators, stand-ins and experiments that show how a change behaves under injected faults.
+
+The faults are drawn from a seed.
+"""
 
 import os
 
 MEMORY = "/dev/shm" if os.access("/dev/shm", os.W_OK) else None
-"""The folder on a file system in memory, for files whose disk is not what a test is about."""
+"""Folder of an in-memory file system for temporary files whose disk behaviour is not under test.
+
+None, which selects the default folder for temporary files, where there is no such file system.
+"""
--- a/landingshift/testbed/errors.py
+++ b/landingshift/testbed/errors.py
@@ -8,15 +8,15 @@
 class TestbedError(LandingshiftError):
     """Base of all errors of the testbed."""
 
-    __test__ = False  # no test case, whatever its name begins with
+    __test__ = False  # keeps pytest from collecting the class as a test case because of its name
 
 
 class InvalidScenarioError(TestbedError, ValueError):
-    """A file that holds no scenario.
+    """A scenario file is invalid.
 
     Attributes:
-        place: Which part of the file.
-        problem: What is wrong with it.
+        place: Path of the invalid field or fields in the file.
+        problem: Description of the problem.
     """
 
     def __init__(self, place: str, problem: str) -> None:
@@ -26,32 +26,36 @@
 
 
 class UndecodableScenarioError(InvalidScenarioError):
-    """The file has no scenario's form."""
+    """A scenario file is not valid JSON or does not match the schema of scenarios."""
 
     def __init__(self, problem: str) -> None:
-        super().__init__("not a day", problem)
+        super().__init__("invalid scenario file", problem)
 
 
 class VoterCountError(InvalidScenarioError):
-    """More voters than servers, or none."""
+    """A scenario has no voter, more voters than servers, or too many servers."""
 
     def __init__(self, max_servers: int) -> None:
         super().__init__("servers, voters", f"1 <= voters <= servers <= {max_servers} is expected")
 
 
 class RealCaseError(TestbedError, RuntimeError):
-    """Real processes did not get as far as a case needs them to."""
+    """Real processes did not reach the state that a test case needs."""
 
 
 class HarnessUnresponsiveError(RealCaseError):
-    """The harness's own thread does nothing any more."""
+    """The event loop thread of the harness no longer runs callbacks."""
 
     def __init__(self) -> None:
-        super().__init__("the rig's loop hangs")
+        super().__init__("the event loop of the harness does not respond")
 
 
 class NoFreeAddressError(RealCaseError):
-    """No loopback address or port is free."""
+    """No loopback address or port is free.
+
+    Attributes:
+        resource: Kind of address or port that was looked for.
+    """
 
     def __init__(self, resource: str) -> None:
         super().__init__(f"no free {resource}")
@@ -59,28 +63,37 @@
 
 
 class ServerNotStartedError(RealCaseError):
-    """A server process ended before it took RPCs; the text is what it wrote."""
+    """A server process ended before it accepted RPCs; the message is the output of the process."""
 
 
 class NotAllDecideError(RealCaseError):
-    """Not all servers have a policy to decide by in time."""
+    """Some servers did not get a policy that lets them decide about RPCs before the timeout.
+
+    Attributes:
+        statuses: Policy status of each server.
+    """
 
     def __init__(self, statuses: list[dict[str, object]]) -> None:
-        super().__init__(f"not all decide: {statuses}")
+        super().__init__(f"not all servers may decide by a policy: {statuses}")
         self.statuses = statuses
 
 
 class NoLeaderError(RealCaseError):
-    """No voter leads in time."""
+    """No voter became leader before the timeout."""
 
     def __init__(self) -> None:
-        super().__init__("nobody leads")
+        super().__init__("no voter became leader in time")
 
 
 class MemberNotGoneError(RealCaseError):
-    """A server does not take a member's departure for final in time."""
+    """A server did not accept before the timeout that a member has departed for good.
+
+    Attributes:
+        name: Name of the departed member.
+        server: Number of the server.
+    """
 
     def __init__(self, name: str, server: int) -> None:
-        super().__init__(f"{name} does not count as gone at n{server}")
+        super().__init__(f"n{server} does not accept that {name} has departed")
         self.name = name
         self.server = server
--- a/landingshift/testbed/simulation/__init__.py
+++ b/landingshift/testbed/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""Servers in virtual time: clocks, network, disks, and the decisions of all packages behind them."""
+"""Simulates servers in virtual time: clocks, network and disks, with the decision code of all packages."""
--- a/landingshift/testbed/simulation/cluster.py
+++ b/landingshift/testbed/simulation/cluster.py
@@ -1,7 +1,7 @@
-"""A simulated cluster to which a scenario is played: faults, operators' commands, gateways' traffic.
+"""A simulated cluster that plays a scenario: faults, operators' commands and traffic from gateways.
 
-All that happens goes into one history, from which the invariants tell what held. The same scenario gives the
-same history, to the last bit.
+All events are recorded in one history, which the invariants check afterwards. The same scenario always gives
+exactly the same history.
 """
 
 from __future__ import annotations
@@ -37,24 +37,25 @@
 )
 
 OVERLAP_MS = 1000.0
-"""For so long two versions of the policy may both be decided by."""
+"""Maximum time for which servers are allowed to decide by two versions of the policy at once."""
 POLICY_LEASE_MS = 900.0
 CLOCK_MARGIN_MS = 100.0
 STORE_CALLS_PER_SECOND_AND_SERVER = 3.0
 SAMPLE_INTERVAL_MS = 250.0
 TABLE_SAMPLE_INTERVAL_MS = 2000.0
 START_SPREAD_MS = 500.0
-"""Within which all servers are started."""
+"""All servers are started within this time."""
 FIRST_FAULT_MS = 4000.0
-"""By then the first start has settled, more or less."""
+"""Virtual time at which faults begin: the initial cold start has mostly completed by then."""
 MAX_SETTLING_MS = 180_000.0
-"""For the cluster to come to rest once nothing is done to it any more."""
+"""Maximum time for the cluster to become quiescent after the last fault."""
 SETTLING_CHECK_INTERVAL_MS = 500.0
 SETTLING_LOAD_RATIO = 0.3
+"""Maximum load while the cluster becomes quiescent, as a fraction of its capacity."""
 
 
 def cluster_config(scenario: Scenario, removed_defence: str) -> ClusterConfig:
-    """Returns what the servers of a scenario are configured with."""
+    """Returns the configuration of all servers in a scenario, without the defence named `removed_defence`."""
     server_count = scenario.server_count
     names = [server_name(index) for index in range(server_count)]
     store_calls_per_second = STORE_CALLS_PER_SECOND_AND_SERVER * server_count
@@ -87,25 +88,25 @@
 
 
 class SimulatedCluster:
-    """A cluster, and the scenario that is played to it.
+    """A cluster and the scenario that it plays.
 
     Attributes:
-        scenario: What is done to it.
+        scenario: Faults, load and size of the cluster.
         state: Servers, network, store and history.
-        operators: Give commands.
-        gateways: Send RPCs.
-        faults: Begin and end.
+        operators: Operators, who give commands.
+        gateways: Gateways, which send RPCs.
+        faults: Begins and ends the faults of the scenario.
     """
 
     def __init__(
         self, scenario: Scenario, removed_defence: str = "", coverage: Coverage | None = None
     ) -> None:
-        """Makes a cluster whose servers are not started yet.
+        """Creates a cluster whose servers are not started yet.
 
         Args:
-            scenario: What is done to it.
-            removed_defence: The defence that all servers lack (`removed_defences`); "" for none.
-            coverage: Counts which faults met which others.
+            scenario: Faults, load and size of the cluster.
+            removed_defence: Defence that all servers lack (a name from `removed_defences`); "" for none.
+            coverage: Counts which faults began while which others were active; None to count nothing.
         """
         self.scenario = scenario
         config = cluster_config(scenario, removed_defence)
@@ -126,11 +127,11 @@
 
     @property
     def servers(self) -> dict[int, SimulatedServer]:
-        """The latest process of each server, by its number."""
+        """The latest process of each server, by server number."""
         return self.state.servers
 
     def play(self) -> History:
-        """Plays the scenario and lets the cluster come to rest; returns all that happened."""
+        """Plays the scenario, waits until the cluster is quiescent and returns the history of all events."""
         network, state = self.network, self.state
         for index in range(self.scenario.server_count):
             network.schedule_at(self._rng.uniform(0.0, START_SPREAD_MS), partial(state.start, index))
@@ -140,15 +141,15 @@
         cold_start = state.config.cold_start
         state.record(LeaseLimits.KIND, cold_start.downstream_calls_per_second, cold_start.max_permits)
         state.record(ServerCapacity.KIND, SERVER_CAPACITY_RPCS_PER_SECOND)
-        for place, fault in enumerate(self.scenario.faults):
-            begin = partial(self.faults.begin, place, fault)
+        for fault_index, fault in enumerate(self.scenario.faults):
+            begin = partial(self.faults.begin, fault_index, fault)
             network.schedule_at(FIRST_FAULT_MS + fault.start_ms, begin)
         network.run_until(FIRST_FAULT_MS + self.scenario.duration_ms)
         self._settle()
         return state.history
 
     def _sample(self) -> None:
-        """Records warm capacity and demand, and how changes ended."""
+        """Records warm capacity, demand and outcomes of policy changes, and schedules the next sample."""
         self.network.schedule_after(SAMPLE_INTERVAL_MS, self._sample)
         self.state.store.sample(self.network.now_ms)
         serving = [server for server in self.state.running_servers() if not server.is_draining]
@@ -164,7 +165,10 @@
                 self.state.record(TableSampled.KIND, server.name, table, size)
 
     def _settle(self) -> None:
-        """Lets the cluster come to rest, and asks all servers how the changes ended."""
+        """Reduces the load, waits until the cluster is quiescent and records all outcomes of policy changes.
+
+        Records the reasons if the cluster is not quiescent after MAX_SETTLING_MS.
+        """
         self.state.record(FaultsEnded.KIND)
         settling_rpcs_per_second = (
             SETTLING_LOAD_RATIO * self.scenario.server_count * SERVER_CAPACITY_RPCS_PER_SECOND
@@ -177,5 +181,5 @@
                 self.operators.ask_for_outcomes()
         for reason in reasons_not_quiescent(self.state, self.operators):
             self.state.record(NotQuiescent.KIND, reason)
-        self.operators.record_outcomes(with_known_ones=True)
+        self.operators.record_outcomes(include_recorded=True)
         self.state.record(SettlingEnded.KIND, end_ms - MAX_SETTLING_MS)
--- a/landingshift/testbed/simulation/cluster_context.py
+++ b/landingshift/testbed/simulation/cluster_context.py
@@ -1,4 +1,4 @@
-"""What a simulated server knows of the cluster around it: the seam between `server` and `cluster`."""
+"""The interface through which a simulated server uses the cluster around it."""
 
 from __future__ import annotations
 
@@ -18,26 +18,26 @@
 
 
 def server_address(index: int) -> Address:
-    """Returns the address of a server."""
+    """Returns the address of the server with number `index`."""
     return f"10.0.{index // 250}.{index % 250 + 1}", SERVER_PORT
 
 
 def server_name(index: int) -> str:
-    """Returns the name of a server."""
+    """Returns the name of the server with number `index`."""
     return f"n{index}"
 
 
 @dataclass(frozen=True, slots=True)
 class ClusterConfig:
-    """What all servers of a cluster are configured with.
+    """Configuration shared by all servers of a cluster.
 
     Attributes:
-        server_count: Servers of the cluster.
+        server_count: Number of servers in the cluster.
         policies: Voters and leases of policy changes.
-        raft_timeouts: Of the voters.
-        cold_start: What is leased at a cold start, and by whom.
-        maintenance: Of the coordinator of maintenance.
-        removed_defence: The one defence that all servers lack (`removed_defences`); "" for none.
+        raft_timeouts: Raft timeouts of the voters.
+        cold_start: Limits that are leased during a cold start, and the servers that grant the leases.
+        maintenance: Settings of the maintenance coordinator.
+        removed_defence: Defence that all servers lack (a name from `removed_defences`); "" for none.
     """
 
     server_count: int
@@ -49,11 +49,11 @@
 
 
 class ClusterContext(Protocol):
-    """The cluster, as its servers see it."""
+    """The parts of the cluster that its servers use. Servers are identified by their number, `index`."""
 
     @property
     def config(self) -> ClusterConfig:
-        """What all servers are configured with."""
+        """The configuration shared by all servers."""
 
     @property
     def network(self) -> SimulatedNetwork:
@@ -61,35 +61,35 @@
 
     @property
     def store(self) -> SimulatedStore:
-        """The store that all servers call."""
+        """The downstream store that all servers call."""
 
     @property
     def is_endpoint_list_up(self) -> bool:
-        """Whether the service answers that lists the servers."""
+        """Whether the endpoint list service answers."""
 
     def disk(self, index: int) -> SimulatedDisk:
         """Returns the disk of a server."""
 
     def server_rng(self, index: int, run_number: int) -> Random:
-        """Returns the generator of one process of a server."""
+        """Returns the random generator of the `run_number`th process of a server."""
 
     def contact_addresses(self, index: int) -> list[Address]:
-        """Returns the servers that a server knows from its settings or the endpoint list."""
+        """Returns the addresses of other servers in the settings of a server or from the endpoint list."""
 
     def wall_clock_ms(self, index: int) -> float:
-        """Returns Unix ms of a server's wall clock."""
+        """Returns the time on a server's wall clock, in Unix ms."""
 
     def record(self, kind: str, *values: Any) -> None:
         """Appends an event to the history."""
 
     def permit_in_force(self, name: str) -> int:
-        """Returns the permit that the leader has granted to a server; 0 where none is known."""
+        """Returns the number of the maintenance permit granted to a server; 0 if none is known."""
 
     def maintenance_duration_ms(self, name: str) -> float:
-        """Returns how long the maintenance of a server takes."""
+        """Returns the duration of the maintenance requested last for a server; 0 if none was requested."""
 
     def kill(self, index: int, down_ms: float) -> None:
-        """Kills a server's process, and starts another one `down_ms` later."""
+        """Kills the process of a server and starts a new process `down_ms` later."""
 
     def on_server_ended(self, index: int, down_ms: float) -> None:
-        """Called when a drained process has ended; another one is to start `down_ms` later."""
+        """Called when a drained process has ended. Its successor should start `down_ms` later."""
--- a/landingshift/testbed/simulation/cluster_state.py
+++ b/landingshift/testbed/simulation/cluster_state.py
@@ -1,4 +1,4 @@
-"""The servers of a simulated cluster: their processes, disks and clocks, what they share, and the history."""
+"""The state of a simulated cluster: processes, disks and clocks of its servers, shared services, history."""
 
 from __future__ import annotations
 
@@ -16,31 +16,32 @@
 from landingshift.testbed.verification.history import History, ServerKilled, ServerStarted
 
 CLOCK_OFFSETS_MS = (1e6, 3e6)
-"""What monotonic clocks show at the beginning; never below 0, as on real machines."""
+"""Range of the monotonic clocks' readings at virtual time 0. They are positive, as on real machines."""
 CLOCK_RATES = (0.99, 1.01)
+"""Range of the speeds of monotonic clocks relative to virtual time."""
 START_WALL_CLOCK_UNIX_MS = 1.8e12
 MIN_RESTART_DELAY_MS = 300.0
-"""A supervisor takes so long to start a process that has ended by itself."""
+"""Minimum time that a supervisor takes to restart a process that has ended after a drain."""
 CONTACT_COUNT = 4
-"""Addresses of other servers that a server knows."""
+"""Number of other servers' addresses that a server gets from its settings or the endpoint list."""
 MAX_EVENT_COUNT = 1_000_000
-"""More is a storm of messages, and no scenario."""
+"""Limit of the events in a scenario. Only a message storm exceeds it."""
 
 
 class ClusterState:
-    """All servers and what is around them; implements `ClusterContext`.
+    """All servers and the services that they share; implements `ClusterContext`.
 
     Attributes:
-        seed: Of all that is drawn.
-        config: What all servers are configured with.
+        seed: Seed of all random generators.
+        config: Configuration shared by all servers.
         network: The network and the virtual time.
-        store: The store below all servers.
-        history: What has happened.
-        servers: The latest process of each server that was ever started, by its number.
-        disks: By number.
-        wall_clock_offsets_ms: By number; what a wall clock shows at virtual time 0.
-        is_endpoint_list_up: Whether the endpoint list answers.
-        maintenance_minutes: Duration of the latest maintenance asked for, by the server's name.
+        store: Downstream store of all servers.
+        history: All events so far.
+        servers: The latest process of each server that has been started, by server number.
+        disks: Disk of each server, by server number.
+        wall_clock_offsets_ms: Unix ms on the wall clock at virtual time 0, by server number.
+        is_endpoint_list_up: Whether the endpoint list service answers.
+        maintenance_minutes: Duration of the maintenance requested last, by server name.
     """
 
     def __init__(self, seed: int, config: ClusterConfig, store: SimulatedStore) -> None:
@@ -55,30 +56,30 @@
         self.is_endpoint_list_up = True
         self.maintenance_minutes: dict[str, float] = {}
         self._run_numbers = [0] * config.server_count
-        # One more than there are voters has a Raft log and could be one.
+        # One server more than there are voters has a Raft log, so that it can be added as a voter.
         voter_count = len(config.policies.voters)
         self.disks = [
             SimulatedDisk(PersistentState() if index <= voter_count else None)
             for index in range(config.server_count)
         ]
 
-    # What servers ask for
+    # ClusterContext
 
     def disk(self, index: int) -> SimulatedDisk:
         """Returns the disk of a server."""
         return self.disks[index]
 
     def server_rng(self, index: int, run_number: int) -> Random:
-        """Returns the generator of one process of a server."""
+        """Returns the random generator of the `run_number`th process of a server."""
         return Random(f"{self.seed} {index} {run_number}")
 
     def contact_addresses(self, index: int) -> list[Address]:
-        """Returns the servers that a server knows from its settings or the endpoint list."""
+        """Returns the addresses of other servers in the settings of a server or from the endpoint list."""
         others = [server_address(other) for other in range(self.config.server_count) if other != index]
         return others[:CONTACT_COUNT]
 
     def wall_clock_ms(self, index: int) -> float:
-        """Returns Unix ms of a server's wall clock."""
+        """Returns the time on a server's wall clock, in Unix ms."""
         return self.network.now_ms + self.wall_clock_offsets_ms[index]
 
     def record(self, kind: str, *values: Any) -> None:
@@ -86,7 +87,7 @@
         self.history.append((self.network.now_ms, kind, *values))
 
     def permit_in_force(self, name: str) -> int:
-        """Returns the permit that the leader has granted to a server; 0 where none is known."""
+        """Returns the number of the maintenance permit granted to a server; 0 if none is known."""
         leader = self.leader()
         if leader is None:
             return 0
@@ -94,29 +95,29 @@
         return request.permit_number if request is not None else 0
 
     def maintenance_duration_ms(self, name: str) -> float:
-        """Returns how long the maintenance of a server takes."""
+        """Returns the duration of the maintenance requested last for a server; 0 if none was requested."""
         return self.maintenance_minutes.get(name, 0.0) * MS_PER_MINUTE
 
     # Processes
 
     def leader(self) -> SimulatedServer | None:
-        """Returns the server that surely leads the voters."""
+        """Returns the running server that holds the leader lease of the voters; None if there is none."""
         for server in self.servers.values():
             if server.host.is_up and server.maintenance.environment.is_leader():
                 return server
         return None
 
     def running_servers(self) -> list[SimulatedServer]:
-        """Returns the servers whose process runs."""
+        """Returns the latest process of each server that is up."""
         return [server for server in self.servers.values() if server.host.is_up]
 
     def running_server(self, index: int) -> SimulatedServer | None:
-        """Returns a server whose process runs."""
+        """Returns the process of a server; None if the server is down."""
         server = self.servers.get(index)
         return server if server is not None and server.host.is_up else None
 
     def start(self, index: int) -> None:
-        """Starts a new process of a server that has none."""
+        """Starts a new process of a server; does nothing if one is running."""
         if self.running_server(index) is not None:
             return
         self._run_numbers[index] += 1
@@ -130,12 +131,12 @@
         host.start(self.servers[index])
 
     def kill(self, index: int, down_ms: float) -> None:
-        """Kills a server's process, and starts another one `down_ms` later."""
+        """Kills the process of a server, if it runs, and starts a new process `down_ms` later."""
         if self.running_server(index) is not None:
             self.network.kill(server_address(index))
             self.record(ServerKilled.KIND, server_name(index))
         self.network.schedule_after(down_ms, partial(self.start, index))
 
     def on_server_ended(self, index: int, down_ms: float) -> None:
-        """Starts another process once its supervisor gets to it."""
+        """Starts the successor of a drained process after `down_ms`, but not before MIN_RESTART_DELAY_MS."""
         self.network.schedule_after(max(MIN_RESTART_DELAY_MS, down_ms), partial(self.start, index))
--- a/landingshift/testbed/simulation/cold_start.py
+++ b/landingshift/testbed/simulation/cold_start.py
@@ -1,8 +1,9 @@
-"""The cold start of a whole cluster in virtual time: the decisions of `membership` and `coldstart`.
+"""Simulates the cold start of a whole cluster in virtual time, with the code of `membership` and `coldstart`.
 
-Servers fill their caches from a store that bears so many calls a second and breaks down when it is crowded; a
-service lists the servers that have asked it before. A server is warm once its cache is filled and its warm-up
-time has passed. Checked at each sample: the sum of all call quotas, and of all start permits.
+Servers fill their caches from a downstream store, which has a limited rate and becomes overloaded when its
+queue is too long. The endpoint list service returns addresses of servers that have polled it before. A server
+is warm once its cache is filled and its warm-up time has passed. Each sample checks that the sum of all call
+quotas and the number of start permits in use stay within their limits.
 """
 
 from __future__ import annotations
@@ -25,21 +26,22 @@
 from landingshift.testbed.simulation.virtual_time import Address, SimulatedHost, SimulatedNetwork
 
 STEP_MS = 100.0
-"""Between two steps of a server, and between two samples of the cluster."""
+"""Interval of the cold start step of each server, and of the samples of the cluster."""
 SERVER_PORT = 7101
 MAX_MEMBER_COUNT = 10_000
 SNAPSHOT_ADDRESS_COUNT = 16
-"""Addresses of other servers that a server has from a snapshot, or gets from the list."""
+"""Number of addresses in the snapshot of a server, and the most that the endpoint list returns to a poll."""
 LIST_TIMEOUT_MS = 3000.0
 LIST_LATENCY_MS = 20.0
 COLD_CALLS_PER_SECOND = 10.0
-"""What the cores of a server can ask of the store while its cache is cold."""
+"""Downstream calls that a server needs while its cache is cold, limited by its cores."""
 WARM_CALLS_PER_SECOND = 1.0
+"""Downstream calls that a server needs once its cache is warm."""
 CLOCK_OFFSETS_MS = (-1e6, 1e6)
 WARM_CLUSTER_FRACTION = 0.95
-"""Of its servers, by which a cluster counts as warm."""
+"""A cluster counts as warm once this fraction of its servers is warm."""
 ROUNDING_FACTOR = 1.0001
-"""By which a sum of quotas may be off."""
+"""Tolerance for rounding errors in the sum of call quotas, as a factor of the limit."""
 MAX_VIOLATION_COUNT = 20
 DISCOVERY_BY_LIST = "list"
 DISCOVERY_BY_SNAPSHOT = "snapshot"
@@ -47,28 +49,28 @@
 
 
 def address(index: int) -> Address:
-    """Returns the address of a server."""
+    """Returns the address of the server with number `index`."""
     return f"10.{index // 62500}.{index // 250 % 250}.{index % 250 + 1}", SERVER_PORT
 
 
 @dataclass(slots=True)
 class ColdStartCase:
-    """What is to start, and over what.
+    """Parameters of a simulated cold start.
 
     Attributes:
-        server_count: Servers of the cluster.
-        grantor_count: The first of them grant leases.
-        zone_count: Zones that the servers are spread over.
-        downstream_calls_per_second: What the store bears.
-        list_polls_per_second: What the endpoint list bears.
-        cache_fill_calls: Calls that fill a server's cache.
-        warm_up_ms: That a server's cores need.
-        permits: Start permits at the beginning and at the most; 0 for the settings' defaults.
-        discovery: How servers find each other: DISCOVERY_BY_LIST, DISCOVERY_BY_SNAPSHOT (all know some
-            addresses) or NO_DISCOVERY.
-        list_up_ms: From when until when the list service answers.
-        is_after_power_cut: All machines have just started, so that no grantor needs a recovery grace.
-        is_uncoordinated: The baseline: each server calls as it likes and asks the list at once.
+        server_count: Number of servers in the cluster.
+        grantor_count: Number of servers, from the first, that grant leases.
+        zone_count: Number of zones that the servers are distributed over.
+        downstream_calls_per_second: Rate at which the store serves calls.
+        list_polls_per_second: Rate to which the servers together limit their polls of the endpoint list.
+        cache_fill_calls: Number of successful calls that fill a server's cache.
+        warm_up_ms: Time from the opening of a server until its cores are warm.
+        permits: Initial and maximum number of start permits; 0 for the defaults of the settings.
+        discovery: How servers find each other: DISCOVERY_BY_LIST (poll the endpoint list),
+            DISCOVERY_BY_SNAPSHOT (know some addresses from the start, and poll the list too) or NO_DISCOVERY.
+        list_up_ms: Virtual times at which the endpoint list begins and ceases to answer.
+        is_after_power_cut: Whether all machines have just booted, so that grantors need no recovery grace.
+        is_uncoordinated: Whether servers ignore quotas and permits and poll the list at once (the baseline).
     """
 
     server_count: int = 200
@@ -85,7 +87,7 @@
     is_uncoordinated: bool = False
 
     def plan(self) -> ColdStartPlan:
-        """Returns what the servers are configured with."""
+        """Returns the cold start configuration of all servers."""
         initial_permits, max_permits = self.permits
         settings = Settings(
             max_servers=self.server_count,
@@ -100,15 +102,17 @@
 class ColdStartServer:
     """One process of a server: membership, the cold start, and the calls that fill its cache.
 
+    All times are those of the server's clock.
+
     Attributes:
         index: Number of the server.
-        started_at_ms: By its clock.
+        started_at_ms: Time at which the process started.
         node: Membership.
-        agent: The server's participant.
-        poller: Asks the endpoint list.
-        saturation: What the calls tell of the store.
-        cache_fill_count: Calls that have succeeded.
-        opened_at_ms: When it began to take RPCs, by its clock; 0 before.
+        agent: Cold start participant, which requests and grants leases.
+        poller: Decides when to poll the endpoint list.
+        saturation: Estimate of the store's saturation from the results of calls.
+        cache_fill_count: Number of successful calls.
+        opened_at_ms: Time at which the server began to accept RPCs; 0 if it has not.
     """
 
     def __init__(self, simulation: ColdStartSimulation, index: int, run_number: int, now_ms: float) -> None:
@@ -117,7 +121,7 @@
         self._case = case
         self.index = index
         self.started_at_ms = now_ms
-        # All parts draw from one generator: the order of their making belongs to the history.
+        # All parts draw from one generator, so the order in which they are created determines the history.
         rng = Random(f"{simulation.seed} {index} {run_number}")
         host, port = address(index)
         record = MemberRecord(
@@ -147,28 +151,28 @@
         self.saturation = DownstreamSaturation()
         self.cache_fill_count = 0.0
         self.opened_at_ms = 0.0
-        self._owed_calls = 0.0
+        self._call_credit = 0.0
         self._next_step_ms = now_ms + STEP_MS * rng.random()
 
     def _on_log(self, index: int, event: str, **_fields: Any) -> None:
         self._simulation.log_lines.append((self._simulation.network.now_ms, index, event))
 
-    # For its host
+    # SimulatedProcess
 
     def on_message(self, message: Message, now_ms: float) -> None:
-        """Handles a datagram."""
+        """Handles a datagram of membership or of the cold start."""
         self.node.on_message(message, now_ms)
 
     def next_deadline_ms(self) -> float:
-        """Returns when `on_timer` is to be called next."""
+        """Returns the time at which `on_timer` must be called next."""
         return min(self.node.next_deadline_ms(), self._next_step_ms)
 
     def take_outgoing(self) -> list[tuple[Address, Any]]:
-        """Returns the datagrams to send."""
+        """Returns the datagrams to send, with their receivers, and removes them from the queue."""
         return self.node.take_outgoing()
 
     def on_timer(self, now_ms: float) -> None:
-        """Does what membership has to do, and a step of the cold start where one is due."""
+        """Runs the timer of membership and the cold start step if they are due."""
         if self.node.next_deadline_ms() <= now_ms:
             self.node.on_timer(now_ms)
         if now_ms >= self._next_step_ms:
@@ -197,52 +201,53 @@
         return self.agent.start_sequence.is_open or self._case.is_uncoordinated
 
     def _needed_calls_per_second(self) -> float:
-        """As many as the cores can ask for while the cache is cold, few once it is warm."""
+        """Returns the rate of calls that the server needs, which depends on whether its cache is warm."""
         if not self._is_open:
             return 0.0
         is_cache_warm = self.cache_fill_count >= self._case.cache_fill_calls
         return WARM_CALLS_PER_SECOND if is_cache_warm else COLD_CALLS_PER_SECOND
 
     def warm_fraction(self, now_ms: float) -> float:
-        """Returns the share of its capacity that the server has reached."""
+        """Returns the fraction of its full capacity that the server has reached, from 0 to 1."""
         if not self.opened_at_ms:
             return 0.0
         age_fraction = (now_ms - self.opened_at_ms) / self._case.warm_up_ms
         return min(1.0, age_fraction, self.cache_fill_count / self._case.cache_fill_calls)
 
     def _call_store(self, now_ms: float) -> None:
-        """Makes the calls of one step, as many as the server needs and may make."""
+        """Makes the calls of one step, limited by the server's need and its call quota."""
         calls_per_second = self._needed_calls_per_second()
         if not self._case.is_uncoordinated:
             calls_per_second = min(calls_per_second, self.agent.call_quota(now_ms))
         step_calls = calls_per_second * STEP_MS / 1000.0
-        self._owed_calls = min(1.0 + step_calls, self._owed_calls + step_calls)
-        while self._owed_calls >= 1.0:
-            self._owed_calls -= 1.0
+        self._call_credit = min(1.0 + step_calls, self._call_credit + step_calls)
+        while self._call_credit >= 1.0:
+            self._call_credit -= 1.0
             succeeded, duration_ms = self._simulation.store.call(self._simulation.network.now_ms)
             self.saturation.on_call_finished(now_ms, succeeded, duration_ms)
             self.cache_fill_count += succeeded
 
 
 class ColdStartSimulation:
-    """One run of a case.
+    """One simulation of a cold start.
 
     Attributes:
-        case: What starts.
-        seed: Of all that is drawn.
-        plan: What the servers are configured with.
+        case: Parameters of the cold start.
+        seed: Seed of all random generators.
+        plan: Cold start configuration of all servers.
         network: The network and the virtual time.
-        store: What the servers call.
-        servers: Those that run, by their numbers.
-        hosts: Of each server's latest process.
-        log_lines: What membership logged: time, number of the server, event.
-        violations: What did not hold.
-        list_poll_times_ms: When the list service was asked.
-        has_recovery_grace: False takes the defence that a grantor which starts grants nothing for a lease.
-        max_quota_sum: The largest sum of call quotas in any sample.
-        max_permits_held: The most start permits held in any sample.
-        warm_at_ms: When the cluster was warm; -1 before.
-        warm_fractions: The share of its servers that were warm, by sample.
+        store: Downstream store of all servers.
+        servers: Running servers, by number.
+        hosts: Host of each server's latest process, by server number.
+        log_lines: Log events of membership: virtual time, number of the server, event.
+        violations: Descriptions of violated limits.
+        list_poll_times_ms: Virtual times of the polls of the endpoint list.
+        has_recovery_grace: Whether a grantor that has started grants nothing for the length of one lease;
+            False removes this defence.
+        max_quota_sum: Largest sum of call quotas in any sample, in calls per second.
+        max_permits_held: Largest number of start permits held in any sample.
+        warm_at_ms: Virtual time at which the cluster was first warm; -1 if it has not been.
+        warm_fractions: Fraction of the servers that were warm in each sample.
     """
 
     def __init__(self, case: ColdStartCase, seed: int, **network_options: Any) -> None:
@@ -267,7 +272,7 @@
         self.network.schedule_after(STEP_MS, self._sample)
 
     def start(self, index: int) -> None:
-        """Starts a new process of a server; its clock shows anything."""
+        """Starts a new process of a server, with a random clock offset."""
         self._run_count += 1
         clock_offset_ms = self._clock_rng.uniform(*CLOCK_OFFSETS_MS)
         server = ColdStartServer(self, index, self._run_count, self.network.now_ms + clock_offset_ms)
@@ -277,7 +282,7 @@
         self.hosts[index] = self.network.start_host(address(index), server, clock_offset_ms)
 
     def start_all(self, spread_ms: float = 1_000.0) -> None:
-        """Has all servers started within a time."""
+        """Schedules the start of each server at a random time within `spread_ms`."""
         for index in range(self.case.server_count):
             self.network.schedule_at(self.network.rng.uniform(0.0, spread_ms), partial(self.start, index))
 
@@ -287,11 +292,14 @@
         del self.servers[index]
 
     def run(self, duration_ms: float) -> None:
-        """Lets time pass."""
+        """Advances virtual time by `duration_ms` and runs all events that are due."""
         self.network.run_until(self.network.now_ms + duration_ms)
 
     def poll_list(self, server: ColdStartServer, server_now_ms: float) -> None:
-        """Asks the list service, which answers, if it is up, with some of those that have asked before."""
+        """Polls the endpoint list for a server.
+
+        The answer holds random addresses of servers that have polled before, or fails if the list is down.
+        """
         self.list_poll_times_ms.append(self.network.now_ms)
         up_from_ms, up_until_ms = self.case.list_up_ms
         is_up = up_from_ms <= self.network.now_ms < up_until_ms
@@ -326,24 +334,24 @@
         self.network.schedule_after(STEP_MS, self._sample)
 
     def _check_bounds(self, quota_sum: float, permits_held: float) -> None:
-        """Checks that no more is leased than there is."""
+        """Records a violation if the leased call quotas or start permits exceed their limits."""
         max_quota_sum = self.case.downstream_calls_per_second
         if quota_sum > max_quota_sum * ROUNDING_FACTOR and not self.case.is_uncoordinated:
-            self._add_violation(f"shares of {quota_sum:.1f} where the store bears {max_quota_sum:g}")
+            self._add_violation(f"call quotas add up to {quota_sum:.1f}/s, limit {max_quota_sum:g}/s")
         if permits_held > self.plan.max_permits:
-            self._add_violation(f"{permits_held:g} places of {self.plan.max_permits:g}")
+            self._add_violation(f"{permits_held:g} start permits are held, limit {self.plan.max_permits:g}")
 
     def _add_violation(self, text: str) -> None:
         if len(self.violations) < MAX_VIOLATION_COUNT:
             self.violations.append(f"{self.network.now_ms:.0f} ms: {text}")
 
-    # Figures
+    # Results
 
     def min_warm_up_ms(self) -> float:
-        """Returns the least time in which the cluster can be warm.
+        """Returns a lower bound of the time until the cluster is warm.
 
-        Of the calls that the store bears, warm servers take one each a second, and the rest fills caches; and
-        none is warm before its cores are.
+        Each warm server makes one call per second, and only the remaining rate of the store can fill caches.
+        No server is warm before its warm-up time has passed.
         """
         case = self.case
         warm_calls_per_second = WARM_CLUSTER_FRACTION * case.server_count
@@ -352,14 +360,14 @@
         return max(cache_fill_ms, case.warm_up_ms)
 
     def peak_calls_per_second(self) -> int:
-        """Returns the most calls that the store saw within a second."""
+        """Returns the largest number of calls that the store received within any second."""
         counts = self.store.calls_by_interval
         window = int(1000.0 / STEP_MS)
         return max((sum(counts[start : start + window]) for start in range(len(counts))), default=0)
 
 
 def peak_per_second(times_ms: list[float]) -> int:
-    """Returns the most events within any second."""
+    """Returns the largest number of `times_ms` that lie within any second."""
     ordered_ms = sorted(times_ms)
     peak = 0
     first = 0
--- a/landingshift/testbed/simulation/disk.py
+++ b/landingshift/testbed/simulation/disk.py
@@ -1,4 +1,4 @@
-"""The disk of a simulated server: what lasts when its process does not."""
+"""The disk of a simulated server: state that survives the end of its process."""
 
 from __future__ import annotations
 
@@ -9,14 +9,15 @@
 
 @dataclass(slots=True)
 class SimulatedDisk:
-    """What a server's processes leave to each other.
+    """State that the processes of one server store for their successors.
 
     Attributes:
-        raft_state: The Raft log and vote; None on a server that can't be a voter.
-        used_permit: The maintenance permit by which the last process drained; 0 for none.
-        is_full: Takes no write.
-        torn_write_down_ms: The process dies at its next write, before that is on disk, and is down for so
-            long; 0 for a sound disk.
+        raft_state: Raft log and vote; None on a server that can't be a voter.
+        used_permit: Number of the maintenance permit by which a process of the server drained last; 0 for
+            none.
+        is_full: Whether the Raft state can't be written.
+        torn_write_down_ms: If not 0, the next write of the Raft state is lost and kills the process, which
+            is restarted after this time.
     """
 
     raft_state: PersistentState | None
@@ -25,10 +26,10 @@
     torn_write_down_ms: float = 0.0
 
     def load(self) -> PersistentState | None:
-        """Returns a copy of the Raft state."""
+        """Returns a copy of the Raft state; None on a server that can't be a voter."""
         return copy_raft_state(self.raft_state) if self.raft_state is not None else None
 
 
 def copy_raft_state(state: PersistentState) -> PersistentState:
-    """Copies a Raft state. Entries never change, so that a copy of their list is enough."""
+    """Returns a copy of a Raft state. Log entries are immutable, so the copy shares them."""
     return replace(state, entries=list(state.entries))
--- a/landingshift/testbed/simulation/downstream_store.py
+++ b/landingshift/testbed/simulation/downstream_store.py
@@ -1,4 +1,4 @@
-"""The store below all servers: it bears so many calls a second, and is slow to recover from overload."""
+"""The downstream store that all servers call: it has a limited rate and recovers slowly from overload."""
 
 from __future__ import annotations
 
@@ -7,23 +7,25 @@
 MAX_CALL_MS = 2000.0
 """A call that takes longer fails."""
 OVERLOADED_SPEED_DIVISOR = 3.0
+"""An overloaded store serves its normal rate of calls divided by this."""
 OVERLOAD_QUEUE_SECONDS = 2.0
-"""A queue of so many seconds' calls overloads the store."""
+"""The store is overloaded when its queue exceeds its normal rate times this."""
 RECOVERED_QUEUE_SECONDS = 0.05
+"""The store has recovered when its queue falls below its normal rate times this."""
 
 
 @dataclass(slots=True)
 class SimulatedStore:
-    """Works off its queue at a constant rate, and at a third of it while it is overloaded.
+    """Serves queued calls at a constant rate, and at a third of that rate while it is overloaded.
 
     Attributes:
-        calls_per_second: What it bears.
-        base_latency_ms: Of a call that finds no queue.
-        queued_calls: As of `updated_at_ms`.
-        updated_at_ms: Virtual time.
-        is_overloaded: Calls fail until the queue is worked off.
-        calls_in_interval: Since the last call of `sample`.
-        calls_by_interval: Calls between each two calls of `sample`.
+        calls_per_second: Rate at which the store serves calls unless it is overloaded.
+        base_latency_ms: Latency of a call beyond the time for the calls in the queue and for the call itself.
+        queued_calls: Length of the queue at `updated_at_ms`.
+        updated_at_ms: Virtual time of the last update of `queued_calls`.
+        is_overloaded: Whether all calls fail, until the queue has been served.
+        calls_in_interval: Number of calls since the last `sample`.
+        calls_by_interval: Number of calls before each `sample` since the previous `sample`.
     """
 
     calls_per_second: float
@@ -35,8 +37,8 @@
     calls_by_interval: list[int] = field(default_factory=list)
 
     def call(self, now_ms: float) -> tuple[bool, float]:
-        """Makes a call; returns whether it succeeds, and how many ms it takes."""
-        self._work_off_queue(now_ms)
+        """Makes a call; returns whether it succeeds and its duration in ms."""
+        self._update_queue(now_ms)
         self.calls_in_interval += 1
         self.queued_calls += 1.0
         duration_ms = self.base_latency_ms + self.queued_calls * 1000.0 / self._current_rate()
@@ -44,8 +46,8 @@
         return succeeds, min(duration_ms, MAX_CALL_MS)
 
     def sample(self, now_ms: float) -> None:
-        """Ends an interval, and decides whether the store is overloaded."""
-        self._work_off_queue(now_ms)
+        """Ends a sampling interval: counts its calls, and updates whether the store is overloaded."""
+        self._update_queue(now_ms)
         if self.queued_calls > OVERLOAD_QUEUE_SECONDS * self.calls_per_second:
             self.is_overloaded = True
         elif self.queued_calls < RECOVERED_QUEUE_SECONDS * self.calls_per_second:
@@ -58,8 +60,8 @@
             return self.calls_per_second / OVERLOADED_SPEED_DIVISOR
         return self.calls_per_second
 
-    def _work_off_queue(self, now_ms: float) -> None:
-        # At each call and not once an interval, else calls that come evenly would seem to crowd each other.
-        done_calls = self._current_rate() * (now_ms - self.updated_at_ms) / 1000.0
-        self.queued_calls = max(0.0, self.queued_calls - done_calls)
+    def _update_queue(self, now_ms: float) -> None:
+        # Runs at each call. If it ran only once per interval, evenly spaced calls would appear to queue.
+        served_calls = self._current_rate() * (now_ms - self.updated_at_ms) / 1000.0
+        self.queued_calls = max(0.0, self.queued_calls - served_calls)
         self.updated_at_ms = now_ms
--- a/landingshift/testbed/simulation/engine.py
+++ b/landingshift/testbed/simulation/engine.py
@@ -1,6 +1,6 @@
-"""The engine of a simulated server: cores that run RPCs, a cache that fills, downstream calls.
+"""The engine of a simulated server: cores that run RPCs, a cache that fills up, and downstream calls.
 
-What it reports to the server's process are `EngineEvent`s, which arrive late while the engine hangs.
+The engine reports to the server process with `EngineEvent`s. While the engine hangs, these are delayed.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 )
 
 ENGINE_DELAY_MS = 1.0
-"""From the end of a call, or of its wait, to the end of the run."""
+"""Time from the end of a downstream call, or the decision to skip it, to the end of the run."""
 
 
 @dataclass(frozen=True, slots=True)
 class RunFinished:
-    """A run has ended; `core_ms` is what the engine reports as its duration."""
+    """A run has ended. `core_ms` is the duration that the engine reports for it."""
 
     managed: ManagedRpc
     core_ms: float
@@ -33,14 +33,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CallNeeded:
-    """A run waits for a downstream call."""
+    """A run waits for permission to make a downstream call."""
 
     managed: ManagedRpc
 
 
 @dataclass(frozen=True, slots=True)
 class CallFinished:
-    """A downstream call has ended, or was given up."""
+    """A downstream call has ended, or the engine has stopped waiting for it."""
 
     managed: ManagedRpc
     succeeded: bool
@@ -51,7 +51,7 @@
 
 
 def rpc_number(managed: ManagedRpc) -> int:
-    """Returns the number of a simulated RPC."""
+    """Returns the number of the simulated RPC that admission manages as `managed`."""
     assert isinstance(managed.rpc, SimulatedRpc)
     return managed.rpc.number
 
@@ -60,11 +60,13 @@
     """Cores and the runs on them.
 
     Attributes:
-        runs: RPCs on a core or at a call by their numbers, whether or not a caller still waits for them.
-        core_free_at_ms: When each recent run ends on its core, virtual time; kept until the next start.
-        run_count: Runs started.
-        cache_fill_count: Downstream calls that have succeeded: each fills a part of the cache.
-        hung_until_ms: Virtual time until which the engine reports nothing.
+        runs: RPCs that use a core or wait for a downstream call, by RPC number. An RPC stays here
+            until its run has ended, even if it has been answered.
+        core_free_at_ms: Virtual times at which runs leave their cores. Past times are removed when a run
+            starts.
+        run_count: Number of runs started.
+        cache_fill_count: Number of successful downstream calls, each of which fills a part of the cache.
+        hung_until_ms: Virtual time until which the engine delays its reports.
     """
 
     def __init__(self, host: SimulatedHost, store: SimulatedStore) -> None:
@@ -79,11 +81,11 @@
 
     @property
     def cache_fill_fraction(self) -> float:
-        """How far the cache is filled; above 1 for a warm one."""
+        """Fill level of the cache: 1 or more for a warm cache."""
         return self.cache_fill_count / CACHE_FILL_CALLS
 
     def start_run(self, managed: ManagedRpc) -> None:
-        """Queues an RPC for the core that is free first."""
+        """Queues an RPC for the core that becomes free first."""
         self.runs[rpc_number(managed)] = managed
         now_ms = self._network.now_ms
         self.core_free_at_ms = [end_ms for end_ms in self.core_free_at_ms if end_ms > now_ms]
@@ -106,7 +108,7 @@
             self._report(RunFinished(managed, self._network.now_ms - queued_at_ms))
 
     def start_call(self, managed: ManagedRpc, timeout_ms: float) -> None:
-        """Calls the store for a run, which ends with the call where that succeeds."""
+        """Calls the store for a run, waiting at most `timeout_ms`. A successful call also ends the run."""
         succeeded, duration_ms = self._store.call(self._network.now_ms)
         wait_ms = min(duration_ms, timeout_ms, MAX_CALL_WAIT_MS)
         succeeded = succeeded and duration_ms <= wait_ms
@@ -116,7 +118,7 @@
             self._finish_after(wait_ms + ENGINE_DELAY_MS, managed, CORE_TIME_MS + wait_ms)
 
     def finish_without_call(self, managed: ManagedRpc) -> None:
-        """Ends a run at the point where it would call the store."""
+        """Ends a run without the downstream call that it waits for."""
         self._finish_after(ENGINE_DELAY_MS, managed, CORE_TIME_MS)
 
     def _finish_after(self, delay_ms: float, managed: ManagedRpc, core_ms: float) -> None:
--- a/landingshift/testbed/simulation/faults.py
+++ b/landingshift/testbed/simulation/faults.py
@@ -1,4 +1,4 @@
-"""Faults that are done to a simulated cluster: each begins, lasts and ends independently of the others."""
+"""Injects the faults of a scenario into a simulated cluster. Faults can overlap."""
 
 from __future__ import annotations
 
@@ -20,8 +20,10 @@
 class FaultInjector:
     """Begins and ends the faults of a scenario.
 
+    A fault is identified by its index in the scenario. Some fault kinds stand for operators' commands.
+
     Attributes:
-        active: Faults under way, by their place in the scenario.
+        active: Faults that have begun and not ended, by index.
     """
 
     def __init__(
@@ -41,24 +43,26 @@
         self._affected_addresses = [{server_address(index) for index in fault.servers} for fault in faults]
         self._network.is_cut = self._is_cut
 
-    def begin(self, place: int, fault: Fault) -> None:
-        """Begins a fault of the scenario, or gives an operator's command."""
+    def begin(self, fault_index: int, fault: Fault) -> None:
+        """Begins a fault and schedules its end, or executes an operator's command."""
         active_kinds = sorted({active.kind for active in self.active.values()})
         self._coverage.record(fault.kind, active_kinds, stages_under_way(self._state))
-        self._state.record(FaultBegan.KIND, fault.kind, place, fault.servers, fault.duration_ms, fault.amount)
+        self._state.record(
+            FaultBegan.KIND, fault.kind, fault_index, fault.servers, fault.duration_ms, fault.amount
+        )
         if fault.duration_ms:
-            self.active[place] = fault
-            self._network.schedule_after(fault.duration_ms, partial(self._end, place))
+            self.active[fault_index] = fault
+            self._network.schedule_after(fault.duration_ms, partial(self._end, fault_index))
         self._apply_shared_faults()
         for index in fault.servers:
             if fault.kind == "crash_loop":
-                self._crash_again(place, index, fault)
+                self._crash_again(fault_index, index, fault)
             elif not self._begin_on_machine(index, fault):
                 self._begin_on_process(index, fault)
         self._begin_on_cluster(fault)
 
     def _begin_on_machine(self, index: int, fault: Fault) -> bool:
-        """Does to a server what can be done whether or not it runs; returns whether that is the fault."""
+        """Begins a fault that doesn't need a running process; returns False for faults of other kinds."""
         disk = self._state.disks[index]
         match fault.kind:
             case "kill" | "zone":
@@ -77,7 +81,7 @@
         return True
 
     def _begin_on_process(self, index: int, fault: Fault) -> None:
-        """Does to a server what can be done only to a process that runs."""
+        """Begins a fault, or executes a command, that needs a running process; does nothing without one."""
         server = self._state.running_server(index)
         if server is None:
             return
@@ -103,9 +107,9 @@
             names = [server_name(index) for index in fault.servers]
             self._operators.request_maintenance(names, fault.amount)
 
-    def _end(self, place: int) -> None:
-        fault = self.active.pop(place)
-        self._state.record(FaultEnded.KIND, fault.kind, place)
+    def _end(self, fault_index: int) -> None:
+        fault = self.active.pop(fault_index)
+        self._state.record(FaultEnded.KIND, fault.kind, fault_index)
         self._apply_shared_faults()
         for index in fault.servers:
             server = self._state.servers.get(index)
@@ -119,23 +123,25 @@
             if fault.kind == "torn":
                 self._state.disks[index].torn_write_down_ms = 0.0
 
-    def _crash_again(self, place: int, index: int, fault: Fault) -> None:
-        """Kills a server each `fault.amount` ms, in half of which it is down."""
-        if place in self.active:
+    def _crash_again(self, fault_index: int, index: int, fault: Fault) -> None:
+        """Kills a server every `fault.amount` ms while the fault is active; it is down half of the time."""
+        if fault_index in self.active:
             self._state.kill(index, fault.amount / 2.0)
-            self._network.schedule_after(fault.amount, partial(self._crash_again, place, index, fault))
+            self._network.schedule_after(fault.amount, partial(self._crash_again, fault_index, index, fault))
 
-    # Faults of what all share
+    # Faults of the network and of other shared resources
 
     def _is_cut(self, sender: Address, receiver: Address) -> bool:
         now_ms = self._network.now_ms
         return any(
-            blocks_link(fault, self._affected_addresses[place], sender, receiver, now_ms - fault.start_ms)
-            for place, fault in self.active.items()
+            blocks_link(
+                fault, self._affected_addresses[fault_index], sender, receiver, now_ms - fault.start_ms
+            )
+            for fault_index, fault in self.active.items()
         )
 
     def _apply_shared_faults(self) -> None:
-        """Sets what several faults decide together: the worst of loss and delay, the product of loads."""
+        """Combines active faults of the same kind: the maximum of losses and delays, the product of loads."""
         self._network.loss_probability = self._max_amount("loss")
         self._network.duplicate_probability = self._max_amount("twice")
         self._network.extra_delay_ms = self._max_amount("delay")
@@ -152,7 +158,11 @@
 
 
 def stages_under_way(state: ClusterState) -> list[str]:
-    """Returns the stages of all plans that are under way, as the coverage of faults counts them."""
+    """Returns the stages of all operations in progress, under the names that the fault coverage counts.
+
+    Operations are policy changes, maintenance requests and cold starts of servers. The only stage of the
+    first two is NOBODY_LEADS while there is no leader.
+    """
     stages = set()
     leader = state.leader()
     if leader is None:
--- a/landingshift/testbed/simulation/gateways.py
+++ b/landingshift/testbed/simulation/gateways.py
@@ -1,4 +1,4 @@
-"""Gateways before a simulated cluster: they learn late which servers are listed, and send RPCs to them."""
+"""Gateways in front of a simulated cluster, which send RPCs to the servers in the endpoint list."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 
 SEND_INTERVAL_MS = 50.0
 LIST_DELAY_MS = 1000.0
-"""By which gateways hear of a change of the list."""
+"""Delay after which gateways learn that a server was listed or removed from the list."""
 
 
 class SimulatedGateways:
-    """Sends RPCs at a rate, each to a listed server drawn at random.
+    """Sends RPCs at a constant rate, each to a random server among those that the gateways know as listed.
 
     Attributes:
-        rpcs_per_second: What callers ask for, before `load_factor`.
-        load_factor: Of faults that change the load.
+        rpcs_per_second: Rate of RPCs from callers, without the faults that change the load.
+        load_factor: Factor of the rate, the product of all active faults that change the load.
     """
 
     def __init__(self, state: ClusterState, rng: Random, rpcs_per_second: float) -> None:
@@ -35,28 +35,28 @@
         self.rpcs_per_second = rpcs_per_second
         self.load_factor = 1.0
         self._listings: dict[int, tuple[float, bool]] = {}
-        """Since when each server is listed or not."""
+        """Time of the last change and current state of each server's listing, by server number."""
         self._known_listings: dict[int, bool] = {}
-        """What the gateways go by."""
-        self._owed_rpcs = 0.0
+        """Whether the gateways know each server as listed, by server number."""
+        self._rpc_credit = 0.0
         self._sent_count = 0
 
     @property
     def demand(self) -> float:
-        """RPCs a second that callers ask for."""
+        """Rate of RPCs from callers, per second."""
         return self.rpcs_per_second * self.load_factor
 
     def start(self) -> None:
-        """Begins to send."""
+        """Schedules the first RPCs."""
         self._state.network.schedule_after(SEND_INTERVAL_MS, self._step)
 
     def _step(self) -> None:
         self._state.network.schedule_after(SEND_INTERVAL_MS, self._step)
         self._update_listings()
         listed = [index for index, is_listed in self._known_listings.items() if is_listed]
-        self._owed_rpcs += self.rpcs_per_second * self.load_factor * SEND_INTERVAL_MS / 1000.0
-        while self._owed_rpcs >= 1.0:
-            self._owed_rpcs -= 1.0
+        self._rpc_credit += self.rpcs_per_second * self.load_factor * SEND_INTERVAL_MS / 1000.0
+        while self._rpc_credit >= 1.0:
+            self._rpc_credit -= 1.0
             if listed:
                 self._send(self._rng.choice(listed))
 
@@ -74,14 +74,14 @@
     def _send(self, index: int) -> None:
         server = self._state.servers[index]
         if not server.host.is_up:
-            # Proves that nothing ran: the caller goes elsewhere.
+            # A refused connection proves that the RPC did not run, so the caller may try another server.
             self._state.record(RpcRefused.KIND, server.name)
             return
         self._sent_count += 1
         is_critical = self._rng.random() < CRITICAL_METHOD_FRACTION
         method = CRITICAL_METHOD if is_critical else ORDINARY_METHOD
         rpc = new_rpc(method, server.tenant, self._sent_count)
-        # A paused process can't answer for what it has not read: the time in its socket is told to it.
+        # The RPC stays in the socket of a paused process. The time there counts towards its deadline.
         queued_ms = max(0.0, server.host.paused_until_ms - self._state.network.now_ms)
         arrive = partial(server.host.receive, RpcArrival(rpc, queued_ms))
         self._state.network.schedule_after(GATEWAY_DELAY_MS, arrive)
--- a/landingshift/testbed/simulation/leases.py
+++ b/landingshift/testbed/simulation/leases.py
@@ -1,4 +1,4 @@
-"""Holders and one grantor of leases in virtual time, for the rule of `coldstart.leases`."""
+"""Simulates holders and one grantor of leases in virtual time, with the code of `coldstart.leases`."""
 
 from __future__ import annotations
 
@@ -12,16 +12,20 @@
 CLOCK_MARGIN_MS = 100.0
 HOLDER_NAMES = "abcdefgh"
 GRANTOR = ""
-"""Stands for the grantor among those that may be paused."""
+"""Key of the grantor among the processes that can be paused."""
 CLOCK_RATES = (0.99, 1.01)
 CLOCK_OFFSET_MS = 5000.0
-"""Times a holder's letter: clocks show different times."""
+"""A holder's clock is offset by this times the code of the holder's letter, so that all clocks differ."""
 STEPS_MS = (1.0, 60.0)
+"""Range of the time that passes in one step."""
 COPY_COUNTS = (0, 1, 1, 1, 2)
-"""How often a message arrives."""
+"""Equally likely numbers of times that a message arrives."""
 MAX_DELAYS_MS = (1.0, 5.0, 50.0, 400.0, 1500.0)
+"""Equally likely maximum delays of a message."""
 PAUSES_MS = (100.0, 3000.0)
+"""Range of the duration of a pause."""
 WANTED_AMOUNTS = (0.0, 1.0, 3.0, 9.0)
+"""Equally likely amounts that a holder requests."""
 PAUSE_PROBABILITY = 0.01
 GRANTOR_RESTART_PROBABILITY = 0.005
 HOLDER_RESTART_PROBABILITY = 0.01
@@ -29,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantMessage:
-    """What the grantor answers."""
+    """The grantor's answer to a `LeaseRequest`."""
 
     holder_name: str
     run_id: int
@@ -41,20 +45,21 @@
 
 
 class LeaseSimulation:
-    """Holders that ask a grantor again and again.
+    """Holders that repeatedly request leases from one grantor, under faults.
 
-    The network loses, duplicates, delays and reorders; clocks drift by up to 1 % each; anyone may be paused,
-    and all may restart.
+    The network loses, duplicates, delays and reorders messages. The holders' clocks drift by up to 1 %
+    relative to the grantor's clock. Each process can be paused and can restart.
 
     Attributes:
-        rng: Draws all that is left to chance.
-        now_ms: The grantor's clock.
-        capacity: What there is to lease.
-        has_recovery_grace: Whether a grantor that restarts grants nothing for a lease.
-        books_old_grants: Whether a larger grant counts until its holder can't believe in it any more.
+        rng: Generator of all random decisions.
+        now_ms: Time on the grantor's clock.
+        capacity: Amount that the grantor can lease in total.
+        has_recovery_grace: Whether a restarted grantor grants nothing for the length of one lease.
+        books_old_grants: Whether the grantor, after it has reduced a grant, counts the larger amount until
+            the lease on that amount must have expired at its holder.
         grantor: The latest process of the grantor.
-        leases: What each holder believes in.
-        max_believed: The most that all holders together believed in.
+        leases: Lease of each holder, by name, as the holder knows it.
+        max_believed: Largest sum of the amounts that all holders regarded as usable at the same time.
     """
 
     def __init__(
@@ -76,23 +81,23 @@
         self._run_ids = dict.fromkeys(HOLDER_NAMES, 1)
         self._paused_until_ms = dict.fromkeys([*HOLDER_NAMES, GRANTOR], 0.0)
         self._messages: list[tuple[float, LeaseMessage]] = []
-        """Under way, with the times at which they arrive."""
+        """Messages in transit, with their arrival times."""
 
     def step(self) -> None:
-        """Lets some time pass, and one holder act or be hit by a fault."""
+        """Advances time, injects a fault or lets a running holder send a request, and delivers messages."""
         self.now_ms += self.rng.uniform(*STEPS_MS)
         name = self.rng.choice(HOLDER_NAMES)
         if not self._inject_fault(name) and self._paused_until_ms[name] <= self.now_ms:
-            self._ask(name)
+            self._request_lease(name)
         arrived = [message for arrival_ms, message in self._messages if arrival_ms <= self.now_ms]
         self._messages = [entry for entry in self._messages if entry[0] > self.now_ms]
         for message in arrived:
             self._deliver(message)
-        believed = sum(lease.usable_amount(self._clock_ms(name)) for name, lease in self.leases.items())
-        self.max_believed = max(self.max_believed, believed)
+        usable_sum = sum(lease.usable_amount(self._clock_ms(name)) for name, lease in self.leases.items())
+        self.max_believed = max(self.max_believed, usable_sum)
 
     def _inject_fault(self, name: str) -> bool:
-        """Draws a fault, and returns whether there was one."""
+        """Injects a random fault with a small probability; returns whether it did."""
         draw = self.rng.random()
         if draw < PAUSE_PROBABILITY:
             paused_until_ms = self.now_ms + self.rng.uniform(*PAUSES_MS)
@@ -113,10 +118,10 @@
         return grantor
 
     def _clock_ms(self, name: str) -> float:
-        """Returns what a holder's clock shows."""
+        """Returns the time on a holder's clock."""
         return self.now_ms * self._clock_rates[name] + CLOCK_OFFSET_MS * ord(name)
 
-    def _ask(self, name: str) -> None:
+    def _request_lease(self, name: str) -> None:
         request_number, claimed_amount = self.leases[name].next_request(self._clock_ms(name))
         wanted_amount = self.rng.choice(WANTED_AMOUNTS)
         self._send(LeaseRequest(name, self._run_ids[name], request_number, claimed_amount, wanted_amount))
@@ -128,7 +133,7 @@
             self._messages.append((self.now_ms + delay_ms, message))
 
     def _deliver(self, message: LeaseMessage) -> None:
-        """Hands a message to its receiver, or keeps it until that goes on."""
+        """Delivers a message to its receiver, or defers it to the end of the receiver's pause."""
         receiver = GRANTOR if isinstance(message, LeaseRequest) else message.holder_name
         if self._paused_until_ms[receiver] > self.now_ms:
             self._messages.append((self._paused_until_ms[receiver], message))
--- a/landingshift/testbed/simulation/maintenance.py
+++ b/landingshift/testbed/simulation/maintenance.py
@@ -1,4 +1,4 @@
-"""Maintenance on a simulated server: its agent, and on a voter the coordinator and its environment."""
+"""Planned maintenance on a simulated server: its agent and, on a voter, the coordinator."""
 
 from __future__ import annotations
 
@@ -24,7 +24,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SimulatedEnvironment:
-    """Answers what the coordinator asks, by the parts of one simulated server."""
+    """The environment of the maintenance coordinator on a simulated server.
+
+    Attributes:
+        host: Host of the server.
+        node: Membership.
+        policy_node: Consensus group, which replicates the commands of maintenance too.
+        read_wall_clock_ms: Returns the time on the server's wall clock, in Unix ms.
+    """
 
     host: SimulatedHost
     node: SwimNode
@@ -32,26 +39,26 @@
     read_wall_clock_ms: Callable[[], float]
 
     def propose(self, command: Command) -> bool:
-        """Puts a command to the simulated consensus group; False where this server does not lead it."""
+        """Proposes a command to the consensus group; returns False if this server does not lead the group."""
         raft = self.policy_node.raft
         return raft is not None and raft.propose(encode_command(command)) is not None
 
     def is_leader(self, _now_ms: float = 0.0) -> bool:
-        """Returns whether this server surely leads, by its clock as it is now."""
+        """Returns whether this server holds the leader lease at the present time of its clock."""
         raft = self.policy_node.raft
         return raft is not None and raft.has_leader_lease(self.host.clock_ms())
 
     def has_left(self, name: str) -> bool:
-        """Returns whether membership sees a machine no more."""
+        """Returns whether a machine has departed or is unknown, according to membership."""
         record = self.node.member_table.record(name)
         return record is None or record.state in DEPARTED_STATES
 
     def known_machines(self) -> set[str]:
-        """Returns the names of all machines that membership has heard of."""
+        """Returns the names of all machines known to membership."""
         return self.node.member_table.known_names()
 
     def wall_clock_ms(self) -> float:
-        """Returns Unix ms of the server's wall clock."""
+        """Returns the time on the server's wall clock, in Unix ms."""
         return self.read_wall_clock_ms()
 
 
@@ -59,9 +66,9 @@
     """A server's part in maintenance.
 
     Attributes:
-        agent: Reports to the leader, and holds this server's permit.
-        state: The replicated state, as far as it is applied here.
-        environment: What the coordinator sees of this server.
+        agent: Reports to the leader and holds this server's permit.
+        state: Replicated state as applied on this server.
+        environment: Access of the coordinator to this server.
         coordinator: Grants permits while this server leads; None on a server that can't be a voter.
     """
 
@@ -92,13 +99,13 @@
 
     @property
     def is_active(self) -> bool:
-        """Whether there is maintenance that this server takes part in or knows of."""
+        """Whether there is a maintenance request for this server or in the replicated state known to it."""
         if self.agent.request_state:
             return True
         return self.coordinator is not None and bool(self.state.requests)
 
     def step(self, now_ms: float) -> None:
-        """Reports to the leader, and grants permits where this server is the leader."""
+        """Reports to the leader and, if this server leads, grants permits."""
         self._node.now_ms = now_ms
         self._report(now_ms)
         if self.coordinator is not None:
@@ -113,7 +120,7 @@
             self._node.send_to_member(leader, PACKAGE, encode_report(report))
 
     def on_message(self, sender: MemberRecord, body: list[Any]) -> None:
-        """Handles a message of another server's maintenance."""
+        """Handles a maintenance message from another server."""
         match decode_message(body):
             case LoadReport() as report:
                 self._on_report(sender, report)
--- a/landingshift/testbed/simulation/maintenance_fleet.py
+++ b/landingshift/testbed/simulation/maintenance_fleet.py
@@ -1,7 +1,8 @@
-"""A simulated fleet under maintenance: the coordinator with hundreds of machines, in virtual time.
+"""Simulates planned maintenance of a fleet of machines in virtual time, with the real coordinator.
 
-The consensus group is left out: what the coordinator proposes is applied at once. A fleet may run without one
-defence, so that a violation must be found: "floor" (no capacity constraints) or "end" (permits never expire).
+There is no consensus group: commands that the coordinator proposes are applied at once. One defence can be
+removed, and the checks must then find a violation: "floor" (no capacity constraints) or "end" (permits never
+expire).
 """
 
 from __future__ import annotations
@@ -28,41 +29,56 @@
 STEP_MS = 500.0
 DAY_MINUTES = 24 * 60
 MACHINE_CAPACITY_RPCS_PER_SECOND = 100.0
-"""RPCs a second."""
 MODELS = ("a", "b", "c")
-VOTERS_COUNT = 5
-CRITICAL_EVERY_COUNT = 4
-"""One in so many machines serves critical methods."""
+VOTER_COUNT = 5
+CRITICAL_MACHINE_INTERVAL = 4
+"""Every 4th machine serves critical methods."""
 LATE_ANSWER_PROBABILITY = 0.1
+"""Probability that a report's answer reaches its machine only in the next step."""
 STALL_PROBABILITY = 0.05
-"""Of a machine that has just accepted a permit."""
+"""Probability that a machine stalls after accepting a permit and before using it."""
 MIN_STALL_MS = 100.0
 LONG_AGO_MS = -1e12
 
 
 @dataclass(slots=True)
 class DelayedAnswer:
-    """An answer that its machine has not seen yet."""
+    """An answer to a report that its machine has not processed yet. All times are virtual."""
 
     due_ms: float
+    """Time at which the machine processes the answer."""
     reported_at_ms: float
+    """Time at which the machine sent the report."""
     answer: ReportAnswer
     is_accepted: bool = False
-    """The machine accepted it already and stalled just before it used the permit."""
+    """Whether the machine has already accepted the permit and stalled before using it."""
 
 
 @dataclass(slots=True, eq=False)
 class SimulatedMachine:
-    """A machine in virtual time."""
+    """A machine of the fleet and its latest process. All times are virtual.
+
+    Attributes:
+        machine: Name, capacity and placement of the machine.
+        run_id: Number of the latest process, from 1.
+        is_up: Whether the process runs.
+        permit: The maintenance permit that the process has accepted.
+        draining_permit: Number of the permit by which the process has shut down; 0 for none.
+        used_permit: Number of the last permit used by an earlier process, stored on disk; 0 for none.
+        restart_at_ms: Time at which a machine that is down starts again.
+        started_at_ms: Start time of the process.
+        stalled_until_ms: Time until which the process does nothing.
+        delayed_answers: Answers that the process has not processed yet.
+        is_partitioned: Whether the machine can't report to the coordinator.
+        answer_delay_ms: Delay of answers to the machine.
+    """
 
     machine: Machine
     run_id: int = 1
-    """Number of its process."""
     is_up: bool = True
     permit: DrainPermit = field(default_factory=DrainPermit)
     draining_permit: int = 0
     used_permit: int = 0
-    """What its disk keeps."""
     restart_at_ms: float = 0.0
     started_at_ms: float = LONG_AGO_MS
     stalled_until_ms: float = 0.0
@@ -71,13 +87,13 @@
     answer_delay_ms: float = 0.0
 
     def warm_fraction(self, now_ms: float, warm_up_ms: float) -> float:
-        """Returns the share of its capacity that serves."""
+        """Returns the fraction of its full capacity that the machine has reached; 0 while it is down."""
         if not self.is_up or not warm_up_ms:
             return float(self.is_up)
         return min(1.0, (now_ms - self.started_at_ms) / warm_up_ms)
 
     def restart(self, now_ms: float) -> None:
-        """Starts a new process, which knows only what the disk keeps."""
+        """Starts a new process, which knows only `used_permit` from the disk."""
         self.is_up = True
         self.run_id += 1
         self.started_at_ms = now_ms
@@ -87,21 +103,21 @@
         self.delayed_answers = []
 
     def take_due_answers(self, now_ms: float) -> list[DelayedAnswer]:
-        """Returns the answers that have come by now, and keeps the others."""
+        """Removes and returns the answers that are due."""
         due = [delayed for delayed in self.delayed_answers if delayed.due_ms <= now_ms]
         self.delayed_answers = [delayed for delayed in self.delayed_answers if delayed.due_ms > now_ms]
         return due
 
 
 class SimulatedFleetEnvironment:
-    """The environment of one coordinator of the fleet, which leads for one term."""
+    """The environment of one coordinator of the fleet, which leads during one term."""
 
     def __init__(self, fleet: SimulatedFleet, term: int) -> None:
         self._fleet = fleet
         self._term = term
 
     def propose(self, command: Command) -> bool:
-        """Applies a command at once."""
+        """Applies a command at once to the replicated state; always returns True."""
         self._fleet.state.apply(encode_command(command))
         return True
 
@@ -124,42 +140,51 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSample:
-    """One moment of a simulated day. Capacities are RPCs a second."""
+    """A sample of a simulated day. Capacities and the demand are in RPCs per second."""
 
     minutes: float
-    """Since the requests were made."""
+    """Time since maintenance was requested."""
     warm_capacity: float
+    """Capacity of all machines, reduced for those that are down or not warm yet."""
     demand: float
     min_capacity: float
-    """What the constraints let the fleet have at the least."""
+    """Capacity that the constraints require of the whole fleet."""
     down_count: int
+    """Number of machines that are down."""
 
 
 class SimulatedFleet:
-    """Machines under a load that follows the time of day, and the coordinator that leads just now.
+    """Machines under a load that follows the time of day, and the coordinator that currently leads.
 
     Attributes:
-        rng: Draws all that is left to chance.
-        now_ms: Virtual time, the monotonic and the wall clock of all.
-        machines: By name.
-        outage_minutes: How long a machine is away for work.
-        peak_load: The day's largest demand as a share of all capacity.
-        never_restarted: Machines that stay down.
-        violations: What must not have happened.
-        min_headroom: The least capacity above the default constraint of the whole fleet, RPCs a second.
+        rng: Generator of all random decisions.
+        without: The removed defence, WITHOUT_CONSTRAINTS or WITHOUT_EXPIRY; "" for none.
+        warm_up_ms: Time from the start of a machine until it is warm.
+        now_ms: Virtual time, which all monotonic clocks and wall clocks show.
+        machines: All machines, by name.
+        settings: Settings of the coordinator.
+        peak_load: Largest demand of the day, as a fraction of the fleet's capacity.
+        outage_minutes: Time that a machine is down for maintenance.
+        state: Replicated state of maintenance.
+        term: Number of the current leader's term.
+        coordinator: Coordinator of the current leader.
+        violations: Descriptions of violated rules.
+        min_headroom: Smallest margin of the warm capacity above the capacity that the default constraints
+            require of the whole fleet, in RPCs per second; negative if the capacity fell below it.
+        never_restarted: Names of machines that stay down.
     """
 
     def __init__(
         self, seed: int | str, count: int, zones: int = 4, warm_up_ms: float = 60_000.0, without: str = ""
     ) -> None:
-        """Builds a fleet of which all machines are up and warm.
+        """Creates a fleet whose machines are all up and warm.
 
         Args:
-            seed: Of all chance.
-            count: Machines.
-            zones: Over which they are spread in turn.
-            warm_up_ms: From a start until a machine is warm.
-            without: The defence that is removed, empty for none.
+            seed: Seed of the random generator.
+            count: Number of machines.
+            zones: Number of zones, over which the machines are distributed in turn.
+            warm_up_ms: Time from the start of a machine until it is warm.
+            without: Removed defence, WITHOUT_CONSTRAINTS or WITHOUT_EXPIRY; "" for none.
         """
         self.rng = Random(f"{seed} day")
         self.without = without
@@ -184,21 +209,21 @@
 
     @property
     def total_capacity(self) -> float:
-        """RPCs a second of all machines when warm."""
+        """Capacity of all machines when warm, in RPCs per second."""
         return sum(machine.machine.capacity for machine in self.machines.values())
 
     def load(self, now_ms: float) -> float:
-        """Returns the demand as a share of all capacity; at night it is a third of the day's peak."""
+        """Returns the demand as a fraction of the fleet's capacity; at night it is a third of `peak_load`."""
         return self.peak_load * (0.67 - 0.33 * cos(2.0 * pi * now_ms / (DAY_MINUTES * MS_PER_MINUTE)))
 
     def elect_leader(self) -> MaintenanceCoordinator:
-        """Returns a new leader, which knows the replicated state alone."""
+        """Begins a new term; returns the coordinator of its leader, which knows only the replicated state."""
         self.term += 1
         environment = SimulatedFleetEnvironment(self, self.term)
         return MaintenanceCoordinator(self.state, self.settings, environment)
 
     def request_maintenance(self, names: Iterable[str], is_exclusive: bool = False) -> None:
-        """Requests maintenance of machines, now."""
+        """Adds maintenance requests for some machines to the replicated state."""
         requests = tuple(
             MaintenanceRequest(name, self.outage_minutes, self.now_ms, is_exclusive=is_exclusive)
             for name in names
@@ -206,13 +231,13 @@
         self.state.apply(encode_command(AddRequests(requests)))
 
     def crash(self, name: str, outage_ms: float) -> None:
-        """Ends a machine's process; it is started again after `outage_ms`."""
+        """Ends the process of a machine, which starts again after `outage_ms`."""
         machine = self.machines[name]
         machine.is_up = False
         machine.restart_at_ms = self.now_ms + outage_ms
 
     def step(self, step_ms: float = STEP_MS) -> None:
-        """Lets time pass, machines report and the coordinator evaluate."""
+        """Advances virtual time, lets machines restart and report, and lets the coordinator decide."""
         self.now_ms += step_ms
         demand = self.load(self.now_ms) * self.total_capacity
         serving = [m for m in self.machines.values() if m.is_up and m.stalled_until_ms <= self.now_ms]
@@ -225,7 +250,11 @@
         self._record_headroom(demand)
 
     def sample(self, began_ms: float) -> FleetSample:
-        """Returns the fleet's present capacities. `began_ms`: when the requests were made."""
+        """Returns a sample of the present capacities.
+
+        Args:
+            began_ms: Virtual time at which maintenance was requested.
+        """
         machines = self.machines.values()
         return FleetSample(
             minutes=(self.now_ms - began_ms) / MS_PER_MINUTE,
@@ -274,14 +303,18 @@
                 return
             if not machine.permit.offer(answer.permit_number, delayed.reported_at_ms, answer.valid_ms):
                 return
-            if self._stalls(machine, delayed):
+            if self._stall_randomly(machine, delayed):
                 return
         is_current = answer.permit_number == machine.permit.number
         if machine.permit.is_valid(self.now_ms) or (self.without == WITHOUT_EXPIRY and is_current):
-            self._leave(machine, answer.permit_number)
+            self._shut_down(machine, answer.permit_number)
 
-    def _stalls(self, machine: SimulatedMachine, delayed: DelayedAnswer) -> bool:
-        """Lets a machine stall between accepting a permit and using it, now and then."""
+    def _stall_randomly(self, machine: SimulatedMachine, delayed: DelayedAnswer) -> bool:
+        """Lets a machine stall, with STALL_PROBABILITY, between accepting a permit and using it.
+
+        Returns:
+            Whether the machine stalls.
+        """
         if self.rng.random() >= STALL_PROBABILITY or self.without not in (WITHOUT_EXPIRY, ""):
             return False
         stall_ms = self.rng.uniform(MIN_STALL_MS, 3.0 * delayed.answer.valid_ms)
@@ -292,25 +325,28 @@
         machine.delayed_answers.append(accepted)
         return True
 
-    def _leave(self, machine: SimulatedMachine, permit_number: int) -> None:
+    def _shut_down(self, machine: SimulatedMachine, permit_number: int) -> None:
+        """Shuts a machine down for maintenance; records a violation if its permit is used or not in force."""
         name = machine.machine.name
         machine.draining_permit = permit_number
         if permit_number in self._used_permits:
-            self.violations.append(f"{self.now_ms:.0f}: permission {permit_number} was used twice")
+            self.violations.append(f"{self.now_ms:.0f} ms: permit {permit_number} was used twice")
         request = self.state.requests.get(name)
         if request is None or request.permit_number != permit_number:
-            self.violations.append(f"{self.now_ms:.0f}: {name} left on one that is not in force")
+            self.violations.append(
+                f"{self.now_ms:.0f} ms: {name} shut down by permit {permit_number}, which is not in force"
+            )
         self._used_permits.add(permit_number)
         machine.permit.consume()
         machine.is_up = False
         machine.restart_at_ms = self.now_ms + self.outage_minutes * MS_PER_MINUTE
 
     def _record_headroom(self, demand: float) -> None:
-        cold = sum(
+        missing_capacity = sum(
             machine.machine.capacity * (1.0 - machine.warm_fraction(self.now_ms, self.warm_up_ms))
             for machine in self.machines.values()
         )
-        headroom = self.total_capacity - cold - demand * (1.0 + DisruptionBudget().headroom_ratio)
+        headroom = self.total_capacity - missing_capacity - demand * (1.0 + DisruptionBudget().headroom_ratio)
         self.min_headroom = min(self.min_headroom, headroom)
 
 
@@ -321,8 +357,8 @@
             capacity=MACHINE_CAPACITY_RPCS_PER_SECOND,
             zone=f"z{index % zones}",
             model=MODELS[index % len(MODELS)],
-            serves_critical_methods=index % CRITICAL_EVERY_COUNT == 0,
-            is_voter=index < VOTERS_COUNT,
+            serves_critical_methods=index % CRITICAL_MACHINE_INTERVAL == 0,
+            is_voter=index < VOTER_COUNT,
         )
         for index in range(count)
     ]
--- a/landingshift/testbed/simulation/operators.py
+++ b/landingshift/testbed/simulation/operators.py
@@ -1,4 +1,4 @@
-"""Operators of a simulated cluster: policy changes, changes of voters, maintenance requests."""
+"""Operators of a simulated cluster: they change the policy and the voters, and request maintenance."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 from landingshift.testbed.verification.history import ChangeEnded, MaintenanceRequested
 
 RETRY_INTERVAL_MS = 500.0
-"""Between two attempts to reach the leader of maintenance."""
+"""Interval of the attempts to request maintenance while there is no leader."""
 MAX_RETRY_COUNT = 30
 
 
 class SimulatedOperators:
-    """Gives commands, and tells how changes ended.
+    """Gives operators' commands and records the outcomes of policy changes.
 
     Attributes:
-        change_ids: Of all changes proposed so far.
+        change_ids: Ids of all policy changes proposed so far.
     """
 
     def __init__(self, state: ClusterState) -> None:
@@ -40,9 +40,10 @@
         server.host.run_once()
 
     def change_voter(self, server: SimulatedServer, target_index: int) -> None:
-        """Asks a server to make a voter of another one, or to make it one no more.
+        """Asks `server` to remove another server from the voters, or to add it if it is not a voter.
 
-        Only as many servers as there were voters, and one more, have the log of one.
+        The other server is chosen by `target_index` among the initial voters and one further server. Only
+        these have a Raft log.
         """
         candidate_count = len(self._state.config.policies.voters) + 1
         name = server_name(target_index % candidate_count)
@@ -54,7 +55,10 @@
     def request_maintenance(
         self, names: list[str], minutes: float, retry_count: int = MAX_RETRY_COUNT
     ) -> None:
-        """Asks whoever leads for maintenance of some servers, again and again while nobody does."""
+        """Requests maintenance of some servers from the leader.
+
+        Retries up to `retry_count` times while there is no leader or the leader can't accept the request.
+        """
         leader = self._state.leader()
         if leader is not None and _propose_maintenance(leader, names, minutes):
             self._state.maintenance_minutes |= dict.fromkeys(names, minutes)
@@ -65,7 +69,7 @@
             self._state.network.schedule_after(RETRY_INTERVAL_MS, retry)
 
     def open_change_ids(self) -> list[str]:
-        """Returns the changes of which no server has told an outcome."""
+        """Returns the ids of changes for which no server has reported a final outcome."""
         names = [server.name for server in self._state.servers.values()]
         return [
             change_id
@@ -73,20 +77,24 @@
             if not any((name, change_id) in self._recorded_outcomes for name in names)
         ]
 
-    def record_outcomes(self, with_known_ones: bool = False) -> None:
-        """Records how changes ended, as each running server tells it; each outcome once or again."""
+    def record_outcomes(self, include_recorded: bool = False) -> None:
+        """Records the final outcome of each change as each running server knows it.
+
+        Args:
+            include_recorded: Whether to record an outcome again that the server has reported before.
+        """
         for server in self._state.running_servers():
             for change_id in self.change_ids:
                 status = server.policy_node.change_status(change_id)
                 is_recorded = (server.name, change_id) in self._recorded_outcomes
-                if status.outcome in FINAL_OUTCOMES and (with_known_ones or not is_recorded):
+                if status.outcome in FINAL_OUTCOMES and (include_recorded or not is_recorded):
                     self._recorded_outcomes.add((server.name, change_id))
                     self._state.record(
                         ChangeEnded.KIND, server.name, change_id, status.outcome, status.version
                     )
 
     def ask_for_outcomes(self) -> None:
-        """Has each server find out about the changes whose outcome it does not know."""
+        """Asks each running server to find out the outcomes of changes that it does not know."""
         for server in self._state.servers.values():
             for change_id in self.change_ids:
                 is_open = server.policy_node.change_status(change_id).outcome not in FINAL_OUTCOMES
--- a/landingshift/testbed/simulation/policy_change.py
+++ b/landingshift/testbed/simulation/policy_change.py
@@ -1,7 +1,8 @@
-"""Policy changes in virtual time: the decisions of `policies` over a network and disks with faults.
+"""Simulates policy changes in virtual time, with the code of `policies`, a network and disks with faults.
 
-The objects are those of a server's event loop; what they decide by is written into a history for the
-invariants. A run may lack one defence (`REMOVABLE_DEFENCES`), so that a violation must be found.
+Each server runs the same objects as a real server. The policy version of each decision is recorded in a
+history, which the invariants check. One defence of `REMOVABLE_DEFENCES` can be removed from a simulation, and
+the invariants must then find a violation.
 """
 
 from __future__ import annotations
@@ -31,29 +32,30 @@
 
 REMOVABLE_DEFENCES = (PARTICIPANT_LEASE, LEASE_REQUEST, LEADER_LEASE, WAIT_FOR_ALL, DURABLE_WRITE)
 MEAN_DECISION_INTERVAL_MS = 25.0
-"""Between two RPCs that a server decides."""
+"""Mean interval between two decisions of a server about RPCs."""
 RAFT_TIMEOUTS = RaftTimeouts(heartbeat_interval_ms=100.0, election_timeout_ms=500.0)
 DEFAULT_SETTINGS = {"lease_ms": 900.0, "clock_margin_ms": 100.0, "change_timeout_ms": 6000.0}
 CLOCK_OFFSETS_MS = (-1e6, 1e6)
 CLOCK_RATES = (0.99, 1.01)
 SETTLING_MS = 12_000.0
+"""Time for the servers to agree on a policy version after the last fault."""
 ANSWER_MS = 1500.0
-"""In which a server finds out how a change ended."""
+"""Time in which a server finds out the outcome of a change."""
 
 
 def address(name: str) -> Address:
-    """Returns the address of a server."""
+    """Returns the address of the server with this name."""
     return name, 0
 
 
 class PolicyServer:
-    """One process of a server: its policies, and RPCs that it decides by them.
+    """One process of a server, which takes part in policy changes and decides about RPCs.
 
     Attributes:
-        name: Of the server.
-        run_id: Of the process.
-        policy_node: Its policies, and on a voter consensus.
-        participant: The part of `policy_node` that decides by which version it may work.
+        name: Name of the server.
+        run_id: Random id of the process.
+        policy_node: Policies and, on a voter, consensus.
+        participant: Part of `policy_node` that decides which policy version the server is allowed to use.
     """
 
     def __init__(self, simulation: PolicyChangeSimulation, name: str, now_ms: float) -> None:
@@ -80,24 +82,24 @@
 
     @property
     def host(self) -> SimulatedHost:
-        """The host that runs the latest process of this server."""
+        """The host of the latest process of this server."""
         return self._simulation.hosts[self.name]
 
     def clock_ms(self) -> float:
-        """Returns what the host's clock shows."""
+        """Returns the time on the host's clock."""
         return self.host.clock_ms()
 
     def on_message(self, message: tuple[str, list[Any]], now_ms: float) -> None:
-        """Handles another server's message, which goes with the name of its sender."""
+        """Handles a message from another server: the sender's name and the body."""
         sender, body = message
         self.policy_node.on_message(sender, body, now_ms)
 
     def next_deadline_ms(self) -> float:
-        """Returns when `on_timer` is to be called next."""
+        """Returns the time at which `on_timer` must be called next."""
         return min(self.policy_node.next_deadline_ms(), self._next_decision_ms)
 
     def on_timer(self, now_ms: float) -> None:
-        """Does what the policies have to do, and decides an RPC where one is due."""
+        """Runs the timer of the policies and decides about an RPC if they are due."""
         if self.policy_node.next_deadline_ms() <= now_ms:
             self.policy_node.tick(now_ms)
         if now_ms >= self._next_decision_ms:
@@ -106,7 +108,10 @@
             self._decide(now_ms)
 
     def take_outgoing(self) -> list[tuple[Address, Any]]:
-        """Writes what must be on disk first, then returns the messages that may go."""
+        """Writes unsaved Raft state to disk, then returns the messages that depend on it.
+
+        Returns no message if the process is killed before the write is synced.
+        """
         unsaved = self.policy_node.unsaved_state()
         if unsaved is not None:
             self._simulation.save(self.name, unsaved)
@@ -127,7 +132,7 @@
         self.policy_node.deliver_messages(self.clock_ms())
 
     def _decide(self, now_ms: float) -> None:
-        """Decides an RPC by the version that this server may work by, if it may."""
+        """Decides about an RPC if the server is allowed to, and records the policy version that it used."""
         removed_defence, participant = self._simulation.removed_defence, self.participant
         needs_no_lease = removed_defence == PARTICIPANT_LEASE and participant.is_member
         needs_no_answer = removed_defence == LEASE_REQUEST and not participant.is_member
@@ -137,22 +142,23 @@
 
 
 class PolicyChangeSimulation:
-    """Servers of which the first ones vote, and faults between them.
+    """Servers that change their policy, and the faults between them. The first servers are voters.
 
     Attributes:
-        rng: Draws all that is left to chance.
-        removed_defence: The defence that all servers lack; "" for none.
+        rng: Generator of all random decisions outside the network.
+        removed_defence: Defence that all servers lack, one of `REMOVABLE_DEFENCES`; "" for none.
         network: The network and the virtual time.
-        server_names: Of all servers.
-        settings: Of all servers.
-        disks: Raft states by the names of the servers that are or could be voters.
-        policy_checks: By name, for servers that refuse policies: returns why, "" for none.
-        hosts: Of each server's latest process.
-        servers: The latest process of each server.
-        history: What has happened.
-        proposed_change_ids: Of all changes proposed.
-        crash_on_write_probability: Of a kill between write and sync.
-        down_servers: Names of those that do not run.
+        server_names: Names of all servers.
+        settings: Policy settings of all servers.
+        disks: Stored Raft states, by the name of each server that is or can become a voter.
+        policy_checks: Checks of proposed policies, by name of the server. A check returns the reason why
+            the server rejects the policy, or "" if the server accepts it.
+        hosts: Host of each server's latest process, by server name.
+        servers: The latest process of each server, by server name.
+        history: All events so far.
+        proposed_change_ids: Ids of all changes proposed so far.
+        crash_on_write_probability: Probability that a write kills the server before the write is synced.
+        down_servers: Names of the servers that are down.
     """
 
     def __init__(
@@ -164,15 +170,15 @@
         removed_defence: str = "",
         **settings: float,
     ) -> None:
-        """Starts all servers.
+        """Creates the simulation and starts all servers.
 
         Args:
-            seed: Of all that is drawn.
-            server_count: How many servers there are.
-            voter_count: The first of them vote.
+            seed: Seed of all random generators.
+            server_count: Number of servers.
+            voter_count: Number of servers, from the first, that are voters.
             stands_aside: Whether servers that are cut off stop serving.
             removed_defence: One of `REMOVABLE_DEFENCES`; "" for none.
-            settings: Fields of `PolicySettings` in place of the defaults.
+            settings: Fields of `PolicySettings` that replace DEFAULT_SETTINGS.
         """
         self.rng = Random(f"{seed} hall")
         self.removed_defence = removed_defence
@@ -180,7 +186,7 @@
         self.server_names = [f"n{index}" for index in range(server_count)]
         voters = tuple(self.server_names[:voter_count])
         self.settings = PolicySettings(voters, stands_aside, **(DEFAULT_SETTINGS | settings))
-        # One more than there are voters has a Raft log and could be one.
+        # One server more than there are voters has a Raft log, so that it can be added as a voter.
         self.disks = {name: PersistentState() for name in self.server_names[: voter_count + 1]}
         self.policy_checks: dict[str, Callable[[bytes], str]] = {}
         self.hosts: dict[str, SimulatedHost] = {}
@@ -194,7 +200,7 @@
             self.start(name)
 
     def running_names(self) -> list[str]:
-        """Returns the names of the servers that run."""
+        """Returns the names of the servers that are up."""
         return [name for name in self.server_names if name not in self.down_servers]
 
     def record(self, kind: str, *values: Any) -> None:
@@ -204,7 +210,7 @@
     # Processes and disks
 
     def start(self, name: str) -> None:
-        """Starts a new process of a server, whose clock shows anything and drifts."""
+        """Starts a new process of a server, with a random clock offset and clock drift."""
         clock_offset_ms = self.rng.uniform(*CLOCK_OFFSETS_MS)
         clock_rate = self.rng.uniform(*CLOCK_RATES)
         self.down_servers.discard(name)
@@ -214,12 +220,15 @@
         host.start(self.servers[name])
 
     def kill(self, name: str) -> None:
-        """Kills a server's process."""
+        """Kills the process of a server."""
         self.network.kill(address(name))
         self.down_servers.add(name)
 
     def save(self, name: str, state: PersistentState) -> None:
-        """Writes a Raft state to a disk, or kills the server before that is synced."""
+        """Writes a Raft state to the disk of a server, or kills the server before the write is synced.
+
+        Discards the write if DURABLE_WRITE is removed.
+        """
         if self.rng.random() < self.crash_on_write_probability:
             self.kill(name)
         elif self.removed_defence != DURABLE_WRITE:
@@ -228,22 +237,22 @@
     # Operators' commands
 
     def propose(self, name: str, number: int) -> str:
-        """Proposes a policy to a server; returns the id of the change."""
+        """Proposes the policy with this number to a server; returns the id of the change."""
         change_id = f"c{len(self.proposed_change_ids)}"
         self.proposed_change_ids.append(change_id)
         self._submit(name, change_id, ProposeChange(policy_document(number), AUTHOR, COMMENT))
         return change_id
 
     def declare_departed(self, name: str, departed: str) -> None:
-        """Tells a server that the latest process of another one has ended for good."""
+        """Declares to a server that the latest process of the server `departed` has ended for good."""
         self._submit(name, f"gone {departed}", DeclareDeparted(departed, self.servers[departed].run_id))
 
     def change_voter(self, name: str, verb: str, voter: str) -> None:
-        """Asks a server to "add" or "remove" a voter."""
+        """Asks a server to add or remove a voter. `verb` is "add" or "remove"."""
         self._submit(name, f"{verb} {voter}", ChangeVoters(verb == "add", voter))
 
     def find_change(self, name: str, change_id: str) -> None:
-        """Asks a server to find out how a change ended."""
+        """Asks a server to find out the outcome of a change."""
         self._submit(name, change_id, FindChange())
 
     def _submit(
@@ -253,24 +262,27 @@
         self.hosts[name].run_once()
 
     def change_outcome(self, name: str, change_id: str) -> str:
-        """Returns what a server says became of a change; the first final outcome is recorded."""
+        """Returns the outcome of a change as a server knows it; records the outcome once it is final."""
         status = self.servers[name].policy_node.change_status(change_id)
         if status.outcome in FINAL_OUTCOMES and (name, change_id) not in self._recorded_outcomes:
             self._recorded_outcomes.add((name, change_id))
             self.record(ChangeEnded.KIND, name, change_id, status.outcome, status.version)
         return str(status.outcome)
 
-    # Time
+    # Virtual time
 
     def run(self, duration_ms: float) -> None:
-        """Lets time pass, and records the outcomes that servers know by then."""
+        """Advances virtual time by `duration_ms`, then records the outcomes that running servers know."""
         self.network.run_until(self.network.now_ms + duration_ms)
         for name in self.running_names():
             for change_id in self.proposed_change_ids:
                 self.change_outcome(name, change_id)
 
     def settle(self, duration_ms: float = SETTLING_MS) -> None:
-        """Ends all faults, lets all come to rest, and asks each server how each change ended."""
+        """Ends all faults, starts all servers, and lets each server find out the outcome of each change.
+
+        Records the final outcomes again that were recorded before the faults ended.
+        """
         self.network.is_cut = lambda _sender, _receiver: False
         self.network.loss_probability = 0.0
         self.network.duplicate_probability = 0.0
@@ -288,7 +300,7 @@
         self.run(ANSWER_MS)
 
 
-# Random histories
+# Random faults
 
 
 def _kill(simulation: PolicyChangeSimulation, name: str, running: list[str]) -> None:
@@ -314,7 +326,8 @@
 
 def _cut_link(simulation: PolicyChangeSimulation, name: str, _running: list[str]) -> None:
     cut_sender, other = address(name), address(simulation.rng.choice(simulation.server_names))
-    # Of a server and itself, all that it sends is lost; else what it sends to the other one.
+    # If both draws are the same server, all of its outgoing messages are lost. Otherwise only its messages to
+    # the other server are lost.
     simulation.network.is_cut = lambda sender, receiver: (
         sender == cut_sender and (receiver == other or other == cut_sender)
     )
@@ -356,11 +369,11 @@
     _disturb_writes,
     _change_voter,
 )
-"""All equally likely; servers are started more often than killed."""
+"""Equally likely faults. Starts are listed more often than kills, so that most servers are up."""
 
 
 def inject_random_fault(simulation: PolicyChangeSimulation) -> None:
-    """Injects a fault drawn at random; does nothing where that one is not possible now."""
+    """Injects a random fault; does nothing if the drawn fault is not possible at present."""
     name = simulation.rng.choice(simulation.server_names)
     inject = _RANDOM_FAULTS[simulation.rng.randrange(len(_RANDOM_FAULTS))]
     inject(simulation, name, simulation.running_names())
@@ -369,13 +382,13 @@
 def run_random_history(
     seed: int | str, stands_aside: bool | None = None, removed_defence: str = "", step_count: int = 14
 ) -> PolicyChangeSimulation:
-    """Runs a history with faults drawn from the seed, in which changes are proposed all the while.
+    """Runs a simulation with random faults and random proposals of policies, and returns it settled.
 
     Args:
-        seed: Of all that is drawn.
-        stands_aside: Whether servers that are cut off stop serving; None to draw that.
+        seed: Seed of all random generators.
+        stands_aside: Whether servers that are cut off stop serving; None for a random choice.
         removed_defence: One of `REMOVABLE_DEFENCES`; "" for none.
-        step_count: Steps, with a fault at most ones.
+        step_count: Number of steps. Each step proposes at most one policy and injects at most one fault.
     """
     rng = Random(f"{seed} play")
     server_count = rng.choice((4, 5, 7))
@@ -384,11 +397,11 @@
         stands_aside = rng.random() < 0.5
     simulation = PolicyChangeSimulation(seed, server_count, voter_count, stands_aside, removed_defence)
     simulation.run(rng.choice((0.0, 2500.0, 2500.0)))
-    for number in range(step_count):
+    for step in range(step_count):
         if rng.random() < 0.5:
             name = rng.choice(simulation.server_names)
             if name not in simulation.down_servers:
-                simulation.propose(name, number)
+                simulation.propose(name, step)
         if rng.random() < 0.75:
             inject_random_fault(simulation)
         simulation.run(rng.choice((100.0, 400.0, 1200.0)))
--- a/landingshift/testbed/simulation/policy_documents.py
+++ b/landingshift/testbed/simulation/policy_documents.py
@@ -1,4 +1,4 @@
-"""Policies that simulations propose."""
+"""The policies that simulations propose."""
 
 from __future__ import annotations
 
@@ -9,5 +9,5 @@
 
 
 def policy_document(number: int) -> bytes:
-    """Returns a policy that differs from those of other numbers."""
+    """Returns an encoded policy, different for each `number`."""
     return msgspec.msgpack.encode({"methods": {"m": {"criticality": float(number + 2)}}})
--- a/landingshift/testbed/simulation/quiescence.py
+++ b/landingshift/testbed/simulation/quiescence.py
@@ -1,4 +1,8 @@
-"""Whether a simulated cluster has come to rest: all are there, warm, and agree, and nothing is under way."""
+"""Checks whether a simulated cluster is quiescent.
+
+In a quiescent cluster all servers are up and warm and use the same policy version. No maintenance or policy
+change is in progress, and the downstream store is not overloaded.
+"""
 
 from __future__ import annotations
 
@@ -18,35 +22,39 @@
     ("does not decide", lambda server: server.rpcs.may_decide),
     ("not listed", lambda server: server.is_listed),
 ]
-"""What must hold for each server, with the words for those for which it does not."""
+"""Conditions that each server must meet, each with the text that is shown if a server does not meet it."""
 
 
 def reasons_not_quiescent(state: ClusterState, operators: SimulatedOperators) -> list[str]:
-    """Returns what has not come to its end yet; nothing once the cluster is at rest."""
+    """Returns the reasons why the cluster is not quiescent; an empty list if it is."""
     servers = list(state.servers.values())
     down = [server.name for server in servers if not server.host.is_up]
     if down:
         return [f"down: {down}"]
     reasons = []
-    for words, is_met in _SERVER_CONDITIONS:
+    for problem, is_met in _SERVER_CONDITIONS:
         names = [server.name for server in servers if not is_met(server)]
         if names:
-            reasons.append(f"{words}: {names}")
+            reasons.append(f"{problem}: {names}")
     versions = {server.policy_node.participant.version for server in servers}
     if len(versions) > 1:
         reasons.append(f"versions {sorted(versions)}")
-    blind_pairs = [(one.name, other.name) for one, other in combinations(servers, 2) if _is_blind(one, other)]
-    if blind_pairs:
-        reasons.append(f"do not see each other: {blind_pairs[:MAX_SHOWN_PAIRS]}")
+    unaware_pairs = [
+        (first.name, second.name)
+        for first, second in combinations(servers, 2)
+        if not _see_each_other(first, second)
+    ]
+    if unaware_pairs:
+        reasons.append(f"do not see each other: {unaware_pairs[:MAX_SHOWN_PAIRS]}")
     if state.store.is_overloaded:
         reasons.append("the store is down")
     return reasons + _leader_reasons(state, operators)
 
 
-def _is_blind(one: SimulatedServer, other: SimulatedServer) -> bool:
-    """Whether one of two does not see the other."""
-    one_view, other_view = one.maintenance.environment, other.maintenance.environment
-    return one_view.has_left(other.name) or other_view.has_left(one.name)
+def _see_each_other(first: SimulatedServer, second: SimulatedServer) -> bool:
+    """Returns whether each of two servers is present in the member table of the other server."""
+    first_view, second_view = first.maintenance.environment, second.maintenance.environment
+    return not (first_view.has_left(second.name) or second_view.has_left(first.name))
 
 
 def _leader_reasons(state: ClusterState, operators: SimulatedOperators) -> list[str]:
--- a/landingshift/testbed/simulation/removed_defences.py
+++ b/landingshift/testbed/simulation/removed_defences.py
@@ -1,7 +1,9 @@
-"""Defences that a simulation can run without, so that an invariant must be found violated.
+"""Removes single defences from a simulation, to test that the invariants detect the resulting violations.
 
-The names are those of the option `--break` and of the scenarios under `tests/days/without/`. Each defence is
-taken from the packages' own objects, in one place, as a bug would take it.
+A defence is a rule of the real code that prevents a violation. Each constant below names one defence, and
+its docstring states the rule that a simulation can drop. The names are the arguments of the option `--break`
+and the file names of the scenarios in `tests/days/without/`. The functions patch the objects of the real
+packages, as a bug would change them.
 """
 
 from __future__ import annotations
@@ -19,29 +21,29 @@
 from landingshift.policies.participant import ChangeParticipant
 
 PARTICIPANT_LEASE = "lease"
-"""A prepared server goes on by the old policy without a lease."""
+"""A server that has prepared a change uses the old policy only while it holds a lease."""
 LEASE_REQUEST = "ask"
-"""A server decides before it has asked for the current policy."""
+"""A server decides about RPCs only after it has requested the current policy."""
 LEADER_LEASE = "sure"
-"""A leader answers without knowing that it still leads."""
+"""A leader answers only while it holds the leader lease, which proves that it still leads."""
 WAIT_FOR_ALL = "arm"
-"""A change is taken without waiting for members that are away."""
+"""A commit of a change waits for members that have sent no report on the change."""
 DURABLE_WRITE = "disk"
-"""What a voter answers for is not on its disk."""
+"""A voter writes its Raft state to disk before it sends messages based on that state."""
 RECOVERY_GRACE = "quiet"
-"""A grantor that has restarted grants at once."""
+"""A restarted grantor grants nothing for the length of one lease."""
 BOOKED_AMOUNT = "booking"
-"""A smaller grant frees the rest at once, though its holder may not have heard of it."""
+"""A grantor that reduces a grant keeps counting the larger amount until it must have expired."""
 PERMIT_EXPIRY = "end"
-"""A maintenance permit is used after its end."""
+"""A maintenance permit can't be used after its expiry."""
 DISRUPTION_BUDGET = "floor"
-"""Maintenance takes any number of servers at a time."""
+"""Maintenance leaves enough capacity in the cluster."""
 RPC_DEADLINE = "due"
-"""RPCs are not given up at their deadline."""
+"""RPCs are answered at the latest when their deadline has passed."""
 DRAIN_GRACE = "grace"
-"""A draining server accepts RPCs to its end."""
+"""A draining server accepts RPCs only during the drain grace period."""
 SUSPICION = "suspect"
-"""A member is declared dead soon after it was suspected."""
+"""A suspected member has enough time to refute the suspicion before it is declared dead."""
 
 INVARIANT_BY_REMOVED_DEFENCE = {
     PARTICIPANT_LEASE: "all_or_none",
@@ -56,48 +58,49 @@
     DRAIN_GRACE: "drains",
     SUSPICION: "members",
 }
-"""The invariant that must be found violated in a cluster without the defence."""
+"""Invariant that must be violated in a cluster without the defence, by the name of the defence."""
 
 AWAY_STATE = "away"
+"""State of a member that has sent no report on the change in progress."""
 
 
 class AgentWithoutExpiry(MaintenanceAgent):
-    """Drains by a permit whenever it gets to it."""
+    """A maintenance agent that ignores the expiry of its permit."""
 
     def begin_draining(self, now_ms: float) -> bool:
-        """Uses the permit, expired or not."""
+        """Uses the permit even if it has expired; returns whether the server begins to drain."""
         self.permit.expires_at_ms = inf
         return super().begin_draining(now_ms)
 
 
 def maintenance_agent(used_permit: int, removed_defence: str) -> MaintenanceAgent:
-    """Returns the agent of a server whose disk keeps `used_permit`."""
+    """Returns the maintenance agent of a server whose disk stores `used_permit` as the last used permit."""
     agent_type = AgentWithoutExpiry if removed_defence == PERMIT_EXPIRY else MaintenanceAgent
     return agent_type(used_permit)
 
 
 def swim_timings(removed_defence: str) -> SwimTimings:
-    """Returns the timings of membership."""
+    """Returns the timings of membership, with very short ones if SUSPICION is removed."""
     if removed_defence == SUSPICION:
         return SwimTimings(ack_timeout_ms=20.0, min_suspicion_ms=20.0)
     return SwimTimings()
 
 
 def disruption_budget(removed_defence: str) -> DisruptionBudget:
-    """Returns the disruption budget of maintenance."""
+    """Returns the disruption budget of maintenance, unlimited if DISRUPTION_BUDGET is removed."""
     min_spare_fraction = -1.0 if removed_defence == DISRUPTION_BUDGET else 0.1
     return DisruptionBudget(min_spare_fraction, 0.0, 0.0, 0.0)
 
 
 def may_decide(participant: ChangeParticipant, now_ms: float, removed_defence: str) -> bool:
-    """Returns whether a server may decide about RPCs by the policy that it has."""
+    """Returns whether a server is allowed to decide about RPCs by its present policy."""
     if participant.may_decide(now_ms) or removed_defence == LEASE_REQUEST:
         return True
     return participant.is_member and removed_defence == PARTICIPANT_LEASE
 
 
 def remove_from_policies(node: PolicyNode, removed_defence: str) -> None:
-    """Takes a defence from the leader of policy changes."""
+    """Removes LEADER_LEASE or WAIT_FOR_ALL from a voter; does nothing for other defences."""
     raft, coordinator = node.raft, node.coordinator
     if raft is None or coordinator is None:
         return
@@ -111,13 +114,13 @@
 
 
 def remove_recovery_grace(cold_start: ColdStartParticipant, now_ms: float) -> None:
-    """Lets a grantor grant at once after its start."""
+    """Lets a grantor grant leases immediately after its start."""
     if cold_start.grantor is not None:
         cold_start.grantor.set_recovery_grace_until(now_ms)
 
 
 def remove_booked_amount(cold_start: ColdStartParticipant) -> None:
-    """Frees what a smaller grant leaves while its holder may still believe in the larger one."""
+    """Lets a grantor lease out what it took from a holder's quota while the holder might still use it."""
     if cold_start.grantor is None:
         return
     quota_grantor = cold_start.grantor.call_quota_grantor
@@ -133,10 +136,10 @@
 
 
 def remove_rpc_deadline(admission: AdmissionController) -> None:
-    """Lets RPCs wait and run past their deadlines."""
+    """Lets RPCs wait and run beyond their deadlines."""
     admission.enforce_deadline = lambda _managed: inf  # type: ignore[method-assign, assignment]
 
 
 def remove_drain_grace(admission: AdmissionController) -> None:
-    """Lets a draining server accept RPCs to its end."""
+    """Lets a draining server accept RPCs until its process ends."""
     admission.draining.accept_until_ms = inf
--- a/landingshift/testbed/simulation/rpc_service.py
+++ b/landingshift/testbed/simulation/rpc_service.py
@@ -1,4 +1,4 @@
-"""RPCs on a simulated server: the admission controller, and what its program does for it."""
+"""RPCs on a simulated server: the admission controller and the actions that it requests."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 from landingshift.testbed.verification.history import PolicyUsed, RpcAnswered, RpcRead, RunStarted
 
 LOOP_LAG_MS = 3.0
-"""What the gauges report as the event loop's lag."""
+"""Event loop lag that the gauges report to admission."""
 TENANT_QUOTA = 100_000.0
 OK = "ok"
 REJECTED = "pushed_back"
@@ -44,20 +44,20 @@
 
 
 class RpcService:
-    """Reads RPCs, has admission decide about them, and runs them; implements `admission.interface.Actions`.
+    """Passes RPCs to admission and runs them on the engine; implements `admission.interface.Actions`.
 
     Attributes:
-        tenant: The tenant of all RPCs.
-        admission: Decides.
-        engine: Runs.
-        open_rpcs: RPCs without an answer, by their numbers.
-        saturation: What the downstream calls tell of the store.
-        may_decide: Whether the policy lets this server decide about RPCs.
-        applied_version: Of the policy that admission knows; -1 for none.
-        is_healthy: The answer to health checks.
-        read_count: RPCs read since `take_read_count`.
-        ok_count: RPCs answered with a result.
-        answered_count: RPCs answered.
+        tenant: Tenant of all RPCs.
+        admission: Decides when to run, reject or abort each RPC.
+        engine: Runs RPCs.
+        open_rpcs: RPCs that have not been answered, by number.
+        saturation: Estimate of the store's saturation from the results of downstream calls.
+        may_decide: Whether the server is allowed to decide about RPCs by its policy.
+        applied_version: Policy version that has been applied to admission; -1 for none.
+        is_healthy: Result of health checks.
+        read_count: Number of RPCs read since the last `take_read_count`.
+        ok_count: Number of RPCs answered with a result.
+        answered_count: Number of RPCs answered.
     """
 
     def __init__(
@@ -95,7 +95,7 @@
     # Events
 
     def on_rpc(self, rpc: SimulatedRpc, queued_ms: float, now_ms: float) -> None:
-        """Reads an RPC that was queued in the socket for a while."""
+        """Passes an RPC to admission, after it has been queued in the socket for `queued_ms`."""
         self.read_count += 1
         rpc.waited_ms = queued_ms + GATEWAY_DELAY_MS
         rpc.remaining_ms = CALLER_TIMEOUT_MS - rpc.waited_ms
@@ -103,12 +103,12 @@
         self._cluster.record(RpcRead.KIND, self._name, rpc.number, due_ms)
         self.admission.now_ms = now_ms
         managed = self.admission.on_rpc_read(rpc)
-        # Where the answer came within that call, the RPC is not managed any more.
+        # The state is None if admission has already answered the RPC within this call.
         if managed.state is not None:
             self.open_rpcs[rpc.number] = managed
 
     def on_engine_event(self, event: EngineEvent, now_ms: float) -> None:
-        """Handles what the engine reports."""
+        """Handles an event that the engine reports."""
         self.admission.now_ms = now_ms
         match event:
             case RunFinished(managed, core_ms):
@@ -136,18 +136,22 @@
             self._end_run_if_answered(event.managed)
 
     def _end_run_if_answered(self, managed: ManagedRpc) -> None:
-        """Ends a run at its call once its RPC has been answered."""
+        """Ends a run that waits for its downstream call if its RPC has already been answered."""
         if rpc_number(managed) not in self.open_rpcs:
             self.engine.finish_without_call(managed)
 
     def on_timer(self, now_ms: float) -> None:
-        """Runs admission's periodic check."""
+        """Runs the periodic check of admission, with the present gauges."""
         self.admission.now_ms = now_ms
         busy_count = len(self.engine.core_free_at_ms)
         self.admission.on_timer(Gauges(min(1.0, busy_count / CORE_COUNT), float(busy_count), LOOP_LAG_MS))
 
     def settle(self, now_ms: float) -> None:
-        """Ends a pass: takes a new policy, stands by where the policy's lease has ended, and decides."""
+        """Lets admission reject, start and resume RPCs after all events of a pass.
+
+        Before that, applies a new policy version to admission. Enters standby if the server is no longer
+        allowed to decide by its policy, and leaves standby if it is allowed again and not draining.
+        """
         is_allowed = may_decide(self._participant, now_ms, self._removed_defence)
         self.admission.now_ms = now_ms
         if self._participant.version > self.applied_version:
@@ -160,19 +164,19 @@
         self.admission.settle()
 
     def set_call_rate_quota(self, calls_per_second: float, now_ms: float) -> None:
-        """Tells admission how many downstream calls it may make."""
+        """Sets the rate of downstream calls that admission allows."""
         self.admission.now_ms = now_ms
         self.admission.set_call_rate_quota(calls_per_second)
 
     def start_draining(self, duration_ms: float, now_ms: float) -> None:
-        """Has admission drain, to be done in `duration_ms`."""
+        """Starts the drain of admission, which must be complete after `duration_ms`."""
         self.admission.now_ms = now_ms
         self.admission.start_draining(duration_ms)
         if self._removed_defence == DRAIN_GRACE:
             remove_drain_grace(self.admission)
 
     def take_read_count(self) -> int:
-        """Returns the number of RPCs read since the last call."""
+        """Returns the number of RPCs read since the last call of this method."""
         count = self.read_count
         self.read_count = 0
         return count
@@ -192,10 +196,10 @@
         version = max(0, self._participant.version)
         self._cluster.record(PolicyUsed.KIND, self._name, version, self._participant.policy)
 
-    # What admission asks for
+    # Actions
 
     def start_run(self, rpc: Rpc) -> None:
-        """Starts the RPC on the engine."""
+        """Runs the RPC on the engine."""
         assert isinstance(rpc, SimulatedRpc)
         self._cluster.record(RunStarted.KIND, self._name, rpc.number)
         self._record_policy_use()
@@ -207,7 +211,7 @@
         self.engine.start_call(self.engine.runs[rpc.number], timeout_ms)
 
     def skip_call(self, rpc: Rpc) -> None:
-        """Lets a run go on without its downstream call."""
+        """Lets a run continue without its downstream call."""
         assert isinstance(rpc, SimulatedRpc)
         self.engine.finish_without_call(self.engine.runs[rpc.number])
 
@@ -217,8 +221,8 @@
         retry_after_ms: float,
         is_final: bool,
     ) -> None:
-        """Answers that the RPC was not run."""
-        del retry_after_ms, is_final  # gateways here do not listen to advice
+        """Answers that the RPC was rejected without being run."""
+        del retry_after_ms, is_final  # simulated gateways ignore retry advice
         self._answer(rpc, REJECTED)
 
     def abort(self, rpc: Rpc) -> None:
@@ -230,33 +234,33 @@
         is_healthy: bool,
         is_shallow: bool,
     ) -> None:
-        """Sets the answer to health checks."""
-        del is_shallow  # nothing checks in any other way here
+        """Sets the result of health checks."""
+        del is_shallow  # simulated gateways make only one kind of health check
         self.is_healthy = is_healthy
 
     def cancel_run(self, rpc: Rpc) -> None:
-        """Does nothing: this engine cancels no run."""
+        """Does nothing: the simulated engine doesn't support cancellation."""
 
     def retain_dedup_entry(self, rpc: Rpc, duration_ms: float) -> None:
-        """Does nothing: no RPC is repeated here."""
+        """Does nothing: simulated gateways don't retry RPCs."""
 
     def drop_dedup_entry(self, rpc: Rpc) -> None:
-        """Does nothing: no RPC is repeated here."""
+        """Does nothing: simulated gateways don't retry RPCs."""
 
     def await_original(self, rpc: Rpc) -> None:
-        """Does nothing: no RPC is repeated here."""
+        """Does nothing: simulated gateways don't retry RPCs."""
 
     def release(self, rpc: Rpc) -> None:
-        """Does nothing: RPCs are forgotten as they are answered."""
+        """Does nothing: RPCs are removed when they are answered."""
 
     def advertise_load(self, amount: float) -> None:
-        """Does nothing: gateways hear of health alone."""
+        """Does nothing: simulated gateways use only the result of health checks."""
 
     def close_idle_connections(self, idle_timeout_ms: float) -> None:
-        """Does nothing: there are no connections."""
+        """Does nothing: connections are not simulated."""
 
     def schedule_check(self, delay_ms: float) -> None:
-        """Does nothing: the server asks admission for its next check."""
+        """Does nothing: the server reads the time of the next check from admission."""
 
     def log(self, text: str) -> None:
-        """Does nothing."""
+        """Discards a log line of admission."""
--- a/landingshift/testbed/simulation/server.py
+++ b/landingshift/testbed/simulation/server.py
@@ -1,7 +1,7 @@
-"""A server in virtual time, with all that decides in it.
+"""A server in virtual time, which runs the real decision code of all packages.
 
-It decides nothing of its own: it wires the packages' objects as the services wire them on a real event loop,
-over a simulated engine, disk and network.
+It contains no decision logic: it connects the objects of the packages as a real server connects them on its
+event loop, but uses a simulated engine, disk and network.
 """
 
 from __future__ import annotations
@@ -32,14 +32,15 @@
 DECLARED_DEAD_LOG_EVENT = "fleet_dead"
 COLD_START_STEP_MS = 200.0
 ACTIVE_REPORT_INTERVAL_MS = 500.0
-"""Between two reports to the leader of maintenance while there is maintenance."""
+"""Mean interval of the reports to the maintenance leader while there is a maintenance request."""
 IDLE_REPORT_INTERVAL_MS = 2000.0
+"""Mean interval of the reports to the maintenance leader at other times."""
 LOAD_WINDOW_MS = 1000.0
-"""RPCs a second are measured over at least so long."""
+"""Minimum time over which the rate of RPCs is measured."""
 DRAIN_MS = 3000.0
-"""From the beginning of a drain to the end of the process, at the most."""
+"""Maximum time from the beginning of a drain to the end of the process."""
 MAX_DELIVERY_COUNT = 8
-"""Times in a row that messages of the policies to itself may bring about others."""
+"""Limit of the rounds in one pass that save Raft state and send the policy messages that result."""
 MAX_MEMBER_COUNT = 1000
 ZONE_COUNT = 2
 MODEL_COUNT = 2
@@ -47,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RpcArrival:
-    """A gateway's RPC, which waited in the socket of a paused server for `queued_ms`."""
+    """An RPC from a gateway. `queued_ms` is the time that it spent in the socket of a paused server."""
 
     rpc: SimulatedRpc
     queued_ms: float
@@ -55,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainNotice:
-    """An outside notice to drain; the server starts again `down_ms` after its end."""
+    """An external notice to drain. The server starts again `down_ms` after its process has ended."""
 
     down_ms: float
 
@@ -64,18 +65,19 @@
     """One process of a server; implements `SimulatedProcess`.
 
     Attributes:
-        cluster: What is around it.
+        cluster: The cluster around the server.
         index: Number of the server.
-        name: Its name.
-        host: The machine that it runs on.
-        disk: What lasts when it does not.
+        name: Name of the server.
+        host: Host that runs the process.
+        disk: Disk of the server, which outlives the process.
         node: Membership.
-        policy_node: Policies, and on a voter consensus.
-        cold_start: The cold start.
+        policy_node: Policies and, on a voter, consensus.
+        cold_start: Cold start of the server.
         rpcs: RPCs, admission and the engine.
-        maintenance: Maintenance.
-        ends_at_ms: When it ends by a drain, by its clock; infinite while it does not drain.
-        down_ms: After a drain, until the next process starts.
+        maintenance: The server's part in maintenance.
+        ends_at_ms: Time on the host's clock at which a drain ends the process at the latest; infinite if
+            the server is not draining.
+        down_ms: Time from the end of a drained process to the start of the next process.
     """
 
     def __init__(self, cluster: ClusterContext, index: int, run_number: int, host: SimulatedHost) -> None:
@@ -86,7 +88,7 @@
         self.disk = cluster.disk(index)
         self.ends_at_ms = inf
         self.down_ms = 0.0
-        # All parts draw from one generator: the order of their making belongs to the history.
+        # All parts draw from one generator, so the order in which they are created determines the history.
         rng = cluster.server_rng(index, run_number)
         now_ms = host.clock_ms()
         self._rng = rng
@@ -148,34 +150,37 @@
         remove_from_policies(node, config.removed_defence)
         return node
 
-    # What it reads and tells
+    # State of the server
 
     @property
     def tenant(self) -> Tenant:
-        """The tenant of its RPCs."""
+        """The tenant of all RPCs to this server."""
         return self.rpcs.tenant
 
     @property
     def is_draining(self) -> bool:
-        """Whether it is about to end."""
+        """Whether the server is draining and will end."""
         return self.ends_at_ms < inf
 
     @property
     def is_listed(self) -> bool:
-        """Whether gateways may hear of it: as services hold its health back on a real server."""
+        """Whether the endpoint list contains the server.
+
+        A real server reports itself healthy under the same conditions.
+        """
         is_open = self.cold_start.participant.start_sequence.is_open
         return self.rpcs.is_healthy and is_open and self.rpcs.may_decide and not self.is_draining
 
     def wall_clock_ms(self) -> float:
-        """Returns Unix ms of its wall clock."""
+        """Returns the time on the server's wall clock, in Unix ms."""
         return self.cluster.wall_clock_ms(self.index)
 
     def warm_fraction(self) -> float:
-        """Returns the share of its capacity that it has reached."""
+        """Returns the fraction of its full capacity that the server has reached, from 0 to 1."""
         return self.cold_start.warm_fraction(self.rpcs)
 
     def table_sizes(self) -> dict[str, int]:
-        """Returns the sizes of all that could grow, by the names that the invariant's bounds have."""
+        """Returns the sizes of all tables that could grow without bound, by their names in the invariant."""
         operator_commands = self.policy_node.operator_commands
         sizes = {
             "out": len(self.node.outbox.pending),
@@ -204,10 +209,10 @@
         if has_departed != had_departed:
             self.cluster.record(MemberSeen.KIND, self.name, member.record.name, not has_departed)
 
-    # For its host
+    # SimulatedProcess
 
     def next_deadline_ms(self) -> float:
-        """Returns when `on_timer` is to be called next."""
+        """Returns the time at which `on_timer` must be called next."""
         return min(
             self.node.next_deadline_ms(),
             self.policy_node.next_deadline_ms(),
@@ -218,20 +223,21 @@
         )
 
     def on_message(self, message: Any, now_ms: float) -> None:
-        """Handles a datagram, an RPC, a notice or an event of the engine."""
+        """Handles a datagram, an RPC, a drain notice or an event of the engine."""
         match message:
             case Message():
                 self.node.on_message(message, now_ms)
             case RpcArrival(rpc, queued_ms):
                 self.rpcs.on_rpc(rpc, queued_ms, now_ms)
             case DrainNotice(float(down_ms)):
-                # Drawn scenarios have whole numbers here, and their notices do nothing; those of files do.
+                # The pattern matches floats only. Drawn scenarios have an int here, so their notices have no
+                # effect. Scenarios read from files have a float, so their notices start a drain.
                 self.start_draining(down_ms)
             case RunFinished() | CallNeeded() | CallFinished():
                 self.rpcs.on_engine_event(message, now_ms)
 
     def on_timer(self, now_ms: float) -> None:
-        """Does what is due in all parts."""
+        """Runs the timers that are due in all parts of the server."""
         if self.node.next_deadline_ms() <= now_ms:
             self.node.on_timer(now_ms)
         if self.policy_node.next_deadline_ms() <= now_ms:
@@ -245,7 +251,11 @@
             self.rpcs.on_timer(now_ms)
 
     def take_outgoing(self) -> list[tuple[Address, Any]]:
-        """Ends a pass: admission decides, what must be on disk is written, then messages go."""
+        """Completes the handling of events and returns the datagrams to send, with their receivers.
+
+        Lets admission settle, ends the process if its drain is complete, and writes the Raft state to disk
+        before it sends the policy messages that depend on that state.
+        """
         now_ms = self.host.clock_ms()
         self.rpcs.settle(now_ms)
         is_drained = self.is_draining and not self.rpcs.open_rpcs
@@ -263,14 +273,14 @@
         self.policy_node.on_message(sender.name, body, self.host.clock_ms())
 
     def _send_policy_messages(self) -> bool:
-        """Sends what the policies have to say; returns whether that was anything."""
+        """Queues the outgoing policy messages; returns whether there were any."""
         messages = self.policy_node.take_outgoing()
         for receiver, body in messages:
             self.node.send_to_member(receiver, POLICIES_PACKAGE, body)
         return bool(messages)
 
     def _save(self) -> bool:
-        """Writes the Raft state where it has changed; returns whether messages that rest on it may go."""
+        """Writes a changed Raft state to disk; returns whether messages that depend on it may be sent."""
         unsaved = self.policy_node.unsaved_state()
         if unsaved is None:
             return True
@@ -286,7 +296,7 @@
         self.policy_node.deliver_messages(self.host.clock_ms())
         return True
 
-    # Maintenance and the end
+    # Maintenance and drain
 
     def _report(self, now_ms: float) -> None:
         elapsed_ms = now_ms - self._load_measured_at_ms
@@ -309,7 +319,11 @@
         )
 
     def start_draining(self, down_ms: float) -> None:
-        """Begins to drain, by a notice or by a permit; the next process starts `down_ms` after the end."""
+        """Begins to drain, unless the server is draining already.
+
+        Args:
+            down_ms: Time from the end of the process to the start of the next process.
+        """
         if self.is_draining:
             return
         now_ms = self.host.clock_ms()
@@ -320,7 +334,7 @@
         self.down_ms = down_ms
 
     def _end(self) -> None:
-        """Ends the process: all answers are out, and the others hear that it leaves."""
+        """Ends the process and announces its departure to the other servers."""
         self.policy_node.announce_departure()
         self._send_policy_messages()
         for receiver, message in self.node.take_outgoing():
--- a/landingshift/testbed/simulation/server_cold_start.py
+++ b/landingshift/testbed/simulation/server_cold_start.py
@@ -22,18 +22,18 @@
 LIST_POLLS_PER_SECOND = 20.0
 LIST_TIMEOUT_MS = 3000.0
 DEMAND_MARGIN_FACTOR = 1.25
-"""A server asks for so many times the calls that its RPCs want."""
+"""A server requests a quota of downstream calls that exceeds the need of its RPCs by this factor."""
 MIN_DEMAND_CALLS_PER_SECOND = 1.0
 
 
 class ServerColdStart:
-    """What a server does until it is warm.
+    """The cold start of a server: start permit, call quota and polls of the endpoint list.
 
     Attributes:
-        participant: Takes and, on a grantor, grants leases.
-        poller: Asks the endpoint list for other servers.
-        is_open: The server has begun to take RPCs.
-        call_quota: What admission was told last; -1 for nothing yet.
+        participant: Requests leases and, on a grantor, grants them.
+        poller: Decides when to poll the endpoint list for addresses of other servers.
+        is_open: Whether the server has begun to accept RPCs.
+        call_quota: Downstream calls per second that were last set in admission; -1 if none were.
     """
 
     def __init__(
@@ -58,14 +58,17 @@
         self._recorded_leases: dict[str, tuple[float, ...]] = {}
 
     def warm_fraction(self, rpcs: RpcService) -> float:
-        """Returns the share of its capacity that the server has reached."""
+        """Returns the fraction of its full capacity that the server has reached, from 0 to 1."""
         if not self.is_open:
             return 0.0
         age_fraction = (self._host.clock_ms() - rpcs.admission.started_at_ms) / WARM_UP_MS
         return min(1.0, age_fraction, rpcs.engine.cache_fill_fraction)
 
     def step(self, rpcs: RpcService, now_ms: float) -> None:
-        """Reports the server's state to the participant, and does what that decides."""
+        """Passes an observation of the load to the participant, and applies the participant's decisions.
+
+        Also polls the endpoint list if a poll is due.
+        """
         self._node.now_ms = now_ms
         start_sequence = self.participant.start_sequence
         if self.participant.on_timer(now_ms, self._observe(rpcs, now_ms)):
--- a/landingshift/testbed/simulation/virtual_time.py
+++ b/landingshift/testbed/simulation/virtual_time.py
@@ -1,8 +1,8 @@
-"""A deterministic simulation of processes on a network, in virtual time.
+"""A deterministic discrete-event simulation of processes on a network, in virtual time.
 
-One seed gives one history: events run in the order of their times (and of their scheduling, where times are
-equal), and all that is left to chance is drawn from one generator. The module decides nothing of its own;
-whatever implements `SimulatedProcess`, as `membership.node.SwimNode` does, can run on a host.
+The same seed always gives the same history. Events run in the order of their times; events with equal times
+run in the order in which they were scheduled. All random values of the network come from one generator. A
+host can run any object that implements `SimulatedProcess`, such as `membership.node.SwimNode`.
 """
 
 from __future__ import annotations
@@ -17,58 +17,59 @@
 
 Address = tuple[str, int]
 TIMER_TOLERANCE_MS = 1e-6
-"""Sums of a time and a clock's offset are rounded by less than this."""
+"""Upper bound of the rounding error when a clock offset is added to a time."""
 MAX_QUEUED_MESSAGES = 400
-"""Datagrams that the socket of a paused process holds; more are dropped."""
+"""Capacity of the socket buffer of a paused process. Further messages are dropped."""
 NO_EVENT_LIMIT = 1 << 62
 
 
 class EventStormError(LandingshiftError, RuntimeError):
-    """More events were scheduled than a sound simulation has.
+    """A simulation scheduled more events than its limit.
 
     Attributes:
-        event_count: Events scheduled since the beginning.
-        now_ms: The virtual time at which the limit was passed.
+        event_count: Number of events scheduled since the beginning.
+        now_ms: Virtual time at which the limit was exceeded.
     """
 
     def __init__(self, event_count: int, now_ms: float) -> None:
-        super().__init__(f"{event_count} events by {now_ms:.0f} ms: a storm")
+        super().__init__(f"event storm: {event_count} events were scheduled by {now_ms:.0f} ms")
         self.event_count = event_count
         self.now_ms = now_ms
 
 
 class SimulatedProcess(Protocol):
-    """A process that is driven by messages and one timer. Times are those of its host's clock."""
+    """A process that is driven by messages and one timer. All times are those of its host's clock."""
 
     def on_message(self, message: Any, now_ms: float) -> None:
-        """Handles a message that came in."""
+        """Handles a received message."""
 
     def on_timer(self, now_ms: float) -> None:
-        """Does what is due by `now_ms`."""
+        """Runs all work that is due at `now_ms`."""
 
     def next_deadline_ms(self) -> float:
-        """Returns when `on_timer` is to be called next."""
+        """Returns the time at which `on_timer` must be called next."""
 
     def take_outgoing(self) -> list[tuple[Address, Any]]:
-        """Returns the messages to send, with their receivers, and forgets them."""
+        """Returns the messages to send, with their receivers, and removes them from the queue."""
 
 
 class SimulatedHost:
-    """A machine that runs one process behind an address, by a clock of its own.
+    """A machine with one address and its own clock, which runs one process.
 
     Attributes:
-        network: Where it stands.
-        address: Its address.
-        process: What runs on it; unset before `start`.
-        clock_offset_ms: What its clock shows at virtual time 0.
-        clock_rate: How far its clock goes in one virtual ms: 1.01 is a clock that drifts by 1 %.
-        is_up: False once it was killed.
-        paused_until_ms: Virtual time until which the process is stopped; its socket still receives.
-        mean_delay_ms: By how much a starved core is late on average (exponentially distributed); 0 for never.
-        queued_messages: Received, and not read by the process yet.
-        alarm_at_ms: Virtual time of the earliest timer that is scheduled; infinite for none.
-        received_count: Messages that arrived.
-        sent_count: Messages that the process sent.
+        network: Network that the host is attached to.
+        address: Address of the host.
+        process: The process on the host; unset before `start`.
+        clock_offset_ms: Time on the clock at virtual time 0.
+        clock_rate: Speed of the clock relative to virtual time: 1.01 for a clock that is 1 % fast.
+        is_up: False once the process has been killed or has ended.
+        paused_until_ms: Virtual time until which the process is paused. Its socket still receives.
+        mean_delay_ms: Mean of the exponentially distributed delays of a process on an overloaded core; 0
+            for no delays.
+        queued_messages: Messages that have been received and not been read by the process.
+        timer_at_ms: Virtual time of the earliest scheduled timer; infinite for none.
+        received_count: Number of messages received.
+        sent_count: Number of messages sent.
     """
 
     process: SimulatedProcess
@@ -88,36 +89,39 @@
         self.paused_until_ms = 0.0
         self.mean_delay_ms = 0.0
         self.queued_messages: list[Any] = []
-        self.alarm_at_ms = inf
+        self.timer_at_ms = inf
         self.received_count = 0
         self.sent_count = 0
 
     def start(self, process: SimulatedProcess) -> None:
-        """Starts the process, which takes the address from whatever had it."""
+        """Starts the process. It replaces any earlier process at the address."""
         self.process = process
         self.network.hosts[self.address] = self
         self.run_once()
 
     @property
     def is_paused(self) -> bool:
-        """Whether the process is stopped just now."""
+        """Whether the process is paused at present."""
         return self.network.now_ms < self.paused_until_ms
 
     def clock_ms(self) -> float:
-        """Returns what the host's clock shows."""
+        """Returns the time on the host's clock."""
         return self.network.now_ms * self.clock_rate + self.clock_offset_ms
 
     def network_time_ms(self, clock_ms: float) -> float:
-        """Returns the virtual time at which the host's clock shows `clock_ms`."""
+        """Converts a time on the host's clock to virtual time."""
         return (clock_ms - self.clock_offset_ms) / self.clock_rate
 
     def pause(self, duration_ms: float) -> None:
-        """Stops the process, as SIGSTOP does, for a span of virtual time."""
+        """Pauses the process for `duration_ms` of virtual time, as SIGSTOP does."""
         self.paused_until_ms = self.network.now_ms + duration_ms
         self.network.schedule_at(self.paused_until_ms, self.resume)
 
     def resume(self) -> None:
-        """Lets the process read what has queued up, and then do what is due: sockets come before timers."""
+        """Lets the process handle the queued messages and then its due timer, unless it is down or paused.
+
+        Messages come before timers, as on a real event loop, which polls its sockets first.
+        """
         if not self.is_up or self.is_paused:
             return
         messages = self.queued_messages
@@ -127,7 +131,7 @@
         self.run_once()
 
     def receive(self, message: Any) -> None:
-        """Hands a message to the process, or queues it while the process is paused or late."""
+        """Delivers a message to the process, or queues it while the process is paused or delayed."""
         if not self.is_up:
             return
         self.received_count += 1
@@ -141,30 +145,30 @@
             self.network.schedule_after(self._draw_delay_ms(), self.resume)
 
     def run_once(self, with_timers: bool = True) -> None:
-        """Runs the due timer, sends what the process has to say and schedules the next timer."""
+        """Runs the timer if it is due, sends the outgoing messages and schedules the next timer."""
         if not self.is_up or self.is_paused:
             return
         deadline_ms = self.process.next_deadline_ms()
         if with_timers and deadline_ms <= self.clock_ms() + TIMER_TOLERANCE_MS:
-            # The clock may show less than the deadline by a rounding error.
+            # Because of rounding, the time on the clock can be slightly before the deadline.
             self.process.on_timer(max(deadline_ms, self.clock_ms()))
         for receiver, message in self.process.take_outgoing():
             self.sent_count += 1
             self.network.transmit(self.address, receiver, message)
-        self._schedule_alarm()
+        self._schedule_timer()
 
-    def _schedule_alarm(self) -> None:
+    def _schedule_timer(self) -> None:
         due_ms = max(self.network_time_ms(self.process.next_deadline_ms()), self.network.now_ms)
-        is_alarm_pending = self.network.now_ms < self.alarm_at_ms <= due_ms
-        if is_alarm_pending:
+        is_timer_pending = self.network.now_ms < self.timer_at_ms <= due_ms
+        if is_timer_pending:
             return
-        self.alarm_at_ms = due_ms
+        self.timer_at_ms = due_ms
         delay_ms = self._draw_delay_ms() if self.mean_delay_ms else 0.0
-        self.network.schedule_at(due_ms + delay_ms, self._on_alarm)
+        self.network.schedule_at(due_ms + delay_ms, self._on_timer_due)
 
-    def _on_alarm(self) -> None:
-        if self.network.now_ms >= self.alarm_at_ms:
-            self.alarm_at_ms = inf
+    def _on_timer_due(self) -> None:
+        if self.network.now_ms >= self.timer_at_ms:
+            self.timer_at_ms = inf
             self.run_once()
 
     def _draw_delay_ms(self) -> float:
@@ -172,20 +176,20 @@
 
 
 class SimulatedNetwork:
-    """Hosts, the messages between them, and the events of all in virtual time.
+    """Hosts, the messages between them, and the queue of all events in virtual time.
 
     Attributes:
-        rng: Draws all that is left to chance on the network.
-        now_ms: Virtual time, from 0.
-        event_count: Events scheduled so far.
-        max_event_count: Past it `run_until` raises EventStormError.
-        latency_ms: The least and the most that a message is under way.
-        loss_probability: Of one message.
-        duplicate_probability: That a message arrives twice.
-        extra_delay_ms: Added to each message's latency.
-        hosts: By address.
-        is_cut: Whether what the first address sends to the second is lost just now.
-        message_count: Messages sent so far, lost ones too.
+        rng: Generator of all random values of the network.
+        now_ms: Virtual time, which begins at 0.
+        event_count: Number of events scheduled so far.
+        max_event_count: Limit of `event_count`, above which `run_until` raises EventStormError.
+        latency_ms: Minimum and maximum latency of a message.
+        loss_probability: Probability that a message is lost.
+        duplicate_probability: Probability that a message is sent twice.
+        extra_delay_ms: Delay added to the latency of each message.
+        hosts: Host of the latest process at each address.
+        is_cut: Returns whether messages from the first address to the second address are lost at present.
+        message_count: Number of messages sent so far, including lost messages.
     """
 
     def __init__(
@@ -205,12 +209,12 @@
         self._events: list[tuple[float, int, Callable[[], object]]] = []
 
     def schedule_at(self, time_ms: float, action: Callable[[], object]) -> None:
-        """Has `action` called at a virtual time; at once where that has passed."""
+        """Schedules a call of `action` at a virtual time, or at the present time if that has passed."""
         self.event_count += 1
         heapq.heappush(self._events, (max(time_ms, self.now_ms), self.event_count, action))
 
     def schedule_after(self, delay_ms: float, action: Callable[[], object]) -> None:
-        """Has `action` called `delay_ms` of virtual time from now."""
+        """Schedules a call of `action` after `delay_ms` of virtual time."""
         self.schedule_at(self.now_ms + delay_ms, action)
 
     def start_host(
@@ -220,17 +224,17 @@
         clock_offset_ms: float = 0.0,
         clock_rate: float = 1.0,
     ) -> SimulatedHost:
-        """Starts a process behind an address, in place of whatever had that address."""
+        """Starts a process on a new host, which replaces any earlier host at the address."""
         host = SimulatedHost(self, address, clock_offset_ms, clock_rate)
         host.start(process)
         return host
 
     def kill(self, address: Address) -> None:
-        """Ends the process behind an address; what it has not sent is lost."""
+        """Kills the process at an address; messages that it has not sent are lost."""
         self.hosts[address].is_up = False
 
     def transmit(self, sender: Address, receiver: Address, message: Any) -> None:
-        """Sends a datagram, which may be lost, delayed, reordered or duplicated."""
+        """Sends a datagram, which can be lost, delayed, reordered or duplicated."""
         self.message_count += 1
         if self.is_cut(sender, receiver):
             return
@@ -242,16 +246,16 @@
             self.schedule_after(delay_ms, lambda: self._deliver(receiver, message))
 
     def _deliver(self, receiver: Address, message: Any) -> None:
-        """Hands a message to whoever has the address when it arrives."""
+        """Delivers a message to the host that has the address at the time of arrival, if any."""
         host = self.hosts.get(receiver)
         if host is not None:
             host.receive(message)
 
     def run_until(self, end_ms: float) -> None:
-        """Runs all events up to a virtual time.
+        """Runs all events up to virtual time `end_ms`.
 
         Raises:
-            EventStormError: More than `max_event_count` events were scheduled.
+            EventStormError: More than `max_event_count` events have been scheduled.
         """
         while self._events and self._events[0][0] <= end_ms:
             self.now_ms, _, action = heapq.heappop(self._events)
--- a/landingshift/testbed/simulation/workload.py
+++ b/landingshift/testbed/simulation/workload.py
@@ -1,4 +1,4 @@
-"""What simulated servers can do and what is asked of them: methods, RPCs, cores, time-outs."""
+"""Capacity of simulated servers, and the RPCs, methods and timeouts of their load."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 
 CORE_COUNT = 2
 CORE_TIME_MS = 250.0
-"""Time on a core that one RPC takes."""
+"""Core time that one RPC needs."""
 SERVER_CAPACITY_RPCS_PER_SECOND = CORE_COUNT * 1000.0 / CORE_TIME_MS
 CACHE_FILL_CALLS = 8
-"""Downstream calls that fill a server's cache; once it is filled, one RPC in so many still makes one."""
+"""Number of downstream calls that fill a server's cache. After that, every 8th run still needs a call."""
 WARM_UP_MS = 2000.0
 CALLER_TIMEOUT_MS = 3000.0
 MAX_CALL_WAIT_MS = 300.0
-"""The engine waits no longer for a downstream call."""
+"""Maximum time that the engine waits for a downstream call."""
 GATEWAY_DELAY_MS = 1.0
-"""From a gateway to the server's socket."""
+"""Delay of an RPC from a gateway to the socket of a server."""
 CRITICAL_METHOD_FRACTION = 0.2
 
 
@@ -51,24 +51,24 @@
 
 @dataclass(slots=True, eq=False)
 class SimulatedRpc(Rpc):
-    """An RPC.
+    """A simulated RPC.
 
     Attributes:
-        number: Its own in the whole run, whichever server reads it.
+        number: Number of the RPC, unique in the whole simulation.
     """
 
     number: int = 0
 
 
 def new_rpc(method: Method, tenant: Tenant, number: int) -> SimulatedRpc:
-    """Returns an RPC as a gateway sends it."""
+    """Returns a new RPC as a gateway sends it."""
     return SimulatedRpc(
         method, tenant, CALLER_TIMEOUT_MS, 1.0, 10.0, 0, None, False, False, False, False, number
     )
 
 
 def admission_settings(server_count: int, tenant: Tenant) -> Settings:
-    """Returns the settings of admission on each server."""
+    """Returns the admission settings of each server."""
     return Settings(
         methods=[ORDINARY_METHOD, CRITICAL_METHOD],
         tenants=[tenant],
--- a/tests/test_chance_faults.py
+++ b/tests/test_chance_faults.py
@@ -1,4 +1,4 @@
-"""A whole cluster under random faults: drawn and kept scenarios, shrinking, invariants, real processes."""
+"""Tests a whole cluster under random faults: invariants, shrinking of scenarios, commands, real processes."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 SCENARIOS = Path(__file__).parent / "days"
 COMMAND = [sys.executable, "-c", "from landingshift.cli import start; start()", "lab"]
 WITHOUT_DEFENCE = sorted((SCENARIOS / "without").glob("*.json"))
-"""Shrunk scenarios; each fails without the defence that its file is named after."""
+"""Files of shrunk scenarios. Each violates an invariant without the defence that the file is named after."""
 RECORDED_KINDS = ("read", "run", "answer", "loan", "decided", "sees", "begins")
 COMMAND_TIMEOUT_SECONDS = 120
 
@@ -45,20 +45,20 @@
 
 
 def scenario_of(*faults: Fault, seed: int = 1, duration_ms: float = 3000.0) -> Scenario:
-    """A small scenario under low load, with its faults by time."""
+    """Returns a scenario of four servers under low load, with these faults."""
     ordered = tuple(sorted(faults, key=lambda fault: fault.start_ms))
     return Scenario(seed, 4, 3, duration_ms, False, 0.3, ordered)
 
 
 def drawn_kinds(pair_counts: dict[tuple[str, str], int] | None = None) -> list[str]:
-    """The kinds of faults of many drawn scenarios."""
+    """Returns the kinds of all faults in 40 drawn scenarios."""
     return [fault.kind for seed in range(40) for fault in draw_scenario(seed, pair_counts).faults]
 
 
 class SimulatedScenarioTest(unittest.TestCase):
-    """Scenarios played in virtual time."""
+    """Tests scenarios in virtual time."""
 
-    def test_all_invariants_hold_in_drawn_and_kept_scenarios(self) -> None:
+    def test_all_invariants_hold_in_drawn_and_stored_scenarios(self) -> None:
         scenarios = {str(seed): draw_scenario(seed) for seed in range(1, 17)}
         for path in [*sorted(SCENARIOS.glob("*.json")), *WITHOUT_DEFENCE]:
             scenarios[path.name] = read_scenario(path)
@@ -68,7 +68,7 @@
                 with self.subTest(scenario=name):
                     self.assertEqual(violations, [])
 
-    def test_invariant_is_violated_without_the_defence_it_rests_on(self) -> None:
+    def test_invariant_is_violated_without_the_defence_that_it_depends_on(self) -> None:
         with ProcessPoolExecutor() as pool:
             scenarios = [read_scenario(path) for path in WITHOUT_DEFENCE]
             defences = [path.stem for path in WITHOUT_DEFENCE]
@@ -86,7 +86,7 @@
         for kind in RECORDED_KINDS:
             self.assertGreater(sum(entry[1] == kind for entry in first), 5, kind)
 
-    def test_overlaps_of_faults_are_counted(self) -> None:
+    def test_coverage_counts_overlapping_faults(self) -> None:
         coverage = Coverage()
         faults = (Fault(0.0, "cut_off", (1,), 900.0), Fault(300.0, "kill", (2,), 500.0))
         SimulatedCluster(scenario_of(*faults), coverage=coverage).play()
@@ -94,24 +94,24 @@
         self.assertEqual(coverage.pair_count("kill", "loss"), 0)
         self.assertIn(("kill", "loss"), coverage.unmet_pairs())
 
-    def test_kinds_that_seldom_overlapped_are_drawn_more_often(self) -> None:
+    def test_fault_kinds_with_few_overlaps_are_drawn_more_often(self) -> None:
         pair_counts = {
             (min(kind, other), max(kind, other)): 99
             for kind in FAULT_KINDS
             for other in FAULT_KINDS
             if "full" not in (kind, other)
         }
-        steered_count = drawn_kinds(pair_counts).count("full")
-        self.assertGreater(steered_count, 3 * drawn_kinds().count("full"))
+        preferred_count = drawn_kinds(pair_counts).count("full")
+        self.assertGreater(preferred_count, 3 * drawn_kinds().count("full"))
 
     def test_scenario_without_faults_violates_nothing(self) -> None:
         self.assertEqual(check_scenario(scenario_of(seed=5), ""), [])
 
 
 class ShrinkingTest(unittest.TestCase):
-    """Failing scenarios are shrunk."""
+    """Tests the shrinking of failing scenarios."""
 
-    def test_everything_that_the_failure_does_not_need_is_left_out(self) -> None:
+    def test_shrinking_removes_everything_that_the_failure_does_not_need(self) -> None:
         played = []
 
         def fails(scenario: Scenario) -> bool:
@@ -120,22 +120,22 @@
             has_kill_after_late = "late" in kinds and "kill" in kinds[kinds.index("late") :]
             return scenario.server_count >= 3 and has_kill_after_late
 
-        needless = [fault for fault in draw_scenario(7).faults if fault.kind != "kill"]
+        unneeded_faults = [fault for fault in draw_scenario(7).faults if fault.kind != "kill"]
         late, kill = Fault(2110.0, "late", (0,)), Fault(5000.0, "kill", (1, 2), 4000.0)
-        faults = sorted([*needless, late, kill], key=lambda fault: fault.start_ms)
+        faults = sorted([*unneeded_faults, late, kill], key=lambda fault: fault.start_ms)
         scenario = Scenario(7, 9, 3, 20_000.0, False, 1.1, tuple(faults))
         smallest = Shrinker(scenario, fails).run()
         self.assertEqual([fault.kind for fault in smallest.faults], ["late", "kill"])
         smallest_kill = smallest.faults[1]
-        figures = (smallest.server_count, smallest.load_ratio, len(smallest_kill.servers))
-        self.assertEqual(figures, (3, 0.3, 1))
+        smallest_size = (smallest.server_count, smallest.load_ratio, len(smallest_kill.servers))
+        self.assertEqual(smallest_size, (3, 0.3, 1))
         self.assertLess(smallest_kill.duration_ms, 500.0)
         self.assertLess(len(played), 400)
 
     def test_shrunk_scenario_still_violates_the_same_invariant(self) -> None:
         failing = read_scenario(SCENARIOS / "without" / "arm.json")
-        needless = (Fault(900.0, "delay", (), 400.0, 20.0), Fault(2900.0, "load", (), 1000.0, 1.5))
-        faults = sorted([*failing.faults, *needless], key=lambda fault: fault.start_ms)
+        unneeded_faults = (Fault(900.0, "delay", (), 400.0, 20.0), Fault(2900.0, "load", (), 1000.0, 1.5))
+        faults = sorted([*failing.faults, *unneeded_faults], key=lambda fault: fault.start_ms)
         scenario = replace(failing, faults=tuple(faults))
         smallest, invariant, play_count = shrink_failure(scenario, "arm", 30)
         self.assertEqual(invariant, "all_or_none")
@@ -145,27 +145,28 @@
         self.assertIn("a change of policy is proposed", "\n".join(describe_scenario(smallest)))
 
 
-class FilesTest(unittest.TestCase):
-    """Files of scenarios, and the commands."""
+class ScenarioFileTest(unittest.TestCase):
+    """Tests scenario files and the commands that use them."""
 
-    def test_scenario_is_read_as_it_was_written(self) -> None:
+    def test_decoding_an_encoded_scenario_gives_the_same_scenario(self) -> None:
         scenario = draw_scenario(11)
         self.assertEqual(decode_scenario(encode_scenario(scenario)), scenario)
 
-    def test_invalid_scenario_is_rejected_with_the_field(self) -> None:
+    def test_error_of_an_invalid_scenario_names_the_field(self) -> None:
         valid = json.loads(encode_scenario(draw_scenario(11)))
         for change, message in [
             ({"voters": 99}, "servers, voters"),
             ({"acts": [[0, "earthquake", [0]]]}, "acts[0]: no such kind: earthquake"),
             ({"acts": [[0, "kill", [99]]]}, "acts[0]: who"),
             ({"acts": [[-5, "kill", [0]]]}, "acts[0]: who, at"),
-            ({"seed": "x"}, "not a day"),
+            ({"seed": "x"}, "invalid scenario file"),
         ]:
             with self.subTest(change=change), self.assertRaises(ValueError) as caught:
                 decode_scenario(json.dumps(valid | change).encode())
             self.assertIn(message, str(caught.exception))
 
     def run_command(self, *arguments: str, exit_status: int) -> str:
+        """Runs a `lab` command, checks its exit status and returns its output."""
         done = subprocess.run(
             [*COMMAND, *arguments], capture_output=True, text=True, timeout=COMMAND_TIMEOUT_SECONDS
         )
@@ -176,24 +177,24 @@
         with tempfile.TemporaryDirectory(dir=MEMORY) as folder:
             scenario, run, page = (str(Path(folder, name)) for name in ("day.json", "run.json", "page.html"))
             Path(scenario).write_bytes((SCENARIOS / "without" / "arm.json").read_bytes())
-            command = self.run_command
-            self.assertIn("all promises hold", command("replay", scenario, exit_status=0))
-            self.assertIn("all_or_none: ", command("replay", scenario, "--break", "arm", exit_status=1))
-            self.assertIn("all promises hold on it", command("reduce", scenario, exit_status=2))
-            fleet = command("fleet", "--days", "4", "--json", run, exit_status=0)
+            run_command = self.run_command
+            self.assertIn("all promises hold", run_command("replay", scenario, exit_status=0))
+            self.assertIn("all_or_none: ", run_command("replay", scenario, "--break", "arm", exit_status=1))
+            self.assertIn("all promises hold on it", run_command("reduce", scenario, exit_status=2))
+            fleet = run_command("fleet", "--days", "4", "--json", run, exit_status=0)
             self.assertIn("holds   days", fleet)
-            command("report", run, page, exit_status=0)
+            run_command("report", run, page, exit_status=0)
             html = Path(page).read_text()
             for text in ("all_or_none", "<svg", "Which faults have met", "None failed."):
                 self.assertIn(text, html)
             for fetched in ("src=", "<link", "<script", "@import", "url(http"):
                 self.assertFalse(fetched in html, fetched)
             Path(run).write_text("{")
-            self.assertIn(run, command("report", run, page, exit_status=2))
+            self.assertIn(run, run_command("report", run, page, exit_status=2))
 
 
 class InvariantTest(unittest.TestCase):
-    """Each invariant is violated by a history that breaks it, and by no other."""
+    """Tests that each invariant holds for valid histories and is violated by invalid ones."""
 
     READ = (1.0, "read", "a", 1, 100.0)
     CUT_BEGINS = (0.0, "begins", "cut_off", 0, (0,), 900.0, 0.0)
@@ -225,43 +226,43 @@
         self.assert_holds("answered", self.READ, (50.0, "killed", "a"), later)
         self.assert_violated("answered", self.READ, later)
 
-    def test_paused_server_answers_later_but_before_its_end(self) -> None:
+    def test_paused_server_may_answer_late_but_must_answer_before_it_ends(self) -> None:
         paused = (2.0, "still", "a", 500.0)
         self.assert_holds("answered", self.READ, paused, (540.0, "answer", "a", 1, "ok"))
         self.assert_violated("answered", self.READ, (50.0, "ended", "a"))
 
-    def test_rpc_that_was_never_read_is_not_answered(self) -> None:
+    def test_answer_to_an_rpc_that_was_never_read_is_a_violation(self) -> None:
         self.assert_violated("answered", (5.0, "answer", "a", 1, "ok"))
 
-    def test_draining_server_runs_nothing_that_came_after_its_grace(self) -> None:
+    def test_draining_server_runs_no_rpc_read_after_the_drain_grace(self) -> None:
         drain = (0.0, "drains", "a")
         self.assert_holds("drains", drain, (100.0, "read", "a", 1, 9e3), (120.0, "run", "a", 1))
         self.assert_violated("drains", drain, (500.0, "read", "a", 1, 9e3), (520.0, "run", "a", 1))
 
-    def test_nothing_runs_twice(self) -> None:
+    def test_no_rpc_runs_twice(self) -> None:
         self.assert_violated("drains", self.READ, (2.0, "run", "a", 1), (3.0, "run", "a", 1))
 
-    def test_leases_of_calls_do_not_overlap_beyond_the_limit(self) -> None:
+    def test_overlapping_call_leases_stay_within_the_limit(self) -> None:
         after_expiry = (60.0, "loan", "b", "l", 6.0, 99.0, 0.0, 0.0)
         before_expiry = (40.0, "loan", "b", "l", 6.0, 99.0, 0.0, 0.0)
         self.assert_holds("shares", self.LIMITS, self.LEASE_TO_A, after_expiry)
         self.assert_violated("shares", self.LIMITS, self.LEASE_TO_A, before_expiry)
 
-    def test_start_permits_do_not_exceed_the_limit(self) -> None:
+    def test_start_permits_stay_within_the_limit(self) -> None:
         permits = [(1.0, "loan", name, "l", 0.0, 0.0, 1.0, 50.0) for name in "abc"]
         self.assert_holds("shares", self.LIMITS)
         self.assert_violated("shares", self.LIMITS, *permits)
 
-    def test_maintenance_permit_is_used_once(self) -> None:
+    def test_maintenance_permit_is_used_at_most_once(self) -> None:
         first = (1.0, "left", "a", 1, 1)
         self.assert_holds("permissions", first, (2.0, "left", "b", 2, 2))
         self.assert_violated("permissions", first, (2.0, "left", "b", 1, 1))
 
-    def test_maintenance_permit_is_used_while_it_is_in_force(self) -> None:
+    def test_maintenance_permit_is_used_only_while_it_is_in_force(self) -> None:
         self.assert_holds("permissions", (1.0, "left", "a", 1, 0))
         self.assert_violated("permissions", (1.0, "left", "a", 1, 2))
 
-    def test_maintenance_leaves_enough_capacity_where_nothing_fell_just_before(self) -> None:
+    def test_maintenance_leaves_enough_capacity_except_shortly_after_a_fault(self) -> None:
         left, end = (20.1e3, "left", "a", 1, 1), (21e3, "quiet")
         enough = (20e3, "capacity", 32.0, 20.0, [])
         too_little = (20e3, "capacity", 16.0, 15.0, [])
@@ -270,30 +271,30 @@
         just_after_fault = ((8e3, "capacity", 9.0, 9.0, []), (9e3, "left", "a", 1, 1))
         self.assert_holds("floor", self.SERVER_CAPACITY, self.CUT_BEGINS, self.CUT_ENDS, *just_after_fault)
 
-    def test_nobody_present_is_declared_dead_without_a_fault(self) -> None:
+    def test_running_server_is_not_declared_dead_without_a_fault(self) -> None:
         starts = (0.0, "starts", "b")
         self.assert_holds("members", self.CUT_BEGINS, starts, (400.0, "buried", "a", "b"), self.CUT_ENDS)
         self.assert_violated("members", starts, (20e3, "buried", "a", "b"))
 
-    def test_death_becomes_known_to_all(self) -> None:
+    def test_all_servers_learn_that_a_server_was_killed(self) -> None:
         killed, later = (20e3, "killed", "b"), (40e3, "capacity", 8.0, 1.0, ["a"])
         self.assert_holds("deaths", killed, (25e3, "sees", "a", "b", False), later)
         self.assert_violated("deaths", (20e3, "sees", "a", "b", True), killed, later)
 
-    def test_tables_stay_within_their_bounds(self) -> None:
+    def test_tables_stay_within_their_size_limits(self) -> None:
         self.assert_holds("bounded", (1.0, "size", "a", "errands", 64))
         self.assert_violated("bounded", (1.0, "size", "a", "errands", 65))
 
-    def test_cluster_comes_to_rest(self) -> None:
+    def test_cluster_becomes_quiescent(self) -> None:
         self.assert_holds("rests", (1.0, "rests", 5.0))
         self.assert_violated("rests", (1.0, "restless", "nobody leads"))
 
 
 class RecoveryTest(unittest.TestCase):
-    """How long a real cluster needs until answers are as good as before a fault."""
+    """Tests the measurement of the time after a fault until as many RPCs succeed as before."""
 
-    def test_recovery_is_measured_after_faults_that_stood_alone(self) -> None:
-        # 10 RPCs a second, of which more than half fail from 20 to 26 s.
+    def test_recovery_is_measured_only_after_faults_without_overlap(self) -> None:
+        # 10 RPCs per second. More than half of them fail from 20 to 26 s.
         samples = []
         ok_count = 0
         for index in range(100):
@@ -303,14 +304,14 @@
         figures = recovery_figures(samples, [kill])
         self.assertEqual(figures["alone"], 1)
         self.assertTrue(2.0 <= figures["back_s"] <= 4.0, figures)
-        beside = Fault(21_000.0, "loss", (0,), 3000.0)
-        self.assertEqual(recovery_figures(samples, [kill, beside]), {"alone": 0})
+        overlapping_loss = Fault(21_000.0, "loss", (0,), 3000.0)
+        self.assertEqual(recovery_figures(samples, [kill, overlapping_loss]), {"alone": 0})
 
 
 class RealScenarioTest(unittest.TestCase):
-    """Scenarios played to real processes."""
+    """Tests scenarios with real processes."""
 
-    def test_six_processes_with_all_packages_keep_all_invariants_for_half_a_minute(self) -> None:
+    def test_six_real_servers_keep_all_invariants_for_half_a_minute(self) -> None:
         from landingshift.testbed.experiments.chance_faults_real import play_real_scenarios
 
         (row,) = play_real_scenarios(6, 3, 0.4, 1)
