--- a/tests/test_maintenance_service.py
+++ b/tests/test_maintenance_service.py
@@ -13,7 +13,7 @@
 from landingshift.testbed.experiments.maintenance_real import REAL
 from landingshift.testbed.experiments.rows import ExperimentRow, play_real_row
 from tests.helpers import RealRows
-from tests.test_membership_service import refused
+from tests.test_membership_service import startup_error
 
 SERVER_COUNT = 6
 MAX_CONCURRENT_ROWS = 4
@@ -90,7 +90,7 @@
                 rows = json.loads(self.command("history", *at, "--json"))
                 ends = [(row["name"], row["end"]) for row in rows]
                 self.assertEqual(ends, [("n4", "cancelled"), ("n5", "done")])
-                self.assertIn("are to say which", self.command("ask", "--minutes", "1", *at, code=2))
+                self.assertIn("no machine selected", self.command("ask", "--minutes", "1", *at, code=2))
             finally:
                 harness.close()
 
@@ -106,4 +106,4 @@
             (policies + "[upkeep]\ncapacity = 9\nzone_share = 2.0\n", "[upkeep] zone_share: "),
         ]:
             with self.subTest(text=text):
-                self.assertIn(f"ours.toml: {message}", refused(self, text))
+                self.assertIn(f"ours.toml: {message}", startup_error(self, text))
