--- a/landingshift/testbed/simulation/cluster.py
+++ b/landingshift/testbed/simulation/cluster.py
@@ -37,7 +37,7 @@
 )
 
 OVERLAP_MS = 1000.0
-"""Maximum time for which servers are allowed to decide by two versions of the policy at once."""
+"""Maximum time during which some servers may use the old policy version while others use the new one."""
 POLICY_LEASE_MS = 900.0
 CLOCK_MARGIN_MS = 100.0
 STORE_CALLS_PER_SECOND_AND_SERVER = 3.0
@@ -106,7 +106,8 @@
         Args:
             scenario: Faults, load and size of the cluster.
             removed_defence: Defence that all servers lack (a name from `removed_defences`); "" for none.
-            coverage: Counts which faults began while which others were active; None to count nothing.
+            coverage: Counts overlaps of faults, and the stages of operations in which faults began; None to
+                count nothing.
         """
         self.scenario = scenario
         config = cluster_config(scenario, removed_defence)
--- a/landingshift/testbed/simulation/cold_start.py
+++ b/landingshift/testbed/simulation/cold_start.py
@@ -2,8 +2,11 @@
 
 Servers fill their caches from a downstream store, which has a limited rate and becomes overloaded when its
 queue is too long. The endpoint list service returns addresses of servers that have polled it before. A server
-is warm once its cache is filled and its warm-up time has passed. Each sample checks that the sum of all call
-quotas and the number of start permits in use stay within their limits.
+is warm once its cache is filled and its warm-up time has passed.
+
+Grantors are servers that lease call quotas (rates of downstream calls) and start permits (permissions to
+begin to accept RPCs) to all servers. Each sample checks that the sum of all call quotas and the number of
+start permits in use stay within their limits.
 """
 
 from __future__ import annotations
@@ -34,14 +37,14 @@
 LIST_TIMEOUT_MS = 3000.0
 LIST_LATENCY_MS = 20.0
 COLD_CALLS_PER_SECOND = 10.0
-"""Downstream calls that a server needs while its cache is cold, limited by its cores."""
+"""Rate of downstream calls that a server needs while its cache is cold: as many as its cores can make."""
 WARM_CALLS_PER_SECOND = 1.0
-"""Downstream calls that a server needs once its cache is warm."""
+"""Rate of downstream calls that a server needs once its cache is warm."""
 CLOCK_OFFSETS_MS = (-1e6, 1e6)
 WARM_CLUSTER_FRACTION = 0.95
 """A cluster counts as warm once this fraction of its servers is warm."""
 ROUNDING_FACTOR = 1.0001
-"""Tolerance for rounding errors in the sum of call quotas, as a factor of the limit."""
+"""A sum of call quotas violates its limit only if it exceeds the limit times this factor."""
 MAX_VIOLATION_COUNT = 20
 DISCOVERY_BY_LIST = "list"
 DISCOVERY_BY_SNAPSHOT = "snapshot"
@@ -64,7 +67,7 @@
         downstream_calls_per_second: Rate at which the store serves calls.
         list_polls_per_second: Rate to which the servers together limit their polls of the endpoint list.
         cache_fill_calls: Number of successful calls that fill a server's cache.
-        warm_up_ms: Time from the opening of a server until its cores are warm.
+        warm_up_ms: Time that the cores of a server need to warm up after it begins to accept RPCs.
         permits: Initial and maximum number of start permits; 0 for the defaults of the settings.
         discovery: How servers find each other: DISCOVERY_BY_LIST (poll the endpoint list),
             DISCOVERY_BY_SNAPSHOT (know some addresses from the start, and poll the list too) or NO_DISCOVERY.
@@ -298,7 +301,8 @@
     def poll_list(self, server: ColdStartServer, server_now_ms: float) -> None:
         """Polls the endpoint list for a server.
 
-        The answer holds random addresses of servers that have polled before, or fails if the list is down.
+        The poll fails if the list is down. Otherwise the server gets random addresses of servers that have
+        polled the list before.
         """
         self.list_poll_times_ms.append(self.network.now_ms)
         up_from_ms, up_until_ms = self.case.list_up_ms
--- a/landingshift/testbed/simulation/downstream_store.py
+++ b/landingshift/testbed/simulation/downstream_store.py
@@ -9,9 +9,9 @@
 OVERLOADED_SPEED_DIVISOR = 3.0
 """An overloaded store serves its normal rate of calls divided by this."""
 OVERLOAD_QUEUE_SECONDS = 2.0
-"""The store is overloaded when its queue exceeds its normal rate times this."""
+"""The store becomes overloaded when its queue exceeds the calls that it normally serves in this time."""
 RECOVERED_QUEUE_SECONDS = 0.05
-"""The store has recovered when its queue falls below its normal rate times this."""
+"""The store recovers when its queue falls below the calls that it normally serves in this time."""
 
 
 @dataclass(slots=True)
@@ -20,12 +20,12 @@
 
     Attributes:
         calls_per_second: Rate at which the store serves calls unless it is overloaded.
-        base_latency_ms: Latency of a call beyond the time for the calls in the queue and for the call itself.
+        base_latency_ms: Latency of a call in addition to the time for serving the queue and the call itself.
         queued_calls: Length of the queue at `updated_at_ms`.
         updated_at_ms: Virtual time of the last update of `queued_calls`.
-        is_overloaded: Whether all calls fail, until the queue has been served.
-        calls_in_interval: Number of calls since the last `sample`.
-        calls_by_interval: Number of calls before each `sample` since the previous `sample`.
+        is_overloaded: Whether the store is overloaded. All calls then fail until the queue is almost empty.
+        calls_in_interval: Number of calls since the last call of `sample`.
+        calls_by_interval: Number of calls in each interval that a call of `sample` has ended.
     """
 
     calls_per_second: float
--- a/landingshift/testbed/simulation/faults.py
+++ b/landingshift/testbed/simulation/faults.py
@@ -160,8 +160,8 @@
 def stages_under_way(state: ClusterState) -> list[str]:
     """Returns the stages of all operations in progress, under the names that the fault coverage counts.
 
-    Operations are policy changes, maintenance requests and cold starts of servers. The only stage of the
-    first two is NOBODY_LEADS while there is no leader.
+    Operations are policy changes, maintenance requests and cold starts of servers. While there is no leader,
+    NOBODY_LEADS replaces the stages of policy changes and maintenance requests.
     """
     stages = set()
     leader = state.leader()
--- a/landingshift/testbed/simulation/gateways.py
+++ b/landingshift/testbed/simulation/gateways.py
@@ -26,7 +26,7 @@
 
     Attributes:
         rpcs_per_second: Rate of RPCs from callers, without the faults that change the load.
-        load_factor: Factor of the rate, the product of all active faults that change the load.
+        load_factor: Factor by which active faults change the rate.
     """
 
     def __init__(self, state: ClusterState, rng: Random, rpcs_per_second: float) -> None:
--- a/landingshift/testbed/simulation/leases.py
+++ b/landingshift/testbed/simulation/leases.py
@@ -11,11 +11,12 @@
 LEASE_MS = 1000.0
 CLOCK_MARGIN_MS = 100.0
 HOLDER_NAMES = "abcdefgh"
+"""One letter for each holder."""
 GRANTOR = ""
 """Key of the grantor among the processes that can be paused."""
 CLOCK_RATES = (0.99, 1.01)
 CLOCK_OFFSET_MS = 5000.0
-"""A holder's clock is offset by this times the code of the holder's letter, so that all clocks differ."""
+"""The clock of a holder is offset by this times the character code of its name, so that all clocks differ."""
 STEPS_MS = (1.0, 60.0)
 """Range of the time that passes in one step."""
 COPY_COUNTS = (0, 1, 1, 1, 2)
--- a/landingshift/testbed/simulation/maintenance.py
+++ b/landingshift/testbed/simulation/maintenance.py
@@ -29,7 +29,7 @@
     Attributes:
         host: Host of the server.
         node: Membership.
-        policy_node: Consensus group, which replicates the commands of maintenance too.
+        policy_node: Policies and, on a voter, the Raft node, which also replicates maintenance commands.
         read_wall_clock_ms: Returns the time on the server's wall clock, in Unix ms.
     """
 
--- a/landingshift/testbed/simulation/maintenance_fleet.py
+++ b/landingshift/testbed/simulation/maintenance_fleet.py
@@ -39,6 +39,7 @@
 """Probability that a machine stalls after accepting a permit and before using it."""
 MIN_STALL_MS = 100.0
 LONG_AGO_MS = -1e12
+"""Start time of machines that are warm from the beginning."""
 
 
 @dataclass(slots=True)
@@ -70,7 +71,7 @@
         stalled_until_ms: Time until which the process does nothing.
         delayed_answers: Answers that the process has not processed yet.
         is_partitioned: Whether the machine can't report to the coordinator.
-        answer_delay_ms: Delay of answers to the machine.
+        answer_delay_ms: Time from a report until the machine processes the answer; 0 for no delay.
     """
 
     machine: Machine
--- a/landingshift/testbed/simulation/policy_change.py
+++ b/landingshift/testbed/simulation/policy_change.py
@@ -110,7 +110,7 @@
     def take_outgoing(self) -> list[tuple[Address, Any]]:
         """Writes unsaved Raft state to disk, then returns the messages that depend on it.
 
-        Returns no message if the process is killed before the write is synced.
+        Returns no message if the first write kills the process.
         """
         unsaved = self.policy_node.unsaved_state()
         if unsaved is not None:
@@ -281,7 +281,7 @@
     def settle(self, duration_ms: float = SETTLING_MS) -> None:
         """Ends all faults, starts all servers, and lets each server find out the outcome of each change.
 
-        Records the final outcomes again that were recorded before the faults ended.
+        Outcomes that have been recorded before are recorded again.
         """
         self.network.is_cut = lambda _sender, _receiver: False
         self.network.loss_probability = 0.0
@@ -382,7 +382,7 @@
 def run_random_history(
     seed: int | str, stands_aside: bool | None = None, removed_defence: str = "", step_count: int = 14
 ) -> PolicyChangeSimulation:
-    """Runs a simulation with random faults and random proposals of policies, and returns it settled.
+    """Runs a simulation with random faults and random policy proposals, calls its `settle` and returns it.
 
     Args:
         seed: Seed of all random generators.
--- a/landingshift/testbed/simulation/quiescence.py
+++ b/landingshift/testbed/simulation/quiescence.py
@@ -1,7 +1,7 @@
 """Checks whether a simulated cluster is quiescent.
 
-In a quiescent cluster all servers are up and warm and use the same policy version. No maintenance or policy
-change is in progress, and the downstream store is not overloaded.
+In a quiescent cluster all servers are up, warm and listed, know each other and use the same policy version.
+A leader exists, no maintenance or policy change is in progress, and the downstream store is not overloaded.
 """
 
 from __future__ import annotations
@@ -22,7 +22,10 @@
     ("does not decide", lambda server: server.rpcs.may_decide),
     ("not listed", lambda server: server.is_listed),
 ]
-"""Conditions that each server must meet, each with the text that is shown if a server does not meet it."""
+"""Conditions that each server must meet, each with the reason that is recorded if a server does not meet it.
+
+The reasons in this module are part of history entries and must not change.
+"""
 
 
 def reasons_not_quiescent(state: ClusterState, operators: SimulatedOperators) -> list[str]:
--- a/landingshift/testbed/simulation/server.py
+++ b/landingshift/testbed/simulation/server.py
@@ -180,7 +180,7 @@
         return self.cold_start.warm_fraction(self.rpcs)
 
     def table_sizes(self) -> dict[str, int]:
-        """Returns the sizes of all tables that could grow without bound, by their names in the invariant."""
+        """Returns the sizes of all tables that could grow without bound, by their names in the history."""
         operator_commands = self.policy_node.operator_commands
         sizes = {
             "out": len(self.node.outbox.pending),
