--- a/landingshift/testbed/experiments/cold_start.py
+++ b/landingshift/testbed/experiments/cold_start.py
@@ -125,7 +125,7 @@
     )
     for _ in range(LEASE_STEPS_COUNT):
         simulation.step()
-    believed = simulation.max_believed
+    believed = simulation.max_usable_sum
     is_bounded = believed <= simulation.capacity + GRANTED_TOLERANCE
     row.require(is_bounded, f"{believed:.2f} believed in of {simulation.capacity:g}")
     row.record_max("most_of_10", believed)
@@ -176,7 +176,7 @@
     holders = [
         index
         for index, server in simulation.servers.items()
-        if server.agent.has_start_permit(simulation.hosts[index].clock_ms())
+        if server.participant.has_start_permit(simulation.hosts[index].clock_ms())
         and index >= simulation.case.grantor_count
     ][:LOST_HOLDERS_COUNT]
     killed, paused, cut_off = holders[:3], holders[3:6], holders[6:]
--- a/landingshift/testbed/experiments/maintenance.py
+++ b/landingshift/testbed/experiments/maintenance.py
@@ -33,7 +33,7 @@
 
 def whole_day(row: ExperimentRow, seed: int, without: str, count: int = 200) -> None:
     """Maintenance of all machines is requested, ten minutes each, from the night on, under the day's load."""
-    fleet = SimulatedFleet(seed, count, without=without)
+    fleet = SimulatedFleet(seed, count, removed_defence=without)
     for _ in range(3):
         fleet.step(WHOLE_DAY_STEP_MS)
     fleet.request_maintenance(fleet.machines)
@@ -81,7 +81,7 @@
 
 def random_faults(row: ExperimentRow, seed: int, without: str) -> None:
     """Twelve machines, requests and faults drawn from the seed; in the end every request has ended."""
-    fleet = SimulatedFleet(seed, 12, zones=2, warm_up_ms=4000.0, without=without)
+    fleet = SimulatedFleet(seed, 12, zones=2, warm_up_ms=4000.0, removed_defence=without)
     fleet.outage_minutes = 0.2
     fleet.peak_load = 0.45
     for _ in range(FAULTS_COUNT):
@@ -137,7 +137,7 @@
 
 def capacity_kept(row: ExperimentRow, seed: int, without: str) -> None:
     """Without faults the capacity stays above the constraints, and nobody leaves that would go below it."""
-    fleet = SimulatedFleet(seed, 20, zones=2, warm_up_ms=4000.0, without=without)
+    fleet = SimulatedFleet(seed, 20, zones=2, warm_up_ms=4000.0, removed_defence=without)
     fleet.outage_minutes = 0.3
     fleet.peak_load = 0.55
     fleet.now_ms = 12 * 60 * MS_PER_MINUTE
@@ -171,7 +171,7 @@
 
 def late_permit(row: ExperimentRow, seed: int, without: str) -> None:
     """A permit is on its way while load rises and it is withheld: it must not be used when it comes."""
-    fleet = SimulatedFleet(seed, 12, zones=2, warm_up_ms=1000.0, without=without)
+    fleet = SimulatedFleet(seed, 12, zones=2, warm_up_ms=1000.0, removed_defence=without)
     fleet.outage_minutes = 0.5
     fleet.peak_load = 0.3
     for _ in range(10):
--- a/landingshift/testbed/simulation/cold_start.py
+++ b/landingshift/testbed/simulation/cold_start.py
@@ -111,7 +111,7 @@
         index: Number of the server.
         started_at_ms: Time at which the process started.
         node: Membership.
-        agent: Cold start participant, which requests and grants leases.
+        participant: Cold start participant, which requests leases and, on a grantor, grants them.
         poller: Decides when to poll the endpoint list.
         saturation: Estimate of the store's saturation from the results of calls.
         cache_fill_count: Number of successful calls.
@@ -145,7 +145,7 @@
             record, contacts, SwimTimings(), MAX_MEMBER_COUNT, rng, now_ms, partial(self._on_log, index)
         )
         uptime_ms = 0.0 if case.is_after_power_cut else None
-        self.agent = ColdStartParticipant(self.node, simulation.plan, rng, now_ms, uptime_ms)
+        self.participant = ColdStartParticipant(self.node, simulation.plan, rng, now_ms, uptime_ms)
         self.poller = ServiceDiscoveryPoller(
             case.server_count, case.list_polls_per_second, bool(contacts), LIST_TIMEOUT_MS, rng, now_ms
         )
@@ -188,10 +188,10 @@
             warm_fraction=self.warm_fraction(now_ms),
             needed_calls_per_second=self._needed_calls_per_second(),
             waiting_rpcs_per_second=float(self.index % 7),
-            saturation=self.saturation.saturation(now_ms, self.agent.reported_baseline_ms),
+            saturation=self.saturation.saturation(now_ms, self.participant.reported_baseline_ms),
             baseline_latency_ms=self.saturation.baseline_latency_ms,
         )
-        self.agent.on_timer(now_ms, observation)
+        self.participant.on_timer(now_ms, observation)
         if self._is_open:
             self.opened_at_ms = self.opened_at_ms or now_ms
             self._call_store(now_ms)
@@ -201,7 +201,7 @@
 
     @property
     def _is_open(self) -> bool:
-        return self.agent.start_sequence.is_open or self._case.is_uncoordinated
+        return self.participant.start_sequence.is_open or self._case.is_uncoordinated
 
     def _needed_calls_per_second(self) -> float:
         """Returns the rate of calls that the server needs, which depends on whether its cache is warm."""
@@ -221,7 +221,7 @@
         """Makes the calls of one step, limited by the server's need and its call quota."""
         calls_per_second = self._needed_calls_per_second()
         if not self._case.is_uncoordinated:
-            calls_per_second = min(calls_per_second, self.agent.call_quota(now_ms))
+            calls_per_second = min(calls_per_second, self.participant.call_quota(now_ms))
         step_calls = calls_per_second * STEP_MS / 1000.0
         self._call_credit = min(1.0 + step_calls, self._call_credit + step_calls)
         while self._call_credit >= 1.0:
@@ -280,8 +280,8 @@
         clock_offset_ms = self._clock_rng.uniform(*CLOCK_OFFSETS_MS)
         server = ColdStartServer(self, index, self._run_count, self.network.now_ms + clock_offset_ms)
         self.servers[index] = server
-        if server.agent.grantor is not None and not self.has_recovery_grace:
-            server.agent.grantor.set_recovery_grace_until(server.started_at_ms)
+        if server.participant.grantor is not None and not self.has_recovery_grace:
+            server.participant.grantor.set_recovery_grace_until(server.started_at_ms)
         self.hosts[index] = self.network.start_host(address(index), server, clock_offset_ms)
 
     def start_all(self, spread_ms: float = 1_000.0) -> None:
@@ -326,8 +326,8 @@
         warm_count = 0.0
         for index, server in self.servers.items():
             now_ms = self.hosts[index].clock_ms()
-            quota_sum += server.agent.call_quota(now_ms)
-            permits_held += server.agent.has_start_permit(now_ms)
+            quota_sum += server.participant.call_quota(now_ms)
+            permits_held += server.participant.has_start_permit(now_ms)
             warm_count += server.warm_fraction(now_ms) >= 1.0
         self.max_quota_sum = max(self.max_quota_sum, quota_sum)
         self.max_permits_held = max(self.max_permits_held, permits_held)
--- a/landingshift/testbed/simulation/leases.py
+++ b/landingshift/testbed/simulation/leases.py
@@ -60,7 +60,7 @@
             the lease on that amount must have expired at its holder.
         grantor: The latest process of the grantor.
         leases: Lease of each holder, by name, as the holder knows it.
-        max_believed: Largest sum of the amounts that all holders regarded as usable at the same time.
+        max_usable_sum: Largest sum of the amounts that all holders regarded as usable at the same time.
     """
 
     def __init__(
@@ -77,7 +77,7 @@
         self.books_old_grants = books_old_grants
         self.leases = {name: HeldLease(LEASE_MS) for name in HOLDER_NAMES}
         self.grantor = self._start_grantor()
-        self.max_believed = 0.0
+        self.max_usable_sum = 0.0
         self._clock_rates = {name: self.rng.uniform(*CLOCK_RATES) for name in HOLDER_NAMES}
         self._run_ids = dict.fromkeys(HOLDER_NAMES, 1)
         self._paused_until_ms = dict.fromkeys([*HOLDER_NAMES, GRANTOR], 0.0)
@@ -95,7 +95,7 @@
         for message in arrived:
             self._deliver(message)
         usable_sum = sum(lease.usable_amount(self._clock_ms(name)) for name, lease in self.leases.items())
-        self.max_believed = max(self.max_believed, usable_sum)
+        self.max_usable_sum = max(self.max_usable_sum, usable_sum)
 
     def _inject_fault(self, name: str) -> bool:
         """Injects a random fault with a small probability; returns whether it did."""
--- a/landingshift/testbed/simulation/maintenance_fleet.py
+++ b/landingshift/testbed/simulation/maintenance_fleet.py
@@ -159,7 +159,7 @@
 
     Attributes:
         rng: Generator of all random decisions.
-        without: The removed defence, WITHOUT_CONSTRAINTS or WITHOUT_EXPIRY; "" for none.
+        removed_defence: The removed defence, WITHOUT_CONSTRAINTS or WITHOUT_EXPIRY; "" for none.
         warm_up_ms: Time from the start of a machine until it is warm.
         now_ms: Virtual time, which all monotonic clocks and wall clocks show.
         machines: All machines, by name.
@@ -176,7 +176,12 @@
     """
 
     def __init__(
-        self, seed: int | str, count: int, zones: int = 4, warm_up_ms: float = 60_000.0, without: str = ""
+        self,
+        seed: int | str,
+        count: int,
+        zones: int = 4,
+        warm_up_ms: float = 60_000.0,
+        removed_defence: str = "",
     ) -> None:
         """Creates a fleet whose machines are all up and warm.
 
@@ -185,14 +190,14 @@
             count: Number of machines.
             zones: Number of zones, over which the machines are distributed in turn.
             warm_up_ms: Time from the start of a machine until it is warm.
-            without: Removed defence, WITHOUT_CONSTRAINTS or WITHOUT_EXPIRY; "" for none.
+            removed_defence: Removed defence, WITHOUT_CONSTRAINTS or WITHOUT_EXPIRY; "" for none.
         """
         self.rng = Random(f"{seed} day")
-        self.without = without
+        self.removed_defence = removed_defence
         self.warm_up_ms = warm_up_ms
         self.now_ms = 0.0
         self.machines = {machine.name: SimulatedMachine(machine) for machine in _machines(count, zones)}
-        has_constraints = without != WITHOUT_CONSTRAINTS
+        has_constraints = removed_defence != WITHOUT_CONSTRAINTS
         self.settings = CoordinatorSettings(
             budget=DisruptionBudget() if has_constraints else DisruptionBudget(-1.0, 0.0, 0.0, 0.0),
             warm_up_minutes=warm_up_ms / MS_PER_MINUTE,
@@ -307,7 +312,7 @@
             if self._stall_randomly(machine, delayed):
                 return
         is_current = answer.permit_number == machine.permit.number
-        if machine.permit.is_valid(self.now_ms) or (self.without == WITHOUT_EXPIRY and is_current):
+        if machine.permit.is_valid(self.now_ms) or (self.removed_defence == WITHOUT_EXPIRY and is_current):
             self._shut_down(machine, answer.permit_number)
 
     def _stall_randomly(self, machine: SimulatedMachine, delayed: DelayedAnswer) -> bool:
@@ -316,7 +321,7 @@
         Returns:
             Whether the machine stalls.
         """
-        if self.rng.random() >= STALL_PROBABILITY or self.without not in (WITHOUT_EXPIRY, ""):
+        if self.rng.random() >= STALL_PROBABILITY or self.removed_defence not in (WITHOUT_EXPIRY, ""):
             return False
         stall_ms = self.rng.uniform(MIN_STALL_MS, 3.0 * delayed.answer.valid_ms)
         machine.stalled_until_ms = self.now_ms + stall_ms
--- a/landingshift/testbed/simulation/policy_change.py
+++ b/landingshift/testbed/simulation/policy_change.py
@@ -134,9 +134,9 @@
     def _decide(self, now_ms: float) -> None:
         """Decides about an RPC if the server is allowed to, and records the policy version that it used."""
         removed_defence, participant = self._simulation.removed_defence, self.participant
-        needs_no_lease = removed_defence == PARTICIPANT_LEASE and participant.is_member
-        needs_no_answer = removed_defence == LEASE_REQUEST and not participant.is_member
-        if needs_no_lease or needs_no_answer or participant.may_decide(now_ms):
+        may_decide_without_lease = removed_defence == PARTICIPANT_LEASE and participant.is_member
+        may_decide_without_request = removed_defence == LEASE_REQUEST and not participant.is_member
+        if may_decide_without_lease or may_decide_without_request or participant.may_decide(now_ms):
             version = max(0, participant.version)
             self._simulation.record(PolicyUsed.KIND, self.name, version, participant.policy)
 
@@ -351,8 +351,8 @@
 def _change_voter(simulation: PolicyChangeSimulation, _name: str, running: list[str]) -> None:
     if running:
         voter = simulation.rng.choice(sorted(simulation.disks))
-        asked_name = simulation.rng.choice(running)
-        simulation.change_voter(asked_name, simulation.rng.choice(("add", "remove")), voter)
+        receiver = simulation.rng.choice(running)
+        simulation.change_voter(receiver, simulation.rng.choice(("add", "remove")), voter)
 
 
 _RANDOM_FAULTS: tuple[Callable[[PolicyChangeSimulation, str, list[str]], None], ...] = (
