--- a/landingshift/testbed/errors.py
+++ b/landingshift/testbed/errors.py
@@ -74,7 +74,7 @@
     """
 
     def __init__(self, statuses: list[dict[str, object]]) -> None:
-        super().__init__(f"not all servers may decide by a policy: {statuses}")
+        super().__init__(f"some servers have no policy to decide by: {statuses}")
         self.statuses = statuses
 
 
--- a/landingshift/testbed/simulation/engine.py
+++ b/landingshift/testbed/simulation/engine.py
@@ -1,6 +1,6 @@
 """The engine of a simulated server: cores that run RPCs, a cache that fills up, and downstream calls.
 
-The engine reports to the server process with `EngineEvent`s. While the engine hangs, these are delayed.
+The engine reports to the server process with `EngineEvent`s. These events are delayed while the engine hangs.
 """
 
 from __future__ import annotations
--- a/landingshift/testbed/simulation/rpc_service.py
+++ b/landingshift/testbed/simulation/rpc_service.py
@@ -147,7 +147,7 @@
         self.admission.on_timer(Gauges(min(1.0, busy_count / CORE_COUNT), float(busy_count), LOOP_LAG_MS))
 
     def settle(self, now_ms: float) -> None:
-        """Lets admission reject, start and resume RPCs after all events of a pass.
+        """Lets admission reject, start and resume RPCs after it has been told all simultaneous events.
 
         Before that, applies a new policy version to admission. Enters standby if the server is no longer
         allowed to decide by its policy, and leaves standby if it is allowed again and not draining.
--- a/landingshift/testbed/simulation/server.py
+++ b/landingshift/testbed/simulation/server.py
@@ -40,7 +40,7 @@
 DRAIN_MS = 3000.0
 """Maximum time from the beginning of a drain to the end of the process."""
 MAX_DELIVERY_COUNT = 8
-"""Limit of the rounds in one pass that save Raft state and send the policy messages that result."""
+"""Limit of the rounds in which one `take_outgoing` saves Raft state and sends the resulting messages."""
 MAX_MEMBER_COUNT = 1000
 ZONE_COUNT = 2
 MODEL_COUNT = 2
