--- a/landingshift/testbed/simulation/removed_defences.py
+++ b/landingshift/testbed/simulation/removed_defences.py
@@ -32,7 +32,7 @@
 """A voter writes its Raft state to disk before it sends messages based on that state."""
 RECOVERY_GRACE = "quiet"
 """A restarted grantor grants nothing for the length of one lease."""
-BOOKED_AMOUNT = "booking"
+RESERVED_AMOUNT = "booking"
 """A grantor that reduces a grant keeps counting the larger amount until the old lease must have expired."""
 PERMIT_EXPIRY = "end"
 """A maintenance permit can't be used after its expiry."""
@@ -51,7 +51,7 @@
     LEADER_LEASE: "all_or_none",
     WAIT_FOR_ALL: "all_or_none",
     RECOVERY_GRACE: "shares",
-    BOOKED_AMOUNT: "shares",
+    RESERVED_AMOUNT: "shares",
     PERMIT_EXPIRY: "permissions",
     DISRUPTION_BUDGET: "floor",
     RPC_DEADLINE: "answered",
@@ -119,20 +119,20 @@
         cold_start.grantor.set_recovery_grace_until(now_ms)
 
 
-def remove_booked_amount(cold_start: ColdStartParticipant) -> None:
+def remove_reserved_amount(cold_start: ColdStartParticipant) -> None:
     """Lets a grantor lease out what it took from a holder's quota while the holder might still use it."""
     if cold_start.grantor is None:
         return
     quota_grantor = cold_start.grantor.call_quota_grantor
     renew = quota_grantor.renew
 
-    def renew_without_booking(request: LeaseRequest, now_ms: float) -> float | None:
+    def renew_without_reservation(request: LeaseRequest, now_ms: float) -> float | None:
         amount = renew(request, now_ms)
         if amount is not None and request.holder_name in quota_grantor.grants:
             quota_grantor.grants[request.holder_name].reserved_amount = amount
         return amount
 
-    quota_grantor.renew = renew_without_booking  # type: ignore[method-assign]
+    quota_grantor.renew = renew_without_reservation  # type: ignore[method-assign]
 
 
 def remove_rpc_deadline(admission: AdmissionController) -> None:
--- a/landingshift/testbed/simulation/server_cold_start.py
+++ b/landingshift/testbed/simulation/server_cold_start.py
@@ -9,10 +9,10 @@
 from landingshift.membership.node import SwimNode
 from landingshift.testbed.simulation.cluster_context import ClusterContext
 from landingshift.testbed.simulation.removed_defences import (
-    BOOKED_AMOUNT,
     RECOVERY_GRACE,
-    remove_booked_amount,
+    RESERVED_AMOUNT,
     remove_recovery_grace,
+    remove_reserved_amount,
 )
 from landingshift.testbed.simulation.rpc_service import RpcService
 from landingshift.testbed.simulation.virtual_time import SimulatedHost
@@ -48,8 +48,8 @@
         self.participant = ColdStartParticipant(node, cluster.config.cold_start, rng, now_ms)
         if cluster.config.removed_defence == RECOVERY_GRACE:
             remove_recovery_grace(self.participant, now_ms)
-        if cluster.config.removed_defence == BOOKED_AMOUNT:
-            remove_booked_amount(self.participant)
+        if cluster.config.removed_defence == RESERVED_AMOUNT:
+            remove_reserved_amount(self.participant)
         self.poller = ServiceDiscoveryPoller(
             cluster.config.server_count, LIST_POLLS_PER_SECOND, True, LIST_TIMEOUT_MS, rng, now_ms
         )
