--- a/landingshift/testbed/errors.py
+++ b/landingshift/testbed/errors.py
@@ -15,7 +15,7 @@
     """A scenario file is invalid.
 
     Attributes:
-        place: Path of the invalid field or fields in the file.
+        place: Path of the invalid field in the file, or the names of several invalid fields.
         problem: Description of the problem.
     """
 
@@ -40,11 +40,11 @@
 
 
 class RealCaseError(TestbedError, RuntimeError):
-    """Real processes did not reach the state that a test case needs."""
+    """The server processes of a test with real processes did not reach the state that the test needs."""
 
 
 class HarnessUnresponsiveError(RealCaseError):
-    """The event loop thread of the harness no longer runs callbacks."""
+    """The event loop thread of the test harness no longer runs callbacks."""
 
     def __init__(self) -> None:
         super().__init__("the event loop of the harness does not respond")
@@ -54,7 +54,7 @@
     """No loopback address or port is free.
 
     Attributes:
-        resource: Kind of address or port that was looked for.
+        resource: Description of the address or port that is not available.
     """
 
     def __init__(self, resource: str) -> None:
@@ -67,7 +67,7 @@
 
 
 class NotAllDecideError(RealCaseError):
-    """Some servers did not get a policy that lets them decide about RPCs before the timeout.
+    """After the timeout, some servers still had no policy that allows them to decide about RPCs.
 
     Attributes:
         statuses: Policy status of each server.
@@ -79,18 +79,18 @@
 
 
 class NoLeaderError(RealCaseError):
-    """No voter became leader before the timeout."""
+    """After the timeout, none of the voters had become leader."""
 
     def __init__(self) -> None:
         super().__init__("no voter became leader in time")
 
 
 class MemberNotGoneError(RealCaseError):
-    """A server did not accept before the timeout that a member has departed for good.
+    """After the timeout, a server still had not accepted that a member has departed for good.
 
     Attributes:
         name: Name of the departed member.
-        server: Number of the server.
+        server: Number of the server that did not accept the departure.
     """
 
     def __init__(self, name: str, server: int) -> None:
--- a/landingshift/testbed/simulation/cluster.py
+++ b/landingshift/testbed/simulation/cluster.py
@@ -1,4 +1,4 @@
-"""A simulated cluster that plays a scenario: faults, operators' commands and traffic from gateways.
+"""A simulated cluster that runs a scenario: faults, commands of operators and RPCs from gateways.
 
 All events are recorded in one history, which the invariants check afterwards. The same scenario always gives
 exactly the same history.
@@ -44,14 +44,14 @@
 SAMPLE_INTERVAL_MS = 250.0
 TABLE_SAMPLE_INTERVAL_MS = 2000.0
 START_SPREAD_MS = 500.0
-"""All servers are started within this time."""
+"""Time from the beginning of a scenario within which all servers are started."""
 FIRST_FAULT_MS = 4000.0
-"""Virtual time at which faults begin: the initial cold start has mostly completed by then."""
+"""Virtual time before which no fault begins, so that most servers have completed their cold start."""
 MAX_SETTLING_MS = 180_000.0
-"""Maximum time for the cluster to become quiescent after the last fault."""
+"""Maximum time that the cluster has to become quiescent (see `quiescence`) after the scenario has ended."""
 SETTLING_CHECK_INTERVAL_MS = 500.0
 SETTLING_LOAD_RATIO = 0.3
-"""Maximum load while the cluster becomes quiescent, as a fraction of its capacity."""
+"""Maximum load after the scenario has ended, as a fraction of the cluster's capacity."""
 
 
 def cluster_config(scenario: Scenario, removed_defence: str) -> ClusterConfig:
@@ -88,7 +88,7 @@
 
 
 class SimulatedCluster:
-    """A cluster and the scenario that it plays.
+    """A simulated cluster and the scenario that runs on it.
 
     Attributes:
         scenario: Faults, load and size of the cluster.
@@ -106,8 +106,8 @@
         Args:
             scenario: Faults, load and size of the cluster.
             removed_defence: Defence that all servers lack (a name from `removed_defences`); "" for none.
-            coverage: Counts overlaps of faults, and the stages of operations in which faults began; None to
-                count nothing.
+            coverage: Counts overlapping faults, and the stages of operations at which faults began; None if
+                nothing needs to be counted.
         """
         self.scenario = scenario
         config = cluster_config(scenario, removed_defence)
@@ -132,7 +132,7 @@
         return self.state.servers
 
     def play(self) -> History:
-        """Plays the scenario, waits until the cluster is quiescent and returns the history of all events."""
+        """Runs the scenario, waits until the cluster is quiescent and returns the history of all events."""
         network, state = self.network, self.state
         for index in range(self.scenario.server_count):
             network.schedule_at(self._rng.uniform(0.0, START_SPREAD_MS), partial(state.start, index))
@@ -150,7 +150,7 @@
         return state.history
 
     def _sample(self) -> None:
-        """Records warm capacity, demand and outcomes of policy changes, and schedules the next sample."""
+        """Records warm capacity, demand and the outcomes of policy changes; schedules the next sample."""
         self.network.schedule_after(SAMPLE_INTERVAL_MS, self._sample)
         self.state.store.sample(self.network.now_ms)
         serving = [server for server in self.state.running_servers() if not server.is_draining]
@@ -168,7 +168,7 @@
     def _settle(self) -> None:
         """Reduces the load, waits until the cluster is quiescent and records all outcomes of policy changes.
 
-        Records the reasons if the cluster is not quiescent after MAX_SETTLING_MS.
+        If the cluster is still not quiescent after MAX_SETTLING_MS, the reasons are recorded too.
         """
         self.state.record(FaultsEnded.KIND)
         settling_rpcs_per_second = (
--- a/landingshift/testbed/simulation/cluster_context.py
+++ b/landingshift/testbed/simulation/cluster_context.py
@@ -33,9 +33,10 @@
 
     Attributes:
         server_count: Number of servers in the cluster.
-        policies: Voters and leases of policy changes.
+        policies: Settings of policy changes, including the voters.
         raft_timeouts: Raft timeouts of the voters.
-        cold_start: Limits that are leased during a cold start, and the servers that grant the leases.
+        cold_start: Total call rate and number of start permits that are leased to servers, and the names of
+            the servers that grant these leases.
         maintenance: Settings of the maintenance coordinator.
         removed_defence: Defence that all servers lack (a name from `removed_defences`); "" for none.
     """
@@ -49,7 +50,7 @@
 
 
 class ClusterContext(Protocol):
-    """The parts of the cluster that its servers use. Servers are identified by their number, `index`."""
+    """The methods and properties of the cluster that its servers use. `index` is the number of a server."""
 
     @property
     def config(self) -> ClusterConfig:
@@ -74,7 +75,7 @@
         """Returns the random generator of the `run_number`th process of a server."""
 
     def contact_addresses(self, index: int) -> list[Address]:
-        """Returns the addresses of other servers in the settings of a server or from the endpoint list."""
+        """Returns addresses of other servers, from the server's own settings or the endpoint list."""
 
     def wall_clock_ms(self, index: int) -> float:
         """Returns the time on a server's wall clock, in Unix ms."""
@@ -83,13 +84,13 @@
         """Appends an event to the history."""
 
     def permit_in_force(self, name: str) -> int:
-        """Returns the number of the maintenance permit granted to a server; 0 if none is known."""
+        """Returns the number of a server's maintenance permit; 0 if there is no permit or no leader."""
 
     def maintenance_duration_ms(self, name: str) -> float:
-        """Returns the duration of the maintenance requested last for a server; 0 if none was requested."""
+        """Returns the duration in the last maintenance request for a server; 0 if there was no request."""
 
     def kill(self, index: int, down_ms: float) -> None:
         """Kills the process of a server and starts a new process `down_ms` later."""
 
     def on_server_ended(self, index: int, down_ms: float) -> None:
-        """Called when a drained process has ended. Its successor should start `down_ms` later."""
+        """Called when a drained process has ended; starts a new process `down_ms` later."""
--- a/landingshift/testbed/simulation/cluster_state.py
+++ b/landingshift/testbed/simulation/cluster_state.py
@@ -16,16 +16,16 @@
 from landingshift.testbed.verification.history import History, ServerKilled, ServerStarted
 
 CLOCK_OFFSETS_MS = (1e6, 3e6)
-"""Range of the monotonic clocks' readings at virtual time 0. They are positive, as on real machines."""
+"""Range of the times on monotonic clocks at virtual time 0. Clocks are positive, as on real machines."""
 CLOCK_RATES = (0.99, 1.01)
 """Range of the speeds of monotonic clocks relative to virtual time."""
 START_WALL_CLOCK_UNIX_MS = 1.8e12
 MIN_RESTART_DELAY_MS = 300.0
-"""Minimum time that a supervisor takes to restart a process that has ended after a drain."""
+"""Minimum time from the end of a drained process to the start of the next process by its supervisor."""
 CONTACT_COUNT = 4
 """Number of other servers' addresses that a server gets from its settings or the endpoint list."""
 MAX_EVENT_COUNT = 1_000_000
-"""Limit of the events in a scenario. Only a message storm exceeds it."""
+"""Maximum number of events in a scenario. Only a message storm exceeds this number."""
 
 
 class ClusterState:
@@ -41,7 +41,7 @@
         disks: Disk of each server, by server number.
         wall_clock_offsets_ms: Unix ms on the wall clock at virtual time 0, by server number.
         is_endpoint_list_up: Whether the endpoint list service answers.
-        maintenance_minutes: Duration of the maintenance requested last, by server name.
+        maintenance_minutes: Duration in the last maintenance request for each server, by server name.
     """
 
     def __init__(self, seed: int, config: ClusterConfig, store: SimulatedStore) -> None:
@@ -56,7 +56,7 @@
         self.is_endpoint_list_up = True
         self.maintenance_minutes: dict[str, float] = {}
         self._run_numbers = [0] * config.server_count
-        # One server more than there are voters has a Raft log, so that it can be added as a voter.
+        # In addition to the voters, one server has a Raft log. This server can be added as a voter.
         voter_count = len(config.policies.voters)
         self.disks = [
             SimulatedDisk(PersistentState() if index <= voter_count else None)
@@ -74,7 +74,7 @@
         return Random(f"{self.seed} {index} {run_number}")
 
     def contact_addresses(self, index: int) -> list[Address]:
-        """Returns the addresses of other servers in the settings of a server or from the endpoint list."""
+        """Returns addresses of other servers, from the server's own settings or the endpoint list."""
         others = [server_address(other) for other in range(self.config.server_count) if other != index]
         return others[:CONTACT_COUNT]
 
@@ -87,7 +87,7 @@
         self.history.append((self.network.now_ms, kind, *values))
 
     def permit_in_force(self, name: str) -> int:
-        """Returns the number of the maintenance permit granted to a server; 0 if none is known."""
+        """Returns the number of a server's maintenance permit; 0 if there is no permit or no leader."""
         leader = self.leader()
         if leader is None:
             return 0
@@ -95,7 +95,7 @@
         return request.permit_number if request is not None else 0
 
     def maintenance_duration_ms(self, name: str) -> float:
-        """Returns the duration of the maintenance requested last for a server; 0 if none was requested."""
+        """Returns the duration in the last maintenance request for a server; 0 if there was no request."""
         return self.maintenance_minutes.get(name, 0.0) * MS_PER_MINUTE
 
     # Processes
@@ -108,7 +108,7 @@
         return None
 
     def running_servers(self) -> list[SimulatedServer]:
-        """Returns the latest process of each server that is up."""
+        """Returns the running process of each server, without servers that are down."""
         return [server for server in self.servers.values() if server.host.is_up]
 
     def running_server(self, index: int) -> SimulatedServer | None:
@@ -138,5 +138,5 @@
         self.network.schedule_after(down_ms, partial(self.start, index))
 
     def on_server_ended(self, index: int, down_ms: float) -> None:
-        """Starts the successor of a drained process after `down_ms`, but not before MIN_RESTART_DELAY_MS."""
+        """Starts a new process of a server after the longer of `down_ms` and MIN_RESTART_DELAY_MS."""
         self.network.schedule_after(max(MIN_RESTART_DELAY_MS, down_ms), partial(self.start, index))
--- a/landingshift/testbed/simulation/cold_start.py
+++ b/landingshift/testbed/simulation/cold_start.py
@@ -6,7 +6,7 @@
 
 Grantors are servers that lease call quotas (rates of downstream calls) and start permits (permissions to
 begin to accept RPCs) to all servers. Each sample checks that the sum of all call quotas and the number of
-start permits in use stay within their limits.
+start permits held by servers stay within their limits.
 """
 
 from __future__ import annotations
@@ -29,15 +29,15 @@
 from landingshift.testbed.simulation.virtual_time import Address, SimulatedHost, SimulatedNetwork
 
 STEP_MS = 100.0
-"""Interval of the cold start step of each server, and of the samples of the cluster."""
+"""Interval between two cold start steps of a server, and between two samples of the cluster."""
 SERVER_PORT = 7101
 MAX_MEMBER_COUNT = 10_000
 SNAPSHOT_ADDRESS_COUNT = 16
-"""Number of addresses in the snapshot of a server, and the most that the endpoint list returns to a poll."""
+"""Number of addresses in a server's snapshot of the endpoint list; also the maximum that a poll returns."""
 LIST_TIMEOUT_MS = 3000.0
 LIST_LATENCY_MS = 20.0
 COLD_CALLS_PER_SECOND = 10.0
-"""Rate of downstream calls that a server needs while its cache is cold: as many as its cores can make."""
+"""Rate of downstream calls that a server needs while its cache is cold, limited by its cores."""
 WARM_CALLS_PER_SECOND = 1.0
 """Rate of downstream calls that a server needs once its cache is warm."""
 CLOCK_OFFSETS_MS = (-1e6, 1e6)
@@ -63,17 +63,19 @@
     Attributes:
         server_count: Number of servers in the cluster.
         grantor_count: Number of servers, from the first, that grant leases.
-        zone_count: Number of zones that the servers are distributed over.
+        zone_count: Number of zones over which the servers are distributed.
         downstream_calls_per_second: Rate at which the store serves calls.
-        list_polls_per_second: Rate to which the servers together limit their polls of the endpoint list.
+        list_polls_per_second: Maximum rate of polls of the endpoint list, for all servers together.
         cache_fill_calls: Number of successful calls that fill a server's cache.
         warm_up_ms: Time that the cores of a server need to warm up after it begins to accept RPCs.
         permits: Initial and maximum number of start permits; 0 for the defaults of the settings.
         discovery: How servers find each other: DISCOVERY_BY_LIST (poll the endpoint list),
             DISCOVERY_BY_SNAPSHOT (know some addresses from the start, and poll the list too) or NO_DISCOVERY.
-        list_up_ms: Virtual times at which the endpoint list begins and ceases to answer.
-        is_after_power_cut: Whether all machines have just booted, so that grantors need no recovery grace.
-        is_uncoordinated: Whether servers ignore quotas and permits and poll the list at once (the baseline).
+        list_up_ms: Virtual times from which and until which the endpoint list answers polls.
+        is_after_power_cut: If True, all machines have just booted. No server can hold a lease from an earlier
+            process of a grantor, so grantors need no recovery grace and grant leases immediately.
+        is_uncoordinated: If True, servers ignore call quotas and start permits, and poll the endpoint list
+            immediately after their start. This is the baseline for comparisons.
     """
 
     server_count: int = 200
@@ -103,18 +105,18 @@
 
 
 class ColdStartServer:
-    """One process of a server: membership, the cold start, and the calls that fill its cache.
+    """A process of a simulated server: membership, the cold start, and the calls that fill the cache.
 
     All times are those of the server's clock.
 
     Attributes:
         index: Number of the server.
         started_at_ms: Time at which the process started.
-        node: Membership.
+        node: Membership node.
         participant: Cold start participant, which requests leases and, on a grantor, grants them.
         poller: Decides when to poll the endpoint list.
-        saturation: Estimate of the store's saturation from the results of calls.
-        cache_fill_count: Number of successful calls.
+        saturation: Estimate of the store's saturation, made from the results of this server's calls.
+        cache_fill_count: Number of successful downstream calls, each of which fills a part of the cache.
         opened_at_ms: Time at which the server began to accept RPCs; 0 if it has not.
     """
 
@@ -211,14 +213,14 @@
         return WARM_CALLS_PER_SECOND if is_cache_warm else COLD_CALLS_PER_SECOND
 
     def warm_fraction(self, now_ms: float) -> float:
-        """Returns the fraction of its full capacity that the server has reached, from 0 to 1."""
+        """Returns the capacity that the server has reached, as a fraction (0 to 1) of its full capacity."""
         if not self.opened_at_ms:
             return 0.0
         age_fraction = (now_ms - self.opened_at_ms) / self._case.warm_up_ms
         return min(1.0, age_fraction, self.cache_fill_count / self._case.cache_fill_calls)
 
     def _call_store(self, now_ms: float) -> None:
-        """Makes the calls of one step, limited by the server's need and its call quota."""
+        """Makes the downstream calls of one step, at the lower of the needed rate and the call quota."""
         calls_per_second = self._needed_calls_per_second()
         if not self._case.is_uncoordinated:
             calls_per_second = min(calls_per_second, self.participant.call_quota(now_ms))
@@ -242,10 +244,11 @@
         store: Downstream store of all servers.
         servers: Running servers, by number.
         hosts: Host of each server's latest process, by server number.
-        log_lines: Log events of membership: virtual time, number of the server, event.
-        violations: Descriptions of violated limits.
+        log_lines: Log events of membership, each with its virtual time and the number of its server.
+        violations: Descriptions of the samples in which a limit was violated.
         list_poll_times_ms: Virtual times of the polls of the endpoint list.
-        has_recovery_grace: Whether a grantor that has started grants nothing for the length of one lease;
+        has_recovery_grace: If True, for the length of one lease after its start, a grantor grants no more
+            than holders claim to have.
             False removes this defence.
         max_quota_sum: Largest sum of call quotas in any sample, in calls per second.
         max_permits_held: Largest number of start permits held in any sample.
@@ -285,7 +288,7 @@
         self.hosts[index] = self.network.start_host(address(index), server, clock_offset_ms)
 
     def start_all(self, spread_ms: float = 1_000.0) -> None:
-        """Schedules the start of each server at a random time within `spread_ms`."""
+        """Schedules the start of each server at a random virtual time between 0 and `spread_ms`."""
         for index in range(self.case.server_count):
             self.network.schedule_at(self.network.rng.uniform(0.0, spread_ms), partial(self.start, index))
 
@@ -301,8 +304,8 @@
     def poll_list(self, server: ColdStartServer, server_now_ms: float) -> None:
         """Polls the endpoint list for a server.
 
-        The poll fails if the list is down. Otherwise the server gets random addresses of servers that have
-        polled the list before.
+        The poll fails if the list is down. Otherwise the poll returns random addresses of servers
+        whose earlier polls succeeded.
         """
         self.list_poll_times_ms.append(self.network.now_ms)
         up_from_ms, up_until_ms = self.case.list_up_ms
@@ -354,8 +357,8 @@
     def min_warm_up_ms(self) -> float:
         """Returns a lower bound of the time until the cluster is warm.
 
-        Each warm server makes one call per second, and only the remaining rate of the store can fill caches.
-        No server is warm before its warm-up time has passed.
+        Each warm server makes one call per second. Only the rest of the store's call rate can fill the caches
+        of other servers. In addition, no server is warm before its warm-up time has passed.
         """
         case = self.case
         warm_calls_per_second = WARM_CLUSTER_FRACTION * case.server_count
@@ -364,14 +367,14 @@
         return max(cache_fill_ms, case.warm_up_ms)
 
     def peak_calls_per_second(self) -> int:
-        """Returns the largest number of calls that the store received within any second."""
+        """Returns the maximum number of calls that the store received within one second."""
         counts = self.store.calls_by_interval
         window = int(1000.0 / STEP_MS)
         return max((sum(counts[start : start + window]) for start in range(len(counts))), default=0)
 
 
 def peak_per_second(times_ms: list[float]) -> int:
-    """Returns the largest number of `times_ms` that lie within any second."""
+    """Returns the maximum number of `times_ms` that lie within one second."""
     ordered_ms = sorted(times_ms)
     peak = 0
     first = 0
--- a/landingshift/testbed/simulation/disk.py
+++ b/landingshift/testbed/simulation/disk.py
@@ -13,8 +13,7 @@
 
     Attributes:
         raft_state: Raft log and vote; None on a server that can't be a voter.
-        used_permit: Number of the maintenance permit by which a process of the server drained last; 0 for
-            none.
+        used_permit: Number of the maintenance permit that the server used last to drain; 0 for none.
         is_full: Whether the Raft state can't be written.
         torn_write_down_ms: If not 0, the next write of the Raft state is lost and kills the process, which
             is restarted after this time.
--- a/landingshift/testbed/simulation/engine.py
+++ b/landingshift/testbed/simulation/engine.py
@@ -20,12 +20,12 @@
 )
 
 ENGINE_DELAY_MS = 1.0
-"""Time from the end of a downstream call, or the decision to skip it, to the end of the run."""
+"""Time that a run takes to end after its downstream call has ended or has been skipped."""
 
 
 @dataclass(frozen=True, slots=True)
 class RunFinished:
-    """A run has ended. `core_ms` is the duration that the engine reports for it."""
+    """A run has ended. `core_ms` is the duration of the run as reported by the engine."""
 
     managed: ManagedRpc
     core_ms: float
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallFinished:
-    """A downstream call has ended, or the engine has stopped waiting for it."""
+    """A downstream call has ended, or the engine has stopped waiting for the call because of a timeout."""
 
     managed: ManagedRpc
     succeeded: bool
@@ -60,11 +60,11 @@
     """Cores and the runs on them.
 
     Attributes:
-        runs: RPCs that use a core or wait for a downstream call, by RPC number. An RPC stays here
-            until its run has ended, even if it has been answered.
-        core_free_at_ms: Virtual times at which runs leave their cores. Past times are removed when a run
-            starts.
-        run_count: Number of runs started.
+        runs: RPCs whose runs have not ended, by RPC number. These runs wait for a core, use a core or wait
+            for a downstream call. The RPC can already have been answered.
+        core_free_at_ms: Virtual times at which runs leave their cores. Times that have passed are removed
+            only when `start_run` is called.
+        run_count: Number of calls of `start_run`.
         cache_fill_count: Number of successful downstream calls, each of which fills a part of the cache.
         hung_until_ms: Virtual time until which the engine delays its reports.
     """
@@ -85,7 +85,7 @@
         return self.cache_fill_count / CACHE_FILL_CALLS
 
     def start_run(self, managed: ManagedRpc) -> None:
-        """Queues an RPC for the core that becomes free first."""
+        """Runs an RPC on a free core, or queues it for the core that becomes free first."""
         self.runs[rpc_number(managed)] = managed
         now_ms = self._network.now_ms
         self.core_free_at_ms = [end_ms for end_ms in self.core_free_at_ms if end_ms > now_ms]
@@ -108,7 +108,7 @@
             self._report(RunFinished(managed, self._network.now_ms - queued_at_ms))
 
     def start_call(self, managed: ManagedRpc, timeout_ms: float) -> None:
-        """Calls the store for a run, waiting at most `timeout_ms`. A successful call also ends the run."""
+        """Makes the downstream call of a run, with a timeout. If the call succeeds, the run ends after it."""
         succeeded, duration_ms = self._store.call(self._network.now_ms)
         wait_ms = min(duration_ms, timeout_ms, MAX_CALL_WAIT_MS)
         succeeded = succeeded and duration_ms <= wait_ms
--- a/landingshift/testbed/simulation/faults.py
+++ b/landingshift/testbed/simulation/faults.py
@@ -20,10 +20,11 @@
 class FaultInjector:
     """Begins and ends the faults of a scenario.
 
-    A fault is identified by its index in the scenario. Some fault kinds stand for operators' commands.
+    A fault is identified by its index in the scenario. Some kinds of `Fault` are operators' commands; the
+    injector passes these commands to `SimulatedOperators`.
 
     Attributes:
-        active: Faults that have begun and not ended, by index.
+        active: Faults that have begun and not ended, keyed by their index in the scenario.
     """
 
     def __init__(
@@ -44,7 +45,7 @@
         self._network.is_cut = self._is_cut
 
     def begin(self, fault_index: int, fault: Fault) -> None:
-        """Begins a fault and schedules its end, or executes an operator's command."""
+        """Begins a fault and schedules its end. If the fault is an operator's command, gives the command."""
         active_kinds = sorted({active.kind for active in self.active.values()})
         self._coverage.record(fault.kind, active_kinds, stages_under_way(self._state))
         self._state.record(
@@ -62,7 +63,7 @@
         self._begin_on_cluster(fault)
 
     def _begin_on_machine(self, index: int, fault: Fault) -> bool:
-        """Begins a fault that doesn't need a running process; returns False for faults of other kinds."""
+        """Begins a fault that can begin while the server is down; returns False for faults of other kinds."""
         disk = self._state.disks[index]
         match fault.kind:
             case "kill" | "zone":
@@ -81,7 +82,7 @@
         return True
 
     def _begin_on_process(self, index: int, fault: Fault) -> None:
-        """Begins a fault, or executes a command, that needs a running process; does nothing without one."""
+        """Begins a fault or gives a command that needs a running server, unless the server is down."""
         server = self._state.running_server(index)
         if server is None:
             return
@@ -124,7 +125,7 @@
                 self._state.disks[index].torn_write_down_ms = 0.0
 
     def _crash_again(self, fault_index: int, index: int, fault: Fault) -> None:
-        """Kills a server every `fault.amount` ms while the fault is active; it is down half of the time."""
+        """Kills a server every `fault.amount` ms during the fault. The server is down half of the time."""
         if fault_index in self.active:
             self._state.kill(index, fault.amount / 2.0)
             self._network.schedule_after(fault.amount, partial(self._crash_again, fault_index, index, fault))
@@ -141,7 +142,10 @@
         )
 
     def _apply_shared_faults(self) -> None:
-        """Combines active faults of the same kind: the maximum of losses and delays, the product of loads."""
+        """Applies active network, load and endpoint list faults.
+
+        Of several faults of one network kind, the largest amount applies. Load factors are multiplied.
+        """
         self._network.loss_probability = self._max_amount("loss")
         self._network.duplicate_probability = self._max_amount("twice")
         self._network.extra_delay_ms = self._max_amount("delay")
@@ -158,7 +162,7 @@
 
 
 def stages_under_way(state: ClusterState) -> list[str]:
-    """Returns the stages of all operations in progress, under the names that the fault coverage counts.
+    """Returns the stages of all operations in progress, by the names that `Coverage` counts.
 
     Operations are policy changes, maintenance requests and cold starts of servers. While there is no leader,
     NOBODY_LEADS replaces the stages of policy changes and maintenance requests.
--- a/landingshift/testbed/simulation/gateways.py
+++ b/landingshift/testbed/simulation/gateways.py
@@ -18,15 +18,17 @@
 
 SEND_INTERVAL_MS = 50.0
 LIST_DELAY_MS = 1000.0
-"""Delay after which gateways learn that a server was listed or removed from the list."""
+"""Delay until gateways know that a server has been added to or removed from the endpoint list."""
 
 
 class SimulatedGateways:
-    """Sends RPCs at a constant rate, each to a random server among those that the gateways know as listed.
+    """Sends RPCs at a constant rate, each to a random server that is in the endpoint list.
+
+    The gateways know changes of the endpoint list only after LIST_DELAY_MS.
 
     Attributes:
-        rpcs_per_second: Rate of RPCs from callers, without the faults that change the load.
-        load_factor: Factor by which active faults change the rate.
+        rpcs_per_second: Rate of RPCs from callers, not multiplied by `load_factor`.
+        load_factor: Factor by which active faults multiply the rate of RPCs.
     """
 
     def __init__(self, state: ClusterState, rng: Random, rpcs_per_second: float) -> None:
@@ -35,15 +37,15 @@
         self.rpcs_per_second = rpcs_per_second
         self.load_factor = 1.0
         self._listings: dict[int, tuple[float, bool]] = {}
-        """Time of the last change and current state of each server's listing, by server number."""
+        """Time of the last change of `is_listed` and its present value for each server, by server number."""
         self._known_listings: dict[int, bool] = {}
-        """Whether the gateways know each server as listed, by server number."""
+        """Value of `is_listed` that the gateways know for each server, by server number."""
         self._rpc_credit = 0.0
         self._sent_count = 0
 
     @property
     def demand(self) -> float:
-        """Rate of RPCs from callers, per second."""
+        """Rate of RPCs from callers, per second, including the effect of `load_factor`."""
         return self.rpcs_per_second * self.load_factor
 
     def start(self) -> None:
@@ -74,14 +76,14 @@
     def _send(self, index: int) -> None:
         server = self._state.servers[index]
         if not server.host.is_up:
-            # A refused connection proves that the RPC did not run, so the caller may try another server.
+            # A refused connection proves that the RPC did not run. The caller can safely try another server.
             self._state.record(RpcRefused.KIND, server.name)
             return
         self._sent_count += 1
         is_critical = self._rng.random() < CRITICAL_METHOD_FRACTION
         method = CRITICAL_METHOD if is_critical else ORDINARY_METHOD
         rpc = new_rpc(method, server.tenant, self._sent_count)
-        # The RPC stays in the socket of a paused process. The time there counts towards its deadline.
+        # The RPC waits in the socket of a paused process. This time counts towards the RPC's deadline.
         queued_ms = max(0.0, server.host.paused_until_ms - self._state.network.now_ms)
         arrive = partial(server.host.receive, RpcArrival(rpc, queued_ms))
         self._state.network.schedule_after(GATEWAY_DELAY_MS, arrive)
--- a/landingshift/testbed/simulation/leases.py
+++ b/landingshift/testbed/simulation/leases.py
@@ -13,20 +13,20 @@
 HOLDER_NAMES = "abcdefgh"
 """One letter for each holder."""
 GRANTOR = ""
-"""Key of the grantor among the processes that can be paused."""
+"""Name of the grantor's process; holders have the names in HOLDER_NAMES."""
 CLOCK_RATES = (0.99, 1.01)
 CLOCK_OFFSET_MS = 5000.0
-"""The clock of a holder is offset by this times the character code of its name, so that all clocks differ."""
+"""The clock offset of a holder is this times the character code of its name, so that all clocks differ."""
 STEPS_MS = (1.0, 60.0)
 """Range of the time that passes in one step."""
 COPY_COUNTS = (0, 1, 1, 1, 2)
-"""Equally likely numbers of times that a message arrives."""
+"""Numbers of copies of a message that arrive, chosen with equal probability; 0 for a lost message."""
 MAX_DELAYS_MS = (1.0, 5.0, 50.0, 400.0, 1500.0)
-"""Equally likely maximum delays of a message."""
+"""Maximum delays of a message, chosen with equal probability."""
 PAUSES_MS = (100.0, 3000.0)
 """Range of the duration of a pause."""
 WANTED_AMOUNTS = (0.0, 1.0, 3.0, 9.0)
-"""Equally likely amounts that a holder requests."""
+"""Amounts that a holder requests, chosen with equal probability."""
 PAUSE_PROBABILITY = 0.01
 GRANTOR_RESTART_PROBABILITY = 0.005
 HOLDER_RESTART_PROBABILITY = 0.01
@@ -55,12 +55,13 @@
         rng: Generator of all random decisions.
         now_ms: Time on the grantor's clock.
         capacity: Amount that the grantor can lease in total.
-        has_recovery_grace: Whether a restarted grantor grants nothing for the length of one lease.
-        books_old_grants: Whether the grantor, after it has reduced a grant, counts the larger amount until
-            the lease on that amount must have expired at its holder.
+        has_recovery_grace: If True, for the length of one lease after its start, a grantor grants no more
+            than holders claim to have.
+        books_old_grants: If True, a grantor that reduces a grant keeps the old, larger amount reserved until
+            the lease on the old amount must have expired at its holder.
         grantor: The latest process of the grantor.
-        leases: Lease of each holder, by name, as the holder knows it.
-        max_usable_sum: Largest sum of the amounts that all holders regarded as usable at the same time.
+        leases: Lease of each holder, as the holder knows it, keyed by holder name.
+        max_usable_sum: Maximum, over all steps, of the sum of the amounts that holders regarded as usable.
     """
 
     def __init__(
@@ -85,7 +86,7 @@
         """Messages in transit, with their arrival times."""
 
     def step(self) -> None:
-        """Advances time, injects a fault or lets a running holder send a request, and delivers messages."""
+        """Advances time, then injects a fault or lets a holder send a request, and delivers messages."""
         self.now_ms += self.rng.uniform(*STEPS_MS)
         name = self.rng.choice(HOLDER_NAMES)
         if not self._inject_fault(name) and self._paused_until_ms[name] <= self.now_ms:
@@ -98,7 +99,7 @@
         self.max_usable_sum = max(self.max_usable_sum, usable_sum)
 
     def _inject_fault(self, name: str) -> bool:
-        """Injects a random fault with a small probability; returns whether it did."""
+        """Injects a random fault with a small probability; returns whether a fault was injected."""
         draw = self.rng.random()
         if draw < PAUSE_PROBABILITY:
             paused_until_ms = self.now_ms + self.rng.uniform(*PAUSES_MS)
--- a/landingshift/testbed/simulation/maintenance.py
+++ b/landingshift/testbed/simulation/maintenance.py
@@ -28,8 +28,9 @@
 
     Attributes:
         host: Host of the server.
-        node: Membership.
-        policy_node: Policies and, on a voter, the Raft node, which also replicates maintenance commands.
+        node: Membership node.
+        policy_node: Runs policy changes. If the server can be a voter, `policy_node` contains the Raft node,
+            which also replicates maintenance commands.
         read_wall_clock_ms: Returns the time on the server's wall clock, in Unix ms.
     """
 
@@ -39,7 +40,7 @@
     read_wall_clock_ms: Callable[[], float]
 
     def propose(self, command: Command) -> bool:
-        """Proposes a command to the consensus group; returns False if this server does not lead the group."""
+        """Proposes a command to the Raft group; returns False if this server does not lead the group."""
         raft = self.policy_node.raft
         return raft is not None and raft.propose(encode_command(command)) is not None
 
@@ -63,13 +64,14 @@
 
 
 class ServerMaintenance:
-    """A server's part in maintenance.
+    """The maintenance agent of a simulated server and, if the server can be a voter, its coordinator.
 
     Attributes:
-        agent: Reports to the leader and holds this server's permit.
-        state: Replicated state as applied on this server.
-        environment: Access of the coordinator to this server.
-        coordinator: Grants permits while this server leads; None on a server that can't be a voter.
+        agent: Reports this server's load to the leader, and stores the maintenance permit from the answers.
+        state: Replicated state of maintenance, as far as this server has applied the Raft log.
+        environment: Interface through which the coordinator uses this server.
+        coordinator: Grants maintenance permits while this server leads the voters; None on a server that
+            can't be a voter.
     """
 
     def __init__(
@@ -99,13 +101,13 @@
 
     @property
     def is_active(self) -> bool:
-        """Whether there is a maintenance request for this server or in the replicated state known to it."""
+        """Whether this server has a maintenance request, or its replicated state contains any request."""
         if self.agent.request_state:
             return True
         return self.coordinator is not None and bool(self.state.requests)
 
     def step(self, now_ms: float) -> None:
-        """Reports to the leader and, if this server leads, grants permits."""
+        """Reports this server's load to the leader and, if this server leads, grants maintenance permits."""
         self._node.now_ms = now_ms
         self._report(now_ms)
         if self.coordinator is not None:
--- a/landingshift/testbed/simulation/maintenance_fleet.py
+++ b/landingshift/testbed/simulation/maintenance_fleet.py
@@ -1,8 +1,8 @@
 """Simulates planned maintenance of a fleet of machines in virtual time, with the real coordinator.
 
-There is no consensus group: commands that the coordinator proposes are applied at once. One defence can be
-removed, and the checks must then find a violation: "floor" (no capacity constraints) or "end" (permits never
-expire).
+There is no Raft group: a command that the coordinator proposes is applied immediately. One of two
+defences can be removed from a simulation. Without "floor" there are no capacity constraints; without "end"
+permits never expire. In both cases the checks must find a violation.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 CRITICAL_MACHINE_INTERVAL = 4
 """Every 4th machine serves critical methods."""
 LATE_ANSWER_PROBABILITY = 0.1
-"""Probability that a report's answer reaches its machine only in the next step."""
+"""Probability that the answer to a report reaches the reporting machine only in the next step."""
 STALL_PROBABILITY = 0.05
 """Probability that a machine stalls after accepting a permit and before using it."""
 MIN_STALL_MS = 100.0
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True)
 class DelayedAnswer:
-    """An answer to a report that its machine has not processed yet. All times are virtual."""
+    """An answer to a machine's report that the machine has not processed yet. All times are virtual."""
 
     due_ms: float
     """Time at which the machine processes the answer."""
@@ -64,7 +64,7 @@
         run_id: Number of the latest process, from 1.
         is_up: Whether the process runs.
         permit: The maintenance permit that the process has accepted.
-        draining_permit: Number of the permit by which the process has shut down; 0 for none.
+        draining_permit: Number of the permit that the process used to shut down; 0 for none.
         used_permit: Number of the last permit used by an earlier process, stored on disk; 0 for none.
         restart_at_ms: Time at which a machine that is down starts again.
         started_at_ms: Start time of the process.
@@ -88,13 +88,13 @@
     answer_delay_ms: float = 0.0
 
     def warm_fraction(self, now_ms: float, warm_up_ms: float) -> float:
-        """Returns the fraction of its full capacity that the machine has reached; 0 while it is down."""
+        """Returns the capacity that the machine has reached, as a fraction (0 to 1) of its full capacity."""
         if not self.is_up or not warm_up_ms:
             return float(self.is_up)
         return min(1.0, (now_ms - self.started_at_ms) / warm_up_ms)
 
     def restart(self, now_ms: float) -> None:
-        """Starts a new process, which knows only `used_permit` from the disk."""
+        """Starts a new process. Only `used_permit`, which is stored on disk, outlives the old process."""
         self.is_up = True
         self.run_id += 1
         self.started_at_ms = now_ms
@@ -104,26 +104,26 @@
         self.delayed_answers = []
 
     def take_due_answers(self, now_ms: float) -> list[DelayedAnswer]:
-        """Removes and returns the answers that are due."""
+        """Removes the due answers from `delayed_answers` and returns them."""
         due = [delayed for delayed in self.delayed_answers if delayed.due_ms <= now_ms]
         self.delayed_answers = [delayed for delayed in self.delayed_answers if delayed.due_ms > now_ms]
         return due
 
 
 class SimulatedFleetEnvironment:
-    """The environment of one coordinator of the fleet, which leads during one term."""
+    """The interface through which the coordinator of one term uses the fleet."""
 
     def __init__(self, fleet: SimulatedFleet, term: int) -> None:
         self._fleet = fleet
         self._term = term
 
     def propose(self, command: Command) -> bool:
-        """Applies a command at once to the replicated state; always returns True."""
+        """Applies a command immediately to the replicated state; always returns True."""
         self._fleet.state.apply(encode_command(command))
         return True
 
     def is_leader(self, _now_ms: float) -> bool:
-        """Returns whether no later term has begun."""
+        """Returns whether the term of this coordinator is the current term."""
         return self._term == self._fleet.term
 
     def has_left(self, name: str) -> bool:
@@ -146,10 +146,10 @@
     minutes: float
     """Time since maintenance was requested."""
     warm_capacity: float
-    """Capacity of all machines, reduced for those that are down or not warm yet."""
+    """Present capacity of all machines: 0 for machines that are down, reduced for those not yet warm."""
     demand: float
     min_capacity: float
-    """Capacity that the constraints require of the whole fleet."""
+    """Minimum capacity of the whole fleet that the coordinator's constraints allow."""
     down_count: int
     """Number of machines that are down."""
 
@@ -159,7 +159,7 @@
 
     Attributes:
         rng: Generator of all random decisions.
-        removed_defence: The removed defence, WITHOUT_CONSTRAINTS or WITHOUT_EXPIRY; "" for none.
+        removed_defence: Defence that the fleet lacks, WITHOUT_CONSTRAINTS or WITHOUT_EXPIRY; "" for none.
         warm_up_ms: Time from the start of a machine until it is warm.
         now_ms: Virtual time, which all monotonic clocks and wall clocks show.
         machines: All machines, by name.
@@ -169,9 +169,9 @@
         state: Replicated state of maintenance.
         term: Number of the current leader's term.
         coordinator: Coordinator of the current leader.
-        violations: Descriptions of violated rules.
-        min_headroom: Smallest margin of the warm capacity above the capacity that the default constraints
-            require of the whole fleet, in RPCs per second; negative if the capacity fell below it.
+        violations: Descriptions of the violations that the checks have found.
+        min_headroom: Minimum, over all steps, of the warm capacity minus the capacity that the default
+            constraints require, in RPCs per second. Negative if the fleet once had too little capacity.
         never_restarted: Names of machines that stay down.
     """
 
@@ -190,7 +190,7 @@
             count: Number of machines.
             zones: Number of zones, over which the machines are distributed in turn.
             warm_up_ms: Time from the start of a machine until it is warm.
-            removed_defence: Removed defence, WITHOUT_CONSTRAINTS or WITHOUT_EXPIRY; "" for none.
+            removed_defence: Defence that the fleet lacks, WITHOUT_CONSTRAINTS or WITHOUT_EXPIRY; "" for none.
         """
         self.rng = Random(f"{seed} day")
         self.removed_defence = removed_defence
@@ -219,11 +219,11 @@
         return sum(machine.machine.capacity for machine in self.machines.values())
 
     def load(self, now_ms: float) -> float:
-        """Returns the demand as a fraction of the fleet's capacity; at night it is a third of `peak_load`."""
+        """Returns the demand as a fraction of the fleet's capacity; at night about 1/3 of `peak_load`."""
         return self.peak_load * (0.67 - 0.33 * cos(2.0 * pi * now_ms / (DAY_MINUTES * MS_PER_MINUTE)))
 
     def elect_leader(self) -> MaintenanceCoordinator:
-        """Begins a new term; returns the coordinator of its leader, which knows only the replicated state."""
+        """Begins a new term and returns its coordinator. The coordinator knows only the replicated state."""
         self.term += 1
         environment = SimulatedFleetEnvironment(self, self.term)
         return MaintenanceCoordinator(self.state, self.settings, environment)
@@ -256,10 +256,10 @@
         self._record_headroom(demand)
 
     def sample(self, began_ms: float) -> FleetSample:
-        """Returns a sample of the present capacities.
+        """Returns a sample of the capacities and the demand at the present virtual time.
 
         Args:
-            began_ms: Virtual time at which maintenance was requested.
+            began_ms: Virtual time at which maintenance was requested, from which the sample counts minutes.
         """
         machines = self.machines.values()
         return FleetSample(
@@ -316,7 +316,7 @@
             self._shut_down(machine, answer.permit_number)
 
     def _stall_randomly(self, machine: SimulatedMachine, delayed: DelayedAnswer) -> bool:
-        """Lets a machine stall, with STALL_PROBABILITY, between accepting a permit and using it.
+        """With STALL_PROBABILITY, stalls a machine that has accepted a permit and not used the permit yet.
 
         Returns:
             Whether the machine stalls.
@@ -332,7 +332,10 @@
         return True
 
     def _shut_down(self, machine: SimulatedMachine, permit_number: int) -> None:
-        """Shuts a machine down for maintenance; records a violation if its permit is used or not in force."""
+        """Shuts a machine down for maintenance.
+
+        Records a violation if the permit has already been used or is not the permit granted to this machine.
+        """
         name = machine.machine.name
         machine.draining_permit = permit_number
         if permit_number in self._used_permits:
--- a/landingshift/testbed/simulation/operators.py
+++ b/landingshift/testbed/simulation/operators.py
@@ -15,7 +15,7 @@
 from landingshift.testbed.verification.history import ChangeEnded, MaintenanceRequested
 
 RETRY_INTERVAL_MS = 500.0
-"""Interval of the attempts to request maintenance while there is no leader."""
+"""Interval between two attempts to request maintenance."""
 MAX_RETRY_COUNT = 30
 
 
@@ -42,8 +42,8 @@
     def change_voter(self, server: SimulatedServer, target_index: int) -> None:
         """Asks `server` to remove another server from the voters, or to add it if it is not a voter.
 
-        The other server is chosen by `target_index` among the initial voters and one further server. Only
-        these have a Raft log.
+        `target_index` selects the other server among the initial voters and one further server, modulo their
+        count. Only these servers have a Raft log, which a voter needs.
         """
         candidate_count = len(self._state.config.policies.voters) + 1
         name = server_name(target_index % candidate_count)
@@ -55,7 +55,7 @@
     def request_maintenance(
         self, names: list[str], minutes: float, retry_count: int = MAX_RETRY_COUNT
     ) -> None:
-        """Requests maintenance of some servers from the leader.
+        """Asks the leader for maintenance of the named servers, each for `minutes`.
 
         Retries up to `retry_count` times while there is no leader or the leader can't accept the request.
         """
@@ -69,7 +69,7 @@
             self._state.network.schedule_after(RETRY_INTERVAL_MS, retry)
 
     def open_change_ids(self) -> list[str]:
-        """Returns the ids of changes for which no server has reported a final outcome."""
+        """Returns the ids of policy changes without a recorded final outcome from any server."""
         names = [server.name for server in self._state.servers.values()]
         return [
             change_id
@@ -78,10 +78,10 @@
         ]
 
     def record_outcomes(self, include_recorded: bool = False) -> None:
-        """Records the final outcome of each change as each running server knows it.
+        """For each running server, records the final outcomes of policy changes that the server knows.
 
         Args:
-            include_recorded: Whether to record an outcome again that the server has reported before.
+            include_recorded: If True, also records outcomes that have already been recorded.
         """
         for server in self._state.running_servers():
             for change_id in self.change_ids:
@@ -94,7 +94,7 @@
                     )
 
     def ask_for_outcomes(self) -> None:
-        """Asks each running server to find out the outcomes of changes that it does not know."""
+        """Asks each running server to find out the outcomes of policy changes that it does not know."""
         for server in self._state.servers.values():
             for change_id in self.change_ids:
                 is_open = server.policy_node.change_status(change_id).outcome not in FINAL_OUTCOMES
--- a/landingshift/testbed/simulation/policy_change.py
+++ b/landingshift/testbed/simulation/policy_change.py
@@ -1,8 +1,11 @@
-"""Simulates policy changes in virtual time, with the code of `policies`, a network and disks with faults.
+"""Simulates policy changes in virtual time, while faults disturb the servers, the network and the disks.
 
-Each server runs the same objects as a real server. The policy version of each decision is recorded in a
-history, which the invariants check. One defence of `REMOVABLE_DEFENCES` can be removed from a simulation, and
-the invariants must then find a violation.
+Servers run the code of `policies`; the network and the disks are simulated. Each decision of a server about
+an RPC is recorded in a history, with the policy version that the server used. The invariants check this
+history.
+
+A defence is a rule of the real code that prevents a violation of the invariants. A simulation can run without
+one of the defences in `REMOVABLE_DEFENCES`. The invariants must then find a violation.
 """
 
 from __future__ import annotations
@@ -38,9 +41,9 @@
 CLOCK_OFFSETS_MS = (-1e6, 1e6)
 CLOCK_RATES = (0.99, 1.01)
 SETTLING_MS = 12_000.0
-"""Time for the servers to agree on a policy version after the last fault."""
+"""Time that the servers have to agree on a policy version after all faults have ended."""
 ANSWER_MS = 1500.0
-"""Time in which a server finds out the outcome of a change."""
+"""Time that a server has to find out the outcome of a change, from the command to do so."""
 
 
 def address(name: str) -> Address:
@@ -49,12 +52,12 @@
 
 
 class PolicyServer:
-    """One process of a server, which takes part in policy changes and decides about RPCs.
+    """A process of a simulated server. The process takes part in policy changes and decides about RPCs.
 
     Attributes:
         name: Name of the server.
         run_id: Random id of the process.
-        policy_node: Policies and, on a voter, consensus.
+        policy_node: Runs policy changes; contains a Raft node if the server can be a voter.
         participant: Part of `policy_node` that decides which policy version the server is allowed to use.
     """
 
@@ -90,7 +93,7 @@
         return self.host.clock_ms()
 
     def on_message(self, message: tuple[str, list[Any]], now_ms: float) -> None:
-        """Handles a message from another server: the sender's name and the body."""
+        """Handles a message from another server; `message` contains the sender's name and the body."""
         sender, body = message
         self.policy_node.on_message(sender, body, now_ms)
 
@@ -99,7 +102,7 @@
         return min(self.policy_node.next_deadline_ms(), self._next_decision_ms)
 
     def on_timer(self, now_ms: float) -> None:
-        """Runs the timer of the policies and decides about an RPC if they are due."""
+        """Runs the timer of `policy_node` if it is due, and decides about an RPC if a decision is due."""
         if self.policy_node.next_deadline_ms() <= now_ms:
             self.policy_node.tick(now_ms)
         if now_ms >= self._next_decision_ms:
@@ -108,9 +111,10 @@
             self._decide(now_ms)
 
     def take_outgoing(self) -> list[tuple[Address, Any]]:
-        """Writes unsaved Raft state to disk, then returns the messages that depend on it.
+        """Writes unsaved Raft state to disk, then returns the outgoing messages with their receivers.
 
-        Returns no message if the first write kills the process.
+        Messages can depend on the Raft state, so the state must be on disk before the messages are sent.
+        Returns no messages if the process is killed during the first write.
         """
         unsaved = self.policy_node.unsaved_state()
         if unsaved is not None:
@@ -132,7 +136,7 @@
         self.policy_node.deliver_messages(self.clock_ms())
 
     def _decide(self, now_ms: float) -> None:
-        """Decides about an RPC if the server is allowed to, and records the policy version that it used."""
+        """Decides about an RPC and records the policy version used, if the server is allowed to decide."""
         removed_defence, participant = self._simulation.removed_defence, self.participant
         may_decide_without_lease = removed_defence == PARTICIPANT_LEASE and participant.is_member
         may_decide_without_request = removed_defence == LEASE_REQUEST and not participant.is_member
@@ -142,7 +146,9 @@
 
 
 class PolicyChangeSimulation:
-    """Servers that change their policy, and the faults between them. The first servers are voters.
+    """Simulated servers that change their policy, and the faults that disturb them.
+
+    The first servers in `server_names` are the initial voters.
 
     Attributes:
         rng: Generator of all random decisions outside the network.
@@ -150,14 +156,15 @@
         network: The network and the virtual time.
         server_names: Names of all servers.
         settings: Policy settings of all servers.
-        disks: Stored Raft states, by the name of each server that is or can become a voter.
-        policy_checks: Checks of proposed policies, by name of the server. A check returns the reason why
-            the server rejects the policy, or "" if the server accepts it.
+        disks: Stored Raft states, keyed by server name. Only servers that can be voters have one.
+        policy_checks: Functions that check a proposed policy, keyed by the name of the server that runs the
+            check. They return the reason why the server rejects the policy, or "" to accept it.
         hosts: Host of each server's latest process, by server name.
         servers: The latest process of each server, by server name.
         history: All events so far.
         proposed_change_ids: Ids of all changes proposed so far.
-        crash_on_write_probability: Probability that a write kills the server before the write is synced.
+        crash_on_write_probability: Probability that a server is killed during a write of its Raft state. The
+            write is then lost.
         down_servers: Names of the servers that are down.
     """
 
@@ -176,8 +183,8 @@
             seed: Seed of all random generators.
             server_count: Number of servers.
             voter_count: Number of servers, from the first, that are voters.
-            stands_aside: Whether servers that are cut off stop serving.
-            removed_defence: One of `REMOVABLE_DEFENCES`; "" for none.
+            stands_aside: If True, a server that loses contact with the leader stops deciding about RPCs.
+            removed_defence: Defence that all servers lack, one of `REMOVABLE_DEFENCES`; "" for none.
             settings: Fields of `PolicySettings` that replace DEFAULT_SETTINGS.
         """
         self.rng = Random(f"{seed} hall")
@@ -186,7 +193,7 @@
         self.server_names = [f"n{index}" for index in range(server_count)]
         voters = tuple(self.server_names[:voter_count])
         self.settings = PolicySettings(voters, stands_aside, **(DEFAULT_SETTINGS | settings))
-        # One server more than there are voters has a Raft log, so that it can be added as a voter.
+        # In addition to the voters, one server has a Raft log. This server can be added as a voter.
         self.disks = {name: PersistentState() for name in self.server_names[: voter_count + 1]}
         self.policy_checks: dict[str, Callable[[bytes], str]] = {}
         self.hosts: dict[str, SimulatedHost] = {}
@@ -225,9 +232,9 @@
         self.down_servers.add(name)
 
     def save(self, name: str, state: PersistentState) -> None:
-        """Writes a Raft state to the disk of a server, or kills the server before the write is synced.
+        """Writes a Raft state to the disk of a server, or randomly kills the server and loses the write.
 
-        Discards the write if DURABLE_WRITE is removed.
+        If DURABLE_WRITE is removed, the write is always lost, also if the server is not killed.
         """
         if self.rng.random() < self.crash_on_write_probability:
             self.kill(name)
@@ -237,14 +244,14 @@
     # Operators' commands
 
     def propose(self, name: str, number: int) -> str:
-        """Proposes the policy with this number to a server; returns the id of the change."""
+        """Proposes the policy `policy_document(number)` to a server; returns the id of the change."""
         change_id = f"c{len(self.proposed_change_ids)}"
         self.proposed_change_ids.append(change_id)
         self._submit(name, change_id, ProposeChange(policy_document(number), AUTHOR, COMMENT))
         return change_id
 
     def declare_departed(self, name: str, departed: str) -> None:
-        """Declares to a server that the latest process of the server `departed` has ended for good."""
+        """Tells the server `name` that the latest process of the server `departed` has ended for good."""
         self._submit(name, f"gone {departed}", DeclareDeparted(departed, self.servers[departed].run_id))
 
     def change_voter(self, name: str, verb: str, voter: str) -> None:
@@ -262,7 +269,10 @@
         self.hosts[name].run_once()
 
     def change_outcome(self, name: str, change_id: str) -> str:
-        """Returns the outcome of a change as a server knows it; records the outcome once it is final."""
+        """Returns the outcome of a change according to the server `name`.
+
+        Appends the outcome to the history if it is final and has not been appended for this server.
+        """
         status = self.servers[name].policy_node.change_status(change_id)
         if status.outcome in FINAL_OUTCOMES and (name, change_id) not in self._recorded_outcomes:
             self._recorded_outcomes.add((name, change_id))
@@ -272,16 +282,20 @@
     # Virtual time
 
     def run(self, duration_ms: float) -> None:
-        """Advances virtual time by `duration_ms`, then records the outcomes that running servers know."""
+        """Advances virtual time by `duration_ms`, then reads the outcomes of all changes on running servers.
+
+        Final outcomes are appended to the history, each only once for each server.
+        """
         self.network.run_until(self.network.now_ms + duration_ms)
         for name in self.running_names():
             for change_id in self.proposed_change_ids:
                 self.change_outcome(name, change_id)
 
     def settle(self, duration_ms: float = SETTLING_MS) -> None:
-        """Ends all faults, starts all servers, and lets each server find out the outcome of each change.
+        """Ends all faults, starts the servers that are down, and advances virtual time by `duration_ms`.
 
-        Outcomes that have been recorded before are recorded again.
+        Then lets each server find out the outcomes of changes that it does not know, and appends the final
+        outcomes of all changes to the history. Outcomes that are already in the history are appended again.
         """
         self.network.is_cut = lambda _sender, _receiver: False
         self.network.loss_probability = 0.0
@@ -326,8 +340,8 @@
 
 def _cut_link(simulation: PolicyChangeSimulation, name: str, _running: list[str]) -> None:
     cut_sender, other = address(name), address(simulation.rng.choice(simulation.server_names))
-    # If both draws are the same server, all of its outgoing messages are lost. Otherwise only its messages to
-    # the other server are lost.
+    # If the randomly chosen `other` is the server `name` itself, all messages from `name` are lost. Otherwise
+    # only the messages from `name` to `other` are lost.
     simulation.network.is_cut = lambda sender, receiver: (
         sender == cut_sender and (receiver == other or other == cut_sender)
     )
@@ -369,11 +383,14 @@
     _disturb_writes,
     _change_voter,
 )
-"""Equally likely faults. Starts are listed more often than kills, so that most servers are up."""
+"""Functions that inject a random fault. Each entry is chosen with the same probability.
+
+`_start` is listed more often than `_kill`, so that most servers are up.
+"""
 
 
 def inject_random_fault(simulation: PolicyChangeSimulation) -> None:
-    """Injects a random fault; does nothing if the drawn fault is not possible at present."""
+    """Chooses a random fault and injects it; does nothing if the chosen fault is not possible at present."""
     name = simulation.rng.choice(simulation.server_names)
     inject = _RANDOM_FAULTS[simulation.rng.randrange(len(_RANDOM_FAULTS))]
     inject(simulation, name, simulation.running_names())
@@ -382,12 +399,13 @@
 def run_random_history(
     seed: int | str, stands_aside: bool | None = None, removed_defence: str = "", step_count: int = 14
 ) -> PolicyChangeSimulation:
-    """Runs a simulation with random faults and random policy proposals, calls its `settle` and returns it.
+    """Runs a new simulation with random faults and policy proposals, calls `settle` on it and returns it.
 
     Args:
         seed: Seed of all random generators.
-        stands_aside: Whether servers that are cut off stop serving; None for a random choice.
-        removed_defence: One of `REMOVABLE_DEFENCES`; "" for none.
+        stands_aside: If True, a server that loses contact with the leader stops deciding about RPCs. If
+            None, the choice is random.
+        removed_defence: Defence that all servers lack, one of `REMOVABLE_DEFENCES`; "" for none.
         step_count: Number of steps. Each step proposes at most one policy and injects at most one fault.
     """
     rng = Random(f"{seed} play")
--- a/landingshift/testbed/simulation/policy_documents.py
+++ b/landingshift/testbed/simulation/policy_documents.py
@@ -9,5 +9,5 @@
 
 
 def policy_document(number: int) -> bytes:
-    """Returns an encoded policy, different for each `number`."""
+    """Returns an encoded policy, which is different for each `number`."""
     return msgspec.msgpack.encode({"methods": {"m": {"criticality": float(number + 2)}}})
--- a/landingshift/testbed/simulation/quiescence.py
+++ b/landingshift/testbed/simulation/quiescence.py
@@ -22,7 +22,7 @@
     ("does not decide", lambda server: server.rpcs.may_decide),
     ("not listed", lambda server: server.is_listed),
 ]
-"""Conditions that each server must meet, each with the reason that is recorded if a server does not meet it.
+"""Pairs of a reason and a condition. The reason is recorded if a server does not meet the condition.
 
 The reasons in this module are part of history entries and must not change.
 """
@@ -55,7 +55,7 @@
 
 
 def _see_each_other(first: SimulatedServer, second: SimulatedServer) -> bool:
-    """Returns whether each of two servers is present in the member table of the other server."""
+    """Returns whether each of two servers is known to the other server and has not departed."""
     first_view, second_view = first.maintenance.environment, second.maintenance.environment
     return not (first_view.has_left(second.name) or second_view.has_left(first.name))
 
--- a/landingshift/testbed/simulation/removed_defences.py
+++ b/landingshift/testbed/simulation/removed_defences.py
@@ -1,9 +1,9 @@
 """Removes single defences from a simulation, to test that the invariants detect the resulting violations.
 
-A defence is a rule of the real code that prevents a violation. Each constant below names one defence, and
-its docstring states the rule that a simulation can drop. The names are the arguments of the option `--break`
+A defence is a rule of the real code that prevents a violation. Each constant below names one defence; its
+docstring states the rule. The values of the constants are the arguments of the command line option `--break`
 and the file names of the scenarios in `tests/days/without/`. The functions patch the objects of the real
-packages, as a bug would change them.
+packages, so that these objects break the rule.
 """
 
 from __future__ import annotations
@@ -21,27 +21,27 @@
 from landingshift.policies.participant import ChangeParticipant
 
 PARTICIPANT_LEASE = "lease"
-"""A server that has prepared a change uses the old policy only while it holds a lease."""
+"""A server that has prepared a policy change uses the old policy only while the server holds a lease."""
 LEASE_REQUEST = "ask"
 """A server decides about RPCs only after it has requested the current policy."""
 LEADER_LEASE = "sure"
 """A leader acts as leader only while it holds the leader lease, which proves that no other server leads."""
 WAIT_FOR_ALL = "arm"
-"""A commit of a change waits for members that have sent no report on the change."""
+"""A policy change is committed only if each member without a report on it is certainly on standby."""
 DURABLE_WRITE = "disk"
 """A voter writes its Raft state to disk before it sends messages based on that state."""
 RECOVERY_GRACE = "quiet"
-"""A restarted grantor grants nothing for the length of one lease."""
+"""For the length of one lease after its start, a grantor grants no more than holders claim to have."""
 RESERVED_AMOUNT = "booking"
 """A grantor that reduces a grant keeps counting the larger amount until the old lease must have expired."""
 PERMIT_EXPIRY = "end"
 """A maintenance permit can't be used after its expiry."""
 DISRUPTION_BUDGET = "floor"
-"""Maintenance leaves enough capacity in the cluster."""
+"""A maintenance permit is granted only if the rest of the cluster has enough capacity for the load."""
 RPC_DEADLINE = "due"
 """An RPC is answered when its deadline passes, even if it is still queued or running."""
 DRAIN_GRACE = "grace"
-"""A draining server accepts RPCs only during the drain grace period."""
+"""A draining server accepts RPCs only during the drain grace period, at the beginning of the drain."""
 SUSPICION = "suspect"
 """A suspected member has enough time to refute the suspicion before it is declared dead."""
 
@@ -58,10 +58,10 @@
     DRAIN_GRACE: "drains",
     SUSPICION: "members",
 }
-"""Invariant that must be violated in a cluster without the defence, by the name of the defence."""
+"""Invariant that must be violated in a cluster without a defence, keyed by the name of the defence."""
 
 AWAY_STATE = "away"
-"""State of a member that has sent no report on the change in progress."""
+"""State of a member that has sent no report on the policy change in progress."""
 
 
 class AgentWithoutExpiry(MaintenanceAgent):
@@ -80,14 +80,14 @@
 
 
 def swim_timings(removed_defence: str) -> SwimTimings:
-    """Returns the timings of membership, with very short ones if SUSPICION is removed."""
+    """Returns the timings of membership. If SUSPICION is removed, suspicions time out very soon."""
     if removed_defence == SUSPICION:
         return SwimTimings(ack_timeout_ms=20.0, min_suspicion_ms=20.0)
     return SwimTimings()
 
 
 def disruption_budget(removed_defence: str) -> DisruptionBudget:
-    """Returns the disruption budget of maintenance, unlimited if DISRUPTION_BUDGET is removed."""
+    """Returns the disruption budget of maintenance, without limits if DISRUPTION_BUDGET is removed."""
     min_spare_fraction = -1.0 if removed_defence == DISRUPTION_BUDGET else 0.1
     return DisruptionBudget(min_spare_fraction, 0.0, 0.0, 0.0)
 
@@ -120,7 +120,7 @@
 
 
 def remove_reserved_amount(cold_start: ColdStartParticipant) -> None:
-    """Lets a grantor lease out what it took from a holder's quota while the holder might still use it."""
+    """Lets a grantor that reduces a call quota lease the freed amount before the old lease has expired."""
     if cold_start.grantor is None:
         return
     quota_grantor = cold_start.grantor.call_quota_grantor
--- a/landingshift/testbed/simulation/rpc_service.py
+++ b/landingshift/testbed/simulation/rpc_service.py
@@ -36,7 +36,7 @@
 from landingshift.testbed.verification.history import PolicyUsed, RpcAnswered, RpcRead, RunStarted
 
 LOOP_LAG_MS = 3.0
-"""Event loop lag that the gauges report to admission."""
+"""Event loop lag that is reported to admission, the same at each check."""
 TENANT_QUOTA = 100_000.0
 OK = "ok"
 REJECTED = "pushed_back"
@@ -52,9 +52,9 @@
         engine: Runs RPCs.
         open_rpcs: RPCs that have not been answered, by number.
         saturation: Estimate of the store's saturation from the results of downstream calls.
-        may_decide: Whether the server is allowed to decide about RPCs by its policy.
+        may_decide: Whether the server was allowed to decide about RPCs by its policy at the last `settle`.
         applied_version: Policy version that has been applied to admission; -1 for none.
-        is_healthy: Result of health checks.
+        is_healthy: Whether health checks of this server succeed.
         read_count: Number of RPCs read since the last `take_read_count`.
         ok_count: Number of RPCs answered with a result.
         answered_count: Number of RPCs answered.
@@ -95,7 +95,7 @@
     # Events
 
     def on_rpc(self, rpc: SimulatedRpc, queued_ms: float, now_ms: float) -> None:
-        """Passes an RPC to admission, after it has been queued in the socket for `queued_ms`."""
+        """Passes an RPC to admission. The RPC has been queued in the socket of the server for `queued_ms`."""
         self.read_count += 1
         rpc.waited_ms = queued_ms + GATEWAY_DELAY_MS
         rpc.remaining_ms = CALLER_TIMEOUT_MS - rpc.waited_ms
@@ -136,21 +136,26 @@
             self._end_run_if_answered(event.managed)
 
     def _end_run_if_answered(self, managed: ManagedRpc) -> None:
-        """Ends a run that waits for its downstream call if its RPC has already been answered."""
+        """Ends the run of an RPC that has already been answered; does nothing if the RPC is still open.
+
+        The run waits for permission to make its downstream call, or this call has just failed.
+        """
         if rpc_number(managed) not in self.open_rpcs:
             self.engine.finish_without_call(managed)
 
     def on_timer(self, now_ms: float) -> None:
-        """Runs the periodic check of admission, with the present gauges."""
+        """Runs the periodic check of admission, and passes it the utilization of the cores."""
         self.admission.now_ms = now_ms
         busy_count = len(self.engine.core_free_at_ms)
         self.admission.on_timer(Gauges(min(1.0, busy_count / CORE_COUNT), float(busy_count), LOOP_LAG_MS))
 
     def settle(self, now_ms: float) -> None:
-        """Lets admission reject, start and resume RPCs after it has been told all simultaneous events.
+        """Applies a new policy version, enters or leaves standby, and lets admission decide about its RPCs.
 
-        Before that, applies a new policy version to admission. Enters standby if the server is no longer
-        allowed to decide by its policy, and leaves standby if it is allowed again and not draining.
+        Call this once after all events of the same time have been passed to admission. Admission then
+        rejects, starts and resumes RPCs; on standby it starts no runs. The server enters standby when
+        its policy no longer allows decisions about RPCs. It leaves standby when its policy allows them again,
+        unless the server is draining.
         """
         is_allowed = may_decide(self._participant, now_ms, self._removed_defence)
         self.admission.now_ms = now_ms
@@ -164,12 +169,12 @@
         self.admission.settle()
 
     def set_call_rate_quota(self, calls_per_second: float, now_ms: float) -> None:
-        """Sets the rate of downstream calls that admission allows."""
+        """Sets the maximum rate of downstream calls that admission allows."""
         self.admission.now_ms = now_ms
         self.admission.set_call_rate_quota(calls_per_second)
 
     def start_draining(self, duration_ms: float, now_ms: float) -> None:
-        """Starts the drain of admission, which must be complete after `duration_ms`."""
+        """Lets admission begin to drain. All RPCs must be answered within `duration_ms`."""
         self.admission.now_ms = now_ms
         self.admission.start_draining(duration_ms)
         if self._removed_defence == DRAIN_GRACE:
@@ -206,12 +211,12 @@
         self.engine.start_run(self.open_rpcs[rpc.number])
 
     def start_call(self, rpc: Rpc, timeout_ms: float) -> None:
-        """Makes the downstream call of a run."""
+        """Makes the downstream call for which the run of the RPC waits."""
         assert isinstance(rpc, SimulatedRpc)
         self.engine.start_call(self.engine.runs[rpc.number], timeout_ms)
 
     def skip_call(self, rpc: Rpc) -> None:
-        """Lets a run continue without its downstream call."""
+        """Ends the run of the RPC without the downstream call for which it waits."""
         assert isinstance(rpc, SimulatedRpc)
         self.engine.finish_without_call(self.engine.runs[rpc.number])
 
@@ -234,7 +239,7 @@
         is_healthy: bool,
         is_shallow: bool,
     ) -> None:
-        """Sets the result of health checks."""
+        """Sets whether health checks of this server succeed."""
         del is_shallow  # simulated gateways make only one kind of health check
         self.is_healthy = is_healthy
 
--- a/landingshift/testbed/simulation/server.py
+++ b/landingshift/testbed/simulation/server.py
@@ -1,7 +1,7 @@
 """A server in virtual time, which runs the real decision code of all packages.
 
-It contains no decision logic: it connects the objects of the packages as a real server connects them on its
-event loop, but uses a simulated engine, disk and network.
+This module contains no decision logic. It connects the objects of the packages as a real server does on its
+event loop, but the engine, the disk and the network are simulated.
 """
 
 from __future__ import annotations
@@ -32,15 +32,15 @@
 DECLARED_DEAD_LOG_EVENT = "fleet_dead"
 COLD_START_STEP_MS = 200.0
 ACTIVE_REPORT_INTERVAL_MS = 500.0
-"""Mean interval of the reports to the maintenance leader while there is a maintenance request."""
+"""Mean interval of a server's load reports to the leader while the server knows a maintenance request."""
 IDLE_REPORT_INTERVAL_MS = 2000.0
-"""Mean interval of the reports to the maintenance leader at other times."""
+"""Mean interval of a server's load reports to the leader while the server knows no maintenance request."""
 LOAD_WINDOW_MS = 1000.0
 """Minimum time over which the rate of RPCs is measured."""
 DRAIN_MS = 3000.0
 """Maximum time from the beginning of a drain to the end of the process."""
 MAX_DELIVERY_COUNT = 8
-"""Limit of the rounds in which one `take_outgoing` saves Raft state and sends the resulting messages."""
+"""Maximum number of times that one call of `take_outgoing` saves Raft state and queues policy messages."""
 MAX_MEMBER_COUNT = 1000
 ZONE_COUNT = 2
 MODEL_COUNT = 2
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RpcArrival:
-    """An RPC from a gateway. `queued_ms` is the time that it spent in the socket of a paused server."""
+    """An RPC from a gateway. `queued_ms` is the time that the RPC spends in the socket of a paused server."""
 
     rpc: SimulatedRpc
     queued_ms: float
@@ -56,13 +56,13 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainNotice:
-    """An external notice to drain. The server starts again `down_ms` after its process has ended."""
+    """An external notice to drain. A new process starts `down_ms` after the drained one has ended."""
 
     down_ms: float
 
 
 class SimulatedServer:
-    """One process of a server; implements `SimulatedProcess`.
+    """A process of a simulated server; implements `SimulatedProcess`.
 
     Attributes:
         cluster: The cluster around the server.
@@ -70,13 +70,13 @@
         name: Name of the server.
         host: Host that runs the process.
         disk: Disk of the server, which outlives the process.
-        node: Membership.
-        policy_node: Policies and, on a voter, consensus.
-        cold_start: Cold start of the server.
-        rpcs: RPCs, admission and the engine.
+        node: Membership node.
+        policy_node: Runs policy changes; contains a Raft node if the server can be a voter.
+        cold_start: Start permit, call quota and polls of the endpoint list.
+        rpcs: Admission and the engine, with the RPCs that they handle.
         maintenance: The server's part in maintenance.
-        ends_at_ms: Time on the host's clock at which a drain ends the process at the latest; infinite if
-            the server is not draining.
+        ends_at_ms: Deadline of the drain on the host's clock: the process ends at this time even if some RPCs
+            are still open. Infinite if the server is not draining.
         down_ms: Time from the end of a drained process to the start of the next process.
     """
 
@@ -159,7 +159,7 @@
 
     @property
     def is_draining(self) -> bool:
-        """Whether the server is draining and will end."""
+        """Whether the server is draining. Its process ends after the drain."""
         return self.ends_at_ms < inf
 
     @property
@@ -176,11 +176,11 @@
         return self.cluster.wall_clock_ms(self.index)
 
     def warm_fraction(self) -> float:
-        """Returns the fraction of its full capacity that the server has reached, from 0 to 1."""
+        """Returns the capacity that the server has reached, as a fraction (0 to 1) of its full capacity."""
         return self.cold_start.warm_fraction(self.rpcs)
 
     def table_sizes(self) -> dict[str, int]:
-        """Returns the sizes of all tables that could grow without bound, by their names in the history."""
+        """Returns the sizes of all tables that could grow without bound, keyed by table name."""
         operator_commands = self.policy_node.operator_commands
         sizes = {
             "out": len(self.node.outbox.pending),
@@ -230,8 +230,8 @@
             case RpcArrival(rpc, queued_ms):
                 self.rpcs.on_rpc(rpc, queued_ms, now_ms)
             case DrainNotice(float(down_ms)):
-                # The pattern matches floats only. Drawn scenarios have an int here, so their notices have no
-                # effect. Scenarios read from files have a float, so their notices start a drain.
+                # The pattern matches floats only. In randomly generated scenarios `down_ms` is an int, so
+                # the notice has no effect. In scenarios from files it is a float, and the server drains.
                 self.start_draining(down_ms)
             case RunFinished() | CallNeeded() | CallFinished():
                 self.rpcs.on_engine_event(message, now_ms)
@@ -253,8 +253,9 @@
     def take_outgoing(self) -> list[tuple[Address, Any]]:
         """Completes the handling of events and returns the datagrams to send, with their receivers.
 
-        Lets admission settle, ends the process if its drain is complete, and writes the Raft state to disk
-        before it sends the policy messages that depend on that state.
+        First lets admission reject, start and resume RPCs. Ends the process if the drain is complete or its
+        deadline has passed. Otherwise writes unsaved Raft state to disk; the policy messages that depend on
+        this state are sent only after that.
         """
         now_ms = self.host.clock_ms()
         self.rpcs.settle(now_ms)
@@ -280,7 +281,7 @@
         return bool(messages)
 
     def _save(self) -> bool:
-        """Writes a changed Raft state to disk; returns whether messages that depend on it may be sent."""
+        """Writes unsaved Raft state to disk; returns whether it is safe to send policy messages."""
         unsaved = self.policy_node.unsaved_state()
         if unsaved is None:
             return True
@@ -319,7 +320,7 @@
         )
 
     def start_draining(self, down_ms: float) -> None:
-        """Begins to drain, unless the server is draining already.
+        """Begins to drain; does nothing if the server is already draining.
 
         Args:
             down_ms: Time from the end of the process to the start of the next process.
@@ -334,7 +335,7 @@
         self.down_ms = down_ms
 
     def _end(self) -> None:
-        """Ends the process and announces its departure to the other servers."""
+        """Announces the departure of the process to the other servers, then ends the process."""
         self.policy_node.announce_departure()
         self._send_policy_messages()
         for receiver, message in self.node.take_outgoing():
--- a/landingshift/testbed/simulation/server_cold_start.py
+++ b/landingshift/testbed/simulation/server_cold_start.py
@@ -1,4 +1,4 @@
-"""The cold start of a simulated server: its participant, its leases and the endpoint list."""
+"""The cold start of a simulated server: start permit, call quota and polls of the endpoint list."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 LIST_POLLS_PER_SECOND = 20.0
 LIST_TIMEOUT_MS = 3000.0
 DEMAND_MARGIN_FACTOR = 1.25
-"""A server requests a quota of downstream calls that exceeds the need of its RPCs by this factor."""
+"""Ratio of the downstream call rate that a server requests as its quota to the rate that its RPCs need."""
 MIN_DEMAND_CALLS_PER_SECOND = 1.0
 
 
@@ -33,7 +33,8 @@
         participant: Requests leases and, on a grantor, grants them.
         poller: Decides when to poll the endpoint list for addresses of other servers.
         is_open: Whether the server has begun to accept RPCs.
-        call_quota: Downstream calls per second that were last set in admission; -1 if none were.
+        call_quota: Call quota that was last passed to admission, in downstream calls per second; -1 if none
+            has been passed.
     """
 
     def __init__(
@@ -58,14 +59,14 @@
         self._recorded_leases: dict[str, tuple[float, ...]] = {}
 
     def warm_fraction(self, rpcs: RpcService) -> float:
-        """Returns the fraction of its full capacity that the server has reached, from 0 to 1."""
+        """Returns the capacity that the server has reached, as a fraction (0 to 1) of its full capacity."""
         if not self.is_open:
             return 0.0
         age_fraction = (self._host.clock_ms() - rpcs.admission.started_at_ms) / WARM_UP_MS
         return min(1.0, age_fraction, rpcs.engine.cache_fill_fraction)
 
     def step(self, rpcs: RpcService, now_ms: float) -> None:
-        """Passes an observation of the load to the participant, and applies the participant's decisions.
+        """Reports the load of the server to the participant, and applies the participant's decisions.
 
         Also polls the endpoint list if a poll is due.
         """
--- a/landingshift/testbed/simulation/virtual_time.py
+++ b/landingshift/testbed/simulation/virtual_time.py
@@ -17,17 +17,17 @@
 
 Address = tuple[str, int]
 TIMER_TOLERANCE_MS = 1e-6
-"""Upper bound of the rounding error when a clock offset is added to a time."""
+"""Maximum rounding error when a virtual time is converted to the time on a clock or back."""
 MAX_QUEUED_MESSAGES = 400
-"""Capacity of the socket buffer of a paused process. Further messages are dropped."""
+"""Maximum number of messages in the socket buffer of a process. Further messages are dropped."""
 NO_EVENT_LIMIT = 1 << 62
 
 
 class EventStormError(LandingshiftError, RuntimeError):
-    """A simulation scheduled more events than its limit.
+    """A simulation scheduled more events than `max_event_count` allows.
 
     Attributes:
-        event_count: Number of events scheduled since the beginning.
+        event_count: Number of events scheduled since the beginning of the simulation.
         now_ms: Virtual time at which the limit was exceeded.
     """
 
@@ -50,7 +50,7 @@
         """Returns the time at which `on_timer` must be called next."""
 
     def take_outgoing(self) -> list[tuple[Address, Any]]:
-        """Returns the messages to send, with their receivers, and removes them from the queue."""
+        """Returns the outgoing messages with their receivers, and removes these messages from the queue."""
 
 
 class SimulatedHost:
@@ -63,10 +63,10 @@
         clock_offset_ms: Time on the clock at virtual time 0.
         clock_rate: Speed of the clock relative to virtual time: 1.01 for a clock that is 1 % fast.
         is_up: False once the process has been killed or has ended.
-        paused_until_ms: Virtual time until which the process is paused. Its socket still receives.
-        mean_delay_ms: Mean of the exponentially distributed delays of a process on an overloaded core; 0
-            for no delays.
-        queued_messages: Messages that have been received and not been read by the process.
+        paused_until_ms: Virtual time until which the process is paused. Messages are queued during this time.
+        mean_delay_ms: Mean delay before the process handles a message or its timer, as on an overloaded
+            core. Delays are exponentially distributed; 0 for no delays.
+        queued_messages: Messages that the host has received and the process has not read.
         timer_at_ms: Virtual time of the earliest scheduled timer; infinite for none.
         received_count: Number of messages received.
         sent_count: Number of messages sent.
@@ -94,7 +94,7 @@
         self.sent_count = 0
 
     def start(self, process: SimulatedProcess) -> None:
-        """Starts the process. It replaces any earlier process at the address."""
+        """Starts the process, which replaces any earlier process at the address of this host."""
         self.process = process
         self.network.hosts[self.address] = self
         self.run_once()
@@ -118,9 +118,10 @@
         self.network.schedule_at(self.paused_until_ms, self.resume)
 
     def resume(self) -> None:
-        """Lets the process handle the queued messages and then its due timer, unless it is down or paused.
+        """Lets the process handle the queued messages, and then its timer if that is due.
 
-        Messages come before timers, as on a real event loop, which polls its sockets first.
+        Does nothing if the process is down or paused. Messages come before the timer because a real event
+        loop also polls its sockets first.
         """
         if not self.is_up or self.is_paused:
             return
@@ -182,14 +183,15 @@
         rng: Generator of all random values of the network.
         now_ms: Virtual time, which begins at 0.
         event_count: Number of events scheduled so far.
-        max_event_count: Limit of `event_count`, above which `run_until` raises EventStormError.
+        max_event_count: Limit of `event_count`. `run_until` raises EventStormError above this limit.
         latency_ms: Minimum and maximum latency of a message.
         loss_probability: Probability that a message is lost.
         duplicate_probability: Probability that a message is sent twice.
         extra_delay_ms: Delay added to the latency of each message.
         hosts: Host of the latest process at each address.
-        is_cut: Returns whether messages from the first address to the second address are lost at present.
-        message_count: Number of messages sent so far, including lost messages.
+        is_cut: Function that returns whether messages from the first address to the second address are lost
+            at present.
+        message_count: Number of messages sent so far, including lost messages but not duplicates.
     """
 
     def __init__(
@@ -209,7 +211,7 @@
         self._events: list[tuple[float, int, Callable[[], object]]] = []
 
     def schedule_at(self, time_ms: float, action: Callable[[], object]) -> None:
-        """Schedules a call of `action` at a virtual time, or at the present time if that has passed."""
+        """Schedules a call of `action` at virtual time `time_ms`, or immediately if that time has passed."""
         self.event_count += 1
         heapq.heappush(self._events, (max(time_ms, self.now_ms), self.event_count, action))
 
@@ -230,7 +232,7 @@
         return host
 
     def kill(self, address: Address) -> None:
-        """Kills the process at an address; messages that it has not sent are lost."""
+        """Kills the process at an address; messages that the process has not sent are lost."""
         self.hosts[address].is_up = False
 
     def transmit(self, sender: Address, receiver: Address, message: Any) -> None:
--- a/landingshift/testbed/simulation/workload.py
+++ b/landingshift/testbed/simulation/workload.py
@@ -21,13 +21,13 @@
 """Core time that one RPC needs."""
 SERVER_CAPACITY_RPCS_PER_SECOND = CORE_COUNT * 1000.0 / CORE_TIME_MS
 CACHE_FILL_CALLS = 8
-"""Number of downstream calls that fill a server's cache. After that, every 8th run still needs a call."""
+"""Number of downstream calls that fill a server's cache. Later, one run in this many still needs a call."""
 WARM_UP_MS = 2000.0
 CALLER_TIMEOUT_MS = 3000.0
 MAX_CALL_WAIT_MS = 300.0
 """Maximum time that the engine waits for a downstream call."""
 GATEWAY_DELAY_MS = 1.0
-"""Delay of an RPC from a gateway to the socket of a server."""
+"""Time that an RPC takes from a gateway to the socket of a server."""
 CRITICAL_METHOD_FRACTION = 0.2
 
 
@@ -61,7 +61,7 @@
 
 
 def new_rpc(method: Method, tenant: Tenant, number: int) -> SimulatedRpc:
-    """Returns a new RPC as a gateway sends it."""
+    """Returns a new RPC with the field values that a gateway sends."""
     return SimulatedRpc(
         method, tenant, CALLER_TIMEOUT_MS, 1.0, 10.0, 0, None, False, False, False, False, number
     )
