--- a/landingshift/testbed/simulation/cold_start.py
+++ b/landingshift/testbed/simulation/cold_start.py
@@ -37,7 +37,7 @@
 LIST_TIMEOUT_MS = 3000.0
 LIST_LATENCY_MS = 20.0
 COLD_CALLS_PER_SECOND = 10.0
-"""Rate of downstream calls that a server needs while its cache is cold, limited by its cores."""
+"""Rate of downstream calls that a server with a cold cache needs: as many as its cores can make."""
 WARM_CALLS_PER_SECOND = 1.0
 """Rate of downstream calls that a server needs once its cache is warm."""
 CLOCK_OFFSETS_MS = (-1e6, 1e6)
@@ -244,7 +244,7 @@
         store: Downstream store of all servers.
         servers: Running servers, by number.
         hosts: Host of each server's latest process, by server number.
-        log_lines: Log events of membership, each with its virtual time and the number of its server.
+        log_lines: Log events of membership, as tuples of virtual time, server number and event name.
         violations: Descriptions of the samples in which a limit was violated.
         list_poll_times_ms: Virtual times of the polls of the endpoint list.
         has_recovery_grace: If True, for the length of one lease after its start, a grantor grants no more
--- a/landingshift/testbed/simulation/policy_change.py
+++ b/landingshift/testbed/simulation/policy_change.py
@@ -41,9 +41,9 @@
 CLOCK_OFFSETS_MS = (-1e6, 1e6)
 CLOCK_RATES = (0.99, 1.01)
 SETTLING_MS = 12_000.0
-"""Time that the servers have to agree on a policy version after all faults have ended."""
+"""Time that servers have to agree on a policy version after `settle` has ended the faults."""
 ANSWER_MS = 1500.0
-"""Time that a server has to find out the outcome of a change, from the command to do so."""
+"""Time that servers have to find out the outcomes of changes after `settle` has asked them to."""
 
 
 def address(name: str) -> Address:
@@ -292,7 +292,7 @@
                 self.change_outcome(name, change_id)
 
     def settle(self, duration_ms: float = SETTLING_MS) -> None:
-        """Ends all faults, starts the servers that are down, and advances virtual time by `duration_ms`.
+        """Ends network and disk faults, starts the servers that are down, and advances time by `duration_ms`.
 
         Then lets each server find out the outcomes of changes that it does not know, and appends the final
         outcomes of all changes to the history. Outcomes that are already in the history are appended again.
--- a/landingshift/testbed/simulation/virtual_time.py
+++ b/landingshift/testbed/simulation/virtual_time.py
@@ -24,7 +24,7 @@
 
 
 class EventStormError(LandingshiftError, RuntimeError):
-    """A simulation scheduled more events than `max_event_count` allows.
+    """A simulation scheduled more events than `SimulatedNetwork.max_event_count` allows.
 
     Attributes:
         event_count: Number of events scheduled since the beginning of the simulation.
