--- a/landingshift/net/program/config.py
+++ b/landingshift/net/program/config.py
@@ -1,4 +1,4 @@
-"""Reads the platform's JSON configuration, checks it and fills in defaults."""
+"""Reads the server's JSON configuration file, checks its values and fills in defaults."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
     extra = settings.nested("extra")
     gauges = extra.value("gauges", list, "a list", [])
     methods = settings.check_unique("classes", [one.token("name") for one in settings.entries("classes")])
-    # Tenant names are never tokens of a line protocol, so they may contain spaces.
+    # Tenant names are never sent to the engine or the database, so they can contain spaces.
     tenants = settings.check_unique("orgs", [one.text("name") for one in settings.entries("orgs")])
     return ServerConfig(
         name=root.token("name", env.get(NAME_VARIABLE, REQUIRED)),
--- a/landingshift/net/program/config_errors.py
+++ b/landingshift/net/program/config_errors.py
@@ -1,4 +1,4 @@
-"""Errors in the platform's configuration; each message begins with the key that is at fault."""
+"""Errors in the server's JSON configuration; each message begins with the key or variable at fault."""
 
 from __future__ import annotations
 
@@ -11,7 +11,8 @@
     """The configuration can't be used.
 
     Attributes:
-        key: The full path of the invalid or missing key, or the name of an environment variable.
+        key: The full path of the invalid or missing key; the name of the environment variable if that is at
+            fault.
         problem: A description of the problem with the value.
     """
 
@@ -34,7 +35,7 @@
 
 
 class ConfigPathMissingError(ServerConfigError):
-    """The environment variable for the path of the configuration file is not set."""
+    """The environment variable that must contain the path of the configuration file is not set."""
 
     def __init__(self) -> None:
         super().__init__(CONFIG_FILE_VARIABLE, "this environment variable must name the configuration file")
--- a/landingshift/net/program/config_reader.py
+++ b/landingshift/net/program/config_reader.py
@@ -22,8 +22,8 @@
 class ConfigReader:
     """Reads values from one JSON object.
 
-    All methods raise a `ServerConfigError` for an invalid value. A null value counts as a missing key, as it
-    does in the settings.
+    All methods raise a `ServerConfigError` for an invalid value. A key whose value is null counts as missing,
+    as in `landingshift.settings`.
 
     Args:
         data: The JSON object.
@@ -41,7 +41,7 @@
         return f"{self.path}.{key}" if self.path else key
 
     def value(self, key: str, types: Any, expected: str, default: Any) -> Any:
-        """Returns the value at `key`, checked for its type.
+        """Checks the type of the value at `key` and returns the value.
 
         Args:
             key: The key in this object.
@@ -117,7 +117,7 @@
         return [ConfigReader(value, f"{self.key_path(key)}[{i}]") for i, value in enumerate(values)]
 
     def check_unique(self, key: str, names: list[str]) -> list[str]:
-        """Returns `names`, the names of the entries in the list at `key`, if each occurs only once.
+        """Returns `names`, the names of the entries in the list at `key`, after checking that all differ.
 
         Raises:
             DuplicateNameError: A name occurs more than once.
--- a/landingshift/net/program/feature_errors.py
+++ b/landingshift/net/program/feature_errors.py
@@ -1,4 +1,4 @@
-"""Errors in the settings of optional packages; each message names the file, the table and the key."""
+"""Errors in the settings of optional packages; messages name the file, table and key, as far as known."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class TableExpectedError(FeatureConfigError):
-    """The value that the settings file has under a package's table name is not a table."""
+    """In the settings file, the value of a package's key is not a table."""
 
     def __init__(self, path: str, table: str) -> None:
         super().__init__(path, f"{table}: a table is expected")
--- a/landingshift/net/program/features.py
+++ b/landingshift/net/program/features.py
@@ -50,7 +50,8 @@
     def finish(self) -> None:
         """Finishes the service's work after the loop has ended.
 
-        It can block briefly, but must return before the end of the time left until the process is killed.
+        The method can block briefly, but must return before the end of the shutdown time, after which the
+        process is killed.
         """
 
 
@@ -101,11 +102,12 @@
 
     Args:
         data: The settings file as decoded from TOML.
-        path: The file's path, for error messages and relative paths in the settings.
-        include_disabled: Also return packages that are not enabled.
+        path: The file's path, used in error messages and to resolve relative paths in the settings.
+        include_disabled: If True, packages that are not enabled are returned too.
 
     Raises:
-        FeatureConfigError: A table is unknown or invalid, or a package needs another that is not enabled.
+        FeatureConfigError: A table is unknown or invalid, or an enabled package needs a package that is not
+            enabled.
     """
     features = [_decode_table(table, values, path) for table, values in data.items()]
     features = [feature for feature in features if feature.settings.on or include_disabled]
@@ -154,7 +156,7 @@
 
     Args:
         path: The file's path; if it is None or empty, the result is an empty list.
-        include_disabled: Also return packages that are not enabled.
+        include_disabled: If True, packages that are not enabled are returned too.
 
     Raises:
         FeatureConfigError: The file can't be read or its content is invalid.
--- a/landingshift/net/program/log.py
+++ b/landingshift/net/program/log.py
@@ -10,7 +10,7 @@
 import orjson
 
 MAX_LINE_BYTES = 4000  # less than PIPE_BUF (4096), so that a write to a pipe is atomic
-TRUNCATED_LINE_BYTES = 2000  # the length to which longer lines are truncated
+TRUNCATED_LINE_BYTES = 2000  # number of bytes kept of a line that is too long
 
 
 class EventLog:
@@ -27,7 +27,7 @@
         self.poll.register(fd, select.POLLOUT)
 
     def __call__(self, event: str, **fields: Any) -> None:
-        """Writes one event, or counts it as lost if it can't be written at once."""
+        """Writes one event, or counts it as lost if it can't be written without waiting."""
         entry: dict[str, Any] = {"t": round(time.time() * 1000.0), "event": event, **fields}
         if self.lost_count:
             entry["lost"] = self.lost_count
@@ -35,8 +35,8 @@
         if len(line) >= MAX_LINE_BYTES:
             beginning = line[:TRUNCATED_LINE_BYTES].decode(errors="replace")
             line = orjson.dumps({"t": entry["t"], "event": event, "cut": beginning})
-        # A log that nobody reads must not delay RPCs, so a line that can't be written at once is dropped and
-        # counted.
+        # A log that nobody reads must not delay RPCs, so a line that can't be written without waiting is
+        # dropped and counted.
         if self._write(line + b"\n"):
             self.lost_count = 0
         else:
--- a/landingshift/net/program/main.py
+++ b/landingshift/net/program/main.py
@@ -20,7 +20,7 @@
 
 EXIT_OK = 0
 EXIT_INVALID_CONFIG = 2
-# Collections are rarer than by default, because each one delays a pass of the loop.
+# Garbage collections are rarer than by default, because each collection delays a pass of the loop.
 GC_THRESHOLDS = (20_000, 20, 50)
 
 
@@ -56,8 +56,8 @@
         cold=config.settings.starts_cold,
     )
     loop.run()
-    # Services finish in reverse order, because the last messages of a service can be sent through a service
-    # that was attached earlier.
+    # Services finish in reverse order, because a service might send its last messages through a service that
+    # was attached earlier.
     for service in reversed(services):
         service.finish()
     log("stopped", connections=len(router.gateways.connections))
@@ -90,7 +90,7 @@
 
 
 def _tune_collector() -> None:
-    """Makes garbage collections rarer, and shorter by excluding all objects created so far."""
+    """Makes garbage collections rarer, and excludes all objects created so far to make them shorter."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
--- a/landingshift/net/program/signals.py
+++ b/landingshift/net/program/signals.py
@@ -20,7 +20,8 @@
 
     Attributes:
         on_signal: Called with the signal's number and the time of its receipt on the loop's clock.
-        received_ms: The time of receipt of the first undelivered signal, keyed by signal number.
+        received_ms: The time of receipt of each undelivered signal, keyed by signal number; if a signal was
+            received several times, the first time.
     """
 
     def __init__(self, loop: Loop) -> None:
@@ -36,11 +37,15 @@
         loop.watch(self.reader.fileno(), EVENT_READ, self)
 
     def _record_time(self, number: int, _frame: object) -> None:
-        """Records the time of receipt: the time to stop runs from it, not from the end of a long pass."""
+        """Records the time of receipt.
+
+        The time allowed for a shutdown runs from the receipt of the signal, not from the end of a long loop
+        pass.
+        """
         self.received_ms.setdefault(number, self.loop.clock_ms())
 
     def on_ready(self, _mask: int) -> None:
-        """Delivers the received signals; several with the same number count as one."""
+        """Delivers the received signals; several signals with the same number are delivered once."""
         for number in sorted(set(self.reader.recv(MAX_SIGNALS_PER_READ))):
             received_ms = self.received_ms.pop(number, self.loop.now_ms)
             if self.on_signal is not None:
--- a/landingshift/net/protocol/database.py
+++ b/landingshift/net/protocol/database.py
@@ -14,7 +14,7 @@
     b"FULL": Outcome.REJECTED,
     b"FAIL": Outcome.ABORTED,
     b"TIMEOUT": Outcome.NO_RESPONSE,
-    b"NONE": Outcome.NO_CONNECTION,  # like a failed connection, it proves that the call never ran
+    b"NONE": Outcome.NO_CONNECTION,  # this status proves, like a failed connection, that the call never ran
 }
 
 
@@ -32,10 +32,10 @@
 
 
 class ReplyDecoder:
-    """Decodes the replies that arrive on one link."""
+    """Decodes the replies that arrive on one connection to the database."""
 
     def __init__(self) -> None:
-        # Requiring the line end detects a body whose length is wrongly given as 0.
+        # Requiring a line end after an empty body detects a body whose length is wrongly given as 0.
         self.line_decoder = LineDecoder(_has_body, empty_body_has_line_end=True)
 
     def feed(self, data: bytes) -> Iterator[Reply]:
@@ -63,5 +63,5 @@
 
 
 def encode_cancel(rpc_id: bytes) -> bytes:
-    """Encodes the cancellation of an RPC's call when its reply is no longer needed."""
+    """Encodes the cancellation of an RPC's call, for use when the call's reply is no longer needed."""
     return encode_line(b"X", rpc_id)
--- a/landingshift/net/protocol/engine.py
+++ b/landingshift/net/protocol/engine.py
@@ -1,7 +1,8 @@
 """Decodes the engine's messages and encodes the commands to it.
 
 The engine numbers its notices consecutively. After a reconnection, the attach command contains the number of
-the last notice received. The engine then repeats all later notices, so none is lost with a connection.
+the last notice received. The engine then repeats all later notices, so no notice is lost when a connection
+breaks.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
 @dataclass(slots=True)
 class Hello:
-    """The engine's reply to the attach command: it accepts the link.
+    """The engine's reply to the attach command: the engine accepts the connection as its link.
 
     Attributes:
         is_cold: Whether the engine was started together with this server and is beginning to warm up.
@@ -124,7 +125,7 @@
 
 
 class NoticeDecoder:
-    """Decodes the messages that arrive on one link."""
+    """Decodes the messages that arrive on one connection to the engine."""
 
     def __init__(self) -> None:
         self.line_decoder = LineDecoder(_has_body)
--- a/landingshift/net/protocol/gateway.py
+++ b/landingshift/net/protocol/gateway.py
@@ -35,7 +35,8 @@
 class MessageType:
     """The message types of MessagePack-RPC.
 
-    They are plain integers and not an enum because every received message is compared with them.
+    The types are plain integers and not an enum, because every received message is compared with them and
+    integers are compared faster.
     """
 
     REQUEST = 0
@@ -96,9 +97,9 @@
         memory_kb: The memory that the RPC uses while it is queued.
         cache_key: A key that is equal for requests that can share a result; None if the request has none.
         idempotency_key: A key that is equal for all attempts of one RPC; None if the request has none.
-        work_hint_ms: The caller's estimate of the work; None if the request has none.
-        attempt_id: The id of the client's attempt; None if the request has none or no field is configured
-            for it.
+        work_hint_ms: The caller's estimate of the work that the RPC needs; None if the request has none.
+        attempt_id: The id of the client's attempt; None if the request has none, or if the configuration
+            names no field for this id.
     """
 
     rpc_id: bytes
@@ -118,8 +119,8 @@
 class MessageDecoder:
     """Decodes the messages that arrive on one connection.
 
-    Between calls it keeps only undecoded bytes and no parser, because parsers are large and most connections
-    are idle.
+    Between calls of `feed`, the decoder keeps only undecoded bytes and no parser, because parsers are large
+    and most connections are idle.
     """
 
     def __init__(self) -> None:
@@ -128,7 +129,7 @@
     def feed(self, data: bytes) -> list[Message]:
         """Adds received bytes and returns the messages that are now complete.
 
-        If the bytes after them are malformed, a `ProtocolFailure` is the last element.
+        If the bytes after these messages are malformed, a `ProtocolFailure` is the last element.
         """
         if not self.buffer:
             try:
@@ -192,7 +193,7 @@
     """Decodes and checks the parameters of an RPC's request.
 
     Args:
-        params: The parameters as unpacked.
+        params: The parameters as unpacked from MessagePack.
         attempt_id_field: The name of the field that identifies the client's attempt; empty if there is none.
 
     Raises:
@@ -207,7 +208,8 @@
         raise InvalidFieldError("body")
     rpc_id = values.get("id")
     if not isinstance(rpc_id, str) or not RPC_ID.fullmatch(rpc_id):
-        raise InvalidFieldError("id")  # sent in commands to the engine, so other characters could forge one
+        # Commands to the engine contain the id, so an id with a line end could inject a command.
+        raise InvalidFieldError("id")
     return RequestFields(
         rpc_id=rpc_id.encode(),
         arrived_unix_ms=_number(values, "at", 0.0, MAX_UNIX_MS),
@@ -251,7 +253,7 @@
     Args:
         headers: The headers that every response carries.
         retry_after_ms: The time for which the caller should not retry on this server; 0 for no such advice.
-        is_final: Whether the caller should not retry on another server either.
+        is_final: If True, the caller is advised not to retry on another server either.
     """
     if retry_after_ms <= 0 and not is_final:
         return headers
@@ -264,7 +266,11 @@
 
 
 def load_headers(load: float) -> dict[str, str]:
-    """Returns the headers that advertise `load` to callers, in the form of `Settings.load_advertisement`."""
+    """Returns the headers that advertise `load` to callers.
+
+    Args:
+        load: A load level, a credit or a weight; `Settings.load_advertisement` determines which.
+    """
     return {"say": f"{load:g}"}
 
 
@@ -278,5 +284,5 @@
     return pack([MessageType.RESPONSE, message_id, None, [is_healthy, headers]])
 
 
-# Asks the gateway to close the connection after it has received its outstanding responses.
+# Asks the gateway to close the connection after the gateway has received its outstanding responses.
 GOAWAY = pack([MessageType.NOTIFICATION, "goaway", []])
--- a/landingshift/net/protocol/lines.py
+++ b/landingshift/net/protocol/lines.py
@@ -107,7 +107,7 @@
 
 
 def encode_line(*tokens: bytes, body: bytes | None = None) -> bytes:
-    """Encodes one line; if `body` is given, it follows the line, and its length is the last token."""
+    """Encodes one line; if `body` is given, the body's length becomes the last token and the body follows."""
     if body is None:
         return b" ".join(tokens) + LINE_END
     return b"%b %d\r\n%b\r\n" % (b" ".join(tokens), len(body), body)
--- a/landingshift/net/protocol/roster.py
+++ b/landingshift/net/protocol/roster.py
@@ -4,5 +4,5 @@
 
 
 def encode_presence(server_name: str, is_healthy: bool) -> bytes:
-    """Encodes the report that the server is running; `is_healthy` tells whether callers can select it."""
+    """Encodes the report that a server is running; if not `is_healthy`, callers should not select it."""
     return f"HERE {server_name} {'on' if is_healthy else 'off'}".encode()
--- a/landingshift/net/transport/datagram.py
+++ b/landingshift/net/transport/datagram.py
@@ -18,5 +18,5 @@
 
     def send(self, data: bytes) -> None:
         """Sends one datagram, or drops it if the socket reports an error or a full buffer."""
-        with suppress(OSError):  # the receiver might be down; reports are repeated anyway
+        with suppress(OSError):  # the receiver might be down; the sender repeats its reports anyway
             self.sock.sendto(data, self.address)
--- a/landingshift/net/transport/listener.py
+++ b/landingshift/net/transport/listener.py
@@ -20,8 +20,9 @@
     Args:
         loop: The event loop that watches the listening socket.
         address: The address to listen on.
-        has_capacity: Returns whether one more connection can be accepted; can close other connections to make
-            room. Its argument is False if the process has run out of file descriptors.
+        has_capacity: Returns whether one more connection can be accepted; is allowed to close other
+            connections to make room. Called with False if the process has run out of file descriptors, else
+            with True.
         on_accept: Called with the socket of each accepted connection.
         sock: A socket that is already listening; if given, it is used instead of `address`.
 
@@ -30,7 +31,7 @@
 
     Attributes:
         address: The local address, with the port that the system chose if port 0 was given.
-        is_draining: Whether `drain` has been called; after it, no more connections are accepted.
+        is_draining: Whether `drain` has been called.
     """
 
     def __init__(
@@ -69,10 +70,10 @@
             self._accept(sock)
 
     def drain(self) -> bool:
-        """Accepts the connections in the backlog and stops accepting later ones.
+        """Accepts the connections that are in the backlog, and stops watching for new connections.
 
         Returns:
-            Whether the backlog was emptied; False if connections might be left in it.
+            True if the backlog was emptied; False if connections might be left in the backlog.
         """
         self.is_draining = True
         self.loop.watch(self.sock.fileno(), 0, self)
--- a/landingshift/net/transport/loop.py
+++ b/landingshift/net/transport/loop.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-LATE_TIMER_MS = 5.0  # a timer that fires later than this indicates that the process was paused
+LATE_TIMER_MS = 5.0  # a timer that is overdue by more than this indicates that the process was paused
 MAX_CATCH_UP_READS = 16  # maximum number of `read` calls after a pause, before timers fire
 MAX_WAIT_MS = 1000.0  # maximum wait for sockets if there is no timer
 MIN_CANCELLED_TIMERS = 64  # with fewer cancelled timers the heap is not compacted
@@ -45,8 +45,8 @@
     """A single-threaded event loop.
 
     Args:
-        on_fault: Called in the `except` block for an exception of a handler, so that `traceback.format_exc`
-            can format the exception.
+        on_fault: Called when a handler raises an exception; called in the `except` block, so that
+            `traceback.format_exc` can format the exception.
 
     Attributes:
         now_ms: The monotonic time of the last `read` call; handlers use it as the current time.
@@ -70,7 +70,7 @@
 
     @staticmethod
     def clock_ms() -> float:
-        """Returns the current monotonic time, which within a pass is later than `now_ms`."""
+        """Returns the current monotonic time; unlike `now_ms`, it advances within a pass."""
         return time.monotonic() * 1000.0
 
     def after(self, delay_ms: float, action: Callable[[], None]) -> Timer:
@@ -90,7 +90,7 @@
         timer.action = None
         self.cancelled_count += 1
         if self.cancelled_count > MIN_CANCELLED_TIMERS and self.cancelled_count * 2 > len(self.timers):
-            # Bounds memory: most distant deadlines are cancelled long before they reach the top of the heap.
+            # Without compaction the heap would grow: most timers are cancelled long before they are due.
             self.timers = [entry for entry in self.timers if entry[2].action is not None]
             heapq.heapify(self.timers)
             self.cancelled_count = 0
@@ -167,5 +167,5 @@
     def _run_guarded(self, step: Callable[[], None]) -> None:
         try:
             step()
-        except Exception:  # one invalid message or bug must not end all other RPCs
+        except Exception:  # a fault in the handling of one RPC must not end all other RPCs
             self.on_fault()
--- a/landingshift/net/transport/slots.py
+++ b/landingshift/net/transport/slots.py
@@ -1,4 +1,4 @@
-"""A table that assigns unique numbers to its entries and reuses their slots."""
+"""A table that assigns unique numbers to its entries and reuses the slots of removed entries."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Slots(Generic[T]):
-    """A table that assigns a unique number to each entry, even if the entry reuses the slot of a removed one.
+    """A table that assigns a unique number to each entry, even if the entry reuses the slot of another.
 
     A number consists of the index of the slot and a generation, which counts how often the slot was emptied.
     """
@@ -50,5 +50,5 @@
         return len(self.items) - len(self.free_indexes)
 
     def __iter__(self) -> Iterator[T]:
-        """Iterates over the entries in slot order; the table may be changed during the iteration."""
+        """Iterates over a copy of the entries in slot order, so the table can be changed meanwhile."""
         return (item for item in list(self.items) if item is not None)
--- a/landingshift/net/transport/stream.py
+++ b/landingshift/net/transport/stream.py
@@ -1,8 +1,8 @@
 """Provides non-blocking TCP streams with partial writes and bounded buffers.
 
 Guarantee: data written before a graceful close reaches a peer that keeps reading; otherwise the close reason
-shows that it did not. A peer that stops reading uses no more memory than the stream's bound, and delays the
-close by no more than the limits on lingering.
+shows that the data did not arrive. The output queued for a peer that stops reading uses no more memory than
+the stream's bound, and the peer can delay the close only up to the limits on lingering.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 READ_BYTES = 16384
 READS_PER_PASS = 8  # maximum number of reads from one stream before other streams are read
 LINGER_MS = 1000.0  # time for which a closing stream waits for its peer to close or to read more output
-MAX_LINGERS = 10  # maximum number of such waits, even if the peer is still reading
+MAX_LINGERS = 10  # maximum number of waits of `LINGER_MS`, even if the peer is still reading
 MAX_DISCARDED_BYTES = 65536  # maximum input discarded during a graceful close, before the stream is closed
 # Linux socket option: the kernel chooses the local port at connect instead of bind. Connections to different
 # peers can then share a local port, so that ports do not run out.
@@ -90,7 +90,7 @@
 
     Attributes:
         is_open: Whether the stream has not been closed.
-        is_reading: Whether the peer can still send; False once it has ended its output.
+        is_reading: Whether the peer can still send; False once the peer has ended its output.
         close_reason: The reason code of the close; empty until a close, graceful or not, begins.
         output: The bytes that are queued and not sent yet.
         queued_bytes: The number of bytes queued since the connection was opened.
@@ -119,7 +119,7 @@
         self.is_reading = True
         self.is_open = True
         self.close_reason = ""
-        self.watched_mask = -1  # the events that the loop watches; -1 before the first call
+        self.watched_mask = -1  # the events that the loop watches; -1 before the first `update_watch`
         self.output = bytearray()
         self.queued_bytes = 0
         self.sent_bytes = 0
@@ -233,7 +233,7 @@
     def close_gracefully(self, reason: str) -> None:
         """Closes the sending side once all output is sent, and the stream once the peer has closed its side.
 
-        If the peer does not, the stream is closed when the limits on lingering are reached.
+        If the peer does not close its side, the stream is closed when the limits on lingering are reached.
         """
         if self.is_open and not self.close_reason:
             self.close_reason = reason
@@ -241,10 +241,11 @@
             self.flush()
 
     def linger(self) -> None:
-        """Starts the first wait for the peer to close; when called again after a wait, closes the stream.
+        """Starts a wait for the peer to close its side, or closes the stream after a wait has ended.
 
-        Instead of closing, it waits again if output is left and some was sent during the last wait, up to
-        `MAX_LINGERS` waits in total.
+        The first call starts a wait. Each later call starts another wait if output is left, some output was
+        sent during the last wait, and there were fewer than `MAX_LINGERS` waits; otherwise it closes the
+        stream.
         """
         has_progress = self.sent_bytes != self.sent_bytes_at_linger
         may_wait_again = self.output and has_progress and self.linger_count < MAX_LINGERS
@@ -280,7 +281,7 @@
             self.close("reset")
 
     def close(self, reason: str) -> None:
-        """Closes the stream at once and discards unsent output."""
+        """Closes the stream immediately and discards unsent output."""
         if not self.is_open:
             return
         self.is_open = False
@@ -290,7 +291,7 @@
         self.loop.watch(self.sock.fileno(), 0, self)
         self.sock.close()
         owner = self.owner
-        self.owner = NULL_OWNER  # breaks the reference cycle, so that memory is freed at once
+        self.owner = NULL_OWNER  # breaks the reference cycle, so that memory is freed immediately
         # A reset does not replace the reason of a graceful close.
         self.close_reason = self.close_reason or reason
         owner.on_closed(self.close_reason)
@@ -299,7 +300,7 @@
 def connect(
     loop: Loop, address: Address, owner: StreamOwner, max_unsent_bytes: int, source_host: str = ""
 ) -> Stream | str:
-    """Starts connecting to `address`; returns the new stream, or a reason code if this failed at once.
+    """Starts connecting to `address`; returns the stream, or a reason code if connecting failed immediately.
 
     Args:
         loop: The stream's loop.
--- a/landingshift/net/transport/worker.py
+++ b/landingshift/net/transport/worker.py
@@ -25,7 +25,7 @@
 
 
 class FrameError(LandingshiftError):
-    """A frame's length exceeds the bound, so the two sides disagree on the format.
+    """A frame states a length above `MAX_FRAME_BYTES`, which means that the two sides disagree on the format.
 
     Attributes:
         size: The message length that the frame states, in bytes.
@@ -134,11 +134,11 @@
             self.stream.close("bad_frame")
 
     def on_eof(self) -> None:
-        """Closes the stream, since the process has closed its end."""
+        """Closes the stream, because the worker process has closed its end of the socket pair."""
         self.stream.close("closed")
 
     def on_closed(self, reason: str) -> None:
-        """Reports the loss to the owner.
+        """Reports the loss of the connection to the owner.
 
         A process that is still running reads EOF, finishes the messages that it has received, and exits.
         """
--- a/landingshift/policies/change_log.py
+++ b/landingshift/policies/change_log.py
@@ -34,7 +34,7 @@
 
 
 class ChangeLog:
-    """Logs each step of a change once, and reaches its failpoint."""
+    """Logs each step of a policy change once, and marks the failpoint of the step."""
 
     def __init__(self, node: PolicyNode, log: Callable[..., None]) -> None:
         self._node = node
@@ -42,7 +42,7 @@
         self._previous = ChangeProgress()
 
     def update(self, now_ms: float) -> None:
-        """Compares the progress with that at the last call, and logs each difference."""
+        """Logs each step that has been reached since the last call, and marks its failpoint."""
         current = self._progress(now_ms)
         if current == self._previous:
             return
--- a/landingshift/policies/commands.py
+++ b/landingshift/policies/commands.py
@@ -1,6 +1,6 @@
 """Commands of the policies state machine, and their encoding in the replicated log.
 
-Each entry is a MessagePack array whose first element names the command. No other module depends on this
+Each log entry is a MessagePack array whose first element names the command. No other module depends on this
 encoding.
 """
 
@@ -18,7 +18,7 @@
 
     PENDING = "open"
     COMMITTED = "taken"
-    REJECTED = "refused"  # by a member, or because another change is pending or it would change nothing
+    REJECTED = "refused"  # by a member; or another change was pending, or the policy was already in force
     WITHDRAWN = "withdrawn"  # by an operator, or by the leader after a timeout
 
 
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True, frozen=True)
 class JoinMembers:
-    """Adds servers to the members. Every change must wait for all members.
+    """Adds servers to the members. A change waits for every member that is not known to be on standby.
 
     Attributes:
         members: Name and run id of each server.
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RemoveMember:
-    """Removes a member whose process with this run id has ended and decides on no more RPCs."""
+    """Removes a member whose process `run_id` has ended; does nothing if the member has another run id."""
 
     name: str
     run_id: int
@@ -47,7 +47,10 @@
 
 @dataclass(slots=True, frozen=True)
 class OpenChange:
-    """Records a proposed change, which becomes the change in progress unless it is rejected at once.
+    """Records a proposed change.
+
+    The change becomes the change in progress. It is rejected instead if another change is in progress, or if
+    its policy equals the policy in force.
 
     Attributes:
         change_id: Id chosen by the operator; another proposal with the same id has no effect.
@@ -66,7 +69,9 @@
 
 @dataclass(slots=True, frozen=True)
 class CommitChange:
-    """Puts a change in force as the next version, unless a member has joined since the leader proposed it.
+    """Puts the policy of a change in force as the next version.
+
+    The command has no effect if a member has joined since the leader proposed the command.
 
     Attributes:
         change_id: Id of the change.
@@ -98,7 +103,7 @@
 
 
 def encode_command(command: Command) -> bytes:
-    """Returns the log entry of a command."""
+    """Encodes a command as the data of a log entry."""
     return msgspec.msgpack.encode(_to_array(command))
 
 
@@ -117,7 +122,7 @@
 
 
 def decode_command(data: bytes) -> Command | None:
-    """Returns the command of a log entry, or None if this build does not know the command."""
+    """Decodes the command in the data of a log entry; returns None if this build does not know it."""
     match msgspec.msgpack.decode(data):
         case ["join", list(members)]:
             return JoinMembers(tuple((name, run_id) for name, run_id in members))
--- a/landingshift/policies/coordinator.py
+++ b/landingshift/policies/coordinator.py
@@ -1,8 +1,8 @@
 """Coordinator of policy changes on the leader: tracks members' states, and commits or ends the change.
 
 Guarantee: a commit is proposed only once every member is prepared (it decides by the old version only under
-short leases) or certainly on standby. From the proposal until the commit is applied, or void because a
-member joined, no lease is granted. Failure mode: the coordinator's state is lost when the leader changes. The
+short leases) or certainly on standby. No lease is granted from the proposal until the commit is applied, or
+is void because a member joined. Failure mode: the coordinator's state is lost when the leader changes. The
 next leader polls the members again; everything that must survive is in the replicated state machine.
 """
 
@@ -69,8 +69,9 @@
 
     Attributes:
         reports: Reports that members sent during this leader's term.
-        phase: Phase of the change in progress, which lease replies pass on to the members.
-        committing_change_id: Id of the change whose commit is proposed and not yet applied; empty if none.
+        phase: Phase of the change in progress; lease replies tell the members this phase.
+        committing_change_id: Id of the change whose commit is proposed and not yet applied; empty if there is
+            none.
         next_deadline_ms: Time at which `tick` is due.
         outbox: Messages to send, each with its receiver.
     """
@@ -85,7 +86,7 @@
         """Creates the coordinator of a voter that has not become leader yet.
 
         Args:
-            raft: Raft node of this server, whether leader or not.
+            raft: Raft node of this server.
             state: Replicated state machine.
             settings: Protocol settings, the same on all servers.
             wall_clock_ms: Returns the Unix time shown to operators; no decision depends on it.
@@ -115,7 +116,7 @@
         self.next_deadline_ms = now_ms
 
     def _is_leading(self, now_ms: float) -> bool:
-        """Returns whether this voter holds the leader lease; resets the state when it begins a new term."""
+        """Returns whether this voter holds the leader lease; resets the coordinator if its term is new."""
         if not self._raft.has_leader_lease(now_ms):
             return False
         if self._raft.current_term != self._term:
@@ -137,9 +138,9 @@
             sender: Name of the requesting server.
             request: The request.
             now_ms: Time of the monotonic clock, read after the request arrived.
-            known_leader: Server that receives this server's own lease requests, used if Raft names no leader.
-                A removed voter gets no Raft messages, but is still asked by servers that know only the
-                initial voters.
+            known_leader: Server to which this server sends its own lease requests. A redirect names it if
+                Raft knows no leader: a removed voter receives no Raft messages, but servers that know only
+                the initial voters still send it lease requests.
         """
         if not self._is_leading(now_ms):
             leader = self._raft.leader or known_leader
@@ -153,7 +154,7 @@
         if not is_member and len(self._joining) < MAX_JOIN_COUNT:
             self._joining[sender] = request.run_id
             self.next_deadline_ms = now_ms
-        # Other servers can switch once the commit is proposed, so the old version gets no more leases.
+        # Once the commit is proposed, other servers can switch, so no leases for the old version are granted.
         is_leased = is_member and not self.committing_change_id
         if self.reports.record(sender, request, is_leased, now_ms):
             self.next_deadline_ms = now_ms
@@ -170,7 +171,7 @@
         self._send(sender, reply)
 
     def _refusal_reason(self, sender: str, request: LeaseRequest) -> str:
-        """Returns why the sender can't be a member; empty if it can."""
+        """Returns the reason why the sender can't be a member, or an empty string if it can."""
         own_fingerprint = self._settings.fingerprint
         if request.fingerprint != own_fingerprint:
             leader = self._raft.name
@@ -187,7 +188,7 @@
         return ChangePhase.VALIDATE if self._state.pending_change_id else ChangePhase.NONE
 
     def _ended_change(self, change_id: str) -> EndedChange | None:
-        """Returns the outcome of the change that a request names; None if it is unknown or in progress."""
+        """Returns the outcome of the change; None if the change is unknown or in progress."""
         if not change_id or change_id == self._state.pending_change_id:
             return None
         change = self._state.find_change(change_id)
@@ -197,7 +198,7 @@
         return EndedChange(change_id, change.outcome.value, change.version, reason)
 
     def on_policy_request(self, sender: str, request: PolicyRequest) -> None:
-        """Sends the requested policy if it is that of the change in progress or of the version in force."""
+        """Sends the requested policy if it belongs to the change in progress or to the version in force."""
         state = self._state
         if request.change_id and request.change_id == state.pending_change_id:
             policy = state.changes[request.change_id].policy
@@ -210,8 +211,8 @@
     def on_operator_request(self, sender: str, request: OperatorRequest, now_ms: float) -> None:
         """Executes an operator's command and replies with a status, if this voter is the leader.
 
-        A change has a status only once a log entry about it is applied. The sender repeats the command until
-        the reported outcome is final.
+        No status is sent for a new change, because the change has a status only once its first log entry is
+        applied. The sender repeats the command until the reported outcome is final.
         """
         if not self._is_leading(now_ms):
             return
@@ -257,7 +258,7 @@
         self._send(sender, ChangeStatus(change_id, outcome, 0, reason))
 
     def _remove_member(self, sender: str, change_id: str, name: str, run_id: int) -> None:
-        """Removes a member if its run id matches; by now, a new process might have joined under the name."""
+        """Removes a member if its run id matches; keeps a newer process that has joined under the name."""
         if self._state.has_member(name, run_id):
             self._propose_once(f"{name} {run_id} gone", RemoveMember(name, run_id))
             return
@@ -270,11 +271,14 @@
             self._propose_once(f"{sender} {run_id} gone", RemoveMember(sender, run_id))
 
     def _propose(self, command: Command) -> int | None:
-        """Appends a command to the log; returns its entry's index, or None if Raft does not accept it."""
+        """Appends a command to the log; returns the entry's index, or None if Raft rejects the proposal."""
         return self._raft.propose(encode_command(command))
 
     def _propose_once(self, key: str, command: Command) -> None:
-        """Proposes a command unless an older entry for `key` is uncommitted; duplicates would do nothing."""
+        """Proposes a command unless an earlier proposal with the same key is still uncommitted.
+
+        This keeps repeated requests from filling the log; a duplicate entry would have no effect anyway.
+        """
         if self._proposed_entry_index.get(key, 0) <= self._raft.commit_index:
             index = self._propose(command)
             if index is not None:
@@ -283,7 +287,7 @@
     # Progress of a change
 
     def unprepared_members(self, now_ms: float) -> list[WaitingMember]:
-        """Returns the members that a commit must wait for: neither prepared nor certainly on standby."""
+        """Returns the members that a commit waits for: those neither prepared nor certainly on standby."""
         waiting = []
         for name, run_id in self._state.members.items():
             state = self.reports.state_of(name, run_id, self._state.pending_change_id)
@@ -323,7 +327,7 @@
                 self._join_entry_index = index
 
     def _observe_applied_entries(self, now_ms: float) -> None:
-        """Updates the coordinator from entries that the state machine has applied since the last call."""
+        """Updates the coordinator after the state machine has applied entries."""
         state = self._state
         if self._version != state.version:
             self._version = state.version
@@ -389,7 +393,7 @@
 
 
 def _can_be_withdrawn(change: Change | None) -> bool:
-    """Returns whether a change can still be withdrawn; None stands for one that is not proposed yet."""
+    """Returns whether a change can still be withdrawn; None stands for a change not proposed yet."""
     return change is None or change.outcome is ChangeOutcome.PENDING
 
 
@@ -398,7 +402,7 @@
 
 
 def _describe_waiting(waiting: list[WaitingMember]) -> str:
-    """Returns the names and states of the first few members, for the reason of a timeout."""
+    """Returns the names and states of the first members, for the reason of a change that timed out."""
     named = [f"{member.name} ({member.state or 'no text yet'})" for member in waiting]
     unnamed_count = len(named) - MAX_NAMED_MEMBER_COUNT
     more = f" and {unnamed_count} more" if unnamed_count > 0 else ""
--- a/landingshift/policies/document.py
+++ b/landingshift/policies/document.py
@@ -1,7 +1,7 @@
 """Format of policies: values for methods, tenants and admission rules.
 
-A policy replaces the previous one as a whole: a value that it does not set returns to the server's startup
-setting. A policy file is TOML; servers send and store the same tables as MessagePack.
+A policy replaces the previous policy as a whole: a value that the new policy does not set returns to the
+server's startup setting. A policy file is TOML; servers send and store the same tables as MessagePack.
 """
 
 from __future__ import annotations
@@ -21,7 +21,8 @@
 POLICY_ROOT = "the whole"  # replaces the key in errors that concern no single key
 NOT_TOML = "not TOML"  # replaces the key if the file can't be parsed
 
-PolicyValues = dict[str, dict[str, dict[str, float]]]  # by table, name and key; for rules the name is ""
+# Values keyed by table, then by method or tenant name ("" in the table `rules`), then by key.
+PolicyValues = dict[str, dict[str, dict[str, float]]]
 
 
 @dataclass(slots=True, frozen=True)
@@ -29,10 +30,10 @@
     """Specification of a key in a table.
 
     Attributes:
-        since_format: First format that has the key.
+        since_format: First policy format that has the key.
         attribute: Name of the attribute that holds the value, on a method, tenant or settings object of the
             admission package.
-        is_fraction: Whether values above 1 are invalid.
+        is_fraction: If True, values above 1 are invalid.
     """
 
     since_format: int
@@ -78,7 +79,7 @@
     """Decodes and validates a policy.
 
     Args:
-        encoded: Result of `parse_policy`; empty for the startup settings.
+        encoded: Result of `parse_policy`; empty for a policy that sets no value.
         newest_format: Newest policy format to accept.
 
     Raises:
@@ -140,7 +141,7 @@
 
 
 def flatten_policy(encoded: bytes) -> dict[str, float]:
-    """Returns the values of an encoded policy by dotted key."""
+    """Returns the values of an encoded policy, keyed by dotted path (such as `tenants.NAME.allowance_s`)."""
     return {
         ".".join(segment for segment in (table, name, key) if segment): value
         for table, names in decode_policy(encoded, NEWEST_FORMAT).items()
@@ -150,7 +151,13 @@
 
 
 def describe_differences(old: bytes, new: bytes, show: Callable[[float | None], str]) -> list[str]:
-    """Returns a line for each key whose value differs; `show` formats a value, or None if it is not set."""
+    """Returns one line for each key whose value differs between two encoded policies.
+
+    Args:
+        old: The old policy.
+        new: The new policy.
+        show: Formats a value for the line; called with None for a key that a policy does not set.
+    """
     old_values, new_values = flatten_policy(old), flatten_policy(new)
     return [
         f"{key}: {show(old_values.get(key))} -> {show(new_values.get(key))}"
--- a/landingshift/policies/enforcement.py
+++ b/landingshift/policies/enforcement.py
@@ -2,7 +2,7 @@
 
 Guarantee: at the end of each pass of the event loop, before the controller starts or rejects an RPC, a new
 version is applied, and the server goes on standby if it is not allowed to decide. Failure mode: if the
-process is paused after this check, it resumes in the same pass, where the check might be out of date.
+process is paused after this check, the decisions in the rest of the pass rely on an outdated check.
 """
 
 from __future__ import annotations
@@ -33,7 +33,10 @@
     def __init__(
         self, host: ServiceHost, server_name: str, overlay: PolicyOverlay, participant: ChangeParticipant
     ) -> None:
-        """Registers the check, and a readiness gate that is removed once this server is allowed to decide."""
+        """Registers the check before decisions, and adds a readiness gate.
+
+        The gate is removed as soon as this server is allowed to decide on RPCs.
+        """
         self.applied_version = 0
         self._router = host.router
         self._loop = host.router.loop
--- a/landingshift/policies/errors.py
+++ b/landingshift/policies/errors.py
@@ -6,14 +6,14 @@
 
 
 class PolicyError(LandingshiftError):
-    """Base of all errors of this package."""
+    """Base class of all errors of this package."""
 
 
 class InvalidPolicyError(PolicyError, ValueError):
-    """A policy can't be read, or this server can't apply it; the message begins with the key.
+    """A policy can't be read, or this server can't apply it; the message begins with `key`.
 
     Attributes:
-        key: Dotted path of the invalid value, or a phrase that stands for the whole policy.
+        key: Dotted path of the invalid value; a phrase such as "the whole" if no single value is invalid.
         reason: Description of the problem.
     """
 
@@ -33,7 +33,7 @@
 
 
 class UnreadableMessageError(PolicyError):
-    """A peer's message is not part of this protocol, or comes from a newer build."""
+    """A message from a peer can't be decoded: it is malformed, or comes from a newer build."""
 
     def __init__(self, body: list[object]) -> None:
         self.body = body
@@ -61,7 +61,7 @@
 
 
 class MemberAliveError(OperatorCallError):
-    """A member that an operator declares departed is alive according to this server's membership."""
+    """An operator declared a member departed, but this server's membership reports the member as alive."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -77,7 +77,7 @@
 
 
 class PolicyNotStoredError(OperatorCallError):
-    """This server no longer stores the policy of a version, or never did."""
+    """The policy of the requested version is not stored on this server."""
 
     def __init__(self, version: int) -> None:
         self.version = version
@@ -85,7 +85,7 @@
 
 
 class TrustRejectedError(OperatorCallError):
-    """A version that an operator declares to be in force can't be adopted."""
+    """This server can't adopt a version that an operator declared to be in force."""
 
     def __init__(self, reason: str) -> None:
         self.reason = reason
--- a/landingshift/policies/leader_discovery.py
+++ b/landingshift/policies/leader_discovery.py
@@ -1,8 +1,8 @@
 """Discovery of the leader from replies, redirects and missing replies.
 
 Guarantee: the leader is found as long as a reachable server knows it, because requests go to the voters in
-turn and then to any server that is alive. Failure mode: if two servers name each other as the leader, their
-redirects are followed a few times without delay, then only at the interval of lease requests.
+turn, and then also to random servers that are alive. Failure mode: if two servers name each other as the
+leader, their redirects are followed a few times without delay, then only at the interval of lease requests.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from random import Random
 
-MAX_IMMEDIATE_REDIRECT_COUNT = 4  # consecutive ones; two servers might redirect to each other
+MAX_IMMEDIATE_REDIRECT_COUNT = 4  # redirects followed without delay; two servers might redirect to each other
 MAX_UNANSWERED_COUNT = 2  # consecutive unanswered requests before the next candidate is tried
 FIRST_RETRY_MS = 250.0
 MAX_RETRY_DOUBLING_COUNT = 3
@@ -19,13 +19,14 @@
 class LeaderDiscovery:
     """Chooses the server that lease requests are sent to.
 
-    Until one replies, the voters are tried in turn, and a random alive server once all of them were silent.
+    Until a server replies, the voters are tried in turn. Once all voters have been silent, each further round
+    begins with a random server that is alive, in place of the first voter.
 
     Attributes:
-        leader: Name of the server that requests go to; empty if the next candidate is to be tried.
+        leader: Name of the server that requests go to; empty if the next request tries the next candidate.
         voters: Names of the voters, as last reported by the leader, initially from the settings.
         own_log_voters: Names of the voters in this server's own log; empty if it has no log file.
-        list_alive_peers: Returns the names of all servers that membership considers present.
+        list_alive_peers: Returns the names of all servers that membership considers alive or suspects.
     """
 
     def __init__(self, initial_voters: tuple[str, ...], rng: Random) -> None:
@@ -57,16 +58,17 @@
             self.leader = self._rng.choice(peers)
 
     def next_retry_ms(self) -> float:
-        """Returns the retry delay of a request, and counts the request as unanswered until a reply arrives.
+        """Counts one more unanswered request, and returns the delay after which the request is retried.
 
-        The delay doubles each time up to a limit, because the leader might never return.
+        A reply resets the count. The delay doubles with each unanswered request, up to a limit, because the
+        leader might never return.
         """
         doubling_count = min(self._unanswered_count, MAX_RETRY_DOUBLING_COUNT)
         self._unanswered_count += 1
         return FIRST_RETRY_MS * 2.0**doubling_count
 
     def on_refused(self) -> None:
-        """Resets the counts of unanswered requests; a refusal shows that the leader replies."""
+        """Resets the counts of unanswered requests, because a refusal is also a reply of the leader."""
         self._unanswered_by_leader_count = 0
         self._unanswered_count = 0
 
--- a/landingshift/policies/log_writer.py
+++ b/landingshift/policies/log_writer.py
@@ -1,8 +1,8 @@
 """Saves a voter's state to its log file, and retries after write errors.
 
-Guarantee: `save` returns True only once the state is on disk; its caller holds back the messages that depend
-on the state until then. Failure mode: while the disk is full, this voter does not vote and accepts no
-entries; the other voters continue without it.
+Guarantee: `save` returns True only once the state is on disk. Until then, the caller of `save` holds back the
+messages that depend on the state. Failure mode: while the disk is full, this voter does not vote and accepts
+no entries; the other voters continue without it.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class LogWriter:
-    """Writes the log file of a voter; skips attempts within `RETRY_INTERVAL_MS` after an error."""
+    """Writes the log file of a voter; after an error, does not try again for `RETRY_INTERVAL_MS`."""
 
     def __init__(self, log_file: RaftLogFile, log: Callable[..., None]) -> None:
         self._log_file = log_file
@@ -28,7 +28,7 @@
         """Writes and syncs the state.
 
         Returns:
-            False if the write failed, or was skipped because the last failure is too recent.
+            True if the state is on disk; False if the write failed, or was skipped after a recent error.
         """
         if now_ms < self._retry_at_ms:
             return False
--- a/landingshift/policies/member_reports.py
+++ b/landingshift/policies/member_reports.py
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MemberReport:
-    """Last lease request of a member, and the time when this leader last granted it a lease."""
+    """Last lease request of a member, and the time when this leader last granted the member a lease."""
 
     request: LeaseRequest
     leased_at_ms: float
@@ -39,10 +39,11 @@
         self._term_began_at_ms = term_began_at_ms  # earlier leaders granted no lease after this time
 
     def record(self, member: str, request: LeaseRequest, is_leased: bool, now_ms: float) -> bool:
-        """Stores a lease request.
+        """Stores a member's lease request, and `now_ms` as the time of its lease if `is_leased` is True.
 
         Returns:
-            Whether this is the member's first request, or its change or state differs from the previous one.
+            True if this is the member's first request in this term, or if the change or the state in the
+                request differs from the previous request.
         """
         previous = self.by_member.get(member)
         leased_at_ms = previous.leased_at_ms if previous is not None else NEVER_MS
@@ -53,7 +54,7 @@
         return progress_before != (request.change_id, request.state)
 
     def state_of(self, member: str, run_id: int, change_id: str) -> str:
-        """Returns the state that the process `run_id` reported in a change; "away" without such a report."""
+        """Returns the state in a change that the process `run_id` last reported; "away" if there is none."""
         report = self.by_member.get(member)
         if report is None or report.request.run_id != run_id or report.request.change_id != change_id:
             return SILENT_STATE
@@ -62,9 +63,9 @@
     def is_on_standby(self, member: str, now_ms: float) -> bool:
         """Returns whether a member is certainly on standby because its last lease has expired by its clock.
 
-        The lease is the last one granted in this term, or one that an earlier leader might have granted until
-        the term began. Without `is_standby_when_cut_off` the result is False, because a member that is not
-        prepared then decides without a lease.
+        The last lease is the last one that this leader granted, or one that an earlier leader might have
+        granted until this term began. If `is_standby_when_cut_off` is False, the result is False, because a
+        member that is not prepared then decides without a lease.
         """
         if not self._settings.is_standby_when_cut_off:
             return False
--- a/landingshift/policies/messages.py
+++ b/landingshift/policies/messages.py
@@ -13,10 +13,10 @@
 
     NONE = ""  # no change is in progress
     VALIDATE = "check"  # fetch and validate the policy
-    PREPARE = "arm"  # decide by the old version, and only under leases
+    PREPARE = "arm"  # decide by the old version, and only while a lease is valid
 
 
-# Operators' commands, forwarded to the leader
+# Operators' commands, forwarded to the leader in an `OperatorRequest`, which contains the id of the change
 
 
 @dataclass(slots=True, frozen=True)
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ChangeVoters:
-    """Adds a server to the voters, or removes it."""
+    """Adds a server to the voters if `is_addition` is True; otherwise removes the server from the voters."""
 
     is_addition: bool
     name: str
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FindChange:
-    """Asks for the status of a change."""
+    """Asks for the status of the change whose id the `OperatorRequest` contains."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -89,10 +89,11 @@
         run_id: Random id of the process, new at each start.
         number: Number of the request, which the reply repeats.
         version: Version that the server decides by; -1 if it has none yet.
-        change_id: Id of the change whose policy the server has; empty if there is none.
+        change_id: Id of the change that the server takes part in, which means that it has received the
+            change's policy and does not know the outcome yet; empty if there is none.
         state: Value of the server's `ParticipantState` in that change.
-        rejection_reason: Reason why the server can't apply that policy; empty if it can.
-        fingerprint: `PolicySettings.fingerprint` of the server, which must equal the leader's.
+        rejection_reason: Reason why the server can't apply the policy of that change; empty if it can.
+        fingerprint: `PolicySettings.fingerprint` of the server; must equal that of the leader.
         can_become_voter: Whether the server has a log file.
     """
 
@@ -108,7 +109,7 @@
 
 @dataclass(slots=True, frozen=True)
 class UnreadableLeaseRequest:
-    """Stands for a lease request in an unknown format, whose number could still be read."""
+    """Stands for a lease request in an unknown format, of which only the number could be read."""
 
     number: int
 
@@ -119,9 +120,9 @@
 
     Attributes:
         change_id: Id of the change.
-        outcome: Value of its `ChangeOutcome`.
-        version: Version that the change created; 0 if it was not committed.
-        reason: Reason why it was not committed; empty if it was.
+        outcome: Value of the change's `ChangeOutcome`.
+        version: Version that the change created; 0 if the change was not committed.
+        reason: Reason why the change was not committed; empty if it was committed.
     """
 
     change_id: str
@@ -140,7 +141,8 @@
         version: Version in force.
         change_id: Id of the change in progress; empty if there is none.
         phase: Phase of that change.
-        ended: Outcome of the change that the request named; None while it is in progress.
+        ended: Outcome of the change that the request named; None if the request named no change, or if the
+            change is unknown or in progress.
         is_lease_granted: Whether the leader grants the member a lease to decide by `version`.
         voters: Names of all voters, from the leader's log.
     """
@@ -157,7 +159,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Redirect:
-    """Answers a lease request sent to a server that is not the leader; `leader` is empty if unknown."""
+    """Answers a lease request on a server that is not the leader; `leader` is the leader's name, or empty."""
 
     number: int
     leader: str
@@ -165,7 +167,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MembershipRefusal:
-    """Tells the sender of a lease request that the leader does not accept it as a member."""
+    """Tells a server that sent a lease request that the leader does not accept the server as a member."""
 
     number: int
     reason: str
@@ -173,7 +175,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StatusPoll:
-    """Asks a member to send a lease request soon, because its last one lags behind the leader's state."""
+    """Asks a member to send a lease request soon, because its last request shows an outdated state."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -210,7 +212,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WaitingMember:
-    """A member that a change waits for, and its state; "away" if it has not reported on the change."""
+    """A member that a change waits for, and its state in the change; "away" if it has reported none."""
 
     name: str
     state: str
@@ -222,8 +224,8 @@
 
     Attributes:
         change_id: Id of the change or command.
-        outcome: Value of its `ChangeOutcome`, or "unknown".
-        version: Version that the change created; 0 if it was not committed.
+        outcome: Value of the `ChangeOutcome`, or "unknown".
+        version: Version that the change created; 0 if the change was not committed.
         reason: Reason why the change was not committed, or another note for the operator.
         waiting_members: Members that the change waits for.
     """
--- a/landingshift/policies/node.py
+++ b/landingshift/policies/node.py
@@ -42,9 +42,9 @@
 from landingshift.policies.wire import decode_message, encode_message
 
 STATE_MACHINE_NAME = "policies"
-COMPACTION_ENTRY_COUNT = 200  # number of applied entries in the log at which a snapshot replaces them
+COMPACTION_ENTRY_COUNT = 200  # a snapshot replaces the applied log entries once there are more than this
 DEFAULT_TIMEOUTS = RaftTimeouts()
-MAX_LOCAL_DELIVERY_COUNT = 8  # rounds of messages to itself; each round can produce further messages
+MAX_LOCAL_DELIVERY_COUNT = 8  # rounds of a node's messages to itself; each round can produce further messages
 
 
 class PolicyNode:
@@ -58,7 +58,7 @@
         coordinator: Coordinator of changes, active while `raft` is the leader; None if `raft` is None.
         state_machine: Replicated state of policies, as applied on this server.
         state_machines: All state machines on the replicated log.
-        commit_listeners: Functions to call with the current time after entries were applied.
+        commit_listeners: Functions that are called with the current time after log entries were applied.
         operator_commands: Commands that operators submitted to this server.
     """
 
@@ -81,7 +81,7 @@
             name: Name of this server.
             run_id: Random id of this process, new at each start.
             settings: Protocol settings, the same on all servers.
-            find_conflict: Returns why this server can't apply an encoded policy; empty if it can.
+            find_conflict: Returns the reason why this server can't apply an encoded policy; empty if it can.
             persistent_state: State from the log file; None on a server without one.
             rng: Source of the jitter of requests and elections.
             now_ms: Current time of the monotonic clock.
@@ -111,11 +111,11 @@
     # Interface for the driver
 
     def unsaved_state(self) -> PersistentState | None:
-        """Returns the state to save before any message that depends on it is sent; None if it is saved."""
+        """Returns the state to save before any message that depends on it is sent; None if all is saved."""
         return self.raft.unsaved_state() if self.raft is not None else None
 
     def on_state_saved(self, now_ms: float) -> None:
-        """Allows sending the messages that wait for `unsaved_state`, and applies newly committed entries."""
+        """Releases the messages that depend on the saved state, and applies newly committed entries."""
         assert self.raft is not None, "only a voter has unsaved state"
         self.raft.on_state_saved()
         self._apply_committed(now_ms)
@@ -141,7 +141,7 @@
         self.deliver_messages(now_ms)
 
     def on_message(self, sender: str, body: list[Any], now_ms: float) -> None:
-        """Decodes and processes a message of another server; drops it if it is unreadable."""
+        """Decodes and processes a message of another server; drops an unreadable message."""
         try:
             message = decode_message(body)
         except UnreadableMessageError:
@@ -151,7 +151,10 @@
         self.deliver_messages(now_ms)
 
     def take_outgoing(self) -> list[tuple[str, list[Any]]]:
-        """Takes the (receiver, body) pairs to send; Raft's messages wait until its state is saved."""
+        """Removes and returns the messages to send, as (receiver, body) pairs.
+
+        Raft messages are not included while there is unsaved state.
+        """
         messages = self._outbox
         self._outbox = []
         if self.raft is not None:
@@ -211,8 +214,8 @@
             packet = decode_raft_message(data)
         except InvalidMessageError:
             return
-        # A voter whose log is behind might not know all voters, so it also accepts messages from those in the
-        # settings and those that the leader reported.
+        # A voter whose log is behind might not know all voters. It therefore also accepts messages from the
+        # voters in the settings and from the voters that the leader reported.
         self.raft.additional_senders = {*self._initial_voters, *self.participant.discovery.voters}
         self.raft.on_message(sender, packet, now_ms)
         self._apply_committed(now_ms)
@@ -229,7 +232,7 @@
         self._tick_coordinator_if_due(self.coordinator, now_ms)
 
     def _on_policy_request(self, sender: str, request: PolicyRequest) -> None:
-        """Sends the requested policy; without a log file this server has only the one that it decides by."""
+        """Sends the requested policy; a server without a log file has only the policy that it decides by."""
         if self.coordinator is not None:
             self.coordinator.on_policy_request(sender, request)
         elif not request.change_id and request.version == self.participant.version:
@@ -276,7 +279,8 @@
     def forward_command(self, change_id: str, now_ms: float) -> None:
         """Sends a pending command to the leader, and from the second attempt on to all voters.
 
-        Between changes lease requests are rare, so the known leader might have stopped some time ago.
+        Between changes, lease requests are rare. The leader that this server knows might therefore have
+        stopped some time ago.
         """
         pending = self.operator_commands.next_attempt(change_id, now_ms)
         if pending is None:
@@ -305,11 +309,11 @@
         return self.operator_commands.last_status(change_id)
 
     def announce_departure(self) -> None:
-        """Queues messages to the other voters, which say that this process decides on no more RPCs."""
+        """Queues a `Departure` message to each other voter: this process decides on no more RPCs."""
         for voter in self.participant.discovery.voters:
             if voter != self.name:
                 self._outbox.append((voter, Departure(self.run_id)))
 
     def list_changes(self) -> list[Change]:
-        """Returns all changes that are stored with details here, newest last."""
+        """Returns all changes that this server stores with details, newest last."""
         return list(self.state_machine.changes.values())
--- a/landingshift/policies/operator_calls.py
+++ b/landingshift/policies/operator_calls.py
@@ -1,4 +1,4 @@
-"""Operators' calls to a server: names, parameters and results as the command line uses them.
+"""Calls by which operators, through the command line, query a server or submit commands to it.
 
 Each call takes a list of parameters and returns a value that MessagePack can encode. A call that can't be
 answered raises an `OperatorCallError`, whose message is shown to the operator.
@@ -46,7 +46,7 @@
         self._participant = service.policy_node.participant
 
     def handlers(self) -> dict[str, Callable[[list[Any]], Any]]:
-        """Returns the handlers by name of the call."""
+        """Returns the handlers, keyed by the names of the calls."""
         return {
             "policy_do": self.submit,
             "policy_known": self.change_status,
@@ -71,7 +71,7 @@
         raise InvalidParamsError(EXPECTED_COMMAND)
 
     def _declare_departed(self, name: str) -> OperatorCommand:
-        """Returns a command which declares that the last known process of a member has ended."""
+        """Returns the command that declares the last known process of a member as ended."""
         record = self._service.member_record(name)
         if record is None:
             raise UnknownMemberError(name)
@@ -87,7 +87,7 @@
         raise InvalidParamsError(EXPECTED_ID)
 
     def server_status(self, _params: list[Any]) -> dict[str, Any]:
-        """Returns the state of this server, with that of Raft if it has a log file; takes no parameters."""
+        """Returns the policy state of this server, and its Raft state if any; takes no parameters."""
         participant = self._participant
         now_ms = self._service.clock_ms()
         may_decide = participant.may_decide(now_ms)
@@ -110,7 +110,7 @@
         return status | self._voter_status(now_ms)
 
     def _voter_status(self, now_ms: float) -> dict[str, Any]:
-        """Returns the entries that only a server with a log file has; empty on other servers."""
+        """Returns the Raft state for `server_status`; empty on a server without a log file."""
         raft, coordinator, state = self._node.raft, self._node.coordinator, self._node.state_machine
         if raft is None or coordinator is None:
             return {}
--- a/landingshift/policies/operator_commands.py
+++ b/landingshift/policies/operator_commands.py
@@ -1,7 +1,7 @@
 """Operators' commands pending on this server, and the leader's replies to them.
 
-Guarantee: a command is forwarded to the leader repeatedly until its outcome is final or it times out; a final
-outcome never changes. Failure mode: without a leader the outcome is "unknown".
+Guarantee: a command is forwarded to the leader repeatedly until its outcome is final or the command times
+out; a final outcome never changes. Failure mode: without a leader the outcome is "unknown".
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
     """Operator's command whose outcome is not final yet.
 
     Attributes:
-        command: The command.
+        command: The command. A later command for the same change can replace it.
         submitted_at_ms: Time when the operator submitted `command`.
         due_at_ms: Time of the next attempt to forward the command.
-        attempt_count: Number of attempts so far to forward a command for this change.
+        attempt_count: Number of attempts to forward this command and the commands that it replaced.
     """
 
     command: OperatorCommand
@@ -38,8 +38,8 @@
     """Commands submitted to this server, and the replies to them.
 
     Attributes:
-        pending: Commands whose outcome is not final yet, by change id.
-        statuses: Last reply for each change, by change id.
+        pending: Commands whose outcome is not final yet, keyed by change id.
+        statuses: The leader's last reply for each change, keyed by change id.
     """
 
     def __init__(self) -> None:
@@ -69,7 +69,10 @@
         return [change_id for change_id, pending in self.pending.items() if pending.due_at_ms <= now_ms]
 
     def next_attempt(self, change_id: str, now_ms: float) -> PendingOperatorCommand | None:
-        """Counts an attempt and returns the command, or drops it and returns None if it has timed out."""
+        """Returns the pending command of a change for forwarding, and counts the attempt.
+
+        If the command has timed out, drops the command and returns None.
+        """
         pending = self.pending[change_id]
         pending.due_at_ms = now_ms + FORWARD_INTERVAL_MS
         if now_ms - pending.submitted_at_ms > COMMAND_TIMEOUT_MS:
@@ -79,9 +82,9 @@
         return pending
 
     def on_status(self, status: ChangeStatus) -> None:
-        """Stores the leader's reply to a pending command, and removes the command if the reply is final.
+        """Stores the leader's reply to a pending command, and removes the command if no more is expected.
 
-        Any reply to a `FindChange` is final.
+        No more is expected once the outcome is final; a `FindChange` expects only one reply.
         """
         change_id = status.change_id
         pending = self.pending.get(change_id)
--- a/landingshift/policies/overlay.py
+++ b/landingshift/policies/overlay.py
@@ -1,4 +1,4 @@
-"""Overlay of the policy in force over the startup settings of this server."""
+"""Applies the policy in force over the startup settings of this server."""
 
 from __future__ import annotations
 
@@ -9,7 +9,8 @@
 from landingshift.policies.document import ALL_TABLES, NEWEST_FORMAT, decode_policy
 from landingshift.policies.errors import InvalidPolicyError
 
-FORMAT_VARIABLE = "LANDINGSHIFT_FORMAT"  # newest format to accept; tests set it to imitate an older build
+# Environment variable with the newest policy format to accept; tests set it to imitate an older build.
+FORMAT_VARIABLE = "LANDINGSHIFT_FORMAT"
 
 
 def newest_readable_format() -> int:
@@ -21,8 +22,8 @@
     """Checks policies against this server's settings, and applies them over the startup values.
 
     Attributes:
-        owners: Objects of the admission package that hold the values, by table and name.
-        startup_values: Values at the start of this server, by table, name and attribute.
+        owners: Objects of the admission package whose attributes a policy sets, keyed by table, then name.
+        startup_values: Values at the start of this server, keyed by (table, name, attribute).
     """
 
     def __init__(self, settings: Settings, methods: dict[str, Method], tenants: dict[str, Tenant]) -> None:
@@ -39,7 +40,7 @@
         }
 
     def find_conflict(self, encoded: bytes) -> str:
-        """Returns the key and the reason why this server can't apply a policy; empty if it can."""
+        """Returns why this server can't apply a policy, as "key: reason"; an empty string if it can."""
         try:
             tables = decode_policy(encoded, newest_readable_format())
             for table, names in tables.items():
--- a/landingshift/policies/participant.py
+++ b/landingshift/policies/participant.py
@@ -3,16 +3,17 @@
 These rules bound the time during which the old and the new version are both in use:
 
 - A server decides on no RPC until the leader has confirmed its membership and the version in force.
-- A server prepares only after it has fetched and validated the policy of the change. A prepared server
-  decides by the old version only under leases of `prepared_lease_ms`. The leader stops granting leases before
-  it replicates the commit. So once one server decides by the new version, all others stop deciding by the old
-  one within the duration of such a lease.
-- A prepared server leaves that state only when it learns the outcome of the change. A late reply, sent before
-  the change was opened, must not release it.
-- With `is_standby_when_cut_off`, decisions also need a lease between changes; that lease lasts `lease_ms`.
+- A server becomes prepared only after it has fetched and validated the policy of the change. A prepared
+  server decides by the old version only under leases of `prepared_lease_ms`. The leader stops granting leases
+  before it replicates the commit. So once one server decides by the new version, all others stop deciding by
+  the old version within `prepared_lease_ms`.
+- A server stays prepared until it learns the outcome of the change. A late reply, which the leader sent
+  before the change was opened, must not end this state.
+- If `is_standby_when_cut_off` is True, a server also needs a lease for its decisions between changes. Such a
+  lease lasts `lease_ms`.
 
 A lease begins when its request is sent, by this server's monotonic clock. Failure mode: a prepared server
-that is cut off goes on standby until a leader reports the outcome of the change.
+that is cut off goes on standby until a leader grants it a lease or reports the outcome of the change.
 """
 
 from __future__ import annotations
@@ -49,12 +50,12 @@
 
 
 class ParticipantState(StrEnum):
-    """State of one server in a change. It only advances, until the end of the change resets it to NONE."""
+    """State of one server in a change. The state only advances; the end of the change resets it to NONE."""
 
     NONE = ""
     VALIDATED = "ready"  # the server has the policy and can apply it
     REJECTED = "refused"  # the server has the policy and can't apply it
-    PREPARED = "armed"  # the server decides by the old version, and only under leases
+    PREPARED = "armed"  # the server decides by the old version, and only while a lease is valid
 
 
 class ChangeParticipant:
@@ -68,14 +69,15 @@
         version: Policy version that this server decides by; -1 until it has one.
         policy: Encoded policy of that version.
         latest_version: Newest version known to be in force; its policy might not have arrived yet.
-        change_id: Id of the change whose policy this server has; empty if there is none.
+        change_id: Id of the change that this server takes part in, which means that it has received the
+            change's policy and does not know the outcome yet; empty if there is none.
         state: State of this server in that change.
         rejection_reason: Reason why this server can't apply the policy of that change; empty if it can.
-        lease_expiry_ms: End of the lease, by the monotonic clock.
-        ended_changes: Outcomes of the changes that this server took part in, by id, newest last.
+        lease_expiry_ms: End of this server's lease, by the monotonic clock.
+        ended_changes: Outcomes of the changes that this server took part in, keyed by change id, newest last.
         last_request_number: Number of the last lease request sent.
-        last_answered_number: Highest request number whose reply was processed.
-        request_sent_at_ms: Sending times of the last requests, by number.
+        last_answered_number: Highest number of a lease request whose reply was processed.
+        request_sent_at_ms: Sending times of the last lease requests, keyed by request number.
         next_deadline_ms: Time at which `tick` is due.
         outbox: Messages to send, each with its receiver.
     """
@@ -93,7 +95,7 @@
         Args:
             run_id: Random id of this process, new at each start.
             settings: Protocol settings, the same on all servers.
-            find_conflict: Returns why this server can't apply an encoded policy; empty if it can.
+            find_conflict: Returns the reason why this server can't apply an encoded policy; empty if it can.
             rng: Source of the jitter of requests.
             now_ms: Current time of the monotonic clock.
         """
@@ -180,7 +182,7 @@
         self.outbox.append((leader, request))
 
     def _request_interval_ms(self) -> float:
-        """Returns the interval between requests, short enough to keep a lease that is needed."""
+        """Returns the interval between lease requests; short enough to renew a lease if one is needed."""
         is_in_change = self.state is not ParticipantState.NONE
         if is_in_change or self.latest_version > self.version >= 0:
             return self._prepared_request_interval_ms
@@ -198,7 +200,7 @@
         return self._rng.uniform(MIN_JITTER, MAX_JITTER)
 
     def _request_by(self, at_ms: float) -> None:
-        """Makes the next request due at `at_ms`, unless it is due earlier."""
+        """Makes the next request due at `at_ms`, unless the next request is already due earlier."""
         self.next_deadline_ms = min(self.next_deadline_ms, at_ms)
 
     def _request_at_once(self, now_ms: float) -> None:
@@ -207,7 +209,7 @@
     # Messages
 
     def on_message(self, sender: str, message: Message, now_ms: float) -> None:
-        """Processes a message for participants; ignores replies whose request is no longer tracked."""
+        """Processes a message for participants; ignores replies to requests that are no longer tracked."""
         match message:
             case StatusPoll():
                 spread_ms = POLL_SPREAD_MS * self._rng.random()
@@ -245,7 +247,11 @@
         self._request_by(now_ms + self._request_interval_ms() * self._jitter())
 
     def _end_change(self, ended: EndedChange, version_in_force: int) -> None:
-        """Leaves the current change, whose outcome is known, and adopts its version if that is in force."""
+        """Leaves the current change after its outcome is known.
+
+        Adopts the version that the change created, if that version is in force and directly follows the
+        version of this server.
+        """
         self.ended_changes[ended.change_id] = ended
         if len(self.ended_changes) > MAX_ENDED_CHANGE_COUNT:
             del self.ended_changes[next(iter(self.ended_changes))]
@@ -266,7 +272,10 @@
             self._request_by(now_ms + self._prepared_request_interval_ms)
 
     def _prepare_if_requested(self, reply: LeaseReply, now_ms: float) -> None:
-        """Prepares if the leader asks for it and the policy is valid; shortens a longer current lease."""
+        """Enters the PREPARED state if the leader requests it and this server can apply the policy.
+
+        A longer current lease is shortened to `prepared_lease_ms` from `now_ms`.
+        """
         is_requested = reply.change_id == self.change_id and reply.phase is ChangePhase.PREPARE
         if is_requested and self.state is ParticipantState.VALIDATED:
             self.state = ParticipantState.PREPARED
--- a/landingshift/policies/policy_settings.py
+++ b/landingshift/policies/policy_settings.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-PREPARED_LEASE_FRACTION = 0.8  # of `overlap_ms`; the rest is a safety margin
+PREPARED_LEASE_FRACTION = 0.8  # lease of a prepared server, as a fraction of `overlap_ms`; the rest is margin
 
 
 @dataclass(slots=True, frozen=True)
@@ -13,12 +13,14 @@
 
     Attributes:
         voters: Initial voters, used until the replicated log names others.
-        is_standby_when_cut_off: Whether decisions need a lease also between changes. A server that is cut off
-            then goes on standby, and a change need not wait for it.
-        overlap_ms: Maximum time during which two versions can be in use at once.
-        lease_ms: Duration of a lease between changes, if `is_standby_when_cut_off`.
-        clock_margin_ms: Extra time after the end of a lease before the leader considers it expired.
-        change_timeout_ms: Time after which a change that is not committed is withdrawn.
+        is_standby_when_cut_off: If True, a server always needs a lease to decide on RPCs; if False, only
+            while it is prepared for a change. If True, a server that is cut off from the leader goes on
+            standby, and changes need not wait for that server.
+        overlap_ms: Maximum time during which some servers use the old version and others the new one.
+        lease_ms: Duration of a lease between changes, if `is_standby_when_cut_off` is True.
+        clock_margin_ms: Extra time for which the leader waits after the end of a lease before it considers
+            the lease expired.
+        change_timeout_ms: Time after which the leader withdraws a change that has not been committed.
     """
 
     voters: tuple[str, ...]
@@ -30,11 +32,11 @@
 
     @property
     def prepared_lease_ms(self) -> float:
-        """Duration of a lease of a prepared server, which can use the old version until its lease expires."""
+        """Duration of the leases under which a prepared server can still decide by the old version."""
         return PREPARED_LEASE_FRACTION * self.overlap_ms
 
     @property
     def fingerprint(self) -> str:
-        """Settings that must be equal on a member and its leader, as text; sent with each lease request."""
+        """Text of the settings that must be equal on a member and the leader; sent in each lease request."""
         when_cut_off = "stand_aside" if self.is_standby_when_cut_off else "serve"
         return f"{when_cut_off} {self.overlap_ms:g} {self.lease_ms:g}"
--- a/landingshift/policies/service.py
+++ b/landingshift/policies/service.py
@@ -1,4 +1,4 @@
-"""Policy service: runs the policy node on the event loop, and offers its log to other packages."""
+"""Policy service: runs the policy node on the event loop, and lets other packages use the replicated log."""
 
 from __future__ import annotations
 
@@ -26,8 +26,9 @@
 if TYPE_CHECKING:
     from landingshift.net.program.features import ServiceHost
 
-PACKAGE = "policies"  # names this package's messages in the datagrams of membership
-MIN_TIMER_MS = 1.0  # shortest delay of a timer, and smallest amount by which a set timer is moved forward
+PACKAGE = "policies"  # identifies this package's messages in the datagrams of membership
+# Shortest delay of a timer. A running timer is replaced only by one that is due earlier by more than this.
+MIN_TIMER_MS = 1.0
 MAX_SAVE_ROUND_COUNT = 8  # rounds of saving and sending; each round can produce more state to save
 
 
@@ -101,10 +102,13 @@
         self._save_and_send()
 
     def _save_and_send(self) -> None:
-        """Saves the state, sends the messages that depend on it, and sets the timer."""
+        """Saves the state, sends the queued messages, and sets the timer.
+
+        If saving fails, the Raft messages, which depend on the state, are not sent.
+        """
         for _ in range(MAX_SAVE_ROUND_COUNT):
             is_saved = self._save()
-            outgoing = self.policy_node.take_outgoing()  # holds back messages that depend on unsaved state
+            outgoing = self.policy_node.take_outgoing()
             for receiver, body in outgoing:
                 self._membership.large_messages.send_to_member(receiver, PACKAGE, body)
             if not is_saved or not outgoing:
@@ -120,7 +124,7 @@
             self._timer = self._loop.after(due_ms - self._loop.now_ms, self._on_timer)
 
     def _save(self) -> bool:
-        """Saves unsaved state; returns False if writing failed, so that Raft messages stay held back."""
+        """Saves the state if it has unsaved changes; returns False if it could not be saved."""
         state = self.policy_node.unsaved_state()
         if state is None or self._log_writer is None:
             return True
@@ -134,7 +138,7 @@
 
     @property
     def is_voter(self) -> bool:
-        """Whether this server has a log file and therefore applies entries."""
+        """Whether this server has a log file and therefore applies the entries of the replicated log."""
         return self.policy_node.raft is not None
 
     @property
@@ -150,12 +154,18 @@
     def register_state_machine(
         self, name: str, state_machine: StateMachine, on_committed: Callable[[float], None]
     ) -> None:
-        """Adds a state machine to the log; `on_committed(now_ms)` is called after entries were applied."""
+        """Adds a state machine to the replicated log.
+
+        Args:
+            name: Name under which the state machine is registered.
+            state_machine: The state machine.
+            on_committed: Called with the current time after entries were applied.
+        """
         self.policy_node.state_machines.register(name, state_machine)
         self.policy_node.commit_listeners.append(on_committed)
 
     def propose(self, data: bytes) -> bool:
-        """Appends an entry to the log; returns False if this server is not the leader."""
+        """Appends an entry to the replicated log; returns False if this server is not the leader."""
         raft = self.policy_node.raft
         is_proposed = raft is not None and raft.propose(data) is not None
         self._save_and_send()
@@ -175,16 +185,16 @@
         return is_accepted
 
     def member_record(self, name: str) -> MemberRecord | None:
-        """Returns the membership record of a server, or None if it is unknown."""
+        """Returns the membership record of the server `name`, or None if that server is unknown."""
         return self._swim_node.member_table.record(name)
 
     def on_version_trusted(self, version: int) -> None:
-        """Logs that a version declared by an operator was adopted, and requests that it be applied."""
+        """Logs that this server adopted a version declared by an operator, and requests its application."""
         self._log("policy_trusted", version=version)
         self._router.request_settle()
 
     def finish(self) -> None:
-        """Tells the voters that this process decides on no more RPCs; called after the end of the loop."""
+        """Tells the voters that this process decides on no more RPCs; called after the loop has ended."""
         self.policy_node.announce_departure()
         for receiver, body in self.policy_node.take_outgoing():
             self._swim_node.send_to_member(receiver, PACKAGE, body)
@@ -210,6 +220,6 @@
     """Starts the service.
 
     Raises:
-        InvalidSettingError: The log file can't be used.
+        InvalidSettingError: The log file is required but not set, or can't be used.
     """
     return PolicyService(host, settings)
--- a/landingshift/policies/settings.py
+++ b/landingshift/policies/settings.py
@@ -16,15 +16,17 @@
     """Keys of the table. All except `journal` must be the same on all servers of a fleet.
 
     Attributes:
-        needs: Other tables that this one requires.
+        needs: Names of the other settings tables that must be enabled.
         voters: Names of the initial voters; 1, 3, 5 or 7 names are allowed.
         journal: Path of the log file of a voter, or of a server that can become one, on persistent storage.
         on: Whether the package is enabled.
-        when_cut_off: Behaviour of a server whose lease no leader has renewed: "serve" or "stand_aside".
-        overlap_ms: Maximum time during which two versions can be in use at once.
-        lease_ms: Duration of a lease with "stand_aside".
-        spare_ms: Extra time after the end of a lease before the leader considers it expired.
-        wait_ms: Time after which a change that is not committed is withdrawn.
+        when_cut_off: Behaviour, between changes, of a server that can't reach a leader: "serve" continues to
+            decide on RPCs, "stand_aside" goes on standby when its lease expires.
+        overlap_ms: Maximum time during which some servers use the old version and others the new one.
+        lease_ms: Duration of a lease between changes, if `when_cut_off` is "stand_aside".
+        spare_ms: Extra time for which the leader waits after the end of a lease before it considers the lease
+            expired.
+        wait_ms: Time after which the leader withdraws a change that has not been committed.
         most: Maximum number of members.
     """
 
@@ -42,7 +44,9 @@
 
 
 def check(settings: Settings, _folder: str) -> None:
-    """Validates values beyond their types; ignores files, which the server might create only at startup.
+    """Checks the number of voters, that their names differ, and that `journal`, if set, is an absolute path.
+
+    Does not check that the log file exists, because the server might create it only at startup.
 
     Raises:
         InvalidSettingError: A value is invalid; the message begins with its key.
@@ -58,7 +62,7 @@
 
 
 def to_policy_settings(settings: Settings) -> PolicySettings:
-    """Returns the protocol settings from the table."""
+    """Converts the settings table to the settings of the policy change protocol."""
     return PolicySettings(
         voters=tuple(settings.voters),
         is_standby_when_cut_off=settings.when_cut_off == "stand_aside",
--- a/landingshift/policies/state_machine.py
+++ b/landingshift/policies/state_machine.py
@@ -1,9 +1,10 @@
 """Replicated state machine of policies: the members, the version in force, and the outcome of each change.
 
 Guarantee: all voters apply the same commands in the same order and reach the same state; the outcome of a
-change never changes once it is final. A command that no longer applies when it is committed (a commit after
-a new member joined, a withdrawal after the commit) has no effect. Failure mode: once `MAX_CHANGE_ID_COUNT`
-changes are recorded, new ones are ignored, because their outcome could not be recorded.
+change never changes once it is final. A command that no longer applies when its log entry is committed has no
+effect; examples are the commit of a change after a new member joined, and a withdrawal after the commit.
+Failure mode: once `MAX_CHANGE_ID_COUNT` changes are recorded, new changes are ignored, because their outcome
+could not be recorded.
 """
 
 from __future__ import annotations
@@ -21,9 +22,9 @@
     decode_command,
 )
 
-MAX_DETAILED_CHANGE_COUNT = 256  # final changes stored with reason and author
-MAX_STORED_POLICY_COUNT = 32  # versions whose policy is stored
-MAX_CHANGE_ID_COUNT = 10_000  # changes whose outcome is stored permanently
+MAX_DETAILED_CHANGE_COUNT = 256  # committed, rejected or withdrawn changes that are stored with all details
+MAX_STORED_POLICY_COUNT = 32  # most recent versions whose policies are stored
+MAX_CHANGE_ID_COUNT = 10_000  # changes whose outcomes are stored; outcomes are never deleted
 MAX_REASON_CHARS = 300
 DEFAULT_MAX_MEMBER_COUNT = 2000
 
@@ -38,8 +39,8 @@
         reason: The operator's reason for the change.
         opened_at_ms: Unix time of the leader when it accepted the proposal.
         outcome: Outcome of the change.
-        version: Version that the change created; 0 if it was not committed.
-        outcome_reason: Reason why it was not committed; empty if it was or is pending.
+        version: Version that the change created; 0 if the change was not committed.
+        outcome_reason: Reason why the change was not committed; empty if it was committed or is pending.
     """
 
     id: str
@@ -69,14 +70,16 @@
 
     Attributes:
         max_member_count: Maximum number of members.
-        members: Run id of each member by name. Every member must take part in a change.
-        join_count: Number of joins applied. A `CommitChange` carries the count at its proposal. It has no
-            effect if a member has joined since, because the leader did not wait for that member.
+        members: Run id of each member's process, keyed by member name.
+        join_count: Number of joins applied. A `CommitChange` contains the join count at the time of its
+            proposal. If a member has joined since, the commit has no effect, because the leader did not wait
+            for that member.
         version: Version in force; 0 stands for the settings that each server started with.
         policies: Encoded policies of the stored versions.
         pending_change_id: Id of the change in progress; empty if there is none.
-        changes: Changes stored with all details, by id, in the order in which the ids first appeared.
-        final_versions: Version created by each final change, by id; 0 if it was not committed.
+        changes: Changes stored with all details, keyed by id, in the order in which the ids first appeared.
+        final_versions: Version created by each change whose outcome is final, keyed by change id; 0 if the
+            change was not committed.
     """
 
     def __init__(self, max_member_count: int = DEFAULT_MAX_MEMBER_COUNT) -> None:
@@ -90,9 +93,10 @@
         self.final_versions: dict[str, int] = {}
 
     def find_change(self, change_id: str) -> Change | None:
-        """Returns a change, or None if it is unknown.
+        """Returns the change with this id, or None if the id is unknown.
 
-        An old change has no details. It counts as withdrawn if it was not committed, even if it was rejected.
+        The details of old changes are no longer stored. An old change that was not committed is returned as
+        withdrawn, even if it was rejected.
         """
         change = self.changes.get(change_id)
         if change is not None or change_id not in self.final_versions:
@@ -102,11 +106,11 @@
         return Change(change_id, b"", "", "", 0.0, outcome, version)
 
     def has_member(self, name: str, run_id: int) -> bool:
-        """Returns whether the server is a member with this run id."""
+        """Returns whether the server `name` is a member with this run id."""
         return self.members.get(name) == run_id
 
     def has_capacity_for(self, name: str) -> bool:
-        """Returns whether the server is a member, with any run id, or one more member is allowed."""
+        """Returns whether the server `name` is already a member, or one more member is allowed."""
         return name in self.members or len(self.members) < self.max_member_count
 
     @property
@@ -137,13 +141,13 @@
 
     def _join(self, name: str, run_id: int) -> None:
         if not self.has_member(name, run_id) and self.has_capacity_for(name):
-            self.members[name] = run_id  # one process at a time uses a name, so an earlier one has ended
+            self.members[name] = run_id  # one process at a time uses a name, so the previous one has ended
             self.join_count += 1
 
     def _open(self, command: OpenChange) -> None:
         change_id = command.change_id
         if change_id in self.changes or change_id in self.final_versions or self.is_full:
-            return  # the proposal is a repeated one, or its outcome could not be recorded
+            return  # the change is already recorded, or its outcome could not be recorded
         change = Change(change_id, command.policy, command.author, command.reason, command.opened_at_ms)
         self.changes[change_id] = change
         if self.pending_change_id:
@@ -167,7 +171,7 @@
         change_id = command.change_id
         change = self.changes.get(change_id)
         if change is None and change_id not in self.final_versions and not self.is_full:
-            # Records a withdrawal that precedes the proposal, so that the late proposal has no effect.
+            # The withdrawal precedes the proposal. Recording the change makes the later proposal ineffective.
             change = Change(change_id, b"", "", "", command.ended_at_ms)
             self.changes[change_id] = change
         if change is None or change.outcome is not ChangeOutcome.PENDING:
@@ -187,7 +191,7 @@
     # Snapshots
 
     def snapshot(self) -> bytes:
-        """Returns the whole state, encoded."""
+        """Returns the whole state as an encoded `StateSnapshot`."""
         return msgspec.msgpack.encode(
             StateSnapshot(
                 self.members,
@@ -201,7 +205,7 @@
         )
 
     def restore(self, state: bytes) -> None:
-        """Replaces the state with that of a snapshot."""
+        """Replaces the whole state with an encoded `StateSnapshot`."""
         snapshot = msgspec.msgpack.decode(state, type=StateSnapshot)
         self.members = snapshot.members
         self.join_count = snapshot.join_count
--- a/landingshift/policies/voter_changes.py
+++ b/landingshift/policies/voter_changes.py
@@ -1,4 +1,4 @@
-"""Rules for adding and removing voters by operators.
+"""Rules by which operators can add and remove voters.
 
 Guarantee: a voter is added only if it runs with a log file, and removed only if a majority of the remaining
 voters responds, so that the change itself never leaves the log without a majority. Failure mode: voters that
@@ -21,7 +21,7 @@
 
     Attributes:
         is_done: Whether the change is committed.
-        reason: Reason why it is not done yet; empty if it is.
+        reason: Reason why the change is not committed yet; empty if it is committed.
         new_voters: Voters to propose; empty if there is nothing to propose.
     """
 
--- a/landingshift/policies/wire.py
+++ b/landingshift/policies/wire.py
@@ -1,4 +1,4 @@
-"""Encoding of messages about policies as lists whose first element names the kind of message.
+"""Encoding of messages about policies as lists, called bodies, whose first element names the kind of message.
 
 No other module depends on this encoding. A message can be larger than a datagram.
 """
@@ -41,7 +41,7 @@
 
 
 def encode_operator_command(command: OperatorCommand) -> list[Any]:
-    """Returns the fields of a command, beginning with its name."""
+    """Encodes a command as the list of its fields, which begins with the command's name."""
     match command:
         case ProposeChange(policy, author, reason):
             return ["propose", policy, author, reason]
@@ -58,7 +58,7 @@
 
 
 def decode_operator_command(fields: list[Any]) -> OperatorCommand:
-    """Returns the command that the fields encode, or `UnknownCommand` if they are unreadable."""
+    """Decodes the fields of a command; returns `UnknownCommand` if the fields are unreadable."""
     match fields:
         case ["propose", bytes(policy), str(author), str(reason)]:
             return ProposeChange(policy, author, reason)
@@ -74,7 +74,7 @@
 
 
 def encode_message(message: Message) -> list[Any]:
-    """Returns the body of a message."""
+    """Encodes a message as its body."""
     match message:
         case RaftPacket(data):
             return ["vote", data]
@@ -89,7 +89,7 @@
 
 
 def _encode_member_message(message: MemberMessage) -> list[Any]:
-    """Returns the body of a message between a member and the leader."""
+    """Encodes a message between a member and the leader as its body."""
     match message:
         case LeaseRequest():
             return _encode_lease_request(message)
@@ -141,7 +141,7 @@
 
 
 def decode_message(body: list[Any]) -> Message:
-    """Returns the message that a body encodes.
+    """Decodes the body of a message.
 
     Raises:
         UnreadableMessageError: The body is not a message of this protocol.
@@ -224,7 +224,7 @@
 
 
 def _decode_phase(value: str) -> ChangePhase:
-    """Returns the phase; a phase that only newer builds know becomes NONE, as this build can't act on it."""
+    """Decodes a phase; returns NONE for a phase that only newer builds know and this one can't act on."""
     return _PHASES.get(value, ChangePhase.NONE)
 
 
