--- a/landingshift/net/routing/engine_commands.py
+++ b/landingshift/net/routing/engine_commands.py
@@ -31,8 +31,8 @@
     def is_unsafe_to_resend(self) -> bool:
         """Return whether resending the command could repeat an effect.
 
-        The engine may have received the command on the lost link and completed the run in the meantime. An
-        RPC that is idempotent or already answered may run again.
+        The engine may have received the command on the lost link and completed the run in the meantime.
+        Resending counts as safe if the RPC is idempotent or already answered.
         """
         may_run_again = self.rpc.method.idempotency is Idempotency.IDEMPOTENT or self.rpc.is_answered
         return self.starts_run and self.is_in_doubt and not may_run_again
@@ -57,7 +57,7 @@
         self.queue.append(command)
 
     def forget(self, rpc: RoutedRpc) -> None:
-        """Stops tracking the RPC's latest command: it has arrived, or its delivery no longer matters."""
+        """Stops tracking the RPC's latest command, which has arrived or whose delivery no longer matters."""
         self.latest.pop(rpc, None)
 
     def confirm(self, confirmed_bytes: int) -> None:
--- a/landingshift/net/routing/router.py
+++ b/landingshift/net/routing/router.py
@@ -150,11 +150,11 @@
         return self.shutdown.is_draining
 
     def request_settle(self) -> None:
-        """Makes the controller settle in this pass because its inputs have changed without an event."""
+        """Makes the controller settle in this pass. Call this if its inputs have changed without an event."""
         self.driver.needs_settle = True
 
     def settle(self) -> None:
-        """Ends a loop pass: the controller decides on the events of the pass and carries out its actions."""
+        """Ends a loop pass: the controller decides on the events, and its actions are carried out."""
         if self.before_decisions is not None:
             self.before_decisions()
         self.driver.settle()
@@ -167,7 +167,7 @@
     def _start_admission(self, hello: Hello) -> None:
         """Creates the admission controller when the engine answers for the first time.
 
-        The controller's start time is the start of the engine, from which the engine's cores warm up.
+        The controller's start time is that of the engine, because the engine's cores warm up from then on.
         """
         if self.is_draining:
             return  # the server stops without running any RPC, so it must not report to the roster
