--- a/landingshift/policies/commands.py
+++ b/landingshift/policies/commands.py
@@ -71,7 +71,7 @@
 class CommitChange:
     """Puts the policy of a change in force as the next version.
 
-    The command has no effect if a member has joined since the leader proposed the command.
+    The commit has no effect if a member has joined since the leader proposed it.
 
     Attributes:
         change_id: Id of the change.
--- a/landingshift/policies/operator_commands.py
+++ b/landingshift/policies/operator_commands.py
@@ -82,9 +82,9 @@
         return pending
 
     def on_status(self, status: ChangeStatus) -> None:
-        """Stores the leader's reply to a pending command, and removes the command if no more is expected.
+        """Stores the leader's reply to a pending command.
 
-        No more is expected once the outcome is final; a `FindChange` expects only one reply.
+        Removes the command if the outcome in the reply is final, or if the command is a `FindChange`.
         """
         change_id = status.change_id
         pending = self.pending.get(change_id)
--- a/landingshift/policies/participant.py
+++ b/landingshift/policies/participant.py
@@ -272,7 +272,7 @@
             self._request_by(now_ms + self._prepared_request_interval_ms)
 
     def _prepare_if_requested(self, reply: LeaseReply, now_ms: float) -> None:
-        """Enters the PREPARED state if the leader requests it and this server can apply the policy.
+        """Enters the PREPARED state if the leader requests this and the server has validated the policy.
 
         A longer current lease is shortened to `prepared_lease_ms` from `now_ms`.
         """
--- a/landingshift/policies/service.py
+++ b/landingshift/policies/service.py
@@ -189,7 +189,10 @@
         return self._swim_node.member_table.record(name)
 
     def on_version_trusted(self, version: int) -> None:
-        """Logs that this server adopted a version declared by an operator, and requests its application."""
+        """Logs the adoption of a version that an operator declared to be in force.
+
+        Also makes the admission controller decide again in this loop pass, by the adopted version.
+        """
         self._log("policy_trusted", version=version)
         self._router.request_settle()
 
