--- a/landingshift/admission/rolling_window.py
+++ b/landingshift/admission/rolling_window.py
@@ -3,15 +3,15 @@
 from __future__ import annotations
 
 MIN_VALUES_FOR_BUCKET_MEAN = 8
-"""Number of values that a bucket must have to be considered in `lowest_bucket_mean`, so that a single fast
-run does not determine the minimum."""
+"""Minimum number of values in a bucket that `lowest_bucket_mean` considers, so that a single low value does
+not determine the result."""
 
 
 class RollingWindow:
-    """Values of the last `bucket_count` x `bucket_ms`, in insertion order within each bucket.
+    """Values that were added in the last `bucket_count` times `bucket_ms` ms, grouped into buckets by time.
 
-    The current bucket is only partly filled, so the window covers between `bucket_count - 1` and
-    `bucket_count` bucket lengths.
+    Within a bucket, the values are in the order in which they were added. The current bucket is only partly
+    filled, so the window covers between `bucket_count - 1` and `bucket_count` bucket lengths.
 
     Attributes:
         bucket_count: Number of buckets.
@@ -57,7 +57,7 @@
         self.change_count += 1
 
     def values(self, now_ms: float) -> list[float]:
-        """Returns all values in the order of `buckets`, which is not the order of time."""
+        """Returns all values, in the order of `buckets` instead of the order in which they were added."""
         self.advance(now_ms)
         return [value for bucket in self.buckets for value in bucket]
 
