--- a/landingshift/policies/change_log.py
+++ b/landingshift/policies/change_log.py
@@ -10,7 +10,7 @@
 from landingshift.policies.participant import ParticipantState
 
 COMMITTING_STEP = "switching"  # the leader has proposed the commit, which is not applied yet
-NO_STEP = "none"  # stands for an empty step or state in the names of failpoints
+NO_STEP = "none"  # replaces an empty step or state in the names of failpoints
 
 
 @dataclass(slots=True, frozen=True)
@@ -34,7 +34,10 @@
 
 
 class ChangeLog:
-    """Logs each step of a policy change once, and marks the failpoint of the step."""
+    """Logs the progress of policy changes on this server, and calls `failpoints.reach` for each step.
+
+    Each such call passes a failpoint: a named point at which a test can kill or delay the process.
+    """
 
     def __init__(self, node: PolicyNode, log: Callable[..., None]) -> None:
         self._node = node
@@ -42,7 +45,11 @@
         self._previous = ChangeProgress()
 
     def update(self, now_ms: float) -> None:
-        """Logs each step that has been reached since the last call, and marks its failpoint."""
+        """Compares the current progress with the progress at the previous call, and reports the differences.
+
+        Logs a new state of this server, the start or end of this server's leadership, and the outcome of a
+        change that has ended. Calls `failpoints.reach` for a new state and for a new step of the leader.
+        """
         current = self._progress(now_ms)
         if current == self._previous:
             return
--- a/landingshift/policies/commands.py
+++ b/landingshift/policies/commands.py
@@ -18,7 +18,7 @@
 
     PENDING = "open"
     COMMITTED = "taken"
-    REJECTED = "refused"  # by a member; or another change was pending, or the policy was already in force
+    REJECTED = "refused"  # a member refused, another change was pending, or the policy was already in force
     WITHDRAWN = "withdrawn"  # by an operator, or by the leader after a timeout
 
 
--- a/landingshift/policies/coordinator.py
+++ b/landingshift/policies/coordinator.py
@@ -1,9 +1,10 @@
 """Coordinator of policy changes on the leader: tracks members' states, and commits or ends the change.
 
-Guarantee: a commit is proposed only once every member is prepared (it decides by the old version only under
-short leases) or certainly on standby. No lease is granted from the proposal until the commit is applied, or
-is void because a member joined. Failure mode: the coordinator's state is lost when the leader changes. The
-next leader polls the members again; everything that must survive is in the replicated state machine.
+Guarantee: a commit is proposed only once every member is prepared or certainly on standby. A prepared member
+decides by the old version only under short leases. After proposing a commit, the leader grants no leases
+until the log entry of the commit has been applied. The commit has no effect if a member has joined since the
+proposal. Failure mode: the coordinator's state is lost when the leader changes. The next leader polls the
+members again; everything that must survive is in the replicated state machine.
 """
 
 from __future__ import annotations
@@ -53,7 +54,7 @@
 POLL_AFTER_COMMIT_MS = 5000.0  # duration of polling after a commit
 BUSY_TICK_INTERVAL_MS = 50.0  # while a change is under way or members join
 IDLE_TICK_INTERVAL_MS = 500.0
-MAX_NAMED_MEMBER_COUNT = 5  # unprepared members named in the reason of a timeout
+MAX_NAMED_MEMBER_COUNT = 5  # unprepared members named in the outcome reason of a timed-out change
 MAX_REPORTED_MEMBER_COUNT = 64  # unprepared members listed in a reply to an operator
 MAX_JOIN_COUNT = 256  # servers in one `JoinMembers` entry
 
@@ -138,9 +139,10 @@
             sender: Name of the requesting server.
             request: The request.
             now_ms: Time of the monotonic clock, read after the request arrived.
-            known_leader: Server to which this server sends its own lease requests. A redirect names it if
-                Raft knows no leader: a removed voter receives no Raft messages, but servers that know only
-                the initial voters still send it lease requests.
+            known_leader: Server to which this server sends its own lease requests. If Raft knows no leader,
+                the redirect names `known_leader`. This is needed if this server is a removed voter. A removed
+                voter receives no Raft messages, but servers that know only the initial voters still send
+                lease requests to the removed voter.
         """
         if not self._is_leading(now_ms):
             leader = self._raft.leader or known_leader
@@ -182,7 +184,7 @@
         return f"{state.max_member_count} members are counted, which is the most"
 
     def _requested_phase(self) -> ChangePhase:
-        """Returns the phase for lease replies; a change that `tick` has not seen yet begins with VALIDATE."""
+        """Returns the phase for lease replies; VALIDATE if `tick` has not seen the change in progress yet."""
         if self._change_id == self._state.pending_change_id:
             return self.phase
         return ChangePhase.VALIDATE if self._state.pending_change_id else ChangePhase.NONE
@@ -258,7 +260,11 @@
         self._send(sender, ChangeStatus(change_id, outcome, 0, reason))
 
     def _remove_member(self, sender: str, change_id: str, name: str, run_id: int) -> None:
-        """Removes a member if its run id matches; keeps a newer process that has joined under the name."""
+        """Proposes to remove the member `name` if its run id is `run_id`.
+
+        Otherwise, the process `run_id` is no longer a member, and the reply reports success. A newer process
+        that has joined under the same name remains a member.
+        """
         if self._state.has_member(name, run_id):
             self._propose_once(f"{name} {run_id} gone", RemoveMember(name, run_id))
             return
@@ -266,7 +272,7 @@
         self._send(sender, ChangeStatus(change_id, ChangeOutcome.COMMITTED.value, 0, reason))
 
     def on_departure(self, sender: str, run_id: int, now_ms: float) -> None:
-        """Removes a member that has announced the end of its process."""
+        """Proposes to remove the member `sender`, which has announced the end of its process `run_id`."""
         if self._state.has_member(sender, run_id) and self._is_leading(now_ms):
             self._propose_once(f"{sender} {run_id} gone", RemoveMember(sender, run_id))
 
@@ -344,7 +350,10 @@
             self._last_poll_at_ms = NEVER_MS
 
     def _advance_change(self, now_ms: float) -> None:
-        """Ends the change, commits it or moves it to the prepare phase, as the members' states allow."""
+        """Ends the change in progress, proposes its commit, or starts its prepare phase.
+
+        The choice depends on the states of the members and on the time since the change began.
+        """
         change_id = self._state.pending_change_id
         if self.committing_change_id or self._ending_change_id == change_id:
             return
@@ -393,7 +402,7 @@
 
 
 def _can_be_withdrawn(change: Change | None) -> bool:
-    """Returns whether a change can still be withdrawn; None stands for a change not proposed yet."""
+    """Returns whether a change can still be withdrawn; None stands for a change that is not proposed yet."""
     return change is None or change.outcome is ChangeOutcome.PENDING
 
 
@@ -402,7 +411,7 @@
 
 
 def _describe_waiting(waiting: list[WaitingMember]) -> str:
-    """Returns the names and states of the first members, for the reason of a change that timed out."""
+    """Returns names and states of the first members in `waiting`, to explain why a change timed out."""
     named = [f"{member.name} ({member.state or 'no text yet'})" for member in waiting]
     unnamed_count = len(named) - MAX_NAMED_MEMBER_COUNT
     more = f" and {unnamed_count} more" if unnamed_count > 0 else ""
--- a/landingshift/policies/document.py
+++ b/landingshift/policies/document.py
@@ -83,7 +83,7 @@
         newest_format: Newest policy format to accept.
 
     Raises:
-        InvalidPolicyError: The policy is invalid or has a newer format.
+        InvalidPolicyError: The policy is invalid, or its format is newer than `newest_format`.
     """
     tables: PolicyValues = {"methods": {}, "tenants": {}, "rules": {}}
     if not encoded:
--- a/landingshift/policies/enforcement.py
+++ b/landingshift/policies/enforcement.py
@@ -1,8 +1,10 @@
 """Applies new policy versions to the admission controller, and switches the server to standby and back.
 
-Guarantee: at the end of each pass of the event loop, before the controller starts or rejects an RPC, a new
-version is applied, and the server goes on standby if it is not allowed to decide. Failure mode: if the
-process is paused after this check, the decisions in the rest of the pass rely on an outdated check.
+Guarantee: at the end of each pass of the event loop, `before_decisions` applies a new policy version, and
+puts the server on standby if the server is not allowed to decide on RPCs. Only then does the admission
+controller start or reject RPCs. Failure mode: if the process is paused after `before_decisions`, a lease can
+expire during the pause. The controller then still decides in this pass, although the server is no longer
+allowed to.
 """
 
 from __future__ import annotations
@@ -21,10 +23,10 @@
 
 
 class PolicyEnforcement:
-    """Applies the participant's state to the admission controller.
+    """Applies the version and the permission to decide of a `ChangeParticipant` to the admission controller.
 
     Attributes:
-        name: Name of the observer and of the readiness gate.
+        name: Name of the readiness gate, and of this object as an RPC observer.
         applied_version: Policy version that the controller decides by.
     """
 
@@ -33,9 +35,11 @@
     def __init__(
         self, host: ServiceHost, server_name: str, overlay: PolicyOverlay, participant: ChangeParticipant
     ) -> None:
-        """Registers the check before decisions, and adds a readiness gate.
+        """Registers `before_decisions` with the router, and adds a readiness gate.
 
-        The gate is removed as soon as this server is allowed to decide on RPCs.
+        The router calls `before_decisions` at the end of each loop pass, before the admission controller
+        decides on RPCs. The gate makes this server report that it is not ready. `before_decisions` removes
+        the gate as soon as this server is allowed to decide on RPCs.
         """
         self.applied_version = 0
         self._router = host.router
@@ -109,7 +113,10 @@
         self._record_decision()
 
     def on_answered(self, _rpc: RoutedRpc, kind: AnswerKind) -> None:
-        """Records rejections as decisions, except those on standby, which do not depend on the policy."""
+        """Records a rejection as a decision, unless this server is on standby.
+
+        A rejection by a server on standby does not depend on the policy.
+        """
         if kind is AnswerKind.REJECTED and self._may_decide:
             self._record_decision()
 
--- a/landingshift/policies/errors.py
+++ b/landingshift/policies/errors.py
@@ -24,7 +24,7 @@
 
 
 class InvalidSettingError(PolicyError, ValueError):
-    """A value in the table `[policies]` can't be used; the message begins with the key."""
+    """A value in the table `[policies]` can't be used; the message begins with `key`."""
 
     def __init__(self, key: str, reason: str) -> None:
         self.key = key
@@ -45,7 +45,7 @@
 
 
 class InvalidParamsError(OperatorCallError):
-    """The parameters of a call are invalid; the message says which are expected."""
+    """The parameters of a call are invalid; the message describes the expected parameters."""
 
     def __init__(self, expectation: str) -> None:
         self.expectation = expectation
--- a/landingshift/policies/leader_discovery.py
+++ b/landingshift/policies/leader_discovery.py
@@ -1,8 +1,9 @@
 """Discovery of the leader from replies, redirects and missing replies.
 
-Guarantee: the leader is found as long as a reachable server knows it, because requests go to the voters in
-turn, and then also to random servers that are alive. Failure mode: if two servers name each other as the
-leader, their redirects are followed a few times without delay, then only at the interval of lease requests.
+Guarantee: the leader is found as long as a reachable server knows the leader. Requests go to the voters in
+turn and, if no voter replies, also to random servers that are alive. Failure mode: if two servers name each
+other as the leader, their redirects are followed a few times without delay, then only at the interval of
+lease requests.
 """
 
 from __future__ import annotations
@@ -19,13 +20,14 @@
 class LeaderDiscovery:
     """Chooses the server that lease requests are sent to.
 
-    Until a server replies, the voters are tried in turn. Once all voters have been silent, each further round
-    begins with a random server that is alive, in place of the first voter.
+    Until a server replies, requests go in turn to the candidates, which are the servers in `voters` and
+    `own_log_voters`. Once all candidates have been silent, each further pass over them begins with a random
+    server that is alive, in place of the first candidate.
 
     Attributes:
         leader: Name of the server that requests go to; empty if the next request tries the next candidate.
         voters: Names of the voters, as last reported by the leader, initially from the settings.
-        own_log_voters: Names of the voters in this server's own log; empty if it has no log file.
+        own_log_voters: Names of the voters in this server's own log; empty if this server has no log file.
         list_alive_peers: Returns the names of all servers that membership considers alive or suspects.
     """
 
@@ -41,7 +43,11 @@
         self._redirect_count = 0
 
     def choose_target(self) -> str:
-        """Returns the receiver of the next request; tries the next candidate if the current one is silent."""
+        """Returns the name of the server that the next request goes to.
+
+        Counts the request as unanswered until a reply arrives. Switches to the next candidate if `leader` is
+        empty, or if the server `leader` has not answered the last `MAX_UNANSWERED_COUNT` requests.
+        """
         if self._unanswered_by_leader_count >= MAX_UNANSWERED_COUNT or not self.leader:
             self._choose_next_candidate()
         self._unanswered_by_leader_count += 1
@@ -60,8 +66,8 @@
     def next_retry_ms(self) -> float:
         """Counts one more unanswered request, and returns the delay after which the request is retried.
 
-        A reply resets the count. The delay doubles with each unanswered request, up to a limit, because the
-        leader might never return.
+        A reply resets the count. The delay doubles with each unanswered request, up to a limit. The leader
+        might never return, and frequent requests would then only cause load.
         """
         doubling_count = min(self._unanswered_count, MAX_RETRY_DOUBLING_COUNT)
         self._unanswered_count += 1
@@ -78,15 +84,22 @@
         self.leader = leader
 
     def on_voters_received(self, voters: tuple[str, ...]) -> None:
-        """Stores the voters that the leader reported, and allows immediate redirects again."""
+        """Stores the voters that the leader reported, and resets the count of redirects that were followed.
+
+        While the count exceeds `MAX_IMMEDIATE_REDIRECT_COUNT`, `on_redirected` returns False.
+        """
         self.voters = list(voters)
         self._redirect_count = 0
 
     def on_redirected(self, leader: str) -> bool:
-        """Follows a redirect to `leader`; if `leader` is empty, the next request tries the next candidate.
+        """Processes a reply that names `leader` as the leader: the next requests go to that server.
+
+        If `leader` is empty, the next request goes to the next candidate.
 
         Returns:
-            Whether to send a request to the new leader immediately.
+            Whether the caller should send a request to `leader` immediately. The result is False if `leader`
+                is empty, if requests already went to `leader`, or if more than `MAX_IMMEDIATE_REDIRECT_COUNT`
+                redirects were followed since a leader last reported the voters.
         """
         if not leader:
             self.leader = ""
--- a/landingshift/policies/member_reports.py
+++ b/landingshift/policies/member_reports.py
@@ -39,7 +39,7 @@
         self._term_began_at_ms = term_began_at_ms  # earlier leaders granted no lease after this time
 
     def record(self, member: str, request: LeaseRequest, is_leased: bool, now_ms: float) -> bool:
-        """Stores a member's lease request, and `now_ms` as the time of its lease if `is_leased` is True.
+        """Stores a member's lease request; if `is_leased`, also `now_ms` as the time of the member's lease.
 
         Returns:
             True if this is the member's first request in this term, or if the change or the state in the
@@ -54,18 +54,24 @@
         return progress_before != (request.change_id, request.state)
 
     def state_of(self, member: str, run_id: int, change_id: str) -> str:
-        """Returns the state in a change that the process `run_id` last reported; "away" if there is none."""
+        """Returns the state in the change `change_id` that the process `run_id` of a member reported last.
+
+        Returns "away" if the member has sent no report, or if its last report concerns another process or
+        another change.
+        """
         report = self.by_member.get(member)
         if report is None or report.request.run_id != run_id or report.request.change_id != change_id:
             return SILENT_STATE
         return report.request.state
 
     def is_on_standby(self, member: str, now_ms: float) -> bool:
-        """Returns whether a member is certainly on standby because its last lease has expired by its clock.
+        """Returns whether a member is certainly on standby because all its leases have expired by its clock.
+
+        This leader knows when it last granted the member a lease. It assumes that an earlier leader also
+        granted the member a lease, and did so at the latest possible time: the start of this term.
 
-        The last lease is the last one that this leader granted, or one that an earlier leader might have
-        granted until this term began. If `is_standby_when_cut_off` is False, the result is False, because a
-        member that is not prepared then decides without a lease.
+        If `is_standby_when_cut_off` is False, the result is False. With that setting, members need leases
+        only while they are prepared for a change, so the expiry of a lease does not imply standby.
         """
         if not self._settings.is_standby_when_cut_off:
             return False
--- a/landingshift/policies/messages.py
+++ b/landingshift/policies/messages.py
@@ -159,7 +159,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Redirect:
-    """Answers a lease request on a server that is not the leader; `leader` is the leader's name, or empty."""
+    """Answers a lease request on a server that is not the leader.
+
+    Attributes:
+        number: Number of the request.
+        leader: Name of the leader; empty if the server that answers does not know the leader.
+    """
 
     number: int
     leader: str
@@ -180,7 +185,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PolicyRequest:
-    """Asks for the policy of the change in progress, or of the version in force if `change_id` is empty."""
+    """Asks for the policy of the change `change_id`, or of the version `version` if `change_id` is empty."""
 
     change_id: str
     version: int
@@ -188,7 +193,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PolicyText:
-    """Carries the policy of the change in progress, or of a version if `change_id` is empty."""
+    """Carries the policy of the change `change_id`, or of the version `version` if `change_id` is empty."""
 
     change_id: str
     version: int
@@ -212,7 +217,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WaitingMember:
-    """A member that a change waits for, and its state in the change; "away" if it has reported none."""
+    """A member that a change waits for, and its state in the change; "away" if no state is reported."""
 
     name: str
     state: str
--- a/landingshift/policies/node.py
+++ b/landingshift/policies/node.py
@@ -1,4 +1,4 @@
-"""Policy node of a server: a participant, and with a log file also a Raft node and a coordinator.
+"""Policy node of a server: a participant and, if the server has a log file, a Raft node and a coordinator.
 
 The node does no I/O. Its driver passes in messages, the time and a random generator, and takes out the state
 to save and the messages to send once the state is saved. The driver must read the clock for `now_ms` after a
@@ -44,7 +44,8 @@
 STATE_MACHINE_NAME = "policies"
 COMPACTION_ENTRY_COUNT = 200  # a snapshot replaces the applied log entries once there are more than this
 DEFAULT_TIMEOUTS = RaftTimeouts()
-MAX_LOCAL_DELIVERY_COUNT = 8  # rounds of a node's messages to itself; each round can produce further messages
+# Rounds of delivering a node's messages to itself. Each round can produce further messages.
+MAX_LOCAL_DELIVERY_COUNT = 8
 
 
 class PolicyNode:
@@ -75,7 +76,7 @@
         timeouts: RaftTimeouts = DEFAULT_TIMEOUTS,
         max_member_count: int = DEFAULT_MAX_MEMBER_COUNT,
     ) -> None:
-        """Starts from the state in the log file, if there is one.
+        """Creates the node of a server; restores the state from the log file if the server has one.
 
         Args:
             name: Name of this server.
@@ -246,7 +247,10 @@
             coordinator.tick(now_ms)
 
     def _restore_applied(self, persistent_state: PersistentState) -> None:
-        """Restores the snapshot, from disk or from a leader, if it covers more entries than are applied."""
+        """Restores the state machines from the snapshot if it covers entries that are not applied yet.
+
+        The snapshot was read from disk or received from a leader.
+        """
         if persistent_state.last_included_index > self._applied_index:
             self.state_machines.restore(persistent_state.snapshot)
             self._applied_index = persistent_state.last_included_index
@@ -309,7 +313,10 @@
         return self.operator_commands.last_status(change_id)
 
     def announce_departure(self) -> None:
-        """Queues a `Departure` message to each other voter: this process decides on no more RPCs."""
+        """Queues a `Departure` message to each other voter.
+
+        The message tells the voter that this process decides on no more RPCs.
+        """
         for voter in self.participant.discovery.voters:
             if voter != self.name:
                 self._outbox.append((voter, Departure(self.run_id)))
--- a/landingshift/policies/operator_calls.py
+++ b/landingshift/policies/operator_calls.py
@@ -1,4 +1,4 @@
-"""Calls by which operators, through the command line, query a server or submit commands to it.
+"""Calls that operators make through the command line, to query a server or to submit commands to the server.
 
 Each call takes a list of parameters and returns a value that MessagePack can encode. A call that can't be
 answered raises an `OperatorCallError`, whose message is shown to the operator.
@@ -71,7 +71,7 @@
         raise InvalidParamsError(EXPECTED_COMMAND)
 
     def _declare_departed(self, name: str) -> OperatorCommand:
-        """Returns the command that declares the last known process of a member as ended."""
+        """Returns the command which declares that the last known process of the member `name` has ended."""
         record = self._service.member_record(name)
         if record is None:
             raise UnknownMemberError(name)
@@ -87,7 +87,10 @@
         raise InvalidParamsError(EXPECTED_ID)
 
     def server_status(self, _params: list[Any]) -> dict[str, Any]:
-        """Returns the policy state of this server, and its Raft state if any; takes no parameters."""
+        """Returns the policy state of this server; takes no parameters.
+
+        If this server has a log file, the result also contains the Raft state.
+        """
         participant = self._participant
         now_ms = self._service.clock_ms()
         may_decide = participant.may_decide(now_ms)
@@ -162,7 +165,10 @@
 
 
 def _is_valid_command(fields: list[Any]) -> bool:
-    """Returns whether the fields are a command within the size limits; `submit` checks "gone" itself."""
+    """Returns whether the fields are a command within the size limits.
+
+    The command "gone" is not valid here, because `submit` handles that command separately.
+    """
     match fields:
         case ["propose", bytes(policy), str(author), str(reason)]:
             return len(policy) <= MAX_POLICY_BYTES and _are_within_limits(author, reason)
--- a/landingshift/policies/operator_commands.py
+++ b/landingshift/policies/operator_commands.py
@@ -65,7 +65,7 @@
         return True
 
     def due(self, now_ms: float) -> list[str]:
-        """Returns the change ids whose command is due to be forwarded."""
+        """Returns the ids of the changes whose pending commands are due to be forwarded."""
         return [change_id for change_id, pending in self.pending.items() if pending.due_at_ms <= now_ms]
 
     def next_attempt(self, change_id: str, now_ms: float) -> PendingOperatorCommand | None:
--- a/landingshift/policies/overlay.py
+++ b/landingshift/policies/overlay.py
@@ -51,7 +51,7 @@
         return ""
 
     def apply(self, encoded: bytes) -> None:
-        """Puts a policy in force; a value that it does not set returns to its startup value."""
+        """Puts a policy in force; values that the policy does not set return to their startup values."""
         tables = decode_policy(encoded, NEWEST_FORMAT)
         for (table, name, attribute), startup_value in self.startup_values.items():
             values = tables[table].get(name, {})
--- a/landingshift/policies/participant.py
+++ b/landingshift/policies/participant.py
@@ -7,13 +7,14 @@
   server decides by the old version only under leases of `prepared_lease_ms`. The leader stops granting leases
   before it replicates the commit. So once one server decides by the new version, all others stop deciding by
   the old version within `prepared_lease_ms`.
-- A server stays prepared until it learns the outcome of the change. A late reply, which the leader sent
-  before the change was opened, must not end this state.
+- A server stays prepared until it learns the outcome of the change. A reply that the leader sent before the
+  change was opened can arrive late, and must not end this state.
 - If `is_standby_when_cut_off` is True, a server also needs a lease for its decisions between changes. Such a
   lease lasts `lease_ms`.
 
 A lease begins when its request is sent, by this server's monotonic clock. Failure mode: a prepared server
-that is cut off goes on standby until a leader grants it a lease or reports the outcome of the change.
+that is cut off from the leader goes on standby. The server leaves standby once a leader grants it a lease or
+reports the outcome of the change.
 """
 
 from __future__ import annotations
@@ -46,7 +47,7 @@
 POLL_SPREAD_MS = 20.0  # replies to a poll are spread over this time, so that they do not all arrive at once
 MIN_REQUEST_INTERVAL_MS = 10.0
 REQUESTS_PER_LEASE = 4.0  # so that a lease can be extended in time even if requests are lost
-MIN_JITTER, MAX_JITTER = 0.8, 1.2  # factors of an interval, so that servers do not send in lockstep
+MIN_JITTER, MAX_JITTER = 0.8, 1.2  # range of the random factor of intervals; avoids lockstep of servers
 
 
 class ParticipantState(StrEnum):
@@ -59,7 +60,7 @@
 
 
 class ChangeParticipant:
-    """A server's part in policy changes: asks the leader for leases and policies, and follows its replies.
+    """Takes part in policy changes: asks the leader for leases and policies, and processes the replies.
 
     Attributes:
         discovery: Discovery of the leader.
@@ -127,7 +128,7 @@
 
     @property
     def needs_lease(self) -> bool:
-        """Whether decisions currently need a lease."""
+        """Whether this server currently needs a lease to decide on RPCs."""
         return self._settings.is_standby_when_cut_off or self.state is ParticipantState.PREPARED
 
     def may_decide(self, now_ms: float) -> bool:
@@ -137,7 +138,9 @@
         return now_ms < self.lease_expiry_ms if self.needs_lease else True
 
     def adopt_trusted_version(self, version: int, policy: bytes) -> str:
-        """Adopts a version that an operator declares to be in force, for use when no leader can return.
+        """Adopts a version that an operator declares to be in force.
+
+        This allows the server to decide on RPCs if no leader can return.
 
         Returns:
             Reason why the version was not adopted; empty if it was.
@@ -274,7 +277,7 @@
     def _prepare_if_requested(self, reply: LeaseReply, now_ms: float) -> None:
         """Enters the PREPARED state if the leader requests this and the server has validated the policy.
 
-        A longer current lease is shortened to `prepared_lease_ms` from `now_ms`.
+        The current lease then ends at most `prepared_lease_ms` after `now_ms`; a longer lease is shortened.
         """
         is_requested = reply.change_id == self.change_id and reply.phase is ChangePhase.PREPARE
         if is_requested and self.state is ParticipantState.VALIDATED:
--- a/landingshift/policies/policy_settings.py
+++ b/landingshift/policies/policy_settings.py
@@ -12,7 +12,7 @@
     """Settings of the policy change protocol.
 
     Attributes:
-        voters: Initial voters, used until the replicated log names others.
+        voters: Names of the initial voters, used until the replicated log names the voters.
         is_standby_when_cut_off: If True, a server always needs a lease to decide on RPCs; if False, only
             while it is prepared for a change. If True, a server that is cut off from the leader goes on
             standby, and changes need not wait for that server.
--- a/landingshift/policies/service.py
+++ b/landingshift/policies/service.py
@@ -27,7 +27,8 @@
     from landingshift.net.program.features import ServiceHost
 
 PACKAGE = "policies"  # identifies this package's messages in the datagrams of membership
-# Shortest delay of a timer. A running timer is replaced only by one that is due earlier by more than this.
+# Shortest delay of a timer. A running timer is replaced only if the new one is due earlier by more than this
+# delay.
 MIN_TIMER_MS = 1.0
 MAX_SAVE_ROUND_COUNT = 8  # rounds of saving and sending; each round can produce more state to save
 
@@ -84,7 +85,8 @@
         self._loop.after(0.0, self._on_timer)
 
     # Time and messages. The clock is read again for each message, because the message might have arrived
-    # after the loop read the clock at the start of the pass.
+    # after the loop read the clock at the start of the pass. With that earlier time, an expired leader lease
+    # could seem valid.
 
     def clock_ms(self) -> float:
         """Returns the current time of the monotonic clock."""
@@ -220,7 +222,7 @@
 
 
 def attach(host: ServiceHost, settings: Settings) -> PolicyService:
-    """Starts the service.
+    """Starts the policy service of a server, and returns the service.
 
     Raises:
         InvalidSettingError: The log file is required but not set, or can't be used.
--- a/landingshift/policies/settings.py
+++ b/landingshift/policies/settings.py
@@ -20,8 +20,9 @@
         voters: Names of the initial voters; 1, 3, 5 or 7 names are allowed.
         journal: Path of the log file of a voter, or of a server that can become one, on persistent storage.
         on: Whether the package is enabled.
-        when_cut_off: Behaviour, between changes, of a server that can't reach a leader: "serve" continues to
-            decide on RPCs, "stand_aside" goes on standby when its lease expires.
+        when_cut_off: Behaviour of a server that can't reach a leader between changes. With "serve", the
+            server continues to decide on RPCs. With "stand_aside", the server goes on standby when its lease
+            expires.
         overlap_ms: Maximum time during which some servers use the old version and others the new one.
         lease_ms: Duration of a lease between changes, if `when_cut_off` is "stand_aside".
         spare_ms: Extra time for which the leader waits after the end of a lease before it considers the lease
@@ -44,9 +45,10 @@
 
 
 def check(settings: Settings, _folder: str) -> None:
-    """Checks the number of voters, that their names differ, and that `journal`, if set, is an absolute path.
+    """Checks `voters` and `journal`.
 
-    Does not check that the log file exists, because the server might create it only at startup.
+    The number of voters must be odd, and no voter can be listed twice. `journal` must be empty or an absolute
+    path. The log file need not exist, because the server can create it at startup.
 
     Raises:
         InvalidSettingError: A value is invalid; the message begins with its key.
--- a/landingshift/policies/state_machine.py
+++ b/landingshift/policies/state_machine.py
@@ -1,10 +1,11 @@
 """Replicated state machine of policies: the members, the version in force, and the outcome of each change.
 
 Guarantee: all voters apply the same commands in the same order and reach the same state; the outcome of a
-change never changes once it is final. A command that no longer applies when its log entry is committed has no
-effect; examples are the commit of a change after a new member joined, and a withdrawal after the commit.
-Failure mode: once `MAX_CHANGE_ID_COUNT` changes are recorded, new changes are ignored, because their outcome
-could not be recorded.
+change is never replaced once the outcome is final. A command can become obsolete before its log entry is
+committed; the command then has no effect. Examples are the commit of a change if a member joined after the
+commit was proposed, and the withdrawal of a change that has been committed. Failure mode: once
+`MAX_CHANGE_ID_COUNT` changes are recorded, new changes are ignored, because their outcome could not be
+recorded.
 """
 
 from __future__ import annotations
--- a/landingshift/policies/voter_changes.py
+++ b/landingshift/policies/voter_changes.py
@@ -1,8 +1,8 @@
 """Rules by which operators can add and remove voters.
 
-Guarantee: a voter is added only if it runs with a log file, and removed only if a majority of the remaining
-voters responds, so that the change itself never leaves the log without a majority. Failure mode: voters that
-respond now might stop right afterwards.
+Guarantee: a server is added to the voters only if it has a log file. A voter is removed only if a majority of
+the remaining voters responds, because no log entry can be committed without a majority. Failure mode: voters
+that respond now might stop right afterwards.
 """
 
 from __future__ import annotations
--- a/landingshift/policies/wire.py
+++ b/landingshift/policies/wire.py
@@ -224,7 +224,7 @@
 
 
 def _decode_phase(value: str) -> ChangePhase:
-    """Decodes a phase; returns NONE for a phase that only newer builds know and this one can't act on."""
+    """Decodes a phase; returns NONE for a phase of a newer build, because this build can't act on it."""
     return _PHASES.get(value, ChangePhase.NONE)
 
 
