--- a/landingshift/coldstart/adaptive_limit.py
+++ b/landingshift/coldstart/adaptive_limit.py
@@ -1,11 +1,11 @@
-"""Limit that adapts to the saturation of a shared resource, as reported by the servers that use it.
+"""Adapts a limit on the use of a shared resource to the saturation that servers report.
 
-The limit follows slow start and congestion avoidance, as in TCP. It is evaluated once per window. While it is
-fully used and the reported saturation is low, it doubles in each window; after the first decrease it grows by
-only a tenth per window. If the reported saturation exceeds 1, the limit is halved and then left unchanged for
-two windows.
+As in TCP, slow start is followed by congestion avoidance. The limit is evaluated at the end of each window of
+`WINDOW_MS`. It grows if it was fully used in the window and the reported saturation is low. It doubles per
+window until its first decrease; after that it grows by only a tenth per window. If the reported saturation
+exceeds 1, the limit is halved and then left unchanged for two windows.
 
-Guarantee: while admitted servers report a saturation above 1, the limit falls until it reaches its minimum.
+Guarantee: while at least a quarter of the reports in each window exceed 1, the limit falls to its minimum.
 Failure mode: reports arrive a window late, so the limit can be too high for about two windows.
 
 Does no I/O and reads no clock: times are passed in as ms.
@@ -14,14 +14,16 @@
 from __future__ import annotations
 
 WINDOW_MS = 1000.0  # reports are evaluated once per window
-SLOW_START_GROWTH_FRACTION = 1.0  # growth per window before the first decrease
-GROWTH_FRACTION = 0.1  # growth per window after the first decrease
+SLOW_START_GROWTH_FRACTION = 1.0  # growth per window before the first decrease, relative to the limit
+GROWTH_FRACTION = 0.1  # growth per window after the first decrease, relative to the limit
 UNSATURATED_RATIO = 0.5  # highest saturation at which the limit still grows
 SATURATED_RATIO = 1.0  # saturation above which the limit is halved
 DECREASE_RATIO = 0.5  # ratio of the limit after a decrease to the limit before it
-HOLD_WINDOW_COUNT = 2  # windows without a change after a decrease, because reports show its effect late
-MAX_REPORT_COUNT = 4096  # reports evaluated per window; further ones are ignored
-MIN_PERMIT_COUNT = 0.25  # a limit that has fallen below 1 admits no server until it is 1 again
+HOLD_WINDOW_COUNT = 2  # windows without a change after a decrease, because reports show the effect late
+MAX_REPORT_COUNT = 4096  # reports recorded per window; further reports are ignored
+# Default lower bound of the limit. A limit on permits that is below 1 admits no server until the limit has
+# grown to 1 again.
+MIN_PERMIT_COUNT = 0.25
 
 
 class AdaptiveLimit:
@@ -50,13 +52,13 @@
             self._reports.append(saturation)
 
     def evaluate(self, now_ms: float, is_exhausted: bool) -> bool:
-        """Adapt the limit if the current window has ended; can be called at any time.
+        """Adapt the limit if the current window has ended; otherwise only record `is_exhausted`.
 
         Args:
             now_ms: Present time.
             is_exhausted: Whether the limit is fully used and more is requested, so that a higher limit would
-                have an effect. If it is True in one call, it counts for the whole window, since capacity that
-                is free at one moment says little about the rest of the window.
+                have an effect. If this is True in one call, the limit counts as exhausted for the whole
+                window: capacity that is free at one moment says little about the rest of the window.
 
         Returns:
             Whether the limit changed.
@@ -100,8 +102,8 @@
     def _is_unsaturated(self, saturation: float | None) -> bool:
         """Return whether the resource has room for a higher limit.
 
-        A window without reports counts as unsaturated only before the first decrease of the limit, when
-        possibly no server has made a call yet.
+        A window without reports counts as unsaturated only before the first decrease of the limit: at
+        that time, perhaps no server has made a call yet.
         """
         if saturation is None:
             return self._growth_fraction >= SLOW_START_GROWTH_FRACTION
--- a/landingshift/coldstart/backoff.py
+++ b/landingshift/coldstart/backoff.py
@@ -4,7 +4,7 @@
 
 from random import Random
 
-GROWTH_RATIO = 3.0  # largest ratio of a pause to the previous one
+GROWTH_RATIO = 3.0  # largest ratio of a pause to the previous pause
 
 
 class DecorrelatedJitterBackoff:
@@ -27,5 +27,5 @@
         return self._last_pause_ms
 
     def reset(self) -> None:
-        """Start again from the minimum pause after a successful attempt."""
+        """Restart at the minimum pause. Call this after a successful attempt."""
         self._last_pause_ms = self._min_pause_ms
--- a/landingshift/coldstart/downstream_saturation.py
+++ b/landingshift/coldstart/downstream_saturation.py
@@ -1,11 +1,11 @@
 """Measures the saturation of the shared downstream, and the demand for calls, from one server's own calls.
 
-A saturation of 1 means that calls take three times their baseline latency, or that a quarter of them fails.
-The baseline latency is that of the healthy downstream: the lower of the one that this server has measured and
-the one that a grantor reports. A server that starts during an overload has never measured a healthy
-downstream; without the reported value it would take the latency under overload for the baseline. If no call
-has ended recently, the saturation is unknown: the absence of calls does not show that the downstream is
-healthy.
+The downstream is the service, such as a database, that all servers call. A saturation of 1 means that calls
+take three times their baseline latency, or that a quarter of them fails. The baseline latency is the latency
+of calls to the healthy downstream. The server measures a baseline, grantors report another, and the lower of
+the two is used. The reported baseline matters to a server that starts during an overload, because such a
+server has measured only the latency under overload. If no call has ended within the rolling window, the
+saturation is unknown: the absence of calls does not show that the downstream is healthy.
 
 Does no I/O and reads no clock: times are passed in as ms.
 """
@@ -19,20 +19,20 @@
 BUCKET_COUNT = 8
 BUCKET_WIDTH_MS = 250.0
 WINDOW_MS = BUCKET_COUNT * BUCKET_WIDTH_MS
-MIN_BASELINE_CALL_COUNT = 4  # the mean of fewer calls is not used as a baseline
+MIN_BASELINE_CALL_COUNT = 4  # the mean latency of fewer answered calls is not used as a baseline
 UNKNOWN_SATURATION = -1.0
 NO_CALL_WANTED_MS = -1.0  # placeholder for the time of the first wanted call until there is one
 
 
 @dataclass(slots=True)
 class CallBucket:
-    """Call counts of one bucket of the rolling window.
+    """Counts and total duration of the calls in one bucket of the rolling window.
 
     Attributes:
         answered_count: Number of answered calls.
         failed_count: Number of failed calls.
         answered_total_ms: Total duration of the answered calls.
-        wanted_count: Number of calls that RPCs needed, whether or not they were made.
+        wanted_count: Number of calls that RPCs needed, whether or not the calls were made.
     """
 
     answered_count: int = 0
@@ -65,7 +65,7 @@
             bucket.failed_count += 1
 
     def on_call_wanted(self, now_ms: float) -> None:
-        """Record that an RPC needs a call. Calls that are then skipped count as demand too."""
+        """Record that an RPC needs a call, even if the call is then not made."""
         bucket = self._current_bucket(now_ms)
         if self._first_wanted_ms < 0.0:
             self._first_wanted_ms = now_ms
--- a/landingshift/coldstart/endpoint_cache.py
+++ b/landingshift/coldstart/endpoint_cache.py
@@ -1,10 +1,11 @@
-"""Endpoint cache: a file with the last known endpoints, which allows a start without the list service.
+"""Endpoint cache: a file with the last known member addresses, for a start without the list service.
 
 The file begins with one line of ASCII, `landingshift-members 1 <blake2b of the rest>`. The rest is a
-`StoredEndpoints` in MessagePack.
+`StoredEndpoints`, encoded as MessagePack.
 
 Guarantee: the file is replaced atomically, so a crash leaves either the old file or the new one.
-Failure mode: an incomplete or malformed file, or one of another cluster, is ignored as if there were none.
+Failure mode: a file that is incomplete, malformed or from another cluster is rejected. The server then starts
+without the cache.
 """
 
 from __future__ import annotations
@@ -40,7 +41,7 @@
 
     Attributes:
         cluster_name: Name of the cluster to which the endpoints belong.
-        saved_at_unix_ms: Time of saving by the wall clock of the server that saved the file.
+        saved_at_unix_ms: Time at which the file was saved, by the wall clock of the server that saved it.
         endpoints: Addresses of the members.
     """
 
@@ -66,10 +67,11 @@
 
 
 def save(path: str, cluster_name: str, endpoints: list[Address], now_unix_ms: float) -> None:
-    """Replace the file by one with the given endpoints, of which at most `MAX_ENDPOINT_COUNT` are saved.
+    """Replace the file atomically; only the first `MAX_ENDPOINT_COUNT` endpoints are saved.
 
     Raises:
-        OSError: The new file can't be written; the old one is kept.
+        OSError: The new file can't be written, in which case the old file is kept, or the directory can't be
+            synced.
     """
     body = msgspec.msgpack.encode(StoredEndpoints(cluster_name, now_unix_ms, endpoints[:MAX_ENDPOINT_COUNT]))
     data = HEADER_PREFIX + _checksum(body) + b"\n" + body
--- a/landingshift/coldstart/endpoint_discovery.py
+++ b/landingshift/coldstart/endpoint_discovery.py
@@ -1,4 +1,4 @@
-"""Finds members of the cluster on the server's event loop: from the endpoint cache, then the list service."""
+"""Finds members of the cluster: first from the endpoint cache, then by polling the list service."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
             self._save_cache()
 
     def finish(self) -> None:
-        """Cancel a poll in progress and save the cache."""
+        """Cancel the poll in progress, if there is one, and save the cache."""
         if self._request is not None:
             self._request.cancel()
         self._save_cache()
@@ -82,7 +82,7 @@
         self._membership.node.add_contact_addresses(endpoints)
 
     def _load_cache(self) -> bool:
-        """Add the cached endpoints to the contact addresses and return whether there are any."""
+        """Add the cached endpoints to the node's contact addresses; return whether the cache had any."""
         path = self._settings.endpoint_cache_path
         if not path:
             return False
@@ -101,7 +101,7 @@
         return bool(cached.endpoints)
 
     def _save_cache(self) -> None:
-        """Save the addresses of all present members if they have changed."""
+        """Save the addresses of all present members if the addresses have changed since the last save."""
         path = self._settings.endpoint_cache_path
         endpoints = sorted(record.address for record in self._membership.node.member_table.present_records())
         if not path or not endpoints or endpoints == self._saved_endpoints:
--- a/landingshift/coldstart/endpoint_list_client.py
+++ b/landingshift/coldstart/endpoint_list_client.py
@@ -1,4 +1,4 @@
-"""Client of the list service, which returns the endpoints of a cluster.
+"""Client of the list service. The list service returns the addresses of a cluster's members.
 
 The MessagePack-RPC method `list` takes the cluster name and returns `[[host, port], ...]`.
 """
@@ -32,11 +32,14 @@
 )
 
 ResultHandler = Callable[[list[Address], str], None]
-"""Receives the endpoints and an empty reason; after a failure, an empty list and the reason."""
+"""Called after a success with the endpoints and "", after a failure with an empty list and the reason."""
 
 
 class EndpointListRequest:
-    """One poll of the list service, sent on creation; calls `on_result` once, unless cancelled before."""
+    """One poll of the list service.
+
+    The constructor sends the request. `on_result` is called once, unless the poll is cancelled first.
+    """
 
     def __init__(self, loop: Loop, address: Address, cluster_name: str, on_result: ResultHandler) -> None:
         self._on_result: ResultHandler | None = on_result
@@ -49,7 +52,7 @@
             loop.after(0.0, lambda: self._finish([], stream))
 
     def on_data(self, data: bytes) -> None:
-        """Handle received bytes of the response."""
+        """Handle received bytes; report the result once the response is complete or invalid."""
         self._received += data
         try:
             rpc_type, number, error, endpoints = _decoder.decode(bytes(self._received))
--- a/landingshift/coldstart/errors.py
+++ b/landingshift/coldstart/errors.py
@@ -6,7 +6,7 @@
 
 
 class ColdStartError(LandingshiftError):
-    """Base of all errors of this package."""
+    """Base class of all errors of this package."""
 
 
 class InvalidMessageError(ColdStartError):
@@ -17,7 +17,7 @@
 
 
 class NotAGrantorError(ColdStartError, ValueError):
-    """An operator requested the grants of a server that is not a grantor; the operator gets the text."""
+    """The operator call `lent` failed because the called server is not a grantor."""
 
     def __init__(self) -> None:
         super().__init__("it lends nothing: it is not among the lenders")
--- a/landingshift/coldstart/fair_division.py
+++ b/landingshift/coldstart/fair_division.py
@@ -4,10 +4,10 @@
 
 
 def max_min_fair_shares(wanted_amounts: dict[str, float], capacity: float) -> dict[str, float]:
-    """Divide a capacity so that no share can grow except at the cost of a smaller or equal one.
+    """Divide a capacity so that no share can grow except at the cost of a smaller or equal share.
 
-    If the sum of the wanted amounts fits into the capacity, each share is the wanted amount. Otherwise the
-    small wanted amounts are assigned in full, and the remaining names get equal parts of the rest.
+    If the sum of the wanted amounts is at most the capacity, each share is the wanted amount. Otherwise the
+    names with small wanted amounts get these in full, and the other names get equal parts of the rest.
 
     Args:
         wanted_amounts: Wanted amounts by name.
--- a/landingshift/coldstart/grantor.py
+++ b/landingshift/coldstart/grantor.py
@@ -1,6 +1,7 @@
-"""The grantor's side of a cold start: leases start permits and call quotas to servers.
+"""The grantor's part in a cold start: granting leases on start permits and call quotas to servers.
 
-Each grantor leases an equal part of the cluster's start permits and of the downstream's call rate.
+The cluster's start permits and the leasable part of the downstream's call rate are divided equally among the
+grantors.
 
 Does no I/O and reads no clock: times are passed in as ms.
 """
@@ -15,7 +16,7 @@
 from landingshift.coldstart.start_permits import PermitRequest, StartPermitPool
 from landingshift.membership.messages import MemberRecord
 
-MIN_CALLS_FRACTION = 0.05  # lower bound of the adaptive call limit, as a fraction of the grantor's call rate
+MIN_CALLS_FRACTION = 0.05  # lower bound of the adaptive call limit, as a fraction of its maximum
 
 
 class ColdStartGrantor:
@@ -27,13 +28,13 @@
     """
 
     def __init__(self, plan: ColdStartPlan, now_ms: float, recovery_grace_ms: float | None = None) -> None:
-        """Initialize without grants; those of a previous process of this grantor are unknown.
+        """Start without grants, because the grants of this grantor's previous process are unknown.
 
         Args:
             plan: Cluster-wide cold start parameters.
             now_ms: Present time.
-            recovery_grace_ms: Time from now in which holders are granted no more than they claim to have;
-                None for one reservation period.
+            recovery_grace_ms: Length of the recovery grace period, in which holders are granted no more than
+                they claim to have. None for one reservation period.
         """
         calls_per_second = plan.amount_per_grantor(
             plan.downstream_calls_per_second * (1.0 - plan.floor_fraction)
@@ -61,20 +62,24 @@
         self.start_permits.lease_grantor.recovery_grace_until_ms = until_ms
 
     def baseline_latency_ms(self) -> float:
-        """Return the lowest baseline latency that the present holders reported, 0 if none knows one."""
+        """Return the lowest baseline latency reported by the current holders, 0 if all are unknown."""
         return min((baseline for baseline in self._baselines_ms.values() if baseline), default=0.0)
 
     def on_request(
         self, sender: MemberRecord, request: ColdStartRequest, now_ms: float
     ) -> ColdStartGrant | None:
-        """Grant or renew a server's leases; a late, duplicated or invalid request gets no response (None)."""
+        """Grant or renew the leases of the server that sent the request.
+
+        Returns:
+            The response. None if the request is late, duplicated or invalid and must not be answered.
+        """
         if not request.is_within_bounds:
             return None
         for name in self.call_quota_grantor.expire(now_ms):
             self._baselines_ms.pop(name, None)
         self._calls_limiter.record_saturation(request.saturation)
-        # `is_exhausted` is always True, so that the limit returns to its maximum after a decrease, even if
-        # little of it is used.
+        # `is_exhausted` is always True. After a decrease, the limit therefore returns to its maximum even if
+        # servers use little of it.
         if self._calls_limiter.evaluate(now_ms, is_exhausted=True):
             self.call_quota_grantor.capacity = self._calls_limiter.limit
         quota = self.call_quota_grantor.renew(_quota_request(sender, request), now_ms)
--- a/landingshift/coldstart/last_boot.py
+++ b/landingshift/coldstart/last_boot.py
@@ -1,4 +1,7 @@
-"""File with the id of the machine's boot in which a grantor last ran; `recovery_grace` describes its use."""
+"""File with the boot id of the machine when the grantor last ran.
+
+`recovery_grace` compares the stored id with the present one to find out whether the machine has booted.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,7 @@
 
 
 def write_last_boot_id(path: str, boot_id: str) -> None:
-    """Replace the file atomically: a crash leaves either the old boot id or the new one.
+    """Store the boot id atomically: after a crash, the file contains either the old id or the new one.
 
     Raises:
         OSError: The file can't be written.
@@ -22,7 +25,7 @@
 
 
 def read_last_boot_id(path: str) -> str:
-    """Return the boot id that the previous process stored, or an empty string if there is none to read."""
+    """Return the boot id that the previous process stored, or an empty string if the file can't be read."""
     try:
         with open(path) as file:
             return file.read(MAX_BOOT_ID_BYTES).strip()
@@ -31,7 +34,7 @@
 
 
 def remove_last_boot_id(path: str) -> bool:
-    """Remove the file; return True if it is gone or did not exist, False if it can't be removed."""
+    """Remove the file if it exists. Return False if the file can't be removed, otherwise True."""
     try:
         os.unlink(path)
     except FileNotFoundError:
--- a/landingshift/coldstart/lease_history.py
+++ b/landingshift/coldstart/lease_history.py
@@ -1,4 +1,4 @@
-"""Records the leases that a server holds in the decision history, which invariant checkers read."""
+"""Writes the leases of a server to the decision history, which invariant checkers read."""
 
 from __future__ import annotations
 
@@ -9,13 +9,16 @@
 
 
 class LeaseHistory:
-    """Records each change of the held leases; checkers compare the sum over all servers with the capacity."""
+    """Writes each change of a server's leases to the decision history.
+
+    Checkers compare the sum of all servers' leases with the capacity.
+    """
 
     def __init__(self) -> None:
         self._recorded: dict[str, tuple[float, ...]] = {}
 
     def update(self, participant: ColdStartParticipant) -> None:
-        """Record the leases that have changed since the previous call, if a history is being recorded."""
+        """Write the leases that have changed since the previous call, if a history is being recorded."""
         if not decision_history.is_recording():
             return
         holder_name = participant.node.local_record.name
--- a/landingshift/coldstart/leases.py
+++ b/landingshift/coldstart/leases.py
@@ -1,30 +1,31 @@
 """Leases on parts of a capacity: the grantor's and the holder's side.
 
-A grantor divides its capacity among the servers that request a part of it, its holders. A lease allows one
-holder to use an amount for a limited time. Does no I/O and reads no clock: times are passed in as ms.
+A grantor divides its capacity among its holders, the servers that request a part. A lease allows one holder
+to use an amount for a limited time. Does no I/O and reads no clock: times are passed in as ms.
 
 Guarantee: while the capacity is not lowered, the amounts that all holders are allowed to use never add up to
 more than the capacity, even if messages are lost, delayed, duplicated or reordered, processes are paused or
-replaced, and clocks differ. It follows from these rules:
+replaced, and clocks differ. The guarantee follows from these rules:
 
-1. A holder numbers its requests and accepts only the response to the latest one. Sending a request voids the
-   responses to all earlier ones. Until the request is answered, the holder therefore uses no more than the
-   amount that the request claims, which is the amount that the holder has at that time.
+1. A holder numbers its requests and accepts only the response to the latest request. Sending a request voids
+   the responses to all earlier requests. Until the request is answered, the holder therefore uses at most the
+   claimed amount. The claimed amount is the amount that the holder has when it sends the request.
 2. A holder is allowed to use an amount until the lease duration has passed since it sent *the request*, by
-   its own monotonic clock. The grantor keeps the amount reserved for the lease duration after *its response*,
-   which is later, plus a margin for clock drift and for calls that are still in flight.
-3. The grantor reserves the larger of the amount it grants and the amount the holder claims. A grant that is
-   smaller than the claim therefore frees nothing until a later request claims less or the reservation ends.
+   its own monotonic clock. The grantor reserves the amount for longer. The reservation begins with the
+   grantor's *response*, which is later than the request, and lasts for the lease duration plus a margin for
+   clock drift and for calls that are still in flight.
+3. The grantor reserves the larger of the granted and the claimed amount. If the grant is smaller than the
+   claim, the difference becomes free only when a later request claims less or the reservation ends.
 4. No grant raises the sum of the reserved amounts above the capacity. A grantor that has just started does
    not know the grants of its previous process. During its recovery grace period it grants each holder no
    more than the holder claims to have.
 
-After the capacity has been lowered, the reserved amounts can exceed it. A holder then keeps its amount until
-a renewal grants it less or its lease expires.
+After the capacity has been lowered, the sum of the reserved amounts can exceed the new capacity. A holder
+then keeps its amount until a renewal grants it less or its lease expires.
 
 Failure mode: the grants of a lost grantor expire within one lease duration. The capacity of that grantor
-can't be granted until a process of the same name has started and its recovery grace period is over. The
-amount of a lost holder is free again once its reservation expires.
+can't be granted until a new process of that grantor has started and its recovery grace period is over.
+The amount of a lost holder becomes free once its reservation expires.
 """
 
 from __future__ import annotations
@@ -32,24 +33,28 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-# Largest drift between two monotonic clocks, as a fraction of the elapsed time. The packages `policies` and
-# `maintenance` assume the same value.
+# Largest assumed drift between two monotonic clocks, as a fraction of the elapsed time. The packages
+# `policies` and `maintenance` assume the same value.
 CLOCK_DRIFT_FRACTION = 0.02
 MAX_HOLDER_COUNT = 10_000
-# Lifetime of a cached division. Hundreds of holders send requests each second, so the capacity is not divided
-# anew for each request.
+# Time for which a division of the capacity is cached. Hundreds of holders send requests each second, so the
+# capacity is not divided anew for each request.
 DIVISION_LIFETIME_MS = 100.0
 NEVER_MS = -1e9  # earlier than any real time
 
 DivideFunction = Callable[[dict[str, float], float], dict[str, float]]
-"""Divides a capacity among holders, given their wanted amounts by name; can assign less than a holder has."""
+"""Divides a capacity, the second argument, among holders.
+
+The first argument contains the wanted amounts by holder name; the result contains the assigned amounts by
+holder name. A holder can be assigned less than it has now.
+"""
 
 
 def reservation_duration_ms(lease_ms: float, expiry_margin_ms: float) -> float:
     """Return for how long a grantor must reserve a granted amount.
 
-    This is longer than any holder is allowed to use the amount, because the holder's clock might run slower
-    and calls that it made in time might still be in flight.
+    This is longer than the time for which a holder is allowed to use the amount. The holder's clock might run
+    slower, and calls that the holder made in time might still be in flight.
     """
     return lease_ms * (1.0 + CLOCK_DRIFT_FRACTION) + expiry_margin_ms
 
@@ -81,7 +86,7 @@
         run_id: Identifier of the holder's process.
         request_number: Number of the holder's latest request.
         amount: Amount granted last.
-        reserved_amount: Upper bound of what the holder can use until `expires_at_ms`.
+        reserved_amount: Largest amount that the holder can still use; reserved until `expires_at_ms`.
         expires_at_ms: Time at which the reserved amount becomes free.
         wanted_amount: Amount wanted in the latest request.
     """
@@ -98,7 +103,7 @@
     """Leases parts of a capacity to holders.
 
     Attributes:
-        capacity: Total amount that can be leased; the owner can change it at any time.
+        capacity: Total amount that can be leased. The owner of this object can change it at any time.
         reservation_ms: Time for which a granted amount stays reserved.
         recovery_grace_until_ms: Time until which no holder is granted more than it claims.
         grants: Records of the holders, by name.
@@ -157,8 +162,8 @@
                 return 0.0
             grant = self._reserve_claim(request, others_reserved, now_ms)
         elif not is_same_process:
-            # The holder's previous process might still run, paused or partitioned. Its amount stays reserved
-            # until the reservation expires.
+            # The holder's previous process might still exist but be paused or partitioned. Its amount
+            # therefore stays reserved until the reservation expires.
             if grant.reserved_amount > 0.0:
                 return 0.0
             grant.run_id = request.run_id
@@ -213,12 +218,13 @@
     """A holder's record of its lease from one grantor.
 
     Attributes:
-        lease_ms: Time for which a granted amount may be used, counted from the sending of the request.
+        lease_ms: Time for which the holder is allowed to use a granted amount, counted from the sending of
+            the request.
         request_number: Number of the latest request.
         requested_at_ms: Time of the latest request.
         is_answered: Whether the response to the latest request was accepted.
         held_amount: Amount of the last accepted grant.
-        expires_at_ms: Time until which the held amount may be used.
+        expires_at_ms: Time until which the holder is allowed to use `held_amount`.
     """
 
     def __init__(self, lease_ms: float) -> None:
@@ -230,7 +236,7 @@
         self.expires_at_ms = 0.0
 
     def usable_amount(self, now_ms: float) -> float:
-        """Return the amount that may be used now."""
+        """Return the amount that the holder is allowed to use now."""
         return self.held_amount if now_ms < self.expires_at_ms else 0.0
 
     def next_request(self, now_ms: float) -> tuple[int, float]:
@@ -244,8 +250,8 @@
         """Accept a grant if it answers the latest request.
 
         Returns:
-            Whether the grant was accepted. It is rejected if it answers an earlier request, is a duplicate or
-            arrives after the lease duration since the request has passed.
+            Whether the grant was accepted. A grant is rejected if it answers an earlier request, is a
+            duplicate, or arrives later than one lease duration after the request.
         """
         expires_at_ms = self.requested_at_ms + self.lease_ms
         if request_number != self.request_number or self.is_answered or now_ms >= expires_at_ms:
--- a/landingshift/coldstart/messages.py
+++ b/landingshift/coldstart/messages.py
@@ -6,7 +6,7 @@
 
 from landingshift.coldstart.downstream_saturation import UNKNOWN_SATURATION
 
-MAX_VALUE = 1e9  # values from a peer must be below this, which is above any real amount, rate or number
+MAX_VALUE = 1e9  # values from a peer must be lower; real amounts, rates and sequence numbers are
 
 
 @dataclass(slots=True, frozen=True)
@@ -15,15 +15,17 @@
 
     Attributes:
         quota_request_number: Sequence number of the server's quota requests to this grantor.
-        claimed_quota: Calls per second that the server still holds from this grantor.
+        claimed_quota: Calls per second that the server is still allowed to make under this grantor's last
+            grant.
         needed_calls_per_second: Calls per second that the server wants from this grantor.
         permit_request_number: Sequence number of the server's permit requests to this grantor.
         claimed_permit: 1 if the server still holds a permit from this grantor, else 0.
-        wants_permit: Whether the server wants to get or keep a permit.
-        waiting_rpcs_per_second: Rate at which RPCs arrive at the server; with a higher rate it gets a permit
-            sooner.
+        wants_permit: Whether the server wants to get or keep a permit from this grantor.
+        waiting_rpcs_per_second: Rate at which RPCs arrive at the server. In each zone, the waiting server
+            with the highest rate gets the next permit.
         saturation: Saturation of the downstream as this server measures it, below 0 if unknown.
-        baseline_latency_ms: Latency of a call to the healthy downstream, 0 if unknown.
+        baseline_latency_ms: Latency of a call to the healthy downstream as this server has measured it, 0 if
+            unknown.
     """
 
     quota_request_number: int
@@ -38,7 +40,10 @@
 
     @property
     def is_within_bounds(self) -> bool:
-        """Whether all values are below `MAX_VALUE` and, except for an unknown saturation, not negative."""
+        """Whether each number is below `MAX_VALUE` and at least 0.
+
+        The lower bound of the saturation is `UNKNOWN_SATURATION` instead.
+        """
         values = (
             self.quota_request_number,
             self.claimed_quota,
@@ -58,8 +63,8 @@
 
     Attributes:
         quota_request_number: Number of the quota request that is answered.
-        quota: Calls per second that the server may make until the lease duration since its request has
-            passed.
+        quota: Calls per second that the server is allowed to make, until the lease duration has passed since
+            its request.
         permit_request_number: Number of the permit request that is answered.
         permit: 1 if the server is allowed to start, else 0.
         baseline_latency_ms: Lowest baseline latency that the grantor's holders reported, 0 if unknown.
--- a/landingshift/coldstart/operator_views.py
+++ b/landingshift/coldstart/operator_views.py
@@ -1,4 +1,4 @@
-"""Answers to operator calls, and the metadata published to members. Their keys are defined only here."""
+"""Builds the answers to operator calls and the metadata published to members, and defines their keys."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def published_metadata(participant: ColdStartParticipant, now_ms: float) -> dict[str, float]:
-    """Return the metadata that a server publishes to all members: its start stage, as a number, and quota."""
+    """Return the metadata that a server publishes to all members: its start stage and its call quota."""
     return {
         "stage": STAGE_POSITIONS[participant.start_sequence.stage],
         "share": round(participant.call_quota(now_ms), 1),
--- a/landingshift/coldstart/participant.py
+++ b/landingshift/coldstart/participant.py
@@ -1,11 +1,12 @@
-"""One server's part in a cold start: requests a start permit and call quotas, and grants them on a grantor.
+"""One server's part in a cold start: requesting leases and, if the server is a grantor, granting them.
 
-Does no I/O itself: sends and receives through its `SwimNode`, which the server's event loop or a simulation
-drives.
+The leases are on start permits and call quotas. Does no I/O itself: messages are sent and received through
+the server's `SwimNode`. The server's event loop or a simulation drives the node.
 
-Guarantee: no RPC waits for a response of a peer.
-Failure mode: a server that reaches no grantor uses its last leases until they expire. Then it makes calls
-only at its floor, the rate that needs no lease, and starts without a permit after a timeout.
+Guarantee: no RPC waits for a message from another server.
+Failure mode: a server that reaches no grantor uses its last leases until they expire. Its call rate is then
+limited to its floor, the rate for which no lease is needed. If the server is still waiting for a permit, it
+starts without one after a timeout and a random delay.
 """
 
 from __future__ import annotations
@@ -26,12 +27,12 @@
 from landingshift.membership.messages import DEPARTED_STATES, MemberRecord
 from landingshift.membership.node import SwimNode
 
-REQUESTS_PER_LEASE_COUNT = 3.0  # two requests in a row may be lost without losing the lease
-REQUEST_JITTER = (0.9, 1.1)  # bounds of the random factor on the request interval
-EARLY_REQUEST_FRACTION = 0.25  # part of the request interval that must pass before an early request
-EARLY_REQUEST_NEED_RATIO = 2.0  # an early request is sent if the needed call rate grew by this factor
-SATISFIED_FRACTION = 0.9  # a second grantor is asked if less than this fraction of the needed calls is leased
-SECOND_GRANTOR_LEASE_COUNT = 5.0  # after a shortfall, a second grantor is asked for this many lease durations
+REQUESTS_PER_LEASE_COUNT = 3.0  # requests per lease duration; a lease survives the loss of one request
+REQUEST_JITTER = (0.9, 1.1)  # bounds of the random factor by which the request interval is multiplied
+EARLY_REQUEST_FRACTION = 0.25  # shortest time before an early request, as a fraction of the interval
+EARLY_REQUEST_NEED_RATIO = 2.0  # ratio of needed to requested call rate above which a request is sent early
+SATISFIED_FRACTION = 0.9  # leases suffice if they cover at least this fraction of the needed call rate
+SECOND_GRANTOR_LEASE_COUNT = 5.0  # how long a second grantor is asked after a shortfall, in lease durations
 
 
 @dataclass(slots=True)
@@ -59,31 +60,33 @@
 
     Attributes:
         call_quota: Lease on downstream calls per second.
-        start_permit: Lease on a start permit, with an amount of 1 or 0.
+        start_permit: Lease on a start permit; its amount is 1 if the server has a permit, else 0.
     """
 
     call_quota: HeldLease
     start_permit: HeldLease
 
     def expires_at_ms(self) -> float:
-        """Return the time at which the later of the two leases expires."""
+        """Return the expiry time of the lease that expires last."""
         return max(self.call_quota.expires_at_ms, self.start_permit.expires_at_ms)
 
 
 class ColdStartParticipant:
-    """Requests and holds one server's leases, advances its start, and answers requests if it is a grantor.
+    """Requests one server's leases and advances the server through its start stages.
+
+    If the server is a grantor, the participant also answers requests for leases.
 
     Attributes:
         node: Membership node of the server.
         plan: Cluster-wide cold start parameters.
-        grantor: Grants leases to all servers; None if this server is not a grantor.
+        grantor: Grantor that runs in this server; None if this server is not a grantor.
         held_leases: Leases that the server holds, by grantor name.
         start_sequence: State machine of the server's start.
-        observation: Latest measurements of the server.
-        reported_baseline_ms: Baseline latency of downstream calls in the latest grant, 0 if unknown.
+        observation: Latest measurements passed to `on_timer`.
+        reported_baseline_ms: Baseline latency of downstream calls in the latest accepted grant, 0 if unknown.
         next_request_ms: Time of the next regular request to the grantors.
-        request_count: Number of requests since the start.
-        response_count: Number of accepted grants.
+        request_count: Number of requests made since the process started.
+        response_count: Number of grants accepted since the process started.
     """
 
     def __init__(
@@ -117,16 +120,17 @@
     # Held quotas and permits
 
     def call_quota(self, now_ms: float) -> float:
-        """Return the downstream calls per second that this server may make, at least its floor."""
+        """Return the downstream calls per second that this server is allowed to make: floor plus leases."""
         leased = sum(leases.call_quota.usable_amount(now_ms) for leases in self.held_leases.values())
         return self.floor_calls_per_second + leased
 
     @property
     def floor_calls_per_second(self) -> float:
-        """Calls per second that this server may make without a lease.
+        """Downstream calls per second that this server is allowed to make without a lease.
 
-        Reduced if more servers than `plan.max_servers` are present, so that the floors of all servers
-        together don't exceed the planned part of the call rate.
+        The floors of all servers together must not exceed the part of the downstream's call rate that the
+        plan reserves for them. If more than `plan.max_servers` servers are present, the floor is therefore
+        reduced.
         """
         present_count = len(self.node.member_table.present_names) + 1
         return self.plan.floor_calls_per_second * min(1.0, self.plan.max_servers / present_count)
@@ -171,8 +175,9 @@
     def _is_early_request_due(self, now_ms: float) -> bool:
         """Return whether to send a request before the next regular one.
 
-        This is so if the needed call rate has more than doubled since the last request and that request was
-        granted almost in full, as when a server begins to accept RPCs.
+        An early request is due if the needed call rate has more than doubled since the last request and the
+        present quota covers almost all of the rate requested then. This happens, for example, when a server
+        begins to accept RPCs.
         """
         requested = self._requested_calls_per_second
         known_need = max(requested, self.floor_calls_per_second)
@@ -184,16 +189,18 @@
         return has_need_grown and now_ms >= earliest_ms
 
     def _remove_expired_leases(self, now_ms: float) -> None:
-        """Remove the expired leases from grantors that have left or are no longer configured."""
+        """Remove expired leases whose grantor has left the cluster or is no longer configured."""
         expired = [name for name, leases in self.held_leases.items() if leases.expires_at_ms() <= now_ms]
         for name in expired:
             if name not in self.plan.grantor_names or not self._is_present(name):
                 del self.held_leases[name]
 
     def _send_requests(self, now_ms: float) -> None:
-        """Send a request to the first grantor.
+        """Request a call quota and, until the server is warm, a start permit.
 
-        If the held leases don't cover the need, also request the rest from a second grantor for some time.
+        The request goes to the first of `present_grantors`. If the leases don't cover the needed call rate, the
+        rest is requested from the second grantor, now and during the next `SECOND_GRANTOR_LEASE_COUNT` lease
+        durations.
         """
         needed = self.observation.needed_calls_per_second
         self._requested_at_ms = now_ms
@@ -248,7 +255,7 @@
     # Receiving messages
 
     def on_message(self, sender: MemberRecord, body: list[Any]) -> None:
-        """Handle a request or grant of another server; drop any other message."""
+        """Handle a request or a grant from another server. Ignore invalid messages and unrequested grants."""
         now_ms = self.node.now_ms
         try:
             message = wire.decode(body)
@@ -268,7 +275,7 @@
             self.node.send_to_member(sender.name, wire.PACKAGE, wire.encode_grant(grant))
 
     def _on_grant(self, grantor_name: str, grant: ColdStartGrant, now_ms: float) -> None:
-        """Accept the quota and the permit of a grant, each if it answers the latest request."""
+        """Apply a grant's quota and permit; ignore either if it does not answer the latest request for it."""
         leases = self.held_leases[grantor_name]
         is_quota_accepted = leases.call_quota.on_grant(grant.quota_request_number, grant.quota, now_ms)
         is_permit_accepted = leases.start_permit.on_grant(grant.permit_request_number, grant.permit, now_ms)
--- a/landingshift/coldstart/plan.py
+++ b/landingshift/coldstart/plan.py
@@ -15,12 +15,14 @@
         grantor_names: Names of the servers that grant leases; each grants an equal part of the limits.
         downstream_calls_per_second: Call rate that the downstream can serve from all servers together.
         max_servers: Largest number of servers in the cluster.
-        floor_fraction: Fraction of the call rate that is divided evenly among servers and never leased.
-        lease_ms: Time for which a holder may use a granted amount, counted from the sending of its request.
+        floor_fraction: Fraction of the downstream's call rate that is never leased but divided evenly among
+            servers.
+        lease_ms: Time for which a holder is allowed to use a granted amount, counted from the sending of its
+            request.
         expiry_margin_ms: Time for which a grantor keeps a granted amount reserved beyond the lease duration.
-        initial_permits: Number of start permits of all grantors together when the grantors start.
-        max_permits: Upper bound of the number of start permits of all grantors together.
-        grantor_timeout_ms: Time without a grantor's answer after which a server schedules a start without a
+        initial_permits: Number of start permits that all grantors together can grant when they start.
+        max_permits: Upper bound of the number of start permits that all grantors together can grant.
+        grantor_timeout_ms: Longest wait for a grantor's answer; then a server schedules a start without a
             permit, with a random delay.
         ungranted_starts_per_second: Mean rate of starts without a permit, all servers together.
     """
@@ -37,7 +39,7 @@
     ungranted_starts_per_second: float
 
     def amount_per_grantor(self, amount: float) -> float:
-        """Return one grantor's part of an amount that all grantors grant together; 0 without grantors."""
+        """Return one grantor's part of an amount that all grantors grant together; 0 without any grantor."""
         return amount / len(self.grantor_names) if self.grantor_names else 0.0
 
     @property
@@ -47,7 +49,7 @@
 
     @property
     def floor_calls_per_second(self) -> float:
-        """Call rate that each server may use without a lease.
+        """Call rate that each server is allowed to use without a lease.
 
         If there are no grantors, this is an equal part of the downstream's whole call rate.
         """
--- a/landingshift/coldstart/service.py
+++ b/landingshift/coldstart/service.py
@@ -1,7 +1,7 @@
 """Cold start service on the server's event loop.
 
-It reports the server as not ready until the start stage allows RPCs, and passes the server's call quota to
-admission control.
+The service reports the server as not ready until the server's start stage allows the gateway to send RPCs.
+The service also passes the server's call quota to admission control.
 """
 
 from __future__ import annotations
@@ -32,9 +32,9 @@
 
 EVALUATION_INTERVAL_MS = 200.0  # longest time between two measurements of this server's load
 MIN_TIMER_DELAY_MS = 5.0
-NEED_HEADROOM_RATIO = 1.25  # requested divided by measured call rate, to leave room for growth
+NEED_HEADROOM_RATIO = 1.25  # ratio of the requested to the measured call rate; leaves room for growth
 MIN_NEEDED_CALLS_PER_SECOND = 1.0
-NO_CALL_QUOTA = -1.0  # initial value until a quota is applied; differs from every real quota
+NO_CALL_QUOTA = -1.0  # placeholder until the first quota is applied; a real quota is never negative
 
 
 def grantor_recovery_grace_ms(settings: Settings, name: str, log: Callable[..., None]) -> float | None:
@@ -43,9 +43,9 @@
     The id is stored before anything is granted, because a later process in the same boot must find it.
 
     Returns:
-        The length in ms. None if this server is not a grantor or the default of one reservation period
-        applies. Infinity, so that holders are never granted more than they claim, if the stored id of an
-        older boot can be neither replaced nor removed.
+        The length in ms. None if this server is not a grantor or if the default of one reservation period
+        applies. Infinity if the id stored by an earlier process can be neither replaced nor removed; holders
+        are then never granted more than they claim.
     """
     if not settings.endpoint_cache_path or name not in settings.grantor_names:
         return None
@@ -114,8 +114,8 @@
             return LoadObservation()
         warm_up_ms = admission.settings.warm_up_ms if admission.settings.starts_cold else 0.0
         age_ms = now_ms - admission.started_at_ms
-        # A server makes no calls before it accepts RPCs. It requests no quota then, so that more is left for
-        # servers that are filling their caches.
+        # Before a server accepts RPCs, it makes no calls and requests no quota. This leaves more for servers
+        # that are filling their caches.
         needed = 0.0
         if self._participant.start_sequence.is_open:
             wanted = self._saturation.wanted_calls_per_second(now_ms)
@@ -150,7 +150,7 @@
 
     def _advance(self) -> None:
         now_ms, participant = self._loop.now_ms, self._participant
-        # Admission is None until the engine has answered. Before that the server can't serve RPCs, so a
+        # `admission` is None until the engine has answered. Until then the server can't serve RPCs, so a
         # permit would be wasted.
         if self._router.admission is not None and participant.on_timer(now_ms, self._observe()):
             self._on_stage_changed()
@@ -196,5 +196,5 @@
 
 
 def attach(host: ServiceHost, settings: Settings) -> ColdStartService:
-    """Start the service, which requires a running membership service."""
+    """Start the service. The membership service must already be running."""
     return ColdStartService(host, settings)
--- a/landingshift/coldstart/settings.py
+++ b/landingshift/coldstart/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the package: the table `[coldstart]` of the TOML file, which requires the table `[fleet]`."""
+"""Settings of the package: the table `[coldstart]` of the TOML file. It requires the table `[fleet]`."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from landingshift.membership.settings import parse_address
 
 USEFUL_QUOTA_CALLS_PER_SECOND = 3.0  # smallest call quota with which a server makes progress in its start
-INITIAL_PERMIT_COUNT_WITHOUT_QUOTAS = 32.0  # default if no quotas limit the calls of starting servers
+INITIAL_PERMIT_COUNT_WITHOUT_QUOTAS = 32.0  # default number of initial permits if there are no call quotas
 MAX_FLOOR_FRACTION = 0.5
 PositiveRate = Annotated[float, Meta(gt=0.0, le=1e6)]
 RateOrZero = Annotated[float, Meta(ge=0.0, le=1e6)]
@@ -38,20 +38,22 @@
     """Settings of one server; all but `endpoint_cache_path` must be the same on all servers of a cluster.
 
     Attributes:
-        needs: Names of the settings tables that must be on as well.
+        needs: Names of other settings tables that must be enabled as well.
         max_servers: Largest number of servers in the cluster.
         on: Whether the cold start service runs.
         grantor_names: Names of the servers that grant call quotas and start permits.
         downstream_calls_per_second: Call rate that the downstream can serve, all servers together; 0 for no
             quotas.
-        floor_fraction: Fraction of the call rate that is divided evenly among servers and never leased.
-        lease_ms: Time for which a holder may use a granted amount, counted from the sending of its request.
+        floor_fraction: Fraction of the downstream's call rate that is never leased but divided evenly among
+            servers.
+        lease_ms: Time for which a holder is allowed to use a granted amount, counted from the sending of its
+            request.
         expiry_margin_ms: Time for which a grantor keeps a granted amount reserved beyond the lease duration.
         initial_permits: Number of servers that are allowed to warm up simultaneously when the grantors start;
             0 to derive it from the call rate.
         max_permits: Upper bound of the number of servers that warm up simultaneously; 0 for the number of
             servers.
-        grantor_timeout_ms: Time without a grantor's answer after which a server schedules a start without a
+        grantor_timeout_ms: Longest wait for a grantor's answer; then a server schedules a start without a
             permit, with a random delay.
         ungranted_starts_per_second: Mean rate of starts without a permit, all servers together.
         list_service_address: Address of the service that is polled for endpoints, empty for none.
@@ -78,7 +80,7 @@
 
 
 def check(settings: Settings, _folder: str) -> None:
-    """Check constraints that the types can't express; files that only a start creates are not accessed.
+    """Check the constraints that the types can't express, without accessing any file.
 
     Raises:
         InvalidSettingError: A value is invalid.
@@ -102,7 +104,8 @@
         problem = f"{initial_permits:g} is more than places_most, which is {max_permits:g}"
         raise InvalidSettingError("places_first", problem)
     if settings.grantor_names and max_permits < len(settings.grantor_names):
-        # Each grantor grants whole permits from an equal part, so a part below 1 could not be granted.
+        # Each grantor has an equal part of the permits and grants only whole permits. A part below 1 could
+        # never be granted.
         problem = f"{max_permits:g} is less than one for each server in lenders"
         raise InvalidSettingError("places_most", problem)
 
@@ -110,9 +113,9 @@
 def permit_bounds(settings: Settings) -> tuple[float, float]:
     """Return the initial and the maximum number of start permits.
 
-    The default of the initial number is the largest that leaves each starting server a useful part of the
-    downstream's call rate, or a constant if there are no call quotas. It is at least one per grantor and at
-    most the maximum. The default of the maximum is the number of servers.
+    By default, the initial number is the downstream's call rate divided by the smallest useful call quota, or
+    a constant if there are no call quotas. This default is at least one per grantor and at most the maximum
+    number. By default, the maximum number is the number of servers, but at least one per grantor.
     """
     grantor_count = float(len(settings.grantor_names))
     max_permits = settings.max_permits or max(float(settings.max_servers), grantor_count)
--- a/landingshift/coldstart/start_permits.py
+++ b/landingshift/coldstart/start_permits.py
@@ -1,12 +1,12 @@
-"""Start permits, which limit how many servers warm up simultaneously, and the choice of the next server.
+"""Start permits: limit how many servers warm up simultaneously, and choose which server starts next.
 
-A permit is a lease on an amount of 1 (`leases`), so it expires if its holder fails. The number of permits
-adapts to the saturation of the shared downstream that the servers report (`adaptive_limit`).
+A permit is a lease on an amount of 1 (see `leases`), so it expires if its holder fails. The number of permits
+adapts to the saturation of the shared downstream, as reported by the servers (see `adaptive_limit`).
 
 Guarantee: no new permit is granted if it would raise the number of permits in use above the limit. After the
 limit has been lowered, servers keep the permits that they hold.
-Failure mode: the permits of a lost grantor can't be granted; servers that know no other grantor start without
-a permit after a timeout.
+Failure mode: the permits of a lost grantor can't be granted. Servers that know no other grantor start without
+a permit after a timeout and a random delay.
 
 Does no I/O and reads no clock: times are passed in as ms.
 """
@@ -53,7 +53,7 @@
     Attributes:
         zone: Failure domain of the server.
         waiting_rpcs_per_second: Rate at which RPCs arrive at the server.
-        waiting_since_ms: Time of its first permit request to this grantor.
+        waiting_since_ms: Time of the server's first permit request to this grantor.
     """
 
     zone: str
@@ -64,9 +64,9 @@
 def assign_permits(candidates: dict[str, StartCandidate], holders: list[str], free_count: int) -> list[str]:
     """Choose the servers that get the free permits.
 
-    Each permit goes to the zone with the fewest permit holders, among those with waiting servers, so that all
-    zones start evenly. Within a zone, the server with the highest rate of arriving RPCs comes first; among
-    equal rates, the server that has waited longest.
+    Each permit goes to the zone with the fewest permit holders among the zones with waiting servers, so that
+    all zones start evenly. Within a zone, the server with the highest rate of arriving RPCs comes first;
+    among equal rates, the server that has waited longest.
 
     Args:
         candidates: All servers that hold a permit or wait for one, by name.
@@ -92,7 +92,7 @@
 
 
 def _waiting_by_zone(candidates: dict[str, StartCandidate], holders: list[str]) -> dict[str, list[str]]:
-    """Return the names of the waiting servers by zone, sorted so that the next to get a permit is last."""
+    """Return the names of the waiting servers by zone, ordered so that the next server to start is last."""
     waiting: dict[str, list[str]] = {}
     for name, candidate in candidates.items():
         if name not in holders:
@@ -109,7 +109,7 @@
 
 
 class StartPermitPool:
-    """Start permits of one grantor, which it leases to servers.
+    """Start permits that one grantor leases to servers.
 
     Attributes:
         limiter: Adaptive limit on the number of permits.
@@ -142,7 +142,8 @@
         self._update_candidate(request, now_ms)
         if self.limiter.evaluate(now_ms, self._is_exhausted()):
             self.lease_grantor.capacity = self.limiter.limit
-        self.lease_grantor.invalidate_division()  # otherwise a free permit waits for the next division
+        # Otherwise a free permit would not be assigned until the cached division expires.
+        self.lease_grantor.invalidate_division()
         wanted_amount = PERMIT_AMOUNT if request.wants_permit else 0.0
         granted = self.lease_grantor.renew(
             LeaseRequest(
@@ -160,7 +161,7 @@
         return granted
 
     def permits_in_use(self) -> int:
-        """Return the number of servers that hold a permit or might still assume that they do."""
+        """Return the number of servers that hold a permit or might still assume that they hold one."""
         return sum(grant.reserved_amount >= PERMIT_AMOUNT for grant in self.lease_grantor.grants.values())
 
     def _update_candidate(self, request: PermitRequest, now_ms: float) -> None:
@@ -174,20 +175,23 @@
         )
 
     def _is_exhausted(self) -> bool:
-        """Return whether servers wait while no whole permit is free."""
+        """Return whether servers are waiting and no whole permit is free."""
         in_use = self.permits_in_use()
         return len(self.candidates) > in_use and in_use + PERMIT_AMOUNT > self.limiter.limit
 
     def _revoke_fraction(self, name: str) -> None:
-        """Revoke a granted fraction of a permit: a server can't use it, so it must not stay reserved."""
+        """Revoke a granted fraction of a permit.
+
+        No server can use a fraction, so the fraction must not stay reserved.
+        """
         grant = self.lease_grantor.grants[name]
         grant.amount = 0.0
         grant.reserved_amount = 0.0
 
     def _divide(self, _wanted_amounts: dict[str, float], capacity: float) -> dict[str, float]:
-        """Assign the free permits to waiting servers.
+        """Assign a permit to each holder that still wants one, and the free permits to waiting servers.
 
-        Holders keep their permits while they want them, because a start can't be undone.
+        Holders keep their permits because a start can't be undone.
         """
         holders = [
             name
--- a/landingshift/coldstart/start_sequence.py
+++ b/landingshift/coldstart/start_sequence.py
@@ -4,7 +4,7 @@
 
 Guarantee: while grantors answer, no server warms up without a permit.
 Failure mode: a server that gets no answer within a timeout starts without a permit, after a random delay. The
-range of the delay is proportional to the largest number of servers in the cluster.
+mean delay is proportional to the largest number of servers in the cluster.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 class StartStage(Enum):
     """Stages of a server's start, in their order.
 
-    Logs and answers to operators contain the value of a stage; metadata published to members contains its
-    position in this order.
+    Logs and answers to operators contain the value of a stage. The metadata published to members contain the
+    position of the stage in this order.
     """
 
     SEEKING_GRANTOR = "seeking"  # no grantor is known yet
@@ -105,7 +105,7 @@
         self.stage = StartStage.WAITING_WITHOUT_GRANTOR
 
     def _wait_without_grantor(self, now_ms: float, grantor_count: int, is_unanswered: bool) -> None:
-        """Wait for a permit again if a grantor has answered, or warm up at the randomly chosen start time."""
+        """If a grantor has answered, wait for a permit again; else warm up at the random start time."""
         if grantor_count and not is_unanswered:
             self.stage = StartStage.WAITING_FOR_PERMIT
         elif now_ms >= self._ungranted_start_ms:
--- a/landingshift/coldstart/wire.py
+++ b/landingshift/coldstart/wire.py
@@ -1,4 +1,6 @@
-"""Encoding of cold start messages as lists, which membership datagrams carry under the package name `cold`.
+"""Encodes cold start messages as lists.
+
+Membership datagrams carry these lists under the package name `cold`.
 
 A request is `["ask", quota_request_number, claimed_quota, needed_calls_per_second, permit_request_number,
 claimed_permit, wants_permit, waiting_rpcs_per_second, saturation, baseline_latency_ms]`; a grant is
@@ -48,7 +50,7 @@
 
 
 def decode(body: list[Any]) -> ColdStartRequest | ColdStartGrant:
-    """Decode a peer's message; whether a request's values are within bounds is checked later by the grantor.
+    """Decode a peer's message. The bounds of a request's values are not checked here but by the grantor.
 
     Raises:
         InvalidMessageError: The message is neither a valid request nor a valid grant.
