--- a/landingshift/coldstart/participant.py
+++ b/landingshift/coldstart/participant.py
@@ -198,9 +198,9 @@
     def _send_requests(self, now_ms: float) -> None:
         """Request a call quota and, until the server is warm, a start permit.
 
-        The request goes to the first of `present_grantors`. If the leases don't cover the needed call rate, the
-        rest is requested from the second grantor, now and during the next `SECOND_GRANTOR_LEASE_COUNT` lease
-        durations.
+        The request goes to the first of `present_grantors`. If the leases don't cover the needed call rate,
+        the rest is requested from the second grantor, now and during the next `SECOND_GRANTOR_LEASE_COUNT`
+        lease durations.
         """
         needed = self.observation.needed_calls_per_second
         self._requested_at_ms = now_ms
