--- a/landingshift/testbed/experiments/chance_faults_real.py
+++ b/landingshift/testbed/experiments/chance_faults_real.py
@@ -36,7 +36,7 @@
 )
 from landingshift.testbed.processes.gateway_load import OK, WITH_KILLED_SERVER
 from landingshift.testbed.verification.lease_invariants import max_leased_calls
-from landingshift.testbed.verification.maintenance_invariants import permissions
+from landingshift.testbed.verification.maintenance_invariants import check_permits
 
 REAL_FAULT_KINDS = (
     "kill", "crash_loop", "zone", "notice", "stop", "cut_off", "halves", "mute", "deaf", "flaps", "loss",
@@ -307,7 +307,7 @@
         limit = self._calls_per_second
         is_bounded = granted <= limit * GRANTED_TOLERANCE_RATIO
         row.require(is_bounded, f"shares: {granted:.0f} believed in of {limit:.0f}")
-        violations = permissions([(*entry, 0) for entry in history], OVERLAP_MS)
+        violations = check_permits([(*entry, 0) for entry in history], OVERLAP_MS)
         row.violations += [f"permissions: {text}" for text in violations[:2]]
         row.figures |= {
             "acts": len(self._faults),
--- a/landingshift/testbed/experiments/cold_start.py
+++ b/landingshift/testbed/experiments/cold_start.py
@@ -138,7 +138,7 @@
     search = LeaseSearch(has_recovery_grace, books_old_grants)
     exploration = search.run(SEARCH_DEPTH, MAX_SEARCHED_STATES)
     row.require(not exploration.violation, exploration.violation)
-    row.figures |= {"states": exploration.state_count, "most_of_4": search.max_believed}
+    row.figures |= {"states": exploration.state_count, "most_of_4": search.max_total_leased}
 
 
 def simultaneous_start(trial: Trial, row: ExperimentRow) -> None:
--- a/landingshift/testbed/verification/__init__.py
+++ b/landingshift/testbed/verification/__init__.py
@@ -1,1 +1,1 @@
-"""Invariants over histories, exhaustive search of small models, shrinking of failing scenarios."""
+"""Checks histories by invariants, explores small models exhaustively, and shrinks failing scenarios."""
--- a/landingshift/testbed/verification/calm_spans.py
+++ b/landingshift/testbed/verification/calm_spans.py
@@ -1,17 +1,21 @@
-"""Spans of a history in which no fault was under way, and had not been for a while."""
+"""Finds the calm spans of a history: times without an active fault, after the cluster had time to recover."""
 
 from __future__ import annotations
 
 from landingshift.testbed.verification.history import FaultBegan, FaultEnded, History, events_of
 
 CALM_AFTER_MS = 12_000.0
-"""Without a fault for so long, figures must be exact again."""
+"""Time after a fault during which its effects can last; some invariants must hold only after this time."""
 OPERATOR_COMMANDS = ("change", "wish", "voters")
-"""Begun by operators as faults are; no faults."""
+"""Kinds of `FaultBegan` events that are commands of an operator and not faults."""
 
 
 def calm_spans(history: History) -> list[tuple[float, float]]:
-    """Returns the beginnings and ends of the spans in which no fault was under way, nor just before."""
+    """Returns the calm spans of a history as pairs of start and end, ms.
+
+    In a calm span no fault is active. The span starts `CALM_AFTER_MS` after the last fault began or ended, or
+    after time 0 if there was none, and ends when the next fault begins or the history ends.
+    """
     spans = []
     active_count = 0
     last_change_ms = 0.0
--- a/landingshift/testbed/verification/corpus.py
+++ b/landingshift/testbed/verification/corpus.py
@@ -1,4 +1,7 @@
-"""The corpus: failing scenarios as files that can be played again, and the report of a run."""
+"""Reads and writes the results of a search: the corpus of failing scenarios, and the report of a search.
+
+The corpus is a folder with one JSON file per failing scenario, from which the scenario can be replayed.
+"""
 
 from __future__ import annotations
 
@@ -15,15 +18,18 @@
 from landingshift.testbed.experiments.scenarios import Coverage, Scenario, describe_scenario, encode_scenario
 
 SCENARIO_KEY = "day"
-"""Of a failure in the row; the scenario itself is in the corpus, and not in the report."""
+"""Key of the scenario in the description of a failure.
+
+The report leaves the scenario out, because the corpus has it.
+"""
 
 
 class UnreadableReportError(LandingshiftError, ValueError):
-    """A report could not be read.
+    """Raised when a report file is missing, unreadable or not valid JSON.
 
     Attributes:
-        path: Of the file.
-        reason: What is wrong with it.
+        path: Path of the report file.
+        reason: Text of the underlying error.
     """
 
     def __init__(self, path: str, reason: str) -> None:
@@ -33,14 +39,15 @@
 
 
 class RunReport(Struct):
-    """The report of a run, as its file has it.
+    """The content of a report file: results of one search for scenarios that violate an invariant.
 
     Attributes:
-        figures: Of the row.
-        violations: Of all scenarios.
-        smallest: Each shrunk failure.
-        overlaps: How often a kind of fault began while another one was under way, at a stage.
-        recovery_ms: Until each scenario's cluster was at rest.
+        figures: Measured values of the search, keyed by name.
+        violations: Violations of all scenarios, as text.
+        smallest: One entry for each failing scenario, after shrinking, without the scenario itself.
+        overlaps: Each entry has the kind of the fault that began, the kind of a fault that was active then,
+            the stage of a policy change or maintenance at that time, and how often this combination occurred.
+        recovery_ms: For each scenario, the time from its last fault until the cluster was quiescent.
     """
 
     figures: dict[str, Any]
@@ -50,7 +57,7 @@
     recovery_ms: list[float] = msgspec.field(name="rested")
 
     def coverage(self) -> Coverage:
-        """Returns which faults met which others."""
+        """Returns the overlaps of faults as a `Coverage`."""
         coverage = Coverage()
         coverage.counts = Counter(
             {(kind, other, stage): count for kind, other, stage, count in self.overlaps}
@@ -58,8 +65,8 @@
         return coverage
 
 
-def report_of(row: ExperimentRow, result: SearchResult) -> RunReport:
-    """Returns the report of a run."""
+def build_report(row: ExperimentRow, result: SearchResult) -> RunReport:
+    """Builds the report of a search from its experiment row and its result."""
     smallest = [
         {key: value for key, value in failure.items() if key != SCENARIO_KEY}
         for failure in row.series["smallest"]
@@ -69,15 +76,15 @@
 
 
 def save_report(path: str, row: ExperimentRow, result: SearchResult) -> None:
-    """Writes the report of a run to a file."""
-    Path(path).write_bytes(msgspec.json.encode(report_of(row, result)))
+    """Writes the report of a search to a file, as JSON."""
+    Path(path).write_bytes(msgspec.json.encode(build_report(row, result)))
 
 
 def load_report(path: str) -> RunReport:
-    """Reads a report.
+    """Reads a report file.
 
     Raises:
-        UnreadableReportError: Names the file.
+        UnreadableReportError: The file cannot be read or is not a report.
     """
     try:
         return msgspec.json.decode(Path(path).read_bytes(), type=RunReport)
@@ -86,7 +93,10 @@
 
 
 def add_scenarios(folder: str, scenarios: list[Scenario]) -> list[str]:
-    """Writes a file for each scenario, with its description in a text beside it; returns their paths."""
+    """Writes each scenario to `folder`, as JSON and as a description in a text file of the same name.
+
+    Creates the folder if it does not exist. Returns the paths of the JSON files.
+    """
     Path(folder).mkdir(parents=True, exist_ok=True)
     paths = []
     for scenario in scenarios:
--- a/landingshift/testbed/verification/history.py
+++ b/landingshift/testbed/verification/history.py
@@ -1,8 +1,9 @@
-"""The history of a run: what happened, as the invariants read it.
+"""Format of histories: the events of a simulation or of real processes, on which invariants are checked.
 
-A history is a list of tuples in the order of time, `(at_ms, kind, ...)`. Simulations write it, real processes
-print it line by line, and its digests are compared from release to release: the kinds and the order of the
-values are a format. It is described here alone, by one struct for each kind; `events_of` reads a history.
+A history is a list of tuples `(at_ms, kind, ...)`, ordered by time. Simulations record it, real processes
+write it to a file line by line, and tests compare digests of histories between releases. The kinds and the
+order of the values must therefore not change. This module defines one struct for each kind, whose fields have
+the order of the tuple; `events_of` reads a history as structs.
 """
 
 from __future__ import annotations
@@ -16,11 +17,11 @@
 
 
 class HistoryEvent(Struct, frozen=True):
-    """What all entries have.
+    """Base of all events.
 
     Attributes:
-        at_ms: Virtual or monotonic time.
-        kind: The word by which the entry is told from others.
+        at_ms: Virtual time in a simulation, monotonic time in a real process.
+        kind: Kind of the event; equal to `KIND` of its struct.
     """
 
     KIND: ClassVar[str] = ""
@@ -29,7 +30,7 @@
 
 
 class PolicyUsed(HistoryEvent, frozen=True):
-    """An RPC was started or rejected by a version of the policy."""
+    """A server started or rejected an RPC according to a version of the policy."""
 
     KIND: ClassVar[str] = "decided"
     server: str
@@ -38,7 +39,7 @@
 
 
 class ChangeEnded(HistoryEvent, frozen=True):
-    """A server says how a change of policy ended, and by which version."""
+    """A server reports the outcome of a policy change, and the policy version that belongs to the outcome."""
 
     KIND: ClassVar[str] = "end"
     server: str
@@ -48,7 +49,7 @@
 
 
 class RpcRead(HistoryEvent, frozen=True):
-    """A server read an RPC, which it must have answered by `due_ms`."""
+    """A server read an RPC, which it must answer by `due_ms`."""
 
     KIND: ClassVar[str] = "read"
     server: str
@@ -74,14 +75,21 @@
 
 
 class RpcRefused(HistoryEvent, frozen=True):
-    """A gateway sent to a server that was down: a proof that nothing ran."""
+    """A gateway sent an RPC to a server that was down, which proves that the RPC did not run."""
 
     KIND: ClassVar[str] = "refused"
     server: str
 
 
 class LeaseHeld(HistoryEvent, frozen=True):
-    """What a server believes that a grantor leases to it: calls a second, and start permits."""
+    """A server reports its lease from a grantor.
+
+    Attributes:
+        calls_per_second: Leased rate of database calls.
+        calls_expire_at_ms: Time at which the lease of calls expires.
+        permits: Leased number of start permits.
+        permits_expire_at_ms: Time at which the lease of start permits expires.
+    """
 
     KIND: ClassVar[str] = "loan"
     server: str
@@ -93,7 +101,7 @@
 
 
 class LeaseLimits(HistoryEvent, frozen=True):
-    """What there is to lease in the whole cluster."""
+    """The total amounts that all grantors together can lease to servers."""
 
     KIND: ClassVar[str] = "bounds"
     calls_per_second: float
@@ -101,10 +109,11 @@
 
 
 class PermitUsed(HistoryEvent, frozen=True):
-    """A server drains by a maintenance permit.
+    """A server uses a maintenance permit to begin its drain.
 
     Attributes:
-        permit_in_force: What the leader of the voters has granted to it; 0 where that is not known.
+        permit: Number of the permit that the server uses.
+        permit_in_force: Number of the permit that the leader's state has for this server; 0 if unknown.
     """
 
     KIND: ClassVar[str] = "left"
@@ -114,7 +123,7 @@
 
 
 class DeclaredDead(HistoryEvent, frozen=True):
-    """A server declares another one dead."""
+    """A server declares another member dead."""
 
     KIND: ClassVar[str] = "buried"
     server: str
@@ -122,7 +131,7 @@
 
 
 class MemberSeen(HistoryEvent, frozen=True):
-    """A server sees another one come or go."""
+    """A server's view of another member changes to present or absent."""
 
     KIND: ClassVar[str] = "sees"
     server: str
@@ -131,7 +140,7 @@
 
 
 class ServerPaused(HistoryEvent, frozen=True):
-    """A process is stopped until a time."""
+    """The process of a server is paused until `until_ms`."""
 
     KIND: ClassVar[str] = "still"
     server: str
@@ -139,42 +148,42 @@
 
 
 class ServerStarted(HistoryEvent, frozen=True):
-    """A process starts."""
+    """The process of a server starts."""
 
     KIND: ClassVar[str] = "starts"
     server: str
 
 
 class ServerKilled(HistoryEvent, frozen=True):
-    """A process is killed."""
+    """The process of a server is killed."""
 
     KIND: ClassVar[str] = "killed"
     server: str
 
 
 class DrainStarted(HistoryEvent, frozen=True):
-    """A process begins to drain."""
+    """A server begins to drain."""
 
     KIND: ClassVar[str] = "drains"
     server: str
 
 
 class ServerEnded(HistoryEvent, frozen=True):
-    """A process ends once it has drained."""
+    """The process of a server exits after its drain."""
 
     KIND: ClassVar[str] = "ended"
     server: str
 
 
 class FaultBegan(HistoryEvent, frozen=True):
-    """A fault or an operator's command of the scenario begins.
+    """A fault of the scenario begins, or an operator's command is given.
 
     Attributes:
-        fault: Its kind.
-        place: Its number in the scenario.
-        targets: Numbers of the servers that it is done to.
-        duration_ms: 0 for what happens at once.
-        amount: In the unit of its kind.
+        fault: Kind of the fault or command.
+        place: Index of the fault in the scenario.
+        targets: Numbers of the servers that it affects.
+        duration_ms: How long the fault lasts; 0 if it has no duration, as a command.
+        amount: Strength of the fault, in the unit of its kind.
     """
 
     KIND: ClassVar[str] = "begins"
@@ -186,7 +195,7 @@
 
 
 class FaultEnded(HistoryEvent, frozen=True):
-    """A fault is over."""
+    """A fault with a duration ends."""
 
     KIND: ClassVar[str] = "over"
     fault: str
@@ -194,7 +203,13 @@
 
 
 class CapacitySampled(HistoryEvent, frozen=True):
-    """Capacity of the warm servers and demand, in RPCs a second, and the servers that are there."""
+    """A sample of capacity and demand, in RPCs per second.
+
+    Attributes:
+        warm_capacity: Capacity of all servers that are not draining; a server that warms up counts in part.
+        demand: Rate of RPCs that clients want to send.
+        servers: Names of the servers that are running and not draining.
+    """
 
     KIND: ClassVar[str] = "capacity"
     warm_capacity: float
@@ -203,14 +218,14 @@
 
 
 class ServerCapacity(HistoryEvent, frozen=True):
-    """What one warm server can do, in RPCs a second."""
+    """The capacity of one warm server, in RPCs per second."""
 
     KIND: ClassVar[str] = "each"
     rpcs_per_second: float
 
 
 class TableSampled(HistoryEvent, frozen=True):
-    """The size of a table that could grow without bound."""
+    """A sample of the size of a server's table whose size must stay bounded."""
 
     KIND: ClassVar[str] = "size"
     server: str
@@ -219,30 +234,30 @@
 
 
 class MaintenanceRequested(HistoryEvent, frozen=True):
-    """An operator's request for maintenance reached the leader."""
+    """The leader received an operator's request for the maintenance of some servers."""
 
     KIND: ClassVar[str] = "wished"
     servers: tuple[str, ...]
 
 
 class FaultsEnded(HistoryEvent, frozen=True):
-    """From now on nothing is done to the cluster any more."""
+    """All faults of the scenario have ended, and the cluster has a limited time to recover."""
 
     KIND: ClassVar[str] = "quiet"
 
 
 class NotQuiescent(HistoryEvent, frozen=True):
-    """A reason for which the cluster did not come to rest in time."""
+    """A reason why the cluster had not recovered in time after the faults had ended."""
 
     KIND: ClassVar[str] = "restless"
     reason: str
 
 
 class SettlingEnded(HistoryEvent, frozen=True):
-    """The end of the run.
+    """The time for recovery after the faults is over, and the history ends.
 
     Attributes:
-        since_ms: When the faults had ended.
+        since_ms: Time at which the faults had ended.
     """
 
     KIND: ClassVar[str] = "rests"
@@ -250,7 +265,7 @@
 
 
 def events_of(history: History, *event_types: type[HistoryEvent]) -> Iterator[HistoryEvent]:
-    """Reads the events of some types from a history, in the order of time."""
+    """Yields the events of the given types from a history, as structs, ordered by time."""
     type_by_kind = {event_type.KIND: event_type for event_type in event_types}
     for entry in history:
         event_type = type_by_kind.get(entry[1])
--- a/landingshift/testbed/verification/lease_invariants.py
+++ b/landingshift/testbed/verification/lease_invariants.py
@@ -1,4 +1,4 @@
-"""Invariant of leases: nobody believes in more than there is."""
+"""Invariant of leases: the servers together never hold more than the grantors can lease."""
 
 from __future__ import annotations
 
@@ -7,47 +7,52 @@
 from landingshift.testbed.verification.history import History, LeaseHeld, LeaseLimits, events_of
 
 EXPIRY_TOLERANCE_MS = 1.0
-"""By which the recorded end of a lease may be off."""
+"""Greatest error of the expiry time of a lease in a history."""
 ROUNDING_FACTOR = 1.0001
 
 
 def max_leased_calls(history: History) -> float:
-    """Returns the most calls a second that all holders together believed in at one instant."""
+    """Returns the greatest total of database calls per second that all servers held on lease at one time."""
     return _max_leased(history, lambda event: (event.calls_per_second, event.calls_expire_at_ms))
 
 
 def max_leased_permits(history: History) -> float:
-    """Returns the most start permits that all holders together believed in at one instant."""
+    """Returns the greatest total of start permits that all servers held on lease at one time."""
     return _max_leased(history, lambda event: (event.permits, event.permits_expire_at_ms))
 
 
 def _max_leased(history: History, amount_and_expiry: Callable[[LeaseHeld], tuple[float, float]]) -> float:
-    """Follows what each holder has from each grantor, until it expires.
+    """Returns the greatest total of the leased amounts that had not expired at one time.
 
-    A killed holder believes on in what it had, which only makes the figure larger.
+    A lease of a killed server counts until it expires, so the result can be too large but never too small.
+
+    Args:
+        history: Events of a run.
+        amount_and_expiry: Returns the leased amount and its expiry time, ms, from a `LeaseHeld` event.
     """
     held: dict[tuple[str, str], tuple[float, float]] = {}
-    most = 0.0
+    max_total = 0.0
     for event in events_of(history, LeaseHeld):
         assert isinstance(event, LeaseHeld)
         held[event.server, event.grantor] = amount_and_expiry(event)
-        alive_after_ms = event.at_ms + EXPIRY_TOLERANCE_MS
-        believed = sum(amount for amount, expires_at_ms in held.values() if expires_at_ms > alive_after_ms)
-        most = max(most, believed)
-    return most
+        unexpired_after_ms = event.at_ms + EXPIRY_TOLERANCE_MS
+        total = sum(amount for amount, expires_at_ms in held.values() if expires_at_ms > unexpired_after_ms)
+        max_total = max(max_total, total)
+    return max_total
 
 
-def shares(history: History, _overlap_ms: float) -> list[str]:
+def check_lease_totals(history: History, _overlap_ms: float) -> list[str]:
     """Never more is believed in than there is, of calls to the store or of start permits."""
+    # The leases that servers hold never exceed the limits of the cluster. The store is the database.
     limits = next(events_of(history, LeaseLimits), None)
     if limits is None:
         return []
     assert isinstance(limits, LeaseLimits)
     violations = []
-    for words, most, limit in (
+    for unit, total, limit in (
         ("calls a second", max_leased_calls(history), limits.calls_per_second),
         ("places", max_leased_permits(history), limits.permits),
     ):
-        if most > limit * ROUNDING_FACTOR:
-            violations.append(f"{most:.2f} {words} are believed in, of {limit:.2f}")
+        if total > limit * ROUNDING_FACTOR:
+            violations.append(f"{total:.2f} {unit} are believed in, of {limit:.2f}")
     return violations
--- a/landingshift/testbed/verification/maintenance_invariants.py
+++ b/landingshift/testbed/verification/maintenance_invariants.py
@@ -1,4 +1,4 @@
-"""Invariants of maintenance: a permit is used once and in force, and leaves enough capacity."""
+"""Invariants of maintenance: a permit is used once, while it is valid, and enough capacity remains."""
 
 from __future__ import annotations
 
@@ -12,10 +12,13 @@
 )
 
 MIN_MEASURED_FRACTION = 0.75
-"""Of the demand, that a sum of counts over one second each may show."""
+"""Fraction of the demand that the remaining capacity must reach.
 
+It is below 1 because the servers measure demand as counts over one second, and the sum of such counts varies.
+"""
 
-def permissions(history: History, _overlap_ms: float) -> list[str]:
+
+def check_permits(history: History, _overlap_ms: float) -> list[str]:
     """A permit has one holder, is used once, and only while it is in force."""
     user_by_permit: dict[int, str] = {}
     violations = []
@@ -34,8 +37,10 @@
     return violations
 
 
-def floor(history: History, _overlap_ms: float) -> list[str]:
+def check_remaining_capacity(history: History, _overlap_ms: float) -> list[str]:
     """Who drains by a permit leaves as much capacity as is asked for, where nothing fell just before."""
+    # Checked only in calm spans. The capacity is that of all warm servers without the draining one, and must
+    # be at least `MIN_MEASURED_FRACTION` of the demand.
     spans = calm_spans(history)
     violations = []
     warm_capacity = 0.0
--- a/landingshift/testbed/verification/maintenance_state.py
+++ b/landingshift/testbed/verification/maintenance_state.py
@@ -1,4 +1,4 @@
-"""Invariants of the replicated state of maintenance, checked after each step of a simulation."""
+"""Invariants of the replicated maintenance state, which simulations check after each step."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def state_violations(state: MaintenanceState) -> list[str]:
-    """Returns a text for each invariant that does not hold."""
+    """Returns one text for each violation of an invariant; an empty list if the state is consistent."""
     violations = []
     permits = Counter(request.permit_number for request in state.requests.values() if request.permit_number)
     for number, holders in permits.items():
--- a/landingshift/testbed/verification/membership_invariants.py
+++ b/landingshift/testbed/verification/membership_invariants.py
@@ -1,4 +1,4 @@
-"""Invariants of membership: nobody alive is declared dead without a reason, and deaths become known."""
+"""Invariants of membership: no false death declarations, and dead servers are detected in time."""
 
 from __future__ import annotations
 
@@ -18,14 +18,16 @@
 )
 
 MAX_DETECTION_MS = 15_000.0
-"""After which a death is known to all, where links are whole."""
+"""Time within which all servers must know of a death, if no other fault is active."""
 HARMLESS_FAULTS = ("pause", "hang", "full", "clock", "store_falls", "list_down", "load")
-"""Nobody may be declared dead by them."""
+"""Kinds of faults that must not lead to a death declaration of a running server."""
 NEVER_MS = -1e9
 
 
-def members(history: History, _overlap_ms: float) -> list[str]:
+def check_death_declarations(history: History, _overlap_ms: float) -> list[str]:
     """Nobody who is there is declared dead, where no fault or only a harmless one is under way."""
+    # "Is there" means that the server has started and was neither killed nor has exited. A fault can still be
+    # the reason for a declaration up to `CALM_AFTER_MS` after it ended.
     tracker = _DeclarationTracker()
     for event in events_of(
         history, FaultBegan, FaultEnded, ServerStarted, ServerKilled, ServerEnded, DeclaredDead
@@ -35,10 +37,13 @@
 
 
 class _DeclarationTracker:
-    """Who is there, and what could be a reason to declare somebody dead.
+    """Finds declarations of a running server as dead without a fault that explains them.
+
+    A fault explains a declaration while the fault is active and for `CALM_AFTER_MS` afterwards. Kills and
+    exits of servers count as faults, harmless faults and operator commands do not.
 
     Attributes:
-        violations: What did not hold.
+        violations: Violations found so far.
     """
 
     def __init__(self) -> None:
@@ -48,14 +53,14 @@
         self._present: set[str] = set()
 
     def apply(self, event: HistoryEvent) -> None:
-        """Follows the history by one event."""
+        """Processes the next event of the history."""
         match event:
             case FaultBegan() if event.fault not in OPERATOR_COMMANDS:
                 if event.duration_ms > 0.0:
                     self._active_faults[event.place] = event.fault
-                self._note_disturbance(event.fault, event.at_ms)
+                self._record_disturbance(event.fault, event.at_ms)
             case FaultEnded():
-                self._note_disturbance(self._active_faults.pop(event.place), event.at_ms)
+                self._record_disturbance(self._active_faults.pop(event.place), event.at_ms)
             case ServerStarted():
                 self._present.add(event.server)
             case ServerKilled() | ServerEnded():
@@ -64,7 +69,7 @@
             case DeclaredDead() if event.member in self._present:
                 self._check(event)
 
-    def _note_disturbance(self, fault: str, at_ms: float) -> None:
+    def _record_disturbance(self, fault: str, at_ms: float) -> None:
         if fault not in HARMLESS_FAULTS:
             self._last_disturbance_ms = at_ms
 
@@ -76,8 +81,10 @@
             )
 
 
-def deaths(history: History, _overlap_ms: float) -> list[str]:
+def check_death_detection(history: History, _overlap_ms: float) -> list[str]:
     """A death becomes known in time to all that are there, where nothing else was under way."""
+    # All running servers must see a killed server as absent within `MAX_DETECTION_MS`. Checked only if no
+    # other fault was active or began in that time.
     tracker = _DeathTracker(calm_spans(history))
     for event in events_of(history, MemberSeen, ServerKilled, ServerStarted, CapacitySampled):
         tracker.apply(event)
@@ -85,24 +92,24 @@
 
 
 class _DeathTracker:
-    """Who was killed, and who still sees the killed ones.
+    """Finds killed servers that other servers still see as present after `MAX_DETECTION_MS`.
 
     Attributes:
-        violations: What did not hold.
+        violations: Violations found so far.
     """
 
     def __init__(self, spans: list[tuple[float, float]]) -> None:
         self.violations: list[str] = []
         self._calm_spans = spans
-        self._presence_by_viewer: dict[str, dict[str, bool]] = {}
-        """What is seen of each server, by the viewer."""
+        self._presence_by_member: dict[str, dict[str, bool]] = {}
+        """Whether a member is present in the view of a server, keyed by member and then by server."""
         self._killed_at_ms: dict[str, float] = {}
 
     def apply(self, event: HistoryEvent) -> None:
-        """Follows the history by one event."""
+        """Processes the next event of the history."""
         match event:
             case MemberSeen():
-                views = self._presence_by_viewer.setdefault(event.member, {})
+                views = self._presence_by_member.setdefault(event.member, {})
                 views[event.server] = event.is_present
             case ServerKilled():
                 self._killed_at_ms[event.server] = event.at_ms
@@ -115,7 +122,7 @@
                         self._check(name, killed_at_ms, event)
 
     def _check(self, name: str, killed_at_ms: float, sample: CapacitySampled) -> None:
-        views = self._presence_by_viewer.get(name, {})
+        views = self._presence_by_member.get(name, {})
         blind = [viewer for viewer in sample.servers if viewer != name and views.get(viewer, True)]
         is_calm = any(
             begin_ms <= killed_at_ms + CALM_AFTER_MS and sample.at_ms <= end_ms
--- a/landingshift/testbed/verification/policy_invariants.py
+++ b/landingshift/testbed/verification/policy_invariants.py
@@ -1,4 +1,4 @@
-"""Invariants of policy changes: one order of versions, one version at a time, one outcome of each change."""
+"""Invariants of policy changes: servers agree on versions and outcomes, and versions overlap only briefly."""
 
 from __future__ import annotations
 
@@ -7,13 +7,17 @@
 from landingshift.testbed.verification.history import ChangeEnded, History, PolicyUsed, events_of
 
 TIME_TOLERANCE_MS = 1.0
-"""By which times in a history may be off."""
+"""Greatest error of the times in a history."""
 TAKEN = "taken"
+"""Outcome of a change that was committed."""
 INITIAL_VERSION = 0
+"""Version that servers use before the first change."""
 
 
-def one_order(history: History, _overlap_ms: float) -> list[str]:
+def check_version_texts(history: History, _overlap_ms: float) -> list[str]:
     """A version has one text everywhere, and what was not taken is used nowhere."""
+    # "Taken" means committed: every version in use is the initial one or the outcome of a committed change.
+    # Versions in use are not compared with outcomes if the history has no outcome at all.
     texts: dict[int, Any] = {}
     taken_versions = {INITIAL_VERSION}
     violations = []
@@ -33,7 +37,7 @@
     return violations
 
 
-def all_or_none(history: History, overlap_ms: float) -> list[str]:
+def check_version_overlap(history: History, overlap_ms: float) -> list[str]:
     """Once one server used a version, nobody uses an older one more than `overlap_ms` later."""
     first_use_ms: dict[int, float] = {}
     newest_version = -1
@@ -54,7 +58,7 @@
     return violations
 
 
-def no_way_back(history: History, _overlap_ms: float) -> list[str]:
+def check_version_regressions(history: History, _overlap_ms: float) -> list[str]:
     """No server, nor a later process of it, uses a version older than one that it used."""
     newest_versions: dict[str, int] = {}
     violations = []
@@ -69,16 +73,17 @@
     return violations
 
 
-def one_answer(history: History, _overlap_ms: float) -> list[str]:
+def check_change_outcomes(history: History, _overlap_ms: float) -> list[str]:
     """A change ended in one way, whoever tells it and whenever."""
+    # All servers report the same outcome and version for a change, also when asked more than once.
     outcomes: dict[str, tuple[bool, int]] = {}
     violations = []
     for event in events_of(history, ChangeEnded):
         assert isinstance(event, ChangeEnded)
         outcome = (event.outcome == TAKEN, event.version)
-        known_outcome = outcomes.setdefault(event.change_id, outcome)
-        if known_outcome != outcome:
+        first_outcome = outcomes.setdefault(event.change_id, outcome)
+        if first_outcome != outcome:
             violations.append(
-                f"{event.change_id} is {outcome} at {event.server} and {known_outcome} elsewhere"
+                f"{event.change_id} is {outcome} at {event.server} and {first_outcome} elsewhere"
             )
     return violations
--- a/landingshift/testbed/verification/rpc_invariants.py
+++ b/landingshift/testbed/verification/rpc_invariants.py
@@ -1,4 +1,4 @@
-"""Invariants of RPCs: each is answered in time, runs once, and not after the grace of a drain."""
+"""Invariants of RPCs: each is answered in time, and runs at most once and not late in a drain."""
 
 from __future__ import annotations
 
@@ -18,34 +18,35 @@
 )
 
 DRAIN_GRACE_MS = 300.0
-"""From the beginning of a drain; what comes later is not run."""
+"""Time after the start of a drain during which new RPCs are still accepted; later ones must not run."""
 ANSWER_TOLERANCE_MS = 60.0
-"""By which an answer may be late: clocks drift by 1 % over a caller's time-out."""
+"""Greatest allowed lateness of an answer: clocks drift by 1 % over the timeout of a caller."""
 MAX_DELAY_FACTOR = 12.0
-"""A starved core may be late by so many times its mean delay."""
+"""Greatest delay of a server whose core is starved, as a multiple of the mean delay that the fault sets."""
 STARVED = "starved"
+"""Kind of the fault that delays all work of a server because its core is busy."""
 
 
-def answered(history: History, _overlap_ms: float) -> list[str]:
+def check_answers(history: History, _overlap_ms: float) -> list[str]:
     """Each RPC that was read has one answer in time, unless its server was killed.
 
     A server that is paused or has no core can't answer meanwhile. What a draining server has read is answered
     before its end.
     """
-    ledger = _OpenRpcs()
+    tracker = _AnswerTracker()
     for event in events_of(
         history, RpcRead, RpcAnswered, ServerPaused, FaultBegan, ServerKilled, ServerEnded
     ):
-        ledger.apply(event)
-    ledger.end(history[-1][0] if history else 0.0)
-    return ledger.violations
+        tracker.apply(event)
+    tracker.end(history[-1][0] if history else 0.0)
+    return tracker.violations
 
 
-class _OpenRpcs:
-    """RPCs that were read and not answered.
+class _AnswerTracker:
+    """Finds RPCs that were answered late, twice, or never.
 
     Attributes:
-        violations: What did not hold.
+        violations: Violations found so far.
     """
 
     def __init__(self) -> None:
@@ -55,7 +56,7 @@
         self._max_delay_ms: dict[str, float] = {}
 
     def apply(self, event: HistoryEvent) -> None:
-        """Follows the history by one event."""
+        """Processes the next event of the history."""
         match event:
             case RpcRead():
                 self._due_ms[event.server, event.number] = event.due_ms
@@ -93,15 +94,17 @@
         self._due_ms = {key: due_ms for key, due_ms in self._due_ms.items() if key[0] != server}
 
     def end(self, end_ms: float) -> None:
-        """Looks for RPCs that should have been answered by the end of the history."""
-        lost = [key for key, due_ms in self._due_ms.items() if due_ms + ANSWER_TOLERANCE_MS < end_ms]
-        if lost:
-            server, number = lost[0]
-            self.violations.append(f"{server} never answers {number}, and {len(lost) - 1} more")
+        """Adds a violation if RPCs are unanswered that were due before the end of the history, `end_ms`."""
+        unanswered = [key for key, due_ms in self._due_ms.items() if due_ms + ANSWER_TOLERANCE_MS < end_ms]
+        if unanswered:
+            server, number = unanswered[0]
+            self.violations.append(f"{server} never answers {number}, and {len(unanswered) - 1} more")
 
 
-def drains(history: History, _overlap_ms: float) -> list[str]:
+def check_drains(history: History, _overlap_ms: float) -> list[str]:
     """Nothing that comes after the grace of a drain is run, and nothing at all is run twice."""
+    # The grace period lasts `DRAIN_GRACE_MS` from the start of the drain. An RPC that the server reads later
+    # must not run.
     grace_end_ms: dict[str, float] = {}
     read_at_ms: dict[tuple[str, int], float] = {}
     run_numbers: set[int] = set()
--- a/landingshift/testbed/verification/search_leases.py
+++ b/landingshift/testbed/verification/search_leases.py
@@ -1,8 +1,9 @@
-"""Every order of a small model of leases: a grantor, two holders, and any message next, lost or twice.
+"""Explores all states of a small model of leases with one grantor and two holders.
 
-Time passes, and grantor and holders restart. Checked in each state: all holders together never believe in
-more than there is. The model begins where one holder has everything. What a holder believed in that has
-restarted counts until its end: the old process may only have been paused.
+Messages can arrive in any order, be lost or be duplicated; time passes; the grantor and one holder can
+restart. In each state, the amounts that the holders can use must not exceed the capacity in total. In the
+initial state, one holder has leased the whole capacity. The lease of a holder's earlier process counts until
+it expires, because that process can still be running after a pause.
 """
 
 from __future__ import annotations
@@ -25,12 +26,12 @@
 WANTED_AMOUNTS = {"a": 4.0, "b": 3.0}
 RESTARTED_HOLDER = "a"
 MAX_MESSAGES_COUNT = 3
-"""Under way at a time."""
+"""Greatest number of messages in flight at a time."""
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseGrant:
-    """What the grantor answers."""
+    """The grantor's answer to a lease request."""
 
     holder_name: str
     run_id: int
@@ -43,9 +44,9 @@
 
 @dataclass
 class RemainingSteps:
-    """How often each may still come."""
+    """How often each kind of step can still occur; the bounds keep the number of states finite."""
 
-    asks: int = 4
+    requests: int = 4
     losses: int = 1
     duplicates: int = 1
     time_steps: int = 5
@@ -58,12 +59,12 @@
 
     Attributes:
         grantor: The latest process of the grantor.
-        leases: What the latest process of each holder believes in.
-        run_ids: Of those processes.
-        now_ms: The time of all.
-        messages: Under way.
-        orphaned_leases: Amounts and expiries of what earlier processes believed in.
-        remaining: What may still happen.
+        leases: The lease of the latest process of each holder, keyed by the holder's name.
+        run_ids: Run ID of the latest process of each holder, keyed by the holder's name.
+        now_ms: Time on the clock that all processes share.
+        messages: Messages in flight.
+        orphaned_leases: Amount and expiry time, ms, of each lease of an earlier process of a holder.
+        remaining: How often each kind of step can still occur.
     """
 
     grantor: LeaseGrantor
@@ -74,15 +75,15 @@
     orphaned_leases: list[tuple[float, float]] = field(default_factory=list)
     remaining: RemainingSteps = field(default_factory=RemainingSteps)
 
-    def believed_amount(self) -> float:
-        """Returns what all holders together believe in."""
-        held = sum(lease.usable_amount(self.now_ms) for lease in self.leases.values())
-        return held + sum(
+    def total_leased(self) -> float:
+        """Returns the total amount that all holders can use, including earlier processes of a holder."""
+        current = sum(lease.usable_amount(self.now_ms) for lease in self.leases.values())
+        return current + sum(
             amount for amount, expires_at_ms in self.orphaned_leases if expires_at_ms > self.now_ms
         )
 
     def copy(self) -> LeaseState:
-        """Returns a copy that shares nothing that changes."""
+        """Returns a copy that shares no mutable object with this state."""
         return replace(
             self,
             grantor=copy.deepcopy(self.grantor),
@@ -95,25 +96,29 @@
 
 
 class LeaseSearch:
-    """Explores the model.
+    """The model of leases, for `state_space.explore`.
+
+    To prove that a defence is needed, a test turns it off and expects a violation.
 
     Attributes:
-        has_recovery_grace: Whether a grantor that restarts grants nothing for a lease.
-        books_old_grants: Whether a larger grant counts until its holder can't believe in it any more.
-        max_believed: The most that all holders together believed in, in any state.
+        has_recovery_grace: Whether a restarted grantor grants no new amounts until leases from its earlier
+            process have expired.
+        books_old_grants: Whether the grantor counts a larger earlier grant until its holder can no longer
+            use it.
+        max_total_leased: Greatest total amount that all holders could use in any state checked so far.
     """
 
     def __init__(self, has_recovery_grace: bool = True, books_old_grants: bool = True) -> None:
         self.has_recovery_grace = has_recovery_grace
         self.books_old_grants = books_old_grants
-        self.max_believed = 0.0
+        self.max_total_leased = 0.0
 
     def run(self, max_depth: int, max_state_count: int) -> Exploration:
-        """Explores to a depth, or until so many states were seen."""
+        """Explores up to `max_depth` steps from the initial state and at most `max_state_count` states."""
         return explore(self, max_depth, max_state_count)
 
     def initial_state(self) -> LeaseState:
-        """Returns a state in which one holder has everything."""
+        """Returns a state in which one holder has leased the whole capacity."""
         state = LeaseState(
             self._new_grantor(0.0),
             {name: HeldLease(LEASE_MS) for name in WANTED_AMOUNTS},
@@ -131,12 +136,12 @@
         return grantor
 
     def steps(self, state: LeaseState) -> list[Step]:
-        """Returns all that may happen next."""
+        """Returns all steps that are possible in a state."""
         remaining = state.remaining
         has_room = len(state.messages) < MAX_MESSAGES_COUNT
         indexes = range(len(state.messages))
         steps = [Step(Action.DELIVER, index) for index in indexes]
-        if remaining.asks and has_room:
+        if remaining.requests and has_room:
             steps += [Step(Action.ASK, name) for name in WANTED_AMOUNTS]
         if remaining.losses:
             steps += [Step(Action.LOSE, index) for index in indexes]
@@ -149,14 +154,14 @@
         return steps
 
     def apply(self, state: LeaseState, step: Step) -> LeaseState:
-        """Returns the state after a step."""
+        """Returns the state after a step, and leaves the given state unchanged."""
         after = state.copy()
         remaining = after.remaining
         match step:
             case Step(Action.DELIVER, int(index)):
                 self._deliver(after, after.messages.pop(index))
             case Step(Action.ASK, str(name)):
-                remaining.asks -= 1
+                remaining.requests -= 1
                 number, claimed_amount = after.leases[name].next_request(after.now_ms)
                 wanted_amount = WANTED_AMOUNTS[name]
                 after.messages.append(
@@ -195,13 +200,13 @@
                 state.leases[name].on_grant(number, amount, state.now_ms)
 
     def check(self, state: LeaseState) -> str:
-        """Returns a text where the holders believe in more than there is."""
-        believed = state.believed_amount()
-        self.max_believed = max(self.max_believed, believed)
-        return f"{believed:g} of {CAPACITY:g}" if believed > CAPACITY + ROUNDING else ""
+        """Returns a description of the violation if the holders can use more than the capacity, else ""."""
+        total = state.total_leased()
+        self.max_total_leased = max(self.max_total_leased, total)
+        return f"{total:g} of {CAPACITY:g}" if total > CAPACITY + ROUNDING else ""
 
     def key(self, state: LeaseState) -> Hashable:
-        """Returns what tells a state from others; times count from now."""
+        """Returns a key that is equal for equivalent states; it has times relative to now."""
         now_ms = state.now_ms
         grants: list[Any] = [
             (
--- a/landingshift/testbed/verification/search_policy_change.py
+++ b/landingshift/testbed/verification/search_policy_change.py
@@ -1,9 +1,9 @@
-"""Every order of a small model of a policy change: three servers, one voter, one change.
+"""Explores all states of a small model of a policy change with three servers, one voter and one change.
 
-Each message may come next, be lost or come twice; time may pass; any server may be killed and start again.
-The decisions are those of the servers themselves. The model begins where all but one are known to be
-prepared, and goes to a stated depth. What is checked is stronger than a history: that nobody *could* decide
-by an old version too late.
+Messages can arrive in any order, be lost or be duplicated; time passes; any server can be killed and
+restarted. The servers are real `PolicyNode` objects. In the initial state, the leader knows that all servers
+but one are prepared for the change. The check is stricter than the invariant of histories: no server is
+*allowed* to decide about RPCs by an old version too late, whether or not it has an RPC to decide about.
 """
 
 from __future__ import annotations
@@ -31,19 +31,22 @@
 START_MS = 10_000.0
 TIME_STEP_MS = 500.0
 MAX_MESSAGES_COUNT = 4
-"""Under way at a time."""
+"""Greatest number of messages in flight at a time; further ones are dropped."""
 MAX_DELIVERY_COUNT = 4
-"""Times in a row that a server's messages to itself may bring about others."""
+"""Greatest number of rounds in which a server saves its state and delivers its messages to itself."""
 DEFAULT_MAX_STATE_COUNT = 10_000_000
 RESTARTED_RUN_ID = 9
 RAFT_TIMEOUTS = RaftTimeouts(heartbeat_interval_ms=1e9, election_timeout_ms=1e9)
-"""One voter: nobody else can lead."""
+"""The timers never expire: with a single voter there is no other leader to detect or replace."""
 ANNOUNCEMENT = "look"
-"""Wire word of messages that only make others ask, which all may do anyway."""
+"""Type of messages that only prompt the receiver to send a lease request.
+
+They are dropped, because the model lets every server send a lease request at any time.
+"""
 
 
 class ConstantRandom(Random):
-    """Draws the same value always, so that equal states are seen to be equal."""
+    """Draws the same value each time, so that states do not differ only by random draws."""
 
     def uniform(self, a: float, b: float) -> float:
         """Returns the lower bound."""
@@ -55,24 +58,24 @@
         return 0.0
 
     def __deepcopy__(self, _memo: Any) -> ConstantRandom:
-        """Returns itself: it has no state."""
+        """Returns the object itself, because it has no state."""
         return self
 
 
 @dataclass
 class RemainingSteps:
-    """How often each may still come."""
+    """How often each kind of step can still occur; the bounds keep the number of states finite."""
 
     losses: int = 1
     duplicates: int = 1
     time_steps: int = 3
     kills: int = 1
-    asks: int = 2
+    requests: int = 2
 
 
 @dataclass(frozen=True, slots=True)
 class Envelope:
-    """A message under way; `body` is as on the wire."""
+    """A message in flight; `body` is the message in its wire form."""
 
     sender: str
     receiver: str
@@ -84,12 +87,12 @@
     """One state of the model.
 
     Attributes:
-        nodes: The latest process of each server.
-        disk: The voter's.
-        now_ms: The time of all.
-        messages: Under way.
-        remaining: What may still happen.
-        first_possible_ms: When each version could first be decided by.
+        nodes: The latest process of each server, keyed by the server's name.
+        disk: State that the voter has saved.
+        now_ms: Time on the clock that all servers share.
+        messages: Messages in flight.
+        remaining: How often each kind of step can still occur.
+        first_possible_ms: Time at which a server was first allowed to decide by a version, keyed by version.
     """
 
     nodes: dict[str, PolicyNode]
@@ -100,7 +103,7 @@
     first_possible_ms: dict[int, float] = field(default_factory=dict)
 
     def copy(self) -> PolicyState:
-        """Returns a copy; nodes are shared, and copied by who changes them."""
+        """Returns a copy that shares the nodes; a step must copy a node before it changes it."""
         return replace(
             self,
             nodes=dict(self.nodes),
@@ -111,17 +114,18 @@
 
 
 class PolicyChangeSearch:
-    """Explores the model.
+    """The model of a policy change, for `state_space.explore`.
 
     Attributes:
-        settings: Of all servers.
-        removed_defence: PARTICIPANT_LEASE or LEASE_REQUEST, which all lack; "" for none.
+        settings: Policy settings of all servers.
+        removed_defence: `PARTICIPANT_LEASE` or `LEASE_REQUEST`, the defence that all servers lack; "" if they
+            have all defences.
     """
 
-    def __init__(self, stands_aside: bool = False, removed_defence: str = "") -> None:
+    def __init__(self, is_standby_when_cut_off: bool = False, removed_defence: str = "") -> None:
         self.settings = PolicySettings(
             (VOTER,),
-            stands_aside,
+            is_standby_when_cut_off,
             overlap_ms=1000.0,
             lease_ms=900.0,
             clock_margin_ms=100.0,
@@ -131,7 +135,7 @@
         self._rng = ConstantRandom()
 
     def run(self, max_depth: int, max_state_count: int = DEFAULT_MAX_STATE_COUNT) -> Exploration:
-        """Explores to a depth, or until so many states were seen."""
+        """Explores up to `max_depth` steps from the initial state and at most `max_state_count` states."""
         return explore(self, max_depth, max_state_count)
 
     def _new_node(self, name: str, run_id: int, stored: PersistentState | None, now_ms: float) -> PolicyNode:
@@ -147,10 +151,8 @@
             RAFT_TIMEOUTS,
         )
 
-    # The initial state
-
     def initial_state(self) -> PolicyState:
-        """Returns a state in which the last word that the leader waits for is under way."""
+        """Returns a state in which the last lease request that the leader needs to commit is in flight."""
         state = PolicyState({}, PersistentState())
         state.remaining = RemainingSteps(0, 0, 0, 0, 0)
         for index, name in enumerate(NAMES):
@@ -158,11 +160,11 @@
             state.nodes[name] = self._new_node(name, index, stored, state.now_ms)
         self._elect(state)
         for _ in range(4):
-            self._ask_all(state, NAMES)
+            self._request_leases(state, NAMES)
         self._propose(state)
-        self._ask_all(state, (VOTER, "n1"))
-        self._ask_all(state, (VOTER, "n1"))
-        self._ask_all(state, (LAST_SERVER,))
+        self._request_leases(state, (VOTER, "n1"))
+        self._request_leases(state, (VOTER, "n1"))
+        self._request_leases(state, (LAST_SERVER,))
         assert all(node.participant.state is ParticipantState.PREPARED for node in state.nodes.values())
         state.nodes[LAST_SERVER].participant.send_lease_request(state.now_ms)
         self._send(state, LAST_SERVER)
@@ -177,27 +179,25 @@
         raft.start_election()
 
     def _propose(self, state: PolicyState) -> None:
-        """Proposes the change, and brings it to the phase in which servers prepare."""
+        """Proposes the change at the leader, and delivers messages until the servers are asked to prepare."""
         leader = state.nodes[VOTER]
         proposal = ProposeChange(policy_document(1), AUTHOR, COMMENT)
         leader.submit_command(CHANGE_ID, proposal, state.now_ms)
         leader.forward_command(CHANGE_ID, state.now_ms)
         self._send(state, VOTER)
         while _phase(state) is not ChangePhase.PREPARE:
-            self._ask_all(state, NAMES)
+            self._request_leases(state, NAMES)
 
-    def _ask_all(self, state: PolicyState, names: tuple[str, ...]) -> None:
-        """Has servers ask the leader, and delivers all messages."""
+    def _request_leases(self, state: PolicyState, names: tuple[str, ...]) -> None:
+        """Makes servers send a lease request to the leader, and delivers all messages."""
         for name in names:
             state.nodes[name].participant.send_lease_request(state.now_ms)
             self._send(state, name)
         while state.messages:
             self._deliver(state, 0)
 
-    # Steps
-
     def steps(self, state: PolicyState) -> list[Step]:
-        """Returns all that may happen next."""
+        """Returns all steps that are possible in a state."""
         remaining = state.remaining
         has_room = len(state.messages) < MAX_MESSAGES_COUNT
         indexes = range(len(state.messages))
@@ -208,14 +208,14 @@
             steps += [Step(Action.DUPLICATE, index) for index in indexes]
         if remaining.time_steps:
             steps.append(Step(Action.PASS_TIME, 0))
-        if remaining.asks and has_room:
+        if remaining.requests and has_room:
             steps += [Step(Action.ASK, name) for name in NAMES]
         if remaining.kills:
             steps += [Step(Action.KILL, name) for name in NAMES]
         return steps
 
     def apply(self, state: PolicyState, step: Step) -> PolicyState:
-        """Returns the state after a step."""
+        """Returns the state after a step, and leaves the given state unchanged."""
         after = state.copy()
         remaining = after.remaining
         match step:
@@ -231,7 +231,7 @@
                 remaining.time_steps -= 1
                 after.now_ms += TIME_STEP_MS
             case Step(Action.ASK, str(name)):
-                remaining.asks -= 1
+                remaining.requests -= 1
                 after.nodes[name] = copy.deepcopy(after.nodes[name])
                 after.nodes[name].participant.send_lease_request(after.now_ms)
                 self._send(after, name)
@@ -255,7 +255,7 @@
         self._send(state, message.receiver)
 
     def _send(self, state: PolicyState, name: str) -> None:
-        """Ends a pass of a server: saves what must be on disk, and puts its messages under way."""
+        """Completes a step of a server: saves its unsaved state and then sends its messages."""
         node = state.nodes[name]
         for _ in range(MAX_DELIVERY_COUNT):
             unsaved = node.unsaved_state()
@@ -271,10 +271,12 @@
             if node.unsaved_state() is None:
                 break
 
-    # What must hold
-
     def check(self, state: PolicyState) -> str:
-        """Returns a text where a server may decide by an old version too late."""
+        """Returns a description of the violation if a server is allowed to decide by an old version too late.
+
+        It is too late more than `overlap_ms` after a server was first allowed to decide by a newer version.
+        Returns "" if there is no violation. Also updates `state.first_possible_ms`.
+        """
         now_ms = state.now_ms
         for node in state.nodes.values():
             if not self._may_decide(node.participant, now_ms):
@@ -296,7 +298,7 @@
         return may_decide
 
     def key(self, state: PolicyState) -> Hashable:
-        """Returns what tells a state from others; times count from now."""
+        """Returns a key that is equal for equivalent states; it has times relative to now."""
         nodes: list[Any] = []
         for node in state.nodes.values():
             nodes.append(_participant_key(node, state.now_ms))
@@ -316,7 +318,7 @@
 
 
 def _forget_answered_requests(participant: ChangeParticipant) -> None:
-    """Drops what would tell states apart in which nothing else differs."""
+    """Drops the times of answered requests, which have no effect but would make equivalent states differ."""
     participant.request_sent_at_ms = {
         number: at_ms
         for number, at_ms in participant.request_sent_at_ms.items()
--- a/landingshift/testbed/verification/state_space.py
+++ b/landingshift/testbed/verification/state_space.py
@@ -1,4 +1,4 @@
-"""Bounded exhaustive exploration of a small model: all orders of its steps, breadth first."""
+"""Explores all states of a small model that a bounded number of steps can reach, breadth first."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Action(StrEnum):
-    """What may happen in a model; the values are the words of traces."""
+    """Kinds of steps of a model; the values are written in traces."""
 
     DELIVER = "deliver"
     LOSE = "lose"
@@ -25,48 +25,51 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """What may happen next.
+    """One step from a state of a model to another.
 
     Attributes:
-        action: What it is.
-        target: The index of a message, or the name of a server; None where the action has none.
+        action: Kind of the step.
+        target: Index of a message, name of a server, or None, depending on the action.
     """
 
     action: Action
     target: int | str | None = None
 
-    def words(self) -> tuple[int | str, ...]:
-        """Returns the step as traces show it."""
+    def trace_entry(self) -> tuple[int | str, ...]:
+        """Returns the step as a tuple for a trace: action, and target if it has one."""
         return (self.action.value,) if self.target is None else (self.action.value, self.target)
 
 
 class Model(Protocol[State]):
-    """What is explored. `apply` makes a new state; the old one stays as it is."""
+    """A model whose states can be explored."""
 
     def initial_state(self) -> State:
-        """Returns the state from which all steps begin."""
+        """Returns the state in which the exploration begins."""
 
     def steps(self, state: State) -> list[Step]:
-        """Returns all that may happen next."""
+        """Returns all steps that are possible in a state."""
 
     def apply(self, state: State, step: Step) -> State:
-        """Returns the state after a step."""
+        """Returns the state after a step, and leaves the given state unchanged."""
 
     def check(self, state: State) -> str:
-        """Returns the violation in a state; "" for none."""
+        """Returns a description of the violation in a state, or "" if there is none."""
 
     def key(self, state: State) -> Hashable:
-        """Returns what tells a state from others, after `check`."""
+        """Returns a key that is equal for states from which the model behaves in the same way.
+
+        Must be called after `check`, which can update the state.
+        """
 
 
 @dataclass(slots=True)
 class Exploration:
-    """What was found.
+    """Result of an exploration.
 
     Attributes:
-        state_count: Different states seen.
-        depth_reached: Steps from the initial state.
-        violation: The first one found, with the steps that lead to it; "" for none.
+        state_count: Number of states visited, where states with the same key count once.
+        depth_reached: Greatest number of steps from the initial state that was explored.
+        violation: The first violation found and the steps that lead to it; "" for none.
     """
 
     state_count: int = 0
@@ -75,13 +78,16 @@
 
 
 def explore(model: Model[State], max_depth: int, max_state_count: int) -> Exploration:
-    """Explores all states up to a depth; ends at the first violation or after so many states."""
-    found = Exploration()
+    """Explores all states that can be reached in at most `max_depth` steps.
+
+    Stops early at the first violation or after `max_state_count` states.
+    """
+    result = Exploration()
     initial_state = model.initial_state()
     seen = {model.key(initial_state)}
     frontier: list[tuple[State, tuple[Step, ...]]] = [(initial_state, ())]
     for depth in range(1, max_depth + 1):
-        found.depth_reached = depth
+        result.depth_reached = depth
         next_frontier = []
         for state, trace in frontier:
             for step in model.steps(state):
@@ -91,12 +97,12 @@
                 if key in seen:
                     continue
                 seen.add(key)
-                found.state_count = len(seen)
+                result.state_count = len(seen)
                 if violation:
-                    found.violation = f"{violation}, by {[taken.words() for taken in (*trace, step)]}"
-                    return found
+                    result.violation = f"{violation}, by {[taken.trace_entry() for taken in (*trace, step)]}"
+                    return result
                 next_frontier.append((next_state, (*trace, step)))
-                if found.state_count >= max_state_count:
-                    return found
+                if result.state_count >= max_state_count:
+                    return result
         frontier = next_frontier
-    return found
+    return result
--- a/tests/test_coldstart.py
+++ b/tests/test_coldstart.py
@@ -111,7 +111,7 @@
         exploration = search.run(7, 6000)
         self.assertEqual(exploration.violation, "")
         self.assertGreater(exploration.state_count, 3000)
-        self.assertEqual(search.max_believed, 4.0)  # all is leased: the bound is reached, and not passed
+        self.assertEqual(search.max_total_leased, 4.0)  # all is leased: the bound is reached, and not passed
 
     def test_each_part_of_the_rule_is_needed(self) -> None:
         for without in ({"has_recovery_grace": False}, {"books_old_grants": False}):
