--- a/landingshift/testbed/processes/__init__.py
+++ b/landingshift/testbed/processes/__init__.py
@@ -1,1 +1,1 @@
-"""Real server processes with stand-ins, a proxy that injects faults, and load."""
+"""Runs real server processes with stand-ins for their services, a proxy that injects faults, and load."""
--- a/landingshift/testbed/processes/capacity_limited_service.py
+++ b/landingshift/testbed/processes/capacity_limited_service.py
@@ -1,4 +1,4 @@
-"""A stand-in's queue that overload slows down, and when requests came to it."""
+"""A model of a service with limited capacity, which becomes slower under overload."""
 
 from __future__ import annotations
 
@@ -7,21 +7,23 @@
 from landingshift.net.transport.loop import Loop
 
 OVERLOAD_SLOWDOWN_FACTOR = 3.0
+"""Factor by which the service time of a request is longer under overload."""
 OVERLOAD_QUEUE_SECONDS = 2.0
-"""Requests of so long a time wait when a service becomes overloaded."""
+"""Length of queue above which a service becomes overloaded, as the time needed to serve that queue."""
 RECOVERED_QUEUE_FRACTION = 0.1
-"""Of the queue at which a service becomes overloaded; below that it has recovered."""
+"""A service recovers when its queue is shorter than this fraction of `overload_queue_length`."""
 SERVICE_LATENCY_MS = 5.0
+"""Constant latency of each request, in addition to its time in the queue and its service time."""
 
 
 class CapacityLimitedService:
-    """A queue that is worked off in turn, more slowly while the service is overloaded.
+    """A first-in, first-out queue that is served more slowly while the service is overloaded.
 
     Attributes:
-        overload_queue_length: Above which the service becomes overloaded.
-        is_overloaded: Whether it is, until its queue is short again.
-        overload_count: How often it became so.
-        arrival_times_ms: Of the servers' requests.
+        overload_queue_length: Number of waiting requests above which the service becomes overloaded.
+        is_overloaded: Whether the service is overloaded; it remains so until the queue is short.
+        overload_count: How often the service became overloaded.
+        arrival_times_ms: Arrival time of each request of a server, in the loop's time.
     """
 
     def __init__(self, loop: Loop, requests_per_second: float) -> None:
@@ -35,12 +37,12 @@
         self.arrival_times_ms: list[float] = []
 
     def flood(self, count: int) -> None:
-        """Adds requests from elsewhere, which are none of the servers' doing."""
+        """Adds `count` requests that do not come from the servers, to overload the service."""
         for _ in range(count):
             self._enqueue(_do_nothing)
 
     def request(self, on_done: Callable[[], None]) -> None:
-        """Adds a server's request."""
+        """Adds a request of a server; calls `on_done` when it has been served."""
         self.arrival_times_ms.append(self._loop.now_ms)
         self._enqueue(on_done)
 
@@ -62,7 +64,7 @@
         on_done()
 
     def peak_count(self, window_ms: float = 1000.0) -> int:
-        """Returns the most requests of servers that came within the window."""
+        """Returns the greatest number of requests of servers that arrived within a window of `window_ms`."""
         peak = 0
         first = 0
         for last, arrival_ms in enumerate(self.arrival_times_ms):
@@ -73,4 +75,4 @@
 
 
 def _do_nothing() -> None:
-    """What follows on a request from elsewhere."""
+    """Ignores the result of a request that does not come from a server."""
--- a/landingshift/testbed/processes/export_receiver.py
+++ b/landingshift/testbed/processes/export_receiver.py
@@ -1,4 +1,4 @@
-"""A stand-in for the system that makes invoices (`docs/ledger-export.md`), with failures from a seed."""
+"""A stand-in for the billing system that receives ledger exports (`docs/ledger-export.md`), with faults."""
 
 from __future__ import annotations
 
@@ -15,28 +15,38 @@
 from landingshift.ledger.errors import ReceiverUnavailableError
 from landingshift.ledger.export_pb2 import Ack, Batch, Record
 
-MIN_LOST_RECORD_COUNT = 100  # that a receiver which comes back from a copy lacks
-OUTAGE_REQUEST_COUNTS = (3, 30, 1000)  # that nobody answers
-MID_BODY_LOSS_FRACTION = 0.5  # of connections that end in the middle of a batch, else in the reply
+MIN_LOST_RECORD_COUNT = 100
+"""Records that a receiver loses, at least, when it is restored from a backup."""
+OUTAGE_REQUEST_COUNTS = (3, 30, 1000)
+"""Lengths of an outage that can be drawn, as the number of requests without an answer."""
+MID_BODY_LOSS_FRACTION = 0.5
+"""Fraction of `MID_BODY` faults that break the request, which is then not applied; others break the reply."""
 SERVER_POLL_SECONDS = 0.05
 HTTP_OK = 200
 HTTP_CONFLICT = 409
 
 
 class Fault(Enum):
-    """How a request fails; the values are the names of cases."""
+    """Kinds of faults of a request; the values name experiment cases and results."""
 
     BEFORE_REQUEST = "before"
+    """The request is lost and not applied."""
     AFTER_REQUEST = "after"
+    """The request is applied, but its reply is lost."""
     MID_BODY = "mid_body"
+    """The connection breaks during the request or during the reply."""
     DUPLICATED_REQUEST = "twice"
+    """The request is applied twice."""
     STALE_REPLY = "old"
+    """The reply has a random earlier state of the receiver."""
     LOST_RECORDS = "loses"
+    """The receiver is restored from a backup that lacks the latest records."""
     OUTAGE = "away"
+    """The receiver does not answer this request and a number of following ones."""
 
 
 class InjectedFaultError(ReceiverUnavailableError):
-    """A request that fails on purpose."""
+    """Raised for a request that fails because of an injected fault."""
 
     def __init__(self, fault: Fault) -> None:
         super().__init__(fault.value)
@@ -44,17 +54,17 @@
 
 
 class RecordKey(NamedTuple):
-    """What records are summed up by."""
+    """Key by which the records of a receiver are summed."""
 
     period: str
     service_period: str
-    """Where it is another one; else empty."""
+    """Period in which the service was used, if it differs from `period`; else empty."""
     tenant: bytes
     method: bytes
 
 
 class BilledTotals(NamedTuple):
-    """What is billed."""
+    """Totals of the records with the same key."""
 
     uses: int
     work_us: int
@@ -62,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AppliedBatch:
-    """The state after a batch."""
+    """The state of a receiver after it applied a batch."""
 
     cursor: int
     hash: bytes
@@ -70,19 +80,19 @@
 
 
 class ReceiverState:
-    """Cursor and records, which change together.
+    """The state of a receiver: its cursor and its records, which it changes atomically.
 
     Attributes:
-        instance: Whose records they are.
-        history: The state after each batch.
-        records: All that were applied.
+        instance: Name of the exporting instance.
+        history: State before the first batch and after each batch that was applied.
+        records: Records of all batches that were applied.
     """
 
     def __init__(self, checks_cursor: bool = True) -> None:
-        """Begins empty.
+        """Creates an empty state.
 
         Args:
-            checks_cursor: False applies a batch whatever its cursor.
+            checks_cursor: Whether to reject a batch that does not begin at the current cursor.
         """
         self._checks_cursor = checks_cursor
         self.instance = ""
@@ -90,12 +100,12 @@
         self.records: list[Record] = []
 
     def ack(self, is_applied: bool = False, history_index: int = -1) -> Ack:
-        """The reply as of a state; the newest one by default."""
+        """Returns the reply for an entry of `history`, by default for the latest one."""
         state = self.history[history_index]
         return Ack(instance=self.instance or "-", cursor=state.cursor, hash=state.hash, applied=is_applied)
 
     def apply(self, batch: Batch) -> tuple[int, Ack]:
-        """HTTP status and reply."""
+        """Applies a batch if it begins at the current cursor; returns the HTTP status and the reply."""
         self.instance = batch.instance
         newest = self.history[-1]
         is_next = getattr(batch, "from") == newest.cursor and batch.from_hash == newest.hash
@@ -106,14 +116,14 @@
         return HTTP_OK, self.ack(is_applied=True)
 
     def lose_records(self) -> None:
-        """Comes back from a copy that lacks its last hundred records."""
+        """Removes the latest batches, until at least `MIN_LOST_RECORD_COUNT` records or all are gone."""
         remaining_count = max(0, len(self.records) - MIN_LOST_RECORD_COUNT)
         while len(self.history) > 1 and self.history[-1].record_count > remaining_count:
             self.history.pop()
         del self.records[self.history[-1].record_count :]
 
     def totals(self) -> dict[RecordKey, BilledTotals]:
-        """What is billed."""
+        """Returns the totals of all records except those that close a period."""
         totals: dict[RecordKey, BilledTotals] = {}
         for record in self.records:
             if record.kind == Record.CLOSE:
@@ -126,13 +136,13 @@
 
 
 class FaultyReceiver:
-    """A receiver without sockets, which fails as the seed says.
+    """A receiver that is called directly, without sockets, and injects random faults.
 
     Attributes:
-        state: What was applied.
-        fault_probability: Of each request.
-        outage_request_count: Requests that nobody answers from now on.
-        fault_counts: How often each fault occurred.
+        state: State of the receiver.
+        fault_probability: Probability that a request fails.
+        outage_request_count: Number of following requests that are not answered because of an outage.
+        fault_counts: How often each fault was drawn.
     """
 
     def __init__(
@@ -150,10 +160,10 @@
         self._faults = faults
 
     def request(self, method: str, _path: str, body: bytes | None = None) -> Ack:
-        """Takes a request of the exporter.
+        """Handles a request of the exporter; returns the reply.
 
         Raises:
-            InjectedFaultError: The request fails.
+            InjectedFaultError: The exporter gets no reply because of an injected fault.
         """
         if self.outage_request_count:
             self.outage_request_count -= 1
@@ -183,7 +193,7 @@
     def _apply(self, body: bytes, fault: Fault | None) -> Ack:
         batch = Batch.FromString(body)
         if fault is Fault.MID_BODY and self._rng.random() < MID_BODY_LOSS_FRACTION:
-            raise InjectedFaultError(fault)  # what came was no complete batch: nothing is applied
+            raise InjectedFaultError(fault)  # the batch is incomplete and must not be applied
         _, reply = self.state.apply(batch)
         if fault is Fault.DUPLICATED_REQUEST:
             _, reply = self.state.apply(batch)
@@ -191,10 +201,10 @@
 
 
 class HttpReceiverServer:
-    """The same over HTTP on loopback, in a thread.
+    """Serves a `FaultyReceiver` over HTTP on loopback, in a thread, from its creation until `close`.
 
     Attributes:
-        url: Where it listens.
+        url: URL at which the exporter reaches the receiver.
     """
 
     def __init__(self, receiver: FaultyReceiver) -> None:
@@ -203,17 +213,17 @@
         threading.Thread(target=self._server.serve_forever, args=(SERVER_POLL_SECONDS,), daemon=True).start()
 
     def __enter__(self) -> HttpReceiverServer:
-        """Listens already."""
+        """Returns the server, which is already listening."""
         return self
 
     def __exit__(
         self, _type: type[BaseException] | None, _error: BaseException | None, _trace: TracebackType | None
     ) -> None:
-        """Stops it."""
+        """Stops the server."""
         self.close()
 
     def close(self) -> None:
-        """Stops it."""
+        """Stops the server."""
         self._server.shutdown()
         self._server.server_close()
 
--- a/landingshift/testbed/processes/fault_proxy.py
+++ b/landingshift/testbed/processes/fault_proxy.py
@@ -1,8 +1,8 @@
-"""A proxy on loopback between real processes, which injects faults into what it forwards.
+"""A proxy on loopback that forwards UDP and TCP between real server processes and injects faults.
 
-Datagrams are lost, delayed, reordered, duplicated and cut; connections are delayed and cut. Each server has
-an address of its own at the proxy, for UDP and TCP, which the others know it by. Who sent a datagram or
-connects is known by the address that it comes from.
+Datagrams can be lost, delayed, reordered and duplicated; connections can be delayed; partitions cut both.
+Each server has its own address at the proxy, one port for UDP and TCP, and the other servers use this address
+to reach it. The proxy identifies the sender of a datagram or connection by its source address.
 """
 
 from __future__ import annotations
@@ -20,33 +20,35 @@
 LOOPBACK = "127.0.0.1"
 MAX_CONNECTIONS_PER_ENDPOINT = 64
 MAX_UNSENT_BYTES = 8 << 20
-"""Of one connection."""
+"""Greatest number of unsent bytes of one connection."""
 RECEIVE_BUFFER_BYTES = 1 << 20
 MAX_DATAGRAM_BYTES = 65536
 MAX_DATAGRAMS_PER_PASS = 256
 MAX_BIND_ATTEMPTS = 50
 
 LinkRule = Callable[[str, str], bool]
-"""Whether what the first server sends to the second is cut."""
+"""Takes the names of a sender and a receiver; returns whether traffic in this direction is cut."""
 
 
 def no_cut(_sender: str, _receiver: str) -> bool:
-    """The rule of a network without partitions."""
+    """Returns False: the rule of a network without partitions."""
     return False
 
 
 class FaultProxy:
-    """Forwards between servers.
+    """Forwards traffic between servers and injects faults.
+
+    The faults can be changed at any time, in the thread of the loop.
 
     Attributes:
-        loop: On which it runs.
-        is_cut: The rule of what is cut just now.
-        loss_fraction: Of datagrams.
-        duplicate_fraction: Of datagrams.
-        delay_ms: Of bytes of a connection; the mean of datagrams.
-        endpoints: Where servers are reached, by name.
-        forwarded_count: Datagrams that came in.
-        lost_count: Datagrams that were not passed on.
+        loop: Event loop on which the proxy runs.
+        is_cut: Current rule of partitions.
+        loss_fraction: Fraction of datagrams that are lost.
+        duplicate_fraction: Fraction of datagrams that are duplicated.
+        delay_ms: Delay of the data of a connection, and mean delay of datagrams.
+        endpoints: Endpoint of each server, keyed by the server's name.
+        received_count: Number of datagrams that the proxy received.
+        lost_count: Number of datagrams that the proxy did not forward.
     """
 
     def __init__(self, loop: Loop, seed: int) -> None:
@@ -56,37 +58,39 @@
         self.duplicate_fraction = 0.0
         self.delay_ms = 0.0
         self.endpoints: dict[str, ProxyEndpoint] = {}
-        self.forwarded_count = 0
+        self.received_count = 0
         self.lost_count = 0
         self._rng = Random(f"{seed} wires")
-        self._names_by_address: dict[Address, str] = {}
-        self._names_by_host: dict[str, str] = {}
+        self._name_by_address: dict[Address, str] = {}
+        self._name_by_host: dict[str, str] = {}
 
     def add_server(self, name: str, address: Address) -> Address:
-        """Returns where others reach a server that listens and sends at `address`."""
+        """Adds a server that listens and sends at `address`; returns its address at the proxy."""
         endpoint = self.endpoints.get(name)
         if endpoint is None:
             endpoint = ProxyEndpoint(self, name, address)
             self.endpoints[name] = endpoint
-        self._names_by_address[address] = name
-        self._names_by_host[address[0]] = name
+        self._name_by_address[address] = name
+        self._name_by_host[address[0]] = name
         return endpoint.address
 
     def name_of_host(self, host: str) -> str:
-        """Returns the server that connects from a host; "" for none."""
-        return self._names_by_host.get(host, "")
+        """Returns the name of the server that sends from a host address, or "" if there is none."""
+        return self._name_by_host.get(host, "")
 
     def forward_datagram(self, sender: Address, receiver: ProxyEndpoint, data: bytes) -> None:
-        """Passes a datagram on, or loses, delays or duplicates it."""
-        self.forwarded_count += 1
-        is_cut = self.is_cut(self._names_by_address.get(sender, ""), receiver.name)
+        """Forwards a datagram, or drops, delays or duplicates it according to the faults."""
+        self.received_count += 1
+        is_cut = self.is_cut(self._name_by_address.get(sender, ""), receiver.name)
         if is_cut or self._rng.random() < self.loss_fraction:
             self.lost_count += 1
             return
         copies = 2 if self._rng.random() < self.duplicate_fraction else 1
         for _ in range(copies):
             if self.delay_ms:
-                delay_ms = self._rng.uniform(0.0, 2.0 * self.delay_ms)  # so that later ones may overtake it
+                delay_ms = self._rng.uniform(
+                    0.0, 2.0 * self.delay_ms
+                )  # random, so that datagrams are reordered
                 self.loop.after(delay_ms, lambda: self._send(receiver, data))
             else:
                 self._send(receiver, data)
@@ -104,14 +108,14 @@
 
 
 class ProxyEndpoint:
-    """One server's address at the proxy.
+    """The address of one server at the proxy, for UDP and TCP.
 
     Attributes:
-        proxy: Whose endpoint it is.
-        name: Of the server.
-        server_address: Where the server itself listens.
-        address: Where others reach it.
-        connections: Those that are open.
+        proxy: The proxy that the endpoint belongs to.
+        name: Name of the server.
+        server_address: Address at which the server itself listens.
+        address: Address at which other servers reach the server, through the proxy.
+        connections: Open connections to the server.
     """
 
     def __init__(self, proxy: FaultProxy, name: str, server_address: Address) -> None:
@@ -126,7 +130,7 @@
         proxy.loop.watch(self._socket.fileno(), EVENT_READ, self)
 
     def _bind(self) -> tuple[socket.socket, Listener]:
-        """Binds one port for datagrams and for connections, which no other process has."""
+        """Binds a free port for both UDP and TCP; returns the UDP socket and the TCP listener."""
         for _ in range(MAX_BIND_ATTEMPTS):
             datagram_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             datagram_socket.bind((LOOPBACK, 0))
@@ -144,7 +148,7 @@
         ProxiedConnection(self, sock)
 
     def on_ready(self, _mask: int) -> None:
-        """Reads the datagrams that have come."""
+        """Reads the datagrams that have arrived, and forwards them."""
         for _ in range(MAX_DATAGRAMS_PER_PASS):
             try:
                 data, sender = self._socket.recvfrom(MAX_DATAGRAM_BYTES)
@@ -157,7 +161,7 @@
         self._socket.sendto(data, self.server_address)
 
     def close(self) -> None:
-        """Closes it with all connections through it."""
+        """Closes the endpoint and all its connections."""
         self.proxy.loop.watch(self._socket.fileno(), 0, self)
         self._listener.close()
         for connection in list(self.connections):
@@ -166,7 +170,7 @@
 
 
 class ProxiedConnection:
-    """One connection through the proxy; a cut in either direction breaks it at the next byte."""
+    """A connection through the proxy to a server; closed when it receives data in a direction that is cut."""
 
     def __init__(self, endpoint: ProxyEndpoint, sock: socket.socket) -> None:
         proxy = endpoint.proxy
@@ -182,7 +186,7 @@
             self.close()
 
     def forward(self, sender: ConnectionEnd, data: bytes) -> None:
-        """Passes on what one end sent."""
+        """Forwards data from one end to the other, or closes the connection if this direction is cut."""
         proxy = self._endpoint.proxy
         receiver = self._server if sender is self._client else self._client
         if proxy.is_cut(sender.name, receiver.name):
@@ -202,11 +206,11 @@
 
 
 class ConnectionEnd:
-    """One end of a proxied connection.
+    """The proxy's stream to the client or to the server of a proxied connection.
 
     Attributes:
-        name: Of the server at this end; "" where none is known.
-        stream: None once it is closed.
+        name: Name of the server at this end; "" if it is unknown.
+        stream: The stream; None before it is connected and after it is closed.
     """
 
     def __init__(self, connection: ProxiedConnection, name: str) -> None:
@@ -215,7 +219,7 @@
         self._connection = connection
 
     def on_data(self, data: bytes) -> None:
-        """Passes on what came in."""
+        """Forwards received data to the other end."""
         self._connection.forward(self, data)
 
     def on_eof(self) -> None:
@@ -223,6 +227,6 @@
         self._connection.close()
 
     def on_closed(self, _reason: str) -> None:
-        """Closes the other end, too."""
+        """Closes the other end as well."""
         self.stream = None
         self._connection.close()
--- a/landingshift/testbed/processes/gateway_load.py
+++ b/landingshift/testbed/processes/gateway_load.py
@@ -1,4 +1,4 @@
-"""Gateways that send RPCs to real servers at a rate, and count how they were answered."""
+"""A stand-in for gateways that sends RPCs to real servers at a given rate and counts their outcomes."""
 
 from __future__ import annotations
 
@@ -17,12 +17,13 @@
 from landingshift.testbed.processes.single_server import METHOD, TENANT
 
 RPC_WAIT_MS = 3000.0
-"""That an RPC's caller waits."""
+"""Time that the caller of an RPC waits for the answer."""
 LATE_ANSWER_SLACK_MS = 250.0
-"""More until an answer counts as late: gateways here share their cores with all else."""
+"""Extra time before an answer counts as late, because the gateway shares its cores with all servers."""
 MAX_CATCH_UP_MS = 200.0
-"""Of load that one tick makes up for at the most."""
+"""Greatest time without a tick for which the next tick sends the missing RPCs."""
 MAX_OPEN_RPCS_PER_CONNECTION = 30
+"""Number of unanswered RPCs on a connection at which further RPCs for it are dropped."""
 MAX_UNSENT_BYTES = 1 << 20
 RPC_ID_BITS = 64
 NEVER_MS = -1e9
@@ -38,18 +39,19 @@
 LATE_WHILE_PAUSED = "late at a stopped one"
 WITH_KILLED_SERVER = "with a killed one"
 FAILED_OUTCOMES = (LOST, LATE, ANSWERED_TWICE)
-"""Outcomes that no RPC may have."""
+"""Outcomes that are failures of the servers: no RPC must have them, whatever faults are injected."""
 
 
 @dataclass(slots=True)
 class InjectedFaults:
-    """What was done to servers, by name: RPCs at these may fail.
+    """Faults that were injected into servers, by server name, to tell which RPC failures are expected.
 
     Attributes:
-        killed: Those that are down since they were killed.
-        expected_to_die: Those whose connections may be lost at any time.
-        paused_until_ms: Until when each paused one stands still, in the loop's time.
-        pauses: Those that are over.
+        killed: Servers that were killed and not restarted.
+        expected_to_die: Servers that were killed or can exit at any time; RPCs on their connections can be
+            lost.
+        paused_until_ms: Time at which the latest pause of each server ends, in the loop's time.
+        pauses: Pauses that are over.
     """
 
     killed: set[str] = field(default_factory=set)
@@ -59,14 +61,15 @@
 
 
 class GatewayLoad:
-    """Sends RPCs to servers that are listed.
+    """Sends RPCs to random listed servers and counts the outcomes.
 
     Attributes:
-        loop: On which it runs.
-        rng: Of ids and of the servers chosen.
-        faults: What was done to servers.
-        rpcs_per_second: To all servers together.
-        outcomes: How many RPCs ended how.
+        loop: Event loop on which the load runs.
+        rng: Random generator for RPC IDs and the choice of servers.
+        faults: Faults that were injected into servers.
+        rpcs_per_second: Rate of RPCs to all servers together.
+        outcomes: Number of RPCs for each outcome: `OK`, an error code of the answer, or one of the constants
+            of this module.
     """
 
     def __init__(self, loop: Loop, rng: Random, faults: InjectedFaults, rpcs_per_second: float) -> None:
@@ -76,20 +79,22 @@
         self.rpcs_per_second = rpcs_per_second
         self.outcomes: Counter[str] = Counter()
         self._connections: dict[str, GatewayConnection] = {}
-        self._owed_rpcs = 0.0
-        self._ticked_at_ms = loop.now_ms
+        self._due_rpcs = 0.0
+        self._last_tick_ms = loop.now_ms
 
     def tick(self, listed: list[tuple[str, Address]]) -> None:
-        """Sends what is due since the last tick to random ones of `listed`.
+        """Sends the RPCs that are due since the last tick to random servers.
 
-        What is due follows from the time that went by, not from the number of ticks: on a machine whose cores
-        are busy these come late.
+        The number of RPCs depends on the time since the last tick, because ticks are late on a busy machine.
+
+        Args:
+            listed: Name and address of each server that can be chosen.
         """
-        elapsed_ms = self.loop.now_ms - self._ticked_at_ms
-        self._ticked_at_ms = self.loop.now_ms
-        self._owed_rpcs += self.rpcs_per_second * min(elapsed_ms, MAX_CATCH_UP_MS) / 1000.0
-        while listed and self._owed_rpcs >= 1.0:
-            self._owed_rpcs -= 1.0
+        elapsed_ms = self.loop.now_ms - self._last_tick_ms
+        self._last_tick_ms = self.loop.now_ms
+        self._due_rpcs += self.rpcs_per_second * min(elapsed_ms, MAX_CATCH_UP_MS) / 1000.0
+        while listed and self._due_rpcs >= 1.0:
+            self._due_rpcs -= 1.0
             self._send(*self.rng.choice(listed))
 
     def _send(self, server: str, address: Address) -> None:
@@ -103,15 +108,15 @@
             connection.send_rpc()
 
     def unanswered_count(self) -> int:
-        """Returns how many RPCs wait for their answers."""
+        """Returns the number of RPCs without an answer on all connections."""
         return sum(connection.unanswered_count for connection in self._connections.values())
 
 
 class GatewayConnection:
-    """One connection to one server.
+    """A connection of a gateway to a server.
 
     Attributes:
-        has_goaway: Whether the server has asked for no more RPCs.
+        has_goaway: Whether the server has sent a goaway message, after which no RPCs must be sent to it.
     """
 
     def __init__(self, load: GatewayLoad, server: str, address: Address) -> None:
@@ -119,7 +124,7 @@
         self._load = load
         self._server = server
         self._sent_at_ms: dict[int, float] = {}
-        """Of RPCs without an answer, by the message's id."""
+        """Time at which each unanswered RPC was sent, keyed by message ID."""
         self._last_message_id = 0
         self._unpacker = msgpack.Unpacker(max_buffer_size=MAX_UNSENT_BYTES)
         stream = connect(load.loop, address, self, MAX_UNSENT_BYTES)
@@ -127,12 +132,12 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether RPCs can be sent."""
+        """Whether the connection is open, so that RPCs can be sent."""
         return self._stream is not None
 
     @property
     def unanswered_count(self) -> int:
-        """RPCs that wait for their answers."""
+        """Number of RPCs without an answer."""
         return len(self._sent_at_ms)
 
     def send_rpc(self) -> None:
@@ -148,7 +153,7 @@
             self._stream.write(gateway.pack(message))
 
     def on_data(self, data: bytes) -> None:
-        """Reads answers."""
+        """Processes answers and goaway messages."""
         self._unpacker.feed(data)
         for message in self._unpacker:
             if message[0] == GOAWAY_MESSAGE_TYPE:
@@ -164,18 +169,18 @@
             return
         outcome = message[2][0] if message[2] else OK
         if self._load.loop.now_ms - sent_at_ms > RPC_WAIT_MS + LATE_ANSWER_SLACK_MS:
-            # A paused server can't answer: such time does not count against it.
+            # A paused server cannot answer, so an RPC sent before the end of its pause is not its failure.
             paused_until_ms = self._load.faults.paused_until_ms.get(self._server, NEVER_MS)
             outcome = LATE if sent_at_ms > paused_until_ms else LATE_WHILE_PAUSED
         outcomes[outcome] += 1
 
     def on_eof(self) -> None:
-        """Closes this end, too."""
+        """Closes this end as well."""
         if self._stream is not None:
             self._stream.close("closed")
 
     def on_closed(self, _reason: str) -> None:
-        """Counts RPCs that were not answered; a killed server answers nobody."""
+        """Counts the unanswered RPCs as lost, or as expected failures if the server was killed."""
         self._stream = None
         faults = self._load.faults
         is_killed = self._server in faults.killed or self._server in faults.expected_to_die
--- a/landingshift/testbed/processes/harness.py
+++ b/landingshift/testbed/processes/harness.py
@@ -1,7 +1,7 @@
-"""A fleet of real server processes with stand-ins, load and injected faults between them.
+"""Runs a fleet of real server processes with stand-ins for their services, a fault proxy and load.
 
-Stand-ins, proxy and gateways run on one loop in a thread of its own; whoever changes them from outside does
-so by `run_on_loop`.
+Stand-ins, proxy and gateways run on an event loop in a separate thread. Code in other threads must change
+them with `ProcessHarness.run_on_loop`.
 """
 
 from __future__ import annotations
@@ -33,33 +33,32 @@
 
 TICK_INTERVAL_MS = 20.0
 RPC_PORT = 20100
-"""Below the ports that the system gives to sockets which nobody bound: one of those, of any process, must not
-stand in the way of a server that starts."""
+"""Below the range of ephemeral ports, so that no socket of another process occupies the port by chance."""
 MEMBERSHIP_PORT = 20101
 SERVERS_PER_SUBNET = 250
 SUBNETS = range(16, 250)
 MAX_SUBNET_ATTEMPTS = 200
 WARM_FRACTION = 0.95
-"""Of all servers: as soon as so many are warm the fleet is."""
+"""Fraction of the servers that must be warm for the fleet to count as warm."""
 WARM_SERIES_INTERVAL_MS = 500.0
 EXIT_TIMEOUT_SECONDS = 20
 LOOP_TIMEOUT_SECONDS = 20.0
 THREAD_TIMEOUT_SECONDS = 5.0
 POLL_INTERVAL_SECONDS = 0.05
 LAST_ANSWERS_SECONDS = 8.0
-"""That RPCs still have to be answered once no more are sent."""
+"""Time to wait for the answers of open RPCs after the load has ended."""
 SERVER_SEED_BITS = 48
 NOT_YET_MS = -1.0
 
 
 @dataclass(frozen=True, slots=True)
 class WarmSample:
-    """How far the fleet has come with its start.
+    """A sample of the progress of a fleet that starts.
 
     Attributes:
-        elapsed_ms: Since the harness started.
-        warm_count: Servers that are warm.
-        call_count: Database calls so far.
+        elapsed_ms: Time since the measurement started.
+        warm_count: Number of warm servers.
+        call_count: Number of database calls so far.
     """
 
     elapsed_ms: float
@@ -68,23 +67,23 @@
 
 
 class ProcessHarness:
-    """Starts, pauses and kills real servers.
+    """Starts, pauses and kills real servers, which are numbered from 0.
 
     Attributes:
-        folder: Of settings, logs and histories.
-        server_count: How many servers there are at the most.
-        loop: Of stand-ins, proxy and load.
-        stand_ins: What servers talk to.
-        proxy: Between servers.
-        faults: What was done to servers.
-        load: The gateways.
-        processes: By the server's number.
-        rpc_addresses: Where servers take RPCs, by number.
-        membership_addresses: Where they talk to each other, by number.
-        environment: Further variables of a server's process, by number.
-        warm_after_ms: From the start until the fleet was warm; negative before that.
-        warm_series: How many servers were warm over time.
-        started_at_ms: When the start began, in the loop's time.
+        folder: Folder for settings, logs and histories.
+        server_count: Greatest number of servers.
+        loop: Event loop of stand-ins, proxy and load.
+        stand_ins: Stand-ins for the services that servers use.
+        proxy: Proxy for the traffic between servers.
+        faults: Faults that were injected into servers.
+        load: Gateways that send RPCs.
+        processes: Latest process of each server, keyed by server number.
+        rpc_addresses: Address at which each server accepts RPCs, keyed by server number.
+        membership_addresses: Address for the traffic between servers, keyed by server number.
+        environment: Additional environment variables of each server, keyed by server number.
+        warm_after_ms: Time from the start of the measurement until the fleet was warm; negative if it is not.
+        warm_series: Samples of the number of warm servers over time.
+        started_at_ms: Start of the measurement, in the loop's time.
     """
 
     def __init__(
@@ -96,15 +95,16 @@
         rpcs_per_second: float,
         capacity: StandInCapacity,
     ) -> None:
-        """Starts stand-ins, proxy and gateways, and no server yet.
+        """Starts stand-ins, proxy and gateways; servers are started with `start`.
 
         Args:
-            folder: For files.
-            server_count: How many servers there are at the most.
-            seed: Of all that is drawn.
-            make_toml: Returns our own settings of a server; "" for a server without packages.
-            rpcs_per_second: To all servers together.
-            capacity: Of the stand-ins.
+            folder: Folder for settings, logs and histories.
+            server_count: Greatest number of servers.
+            seed: Seed of all random generators.
+            make_toml: Returns the TOML settings of the optional packages for a server number; "" for a server
+                without optional packages.
+            rpcs_per_second: Rate of RPCs to all servers together.
+            capacity: Capacity and delays of the stand-ins.
         """
         self.folder = folder
         self.server_count = server_count
@@ -125,37 +125,35 @@
         self._unhandled_error_count = 0
         self._start_counts: Counter[int] = Counter()
         self._actions: deque[tuple[Callable[[], Any], threading.Event]] = deque()
-        self._subnet_claim = self._assign_addresses()
+        self._subnet_reservation = self._assign_addresses()
         self.loop.after(TICK_INTERVAL_MS, self._tick)
         self._thread = threading.Thread(target=self.loop.run, daemon=True)
         self._thread.start()
 
     def _assign_addresses(self) -> socket.socket:
-        """Gives each server addresses; returns the socket that keeps others from taking them."""
-        subnet, claim = reserve_subnet()
+        """Assigns addresses to all servers; returns the socket that reserves their subnet."""
+        subnet, reservation = reserve_subnet()
         for index in range(self.server_count):
             host = f"127.{subnet}.{index // SERVERS_PER_SUBNET}.{index % SERVERS_PER_SUBNET + 1}"
             self.rpc_addresses[index] = (host, RPC_PORT)
             self.membership_addresses[index] = (host, MEMBERSHIP_PORT)
             self.proxy.add_server(self.name(index), self.membership_addresses[index])
-        return claim
+        return reservation
 
     @staticmethod
     def name(index: int) -> str:
-        """Returns the name of a server."""
+        """Returns the name of the server with a number."""
         return f"n{index}"
 
     def _on_unhandled_error(self) -> None:
         self._unhandled_error_count += 1
 
-    # Processes
-
     def start(self, index: int, **variables: str) -> None:
-        """Starts a server with a new engine, whose cache is cold.
+        """Starts a server process with a new engine, whose cache is cold.
 
         Args:
-            index: The server's number.
-            **variables: Of its environment.
+            index: Number of the server.
+            **variables: Environment variables for this process only.
         """
         self._start_counts[index] += 1
         name = self.name(index)
@@ -179,7 +177,7 @@
             )
 
     def _config(self, index: int, engine_address: Address) -> dict[str, Any]:
-        """Returns what `GW_CONFIG` names, with the users' settings."""
+        """Returns the content of the file that the environment variable `GW_CONFIG` names."""
         stand_ins = self.stand_ins
         settings = users_settings() | {"peers-total": self.server_count}
         settings["classes"][0] |= {"late-share": 1.0, "repeat-window": 5000.0}
@@ -201,20 +199,22 @@
         }
 
     def kill(self, index: int) -> None:
-        """Kills a server and waits until it is no more."""
+        """Kills a server and waits until its process has ended."""
         name = self.name(index)
         self.faults.killed.add(name)
-        self.faults.expected_to_die.add(name)  # its callers may find out only once it is back
+        self.faults.expected_to_die.add(
+            name
+        )  # a gateway might notice the lost connection only after a restart
         self.processes[index].kill()
         self.processes[index].wait()
 
     def pause(self, index: int, seconds: float) -> None:
-        """Stops a server by SIGSTOP, and resumes it by SIGCONT so much later."""
+        """Pauses a server with SIGSTOP and resumes it with SIGCONT after `seconds`, without waiting."""
         process = self.processes[index]
         name = self.name(index)
         self.faults.paused_until_ms[name] = self.loop.clock_ms() + seconds * 1000.0
         process.send_signal(signal.SIGSTOP)
-        start_ms = self.loop.clock_ms()  # a check that it made before it stood still is no later
+        start_ms = self.loop.clock_ms()  # after the signal: all events before the pause have an earlier time
 
         def resume() -> None:
             self.faults.pauses.append(PausePeriod(name, start_ms, self.loop.clock_ms()))
@@ -225,14 +225,14 @@
         timer.start()
 
     def shut_down_all(self) -> list[int]:
-        """Has all servers that run shut down gracefully; returns the exit status of each."""
+        """Shuts all running servers down gracefully; returns the exit status of each process."""
         for process in self.processes.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGTERM)
         return [process.wait(EXIT_TIMEOUT_SECONDS) for process in self.processes.values()]
 
     def close(self) -> None:
-        """Kills all servers and closes all sockets."""
+        """Kills all servers, and stops stand-ins, proxy and load."""
         for process in self.processes.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
@@ -242,15 +242,13 @@
         self._thread.join(THREAD_TIMEOUT_SECONDS)
         self.proxy.close()
         self.stand_ins.close()
-        self._subnet_claim.close()
-
-    # Load and stand-ins
+        self._subnet_reservation.close()
 
     def run_on_loop(self, action: Callable[[], Any]) -> Any:
-        """Has the loop's thread do something; returns its result.
+        """Runs an action in the thread of the loop; waits for its result and returns it.
 
         Raises:
-            HarnessUnresponsiveError: The thread does not get to it.
+            HarnessUnresponsiveError: The thread did not run the action within `LOOP_TIMEOUT_SECONDS`.
         """
         result: list[Any] = []
         is_done = threading.Event()
@@ -286,12 +284,12 @@
             self.warm_series.append(WarmSample(elapsed_ms, warm_count, call_count))
 
     def restart_warm_measurement(self) -> None:
-        """Measures the time until the fleet is warm from now on."""
+        """Starts a new measurement of the time until the fleet is warm."""
         self.warm_after_ms = NOT_YET_MS
         self.started_at_ms = self.loop.now_ms
 
     def end_load(self, timeout_seconds: float = LAST_ANSWERS_SECONDS) -> int:
-        """Sends no more and waits for answers; returns how many RPCs never got one."""
+        """Stops sending RPCs and waits for open ones; returns the number that are still without an answer."""
         self.load.rpcs_per_second = 0.0
         self.wait_until(timeout_seconds, lambda: not self._unanswered_count())
         return self._unanswered_count()
@@ -300,7 +298,7 @@
         return int(self.run_on_loop(self.load.unanswered_count))
 
     def wait_until(self, timeout_seconds: float, holds: Callable[[], bool]) -> bool:
-        """Waits until a condition holds; returns whether it did in time."""
+        """Waits until a condition holds or the timeout expires; returns whether the condition holds."""
         deadline = time.monotonic() + timeout_seconds
         while not holds():
             if time.monotonic() > deadline:
@@ -308,14 +306,12 @@
             time.sleep(POLL_INTERVAL_SECONDS)
         return True
 
-    # What processes wrote
-
     def history(self) -> list[HistoryEntry]:
-        """Returns all that all processes noted, by time."""
+        """Returns the entries of the histories of all processes, sorted by time."""
         return read_history(self.folder, self.faults.pauses)
 
     def log_entries(self, index: int) -> list[dict[str, Any]]:
-        """Returns what a server has logged."""
+        """Returns the log of a server; leaves out lines that are not JSON."""
         entries = []
         for line in self._log_path(index).read_bytes().splitlines():
             try:
@@ -325,7 +321,7 @@
         return entries
 
     def last_output(self, index: int) -> str:
-        """Returns the last line that a server wrote."""
+        """Returns the last line that a server wrote to its output."""
         return self._log_path(index).read_bytes().splitlines()[-1].decode()
 
     def _log_path(self, index: int) -> Path:
@@ -333,19 +329,22 @@
 
 
 def format_address(address: Address) -> str:
-    """Returns an address as settings have it."""
+    """Returns an address as `host:port`, the format of settings."""
     host, port = address
     return f"{host}:{port}"
 
 
 def reserve_subnet() -> tuple[int, socket.socket]:
-    """Returns the second part of addresses that no other harness uses, and the socket that keeps it so.
+    """Reserves a loopback subnet 127.x.0.0/16 that no other harness uses.
+
+    Two harnesses must never share a subnet, because their servers would join one fleet.
 
-    Two harnesses that start at the same moment must not have the same: their servers would take each other
-    for members of one fleet.
+    Returns:
+        The second number of the subnet's addresses, and the socket that reserves the subnet until it is
+        closed.
 
     Raises:
-        NoFreeAddressError: All are taken.
+        NoFreeAddressError: No free subnet was found.
     """
     for subnet in Random(os.urandom(8)).sample(SUBNETS, MAX_SUBNET_ATTEMPTS):
         try:
--- a/landingshift/testbed/processes/history.py
+++ b/landingshift/testbed/processes/history.py
@@ -1,4 +1,4 @@
-"""What real processes noted of a run, in the form that the invariants read."""
+"""Reads the histories that real server processes write, in the form that the invariants read."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from typing import Any, NamedTuple
 
 HistoryEntry = tuple[Any, ...]
-"""Time in ms, event, server, and what the event has."""
+"""Time in ms, kind of event, server, and further values; see `verification.history` for the kinds."""
 
 QUOTA_FIELD = 0
-"""Of a lease's values: the share of calls granted, followed by when it ends."""
+"""Index of the leased rate of calls in the values of a `loan` entry; the expiry time follows it."""
 PERMIT_FIELD = 2
-"""The same of start permits."""
+"""Index of the leased start permits in the values of a `loan` entry; the expiry time follows it."""
 
 
 class PausePeriod(NamedTuple):
-    """When a server was stopped by a signal."""
+    """The time for which a server was paused by a signal, in ms of its monotonic clock."""
 
     server: str
     start_ms: float
@@ -25,11 +25,15 @@
 
 
 def without_pauses(entry: HistoryEntry, pauses: Iterable[tuple[str, float, float]]) -> HistoryEntry:
-    """Returns a decision as the invariants read it, other entries as they are.
+    """Returns a `decided` entry in the form that the invariants read; returns other entries unchanged.
 
-    A decision is noted as it is acted on, and names when its server checked whether it may decide. Where that
-    was paused in between, the time that it stood still is taken off: no server can check once more and act in
-    one step, so that such a pass ends late by as much (docs/policies.md).
+    A process records a decision when it acts on it, together with the time at which it checked whether it was
+    allowed to decide. Pauses between the check and the action are subtracted from the time of the decision: a
+    process cannot check and act atomically, so a pause between them delays the action (docs/policies.md).
+
+    Args:
+        entry: An entry as the process wrote it.
+        pauses: Server, start and end of each pause.
     """
     if entry[1] != "decided":
         return entry
@@ -41,26 +45,25 @@
 
 
 def read_history(folder: str, pauses: list[PausePeriod]) -> list[HistoryEntry]:
-    """Returns all that all processes noted, by time."""
+    """Reads the histories of all processes in a folder; returns the entries of all, sorted by time."""
     entries: list[HistoryEntry] = []
     for path in Path(folder).glob("*.history"):
         for line in path.read_text().splitlines():
             try:
                 entries.append(ast.literal_eval(line))
             except (SyntaxError, ValueError):
-                continue  # the last line of a killed one
+                continue  # the last line of a killed process can be incomplete
     return sorted((without_pauses(entry, pauses) for entry in entries), key=lambda entry: entry[0])
 
 
 def max_total_granted(history: list[HistoryEntry], field: int) -> float:
-    """Returns the most that all holders of leases together believed in at one instant.
+    """Returns the greatest total of unexpired leases of all servers at one time.
 
-    Each holds from each grantor what it noted last, until the end that it noted. A killed one keeps believing
-    in what it had, which only makes the figure larger.
+    A lease of a killed server counts until it expires, so the result can be too large but never too small.
 
     Args:
-        history: By time.
-        field: `QUOTA_FIELD` or `PERMIT_FIELD`.
+        history: Entries sorted by time.
+        field: The leased amount to sum, `QUOTA_FIELD` or `PERMIT_FIELD`.
     """
     held: dict[tuple[str, str], tuple[float, float]] = {}
     max_total = 0.0
--- a/landingshift/testbed/processes/single_server.py
+++ b/landingshift/testbed/processes/single_server.py
@@ -1,4 +1,4 @@
-"""One server process with stand-ins on loopback for its engine and roster, and gateways that keep it busy."""
+"""Runs one server process with stand-ins for its engine and roster, and gateways that send it RPCs."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def users_settings() -> dict[str, Any]:
-    """Returns the users' settings of a server of the testbed."""
+    """Returns the content of `settings` in the `GW_CONFIG` file of a server in the testbed."""
     return {
         "classes": [
             {"name": METHOD, "effect": "retryable", "give-up": 3000.0, "slo": 2000.0, "value": 1.0}
@@ -50,25 +50,25 @@
 
 
 class SingleServer:
-    """A server process, whose engine answers each run at once.
+    """A server process whose engine completes each run immediately.
 
     Attributes:
-        process: None before the first start.
-        environment: Further variables of the process.
-        log_entries: What it has logged.
-        address: Where it takes RPCs.
+        process: The latest process; None before the first start.
+        environment: Additional environment variables of the process.
+        log_entries: Log of all processes so far.
+        address: Address at which the server accepts RPCs.
     """
 
     def __init__(
         self, folder: str, toml: str, stop_ms: float = DEFAULT_STOP_MS, module: str = "landingshift"
     ) -> None:
-        """Starts the stand-ins.
+        """Starts the stand-ins; the server process is started with `start`.
 
         Args:
-            folder: For files.
-            toml: Our own settings.
-            stop_ms: That a shutdown may take.
-            module: Which one the process runs.
+            folder: Folder for the settings files.
+            toml: TOML settings of the optional packages.
+            stop_ms: Greatest duration of a graceful shutdown.
+            module: Python module that the process runs.
         """
         self.process: subprocess.Popen[bytes] | None = None
         self.environment: dict[str, str] = {}
@@ -85,20 +85,20 @@
         threading.Thread(target=self._run_engine, daemon=True).start()
 
     def __enter__(self) -> SingleServer:
-        """Leaves the process to be started."""
+        """Returns the object without starting the process."""
         return self
 
     def __exit__(
         self, _type: type[BaseException] | None, _error: BaseException | None, _trace: TracebackType | None
     ) -> None:
-        """Ends all."""
+        """Kills the process and stops the stand-ins."""
         self.close()
 
     def start(self) -> None:
-        """Starts the process; returns once it takes RPCs.
+        """Starts the process and waits until it can run RPCs.
 
         Raises:
-            ServerNotStartedError: It ended before that.
+            ServerNotStartedError: The process ended while it was starting.
         """
         config_path = Path(self._folder, "config.json")
         toml_path = Path(self._folder, "ours.toml")
@@ -146,19 +146,19 @@
             self.log_entries.append(orjson.loads(line))
 
     def shut_down(self, timeout_seconds: float = EXIT_TIMEOUT_SECONDS) -> int:
-        """Has the process shut down gracefully; returns its exit status."""
+        """Shuts the process down gracefully; returns its exit status."""
         assert self.process
         self.process.send_signal(signal.SIGTERM)
         return self.process.wait(timeout_seconds)
 
     def kill(self) -> None:
-        """Kills the process, where it runs."""
+        """Kills the process if it is running."""
         if self.process and self.process.poll() is None:
             self.process.kill()
             self.process.wait()
 
     def child_process_ids(self) -> list[int]:
-        """Returns the processes that the server has started."""
+        """Returns the process IDs of the child processes of the server."""
         assert self.process
         process_id = self.process.pid
         try:
@@ -168,7 +168,7 @@
         return [int(word) for word in words]
 
     def close(self) -> None:
-        """Ends all."""
+        """Kills the process and stops the stand-ins."""
         self._is_open = False
         self.kill()
         for pipe in (self.process.stdout, self.process.stderr) if self.process else ():
@@ -190,7 +190,7 @@
 
 
 def _serve_engine(connection: socket.socket) -> None:
-    """Answers the lines of a server to its engine until the connection ends."""
+    """Answers the requests of a server to its engine until the connection ends."""
     last_number = 0
     lines = connection.makefile("rb")
     for line in lines:
@@ -208,24 +208,24 @@
 
 
 class ClosedLoopGateway:
-    """Keeps so many RPCs open on one connection, each with a body of its own, until it is stopped.
+    """Keeps a fixed number of RPCs open on one connection, each with a unique body, until it is stopped.
 
     Attributes:
-        is_stopping: Whether no further RPC is sent; answers are read on.
-        answered_bodies: Of RPCs that were answered ok.
-        failed_count: RPCs with another answer.
-        latencies_ms: Of all answers.
-        thread: Ends once all is answered.
+        is_stopping: Whether to send no further RPCs; answers are still read. Set it to stop the gateway.
+        answered_bodies: Bodies of the RPCs that succeeded.
+        failed_count: Number of RPCs that were answered with an error.
+        latencies_ms: Time from sending to the answer, for each answered RPC.
+        thread: Thread of the gateway; ends when all RPCs are answered or the connection fails.
     """
 
     def __init__(self, server: SingleServer, name: str, open_rpcs: int, rpc_interval_ms: float = 0.0) -> None:
         """Connects and starts sending.
 
         Args:
-            server: To which.
-            name: In the bodies of the RPCs.
-            open_rpcs: How many are open at a time.
-            rpc_interval_ms: The least from one RPC to the next.
+            server: The server to send RPCs to.
+            name: Text at the start of each body, which must be unique among gateways.
+            open_rpcs: Number of RPCs that are open at a time.
+            rpc_interval_ms: Shortest time from one RPC to the next.
         """
         self.is_stopping = False
         self.answered_bodies: set[bytes] = set()
@@ -237,7 +237,7 @@
         self._next_rpc_at_seconds = time.perf_counter()
         self._sent_count = 0
         self._unanswered: dict[int, tuple[bytes, float]] = {}
-        """Body and time of sending, by the message's id."""
+        """Body and time of sending of each unanswered RPC, keyed by message ID."""
         self._socket = socket.create_connection(server.address)
         self._socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._socket.settimeout(ANSWER_TIMEOUT_SECONDS)
@@ -257,7 +257,7 @@
         try:
             self._socket.sendall(msgpack.packb(message))
         except OSError:
-            self.is_stopping = True  # what has come is read to its end all the same
+            self.is_stopping = True  # answers that have already arrived are still read
 
     def _run(self) -> None:
         unpacker = msgpack.Unpacker()
--- a/landingshift/testbed/processes/stand_ins.py
+++ b/landingshift/testbed/processes/stand_ins.py
@@ -1,8 +1,8 @@
-"""Stand-ins for what servers talk to: engines, database, roster, endpoint list.
+"""Stand-ins for the services that servers use: engines, database, roster and endpoint list.
 
-They run on one loop of the program's own. Database and endpoint list serve so many requests a second.
-Overloaded, they fall to a third of that and recover only once their queue is short again. When requests came
-is kept for the checks afterwards.
+All run on one event loop. Database and endpoint list serve a limited number of requests per second; see
+`capacity_limited_service` for their behaviour under overload. They record the arrival times of requests for
+later checks.
 """
 
 from __future__ import annotations
@@ -26,58 +26,63 @@
 MAX_UNSENT_BYTES = 1 << 22
 ENGINE_RESULT = b"r" * 100
 WARM_RUNS_PER_CALL = 10
-"""Runs of which one needs a call to the database once the cache is filled."""
+"""Once the cache of an engine is filled, one of this number of runs needs a database call."""
 MAX_LISTED_ENDPOINTS = 16
+"""Greatest number of endpoints in an answer of the endpoint list."""
 SLOW_LIST_DELAY_MS = 2000.0
 UNUSED_PORT = 9
+"""Port at which no process listens."""
 MAX_REPORT_BYTES = 256
 MAX_REPORTS_PER_PASS = 256
 REPORT_VALID_MS = 3000.0
-"""For which a server counts as listed after it has reported itself."""
+"""Time for which a server counts as listed after its last report to the roster."""
 NEVER_MS = -1e9
 DEFAULT_RUN_MS = 4.0
 DEFAULT_CORE_COUNT = 8
 
 
 class EndpointListMode(Enum):
-    """What the endpoint list answers."""
+    """Behaviour of the endpoint list."""
 
     UP = "up"
+    """Answers with the listed addresses."""
     SLOW = "slow"
+    """Answers after an additional delay of `SLOW_LIST_DELAY_MS`."""
     INCOMPLETE = "half"
+    """Answers with half of the addresses."""
     OUTDATED = "old"
-    """Mostly addresses where nobody listens."""
+    """Answers with addresses at which no process listens, and only a few valid ones."""
 
 
 class ServerConnection:
-    """A stand-in's end of a connection."""
+    """Base of the connections from servers to a stand-in."""
 
     stream: Stream
 
     def on_data(self, data: bytes) -> None:
-        """Takes bytes of the server."""
+        """Processes data that the server sent."""
         raise NotImplementedError
 
     def on_eof(self) -> None:
-        """Closes this end, too."""
+        """Closes this end as well."""
         self.stream.close("closed")
 
     def on_closed(self, reason: str) -> None:
-        """Nothing is left to do."""
+        """Does nothing, because a closed connection needs no cleanup."""
 
 
 class ConnectionFactory(Protocol):
-    """Makes the end of a new connection."""
+    """Creates the object for a new connection."""
 
     def __call__(self) -> ServerConnection:
-        """Returns an end without a stream yet."""
+        """Returns a connection whose stream the listener sets."""
 
 
 class StandInListener:
     """Accepts connections for a stand-in.
 
     Attributes:
-        address: Where it listens, also after it was closed and opened again.
+        address: Address of the listener, which is the same after `close` and `open`.
     """
 
     def __init__(self, loop: Loop, make_connection: ConnectionFactory) -> None:
@@ -94,7 +99,7 @@
         self._connections.append(connection)
 
     def close(self) -> None:
-        """Refuses connections and closes those that are open."""
+        """Stops accepting connections and closes the open ones."""
         self._listener.close()
         for connection in self._connections:
             connection.stream.close("down")
@@ -110,7 +115,10 @@
 
 
 class EngineConnection(ServerConnection):
-    """An engine: a run takes a core for a while; while its cache is cold each run needs a database call."""
+    """A connection to an engine.
+
+    A run occupies a core for a fixed time. While the cache is cold, each run needs a database call first.
+    """
 
     def __init__(self, stand_ins: StandIns, server: str, started_at_ms: float) -> None:
         self._stand_ins = stand_ins
@@ -122,7 +130,7 @@
         self._run_count = 0
 
     def on_data(self, data: bytes) -> None:
-        """Answers the lines of the server."""
+        """Answers the requests of the server."""
         for words, _ in self._decoder.feed(data):
             match words:
                 case [b"ATTACH", *_]:
@@ -159,7 +167,7 @@
             self._execute(run_id)
 
     def _execute(self, run_id: bytes) -> None:
-        """Answers once the core that is free first has done the run."""
+        """Executes a run on the core that is free first, and then sends the result."""
         loop = self._stand_ins.loop
         core = min(range(len(self._core_free_at_ms)), key=self._core_free_at_ms.__getitem__)
         done_at_ms = max(loop.now_ms, self._core_free_at_ms[core]) + self._stand_ins.run_ms
@@ -176,14 +184,14 @@
 
 
 class DatabaseConnection(ServerConnection):
-    """The database, whose rows are all the same."""
+    """A connection to the database, which answers all queries with the same rows."""
 
     def __init__(self, service: CapacityLimitedService) -> None:
         self._service = service
         self._decoder = LineDecoder(lambda words: words[0] == b"Q")
 
     def on_data(self, data: bytes) -> None:
-        """Queues the queries."""
+        """Adds the queries to the queue of the database."""
         for words, _ in self._decoder.feed(data):
             if words[0] == b"Q":
                 self._service.request(partial(self._answer, words[1]))
@@ -194,14 +202,14 @@
 
 
 class EndpointListConnection(ServerConnection):
-    """The endpoint list, which answers according to its mode."""
+    """A connection to the endpoint list, which answers according to `StandIns.list_mode`."""
 
     def __init__(self, stand_ins: StandIns) -> None:
         self._stand_ins = stand_ins
         self._decoder = gateway.MessageDecoder()
 
     def on_data(self, data: bytes) -> None:
-        """Queues the requests."""
+        """Adds the requests to the queue of the endpoint list."""
         for message in self._decoder.feed(data):
             if isinstance(message, gateway.Request):
                 self._stand_ins.endpoint_list.request(partial(self._answer, message.message_id))
@@ -215,15 +223,15 @@
 
 @dataclass(frozen=True, slots=True)
 class StandInCapacity:
-    """How much the stand-ins do.
+    """Capacity and delays of the stand-ins.
 
     Attributes:
-        calls_per_second: That the database serves.
-        list_requests_per_second: That the endpoint list serves.
-        cache_fill_calls: Database calls that fill the cache of an engine.
-        warm_up_ms: From an engine's start until its cores are warm.
-        run_ms: For which a run takes a core.
-        core_count: Of each engine.
+        calls_per_second: Rate of calls that the database can serve.
+        list_requests_per_second: Rate of requests that the endpoint list can serve.
+        cache_fill_calls: Number of database calls that fill the cache of an engine.
+        warm_up_ms: Time from the start of an engine until it is warm.
+        run_ms: Time for which a run occupies a core.
+        core_count: Number of cores of each engine.
     """
 
     calls_per_second: float
@@ -238,24 +246,26 @@
     """All stand-ins of one harness.
 
     Attributes:
-        loop: On which they run.
-        warm_up_ms: From an engine's start until its cores are warm.
-        run_ms: For which a run takes a core.
-        core_count: Of each engine.
-        database: Its capacity and what it had to serve.
-        endpoint_list: The same of the endpoint list.
-        list_mode: What the endpoint list answers.
-        listed_addresses: What the endpoint list knows.
-        roster_socket: Where servers report themselves.
+        loop: Event loop on which the stand-ins run.
+        warm_up_ms: Time from the start of an engine until it is warm.
+        run_ms: Time for which a run occupies a core.
+        core_count: Number of cores of each engine.
+        database: Queue of the database.
+        endpoint_list: Queue of the endpoint list.
+        list_mode: Behaviour of the endpoint list.
+        listed_addresses: Addresses that the endpoint list knows.
+        roster_socket: Socket at which servers report to the roster.
+        database_listener: Listener of the database.
+        list_listener: Listener of the endpoint list.
     """
 
     def __init__(self, loop: Loop, seed: int, capacity: StandInCapacity) -> None:
         """Starts the stand-ins.
 
         Args:
-            loop: On which they run.
-            seed: Of what is drawn.
-            capacity: How much they do.
+            loop: Event loop on which the stand-ins run.
+            seed: Seed of the random generator.
+            capacity: Capacity and delays of the stand-ins.
         """
         self.loop = loop
         self.warm_up_ms = capacity.warm_up_ms
@@ -279,7 +289,7 @@
         self._engines: dict[str, StandInListener] = {}
 
     def start_engine(self, server: str) -> Address:
-        """Starts an engine with a cold cache for a server that starts; returns its address."""
+        """Replaces the engine of a server by a new one with a cold cache; returns its address."""
         self._cache_fill_counts[server] = 0
         self._first_reported_at_ms.pop(server, None)
         self._last_reported_at_ms.pop(server, None)
@@ -292,15 +302,15 @@
         return listener.address
 
     def count_cache_fill(self, server: str) -> None:
-        """Notes a database call of an engine."""
+        """Counts a database call that fills the cache of a server's engine."""
         self._cache_fill_counts[server] = self._cache_fill_counts.get(server, 0) + 1
 
     def is_cache_filled(self, server: str) -> bool:
-        """Whether the engine of a server has made the calls that fill its cache."""
+        """Returns whether the cache of a server's engine is filled."""
         return self._cache_fill_counts.get(server, 0) >= self._cache_fill_calls
 
     def sample_endpoints(self) -> list[list[str | int]]:
-        """Returns an answer of the endpoint list."""
+        """Returns the host and port of random endpoints, as the endpoint list answers in `list_mode`."""
         entries: list[list[str | int]] = [list(address) for address in self.listed_addresses]
         if self.list_mode is EndpointListMode.INCOMPLETE:
             entries = entries[::2]
@@ -310,7 +320,7 @@
         return self._rng.sample(entries, min(MAX_LISTED_ENDPOINTS, len(entries)))
 
     def on_ready(self, _mask: int) -> None:
-        """Reads what servers report to the roster."""
+        """Reads the reports of servers to the roster."""
         for _ in range(MAX_REPORTS_PER_PASS):
             try:
                 words = self.roster_socket.recv(MAX_REPORT_BYTES).split()
@@ -327,11 +337,15 @@
             self._last_reported_at_ms.pop(server, None)
 
     def is_listed(self, server: str) -> bool:
-        """Whether a server reported itself a short while ago."""
+        """Returns whether a server has reported to the roster recently and has not signed off since."""
         return self.loop.now_ms - self._last_reported_at_ms.get(server, NEVER_MS) < REPORT_VALID_MS
 
     def is_warm(self, server: str) -> bool:
-        """Whether a server is listed, its cores are warm and its cache is filled."""
+        """Returns whether a server is warm.
+
+        It is warm if its first report to the roster is at least `warm_up_ms` old and the cache of its engine
+        is filled.
+        """
         reported_at_ms = self._first_reported_at_ms.get(server)
         if reported_at_ms is None or self.loop.now_ms - reported_at_ms < self.warm_up_ms:
             return False
