--- a/landingshift/testbed/processes/export_receiver.py
+++ b/landingshift/testbed/processes/export_receiver.py
@@ -105,7 +105,10 @@
         return Ack(instance=self.instance or "-", cursor=state.cursor, hash=state.hash, applied=is_applied)
 
     def apply(self, batch: Batch) -> tuple[int, Ack]:
-        """Applies a batch if it begins at the current cursor; returns the HTTP status and the reply."""
+        """Applies a batch, or rejects it if it does not begin at the current cursor and cursors are checked.
+
+        Returns the HTTP status and the reply.
+        """
         self.instance = batch.instance
         newest = self.history[-1]
         is_next = getattr(batch, "from") == newest.cursor and batch.from_hash == newest.hash
--- a/landingshift/testbed/processes/fault_proxy.py
+++ b/landingshift/testbed/processes/fault_proxy.py
@@ -42,7 +42,7 @@
 
     Attributes:
         loop: Event loop on which the proxy runs.
-        is_cut: Current rule of partitions.
+        is_cut: Current partition rule, by which traffic from one server to another is cut.
         loss_fraction: Fraction of datagrams that are lost.
         duplicate_fraction: Fraction of datagrams that are duplicated.
         delay_ms: Delay of the data of a connection, and mean delay of datagrams.
@@ -88,9 +88,8 @@
         copies = 2 if self._rng.random() < self.duplicate_fraction else 1
         for _ in range(copies):
             if self.delay_ms:
-                delay_ms = self._rng.uniform(
-                    0.0, 2.0 * self.delay_ms
-                )  # random, so that datagrams are reordered
+                # A random delay, so that datagrams are reordered.
+                delay_ms = self._rng.uniform(0.0, 2.0 * self.delay_ms)
                 self.loop.after(delay_ms, lambda: self._send(receiver, data))
             else:
                 self._send(receiver, data)
--- a/landingshift/testbed/processes/gateway_load.py
+++ b/landingshift/testbed/processes/gateway_load.py
@@ -21,7 +21,7 @@
 LATE_ANSWER_SLACK_MS = 250.0
 """Extra time before an answer counts as late, because the gateway shares its cores with all servers."""
 MAX_CATCH_UP_MS = 200.0
-"""Greatest time without a tick for which the next tick sends the missing RPCs."""
+"""Longest time since the last tick for which a tick sends RPCs; the load of a longer gap is skipped."""
 MAX_OPEN_RPCS_PER_CONNECTION = 30
 """Number of unanswered RPCs on a connection at which further RPCs for it are dropped."""
 MAX_UNSENT_BYTES = 1 << 20
@@ -39,7 +39,7 @@
 LATE_WHILE_PAUSED = "late at a stopped one"
 WITH_KILLED_SERVER = "with a killed one"
 FAILED_OUTCOMES = (LOST, LATE, ANSWERED_TWICE)
-"""Outcomes that are failures of the servers: no RPC must have them, whatever faults are injected."""
+"""Outcomes that count as failures of the servers, whatever faults are injected."""
 
 
 @dataclass(slots=True)
@@ -116,7 +116,7 @@
     """A connection of a gateway to a server.
 
     Attributes:
-        has_goaway: Whether the server has sent a goaway message, after which no RPCs must be sent to it.
+        has_goaway: Whether the server has sent a goaway message, after which it must not be sent further RPCs.
     """
 
     def __init__(self, load: GatewayLoad, server: str, address: Address) -> None:
--- a/landingshift/testbed/processes/harness.py
+++ b/landingshift/testbed/processes/harness.py
@@ -202,9 +202,8 @@
         """Kills a server and waits until its process has ended."""
         name = self.name(index)
         self.faults.killed.add(name)
-        self.faults.expected_to_die.add(
-            name
-        )  # a gateway might notice the lost connection only after a restart
+        # A gateway might notice the lost connection only after the server has been restarted.
+        self.faults.expected_to_die.add(name)
         self.processes[index].kill()
         self.processes[index].wait()
 
@@ -214,7 +213,7 @@
         name = self.name(index)
         self.faults.paused_until_ms[name] = self.loop.clock_ms() + seconds * 1000.0
         process.send_signal(signal.SIGSTOP)
-        start_ms = self.loop.clock_ms()  # after the signal: all events before the pause have an earlier time
+        start_ms = self.loop.clock_ms()  # after the signal, so later than all events before the pause
 
         def resume() -> None:
             self.faults.pauses.append(PausePeriod(name, start_ms, self.loop.clock_ms()))
--- a/landingshift/testbed/processes/history.py
+++ b/landingshift/testbed/processes/history.py
@@ -17,7 +17,7 @@
 
 
 class PausePeriod(NamedTuple):
-    """The time for which a server was paused by a signal, in ms of its monotonic clock."""
+    """The start and end of a server's pause by a signal, in ms of the monotonic clock."""
 
     server: str
     start_ms: float
--- a/landingshift/testbed/processes/stand_ins.py
+++ b/landingshift/testbed/processes/stand_ins.py
@@ -26,7 +26,7 @@
 MAX_UNSENT_BYTES = 1 << 22
 ENGINE_RESULT = b"r" * 100
 WARM_RUNS_PER_CALL = 10
-"""Once the cache of an engine is filled, one of this number of runs needs a database call."""
+"""Number of runs per database call once the cache of an engine is filled."""
 MAX_LISTED_ENDPOINTS = 16
 """Greatest number of endpoints in an answer of the endpoint list."""
 SLOW_LIST_DELAY_MS = 2000.0
@@ -117,7 +117,8 @@
 class EngineConnection(ServerConnection):
     """A connection to an engine.
 
-    A run occupies a core for a fixed time. While the cache is cold, each run needs a database call first.
+    A run occupies a core for a fixed time. While the cache is cold, each run needs a database call first;
+    afterwards one of `WARM_RUNS_PER_CALL` runs does.
     """
 
     def __init__(self, stand_ins: StandIns, server: str, started_at_ms: float) -> None:
--- a/landingshift/testbed/verification/corpus.py
+++ b/landingshift/testbed/verification/corpus.py
@@ -25,7 +25,7 @@
 
 
 class UnreadableReportError(LandingshiftError, ValueError):
-    """Raised when a report file is missing, unreadable or not valid JSON.
+    """Raised when a report file is missing, unreadable or not a valid report.
 
     Attributes:
         path: Path of the report file.
--- a/landingshift/testbed/verification/maintenance_invariants.py
+++ b/landingshift/testbed/verification/maintenance_invariants.py
@@ -14,7 +14,7 @@
 MIN_MEASURED_FRACTION = 0.75
 """Fraction of the demand that the remaining capacity must reach.
 
-It is below 1 because the servers measure demand as counts over one second, and the sum of such counts varies.
+It is below 1 because the demand is measured as a sum of counts over one second each, which can be too low.
 """
 
 
--- a/landingshift/testbed/verification/membership_invariants.py
+++ b/landingshift/testbed/verification/membership_invariants.py
@@ -84,7 +84,7 @@
 def check_death_detection(history: History, _overlap_ms: float) -> list[str]:
     """A death becomes known in time to all that are there, where nothing else was under way."""
     # All running servers must see a killed server as absent within `MAX_DETECTION_MS`. Checked only if no
-    # other fault was active or began in that time.
+    # fault began, ended or was active after the kill.
     tracker = _DeathTracker(calm_spans(history))
     for event in events_of(history, MemberSeen, ServerKilled, ServerStarted, CapacitySampled):
         tracker.apply(event)
--- a/landingshift/testbed/verification/search_leases.py
+++ b/landingshift/testbed/verification/search_leases.py
@@ -98,7 +98,8 @@
 class LeaseSearch:
     """The model of leases, for `state_space.explore`.
 
-    To prove that a defence is needed, a test turns it off and expects a violation.
+    The first two attributes can switch off a defence, so that a test can show that the search finds the
+    violation which the defence prevents.
 
     Attributes:
         has_recovery_grace: Whether a restarted grantor grants no new amounts until leases from its earlier
