--- a/landingshift/coldstart/start_permits.py
+++ b/landingshift/coldstart/start_permits.py
@@ -1,11 +1,14 @@
-"""Start permits: how many servers may warm up at once, and who is next. Pure.
+"""Start permits, which limit how many servers warm up simultaneously, and the choice of the next server.
 
-A permit is leased like any amount (`leases`) and lapses with its holder. How many there are follows what the
-servers that warm up report of the downstream that all of them need (`adaptive_limit`).
+A permit is a lease on an amount of 1 (`leases`), so it expires if its holder fails. The number of permits
+adapts to the saturation of the shared downstream that the servers report (`adaptive_limit`).
 
-Guarantee: never more servers hold a permit than the highest limit of the last lease.
-Failure mode: with a lost grantor its permits can't be granted; servers that know no other one start after a
-time-out.
+Guarantee: no new permit is granted if it would raise the number of permits in use above the limit. After the
+limit has been lowered, servers keep the permits that they hold.
+Failure mode: the permits of a lost grantor can't be granted; servers that know no other grantor start without
+a permit after a timeout.
+
+Does no I/O and reads no clock: times are passed in as ms.
 """
 
 from __future__ import annotations
@@ -20,17 +23,17 @@
 
 @dataclass(slots=True, frozen=True)
 class PermitRequest:
-    """A server's request for a permit, or to keep it.
+    """A server's request to get or keep a permit.
 
     Attributes:
-        holder_name: Who asks.
-        run_id: Which process of that name.
-        request_number: Numbers its requests.
-        claimed_permit: 1 where it holds one from this grantor.
-        wants_permit: False for a server that is warm.
-        zone: Its failure domain.
-        waiting_rpcs_per_second: Work that waits for it.
-        saturation: Of the downstream, below 0 where unknown.
+        holder_name: Name of the requesting server.
+        run_id: Identifier of the requesting process; differs after a restart.
+        request_number: Sequence number of the server's permit requests to this grantor.
+        claimed_permit: 1 if the server still holds a permit from this grantor, else 0.
+        wants_permit: Whether the server wants to get or keep a permit; False once it is warm.
+        zone: Failure domain of the server.
+        waiting_rpcs_per_second: Rate at which RPCs arrive at the server.
+        saturation: Saturation of the downstream as the server measures it, below 0 if unknown.
     """
 
     holder_name: str
@@ -48,9 +51,9 @@
     """A server that holds a permit or waits for one.
 
     Attributes:
-        zone: Its failure domain.
-        waiting_rpcs_per_second: Work that waits for it.
-        waiting_since_ms: When it asked first.
+        zone: Failure domain of the server.
+        waiting_rpcs_per_second: Rate at which RPCs arrive at the server.
+        waiting_since_ms: Time of its first permit request to this grantor.
     """
 
     zone: str
@@ -59,40 +62,44 @@
 
 
 def assign_permits(candidates: dict[str, StartCandidate], holders: list[str], free_count: int) -> list[str]:
-    """Who gets the free permits.
+    """Choose the servers that get the free permits.
 
-    First the zone with the fewest servers that warm up, so that no zone is served last; in a zone the server
-    with most work waiting; of equal ones the longest wait.
+    Each permit goes to the zone with the fewest permit holders, among those with waiting servers, so that all
+    zones start evenly. Within a zone, the server with the highest rate of arriving RPCs comes first; among
+    equal rates, the server that has waited longest.
 
     Args:
-        candidates: All who hold a permit or wait for one, by name.
-        holders: Names of those who hold one.
-        free_count: Permits that nobody holds.
+        candidates: All servers that hold a permit or wait for one, by name.
+        holders: Names of the servers that hold a permit.
+        free_count: Number of permits that nobody holds.
+
+    Returns:
+        Names of the chosen servers, in the order of choice.
     """
-    warming_by_zone: dict[str, int] = {}
+    holder_count_by_zone: dict[str, int] = {}
     for name in holders:
         zone = candidates[name].zone
-        warming_by_zone[zone] = warming_by_zone.get(zone, 0) + 1
+        holder_count_by_zone[zone] = holder_count_by_zone.get(zone, 0) + 1
     waiting_by_zone = _waiting_by_zone(candidates, holders)
     chosen: list[str] = []
     while free_count > len(chosen) and waiting_by_zone:
-        zone = min(waiting_by_zone, key=lambda zone: (warming_by_zone.get(zone, 0), zone))
+        zone = min(waiting_by_zone, key=lambda zone: (holder_count_by_zone.get(zone, 0), zone))
         chosen.append(waiting_by_zone[zone].pop())
-        warming_by_zone[zone] = warming_by_zone.get(zone, 0) + 1
+        holder_count_by_zone[zone] = holder_count_by_zone.get(zone, 0) + 1
         if not waiting_by_zone[zone]:
             del waiting_by_zone[zone]
     return chosen
 
 
 def _waiting_by_zone(candidates: dict[str, StartCandidate], holders: list[str]) -> dict[str, list[str]]:
-    """Names of those who wait, by zone; the next one last."""
+    """Return the names of the waiting servers by zone, sorted so that the next to get a permit is last."""
     waiting: dict[str, list[str]] = {}
     for name, candidate in candidates.items():
         if name not in holders:
             waiting.setdefault(candidate.zone, []).append(name)
 
     def urgency(name: str) -> tuple[float, float, str]:
-        """Most work, then the longest wait, then the name."""
+        """Return the sort key: rate of arriving RPCs, then waiting time, then name; the highest is last."""
         candidate = candidates[name]
         return candidate.waiting_rpcs_per_second, -candidate.waiting_since_ms, name
 
@@ -102,12 +109,12 @@
 
 
 class StartPermitPool:
-    """One grantor's permits.
+    """Start permits of one grantor, which it leases to servers.
 
     Attributes:
-        limiter: How many there are.
-        candidates: Those who hold a permit or wait for one, by name.
-        lease_grantor: Leases the permits.
+        limiter: Adaptive limit on the number of permits.
+        candidates: Servers that hold a permit or wait for one, by name.
+        lease_grantor: Grantor that leases the permits.
     """
 
     def __init__(
@@ -123,11 +130,11 @@
         self.lease_grantor = LeaseGrantor(initial_permits, lease_ms, expiry_margin_ms, now_ms, self._divide)
 
     def renew(self, request: PermitRequest, now_ms: float) -> float | None:
-        """Grants a permit, or renews one.
+        """Grant or renew a permit.
 
         Returns:
-            1 where the server may start, 0 where it is to ask again, None for a request that is late or
-            duplicated.
+            1 if the server is allowed to start, 0 if it has to request again, None for a late or duplicated
+            request, which must not be answered.
         """
         for name in self.lease_grantor.expire(now_ms):
             self.candidates.pop(name, None)
@@ -135,7 +142,7 @@
         self._update_candidate(request, now_ms)
         if self.limiter.evaluate(now_ms, self._is_exhausted()):
             self.lease_grantor.capacity = self.limiter.limit
-        self.lease_grantor.invalidate_division()  # a free permit goes to the next who asks, at once
+        self.lease_grantor.invalidate_division()  # otherwise a free permit waits for the next division
         wanted_amount = PERMIT_AMOUNT if request.wants_permit else 0.0
         granted = self.lease_grantor.renew(
             LeaseRequest(
@@ -153,8 +160,8 @@
         return granted
 
     def permits_in_use(self) -> int:
-        """Servers that hold a permit, or may still believe that they do."""
-        return sum(grant.booked_amount >= PERMIT_AMOUNT for grant in self.lease_grantor.grants.values())
+        """Return the number of servers that hold a permit or might still assume that they do."""
+        return sum(grant.reserved_amount >= PERMIT_AMOUNT for grant in self.lease_grantor.grants.values())
 
     def _update_candidate(self, request: PermitRequest, now_ms: float) -> None:
         if not request.wants_permit:
@@ -167,22 +174,25 @@
         )
 
     def _is_exhausted(self) -> bool:
-        """Whether somebody waits and no whole permit is free."""
+        """Return whether servers wait while no whole permit is free."""
         in_use = self.permits_in_use()
         return len(self.candidates) > in_use and in_use + PERMIT_AMOUNT > self.limiter.limit
 
     def _revoke_fraction(self, name: str) -> None:
-        """A fraction of a permit is none, and must not be booked either."""
+        """Revoke a granted fraction of a permit: a server can't use it, so it must not stay reserved."""
         grant = self.lease_grantor.grants[name]
         grant.amount = 0.0
-        grant.booked_amount = 0.0
+        grant.reserved_amount = 0.0
 
     def _divide(self, _wanted_amounts: dict[str, float], capacity: float) -> dict[str, float]:
-        """Who has a permit keeps it while it wants it, since a start can't be taken back."""
+        """Assign the free permits to waiting servers.
+
+        Holders keep their permits while they want them, because a start can't be undone.
+        """
         holders = [
             name
             for name, grant in self.lease_grantor.grants.items()
-            if grant.booked_amount >= PERMIT_AMOUNT and name in self.candidates
+            if grant.reserved_amount >= PERMIT_AMOUNT and name in self.candidates
         ]
         free_count = int(capacity) - self.permits_in_use()
         chosen = assign_permits(self.candidates, holders, free_count)
--- a/landingshift/hot_restart/state_import.py
+++ b/landingshift/hot_restart/state_import.py
@@ -1,7 +1,7 @@
-"""Imports the state that another build exported, as a router that continues where the old one stopped.
+"""Creates a router from the state that another build exported; it continues where the old router stopped.
 
-Guarantee: no socket is read or written before the next pass of the event loop. Until then the old process can
-still continue instead.
+Guarantee: no socket is read or written before the next pass of the event loop. Until that pass, the old
+process can still resume service.
 Failure mode: if the settings lack a method or tenant of the state, the import raises
 `IncompatibleSettingsError` and creates no router.
 """
@@ -53,8 +53,8 @@
 
     Args:
         data: A `StoredState` encoded as MessagePack.
-        descriptors: The descriptors to which `data` refers by index. The first is the listener.
-            The importer takes ownership of them.
+        descriptors: The file descriptors to which `data` refers by index; the first is that of the listening
+            socket. The importer takes ownership of all of them.
 
     Raises:
         msgspec.DecodeError: If `data` is invalid. The caller then still owns the descriptors.
@@ -88,7 +88,7 @@
 
 
 class _StateRestorer:
-    """Restores a state into a new router, part by part: each part may refer to the parts before it."""
+    """Restores a state into a new router; parts that refer to other parts are restored after them."""
 
     def __init__(
         self,
@@ -239,7 +239,7 @@
         link = DatabaseLink(
             pool, lambda owner: self._restore_stream(stored.stream, owner, DATABASE_MAX_UNSENT_BYTES)
         )
-        link.decoder.lines.buffer += stored.undecoded
+        link.decoder.line_decoder.buffer += stored.undecoded
         if stored.accepts_new_calls:
             pool.links.append(link)
         if stored.undecoded:
@@ -260,7 +260,7 @@
             if name in ENGINE_LINK_NAMES:
                 setattr(engine, ENGINE_LINK_NAMES[name], value)
         engine.decoder = engine_wire.NoticeDecoder()
-        engine.decoder.lines.buffer += stored.undecoded
+        engine.decoder.line_decoder.buffer += stored.undecoded
         engine.gauge_query = None
         if stored.gauge_query is not None:
             engine.gauge_query = GaugeQuery(stored.gauge_query.tag, stored.gauge_query.bytes_before)
--- a/landingshift/ledger/export_records.py
+++ b/landingshift/ledger/export_records.py
@@ -1,4 +1,7 @@
-"""Entries as records for the receiver: usage in the order it was settled, corrections, closed periods."""
+"""Converts entries to export records of billed usage, corrections and period closes.
+
+The records of usage have the order in which the usage was settled.
+"""
 
 from __future__ import annotations
 
@@ -18,8 +21,8 @@
 from landingshift.ledger.number_ranges import iterate_ranges
 from landingshift.ledger.store import UsageStore
 
-MAX_BATCH_RECORD_COUNT = 2000  # an entry's own are never parted
-MAX_BATCH_ENTRY_COUNT = 20_000  # looked at for one batch
+MAX_BATCH_RECORD_COUNT = 2000  # can be exceeded, since the records of one entry are never split
+MAX_BATCH_ENTRY_COUNT = 20_000  # bound of the entries read for one batch; most give no record
 MAX_CACHED_NAME_COUNT = 65_536
 EXPORTED_KINDS = (
     EntryKind.SETTLEMENT,
@@ -30,15 +33,22 @@
 
 
 class ExportReader:
-    """Reads one store, forward. Usage gets the period that the ledger gave it: by the closes before it."""
+    """Builds batches from the entries of one store.
+
+    Usage has the same billing period as in the ledger, which depends on the periods that were closed before
+    the usage was settled.
+    """
 
     def __init__(self, store: UsageStore) -> None:
         self._store = store
-        self._period_closes: list[tuple[int, int]] = []  # entry, end of the period
+        self._period_closes: list[tuple[int, int]] = []  # entry number, end of the closed period
         self._names: dict[int, bytes] = {}
 
     def hash_at(self, number: int) -> bytes | None:
-        """The chain's hash at an entry; None where this ledger has it not."""
+        """Returns the hash of an entry; None if the entry does not exist or was removed by a compaction.
+
+        The hash of the last entry of the compacted part is always known.
+        """
         if number == 0:
             return GENESIS_HASH
         row = self._store.row(number)
@@ -50,13 +60,17 @@
         return None
 
     def newest_number(self) -> int:
-        """The ledger's newest entry."""
+        """Returns the number of the ledger's newest entry."""
         return self._store.newest_number()
 
     def next_batch(self, after: int) -> Batch | None:
-        """What comes after this entry; None at the ledger's end."""
+        """Returns a batch with the records of the next entries after entry `after`.
+
+        Returns:
+            None if there are no entries after `after`.
+        """
         batch = Batch(instance=self._store.instance, to=after)
-        setattr(batch, "from", after)  # the field's name is a keyword of Python
+        setattr(batch, "from", after)  # the name of the field is a Python keyword
         batch.from_hash = self.hash_at(after) or b""
         for entry_count, row in enumerate(self._store.rows(after + 1)):
             if entry_count >= MAX_BATCH_ENTRY_COUNT or len(batch.records) >= MAX_BATCH_RECORD_COUNT:
@@ -119,7 +133,7 @@
         )
 
     def _closed_end_ms_before(self, number: int) -> int:
-        """End of the last period that was closed when this entry was made."""
+        """Returns the end of the last period that an earlier entry closed, Unix time; 0 if there is none."""
         last_known = self._period_closes[-1][0] if self._period_closes else 0
         self._period_closes += self._store.period_close_ends(last_known)
         ends = (end_ms for close_number, end_ms in self._period_closes if close_number < number)
--- a/landingshift/ledger/merge_rules.py
+++ b/landingshift/ledger/merge_rules.py
@@ -1,8 +1,8 @@
-"""Merging of many ledgers into one. Pure: what follows from a set of entries, whatever order they came in.
+"""Rules for merging many ledgers into one; results do not depend on the order of merging. No I/O.
 
-A *branch* is one instance's chain. An instance that came back from an old backup and went on writes another
-chain from some entry on; that is a branch of its own, named after the instance and the first entry that
-differs. Both branches stand.
+A *branch* is one hash chain of an instance. If an instance was restored from an old backup and then wrote new
+entries, it has two chains with a common beginning. The second chain becomes a branch of its own, which is
+named after the instance and its first entry that differs. The merged ledger keeps both branches.
 """
 
 from __future__ import annotations
@@ -12,60 +12,64 @@
 from enum import Enum
 from typing import NamedTuple
 
-HASH_PREFIX_LENGTH = 8  # hexadecimal digits in the name of a branch
+HASH_PREFIX_LENGTH = 8  # hexadecimal digits of the hash in the name of a branch
 
 
-class EntryFit(Enum):
-    """How an entry that came stands to a branch."""
+class EntryRelation(Enum):
+    """Relation of a received entry to a branch."""
 
     NEXT = 1
-    """It follows the branch's newest entry."""
+    """The entry follows the branch's newest entry."""
     KNOWN = 2
-    """The branch has it."""
+    """The branch already has the entry."""
     AHEAD = 3
-    """An entry before it is missing and must be asked for first."""
+    """An entry before it is missing and must be fetched first."""
     DIVERGED = 4
-    """The branch has another entry of this number."""
+    """The branch has a different entry with this number."""
     BROKEN = 5
-    """Its hash does not follow from the entry before it."""
+    """The entry's hash does not match its data and the hash of the entry before it."""
 
 
 def classify_entry(
     number: int, entry_hash: bytes, follows_chain: bool, head_number: int, known_hash: bytes | None
-) -> EntryFit:
-    """How an entry stands to a branch.
+) -> EntryRelation:
+    """Decides how a received entry relates to a branch.
 
     Args:
-        number: Number of the entry.
-        entry_hash: Hash of the entry.
-        follows_chain: Whether the hash is the chain's over the entry before it.
-        head_number: The branch's newest entry.
-        known_hash: Hash of the branch's entry of this number, if any.
+        number: Number of the received entry.
+        entry_hash: Hash of the received entry.
+        follows_chain: Whether `entry_hash` matches the entry's data and the hash of the branch's entry
+            before it.
+        head_number: Number of the branch's newest entry.
+        known_hash: Hash of the branch's entry with the same number; None if it has none.
     """
     if number <= head_number:
-        return EntryFit.KNOWN if known_hash == entry_hash else EntryFit.DIVERGED
+        return EntryRelation.KNOWN if known_hash == entry_hash else EntryRelation.DIVERGED
     if number > head_number + 1:
-        return EntryFit.AHEAD
-    return EntryFit.NEXT if follows_chain else EntryFit.BROKEN
+        return EntryRelation.AHEAD
+    return EntryRelation.NEXT if follows_chain else EntryRelation.BROKEN
 
 
 def branch_name(instance: str, number: int, entry_hash: bytes) -> str:
-    """The name of the branch that goes another way from this entry on."""
+    """Returns the name of the branch that diverges from an instance's chain with the given entry."""
     return f"{instance}~{number}-{entry_hash.hex()[:HASH_PREFIX_LENGTH]}"
 
 
 class UsageReference(NamedTuple):
-    """Usage of one identity, in the order in which it is looked at."""
+    """Refers to a usage entry of a branch; references sort by time, because the earliest usage counts."""
 
     at_ms: int
+    """Unix time of the usage."""
     branch: str
     number: int
+    """Number of the usage entry in the branch."""
 
 
 def countable_usages(usages: Iterable[UsageReference], window_ms: int) -> set[UsageReference]:
-    """Decides which usage of one identity counts: each that is a window or more after the last that does.
+    """Decides which usage of one identity counts.
 
-    Goes by the set alone, so that any order of merging and any repetition gives the same.
+    The earliest usage counts. A later usage counts if it is at least one window after the last usage that
+    counts. The result depends only on the set of `usages`, not on their order or repetition.
     """
     countable: set[UsageReference] = set()
     last_counted_ms: int | None = None
@@ -78,17 +82,18 @@
 
 @dataclass(frozen=True, slots=True)
 class MergeResult:
-    """What came of merging one instance, and how its ledger stands to what is merged of it."""
+    """Result of merging the ledger of one instance."""
 
     instance: str
     new_entry_count: int
+    """Number of entries that the merged ledger did not have before."""
     branch: str
-    """The branch that has the entries."""
+    """Name of the branch that contains the instance's entries."""
     missing_entry_count: int
-    """Entries that are merged and that the instance has not."""
+    """Number of entries in the merged branch that the instance has lost: those after its newest entry."""
 
     def summary(self) -> str:
-        """One line for operators."""
+        """Returns a one-line description for operators."""
         text = f"{self.new_entry_count} new entries of {self.instance}"
         if self.branch != self.instance:
             text += f", which came back from an old copy and went on: kept as {self.branch}"
--- a/landingshift/ledger/repair.py
+++ b/landingshift/ledger/repair.py
@@ -1,4 +1,4 @@
-"""The index made anew from the entries, and entries given back that a ledger lost with an old copy."""
+"""Repairs a store: rebuilds its index, and restores entries missing after a restore from an old backup."""
 
 from __future__ import annotations
 
@@ -15,50 +15,50 @@
 from landingshift.ledger.schema import META_FIRST_PENDING, META_LAST_NUMBER, META_RUN_ID
 from landingshift.ledger.store import UsageStore
 
-MAX_ROW_COUNT = 5000  # entries copied at a time
+MAX_ROW_COUNT = 5000  # entries copied per query
 
 
 def reindex(store: UsageStore) -> None:
-    """Makes the index anew, all or nothing.
+    """Rebuilds the index from the entries, in one transaction.
 
     Raises:
-        CorruptLedgerError: The entries themselves do not hold.
+        CorruptLedgerError: The entries are inconsistent.
     """
     for finding in audit_store(store):
         if finding.entry_number:
             raise CorruptLedgerError(finding.entry_number, finding.problem, "totals can't be made from that")
-    with store.changing():
+    with store.ledger_transaction():
         _rebuild_index(store)
 
 
 def restore_missing_entries(store: UsageStore, merged: MergedStore) -> int:
-    """Takes what the merged ledger has of this one and it lacks.
+    """Restores the entries that the store lost, by copying them from the merged ledger.
 
     Returns:
-        How many entries came back.
+        The number of restored entries.
 
     Raises:
-        DivergedLedgerError: This ledger has entries of its own that the merged branch has not. Both stand,
-            and the merged ledger has the totals.
+        DivergedLedgerError: The store's newest entry is not in the merged ledger. Nothing is changed.
+            Merging the store adds its entries to the merged ledger as a branch of their own.
     """
     branch = merged.current_branch(store.instance)
     last_number = store.ledger.last_number
     if merged.hash_at(branch, last_number) != store.ledger.last_hash:
         raise DivergedLedgerError(last_number)
     restored_count = 0
-    with store.changing():
+    with store.ledger_transaction():
         while rows := merged.rows_after(branch, last_number, MAX_ROW_COUNT):
             store.insert_entries(rows)
             last_number = rows[-1].number
             restored_count += len(rows)
         _rebuild_index(store)
-        store.set_meta(META_RUN_ID, None)  # whoever opens it next is another run: what is pending is disputed
+        store.set_meta(META_RUN_ID, None)  # so that the next start disputes the pending usage
         store.ledger = recover_ledger(store, store.max_identity_count)
     return restored_count
 
 
 def _rebuild_index(store: UsageStore) -> None:
-    """Within a commit."""
+    """Rebuilds the index tables and the `meta` values derived from entries; call it within a transaction."""
     replay = LedgerReplay(store)
     compaction = store.newest_compaction()
     store.index.clear()
@@ -66,21 +66,21 @@
     if compaction is not None:
         compacted_number = compaction.last_number
         replay.start_after(store, compaction)
-    run_start_number = 0
+    last_start_number = 0
     newest_number = 0
     for row in store.rows():
         entry = decode(row.kind, row.data)
         newest_number = row.number
         if row.number > compacted_number:
             for _ in replay.apply(row.number, entry):
-                pass  # the audit has reported what does not hold
+                pass  # only the new state is needed; `audit_store` reports inconsistencies
         if isinstance(entry, Opened):
-            run_start_number = row.number
+            last_start_number = row.number
         _index_entry(store.index, row.number, entry)
     failpoints.reach("ledger.rebuild")
     store.index.add_totals(replay.totals)
     store.index.add_disputed(sorted(replay.disputed))
-    pending = _pending_numbers(replay, run_start_number)
+    pending = _pending_numbers(replay, last_start_number)
     store.set_meta(META_FIRST_PENDING, min(pending, default=newest_number + 1))
     store.set_meta(META_LAST_NUMBER, newest_number)
 
@@ -95,8 +95,8 @@
             index.add_corrections([(number, entry)])
 
 
-def _pending_numbers(replay: LedgerReplay, run_start_number: int) -> Iterable[int]:
-    """Usage of the latest run that is neither settled nor disputed."""
+def _pending_numbers(replay: LedgerReplay, last_start_number: int) -> Iterable[int]:
+    """Returns the numbers of usage entries since the last server start that are not settled or disputed."""
     return (
-        number for number in replay.unsettled if number not in replay.disputed and number > run_start_number
+        number for number in replay.unsettled if number not in replay.disputed and number > last_start_number
     )
--- a/landingshift/membership/member_table.py
+++ b/landingshift/membership/member_table.py
@@ -1,8 +1,11 @@
-"""The table of members: which of two records holds, who is present, what is news.
+"""Table of the cluster's members, with the newest known record of each.
 
-Guarantee: tables that have received the same records are alike, in whatever order those came.
-Failure mode: a full table refuses unknown members, and counts them.
-Pure: time in ms, chance and records are arguments.
+A member is present while it is alive or a suspect, and departed once it is dead or has left. Changed records
+are queued for gossip.
+
+Guarantee: tables that received the same records agree on all states, in whatever order the records arrived.
+Failure mode: a table that is full and has no departed member to evict rejects records of unknown members.
+The module does no I/O: times, in ms, and the random generator are arguments.
 """
 
 from __future__ import annotations
@@ -12,42 +15,45 @@
 from random import Random
 
 from landingshift.membership.gossip_queue import GossipQueue
-from landingshift.membership.local_health import SATURATING_CONFIRMATION_COUNT
+from landingshift.membership.local_health import CONFIRMATIONS_FOR_MIN_TIMEOUT
 from landingshift.membership.messages import DEPARTED_STATES, MAX_RECORDS_PER_PAGE, MemberRecord, MemberState
 from landingshift.membership.table_digest import TableDigest, bucket_of
 
 
 @dataclass(slots=True, eq=False)
 class Member:
-    """Another member as this one knows it.
+    """An entry of the table.
 
     Attributes:
-        record: The newest record.
-        state_since_ms: When it came to its state here.
-        suspecting_members: Names of those who said that they suspect it; empty unless it is a suspect.
+        record: The newest known record of the member.
+        state_since_ms: Local time at which the member's current state or run ID was stored.
+        accusers: Names of the members that reported the current suspicion; empty if there is none.
     """
 
     record: MemberRecord
     state_since_ms: float
-    suspecting_members: set[str] = field(default_factory=set)
+    accusers: set[str] = field(default_factory=set)
 
 
 StateObserver = Callable[[Member, MemberState | None], None]
-"""Called with a member that came to another state or run, and its state before, None for a new one."""
+"""Called when a member's state, run ID or incarnation has changed.
+
+The arguments are the member and its previous state, which is None if the member is new.
+"""
 
 
 class MemberTable:
-    """All other members that are known, the departed ones included until they are forgotten.
+    """Records of all other known members, including departed members until they are removed.
 
     Attributes:
-        local_record: This member's own record, which is not among `members`.
-        max_members: Bound of the table.
-        members: By name, in the order in which they were first heard of.
-        present_names: Names of those neither dead nor left, in no order.
-        present_index: Where each present name stands in `present_names`.
-        gossip: What is to be sent on.
-        digest: Checksums for the anti-entropy, with the local record.
-        refused_record_count: Records for which there was no room.
+        local_record: This member's own record, which is not in `members`.
+        max_members: Maximum number of entries.
+        members: Entries by name, in the order in which they were added.
+        present_names: Names of the members that are alive or suspects, unordered.
+        present_index: Index in `present_names`, keyed by name.
+        gossip: Queue of changed records to transmit.
+        digest: Checksums of the table for anti-entropy, including the local record.
+        rejected_record_count: Records rejected because the table was full.
     """
 
     def __init__(self, local_record: MemberRecord, max_members: int, on_state_change: StateObserver) -> None:
@@ -60,38 +66,40 @@
         self.gossip = GossipQueue(self.record)
         self.digest = TableDigest()
         self.digest.toggle(local_record)
-        self.refused_record_count = 0
+        self.rejected_record_count = 0
 
-    # What is known
+    # Lookup
 
     def record(self, name: str) -> MemberRecord | None:
-        """The newest record of that name, this member's own included."""
+        """Returns the newest known record of a member, including this one; None if the name is unknown."""
         if name == self.local_record.name:
             return self.local_record
         member = self.members.get(name)
         return member.record if member else None
 
     def known_names(self) -> set[str]:
-        """Names of all that were heard of and are not forgotten yet, present or departed."""
+        """Returns the names of all members in the table and of this member, present or departed."""
         return {self.local_record.name, *self.members}
 
     def present_records(self) -> Iterator[MemberRecord]:
-        """Records of the other members that are present."""
+        """Iterates over the records of the other members that are present."""
         return (self.members[name].record for name in self.present_names)
 
     def sample(self, rng: Random, count: int, excluded_names: tuple[str, ...] = ()) -> list[MemberRecord]:
-        """Up to `count` present members, chosen evenly; looks at no more names than it needs."""
+        """Returns the records of up to `count` random present members, in time independent of table size."""
         sample_size = min(len(self.present_names), count + len(excluded_names))
         names = rng.sample(self.present_names, sample_size)
         return [self.members[name].record for name in names if name not in excluded_names][:count]
 
-    # What is received
+    # Updates
 
     def merge(self, record: MemberRecord, now_ms: float) -> bool:
-        """Takes a record if it is newer than what is known.
+        """Stores a record if its member is unknown or it overrides the known record.
+
+        A record that does not override the known one is counted if it confirms the known suspicion.
 
         Returns:
-            Whether it was newer, and there was room for it.
+            Whether the record overrode the known one or added a member.
         """
         member = self.members.get(record.name)
         if member is None:
@@ -103,16 +111,16 @@
         self.digest.replace(known, record)
         member.record = record
         if record.liveness_precedence == known.liveness_precedence:
-            return True  # metadata only: it rides on its owner's own messages
+            return True  # only metadata changed: needs no gossip, as the member's own messages all carry it
         if known.state is not record.state or known.run_id != record.run_id:
             member.state_since_ms = now_ms
         self._on_liveness_change(member, known.state)
         return True
 
     def _add(self, record: MemberRecord, now_ms: float) -> bool:
-        """Takes the first record of a name; returns whether there was room."""
+        """Adds a member that is not in the table; returns whether there was room."""
         if len(self.members) >= self.max_members and not self._evict_departed():
-            self.refused_record_count += 1
+            self.rejected_record_count += 1
             return False
         member = Member(record, now_ms)
         self.members[record.name] = member
@@ -121,30 +129,32 @@
         return True
 
     def _on_liveness_change(self, member: Member, previous_state: MemberState | None) -> None:
-        """A member came to another state, run or incarnation: that is news."""
+        """Updates presence, queues gossip and calls the observer after a new state, run ID or incarnation."""
         record = member.record
-        member.suspecting_members = {record.reported_by} if record.state is MemberState.SUSPECT else set()
+        member.accusers = {record.reported_by} if record.state is MemberState.SUSPECT else set()
         self._update_presence(record)
         self.gossip.enqueue(record.name)
         self._on_state_change(member, previous_state)
 
     def _count_confirmation(self, member: Member, record: MemberRecord) -> None:
-        """Counts another accuser of a suspect, and sends it on: a suspicion that many share is shorter."""
+        """Counts and gossips the record if it confirms the known suspicion and comes from a new accuser.
+
+        Each confirmation shortens the suspicion time-out, up to `CONFIRMATIONS_FOR_MIN_TIMEOUT`.
+        """
         known = member.record
         is_same_suspicion = (
             known.state is MemberState.SUSPECT is record.state
             and known.liveness_precedence == record.liveness_precedence
         )
-        accusers = member.suspecting_members
-        if not is_same_suspicion or record.reported_by in accusers:
+        if not is_same_suspicion or record.reported_by in member.accusers:
             return
-        if len(accusers) <= SATURATING_CONFIRMATION_COUNT:
-            accusers.add(record.reported_by)
+        if len(member.accusers) <= CONFIRMATIONS_FOR_MIN_TIMEOUT:
+            member.accusers.add(record.reported_by)
             member.record = record
             self.gossip.enqueue(record.name)
 
     def _update_presence(self, record: MemberRecord) -> None:
-        """Keeps the list of the present in step with a record; a removed name gives its place to the last."""
+        """Adds or removes a present name in constant time: the last name moves to a removed name's index."""
         name = record.name
         is_present = record.state not in DEPARTED_STATES
         if is_present and name not in self.present_index:
@@ -158,16 +168,16 @@
                 self.present_index[last_name] = index
 
     def update_local_record(self, record: MemberRecord) -> None:
-        """This member's own record changes."""
+        """Replaces this member's own record, and queues it for gossip if more than metadata changed."""
         self.digest.replace(self.local_record, record)
         if record.liveness_precedence != self.local_record.liveness_precedence:
             self.gossip.enqueue(record.name)
         self.local_record = record
 
-    # What is forgotten
+    # Removal
 
     def _evict_departed(self) -> bool:
-        """Makes room at the cost of the one that departed longest ago; returns whether one had departed."""
+        """Removes the member that departed longest ago; returns whether there was one."""
         departed = [member for member in self.members.values() if member.record.state in DEPARTED_STATES]
         if not departed:
             return False
@@ -175,13 +185,13 @@
         return True
 
     def _forget(self, name: str) -> None:
-        """Removes one that has departed."""
+        """Removes a departed member from the table."""
         member = self.members.pop(name)
         self.digest.toggle(member.record)
         self.gossip.discard(name)
 
     def forget_departed(self, now_ms: float, retention_ms: float) -> None:
-        """Removes all tombstones that are older than `retention_ms`."""
+        """Removes all members that departed more than `retention_ms` ago."""
         expired = [
             name
             for name, member in self.members.items()
@@ -190,14 +200,14 @@
         for name in expired:
             self._forget(name)
 
-    # What is sent on
+    # Records to send
 
     def select_gossip(self, first: MemberRecord | None = None) -> list[MemberRecord]:
-        """News for one message; `first` must be among them."""
+        """Selects the records that one message piggybacks: `first`, if given, and then queued updates."""
         return self.gossip.select(len(self.present_names), first)
 
     def differing_pages(self, other_checksums: tuple[int, ...], max_pages: int) -> list[list[MemberRecord]]:
-        """Records, by pages, of the buckets in which another table differs; at most `max_pages` of them."""
+        """Returns the records of all buckets whose checksum differs, split into at most `max_pages` pages."""
         buckets = self.digest.differing_buckets(other_checksums)
         if not buckets:
             return []
--- a/landingshift/net/program/__init__.py
+++ b/landingshift/net/program/__init__.py
@@ -1,1 +1,1 @@
-"""The program: its configuration, log, signals and wiring."""
+"""The server program: reads the configuration, loads optional packages, and runs the server."""
--- a/landingshift/net/program/signals.py
+++ b/landingshift/net/program/signals.py
@@ -1,4 +1,4 @@
-"""Signals as events of the loop."""
+"""Delivers signals of the operating system as events of the loop."""
 
 from __future__ import annotations
 
@@ -14,36 +14,38 @@
 
 
 class SignalWatcher:
-    """Turns signals into events of the loop; from its making on none of them ends the program.
+    """Delivers SIGTERM, SIGINT and SIGHUP as events of the loop.
+
+    Once the watcher has been created, these signals no longer end the process.
 
     Attributes:
-        on_signal: Called with the signal's number and the loop's time at which it came.
-        came_ms: By the signal's number, the time of the first one that was not passed on yet.
+        on_signal: Called with the signal's number and the time of its receipt on the loop's clock.
+        received_ms: The time of receipt of the first undelivered signal, keyed by signal number.
     """
 
     def __init__(self, loop: Loop) -> None:
         self.loop = loop
         self.on_signal: Callable[[int, float], None] | None = None
-        self.came_ms: dict[int, float] = {}
+        self.received_ms: dict[int, float] = {}
         self.reader, self.writer = socket.socketpair()
         self.reader.setblocking(False)
         self.writer.setblocking(False)
         signal.set_wakeup_fd(self.writer.fileno(), warn_on_full_buffer=False)
         for number in WATCHED_SIGNALS:
-            signal.signal(number, self._note)
+            signal.signal(number, self._record_time)
         loop.watch(self.reader.fileno(), EVENT_READ, self)
 
-    def _note(self, number: int, _frame: object) -> None:
-        """Called in the midst of a pass: a notice counts from now on, not from when the pass is over."""
-        self.came_ms.setdefault(number, self.loop.clock_ms())
+    def _record_time(self, number: int, _frame: object) -> None:
+        """Records the time of receipt: the time to stop runs from it, not from the end of a long pass."""
+        self.received_ms.setdefault(number, self.loop.clock_ms())
 
     def on_ready(self, _mask: int) -> None:
-        """Passes on what has come; many of one kind want no more than one."""
+        """Delivers the received signals; several with the same number count as one."""
         for number in sorted(set(self.reader.recv(MAX_SIGNALS_PER_READ))):
-            came_ms = self.came_ms.pop(number, self.loop.now_ms)
+            received_ms = self.received_ms.pop(number, self.loop.now_ms)
             if self.on_signal is not None:
-                self.on_signal(number, came_ms)
+                self.on_signal(number, received_ms)
 
     def close(self) -> None:
-        """Ends the watch."""
+        """Closes the socket from which the loop reads signals."""
         self.reader.close()
--- a/landingshift/net/protocol/__init__.py
+++ b/landingshift/net/protocol/__init__.py
@@ -1,4 +1,4 @@
-"""Bytes to typed messages and back: the only modules that know names on the wire. Knows no socket.
+"""Encodes and decodes all messages. Names on the wire occur only in these modules, which use no sockets.
 
-Each decoder gives out the complete messages in front of malformed bytes before it reports those.
+Each decoder returns the complete messages that precede malformed bytes before it reports the error.
 """
--- a/landingshift/testbed/processes/gateway_load.py
+++ b/landingshift/testbed/processes/gateway_load.py
@@ -116,7 +116,7 @@
     """A connection of a gateway to a server.
 
     Attributes:
-        has_goaway: Whether the server has sent a goaway message, after which it must not be sent further RPCs.
+        has_goaway: Whether the server has sent a goaway message and must not be sent further RPCs.
     """
 
     def __init__(self, load: GatewayLoad, server: str, address: Address) -> None:
