--- a/tests/test_coldstart.py
+++ b/tests/test_coldstart.py
@@ -111,9 +111,8 @@
         exploration = search.run(7, 6000)
         self.assertEqual(exploration.violation, "")
         self.assertGreater(exploration.state_count, 3000)
-        self.assertEqual(
-            search.max_total_leased, 4.0
-        )  # the whole capacity was leased, so the limit was reached
+        # The whole capacity was leased, so the limit was reached.
+        self.assertEqual(search.max_total_leased, 4.0)
 
     def test_search_finds_a_violation_without_each_lease_rule(self) -> None:
         for without in ({"has_recovery_grace": False}, {"books_old_grants": False}):
