--- a/landingshift/policies/coordinator.py
+++ b/landingshift/policies/coordinator.py
@@ -1,10 +1,10 @@
 """Coordinator of policy changes on the leader: tracks members' states, and commits or ends the change.
 
 Guarantee: a commit is proposed only once every member is prepared or certainly on standby. A prepared member
-decides by the old version only under short leases. After proposing a commit, the leader grants no leases
-until the log entry of the commit has been applied. The commit has no effect if a member has joined since the
-proposal. Failure mode: the coordinator's state is lost when the leader changes. The next leader polls the
-members again; everything that must survive is in the replicated state machine.
+applies the old version to RPCs only while it has a valid short lease. After proposing a commit, the leader
+grants no leases until the log entry of the commit has been applied. The commit has no effect if a member has
+joined since the proposal. Failure mode: the coordinator's state is lost when the leader changes. The next
+leader polls the members again; everything that must survive is in the replicated state machine.
 """
 
 from __future__ import annotations
@@ -110,7 +110,7 @@
         self.committing_change_id = ""
         self._commit_entry_index = 0
         self._ending_change_id = ""  # the change for which an `EndChange` is proposed
-        self._proposed_entry_index: dict[str, int] = {}  # log index by proposal key, see `_propose_once`
+        self._proposed_entry_index: dict[str, int] = {}  # log index, by proposal key; see `_propose_once`
         self._version = self._state.version
         self._committed_at_ms = NEVER_MS
         self._last_poll_at_ms = NEVER_MS
@@ -156,7 +156,8 @@
         if not is_member and len(self._joining) < MAX_JOIN_COUNT:
             self._joining[sender] = request.run_id
             self.next_deadline_ms = now_ms
-        # Once the commit is proposed, other servers can switch, so no leases for the old version are granted.
+        # Once the commit is proposed, other servers might already apply the new version. Therefore, no leases
+        # to apply the old version are granted.
         is_leased = is_member and not self.committing_change_id
         if self.reports.record(sender, request, is_leased, now_ms):
             self.next_deadline_ms = now_ms
--- a/landingshift/policies/enforcement.py
+++ b/landingshift/policies/enforcement.py
@@ -1,10 +1,10 @@
 """Applies new policy versions to the admission controller, and switches the server to standby and back.
 
 Guarantee: at the end of each pass of the event loop, `before_decisions` applies a new policy version, and
-puts the server on standby if the server is not allowed to decide on RPCs. Only then does the admission
-controller start or reject RPCs. Failure mode: if the process is paused after `before_decisions`, a lease can
-expire during the pause. The controller then still decides in this pass, although the server is no longer
-allowed to.
+puts the server on standby if the server is not allowed to apply its policy version to RPCs. Only then does
+the admission controller start or reject RPCs. Failure mode: if the process is paused after
+`before_decisions`, a lease can expire during the pause. In this pass, the controller then still applies the
+policy version to RPCs, although the server is no longer allowed to do so.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
 
 
 class PolicyEnforcement:
-    """Applies the version and the permission to decide of a `ChangeParticipant` to the admission controller.
+    """Makes the admission controller apply the policy version of a `ChangeParticipant`, or enter standby.
 
     Attributes:
         name: Name of the readiness gate, and of this object as an RPC observer.
-        applied_version: Policy version that the controller decides by.
+        applied_version: Policy version that the controller applies to RPCs.
     """
 
     name = "policies"
@@ -38,8 +38,8 @@
         """Registers `before_decisions` with the router, and adds a readiness gate.
 
         The router calls `before_decisions` at the end of each loop pass, before the admission controller
-        decides on RPCs. The gate makes this server report that it is not ready. `before_decisions` removes
-        the gate as soon as this server is allowed to decide on RPCs.
+        starts or rejects RPCs. The gate makes this server report that it is not ready. `before_decisions`
+        removes the gate as soon as this server is allowed to apply its policy version to RPCs.
         """
         self.applied_version = 0
         self._router = host.router
@@ -106,16 +106,18 @@
             return f"no lease from the leader for too long, during change {participant.change_id}"
         return "no lease from the leader for too long"
 
-    # RPC observer, registered only while decisions are recorded for the history checker
+    # RPC observer, registered only if a decision history is recorded. The history checker uses the records to
+    # find servers that applied a wrong or outdated policy version.
 
     def on_started(self, _rpc: RoutedRpc) -> None:
-        """Records the start of an RPC as a decision."""
+        """Records which policy version the controller applied when it started an RPC."""
         self._record_decision()
 
     def on_answered(self, _rpc: RoutedRpc, kind: AnswerKind) -> None:
-        """Records a rejection as a decision, unless this server is on standby.
+        """Records which policy version the controller applied when it rejected an RPC.
 
-        A rejection by a server on standby does not depend on the policy.
+        Records nothing while this server is on standby, because a rejection then does not depend on the
+        policy.
         """
         if kind is AnswerKind.REJECTED and self._may_decide:
             self._record_decision()
--- a/landingshift/policies/member_reports.py
+++ b/landingshift/policies/member_reports.py
@@ -39,7 +39,7 @@
         self._term_began_at_ms = term_began_at_ms  # earlier leaders granted no lease after this time
 
     def record(self, member: str, request: LeaseRequest, is_leased: bool, now_ms: float) -> bool:
-        """Stores a member's lease request; if `is_leased`, also `now_ms` as the time of the member's lease.
+        """Stores a member's lease request; if `is_leased`, also stores `now_ms` as the time of the lease.
 
         Returns:
             True if this is the member's first request in this term, or if the change or the state in the
@@ -54,10 +54,10 @@
         return progress_before != (request.change_id, request.state)
 
     def state_of(self, member: str, run_id: int, change_id: str) -> str:
-        """Returns the state in the change `change_id` that the process `run_id` of a member reported last.
+        """Returns a member's state in the change `change_id`, according to the member's last report.
 
-        Returns "away" if the member has sent no report, or if its last report concerns another process or
-        another change.
+        Returns "away" if the member has sent no report, or if its last report came from a process other than
+        `run_id` or concerns another change.
         """
         report = self.by_member.get(member)
         if report is None or report.request.run_id != run_id or report.request.change_id != change_id:
@@ -65,7 +65,7 @@
         return report.request.state
 
     def is_on_standby(self, member: str, now_ms: float) -> bool:
-        """Returns whether a member is certainly on standby because all its leases have expired by its clock.
+        """Returns whether all leases of a member have certainly expired, so that the member is on standby.
 
         This leader knows when it last granted the member a lease. It assumes that an earlier leader also
         granted the member a lease, and did so at the latest possible time: the start of this term.
--- a/landingshift/policies/messages.py
+++ b/landingshift/policies/messages.py
@@ -13,7 +13,7 @@
 
     NONE = ""  # no change is in progress
     VALIDATE = "check"  # fetch and validate the policy
-    PREPARE = "arm"  # decide by the old version, and only while a lease is valid
+    PREPARE = "arm"  # apply the old version to RPCs only while a lease is valid
 
 
 # Operators' commands, forwarded to the leader in an `OperatorRequest`, which contains the id of the change
@@ -88,7 +88,7 @@
     Attributes:
         run_id: Random id of the process, new at each start.
         number: Number of the request, which the reply repeats.
-        version: Version that the server decides by; -1 if it has none yet.
+        version: Policy version that the server applies to RPCs; -1 if it has none yet.
         change_id: Id of the change that the server takes part in, which means that it has received the
             change's policy and does not know the outcome yet; empty if there is none.
         state: Value of the server's `ParticipantState` in that change.
@@ -143,7 +143,7 @@
         phase: Phase of that change.
         ended: Outcome of the change that the request named; None if the request named no change, or if the
             change is unknown or in progress.
-        is_lease_granted: Whether the leader grants the member a lease to decide by `version`.
+        is_lease_granted: Whether the leader grants the member a lease to apply `version` to RPCs.
         voters: Names of all voters, from the leader's log.
     """
 
@@ -210,7 +210,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Departure:
-    """Announces that the sender's process is ending and decides on no more RPCs."""
+    """Announces that the sender's process is ending and no longer starts or rejects RPCs."""
 
     run_id: int
 
--- a/landingshift/policies/node.py
+++ b/landingshift/policies/node.py
@@ -44,7 +44,8 @@
 STATE_MACHINE_NAME = "policies"
 COMPACTION_ENTRY_COUNT = 200  # a snapshot replaces the applied log entries once there are more than this
 DEFAULT_TIMEOUTS = RaftTimeouts()
-# Rounds of delivering a node's messages to itself. Each round can produce further messages.
+# Maximum number of rounds in which `deliver_messages` processes the messages that a node sent to itself. Each
+# round can produce further messages. Messages that the last round produced stay queued until the next call.
 MAX_LOCAL_DELIVERY_COUNT = 8
 
 
@@ -54,7 +55,7 @@
     Attributes:
         name: Name of this server.
         run_id: Random id of this process, new at each start.
-        participant: Participant that determines which version this server can decide by.
+        participant: Participant that determines which policy version this server applies to RPCs.
         raft: Raft node; None on a server without a log file.
         coordinator: Coordinator of changes, active while `raft` is the leader; None if `raft` is None.
         state_machine: Replicated state of policies, as applied on this server.
@@ -164,7 +165,7 @@
         return [(receiver, encode_message(message)) for receiver, message in messages]
 
     def deliver_messages(self, now_ms: float) -> None:
-        """Processes the messages to this server itself, and queues all others for `take_outgoing`."""
+        """Processes the messages to this server itself, and queues other messages for `take_outgoing`."""
         for _ in range(MAX_LOCAL_DELIVERY_COUNT):
             local_messages = self._collect_outgoing()
             for message in local_messages:
@@ -233,7 +234,7 @@
         self._tick_coordinator_if_due(self.coordinator, now_ms)
 
     def _on_policy_request(self, sender: str, request: PolicyRequest) -> None:
-        """Sends the requested policy; a server without a log file has only the policy that it decides by."""
+        """Sends the requested policy; a server without a log file has only the policy that it applies."""
         if self.coordinator is not None:
             self.coordinator.on_policy_request(sender, request)
         elif not request.change_id and request.version == self.participant.version:
@@ -283,8 +284,9 @@
     def forward_command(self, change_id: str, now_ms: float) -> None:
         """Sends a pending command to the leader, and from the second attempt on to all voters.
 
-        Between changes, lease requests are rare. The leader that this server knows might therefore have
-        stopped some time ago.
+        While no change is in progress, lease requests are rare. The leader that this server knows might
+        therefore have stopped some time ago. If no leader is known, the first attempt also goes to all
+        voters.
         """
         pending = self.operator_commands.next_attempt(change_id, now_ms)
         if pending is None:
@@ -315,7 +317,7 @@
     def announce_departure(self) -> None:
         """Queues a `Departure` message to each other voter.
 
-        The message tells the voter that this process decides on no more RPCs.
+        The message tells the voter that this process no longer starts or rejects RPCs.
         """
         for voter in self.participant.discovery.voters:
             if voter != self.name:
--- a/landingshift/policies/operator_commands.py
+++ b/landingshift/policies/operator_commands.py
@@ -12,7 +12,7 @@
 from landingshift.policies.messages import ChangeStatus, FindChange, OperatorCommand, ProposeChange
 
 FORWARD_INTERVAL_MS = 300.0  # between attempts to forward a command
-COMMAND_TIMEOUT_MS = 120_000.0  # after which a command without a final outcome is dropped
+COMMAND_TIMEOUT_MS = 120_000.0  # commands without a final outcome are dropped after this time
 MAX_PENDING_COMMAND_COUNT = 32
 MAX_STORED_STATUS_COUNT = 256
 
--- a/landingshift/policies/participant.py
+++ b/landingshift/policies/participant.py
@@ -1,16 +1,16 @@
-"""Participant of policy changes: which policy version a server decides by, and its state in a change.
+"""Participant of policy changes: which policy version a server applies, and its state in a change.
 
 These rules bound the time during which the old and the new version are both in use:
 
-- A server decides on no RPC until the leader has confirmed its membership and the version in force.
+- A server stays on standby until the leader has confirmed its membership and the version in force.
 - A server becomes prepared only after it has fetched and validated the policy of the change. A prepared
-  server decides by the old version only under leases of `prepared_lease_ms`. The leader stops granting leases
-  before it replicates the commit. So once one server decides by the new version, all others stop deciding by
-  the old version within `prepared_lease_ms`.
+  server applies the old version to RPCs only while it has a valid lease, which lasts `prepared_lease_ms`. The
+  leader stops granting leases before it replicates the commit. So once one server applies the new version,
+  all others stop applying the old version within `prepared_lease_ms`.
 - A server stays prepared until it learns the outcome of the change. A reply that the leader sent before the
   change was opened can arrive late, and must not end this state.
-- If `is_standby_when_cut_off` is True, a server also needs a lease for its decisions between changes. Such a
-  lease lasts `lease_ms`.
+- If `is_standby_when_cut_off` is True, a server also needs a lease while it is not prepared. Such a lease
+  lasts `lease_ms`.
 
 A lease begins when its request is sent, by this server's monotonic clock. Failure mode: a prepared server
 that is cut off from the leader goes on standby. The server leaves standby once a leader grants it a lease or
@@ -43,7 +43,7 @@
 NEVER_MS = -inf
 MAX_ENDED_CHANGE_COUNT = 64  # ended changes whose outcome is stored
 MAX_TRACKED_REQUEST_COUNT = 16  # requests whose sending time is stored; replies to older requests are ignored
-IDLE_REQUEST_INTERVAL_MS = 2000.0  # between changes, when no lease is needed
+IDLE_REQUEST_INTERVAL_MS = 2000.0  # of a member that needs no lease and is in no change, or a refused server
 POLL_SPREAD_MS = 20.0  # replies to a poll are spread over this time, so that they do not all arrive at once
 MIN_REQUEST_INTERVAL_MS = 10.0
 REQUESTS_PER_LEASE = 4.0  # so that a lease can be extended in time even if requests are lost
@@ -56,7 +56,7 @@
     NONE = ""
     VALIDATED = "ready"  # the server has the policy and can apply it
     REJECTED = "refused"  # the server has the policy and can't apply it
-    PREPARED = "armed"  # the server decides by the old version, and only while a lease is valid
+    PREPARED = "armed"  # the server applies the old version to RPCs only while a lease is valid
 
 
 class ChangeParticipant:
@@ -67,7 +67,7 @@
         is_member: Whether the leader has confirmed this server as a member.
         refusal_reason: Reason why the leader does not accept this server as a member; empty if it does.
         can_become_voter: Whether this server has a log file.
-        version: Policy version that this server decides by; -1 until it has one.
+        version: Policy version that this server has adopted and applies to RPCs; -1 until it has one.
         policy: Encoded policy of that version.
         latest_version: Newest version known to be in force; its policy might not have arrived yet.
         change_id: Id of the change that this server takes part in, which means that it has received the
@@ -124,15 +124,15 @@
         self.next_deadline_ms = now_ms + FIRST_RETRY_MS * rng.random()
         self._last_request_at_ms = NEVER_MS
 
-    # Permission to decide
+    # Permission to apply the adopted version
 
     @property
     def needs_lease(self) -> bool:
-        """Whether this server currently needs a lease to decide on RPCs."""
+        """Whether this server currently needs a lease to apply `version` to RPCs."""
         return self._settings.is_standby_when_cut_off or self.state is ParticipantState.PREPARED
 
     def may_decide(self, now_ms: float) -> bool:
-        """Returns whether this server is allowed to decide on RPCs by `version` at `now_ms`."""
+        """Returns whether this server is allowed to apply `version` to RPCs at `now_ms`."""
         if not self.is_member or self.latest_version > self.version:
             return False
         return now_ms < self.lease_expiry_ms if self.needs_lease else True
@@ -140,7 +140,7 @@
     def adopt_trusted_version(self, version: int, policy: bytes) -> str:
         """Adopts a version that an operator declares to be in force.
 
-        This allows the server to decide on RPCs if no leader can return.
+        This lets the server leave standby if no leader can return.
 
         Returns:
             Reason why the version was not adopted; empty if it was.
--- a/landingshift/policies/policy_settings.py
+++ b/landingshift/policies/policy_settings.py
@@ -13,11 +13,12 @@
 
     Attributes:
         voters: Names of the initial voters, used until the replicated log names the voters.
-        is_standby_when_cut_off: If True, a server always needs a lease to decide on RPCs; if False, only
-            while it is prepared for a change. If True, a server that is cut off from the leader goes on
-            standby, and changes need not wait for that server.
-        overlap_ms: Maximum time during which some servers use the old version and others the new one.
-        lease_ms: Duration of a lease between changes, if `is_standby_when_cut_off` is True.
+        is_standby_when_cut_off: If True, a server always needs a lease to apply its policy version to RPCs;
+            if False, only while it is prepared for a change. If True, a server that is cut off from the
+            leader goes on standby, and changes need not wait for that server.
+        overlap_ms: Maximum time during which some servers apply the old version and others the new one.
+        lease_ms: Duration of a lease of a server that is not prepared for a change. Such a server needs
+            leases only if `is_standby_when_cut_off` is True.
         clock_margin_ms: Extra time for which the leader waits after the end of a lease before it considers
             the lease expired.
         change_timeout_ms: Time after which the leader withdraws a change that has not been committed.
@@ -32,7 +33,7 @@
 
     @property
     def prepared_lease_ms(self) -> float:
-        """Duration of the leases under which a prepared server can still decide by the old version."""
+        """Duration of a lease that allows a prepared server to apply the old version to RPCs."""
         return PREPARED_LEASE_FRACTION * self.overlap_ms
 
     @property
--- a/landingshift/policies/service.py
+++ b/landingshift/policies/service.py
@@ -30,7 +30,9 @@
 # Shortest delay of a timer. A running timer is replaced only if the new one is due earlier by more than this
 # delay.
 MIN_TIMER_MS = 1.0
-MAX_SAVE_ROUND_COUNT = 8  # rounds of saving and sending; each round can produce more state to save
+# Maximum number of rounds of saving and sending in one call of `_save_and_send`. Each round can produce more
+# state to save; state that is left over is saved at the next call.
+MAX_SAVE_ROUND_COUNT = 8
 
 
 class PolicyService:
@@ -193,13 +195,16 @@
     def on_version_trusted(self, version: int) -> None:
         """Logs the adoption of a version that an operator declared to be in force.
 
-        Also makes the admission controller decide again in this loop pass, by the adopted version.
+        Also makes the admission controller apply the adopted version to queued RPCs in this loop pass.
         """
         self._log("policy_trusted", version=version)
         self._router.request_settle()
 
     def finish(self) -> None:
-        """Tells the voters that this process decides on no more RPCs; called after the loop has ended."""
+        """Tells the voters that this process no longer starts or rejects RPCs, and closes the log file.
+
+        Called after the loop has ended.
+        """
         self.policy_node.announce_departure()
         for receiver, body in self.policy_node.take_outgoing():
             self._swim_node.send_to_member(receiver, PACKAGE, body)
--- a/landingshift/policies/settings.py
+++ b/landingshift/policies/settings.py
@@ -20,11 +20,13 @@
         voters: Names of the initial voters; 1, 3, 5 or 7 names are allowed.
         journal: Path of the log file of a voter, or of a server that can become one, on persistent storage.
         on: Whether the package is enabled.
-        when_cut_off: Behaviour of a server that can't reach a leader between changes. With "serve", the
-            server continues to decide on RPCs. With "stand_aside", the server goes on standby when its lease
-            expires.
-        overlap_ms: Maximum time during which some servers use the old version and others the new one.
-        lease_ms: Duration of a lease between changes, if `when_cut_off` is "stand_aside".
+        when_cut_off: Behaviour of a server that can't reach a leader. With "serve", the server
+            continues to apply its policy version to RPCs. The exception is a server that is prepared for a
+            change: it goes on standby when its lease expires, because the change might have been committed.
+            With "stand_aside", the server always goes on standby when its lease expires.
+        overlap_ms: Maximum time during which some servers apply the old version and others the new one.
+        lease_ms: Duration of a lease of a server that is not prepared for a change. Such a server needs
+            leases only if `when_cut_off` is "stand_aside".
         spare_ms: Extra time for which the leader waits after the end of a lease before it considers the lease
             expired.
         wait_ms: Time after which the leader withdraws a change that has not been committed.
--- a/landingshift/policies/wire.py
+++ b/landingshift/policies/wire.py
@@ -35,7 +35,7 @@
     WithdrawChange,
 )
 
-MAX_RECEIVED_VOTER_COUNT = 9  # voters read from a lease reply; further ones are ignored
+MAX_RECEIVED_VOTER_COUNT = 9  # voters read from a lease reply; further voters are ignored
 
 _PHASES = {phase.value: phase for phase in ChangePhase}
 
