--- a/landingshift/net/routing/admission_driver.py
+++ b/landingshift/net/routing/admission_driver.py
@@ -23,7 +23,8 @@
 
     Attributes:
         controller: The admission controller; None until the engine is up.
-        needs_settle: Whether the controller has received events since it last settled.
+        needs_settle: Whether the controller must settle in this loop pass, because it has received events or
+            because the inputs of its decisions have changed without an event.
         deferred: Callbacks that are called before the controller next settles; each can deliver an event.
     """
 
--- a/landingshift/net/routing/dedup.py
+++ b/landingshift/net/routing/dedup.py
@@ -1,7 +1,8 @@
 """The deduplication table stores the outcomes of RPCs, so that duplicates can be answered without a run.
 
-Requests with the same deduplication key are duplicates. The key consists of the method and either the
-idempotency key or the cache key. One RPC, the owner of the entry in the table, runs for all duplicates.
+Requests with the same deduplication key are duplicates. The key consists of the method and a key from a field
+of the request: the idempotency key if the method's idempotency is `KEYED`, otherwise the cache key. One RPC,
+the owner of the entry in the table, runs for all duplicates.
 
 The deduplication window of an entry is the time within which duplicates are answered from the entry.
 Guarantee: if the effect of an RPC must not happen twice, the entry of the RPC is kept until its window ends.
--- a/landingshift/net/routing/duplicates.py
+++ b/landingshift/net/routing/duplicates.py
@@ -54,7 +54,10 @@
             self._defer_answer(rpc, entry)
 
     def complete(self, entry: DedupEntry, outcome: Outcome, result: bytes) -> None:
-        """Stores outcome and result of the entry's owner, and answers duplicates that wait for the owner."""
+        """Stores outcome and result of the entry's owner, and answers duplicates that wait for the owner.
+
+        The owner is the original of these duplicates.
+        """
         for waiter in self.dedup.complete(entry, outcome, result, self.loop.now_ms):
             self._defer_answer(waiter, entry)
 
@@ -85,8 +88,9 @@
     def _answer_duplicate(self, rpc: RoutedRpc, entry: DedupEntry, is_last_chance: bool) -> None:
         """Answers a duplicate whose original has ended.
 
-        If there is a result but the connection is unverified, the engine is asked whether it knows the
-        duplicate, or the duplicate waits until another RPC verifies the connection.
+        If there is a result but the connection is unverified, the duplicate is not answered yet. If the
+        method's database call can be skipped, the engine is asked whether it knows the duplicate. Otherwise
+        the duplicate waits until another RPC verifies the connection.
 
         Args:
             rpc: The duplicate.
@@ -116,9 +120,9 @@
         """Answers the duplicate once the connection is verified; aborts it after `VERIFICATION_TIME_MS`.
 
         Used for methods whose database call must not be skipped. For other methods, `EngineLink.query_known`
-        asks the engine whether it knows the duplicate. That query is a skip-call command. If the method's
-        call must not be skipped, the engine refuses the command even for an RPC that it knows. The connection
-        would then be cut off by mistake.
+        asks the engine whether it knows the duplicate. That query is a skip-call command, which makes
+        a run continue without its database call. If the method's call must not be skipped, the engine refuses
+        the command even for an RPC that it knows. The connection would then be cut off by mistake.
         """
         connection.unverified_duplicates = {
             duplicate: original
--- a/landingshift/net/routing/engine_commands.py
+++ b/landingshift/net/routing/engine_commands.py
@@ -40,12 +40,16 @@
 
 
 class UnconfirmedCommands:
-    """Tracks the commands for open RPCs until the engine has confirmed them.
+    """Tracks the commands for RPCs in flight until the engine has confirmed them.
+
+    An RPC is in flight until the admission controller releases it. A command is in doubt if it was sent on a
+    link that broke, since the engine might have received it. A run command in doubt is withheld if resending
+    it could repeat the effect of its RPC.
 
     Attributes:
         queue: The commands that are not withheld, oldest first. A command that was replaced by a later
             command for the same RPC stays in the queue until it is confirmed or a new link is ready.
-        latest: The latest unconfirmed command of each open RPC, including withheld ones.
+        latest: The latest unconfirmed command of each RPC in flight, including withheld ones.
     """
 
     def __init__(self) -> None:
--- a/landingshift/net/routing/engine_events.py
+++ b/landingshift/net/routing/engine_events.py
@@ -91,8 +91,9 @@
     def on_command_refused(self, refusal: wire.CommandRefused) -> None:
         """Logs a refused command, and aborts the RPC if the refusal shows that the engine does not know it.
 
-        The refusal of a run command or of a query by `EngineLink.query_known` shows this. An unverified
-        connection on which such an RPC arrived is cut off.
+        The refusal of a run command or of a query by `EngineLink.query_known` shows this. If the connection
+        of such an RPC is unverified, the connection is closed. A connection is unverified until the engine
+        has recognized an RPC that arrived on it.
         """
         rpc = self.table.find(refusal.rpc_id)
         self.log("engine_command_refused", command=refusal.command.decode("latin-1"), known=rpc is not None)
--- a/landingshift/net/routing/engine_link.py
+++ b/landingshift/net/routing/engine_link.py
@@ -2,8 +2,8 @@
 
 A notice is a numbered message from the engine about a run. A gauge query asks the engine for its gauges, such
 as core utilization. Guarantee: a command counts as confirmed once the engine has answered a gauge query that
-was written after the command. After a reconnect, unconfirmed commands are resent, except those that
-`engine_commands` withholds.
+was written after the command. After a reconnect, unconfirmed commands are resent, except withheld commands.
+A withheld command would start a run that must not be repeated and that the engine might have completed.
 """
 
 from __future__ import annotations
@@ -63,6 +63,10 @@
 class EngineLink:
     """The single link to the engine; reconnects when the connection is lost.
 
+    A command is in doubt if it was sent on a link that broke, since the engine might have received it. A run
+    command in doubt is withheld if resending it could repeat the effect of its RPC. A withheld command is not
+    resent until the RPC is answered or abandoned.
+
     Args:
         address: The address at which the engine listens.
         log: Receives an event when the link is established, ready or lost, and when notices are missing.
@@ -75,8 +79,9 @@
         is_greeted: Whether the engine has answered on the present link.
         is_changing_address: Whether the link is about to be closed because the engine's address has changed.
         commands: Commands that the engine has not confirmed.
-        answered_at_ms: The time at which the wait for the engine's answer began; updated regularly while no
-            answer is due.
+        answered_at_ms: The time from which the engine's silence is measured, for comparison with
+            `MAX_SILENCE_MS`. It is set when the engine answers a gauge query, but also when a connect begins
+            or a gauge query is written, and at regular checks while no answer is due.
     """
 
     def __init__(self, loop: Loop, address: Address, log: Callable[..., None]) -> None:
@@ -145,8 +150,9 @@
         elif not self.is_ready:
             self.stream.close("moved")
         else:
-            # The link is closed once all commands are confirmed. If the link were closed earlier, unconfirmed
-            # commands would be in doubt and could be withheld. The timer bounds the wait for confirmation.
+            # The link is closed once all commands are confirmed. If the link were closed earlier, the engine
+            # might have received unconfirmed commands. Run commands among them might not be resent on the new
+            # link (see `withheld` in the class docstring). The timer bounds the wait for confirmation.
             stream = self.stream
             self.is_ready = False
             self.is_changing_address = True
@@ -279,7 +285,7 @@
         elif not self.is_ready:
             self._resend()
         if self.commands.has_query():
-            self.query_gauges()  # a duplicate waits for its `query_known` command
+            self.query_gauges()  # a duplicate waits for the confirmation of its `query_known` command
 
     # Outgoing messages
 
@@ -329,8 +335,9 @@
     def query_known(self, rpc: RoutedRpc, on_known: Callable[[], None]) -> None:
         """Asks the engine whether it knows the RPC. An engine that does not know the RPC refuses the query.
 
-        The query is a skip-call command with the number `NO_NOTICE_NUMBER`, which no notice has. The
-        query therefore has no effect on an RPC that the engine knows.
+        The query is a skip-call command, which makes a run continue without the database call that it asked
+        for in a notice. The command contains the number `NO_NOTICE_NUMBER`, which no notice has. The query
+        therefore has no effect on an RPC that the engine knows.
 
         Args:
             rpc: The RPC in question.
--- a/landingshift/net/routing/gateway_connection.py
+++ b/landingshift/net/routing/gateway_connection.py
@@ -67,7 +67,7 @@
         open_stream: Opens the connection's stream.
 
     Attributes:
-        rpcs: Open RPCs, keyed by the message id of their requests.
+        rpcs: Open RPCs (neither answered nor abandoned), keyed by the message id of their requests.
         rpc_count: The number of RPCs read.
         health_check_count: The number of health checks read.
         invalid_count: The number of RPCs rejected for an invalid field.
@@ -76,10 +76,11 @@
         goaway_deadline_ms: The time at which this server closes the connection if the gateway has not
             closed it after goaway; 0 until goaway is sent.
         is_verified: Whether the engine has recognized an RPC from this connection.
-        unverified_duplicates: Duplicates that wait until the connection is verified, each with the
-            deduplication entry from which it is answered.
+        unverified_duplicates: Duplicates that wait until the connection is verified. A duplicate is an RPC
+            that is answered with the stored outcome of an earlier RPC; it is mapped to the `DedupEntry` that
+            stores this outcome.
         accepted_ms: The time at which the connection was accepted.
-        last_message_ms: The time of the last complete message or the last written answer.
+        last_message_ms: The time of the last complete message or the last written answer, whichever is later.
         partial_since_ms: The time at which the first part of an incomplete message was received; 0 if no
             message is incomplete.
         accepted_pass: The number of the loop pass in which the connection was accepted.
@@ -250,10 +251,10 @@
     def check_idle(self) -> None:
         """Closes the connection or sends goaway if a deadline has passed; otherwise schedules the next check.
 
-        When a connection reaches its idle limit, goaway is sent if the connection is verified, or if RPCs
-        were read from it and all of them were valid. Any other connection is closed immediately. After
-        goaway, the connection is closed if the gateway does not close it in time. A connection is cut off if
-        a message is not complete after `MAX_MESSAGE_MS`.
+        When a verified connection reaches its idle limit, goaway is sent. An unverified connection that
+        reaches its limit gets goaway if at least one RPC was read from it and no RPC was invalid; otherwise
+        it is closed immediately. After goaway, the connection is closed if the gateway does not close it in
+        time. A connection is cut off if a message is not complete after `MAX_MESSAGE_MS`.
         """
         if self.stream.close_reason:
             return
--- a/landingshift/net/routing/gateways.py
+++ b/landingshift/net/routing/gateways.py
@@ -1,7 +1,7 @@
 """Manages the connections from gateways: accepts, evicts and drains them.
 
 A connection is verified once the engine has recognized an RPC that arrived on it. Goaway is a message that
-asks a gateway to close its connection.
+asks a gateway to close its connection. An RPC is open on its connection until it is answered or abandoned.
 """
 
 from __future__ import annotations
@@ -129,9 +129,10 @@
         ]
 
     def evict_idle(self) -> bool:
-        """Closes some idle unverified connections, or else sends goaway to some idle verified ones.
+        """Closes some idle unverified connections; if that is not possible, sends goaway on some idle ones.
 
-        Goaway is sent only if no connection was closed and every connection is verified or has open RPCs.
+        Goaway is sent only if no connection was closed. In addition, each unverified connection must have an
+        open RPC: an unverified connection without one will make room soon, so goaway is not necessary.
 
         Returns:
             Whether a connection was closed.
--- a/landingshift/net/routing/health.py
+++ b/landingshift/net/routing/health.py
@@ -22,7 +22,8 @@
         server_name: The server's name in the roster.
         roster: The sender of reports to the roster.
         engine: The link to the engine, which can run a self-test.
-        runs_deep_checks: Whether a deep health check runs the engine's self-test.
+        runs_deep_checks: Whether a deep health check runs the engine's self-test. Even if False,
+            a deep check fails while the engine does not count as working (see `EngineLink.is_working`).
     """
 
     def __init__(
--- a/landingshift/net/routing/request_validation.py
+++ b/landingshift/net/routing/request_validation.py
@@ -97,7 +97,7 @@
 
 
 def _id_in_use_error(method: Method, rpc_with_id: RoutedRpc) -> LandingshiftError:
-    """Return the error for a request that has the id of an open RPC.
+    """Return the error for a request that has the id of an RPC in flight.
 
     Such a request is never accepted, because the engine could not tell the two RPCs apart.
     """
--- a/landingshift/net/routing/rpc_intake.py
+++ b/landingshift/net/routing/rpc_intake.py
@@ -2,8 +2,8 @@
 
 A request is accepted if its RPC is passed to the admission controller. Guarantee: every request is answered;
 a request that is not accepted is answered immediately. A rejection tells the caller that the RPC never ran.
-If a valid request is a duplicate of an RPC that might have run and must not run twice, the request is
-therefore aborted rather than rejected when it is not accepted.
+A valid request that is not accepted is therefore aborted, not rejected, if it is a duplicate of an RPC that
+might have run and must not run twice. Duplicates are requests with the same deduplication key (see `dedup`).
 """
 
 from __future__ import annotations
@@ -29,7 +29,8 @@
 from landingshift.net.routing.rpc_record import RoutedRpc
 from landingshift.net.routing.rpc_table import RpcTable
 
-# Once this many RPCs are in flight, requests on unverified connections are not accepted, to bound memory.
+# Once this many RPCs are in flight, requests on unverified connections are not accepted, to bound memory. A
+# connection is unverified until the engine has recognized an RPC that arrived on it.
 MAX_RPCS_WITH_UNVERIFIED = 1024
 
 
--- a/landingshift/net/routing/rpc_record.py
+++ b/landingshift/net/routing/rpc_record.py
@@ -17,13 +17,15 @@
     body: bytes
     connection: int  # slot number of the connection on which the RPC arrived
     message_id: int  # message id of the RPC's request on that connection
-    dedup_key: tuple[bytes, str] | None  # deduplication key: method, and idempotency key or cache key
+    dedup_key: tuple[bytes, str] | None  # shared by duplicates (see `dedup`); None if there is no key
     tenant_name: str = ""
     attempt_id: str | None = None  # id of the client's attempt, if a request field for it is configured
     slot: int = -1  # slot number in the table of RPCs in flight
     # The admission controller's handle for the RPC; None until the controller has received the RPC, and again
     # after the controller has released the RPC.
     managed: ManagedRpc | None = None
+    # True once an answer was written. Also True if the answer was dropped, because the caller had abandoned
+    # the RPC or because the connection was closed.
     is_answered: bool = False
     is_answer_deferred: bool = False  # the answer gate (see `AnswerGate`) is delaying the ok answer
     is_abandoned: bool = False  # the caller no longer waits for an answer
--- a/landingshift/net/routing/server_config.py
+++ b/landingshift/net/routing/server_config.py
@@ -26,7 +26,8 @@
         methods: The methods, keyed by their names on the wire.
         tenants: The tenants, keyed by their names on the wire; empty if requests contain no tenant name.
         gauge_names: The names of the engine's gauges, in the order in which the engine reports them.
-        runs_deep_checks: Whether a deep health check runs the engine's self-test.
+        runs_deep_checks: Whether a deep health check runs the engine's self-test. Even if False,
+            a deep check fails while the engine does not count as working (see `EngineLink.is_working`).
     """
 
     name: str
--- a/landingshift/net/routing/shutdown.py
+++ b/landingshift/net/routing/shutdown.py
@@ -4,6 +4,8 @@
 its connection had not been accepted or the request had not been read. The loop stops when all connections are
 closed. If a gateway does not close its side, the process runs until it is killed. If this server closed the
 connection earlier, a reset could discard answers that the gateway has not read.
+
+Goaway is a message that asks a gateway to close its connection.
 """
 
 from __future__ import annotations
@@ -13,7 +15,7 @@
 from landingshift.net.routing.gateways import Gateways
 from landingshift.net.transport.loop import Loop
 
-CONNECTION_DRAIN_MS = 600.0  # time from goaway until the kill; or half of the time left, if shorter
+CONNECTION_DRAIN_MS = 600.0  # time from goaway until the kill; half of the time left if that is shorter
 CHECK_INTERVAL_MS = 20.0  # interval at which the server checks whether all connections are closed
 MIN_TIME_LEFT_MS = 1.0  # assumed time left if the loop handles the signal only after the kill was due
 
