--- a/landingshift/testbed/simulation/cluster.py
+++ b/landingshift/testbed/simulation/cluster.py
@@ -37,7 +37,7 @@
 )
 
 OVERLAP_MS = 1000.0
-"""Maximum time during which some servers may use the old policy version while others use the new one."""
+"""Maximum time for which some servers can still use the old policy version while others use the new one."""
 POLICY_LEASE_MS = 900.0
 CLOCK_MARGIN_MS = 100.0
 STORE_CALLS_PER_SECOND_AND_SERVER = 3.0
@@ -55,7 +55,13 @@
 
 
 def cluster_config(scenario: Scenario, removed_defence: str) -> ClusterConfig:
-    """Returns the configuration of all servers in a scenario, without the defence named `removed_defence`."""
+    """Returns the configuration of all servers in a scenario.
+
+    Args:
+        scenario: Faults, load and size of the cluster.
+        removed_defence: Safety mechanism that is switched off in all servers, to show that the invariants
+            notice its absence: the value of a constant in `removed_defences`; "" for none.
+    """
     server_count = scenario.server_count
     names = [server_name(index) for index in range(server_count)]
     store_calls_per_second = STORE_CALLS_PER_SECOND_AND_SERVER * server_count
@@ -93,8 +99,8 @@
     Attributes:
         scenario: Faults, load and size of the cluster.
         state: Servers, network, store and history.
-        operators: Operators, who give commands.
-        gateways: Gateways, which send RPCs.
+        operators: Simulated operators, who change the policy and the voters, and request maintenance.
+        gateways: Simulated gateways, which send RPCs to the servers.
         faults: Begins and ends the faults of the scenario.
     """
 
@@ -105,9 +111,11 @@
 
         Args:
             scenario: Faults, load and size of the cluster.
-            removed_defence: Defence that all servers lack (a name from `removed_defences`); "" for none.
-            coverage: Counts overlapping faults, and the stages of operations at which faults began; None if
-                nothing needs to be counted.
+            removed_defence: Safety mechanism that is switched off in all servers, the value of a constant in
+                `removed_defences`; "" for none.
+            coverage: Counts which other faults were active when a fault began, and which stages of policy
+                changes, maintenance requests and cold starts were in progress. None if these counts are not
+                needed.
         """
         self.scenario = scenario
         config = cluster_config(scenario, removed_defence)
--- a/landingshift/testbed/simulation/cluster_context.py
+++ b/landingshift/testbed/simulation/cluster_context.py
@@ -38,7 +38,8 @@
         cold_start: Total call rate and number of start permits that are leased to servers, and the names of
             the servers that grant these leases.
         maintenance: Settings of the maintenance coordinator.
-        removed_defence: Defence that all servers lack (a name from `removed_defences`); "" for none.
+        removed_defence: Safety mechanism that is switched off in all servers, to show that the invariants
+            notice its absence: the value of a constant in `removed_defences`; "" for none.
     """
 
     server_count: int
--- a/landingshift/testbed/simulation/cold_start.py
+++ b/landingshift/testbed/simulation/cold_start.py
@@ -71,7 +71,7 @@
         permits: Initial and maximum number of start permits; 0 for the defaults of the settings.
         discovery: How servers find each other: DISCOVERY_BY_LIST (poll the endpoint list),
             DISCOVERY_BY_SNAPSHOT (know some addresses from the start, and poll the list too) or NO_DISCOVERY.
-        list_up_ms: Virtual times from which and until which the endpoint list answers polls.
+        list_up_ms: Start and end of the period in which the endpoint list answers polls, in virtual time.
         is_after_power_cut: If True, all machines have just booted. No server can hold a lease from an earlier
             process of a grantor, so grantors need no recovery grace and grant leases immediately.
         is_uncoordinated: If True, servers ignore call quotas and start permits, and poll the endpoint list
@@ -248,8 +248,8 @@
         violations: Descriptions of the samples in which a limit was violated.
         list_poll_times_ms: Virtual times of the polls of the endpoint list.
         has_recovery_grace: If True, for the length of one lease after its start, a grantor grants no more
-            than holders claim to have.
-            False removes this defence.
+            than holders claim to have. False switches this safety mechanism off, to show that the checks
+            notice its absence.
         max_quota_sum: Largest sum of call quotas in any sample, in calls per second.
         max_permits_held: Largest number of start permits held in any sample.
         warm_at_ms: Virtual time at which the cluster was first warm; -1 if it has not been.
--- a/landingshift/testbed/simulation/disk.py
+++ b/landingshift/testbed/simulation/disk.py
@@ -1,4 +1,4 @@
-"""The disk of a simulated server: state that survives the end of its process."""
+"""The disk of a simulated server, with the state that survives the end of a server process."""
 
 from __future__ import annotations
 
--- a/landingshift/testbed/simulation/downstream_store.py
+++ b/landingshift/testbed/simulation/downstream_store.py
@@ -7,7 +7,7 @@
 MAX_CALL_MS = 2000.0
 """Maximum duration of a call. A call that would take longer fails after this time."""
 OVERLOADED_SPEED_DIVISOR = 3.0
-"""Divisor of the normal rate of calls, which gives the rate that an overloaded store serves."""
+"""An overloaded store serves calls at its normal rate divided by this number."""
 OVERLOAD_QUEUE_SECONDS = 2.0
 """The store becomes overloaded when it has more queued calls than it can normally serve in this time."""
 RECOVERED_QUEUE_SECONDS = 0.05
@@ -18,7 +18,7 @@
 class SimulatedStore:
     """A store that serves queued calls at a constant rate, and at a third of that rate while overloaded.
 
-    Intervals begin and end at calls of `sample`.
+    Each call of `sample` ends one interval and begins the next.
 
     Attributes:
         calls_per_second: Rate at which the store serves calls unless it is overloaded.
--- a/landingshift/testbed/simulation/engine.py
+++ b/landingshift/testbed/simulation/engine.py
@@ -118,7 +118,7 @@
             self._finish_after(wait_ms + ENGINE_DELAY_MS, managed, CORE_TIME_MS + wait_ms)
 
     def finish_without_call(self, managed: ManagedRpc) -> None:
-        """Ends a run without the downstream call that it waits for."""
+        """Ends a run whose downstream call has been skipped or has failed."""
         self._finish_after(ENGINE_DELAY_MS, managed, CORE_TIME_MS)
 
     def _finish_after(self, delay_ms: float, managed: ManagedRpc, core_ms: float) -> None:
--- a/landingshift/testbed/simulation/faults.py
+++ b/landingshift/testbed/simulation/faults.py
@@ -20,8 +20,9 @@
 class FaultInjector:
     """Begins and ends the faults of a scenario.
 
-    A fault is identified by its index in the scenario. Some kinds of `Fault` are operators' commands; the
-    injector passes these commands to `SimulatedOperators`.
+    A fault is identified by its index in the scenario. Some kinds of `Fault` are not failures but commands of
+    operators, for example a policy change. For these kinds, the injector calls `SimulatedOperators`, which
+    gives the command to a server.
 
     Attributes:
         active: Faults that have begun and not ended, keyed by their index in the scenario.
@@ -45,7 +46,7 @@
         self._network.is_cut = self._is_cut
 
     def begin(self, fault_index: int, fault: Fault) -> None:
-        """Begins a fault and schedules its end. If the fault is an operator's command, gives the command."""
+        """Begins a fault and schedules its end, or lets an operator give the command that `fault` stands for."""
         active_kinds = sorted({active.kind for active in self.active.values()})
         self._coverage.record(fault.kind, active_kinds, stages_under_way(self._state))
         self._state.record(
@@ -82,7 +83,10 @@
         return True
 
     def _begin_on_process(self, index: int, fault: Fault) -> None:
-        """Begins a fault or gives a command that needs a running server, unless the server is down."""
+        """Begins a fault that needs a running process, or lets an operator give a command to the server.
+
+        Does nothing if the server is down.
+        """
         server = self._state.running_server(index)
         if server is None:
             return
@@ -162,7 +166,7 @@
 
 
 def stages_under_way(state: ClusterState) -> list[str]:
-    """Returns the stages of all operations in progress, by the names that `Coverage` counts.
+    """Returns the names of the stages of all operations in progress, sorted; `Coverage` counts these names.
 
     Operations are policy changes, maintenance requests and cold starts of servers. While there is no leader,
     NOBODY_LEADS replaces the stages of policy changes and maintenance requests.
--- a/landingshift/testbed/simulation/leases.py
+++ b/landingshift/testbed/simulation/leases.py
@@ -16,7 +16,7 @@
 """Name of the grantor's process; holders have the names in HOLDER_NAMES."""
 CLOCK_RATES = (0.99, 1.01)
 CLOCK_OFFSET_MS = 5000.0
-"""The clock offset of a holder is this times the character code of its name, so that all clocks differ."""
+"""Clock offset of a holder per unit of the character code of its name, so that the offsets of all differ."""
 STEPS_MS = (1.0, 60.0)
 """Range of the time that passes in one step."""
 COPY_COUNTS = (0, 1, 1, 1, 2)
@@ -56,9 +56,11 @@
         now_ms: Time on the grantor's clock.
         capacity: Amount that the grantor can lease in total.
         has_recovery_grace: If True, for the length of one lease after its start, a grantor grants no more
-            than holders claim to have.
+            than holders claim to have. False switches this safety mechanism off, to show that the checks
+            notice its absence.
         books_old_grants: If True, a grantor that reduces a grant keeps the old, larger amount reserved until
-            the lease on the old amount must have expired at its holder.
+            the lease on the old amount must have expired at its holder. False switches this safety
+            mechanism off.
         grantor: The latest process of the grantor.
         leases: Lease of each holder, as the holder knows it, keyed by holder name.
         max_usable_sum: Maximum, over all steps, of the sum of the amounts that holders regarded as usable.
--- a/landingshift/testbed/simulation/maintenance_fleet.py
+++ b/landingshift/testbed/simulation/maintenance_fleet.py
@@ -1,8 +1,10 @@
 """Simulates planned maintenance of a fleet of machines in virtual time, with the real coordinator.
 
-There is no Raft group: a command that the coordinator proposes is applied immediately. One of two
-defences can be removed from a simulation. Without "floor" there are no capacity constraints; without "end"
-permits never expire. In both cases the checks must find a violation.
+There is no Raft group: a command that the coordinator proposes is applied immediately.
+
+One of two safety mechanisms can be switched off, to show that the checks notice its absence. "floor" switches
+off the capacity constraints of the coordinator. "end" switches off the expiry of maintenance permits:
+machines then also use permits that have expired.
 """
 
 from __future__ import annotations
@@ -159,7 +161,8 @@
 
     Attributes:
         rng: Generator of all random decisions.
-        removed_defence: Defence that the fleet lacks, WITHOUT_CONSTRAINTS or WITHOUT_EXPIRY; "" for none.
+        removed_defence: Safety mechanism that is switched off: WITHOUT_CONSTRAINTS for the capacity
+            constraints, WITHOUT_EXPIRY for the expiry of permits; "" for none.
         warm_up_ms: Time from the start of a machine until it is warm.
         now_ms: Virtual time, which all monotonic clocks and wall clocks show.
         machines: All machines, by name.
@@ -190,7 +193,8 @@
             count: Number of machines.
             zones: Number of zones, over which the machines are distributed in turn.
             warm_up_ms: Time from the start of a machine until it is warm.
-            removed_defence: Defence that the fleet lacks, WITHOUT_CONSTRAINTS or WITHOUT_EXPIRY; "" for none.
+            removed_defence: Safety mechanism that is switched off: WITHOUT_CONSTRAINTS for the capacity
+                constraints, WITHOUT_EXPIRY for the expiry of permits; "" for none.
         """
         self.rng = Random(f"{seed} day")
         self.removed_defence = removed_defence
@@ -316,7 +320,9 @@
             self._shut_down(machine, answer.permit_number)
 
     def _stall_randomly(self, machine: SimulatedMachine, delayed: DelayedAnswer) -> bool:
-        """With STALL_PROBABILITY, stalls a machine that has accepted a permit and not used the permit yet.
+        """With STALL_PROBABILITY, stalls a machine that has accepted a permit and has not used it yet.
+
+        No machine stalls while the capacity constraints are switched off.
 
         Returns:
             Whether the machine stalls.
--- a/landingshift/testbed/simulation/operators.py
+++ b/landingshift/testbed/simulation/operators.py
@@ -20,7 +20,7 @@
 
 
 class SimulatedOperators:
-    """Gives operators' commands and records the outcomes of policy changes.
+    """Gives the commands of operators to servers, and records the outcomes of policy changes.
 
     Attributes:
         change_ids: Ids of all policy changes proposed so far.
--- a/landingshift/testbed/simulation/policy_change.py
+++ b/landingshift/testbed/simulation/policy_change.py
@@ -4,8 +4,8 @@
 an RPC is recorded in a history, with the policy version that the server used. The invariants check this
 history.
 
-A defence is a rule of the real code that prevents a violation of the invariants. A simulation can run without
-one of the defences in `REMOVABLE_DEFENCES`. The invariants must then find a violation.
+One safety mechanism of the real code can be switched off in a simulation, to show that the invariants notice
+its absence. `REMOVABLE_DEFENCES` lists the mechanisms, which are described in `removed_defences`.
 """
 
 from __future__ import annotations
@@ -152,7 +152,8 @@
 
     Attributes:
         rng: Generator of all random decisions outside the network.
-        removed_defence: Defence that all servers lack, one of `REMOVABLE_DEFENCES`; "" for none.
+        removed_defence: Safety mechanism that is switched off in all servers, one of `REMOVABLE_DEFENCES`;
+            "" for none.
         network: The network and the virtual time.
         server_names: Names of all servers.
         settings: Policy settings of all servers.
@@ -184,7 +185,8 @@
             server_count: Number of servers.
             voter_count: Number of servers, from the first, that are voters.
             stands_aside: If True, a server that loses contact with the leader stops deciding about RPCs.
-            removed_defence: Defence that all servers lack, one of `REMOVABLE_DEFENCES`; "" for none.
+            removed_defence: Safety mechanism that is switched off in all servers, one of
+                `REMOVABLE_DEFENCES`; "" for none.
             settings: Fields of `PolicySettings` that replace DEFAULT_SETTINGS.
         """
         self.rng = Random(f"{seed} hall")
@@ -234,7 +236,7 @@
     def save(self, name: str, state: PersistentState) -> None:
         """Writes a Raft state to the disk of a server, or randomly kills the server and loses the write.
 
-        If DURABLE_WRITE is removed, the write is always lost, also if the server is not killed.
+        If DURABLE_WRITE is removed, the write is always lost, even if the server is not killed.
         """
         if self.rng.random() < self.crash_on_write_probability:
             self.kill(name)
@@ -405,7 +407,8 @@
         seed: Seed of all random generators.
         stands_aside: If True, a server that loses contact with the leader stops deciding about RPCs. If
             None, the choice is random.
-        removed_defence: Defence that all servers lack, one of `REMOVABLE_DEFENCES`; "" for none.
+        removed_defence: Safety mechanism that is switched off in all servers, one of `REMOVABLE_DEFENCES`;
+            "" for none.
         step_count: Number of steps. Each step proposes at most one policy and injects at most one fault.
     """
     rng = Random(f"{seed} play")
--- a/landingshift/testbed/simulation/removed_defences.py
+++ b/landingshift/testbed/simulation/removed_defences.py
@@ -1,9 +1,9 @@
-"""Removes single defences from a simulation, to test that the invariants detect the resulting violations.
+"""Switches off single safety mechanisms in a simulation, to show that the invariants notice their absence.
 
-A defence is a rule of the real code that prevents a violation. Each constant below names one defence; its
-docstring states the rule. The values of the constants are the arguments of the command line option `--break`
-and the file names of the scenarios in `tests/days/without/`. The functions patch the objects of the real
-packages, so that these objects break the rule.
+A safety mechanism, or defence, is a rule of the real code that prevents the violation of an invariant. Each
+constant below names one defence; its docstring states the rule. The values of the constants are the arguments
+of the command line option `--break` and the file names of the scenarios in `tests/days/without/`.
+The functions create or change objects of the real packages so that these objects break the rule.
 """
 
 from __future__ import annotations
@@ -58,7 +58,10 @@
     DRAIN_GRACE: "drains",
     SUSPICION: "members",
 }
-"""Invariant that must be violated in a cluster without a defence, keyed by the name of the defence."""
+"""Name of the invariant that a cluster must violate while a defence is removed, keyed by the defence.
+
+DURABLE_WRITE has no entry because it can be removed only from a `PolicyChangeSimulation`.
+"""
 
 AWAY_STATE = "away"
 """State of a member that has sent no report on the policy change in progress."""
--- a/landingshift/testbed/simulation/rpc_service.py
+++ b/landingshift/testbed/simulation/rpc_service.py
@@ -138,7 +138,7 @@
     def _end_run_if_answered(self, managed: ManagedRpc) -> None:
         """Ends the run of an RPC that has already been answered; does nothing if the RPC is still open.
 
-        The run waits for permission to make its downstream call, or this call has just failed.
+        Call this for a run that waits for permission to make its downstream call, or whose call has failed.
         """
         if rpc_number(managed) not in self.open_rpcs:
             self.engine.finish_without_call(managed)
--- a/landingshift/testbed/simulation/server.py
+++ b/landingshift/testbed/simulation/server.py
@@ -74,7 +74,7 @@
         policy_node: Runs policy changes; contains a Raft node if the server can be a voter.
         cold_start: Start permit, call quota and polls of the endpoint list.
         rpcs: Admission and the engine, with the RPCs that they handle.
-        maintenance: The server's part in maintenance.
+        maintenance: Maintenance agent of the server and, if it can be a voter, the maintenance coordinator.
         ends_at_ms: Deadline of the drain on the host's clock: the process ends at this time even if some RPCs
             are still open. Infinite if the server is not draining.
         down_ms: Time from the end of a drained process to the start of the next process.
--- a/landingshift/testbed/simulation/workload.py
+++ b/landingshift/testbed/simulation/workload.py
@@ -21,7 +21,10 @@
 """Core time that one RPC needs."""
 SERVER_CAPACITY_RPCS_PER_SECOND = CORE_COUNT * 1000.0 / CORE_TIME_MS
 CACHE_FILL_CALLS = 8
-"""Number of downstream calls that fill a server's cache. Later, one run in this many still needs a call."""
+"""Number of downstream calls that fill a server's cache.
+
+Once the cache is full, one run in this many still needs a call.
+"""
 WARM_UP_MS = 2000.0
 CALLER_TIMEOUT_MS = 3000.0
 MAX_CALL_WAIT_MS = 300.0
