--- a/landingshift/testbed/simulation/faults.py
+++ b/landingshift/testbed/simulation/faults.py
@@ -46,7 +46,10 @@
         self._network.is_cut = self._is_cut
 
     def begin(self, fault_index: int, fault: Fault) -> None:
-        """Begins a fault and schedules its end, or lets an operator give the command that `fault` stands for."""
+        """Begins a fault and schedules its end.
+
+        If `fault` is a command of operators, lets the operators give this command.
+        """
         active_kinds = sorted({active.kind for active in self.active.values()})
         self._coverage.record(fault.kind, active_kinds, stages_under_way(self._state))
         self._state.record(
--- a/landingshift/testbed/simulation/leases.py
+++ b/landingshift/testbed/simulation/leases.py
@@ -16,7 +16,7 @@
 """Name of the grantor's process; holders have the names in HOLDER_NAMES."""
 CLOCK_RATES = (0.99, 1.01)
 CLOCK_OFFSET_MS = 5000.0
-"""Clock offset of a holder per unit of the character code of its name, so that the offsets of all differ."""
+"""A holder's clock offset is this value times the character code of its name, so that all clocks differ."""
 STEPS_MS = (1.0, 60.0)
 """Range of the time that passes in one step."""
 COPY_COUNTS = (0, 1, 1, 1, 2)
