--- a/tests/test_golden_names.py
+++ b/tests/test_golden_names.py
@@ -9,15 +9,23 @@
 import unittest
 from collections.abc import Callable
 from enum import Enum
-from typing import Any
+from typing import Any, ClassVar
 
+import msgspec
+
+from landingshift.coldstart import settings as coldstart_settings
 from landingshift.coldstart import wire as coldstart_wire
 from landingshift.drill.adapter import Adapter
+from landingshift.errors import LandingshiftError
+from landingshift.ledger import settings as ledger_settings
+from landingshift.maintenance import settings as maintenance_settings
 from landingshift.maintenance import wire as maintenance_wire
+from landingshift.membership import settings as membership_settings
 from landingshift.net.program.config import decode_config
 from landingshift.net.program.config_errors import ServerConfigError
 from landingshift.net.protocol import database, engine, gateway
 from landingshift.net.protocol.lines import MAX_LINE_BYTES, ProtocolError
+from landingshift.policies import settings as policies_settings
 from landingshift.policies import wire as policies_wire
 from landingshift.settings import SettingsError, decode_settings
 from tests.golden_files import assert_golden_json
@@ -131,6 +139,92 @@
         assert_golden_json(self, "settings_keys_at_fault.json", found)
 
 
+class PackageSettingsTest(unittest.TestCase):
+    """Every key of the packages' TOML tables, with a value that is not its default."""
+
+    TABLES: ClassVar[dict[str, dict[str, Any]]] = {
+        "ledger": {
+            "folder": "/tmp", "instance": "n3", "on": False, "durable": "after_answer", "stuck": "abort",
+            "commit_ms": 6.0, "settle_ms": 51.0, "queue_kb": 1025, "zone": "Europe/Copenhagen",
+            "period": "week", "window_s": 901, "recent": 100_001, "identity_field": "try",
+            "identity_key": True, "lock_wait_ms": 3001.0, "plan": "plan.toml",
+        },
+        "fleet": {
+            "fleet": "north", "listen": "10.0.0.4:7101", "on": False, "advertise": "10.0.0.5:7101",
+            "zone": "z1", "peers": ["10.0.0.6:7101"], "most": 2001, "period_ms": 401.0, "probe_ms": 151.0,
+            "suspect_ms": 1201.0,
+        },
+        "coldstart": {
+            "servers": 241, "on": False, "lenders": ["n1", "n2"], "calls_s": 1801.0, "floor": 0.15,
+            "lease_ms": 1501.0, "spare_ms": 301.0, "places_first": 9.0, "places_most": 99.0,
+            "patience_ms": 8001.0, "alone_s": 2.5, "list_service": "10.0.0.7:8001", "list_asks_s": 21.0,
+            "snapshot": "/tmp/list",
+        },
+        "policies": {
+            "voters": ["n1", "n2", "n3"], "journal": "/tmp/journal", "on": False,
+            "when_cut_off": "stand_aside", "overlap_ms": 1001.0, "lease_ms": 3001.0, "spare_ms": 301.0,
+            "wait_ms": 30_001.0, "most": 2001,
+        },
+        "upkeep": {
+            "capacity": 121.0, "model": "m1", "best": True, "work": ["/bin/true"], "mark": "/tmp/mark",
+            "on": False, "work_s": 601.0, "spare": 0.15, "zone_share": 0.55, "model_share": 0.45,
+            "best_share": 0.75, "lasts_ms": 3001.0, "spare_ms": 501.0, "back_minutes": 1.5, "rings": False,
+        },
+    }  # fmt: skip
+    MODULES: ClassVar[dict[str, Any]] = {
+        "ledger": ledger_settings,
+        "fleet": membership_settings,
+        "coldstart": coldstart_settings,
+        "policies": policies_settings,
+        "upkeep": maintenance_settings,
+    }
+    INVALID: ClassVar[tuple[tuple[str, dict[str, Any]], ...]] = (
+        ("ledger", {"zone": "Nowhere/City"}),
+        ("fleet", {"listen": "0.0.0.0:7101", "advertise": None}),
+        ("fleet", {"listen": "x"}),
+        ("fleet", {"advertise": "x"}),
+        ("fleet", {"peers": ["x"]}),
+        ("fleet", {"probe_ms": 400.0}),
+        ("coldstart", {"lenders": ["n1", "n1"]}),
+        ("coldstart", {"floor": 0.9}),
+        ("coldstart", {"places_first": 100.0}),
+        ("coldstart", {"places_first": 1.0}),
+        ("coldstart", {"list_service": "x"}),
+        ("policies", {"voters": ["n1", "n1", "n2"]}),
+        ("policies", {"voters": ["n1", "n2"]}),
+        ("upkeep", {"work": ["true"]}),
+    )
+
+    def test_every_key_is_decoded(self) -> None:
+        decoded = {}
+        for table, content in self.TABLES.items():
+            settings = msgspec.convert(content, self.MODULES[table].Settings, strict=False)
+            decoded[table] = [msgspec.to_builtins(value) for value in msgspec.structs.astuple(settings)]
+            for key in content:
+                others = {name: value for name, value in content.items() if name != key}
+                try:
+                    settings = msgspec.convert(others, self.MODULES[table].Settings, strict=False)
+                except msgspec.ValidationError as err:
+                    decoded[f"{table} without {key}"] = [str(err)]
+                else:
+                    values = msgspec.structs.astuple(settings)
+                    decoded[f"{table} without {key}"] = [msgspec.to_builtins(value) for value in values]
+        assert_golden_json(self, "package_settings.json", decoded)
+
+    def test_errors_name_the_key(self) -> None:
+        found = []
+        for table, change in self.INVALID:
+            module = self.MODULES[table]
+            content = {
+                key: value for key, value in (self.TABLES[table] | change).items() if value is not None
+            }
+            settings = msgspec.convert(content, module.Settings, strict=False)
+            with self.subTest(table=table, change=change), self.assertRaises(LandingshiftError) as raised:
+                module.check(settings, "/tmp")
+            found.append(str(raised.exception).partition(": ")[0])
+        assert_golden_json(self, "package_settings_keys_at_fault.json", {"keys": found})
+
+
 class PeerMessagesTest(unittest.TestCase):
     """Decodes messages of an earlier build, each kind to a type of its own, and encodes them unchanged."""
 
