--- a/landingshift/testbed/experiments/__init__.py
+++ b/landingshift/testbed/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""What is measured: a file for each subsystem, simulated rows and rows of real processes."""
+"""Experiments: for each subsystem, test cases in virtual time and with real processes."""
--- a/landingshift/testbed/experiments/chance_faults.py
+++ b/landingshift/testbed/experiments/chance_faults.py
@@ -1,8 +1,8 @@
-"""The whole fleet under random faults in virtual time: drawn scenarios, each judged from its history alone.
+"""Random fault scenarios for the whole cluster in virtual time, each checked on its history alone.
 
-Scenarios are drawn in rounds: after each round it is known which faults have overlapped, and the next one
-prefers overlaps that are missing. A failing scenario is shrunk until no fault can be left out, and described
-as an incident.
+Scenarios are drawn in rounds. After each round the overlaps of faults are counted, and the next round prefers
+kinds of faults that have rarely overlapped. A failing scenario is shrunk until no fault can be removed from
+it.
 """
 
 from __future__ import annotations
@@ -23,32 +23,35 @@
 from landingshift.testbed.verification.shrinking import Shrinker
 
 ROUND_SCENARIO_COUNT = 400
-"""After which overlaps are counted."""
+"""Number of scenarios in a round."""
 CHUNK_SCENARIO_COUNT = 10
-"""That one worker plays at a time."""
+"""Number of scenarios that a worker process plays per task."""
 MAX_SHRUNK_COUNT = 8
-"""Failing scenarios that are shrunk, in parallel."""
+"""Maximum number of failing scenarios that an experiment shrinks, in parallel."""
 EXPERIMENT_PLAY_COUNT = 150
-"""Tries to shrink each failing scenario of an experiment."""
+"""Maximum number of scenarios that an experiment plays to shrink each failing one."""
 SHRINK_PLAY_COUNT = 400
-"""Tries to shrink one scenario by itself."""
+"""Default maximum number of scenarios that `shrink_failure` plays."""
 UNLIMITED_MINUTES = 1e9
 COUNTED_EVENTS = ("read", "answer", "run", "killed", "starts", "drains", "left", "buried", "loan", "begins")
+"""Events of the history whose occurrences are counted."""
 
 
 @dataclass(slots=True)
 class SearchResult:
-    """What some scenarios showed.
+    """Combined results of several scenarios.
 
     Attributes:
-        scenario_count: How many were played.
-        event_count: Events of virtual time.
-        virtual_ms: Virtual time that passed.
-        violations: By seed.
-        failing: By seed; where the draw was steered the seed alone does not give the scenario.
-        coverage: Which faults overlapped.
-        counts: Of `COUNTED_EVENTS`, and of ends of policy changes.
-        recovery_ms: From the last fault of each until all was well.
+        scenario_count: Number of scenarios played.
+        event_count: Number of simulated events.
+        virtual_ms: Total virtual time.
+        violations: Violations of each failing scenario, by its seed.
+        failing: Failing scenarios by seed. A scenario that was drawn with preferred overlaps can't be drawn
+            again from its seed alone.
+        coverage: Counts of the faults that overlapped.
+        counts: Number of occurrences of each of `COUNTED_EVENTS` and of each outcome of policy changes.
+        recovery_ms: For each scenario, the time from the end of its last fault until the cluster had
+            recovered.
     """
 
     scenario_count: int = 0
@@ -61,7 +64,7 @@
     recovery_ms: list[float] = field(default_factory=list)
 
     def merge(self, other: SearchResult) -> None:
-        """Adds what other scenarios showed."""
+        """Adds the results of other scenarios."""
         self.scenario_count += other.scenario_count
         self.event_count += other.event_count
         self.virtual_ms += other.virtual_ms
@@ -73,17 +76,21 @@
 
 
 def check_scenario(scenario: Scenario, removed_defence: str) -> list[str]:
-    """Plays a scenario; returns its violations, each with the invariant's name in front."""
+    """Plays a scenario without `removed_defence` ("" for none) and returns its violations.
+
+    A violation is a text of the form "invariant: description". An exception is reported as a violation named
+    "crash".
+    """
     try:
         return find_violations(
             SimulatedCluster(scenario, removed_defence).play(), OVERLAP_MS, CLUSTER_INVARIANTS
         )
-    except Exception as err:  # of the software or of the simulation: either fails the scenario
+    except Exception as err:  # an exception of the servers or of the simulation fails the scenario
         return [_crash_text(err)]
 
 
 def invariant_names(violations: list[str]) -> list[str]:
-    """Returns the invariants that were violated."""
+    """Returns the name of the violated invariant for each violation."""
     return [text.partition(":")[0] for text in violations]
 
 
@@ -93,13 +100,14 @@
     """Shrinks a failing scenario.
 
     Args:
-        scenario: The one that fails.
-        removed_defence: Without which it is played.
-        plays: How many scenarios may be tried.
+        scenario: The scenario that fails.
+        removed_defence: Name of the defence that is disabled while scenarios are played; "" for none.
+        plays: Maximum number of scenarios to play.
 
     Returns:
-        The smallest scenario found that violates the same invariant, its name ("" where all hold), and how
-        many were played.
+        The smallest scenario found that violates the first violated invariant of `scenario`, the name of that
+        invariant, and the number of scenarios played. If `scenario` violates no invariant, it is returned
+        unchanged with the name "".
     """
     violated = invariant_names(check_scenario(scenario, removed_defence))
     if not violated:
@@ -108,20 +116,20 @@
     def still_fails(smaller: Scenario) -> bool:
         return violated[0] in invariant_names(check_scenario(smaller, removed_defence))
 
-    reduced = Shrinker(scenario, still_fails, plays)
-    return reduced.run(), violated[0], reduced.play_count
+    shrinker = Shrinker(scenario, still_fails, plays)
+    return shrinker.run(), violated[0], shrinker.play_count
 
 
 def run_rounds(
     scenario_count: int, seed: int, removed_defence: str = "", is_steered: bool = True
 ) -> Iterator[SearchResult]:
-    """Plays drawn scenarios in parallel; yields what all so far showed, after each round.
+    """Plays random scenarios in parallel and yields the combined results so far after each round.
 
     Args:
-        scenario_count: How many.
-        seed: Of the first one.
-        removed_defence: Without which they are played.
-        is_steered: Whether overlaps that are missing so far are preferred.
+        scenario_count: Number of scenarios.
+        seed: Seed of the first scenario; the others have the seeds that follow it.
+        removed_defence: Name of the defence that is disabled; "" for none.
+        is_steered: Whether rounds after the first one prefer kinds of faults that have rarely overlapped.
     """
     total = SearchResult()
     pair_counts = None
@@ -147,7 +155,7 @@
         scenario = draw_scenario(seed, pair_counts)
         try:
             total.merge(_play(scenario, removed_defence))
-        except Exception as err:  # of the software or of the simulation: it fails this scenario alone
+        except Exception as err:  # an exception of the servers or of the simulation fails this scenario only
             violations = {seed: [_crash_text(err)]}
             total.merge(SearchResult(scenario_count=1, violations=violations, failing={seed: scenario}))
     return total
@@ -181,17 +189,18 @@
     minutes: float = UNLIMITED_MINUTES,
     plays: int = EXPERIMENT_PLAY_COUNT,
 ) -> Iterator[tuple[ExperimentRow, SearchResult]]:
-    """Plays drawn scenarios, and shrinks those that fail.
+    """Plays random scenarios, and shrinks up to `MAX_SHRUNK_COUNT` of those that fail.
 
     Args:
-        scenario_count: How many at the most.
-        seed: Of the first one.
-        removed_defence: Without which they are played, until the first one fails.
-        minutes: After which no further round begins.
-        plays: How many scenarios may be tried to shrink one.
+        scenario_count: Maximum number of scenarios.
+        seed: Seed of the first scenario; the others have the seeds that follow it.
+        removed_defence: Name of the defence that is disabled; "" for none. If one is, no further round begins
+            after a failure, and one failing scenario is shrunk.
+        minutes: Time after which no further round begins.
+        plays: Maximum number of scenarios to play for shrinking one.
 
     Yields:
-        The row, with the shrunk scenarios in its series, and what all scenarios showed.
+        A single pair: the row, whose series contains the shrunk scenarios, and the combined results.
     """
     row = ExperimentRow("days")
     began = time.monotonic()
@@ -208,7 +217,7 @@
 
 
 def _shrink_failures(failing: list[Scenario], removed_defence: str, plays: int) -> list[dict[str, Any]]:
-    """Shrinks scenarios in parallel; returns what `--json` and the report have of each."""
+    """Shrinks scenarios in parallel and returns a dict for each, as used by `--json` and the report."""
     with ProcessPoolExecutor() as pool:
         shrink = partial(shrink_failure, removed_defence=removed_defence, plays=plays)
         shrunk = pool.map(shrink, failing)
@@ -241,7 +250,11 @@
 
 
 def find_without_defence(removed_defence: str, max_count: int, seed: int) -> ExperimentRow:
-    """Counts scenarios until the invariant that rests on a defence is found violated without it."""
+    """Plays random scenarios without a defence until one violates the invariant that the defence ensures.
+
+    The row's values tell how many scenarios it took. If `max_count` scenarios don't violate the invariant,
+    the row has a violation.
+    """
     row = ExperimentRow(f"without {removed_defence}")
     invariant = INVARIANT_BY_REMOVED_DEFENCE[removed_defence]
     for total in run_rounds(max_count, seed, removed_defence, is_steered=False):
@@ -252,5 +265,7 @@
             row.figures["found_at"] = seeds[0] - seed + 1
             row.figures["found_of"] = f"{len(seeds)} of {total.scenario_count}"
             return row
-    row.violations.append(f"{invariant} was not found broken without {removed_defence} in {max_count} days")
+    row.violations.append(
+        f"{invariant} was never violated without {removed_defence} in {max_count} scenarios"
+    )
     return row
--- a/landingshift/testbed/experiments/chance_faults_real.py
+++ b/landingshift/testbed/experiments/chance_faults_real.py
@@ -1,7 +1,7 @@
-"""Random faults among real processes with all packages on.
+"""Random faults among real server processes with all packages enabled.
 
-A supervisor starts whoever ends. What must hold is read off the history that the processes write, the answers
-that their gateways got, and what the system says of their memory and descriptors.
+A supervisor restarts processes that have exited. The requirements are checked on the history that the
+processes write and on the answers that gateways received. Memory and file descriptors are recorded as well.
 """
 
 from __future__ import annotations
@@ -42,31 +42,31 @@
     "kill", "crash_loop", "zone", "notice", "stop", "cut_off", "halves", "mute", "deaf", "flaps", "loss",
     "twice", "delay", "full", "store_falls", "load", "change", "wish",
 )  # fmt: skip
-"""Those that can be injected into real processes."""
+"""Kinds of faults that can be injected into real processes."""
 MEAN_FAULT_INTERVAL_SECONDS = 3.0
 MIN_FAULTS_COUNT = 3
 FAULT_FREE_END_SECONDS = 3.0
 LOAD_RATIO = 0.5
 MAX_FULLY_LOADED_COUNT = 20
 CROWDED_LOAD_RATIO = 3.0 * 0.04
-"""Three RPCs a second and server, where so many share one machine that its cores are the limit."""
+"""Three RPCs per second and server, used when more servers share the cores of one machine."""
 MAX_LOAD_FACTOR = 1.6
 HEADROOM_RATIO = 0.1
 CALLS_PER_SECOND_EACH = 1000.0
-"""That the database serves, for each server."""
+"""Capacity of the database, for each server."""
 GRANTED_TOLERANCE_RATIO = 1.0001
 ANSWER_SAMPLE_SECONDS = 0.5
 PROCESS_SAMPLE_SECONDS = 5.0
 STEP_SECONDS = 0.01
-SETTLE_TIMEOUT_SECONDS = 60.0
+RECOVERY_TIMEOUT_SECONDS = 60.0
 AGREEMENT_TIMEOUT_SECONDS = 20.0
 FULL_DISK_SPARE_BYTES = 7
-"""Less than an entry of the log takes."""
+"""Free space on a full disk, less than the size of a log entry."""
 FLOOD_QUEUE_FRACTION = 0.5
 
 
 def draw_faults(seed: int, server_count: int, seconds: float) -> list[Fault]:
-    """Draws the faults of a run."""
+    """Draws the faults of a run of `seconds`, in order of `fault_order`."""
     rng = Random(f"{seed} real day")
     weights = [FAULT_KINDS[name].weight for name in REAL_FAULT_KINDS]
     faults = []
@@ -81,8 +81,8 @@
     """Begins and ends faults among the servers of a harness.
 
     Attributes:
-        change_count: Policy changes that were proposed.
-        request_count: Servers that maintenance was requested for.
+        change_count: Number of policy changes proposed.
+        request_count: Number of maintenance requests, one for each server.
     """
 
     def __init__(self, harness: MaintenanceHarness, faults: list[Fault]) -> None:
@@ -93,30 +93,33 @@
         self._faults = faults
         self._base_rpcs_per_second = harness.servers.load.rpcs_per_second
         self._active: dict[int, Fault] = {}
-        """By the place in the list of all."""
+        """Active faults by their index in the list of all faults."""
         self._file_size_limits: dict[int, tuple[int, int]] = {}
-        """Of servers whose disk is full, as they were before."""
+        """Original limits of the servers whose disk is full, by server index."""
         self._began_seconds = 0.0
 
     def timeline(self) -> list[tuple[float, Callable[[], None]]]:
-        """Returns what to do when, in seconds from now on."""
+        """Returns the actions that inject the faults, in order of time, and starts the clock of the run.
+
+        Each entry has the seconds from now at which the caller has to call the action, and the action.
+        """
         self._began_seconds = time.monotonic()
         events: list[tuple[float, Callable[[], None]]] = []
-        for place, fault in enumerate(self._faults):
+        for fault_index, fault in enumerate(self._faults):
             start_seconds = fault.start_ms / 1000.0
-            events.append((start_seconds, partial(self._begin, place, fault)))
+            events.append((start_seconds, partial(self._begin, fault_index, fault)))
             if fault.duration_ms:
                 end_seconds = (fault.start_ms + fault.duration_ms) / 1000.0
-                events.append((end_seconds, partial(self._end, place, fault)))
+                events.append((end_seconds, partial(self._end, fault_index, fault)))
             if fault.kind == "crash_loop":
                 for step in range(1, int(fault.duration_ms / fault.amount)):
                     crash_ms = fault.start_ms + step * fault.amount
                     events.append((crash_ms / 1000.0, partial(self._crash, fault)))
         return sorted(events, key=lambda event: event[0])
 
-    def _begin(self, place: int, fault: Fault) -> None:
+    def _begin(self, fault_index: int, fault: Fault) -> None:
         if fault.duration_ms:
-            self._active[place] = fault
+            self._active[fault_index] = fault
         for index in fault.servers:
             self._begin_at(index, fault)
         if fault.kind == "store_falls":
@@ -147,8 +150,8 @@
                 harness.propose(index, self.change_count, f"c{self.change_count}")
                 self.change_count += 1
 
-    def _end(self, place: int, fault: Fault) -> None:
-        del self._active[place]
+    def _end(self, fault_index: int, fault: Fault) -> None:
+        del self._active[fault_index]
         for index in fault.servers:
             if fault.kind in ("kill", "zone"):
                 self._harness.not_restarted.discard(index)
@@ -162,7 +165,7 @@
                 self._servers.kill(index)
 
     def _fill_disk(self, index: int) -> None:
-        """Leaves no room for one more entry in any file of a process."""
+        """Limits the file size of a process so that its log has no room for another entry."""
         process_id = self._servers.processes[index].pid
         try:
             size = self._harness.journal_path(index).stat().st_size
@@ -170,14 +173,14 @@
             self._file_size_limits[index] = limits
             full = (size + FULL_DISK_SPARE_BYTES, limits[1])
             resource.prlimit(process_id, resource.RLIMIT_FSIZE, full)
-        except OSError:  # the process is no more: its successor has room
+        except OSError:  # the process has exited; the limit does not apply to the one that replaces it
             self._file_size_limits.pop(index, None)
 
     def _free_disk(self, index: int) -> None:
         limits = self._file_size_limits.pop(index)
         try:
             resource.prlimit(self._servers.processes[index].pid, resource.RLIMIT_FSIZE, limits)
-        except OSError:  # the process is no more: its successor has room
+        except OSError:  # the process has exited; the limit does not apply to the one that replaces it
             return
 
     def _request_maintenance(self, fault: Fault) -> None:
@@ -185,11 +188,15 @@
         try:
             self._harness.request_maintenance(names, minutes=fault.amount)
         except (RuntimeError, OperatorRpcError):
-            return  # nobody leads: an operator is told so, and tries another time
+            return  # without a leader the request is not made, and is not counted
         self.request_count += len(names)
 
     def _update_links(self) -> None:
-        """Sets up proxy and load: the most of all active faults counts; a cut holds while any does."""
+        """Updates the network proxy and the load to the active faults.
+
+        A link is cut if any active fault cuts it. Of several faults that lose, duplicate or delay messages,
+        the strongest applies. Load factors are multiplied.
+        """
         active = list(self._active.values())
         cuts = [
             (fault, {self._servers.name(index) for index in fault.servers})
@@ -204,7 +211,7 @@
                 for fault, names in cuts
             )
 
-        def most(kind: str) -> float:
+        def max_amount(kind: str) -> float:
             return max((fault.amount for fault in active if fault.kind == kind), default=0.0)
 
         load_factor = 1.0
@@ -214,29 +221,29 @@
         def update() -> None:
             proxy = self._servers.proxy
             proxy.is_cut = is_cut
-            proxy.loss_fraction = most("loss")
-            proxy.duplicate_fraction = most("twice")
-            proxy.delay_ms = most("delay")
+            proxy.loss_fraction = max_amount("loss")
+            proxy.duplicate_fraction = max_amount("twice")
+            proxy.delay_ms = max_amount("delay")
             self._servers.load.rpcs_per_second = self._base_rpcs_per_second * load_factor
 
         self._servers.run_on_loop(update)
 
 
 class RealScenarioRun:
-    """One run with faults among real servers.
+    """A run of real servers with random faults.
 
     Attributes:
-        harness: The servers.
+        harness: Harness of the servers.
     """
 
     def __init__(self, folder: str, server_count: int, seed: int, seconds: float) -> None:
-        """Starts stand-ins, and no server yet.
+        """Starts the stand-ins, but no server.
 
         Args:
-            folder: For files.
-            server_count: How many servers there are.
-            seed: Of all that is drawn.
-            seconds: How long faults are injected.
+            folder: Folder for the files of the run.
+            server_count: Number of servers.
+            seed: Seed of all random draws.
+            seconds: Duration of the time in which faults are injected.
         """
         load = LOAD_RATIO if server_count <= MAX_FULLY_LOADED_COUNT else CROWDED_LOAD_RATIO
         self._calls_per_second = CALLS_PER_SECOND_EACH * server_count
@@ -249,7 +256,7 @@
         self._processes: list[ProcessSample] = []
 
     def run(self, row: ExperimentRow) -> None:
-        """Injects all faults, and waits until the fleet is well again."""
+        """Starts all servers, injects all faults, and requires that the fleet recovers."""
         self.harness.start_all()
         began = time.monotonic()
         events = self._injector.timeline()
@@ -269,7 +276,7 @@
         for _, inject in events:
             inject()
         self.harness.not_restarted.clear()
-        self._settle(row)
+        self._require_recovery(row)
 
     def _sample_answers(self, elapsed: float) -> None:
         outcomes = self.harness.servers.load.outcomes
@@ -283,30 +290,30 @@
         if sample is not None:
             self._processes.append(sample)
 
-    def _settle(self, row: ExperimentRow) -> None:
-        """Requires that all servers are back, agree, and have ended what operators asked for."""
+    def _require_recovery(self, row: ExperimentRow) -> None:
+        """Requires that all servers run again and decide by one policy, and that no maintenance is open."""
         harness = self.harness
 
-        def is_well() -> bool:
+        def has_all_servers() -> bool:
             return len(harness.running()) == harness.server_count and harness.all_decide()
 
         began = time.monotonic()
-        has_settled = harness.servers.wait_until(SETTLE_TIMEOUT_SECONDS, is_well)
-        row.require(has_settled, f"not all decide again: {harness.statuses()}")
+        has_recovered = harness.servers.wait_until(RECOVERY_TIMEOUT_SECONDS, has_all_servers)
+        row.require(has_recovered, f"not all servers decide RPCs again: {harness.statuses()}")
         row.figures["rest_s"] = round(time.monotonic() - began, 1)
-        has_ended = harness.wait_until_ended(harness.names, SETTLE_TIMEOUT_SECONDS)
-        row.require(has_ended, "work is not over")
+        has_ended = harness.wait_until_ended(harness.names, RECOVERY_TIMEOUT_SECONDS)
+        row.require(has_ended, f"maintenance has not ended after {RECOVERY_TIMEOUT_SECONDS:g} s")
         harness.require_agreement(row, AGREEMENT_TIMEOUT_SECONDS)
         harness.forget_unknown_changes()
 
     def check(self, row: ExperimentRow) -> None:
-        """Ends all servers, and checks what must hold whatever was done to them."""
+        """Stops all servers, and checks the requirements that hold under any faults."""
         self.harness.check(row)
         history = self.harness.servers.history()
         granted = max_leased_calls(history)
         limit = self._calls_per_second
         is_bounded = granted <= limit * GRANTED_TOLERANCE_RATIO
-        row.require(is_bounded, f"shares: {granted:.0f} believed in of {limit:.0f}")
+        row.require(is_bounded, f"leased quotas add up to {granted:.0f} of {limit:.0f} calls per second")
         violations = permissions([(*entry, 0) for entry in history], OVERLAP_MS)
         row.violations += [f"permissions: {text}" for text in violations[:2]]
         row.figures |= {
@@ -320,14 +327,17 @@
         row.series["sizes"] = [tuple(sample) for sample in self._processes]
 
     def close(self) -> None:
-        """Ends all servers."""
+        """Stops all processes."""
         self.harness.close()
 
 
 def play_real_scenarios(
     server_count: int, seed: int, minutes: float, repeats: int
 ) -> Iterator[ExperimentRow]:
-    """Plays scenarios of consecutive seeds; yields a row each."""
+    """Runs real servers under random faults for `minutes`, once for each of `repeats` consecutive seeds.
+
+    Yields a row for each run.
+    """
     for run_seed in range(seed, seed + repeats):
         row = ExperimentRow(f"real {run_seed}")
         with tempfile.TemporaryDirectory(dir=MEMORY) as folder:
--- a/landingshift/testbed/experiments/plots.py
+++ b/landingshift/testbed/experiments/plots.py
@@ -1,4 +1,4 @@
-"""Pictures of runs, by matplotlib, which is loaded only where one is asked for."""
+"""Plots of experiments. matplotlib is imported only when a plot is drawn."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 START_SIZE_INCHES = (9, 6)
 
 DaySample = tuple[float, float, float, float, int]
-"""Minutes, RPCs a second that are served, that are asked for and that must stay served, machines away."""
+"""Minutes since the requests; capacity, demand and capacity floor in RPCs per second; unavailable count."""
 
 
 def plot_maintenance_day(samples: list[DaySample], path: str) -> None:
-    """Plots maintenance over a day: capacity and demand, and the machines that are out of service."""
+    """Plots a day of maintenance to the image file `path`: capacity, demand and unavailable machines."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -22,12 +22,12 @@
 
     minutes = [sample[0] for sample in samples]
     figure, (rates, unavailable) = pyplot.subplots(2, 1, figsize=DAY_SIZE_INCHES, sharex=True)
-    for column, name in ((1, "capacity that serves"), (2, "asked for"), (3, "must stay in")):
+    for column, name in ((1, "capacity in service"), (2, "demand"), (3, "capacity floor")):
         rates.plot(minutes, [sample[column] for sample in samples], label=name)
     unavailable.plot(minutes, [sample[4] for sample in samples])
-    rates.set_ylabel("RPCs a second")
-    unavailable.set_ylabel("machines away")
-    unavailable.set_xlabel("minutes since all were asked for")
+    rates.set_ylabel("RPCs per second")
+    unavailable.set_ylabel("unavailable machines")
+    unavailable.set_xlabel("minutes since maintenance was requested")
     rates.set_ylim(bottom=0)
     rates.legend()
     figure.tight_layout()
@@ -36,12 +36,13 @@
 
 
 def plot_starts(runs: dict[str, dict[str, Any]], path: str) -> None:
-    """Plots cold starts: how much of the fleet is warm, and what the database has to serve.
+    """Plots cold starts: the percentage of warm servers and the rate of database calls over time.
 
     Args:
-        runs: The series of rows, by name: `by_second` (seconds, servers warm, calls so far), `servers`, and
-            `bears`, the calls a second that the database serves.
-        path: Of the picture.
+        runs: The `series` of rows, by row name. Of each, `by_second` has samples of elapsed seconds, warm
+            servers and database calls so far, `servers` is the number of servers, and `bears` is the database
+            capacity in calls per second.
+        path: Path of the image file.
     """
     import matplotlib
 
@@ -51,15 +52,15 @@
     figure, (warm, calls) = pyplot.subplots(2, 1, figsize=START_SIZE_INCHES, sharex=True)
     for name, run in runs.items():
         samples = run["by_second"]
-        seconds = [at for at, _, _ in samples]
+        seconds = [elapsed for elapsed, _, _ in samples]
         warm_percent = [100.0 * warm_count / run["servers"] for _, warm_count, _ in samples]
         warm.plot(seconds, warm_percent, label=name)
         call_count = samples[-1][2]
-        calls.plot(seconds[1:], _call_rates(samples), label=f"{name}, {call_count} in all")
+        calls.plot(seconds[1:], _call_rates(samples), label=f"{name}, {call_count} in total")
         calls.axhline(run["bears"], color="grey", linestyle=":")
-    warm.set_ylabel("servers warm, %")
-    calls.set_ylabel("calls a second at the store")
-    calls.set_xlabel("s since the start; dotted: what the store bears")
+    warm.set_ylabel("warm servers, %")
+    calls.set_ylabel("database calls per second")
+    calls.set_xlabel("seconds since the start; dotted: database capacity")
     warm.legend()
     calls.legend()
     figure.tight_layout()
@@ -68,7 +69,7 @@
 
 
 def _call_rates(samples: list[tuple[float, int, int]]) -> list[float]:
-    """Returns the calls a second between each two samples."""
+    """Returns the calls per second between each two consecutive samples."""
     return [
         (later[2] - earlier[2]) / max(MIN_STEP_SECONDS, later[0] - earlier[0])
         for earlier, later in pairwise(samples)
--- a/landingshift/testbed/experiments/report.py
+++ b/landingshift/testbed/experiments/report.py
@@ -1,4 +1,4 @@
-"""One HTML page, with nothing to be fetched, of what chance faults brought about."""
+"""Self-contained HTML report on a run of scenarios with random faults."""
 
 from __future__ import annotations
 
@@ -26,29 +26,29 @@
     coverage: Coverage,
     recovery_ms: list[float],
 ) -> str:
-    """Returns the page.
+    """Returns the report as an HTML page.
 
     Args:
-        figures: Of the run, by name.
-        violations: Of all scenarios, each with seed and invariant.
-        failures: Failing scenarios that were shrunk.
-        coverage: Which faults overlapped.
-        recovery_ms: From the last fault of each scenario until all was well.
+        figures: Measured values of the run, by name.
+        violations: Violations of all scenarios, each with seed and invariant.
+        failures: Failing scenarios that were shrunk, with the keys `seed`, `promise`, `plays` and `told`.
+        coverage: Counts of the faults that overlapped.
+        recovery_ms: For each scenario, the time from the end of its last fault until the fleet had recovered.
     """
     figure_rows = [(name, value) for name, value in sorted(figures.items())]
     parts = [
-        "<!doctype html><html lang=en><meta charset=utf-8><title>The fleet under chance faults</title>",
-        f"<style>{STYLE}</style><h1>The fleet under chance faults</h1>",
+        "<!doctype html><html lang=en><meta charset=utf-8><title>The fleet under random faults</title>",
+        f"<style>{STYLE}</style><h1>The fleet under random faults</h1>",
         _render_invariants(violations),
-        "<h2>Figures</h2>",
+        "<h2>Measured values</h2>",
         _render_figures(figure_rows),
-        "<h2>Until all was well again</h2>",
+        "<h2>Recovery times</h2>",
         _render_histogram(recovery_ms),
-        "<h2>Failing days, made smaller</h2>",
+        "<h2>Failing scenarios, shrunk</h2>",
         _render_failures(failures),
-        "<h2>Which faults have met</h2><p>How often the one began while the other was under way.</p>",
+        "<h2>Which faults have met</h2><p>How often one fault began while the other was active.</p>",
         _render_pairs(coverage),
-        "<h2>At which stage</h2><p>Of which plan each began.</p>",
+        "<h2>Stages</h2><p>How often a fault began at each stage of a policy change or of maintenance.</p>",
         _render_stages(coverage),
     ]
     return "\n".join(parts)
@@ -60,14 +60,14 @@
         violation_count = sum(f" {name}:" in f" {text}" for text in violations)
         result = "<span class=holds>held</span>"
         if violation_count:
-            result = f"<span class=broken>broken {violation_count} times</span>"
+            result = f"<span class=broken>violated {violation_count} times</span>"
         description = escape(" ".join((check.__doc__ or "").split()))
         rows.append(f"<tr><td>{name}<td>{result}<td>{description}<td>{escape(PAGE_BY_INVARIANT[name])}")
     crashes = [text for text in violations if " crash:" in text]
     if crashes:
         result = f"<span class=broken>{len(crashes)} times</span>"
         rows.append(f"<tr><td>no crash<td>{result}<td>{escape(crashes[0])}<td>")
-    return f"<h2>Promises</h2><table>{''.join(rows)}</table>"
+    return f"<h2>Invariants</h2><table>{''.join(rows)}</table>"
 
 
 def _render_figures(rows: list[tuple[str, Any]]) -> str:
@@ -80,14 +80,14 @@
         return "<p>None failed.</p>"
     return "".join(
         f"<h3>Seed {failure['seed']}: {escape(failure['promise'])}</h3>"
-        f"<p>Found by {failure['plays']} plays.</p>"
+        f"<p>Shrunk by playing {failure['plays']} scenarios.</p>"
         f"<pre>{escape(chr(10).join(failure['told']))}</pre>"
         for failure in failures
     )
 
 
 def _shade(count: int, max_count: int) -> str:
-    """Returns the style of a cell: darker for more, red for none."""
+    """Returns the style attribute of a table cell: red for 0, otherwise a darker blue for a higher count."""
     if not count:
         return " style='background:#f7d9d8'"
     return f" style='background:rgba(40,110,170,{0.08 + 0.5 * count / max_count:.2f})'"
@@ -106,7 +106,7 @@
             cells.append(f"<td class=n{_shade(count, max_count)}>{count}")
         rows.append(f"<tr><th>{kind}{''.join(cells)}")
     unmet_count = len(coverage.unmet_pairs())
-    return f"<table><tr><th>{head}{''.join(rows)}</table><p>{unmet_count} pairs have not met.</p>"
+    return f"<table><tr><th>{head}{''.join(rows)}</table><p>{unmet_count} pairs have never overlapped.</p>"
 
 
 def _render_stages(coverage: Coverage) -> str:
@@ -123,7 +123,7 @@
 
 
 def _render_histogram(recovery_ms: list[float]) -> str:
-    """Returns a picture within the page; matplotlib is loaded here and nowhere else."""
+    """Returns the histogram of recovery times as inline SVG; "" if there are none."""
     if not recovery_ms:
         return ""
     import matplotlib
@@ -133,8 +133,8 @@
 
     figure, axes = pyplot.subplots(figsize=HISTOGRAM_SIZE_INCHES)
     axes.hist([ms / 1000.0 for ms in recovery_ms], bins=HISTOGRAM_BINS_COUNT, color="#2a6ea6")
-    axes.set_xlabel("s from the last fault's end until all is well")
-    axes.set_ylabel("days")
+    axes.set_xlabel("seconds from the end of the last fault until recovery")
+    axes.set_ylabel("scenarios")
     figure.tight_layout()
     out = io.StringIO()
     figure.savefig(out, format="svg")
--- a/landingshift/testbed/experiments/rows.py
+++ b/landingshift/testbed/experiments/rows.py
@@ -1,4 +1,4 @@
-"""What an experiment shows: a row a case, with its figures and the requirements that were violated."""
+"""Results of experiments: one row for each case, with measured values and violated requirements."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from landingshift.testbed import MEMORY
 
 MAXIMUM_FIGURES = ("versions", "overlap_ms")
-"""Whole numbers of which the largest of all runs counts; others are added up."""
+"""Integer values of which a row shows the maximum over all runs; all other integers are added up."""
 
 
 @dataclass(slots=True)
 class ExperimentRow:
-    """One case of an experiment.
+    """Result of one case of an experiment.
 
     Attributes:
-        name: Of the case, as the command line knows it.
-        runs: How often it was played.
-        figures: What was measured, by name.
-        violations: A text for each requirement that did not hold.
-        series: What was measured over time, for a plot.
+        name: Name of the case on the command line.
+        runs: Number of runs of the case.
+        figures: Measured values by name.
+        violations: One description for each requirement that was violated.
+        series: Data by name that `--json` and plots need, mostly samples over time.
     """
 
     name: str
@@ -37,16 +37,16 @@
         return not self.violations
 
     def require(self, holds: bool, violation: str) -> None:
-        """Notes a violation unless the requirement holds."""
+        """Adds `violation` unless the requirement holds."""
         if not holds:
             self.violations.append(violation)
 
     def record_max(self, name: str, value: float) -> None:
-        """Notes a figure, of which the largest of all runs counts."""
+        """Records a value, rounded to two decimals, unless a larger one is already recorded."""
         self.figures[name] = max(self.figures.get(name, 0.0), round(value, 2))
 
     def to_json(self) -> dict[str, Any]:
-        """Returns the row under the keys of `--json`."""
+        """Returns the row with the keys that `--json` writes."""
         return {
             "name": self.name,
             "runs": self.runs,
@@ -58,11 +58,11 @@
 
 
 RealCase = Callable[[str, int, int, ExperimentRow], None]
-"""Plays a case with real processes; arguments are folder, number of servers, seed and row."""
+"""Runs a case with real processes and fills the row; arguments: folder, number of servers, seed, row."""
 
 
 def play_real_row(name: str, play: RealCase, servers: int, runs: int, seed: int) -> ExperimentRow:
-    """Plays a case of real processes `runs` times, in a folder of its own each."""
+    """Runs a case with real processes for `runs` consecutive seeds, each in its own temporary folder."""
     row = ExperimentRow(name)
     for run_seed in range(seed, seed + runs):
         with tempfile.TemporaryDirectory(dir=MEMORY) as folder:
@@ -82,15 +82,15 @@
     runs: int,
     seed: int,
 ) -> Iterator[ExperimentRow]:
-    """Plays all of `cases`, or the one that is asked for.
+    """Runs all of `cases`, or the single case named `only`, and yields a row for each.
 
     Args:
-        cases: Those that are played by default.
-        long_cases: Those that are played only where one of them is asked for.
-        only: The name of the one to play; None for all.
-        servers: How many servers each has.
-        runs: How often each is played.
-        seed: Of the first run.
+        cases: Cases that run by default, by name.
+        long_cases: Cases that run only if `only` names them.
+        only: Name of the single case to run; None for all of `cases`.
+        servers: Number of servers of each case.
+        runs: Number of runs of each case.
+        seed: Seed of the first run of each case.
     """
     for name, play in (cases | long_cases).items():
         if only == name or (only is None and name in cases):
@@ -98,7 +98,11 @@
 
 
 def _merge_figures(total: dict[str, Any], new: dict[str, Any]) -> None:
-    """Adds up counts; of other figures the largest stays."""
+    """Adds the values of a run to `total`.
+
+    Integers are added up, except `MAXIMUM_FIGURES`. Of these and of floats the larger value is kept. Nested
+    dicts are merged in the same way, and any other value replaces the previous one.
+    """
     for key, value in new.items():
         if isinstance(value, dict):
             _merge_figures(total.setdefault(key, {}), value)
--- a/landingshift/testbed/experiments/scenarios.py
+++ b/landingshift/testbed/experiments/scenarios.py
@@ -1,8 +1,8 @@
-"""A scenario as data: how many servers, and which faults are injected when; drawn from a seed.
+"""Fault scenarios as data, drawn from a seed: the number of servers, and which faults are injected when.
 
-Each fault begins at a time and ends after a duration, independently of the others, so that any of them can
-be left out and the rest is still a scenario. Shrinking a failing one rests on that. Operators' commands that
-come in between are faults of the same form.
+Each fault begins at a time and ends after a duration, independently of the others. Removing any fault
+therefore leaves a valid scenario, which shrinking a failing scenario relies on. Commands of operators are
+represented as faults, too.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 from landingshift.testbed.errors import InvalidScenarioError, UndecodableScenarioError, VoterCountError
 
 MAX_FAULTS = 24
-"""Of one drawn scenario."""
+"""Maximum number of faults in a drawn scenario."""
 MIN_FAULTS = 4
 FAULT_FREE_END_MS = 3000.0
-"""Before the end of a scenario, in which no fault begins."""
+"""Time at the end of a scenario in which no fault begins."""
 MAX_SERVERS_COUNT = 1000
 STEERED_FRACTION = 0.5
-"""Of faults that are drawn toward a pair of kinds that was seldom seen together."""
+"""Fraction of faults whose kind and start are drawn so that a rarely seen pair of kinds overlaps."""
 STEERED_SAMPLE_COUNT = 6
-"""Kinds of which the one least seen beside another is taken."""
+"""Number of kinds drawn for a steered fault, which gets the kind that overlapped the other one least."""
 MIN_OVERLAP_WINDOW_MS = 300.0
-"""After the beginning of a fault, in which a steered one begins beside it."""
+"""A steered fault begins while the other fault lasts, or within this time of its start if that is longer."""
 SERVER_COUNTS = (4, 5, 6, 7, 9)
 MIN_SERVERS_FOR_FIVE_VOTERS_COUNT = 7
 DURATIONS_MS = (12_000.0, 20_000.0, 30_000.0)
@@ -38,14 +38,14 @@
 
 
 class Fault(Struct, frozen=True, array_like=True):
-    """What is injected.
+    """A fault or operator command that is injected.
 
     Attributes:
-        start_ms: Since the scenario began.
-        kind: A key of `FAULT_KINDS`.
-        servers: Numbers of the servers that it is done to.
-        duration_ms: How long it lasts; 0 for what is done at once.
-        amount: In the unit of its kind.
+        start_ms: Start of the fault, since the scenario began.
+        kind: Key of `FAULT_KINDS`.
+        servers: Indexes of the affected servers.
+        duration_ms: Duration of the fault; 0 for an instantaneous one.
+        amount: Strength of the fault, in the unit of its kind.
     """
 
     start_ms: float
@@ -56,16 +56,16 @@
 
 
 class Scenario(Struct, frozen=True):
-    """What is played; files have the fields under the names of `field`.
+    """A cluster and the faults that are injected into it. Files have the fields under the names of `field`.
 
     Attributes:
-        seed: Of all that is drawn while it is played.
-        server_count: How many servers there are.
-        voter_count: The first of them vote.
-        duration_ms: Until all faults are over; what must settle afterwards has further time.
+        seed: Seed of all random draws while the scenario is played.
+        server_count: Number of servers.
+        voter_count: Number of voters, which are the servers with the lowest indexes.
+        duration_ms: Time until all faults are over. Recovery afterwards has extra time.
         stands_aside: Whether servers that are cut off stop serving.
-        load_ratio: RPCs that come over what all cores together can serve.
-        faults: What is injected, by time.
+        load_ratio: Ratio of the RPC rate to the rate that all cores together can serve.
+        faults: The injected faults in order of `fault_order`.
     """
 
     seed: int
@@ -79,14 +79,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultKind:
-    """How faults of a kind are drawn and described.
+    """Defines how faults of a kind are drawn and described.
 
     Attributes:
-        weight: How often it is drawn, relative to the others.
-        description: A template with `who` and `amount`.
-        duration_range_ms: The least and the most.
-        amounts: Of which one is drawn.
-        is_group: Whether it is done to several servers together.
+        weight: Probability of drawing the kind, relative to the other kinds.
+        description: Format string with the fields `who` (names of the affected servers) and `amount`.
+        duration_range_ms: Minimum and maximum duration.
+        amounts: Amounts from which one is drawn.
+        is_group: Whether a fault affects several servers at once.
     """
 
     weight: float
@@ -99,55 +99,64 @@
 FAULT_KINDS: dict[str, FaultKind] = {
     "kill": FaultKind(3.0, "{who} is killed", (300.0, 9000.0)),
     "crash_loop": FaultKind(
-        1.0, "{who} crashes as often as it is started", (4000.0, 12_000.0), (400.0, 1500.0)
+        1.0, "{who} crashes each time it is started", (4000.0, 12_000.0), (400.0, 1500.0)
     ),
-    "zone": FaultKind(1.0, "the zone of {who} loses its power", (2000.0, 6000.0), is_group=True),
-    "notice": FaultKind(1.0, "{who} gets a notice from outside", (500.0, 5000.0)),
-    "stop": FaultKind(2.0, "{who} stands still", (200.0, 6000.0)),
-    "pause": FaultKind(1.0, "{who} stands still for a moment", (100.0, 300.0)),
+    "zone": FaultKind(1.0, "the zone of {who} loses power", (2000.0, 6000.0), is_group=True),
+    "notice": FaultKind(1.0, "{who} gets a shutdown signal", (500.0, 5000.0)),
+    "stop": FaultKind(2.0, "{who} is paused", (200.0, 6000.0)),
+    "pause": FaultKind(1.0, "{who} is paused briefly", (100.0, 300.0)),
     "hang": FaultKind(1.0, "the engine of {who} hangs", (500.0, 6000.0)),
     "starved": FaultKind(
-        1.0, "{who} is {amount:g} ms late, its core is full", (2000.0, 9000.0), (20.0, 60.0)
+        1.0, "{who} reacts {amount:g} ms late on a busy core", (2000.0, 9000.0), (20.0, 60.0)
     ),
     "cut_off": FaultKind(1.5, "{who} is cut off", (500.0, 9000.0)),
     "halves": FaultKind(1.5, "{who} are cut off from the others", (500.0, 9000.0), is_group=True),
-    "mute": FaultKind(1.0, "nobody hears {who}, who hears all", (500.0, 9000.0)),
-    "deaf": FaultKind(1.0, "{who} hears nobody", (500.0, 9000.0)),
+    "mute": FaultKind(1.0, "messages from {who} are lost", (500.0, 9000.0)),
+    "deaf": FaultKind(1.0, "messages to {who} are lost", (500.0, 9000.0)),
     "flaps": FaultKind(
-        0.7, "{who} are cut off each other {amount:g} ms", (2000.0, 9000.0), (150.0, 300.0, 900.0), True
+        0.7, "{who} are cut off every other {amount:g} ms", (2000.0, 9000.0), (150.0, 300.0, 900.0), True
     ),
     "loss": FaultKind(1.0, "{amount:.0%} of all messages are lost", (1000.0, 9000.0), (0.05, 0.1, 0.3)),
-    "twice": FaultKind(0.7, "{amount:.0%} of all messages come twice", (1000.0, 9000.0), (0.1, 0.5)),
+    "twice": FaultKind(0.7, "{amount:.0%} of all messages are duplicated", (1000.0, 9000.0), (0.1, 0.5)),
     "delay": FaultKind(1.0, "all messages take {amount:g} ms more", (1000.0, 9000.0), (20.0, 100.0, 400.0)),
-    "torn": FaultKind(1.0, "{who} dies at its next write, before it is on disk", (300.0, 4000.0)),
+    "torn": FaultKind(1.0, "{who} crashes at its next write, before the data is on disk", (300.0, 4000.0)),
     "full": FaultKind(1.0, "the disk of {who} is full", (1000.0, 8000.0)),
     "clock": FaultKind(
-        0.7, "{who} sets its wall clock by {amount:g} ms", (0.0, 0.0), (-3.6e6, -2000.0, 60_000.0)
+        0.7, "the wall clock of {who} steps by {amount:g} ms", (0.0, 0.0), (-3.6e6, -2000.0, 60_000.0)
     ),
-    "store_falls": FaultKind(1.0, "a crowd from elsewhere comes over the store", (0.0, 0.0), (3.0,)),
-    "list_down": FaultKind(0.7, "the list service is down", (2000.0, 9000.0)),
-    "load": FaultKind(1.0, "{amount:g} times as much comes", (2000.0, 9000.0), (0.5, 1.5, 2.0)),
+    "store_falls": FaultKind(1.0, "calls from other clients overload the database", (0.0, 0.0), (3.0,)),
+    "list_down": FaultKind(0.7, "the endpoint list is down", (2000.0, 9000.0)),
+    "load": FaultKind(1.0, "the load is {amount:g} times as high", (2000.0, 9000.0), (0.5, 1.5, 2.0)),
     "change": FaultKind(4.0, "a change of policy is proposed to {who}"),
-    "wish": FaultKind(3.0, "{who} are wanted for work", (0.0, 0.0), (0.02, 0.1), is_group=True),
-    "voters": FaultKind(0.7, "{who} is made a voter, or is none any more"),
+    "wish": FaultKind(3.0, "maintenance of {who} is requested", (0.0, 0.0), (0.02, 0.1), is_group=True),
+    "voters": FaultKind(0.7, "{who} is added to the voters or removed from them"),
 }
 OPERATOR_COMMAND_KINDS = ("change", "wish", "voters")
-"""What operators ask for; no faults."""
+"""Kinds that represent operators' commands."""
 LINK_FAULT_KINDS = ("cut_off", "halves", "mute", "deaf", "flaps", "loss", "delay")
 
 
 class Coverage:
-    """Which kinds have begun while others were under way, and at which stage of which plan.
+    """Counts which kinds of faults overlapped, and at which stage of a protocol they began.
+
+    A stage is a step of a policy change, of maintenance or of a cold start, as text.
 
     Attributes:
-        counts: How often, by the kind that began, the one under way and the stage.
+        counts: Number of occurrences, by the kind that began, the kind that was active and the stage.
+            `NO_FAULT` and `NO_STAGE` stand for "none".
     """
 
     def __init__(self) -> None:
         self.counts: Counter[tuple[str, str, str]] = Counter()
 
     def record(self, kind: str, others: list[str], stages: list[str]) -> None:
-        """Counts a fault that begins."""
+        """Counts a fault that begins.
+
+        Args:
+            kind: Kind of the fault.
+            others: Kinds of the faults that are active.
+            stages: Current stages of the cluster.
+        """
         for other in others or [NO_FAULT]:
             for stage in stages or [NO_STAGE]:
                 self.counts[kind, other, stage] += 1
@@ -155,53 +164,52 @@
     def pair_count(self, kind: str, other: str) -> int:
         """Returns how often two kinds overlapped, whichever began first."""
         pairs = ((kind, other), (other, kind))
-        return sum(
-            count for (begun, under_way, _), count in self.counts.items() if (begun, under_way) in pairs
-        )
+        return sum(count for (begun, active, _), count in self.counts.items() if (begun, active) in pairs)
 
     def pair_counts(self) -> dict[tuple[str, str], int]:
-        """Returns how often each pair of kinds overlapped; the names of a pair are in order."""
-        found: Counter[tuple[str, str]] = Counter()
+        """Returns how often each pair of kinds overlapped. Keys are pairs as returned by `pair_of`."""
+        counts: Counter[tuple[str, str]] = Counter()
         for (kind, other, _), count in self.counts.items():
             if other != NO_FAULT:
-                found[pair_of(kind, other)] += count
-        return dict(found)
+                counts[pair_of(kind, other)] += count
+        return dict(counts)
 
     def stage_counts(self) -> dict[tuple[str, str], int]:
-        """Returns how often each kind began at each stage."""
-        found: Counter[tuple[str, str]] = Counter()
+        """Returns counts by kind of the fault that began and stage."""
+        counts: Counter[tuple[str, str]] = Counter()
         for (kind, _, stage), count in self.counts.items():
-            found[kind, stage] += count
-        return dict(found)
+            counts[kind, stage] += count
+        return dict(counts)
 
     def unmet_pairs(self) -> list[tuple[str, str]]:
-        """Returns pairs of kinds that have never overlapped."""
+        """Returns all pairs of kinds that have never overlapped."""
         counts = self.pair_counts()
         kinds = sorted(FAULT_KINDS)
         pairs = [(kind, other) for index, kind in enumerate(kinds) for other in kinds[index:]]
         return [pair for pair in pairs if not counts.get(pair)]
 
     def merge(self, other: Coverage) -> None:
-        """Adds what another one counted."""
+        """Adds the counts of `other`."""
         self.counts.update(other.counts)
 
 
 def pair_of(kind: str, other: str) -> tuple[str, str]:
-    """Returns two kinds in order."""
+    """Returns two kinds in alphabetical order."""
     return min(kind, other), max(kind, other)
 
 
 def fault_order(fault: Fault) -> tuple[float, str, tuple[int, ...]]:
-    """Returns the key that the faults of a scenario are sorted by."""
+    """Returns the sort key of a fault within a scenario: start, kind, servers."""
     return fault.start_ms, fault.kind, fault.servers
 
 
 def draw_scenario(seed: int, pair_counts: dict[tuple[str, str], int] | None = None) -> Scenario:
-    """Draws the scenario of a seed.
+    """Draws a scenario.
 
     Args:
-        seed: The same one draws the same scenario.
-        pair_counts: How often pairs of kinds have overlapped; those that seldom did are preferred.
+        seed: Seed of the scenario. Equal arguments give equal scenarios.
+        pair_counts: How often pairs of kinds have overlapped so far. If given, `STEERED_FRACTION` of the
+            faults prefer pairs with low counts.
     """
     rng = Random(f"{seed} day")
     server_count = rng.choice(SERVER_COUNTS)
@@ -225,17 +233,20 @@
 def _draw_rare_overlap(
     rng: Random, faults: list[Fault], pair_counts: dict[tuple[str, str], int], duration_ms: float
 ) -> tuple[str, int]:
-    """Draws a kind that was seldom seen beside one that is under way, and when it begins."""
-    beside = rng.choice(faults)
+    """Draws kind and start of a fault that overlaps one of `faults`, preferring a pair with a low count."""
+    other = rng.choice(faults)
     sample = rng.sample(list(FAULT_KINDS), STEERED_SAMPLE_COUNT)
-    kind = min(sample, key=lambda name: pair_counts.get(pair_of(name, beside.kind), 0))
-    window_ms = max(beside.duration_ms, MIN_OVERLAP_WINDOW_MS)
+    kind = min(sample, key=lambda name: pair_counts.get(pair_of(name, other.kind), 0))
+    window_ms = max(other.duration_ms, MIN_OVERLAP_WINDOW_MS)
     latest_ms = duration_ms - FAULT_FREE_END_MS
-    return kind, round(min(latest_ms, beside.start_ms + rng.random() * window_ms))
+    return kind, round(min(latest_ms, other.start_ms + rng.random() * window_ms))
 
 
 def draw_fault(rng: Random, kind: str, start_ms: float, server_count: int, scenario_ms: float) -> Fault:
-    """Draws servers, duration and amount of a fault."""
+    """Draws the servers, duration and amount of a fault, given its kind and start.
+
+    The fault ends by `scenario_ms`, the duration of the scenario.
+    """
     fault_kind = FAULT_KINDS[kind]
     max_servers = server_count if kind == "wish" else max(1, server_count // 2)
     affected_count = rng.randint(1, max_servers) if fault_kind.is_group else 1
@@ -247,14 +258,14 @@
 def blocks_link(
     fault: Fault, affected: Container[object], sender: object, receiver: object, elapsed_ms: float
 ) -> bool:
-    """Returns whether a fault keeps what `sender` sends from `receiver`.
+    """Returns whether a fault drops all messages from `sender` to `receiver`.
 
     Args:
-        fault: One that is under way.
-        affected: Those it is done to.
-        sender: Who sends.
-        receiver: To whom.
-        elapsed_ms: Since the fault began.
+        fault: An active fault.
+        affected: The affected servers, identified as `sender` and `receiver` are.
+        sender: Sender of the messages.
+        receiver: Receiver of the messages.
+        elapsed_ms: Time since the fault began.
     """
     match fault.kind:
         case "cut_off" | "halves":
@@ -270,11 +281,11 @@
 
 
 def describe_scenario(scenario: Scenario) -> list[str]:
-    """Returns the scenario as an incident would be written up, line by line."""
-    reaction = "stand aside" if scenario.stands_aside else "serve on"
+    """Returns a readable description of the scenario: a line on the cluster, and a line for each fault."""
+    reaction = "stop serving" if scenario.stands_aside else "keep serving"
     lines = [
         f"{scenario.server_count} servers, {scenario.voter_count} voters, {scenario.load_ratio:.0%} load;"
-        f" who is cut off is to {reaction}; seed {scenario.seed}"
+        f" servers that are cut off {reaction}; seed {scenario.seed}"
     ]
     for fault in scenario.faults:
         names = ", ".join(f"n{index}" for index in fault.servers)
@@ -285,15 +296,15 @@
 
 
 def encode_scenario(scenario: Scenario) -> bytes:
-    """Returns the scenario as a file."""
+    """Returns the scenario as the JSON content of a scenario file."""
     return msgspec.json.format(msgspec.json.encode(scenario), indent=1)
 
 
 def decode_scenario(data: bytes) -> Scenario:
-    """Reads a scenario from a file.
+    """Parses the JSON content of a scenario file.
 
     Raises:
-        InvalidScenarioError: Says what is wrong.
+        InvalidScenarioError: The content is not a valid scenario.
     """
     try:
         scenario = msgspec.json.decode(data, type=Scenario)
@@ -311,4 +322,4 @@
         raise InvalidScenarioError(f"acts[{index}]", f"no such kind: {fault.kind}")
     are_servers_known = all(0 <= server < scenario.server_count for server in fault.servers)
     if not are_servers_known or fault.start_ms < 0.0 or fault.duration_ms < 0.0:
-        raise InvalidScenarioError(f"acts[{index}]", "who, at or lasts is out of range")
+        raise InvalidScenarioError(f"acts[{index}]", "servers, start or duration out of range")
--- a/landingshift/testbed/experiments/service_samples.py
+++ b/landingshift/testbed/experiments/service_samples.py
@@ -1,4 +1,4 @@
-"""Figures of a run with real servers, from samples of their answers, memory and descriptors."""
+"""Samples of the answers, memory and file descriptors of real servers, and the statistics of a run."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 from landingshift.testbed.experiments.scenarios import Fault
 
 RECOVERED_TOLERANCE_PERCENT = 2.0
-"""Of the share answered ok before a fault, within which service counts as recovered."""
+"""Service has recovered if the ok percentage is less than this many points below that before the fault."""
 MAX_RECOVERY_SECONDS = 25.0
-"""After the end of a fault, until which its recovery is looked for."""
+"""Longest recovery time that is measured, from the end of a fault."""
 BASELINE_SECONDS = 5.0
-"""Before a fault, in which the share answered ok is what service should come back to."""
+"""Time before a fault over which the ok percentage is measured that service has to return to."""
 RECOVERY_WINDOW_SECONDS = 2.0
 RECOVERY_STEP_SECONDS = 0.5
 ISOLATION_SECONDS = 10.0
-"""After a fault, in which no other may begin."""
+"""Recovery from a fault is measured only if no other fault begins within this time after its end."""
 NO_SERVICE_FAULT_KINDS = ("change", "wish", "load")
 NO_ANSWERS = -1.0
 QUARTERS_COUNT = 4
 
 
 class AnswerSample(NamedTuple):
-    """What gateways had got so far.
+    """Number of answers that gateways have received so far.
 
     Attributes:
-        elapsed_seconds: Since the run began.
-        ok_count: RPCs that were answered ok.
-        answered_count: RPCs that were answered at all.
+        elapsed_seconds: Time since the run began.
+        ok_count: Number of RPCs that were answered ok.
+        answered_count: Number of RPCs that were answered with any status.
     """
 
     elapsed_seconds: float
@@ -40,12 +40,12 @@
 
 
 class ProcessSample(NamedTuple):
-    """What the system says of the servers' processes.
+    """Resource usage of the server processes.
 
     Attributes:
-        elapsed_seconds: Since the run began.
-        resident_mb: The mean of all.
-        descriptor_count: The same of open descriptors.
+        elapsed_seconds: Time since the run began.
+        resident_mb: Mean resident memory per process, in MB.
+        descriptor_count: Mean number of open file descriptors per process.
     """
 
     elapsed_seconds: float
@@ -54,17 +54,17 @@
 
 
 def sample_processes(process_ids: list[int], elapsed_seconds: float) -> ProcessSample | None:
-    """Returns the mean of processes; None where none of them runs."""
-    found = [usage for usage in map(_usage_of, process_ids) if usage is not None]
-    if not found:
+    """Returns the mean resource usage of the given processes; None if none of them is running."""
+    usages = [usage for usage in map(_process_usage, process_ids) if usage is not None]
+    if not usages:
         return None
-    resident_mb = sum(usage[0] for usage in found) / len(found)
-    descriptor_count = sum(usage[1] for usage in found) / len(found)
+    resident_mb = sum(usage[0] for usage in usages) / len(usages)
+    descriptor_count = sum(usage[1] for usage in usages) / len(usages)
     return ProcessSample(elapsed_seconds, resident_mb, descriptor_count)
 
 
-def _usage_of(process_id: int) -> tuple[float, int] | None:
-    """Returns resident MB and open descriptors; None where it does not run."""
+def _process_usage(process_id: int) -> tuple[float, int] | None:
+    """Returns a process's resident memory in MB and its open descriptors; None if it is not running."""
     try:
         resident_pages = int(Path(f"/proc/{process_id}/statm").read_text().split()[1])
         descriptor_count = len(os.listdir(f"/proc/{process_id}/fd"))
@@ -74,7 +74,10 @@
 
 
 def quarter_figures(samples: list[ProcessSample]) -> dict[str, Any]:
-    """Returns the means of each quarter of the run, which show what grows."""
+    """Returns mean memory and descriptors for each quarter of the run, which reveal leaks.
+
+    The result is empty if there are fewer samples than quarters.
+    """
     if len(samples) < QUARTERS_COUNT:
         return {}
     count = len(samples)
@@ -91,7 +94,7 @@
 
 
 def ok_percent(answers: list[AnswerSample], since_seconds: float, until_seconds: float) -> float:
-    """Returns the share of answers of a time that were ok; `NO_ANSWERS` where none came."""
+    """Returns the percentage of the answers in a time range that were ok; `NO_ANSWERS` if there were none."""
     within = [sample for sample in answers if since_seconds <= sample.elapsed_seconds <= until_seconds]
     if len(within) < 2 or within[-1].answered_count == within[0].answered_count:
         return NO_ANSWERS
@@ -100,15 +103,16 @@
 
 
 def recovery_figures(answers: list[AnswerSample], faults: list[Fault]) -> dict[str, Any]:
-    """Returns how long service takes to recover from faults that no other one overlapped.
+    """Returns how long service took to recover from each fault that no other fault overlapped.
 
     Args:
-        answers: By time.
-        faults: All of the run.
+        answers: Samples in order of time.
+        faults: All faults of the run.
 
     Returns:
-        How many faults stood alone, and the median and the worst of the seconds from the end of each until
-        the share answered ok is back.
+        `alone` is the number of faults that were measured. `back_s` is the median number of seconds from the
+        end of a fault until the ok percentage had recovered. `back_worst` is the maximum, with the kind of
+        the fault. The last two are missing if no fault was measured.
     """
     service_faults = [
         fault for fault in faults if fault.kind not in NO_SERVICE_FAULT_KINDS and fault.duration_ms
@@ -138,16 +142,20 @@
 
 
 def _recovery_seconds(answers: list[AnswerSample], fault: Fault) -> float | None:
-    """Returns the time from a fault's end until service is back; None where nothing came before it."""
+    """Returns the seconds from the end of a fault until service has recovered.
+
+    The result is at most about `MAX_RECOVERY_SECONDS`, and None if no answers came in the `BASELINE_SECONDS`
+    before the fault.
+    """
     start_seconds = fault.start_ms / 1000.0
     end_seconds = (fault.start_ms + fault.duration_ms) / 1000.0
     percent_before = ok_percent(answers, start_seconds - BASELINE_SECONDS, start_seconds)
     if percent_before < 0.0:
         return None
-    at_seconds = end_seconds
-    while at_seconds < end_seconds + MAX_RECOVERY_SECONDS:
-        percent = ok_percent(answers, at_seconds, at_seconds + RECOVERY_WINDOW_SECONDS)
+    window_start_seconds = end_seconds
+    while window_start_seconds < end_seconds + MAX_RECOVERY_SECONDS:
+        percent = ok_percent(answers, window_start_seconds, window_start_seconds + RECOVERY_WINDOW_SECONDS)
         if percent >= percent_before - RECOVERED_TOLERANCE_PERCENT:
             break
-        at_seconds += RECOVERY_STEP_SECONDS
-    return at_seconds - end_seconds
+        window_start_seconds += RECOVERY_STEP_SECONDS
+    return window_start_seconds - end_seconds
