--- a/landingshift/testbed/experiments/scenarios.py
+++ b/landingshift/testbed/experiments/scenarios.py
@@ -322,4 +322,4 @@
         raise InvalidScenarioError(f"acts[{index}]", f"no such kind: {fault.kind}")
     are_servers_known = all(0 <= server < scenario.server_count for server in fault.servers)
     if not are_servers_known or fault.start_ms < 0.0 or fault.duration_ms < 0.0:
-        raise InvalidScenarioError(f"acts[{index}]", "servers, start or duration out of range")
+        raise InvalidScenarioError(f"acts[{index}]", "who, at or lasts is out of range")
