--- a/landingshift/testbed/experiments/cold_start.py
+++ b/landingshift/testbed/experiments/cold_start.py
@@ -1,7 +1,7 @@
-"""Rows of the cold start experiment in virtual time: fleets that start together, and leases by themselves.
+"""Cold start experiment in virtual time: clusters whose servers start together, and leases in isolation.
 
-Each row may run without one defence; the rows that rest on it must then find a violation. Rows of real
-processes are in `cold_start_real`.
+Each case can run with one defence disabled. The cases that depend on the defence must then find a violation.
+Cases with real processes are in `cold_start_real`.
 """
 
 from __future__ import annotations
@@ -33,21 +33,22 @@
     "warm_up_ms": 2000.0,
 }
 FEW_PERMITS = (32.0, 128.0)
-"""At the beginning and at the most, so that some wait for one."""
+"""Initial and maximum number of start permits, so low that some servers have to wait for one."""
 MAX_START_MS = 200_000.0
-"""Of virtual time, after which a fleet counts as stuck."""
+"""Virtual time after which a start counts as stuck."""
 START_SPREAD_SLACK_MS = 1000.0
-"""For those that start last."""
+"""Extra time allowed for a start, because not all servers start at the same instant."""
 SEARCH_DEPTH = 14
 MAX_SEARCHED_STATES = 40_000
 MAX_PEAK_RATIO = 1.1
-"""Of what a service bears, that may come within a second."""
+"""Maximum ratio of the requests that a service receives in any second to its capacity per second."""
 MIN_LIST_PEAK_COUNT = 3.0
+"""Polls of the endpoint list in a second that are always allowed, however low its capacity."""
 LEASE_STEPS_COUNT = 5000
 GRANTED_TOLERANCE = 1e-9
 ZONES_COUNT = 3
 LOST_HOLDERS_COUNT = 9
-"""A third each is killed, paused and cut off."""
+"""Number of holders of start permits that fail: a third each is killed, paused and cut off."""
 CRASH_PROBABILITY = 0.3
 OVERLOAD_STEPS_COUNT = 1800
 MAX_DEATH_KNOWN_MS = 15_000.0
@@ -57,24 +58,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Trial:
-    """One run of a case.
+    """A run of a case.
 
     Attributes:
-        rng: Of all that is drawn.
-        removed_defence: Without which it is played; "" for none.
+        rng: Generator for all random draws of the run.
+        removed_defence: Name of the defence that is disabled; "" for none.
     """
 
     rng: Random
     removed_defence: str
 
-    def simulation(self, network: dict[str, Any] | None = None, **change: Any) -> ColdStartSimulation:
-        """Returns a small fleet that has not started yet.
+    def simulation(self, network: dict[str, Any] | None = None, **overrides: Any) -> ColdStartSimulation:
+        """Returns the simulation of a small cluster in which no server has started yet.
 
         Args:
-            network: Options of the network.
-            **change: Of `SMALL_FLEET`.
+            network: Options of the simulated network.
+            **overrides: Options that replace or extend those of `SMALL_FLEET`.
         """
-        case = ColdStartCase(**SMALL_FLEET | change)
+        case = ColdStartCase(**SMALL_FLEET | overrides)
         if self.removed_defence == "shares":
             case.is_uncoordinated = True
         simulation = ColdStartSimulation(case, self.rng.randrange(1 << 30), **network or {})
@@ -83,33 +84,40 @@
 
 
 VirtualCase = Callable[[Trial, ExperimentRow], None]
+"""Runs a case once in virtual time and adds measured values and violations to the row."""
 
 
 def require_warm(row: ExperimentRow, simulation: ColdStartSimulation, max_ratio: float) -> None:
-    """Requires that a fleet is warm within a multiple of the least time, with all bounds kept."""
+    """Runs a simulation until its cluster is warm; requires that it is warm in time and keeps all bounds.
+
+    Args:
+        row: Row that records measured values and violations.
+        simulation: Simulation whose servers have been started.
+        max_ratio: Maximum time to become warm, as a multiple of the shortest possible time.
+    """
     while simulation.warm_at_ms < 0.0 and simulation.network.now_ms < MAX_START_MS:
         simulation.run(1000.0)
     require_bounds(row, simulation)
-    least_ms = simulation.min_warm_up_ms()
+    min_ms = simulation.min_warm_up_ms()
     warm_at_ms = simulation.warm_at_ms
-    row.require(warm_at_ms >= 0.0, f"not warm after {simulation.network.now_ms / 1000.0:.0f} s")
-    is_in_time = warm_at_ms <= max_ratio * least_ms + START_SPREAD_SLACK_MS
-    row.require(is_in_time, f"warm after {warm_at_ms:.0f} ms, least {least_ms:.0f}")
-    row.record_max("warm_over_least", warm_at_ms / least_ms)
+    row.require(warm_at_ms >= 0.0, f"cluster not warm after {simulation.network.now_ms / 1000.0:.0f} s")
+    is_in_time = warm_at_ms <= max_ratio * min_ms + START_SPREAD_SLACK_MS
+    row.require(is_in_time, f"cluster warm after {warm_at_ms:.0f} ms; shortest possible time {min_ms:.0f} ms")
+    row.record_max("warm_over_least", warm_at_ms / min_ms)
 
 
 def require_bounds(row: ExperimentRow, simulation: ColdStartSimulation) -> None:
-    """Requires that database and endpoint list saw no more than they bear."""
+    """Requires that the requests to the database and the endpoint list stayed within their capacity."""
     case = simulation.case
     row.violations += simulation.violations[:2]
     calls = simulation.peak_calls_per_second()
     max_calls = case.downstream_calls_per_second
     list_polls = peak_per_second(simulation.list_poll_times_ms)
     max_list_polls = max(MIN_LIST_PEAK_COUNT, MAX_PEAK_RATIO * case.list_polls_per_second)
-    row.require(not simulation.store.is_overloaded, "the store fell")
+    row.require(not simulation.store.is_overloaded, "the database is overloaded")
     is_bounded = calls <= MAX_PEAK_RATIO * max_calls
-    row.require(is_bounded, f"{calls} calls in a second at a store that bears {max_calls:g}")
-    row.require(list_polls <= max_list_polls, f"the list was asked {list_polls} times in a second")
+    row.require(is_bounded, f"{calls} database calls in a second at a capacity of {max_calls:g}")
+    row.require(list_polls <= max_list_polls, f"the endpoint list was polled {list_polls} times in a second")
     row.record_max("calls_over_bears", calls / max_calls)
     row.record_max("asks_over_bears", list_polls / case.list_polls_per_second)
     messages = simulation.network.message_count / case.server_count
@@ -117,7 +125,7 @@
 
 
 def leases(trial: Trial, row: ExperimentRow) -> None:
-    """What holders believe in, through loss, duplicates, delays, pauses, restarts and uneven clocks."""
+    """Leases stay within the capacity despite lost, duplicated and late messages, pauses, restarts, skew."""
     simulation = LeaseSimulation(
         trial.rng.randrange(1 << 30),
         has_recovery_grace=trial.removed_defence != "quiet",
@@ -127,12 +135,12 @@
         simulation.step()
     believed = simulation.max_believed
     is_bounded = believed <= simulation.capacity + GRANTED_TOLERANCE
-    row.require(is_bounded, f"{believed:.2f} believed in of {simulation.capacity:g}")
+    row.require(is_bounded, f"holders rely on {believed:.2f} of {simulation.capacity:g}")
     row.record_max("most_of_10", believed)
 
 
 def lease_search(trial: Trial, row: ExperimentRow) -> None:
-    """Every order of one grantor and two holders, to a depth, until so many states were seen."""
+    """Explores the interleavings of one grantor and two holders, up to a depth and a number of states."""
     has_recovery_grace = trial.removed_defence != "quiet"
     books_old_grants = trial.removed_defence != "booking"
     search = LeaseSearch(has_recovery_grace, books_old_grants)
@@ -142,34 +150,34 @@
 
 
 def simultaneous_start(trial: Trial, row: ExperimentRow) -> None:
-    """All start within a second."""
+    """All servers start within a second."""
     simulation = trial.simulation()
     simulation.start_all()
     require_warm(row, simulation, 1.5)
 
 
 def power_cut(trial: Trial, row: ExperimentRow) -> None:
-    """The machines were off: grantors know that nothing they granted before can still be believed."""
+    """All machines boot after a power cut. Grantors can tell that all earlier leases have expired."""
     simulation = trial.simulation(is_after_power_cut=True)
     simulation.start_all()
     require_warm(row, simulation, 1.3)
 
 
 def grantors_killed(trial: Trial, row: ExperimentRow) -> None:
-    """One is killed and restarted without its memory, and one killed for good."""
+    """A grantor is killed and restarted without its state, and another is killed for good."""
     simulation = trial.simulation()
     simulation.start_all()
     simulation.run(6000.0)
     simulation.kill(0)
-    simulation.run(200.0)  # well within the leases that it granted
+    simulation.run(200.0)  # the leases that it granted have not expired yet
     simulation.start(0)
     simulation.run(3000.0)
     simulation.kill(1)
-    require_warm(row, simulation, 5.0)  # a third of what is granted is out of use
+    require_warm(row, simulation, 5.0)  # without one grantor a third of the capacity can't be leased
 
 
 def holders_lost(trial: Trial, row: ExperimentRow) -> None:
-    """Of those that hold start permits some are killed, some paused for 5 s, some cut off."""
+    """Of the servers with start permits, some are killed, some are paused for 5 s, and some are cut off."""
     simulation = trial.simulation(permits=FEW_PERMITS)
     simulation.start_all()
     simulation.run(6000.0)
@@ -193,7 +201,7 @@
 
 
 def zone_cut_off(trial: Trial, row: ExperimentRow) -> None:
-    """A zone that is cut off goes on by itself; then the sides meet again with other beliefs."""
+    """Servers in a zone that is cut off still come up; then the partition heals and all become warm."""
     simulation = trial.simulation()
     network = simulation.network
     server_count = simulation.case.server_count
@@ -205,26 +213,31 @@
     simulation.run(19_000.0)
     servers = simulation.servers.items()
     opened = sum(server.opened_at_ms > 0.0 for index, server in servers if index % ZONES_COUNT == 0)
-    row.require(opened > server_count // 12, f"only {opened} began in the zone that was cut off")
+    row.require(
+        opened > server_count // 12, f"only {opened} servers began to serve in the zone that was cut off"
+    )
     require_warm(row, simulation, 4.0)
 
 
 def bad_network(trial: Trial, row: ExperimentRow) -> None:
-    """10 % lost, 10 % duplicated, one link cut one way; in one second, or spread over some."""
+    """10 % of messages are lost, 10 % duplicated, and a link is cut one way.
+
+    The starts of the servers are spread over 1 s or 15 s.
+    """
     for spread_ms in (1000.0, 15_000.0):
         simulation = trial.simulation({"loss_probability": 0.1})
         simulation.network.duplicate_probability = 0.1
-        simulation.network.is_cut = _is_one_link
+        simulation.network.is_cut = _cuts_one_link
         simulation.start_all(spread_ms)
         require_warm(row, simulation, 4.0)
 
 
-def _is_one_link(sender: object, receiver: object) -> bool:
+def _cuts_one_link(sender: object, receiver: object) -> bool:
     return sender == address(3) and receiver == address(1)
 
 
 def database_overloaded(trial: Trial, row: ExperimentRow) -> None:
-    """Calls from elsewhere overload the database when half are up: it must recover by itself."""
+    """Other clients overload the database when half of the cluster is warm; it must recover on its own."""
     simulation = trial.simulation()
     network = simulation.network
     store = simulation.store
@@ -233,7 +246,7 @@
         simulation.run(500.0)
     store.queued_calls += 4.0 * simulation.case.downstream_calls_per_second
     simulation.run(1000.0)
-    row.require(store.is_overloaded, "the store did not fall")
+    row.require(store.is_overloaded, "the database did not become overloaded")
     began_ms = network.now_ms
     while store.is_overloaded and network.now_ms < MAX_START_MS:
         simulation.run(500.0)
@@ -242,18 +255,18 @@
 
 
 def endpoint_list_down(trial: Trial, row: ExperimentRow) -> None:
-    """Down throughout, back when all wait for it, gone in the middle; nobody knows anybody else."""
+    """Servers find each other only by the endpoint list, which is down, comes up late, or goes down early."""
     for up_ms in ((1e9, NEVER_MS), (8000.0, NEVER_MS), (0.0, 2000.0)):
         simulation = trial.simulation(discovery="list", list_up_ms=up_ms, list_polls_per_second=10.0)
         simulation.start_all()
         simulation.run(60_000.0)
         require_bounds(row, simulation)
         opened = sum(server.opened_at_ms > 0.0 for server in simulation.servers.values())
-        row.require(opened > simulation.case.server_count // 4, f"only {opened} began")
+        row.require(opened > simulation.case.server_count // 4, f"only {opened} servers began to serve")
 
 
 def crash_loop(trial: Trial, row: ExperimentRow) -> None:
-    """Half of the fleet crashes again and again for 20 s."""
+    """For 20 s, servers in half of the cluster crash and restart repeatedly."""
     simulation = trial.simulation()
     simulation.start_all()
     server_count = simulation.case.server_count
@@ -271,7 +284,10 @@
 
 
 def hour_of_overload(trial: Trial, row: ExperimentRow) -> None:
-    """An hour of busy cores: messages are read late, and one server is paused for 300 ms each 2 s."""
+    """On busy cores for an hour, no live server is declared dead, and then a death is detected in time.
+
+    All servers read messages late, and every 2 s a random server is paused for 300 ms.
+    """
     server_count = 30
     simulation = trial.simulation(
         server_count=server_count, grantor_count=3, downstream_calls_per_second=60.0
@@ -285,7 +301,7 @@
         simulation.hosts[trial.rng.randrange(server_count)].pause(300.0)
         simulation.run(2000.0)
     false_deaths = sum(event == "fleet_dead" for _, _, event in simulation.log_lines)
-    row.require(false_deaths == 0, f"{false_deaths} buried of whom none was dead")
+    row.require(false_deaths == 0, f"{false_deaths} live servers were declared dead")
     row.figures["false_deaths"] = false_deaths
     simulation.kill(7)
     began_ms = network.now_ms
@@ -294,16 +310,16 @@
     known_after_ms = network.now_ms - began_ms
     row.figures["death_known_s"] = round(known_after_ms / 1000.0, 1)
     is_known = known_after_ms < MAX_DEATH_KNOWN_MS
-    row.require(is_known, "a death under load was not known after 15 s")
+    row.require(is_known, "a dead server was still listed 15 s after its death")
 
 
 def _is_listed(simulation: ColdStartSimulation, name: str) -> bool:
-    """Whether any server still takes a member for present."""
+    """Returns whether any server still has the member in its table as present."""
     return any(name in server.node.member_table.present_index for server in simulation.servers.values())
 
 
 def large_fleet(server_count: int) -> VirtualCase:
-    """Returns the case of a large fleet after a power cut."""
+    """Returns the case in which a cluster of `server_count` servers starts after a power cut."""
 
     def run(trial: Trial, row: ExperimentRow) -> None:
         simulation = trial.simulation(
@@ -335,15 +351,15 @@
     "servers_1000": large_fleet(1000),
     "servers_5000": large_fleet(5000),
 }
-"""Rows by the names that the command line knows."""
+"""Cases by their names on the command line."""
 LONG_ROWS = ("hour_of_load", "servers_1000", "servers_5000")
-"""Played only with real processes, or where one asks for them."""
+"""Cases that run only if they are selected by name or if cases with real processes run, too."""
 UNREPEATED_ROWS = ("search", *LONG_ROWS)
-"""Played once, whatever the number of repeats."""
+"""Cases that run once, whatever the number of repeats."""
 
 
 def play_virtual_row(name: str, repeats: int, seed: int, removed_defence: str) -> ExperimentRow:
-    """Plays a row in virtual time; a run that raises violates."""
+    """Runs the case `name` in virtual time `repeats` times; an exception counts as a violation."""
     row = ExperimentRow(name)
     for run in range(1 if name in UNREPEATED_ROWS else repeats):
         trial = Trial(Random(f"{seed} {name} {run}"), removed_defence)
@@ -358,14 +374,14 @@
 def experiment(
     repeats: int, seed: int, servers: int, removed_defence: str | None = None, only: str | None = None
 ) -> Iterator[ExperimentRow]:
-    """Plays all rows, or one; yields each as it is done.
+    """Runs all cases, or a single one, and yields the row of each when it is done.
 
     Args:
-        repeats: Runs of each row in virtual time.
-        seed: The same one gives the same runs in virtual time.
-        servers: Of rows of real processes; 0 leaves these out.
-        removed_defence: Without which all rows are played.
-        only: The name of the row to play; None for all.
+        repeats: Number of runs of each case in virtual time.
+        seed: Seed of all random draws. Runs in virtual time are reproducible.
+        servers: Number of servers of the cases with real processes; 0 skips these cases.
+        removed_defence: Name of the defence that is disabled; None for none.
+        only: Name of the single case to run; None for all.
     """
     defence = removed_defence or ""
     for name in VIRTUAL_ROWS:
--- a/landingshift/testbed/experiments/cold_start_harness.py
+++ b/landingshift/testbed/experiments/cold_start_harness.py
@@ -1,4 +1,4 @@
-"""Real servers with `[coldstart]` on, which all start from cold."""
+"""Harness for real servers with `[coldstart]` enabled that start with cold caches."""
 
 from __future__ import annotations
 
@@ -12,18 +12,19 @@
 from landingshift.testbed.processes.stand_ins import DEFAULT_CORE_COUNT, DEFAULT_RUN_MS, StandInCapacity
 
 CALLS_PER_SECOND_EACH = 4.0
-"""That the database serves, for each server."""
+"""Capacity of the database, for each server."""
 RPCS_PER_SECOND_EACH = 8.0
 LIST_REQUESTS_PER_SECOND = 20.0
 CACHE_FILL_CALLS = 20
 WARM_UP_MS = 2000.0
 MAX_PEAK_RATIO = 1.1
-"""Of what a service serves, that may come within a second."""
+"""Maximum ratio of the requests that a service receives in any second to its capacity per second."""
 MIN_LIST_PEAK_COUNT = 3.0
+"""Requests to the endpoint list in a second that are always allowed, however low its capacity."""
 USED_CAPACITY_FRACTION = 0.95
-"""Of the database, that a start uses at the best."""
+"""Fraction of its capacity at which the database is assumed to fill caches in the fastest possible start."""
 CLOCK_OFFSETS_MS = ("0", "60000", "-60000")
-"""Of servers' wall clocks, in turn."""
+"""Offsets of the servers' wall clocks, assigned in turn."""
 ZONES_COUNT = 3
 PEERS_COUNT = 3
 MIN_GRANTORS_COUNT = 2
@@ -31,26 +32,29 @@
 SERVERS_PER_GRANTOR = 12
 START_BASE_SECONDS = 20.0
 START_RATIO = 6.0
-"""Of the least time that a start takes, on a machine that has other work too."""
+"""Maximum duration of a start without `START_BASE_SECONDS`, as a multiple of `least_start_ms`.
+
+It allows for other work on the machine.
+"""
 KILLED_STATUS = -9
 
 
 class KnownServers(Enum):
-    """How a server that starts finds others."""
+    """How a starting server finds other servers."""
 
     PEERS = "peers"
-    """By its settings."""
+    """From its settings."""
     LIST = "list"
-    """By the endpoint list."""
+    """From the endpoint list."""
 
 
 class ColdStartHarness:
-    """A fleet that starts.
+    """Starts a fleet of real servers and checks its cold start.
 
     Attributes:
-        server_count: How many servers there are.
-        grantor_count: The first of them grant leases.
-        servers: The processes.
+        server_count: Number of servers.
+        grantor_count: Number of servers that grant leases, which are those with the lowest indexes.
+        servers: Harness of the server processes and stand-ins.
     """
 
     def __init__(
@@ -66,19 +70,20 @@
         core_count: int = DEFAULT_CORE_COUNT,
         run_ms: float = DEFAULT_RUN_MS,
     ) -> None:
-        """Starts stand-ins, and no server yet.
+        """Starts the stand-ins, but no server.
 
         Args:
-            folder: For files.
-            count: How many servers there are.
-            seed: Of all that is drawn.
-            has_packages: Whether membership and cold start are on.
+            folder: Folder for the files of the run.
+            count: Number of servers.
+            seed: Seed of all random draws.
+            has_packages: Whether membership and cold start are enabled.
             known_servers: How servers find each other.
-            removed_defence: "shares" turns the packages off.
-            has_few_permits: Whether some have to wait for a start permit; else as it is by default.
-            rpcs_per_second_each: For each server.
-            core_count: Of an engine.
-            run_ms: For which a run takes a core.
+            removed_defence: "shares" disables membership and cold start; any other value has no effect.
+            has_few_permits: Whether start permits are so few that some servers have to wait. False uses the
+                default number.
+            rpcs_per_second_each: RPC rate for each server.
+            core_count: Number of cores of an engine.
+            run_ms: Core time of a run.
         """
         self.server_count = count
         self.grantor_count = max(MIN_GRANTORS_COUNT, min(MAX_GRANTORS_COUNT, count // SERVERS_PER_GRANTOR))
@@ -103,7 +108,7 @@
 
     @property
     def calls_per_second(self) -> float:
-        """What the database serves."""
+        """Capacity of the database."""
         return CALLS_PER_SECOND_EACH * self.server_count
 
     def _toml(self, index: int) -> str:
@@ -139,15 +144,15 @@
         if not self._has_few_permits:
             return ""
         first = max(self.grantor_count, self.server_count // 6)
-        most = max(self.grantor_count, self.server_count * 2 // 3)
-        return f"places_first = {first}\nplaces_most = {most}"
+        maximum = max(self.grantor_count, self.server_count * 2 // 3)
+        return f"places_first = {first}\nplaces_most = {maximum}"
 
     def cache_path(self, index: int) -> str:
-        """Returns where a server keeps the endpoints that it knows."""
+        """Returns the path of the file in which a server caches the endpoints that it knows."""
         return f"{self.servers.folder}/n{index}.members"
 
     def start_all(self, spread_seconds: float = 0.0) -> None:
-        """Starts all servers, over a time or at once."""
+        """Starts all servers at once, or evenly spread over `spread_seconds`."""
         for index in range(self.server_count):
             clock_offset = CLOCK_OFFSETS_MS[index % len(CLOCK_OFFSETS_MS)]
             self.servers.start(index, LANDINGSHIFT_CLOCK=clock_offset)
@@ -155,38 +160,49 @@
                 time.sleep(spread_seconds / self.server_count)
 
     def least_start_ms(self) -> float:
-        """Returns the least time of a start: the database fills caches, and cores are cold for a while."""
+        """Returns the shortest possible time until the fleet is warm.
+
+        It is the maximum of the time the database needs to fill all caches and the warm-up time of engines.
+        """
         fill_seconds = USED_CAPACITY_FRACTION * self.server_count * CACHE_FILL_CALLS / self.calls_per_second
         return max(WARM_UP_MS, fill_seconds * 1000.0)
 
     def max_start_seconds(self) -> float:
-        """Returns how long a start may take in all."""
+        """Returns the default time limit for the start of the fleet."""
         return START_BASE_SECONDS + START_RATIO * self.least_start_ms() / 1000.0
 
     def is_warm(self) -> bool:
-        """Whether the fleet has come up."""
+        """Returns whether the fleet has become warm since the current measurement began."""
         return self.servers.warm_after_ms >= 0.0
 
     def wait_until_warm(self, timeout_seconds: float = 0.0) -> bool:
-        """Waits until the fleet is warm; returns whether it is in time.
+        """Waits until the fleet is warm and returns whether that happened in time.
 
         Args:
-            timeout_seconds: By default as long as a start may take.
+            timeout_seconds: Time limit; 0 for `max_start_seconds`.
         """
         return self.servers.wait_until(timeout_seconds or self.max_start_seconds(), self.is_warm)
 
     def require_warm(self, row: ExperimentRow, timeout_seconds: float = 0.0) -> None:
-        """Requires that the fleet is warm in time, by default that of a start."""
+        """Waits until the fleet is warm, and records a violation if that takes too long.
+
+        Args:
+            row: Row that records measured times and violations.
+            timeout_seconds: Time limit; 0 for `max_start_seconds`.
+        """
         timeout_seconds = timeout_seconds or self.max_start_seconds()
         is_warm = self.wait_until_warm(timeout_seconds)
         sample = self.servers.warm_series[-1]
-        shown = (sample.elapsed_ms, sample.warm_count, sample.call_count)
-        row.require(is_warm, f"not warm after {timeout_seconds:g} s: {shown}")
+        progress = (
+            f"{sample.warm_count} warm servers and {sample.call_count} database calls"
+            f" after {sample.elapsed_ms:.0f} ms"
+        )
+        row.require(is_warm, f"fleet not warm after {timeout_seconds:g} s: {progress}")
         row.figures["warm_s"] = round(self.servers.warm_after_ms / 1000.0, 1)
         row.figures["least_s"] = round(self.least_start_ms() / 1000.0, 1)
 
     def check(self, row: ExperimentRow) -> None:
-        """Ends all servers, and checks what must hold whatever was done to them."""
+        """Stops all servers, and checks the requirements that hold under any faults."""
         servers = self.servers
         unanswered = servers.end_load()
         statuses = servers.shut_down_all()
@@ -195,13 +211,13 @@
         self._add_figures(row, quota, max_total_granted(history, PERMIT_FIELD))
         self._require_bounded_requests(row)
         limit = self.calls_per_second
-        row.require(quota <= limit, f"shares of {quota:.1f} of {limit:g}")
+        row.require(quota <= limit, f"call quotas add up to {quota:.1f} of {limit:g} calls per second")
         outcomes = servers.load.outcomes
         for failure in FAILED_OUTCOMES:
             row.require(not outcomes[failure], f"{outcomes[failure]} RPCs {failure}")
-        row.require(not unanswered, f"{unanswered} RPCs without an answer")
+        row.require(not unanswered, f"{unanswered} RPCs were never answered")
         failed = [status for status in statuses if status not in (0, KILLED_STATUS)]
-        row.require(not failed, f"exit status {set(statuses)}")
+        row.require(not failed, f"unexpected exit status of a server, among {set(statuses)}")
 
     def _add_figures(self, row: ExperimentRow, quota: float, permits: float) -> None:
         stand_ins = self.servers.stand_ins
@@ -228,12 +244,16 @@
         database = self.servers.stand_ins.database
         limit = self.calls_per_second
         peak = database.peak_count()
-        row.require(peak <= MAX_PEAK_RATIO * limit, f"{peak} calls a second of {limit:g}")
-        row.require(not database.overload_count, "the store fell")
+        row.require(
+            peak <= MAX_PEAK_RATIO * limit, f"peak of {peak} calls a second at a capacity of {limit:g}"
+        )
+        row.require(not database.overload_count, f"database overloaded {database.overload_count} times")
         list_peak = self.servers.stand_ins.endpoint_list.peak_count()
         max_list_peak = max(MIN_LIST_PEAK_COUNT, MAX_PEAK_RATIO * LIST_REQUESTS_PER_SECOND)
-        row.require(list_peak <= max_list_peak, f"the list was asked {list_peak} times")
+        row.require(
+            list_peak <= max_list_peak, f"the endpoint list was requested {list_peak} times in a second"
+        )
 
     def close(self) -> None:
-        """Ends all servers."""
+        """Stops all processes."""
         self.servers.close()
--- a/landingshift/testbed/experiments/cold_start_real.py
+++ b/landingshift/testbed/experiments/cold_start_real.py
@@ -1,4 +1,4 @@
-"""Rows of the cold start experiment that take real processes, with faults between them."""
+"""Cases of the cold start experiment with real processes and injected faults."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from landingshift.testbed.processes.stand_ins import EndpointListMode
 
 STAGES = ("waiting", "starting", "warm")
-"""Of a server that starts, as failpoints name them."""
+"""Stages of a starting server, by the names of their failpoints."""
 FLOOD_INTERVAL_SECONDS = 0.0005
 INVALID_DATAGRAMS = (b"\x93\x02\xa4ping" + bytes(60), b"", bytes(2000))
 TRUNCATED_CACHE_BYTES = 60
@@ -27,7 +27,7 @@
 DEATH_KNOWN_FRACTION = 0.99
 
 ColdStartCase = Callable[[str, int, int, str, ExperimentRow], None]
-"""Plays a case; arguments are folder, number of servers, seed, removed defence and row."""
+"""Runs a case and fills the row; arguments: folder, number of servers, seed, removed defence, row."""
 
 
 def cold_start_case(
@@ -35,12 +35,12 @@
     known_servers: KnownServers = KnownServers.PEERS,
     **options: Any,
 ) -> ColdStartCase:
-    """Returns a case that plays one scenario.
+    """Returns a case that creates a harness, runs `play` on it, and closes it.
 
     Args:
-        play: The scenario.
+        play: Starts the servers, injects faults and checks the requirements.
         known_servers: How servers find each other.
-        **options: Of the harness.
+        **options: Further options of the harness.
     """
 
     def run(folder: str, count: int, seed: int, removed_defence: str, row: ExperimentRow) -> None:
@@ -56,14 +56,14 @@
 
 
 def simultaneous_start(harness: ColdStartHarness, row: ExperimentRow) -> None:
-    """All start at once."""
+    """All servers start at once."""
     harness.start_all()
     harness.require_warm(row)
     harness.check(row)
 
 
 def grantor_killed(harness: ColdStartHarness, row: ExperimentRow) -> None:
-    """A grantor is killed while all need it, and is back a second later without its memory."""
+    """A grantor is killed while servers depend on it, and restarts a second later without its state."""
     harness.start_all()
     time.sleep(5.0)
     harness.servers.kill(0)
@@ -72,18 +72,21 @@
     harness.require_warm(row)
     harness.check(row)
     grace_ms = _recovery_grace_ms(harness, 0)
-    kept_grace = len(grace_ms) == 2 and min(grace_ms) > MIN_RECOVERY_GRACE_MS
-    row.require(kept_grace, f"a lender of the same boot kept quiet for {grace_ms} ms")
+    has_waited = len(grace_ms) == 2 and min(grace_ms) > MIN_RECOVERY_GRACE_MS
+    row.require(has_waited, f"recovery graces of a grantor restarted without a reboot: {grace_ms} ms")
 
 
 def _recovery_grace_ms(harness: ColdStartHarness, index: int) -> list[int]:
-    """Returns for how long a grantor granted nothing after each of its starts."""
+    """Returns the recovery grace after each start of a grantor: the time in ms in which it grants nothing."""
     entries = harness.servers.log_entries(index)
     return [entry["ms"] for entry in entries if entry["event"] == RECOVERY_GRACE_EVENT]
 
 
 def paused_and_cut_off(harness: ColdStartHarness, row: ExperimentRow) -> None:
-    """One that starts is paused for 5 s, one is cut off, one hears but is not heard; 10 % is lost."""
+    """A starting server is paused for 5 s, one is cut off, and messages from one are lost.
+
+    10 % of all messages are lost and 10 % duplicated.
+    """
     servers = harness.servers
     proxy = servers.proxy
     last = harness.server_count - 1
@@ -107,7 +110,7 @@
 
 
 def killed_at_each_step(harness: ColdStartHarness, row: ExperimentRow) -> None:
-    """A server that starts dies as it reaches each stage, and is started again."""
+    """For each stage of a start, a server crashes when it reaches the stage, and is restarted."""
     servers = harness.servers
     victims = [harness.server_count - 1 - number for number in range(len(STAGES))]
     for victim, stage in zip(victims, STAGES, strict=True):
@@ -129,13 +132,13 @@
         return len(died) == len(STAGES)
 
     have_died = servers.wait_until(harness.max_start_seconds(), all_were_restarted)
-    row.require(have_died, f"only {len(died)} died")
+    row.require(have_died, f"only {len(died)} of {len(STAGES)} servers crashed")
     harness.require_warm(row)
     harness.check(row)
 
 
 def list_down(harness: ColdStartHarness, row: ExperimentRow) -> None:
-    """Nobody knows anybody; the endpoint list is down, then slow, then outdated, then incomplete."""
+    """Servers find each other only by the endpoint list: down, then slow, then outdated, then incomplete."""
     servers = harness.servers
     stand_ins = servers.stand_ins
     servers.run_on_loop(stand_ins.list_listener.close)
@@ -152,12 +155,15 @@
 
 
 def from_disk(harness: ColdStartHarness, row: ExperimentRow) -> None:
-    """All are killed once warm and start from their caches, two of them bad; the endpoint list is down."""
+    """After a power cut all servers start from their endpoint caches, two of them invalid.
+
+    The endpoint list is down.
+    """
     servers = harness.servers
     endpoint_list = servers.stand_ins.endpoint_list
     harness.start_all()
-    has_come_up = harness.wait_until_warm(3.0 * harness.max_start_seconds())
-    row.require(has_come_up, "the first start did not come up")
+    is_warm = harness.wait_until_warm(3.0 * harness.max_start_seconds())
+    row.require(is_warm, "fleet not warm in time after the first start")
     time.sleep(6.0)
     for index in range(harness.server_count):
         servers.kill(index)
@@ -167,23 +173,23 @@
     Path(harness.cache_path(2)).write_bytes(INVALID_CACHE)
     requests_before = len(endpoint_list.arrival_times_ms)
     servers.restart_warm_measurement()
-    time.sleep(2.0)  # a machine takes longer than a lease to start, which its time since then proves
+    time.sleep(2.0)  # booting takes longer than a lease, so a grantor's uptime shows that old leases expired
     for index in range(harness.server_count):
         servers.environment[index] = {"LANDINGSHIFT_BOOT": "second:9000"}
     harness.start_all()
     harness.require_warm(row)
     harness.check(row)
     grace_ms = [_recovery_grace_ms(harness, index) for index in range(harness.grantor_count)]
-    kept_first_grace_alone = all(
-        len(found) == 2 and found[0] > MIN_RECOVERY_GRACE_MS and found[1] == 0 for found in grace_ms
+    has_only_first_grace = all(
+        len(graces) == 2 and graces[0] > MIN_RECOVERY_GRACE_MS and graces[1] == 0 for graces in grace_ms
     )
-    row.require(kept_first_grace_alone, f"lenders kept quiet for {grace_ms}")
+    row.require(has_only_first_grace, f"recovery graces of grantors before and after the boot: {grace_ms} ms")
     is_unused = len(endpoint_list.arrival_times_ms) == requests_before
-    row.require(is_unused, "the list service was asked although all knew neighbours")
+    row.require(is_unused, "the endpoint list was requested although servers had cached endpoints")
 
 
 def database_overloaded(harness: ColdStartHarness, row: ExperimentRow) -> None:
-    """Requests from elsewhere overload the database when half are up: it must recover by itself."""
+    """Other clients overload the database when half of the fleet is warm; it must recover on its own."""
     servers = harness.servers
     database = servers.stand_ins.database
     harness.start_all()
@@ -193,17 +199,17 @@
         lambda: bool(servers.warm_series) and servers.warm_series[-1].warm_count >= half,
     )
     servers.run_on_loop(lambda: database.flood(int(3.0 * database.overload_queue_length)))
-    row.require(database.is_overloaded, "the store did not fall")
+    row.require(database.is_overloaded, "the database did not become overloaded")
     has_recovered = servers.wait_until(60.0, lambda: not database.is_overloaded)
-    row.require(has_recovered, "the store did not come back")
-    row.require(database.overload_count == 1, f"the store fell {database.overload_count} times")
+    row.require(has_recovered, "the database was still overloaded after 60 s")
+    row.require(database.overload_count == 1, f"database overloaded {database.overload_count} times")
     database.overload_count = 0
     harness.require_warm(row)
     harness.check(row)
 
 
 def invalid_datagrams(harness: ColdStartHarness, row: ExperimentRow) -> None:
-    """Somebody sends invalid datagrams at full speed to a grantor all the while."""
+    """All servers start while a grantor is flooded with invalid datagrams."""
     with _flood_of_datagrams(harness):
         harness.start_all()
         harness.require_warm(row)
@@ -232,7 +238,10 @@
 
 
 def baseline(folder: str, count: int, seed: int, _removed_defence: str, row: ExperimentRow) -> None:
-    """The program without packages: for the figures beside the others', it guarantees nothing here."""
+    """Runs servers without membership and cold start, as a baseline for the measured values of other cases.
+
+    Violations are recorded under `said`, because nothing is guaranteed without these packages.
+    """
     harness = ColdStartHarness(folder, count, seed, has_packages=False)
     try:
         harness.start_all()
@@ -246,7 +255,7 @@
 
 
 def overload(harness: ColdStartHarness, row: ExperimentRow) -> None:
-    """Three minutes at 140 % of what engines do: nobody is taken for dead, and a real death is known."""
+    """At 140 % load for three minutes, no live server is declared dead; then a death is detected in time."""
     servers = harness.servers
     last = harness.server_count - 1
     harness.start_all()
@@ -258,7 +267,7 @@
         for entry in servers.log_entries(index)
         if entry["event"] == "fleet_dead"
     ]
-    row.require(not false_deaths, f"{len(false_deaths)} false deaths: {false_deaths[:2]}")
+    row.require(not false_deaths, f"{len(false_deaths)} live servers declared dead: {false_deaths[:2]}")
     servers.kill(last)
     began = time.monotonic()
 
@@ -269,7 +278,7 @@
         ]
         return sum(knows) >= DEATH_KNOWN_FRACTION * len(knows)
 
-    row.require(servers.wait_until(20.0, is_known), "a death is not known after 20 s")
+    row.require(servers.wait_until(20.0, is_known), "a death was not detected within 20 s")
     row.figures["death_known_s"] = round(time.monotonic() - began, 1)
     harness.check(row)
 
@@ -277,7 +286,7 @@
 LONG: dict[str, ColdStartCase] = {
     "real_overload": cold_start_case(overload, rpcs_per_second_each=1.4 * 25.0, core_count=1, run_ms=40.0)
 }
-"""Rows that are played only where one asks for them."""
+"""Cases that run only if they are selected by name."""
 
 REAL: dict[str, ColdStartCase] = {
     "real_baseline": baseline,
@@ -291,4 +300,4 @@
     "real_store_collapses": cold_start_case(database_overloaded),
     "real_rude": cold_start_case(invalid_datagrams),
 }
-"""Rows by the names that the command line knows."""
+"""Cases by their names on the command line."""
--- a/landingshift/testbed/experiments/ledger.py
+++ b/landingshift/testbed/experiments/ledger.py
@@ -1,4 +1,4 @@
-"""The ledger's experiment: each case brings a failure about and counts by itself what is to be billed."""
+"""Ledger experiment: each case causes failures and compares the bill with an independent count."""
 
 from __future__ import annotations
 
@@ -42,24 +42,28 @@
     "bad_settings": store_cases.bad_settings,
     "many_tenants": store_cases.many_tenants,
 }
-"""In the order of the rows."""
+"""Cases by name, in the order of their rows."""
 MAIN_CASE = "totals"
 RUN_ONCE_CASES = ("many_tenants",)
-REPEATS_RATIO = 5  # repeats of the main case for one of another
+REPEATS_RATIO = 5
+"""Number of runs of the main case for each run of another case."""
 KILLS_ROW = "kills"
 
 
 def experiment(
     repeats: int, kills: int, seed: int, removed_defence: str | None = None, only: str | None = None
 ) -> Iterator[ExperimentRow]:
-    """Rows as they are done; a run that raises is broken. The same seed gives the same faults.
+    """Runs all cases, or a single one, and yields the row of each when it is done.
+
+    A run that raises an exception counts as a violation.
 
     Args:
-        repeats: Runs of the main case.
-        kills: Runs with real servers.
-        seed: Of all draws.
-        removed_defence: A defence to take away, to see that the cases notice.
-        only: The one row that is wanted.
+        repeats: Number of runs of the main case; others run fewer times (see `REPEATS_RATIO`).
+        kills: Number of runs with real servers that are killed; 0 skips them.
+        seed: Seed of all random draws. The same seed gives the same faults.
+        removed_defence: Name of the defence to disable, to show that the cases detect its absence; None for
+            none.
+        only: Name of the single case to run; None or "" for all.
     """
     with _without(removed_defence):
         for name, run_case in CASES.items():
@@ -76,7 +80,7 @@
 ) -> ExperimentRow:
     row = ExperimentRow(name)
     for run in range(_run_count(name, repeats)):
-        # Kills are of processes here: nothing is learned from waiting for a disk.
+        # Failpoints simulate crashes of processes, not of the machine, so a file system in memory is enough.
         with tempfile.TemporaryDirectory(dir=MEMORY) as directory:
             rng = Random(f"{seed} {name} {run}")
             try:
@@ -97,7 +101,10 @@
 
 @contextmanager
 def _without(defence: str | None) -> Iterator[None]:
-    """Takes one defence away for as long as it lasts; the receiver's cursor is a matter of its stand-in."""
+    """Disables a defence while the context is active.
+
+    The defence "cursor" is not handled here, because the stand-in for the receiver implements it.
+    """
     patch: AbstractContextManager[object]
     match defence:
         case "identity":
@@ -105,9 +112,11 @@
         case "chain":
             patch = mock.patch.object(audit, "audit_store", return_value=[])
         case "disputed":
-            patch = mock.patch.object(UsageLedger, "start_run", _forgetting(UsageLedger.start_run))
+            patch = mock.patch.object(UsageLedger, "start_run", _without_disputes(UsageLedger.start_run))
         case "batch":
-            patch = mock.patch.object(UsageLedger, "apply_batch", _trusting(UsageLedger.apply_batch))
+            patch = mock.patch.object(
+                UsageLedger, "apply_batch", _without_batch_check(UsageLedger.apply_batch)
+            )
         case _:
             yield
             return
@@ -115,10 +124,10 @@
         yield
 
 
-def _forgetting(
+def _without_disputes(
     start_run: Callable[[UsageLedger, bytes, int], int],
 ) -> Callable[[UsageLedger, bytes, int], int]:
-    """A run that begins without disputing what an earlier one left."""
+    """Returns a `start_run` that drops unsettled usage of earlier processes instead of disputing it."""
 
     def start_run_without_disputes(ledger: UsageLedger, run_id: bytes, now_ms: int) -> int:
         ledger.pending.clear()
@@ -127,10 +136,10 @@
     return start_run_without_disputes
 
 
-def _trusting(
+def _without_batch_check(
     apply_batch: Callable[[UsageLedger, UsageBatch, int], None],
 ) -> Callable[[UsageLedger, UsageBatch, int], None]:
-    """Batches that are applied however often they come."""
+    """Returns an `apply_batch` that applies a batch again each time it is received."""
 
     def apply_any_batch(ledger: UsageLedger, batch: UsageBatch, now_ms: int) -> None:
         ledger.last_batch_number = batch.number - 1
--- a/landingshift/testbed/experiments/ledger_export_cases.py
+++ b/landingshift/testbed/experiments/ledger_export_cases.py
@@ -1,4 +1,4 @@
-"""Cases of the ledger's experiment: receivers, exporters and networks that fail."""
+"""Cases of the ledger experiment in which receivers, exporters and networks fail."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 LONG_OUTAGE_REQUEST_COUNT = 1000
 HTTP_TIMEOUT_MS = 2000.0
 HTTP_FAULTS = (Fault.BEFORE_REQUEST, Fault.AFTER_REQUEST, Fault.DUPLICATED_REQUEST, Fault.STALE_REPLY)
-DIFFERENT_TOTALS = "the receiver's totals are not the ledger's"
+DIFFERENT_TOTALS = "the receiver's totals differ from the ledger's"
 
 
 def totals_with_all_faults(case: LedgerCase) -> None:
-    """All faults of the receiver, the exporter and the store's process, in any order."""
+    """The receiver fails in all ways, and exporter and store process crash, in random order."""
     row = case.row
     simulation = LedgerSimulation(case.rng, case.directory)
     state = ReceiverState(case.receiver_checks_cursor)
@@ -38,10 +38,10 @@
     _stop_faults(receiver)
     stop = simulation.export(receiver)
     simulation.check(row)
-    row.require(stop is None, f"the export stopped: {stop}")
+    row.require(stop is None, f"the export stopped early: {stop}")
     row.require(state.totals() == billed_totals(simulation.store), DIFFERENT_TOTALS)
     ids = [(record.kind, record.id) for record in state.records]
-    row.require(len(ids) == len(set(ids)), "a record is there twice")
+    row.require(len(ids) == len(set(ids)), "the receiver has a record twice")
     for fault, count in receiver.fault_counts.items():
         _add_figure(case, fault.value, count)
     _add_figure(case, "crashes", simulation.crash_count)
@@ -50,7 +50,7 @@
 
 
 def single_fault(fault: Fault) -> CaseFunction:
-    """A case with one fault, often."""
+    """Returns a case in which half of the requests to the receiver fail in the given way."""
 
     def run(case: LedgerCase) -> None:
         simulation = LedgerSimulation(case.rng, case.directory)
@@ -73,7 +73,7 @@
 
 
 def receiver_over_http(case: LedgerCase) -> None:
-    """The exporter's own client, over HTTP on loopback."""
+    """The exporter's HTTP client reaches a faulty receiver over loopback."""
     simulation = LedgerSimulation(case.rng, case.directory)
     simulation.run_traffic(30)
     state = ReceiverState(case.receiver_checks_cursor)
@@ -85,7 +85,11 @@
 
 
 def old_backup(case: LedgerCase) -> None:
-    """The ledger comes back from an old copy and the receiver is ahead: noticed, never billed over."""
+    """A ledger is restored from an old backup while the receiver is ahead of it.
+
+    The exporter detects that and stops, and the receiver's totals stay. This holds right after the restore
+    and also after the restored ledger has recorded more usage.
+    """
     simulation = LedgerSimulation(case.rng, case.directory)
     simulation.run_traffic(20)
     copy = os.path.join(case.directory, "copy.sqlite")
@@ -95,17 +99,19 @@
     receiver = FaultyReceiver(state, case.rng, fault_probability=0.0)
     simulation.export(receiver)
     billed_before = state.totals()
-    for goes_on in (False, True):
+    for has_new_usage in (False, True):
         simulation.store.close()
         remove_store_files(case.directory, ("ledger.sqlite", "ledger.sqlite-wal", "ledger.sqlite-shm"))
         shutil.copy(copy, os.path.join(case.directory, "ledger.sqlite"))
         simulation.restart_server()
         simulation.store.start_run(simulation.run_id, simulation.now_ms)
-        if goes_on:
+        if has_new_usage:
             simulation.run_traffic(60)
         stop = simulation.export(receiver)
-        case.row.require(stop is not None, "an old copy went on exporting")
-        case.row.require(state.totals() == billed_before, "the receiver took what is not its ledger's")
+        case.row.require(stop is not None, "an old copy of the ledger was exported")
+        case.row.require(
+            state.totals() == billed_before, "the export of an old copy changed the receiver's totals"
+        )
     simulation.store.close()
 
 
--- a/landingshift/testbed/experiments/ledger_merge_cases.py
+++ b/landingshift/testbed/experiments/ledger_merge_cases.py
@@ -1,4 +1,7 @@
-"""Cases of the ledger's experiment: many instances' ledgers merged, late, repeated and from old copies."""
+"""Cases of the ledger experiment that merge the ledgers of several instances.
+
+Ledgers are merged late, repeatedly, and after a restore from an old copy.
+"""
 
 from __future__ import annotations
 
@@ -35,18 +38,24 @@
 
 
 def merging_killed(case: LedgerCase) -> None:
-    """Three ledgers, any order, any repetition, killed on the way: the same totals; a retry counts once."""
+    """Three ledgers are merged in random order, twice each, with crashes.
+
+    The totals don't depend on the order. An attempt that several instances recorded counts once. A ledger
+    that is merged alone gives its own totals.
+    """
     simulations = [
         LedgerSimulation(case.rng, os.path.join(case.directory, f"{index}"), f"n{index}")
         for index in range(3)
     ]
     _run_shared_attempts(case, simulations)
-    found = [_merge_in_any_order(case, simulations, turn) for turn in range(3)]
-    case.row.require(all(totals == found[0] for totals in found), "the order of merging changed the totals")
-    shared = [entry for entry in found[0] if entry.period == SHARED_ATTEMPTS_PERIOD]
+    totals_by_turn = [_merge_in_random_order(case, simulations, turn) for turn in range(3)]
+    are_equal = all(totals == totals_by_turn[0] for totals in totals_by_turn)
+    case.row.require(are_equal, "the order of merging changed the totals")
+    shared = [entry for entry in totals_by_turn[0] if entry.period == SHARED_ATTEMPTS_PERIOD]
     shared_uses = sum(entry.totals.uses for entry in shared)
-    case.row.require(shared_uses == SHARED_ATTEMPT_COUNT, f"a retry on another instance counted: {shared}")
-    _check_one_alone(case, simulations[0])
+    is_counted_once = shared_uses == SHARED_ATTEMPT_COUNT
+    case.row.require(is_counted_once, f"a retry on another instance was counted again: {shared}")
+    _check_single_merge(case, simulations[0])
     for simulation in simulations:
         simulation.store.close()
 
@@ -61,7 +70,7 @@
         simulation.commit()
 
 
-def _merge_in_any_order(
+def _merge_in_random_order(
     case: LedgerCase, simulations: list[LedgerSimulation], turn: int
 ) -> list[TenantTotals]:
     merged = _open_merged(case, f"merged{turn}.sqlite")
@@ -79,7 +88,7 @@
     return totals
 
 
-def _check_one_alone(case: LedgerCase, simulation: LedgerSimulation) -> None:
+def _check_single_merge(case: LedgerCase, simulation: LedgerSimulation) -> None:
     merged = _open_merged(case, "subset.sqlite")
     merge_file(merged, simulation.store.path)
     merged_totals = {
@@ -90,7 +99,7 @@
     }
     billed = billed_totals(simulation.store)
     not_empty = {key: totals for key, totals in billed.items() if totals != BilledTotals(0, 0)}
-    case.row.require(merged_totals == not_empty, "one alone is not itself")
+    case.row.require(merged_totals == not_empty, "merging a single ledger changed its totals")
     merged.close()
 
 
@@ -100,7 +109,11 @@
 
 
 def merging_away_or_old(case: LedgerCase) -> None:
-    """Over gRPC: an instance that was away for a day, one back from an old copy that goes on."""
+    """A ledger is merged over gRPC after a day's absence and after a restore from an old copy.
+
+    In the second case, the missing entries are restored from the merged store, or the old copy records new
+    usage and is then kept as a separate branch.
+    """
     simulation = LedgerSimulation(case.rng, os.path.join(case.directory, "n1"))
     merged = _open_merged(case, "merged.sqlite")
     server, port = serve(simulation.open_store, "127.0.0.1:0")
@@ -119,28 +132,30 @@
     row = case.row
     simulation.run_traffic(20)
     result = merge_peer(merged, peer)
-    row.require(result.new_entry_count == simulation.store.ledger.last_number, "not all came")
+    has_all = result.new_entry_count == simulation.store.ledger.last_number
+    row.require(has_all, "the first merge did not transfer all entries")
     copy = os.path.join(case.directory, "copy.sqlite")
     simulation.store.backup(copy)
     simulation.now_ms += DAY_MS
     simulation.run_traffic(20)
     merge_peer(merged, peer)
     is_up_to_date = merged.heads()["n1"].number == simulation.store.ledger.last_number
-    row.require(is_up_to_date, "a day away is not brought up to date")
+    row.require(is_up_to_date, "the merge after a day's absence did not transfer all entries")
     merged_before = merged.tenant_totals()
     billed_before = billed_totals(simulation.store)
-    _go_back_to_copy(simulation, copy)
+    _restore_copy(simulation, copy)
     simulation.store = simulation.open_store()
-    row.require(merge_peer(merged, peer).missing_entry_count > 0, "an old copy was not noticed")
+    row.require(merge_peer(merged, peer).missing_entry_count > 0, "a merge did not detect an old copy")
     restore_missing_entries(simulation.store, merged)
-    row.require(billed_totals(simulation.store) == billed_before, "caught up, it has other totals")
-    row.require(not audit.audit_store(simulation.store), "caught up, it does not hold")
-    _go_back_to_copy(simulation, copy)
+    has_same_totals = billed_totals(simulation.store) == billed_before
+    row.require(has_same_totals, "restoring the missing entries gave other totals")
+    row.require(not audit.audit_store(simulation.store), "a store with restored entries fails its audit")
+    _restore_copy(simulation, copy)
     simulation.restart_server()
     _check_diverged(row, simulation, merged, peer, merged_before)
 
 
-def _go_back_to_copy(simulation: LedgerSimulation, copy: str) -> None:
+def _restore_copy(simulation: LedgerSimulation, copy: str) -> None:
     simulation.store.close()
     remove_store_files(simulation.directory, ("ledger.sqlite-wal", "ledger.sqlite-shm"))
     shutil.copy(copy, os.path.join(simulation.directory, "ledger.sqlite"))
@@ -153,14 +168,14 @@
     peer: PeerClient,
     merged_before: list[TenantTotals],
 ) -> None:
-    for _ in range(2):  # at once, and once it has gone on
+    for _ in range(2):  # at the first divergent entry, and after another one
         simulation.store.start_run(simulation.run_id, simulation.now_ms)
         simulation.report_delivered(simulation.rng.randbytes(16), START_MS + 9 * DAY_MS)
         simulation.commit()
         branch = merge_peer(merged, peer).branch
-        row.require(branch != "n1", "an old copy that went on was not noticed")
+        row.require(branch != "n1", "new usage of an old copy was merged into the instance's own branch")
     totals = merged.tenant_totals()
     others = [entry for entry in totals if entry.period != AFTER_COPY_PERIOD]
-    row.require(others == merged_before, "what the old copy lacks was lost")
+    row.require(others == merged_before, "merging the old copy changed earlier totals")
     new_uses = sum(entry.totals.uses for entry in totals if entry.period == AFTER_COPY_PERIOD)
-    row.require(new_uses == 2, "what it went on with is not there")
+    row.require(new_uses == 2, f"{new_uses} of the 2 new uses of the old copy were merged")
--- a/landingshift/testbed/experiments/ledger_period_cases.py
+++ b/landingshift/testbed/experiments/ledger_period_cases.py
@@ -1,4 +1,4 @@
-"""Cases of the ledger's experiment: closing and compacting, killed at each point."""
+"""Cases of the ledger experiment that crash at each failpoint of closing and compacting periods."""
 
 from __future__ import annotations
 
@@ -19,7 +19,11 @@
 
 
 def closing_killed(case: LedgerCase) -> None:
-    """Killed at each point of a close and of a correction; closed once, closed for good."""
+    """The store's process crashes at each failpoint of closing a period.
+
+    A period is closed only once, and its totals don't change afterwards: late usage and corrections go into
+    an open period. A period that has not ended or does not exist can't be closed.
+    """
     simulation = LedgerSimulation(case.rng, case.directory)
     simulation.run_traffic(30)
     simulation.now_ms += 3 * DAY_MS
@@ -31,20 +35,21 @@
             _close(simulation, name)
         simulation.crash()
     before = simulation.store.tenant_totals(name)
-    case.row.require(not _close(simulation, name), "a period closed twice")
+    case.row.require(not _close(simulation, name), "a period was closed twice")
     period = simulation.store.calendar.period_named(name)
     simulation.closed_end_ms = period.end_ms
     simulation.enter_correction()
     simulation.report_delivered(case.rng.randbytes(16), period.start_ms)
     simulation.commit()
-    case.row.require(simulation.store.tenant_totals(name) == before, "a closed period changed")
+    has_same_totals = simulation.store.tenant_totals(name) == before
+    case.row.require(has_same_totals, "the totals of a closed period changed")
     today = simulation.store.calendar.period_at(simulation.now_ms).name
-    for refused_name, description in ((today, "an open day"), ("2026-02-30", "no day")):
+    for refused_name, description in ((today, "has not ended"), ("2026-02-30", "does not exist")):
         try:
             with simulation.store.changing() as ledger:
                 first_open = simulation.store.first_open_period()
                 ledger.close_period(refused_name, simulation.now_ms, first_open, {})
-            case.row.violations.append(f"it closed {description}")
+            case.row.violations.append(f"closed {refused_name}, which {description}")
         except CommandRejectedError:
             pass
     simulation.check(case.row)
@@ -60,7 +65,11 @@
 
 
 def compacting_killed(case: LedgerCase) -> None:
-    """Killed at each point; totals, chain and what is disputed stay, a retry is still known."""
+    """The store's process crashes at each failpoint of compacting closed periods.
+
+    Totals, hash chain and disputed usage don't change, and retries are still recognized. An open period can't
+    be compacted.
+    """
     row = case.row
     simulation = LedgerSimulation(case.rng, case.directory)
     simulation.run_traffic(60)
@@ -78,7 +87,7 @@
     uses_left = len(simulation.store.ledger.pending) + removed_count
     row.figures["uses_left"] = row.figures.get("uses_left", 0) + uses_left
     row.require(billed_totals(simulation.store) == totals_before, "compacting changed the totals")
-    row.require(simulation.store.disputed() == disputed_before, "compacting changed what is disputed")
+    row.require(simulation.store.disputed() == disputed_before, "compacting changed the disputed usage")
     simulation.run_traffic(20)
     simulation.check(row)
     open_period = simulation.store.calendar.period_at(simulation.now_ms).name
--- a/landingshift/testbed/experiments/ledger_real.py
+++ b/landingshift/testbed/experiments/ledger_real.py
@@ -1,4 +1,8 @@
-"""Real servers killed under load: billed <= received <= billed + disputed, equal without a kill."""
+"""Real servers that are killed under load, and the usage that their ledgers bill.
+
+Each billed attempt has been received by a gateway, and each received one is billed or disputed. Unless the
+server is killed, the billed attempts equal the received ones.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +24,8 @@
 from landingshift.testbed.processes.single_server import METHOD, TENANT, ClosedLoopGateway, SingleServer
 
 LEDGER_TOML = '[ledger]\nfolder = "{directory}/ledger"\ninstance = "lab"\nlock_wait_ms = 20000\n'
-SLOW_COMMITS = {"LANDINGSHIFT_SLOW": "ledger.commit:200"}  # ms a commit
+SLOW_COMMITS = {"LANDINGSHIFT_SLOW": "ledger.commit:200"}
+"""Environment of a server in which each commit takes 200 ms longer."""
 PARALLEL_RUN_COUNT = 4
 GATEWAY_COUNT = 4
 OPEN_RPCS_PER_GATEWAY_COUNT = 8
@@ -32,7 +37,7 @@
 
 
 class Disturbance(Enum):
-    """What happens to a server under load; the values are the names of rows."""
+    """What happens to a server under load. Violations begin with these values."""
 
     NONE = "none"
     SERVER_KILLED = "server"
@@ -42,7 +47,7 @@
 
     @property
     def kills_server(self) -> bool:
-        """Whether the server is killed and started again."""
+        """Whether the server is killed and restarted."""
         return self in (Disturbance.SERVER_KILLED, Disturbance.BOTH_KILLED)
 
     @property
@@ -53,25 +58,36 @@
 
 @dataclass(frozen=True, slots=True)
 class LedgerOutcome:
-    """What a ledger says after a run, by identities of attempts."""
+    """Content of a ledger after a run.
+
+    Attributes:
+        counted: Identities of the billed attempts.
+        disputed: Identities of the disputed attempts.
+        problems: Findings of an audit.
+    """
 
     counted: set[bytes]
     disputed: set[bytes]
     problems: list[str]
-    """Of an audit."""
 
 
 @dataclass(frozen=True, slots=True)
 class KillResult:
-    """One run."""
+    """Result of a run: violations, and numbers of received and of disputed attempts."""
 
-    broken: list[str]
+    violations: list[str]
     received_count: int
     disputed_count: int
 
 
 def run_kills(runs: int, seed: int, removed_defence: str | None = None) -> ExperimentRow:
-    """The row of all runs, which take the disturbances in turn."""
+    """Runs real servers under load, with one disturbance after the other, and returns a row for all runs.
+
+    Args:
+        runs: Number of runs.
+        seed: Seed of all random draws.
+        removed_defence: "disputed" ignores disputed attempts in the checks; any other value has no effect.
+    """
     row = ExperimentRow("kills", figures={"received": 0, "disputed": 0, "most_disputed": 0})
     ignores_disputes = removed_defence == "disputed"
     disturbances = list(Disturbance)
@@ -95,7 +111,7 @@
 
 
 def _add_result(row: ExperimentRow, result: KillResult) -> None:
-    row.violations += result.broken
+    row.violations += result.violations
     row.figures["received"] += result.received_count
     row.figures["disputed"] += result.disputed_count
     row.figures["most_disputed"] = max(row.figures["most_disputed"], result.disputed_count)
@@ -146,7 +162,7 @@
 
 
 def _received(gateways: list[ClosedLoopGateway]) -> set[bytes]:
-    """Identities of the attempts whose answers arrived."""
+    """Returns the identities of the attempts whose answers reached a gateway."""
     return {
         attempt_identity(TENANT.encode(), METHOD.encode(), has_attempt_id=False, content=body)
         for gateway in gateways
@@ -178,16 +194,16 @@
     outcome: LedgerOutcome,
     disputed: set[bytes],
 ) -> None:
-    """Adds what does not hold to the row."""
+    """Adds a violation to the row for each requirement that is not met."""
     name = disturbance.value
     received = _received(gateways)
     billed = outcome.counted
     row.violations += outcome.problems[:MAX_REPORTED_FINDING_COUNT]
-    row.require(billed <= received, f"{name}: {len(billed - received)} billed that nobody received")
+    row.require(billed <= received, f"{name}: {len(billed - received)} attempts billed without an answer")
     lost_count = len(received - billed - disputed)
-    row.require(received <= billed | disputed, f"{name}: {lost_count} received and not billed")
+    row.require(received <= billed | disputed, f"{name}: {lost_count} answered attempts not billed")
     if not disturbance.kills_server:
         is_equal = billed == received and not disputed
-        row.require(is_equal, f"{name}: billed {len(billed)} of {len(received)}")
+        row.require(is_equal, f"{name}: billed {len(billed)} of {len(received)} answered attempts")
     slowest_ms = max((took_ms for gateway in gateways for took_ms in gateway.latencies_ms), default=0.0)
-    row.require(slowest_ms < MAX_ANSWER_MS, f"{name}: an answer came after {slowest_ms:.0f} ms")
+    row.require(slowest_ms < MAX_ANSWER_MS, f"{name}: an answer took {slowest_ms:.0f} ms")
--- a/landingshift/testbed/experiments/ledger_simulation.py
+++ b/landingshift/testbed/experiments/ledger_simulation.py
@@ -1,4 +1,4 @@
-"""One instance's ledger in virtual time, with a count of its own of what is to be billed."""
+"""Simulation of an instance's ledger in virtual time, with an independent count of what it has to bill."""
 
 from __future__ import annotations
 
@@ -24,7 +24,8 @@
 TIME_ZONE = "Europe/Copenhagen"
 PERIOD_UNIT: PeriodUnit = "day"
 DEDUP_WINDOW_MS = 60_000
-START_MS = 1_774_738_800_000  # a day before the clocks go forward there in March 2026, local midnight
+START_MS = 1_774_738_800_000
+"""Local midnight a day before daylight saving time begins in March 2026."""
 DAY_MS = 86_400_000
 QUEUE_LIMIT_BYTES = 1 << 20
 MAX_IDENTITY_COUNT = 100_000
@@ -38,12 +39,12 @@
 )
 EXPORT_FAILPOINTS = ("ledger.export", "ledger.export_heard", "ledger.exported")
 
-# Traffic: probabilities of each use, and what is drawn.
+# Random traffic; the probabilities apply to each reported usage.
 CLOCK_STEPS_MS = (50, 5_000, 40_000, 3_600_000)
 BACKWARD_CLOCK_STEPS_MS = (3_000, 7_200_000)
 BACKWARD_STEP_PROBABILITY = 0.05
 RETRY_PROBABILITY = 0.25
-RETRIED_ATTEMPT_COUNT = 4  # the latest ones, of which one is tried again
+RETRIED_ATTEMPT_COUNT = 4  # a retry repeats one of this many latest attempts
 OUTCOME_PROBABILITY = 0.6
 OUTCOME_WEIGHTS = {
     DeliveryOutcome.DELIVERED: 17,
@@ -51,7 +52,7 @@
     DeliveryOutcome.DISPUTED: 1,
 }
 COMMIT_PROBABILITY = 0.2
-CRASH_PROBABILITY = 0.4  # of each commit
+CRASH_PROBABILITY = 0.4  # applies to each commit
 CLOSE_PROBABILITY = 0.05
 CORRECTION_PROBABILITY = 0.03
 EXPORTER_CRASH_PROBABILITY = 0.3
@@ -61,18 +62,24 @@
 
 @dataclass(frozen=True, slots=True)
 class LedgerCase:
-    """What a case of the experiment is given."""
+    """Inputs of a run of a case.
+
+    Attributes:
+        rng: Generator for all random draws.
+        directory: Directory that only this run uses.
+        row: Row that records measured values and violations.
+        receiver_checks_cursor: Whether the receiver rejects batches that don't follow its cursor. False
+            disables this defence.
+    """
 
     rng: Random
     directory: str
-    """Of its own."""
     row: ExperimentRow
     receiver_checks_cursor: bool = True
-    """False where that defence is taken away."""
 
 
 def billed_totals(store: UsageStore) -> BilledByKey:
-    """What a store bills."""
+    """Returns the totals of all periods that a store bills."""
     return {
         RecordKey(period.name, entry.service_period, entry.tenant, entry.method): BilledTotals(
             entry.totals.uses, entry.totals.work_us
@@ -83,7 +90,7 @@
 
 
 def remove_store_files(directory: str, names: tuple[str, ...]) -> None:
-    """Removes those of the files that are there."""
+    """Removes the named files from a directory; missing files are ignored."""
     for name in names:
         path = os.path.join(directory, name)
         if os.path.exists(path):
@@ -92,14 +99,21 @@
 
 @dataclass(slots=True)
 class ExpectedBilling:
-    """What is to be billed, counted without the ledger's code."""
+    """The totals that the ledger has to bill, counted without the ledger's code.
+
+    Attributes:
+        totals: Expected totals.
+        counted_times_ms: Times of the attempts that count, by identity.
+    """
 
     totals: BilledByKey = field(default_factory=dict)
     counted_times_ms: dict[bytes, list[int]] = field(default_factory=dict)
-    """By identity."""
 
     def is_retry(self, usage: ReportedUsage) -> bool:
-        """Whether an attempt of this identity was counted within the window; else remembers it."""
+        """Returns whether an attempt of the same identity counts within the deduplication window.
+
+        If not, the usage itself counts and is recorded.
+        """
         times_ms = self.counted_times_ms.setdefault(usage.identity, [])
         if any(abs(usage.at_ms - time_ms) < DEDUP_WINDOW_MS for time_ms in times_ms):
             return True
@@ -107,7 +121,10 @@
         return False
 
     def add(self, key: RecordKey, uses: int, work_us: int) -> None:
-        """Adds to what is billed; a service period that is the period itself is left out."""
+        """Adds uses and work to the expected totals of a key.
+
+        As in the ledger, the service period is "" where it equals the billing period.
+        """
         if key.service_period == key.period:
             key = key._replace(service_period="")
         before = self.totals.get(key, BilledTotals(0, 0))
@@ -115,18 +132,19 @@
 
 
 class LedgerSimulation:
-    """A store, its server's queue, and the billing that is expected.
+    """A ledger store, the usage queue of its server, and the expected totals.
 
     Attributes:
-        rng: Draws everything that happens.
-        directory: Of the store.
-        now_ms: The server's wall clock.
-        queue: What the server owes the store.
-        run_id: Of the server's run.
-        store: The store.
-        closed_end_ms: End of the last period that was closed.
-        expected: What is to be billed.
-        crash_count: Crashes of the store's process and of the exporter.
+        rng: Generator for all random draws.
+        directory: Directory of the store.
+        instance: Name of the instance that the ledger belongs to.
+        now_ms: Wall clock of the server.
+        queue: Usage that the server has yet to send to the store.
+        run_id: Id of the server process.
+        store: The open store.
+        closed_end_ms: End of the last closed period; 0 if none is closed.
+        expected: Independent count of the totals to bill.
+        crash_count: Number of crashes of the store's process and of the exporter.
     """
 
     def __init__(self, rng: Random, directory: str, instance: str = "n1") -> None:
@@ -145,13 +163,13 @@
         self._unsettled: dict[int, ReportedUsage] = {}
 
     def open_store(self) -> UsageStore:
-        """Opens the store anew."""
+        """Opens and returns the store."""
         return UsageStore(
             self.directory, self.instance, TIME_ZONE, PERIOD_UNIT, DEDUP_WINDOW_MS, MAX_IDENTITY_COUNT
         )
 
     def restart_server(self) -> None:
-        """A new run of the server, with an empty queue, on the store as it is on disk."""
+        """Simulates a new server process, with an empty queue, that opens the store on disk."""
         self.store = self.open_store()
         self.queue = UsageQueue(QUEUE_LIMIT_BYTES)
         self.run_id = self.rng.randbytes(8)
@@ -161,7 +179,14 @@
     def report_usage(
         self, identity: bytes, at_ms: int | None = None, tenant: bytes = b"t", method: bytes = b"m"
     ) -> int:
-        """One RPC answered ok; returns its sequence."""
+        """Queues the usage of an RPC that was answered ok, and returns its sequence number.
+
+        Args:
+            identity: Identity of the attempt.
+            at_ms: Time of the usage; None for now.
+            tenant: Tenant that is billed.
+            method: Method that is billed.
+        """
         work_us = self.rng.randrange(1, 400_000)
         time_ms = self.now_ms if at_ms is None else at_ms
         usage = ReportedUsage(0, time_ms, tenant, method, work_us, 100, 900, identity)
@@ -172,26 +197,26 @@
     def report_delivered(
         self, identity: bytes, at_ms: int | None = None, tenant: bytes = b"t", method: bytes = b"m"
     ) -> None:
-        """One RPC answered ok whose answer arrived."""
+        """Queues the usage of an RPC whose answer was delivered; arguments as in `report_usage`."""
         sequence = self.report_usage(identity, at_ms, tenant, method)
         self.queue.add_outcome(DeliveryOutcome.DELIVERED, sequence)
 
     def commit(self) -> None:
-        """Commits all that is owed, through crashes of the store's process where a failpoint is armed."""
+        """Commits all queued usage. If an armed failpoint crashes the store's process, retries the batch."""
         while (batch := self.queue.next_batch(1)) is not None:
             while not self._try_commit(batch):
                 self.crash()
             self._on_committed(batch)
 
     def commit_again(self) -> None:
-        """Commits the batch that could not be committed."""
+        """Commits the oldest batch whose commit failed."""
         batch = self.queue.unacknowledged_batches()[0]
         with self.store.changing() as ledger:
             ledger.apply_batch(batch, self.now_ms)
         self._on_committed(batch)
 
     def crash(self) -> None:
-        """The store's process is killed and started again."""
+        """Simulates a crash and a restart of the store's process."""
         self.crash_count += 1
         failpoints.arm("")
         self.store.close()
@@ -224,7 +249,10 @@
     # Traffic
 
     def run_traffic(self, usage_count: int) -> None:
-        """Usage, retries, steps of the clock, late outcomes; periods are closed, corrections entered."""
+        """Reports random usage with retries, clock steps, late outcomes and crashes at commits.
+
+        Ended periods are closed and corrections entered at random. All usage is committed at the end.
+        """
         attempts = [bytes(IDENTITY_BYTES)]
         in_transit: list[int] = []
         for _ in range(usage_count):
@@ -234,9 +262,9 @@
             method = self.rng.choice((b"m", b"\xff\0"))
             in_transit.append(self.report_usage(attempts[-1], None, tenant, method))
             while in_transit and self.rng.random() < OUTCOME_PROBABILITY:
-                self._settle_one(in_transit)
+                self._add_random_outcome(in_transit)
             if self.rng.random() < COMMIT_PROBABILITY:
-                self._commit_perhaps_crashing()
+                self._commit_with_random_crash()
             if self.rng.random() < CLOSE_PROBABILITY:
                 self.commit()
                 self.close_ended_period()
@@ -256,21 +284,21 @@
             return self.rng.choice(attempts[-RETRIED_ATTEMPT_COUNT:])
         return self.rng.randbytes(IDENTITY_BYTES)
 
-    def _settle_one(self, in_transit: list[int]) -> None:
+    def _add_random_outcome(self, in_transit: list[int]) -> None:
         sequence = in_transit.pop(self.rng.randrange(len(in_transit)))
         outcome = self.rng.choices(tuple(OUTCOME_WEIGHTS), tuple(OUTCOME_WEIGHTS.values()))[0]
         self.queue.add_outcome(outcome, sequence)
 
-    def _commit_perhaps_crashing(self) -> None:
+    def _commit_with_random_crash(self) -> None:
         if self.rng.random() < CRASH_PROBABILITY:
             failpoints.arm(self.rng.choice(COMMIT_FAILPOINTS), self.rng.randrange(1, 3))
         self.commit()
         failpoints.arm("")
 
-    # Operators
+    # Operator commands
 
     def close_ended_period(self) -> None:
-        """Closes the first open period where it has ended."""
+        """Closes the first open period if it has ended."""
         name = self.store.first_open_period()
         if name is None:
             return
@@ -281,7 +309,7 @@
             self.closed_end_ms = period.end_ms
 
     def enter_correction(self) -> None:
-        """Takes one use back, of today or of yesterday."""
+        """Enters a correction that credits one use of today or yesterday."""
         corrected_ms = self.now_ms - self.rng.randrange(2) * DAY_MS
         service_period = self.store.calendar.period_at(corrected_ms).name
         request = CorrectionRequest(
@@ -294,14 +322,22 @@
     # Checks and export
 
     def check(self, row: ExperimentRow) -> None:
-        """The store bills what was answered, and holds."""
+        """Requires that the store bills the expected totals and passes its audit."""
         totals = billed_totals(self.store)
-        row.require(totals == self.expected.totals, "the totals are not what was answered")
+        row.require(totals == self.expected.totals, "the totals differ from the independent count")
         for finding in audit.audit_store(self.store)[:MAX_REPORTED_FINDING_COUNT]:
             row.violations.append(f"audit: entry {finding.entry_number}: {finding.problem}")
 
     def export(self, receiver: Receiver, with_crashes: bool = False) -> Stop | None:
-        """Exports until all is there, starting the exporter again where it was killed."""
+        """Exports all records to the receiver, restarting the exporter if it crashes.
+
+        Args:
+            receiver: Receiver of the records.
+            with_crashes: Whether the exporter crashes at random failpoints.
+
+        Returns:
+            The reason for which the exporter stopped early; None if it exported all records.
+        """
         while True:
             if with_crashes and self.rng.random() < EXPORTER_CRASH_PROBABILITY:
                 failpoints.arm(self.rng.choice(EXPORT_FAILPOINTS), self.rng.randrange(1, 4))
@@ -315,11 +351,12 @@
 
 
 def _no_log(_event: str, **_fields: object) -> None:
-    """Steps of the export are not logged."""
+    """Discards a log entry."""
 
 
 def _no_sleep(_seconds: float) -> None:
-    """Virtual time does not wait."""
+    """Returns at once, because virtual time does not wait."""
 
 
 CaseFunction = Callable[[LedgerCase], None]
+"""Runs a case once and adds measured values and violations to its row."""
--- a/landingshift/testbed/experiments/ledger_store_cases.py
+++ b/landingshift/testbed/experiments/ledger_store_cases.py
@@ -1,4 +1,4 @@
-"""Cases of the ledger's experiment: clocks, disks, files, settings and names that fail or are odd."""
+"""Cases of the ledger experiment with faulty clocks and disks, damaged files, bad settings, unusual names."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 LOCK_TIMEOUT_MS = 30.0
 TENANT_COUNT = 100_000
 TENANT_BATCH_USAGE_COUNT = 2000
-ODD_NAMES = (
+UNUSUAL_NAMES = (
     b"",
     b"\0",
     b"\xff\xfe",
@@ -51,11 +51,14 @@
     "plan": '"none.toml"',
     "unknown": "1",
 }
-"""TOML values, each refused by itself."""
+"""Invalid TOML values by key; each of them alone makes the settings invalid."""
 
 
 def retries(case: LedgerCase) -> None:
-    """A retry on another connection, after a restart, in the next period, and late after a close."""
+    """Retries count once within the deduplication window, also in the next period and after a crash.
+
+    Usage of a period that is reported after the period was closed is billed in the next period.
+    """
     simulation = LedgerSimulation(case.rng, case.directory)
     midnight_ms = simulation.store.calendar.period_at(START_MS).end_ms
     simulation.now_ms = midnight_ms - 10_000
@@ -73,7 +76,7 @@
     simulation.commit()
     simulation.now_ms = midnight_ms + DAY_MS
     simulation.close_ended_period()
-    simulation.report_delivered(b"d" * 16, midnight_ms - 5_000)  # before midnight, settled after the close
+    simulation.report_delivered(b"d" * 16, midnight_ms - 5_000)  # usage of a period that is closed by now
     simulation.commit()
     simulation.check(case.row)
     uses = {
@@ -81,12 +84,12 @@
         for key, billed in billed_totals(simulation.store).items()
     }
     expected = {("2026-03-29", ""): 3, ("2026-03-30", ""): 1, ("2026-03-30", "2026-03-29"): 1}
-    case.row.require(uses == expected, f"{uses}")
+    case.row.require(uses == expected, f"uses by period and service period: {uses}, expected {expected}")
     simulation.store.close()
 
 
 def clock_steps_back(case: LedgerCase) -> None:
-    """Usage around midnight while the clock steps forth and back."""
+    """Usage around midnight is counted in the right period while the clock steps forward and back."""
     simulation = LedgerSimulation(case.rng, case.directory)
     midnight_ms = simulation.store.calendar.period_at(START_MS).end_ms
     for offset_ms in (-1, 0, -1, -3_600_000, 1):
@@ -94,12 +97,13 @@
         simulation.report_delivered(case.rng.randbytes(16))
         simulation.commit()
     simulation.check(case.row)
-    case.row.require(simulation.store.period_sum("2026-03-29").uses == 3, "a use is in the wrong period")
+    uses = simulation.store.period_sum("2026-03-29").uses
+    case.row.require(uses == 3, f"{uses} uses in 2026-03-29, expected 3")
     simulation.store.close()
 
 
 def disk_full(case: LedgerCase) -> None:
-    """What fails to be written is written once there is room; nothing is half there."""
+    """A commit that fails on a full disk changes nothing, and succeeds when there is space again."""
     simulation = LedgerSimulation(case.rng, case.directory)
     simulation.run_traffic(20)
     db = simulation.store.db
@@ -107,7 +111,7 @@
     db.execute(f"PRAGMA max_page_count = {page_count}")
     for _ in range(FULL_DISK_USAGE_COUNT):
         simulation.report_delivered(case.rng.randbytes(16))
-    case.row.require(not _can_commit(simulation), "the disk was not full")
+    case.row.require(not _can_commit(simulation), "a commit succeeded on a full disk")
     db.execute(f"PRAGMA max_page_count = {UNBOUNDED_PAGE_COUNT}")
     simulation.commit_again()
     simulation.commit()
@@ -116,14 +120,14 @@
 
 
 def disk_read_only(case: LedgerCase) -> None:
-    """A commit that the disk refuses changes nothing, and is made once it can be."""
+    """A commit that fails on a read-only disk changes nothing, and succeeds when the disk is writable."""
     simulation = LedgerSimulation(case.rng, case.directory)
     simulation.run_traffic(10)
     before = billed_totals(simulation.store)
     simulation.store.db.execute("PRAGMA query_only = ON")
     simulation.report_delivered(case.rng.randbytes(16))
-    case.row.require(not _can_commit(simulation), "it wrote to a disk that takes nothing")
-    case.row.require(billed_totals(simulation.store) == before, "a commit that failed changed the totals")
+    case.row.require(not _can_commit(simulation), "a commit succeeded on a read-only disk")
+    case.row.require(billed_totals(simulation.store) == before, "a failed commit changed the totals")
     simulation.store.db.execute("PRAGMA query_only = OFF")
     simulation.commit_again()
     simulation.check(case.row)
@@ -139,7 +143,10 @@
 
 
 def torn_page(case: LedgerCase) -> None:
-    """The last commit's pages are half written, as after a power cut: it opens at the commit before."""
+    """The tail of the write-ahead log is damaged, as after a power cut.
+
+    The store opens at the state after one of the commits and passes its audit.
+    """
     simulation = LedgerSimulation(case.rng, case.directory)
     simulation.run_traffic(30)
     simulation.store.db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
@@ -160,47 +167,51 @@
         wal.write(case.rng.randbytes(TORN_TAIL_BYTES))
     with UsageStore(torn_directory, "n1", TIME_ZONE, PERIOD_UNIT, DEDUP_WINDOW_MS, 1000) as store:
         state = (store.ledger.last_number, billed_totals(store))
-        case.row.require(state in commits, "it opened between two commits")
-        case.row.require(not audit.audit_store(store), "what it opened does not hold")
+        case.row.require(state in commits, "the store opened at a state that is not that of any commit")
+        case.row.require(not audit.audit_store(store), "the store fails its audit")
     simulation.store.close()
 
 
 def locked(case: LedgerCase) -> None:
-    """A second server is refused while the first one has the store."""
+    """A second server can't open a store that another server has locked."""
     with StoreLock(case.directory, 0.0):
         try:
             StoreLock(case.directory, LOCK_TIMEOUT_MS)
-            case.row.violations.append("two servers have one store")
+            case.row.violations.append("two servers locked the same store")
         except StoreUnavailableError as err:
             is_named = "held by another server" in str(err) and case.directory in str(err)
-            case.row.require(is_named, f"said {err}")
+            case.row.require(is_named, f"the error does not name reason and folder: {err}")
     StoreLock(case.directory, 0.0).close()
 
 
 def tampered(case: LedgerCase) -> None:
-    """Each change to the file is found and named."""
+    """The audit finds each kind of tampering with the file, and names the entry."""
     simulation = LedgerSimulation(case.rng, case.directory)
     simulation.run_traffic(60)
     db = simulation.store.db
     usage_numbers = [
         number for (number,) in db.execute("SELECT number FROM entries WHERE kind = ?", (EntryKind.USAGE,))
     ]
-    victim = case.rng.choice(usage_numbers[1:-1])
+    tampered_number = case.rng.choice(usage_numbers[1:-1])
     newest = simulation.store.ledger.last_number
     changes: dict[str, tuple[str, dict[str, Any], int]] = {
         "changed": (
             "UPDATE entries SET data = CAST(data || x'00' AS BLOB) WHERE number = :victim",
-            {"victim": victim},
-            victim,
+            {"victim": tampered_number},
+            tampered_number,
+        ),
+        "missing": (
+            "DELETE FROM entries WHERE number = :victim",
+            {"victim": tampered_number},
+            tampered_number,
         ),
-        "missing": ("DELETE FROM entries WHERE number = :victim", {"victim": victim}, victim),
         "cut off": ("DELETE FROM entries WHERE number = :newest", {"newest": newest}, newest),
         "index": ("UPDATE totals SET uses = uses + 1 WHERE tenant > 0", {}, 0),
         "reordered": (
             "UPDATE entries SET data = (SELECT data FROM entries WHERE number = :other) "
             "WHERE number = :victim",
-            {"victim": victim, "other": usage_numbers[0]},
-            victim,
+            {"victim": tampered_number, "other": usage_numbers[0]},
+            tampered_number,
         ),
     }
     for name, (statement, parameters, expected_number) in changes.items():
@@ -210,12 +221,12 @@
         is_found = expected_number in found
         case.row.require(is_found, f"{name}: entry {expected_number} is not among {sorted(found)[:5]}")
         db.execute("ROLLBACK")
-    case.row.require(not audit.audit_store(simulation.store), "what was put back does not hold")
+    case.row.require(not audit.audit_store(simulation.store), "the store fails its audit after the rollback")
     simulation.store.close()
 
 
 def many_tenants(case: LedgerCase) -> None:
-    """A hundred thousand tenants of one use each."""
+    """A hundred thousand tenants with one use each are billed; records the file size for each use."""
     simulation = LedgerSimulation(case.rng, case.directory)
     simulation.queue.limit_bytes = 1 << 30
     for number in range(TENANT_COUNT):
@@ -226,13 +237,13 @@
     simulation.commit()
     simulation.check(case.row)
     uses = simulation.store.period_sum("2026-03-29").uses
-    case.row.require(uses == TENANT_COUNT, "not every tenant's use is there")
+    case.row.require(uses == TENANT_COUNT, f"{uses} of {TENANT_COUNT} uses are billed")
     case.row.figures["bytes_a_use"] = os.path.getsize(simulation.store.path) // TENANT_COUNT
     simulation.store.close()
 
 
 def bad_settings(case: LedgerCase) -> None:
-    """Each is refused with file, table and key, and nothing is made."""
+    """Each invalid setting is rejected with file, table and key, and no folder is created."""
     good_values = {
         "folder": f'"{case.directory}/l"',
         "instance": '"n1"',
@@ -250,16 +261,17 @@
         file.write("[ledger]\n" + "".join(f"{name} = {value}\n" for name, value in values.items()))
     try:
         load_features(path)
-        row.violations.append(f"{key} = {values[key]} was taken")
+        row.violations.append(f"{key} = {values[key]} was accepted")
     except FeatureConfigError as err:
-        row.require(all(text in str(err) for text in (path, "[ledger]", key)), f"said {err}")
-    row.require(not os.path.exists(os.path.join(directory, "l")), "a refused start left something behind")
+        is_named = all(text in str(err) for text in (path, "[ledger]", key))
+        row.require(is_named, f"the error does not name file, table and key: {err}")
+    row.require(not os.path.exists(os.path.join(directory, "l")), "invalid settings created a folder")
 
 
 def any_bytes(case: LedgerCase) -> None:
-    """Names of any bytes are billed and exported as they are."""
+    """Names of arbitrary bytes are billed and exported unchanged."""
     simulation = LedgerSimulation(case.rng, case.directory)
-    for tenant in ODD_NAMES:
+    for tenant in UNUSUAL_NAMES:
         for method in (b"m", tenant):
             identity = attempt_identity(tenant, method, has_attempt_id=False, content=b"")
             simulation.report_delivered(identity, None, tenant, method)
@@ -267,5 +279,6 @@
     simulation.check(case.row)
     state = ReceiverState()
     simulation.export(FaultyReceiver(state, case.rng, fault_probability=0.0))
-    case.row.require(state.totals() == billed_totals(simulation.store), "a name came out changed")
+    is_equal = state.totals() == billed_totals(simulation.store)
+    case.row.require(is_equal, "names in the receiver's totals differ from the ledger's")
     simulation.store.close()
