--- a/landingshift/testbed/experiments/maintenance.py
+++ b/landingshift/testbed/experiments/maintenance.py
@@ -1,7 +1,7 @@
-"""Rows of the maintenance experiment in virtual time: a day of hundreds, random faults, the greedy order.
+"""Maintenance experiment in virtual time: a day of a large fleet, random faults, and the greedy planner.
 
-Each row may run without one defence and must then find a violation; rows of real processes are in
-`maintenance_real`.
+Each case can run with one defence disabled. The cases that depend on the defence must then find a violation.
+Cases with real processes are in `maintenance_real`.
 """
 
 from __future__ import annotations
@@ -24,16 +24,19 @@
 
 HEADROOM_TOLERANCE = 1e-6
 MAX_DURATION_RATIO = 1.6
-"""Of the lower bound that a whole day's work may take."""
+"""Maximum duration of the maintenance of a whole fleet, as a multiple of its lower bound."""
 WHOLE_DAY_STEP_MS = 4000.0
 FAULTS_COUNT = 160
 FAULT_KINDS_COUNT = 14
-"""Of which only the first few do something."""
+"""Number of equally likely choices in `_inject_fault`. Only the first seven can have an effect."""
 
 
-def whole_day(row: ExperimentRow, seed: int, without: str, count: int = 200) -> None:
-    """Maintenance of all machines is requested, ten minutes each, from the night on, under the day's load."""
-    fleet = SimulatedFleet(seed, count, without=without)
+def whole_day(row: ExperimentRow, seed: int, removed_defence: str, count: int = 200) -> None:
+    """Maintenance of all machines, ten minutes each, is requested at night and completes within the day.
+
+    Capacity stays above its floor under the changing load, and the duration stays close to its lower bound.
+    """
+    fleet = SimulatedFleet(seed, count, without=removed_defence)
     for _ in range(3):
         fleet.step(WHOLE_DAY_STEP_MS)
     fleet.request_maintenance(fleet.machines)
@@ -45,11 +48,14 @@
     bound_ms = _day_lower_bound_ms(fleet, began_ms)
     row.figures["took_min"] = round(took_ms / MS_PER_MINUTE)
     row.figures["over_least"] = max(row.figures.get("over_least", 0.0), round(took_ms / bound_ms, 2))
-    ends = {ended.final_state for ended in fleet.state.history}
-    left = len(fleet.state.requests)
-    row.require(ends == {RequestState.COMPLETED.value} and not left, f"ends {ends}, {left} left")
-    _must_keep_headroom(row, fleet, "")
-    row.require(took_ms <= MAX_DURATION_RATIO * bound_ms, f"took {took_ms / bound_ms:.2f} of the least")
+    final_states = {ended.final_state for ended in fleet.state.history}
+    open_count = len(fleet.state.requests)
+    are_completed = final_states == {RequestState.COMPLETED.value} and not open_count
+    row.require(are_completed, f"final states {final_states}, {open_count} requests open")
+    _require_headroom(row, fleet, "")
+    duration_ratio = took_ms / bound_ms
+    is_in_time = took_ms <= MAX_DURATION_RATIO * bound_ms
+    row.require(is_in_time, f"maintenance took {duration_ratio:.2f} times the lower bound")
     row.violations += fleet.violations[:2]
     row.figures["fixed_batches_min"] = _fixed_batches_minutes(fleet)
 
@@ -65,23 +71,25 @@
 
 
 def _fixed_batches_minutes(fleet: SimulatedFleet) -> int:
-    """Returns the minutes that batches would take of the size that is safe at the day's peak."""
+    """Returns the minutes that maintenance takes in batches of a fixed size that is safe at the peak load."""
     machines = [machine.machine for machine in fleet.machines.values()]
     at_peak = CapacityConstraints(machines, DisruptionBudget(), fleet.peak_load * fleet.total_capacity)
     requests = {m.name: MaintenanceRequest(m.name, fleet.outage_minutes, 0.0) for m in machines}
     batch_size = len(select_next(requests, at_peak, {}, 0.0))
-    batches = ceil(len(machines) / batch_size)
-    return round(batches * (fleet.outage_minutes + fleet.warm_up_ms / MS_PER_MINUTE))
+    batch_count = ceil(len(machines) / batch_size)
+    return round(batch_count * (fleet.outage_minutes + fleet.warm_up_ms / MS_PER_MINUTE))
 
 
-def _must_keep_headroom(row: ExperimentRow, fleet: SimulatedFleet, prefix: str) -> None:
+def _require_headroom(row: ExperimentRow, fleet: SimulatedFleet, prefix: str) -> None:
+    """Requires that capacity never fell below its floor; a violation begins with `prefix`."""
     headroom = fleet.min_headroom
-    row.require(headroom >= -HEADROOM_TOLERANCE, f"{prefix}capacity {-headroom:.0f} under the floor")
+    is_kept = headroom >= -HEADROOM_TOLERANCE
+    row.require(is_kept, f"{prefix}capacity was {-headroom:.0f} RPCs per second below its floor")
 
 
-def random_faults(row: ExperimentRow, seed: int, without: str) -> None:
-    """Twelve machines, requests and faults drawn from the seed; in the end every request has ended."""
-    fleet = SimulatedFleet(seed, 12, zones=2, warm_up_ms=4000.0, without=without)
+def random_faults(row: ExperimentRow, seed: int, removed_defence: str) -> None:
+    """Twelve machines with random requests and faults: all requests end, and each permit is used once."""
+    fleet = SimulatedFleet(seed, 12, zones=2, warm_up_ms=4000.0, without=removed_defence)
     fleet.outage_minutes = 0.2
     fleet.peak_load = 0.45
     for _ in range(FAULTS_COUNT):
@@ -92,13 +100,13 @@
     row.violations += [f"seed {seed}: {text}" for text in fleet.violations[:2]]
     open_requests = {request.name: request.state.value for request in fleet.state.requests.values()}
     waiting_reason = fleet.coordinator.waiting_reason
-    row.require(not open_requests, f"seed {seed}: left hanging: {open_requests}, {waiting_reason}")
+    row.require(not open_requests, f"seed {seed}: requests still open: {open_requests}, {waiting_reason}")
     permits = [
         ended.permit_number
         for ended in fleet.state.history
         if ended.final_state == RequestState.COMPLETED.value
     ]
-    row.require(len(permits) == len(set(permits)), f"seed {seed}: one permission, two holders")
+    row.require(len(permits) == len(set(permits)), f"seed {seed}: two machines used the same permit")
     row.figures["done"] = row.figures.get("done", 0) + len(permits)
 
 
@@ -124,7 +132,7 @@
 
 
 def _recover(fleet: SimulatedFleet) -> None:
-    """Ends all faults and lets the requests come to their end."""
+    """Heals partitions, ends stalls, lowers the load, and runs at most 600 steps until no request is open."""
     for machine in fleet.machines.values():
         machine.is_partitioned = False
         machine.stalled_until_ms = 0.0
@@ -135,9 +143,9 @@
             break
 
 
-def capacity_kept(row: ExperimentRow, seed: int, without: str) -> None:
-    """Without faults the capacity stays above the constraints, and nobody leaves that would go below it."""
-    fleet = SimulatedFleet(seed, 20, zones=2, warm_up_ms=4000.0, without=without)
+def capacity_kept(row: ExperimentRow, seed: int, removed_defence: str) -> None:
+    """Capacity stays above its floor without faults; after crashes no machine drains below the floor."""
+    fleet = SimulatedFleet(seed, 20, zones=2, warm_up_ms=4000.0, without=removed_defence)
     fleet.outage_minutes = 0.3
     fleet.peak_load = 0.55
     fleet.now_ms = 12 * 60 * MS_PER_MINUTE
@@ -147,52 +155,55 @@
     fleet.request_maintenance(names[:14])
     for _ in range(16):
         fleet.step()
-    _must_keep_headroom(row, fleet, f"seed {seed}: ")
+    _require_headroom(row, fleet, f"seed {seed}: ")
     for name in fleet.rng.sample(names[14:], 4):
         fleet.crash(name, 90_000.0)
-    down_before = _down(fleet)
+    down_before = _down_machines(fleet)
     for _ in range(100):
         fleet.step()
-        newly_down = _down(fleet) - down_before
-        headroom = _capacity_up(fleet) - fleet.load(fleet.now_ms) * 2000.0 * 1.1
+        newly_down = _down_machines(fleet) - down_before
+        headroom = _running_capacity(fleet) - fleet.load(fleet.now_ms) * 2000.0 * 1.1
         if newly_down and headroom < -HEADROOM_TOLERANCE:
-            violation = f"{sorted(newly_down)} let go {-headroom:.0f} under the floor after a crash"
+            violation = f"{sorted(newly_down)} drained with capacity {-headroom:.0f} below its floor"
             row.violations.append(f"seed {seed}: {violation}")
             break
 
 
-def _down(fleet: SimulatedFleet) -> set[str]:
+def _down_machines(fleet: SimulatedFleet) -> set[str]:
     return {name for name, machine in fleet.machines.items() if not machine.is_up}
 
 
-def _capacity_up(fleet: SimulatedFleet) -> float:
+def _running_capacity(fleet: SimulatedFleet) -> float:
     return sum(MACHINE_CAPACITY_RPCS_PER_SECOND for machine in fleet.machines.values() if machine.is_up)
 
 
-def late_permit(row: ExperimentRow, seed: int, without: str) -> None:
-    """A permit is on its way while load rises and it is withheld: it must not be used when it comes."""
-    fleet = SimulatedFleet(seed, 12, zones=2, warm_up_ms=1000.0, without=without)
+def late_permit(row: ExperimentRow, seed: int, removed_defence: str) -> None:
+    """A machine receives a permit only after the permit has expired, and must not drain."""
+    fleet = SimulatedFleet(seed, 12, zones=2, warm_up_ms=1000.0, without=removed_defence)
     fleet.outage_minutes = 0.5
     fleet.peak_load = 0.3
     for _ in range(10):
         fleet.step()
-    name = f"n{9 + seed % 3}"  # neither a voter nor one that serves critical methods
+    name = f"n{9 + seed % 3}"  # neither a voter nor a server of critical methods
     machine = fleet.machines[name]
     machine.answer_delay_ms = 3.0 * fleet.settings.permit_valid_ms
     fleet.request_maintenance([name])
     for _ in range(20):
         if name not in fleet.state.permitted_run_ids:
             fleet.step()
-    fleet.peak_load = 2.5  # more than all can serve by night
+    fleet.peak_load = 2.5  # at night 0.34 of this, plus headroom, exceeds the capacity of eleven machines
     for _ in range(60):
         fleet.step()
     has_stayed = not machine.draining_permit and machine.is_up
-    row.require(has_stayed, f"seed {seed}: {name} left by {machine.draining_permit}, too late")
+    row.require(has_stayed, f"seed {seed}: {name} drained on the expired permit {machine.draining_permit}")
     row.violations += [f"seed {seed}: {text}" for text in fleet.violations[:1]]
 
 
-def greedy_order(row: ExperimentRow, seed: int, _without: str) -> None:
-    """How far the greedy order is from the exact one on small fleets."""
+def greedy_order(row: ExperimentRow, seed: int, _removed_defence: str) -> None:
+    """On a random small fleet, greedy planning and an exact search agree on whether all machines can drain.
+
+    The maintenance rounds of both are counted.
+    """
     rng = Random(f"{seed} greedy")
     names = [f"n{index}" for index in range(rng.randint(4, 7))]
     machines = [
@@ -203,7 +214,7 @@
     constraints = CapacityConstraints(machines, DisruptionBudget(0.0, 0.3, 0.3, 0.3), demand)
     exact = exact_rounds(names, constraints)
     greedy = greedy_rounds(names, constraints)
-    row.require((exact < 0) == (greedy < 0), f"seed {seed}: exact {exact}, greedy {greedy}")
+    row.require((exact < 0) == (greedy < 0), f"seed {seed}: {exact} exact rounds, {greedy} greedy ones")
     if exact > 0:
         row.figures["exact"] = row.figures.get("exact", 0) + exact
         row.figures["greedy"] = row.figures.get("greedy", 0) + greedy
@@ -216,25 +227,40 @@
     "greedy": greedy_order,
     "whole_day": whole_day,
 }
-"""Rows by the names that the command line knows."""
+"""Cases by their names on the command line."""
+
 
+def play_virtual_row(name: str, runs: int, seed: int, removed_defence: str) -> ExperimentRow:
+    """Runs a case in virtual time for `runs` consecutive seeds; "whole_day" runs only once.
 
-def play_virtual_row(name: str, runs: int, seed: int, without: str) -> ExperimentRow:
-    """Returns a row played `runs` times from consecutive seeds; the whole day is played once."""
+    Args:
+        name: Key of `VIRTUAL_ROWS`.
+        runs: Number of runs.
+        seed: Seed of the first run.
+        removed_defence: Name of the defence that is disabled; "" for none.
+    """
     row = ExperimentRow(name)
     for offset in range(1 if name == "whole_day" else runs):
-        VIRTUAL_ROWS[name](row, seed + offset, without)
+        VIRTUAL_ROWS[name](row, seed + offset, removed_defence)
         row.runs += 1
     return row
 
 
 def experiment(
-    repeats: int, seed: int, servers: int, without: str = "", only: str | None = None
+    repeats: int, seed: int, servers: int, removed_defence: str = "", only: str | None = None
 ) -> Iterator[ExperimentRow]:
-    """Plays all rows, or the one named `only`; those of real processes with `servers` of them."""
+    """Runs all cases, or a single one, and yields the row of each when it is done.
+
+    Args:
+        repeats: Number of runs of each case.
+        seed: Seed of the first run of each case.
+        servers: Number of servers of the cases with real processes; 0 skips these cases.
+        removed_defence: Name of the defence that is disabled in virtual time; "" for none.
+        only: Name of the single case to run; None for all.
+    """
     for name in VIRTUAL_ROWS:
         if only in (None, name):
-            yield play_virtual_row(name, repeats, seed, without)
+            yield play_virtual_row(name, repeats, seed, removed_defence)
     if servers:
         from landingshift.testbed.experiments.maintenance_real import LONG, REAL
 
--- a/landingshift/testbed/experiments/maintenance_harness.py
+++ b/landingshift/testbed/experiments/maintenance_harness.py
@@ -1,4 +1,4 @@
-"""Real servers with `[upkeep]` on, and a supervisor that starts again whoever ends."""
+"""Harness for real servers with `[upkeep]` enabled, with a supervisor that restarts exited servers."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 CAPACITY_RPCS_PER_SECOND = SERVER_RPCS_PER_SECOND
 OUTAGE_SECONDS = 0.5
-"""From the end of a process until its supervisor starts it again."""
+"""Time from the exit of a process until the supervisor restarts it."""
 PERMIT_VALID_MS = 1500.0
 HEADROOM_RATIO = 0.1
 WARM_UP_MS = 500.0
 VOTERS_COUNT = 5
-"""With three, one that is away would leave a bare majority."""
+"""Number of voters. Of three, a single unavailable voter would leave a bare majority."""
 MODERATE_LOAD_FRACTION = 0.55
-"""Of all capacity: with the headroom one or two of six may be out of service."""
+"""Load as a fraction of all capacity. With the headroom, one or two servers of six can be out of service."""
 POLL_INTERVAL_SECONDS = 0.05
 CALL_TIMEOUT_MS = 1500.0
 DEFAULT_DURATION_MINUTES = 0.05
@@ -40,12 +40,14 @@
 
 
 class MaintenanceHarness(PolicyHarness):
-    """Servers that answer RPCs all the while, and operators that request maintenance.
+    """Runs servers under load, restarts them when they exit, and requests their maintenance.
 
     Attributes:
-        not_restarted: Servers that the supervisor leaves down.
-        is_supervising: Whether it starts anybody again.
-        restart_count: How often it did.
+        headroom_ratio: Required headroom above the demand, as a fraction of the demand.
+        other_settings: Additional tables of the servers' settings, as TOML.
+        not_restarted: Indexes of the servers that the supervisor does not restart.
+        is_supervising: Whether the supervisor restarts servers.
+        restart_count: Number of restarts by the supervisor.
     """
 
     def __init__(
@@ -67,11 +69,11 @@
 
     @property
     def names(self) -> list[str]:
-        """All servers."""
+        """Names of all servers."""
         return [self.servers.name(index) for index in range(self.server_count)]
 
     def extra_tables(self, index: int) -> str:
-        """Returns the tables of our settings beside those of membership and policies."""
+        """Returns the settings of a server besides those of membership and policies, as TOML."""
         return f"""[upkeep]
 capacity = {CAPACITY_RPCS_PER_SECOND}
 model = "m{index % 2}"
@@ -87,26 +89,30 @@
 """
 
     def start_all(self, but: tuple[int, ...] = ()) -> None:
-        """Starts all servers except `but`, and waits until the leader has reports of all."""
+        """Starts all servers except `but`, and waits until the leader has their reports."""
         super().start_all(but)
         self._supervisor.start()
         leader = self.leader()
-        started = self.server_count - len(but)
-        self.servers.wait_until(15.0, lambda: self.maintenance_status(leader).get("machines") == started)
+        started_count = self.server_count - len(but)
+
+        def has_all_reports() -> bool:
+            return self.maintenance_status(leader).get("machines") == started_count
+
+        self.servers.wait_until(15.0, has_all_reports)
 
     def stop_supervisor(self) -> None:
-        """Lets servers that end stay down."""
+        """Tells the supervisor to restart no more servers."""
         self.is_supervising = False
 
     def close(self) -> None:
-        """Ends all servers."""
+        """Stops all processes."""
         self.stop_supervisor()
         super().close()
 
-    # Operators
+    # Operator calls
 
     def maintenance_status(self, index: int) -> dict[str, Any]:
-        """Returns what a server answers to `upkeep_status`; empty where it does not answer."""
+        """Returns a server's answer to `upkeep_status`; empty if it does not answer."""
         try:
             status: dict[str, Any] = call_operator_rpc(
                 self.servers.membership_addresses[index], "upkeep_status", [], CALL_TIMEOUT_MS
@@ -116,70 +122,82 @@
         return status
 
     def leader_status(self, wait_seconds: float = 10.0) -> dict[str, Any]:
-        """Returns the leader's status; empty where nobody leads within the time."""
+        """Returns the leader's answer to `upkeep_status`; empty if there is none within `wait_seconds`."""
         try:
             return self.maintenance_status(self.leader(wait_seconds))
         except RuntimeError:
             return {}
 
     def unavailable_count(self) -> int:
-        """Returns how many machines are away by a permit, as the leader has it."""
+        """Returns how many machines the leader counts as draining, out of service or returning."""
         requests = self.leader_status(2.0).get("wishes", [])
         return sum(request["stage"] in UNAVAILABLE_STATES for request in requests)
 
     def has_permitted(self, leader: int) -> bool:
-        """Returns whether a leader has issued a permit for a request that has not ended."""
+        """Returns whether any open request has got a permit, according to the given leader."""
         requests = self.maintenance_status(leader).get("wishes", [])
         return any(request["stage"] != RequestState.REQUESTED.value for request in requests)
 
     def request_maintenance(
         self, names: Iterable[str], minutes: float = DEFAULT_DURATION_MINUTES, urgency: float = 1.0
     ) -> None:
-        """Requests maintenance of servers from the leader."""
+        """Requests maintenance of servers from the leader.
+
+        Args:
+            names: Names of the servers.
+            minutes: Expected duration of the maintenance of each server.
+            urgency: Priority of the requests; a higher one is served earlier.
+        """
         rows = [[name, minutes, urgency, 0.0, float("inf"), False, ""] for name in names]
         self.call(self.leader(), "upkeep_ask", *rows)
 
     def wait_until_ended(self, names: Iterable[str], wait_seconds: float) -> bool:
-        """Waits until no request of `names` is open; False where one is when the time is over."""
-        wanted = set(names)
+        """Waits until no request for any of `names` is open; returns whether that happened in time."""
+        requested = set(names)
 
         def have_ended() -> bool:
             status = self.leader_status(2.0)
             if not status.get("leads"):
                 return False
-            return wanted.isdisjoint(request["name"] for request in status["wishes"])
+            return requested.isdisjoint(request["name"] for request in status["wishes"])
 
         return self.servers.wait_until(wait_seconds, have_ended)
 
     def final_states(self) -> dict[str, str]:
-        """Returns how the latest request of each server ended."""
+        """Returns the final state of the latest ended request of each server, by server name."""
         rows = self.call(self.leader(), "upkeep_history")
         return {row["name"]: row["end"] for row in rows}
 
-    # What must hold
+    # Requirements
 
-    def must_end(
+    def require_ended(
         self, row: ExperimentRow, names: Iterable[str], wait_seconds: float, prefix: str = ""
     ) -> None:
-        """Waits until no request of `names` is open; notes a violation where one stays."""
+        """Requires that within `wait_seconds` no request for any of `names` is open.
+
+        A violation begins with `prefix`.
+        """
         has_ended = self.wait_until_ended(names, wait_seconds)
         status = {} if has_ended else self.leader_status()
-        row.require(has_ended, f"{prefix}not over: {status}")
+        row.require(has_ended, f"{prefix}maintenance has not ended after {wait_seconds:g} s: {status}")
 
-    def must_be_completed(self, row: ExperimentRow, names: Iterable[str]) -> None:
-        """Notes a violation unless the requests of exactly `names` ended, all completed."""
-        found = self.final_states()
-        wanted = dict.fromkeys(names, RequestState.COMPLETED.value)
-        row.require(found == wanted, f"they ended as {found}")
+    def require_completed(self, row: ExperimentRow, names: Iterable[str]) -> None:
+        """Requires that exactly the servers `names` have ended requests, and that all were completed."""
+        states = self.final_states()
+        expected = dict.fromkeys(names, RequestState.COMPLETED.value)
+        row.require(states == expected, f"final states of requests: {states}")
 
     def check(self, row: ExperimentRow) -> None:
-        """Checks what must hold afterwards, permits among it."""
+        """Stops all servers, and checks the requirements that hold under any faults.
+
+        They include that each maintenance permit is used at most once.
+        """
         self.stop_supervisor()
         if self._supervisor.is_alive():
             self._supervisor.join(5.0)
         departures = [entry for entry in self.servers.history() if entry[1] == "left"]
         permits = [entry[3] for entry in departures]
-        row.require(len(permits) == len(set(permits)), f"a permission was used twice: {departures}")
+        row.require(len(permits) == len(set(permits)), f"a permit was used twice: {departures}")
         row.figures |= {"left": len(departures), "started_again": self.restart_count}
         super().check(row)
 
--- a/landingshift/testbed/experiments/maintenance_real.py
+++ b/landingshift/testbed/experiments/maintenance_real.py
@@ -1,4 +1,4 @@
-"""Rows of the maintenance experiment that take real processes, with faults between them."""
+"""Cases of the maintenance experiment with real processes and injected faults."""
 
 from __future__ import annotations
 
@@ -19,45 +19,46 @@
     MaintenanceHarness,
 )
 from landingshift.testbed.experiments.partitions import crosses_partition
-from landingshift.testbed.experiments.rows import ExperimentRow
+from landingshift.testbed.experiments.rows import ExperimentRow, RealCase
 
 NIGHT_LOAD_FRACTION = 0.3
-"""Two of six may be out of service, and a zone beside them."""
+"""Load at which two of six servers can be out of service in addition to a zone."""
 TWO_OUT_LOAD_FRACTION = 0.45
-"""Two of six may be out of service even at the peaks of a second."""
+"""Load at which two of six servers can be out of service even in the seconds with the highest RPC rate."""
 FULL_LOAD_FRACTION = 0.93
-"""Of what all but one can serve: what comes in a second is not even."""
+"""Load as a fraction of the capacity of all servers but one; it is below 1 because the RPC rate varies."""
 ALL_CAPACITY_LOAD_FRACTION = 1.0
 MAX_CALLS_PER_SECOND_EACH = 1000.0
 FIRST_REQUESTED_INDEX = 3
-"""Servers from this one on are requested where the first voters are to stay."""
+"""First server whose maintenance is requested in cases in which the first voters have to stay in service."""
 
 Play = Callable[[MaintenanceHarness, ExperimentRow], None]
-RealRow = Callable[[str, int, int, ExperimentRow], None]
+"""Runs the steps of a case on a harness that has not started any server yet."""
 
 
-def real_row(
+def maintenance_case(
     play: Play,
     load: float = MODERATE_LOAD_FRACTION,
     is_fully_loaded: bool = False,
     has_cold_start: bool = False,
-) -> RealRow:
-    """Returns a row that plays one scenario.
+) -> RealCase:
+    """Returns a case that creates a harness, runs `play` on it, checks the requirements, and closes it.
 
     Args:
-        play: The scenario.
-        load: Demand as a share of all capacity.
-        is_fully_loaded: In place of `load` as much comes as all but one can serve, without headroom.
-        has_cold_start: Servers that start ask for start permits, too.
+        play: Steps of the case.
+        load: Demand as a fraction of all capacity.
+        is_fully_loaded: Whether the demand is what all servers but one can serve, without headroom. It then
+            replaces `load`.
+        has_cold_start: Whether cold start is enabled, so that starting servers need start permits.
     """
 
     def run(folder: str, count: int, seed: int, row: ExperimentRow) -> None:
-        share = FULL_LOAD_FRACTION * (count - 1) / count if is_fully_loaded else load
+        load_fraction = FULL_LOAD_FRACTION * (count - 1) / count if is_fully_loaded else load
         headroom_ratio = 0.0 if is_fully_loaded else HEADROOM_RATIO
         settings = ""
         if has_cold_start:
             settings = COLD_START_SETTINGS.format(count=count, calls=MAX_CALLS_PER_SECOND_EACH * count)
-        harness = MaintenanceHarness(folder, count, seed, share, headroom_ratio, settings)
+        harness = MaintenanceHarness(folder, count, seed, load_fraction, headroom_ratio, settings)
         try:
             play(harness, row)
             harness.check(row)
@@ -70,21 +71,21 @@
 
 
 def all_replaced(harness: MaintenanceHarness, row: ExperimentRow) -> None:
-    """All are requested, by two operators; never more is out of service than the constraints let."""
+    """Two operators request maintenance of all servers; it completes, and the constraints are kept."""
     harness.start_all()
     began = time.monotonic()
     harness.request_maintenance(harness.names)
     harness.request_maintenance(reversed(harness.names))
     max_unavailable = _watch_until_ended(harness, 20.0 + 12.0 * harness.server_count)
     row.figures |= {"took_s": round(time.monotonic() - began, 1), "most_out": max_unavailable}
-    harness.must_be_completed(row, harness.names)
+    harness.require_completed(row, harness.names)
     allowed = int(harness.server_count * (1.0 - MODERATE_LOAD_FRACTION * (1.0 + HEADROOM_RATIO)))
-    within = max_unavailable <= max(1, allowed)
-    row.require(within, f"{max_unavailable} were out at once, {allowed} may be")
+    is_allowed = max_unavailable <= max(1, allowed)
+    row.require(is_allowed, f"{max_unavailable} servers were out of service at once, allowed are {allowed}")
 
 
 def _watch_until_ended(harness: MaintenanceHarness, wait_seconds: float) -> int:
-    """Waits until no request is open; returns the most machines that were out of service at once."""
+    """Waits until no request is open; returns the maximum number of machines out of service at once."""
     max_unavailable = 0
     end = time.monotonic() + wait_seconds
     while time.monotonic() < end:
@@ -99,36 +100,39 @@
 
 
 def at_full_load(harness: MaintenanceHarness, row: ExperimentRow) -> None:
-    """All are replaced while what comes in is what all but one can serve."""
+    """Maintenance of all servers completes while the load is what all servers but one can serve."""
     harness.start_all()
     began = time.monotonic()
     harness.request_maintenance(harness.names)
-    harness.must_end(row, harness.names, 30.0 + 15.0 * harness.server_count)
+    harness.require_ended(row, harness.names, 30.0 + 15.0 * harness.server_count)
     row.figures["took_s"] = round(time.monotonic() - began, 1)
-    harness.must_be_completed(row, harness.names)
+    harness.require_completed(row, harness.names)
 
 
 def service(harness: MaintenanceHarness, row: ExperimentRow) -> None:
-    """The share of RPCs answered ok while all are replaced, beside the same time without maintenance."""
+    """Maintenance of all servers lowers the percentage of ok answers by at most one point.
+
+    The percentage is compared with that of an equally long time without maintenance.
+    """
     harness.start_all()
     time.sleep(3.0)
     at_start = Counter(harness.servers.load.outcomes)
     harness.request_maintenance(harness.names)
     began = time.monotonic()
-    harness.must_end(row, harness.names, 30.0 + 15.0 * harness.server_count)
+    harness.require_ended(row, harness.names, 30.0 + 15.0 * harness.server_count)
     took_seconds = time.monotonic() - began
     at_end = Counter(harness.servers.load.outcomes)
     time.sleep(took_seconds)
     afterwards = Counter(harness.servers.load.outcomes)
-    with_work = _ok_percent(at_end - at_start)
-    without_work = _ok_percent(afterwards - at_end)
+    percent_with = _ok_percent(at_end - at_start)
+    percent_without = _ok_percent(afterwards - at_end)
     row.figures |= {
         "took_s": round(took_seconds, 1),
-        "ok_with_work": round(with_work, 2),
-        "ok_without": round(without_work, 2),
+        "ok_with_work": round(percent_with, 2),
+        "ok_without": round(percent_without, 2),
     }
-    texts = f"{with_work:.2f} % ok with work, {without_work:.2f} % without"
-    row.require(with_work >= without_work - 1.0, texts)
+    violation = f"{percent_with:.2f} % ok with maintenance, {percent_without:.2f} % without"
+    row.require(percent_with >= percent_without - 1.0, violation)
 
 
 def _ok_percent(outcomes: Counter[str]) -> float:
@@ -136,21 +140,21 @@
 
 
 def zone_gets_notice(harness: MaintenanceHarness, row: ExperimentRow) -> None:
-    """While two are out of service a zone gets a notice from outside to end."""
+    """All servers of a zone get a shutdown signal during maintenance of other servers."""
 
     def notify(index: int) -> None:
         harness.servers.processes[index].send_signal(signal.SIGTERM)
 
-    _zone_ends(harness, row, notify)
+    _stop_zone(harness, row, notify)
 
 
 def zone_loses_power(harness: MaintenanceHarness, row: ExperimentRow) -> None:
-    """While two are out of service a zone loses its power, and then starts cold."""
-    _zone_ends(harness, row, harness.servers.kill)
+    """A zone loses power during maintenance of other servers, and then starts cold."""
+    _stop_zone(harness, row, harness.servers.kill)
 
 
-def _zone_ends(harness: MaintenanceHarness, row: ExperimentRow, end_server: Callable[[int], None]) -> None:
-    """Ends a zone for a while: it counts against the budget, and what was requested ends all the same."""
+def _stop_zone(harness: MaintenanceHarness, row: ExperimentRow, stop_server: Callable[[int], None]) -> None:
+    """Stops a zone for a while: it counts against the budget, and maintenance still completes."""
     harness.start_all()
     zone = [index for index in range(harness.server_count) if index % 3 == 0]
     requested = [harness.servers.name(index) for index in range(harness.server_count) if index not in zone]
@@ -159,25 +163,26 @@
     failed_at_ms = time.monotonic() * 1000.0
     harness.not_restarted.update(zone)  # until the zone has power again
     for index in zone:
-        end_server(index)
+        stop_server(index)
     processes = harness.servers.processes
     has_ended = harness.servers.wait_until(
         8.0, lambda: all(processes[index].poll() is not None for index in zone)
     )
-    row.require(has_ended, "the zone did not go")
+    row.require(has_ended, "not all servers of the zone exited within 8 s")
     time.sleep(5.0)
     restored_at_ms = time.monotonic() * 1000.0
     harness.not_restarted.difference_update(zone)
-    harness.must_end(row, requested, 60.0)
-    harness.must_be_completed(row, requested)
-    # What was permitted before may still leave; after that the lost voters leave none to spare.
+    harness.require_ended(row, requested, 60.0)
+    harness.require_completed(row, requested)
+    # Servers that got a permit before the failure might still drain. After its validity no other server is
+    # allowed to, because the lost voters leave only a bare majority.
     last_ms = failed_at_ms + PERMIT_VALID_MS + 1000.0
     late = [e for e in harness.servers.history() if e[1] == "left" and last_ms < e[0] < restored_at_ms]
-    row.require(not late, f"let go while a zone was out: {late}")
+    row.require(not late, f"servers drained while a zone was down: {late}")
 
 
 def crash_meanwhile(harness: MaintenanceHarness, row: ExperimentRow) -> None:
-    """A server without a request crashes for good just after a permit: it counts against the budget."""
+    """A server without a request crashes for good after a permit was issued; open requests still end."""
     harness.start_all()
     last = harness.server_count - 1
     requested = harness.names[last - 2 : last]
@@ -185,11 +190,11 @@
     harness.request_maintenance(requested)
     harness.servers.wait_until(10.0, lambda: harness.has_permitted(harness.leader()))
     harness.servers.kill(last)
-    harness.must_end(row, requested, 60.0)
+    harness.require_ended(row, requested, 60.0)
 
 
 def leader_killed(harness: MaintenanceHarness, row: ExperimentRow) -> None:
-    """The leader dies as soon as a permit is issued, and again later; all requests end all the same."""
+    """The leader is killed when it has issued a permit, twice; all requests still complete."""
     harness.start_all()
     requested = harness.names[FIRST_REQUESTED_INDEX:]
     harness.request_maintenance(requested)
@@ -198,12 +203,12 @@
         harness.servers.wait_until(8.0, partial(harness.has_permitted, leader))
         harness.servers.kill(leader)
         time.sleep(2.0)
-    row.require(harness.wait_until_ended(requested, 90.0), "not over")
-    harness.must_be_completed(row, requested)
+    row.require(harness.wait_until_ended(requested, 90.0), "maintenance has not ended after 90 s")
+    harness.require_completed(row, requested)
 
 
 def stopped_past_the_expiry(harness: MaintenanceHarness, row: ExperimentRow) -> None:
-    """Stopped as it gets a permit, and resumed after its expiry: it must not leave on that one."""
+    """A server that stalls between receiving a permit and the permit's expiry must not drain on it."""
     servers = harness.servers
     last = harness.server_count - 1
     harness.start_all(but=(last,))
@@ -219,13 +224,13 @@
         return any(line["event"] == event for line in servers.log_entries(last))
 
     has_noticed = servers.wait_until(25.0, partial(has_logged, "maintenance_permit_expired"))
-    row.require(has_noticed, "it did not notice that it was late")
-    row.require(not has_logged("maintenance_draining"), "it left on a void permission")
+    row.require(has_noticed, "the server did not log the expiry of its permit")
+    row.require(not has_logged("maintenance_draining"), "the server drained on an expired permit")
     harness.call(harness.leader(), "upkeep_hold", "the trial is over")
 
 
 def cut_off(harness: MaintenanceHarness, row: ExperimentRow) -> None:
-    """Cut off just as it is requested: whether it leaves or not, it counts as out until it is back."""
+    """A server is cut off right after its maintenance was requested; all requests still end."""
     harness.start_all()
     last = harness.names[-1]
     harness.request_maintenance([last])
@@ -235,11 +240,11 @@
     harness.request_maintenance(harness.names[FIRST_REQUESTED_INDEX:-1])
     time.sleep(4.0)
     harness.heal()
-    harness.must_end(row, harness.names[FIRST_REQUESTED_INDEX:], 60.0)
+    harness.require_ended(row, harness.names[FIRST_REQUESTED_INDEX:], 60.0)
 
 
 def killed_at_each_step(harness: MaintenanceHarness, row: ExperimentRow) -> None:
-    """The permitted one dies as it gets its permit and as it begins to drain; its request ends."""
+    """A server crashes when it gets its permit, and when it begins to drain; its request still ends."""
     harness.start_all()
     for step in ("upkeep.permitted", "upkeep.draining"):
         _kill_at(harness, row, step)
@@ -258,16 +263,16 @@
     time.sleep(1.0)
     harness.request_maintenance([name])
     has_died = harness.wait_for_exit(last, 20.0)
-    row.require(has_died, f"{step}: it did not die")
+    row.require(has_died, f"{step}: the server did not crash")
     servers.faults.killed.add(name)
     time.sleep(0.5)
     harness.start(last)
     harness.not_restarted.discard(last)
-    harness.must_end(row, [name], 40.0, f"{step}: ")
+    harness.require_ended(row, [name], 40.0, f"{step}: ")
 
 
 def never_restarted(harness: MaintenanceHarness, row: ExperimentRow) -> None:
-    """One never comes back: it stays counted as out, and the others go on as the constraints let them."""
+    """A server never returns from maintenance: it stays counted as out, and other requests still end."""
     harness.start_all()
     last = harness.server_count - 1
     name = harness.servers.name(last)
@@ -276,15 +281,15 @@
     harness.wait_for_exit(last, 20.0)
     others = harness.names[FIRST_REQUESTED_INDEX:last]
     harness.request_maintenance(others)
-    harness.must_end(row, others, 60.0)
+    harness.require_ended(row, others, 60.0)
     requests = harness.maintenance_status(harness.leader())["wishes"]
     states = {request["name"]: request["stage"] for request in requests}
-    away = (RequestState.DRAINING.value, RequestState.OUT_OF_SERVICE.value)
-    row.require(states.get(name) in away, f"it is {states}")
+    expected_states = (RequestState.DRAINING.value, RequestState.OUT_OF_SERVICE.value)
+    row.require(states.get(name) in expected_states, f"states of the open requests: {states}")
 
 
 def overloaded(harness: MaintenanceHarness, row: ExperimentRow) -> None:
-    """Load leaves no room: nobody leaves, the status says why, and the request is cancelled."""
+    """Under full load no server drains, the status gives the reason, and the request can be cancelled."""
     harness.start_all()
     name = harness.names[-1]
     harness.request_maintenance([name])
@@ -292,42 +297,43 @@
     status = harness.maintenance_status(harness.leader())
     demand = status["demand"] * (1.0 + HEADROOM_RATIO)
     is_loaded = demand > CAPACITY_RPCS_PER_SECOND * (harness.server_count - 1)
-    row.require(is_loaded, f"the load was not brought: {status['demand']:.0f} a second")
+    row.require(is_loaded, f"demand of only {status['demand']:.0f} RPCs per second")
     states = [request["stage"] for request in status["wishes"]]
-    row.require(states == [RequestState.REQUESTED.value], f"{status['wishes']}")
+    is_waiting = states == [RequestState.REQUESTED.value]
+    row.require(is_waiting, f"open requests other than the waiting one: {status['wishes']}")
     is_explained = "the whole" in status["waits_for"] or status["room"] < CAPACITY_RPCS_PER_SECOND
-    row.require(is_explained, f"it says {status}")
+    row.require(is_explained, f"the status does not show the lack of capacity: {status}")
     harness.call(harness.leader(), "upkeep_cancel", "no room", name)
-    row.require(harness.wait_until_ended([name], 10.0), "not cancelled")
+    row.require(harness.wait_until_ended([name], 10.0), "the request was not cancelled within 10 s")
 
 
 def with_a_policy_change(harness: MaintenanceHarness, row: ExperimentRow) -> None:
-    """A change of policy while machines are out of service: it takes hold, and all requests end."""
+    """A policy change during maintenance is committed, and all requests end."""
     harness.start_all()
     requested = harness.names[FIRST_REQUESTED_INDEX:]
     harness.request_maintenance(requested)
     harness.servers.wait_until(10.0, lambda: harness.has_permitted(harness.leader()))
     change = harness.propose(0, 1)
     harness.require_committed(row, 1, change, 30.0)
-    row.require(harness.wait_until_ended(requested, 60.0), "not over")
+    row.require(harness.wait_until_ended(requested, 60.0), "maintenance has not ended after 60 s")
     harness.require_version(row, 1, 15.0)
 
 
-LONG: dict[str, RealRow] = {"real_service": real_row(service)}
-"""Rows that are played only where one asks for them."""
-
-REAL: dict[str, RealRow] = {
-    "real_all_replaced": real_row(all_replaced),
-    "real_crash_meanwhile": real_row(crash_meanwhile, TWO_OUT_LOAD_FRACTION),
-    "real_leader_killed": real_row(leader_killed),
-    "real_stopped_past_the_end": real_row(stopped_past_the_expiry),
-    "real_cut_off": real_row(cut_off),
-    "real_killed_at_each_step": real_row(killed_at_each_step),
-    "real_never_back": real_row(never_restarted),
-    "real_overloaded": real_row(overloaded, ALL_CAPACITY_LOAD_FRACTION),
-    "real_at_full_load": real_row(at_full_load, is_fully_loaded=True),
-    "real_notice_to_a_zone": real_row(zone_gets_notice, NIGHT_LOAD_FRACTION),
-    "real_cold_zone": real_row(zone_loses_power, NIGHT_LOAD_FRACTION, has_cold_start=True),
-    "real_with_a_change": real_row(with_a_policy_change),
+LONG: dict[str, RealCase] = {"real_service": maintenance_case(service)}
+"""Cases that run only if they are selected by name."""
+
+REAL: dict[str, RealCase] = {
+    "real_all_replaced": maintenance_case(all_replaced),
+    "real_crash_meanwhile": maintenance_case(crash_meanwhile, TWO_OUT_LOAD_FRACTION),
+    "real_leader_killed": maintenance_case(leader_killed),
+    "real_stopped_past_the_end": maintenance_case(stopped_past_the_expiry),
+    "real_cut_off": maintenance_case(cut_off),
+    "real_killed_at_each_step": maintenance_case(killed_at_each_step),
+    "real_never_back": maintenance_case(never_restarted),
+    "real_overloaded": maintenance_case(overloaded, ALL_CAPACITY_LOAD_FRACTION),
+    "real_at_full_load": maintenance_case(at_full_load, is_fully_loaded=True),
+    "real_notice_to_a_zone": maintenance_case(zone_gets_notice, NIGHT_LOAD_FRACTION),
+    "real_cold_zone": maintenance_case(zone_loses_power, NIGHT_LOAD_FRACTION, has_cold_start=True),
+    "real_with_a_change": maintenance_case(with_a_policy_change),
 }
-"""Rows by the names that the command line knows."""
+"""Cases by their names on the command line."""
