--- a/landingshift/testbed/experiments/policies.py
+++ b/landingshift/testbed/experiments/policies.py
@@ -1,7 +1,7 @@
-"""Rows of the policy change experiment in virtual time: cases, histories, every order of a small model.
+"""Policy change experiment in virtual time: cases, random histories, and a search of a small model.
 
-Each row may run without one defence; the rows that rest on it must then find a violation. Rows of real
-processes are in `policies_real`.
+Each case can run with one defence disabled. The cases that depend on the defence must then find a violation.
+Cases with real processes are in `policies_real`.
 """
 
 from __future__ import annotations
@@ -16,28 +16,35 @@
 from landingshift.testbed.verification.search_policy_change import PolicyChangeSearch
 
 CHUNK_HISTORY_COUNT = 50
-"""That one worker plays at a time."""
+"""Number of histories that a worker process plays per task."""
 LARGE_ROW_FRACTION = 10
-"""Of the runs of other rows, that large ones are played: one in so many."""
+"""Number of runs of another case for each run of a large one."""
 SEARCH_DEPTH = 12
 SEARCHED_STATES_PER_HISTORY = 100
 DEFAULT_HISTORY_COUNT = 200
 
 
 def judge(row: ExperimentRow, simulation: PolicyChangeSimulation) -> None:
-    """Requires the invariants, and that in the end all are members and decide by one version."""
+    """Checks a finished simulation.
+
+    Requires that its history violates no invariant, and that at the end all servers are members and decide
+    RPCs by the same version of the policy.
+    """
     row.violations += find_violations(simulation.history, simulation.settings.overlap_ms)
     servers = simulation.servers.values()
     versions = {server.participant.version for server in servers}
-    row.require(len(versions) == 1, f"versions {versions} in the end")
+    row.require(len(versions) == 1, f"servers have different versions at the end: {versions}")
     are_members = all(server.participant.is_member for server in servers)
-    row.require(are_members, "not all are counted in the end")
+    row.require(are_members, "not all servers are members at the end")
     are_deciding = all(server.participant.may_decide(server.clock_ms()) for server in servers)
-    row.require(are_deciding, "not all decide in the end")
+    row.require(are_deciding, "not all servers decide RPCs at the end")
 
 
 def play_histories(first_seed: int, count: int, removed_defence: str) -> ExperimentRow:
-    """Plays histories with faults drawn from consecutive seeds."""
+    """Plays and checks `count` random histories with faults, from consecutive seeds.
+
+    The row counts the outcomes of their policy changes.
+    """
     row = ExperimentRow("histories", runs=count)
     outcome_counts = {"taken": 0, "refused": 0, "withdrawn": 0}
     for seed in range(first_seed, first_seed + count):
@@ -53,7 +60,10 @@
 
 
 def play_search(depth: int, max_states: int, removed_defence: str) -> ExperimentRow:
-    """Tries every order of a small model, in both ways of being cut off."""
+    """Explores the interleavings of a small model, up to a depth and a number of states.
+
+    There is one search in which servers that are cut off keep serving, and one in which they stop.
+    """
     row = ExperimentRow("search", figures={"depth": depth})
     for stands_aside in (False, True):
         search = PolicyChangeSearch(stands_aside, removed_defence).run(depth, max_states)
@@ -64,7 +74,14 @@
 
 
 def play_virtual_row(name: str, runs: int, seed: int, removed_defence: str) -> ExperimentRow:
-    """Plays a case with consecutive seeds."""
+    """Runs a case in virtual time for consecutive seeds and checks each run.
+
+    Args:
+        name: Key of `VIRTUAL_ROWS`.
+        runs: Number of runs; large cases run fewer times (see `LARGE_ROW_FRACTION`).
+        seed: Seed of the first run.
+        removed_defence: Name of the defence that is disabled; "" for none.
+    """
     row = ExperimentRow(name)
     run_count = max(1, runs // LARGE_ROW_FRACTION) if name in LARGE_ROWS else runs
     for run_seed in range(seed, seed + run_count):
@@ -74,7 +91,7 @@
 
 
 def play_histories_in_parallel(count: int, seed: int, removed_defence: str) -> ExperimentRow:
-    """Plays histories on all cores; returns one row of all."""
+    """Plays random histories with worker processes on all cores, and returns one row for all of them."""
     row = ExperimentRow("histories")
     starts = range(0, count, CHUNK_HISTORY_COUNT)
     seeds = [seed + start for start in starts]
@@ -96,15 +113,15 @@
     only: str | None = None,
     history_count: int = DEFAULT_HISTORY_COUNT,
 ) -> Iterator[ExperimentRow]:
-    """Plays all rows, or one; yields each as it is done.
+    """Runs all cases, or a single one, and yields the row of each when it is done.
 
     Args:
-        repeats: Runs of each case.
-        seed: Of the first run.
-        servers: Of rows of real processes; 0 leaves these out.
-        removed_defence: Without which rows in virtual time are played; "" for none.
-        only: The name of the row to play; None for all.
-        history_count: How many random histories are played.
+        repeats: Number of runs of each case.
+        seed: Seed of the first run of each case.
+        servers: Number of servers of the cases with real processes; 0 skips these cases.
+        removed_defence: Name of the defence that is disabled in virtual time; "" for none.
+        only: Name of the single case to run; None for all.
+        history_count: Number of random histories.
     """
     if only in (None, "search"):
         yield play_search(SEARCH_DEPTH, SEARCHED_STATES_PER_HISTORY * history_count, removed_defence)
--- a/landingshift/testbed/experiments/policies_crash_cases.py
+++ b/landingshift/testbed/experiments/policies_crash_cases.py
@@ -1,4 +1,4 @@
-"""Cases of a policy change with servers that are killed, paused, drained or of an older build."""
+"""Cases of policy changes with servers that crash, are paused, drain, start, or run an older build."""
 
 from __future__ import annotations
 
@@ -20,14 +20,15 @@
 MEMBER_STEPS = ("policies.ready", "policies.armed", "policies.laid")
 LEADER_STEPS = ("policies.leads_check", "policies.leads_arm", "policies.leads_switching")
 DISK_STEPS = ("policies.written", "policies.synced")
-"""Failpoints, named as processes know them."""
+"""Names of failpoints of a member, of the leader, and of a voter's log."""
 MIN_DIED_COUNT = 7
-"""Of the steps: at each a server must have died, but for one that may not have been reached."""
+"""Minimum number of the eight steps at which a server has to crash. One step might not be reached."""
 MAX_LEADER_CHANGES = 12
+"""Maximum number of leaders that are paused to make another voter the leader."""
 
 
 def without_faults(harness: PolicyHarness, row: ExperimentRow) -> None:
-    """Three changes in a row, each proposed twice."""
+    """Three changes in a row are committed, each once although it is proposed to two servers."""
     harness.start_all()
     for number in range(3):
         began = time.monotonic()
@@ -39,14 +40,15 @@
 
 
 def down_all_along(harness: PolicyHarness, row: ExperimentRow) -> None:
-    """One is killed before the change, which is withdrawn; declared gone, it does not hinder the next one."""
+    """With a server down, a change is withdrawn; after the server is declared gone, the next one commits."""
     harness.start_all()
     last = harness.server_count - 1
     name = harness.servers.name(last)
     harness.servers.kill(last)
     timeout_seconds = CHANGE_TIMEOUT_MS / 1000.0 + 8.0
     status = harness.wait_for_outcome(0, harness.propose(0, 1), timeout_seconds)
-    row.require(status["end"] == "withdrawn" and name in status["said"], f"it is {status}")
+    is_withdrawn = status["end"] == "withdrawn" and name in status["said"]
+    row.require(is_withdrawn, f"the change was not withdrawn because of {name}: {status}")
     harness.declare_gone(1, name)
     harness.require_committed(row, 1, harness.propose(1, 2))
     harness.require_version(row, 1)
@@ -55,7 +57,10 @@
 
 
 def lease_expires(harness: PolicyHarness, row: ExperimentRow) -> None:
-    """One is killed before the change, where those cut off stand aside: it passes once the lease is over."""
+    """With a server down, a change commits after the server's lease expires.
+
+    Servers without a lease stop serving in this case.
+    """
     harness.start_all()
     last = harness.server_count - 1
     harness.servers.kill(last)
@@ -63,13 +68,14 @@
     harness.require_committed(row, 0, harness.propose(0, 1))
     took_seconds = time.monotonic() - began
     row.figures["took_s"] = round(took_seconds, 2)
-    row.require(took_seconds < LEASE_MS / 1000.0 + 2.5, f"took {row.figures['took_s']} s")
+    is_in_time = took_seconds < LEASE_MS / 1000.0 + 2.5
+    row.require(is_in_time, f"the change took {row.figures['took_s']} s")
     harness.start(last)
     harness.require_version(row, 1, 15.0)
 
 
 def down_at_the_commit(harness: PolicyHarness, row: ExperimentRow) -> None:
-    """A member dies as it is prepared and is back a second later; the change takes hold everywhere."""
+    """A member crashes when it is prepared for a change and restarts a second later; the change commits."""
     last = harness.server_count - 1
     faults = harness.servers.faults
     harness.start_all((last,))
@@ -77,7 +83,7 @@
     harness.start(last, LANDINGSHIFT_CRASH="policies.armed")
     harness.wait_until_ready(last)
     change_id = harness.propose(0, 1)
-    row.require(harness.wait_for_exit(last, 8.0), "it did not die")
+    row.require(harness.wait_for_exit(last, 8.0), "the server did not crash")
     faults.killed.add(harness.servers.name(last))
     time.sleep(1.0)
     harness.start(last)
@@ -86,40 +92,40 @@
 
 
 def killed_at_each_step(harness: PolicyHarness, row: ExperimentRow) -> None:
-    """Member, leader and voter die at each named step of a change."""
+    """At each named step of a change the member, the leader or a voter crashes; the change still ends."""
     harness.start_all()
     version = 0
     for number, step in enumerate((*MEMBER_STEPS, *LEADER_STEPS, *DISK_STEPS), 1):
-        victim = _victim_of(harness, step)
-        _start_to_die_at(harness, victim, step)
+        crashing = _server_that_reaches(harness, step)
+        _restart_with_failpoint(harness, crashing, step)
         if step in LEADER_STEPS:
-            _make_leader(harness, victim)
+            _make_leader(harness, crashing)
         proposer = harness.server_count - 2
         change_id = harness.propose(proposer, number)
-        harness.wait_for_exit(victim, 6.0)
-        if harness.has_exited(victim):
-            harness.servers.faults.killed.add(harness.servers.name(victim))
+        harness.wait_for_exit(crashing, 6.0)
+        if harness.has_exited(crashing):
+            harness.servers.faults.killed.add(harness.servers.name(crashing))
             row.figures[step] = "died"
             time.sleep(0.3)
-            harness.start(victim)
+            harness.start(crashing)
         status = harness.wait_for_outcome(proposer, change_id, 20.0)
         row.require(status["end"] in FINAL_OUTCOMES, f"{step}: {status}")
         version += status["end"] == "taken"
         harness.require_version(row, version, 15.0)
     died_count = sum(value == "died" for value in row.figures.values())
-    row.require(died_count >= MIN_DIED_COUNT, f"too few died: {row.figures}")
+    row.require(died_count >= MIN_DIED_COUNT, f"servers crashed at too few steps: {row.figures}")
 
 
-def _victim_of(harness: PolicyHarness, step: str) -> int:
-    """Returns who comes to a step: a member, the leader, or a voter that follows it."""
+def _server_that_reaches(harness: PolicyHarness, step: str) -> int:
+    """Returns the index of a server that reaches a step: a member, the leader, or a following voter."""
     if step in MEMBER_STEPS:
         return harness.server_count - 1
     leader = harness.leader()
     return leader if step in LEADER_STEPS else (leader + 1) % len(harness.voters)
 
 
-def _start_to_die_at(harness: PolicyHarness, index: int, step: str) -> None:
-    """Starts a server anew, which learns at its start where it is to die."""
+def _restart_with_failpoint(harness: PolicyHarness, index: int, step: str) -> None:
+    """Kills a server and restarts it so that it crashes when it first reaches the step."""
     servers = harness.servers
     servers.kill(index)
     died_path = f"{servers.folder}/{step}.died"
@@ -129,7 +135,7 @@
 
 
 def _make_leader(harness: PolicyHarness, index: int) -> None:
-    """Makes a voter the leader: others that lead are paused for a moment."""
+    """Makes a voter the leader by pausing other leaders, at most `MAX_LEADER_CHANGES` times."""
     for _ in range(MAX_LEADER_CHANGES):
         leader = harness.leader()
         if leader == index:
@@ -139,7 +145,10 @@
 
 
 def proposer_killed(harness: PolicyHarness, row: ExperimentRow) -> None:
-    """Who was asked dies at once; asked again elsewhere with the same id, it is done once."""
+    """The server to which a change is proposed is killed at once.
+
+    Proposing it to another server with the same id commits it once.
+    """
     harness.start_all()
     last = harness.server_count - 1
     change_id = harness.propose(last, 1)
@@ -151,7 +160,7 @@
 
 
 def leader_paused(harness: PolicyHarness, row: ExperimentRow) -> None:
-    """The leader stands still past its lease in the middle of a change and goes on as if nothing had been."""
+    """The leader is paused during a change for longer than its lease and resumes; the change commits."""
     harness.start_all()
     leader = harness.leader()
     change_id = harness.propose(harness.server_count - 1, 1)
@@ -164,7 +173,7 @@
 
 
 def leader_cut_and_paused(harness: PolicyHarness, row: ExperimentRow) -> None:
-    """Cut off with one member, the leader is paused and resumes: it must not vouch for that one any more."""
+    """A leader is cut off with a member, paused, and resumed: it must not renew the member's lease."""
     harness.start_all()
     leader = harness.leader()
     last = harness.server_count - 1
@@ -179,24 +188,25 @@
 
 
 def older_build(harness: PolicyHarness, row: ExperimentRow) -> None:
-    """One build can't read the change: it is named, and nobody decides by the change."""
+    """A server with an older build can't read a change: the change is refused and names the server."""
     last = harness.server_count - 1
     harness.start_all((last,))
     harness.start(last, LANDINGSHIFT_FORMAT="1")
-    row.require(harness.wait_until_ready(last), "the older build does not decide")
+    row.require(harness.wait_until_ready(last), "the server with the older build does not decide RPCs")
     change_id = "newer"
     harness.change_ids.append(change_id)
     policy = parse_policy(f"format = 2\n[methods.{METHOD}]\nlate_share = 0.4")
     harness.call(0, "policy_do", change_id, "propose", policy, "lab", "a newer format")
     status = harness.wait_for_outcome(1, change_id)
     reason = f"n{last}: format: this build reads up to 1, not 2"
-    row.require(status["end"] == "refused" and status["said"] == reason, f"it is {status}")
+    is_refused = status["end"] == "refused" and status["said"] == reason
+    row.require(is_refused, f"the change was not refused for the expected reason: {status}")
     harness.require_committed(row, 1, harness.propose(1, 1))
     harness.require_version(row, 1)
 
 
 def members_join_and_leave(harness: PolicyHarness, row: ExperimentRow) -> None:
-    """A member is started in the middle of a change, and another drained in that of the next."""
+    """A member starts during a change, and another one drains during the next; both changes commit."""
     last = harness.server_count - 1
     servers = harness.servers
     harness.start_all((last,))
--- a/landingshift/testbed/experiments/policies_harness.py
+++ b/landingshift/testbed/experiments/policies_harness.py
@@ -1,4 +1,4 @@
-"""Real servers with `[policies]` on, and operators that propose policy changes."""
+"""Harness for real servers with `[policies]` enabled, with operator calls that propose policy changes."""
 
 from __future__ import annotations
 
@@ -22,22 +22,22 @@
 from landingshift.testbed.verification.invariants import find_violations
 
 OVERLAP_MS = 1000.0
-"""For which two versions of the policy may be in use at once."""
+"""Longest time for which two versions of the policy are allowed to be in use at once."""
 LEASE_MS = 2000.0
 CHANGE_TIMEOUT_MS = 8000.0
-"""After which a change that hangs is withdrawn."""
+"""Time after which a change that has not ended is withdrawn."""
 RUN_MS = 40.0
 CORE_COUNT = 1
 SERVER_RPCS_PER_SECOND = CORE_COUNT * 1000.0 / RUN_MS
 OVERLOAD_RATIO = 1.2
-"""Of what all engines together can do."""
+"""Ratio of the RPC rate to the rate that all engines together can serve."""
 CALLS_PER_SECOND_EACH = 1000.0
 LIST_REQUESTS_PER_SECOND = 20.0
 VOTERS_COUNT = 3
 PEERS_COUNT = 4
 FINAL_OUTCOMES = ("taken", "refused", "withdrawn")
 CLOCK_OFFSETS_MS = ("0", "2000", "-2000")
-"""Of servers' wall clocks, in turn."""
+"""Offsets of the servers' wall clocks, assigned in turn."""
 SERVE = "serve"
 STAND_ASIDE = "stand_aside"
 CALL_TIMEOUT_MS = 1500.0
@@ -50,22 +50,22 @@
 
 
 def policy_document(number: int) -> bytes:
-    """Returns a policy that differs from those of other numbers."""
+    """Returns an encoded policy that is different for each number."""
     return parse_policy(
         f"[methods.{METHOD}]\ncriticality = {2 + number}\n[tenants.{TENANT}]\nallowance_s = 9000"
     )
 
 
 class PolicyHarness:
-    """Servers that answer RPCs all the while, of which the first ones vote.
+    """Runs servers under load and calls them as operators do. The servers with the lowest indexes vote.
 
     Attributes:
-        server_count: How many servers there are.
-        seed: Of all that is drawn.
-        voters: Their names.
-        servers: The processes.
-        change_ids: Of all changes that were proposed.
-        outcome_events: What servers said of changes that ended, in the form of a history.
+        server_count: Number of servers.
+        seed: Seed of all random draws.
+        voters: Names of the voters.
+        servers: Harness of the server processes and stand-ins.
+        change_ids: Ids of the proposed changes whose outcome is checked.
+        outcome_events: Final outcomes that servers reported, as history entries.
     """
 
     def __init__(
@@ -78,16 +78,16 @@
         warm_up_ms: float = 0.0,
         voters: int = VOTERS_COUNT,
     ) -> None:
-        """Starts stand-ins, and no server yet.
+        """Starts the stand-ins, but no server.
 
         Args:
-            folder: For files.
-            count: How many servers there are.
-            seed: Of all that is drawn.
-            when_cut_off: What a server without a lease does.
-            load: RPCs that come over what all engines together can do.
-            warm_up_ms: Of an engine.
-            voters: How many vote.
+            folder: Folder for the files of the run.
+            count: Number of servers.
+            seed: Seed of all random draws.
+            when_cut_off: What a server without a lease does: `SERVE` or `STAND_ASIDE`.
+            load: Ratio of the RPC rate to the rate that all engines together can serve.
+            warm_up_ms: Warm-up time of an engine.
+            voters: Number of voters.
         """
         self.server_count = count
         self.seed = seed
@@ -109,7 +109,7 @@
     def _toml(self, index: int) -> str:
         addresses = [endpoint.address for endpoint in self.servers.proxy.endpoints.values()]
         peers = ", ".join(f'"{format_address(address)}"' for address in addresses[:PEERS_COUNT])
-        has_journal = index <= len(self.voters)  # one more than vote, which can be made a voter
+        has_journal = index <= len(self.voters)  # voters, and one server that can be added as a voter
         journal = f'journal = "{self.journal_path(index)}"' if has_journal else ""
         return f"""
 [fleet]
@@ -127,25 +127,30 @@
 {self.extra_tables(index)}"""
 
     def extra_tables(self, _index: int) -> str:
-        """Returns the settings of other packages."""
+        """Returns the settings of a server for other packages, as TOML."""
         return ""
 
     def journal_path(self, index: int) -> Path:
-        """Returns where a voter's log is."""
+        """Returns the path of a voter's log."""
         return Path(self.servers.folder, f"n{index}.agreed")
 
     # Servers
 
     def start(self, index: int, **variables: str) -> None:
-        """Starts a server, whose wall clock is off."""
+        """Starts a server with a wall clock offset.
+
+        Args:
+            index: Index of the server.
+            **variables: Additional environment variables.
+        """
         clock_offset = CLOCK_OFFSETS_MS[index % len(CLOCK_OFFSETS_MS)]
         self.servers.start(index, LANDINGSHIFT_CLOCK=clock_offset, **variables)
 
     def start_all(self, but: tuple[int, ...] = ()) -> None:
-        """Starts all servers except `but`.
+        """Starts all servers except `but`, and waits until all that run decide RPCs by a policy.
 
         Raises:
-            NotAllDecideError: Not all have a policy to decide by in time.
+            NotAllDecideError: That takes longer than `START_TIMEOUT_SECONDS`.
         """
         for index in range(self.server_count):
             if index not in but:
@@ -154,7 +159,7 @@
             raise NotAllDecideError(self.statuses())
 
     def running(self) -> list[int]:
-        """Returns the servers that run."""
+        """Returns the indexes of the servers that are running."""
         killed = self.servers.faults.killed
         return [
             index
@@ -163,34 +168,38 @@
         ]
 
     def has_exited(self, index: int) -> bool:
-        """Whether a server's process has ended."""
+        """Returns whether a server's process has ended."""
         return self.servers.processes[index].poll() is not None
 
     def wait_for_exit(self, index: int, timeout_seconds: float) -> bool:
-        """Waits until a server's process has ended; returns whether it did in time."""
+        """Waits until a server's process has ended; returns whether that happened in time."""
         return self.servers.wait_until(timeout_seconds, lambda: self.has_exited(index))
 
     def wait_until_ready(self, index: int, timeout_seconds: float = 10.0) -> bool:
-        """Waits until a server decides by a policy; returns whether it does in time."""
+        """Waits until a server decides RPCs by a policy; returns whether that happened in time."""
         return self.servers.wait_until(timeout_seconds, lambda: self.decides(index))
 
     def wait_until_ready_or_exited(self, index: int, timeout_seconds: float = 10.0) -> None:
-        """Waits until a server decides by a policy, or its process has ended."""
+        """Waits until a server decides RPCs by a policy, its process has ended, or the time is over."""
         self.servers.wait_until(timeout_seconds, lambda: self.has_exited(index) or self.decides(index))
 
     def close(self) -> None:
-        """Ends all servers."""
+        """Stops all processes."""
         self.servers.close()
 
-    # Operators
+    # Operator calls
 
     def call(self, index: int, name: str, *params: Any) -> Any:
-        """Calls a server as an operator does."""
+        """Makes an operator RPC named `name` to a server and returns its result.
+
+        Raises:
+            OperatorRpcError: The server does not answer in time or rejects the call.
+        """
         address = self.servers.membership_addresses[index]
         return call_operator_rpc(address, name, list(params), CALL_TIMEOUT_MS)
 
     def status(self, index: int) -> dict[str, Any]:
-        """Returns what a server answers to `policy_status`; empty where it does not answer."""
+        """Returns a server's answer to `policy_status`; empty if it does not answer."""
         try:
             status: dict[str, Any] = self.call(index, "policy_status")
         except OperatorRpcError:
@@ -198,22 +207,22 @@
         return status
 
     def statuses(self) -> list[dict[str, Any]]:
-        """Returns the status of each server that runs."""
+        """Returns the status of each running server."""
         return [self.status(index) for index in self.running()]
 
     def decides(self, index: int) -> bool:
-        """Whether a server decides by a policy."""
+        """Returns whether a server decides RPCs by a policy."""
         return bool(self.status(index).get(DECIDES))
 
     def all_decide(self) -> bool:
-        """Whether all servers that run decide by a policy."""
+        """Returns whether all running servers decide RPCs by a policy."""
         return all(self.decides(index) for index in self.running())
 
     def leader(self, timeout_seconds: float = 10.0) -> int:
-        """Waits for a leader, and returns it.
+        """Waits for a leader, and returns its index.
 
         Raises:
-            NoLeaderError: Nobody leads in time.
+            NoLeaderError: There is no leader within the timeout.
         """
         leaders: list[int] = []
 
@@ -227,10 +236,15 @@
         return leaders[0]
 
     def declare_gone(self, index: int, name: str) -> None:
-        """Tells a server that a member is gone for good.
+        """Tells a server that a member is gone for good, repeatedly until the server accepts the command.
+
+        Args:
+            index: Index of the server that is told.
+            name: Name of the member.
 
         Raises:
-            MemberNotGoneError: The fleet has not noticed in time that it is, and does not accept the command.
+            MemberNotGoneError: The server does not accept the command within `GONE_TIMEOUT_SECONDS`, because
+                the fleet has not noticed that the member is gone.
         """
 
         def is_accepted() -> bool:
@@ -245,22 +259,26 @@
     # Changes
 
     def propose(self, index: int, number: int, change_id: str = "") -> str:
-        """Proposes a change to a server; returns its id.
+        """Proposes a policy change to a server; returns the id of the change.
 
         Args:
-            index: The server that is asked.
-            number: Of the policy.
-            change_id: The same as before where the change is proposed again.
+            index: Index of the server.
+            number: Number of the policy, see `policy_document`.
+            change_id: Id of the change, to propose it again or to choose the id; "" for a new id.
         """
         change_id = change_id or f"c{len(self.change_ids)}"
         if change_id not in self.change_ids:
             self.change_ids.append(change_id)
-        with suppress(OperatorRpcError):  # killed by it, or paused: it may have got the command
+        with suppress(OperatorRpcError):  # a server that crashed or is paused might have got the proposal
             self.call(index, "policy_do", change_id, "propose", policy_document(number), "lab", "a trial")
         return change_id
 
     def change_status(self, index: int, change_id: str) -> dict[str, Any]:
-        """Returns what a server knows of a change; a final outcome goes into the history."""
+        """Returns what a server reports about a change, and records a final outcome in `outcome_events`.
+
+        If the server knows no final outcome, it is told to look for one. A server that does not answer is
+        reported as "unknown".
+        """
         try:
             status: dict[str, Any] = self.call(index, "policy_known", change_id)
             if status["end"] not in FINAL_OUTCOMES:
@@ -274,11 +292,11 @@
         return status
 
     def has_ended(self, index: int, change_id: str) -> bool:
-        """Whether a server knows the final outcome of a change."""
+        """Returns whether a server knows the final outcome of a change."""
         return self.change_status(index, change_id)["end"] in FINAL_OUTCOMES
 
     def wait_for_outcome(self, index: int, change_id: str, timeout_seconds: float = 15.0) -> dict[str, Any]:
-        """Waits until a server knows the final outcome of a change; returns what it knows then."""
+        """Waits until a server knows the final outcome of a change, and returns its last `change_status`."""
         status: dict[str, Any] = {}
 
         def has_ended() -> bool:
@@ -290,13 +308,16 @@
         return status
 
     def forget_unknown_changes(self) -> None:
-        """Leaves out changes that nobody knows since the server that was asked has died."""
+        """Removes the changes from `change_ids` whose final outcome the first server does not know.
+
+        Such a change was lost when the server that it was proposed to crashed.
+        """
         self.change_ids = [change_id for change_id in self.change_ids if self.has_ended(0, change_id)]
 
     # Partitions
 
     def partition(self, rule: LinkRule) -> None:
-        """Cuts the links that the rule names."""
+        """Cuts all links for which the rule returns true, and no other ones."""
         self.servers.run_on_loop(lambda: setattr(self.servers.proxy, "is_cut", rule))
 
     def heal(self) -> None:
@@ -304,41 +325,44 @@
         self.partition(no_cut)
 
     def set_loss(self, loss_fraction: float) -> None:
-        """Sets the share of datagrams that are lost."""
+        """Sets the fraction of datagrams that are lost."""
         self.servers.run_on_loop(lambda: setattr(self.servers.proxy, "loss_fraction", loss_fraction))
 
-    # What must hold
+    # Requirements
 
     def require_committed(
         self, row: ExperimentRow, index: int, change_id: str, timeout_seconds: float = 15.0
     ) -> None:
-        """Requires that a change takes hold, as a server has it."""
+        """Requires that a server reports a change as committed in time."""
         status = self.wait_for_outcome(index, change_id, timeout_seconds)
-        row.require(status["end"] == "taken", f"{change_id} is {status}")
+        row.require(status["end"] == "taken", f"{change_id} was not committed: {status}")
 
     def require_version(self, row: ExperimentRow, version: int, timeout_seconds: float = 10.0) -> None:
-        """Requires that all that run decide by a version in time."""
+        """Requires that all running servers decide RPCs by the given version in time."""
 
-        def all_have_it() -> bool:
+        def have_all_version() -> bool:
             statuses = self.statuses()
             return all(status.get("version") == version and status[DECIDES] for status in statuses)
 
-        if not self.servers.wait_until(timeout_seconds, all_have_it):
-            row.require(False, f"not all at version {version}: {self.statuses()}")
+        if not self.servers.wait_until(timeout_seconds, have_all_version):
+            row.require(False, f"not all servers decide by version {version}: {self.statuses()}")
 
     def require_agreement(self, row: ExperimentRow, timeout_seconds: float) -> None:
-        """Requires that all decide by one version, whichever: a change under way may still pass."""
+        """Requires that all running servers decide RPCs by the same version in time.
+
+        The version itself is not checked, because an open change can still commit.
+        """
 
         def all_agree() -> bool:
             statuses = self.statuses()
             are_deciding = all(status.get(DECIDES) for status in statuses)
             return are_deciding and len({status["version"] for status in statuses}) == 1
 
-        does_agree = self.servers.wait_until(timeout_seconds, all_agree)
-        row.require(does_agree, f"not all decide by one version: {self.statuses()}")
+        is_agreed = self.servers.wait_until(timeout_seconds, all_agree)
+        row.require(is_agreed, f"not all servers decide by the same version: {self.statuses()}")
 
     def check(self, row: ExperimentRow) -> None:
-        """Ends all servers, and checks what must hold whatever was done to them."""
+        """Stops all servers, and checks the requirements that hold under any faults."""
         self._require_outcomes(row)
         unanswered = self.servers.end_load()
         statuses = self.servers.shut_down_all()
@@ -355,16 +379,17 @@
         }
         for failure in FAILED_OUTCOMES:
             row.require(not outcomes[failure], f"{outcomes[failure]} RPCs {failure}")
-        row.require(not unanswered, f"{unanswered} RPCs without an answer")
+        row.require(not unanswered, f"{unanswered} RPCs were never answered")
         failed = [status for status in statuses if status not in (0, KILLED_STATUS)]
-        row.require(not failed, f"exit status {set(statuses)}")
+        row.require(not failed, f"unexpected exit status of a server, among {set(statuses)}")
 
     def _require_outcomes(self, row: ExperimentRow) -> None:
         for change_id in self.change_ids:
             for index in self.running():
                 status = self.wait_for_outcome(index, change_id, FINAL_OUTCOME_TIMEOUT_SECONDS)
                 has_ended = status["end"] in FINAL_OUTCOMES
-                row.require(has_ended, f"{change_id} has no end at {self.servers.name(index)}: {status}")
+                name = self.servers.name(index)
+                row.require(has_ended, f"{name} knows no final outcome of {change_id}: {status}")
 
     def _count_outcomes(self) -> dict[str, int]:
         outcomes = {(entry[3], entry[4]) for entry in self.outcome_events}
@@ -372,7 +397,11 @@
 
 
 def max_overlap_ms(decisions: list[HistoryEntry]) -> float:
-    """Returns the longest time for which two versions were in use at once."""
+    """Returns the longest time for which two consecutive versions were in use at once, or 0.
+
+    Args:
+        decisions: "decided" entries of a history in order of time.
+    """
     first_ms: dict[int, float] = {}
     last_ms: dict[int, float] = {}
     for at_ms, _, _, version, _ in decisions:
--- a/landingshift/testbed/experiments/policies_network_cases.py
+++ b/landingshift/testbed/experiments/policies_network_cases.py
@@ -1,4 +1,4 @@
-"""Cases of a policy change through partitions, random faults and load."""
+"""Cases of policy changes with partitions, concurrent proposals, random faults and load."""
 
 from __future__ import annotations
 
@@ -29,7 +29,12 @@
 
 
 def partitions(harness: PolicyHarness, row: ExperimentRow) -> None:
-    """Halves, then one heard by nobody, then a partition that flaps; a change in each, on either side."""
+    """All changes end that are proposed during a partition.
+
+    Partitions are, in turn: two halves, a server whose messages are all lost, and two halves that are cut off
+    every other `FLAP_SECONDS`. During each, changes are proposed to servers 0 and 1, which are in different
+    halves.
+    """
     harness.start_all()
     servers = harness.servers
     half = {servers.name(index) for index in range(harness.server_count) if index % 2}
@@ -44,19 +49,22 @@
     for number, rule in enumerate(rules, 1):
         harness.partition(rule)
         harness.propose(0, number)
-        harness.propose(1, number + 10)  # on the other side
+        harness.propose(1, number + 10)
         time.sleep(3.0)
         harness.heal()
         time.sleep(2.0)
         for change_id in harness.change_ids:
             has_ended = harness.wait_for_outcome(2, change_id, 15.0)["end"] in FINAL_OUTCOMES
-            row.require(has_ended, f"{change_id} does not end")
+            row.require(has_ended, f"{change_id} has not ended after 15 s")
     versions = {status.get("version") for status in harness.statuses()}
     harness.require_version(row, max(version for version in versions if version is not None), 15.0)
 
 
 def concurrent_changes(harness: PolicyHarness, row: ExperimentRow) -> None:
-    """Ten changes proposed at once at all servers: each ends, and in one order."""
+    """Ten changes proposed at once to different servers end, at least one of them committed.
+
+    The version increases by the number of committed changes.
+    """
     harness.start_all()
     count = harness.server_count
     change_ids = [f"at-once-{number}" for number in range(CONCURRENT_CHANGES_COUNT)]
@@ -73,12 +81,12 @@
         harness.wait_for_outcome(number % count, change_id)["end"]
         for number, change_id in enumerate(change_ids)
     ]
-    row.require("taken" in outcomes, f"none was taken: {outcomes}")
+    row.require("taken" in outcomes, f"no change was committed: {outcomes}")
     harness.require_version(row, outcomes.count("taken"), 10.0)
 
 
 def random_faults(harness: PolicyHarness, row: ExperimentRow) -> None:
-    """Faults drawn from the seed for some seconds, changes all the while; then all is well and must agree."""
+    """Changes are proposed under random faults; after the faults end, all servers agree on one version."""
     harness.start_all()
     rng = Random(f"{harness.seed} chance")
     for number in range(RANDOM_STEPS_COUNT):
@@ -92,7 +100,8 @@
     for index in range(harness.server_count):
         if index not in harness.running():
             harness.start(index)
-    row.require(harness.servers.wait_until(25.0, harness.all_decide), "not all decide again")
+    are_deciding = harness.servers.wait_until(25.0, harness.all_decide)
+    row.require(are_deciding, "not all servers decide RPCs 25 s after the last fault")
     for change_id in harness.change_ids:
         harness.wait_for_outcome(0, change_id, 2.0)
     harness.require_agreement(row, 20.0)
@@ -121,7 +130,10 @@
 
 
 def service(harness: PolicyHarness, row: ExperimentRow) -> None:
-    """Half a minute without a change and half a minute with one each few seconds, at the same load."""
+    """Policy changes don't alter the percentage of ok answers by more than `MAX_SERVICE_DIFFERENCE_PERCENT`.
+
+    Half a minute without changes is compared with half a minute with one every `SERVICE_INTERVAL_SECONDS`.
+    """
     harness.start_all()
     time.sleep(3.0)
     ok_percent_without = _measure_ok_percent(harness, has_changes=False)
--- a/landingshift/testbed/experiments/policies_real.py
+++ b/landingshift/testbed/experiments/policies_real.py
@@ -1,4 +1,4 @@
-"""Rows of the policy change experiment that take real processes, with faults between them."""
+"""Cases of the policy change experiment with real processes and injected faults."""
 
 from __future__ import annotations
 
@@ -17,12 +17,18 @@
 from landingshift.testbed.experiments.rows import ExperimentRow, RealCase
 
 MAX_OVERLOADED_COUNT = 20
-"""With more servers the cores of the one machine must not be what is measured."""
+"""Maximum number of servers that are overloaded. More would measure the cores of the machine they share."""
 CROWDED_LOAD_RATIO = OVERLOAD_RATIO / 20.0
+"""Load ratio with more than `MAX_OVERLOADED_COUNT` servers."""
 
 
 def policy_case(play: Callable[[PolicyHarness, ExperimentRow], None], when_cut_off: str = SERVE) -> RealCase:
-    """Returns a case that plays one scenario and checks what must hold afterwards."""
+    """Returns a case that creates a harness, runs `play` on it, checks the requirements, and closes it.
+
+    Args:
+        play: Steps of the case, on a harness that has not started any server yet.
+        when_cut_off: What a server without a lease does: `SERVE` or `STAND_ASIDE`.
+    """
 
     def run(folder: str, count: int, seed: int, row: ExperimentRow) -> None:
         load = OVERLOAD_RATIO if count <= MAX_OVERLOADED_COUNT else CROWDED_LOAD_RATIO
@@ -39,7 +45,7 @@
 
 
 LONG: dict[str, RealCase] = {"real_service": policy_case(network_cases.service)}
-"""Rows that are played only where one asks for them."""
+"""Cases that run only if they are selected by name."""
 
 REAL: dict[str, RealCase] = {
     "real_without_faults": policy_case(crash_cases.without_faults),
@@ -63,4 +69,4 @@
     "real_chance": policy_case(network_cases.random_faults),
     "real_chance_leased": policy_case(network_cases.random_faults, STAND_ASIDE),
 }
-"""Rows by the names that the command line knows."""
+"""Cases by their names on the command line."""
--- a/landingshift/testbed/experiments/policies_virtual_cases.py
+++ b/landingshift/testbed/experiments/policies_virtual_cases.py
@@ -1,4 +1,4 @@
-"""Cases of a policy change in virtual time, each of which returns the simulation to be judged."""
+"""Cases of policy changes in virtual time. Each returns its simulation, which the caller checks."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 LARGE_VOTERS_COUNT = 5
 LOSS_PROBABILITY = 0.05
 MAX_CHANGE_MS = 2000.0
-"""That a change takes among many servers."""
+"""Maximum duration of a change in a large cluster."""
 MAX_CHANGE_WITH_DOWN_MS = 5000.0
-"""The same where some are down: the lease and 2 s."""
+"""Maximum duration of a change in a large cluster with servers down: the lease of 3 s, and 2 s."""
 POLICY_CONFLICT = "methods.m.criticality: not here"
 CRASH_STEPS_COUNT = 25
 CRASH_STEP_MS = (60.0, 400.0)
 PARTITION_PROBABILITY = 0.5
 
 VirtualCase = Callable[[ExperimentRow, int, str], PolicyChangeSimulation]
-"""Plays a case; arguments are row, seed and removed defence ("" for none)."""
+"""Runs a case and fills the row; arguments: row, seed, removed defence ("" for none)."""
 
 
 def without_faults(row: ExperimentRow, seed: int, removed_defence: str) -> PolicyChangeSimulation:
-    """200 servers: how long a change takes."""
+    """Without faults a change among 200 servers commits within `MAX_CHANGE_MS`."""
     simulation = PolicyChangeSimulation(
         seed, LARGE_COUNT, LARGE_VOTERS_COUNT, removed_defence=removed_defence
     )
@@ -38,14 +38,14 @@
     change_id = simulation.propose(f"n{seed % LARGE_COUNT}", 1)
     took_ms = _run_until_committed(simulation, simulation.servers.values(), began_ms, 10_000.0, 20.0)
     row.record_max("took_s", took_ms / 1000.0)
-    row.require(took_ms <= MAX_CHANGE_MS, f"took {took_ms:.0f} ms")
+    row.require(took_ms <= MAX_CHANGE_MS, f"the change took {took_ms:.0f} ms")
     simulation.run(300.0)
     _require_committed(row, simulation, change_id)
     return simulation
 
 
 def with_loss(row: ExperimentRow, seed: int, removed_defence: str) -> PolicyChangeSimulation:
-    """200 servers and 5 % of all messages lost."""
+    """With 5 % of all messages lost, a change among 200 servers commits."""
     simulation = PolicyChangeSimulation(
         seed, LARGE_COUNT, LARGE_VOTERS_COUNT, removed_defence=removed_defence, change_timeout_ms=20_000.0
     )
@@ -61,7 +61,10 @@
 
 
 def tenth_down(row: ExperimentRow, seed: int, removed_defence: str) -> PolicyChangeSimulation:
-    """A tenth of 200 is down and stands aside in time: a change takes no more than the lease and 2 s."""
+    """With 20 of 200 servers down, a change commits within the lease and 2 s.
+
+    Servers without a lease stop serving, so the change has to wait only until the leases expire.
+    """
     simulation = PolicyChangeSimulation(
         seed,
         LARGE_COUNT,
@@ -81,7 +84,7 @@
     running = [server for name, server in simulation.servers.items() if name not in down]
     took_ms = _run_until_committed(simulation, running, began_ms, 20_000.0, 20.0)
     row.record_max("took_s", took_ms / 1000.0)
-    row.require(took_ms <= MAX_CHANGE_WITH_DOWN_MS, f"took {took_ms:.0f} ms")
+    row.require(took_ms <= MAX_CHANGE_WITH_DOWN_MS, f"the change took {took_ms:.0f} ms")
     simulation.run(300.0)
     _require_committed(row, simulation, change_id)
     simulation.settle(4000.0)
@@ -95,7 +98,7 @@
     timeout_ms: float,
     step_ms: float,
 ) -> float:
-    """Runs until all servers decide by version 1; returns how long it took."""
+    """Runs until all given servers have version 1, or for `timeout_ms`; returns the time since `began_ms`."""
     network = simulation.network
     while network.now_ms < began_ms + timeout_ms and {server.participant.version for server in servers} != {
         1
@@ -105,14 +108,14 @@
 
 
 def _require_committed(row: ExperimentRow, simulation: PolicyChangeSimulation, change_id: str) -> None:
-    """Requires that all servers that know the outcome of a change say that it took hold."""
+    """Requires that running servers know a change as committed, and none of them knows another outcome."""
     running = [name for name in simulation.server_names if name not in simulation.down_servers]
     outcomes = {simulation.change_outcome(name, change_id) for name in running} - {"unknown"}
-    row.require(outcomes == {"taken"}, f"{change_id} is {outcomes}")
+    row.require(outcomes == {"taken"}, f"outcomes of {change_id}, expected to be committed: {outcomes}")
 
 
 def leader_resumes(row: ExperimentRow, seed: int, removed_defence: str) -> PolicyChangeSimulation:
-    """A leader cut off with one member is paused and resumes: it must not vouch for that one any more."""
+    """A leader is cut off with a member, paused, and resumed: it must not renew the member's lease."""
     simulation = PolicyChangeSimulation(seed, 5, 3, True, removed_defence=removed_defence)
     simulation.run(2500.0)
     leader = _leader(simulation)
@@ -136,7 +139,7 @@
 
 
 def majority_gone(row: ExperimentRow, seed: int, removed_defence: str) -> PolicyChangeSimulation:
-    """Two of three voters are gone for good: those that run decide on."""
+    """With two of three voters gone for good, the other servers keep deciding RPCs."""
     simulation = PolicyChangeSimulation(seed, 6, 3, removed_defence=removed_defence)
     simulation.run(2500.0)
     change_id = simulation.propose("n5", 1)
@@ -149,13 +152,13 @@
     deciding = {
         server for at_ms, event, server, *_ in simulation.history if event == "decided" and at_ms > since_ms
     }
-    row.require(deciding == {"n2", "n3", "n4", "n5"}, f"only {deciding} decide on")
+    row.require(deciding == {"n2", "n3", "n4", "n5"}, f"only {deciding} keep deciding RPCs")
     simulation.settle()
     return simulation
 
 
 def both_sides(row: ExperimentRow, seed: int, removed_defence: str) -> PolicyChangeSimulation:
-    """Two changes at the same instant on both sides of a partition."""
+    """Two changes that are proposed at once on the two sides of a partition both end."""
     simulation = PolicyChangeSimulation(seed, 6, 3, removed_defence=removed_defence)
     simulation.run(2500.0)
     side = {address(name) for name in ("n0", "n3", "n4")}
@@ -164,12 +167,12 @@
     simulation.run(3000.0)
     simulation.settle()
     outcomes = {simulation.change_outcome("n5", change_id) for change_id in change_ids}
-    row.require(outcomes <= set(FINAL_OUTCOMES), f"they ended as {outcomes}")
+    row.require(outcomes <= set(FINAL_OUTCOMES), f"not all changes have ended: {outcomes}")
     return simulation
 
 
 def refused(row: ExperimentRow, seed: int, removed_defence: str) -> PolicyChangeSimulation:
-    """One server can't use the change: it is named, and nobody decides by the change."""
+    """A server can't use a change: the change is refused and names the server, and no server uses it."""
     simulation = PolicyChangeSimulation(seed, 5, 3, removed_defence=removed_defence)
     simulation.policy_checks["n4"] = lambda policy: POLICY_CONFLICT if policy else ""
     simulation.kill("n4")
@@ -178,23 +181,23 @@
     change_id = simulation.propose("n3", 1)
     simulation.run(1500.0)
     reason = simulation.servers["n3"].policy_node.change_status(change_id).reason
-    row.require(reason == f"n4: {POLICY_CONFLICT}", f"it says {reason!r}")
+    row.require(reason == f"n4: {POLICY_CONFLICT}", f"the change has the reason {reason!r}")
     is_used = any(entry[3] for entry in simulation.history if entry[1] == "decided")
-    row.require(not is_used, "it was decided by")
+    row.require(not is_used, "a server decided by the refused change")
     return simulation
 
 
 def voters_crash(_row: ExperimentRow, seed: int, removed_defence: str) -> PolicyChangeSimulation:
-    """Voters die all the while: what they have promised must be on disk first."""
+    """Voters crash repeatedly. Before they send a message, the state that it depends on must be on disk."""
     simulation = PolicyChangeSimulation(seed, 4, 3, removed_defence=removed_defence)
     rng = simulation.rng
     for number in range(CRASH_STEPS_COUNT):
         simulation.run(float(rng.choice(CRASH_STEP_MS)))
         running = [name for name in simulation.server_names if name not in simulation.down_servers]
         simulation.propose(rng.choice(running), number)
-        victim = rng.choice(simulation.settings.voters)
-        if victim in running and len(running) > 1:
-            simulation.kill(victim)
+        voter = rng.choice(simulation.settings.voters)
+        if voter in running and len(running) > 1:
+            simulation.kill(voter)
         elif simulation.down_servers:
             simulation.start(rng.choice(sorted(simulation.down_servers)))
         side = {address(name) for name in rng.sample(simulation.settings.voters, 1)}
@@ -205,12 +208,15 @@
 
 
 def declared_gone_late(row: ExperimentRow, seed: int, removed_defence: str) -> PolicyChangeSimulation:
-    """An operator's command that one is gone reaches the leader only once that machine is back."""
+    """An operator declares a server gone, and the command reaches the leader only after the server is back.
+
+    A change must still wait for that server.
+    """
     simulation = PolicyChangeSimulation(seed, 5, 3, removed_defence=removed_defence)
     simulation.run(2500.0)
     for name in ("n0", "n1", "n4"):
         simulation.kill(name)
-    simulation.declare_departed("n2", "n4")  # nobody leads: it waits
+    simulation.declare_departed("n2", "n4")  # the command waits, because there is no leader
     simulation.run(1000.0)
     for name in ("n4", "n0", "n1"):
         simulation.start(name)
@@ -219,13 +225,13 @@
     change_id = simulation.propose("n3", 1)
     simulation.run(3000.0)
     is_waiting = simulation.change_outcome("n3", change_id) not in FINAL_OUTCOMES
-    row.require(is_waiting, "it did not wait for one that is there")
+    row.require(is_waiting, "a change did not wait for a server that is back")
     simulation.settle()
     return simulation
 
 
 def voters_replaced(row: ExperimentRow, seed: int, removed_defence: str) -> PolicyChangeSimulation:
-    """One of three is gone for good: another is added, the dead one removed, and a second may die then."""
+    """A voter that is gone for good is replaced by another one; then a second voter can fail."""
     simulation = PolicyChangeSimulation(seed, 6, 3, removed_defence=removed_defence)
     simulation.run(2500.0)
     first_id = simulation.propose("n5", 1)
@@ -252,14 +258,14 @@
 
 
 def _voters(simulation: PolicyChangeSimulation, name: str) -> tuple[str, ...]:
-    """Returns the voters as one of them knows them."""
+    """Returns the names of the voters according to the voter `name`."""
     raft = simulation.servers[name].policy_node.raft
     assert raft is not None
     return raft.voters
 
 
 def settings_outdated(row: ExperimentRow, seed: int, removed_defence: str) -> PolicyChangeSimulation:
-    """All voters of the settings are replaced one after the other; whoever starts then finds the new one."""
+    """All voters that the settings list are replaced; servers that start later still find the new voter."""
     simulation = PolicyChangeSimulation(seed, 6, 3, removed_defence=removed_defence)
     simulation.run(2500.0)
     for action, name in (("add", "n3"), ("remove", "n0"), ("remove", "n1"), ("remove", "n2")):
@@ -274,13 +280,13 @@
     change_id = simulation.propose("n5", 1)
     simulation.run(2000.0)
     _require_committed(row, simulation, change_id)
-    for name in ("n0", "n1", "n2"):  # none of the settings' voters runs any more
+    for name in ("n0", "n1", "n2"):  # no voter that the settings list is running any more
         simulation.kill(name)
     simulation.kill("n5")
     simulation.start("n5")
     simulation.run(12_000.0)
     is_member = simulation.servers["n5"].participant.is_member
-    row.require(is_member, "n5 does not find the leader among those that are there")
+    row.require(is_member, "n5 did not become a member again, because it did not find the leader")
     simulation.settle()
     return simulation
 
@@ -298,6 +304,6 @@
     "voters_replaced": voters_replaced,
     "settings_outdated": settings_outdated,
 }
-"""Rows by the names that the command line knows."""
+"""Cases by their names on the command line."""
 LARGE_ROWS = ("without_faults", "with_loss", "tenth_down")
-"""Played a tenth as often as others."""
+"""Cases with many servers, which run a tenth as often as others."""
