--- a/landingshift/testbed/experiments/chance_faults.py
+++ b/landingshift/testbed/experiments/chance_faults.py
@@ -1,5 +1,8 @@
 """Random fault scenarios for the whole cluster in virtual time, each checked on its history alone.
 
+A scenario is a cluster and the faults that are injected into it. It can be played with one of the protocols'
+defences disabled, to show that the invariants detect its absence.
+
 Scenarios are drawn in rounds. After each round the overlaps of faults are counted, and the next round prefers
 kinds of faults that have rarely overlapped. A failing scenario is shrunk until no fault can be removed from
 it.
@@ -252,8 +255,8 @@
 def find_without_defence(removed_defence: str, max_count: int, seed: int) -> ExperimentRow:
     """Plays random scenarios without a defence until one violates the invariant that the defence ensures.
 
-    The row's values tell how many scenarios it took. If `max_count` scenarios don't violate the invariant,
-    the row has a violation.
+    The row has the number of the first violating scenario, counted from 1, and the fraction of violating
+    scenarios. If none of `max_count` scenarios violates the invariant, the row has a violation.
     """
     row = ExperimentRow(f"without {removed_defence}")
     invariant = INVARIANT_BY_REMOVED_DEFENCE[removed_defence]
--- a/landingshift/testbed/experiments/chance_faults_real.py
+++ b/landingshift/testbed/experiments/chance_faults_real.py
@@ -44,7 +44,7 @@
 )  # fmt: skip
 """Kinds of faults that can be injected into real processes."""
 MEAN_FAULT_INTERVAL_SECONDS = 3.0
-MIN_FAULTS_COUNT = 3
+MIN_FAULT_COUNT = 3
 FAULT_FREE_END_SECONDS = 3.0
 LOAD_RATIO = 0.5
 MAX_FULLY_LOADED_COUNT = 20
@@ -70,7 +70,7 @@
     rng = Random(f"{seed} real day")
     weights = [FAULT_KINDS[name].weight for name in REAL_FAULT_KINDS]
     faults = []
-    for _ in range(max(MIN_FAULTS_COUNT, int(seconds / MEAN_FAULT_INTERVAL_SECONDS))):
+    for _ in range(max(MIN_FAULT_COUNT, int(seconds / MEAN_FAULT_INTERVAL_SECONDS))):
         start_ms = round(rng.uniform(0.0, max(1.0, seconds - FAULT_FREE_END_SECONDS)) * 1000.0)
         kind = rng.choices(REAL_FAULT_KINDS, weights)[0]
         faults.append(draw_fault(rng, kind, start_ms, server_count, seconds * 1000.0))
@@ -307,7 +307,11 @@
         harness.forget_unknown_changes()
 
     def check(self, row: ExperimentRow) -> None:
-        """Stops all servers, and checks the requirements that hold under any faults."""
+        """Stops all servers, and checks the requirements that hold under any faults.
+
+        They are those of `MaintenanceHarness.check`, and those on leased call quotas and maintenance permits.
+        Also records statistics of the run.
+        """
         self.harness.check(row)
         history = self.harness.servers.history()
         granted = max_leased_calls(history)
--- a/landingshift/testbed/experiments/cold_start.py
+++ b/landingshift/testbed/experiments/cold_start.py
@@ -44,13 +44,13 @@
 """Maximum ratio of the requests that a service receives in any second to its capacity per second."""
 MIN_LIST_PEAK_COUNT = 3.0
 """Polls of the endpoint list in a second that are always allowed, however low its capacity."""
-LEASE_STEPS_COUNT = 5000
+LEASE_STEP_COUNT = 5000
 GRANTED_TOLERANCE = 1e-9
-ZONES_COUNT = 3
-LOST_HOLDERS_COUNT = 9
+ZONE_COUNT = 3
+LOST_HOLDER_COUNT = 9
 """Number of holders of start permits that fail: a third each is killed, paused and cut off."""
 CRASH_PROBABILITY = 0.3
-OVERLOAD_STEPS_COUNT = 1800
+OVERLOAD_STEP_COUNT = 1800
 MAX_DEATH_KNOWN_MS = 15_000.0
 DEATH_TIMEOUT_MS = 60_000.0
 NEVER_MS = 1e12
@@ -131,7 +131,7 @@
         has_recovery_grace=trial.removed_defence != "quiet",
         books_old_grants=trial.removed_defence != "booking",
     )
-    for _ in range(LEASE_STEPS_COUNT):
+    for _ in range(LEASE_STEP_COUNT):
         simulation.step()
     believed = simulation.max_believed
     is_bounded = believed <= simulation.capacity + GRANTED_TOLERANCE
@@ -186,7 +186,7 @@
         for index, server in simulation.servers.items()
         if server.agent.has_start_permit(simulation.hosts[index].clock_ms())
         and index >= simulation.case.grantor_count
-    ][:LOST_HOLDERS_COUNT]
+    ][:LOST_HOLDER_COUNT]
     killed, paused, cut_off = holders[:3], holders[3:6], holders[6:]
     for index in killed:
         simulation.kill(index)
@@ -206,13 +206,13 @@
     network = simulation.network
     server_count = simulation.case.server_count
     simulation.start_all()
-    zone = {address(index) for index in range(server_count) if index % ZONES_COUNT == 0}
+    zone = {address(index) for index in range(server_count) if index % ZONE_COUNT == 0}
     rule = partial(crosses_partition, zone)
     network.schedule_at(3000.0, lambda: setattr(network, "is_cut", rule))
     network.schedule_at(20_000.0, lambda: setattr(network, "is_cut", no_cut))
     simulation.run(19_000.0)
     servers = simulation.servers.items()
-    opened = sum(server.opened_at_ms > 0.0 for index, server in servers if index % ZONES_COUNT == 0)
+    opened = sum(server.opened_at_ms > 0.0 for index, server in servers if index % ZONE_COUNT == 0)
     row.require(
         opened > server_count // 12, f"only {opened} servers began to serve in the zone that was cut off"
     )
@@ -297,7 +297,7 @@
     simulation.run(20_000.0)
     for host in simulation.hosts.values():
         host.mean_delay_ms = 40.0
-    for _ in range(OVERLOAD_STEPS_COUNT):
+    for _ in range(OVERLOAD_STEP_COUNT):
         simulation.hosts[trial.rng.randrange(server_count)].pause(300.0)
         simulation.run(2000.0)
     false_deaths = sum(event == "fleet_dead" for _, _, event in simulation.log_lines)
--- a/landingshift/testbed/experiments/cold_start_harness.py
+++ b/landingshift/testbed/experiments/cold_start_harness.py
@@ -25,14 +25,14 @@
 """Fraction of its capacity at which the database is assumed to fill caches in the fastest possible start."""
 CLOCK_OFFSETS_MS = ("0", "60000", "-60000")
 """Offsets of the servers' wall clocks, assigned in turn."""
-ZONES_COUNT = 3
-PEERS_COUNT = 3
-MIN_GRANTORS_COUNT = 2
-MAX_GRANTORS_COUNT = 8
+ZONE_COUNT = 3
+PEER_COUNT = 3
+MIN_GRANTOR_COUNT = 2
+MAX_GRANTOR_COUNT = 8
 SERVERS_PER_GRANTOR = 12
 START_BASE_SECONDS = 20.0
 START_RATIO = 6.0
-"""Maximum duration of a start without `START_BASE_SECONDS`, as a multiple of `least_start_ms`.
+"""Maximum duration of a start without `START_BASE_SECONDS`, as a multiple of `min_start_ms`.
 
 It allows for other work on the machine.
 """
@@ -86,7 +86,7 @@
             run_ms: Core time of a run.
         """
         self.server_count = count
-        self.grantor_count = max(MIN_GRANTORS_COUNT, min(MAX_GRANTORS_COUNT, count // SERVERS_PER_GRANTOR))
+        self.grantor_count = max(MIN_GRANTOR_COUNT, min(MAX_GRANTOR_COUNT, count // SERVERS_PER_GRANTOR))
         self._has_packages = has_packages and removed_defence != "shares"
         self._known_servers = known_servers
         self._has_few_permits = has_few_permits
@@ -118,7 +118,7 @@
         addresses = [endpoint.address for endpoint in servers.proxy.endpoints.values()]
         peers = ""
         if self._known_servers is KnownServers.PEERS:
-            peers = ", ".join(f'"{format_address(address)}"' for address in addresses[:PEERS_COUNT])
+            peers = ", ".join(f'"{format_address(address)}"' for address in addresses[:PEER_COUNT])
         list_service = ""
         if self._known_servers is KnownServers.LIST:
             list_service = format_address(servers.stand_ins.list_listener.address)
@@ -128,7 +128,7 @@
 fleet = "lab"
 listen = "{format_address(servers.membership_addresses[index])}"
 advertise = "{format_address(addresses[index])}"
-zone = "z{index % ZONES_COUNT}"
+zone = "z{index % ZONE_COUNT}"
 peers = [{peers}]
 [coldstart]
 servers = {self.server_count}
@@ -159,7 +159,7 @@
             if spread_seconds:
                 time.sleep(spread_seconds / self.server_count)
 
-    def least_start_ms(self) -> float:
+    def min_start_ms(self) -> float:
         """Returns the shortest possible time until the fleet is warm.
 
         It is the maximum of the time the database needs to fill all caches and the warm-up time of engines.
@@ -169,7 +169,7 @@
 
     def max_start_seconds(self) -> float:
         """Returns the default time limit for the start of the fleet."""
-        return START_BASE_SECONDS + START_RATIO * self.least_start_ms() / 1000.0
+        return START_BASE_SECONDS + START_RATIO * self.min_start_ms() / 1000.0
 
     def is_warm(self) -> bool:
         """Returns whether the fleet has become warm since the current measurement began."""
@@ -199,10 +199,14 @@
         )
         row.require(is_warm, f"fleet not warm after {timeout_seconds:g} s: {progress}")
         row.figures["warm_s"] = round(self.servers.warm_after_ms / 1000.0, 1)
-        row.figures["least_s"] = round(self.least_start_ms() / 1000.0, 1)
+        row.figures["least_s"] = round(self.min_start_ms() / 1000.0, 1)
 
     def check(self, row: ExperimentRow) -> None:
-        """Stops all servers, and checks the requirements that hold under any faults."""
+        """Stops all servers, and checks the requirements that hold under any faults.
+
+        Requests to services and leased call quotas stay within capacity, all RPCs are answered and none
+        fails, and servers exit with status 0 unless they were killed.
+        """
         servers = self.servers
         unanswered = servers.end_load()
         statuses = servers.shut_down_all()
--- a/landingshift/testbed/experiments/cold_start_real.py
+++ b/landingshift/testbed/experiments/cold_start_real.py
@@ -112,27 +112,27 @@
 def killed_at_each_step(harness: ColdStartHarness, row: ExperimentRow) -> None:
     """For each stage of a start, a server crashes when it reaches the stage, and is restarted."""
     servers = harness.servers
-    victims = [harness.server_count - 1 - number for number in range(len(STAGES))]
-    for victim, stage in zip(victims, STAGES, strict=True):
+    crashing_servers = [harness.server_count - 1 - number for number in range(len(STAGES))]
+    for index, stage in zip(crashing_servers, STAGES, strict=True):
         died_path = f"{servers.folder}/{stage}.died"
-        servers.environment[victim] = {
+        servers.environment[index] = {
             "LANDINGSHIFT_CRASH": f"coldstart.{stage}",
             "LANDINGSHIFT_CRASH_ONCE": died_path,
         }
-        servers.faults.expected_to_die.add(servers.name(victim))
+        servers.faults.expected_to_die.add(servers.name(index))
     harness.start_all()
-    died: set[int] = set()
+    restarted: set[int] = set()
 
     def all_were_restarted() -> bool:
-        for victim in victims:
-            if victim not in died and servers.processes[victim].poll() is not None:
-                servers.faults.killed.add(servers.name(victim))
-                died.add(victim)
-                servers.start(victim)
-        return len(died) == len(STAGES)
+        for index in crashing_servers:
+            if index not in restarted and servers.processes[index].poll() is not None:
+                servers.faults.killed.add(servers.name(index))
+                restarted.add(index)
+                servers.start(index)
+        return len(restarted) == len(STAGES)
 
     have_died = servers.wait_until(harness.max_start_seconds(), all_were_restarted)
-    row.require(have_died, f"only {len(died)} of {len(STAGES)} servers crashed")
+    row.require(have_died, f"only {len(restarted)} of {len(STAGES)} servers crashed")
     harness.require_warm(row)
     harness.check(row)
 
--- a/landingshift/testbed/experiments/ledger.py
+++ b/landingshift/testbed/experiments/ledger.py
@@ -65,7 +65,7 @@
             none.
         only: Name of the single case to run; None or "" for all.
     """
-    with _without(removed_defence):
+    with _defence_disabled(removed_defence):
         for name, run_case in CASES.items():
             if only in (None, "", name):
                 yield _run_case(name, run_case, repeats, seed, removed_defence)
@@ -100,7 +100,7 @@
 
 
 @contextmanager
-def _without(defence: str | None) -> Iterator[None]:
+def _defence_disabled(defence: str | None) -> Iterator[None]:
     """Disables a defence while the context is active.
 
     The defence "cursor" is not handled here, because the stand-in for the receiver implements it.
--- a/landingshift/testbed/experiments/ledger_simulation.py
+++ b/landingshift/testbed/experiments/ledger_simulation.py
@@ -249,7 +249,7 @@
     # Traffic
 
     def run_traffic(self, usage_count: int) -> None:
-        """Reports random usage with retries, clock steps, late outcomes and crashes at commits.
+        """Reports `usage_count` random uses, with retries, clock steps, late outcomes and crashes at commits.
 
         Ended periods are closed and corrections entered at random. All usage is committed at the end.
         """
--- a/landingshift/testbed/experiments/maintenance.py
+++ b/landingshift/testbed/experiments/maintenance.py
@@ -26,8 +26,8 @@
 MAX_DURATION_RATIO = 1.6
 """Maximum duration of the maintenance of a whole fleet, as a multiple of its lower bound."""
 WHOLE_DAY_STEP_MS = 4000.0
-FAULTS_COUNT = 160
-FAULT_KINDS_COUNT = 14
+FAULT_COUNT = 160
+FAULT_CHOICE_COUNT = 14
 """Number of equally likely choices in `_inject_fault`. Only the first seven can have an effect."""
 
 
@@ -92,7 +92,7 @@
     fleet = SimulatedFleet(seed, 12, zones=2, warm_up_ms=4000.0, without=removed_defence)
     fleet.outage_minutes = 0.2
     fleet.peak_load = 0.45
-    for _ in range(FAULTS_COUNT):
+    for _ in range(FAULT_COUNT):
         _inject_fault(fleet)
         for _ in range(fleet.rng.randint(1, 8)):
             fleet.step()
@@ -115,7 +115,7 @@
     names = list(fleet.machines)
     name = rng.choice(names)
     machine = fleet.machines[name]
-    match rng.randrange(FAULT_KINDS_COUNT):
+    match rng.randrange(FAULT_CHOICE_COUNT):
         case 0 | 1:
             chosen = rng.sample(names, rng.randint(1, 6))
             fleet.request_maintenance(chosen, is_exclusive=rng.random() < 0.1)
--- a/landingshift/testbed/experiments/maintenance_harness.py
+++ b/landingshift/testbed/experiments/maintenance_harness.py
@@ -18,7 +18,7 @@
 PERMIT_VALID_MS = 1500.0
 HEADROOM_RATIO = 0.1
 WARM_UP_MS = 500.0
-VOTERS_COUNT = 5
+VOTER_COUNT = 5
 """Number of voters. Of three, a single unavailable voter would leave a bare majority."""
 MODERATE_LOAD_FRACTION = 0.55
 """Load as a fraction of all capacity. With the headroom, one or two servers of six can be out of service."""
@@ -59,7 +59,7 @@
         headroom_ratio: float = HEADROOM_RATIO,
         other_settings: str = "",
     ) -> None:
-        super().__init__(folder, count, seed, load=load, warm_up_ms=WARM_UP_MS, voters=VOTERS_COUNT)
+        super().__init__(folder, count, seed, load=load, warm_up_ms=WARM_UP_MS, voters=VOTER_COUNT)
         self.headroom_ratio = headroom_ratio
         self.other_settings = other_settings
         self.not_restarted: set[int] = set()
@@ -122,7 +122,10 @@
         return status
 
     def leader_status(self, wait_seconds: float = 10.0) -> dict[str, Any]:
-        """Returns the leader's answer to `upkeep_status`; empty if there is none within `wait_seconds`."""
+        """Waits for a leader and returns its answer to `upkeep_status`.
+
+        The result is empty if there is no leader within `wait_seconds`, or if it does not answer.
+        """
         try:
             return self.maintenance_status(self.leader(wait_seconds))
         except RuntimeError:
@@ -190,7 +193,7 @@
     def check(self, row: ExperimentRow) -> None:
         """Stops all servers, and checks the requirements that hold under any faults.
 
-        They include that each maintenance permit is used at most once.
+        They are those of `PolicyHarness.check`, and that each maintenance permit is used at most once.
         """
         self.stop_supervisor()
         if self._supervisor.is_alive():
--- a/landingshift/testbed/experiments/maintenance_real.py
+++ b/landingshift/testbed/experiments/maintenance_real.py
@@ -71,7 +71,7 @@
 
 
 def all_replaced(harness: MaintenanceHarness, row: ExperimentRow) -> None:
-    """Two operators request maintenance of all servers; it completes, and the constraints are kept."""
+    """Two operators request maintenance of all servers; it completes and keeps the capacity constraints."""
     harness.start_all()
     began = time.monotonic()
     harness.request_maintenance(harness.names)
@@ -182,7 +182,10 @@
 
 
 def crash_meanwhile(harness: MaintenanceHarness, row: ExperimentRow) -> None:
-    """A server without a request crashes for good after a permit was issued; open requests still end."""
+    """A server without a request crashes for good after another one got a permit; open requests still end.
+
+    The crashed server counts against the disruption budget.
+    """
     harness.start_all()
     last = harness.server_count - 1
     requested = harness.names[last - 2 : last]
@@ -208,7 +211,7 @@
 
 
 def stopped_past_the_expiry(harness: MaintenanceHarness, row: ExperimentRow) -> None:
-    """A server that stalls between receiving a permit and the permit's expiry must not drain on it."""
+    """A server that stalls after it received a permit until the permit has expired must not drain on it."""
     servers = harness.servers
     last = harness.server_count - 1
     harness.start_all(but=(last,))
@@ -230,7 +233,10 @@
 
 
 def cut_off(harness: MaintenanceHarness, row: ExperimentRow) -> None:
-    """A server is cut off right after its maintenance was requested; all requests still end."""
+    """A server is cut off right after its maintenance was requested; all requests still end.
+
+    Whether it drains or not, it counts as out of service until it is back.
+    """
     harness.start_all()
     last = harness.names[-1]
     harness.request_maintenance([last])
@@ -272,7 +278,7 @@
 
 
 def never_restarted(harness: MaintenanceHarness, row: ExperimentRow) -> None:
-    """A server never returns from maintenance: it stays counted as out, and other requests still end."""
+    """A server that never returns from maintenance stays counted as out of service; other requests end."""
     harness.start_all()
     last = harness.server_count - 1
     name = harness.servers.name(last)
--- a/landingshift/testbed/experiments/policies.py
+++ b/landingshift/testbed/experiments/policies.py
@@ -24,7 +24,7 @@
 DEFAULT_HISTORY_COUNT = 200
 
 
-def judge(row: ExperimentRow, simulation: PolicyChangeSimulation) -> None:
+def check_simulation(row: ExperimentRow, simulation: PolicyChangeSimulation) -> None:
     """Checks a finished simulation.
 
     Requires that its history violates no invariant, and that at the end all servers are members and decide
@@ -50,7 +50,7 @@
     for seed in range(first_seed, first_seed + count):
         simulation = run_random_history(seed, removed_defence=removed_defence)
         history_row = ExperimentRow("history")
-        judge(history_row, simulation)
+        check_simulation(history_row, simulation)
         row.violations += [f"seed {seed}: {text}" for text in history_row.violations]
         outcomes = {(entry[3], entry[4]) for entry in simulation.history if entry[1] == "end"}
         for _, outcome in outcomes:
@@ -85,7 +85,7 @@
     row = ExperimentRow(name)
     run_count = max(1, runs // LARGE_ROW_FRACTION) if name in LARGE_ROWS else runs
     for run_seed in range(seed, seed + run_count):
-        judge(row, VIRTUAL_ROWS[name](row, run_seed, removed_defence))
+        check_simulation(row, VIRTUAL_ROWS[name](row, run_seed, removed_defence))
         row.runs += 1
     return row
 
--- a/landingshift/testbed/experiments/policies_harness.py
+++ b/landingshift/testbed/experiments/policies_harness.py
@@ -33,8 +33,8 @@
 """Ratio of the RPC rate to the rate that all engines together can serve."""
 CALLS_PER_SECOND_EACH = 1000.0
 LIST_REQUESTS_PER_SECOND = 20.0
-VOTERS_COUNT = 3
-PEERS_COUNT = 4
+VOTER_COUNT = 3
+PEER_COUNT = 4
 FINAL_OUTCOMES = ("taken", "refused", "withdrawn")
 CLOCK_OFFSETS_MS = ("0", "2000", "-2000")
 """Offsets of the servers' wall clocks, assigned in turn."""
@@ -76,7 +76,7 @@
         when_cut_off: str = SERVE,
         load: float = OVERLOAD_RATIO,
         warm_up_ms: float = 0.0,
-        voters: int = VOTERS_COUNT,
+        voters: int = VOTER_COUNT,
     ) -> None:
         """Starts the stand-ins, but no server.
 
@@ -108,7 +108,7 @@
 
     def _toml(self, index: int) -> str:
         addresses = [endpoint.address for endpoint in self.servers.proxy.endpoints.values()]
-        peers = ", ".join(f'"{format_address(address)}"' for address in addresses[:PEERS_COUNT])
+        peers = ", ".join(f'"{format_address(address)}"' for address in addresses[:PEER_COUNT])
         has_journal = index <= len(self.voters)  # voters, and one server that can be added as a voter
         journal = f'journal = "{self.journal_path(index)}"' if has_journal else ""
         return f"""
@@ -362,7 +362,11 @@
         row.require(is_agreed, f"not all servers decide by the same version: {self.statuses()}")
 
     def check(self, row: ExperimentRow) -> None:
-        """Stops all servers, and checks the requirements that hold under any faults."""
+        """Stops all servers, and checks the requirements that hold under any faults.
+
+        All running servers know the outcomes of all changes, the history violates no invariant, all RPCs are
+        answered and none fails, and servers exit with status 0 unless they were killed.
+        """
         self._require_outcomes(row)
         unanswered = self.servers.end_load()
         statuses = self.servers.shut_down_all()
--- a/landingshift/testbed/experiments/policies_network_cases.py
+++ b/landingshift/testbed/experiments/policies_network_cases.py
@@ -17,13 +17,13 @@
 from landingshift.testbed.processes.fault_proxy import LinkRule
 
 FLAP_SECONDS = 0.3
-CONCURRENT_CHANGES_COUNT = 10
-RANDOM_STEPS_COUNT = 10
+CONCURRENT_CHANGE_COUNT = 10
+RANDOM_STEP_COUNT = 10
 PROPOSE_PROBABILITY = 0.7
 PAUSE_SECONDS = (0.3, 1.5, 3.0)
 LOSS_FRACTIONS = (0.0, 0.1)
 STEP_SECONDS = (0.1, 0.5, 1.2)
-SERVICE_CHANGES_COUNT = 12
+SERVICE_CHANGE_COUNT = 12
 SERVICE_INTERVAL_SECONDS = 2.5
 MAX_SERVICE_DIFFERENCE_PERCENT = 2.0
 
@@ -67,7 +67,7 @@
     """
     harness.start_all()
     count = harness.server_count
-    change_ids = [f"at-once-{number}" for number in range(CONCURRENT_CHANGES_COUNT)]
+    change_ids = [f"at-once-{number}" for number in range(CONCURRENT_CHANGE_COUNT)]
     harness.change_ids += change_ids
     threads = [
         threading.Thread(target=harness.propose, args=(number % count, number, change_id))
@@ -89,7 +89,7 @@
     """Changes are proposed under random faults; after the faults end, all servers agree on one version."""
     harness.start_all()
     rng = Random(f"{harness.seed} chance")
-    for number in range(RANDOM_STEPS_COUNT):
+    for number in range(RANDOM_STEP_COUNT):
         running = harness.running()
         if rng.random() < PROPOSE_PROBABILITY and running:
             harness.propose(rng.choice(running), number)
@@ -150,7 +150,7 @@
 
 def _measure_ok_percent(harness: PolicyHarness, has_changes: bool) -> float:
     before = Counter(harness.servers.load.outcomes)
-    for number in range(SERVICE_CHANGES_COUNT):
+    for number in range(SERVICE_CHANGE_COUNT):
         if has_changes:
             harness.propose(number % harness.server_count, number)
         time.sleep(SERVICE_INTERVAL_SECONDS)
--- a/landingshift/testbed/experiments/policies_virtual_cases.py
+++ b/landingshift/testbed/experiments/policies_virtual_cases.py
@@ -13,14 +13,14 @@
 from landingshift.testbed.simulation.policy_change import PolicyChangeSimulation, PolicyServer, address
 
 LARGE_COUNT = 200
-LARGE_VOTERS_COUNT = 5
+LARGE_VOTER_COUNT = 5
 LOSS_PROBABILITY = 0.05
 MAX_CHANGE_MS = 2000.0
 """Maximum duration of a change in a large cluster."""
 MAX_CHANGE_WITH_DOWN_MS = 5000.0
 """Maximum duration of a change in a large cluster with servers down: the lease of 3 s, and 2 s."""
 POLICY_CONFLICT = "methods.m.criticality: not here"
-CRASH_STEPS_COUNT = 25
+CRASH_STEP_COUNT = 25
 CRASH_STEP_MS = (60.0, 400.0)
 PARTITION_PROBABILITY = 0.5
 
@@ -30,9 +30,7 @@
 
 def without_faults(row: ExperimentRow, seed: int, removed_defence: str) -> PolicyChangeSimulation:
     """Without faults a change among 200 servers commits within `MAX_CHANGE_MS`."""
-    simulation = PolicyChangeSimulation(
-        seed, LARGE_COUNT, LARGE_VOTERS_COUNT, removed_defence=removed_defence
-    )
+    simulation = PolicyChangeSimulation(seed, LARGE_COUNT, LARGE_VOTER_COUNT, removed_defence=removed_defence)
     simulation.run(4000.0)
     began_ms = simulation.network.now_ms
     change_id = simulation.propose(f"n{seed % LARGE_COUNT}", 1)
@@ -47,7 +45,7 @@
 def with_loss(row: ExperimentRow, seed: int, removed_defence: str) -> PolicyChangeSimulation:
     """With 5 % of all messages lost, a change among 200 servers commits."""
     simulation = PolicyChangeSimulation(
-        seed, LARGE_COUNT, LARGE_VOTERS_COUNT, removed_defence=removed_defence, change_timeout_ms=20_000.0
+        seed, LARGE_COUNT, LARGE_VOTER_COUNT, removed_defence=removed_defence, change_timeout_ms=20_000.0
     )
     simulation.network.loss_probability = LOSS_PROBABILITY
     simulation.run(5000.0)
@@ -68,7 +66,7 @@
     simulation = PolicyChangeSimulation(
         seed,
         LARGE_COUNT,
-        LARGE_VOTERS_COUNT,
+        LARGE_VOTER_COUNT,
         True,
         removed_defence=removed_defence,
         lease_ms=3000.0,
@@ -191,7 +189,7 @@
     """Voters crash repeatedly. Before they send a message, the state that it depends on must be on disk."""
     simulation = PolicyChangeSimulation(seed, 4, 3, removed_defence=removed_defence)
     rng = simulation.rng
-    for number in range(CRASH_STEPS_COUNT):
+    for number in range(CRASH_STEP_COUNT):
         simulation.run(float(rng.choice(CRASH_STEP_MS)))
         running = [name for name in simulation.server_names if name not in simulation.down_servers]
         simulation.propose(rng.choice(running), number)
--- a/landingshift/testbed/experiments/report.py
+++ b/landingshift/testbed/experiments/report.py
@@ -10,7 +10,7 @@
 from landingshift.testbed.verification.invariants import CLUSTER_INVARIANTS, PAGE_BY_INVARIANT
 
 HISTOGRAM_SIZE_INCHES = (8, 2.6)
-HISTOGRAM_BINS_COUNT = 40
+HISTOGRAM_BIN_COUNT = 40
 STYLE = """body{font:15px/1.45 system-ui,sans-serif;max-width:70rem;margin:2rem auto;color:#1c2733}
 table{border-collapse:collapse;margin:1rem 0}
 td,th{border:1px solid #d5dbe1;padding:.15rem .45rem;text-align:left}
@@ -48,7 +48,8 @@
         _render_failures(failures),
         "<h2>Which faults have met</h2><p>How often one fault began while the other was active.</p>",
         _render_pairs(coverage),
-        "<h2>Stages</h2><p>How often a fault began at each stage of a policy change or of maintenance.</p>",
+        "<h2>Stages</h2>"
+        "<p>How often a fault began at each stage of a policy change, of maintenance or of a cold start.</p>",
         _render_stages(coverage),
     ]
     return "\n".join(parts)
@@ -132,7 +133,7 @@
     from matplotlib import pyplot
 
     figure, axes = pyplot.subplots(figsize=HISTOGRAM_SIZE_INCHES)
-    axes.hist([ms / 1000.0 for ms in recovery_ms], bins=HISTOGRAM_BINS_COUNT, color="#2a6ea6")
+    axes.hist([ms / 1000.0 for ms in recovery_ms], bins=HISTOGRAM_BIN_COUNT, color="#2a6ea6")
     axes.set_xlabel("seconds from the end of the last fault until recovery")
     axes.set_ylabel("scenarios")
     figure.tight_layout()
--- a/landingshift/testbed/experiments/scenarios.py
+++ b/landingshift/testbed/experiments/scenarios.py
@@ -22,7 +22,7 @@
 MIN_FAULTS = 4
 FAULT_FREE_END_MS = 3000.0
 """Time at the end of a scenario in which no fault begins."""
-MAX_SERVERS_COUNT = 1000
+MAX_SERVER_COUNT = 1000
 STEERED_FRACTION = 0.5
 """Fraction of faults whose kind and start are drawn so that a rarely seen pair of kinds overlaps."""
 STEERED_SAMPLE_COUNT = 6
@@ -30,7 +30,7 @@
 MIN_OVERLAP_WINDOW_MS = 300.0
 """A steered fault begins while the other fault lasts, or within this time of its start if that is longer."""
 SERVER_COUNTS = (4, 5, 6, 7, 9)
-MIN_SERVERS_FOR_FIVE_VOTERS_COUNT = 7
+MIN_SERVERS_FOR_FIVE_VOTERS = 7
 DURATIONS_MS = (12_000.0, 20_000.0, 30_000.0)
 LOAD_RATIOS = (0.3, 0.6, 1.1)
 NO_FAULT = "alone"
@@ -213,7 +213,7 @@
     """
     rng = Random(f"{seed} day")
     server_count = rng.choice(SERVER_COUNTS)
-    voter_count = 3 if server_count < MIN_SERVERS_FOR_FIVE_VOTERS_COUNT else rng.choice((3, 5))
+    voter_count = 3 if server_count < MIN_SERVERS_FOR_FIVE_VOTERS else rng.choice((3, 5))
     duration_ms = rng.choice(DURATIONS_MS)
     kinds = list(FAULT_KINDS)
     weights = [kind.weight for kind in FAULT_KINDS.values()]
@@ -312,8 +312,8 @@
         raise UndecodableScenarioError(str(err)) from err
     for index, fault in enumerate(scenario.faults):
         _validate_fault(scenario, index, fault)
-    if not 1 <= scenario.voter_count <= scenario.server_count <= MAX_SERVERS_COUNT:
-        raise VoterCountError(MAX_SERVERS_COUNT)
+    if not 1 <= scenario.voter_count <= scenario.server_count <= MAX_SERVER_COUNT:
+        raise VoterCountError(MAX_SERVER_COUNT)
     return scenario
 
 
--- a/landingshift/testbed/experiments/service_samples.py
+++ b/landingshift/testbed/experiments/service_samples.py
@@ -22,7 +22,7 @@
 """Recovery from a fault is measured only if no other fault begins within this time after its end."""
 NO_SERVICE_FAULT_KINDS = ("change", "wish", "load")
 NO_ANSWERS = -1.0
-QUARTERS_COUNT = 4
+QUARTER_COUNT = 4
 
 
 class AnswerSample(NamedTuple):
@@ -78,10 +78,10 @@
 
     The result is empty if there are fewer samples than quarters.
     """
-    if len(samples) < QUARTERS_COUNT:
+    if len(samples) < QUARTER_COUNT:
         return {}
     count = len(samples)
-    bounds = [count * quarter // QUARTERS_COUNT for quarter in range(QUARTERS_COUNT + 1)]
+    bounds = [count * quarter // QUARTER_COUNT for quarter in range(QUARTER_COUNT + 1)]
     quarters = [samples[first:last] for first, last in pairwise(bounds)]
     return {
         "memory_mb": [_mean([sample.resident_mb for sample in quarter]) for quarter in quarters],
