--- a/landingshift/coldstart/recovery_grace.py
+++ b/landingshift/coldstart/recovery_grace.py
@@ -1,13 +1,14 @@
-"""For how long a grantor that starts must grant no more than is claimed from it. Pure.
+"""Recovery grace period: time after a grantor's start in which it grants no more than holders claim to have.
 
-It knows nothing of the grants of its earlier process, which may be used for one lease. After a power cut
-there is nothing to wait for: a process that ended before this machine was booted made its last grant before
-that. That it did is known from the id of the boot in which it ran, which it left on disk. The id of this
-boot, or none, proves nothing.
+A grantor that starts does not know the grants of its previous process, which holders can use until they
+expire. If the machine has booted since then, the previous process made its last grant before the boot, so the
+time since the boot counts towards the grace period. The previous process stored its boot id on disk: if this
+id differs from the present one, the machine has booted. If they are equal or one is missing, the whole
+reservation period applies.
 
-Guarantee: the sum of all leases never passes the capacity through a restart of the grantor.
-Failure mode: a disk that is moved to another machine brings a boot id that proves too much while the
-old process may still run.
+Guarantee: a restart of the grantor never lets the sum of all leases exceed the capacity.
+Failure mode: if the disk is moved to another machine, its boot id differs although the previous process may
+still run, so the grace period may be too short.
 """
 
 from __future__ import annotations
@@ -15,14 +16,14 @@
 from landingshift.system_clock import SystemBoot
 
 
-def recovery_grace_ms(booking_ms: float, current_boot: SystemBoot, last_boot_id: str) -> float:
-    """How long the grantor must wait.
+def recovery_grace_ms(reservation_ms: float, current_boot: SystemBoot, last_boot_id: str) -> float:
+    """Return the length of the recovery grace period in ms, counted from the start of this process.
 
     Args:
-        booking_ms: How long a grant of the earlier process is booked.
-        current_boot: The boot in which this process runs.
-        last_boot_id: The boot of the earlier process, empty where it is unknown.
+        reservation_ms: Time for which a grant of the previous process stays reserved.
+        current_boot: Boot in which this process runs.
+        last_boot_id: Id of the boot in which the previous process ran, empty if unknown.
     """
     if not last_boot_id or not current_boot.boot_id or last_boot_id == current_boot.boot_id:
-        return booking_ms
-    return min(booking_ms, max(0.0, booking_ms - current_boot.uptime_ms))
+        return reservation_ms
+    return min(reservation_ms, max(0.0, reservation_ms - current_boot.uptime_ms))
--- a/landingshift/coldstart/start_sequence.py
+++ b/landingshift/coldstart/start_sequence.py
@@ -1,8 +1,10 @@
-"""One server's way from its start until it is warm. Pure: what is known comes in, the stage comes out.
+"""State machine of one server's start, from the process start until the server is warm.
 
-Guarantee: with grantors that answer no server warms up without a permit.
-Failure mode: without an answer for a time-out a server starts by itself, at a random time over the whole
-cluster's size.
+Does no I/O and reads no clock: times are passed in as ms.
+
+Guarantee: while grantors answer, no server warms up without a permit.
+Failure mode: a server that gets no answer within a timeout starts without a permit, after a random delay. The
+range of the delay is proportional to the largest number of servers in the cluster.
 """
 
 from __future__ import annotations
@@ -14,25 +16,29 @@
 
 
 class StartStage(Enum):
-    """Stages in their order; the values are logged and answered to operators, positions are published."""
+    """Stages of a server's start, in their order.
+
+    Logs and answers to operators contain the value of a stage; metadata published to members contains its
+    position in this order.
+    """
 
-    SEEKING_GRANTOR = "seeking"  # knows no grantor
+    SEEKING_GRANTOR = "seeking"  # no grantor is known yet
     WAITING_FOR_PERMIT = "waiting"
-    WAITING_WITHOUT_GRANTOR = "alone"  # no grantor answers: waits for a random time of its own
-    WARMING_UP = "starting"  # takes RPCs
+    WAITING_WITHOUT_GRANTOR = "alone"  # no grantor answers: the server starts after a random delay
+    WARMING_UP = "starting"  # the server accepts RPCs
     WARM = "warm"
 
 
-OPEN_STAGES = (StartStage.WARMING_UP, StartStage.WARM)  # in which balancers may send RPCs
+OPEN_STAGES = (StartStage.WARMING_UP, StartStage.WARM)  # in these stages the gateway is allowed to send RPCs
 
 
 class StartSequence:
-    """The stages of one server.
+    """State machine of one server's start.
 
     Attributes:
-        stage: The present one.
-        last_grantor_response_ms: When a grantor answered last, or the start.
-        started_without_grantor: Whether it began to warm up without a permit.
+        stage: Present stage.
+        last_grantor_response_ms: Time of the last accepted grant, initially the time of creation.
+        started_without_grantor: Whether the server began to warm up without a permit.
     """
 
     def __init__(
@@ -43,14 +49,15 @@
         rng: Random,
         now_ms: float,
     ) -> None:
-        """Begins as a server that knows no grantor.
+        """Begin in the stage `SEEKING_GRANTOR`.
 
         Args:
-            grantor_timeout_ms: Without an answer for that long it starts by itself.
-            max_servers: How many may do so at once.
-            ungranted_starts_per_second: Rate of such starts in the whole cluster.
-            rng: Source of chance.
-            now_ms: Time.
+            grantor_timeout_ms: Time without an accepted grant after which the server schedules a start
+                without a permit.
+            max_servers: Largest number of servers in the cluster, which might all start without a permit.
+            ungranted_starts_per_second: Mean rate of starts without a permit, all servers together.
+            rng: Random number generator for the start delay.
+            now_ms: Present time.
         """
         self._grantor_timeout_ms = grantor_timeout_ms
         self._max_servers = max_servers
@@ -62,13 +69,13 @@
         self.started_without_grantor = False
 
     def advance(self, now_ms: float, grantor_count: int, has_permit: bool, warm_fraction: float) -> bool:
-        """Goes on to the next stage if that is due.
+        """Change the stage if the condition for another stage is met.
 
         Args:
-            now_ms: Time.
-            grantor_count: Grantors that are present.
-            has_permit: Whether it holds a permit.
-            warm_fraction: From 0 to 1, how far it is warm.
+            now_ms: Present time.
+            grantor_count: Number of grantors that are present.
+            has_permit: Whether the server holds a start permit.
+            warm_fraction: Progress of the warm-up, from 0 to 1.
 
         Returns:
             Whether the stage changed.
@@ -86,19 +93,19 @@
             case StartStage.WAITING_WITHOUT_GRANTOR:
                 self._wait_without_grantor(now_ms, grantor_count, is_unanswered)
             case _ if is_unanswered:
-                self._give_up_on_grantors(now_ms)
+                self._schedule_start_without_permit(now_ms)
             case StartStage.SEEKING_GRANTOR if grantor_count:
                 self.stage = StartStage.WAITING_FOR_PERMIT
         return self.stage is not previous_stage
 
-    def _give_up_on_grantors(self, now_ms: float) -> None:
-        """All servers wait about as long, so that their starts are spread over the whole cluster's size."""
+    def _schedule_start_without_permit(self, now_ms: float) -> None:
+        """Schedule a start after a random delay, to spread out the starts of servers without a grantor."""
         delay_ms = random_start_delay_ms(self._rng, self._max_servers, self._ungranted_starts_per_second)
         self._ungranted_start_ms = now_ms + delay_ms
         self.stage = StartStage.WAITING_WITHOUT_GRANTOR
 
     def _wait_without_grantor(self, now_ms: float, grantor_count: int, is_unanswered: bool) -> None:
-        """Goes back to a grantor that answers again, or starts at the drawn time."""
+        """Wait for a permit again if a grantor has answered, or warm up at the randomly chosen start time."""
         if grantor_count and not is_unanswered:
             self.stage = StartStage.WAITING_FOR_PERMIT
         elif now_ms >= self._ungranted_start_ms:
@@ -107,10 +114,10 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether balancers may send RPCs."""
+        """Whether the gateway is allowed to send RPCs to this server."""
         return self.stage in OPEN_STAGES
 
     @property
     def wants_permit(self) -> bool:
-        """Whether it asks for a permit, or keeps the one that it has."""
+        """Whether the server wants to get or keep a permit; False once it is warm."""
         return self.stage is not StartStage.WARM
--- a/landingshift/membership/rejoin.py
+++ b/landingshift/membership/rejoin.py
@@ -1,8 +1,9 @@
-"""Finding the cluster, and finding it again after a partition.
+"""Joining the cluster at start, and rejoining it after a network partition.
 
-Guarantee: as long as one kept address leads to a member, two halves of a cluster that were cut apart meet
-again without an operator.
-Failure mode: with no address that leads anywhere a member stays alone.
+Guarantee: once a partition has ended, its two sides merge without an operator if at least one member has a
+contact address of a member on the other side.
+Failure mode: a member stays alone if none of its contact addresses leads to another member and no other
+member contacts it.
 """
 
 from __future__ import annotations
@@ -10,16 +11,16 @@
 from landingshift.membership.messages import Address, Ping
 from landingshift.membership.node_context import NodeContext
 
-RETRY_INTERVAL_MS = 2000.0  # between two attempts while somebody is present
-INTERVAL_JITTER = (0.7, 1.3)  # bounds of the factor on each interval
-ANY_MEMBER = ""  # target name of a ping to whoever has the address
+RETRY_INTERVAL_MS = 2000.0  # between two pings while at least one other member is present
+INTERVAL_JITTER = (0.7, 1.3)  # range of the random factor for the interval
+ANY_MEMBER = ""  # target name of a ping to an address whose member is unknown
 
 
 class Rejoin:
-    """Pings one address after the other at which no present member is.
+    """Pings, one at a time, the contact addresses that belong to no present member.
 
     Attributes:
-        next_attempt_ms: When the next ping is due.
+        next_attempt_ms: Time at which the next ping is due.
     """
 
     def __init__(self, context: NodeContext, first_attempt_ms: float) -> None:
@@ -27,7 +28,10 @@
         self.next_attempt_ms = first_attempt_ms
 
     def on_timer(self, now_ms: float, is_leaving: bool) -> None:
-        """Tries one address if that is due, more often while this member knows nobody."""
+        """Pings one address if a ping is due and this member is not leaving.
+
+        While no other member is present, the interval between pings is the shorter probe interval.
+        """
         if now_ms < self.next_attempt_ms:
             return
         has_no_peers = not self._context.member_table.present_names
@@ -49,6 +53,9 @@
         ]
 
     def _least_recently_contacted(self, candidates: list[Address]) -> Address:
-        """The next address: a wrong one costs one datagram each time round, not a storm."""
+        """Returns the address that was pinged longest ago; ties are broken at random.
+
+        An address without a member thus costs only one datagram per pass over all addresses.
+        """
         last_attempt_ms = self._context.contacts.last_attempt_ms
         return min(candidates, key=lambda address: (last_attempt_ms[address], self._context.rng.random()))
--- a/landingshift/testbed/experiments/ledger_period_cases.py
+++ b/landingshift/testbed/experiments/ledger_period_cases.py
@@ -46,7 +46,7 @@
     today = simulation.store.calendar.period_at(simulation.now_ms).name
     for refused_name, description in ((today, "has not ended"), ("2026-02-30", "does not exist")):
         try:
-            with simulation.store.changing() as ledger:
+            with simulation.store.ledger_transaction() as ledger:
                 first_open = simulation.store.first_open_period()
                 ledger.close_period(refused_name, simulation.now_ms, first_open, {})
             case.row.violations.append(f"closed {refused_name}, which {description}")
@@ -58,7 +58,7 @@
 
 def _close(simulation: LedgerSimulation, name: str) -> bool:
     store = simulation.store
-    with store.changing() as ledger:
+    with store.ledger_transaction() as ledger:
         return ledger.close_period(
             name, simulation.now_ms, store.first_open_period(), store.period_totals(name)
         )
