--- a/landingshift/testbed/experiments/ledger_real.py
+++ b/landingshift/testbed/experiments/ledger_real.py
@@ -81,10 +81,12 @@
 
 
 def run_kills(runs: int, seed: int, removed_defence: str | None = None) -> ExperimentRow:
-    """Runs real servers under load, with one disturbance after the other, and returns a row for all runs.
+    """Runs a real server under load many times and returns a row for all runs.
+
+    The kinds of `Disturbance` take turns.
 
     Args:
-        runs: Number of runs.
+        runs: Number of runs; some of them run in parallel.
         seed: Seed of all random draws.
         removed_defence: "disputed" ignores disputed attempts in the checks; any other value has no effect.
     """
--- a/landingshift/testbed/experiments/policies_network_cases.py
+++ b/landingshift/testbed/experiments/policies_network_cases.py
@@ -61,7 +61,7 @@
 
 
 def concurrent_changes(harness: PolicyHarness, row: ExperimentRow) -> None:
-    """Ten changes proposed at once to different servers end, at least one of them committed.
+    """Of ten changes that are proposed at once to different servers, all end and at least one commits.
 
     The version increases by the number of committed changes.
     """
--- a/landingshift/testbed/experiments/service_samples.py
+++ b/landingshift/testbed/experiments/service_samples.py
@@ -21,6 +21,7 @@
 ISOLATION_SECONDS = 10.0
 """Recovery from a fault is measured only if no other fault begins within this time after its end."""
 NO_SERVICE_FAULT_KINDS = ("change", "wish", "load")
+"""Kinds from which no recovery is measured: operator commands and changes of the load."""
 NO_ANSWERS = -1.0
 QUARTER_COUNT = 4
 
@@ -103,7 +104,10 @@
 
 
 def recovery_figures(answers: list[AnswerSample], faults: list[Fault]) -> dict[str, Any]:
-    """Returns how long service took to recover from each fault that no other fault overlapped.
+    """Returns how long service took to recover from isolated faults.
+
+    A fault is isolated if no other one is active from `BASELINE_SECONDS` before it to `ISOLATION_SECONDS`
+    after it. Faults without a duration and the kinds `NO_SERVICE_FAULT_KINDS` are ignored.
 
     Args:
         answers: Samples in order of time.
