--- a/landingshift/testbed/experiments/maintenance.py
+++ b/landingshift/testbed/experiments/maintenance.py
@@ -36,7 +36,7 @@
 
     Capacity stays above its floor under the changing load, and the duration stays close to its lower bound.
     """
-    fleet = SimulatedFleet(seed, count, without=removed_defence)
+    fleet = SimulatedFleet(seed, count, removed_defence=removed_defence)
     for _ in range(3):
         fleet.step(WHOLE_DAY_STEP_MS)
     fleet.request_maintenance(fleet.machines)
@@ -89,7 +89,7 @@
 
 def random_faults(row: ExperimentRow, seed: int, removed_defence: str) -> None:
     """Twelve machines with random requests and faults: all requests end, and each permit is used once."""
-    fleet = SimulatedFleet(seed, 12, zones=2, warm_up_ms=4000.0, without=removed_defence)
+    fleet = SimulatedFleet(seed, 12, zones=2, warm_up_ms=4000.0, removed_defence=removed_defence)
     fleet.outage_minutes = 0.2
     fleet.peak_load = 0.45
     for _ in range(FAULT_COUNT):
@@ -145,7 +145,7 @@
 
 def capacity_kept(row: ExperimentRow, seed: int, removed_defence: str) -> None:
     """Capacity stays above its floor without faults; after crashes no machine drains below the floor."""
-    fleet = SimulatedFleet(seed, 20, zones=2, warm_up_ms=4000.0, without=removed_defence)
+    fleet = SimulatedFleet(seed, 20, zones=2, warm_up_ms=4000.0, removed_defence=removed_defence)
     fleet.outage_minutes = 0.3
     fleet.peak_load = 0.55
     fleet.now_ms = 12 * 60 * MS_PER_MINUTE
@@ -179,7 +179,7 @@
 
 def late_permit(row: ExperimentRow, seed: int, removed_defence: str) -> None:
     """A machine receives a permit only after the permit has expired, and must not drain."""
-    fleet = SimulatedFleet(seed, 12, zones=2, warm_up_ms=1000.0, without=removed_defence)
+    fleet = SimulatedFleet(seed, 12, zones=2, warm_up_ms=1000.0, removed_defence=removed_defence)
     fleet.outage_minutes = 0.5
     fleet.peak_load = 0.3
     for _ in range(10):
--- a/landingshift/testbed/simulation/server.py
+++ b/landingshift/testbed/simulation/server.py
@@ -1,7 +1,7 @@
-"""A server in virtual time, with all that decides in it.
+"""A server in virtual time, which runs the real decision code of all packages.
 
-It decides nothing of its own: it wires the packages' objects as the services wire them on a real event loop,
-over a simulated engine, disk and network.
+This module contains no decision logic. It connects the objects of the packages as a real server does on its
+event loop, but the engine, the disk and the network are simulated.
 """
 
 from __future__ import annotations
@@ -32,14 +32,15 @@
 DECLARED_DEAD_LOG_EVENT = "fleet_dead"
 COLD_START_STEP_MS = 200.0
 ACTIVE_REPORT_INTERVAL_MS = 500.0
-"""Between two reports to the leader of maintenance while there is maintenance."""
+"""Mean interval of a server's load reports to the leader while the server knows a maintenance request."""
 IDLE_REPORT_INTERVAL_MS = 2000.0
+"""Mean interval of a server's load reports to the leader while the server knows no maintenance request."""
 LOAD_WINDOW_MS = 1000.0
-"""RPCs a second are measured over at least so long."""
+"""Minimum time over which the rate of RPCs is measured."""
 DRAIN_MS = 3000.0
-"""From the beginning of a drain to the end of the process, at the most."""
+"""Maximum time from the beginning of a drain to the end of the process."""
 MAX_DELIVERY_COUNT = 8
-"""Times in a row that messages of the policies to itself may bring about others."""
+"""Maximum number of times that one call of `take_outgoing` saves Raft state and queues policy messages."""
 MAX_MEMBER_COUNT = 1000
 ZONE_COUNT = 2
 MODEL_COUNT = 2
@@ -47,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RpcArrival:
-    """A gateway's RPC, which waited in the socket of a paused server for `queued_ms`."""
+    """An RPC from a gateway. `queued_ms` is the time that the RPC spends in the socket of a paused server."""
 
     rpc: SimulatedRpc
     queued_ms: float
@@ -55,27 +56,28 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainNotice:
-    """An outside notice to drain; the server starts again `down_ms` after its end."""
+    """An external notice to drain. A new process starts `down_ms` after the drained one has ended."""
 
     down_ms: float
 
 
 class SimulatedServer:
-    """One process of a server; implements `SimulatedProcess`.
+    """A process of a simulated server; implements `SimulatedProcess`.
 
     Attributes:
-        cluster: What is around it.
+        cluster: The cluster around the server.
         index: Number of the server.
-        name: Its name.
-        host: The machine that it runs on.
-        disk: What lasts when it does not.
-        node: Membership.
-        policy_node: Policies, and on a voter consensus.
-        cold_start: The cold start.
-        rpcs: RPCs, admission and the engine.
-        maintenance: Maintenance.
-        ends_at_ms: When it ends by a drain, by its clock; infinite while it does not drain.
-        down_ms: After a drain, until the next process starts.
+        name: Name of the server.
+        host: Host that runs the process.
+        disk: Disk of the server, which outlives the process.
+        node: Membership node.
+        policy_node: Runs policy changes; contains a Raft node if the server can be a voter.
+        cold_start: Start permit, call quota and polls of the endpoint list.
+        rpcs: Admission and the engine, with the RPCs that they handle.
+        maintenance: The server's part in maintenance.
+        ends_at_ms: Deadline of the drain on the host's clock: the process ends at this time even if some RPCs
+            are still open. Infinite if the server is not draining.
+        down_ms: Time from the end of a drained process to the start of the next process.
     """
 
     def __init__(self, cluster: ClusterContext, index: int, run_number: int, host: SimulatedHost) -> None:
@@ -86,7 +88,7 @@
         self.disk = cluster.disk(index)
         self.ends_at_ms = inf
         self.down_ms = 0.0
-        # All parts draw from one generator: the order of their making belongs to the history.
+        # All parts draw from one generator, so the order in which they are created determines the history.
         rng = cluster.server_rng(index, run_number)
         now_ms = host.clock_ms()
         self._rng = rng
@@ -148,34 +150,37 @@
         remove_from_policies(node, config.removed_defence)
         return node
 
-    # What it reads and tells
+    # State of the server
 
     @property
     def tenant(self) -> Tenant:
-        """The tenant of its RPCs."""
+        """The tenant of all RPCs to this server."""
         return self.rpcs.tenant
 
     @property
     def is_draining(self) -> bool:
-        """Whether it is about to end."""
+        """Whether the server is draining. Its process ends after the drain."""
         return self.ends_at_ms < inf
 
     @property
     def is_listed(self) -> bool:
-        """Whether gateways may hear of it: as services hold its health back on a real server."""
+        """Whether the endpoint list contains the server.
+
+        A real server reports itself healthy under the same conditions.
+        """
         is_open = self.cold_start.participant.start_sequence.is_open
         return self.rpcs.is_healthy and is_open and self.rpcs.may_decide and not self.is_draining
 
     def wall_clock_ms(self) -> float:
-        """Returns Unix ms of its wall clock."""
+        """Returns the time on the server's wall clock, in Unix ms."""
         return self.cluster.wall_clock_ms(self.index)
 
     def warm_fraction(self) -> float:
-        """Returns the share of its capacity that it has reached."""
+        """Returns the capacity that the server has reached, as a fraction (0 to 1) of its full capacity."""
         return self.cold_start.warm_fraction(self.rpcs)
 
     def table_sizes(self) -> dict[str, int]:
-        """Returns the sizes of all that could grow, by the names that the invariant's bounds have."""
+        """Returns the sizes of all tables that could grow without bound, keyed by table name."""
         operator_commands = self.policy_node.operator_commands
         sizes = {
             "out": len(self.node.outbox.pending),
@@ -204,10 +209,10 @@
         if has_departed != had_departed:
             self.cluster.record(MemberSeen.KIND, self.name, member.record.name, not has_departed)
 
-    # For its host
+    # SimulatedProcess
 
     def next_deadline_ms(self) -> float:
-        """Returns when `on_timer` is to be called next."""
+        """Returns the time at which `on_timer` must be called next."""
         return min(
             self.node.next_deadline_ms(),
             self.policy_node.next_deadline_ms(),
@@ -218,20 +223,21 @@
         )
 
     def on_message(self, message: Any, now_ms: float) -> None:
-        """Handles a datagram, an RPC, a notice or an event of the engine."""
+        """Handles a datagram, an RPC, a drain notice or an event of the engine."""
         match message:
             case Message():
                 self.node.on_message(message, now_ms)
             case RpcArrival(rpc, queued_ms):
                 self.rpcs.on_rpc(rpc, queued_ms, now_ms)
             case DrainNotice(float(down_ms)):
-                # Drawn scenarios have whole numbers here, and their notices do nothing; those of files do.
+                # The pattern matches floats only. In randomly generated scenarios `down_ms` is an int, so
+                # the notice has no effect. In scenarios from files it is a float, and the server drains.
                 self.start_draining(down_ms)
             case RunFinished() | CallNeeded() | CallFinished():
                 self.rpcs.on_engine_event(message, now_ms)
 
     def on_timer(self, now_ms: float) -> None:
-        """Does what is due in all parts."""
+        """Runs the timers that are due in all parts of the server."""
         if self.node.next_deadline_ms() <= now_ms:
             self.node.on_timer(now_ms)
         if self.policy_node.next_deadline_ms() <= now_ms:
@@ -245,7 +251,12 @@
             self.rpcs.on_timer(now_ms)
 
     def take_outgoing(self) -> list[tuple[Address, Any]]:
-        """Ends a pass: admission decides, what must be on disk is written, then messages go."""
+        """Completes the handling of events and returns the datagrams to send, with their receivers.
+
+        First lets admission reject, start and resume RPCs. Ends the process if the drain is complete or its
+        deadline has passed. Otherwise writes unsaved Raft state to disk; the policy messages that depend on
+        this state are sent only after that.
+        """
         now_ms = self.host.clock_ms()
         self.rpcs.settle(now_ms)
         is_drained = self.is_draining and not self.rpcs.open_rpcs
@@ -263,14 +274,14 @@
         self.policy_node.on_message(sender.name, body, self.host.clock_ms())
 
     def _send_policy_messages(self) -> bool:
-        """Sends what the policies have to say; returns whether that was anything."""
+        """Queues the outgoing policy messages; returns whether there were any."""
         messages = self.policy_node.take_outgoing()
         for receiver, body in messages:
             self.node.send_to_member(receiver, POLICIES_PACKAGE, body)
         return bool(messages)
 
     def _save(self) -> bool:
-        """Writes the Raft state where it has changed; returns whether messages that rest on it may go."""
+        """Writes unsaved Raft state to disk; returns whether it is safe to send policy messages."""
         unsaved = self.policy_node.unsaved_state()
         if unsaved is None:
             return True
@@ -286,7 +297,7 @@
         self.policy_node.deliver_messages(self.host.clock_ms())
         return True
 
-    # Maintenance and the end
+    # Maintenance and drain
 
     def _report(self, now_ms: float) -> None:
         elapsed_ms = now_ms - self._load_measured_at_ms
@@ -309,7 +320,11 @@
         )
 
     def start_draining(self, down_ms: float) -> None:
-        """Begins to drain, by a notice or by a permit; the next process starts `down_ms` after the end."""
+        """Begins to drain; does nothing if the server is already draining.
+
+        Args:
+            down_ms: Time from the end of the process to the start of the next process.
+        """
         if self.is_draining:
             return
         now_ms = self.host.clock_ms()
@@ -320,7 +335,7 @@
         self.down_ms = down_ms
 
     def _end(self) -> None:
-        """Ends the process: all answers are out, and the others hear that it leaves."""
+        """Announces the departure of the process to the other servers, then ends the process."""
         self.policy_node.announce_departure()
         self._send_policy_messages()
         for receiver, message in self.node.take_outgoing():
--- a/landingshift/testbed/simulation/server_cold_start.py
+++ b/landingshift/testbed/simulation/server_cold_start.py
@@ -1,4 +1,4 @@
-"""The cold start of a simulated server: its participant, its leases and the endpoint list."""
+"""The cold start of a simulated server: start permit, call quota and polls of the endpoint list."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 from landingshift.membership.node import SwimNode
 from landingshift.testbed.simulation.cluster_context import ClusterContext
 from landingshift.testbed.simulation.removed_defences import (
-    BOOKED_AMOUNT,
     RECOVERY_GRACE,
-    remove_booked_amount,
+    RESERVED_AMOUNT,
     remove_recovery_grace,
+    remove_reserved_amount,
 )
 from landingshift.testbed.simulation.rpc_service import RpcService
 from landingshift.testbed.simulation.virtual_time import SimulatedHost
@@ -22,18 +22,19 @@
 LIST_POLLS_PER_SECOND = 20.0
 LIST_TIMEOUT_MS = 3000.0
 DEMAND_MARGIN_FACTOR = 1.25
-"""A server asks for so many times the calls that its RPCs want."""
+"""Ratio of the downstream call rate that a server requests as its quota to the rate that its RPCs need."""
 MIN_DEMAND_CALLS_PER_SECOND = 1.0
 
 
 class ServerColdStart:
-    """What a server does until it is warm.
+    """The cold start of a server: start permit, call quota and polls of the endpoint list.
 
     Attributes:
-        participant: Takes and, on a grantor, grants leases.
-        poller: Asks the endpoint list for other servers.
-        is_open: The server has begun to take RPCs.
-        call_quota: What admission was told last; -1 for nothing yet.
+        participant: Requests leases and, on a grantor, grants them.
+        poller: Decides when to poll the endpoint list for addresses of other servers.
+        is_open: Whether the server has begun to accept RPCs.
+        call_quota: Call quota that was last passed to admission, in downstream calls per second; -1 if none
+            has been passed.
     """
 
     def __init__(
@@ -48,8 +49,8 @@
         self.participant = ColdStartParticipant(node, cluster.config.cold_start, rng, now_ms)
         if cluster.config.removed_defence == RECOVERY_GRACE:
             remove_recovery_grace(self.participant, now_ms)
-        if cluster.config.removed_defence == BOOKED_AMOUNT:
-            remove_booked_amount(self.participant)
+        if cluster.config.removed_defence == RESERVED_AMOUNT:
+            remove_reserved_amount(self.participant)
         self.poller = ServiceDiscoveryPoller(
             cluster.config.server_count, LIST_POLLS_PER_SECOND, True, LIST_TIMEOUT_MS, rng, now_ms
         )
@@ -58,14 +59,17 @@
         self._recorded_leases: dict[str, tuple[float, ...]] = {}
 
     def warm_fraction(self, rpcs: RpcService) -> float:
-        """Returns the share of its capacity that the server has reached."""
+        """Returns the capacity that the server has reached, as a fraction (0 to 1) of its full capacity."""
         if not self.is_open:
             return 0.0
         age_fraction = (self._host.clock_ms() - rpcs.admission.started_at_ms) / WARM_UP_MS
         return min(1.0, age_fraction, rpcs.engine.cache_fill_fraction)
 
     def step(self, rpcs: RpcService, now_ms: float) -> None:
-        """Reports the server's state to the participant, and does what that decides."""
+        """Reports the load of the server to the participant, and applies the participant's decisions.
+
+        Also polls the endpoint list if a poll is due.
+        """
         self._node.now_ms = now_ms
         start_sequence = self.participant.start_sequence
         if self.participant.on_timer(now_ms, self._observe(rpcs, now_ms)):
