--- a/landingshift/testbed/experiments/policies_network_cases.py
+++ b/landingshift/testbed/experiments/policies_network_cases.py
@@ -1,4 +1,4 @@
-"""Cases of a policy change through partitions, random faults and load."""
+"""Cases of policy changes with partitions, concurrent proposals, random faults and load."""
 
 from __future__ import annotations
 
@@ -17,19 +17,24 @@
 from landingshift.testbed.processes.fault_proxy import LinkRule
 
 FLAP_SECONDS = 0.3
-CONCURRENT_CHANGES_COUNT = 10
-RANDOM_STEPS_COUNT = 10
+CONCURRENT_CHANGE_COUNT = 10
+RANDOM_STEP_COUNT = 10
 PROPOSE_PROBABILITY = 0.7
 PAUSE_SECONDS = (0.3, 1.5, 3.0)
 LOSS_FRACTIONS = (0.0, 0.1)
 STEP_SECONDS = (0.1, 0.5, 1.2)
-SERVICE_CHANGES_COUNT = 12
+SERVICE_CHANGE_COUNT = 12
 SERVICE_INTERVAL_SECONDS = 2.5
 MAX_SERVICE_DIFFERENCE_PERCENT = 2.0
 
 
 def partitions(harness: PolicyHarness, row: ExperimentRow) -> None:
-    """Halves, then one heard by nobody, then a partition that flaps; a change in each, on either side."""
+    """All changes end that are proposed during a partition.
+
+    Partitions are, in turn: two halves, a server whose messages are all lost, and two halves that are cut off
+    every other `FLAP_SECONDS`. During each, changes are proposed to servers 0 and 1, which are in different
+    halves.
+    """
     harness.start_all()
     servers = harness.servers
     half = {servers.name(index) for index in range(harness.server_count) if index % 2}
@@ -44,22 +49,25 @@
     for number, rule in enumerate(rules, 1):
         harness.partition(rule)
         harness.propose(0, number)
-        harness.propose(1, number + 10)  # on the other side
+        harness.propose(1, number + 10)
         time.sleep(3.0)
         harness.heal()
         time.sleep(2.0)
         for change_id in harness.change_ids:
             has_ended = harness.wait_for_outcome(2, change_id, 15.0)["end"] in FINAL_OUTCOMES
-            row.require(has_ended, f"{change_id} does not end")
+            row.require(has_ended, f"{change_id} has not ended after 15 s")
     versions = {status.get("version") for status in harness.statuses()}
     harness.require_version(row, max(version for version in versions if version is not None), 15.0)
 
 
 def concurrent_changes(harness: PolicyHarness, row: ExperimentRow) -> None:
-    """Ten changes proposed at once at all servers: each ends, and in one order."""
+    """Of ten changes that are proposed at once to different servers, all end and at least one commits.
+
+    The version increases by the number of committed changes.
+    """
     harness.start_all()
     count = harness.server_count
-    change_ids = [f"at-once-{number}" for number in range(CONCURRENT_CHANGES_COUNT)]
+    change_ids = [f"at-once-{number}" for number in range(CONCURRENT_CHANGE_COUNT)]
     harness.change_ids += change_ids
     threads = [
         threading.Thread(target=harness.propose, args=(number % count, number, change_id))
@@ -73,15 +81,15 @@
         harness.wait_for_outcome(number % count, change_id)["end"]
         for number, change_id in enumerate(change_ids)
     ]
-    row.require("taken" in outcomes, f"none was taken: {outcomes}")
+    row.require("taken" in outcomes, f"no change was committed: {outcomes}")
     harness.require_version(row, outcomes.count("taken"), 10.0)
 
 
 def random_faults(harness: PolicyHarness, row: ExperimentRow) -> None:
-    """Faults drawn from the seed for some seconds, changes all the while; then all is well and must agree."""
+    """Changes are proposed under random faults; after the faults end, all servers agree on one version."""
     harness.start_all()
     rng = Random(f"{harness.seed} chance")
-    for number in range(RANDOM_STEPS_COUNT):
+    for number in range(RANDOM_STEP_COUNT):
         running = harness.running()
         if rng.random() < PROPOSE_PROBABILITY and running:
             harness.propose(rng.choice(running), number)
@@ -92,7 +100,8 @@
     for index in range(harness.server_count):
         if index not in harness.running():
             harness.start(index)
-    row.require(harness.servers.wait_until(25.0, harness.all_decide), "not all decide again")
+    are_deciding = harness.servers.wait_until(25.0, harness.all_decide)
+    row.require(are_deciding, "not all servers decide RPCs 25 s after the last fault")
     for change_id in harness.change_ids:
         harness.wait_for_outcome(0, change_id, 2.0)
     harness.require_agreement(row, 20.0)
@@ -121,7 +130,10 @@
 
 
 def service(harness: PolicyHarness, row: ExperimentRow) -> None:
-    """Half a minute without a change and half a minute with one each few seconds, at the same load."""
+    """Policy changes don't alter the percentage of ok answers by more than `MAX_SERVICE_DIFFERENCE_PERCENT`.
+
+    Half a minute without changes is compared with half a minute with one every `SERVICE_INTERVAL_SECONDS`.
+    """
     harness.start_all()
     time.sleep(3.0)
     ok_percent_without = _measure_ok_percent(harness, has_changes=False)
@@ -138,7 +150,7 @@
 
 def _measure_ok_percent(harness: PolicyHarness, has_changes: bool) -> float:
     before = Counter(harness.servers.load.outcomes)
-    for number in range(SERVICE_CHANGES_COUNT):
+    for number in range(SERVICE_CHANGE_COUNT):
         if has_changes:
             harness.propose(number % harness.server_count, number)
         time.sleep(SERVICE_INTERVAL_SECONDS)
